--- a/iriswheel/message.py
+++ b/iriswheel/message.py
@@ -16,14 +16,17 @@
 
 
 def plain(val):
-    """A message as plain data with names, for people to read.
+    """A message as plain data, under the names that its fields have outside.
+
+    A field that is renamed in the code keeps its name outside by `rename=` of its class.
 
     >>> plain([Seat("c0ffee", "127.0.0.1", 7001, "a")])
     [{'id': 'c0ffee', 'host': '127.0.0.1', 'port': 7001, 'zone': 'a'}]
     """
     match val:
         case Message():
-            return {name: plain(getattr(val, name)) for name in val.__struct_fields__}
+            names = zip(val.__struct_fields__, val.__struct_encode_fields__, strict=True)
+            return {shown: plain(getattr(val, name)) for name, shown in names}
         case list() | tuple():
             return [plain(v) for v in val]
     return val
@@ -32,7 +35,7 @@
 # ---- shared shapes -------------------------------------------------------
 
 
-class Seat(Message):
+class Seat(Message, tag="Seat"):
     """A core machine that votes: its identity, address and zone."""
 
     id: str
@@ -48,7 +51,7 @@
     boot: str
 
 
-class View(Message):
+class View(Message, tag="View"):
     """The agreed view: who votes, and the chain from head to tail."""
 
     number: int
@@ -56,7 +59,7 @@
     chain: list[ChainReplica]
 
 
-class Entry(Message):
+class Entry(Message, tag="Entry"):
     """One numbered change in the chain. `made` is the view in which it was made."""
 
     n: int
@@ -67,7 +70,7 @@
     changes: list[tuple[str, typing.Any]] = []
 
 
-class Member(Message):
+class Member(Message, tag="Member"):
     """A light node in one of its lives."""
 
     id: str
@@ -78,7 +81,7 @@
     http: int
 
 
-class Worker(Message):
+class Worker(Message, tag="Worker"):
     """A worker as the platform lists it."""
 
     id: str
@@ -89,7 +92,7 @@
     drain_us: int = 0
 
 
-class Duty(Message):
+class Duty(Message, tag="Duty"):
     """A task that one live node does, under a term.
 
     `base` names the nodes of the last group that was seated: one of them must be
@@ -104,7 +107,7 @@
     seated: bool = False
 
 
-class Roster(Message):
+class Roster(Message, tag="Roster"):
     """The soft state that the tail issues, stamped by view and count."""
 
     stamp: tuple[int, int]
@@ -115,7 +118,7 @@
     listed: tuple[int, int, int] = (0, 0, 0)
 
 
-class Session(Message):
+class Session(Message, tag="Session"):
     """A conversation's record. Spans are what is left when it was sent."""
 
     id: str
@@ -127,7 +130,7 @@
     ask: str = ""  # the send that opened it, until that reached the worker
 
 
-class Claim(Message):
+class Claim(Message, tag="Claim"):
     """The claim on an exchange that may not be repeated."""
 
     exchange: str
@@ -138,7 +141,7 @@
     left_us: int
 
 
-class Same(Message):
+class Same(Message, tag="Same"):
     """The worker list is as it was when it was told whole under the stamp `of`."""
 
     stamp: tuple[int, int, int]
@@ -163,7 +166,7 @@
     sealed: bool = False  # whether a promise closed the view there, so that nothing is acknowledged in it
 
 
-class Prepare(Message):
+class Prepare(Message, tag="Prepare"):
     """Ask a voter to promise that it takes part in no older ballot for view `number`."""
 
     number: int
@@ -171,7 +174,7 @@
     sender: str
 
 
-class Promise(Message):
+class Promise(Message, tag="Promise"):
     """The answer to `Prepare`: what the voter has accepted, and how far its copy has come."""
 
     ok: bool
@@ -185,7 +188,7 @@
     tip: tuple[int, int] = (0, 0)  # its newest entry: the view it was made in, its number
 
 
-class Accept(Message):
+class Accept(Message, tag="Accept"):
     """Ask a voter to accept a view under a ballot."""
 
     ballot: tuple[int, str]
@@ -193,14 +196,14 @@
     sender: str
 
 
-class Accepted(Message):
+class Accepted(Message, tag="Accepted"):
     """The answer to `Accept`; `newer` is a newer view that the voter knows."""
 
     ok: bool
     newer: View | None
 
 
-class Decided(Message):
+class Decided(Message, tag="Decided"):
     """A majority has accepted this view."""
 
     view: View
@@ -213,21 +216,21 @@
     tail: str
 
 
-class LeaseGiven(Message):
+class LeaseGiven(Message, tag="LeaseGiven"):
     """The answer to a tail that asks for its lease."""
 
     ok: bool
     newer: View | None
 
 
-class Place(Message):
+class Place(Message, tag="Place"):
     """Ask the next link how far it has come."""
 
     view: int
     sender: str
 
 
-class Placed(Message):
+class Placed(Message, tag="Placed"):
     """How far a link has come: its newest synced entry, and how much of a snapshot has arrived in pieces."""
 
     ok: bool
@@ -238,14 +241,14 @@
     received: int = 0  # bytes of it
 
 
-class Position(Message):
+class Position(Message, tag="Position"):
     """A place in the log: an entry's number, and the view in which it was made."""
 
     n: int
     made: int
 
 
-class Piece(Message):
+class Piece(Message, tag="Piece"):
     """One piece of a snapshot for the next link; changes nothing there until a last Refill names the snapshot."""
 
     view: int
@@ -255,14 +258,14 @@
     content: bytes
 
 
-class PieceTaken(Message):
+class PieceTaken(Message, tag="PieceTaken"):
     """How much of the snapshot has arrived."""
 
     ok: bool
     received: int = 0
 
 
-class Refill(Message):
+class Refill(Message, tag="Refill"):
     """Bring the next link up to date: entries after its own newest one, or after a snapshot sent before in pieces.
 
     `frame` holds a whole snapshot, for programs that take none in pieces.
@@ -276,21 +279,21 @@
     last: bool = True  # whether the link then holds all that the sender holds
 
 
-class Append(Message):
+class Append(Message, tag="Append"):
     """Entries for the next replica of the chain, in order."""
 
     view: int
     entries: list[Entry]
 
 
-class Stored(Message):
+class Stored(Message, tag="Stored"):
     """All links from here to the tail have synced up to n."""
 
     ok: bool
     n: int = 0
 
 
-class Propose(Message):
+class Propose(Message, tag="Propose"):
     """An operator's change, on its way to the head."""
 
     view: int
@@ -300,7 +303,7 @@
     changes: list[tuple[str, typing.Any]] = []
 
 
-class Proposed(Message):
+class Proposed(Message, tag="Proposed"):
     """The answer to `Propose`: an error, or the stamp under which the change stands."""
 
     code: str  # "" where it stands
@@ -309,14 +312,14 @@
     stamp: int = 0
 
 
-class Look(Message):
+class Look(Message, tag="Look"):
     """Read at the tail: the configuration, and a plan where one is named."""
 
     view: int
     plan: str = ""
 
 
-class Seen(Message):
+class Seen(Message, tag="Seen"):
     """The answer to `Look`: the items under their stamp, and the plan asked for."""
 
     ok: bool
@@ -327,7 +330,7 @@
     forgotten: int = 0  # the highest number of a change taken whose id is no longer remembered
 
 
-class Sessions(Message):
+class Sessions(Message, tag="Sessions"):
     """What a core tells the tail: its nodes' sessions and what the nodes found."""
 
     core: str
@@ -343,7 +346,7 @@
     leases: list[tuple[str, int, int]] = []  # node, version applied, how long it may hold a lease (µs)
 
 
-class Beat(Message):
+class Beat(Message, tag="Beat"):
     """From the tail to the cores, and from a core to its nodes: all is well."""
 
     view: int
@@ -358,7 +361,7 @@
 # ---- between a node and a core ----------------------------------------------
 
 
-class Join(Message):
+class Join(Message, tag="Join"):
     """A node opens its session with a core, and says how far it has come."""
 
     member: Member
@@ -367,13 +370,13 @@
     sent_at: int = 0  # on the node's clock, in µs
 
 
-class Elsewhere(Message):
+class Elsewhere(Message, tag="Elsewhere"):
     """This core machine stops; others serve."""
 
     cores: list[Seat]
 
 
-class Early(Message):
+class Early(Message, tag="Early"):
     """What a core's disk holds, for a node that knows nothing while no core serves.
 
     All of it was synced here; the newest of it may not have been answered yet.
@@ -390,20 +393,20 @@
     items: dict[str, typing.Any]
 
 
-class Change(Message):
+class Change(Message, tag="Change"):
     """The items that changed for a node up to entry `n`."""
 
     n: int
     items: dict[str, typing.Any]  # None removes
 
 
-class News(Message):
+class News(Message, tag="News"):
     """A newer roster."""
 
     roster: Roster
 
 
-class Alive(Message):
+class Alive(Message, tag="Alive"):
     """A heartbeat on a session; from a node, how far it has come; to a node, that the worker list stands."""
 
     n: int
@@ -413,28 +416,28 @@
     lease_left: int = 0  # to a node: how long a lease counted from `sent_at` may run at most, in µs
 
 
-class Listing(Message):
+class Listing(Message, tag="Listing"):
     """The platform's worker list, from the node whose duty it is to ask."""
 
     workers: list[Worker]
     stamp: tuple[int, int, int]  # the term of the duty, and a count
 
 
-class Seated(Message):
+class Seated(Message, tag="Seated"):
     """The holder of a duty has taken it up under this term."""
 
     key: str
     term: tuple[int, int]
 
 
-class Contested(Message):
+class Contested(Message, tag="Contested"):
     """A duty's holder met a newer term than its own, of a roster that was lost: it needs a term anew."""
 
     key: str
     term: tuple[int, int]
 
 
-class Leave(Message):
+class Leave(Message, tag="Leave"):
     """A node leaves in good order."""
 
     member: str
@@ -443,7 +446,7 @@
 # ---- between nodes ----------------------------------------------------------
 
 
-class Elect(Message):
+class Elect(Message, tag="Elect"):
     """Ask the warden for a worker for one exchange."""
 
     pool: str
@@ -463,7 +466,7 @@
     again: bool = False  # whether this would repeat an earlier send
 
 
-class Granted(Message):
+class Granted(Message, tag="Granted"):
     """The answer to `Elect`: the worker elected, and for how long the grant may be used."""
 
     term: tuple[int, int]
@@ -474,7 +477,7 @@
     via: str = ""  # a member that hears the worker, should the asking node not reach it
 
 
-class Denied(Message):
+class Denied(Message, tag="Denied"):
     """The answer to `Elect` where no worker was elected, with the verdict for the exchange."""
 
     term: tuple[int, int]
@@ -484,7 +487,7 @@
     retry_us: int
 
 
-class Forbid(Message):
+class Forbid(Message, tag="Forbid"):
     """A retry came to another pool, as its route moved: was it sent here? If not, it never will be."""
 
     pool: str
@@ -492,13 +495,13 @@
     exchange: str
 
 
-class Forbidden(Message):
+class Forbidden(Message, tag="Forbidden"):
     """The answer to `Forbid`."""
 
     state: str  # "" where it was never sent, else "claimed", "ran", "unknown", or "later": ask again
 
 
-class Done(Message):
+class Done(Message, tag="Done"):
     """A grant is over: used (ran), or given back (not sent)."""
 
     pool: str
@@ -506,7 +509,7 @@
     verdict: str
 
 
-class Running(Message):
+class Running(Message, tag="Running"):
     """All grants that this node holds in a pool, told every second."""
 
     pool: str
@@ -516,7 +519,7 @@
     voids: list[str] = []  # asks that it gave up lately without a send
 
 
-class Gather(Message):
+class Gather(Message, tag="Gather"):
     """A new warden asks for all that is known of a pool."""
 
     pool: str
@@ -524,7 +527,7 @@
     warden: str
 
 
-class Gathered(Message):
+class Gathered(Message, tag="Gathered"):
     """The answer to `Gather`: a core's or a node's records of the pool."""
 
     ok: bool
@@ -538,7 +541,7 @@
     repeats: list[int] = []
 
 
-class Grant(Message):
+class Grant(Message, tag="Grant"):
     """A grant that a node holds: enough for a new warden to count it."""
 
     pool: str
@@ -550,7 +553,7 @@
     long: bool
 
 
-class Copy(Message):
+class Copy(Message, tag="Copy"):
     """A warden's records for those that keep copies: the changed ones, or all where `whole`."""
 
     pool: str
@@ -563,30 +566,30 @@
     broken_us: int = 0
 
 
-class Copied(Message):
+class Copied(Message, tag="Copied"):
     """The answer to `Copy`: whether it was taken."""
 
     ok: bool
 
 
-class Unpin(Message):
+class Unpin(Message, tag="Unpin"):
     """Sessions that were closed or moved: no node may go by what it remembers of them."""
 
     pool: str
     sessions: list[str]
 
 
-class Spread(Message):
+class Spread(Message, tag="Spread"):
     """The worker list, told directly from node to node."""
 
     listing: Listing
 
 
-class Relist(Message):
+class Relist(Message, tag="Relist"):
     """That list is not known here: tell it whole."""
 
 
-class Loads(Message):
+class Loads(Message, tag="Loads"):
     """Load in flight, by pool.
 
     A row holds a worker, exchanges running there, prompt tokens not read yet, and the suspicion of it in
@@ -599,38 +602,38 @@
     rows: dict[str, list[tuple[str, int, int, int]]]
 
 
-class Probe(Message):
+class Probe(Message, tag="Probe"):
     """A warden asks for a witness: does this worker answer you?"""
 
     worker: Worker
 
 
-class Probed(Message):
+class Probed(Message, tag="Probed"):
     """The answer to `Probe`."""
 
     sort: str  # "answer", "mute" (takes the connection, says nothing) or "none"
     load: tuple[int, int] | None
 
 
-class Dark(Message):
+class Dark(Message, tag="Dark"):
     """Nobody reaches this worker: who waits for a first byte from it waits in vain."""
 
     worker: str
 
 
-class Pass(Message):
+class Pass(Message, tag="Pass"):
     """Ask a member to pass one exchange on to a worker that this node does not reach."""
 
     worker: str
 
 
-class Passed(Message):
+class Passed(Message, tag="Passed"):
     """The answer to `Pass`."""
 
     token: str  # for one exchange at its door; "" where it can't
 
 
-class HowGoes(Message):
+class HowGoes(Message, tag="HowGoes"):
     """A node that has lost the core asks its peers how they fare.
 
     `stamp` is that of the roster it has.
@@ -639,13 +642,13 @@
     stamp: tuple[int, int] = (0, 0)
 
 
-class Heard(Message):
+class Heard(Message, tag="Heard"):
     """The worker list as one node had to ask for it, for others that lack news too."""
 
     workers: list[Worker]
 
 
-class Goes(Message):
+class Goes(Message, tag="Goes"):
     """The answer to `HowGoes`: whether the core was heard, and where."""
 
     core: bool
@@ -654,13 +657,13 @@
     place: int = 0  # how far its configuration has come
 
 
-class Hello(Message):
+class Hello(Message, tag="Hello"):
     """The first message on a link, both ways."""
 
     version: int
 
 
-class Ping(Message):
+class Ping(Message, tag="Ping"):
     """A sign of life on a quiet link."""
 
 
