--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -129,6 +129,9 @@
                 self.count -= 1
                 tag = [info.tag] if info.tag is not None else []
                 return tag + [self.field(field) for field in info.fields]
+            case inspect.NamedTupleType():
+                self.count -= 1
+                return [self.field(field) for field in info.fields]
             case inspect.UnionType():
                 self.count -= 1
                 return self.plain(next(inner for inner in info.types if not isinstance(inner, inspect.NoneType)))
--- /dev/null
+++ b/tests/test_recorded_disk.py
@@ -0,0 +1,265 @@
+"""What stands on the disk, as recorded: it is read and written as then, and a fleet goes on from an old data folder.
+
+tests/data/disk.json holds each record with a value in every field. tests/data/folder-e746a15 holds the data folders
+of three core machines, as the program at e746a15 left them at a loss of power: one had received a whole snapshot,
+but not the word that it counts, and one had synced a change that no other had. tests/data/folder-format-2 holds
+those that the last program of format 2 wrote.
+"""
+
+import base64
+import pathlib
+import shutil
+import tempfile
+import typing
+
+import loguru
+import msgspec
+import testtools
+
+import bench.simulated_cluster as simulated_cluster
+import iriswheel.agreement as agreement
+import iriswheel.chain as chain
+import iriswheel.core as core
+import iriswheel.message as message
+import iriswheel.store as store
+import tests.recorded as recorded
+
+RECORDS = recorded.load("disk.json")["records"]
+TYPES = {"entry": message.Entry, "frame": chain.Snapshot, "council": agreement.Record}
+FOLDERS = ("folder-e746a15", "folder-format-2")
+NAMES = ("c1", "c2", "c3")
+
+
+def content(folder: str) -> dict[str, typing.Any]:
+    """What a recorded folder holds, and what was answered before.
+
+    Example: `content("folder-e746a15")["stamp"]`
+    """
+    return recorded.load(f"{folder}/content.json")
+
+
+def disks(folder: str) -> dict[str, dict[bytes, bytes]]:
+    """The keys and values of each core machine's recorded data folder.
+
+    Example: `disks("folder-e746a15")["c1"][b"format"]`
+    """
+    return {
+        name: {key.encode(): base64.b64decode(value) for key, value in disk.items()}
+        for name, disk in content(folder)["disks"].items()
+    }
+
+
+def rewrite(key: bytes, raw: bytes) -> bytes:
+    """Read a record from the disk with the present program, and write it again.
+
+    Example: `rewrite(b"e0000000000000007", raw)`
+    """
+    if key == b"council":
+        return msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=agreement.Record))
+    if key == b"frame":
+        return chain.Ledger.thaw(raw).freeze()
+    if key.startswith(b"shelf/"):
+        written_at = msgspec.msgpack.decode(raw)[0]
+        return core.encode_session_replica(core.decode_session_replica(raw, written_at), written_at)
+    if key.startswith(b"e"):
+        return chain.pack(chain.unpack_entry(raw))
+    return raw
+
+
+class RecordedRecords(testtools.TestCase):
+    def test_recorded_bytes_are_read_and_written_unchanged(self) -> None:
+        for name, cls in TYPES.items():
+            for sample in RECORDS[name].values():
+                raw = bytes.fromhex(sample["hex"])
+                self.assertEqual(raw, msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=cls)), name)
+
+    def test_recorded_values_make_the_recorded_bytes(self) -> None:
+        for name, cls in TYPES.items():
+            for sample in RECORDS[name].values():
+                made = recorded.build(cls, recorded.from_plain(sample["values"]))
+                self.assertEqual(sample["hex"], msgspec.msgpack.encode(made).hex(), name)
+
+    def test_all_fields_are_recorded_and_those_with_defaults_may_be_missing(self) -> None:
+        for name, cls in TYPES.items():
+            fields = msgspec.inspect.type_info(cls).fields
+            full, short = (RECORDS[name][sample]["values"] for sample in ("full", "defaults"))
+            self.assertEqual((len(fields), sum(f.required for f in fields)), (len(full), len(short)), name)
+
+    def test_records_pass_unchanged_through_the_code_that_reads_and_writes_them(self) -> None:
+        for name, key in (("entry", b"e0000000000000007"), ("frame", b"frame"), ("shelf", b"shelf/desk")):
+            raw = bytes.fromhex(RECORDS[name]["full"]["hex"])
+            self.assertEqual(raw, rewrite(key, raw), name)
+
+    def test_entries_are_kept_under_keys_that_sort_by_number(self) -> None:
+        self.assertEqual([b"e0000000000000009", b"e0000000000012345"], [chain.entry_key(n) for n in (9, 12_345)])
+
+
+class RecordedFolders(testtools.TestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        loguru.logger.remove()
+
+    def test_the_database_files_are_read(self) -> None:
+        for folder in FOLDERS:
+            for name, expected in disks(folder).items():
+                with tempfile.TemporaryDirectory() as scratch:
+                    copy = pathlib.Path(scratch) / name
+                    shutil.copytree(recorded.DATA / folder / name, copy)
+                    disk = store.Disk(str(copy))
+                    disk.open()
+                    self.assertEqual(expected, disk.read())
+                    disk.close()
+
+    def test_every_sort_of_record_is_there(self) -> None:
+        for folder in FOLDERS:
+            sorts = {key.split(b"/")[0] if not key.startswith(b"e") else b"e" for key in disks(folder)["c1"]}
+            self.assertEqual({b"identity", b"format", b"council", b"frame", b"e", b"shelf"}, sorts)
+
+    def test_every_record_is_written_again_unchanged(self) -> None:
+        for disk in disks("folder-e746a15").values():
+            for key, raw in disk.items():
+                self.assertEqual(raw, rewrite(key, raw), key)
+        for disk in disks("folder-format-2").values():
+            for key, raw in disk.items():
+                if key != b"frame":
+                    self.assertEqual(raw, rewrite(key, raw), key)
+
+    def test_the_folder_is_one_of_a_half_done_transfer_and_a_change_that_one_machine_has(self) -> None:
+        was = content("folder-e746a15")
+        newest = {
+            name: max(key for key in disk if key.startswith(b"e")) for name, disk in disks("folder-e746a15").items()
+        }
+        behind, head = was["left_behind"], was["head"]
+        other = next(name for name in NAMES if name not in (behind, head))
+        self.assertNotIn(b"frame", disks("folder-e746a15")[behind])
+        self.assertTrue(newest[behind] < newest[other] < newest[head])
+
+    def test_a_snapshot_of_format_2_says_which_changes_were_taken(self) -> None:
+        was, raw = content("folder-format-2"), disks("folder-format-2")["c1"][b"frame"]
+        self.assertEqual(5, len(msgspec.msgpack.decode(raw)))
+        rewritten = msgspec.msgpack.decode(rewrite(b"frame", raw))
+        self.assertEqual(msgspec.msgpack.decode(raw), rewritten[:5])
+        confirmed = [plan[3] for _, plan in rewritten[4] if plan[3]]
+        self.assertEqual(sorted(confirmed), sorted(rewritten[5].values()))
+        self.assertEqual(0, rewritten[6])
+        self.assertGreater(len(was["changes"]), 10)
+
+
+class RecordedFleet(testtools.TestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        loguru.logger.remove()
+
+    def begin(self, folder: str, missing: str | None = None) -> simulated_cluster.SimulatedCluster:
+        """Start a fleet on recorded disks; `missing` stays down."""
+        cluster = OldCluster(disks(folder), missing)
+        cluster.probing = False
+        cluster.begin()
+        return cluster
+
+    def ask(self, cluster: simulated_cluster.SimulatedCluster, *call: typing.Any) -> typing.Any:
+        operator = simulated_cluster.Operator(cluster, cluster.office_mach, "boss")
+        done = cluster.office_mach.spawn(operator.ask(*call), simulated_cluster.log)
+        self.assertTrue(cluster.until(lambda: done.called, 20))
+        return done.result
+
+    def take(
+        self, cluster: simulated_cluster.SimulatedCluster, number: int, built_on: int, what: typing.Any
+    ) -> typing.Any:
+        """Have a numbered change taken: the status and the answer."""
+        return self.ask(cluster, "POST", "/changes", {"number": number, "built_on": built_on, **what})
+
+    def check_what_was_answered(self, cluster: simulated_cluster.SimulatedCluster, was: dict[str, typing.Any]) -> None:
+        """All that was answered before still stands: items, taken changes, plans."""
+        for number, built_on, what in was["changes"]:
+            status, answer = self.take(cluster, number, built_on, what)
+            self.assertEqual((200, number), (status, answer["number"]))
+            self.assertLessEqual(answer["stamp"], was["stamp"])
+        status, answer = self.ask(cluster, "POST", f"/plans/{was['confirmed']['id']}/confirm", {})
+        self.assertEqual((200, was["confirmed"]["stamp"]), (status, answer["stamp"]))
+        self.assertEqual(200, self.ask(cluster, "GET", f"/plans/{was['open_plan']['id']}")[0])
+
+    def check_a_further_change(self, cluster: simulated_cluster.SimulatedCluster, folder: str) -> None:
+        """A further change is taken, and a started core machine's folder says the present format."""
+        status, now = self.ask(cluster, "GET", "/blueprint")
+        number = now["blueprint"]["marks"]["operator"]["number"]
+        what = {"upsert": {"routes": {"further": {"path": "/further", "pool": cluster.pool}}}}
+        self.assertEqual(200, self.take(cluster, number + 1, number, what)[0])
+        status, after = self.ask(cluster, "GET", "/blueprint")
+        now["blueprint"]["routes"].update(what["upsert"]["routes"])
+        now["blueprint"]["marks"]["operator"]["number"] = number + 1
+        self.assertEqual((200, now["blueprint"]), (status, after["blueprint"]))
+        for machine in cluster.cores.values():
+            self.assertEqual(b"3", machine.proc.host.synced[b"format"])
+            self.assertIn(machine.proc.host.synced[b"identity"], [disk[b"identity"] for disk in disks(folder).values()])
+
+    def go_on(self, folder: str, missing: str | None = None) -> None:
+        was, cluster = content(folder), self.begin(folder, missing)
+        standing = cluster.first_read["blueprint"]
+        late = was.get("late", (0, 0, {"upsert": {"routes": {}}}))
+        with_late = {**was["blueprint"]["routes"], **late[2]["upsert"]["routes"]}
+        self.assertIn(standing["routes"], (was["blueprint"]["routes"], with_late))
+        self.assertEqual(was["blueprint"]["pools"], standing["pools"])
+        self.check_what_was_answered(cluster, was)
+        self.check_a_further_change(cluster, folder)
+
+    def test_a_fleet_goes_on_from_the_folders_of_e746a15(self) -> None:
+        self.go_on("folder-e746a15")
+
+    def test_a_fleet_goes_on_from_two_folders_of_e746a15(self) -> None:
+        for missing in NAMES:
+            self.go_on("folder-e746a15", missing)
+
+    def test_a_fleet_goes_on_from_the_folders_of_format_2(self) -> None:
+        self.go_on("folder-format-2")
+
+    def test_the_sessions_are_there_after_the_start(self) -> None:
+        for folder in FOLDERS:
+            cluster = self.begin(folder)
+            for name, disk in disks(folder).items():
+                kept = {session[1] for session in msgspec.msgpack.decode(disk[b"shelf/desk"])[2]}
+                self.assertTrue(kept)
+                self.assertEqual(kept, cluster.sessions_at_start[name])
+
+    def test_a_folder_of_a_newer_format_is_refused(self) -> None:
+        old = disks("folder-e746a15")
+        for disk in old.values():
+            disk[b"format"] = b"4"
+        self.assertRaises(store.DiskError, OldCluster(old).begin)
+
+
+class OldCluster(simulated_cluster.SimulatedCluster):
+    """A simulated fleet whose core machines find recorded data on their disks."""
+
+    def __init__(self, old: dict[str, dict[bytes, bytes]], missing: str | None = None) -> None:
+        super().__init__(11, "small", long_rate=0, short_rate=0, talks=0)
+        self.old, self.missing = old, missing
+        self.first_read: typing.Any = None  # the configuration that stood before the first change
+        self.sessions_at_start: dict[str, set[str]] = {}
+
+    def start_core(self, name: str, host: str, zone: str) -> None:
+        """Start a core machine on the recorded disk."""
+        place = self.machine(host, zone)
+        place.synced.update(self.old[name])
+        if name == self.missing:
+            self.options[name] = (host, zone)
+            return
+        super().start_core(name, host, zone)
+        replicas = self.cores[name].session_replicas
+        self.sessions_at_start[name] = {ident for replica in replicas.values() for ident in replica.sessions}
+
+    def with_probe(self, k: int, more: dict[str, typing.Any] | None = None) -> dict[str, typing.Any]:
+        """The configuration that stands with a probe route, in place of the example's."""
+        if self.first_read is None:
+            operator = simulated_cluster.Operator(self, self.office_mach, "reader")
+            for _ in range(60):
+                done = self.office_mach.spawn(operator.ask("GET", "/blueprint"), simulated_cluster.log)
+                self.until(lambda done=done: done.called, 10)
+                if done.result[0] == 200:
+                    self.first_read = done.result[1]
+                    break
+                self.go(0.3)
+        doc = msgspec.json.decode(msgspec.json.encode(self.first_read["blueprint"]))
+        doc["routes"]["probe"] = {"path": f"/p/{k}", "pool": self.pool}
+        self.blueprint = self.first_read["blueprint"]
+        return doc
