--- /dev/null
+++ b/tests/frozen_codec.py
@@ -0,0 +1,90 @@
+"""The messages of e746a15 as types of their own, made from tests/data/messages-e746a15.json.
+
+They share nothing with the program's messages but the bytes. Fields are known by their places alone.
+"""
+
+import collections
+import typing
+
+import msgspec
+
+import tests.recorded as recorded
+
+SCALARS = {"int": int, "str": str, "bool": bool, "bytes": bytes, "any": typing.Any, "none": None}
+
+
+class MismatchError(Exception):
+    """The messages of e746a15 do not make the same bytes of a frame."""
+
+
+class FrozenCodec:
+    """Reads and writes frames as e746a15 does.
+
+    >>> FrozenCodec().repeat(bytes.fromhex("93000092a548656c6c6f03")).hex()
+    '93000092a548656c6c6f03'
+    """
+
+    def __init__(self) -> None:
+        schema = recorded.load("messages-e746a15.json")
+        self.types: dict[str, type] = {}
+        for tag, fields in schema["messages"].items():  # those that others hold come first
+            self.types[tag] = self._struct(tag, fields)
+        sent = typing.Union[tuple(self.types[tag] for tag in schema["sent"])]  # noqa: UP007
+        frame = msgspec.defstruct("Frame", [("a", int), ("b", int), ("c", sent)], array_like=True)
+        self.decoder = msgspec.msgpack.Decoder(frame)
+        self.seen: collections.Counter[str] = collections.Counter()  # tag -> frames
+        self.failures: list[str] = []
+
+    def _struct(self, tag: str, fields: list[dict[str, typing.Any]]) -> type:
+        made: list[typing.Any] = []
+        for place, field in enumerate(fields):
+            hint = self._type(field["type"])
+            default = (msgspec.convert(field["default"], hint),) if "default" in field else ()
+            made.append((f"field_{place}", hint, *default))
+        return msgspec.defstruct(f"Frozen{tag}", made, tag=tag, array_like=True, frozen=True)
+
+    def _type(self, description: typing.Any) -> typing.Any:
+        match description:
+            case str():
+                return SCALARS[description]
+            case ["message", tag]:
+                return self.types[tag]
+            case ["list", item]:
+                return list[self._type(item)]
+            case ["dict", key, value]:
+                return dict[self._type(key), self._type(value)]
+            case ["tuple", *items]:
+                return tuple[tuple(self._type(item) for item in items)]
+            case ["union", *items]:
+                return typing.Union[tuple(self._type(item) for item in items)]  # noqa: UP007
+        raise TypeError(f"no type is described by {description}")
+
+    def repeat(self, raw: bytes) -> bytes:
+        """Read a frame and write it again; raises MismatchError where that is another one.
+
+        >>> FrozenCodec().repeat(b"nonsense")
+        Traceback (most recent call last):
+        ...
+        tests.frozen_codec.MismatchError: ...
+        """
+        try:
+            frame = self.decoder.decode(raw)
+        except msgspec.MsgspecError as error:
+            raise MismatchError(f"{raw[:60]!r} can't be read: {error}") from error
+        again = msgspec.msgpack.encode(frame)
+        if again != raw:
+            raise MismatchError(f"{raw[:60]!r} became {again[:60]!r}")
+        self.seen[frame.c.__struct_config__.tag] += 1
+        return again
+
+    def passes(self, raw: bytes) -> bool:
+        """Whether a frame is the same for e746a15; keeps why where it is not.
+
+        >>> FrozenCodec().passes(b"")
+        False
+        """
+        try:
+            return self.repeat(raw) == raw
+        except MismatchError as error:
+            self.failures.append(str(error))
+            return False
--- /dev/null
+++ b/tests/test_mixed_versions.py
@@ -0,0 +1,100 @@
+"""Half of a fleet's processes speak through the frozen messages of e746a15, and the fleet goes on serving.
+
+Every frame that such a process sends or gets is read and written by the frozen messages first. One that does not
+come out byte for byte is dropped, as a process of that version could not have taken it, and the test fails.
+"""
+
+import collections
+import collections.abc
+import contextlib
+import typing
+import unittest.mock as mock
+
+import loguru
+import testtools
+
+import bench.scenes as scenes
+import bench.simulated_cluster as simulated_cluster
+import iriswheel.replay as replay
+import iriswheel.wire as wire
+import tests.frozen_codec as frozen_codec
+import tests.recorded as recorded
+
+
+def filtered(name: str, old: set[str], codec: frozen_codec.FrozenCodec) -> typing.Callable[..., None]:
+    """A connection's method that drops the frames which an old process could not have said or read.
+
+    Example: `filtered("sendString", {"c1"}, codec)`
+    """
+    original = getattr(wire.Connection, name)
+
+    def method(connection: wire.Connection, raw: bytes) -> None:
+        if connection.transport.proc.name not in old or codec.passes(raw):
+            original(connection, raw)
+
+    return method
+
+
+@contextlib.contextmanager
+def mixed_fleet(old: set[str]) -> collections.abc.Iterator[frozen_codec.FrozenCodec]:
+    """Let some processes of the simulator speak through the frozen messages.
+
+    Example: `with mixed_fleet({"c1", "n1"}) as codec: ...`
+    """
+    codec = frozen_codec.FrozenCodec()
+    with contextlib.ExitStack() as stack:
+        for name in ("sendString", "stringReceived"):
+            instead = filtered(name, old, codec)
+            stack.enter_context(mock.patch.object(wire.Connection, name, instead))
+        yield codec
+
+
+class FrozenMessages(testtools.TestCase):
+    def test_each_recorded_frame_comes_out_unchanged(self) -> None:
+        codec = frozen_codec.FrozenCodec()
+        for record in recorded.load("wire.json")["messages"].values():
+            for sample in record.values():
+                frame = bytes.fromhex(sample["frame"])[4:]
+                self.assertEqual(frame, codec.repeat(frame))
+
+    def test_a_frame_with_a_further_field_or_an_unknown_tag_is_refused(self) -> None:
+        codec = frozen_codec.FrozenCodec()
+        for text in ("93000093a548656c6c6f0304", "93000092a548656c6c7003"):
+            self.assertRaises(frozen_codec.MismatchError, codec.repeat, bytes.fromhex(text))
+
+
+class MixedVersions(testtools.TestCase):
+    def setUp(self) -> None:
+        super().setUp()
+        loguru.logger.remove()
+
+    def play(self, cluster: simulated_cluster.SimulatedCluster) -> None:
+        """Changes, a core machine and a node that end and come back, the pool's warden too."""
+        cluster.begin()
+        scenes.changes(cluster, 6, 3)
+        cluster.go(6)
+        for name in ("c1", "c2"):
+            scenes.kill(cluster, cluster.cores[name], name, back=2)
+            cluster.go(8)
+        warden = cluster.warden()
+        scenes.kill(cluster, warden, warden.options.name, back=2)
+        cluster.go(10)
+        cluster.end()
+
+    def check(self, old: set[str], seed: int) -> None:
+        cluster = simulated_cluster.SimulatedCluster(seed, "magnolia", seconds=50)
+        with mixed_fleet(old) as codec:
+            self.play(cluster)
+        self.assertEqual([], codec.failures)
+        self.assertEqual({}, replay.judge(cluster.tape.rows))
+        kinds = collections.Counter(row["kind"] for row in cluster.tape.rows)
+        self.assertGreater(kinds["whole"], 200)
+        self.assertGreater(kinds["confirmed"], 5)
+        missing = {"Pulse", "Prepare", "Promise", "Append", "Sessions", "Beat", "Join", "Elect", "Granted", "Copy"}
+        self.assertEqual(set(), missing - set(codec.seen))
+
+    def test_half_of_the_fleet_speaks_by_the_messages_of_e746a15(self) -> None:
+        self.check({"c1", "n1", "n2", "n3"}, 5)
+
+    def test_the_other_half_of_the_fleet_does(self) -> None:
+        self.check({"c2", "c3", "n4", "n5", "n6"}, 6)
