--- /dev/null
+++ b/tests/outside.py
@@ -0,0 +1,379 @@
+"""What the outside sees of the program, gathered for the comparison with tests/data/outside.json."""
+
+import dataclasses
+import gzip
+import hashlib
+import json
+import os
+import pathlib
+import re
+import subprocess
+import sys
+import tempfile
+import tomllib
+import typing
+import unittest.mock as mock
+
+import loguru
+import twisted.internet.endpoints as endpoints
+import twisted.internet.protocol as protocol
+
+import bench.scenes as scenes
+import bench.simulated_cluster as simulated_cluster
+import bench.stand_ins as stand_ins
+import iriswheel.configuration as configuration
+import iriswheel.options as options
+import iriswheel.replay as replay
+import iriswheel.verdict as verdict
+import tests.recorded as recorded
+
+ROOT = pathlib.Path(__file__).parent.parent
+COMMANDS = ("core", "node", "load", "check", "plan", "confirm", "change", "show", "replay", "history")
+EXCHANGE = "X-Exchange-Id: x{}\r\nX-Send-Number: 1\r\nX-May-Repeat: yes\r\nX-Requester: someone\r\n"
+CHANGE = {"number": 1, "built_on": 0, "upsert": {"routes": {"r1": {"path": "/r1", "pool": "desk"}}}}
+CORE_CALLS = (  # method, path, body
+    ("GET", "/blueprint", None),
+    ("GET", "/state", None),
+    ("GET", "/ready", None),
+    ("POST", "/changes", CHANGE),
+    ("POST", "/changes", CHANGE),
+    ("POST", "/changes", {**CHANGE, "number": 2, "upsert": {}}),
+    ("POST", "/changes", {"number": 1}),
+    ("POST", "/changes", {**CHANGE, "other": 1}),
+    ("POST", "/changes", {"number": 2, "built_on": 1, "upsert": {"routes": {"r2": {"path": "/r2", "pool": "none"}}}}),
+    ("POST", "/changes", {"number": 2, "built_on": 1, "upsert": {"pools": {"desk": {"cap": "4", "unknown": 1}}}}),
+    ("POST", "/plans", {"patch": [{"op": "remove", "path": "/routes/r1"}]}),
+    ("POST", "/plans", {"patch": [], "base": 1}),
+    ("POST", "/plans", {}),
+    ("GET", "/plans/{plan}", None),
+    ("POST", "/plans/{plan}/confirm", {}),
+    ("GET", "/plans/0-none", None),
+    ("POST", "/plans/0-none/confirm", {}),
+    ("DELETE", "/blueprint", None),
+    ("GET", "/none", None),
+)
+NODE_CALLS = (  # method, path, further headers, body
+    ("GET", "/ready", "", None),
+    ("GET", "/state", "", None),
+    ("POST", "/v1/complete", EXCHANGE, "hello"),
+    ("POST", "/v1/complete", EXCHANGE + "X-Prompt-Prefix: system-1, talk-{}\r\nX-Further: yes\r\n", "hello"),
+    ("POST", "/v1/complete", "X-Send-Number: minus\r\n", "hello"),
+    ("POST", "/v1/complete", "X-May-Repeat: perhaps\r\n", "hello"),
+    ("POST", "/v1/complete", "X-Prompt-Prefix: a b\r\n", "hello"),
+    ("POST", "/v1/complete", "Content-Length: 99999999\r\n", None),
+    ("POST", "/no-route", EXCHANGE, "hello"),
+    ("GET", "/v1/complete", "", None),
+    ("POST", "/v1/complete", "", None),
+)
+
+
+class Client(protocol.Protocol):
+    """Keeps all that comes back."""
+
+    def __init__(self) -> None:
+        self.received = b""
+
+    def dataReceived(self, data: bytes) -> None:  # noqa: D102
+        self.received += data
+
+
+def shape(value: typing.Any) -> typing.Any:
+    """The names in a JSON value, and the types of what is under them.
+
+    >>> shape({"a": [{"b": 1}, {"b": 2}], "c": None})
+    {'a': [{'b': 'int'}], 'c': 'NoneType'}
+    """
+    match value:
+        case dict():
+            return {key: shape(item) for key, item in sorted(value.items())}
+        case list():
+            shapes: list[typing.Any] = []
+            for item in map(shape, value):
+                if item not in shapes:
+                    shapes.append(item)
+            return shapes
+    return type(value).__name__
+
+
+def answer(raw: bytes) -> dict[str, typing.Any]:
+    r"""What is kept of an HTTP answer: status, headers, the names in its body, and the text of a refusal.
+
+    >>> answer(b'HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{"a": 1}')["body"]
+    {'a': 'int'}
+    """
+    head, _, body = raw.partition(b"\r\n\r\n")
+    lines = head.decode("latin-1").split("\r\n")
+    skipped = ("date", "server", "content-length", "x-target-worker")  # their values change from run to run
+    headers = sorted(line if line.split(":")[0].lower() not in skipped else line.split(":")[0] for line in lines[1:])
+    out: dict[str, typing.Any] = {"status": lines[0], "headers": headers}
+    try:
+        doc = json.loads(body)
+    except ValueError:
+        return {**out, "text": re.sub(r"[0-9a-f-]{3,}|w[0-9]", "#", body.decode("latin-1"))[:200]}
+    if isinstance(doc, dict) and "code" in doc:
+        return {**out, "refusal": doc}
+    return {**out, "body": shape(doc)}
+
+
+class Outside:
+    """A quiet simulated fleet, asked over bare connections."""
+
+    def __init__(self) -> None:
+        self.requests: dict[str, typing.Any] = {}  # of the program to others, by method and path
+        self.cluster = simulated_cluster.SimulatedCluster(5, "small", long_rate=0, short_rate=0, talks=0)
+        self.cluster.probing = False
+
+    def note(self, label: str, owner: type) -> typing.Any:
+        """Replace a stand-in's handler by one that notes the requests' headers under a label."""
+        handle, requests = owner.handle, self.requests
+
+        async def noting(stand_in: typing.Any, request: typing.Any) -> None:
+            names = {name.decode() for name, _ in request.requestHeaders.getAllRawHeaders()}
+            key = f"{label}: {request.method.decode()} {request.path.decode()}"
+            requests[key] = sorted(names | set(requests.get(key, ())))
+            await handle(stand_in, request)
+
+        return mock.patch.object(owner, "handle", noting)
+
+    def ask(self, host: str, port: int, text: str) -> bytes:
+        """Send a request as it stands; all that came back within three seconds."""
+        mach = self.cluster.office_mach
+        point = endpoints.TCP4ClientEndpoint(mach.reactor, host, port, timeout=2)
+        opened = point.connect(protocol.Factory.forProtocol(Client))
+        self.cluster.until(lambda: opened.called, 3)
+        client = opened.result
+        client.transport.write(text.encode())
+        self.cluster.go(3)
+        client.transport.abortConnection()
+        return client.received
+
+    def core_answers(self) -> list[typing.Any]:
+        """The answers of a core machine to all calls."""
+        out, plan = [], ""
+        for method, path, doc in CORE_CALLS:
+            body = "" if doc is None else json.dumps(doc)
+            text = f"{method} {path.format(plan=plan)} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}"
+            raw = self.ask("10.0.1.1", simulated_cluster.HTTP, text)
+            if path == "/plans" and not plan:
+                plan = json.loads(raw.partition(b"\r\n\r\n")[2])["id"]
+            out.append([f"{method} {path}", answer(raw)])
+        return out
+
+    def node_answers(self) -> list[typing.Any]:
+        """The answers of a node to all calls."""
+        out = []
+        for place, (method, path, headers, body) in enumerate(NODE_CALLS):
+            length = "" if body is None else f"Content-Length: {len(body)}\r\n"
+            head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{headers.format(place, place)}{length}\r\n"
+            raw = self.ask("10.0.2.1", simulated_cluster.HTTP, head + (body or ""))
+            out.append([f"{method} {path} {place}", answer(raw)])
+        return out
+
+    def gather(self) -> dict[str, typing.Any]:
+        """All exchanges."""
+        with self.note("worker", stand_ins.Worker), self.note("platform", stand_ins.Platform):
+            self.cluster.begin()
+            self.cluster.go(2)
+            found = {"core": self.core_answers(), "node": self.node_answers()}
+        return {**found, "requests": dict(sorted(self.requests.items()))}
+
+
+def run(*arguments: str) -> tuple[str, int]:
+    """Run the program: what it printed, and its exit code.
+
+    Example: `run("replay", "run.events")`
+    """
+    environment = {**os.environ, "COLUMNS": "100", "PYTHONPATH": str(ROOT)}
+    command = [sys.executable, "-m", "iriswheel", *arguments]
+    done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, env=environment, check=False)
+    return done.stdout, done.returncode
+
+
+def command_arguments(name: str) -> list[str]:
+    """The arguments of a subcommand, from its help: names, and defaults where they have one.
+
+    Example: `command_arguments("check")`
+    """
+    text, _ = run(name, "--help")
+    usage, _, rest = text.partition("\n\n")
+    lines = [" ".join(usage.split()).partition(" ")[2].partition(" ")[2]]
+    for line in rest.splitlines():
+        name_of_argument = re.split(r"  +", line.strip())[0]
+        if re.match(r"  \S", line):
+            lines.append(name_of_argument)
+        if "(default:" in line:
+            lines.append("(default:" + line.partition("(default:")[2])
+    return lines
+
+
+def command_list() -> list[str]:
+    """The subcommands, in their order.
+
+    Example: `command_list()[0]`
+    """
+    return re.search(r"\{(.*?)\}", run("--help")[0]).group(1).split(",")
+
+
+def option_defaults() -> dict[str, typing.Any]:
+    """The keys of an options file, with their types and defaults.
+
+    Example: `option_defaults()["lease_us"]`
+    """
+    blank = options.Options("core")
+    return {f.name: [f.type.__name__, getattr(blank, f.name)] for f in dataclasses.fields(blank) if f.name != "role"}
+
+
+def configuration_defaults() -> dict[str, typing.Any]:
+    """The keys of each sort of item of the configuration, with what is there where one is not given.
+
+    Example: `configuration_defaults()["pools"]["cap"]`
+    """
+    given = {"routes": {"path": "/", "pool": "p"}}
+    return {kind: cls.from_dict(given.get(kind, {})).to_dict() for kind, cls in configuration.KINDS.items()}
+
+
+def refusals() -> dict[str, typing.Any]:
+    """Each error code with its status and whether waiting helps.
+
+    Example: `refusals()["busy"]`
+    """
+    return {
+        code: [verdict.ServiceError(code, "").status, verdict.ServiceError(code, "").retry_after]
+        for code in sorted(verdict.CODES)
+    }
+
+
+def deployment() -> dict[str, typing.Any]:
+    """What the platform is told of the program, and the digest of the platform's own words.
+
+    Example: `deployment()["words"]`
+    """
+    words = (ROOT / "platform" / "words.toml").read_bytes()
+    system = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
+    return {"system": system, "words": hashlib.sha256(words).hexdigest()}
+
+
+def event_rows() -> list[dict[str, typing.Any]]:
+    """The event log of a short simulated run with changes and faults.
+
+    Example: `event_rows()[0]["kind"]`
+    """
+    cluster = simulated_cluster.SimulatedCluster(4, "small", long_rate=0.5, short_rate=3, talks=2, seconds=24)
+    cluster.begin()
+    scenes.changes(cluster, 3, 3)
+    cluster.go(6)
+    scenes.kill(cluster, cluster.nodes["n1"], "n1", back=2)
+    cluster.go(6)
+    scenes.kill(cluster, cluster.cores["c1"], "c1", back=2)
+    operator = simulated_cluster.Operator(cluster, cluster.office_mach, "numbers")
+    numbered = {"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": cluster.pool}}}}
+    cluster.office_mach.spawn(operator.number(6, 5, numbered), simulated_cluster.log)
+    cluster.go(6)
+    cluster.end()
+    return cluster.tape.rows
+
+
+def judged(rows: list[dict[str, typing.Any]]) -> dict[str, typing.Any]:
+    """What the program prints of an event log, and how many rows each of its checks judged.
+
+    Example: `judged(event_rows())["replay"]`
+    """
+    with tempfile.TemporaryDirectory() as folder:
+        path = pathlib.Path(folder) / "run.events"
+        path.write_text("".join(json.dumps(row) + "\n" for row in rows))
+        printed = {name: list(run(name, str(path))) for name in ("replay", "history")}
+    return {**printed, "judged": replay.examine(rows)[1]}
+
+
+def recorded_rows() -> list[dict[str, typing.Any]]:
+    """The recorded event log.
+
+    Example: `recorded_rows()[0]["kind"]`
+    """
+    with gzip.open(recorded.DATA / "run.events.gz", "rt") as lines:
+        return [json.loads(line) for line in lines]
+
+
+def event_fields(rows: list[dict[str, typing.Any]]) -> dict[str, list[str]]:
+    """The kinds of event rows, with the names of their fields.
+
+    >>> event_fields([{"at": 1, "kind": "sent"}, {"at": 2, "kind": "sent", "send": 1}])
+    {'sent': ['at', 'kind', 'send']}
+    """
+    found: dict[str, set[str]] = {}
+    for row in rows:
+        found.setdefault(row["kind"], set()).update(row)
+    return {kind: sorted(names) for kind, names in sorted(found.items())}
+
+
+def damaged(rows: list[dict[str, typing.Any]]) -> list[dict[str, typing.Any]]:
+    """The rows with faults that the judge must name: second runs, runs after a refusal, a lost configuration.
+
+    Example: `damaged(event_rows())`
+    """
+    out = []
+    any_run = next(row for row in rows if row["kind"] == "run")
+    for row in rows:
+        row = dict(row)
+        if row["kind"] == "sent":
+            row["repeat"] = False
+        out.append(row)
+        if row["kind"] == "run":
+            out.append({**row, "run": f"{row['run']} again"})
+        if row["kind"] == "refused":
+            row["verdict"] = "not_run"
+            out.append({**any_run, "at": row["at"], "exchange": row["exchange"], "send": row["send"], "run": "refused"})
+        if row["kind"] == "read":
+            row["stamp"] += 7
+            row["blueprint"] = {}
+    return out
+
+
+def http_sections() -> dict[str, typing.Any]:
+    """The exchanges over HTTP, by section.
+
+    Example: `http_sections()["core answers"]`
+    """
+    found = Outside().gather()
+    return {
+        "core answers": {f"{k:02} {name}": seen for k, (name, seen) in enumerate(found["core"])},
+        "node answers": {f"{k:02} {name}": seen for k, (name, seen) in enumerate(found["node"])},
+        "requests to others": found["requests"],
+    }
+
+
+def command_sections() -> dict[str, typing.Any]:
+    """The subcommands, and the arguments of each.
+
+    Example: `command_sections()["all"]`
+    """
+    return {name: command_arguments(name) for name in COMMANDS} | {"all": command_list()}
+
+
+def gather() -> dict[str, typing.Any]:
+    """All that is compared but for the event log, as sections of named records.
+
+    Example: `recorded.save("outside.json", gather())`
+    """
+    return {
+        **http_sections(),
+        "commands": command_sections(),
+        "options": option_defaults(),
+        "configuration": configuration_defaults(),
+        "refusals": refusals(),
+        "deployment": deployment(),
+    }
+
+
+def record() -> None:
+    """Record all anew, for a change that is meant to be seen outside."""
+    rows = event_rows()
+    with gzip.GzipFile(recorded.DATA / "run.events.gz", "wb", mtime=0) as log:
+        log.write("".join(json.dumps(row) + "\n" for row in rows).encode())
+    verdicts = {"as it was": judged(rows), "with faults": judged(damaged(rows))}
+    recorded.save("outside.json", {**gather(), "events": event_fields(rows), "verdicts": verdicts})
+
+
+if __name__ == "__main__":
+    loguru.logger.remove()
+    record()
