--- /dev/null
+++ b/bench/observed_runs.py
@@ -0,0 +1,151 @@
+"""Every simulated run by a key, with its event log and the traffic of its network.
+
+A run has a key of words: its part (scene, day or second_loss), its name, and what else it is played with.
+"""
+
+import collections.abc
+import hashlib
+import typing
+import unittest.mock as mock
+
+import loguru
+import msgspec
+
+import bench.days as days
+import bench.fleet as fleet
+import bench.scenes as scenes
+import bench.second_loss as second_loss
+import bench.sim as sim
+
+DAY_LOAD = 0.3  # of the usual traffic: a day costs less, and its troubles are the same
+DAY_SHAPES = ("magnolia", "swan")
+GROWN_LOAD = 0.1
+GROWN_DAYS = ("calm", "kill_core")
+SCENE_SEEDS = {"magnolia": 1, "swan": 2, "small": 3}
+DAY_SEEDS = {"magnolia": 1, "swan": 2}
+CORE_COUNTS = (3, 5)
+
+Row = dict[str, typing.Any]
+
+
+class Names(msgspec.Struct, frozen=True):
+    """What was renamed since the fingerprints were recorded."""
+
+    runs: dict[str, str] = {}  # recorded -> present
+    kinds: dict[str, str] = {}  # present -> recorded, as the two below
+    fields: dict[str, str] = {}
+    values: dict[str, str] = {}
+
+
+class Traffic:
+    """Stands in for a `sim.Meter`: digests all writes to the network, and takes no processor time.
+
+    >>> traffic = Traffic(sim.World(1)); traffic.count("n1", "c1", 70); traffic.writes, traffic.size
+    (1, 70)
+    """
+
+    def __init__(self, world: sim.World) -> None:
+        self.world = world
+        self.hash = hashlib.sha256()
+        self.writes = 0
+        self.size = 0
+
+    def enter(self, name: str) -> None:
+        """Called where a process's code begins."""
+
+    def leave(self) -> None:
+        """Called where it ends."""
+
+    def count(self, sender: str, taker: str, size: int) -> None:
+        """Take in one write."""
+        self.hash.update(f"{self.world.time} {sender} {taker} {size}\n".encode())
+        self.writes += 1
+        self.size += size
+
+
+class ObservedWorld(sim.World):
+    """A simulated world whose traffic is digested from its beginning."""
+
+    newest: typing.ClassVar["ObservedWorld"]
+
+    def __init__(self, seed: int) -> None:
+        super().__init__(seed)
+        self.traffic = self.meter = Traffic(self)
+        ObservedWorld.newest = self
+
+
+class Observed(typing.NamedTuple):
+    """What a run left: the rows of its event log, and its traffic."""
+
+    rows: list[Row]
+    traffic: Traffic
+
+
+def keys() -> list[str]:
+    """The keys of all runs to record.
+
+    >>> keys()[0]
+    'day calm grown 1 0.1'
+    """
+    found = [f"day {name} grown 1 {GROWN_LOAD}" for name in GROWN_DAYS]
+    found += [f"day {name} {shape} {DAY_SEEDS[shape]} {DAY_LOAD}" for shape in DAY_SHAPES for name in days.DAYS]
+    found += [f"scene {name} {shape} {SCENE_SEEDS[shape]}" for shape in fleet.SHAPES for name in scenes.SCENES]
+    for case in (case for cores in CORE_COUNTS for case in second_loss.cases(cores, [1])):
+        losses = f"{case.first.name} {case.step.name} {case.target.name} {case.second.name}"
+        found.append(f"second_loss {case.cores} {losses} {case.seed}")
+    return found
+
+
+def present_words(run: str, names: Names) -> list[str]:
+    """The words of a recorded key, with the names that are in use now.
+
+    >>> present_words("day calm swan 1 0.3", Names(runs={"calm": "idle", "scene swan": "goose"}))
+    ['day', 'idle', 'swan', '1', '0.3']
+    """
+    part, *words = run.split()
+    return [part, *(names.runs.get(f"{part} {word}", names.runs.get(word, word)) for word in words)]
+
+
+def play_scene(name: str, shape: str, seed: str) -> list[Row]:
+    """Play a scene; the rows of its event log."""
+    return scenes.play(name, int(seed), shape).tape.rows
+
+
+def play_day(name: str, shape: str, seed: str, load: str) -> list[Row]:
+    """Play a day; the rows of its event log."""
+    return days.play(name, int(seed), shape, float(load)).tape.rows
+
+
+def play_second_loss(cores: str, first: str, step: str, target: str, second: str, seed: str) -> list[Row]:
+    """Play a second loss; the rows of its event log, and at its end what the run measured."""
+    case = second_loss.Case(
+        int(cores),
+        second_loss.Loss[first],
+        second_loss.Step[step],
+        second_loss.Target[target],
+        second_loss.Loss[second],
+        int(seed),
+    )
+    run = second_loss.Run(case)
+    outcome = run.play()
+    measured = [outcome.acknowledged, outcome.reached_us, outcome.first_change_us, outcome.complete_us]
+    return [*run.site.tape.rows, {"kind": "outcome", "measured": measured}]
+
+
+PARTS: dict[str, collections.abc.Callable[..., list[Row]]] = {
+    "scene": play_scene,
+    "day": play_day,
+    "second_loss": play_second_loss,
+}
+
+
+def observe(run: str, names: Names) -> Observed:
+    """Play the run of a recorded key.
+
+    Example: `observe("scene calm magnolia 1", Names()).rows`
+    """
+    loguru.logger.remove()
+    part, *words = present_words(run, names)
+    with mock.patch.object(sim, sim.World.__name__, ObservedWorld):
+        rows = PARTS[part](*words)
+    return Observed(rows, ObservedWorld.newest.traffic)
