--- a/bench/observed_runs.py
+++ b/bench/observed_runs.py
@@ -24,6 +24,7 @@
 SCENE_SEEDS = {"magnolia": 1, "swan": 2, "small": 3}
 DAY_SEEDS = {"magnolia": 1, "swan": 2}
 CORE_COUNTS = (3, 5)
+UNPLAYABLE = {"scene zones_move small 3"}  # its nodes are all in one zone
 
 Row = dict[str, typing.Any]
 
@@ -93,7 +94,7 @@
     for case in (case for cores in CORE_COUNTS for case in second_loss.cases(cores, [1])):
         losses = f"{case.first.name} {case.step.name} {case.target.name} {case.second.name}"
         found.append(f"second_loss {case.cores} {losses} {case.seed}")
-    return found
+    return [run for run in found if run not in UNPLAYABLE]
 
 
 def present_words(run: str, names: Names) -> list[str]:
