--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -10,6 +10,7 @@
 import re
 import struct
 import tempfile
+from typing import Any
 
 import configuration_api
 import hypothesis
@@ -104,12 +105,12 @@
 
     @QUICK
     @hypothesis.given(strategies.binary(max_size=200), strategies.lists(strategies.integers(0, 200), max_size=3))
-    def test_any_bytes(self, raw, cuts) -> None:
+    def test_any_bytes(self, raw: bytes, cuts: list[int]) -> None:
         self.feed(raw, cuts)
 
     @QUICK
     @hypothesis.given(strategies.binary(max_size=60))
-    def test_any_bytes_in_a_frame_end_the_connection_or_are_a_message(self, raw) -> None:
+    def test_any_bytes_in_a_frame_end_the_connection_or_are_a_message(self, raw: bytes) -> None:
         transport = self.feed(struct.pack("!I", len(raw)) + raw)
         try:
             wire.decoder.decode(raw)
@@ -130,14 +131,14 @@
         ),
         strategies.integers(0, 3),
     )
-    def test_values_of_wrong_types(self, val, kind) -> None:
+    def test_values_of_wrong_types(self, val: Any, kind: int) -> None:
         for doc in (val, [kind, 1, val], [kind, val, ["Ping"]], [kind, 1, [val, val, val]]):
             raw = msgspec.msgpack.encode(doc)
             self.feed(struct.pack("!I", len(raw)) + raw)
 
     @QUICK
     @hypothesis.given(strategies.integers(wire.Connection.MAX_LENGTH + 1, (1 << 32) - 1), strategies.binary(max_size=9))
-    def test_lengths_beyond_the_bound_end_the_connection(self, length, raw) -> None:
+    def test_lengths_beyond_the_bound_end_the_connection(self, length: int, raw: bytes) -> None:
         assert self.feed(struct.pack("!I", length) + raw).aborted
 
     def test_deep_nesting_ends_the_connection(self) -> None:
@@ -147,7 +148,7 @@
 
     @QUICK
     @hypothesis.given(strategies.data())
-    def test_messages_with_bytes_changed(self, data) -> None:
+    def test_messages_with_bytes_changed(self, data: strategies.DataObject) -> None:
         good = wire.encoder.encode(wire.Parcel(0, 0, message.Worker("w", "h", 1, "p", "ready", 0)))
         good = (
             wire.encoder.encode(wire.Parcel(1, 1, message.Listing([], (3, 1, 40))))
@@ -294,17 +295,17 @@
 
     @QUICK
     @hypothesis.given(WHOLE | DOCUMENTS, strategies.sampled_from(["PUT", "PATCH"]))
-    def test_any_configuration(self, doc, method) -> None:
+    def test_any_configuration(self, doc: Any, method: str) -> None:
         self.call(method, "/configuration", json.dumps(doc).encode())
 
     @QUICK
     @hypothesis.given(CHANGE | DOCUMENTS)
-    def test_any_numbered_change(self, doc) -> None:
+    def test_any_numbered_change(self, doc: Any) -> None:
         self.call("POST", "/changes", json.dumps(doc).encode())
 
     @QUICK
     @hypothesis.given(strategies.binary(max_size=30))
-    def test_any_bytes(self, raw) -> None:
+    def test_any_bytes(self, raw: bytes) -> None:
         for method, path in (("PUT", "/configuration"), ("PATCH", "/configuration"), ("POST", "/changes")):
             self.call(method, path, raw)
 
@@ -418,7 +419,7 @@
         ),
         strategies.sets(strategies.sampled_from(sorted(GOOD_SETTINGS)), max_size=2),
     )
-    def test_odd_values(self, odd, missing) -> None:
+    def test_odd_values(self, odd: dict[str, str], missing: set[str]) -> None:
         doc = {name: val for name, val in {**GOOD_SETTINGS, **odd}.items() if name not in missing}
         self.read("".join(f"{name} = {val}\n" for name, val in doc.items()).encode())
 
@@ -440,7 +441,7 @@
 
     @QUICK
     @hypothesis.given(strategies.binary(max_size=60))
-    def test_any_bytes(self, raw) -> None:
+    def test_any_bytes(self, raw: bytes) -> None:
         self.read(raw)
 
     def test_deep_nesting(self) -> None:
@@ -507,7 +508,7 @@
     @hypothesis.given(
         strategies.lists(strategies.lists(PIECES, max_size=4), min_size=1, max_size=4), strategies.integers(1, 400)
     )
-    def test_answers_of_others(self, turns, step) -> None:
+    def test_answers_of_others(self, turns: list[list[bytes]], step: int) -> None:
         _, mach = new_machine()
         line = client.Line(mach, "w1")
         transport = Transport()
