--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -18,6 +18,9 @@
 measured right before it, so that figures of different machines can be set side by side.
 """
 
+from __future__ import annotations
+
+import collections.abc
 import gc
 import json
 import os
@@ -28,6 +31,7 @@
 import time
 import tracemalloc
 import types
+import typing
 
 import defopt
 import loguru
@@ -65,7 +69,7 @@
 # ---- how it is measured ---------------------------------------------------------
 
 
-def loop(rounds=1000):
+def loop(rounds: int = 1000) -> int:
     """The stated loop: what processor time is a ratio to.
 
     >>> loop()
@@ -78,7 +82,7 @@
     return x
 
 
-def spent(f, least=LEAST_NS):
+def spent(f: collections.abc.Callable[..., object], least: int = LEAST_NS) -> float:
     """Nanoseconds of this thread's time that one call of f takes, over as many as fill the least time.
 
     >>> spent(loop, 1000) > 0
@@ -94,7 +98,7 @@
     return total / calls
 
 
-def ratio(f, least=LEAST_NS):
+def ratio(f: collections.abc.Callable[..., object], least: int = LEAST_NS) -> float:
     """Processor time of f in loops.
 
     >>> ratio(loop, 1000) > 0
@@ -109,7 +113,7 @@
         gc.enable()
 
 
-def held(make):
+def held(make: collections.abc.Callable[..., object]) -> int:
     """Bytes that stay allocated for what make() returns.
 
     >>> held(lambda: bytes(100_000)) > 100_000
@@ -134,17 +138,18 @@
     (100.0, 100.0, 100.0, 16.0, 1.0)
     """
 
-    def __init__(self):
-        self.rows = {}  # (line, by) -> (unit, {size: [value of each repeat]})
+    def __init__(self) -> None:
+        # (line, by) -> (unit, {size: [value of each repeat]})
+        self.rows: dict[tuple[str, str], tuple[str, dict[int, list[typing.Any]]]] = {}
 
-    def put(self, line, by, unit, size, value):
+    def put(self, line: str, by: str, unit: str, size: int, value: float) -> None:
         """Keep one value.
 
         >>> Lines().put("roster", "members", "B", 8, 816)
         """
         self.rows.setdefault((line, by), (unit, {}))[1].setdefault(size, []).append(value)
 
-    def fit(self, line, by):
+    def fit(self, line: str, by: str) -> tuple[float, ...]:
         """Slope of the medians, least and greatest slope of a repeat, base, and R squared.
 
         Example: `slope, least, most, base, fit = lines.fit("roster", "members")`
@@ -160,7 +165,7 @@
         flat = max(ys) - min(ys) <= 1e-9 * max(map(abs, ys))
         return slope, min(each), max(each), base, 1.0 if flat else statistics.correlation(xs, ys) ** 2
 
-    def told(self):
+    def told(self) -> str:
         """A table of all lines.
 
         Example: `print(lines.told())`
@@ -181,7 +186,7 @@
         return "\n".join(out)
 
 
-def short(x):
+def short(x: float) -> str:
     """A figure with three digits that count.
 
     >>> short(0.0123456), short(1234567), short(42)
@@ -193,7 +198,7 @@
     return f"{x:.3g}"
 
 
-def end(lines, out):
+def end(lines: Lines, out: str) -> None:
     """Print the table; with a file's name, keep the values there too.
 
     Example: `end(lines, "lists.json")`
@@ -209,7 +214,7 @@
 # ---- hollow things ------------------------------------------------------------------
 
 
-def members(n):
+def members(n: int) -> list[message.Member]:
     """Members as long in their names as those of a real site.
 
     >>> len(members(3))
@@ -228,7 +233,7 @@
     ]
 
 
-def workers(n, pools=POOLS):
+def workers(n: int, pools: int = POOLS) -> list[message.Worker]:
     """Workers as the platform lists them.
 
     >>> workers(1)[0].pool
@@ -240,7 +245,7 @@
     ]
 
 
-def duties(keys, ms):
+def duties(keys: list[str], ms: list[message.Member]) -> list[message.Duty]:
     """Seated duties over members.
 
     >>> [d.key for d in duties(["list"], members(3))]
@@ -253,7 +258,7 @@
     return out
 
 
-def pool_keys(pools):
+def pool_keys(pools: int) -> list[str]:
     """The duties of a fleet with so many pools.
 
     >>> pool_keys(1)
@@ -262,7 +267,7 @@
     return ["list", *(f"pool/model-{k}" for k in range(pools))]
 
 
-def rosters(n, w, p):
+def rosters(n: int, w: int, p: int) -> message.Roster:
     """A roster of n members, w workers and p pools.
 
     >>> len(rosters(8, 20, 2).duties)
@@ -273,7 +278,7 @@
     return message.Roster((3, 17), ms, workers(w, max(1, p)), duties(pool_keys(p), ms), seats, (3, 1, 40))
 
 
-def sessions(n, w=90):
+def sessions(n: int, w: int = 90) -> session.Book:
     """Session records over w workers.
 
     >>> len(sessions(10).records)
@@ -285,7 +290,7 @@
     return book
 
 
-def hollow(zone="zone0"):
+def hollow(zone: str = "zone0") -> node.Node:
     """A node of its own, none of whose tasks runs; its clock stands at `node.clock`.
 
     >>> hollow().follower.place
@@ -303,7 +308,7 @@
     return n
 
 
-def issuer(n, p, cores=5):
+def issuer(n: int, p: int, cores: int = 5) -> roster.Issuer:
     """A tail's issuer with n members and p pools, its first roster issued.
 
     >>> len(issuer(8, 2).latest.members)
@@ -323,7 +328,7 @@
     return out
 
 
-def items(r, tenants=470, pools=POOLS, election="warden"):
+def items(r: int, tenants: int = 470, pools: int = POOLS, election: str = "warden") -> dict[str, dict[str, typing.Any]]:
     """A configuration of r routes.
 
     >>> sorted(items(1, 1, 1))
@@ -352,7 +357,7 @@
     pools: list[int] = (1, 8, 29),
     repeats: int = 5,
     out: str = "",
-):
+) -> None:
     """Rosters and worker lists: bytes, making, reading, taking at a node, memory.
 
     :param sizes: members
@@ -363,7 +368,7 @@
     """
     lines = Lines()
 
-    def look(by, size, r):
+    def look(by: str, size: int, r: message.Roster) -> None:
         raw = wire.encoder.encode(wire.Parcel(wire.TELL, 0, message.News(r)))
         lines.put("a roster on the wire", by, "B", size, len(raw))
         lines.put("a roster read", by, "loops", size, ratio(lambda: wire.decoder.decode(raw)))
@@ -377,7 +382,7 @@
         other = wire.decoder.decode(raw).msg.roster
         n, stamp = hollow(), [17]
 
-        def take():
+        def take() -> None:
             stamp[0] += 1
             n.follower.take_roster(
                 message.Roster((3, stamp[0]), other.members, other.workers, other.duties, other.cores, (3, 1, stamp[0]))
@@ -436,13 +441,15 @@
     end(lines, out)
 
 
-def _taken(raw):
+def _taken(raw: bytes) -> node.Node:
     n = hollow()
     n.follower.take_roster(wire.decoder.decode(raw).msg.roster)
     return n
 
 
-def tail(*, sizes: list[int] = (8, 32, 128, 370), pools: list[int] = (1, 8, 29), repeats: int = 5, out: str = ""):
+def tail(
+    *, sizes: list[int] = (8, 32, 128, 370), pools: list[int] = (1, 8, 29), repeats: int = 5, out: str = ""
+) -> None:
     """What a tail does ten times a second and at each word of a core: look whether a roster is due.
 
     :param sizes: members
@@ -474,7 +481,7 @@
     end(lines, out)
 
 
-def records(*, sizes: list[int] = (10_000, 100_000, 1_000_000), repeats: int = 3, out: str = ""):
+def records(*, sizes: list[int] = (10_000, 100_000, 1_000_000), repeats: int = 3, out: str = "") -> None:
     """Session records in one holder: single steps, the sweep, whole copies, memory.
 
     :param sizes: sessions
@@ -490,11 +497,11 @@
             book = sessions(n)
             names = [f"{k * 7919 % n:024x}" for k in range(few)]
 
-            def turns():
+            def turns() -> None:
                 for name in names:
                     book.extend(book.pinned(name), 5)
 
-            def openings():
+            def openings() -> None:
                 for k in range(few):
                     book.open(f"new-{k}", f"i-{k % 90:08x}", 0, 600 * S, 100)
                 for k in range(few):
@@ -559,13 +566,13 @@
     end(lines, out)
 
 
-def _shelved(raw):
+def _shelved(raw: typing.Any) -> typing.Any:
     session_replica = warden.SessionReplica()
     session_replica.take(wire.decoder.decode(raw).msg, 0)
     return session_replica
 
 
-def chief(w, s, parts=0):
+def chief(w: int, s: int, parts: int = 0) -> warden.Warden:
     """A warden of one pool with w ready workers, s sessions and so many prefix parts on each worker.
 
     >>> chief(3, 10).pool
@@ -581,7 +588,7 @@
     return out
 
 
-def ask(k, prefix=("system", "bundle")):
+def ask(k: int, prefix: collections.abc.Sequence[str] = ("system", "bundle")) -> message.Elect:
     """A question for a worker.
 
     >>> ask(1).exchange
@@ -611,7 +618,7 @@
     sizes: list[int] = (1_000, 10_000, 100_000),
     repeats: int = 5,
     out: str = "",
-):
+) -> None:
     """A warden's choice for one exchange, by the workers of its pool and by its open sessions.
 
     :param listed: workers of the pool
@@ -635,7 +642,7 @@
     end(lines, out)
 
 
-def prefixes(*, sizes: list[int] = (15_000, 150_000, 1_500_000), repeats: int = 3, out: str = ""):
+def prefixes(*, sizes: list[int] = (15_000, 150_000, 1_500_000), repeats: int = 3, out: str = "") -> None:
     """Shared prefix parts in one warden's tables, without their bound of 256 a worker.
 
     :param sizes: parts in all
@@ -660,7 +667,7 @@
     end(lines, out)
 
 
-def routes(*, sizes: list[int] = (100, 500, 2000, 5000), repeats: int = 5, out: str = ""):
+def routes(*, sizes: list[int] = (100, 500, 2000, 5000), repeats: int = 5, out: str = "") -> None:
     """Routes: a plan and its check, the chain, the cut for one node, the taking there, a request's way.
 
     :param sizes: routes
@@ -719,7 +726,7 @@
             n.follower.take_items(1, slice, True)
             place = [1]
 
-            def take():
+            def take() -> None:
                 place[0] += 1
                 n.follower.take_items(place[0], dict(change), False)
 
@@ -732,7 +739,7 @@
     end(lines, out)
 
 
-def _sliced(slice):
+def _sliced(slice: dict[str, dict[str, typing.Any]]) -> node.Node:
     n = hollow()
     n.follower.take_items(1, msgspec.msgpack.decode(msgspec.msgpack.encode(slice)), True)
     return n
@@ -747,7 +754,7 @@
     pools: list[int] = (1, 8, 29),
     repeats: int = 5,
     out: str = "",
-):
+) -> None:
     """Elections at a node, what its placement holds, and its upkeep each second.
 
     :param listed: workers of the pool
@@ -777,7 +784,7 @@
             )
             count = [0]
 
-            def fresh():
+            def fresh() -> None:
                 count[0] += 1
                 place.pick(shared, placement.chain([f"{count[0]:08x}", "b", "c", "d"]), 291, names, pool, set())
 
@@ -808,7 +815,7 @@
     end(lines, out)
 
 
-def seated(w, p=1):
+def seated(w: int, p: int = 1) -> node.Node:
     """A hollow node that knows w workers of p pools.
 
     >>> seated(3).door.forwarder.ready("model-0")
@@ -819,7 +826,7 @@
     return n
 
 
-def ranked(k, w):
+def ranked(k: int, w: int) -> placement.Placement:
     """A placement that has ranked w workers for k parts.
 
     >>> len(ranked(2, 3).ranks)
@@ -831,7 +838,7 @@
     return place
 
 
-def tried(x):
+def tried(x: int) -> placement.Placement:
     """A placement with x first turns that may yet become sessions.
 
     >>> len(tried(3).trials)
@@ -843,7 +850,7 @@
     return place
 
 
-def bare():
+def bare() -> typing.Any:
     """Memory of a fresh process that has imported the program and made a node, in bytes.
 
     Example: `bare() > 30_000_000`
@@ -864,7 +871,7 @@
     return int(raw) * 1024
 
 
-def kept(x):
+def kept(x: int) -> placement.Placement:
     """A placement that knows x parts of 2,600 workers.
 
     >>> len(kept(2600).workers)
@@ -876,7 +883,7 @@
     return place
 
 
-def swept(n):
+def swept(n: node.Node) -> None:
     """What a node's forwarder does once a second.
 
     Example: `swept(node)`
@@ -887,7 +894,7 @@
         p.sweep({w.id for w in fol.workers if w.pool == pool and w.state == "ready"})
 
 
-def sockets(*, sizes: list[int] = (0, 100, 1000), calls: int = 2000, repeats: int = 5, out: str = ""):
+def sockets(*, sizes: list[int] = (0, 100, 1000), calls: int = 2000, repeats: int = 5, out: str = "") -> None:
     """What a message costs over a real connection, both sides of it in this process: calls, one after the other.
 
     :param sizes: session records in each question
@@ -902,7 +909,7 @@
         0, wire.Listener(mach, lambda link, m: message.Copied(True), simulated_cluster.log), interface="127.0.0.1"
     )
 
-    async def go():
+    async def go() -> None:
         link = await wire.connect(mach, "127.0.0.1", port.getHost().port, lambda *_: None, simulated_cluster.log)
         for _ in range(repeats):
             for n in sizes:
@@ -922,7 +929,7 @@
 
     failed = []
 
-    def start():
+    def start() -> None:
         defer.ensureDeferred(go()).addErrback(lambda f: (failed.append(f), reactor.stop()))
 
     reactor.callWhenRunning(start)
@@ -941,15 +948,24 @@
     Example: `f = Fleet(1, nodes=8, listed=36, pools=2, routes=100)`; `f.begin()`; `f.go(3)`.
     """
 
-    def __init__(self, seed, nodes=8, listed=36, pools=1, routes=0, walking=True, election="warden"):
+    def __init__(
+        self,
+        seed: int,
+        nodes: int = 8,
+        listed: int = 36,
+        pools: int = 1,
+        routes: int = 0,
+        walking: bool = True,
+        election: str = "warden",
+    ) -> None:
         doc = configuration.unflatten(items(max(routes, pools), pools=pools, election=election))
         super().__init__(seed, "small", 0, 0, 0, blueprint=doc, halls=[f"zone{k % ZONES}" for k in range(nodes)])
         self.worker_count, self.pool, self.pools, self.walking = listed, "model-0", pools, walking
         self.probing = False
-        self.standing = None  # the process of all workers
+        self.standing: sim.Proc | None = None  # the process of all workers
         self.meter = sim.Meter()
 
-    def start_worker(self, name, host):
+    def start_worker(self, name: str, host: str) -> None:
         if self.standing is None:
             self.standing = sim.Proc(self.world, "workers", self.machine("10.0.3.1", "zone0"))
             self.standing_mach = self.standing.mach()
@@ -958,7 +974,7 @@
         self.listen(self.standing, 9001 + k, web.Server(self.standing_mach, w.handle))
         self.platform.put(name, host="10.0.3.1", port=9001 + k, pool=f"model-{k % self.pools}", state="ready")
 
-    def start_node(self, name, host, zone):
+    def start_node(self, name: str, host: str, zone: str) -> None:
         was = reach.WALK_US
         if not self.walking:  # with many nodes and workers the knocks drown the rest
             reach.WALK_US = NEVER_US
@@ -967,7 +983,7 @@
         finally:
             reach.WALK_US = was
 
-    def load_up(self, rate, lasts):
+    def load_up(self, rate: float, lasts: int) -> None:
         """Let every node have so many sends a second under way, each for so many seconds; none of them is sent.
 
         Example: `fleet.load_up(8.1, 19)`
@@ -977,7 +993,7 @@
                 n.mach.spawn(self.stream(n, lasts * n.mach.rng.random()), simulated_cluster.log)
             n.mach.spawn(self.arrivals(n, rate, lasts), simulated_cluster.log)
 
-    async def arrivals(self, n, rate, lasts):
+    async def arrivals(self, n: node.Node, rate: float, lasts: int) -> None:
         """One node's hollow sends.
 
         Example: `mach.spawn(fleet.arrivals(node, 8.1, 19))`
@@ -986,7 +1002,7 @@
             await n.mach.sleep(int(n.mach.rng.expovariate(rate) * S))
             n.mach.spawn(self.stream(n, lasts), simulated_cluster.log)
 
-    async def stream(self, n, lasts):
+    async def stream(self, n: node.Node, lasts: float) -> None:
         """One hollow send: counted where a real one would be.
 
         Example: `await fleet.stream(node, 19)`
@@ -1000,7 +1016,7 @@
         await n.mach.sleep(int(lasts * S))
         place.end(name, 0)
 
-    def roles(self):
+    def roles(self) -> dict[str, str]:
         """Each process's role now: tail, other core, lister, warden, node.
 
         Example: `fleet.roles()["c1"]`
@@ -1017,7 +1033,7 @@
         out[names[by_key["list"].holder]] = "lister"
         return out
 
-    def metered(self, seconds):
+    def metered(self, seconds: int) -> dict[str, dict[str, float]]:
         """Let time pass with the meter on; what each process took, sent, got and spent a second.
 
         Example: `fleet.metered(5)["n1"]["in_bytes"]`
@@ -1052,7 +1068,7 @@
                     out[name]["outer"] += n / seconds
         return out
 
-    def between(self, seconds):
+    def between(self, seconds: int) -> dict[str, float]:
         """Bytes that the meter counted between cores and nodes, a second.
 
         Example: `fleet.between(4)["core node"]`
@@ -1064,7 +1080,7 @@
                 out[f"{kind[a]} {kind[b]}"] += size / seconds
         return out
 
-    def by_role(self, got):
+    def by_role(self, got: dict[str, dict[str, float]]) -> dict[str, dict[str, float]]:
         """The middle of what the processes of each role took.
 
         Example: `fleet.by_role(fleet.metered(5))["node"]["loops"]`
@@ -1090,7 +1106,7 @@
 }
 
 
-def show(what, rows):
+def show(what: str, rows: dict[typing.Any, typing.Any]) -> None:
     """Print what each role took.
 
     >>> show("quiet", {})
@@ -1116,7 +1132,7 @@
     rate: float = 0,
     lasts: float = 19,
     out: str = "",
-):
+) -> None:
     """Hollow fleets when all is quiet: by nodes, by workers, by pools; then the greatest of each at once.
 
     With a rate, and election at the node, sends are counted under way as if they were made: so
@@ -1167,7 +1183,7 @@
     repeats: int = 3,
     election: str = "node",
     out: str = "",
-):
+) -> None:
     """Real requests through four nodes: processor time by requests and by the events of their streams.
 
     :param rates: requests a second at all nodes together, of the fewest events each
@@ -1218,7 +1234,7 @@
     seed: int = 1,
     spans: list[float] = (0.15, 0.5, 1, 2),
     steps: list[int] = (1, 3, 6),
-):
+) -> None:
     """Rows that a load exchange by change has to tell one node, by how often it tells and from which change on.
 
     Sends begin at random workers at the fleet's rate, long prompts among them, and each ends after its
@@ -1293,7 +1309,7 @@
     election: str = "warden",
     only: list[str] = WHATS,
     out: str = "",
-):
+) -> None:
     """Hollow fleets while something happens: until when all know, and what it costs beyond the quiet.
 
     change: a route is changed; restart: a node ends and another life of it starts; worker: a worker
@@ -1346,7 +1362,7 @@
     end(lines, out)
 
 
-def lost(f, what):
+def lost(f: Fleet, what: str) -> dict[str, float]:
     """What it costs a fleet that something happens, beyond its quiet; "roster" is the size of its roster.
 
     Example: `lost(Fleet(1), "zone")["ms"]`
@@ -1383,7 +1399,7 @@
     return out | {k: now[k] - still[k] * took for k in now}
 
 
-def happen(f, what):
+def happen(f: Fleet, what: str) -> None:
     """Let something happen to a fleet, and go on until all know.
 
     Example: `happen(fleet, "zone")`
@@ -1452,8 +1468,8 @@
     Example: `known = Known("runs")`; `known.at("lists", "a roster on the wire", "members", 370)`
     """
 
-    def __init__(self, folder):
-        self.files = {}
+    def __init__(self, folder: typing.Any) -> None:
+        self.files: dict[typing.Any, typing.Any] = {}
         for name in sorted(os.listdir(folder)):
             if name.endswith(".json"):
                 lines = self.files[name[:-5]] = Lines()
@@ -1461,14 +1477,14 @@
                     for line, by, unit, sizes in json.load(f):
                         lines.rows[line, by] = (unit, {int(x): v for x, v in sizes.items()})
 
-    def slope(self, name, line, by):
+    def slope(self, name: typing.Any, line: typing.Any, by: typing.Any) -> typing.Any:
         """The slope of a line.
 
         Example: `known.slope("lists", "a roster on the wire", "members")`
         """
         return self.files[name].fit(line, by)[0]
 
-    def at(self, name, line, by, x):
+    def at(self, name: typing.Any, line: typing.Any, by: typing.Any, x: typing.Any) -> typing.Any:
         """A line's value at a size: measured, or between two measured ones, or beyond them along the slope.
 
         Example: `known.at("lists", "a roster on the wire", "members", 370)`
@@ -1484,7 +1500,7 @@
         return base + slope * x
 
 
-def target(folder: str):
+def target(folder: str) -> None:
     """What the target needs, by the values that the runs left in a folder (their `--out` files).
 
     :param folder: where lists.json, tail.json and the others are
@@ -1492,7 +1508,9 @@
     k, t = Known(folder), types.SimpleNamespace(**TARGET)
     out = []
 
-    def put(role, what, how, val, unit, budget=""):
+    def put(
+        role: typing.Any, what: typing.Any, how: typing.Any, val: typing.Any, unit: typing.Any, budget: str = ""
+    ) -> None:
         out.append(f"| {role} | {what} | {how} | {short(val)} {unit} | {budget} |")
 
     rows = {}
@@ -1677,7 +1695,7 @@
     print("\n".join(out))
 
 
-def everything(*, small: bool = False):
+def everything(*, small: bool = False) -> None:
     """All of them, one after the other.
 
     :param small: a few sizes only
--- a/bench/change_recovery.py
+++ b/bench/change_recovery.py
@@ -8,12 +8,16 @@
 seed share the quiet time before the fault: each goes on from it in a process of its own.
 """
 
+from __future__ import annotations
+
+import collections.abc
 import concurrent.futures
 import dataclasses
 import functools
 import itertools
 import multiprocessing
 import statistics
+import typing
 
 import defopt
 import loguru
@@ -92,15 +96,15 @@
     Example: `operators = Operators(cluster)`; `cluster.office_mach.spawn(operators.run())`
     """
 
-    def __init__(self, cluster):
+    def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         self.cluster = cluster
         self.mach = cluster.office_mach
         self.places = [f"{cluster.options[name][0]}:{simulated_cluster.HTTP}" for name in sorted(cluster.cores)]
         self.current = 0  # the number that new orders build on
         self.under_way = 0
-        self.acknowledged = []
+        self.acknowledged: list[Acknowledgement] = []
 
-    async def run(self):
+    async def run(self) -> None:
         """Start orders for as long as the simulation runs.
 
         Example: `mach.spawn(operators.run())`
@@ -110,7 +114,7 @@
                 self.mach.spawn(self.order(number), log)
             await self.mach.sleep(ORDER_GAP_US)
 
-    async def order(self, number):
+    async def order(self, number: int) -> None:
         """Bring one order to core machines in turn until its outcome is clear.
 
         Example: `await operators.order(7)`
@@ -132,7 +136,7 @@
         else:
             await self.catch_up(place)
 
-    async def catch_up(self, place):
+    async def catch_up(self, place: str) -> None:
         """Read the number that is current.
 
         Example: `await operators.catch_up("10.0.1.1:8001")`
@@ -142,7 +146,9 @@
             marks = answer["blueprint"].get("marks", {})
             self.current = max(self.current, marks.get("operator", {}).get("number", 0))
 
-    async def ask(self, place, method, path, document=None):
+    async def ask(
+        self, place: str, method: str, path: str, document: dict[str, typing.Any] | None = None
+    ) -> tuple[int, dict[str, typing.Any]]:
         """Send one request; a second of silence or a broken connection counts as 504.
 
         Example: `status, answer = await operators.ask("10.0.1.1:8001", "GET", "/blueprint")`
@@ -154,7 +160,7 @@
             return 504, {}
 
 
-def chain_of(cluster):
+def chain_of(cluster: simulated_cluster.SimulatedCluster) -> list[str]:
     """The names of the core machines in the order of the newest view's chain.
 
     Example: `head, *_, tail = chain_of(cluster)`
@@ -165,7 +171,7 @@
     return [names[link.id] for link in newest.chain]
 
 
-def machine_at(cluster, position):
+def machine_at(cluster: simulated_cluster.SimulatedCluster, position: str) -> str:
     """The name of the core machine at a position of the chain.
 
     Example: `machine_at(cluster, "middle")`
@@ -174,14 +180,14 @@
     return chain[{"head": 0, "middle": len(chain) // 2, "tail": -1}[position]]
 
 
-def strike(cluster, fault, name):
+def strike(cluster: simulated_cluster.SimulatedCluster, fault: str, name: str) -> None:
     """Let a fault strike a core machine, and end by itself where it does.
 
     Example: `strike(cluster, "freeze", "c1")`
     """
     core = cluster.cores[name]
 
-    def later(seconds, function, *arguments):
+    def later(seconds: int, function: collections.abc.Callable[..., object], *arguments: typing.Any) -> None:
         at = cluster.world.time + seconds * machine.SECOND
         cluster.world.push(at, functools.partial(function, *arguments))
 
@@ -203,7 +209,7 @@
             later(RESTART_S, cluster.start_core, name, *cluster.options[name])
 
 
-def quiet_cluster(start):
+def quiet_cluster(start: Start) -> tuple[simulated_cluster.SimulatedCluster, Operators]:
     """A cluster without load, all core machines in its chain, at a moment that the seed draws.
 
     Example: `cluster, operators = quiet_cluster(Start(seed=1, cores=3))`
@@ -228,7 +234,7 @@
     return cluster, operators
 
 
-def measure(cluster, operators, case):
+def measure(cluster: simulated_cluster.SimulatedCluster, operators: Operators, case: Case) -> Recovery:
     """Let the fault strike, and wait for the next change at all nodes; for all of them, as the faults are the core's.
 
     Example: `measure(*quiet_cluster(Start(1, 3)), Case("kill", "tail")).acknowledged`
@@ -244,7 +250,7 @@
     return Recovery(case, first and first.answered - began, None)
 
 
-def measure_seed(start, cases):
+def measure_seed(start: Start, cases: list[Case]) -> list[Recovery]:
     """Play all cases of one seed, each in a process that goes on from the same quiet cluster.
 
     Example: `measure_seed(Start(1, 3), [Case("kill", "tail"), Case("cut", "head")])`
@@ -263,7 +269,7 @@
     return recoveries
 
 
-def seconds(values):
+def seconds(values: list[int | None]) -> str:
     """Median and worst of times in µs, in seconds; a None is a time beyond the limit.
 
     >>> seconds([1_200_000, 900_000, None])
@@ -274,7 +280,7 @@
     return f"{statistics.median(ordered) / machine.SECOND:.2f}, {worst}"
 
 
-def table(cores, cases, recoveries):
+def table(cores: int, cases: list[Case], recoveries: list[Recovery]) -> list[str]:
     """The rows of a table: one for each case, over all seeds.
 
     >>> kill = Case("kill", "tail")
@@ -298,7 +304,7 @@
     positions: list[str] = POSITIONS,
     lease_ms: int = LEASE_MS,
     jobs: int = 1,
-):
+) -> None:
     """Print the median and the worst time in seconds over seeds, a table row for each fault and position.
 
     :param seeds: how many seeds for each row, from 1 on
--- a/bench/client_model.py
+++ b/bench/client_model.py
@@ -3,9 +3,14 @@
 Each try of a client is one row `tried` of the event log, with everything that came back and when.
 """
 
+from __future__ import annotations
+
+import collections.abc
 import dataclasses
 import json
 import math
+import random
+import typing
 import zlib
 
 import httptools
@@ -17,6 +22,14 @@
 import bench.words as words
 import iriswheel.machine as machine
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.interfaces as interfaces
+    import twisted.python.failure as failure
+
+    import bench.sim as sim
+    import bench.simulated_cluster as simulated_cluster
+
+
 MS, S = machine.MILLI, machine.SECOND
 PROMISES = (408, 421, 429, 503)  # the request has not run and never will
 FINAL = (400, 401, 404, 413, 431)
@@ -54,7 +67,7 @@
     pool: str = "pool"
 
 
-def draw(rng, mean, spread, most=1e9):
+def draw(rng: random.Random, mean: int, spread: float, most: float = 1e9) -> int:
     """A size by chance: log-normal round a mean, at least 1.
 
     >>> import random
@@ -66,7 +79,7 @@
     return max(1, min(round(most), round(rng.lognormvariate(math.log(mean) - spread**2 / 2, spread))))
 
 
-def some_thing(rng, things, skew):
+def some_thing(rng: random.Random, things: int, skew: float) -> int:
     """One of so many things, the first ones more often.
 
     >>> import random
@@ -82,18 +95,18 @@
     Example: `Call(["a", "bc"], done)`
     """
 
-    def __init__(self, ended):
+    def __init__(self, ended: collections.abc.Callable[..., object]) -> None:
         self.ended = ended
         self.over = False
         self.how = ""  # whole, closed, garbage, or a word of who gave up
         self.code, self.heads, self.body = 0, {}, b""
-        self.events = []  # [id, seal, when, last]
+        self.events: list[list[typing.Any]] = []  # [id, seal, when, last]
         self.rest = b""
         self.bad_events = 0
         self.first = self.last = None
         self.pause = 0
 
-    def end(self, how):
+    def end(self, how: str) -> None:
         """It is over.
 
         Example: `call.end("whole")`
@@ -102,14 +115,14 @@
             self.over, self.how = True, how
             self.ended(self)
 
-    def head(self, name):
+    def head(self, name: str) -> str | None:
         """A header of the answer, or None.
 
         Example: `call.head("Retry-After")`
         """
         return self.heads.get(name.lower())
 
-    def take(self, data, now):
+    def take(self, data: bytes, now: int) -> None:
         r"""Bytes of the body.
 
         Example: `call.take(b"id: 1\n", now)`
@@ -141,20 +154,22 @@
     Example: `line.start(call, raw)`
     """
 
-    def __init__(self, mach, stray=lambda line, data: None):
+    def __init__(
+        self, mach: machine.Machine, stray: collections.abc.Callable[..., object] = lambda line, data: None
+    ) -> None:
         self.mach, self.stray = mach, stray
         self.parser = httptools.HttpResponseParser(self)
-        self.call = None
+        self.call: Call | None = None
         self.up = False
         self.keep = True
-        self.until = None  # when the other side ends it if idle
-        self.heads = {}
+        self.until: typing.Any = None  # when the other side ends it if idle
+        self.heads: dict[str, str] = {}
         self.passing = False  # what comes is no final answer
 
-    def connectionMade(self):
+    def connectionMade(self) -> None:
         self.up = True
 
-    def start(self, call, raw):
+    def start(self, call: Call, raw: bytes) -> None:
         r"""Send a request.
 
         Example: `line.start(call, b"GET / HTTP/1.1\r\n\r\n")`
@@ -162,14 +177,14 @@
         self.call = call
         self.transport.write(raw)
 
-    def unread(self):
+    def unread(self) -> bool:
         """Whether the other side has not read all that was sent.
 
         Example: `line.unread()`
         """
         return getattr(self.transport, "flying", 0) > 0
 
-    def drop(self, how):
+    def drop(self, how: str) -> None:
         """Give the call up, and the connection with it.
 
         Example: `line.drop("silent")`
@@ -180,7 +195,7 @@
         if call is not None:
             call.end(how)
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         if self.call is None:
             if self.keep:
                 self.stray(self, data)
@@ -198,30 +213,30 @@
             else:
                 self.drop("garbage")
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         self.up = self.keep = False
         call, self.call = self.call, None
         if call is not None:
             call.end("closed")
 
-    def on_message_begin(self):
+    def on_message_begin(self) -> None:
         self.heads = {}
         if self.call is None:
             raise ValueError("an answer that nobody asked for")
 
-    def on_header(self, name, value):
+    def on_header(self, name: bytes, value: bytes) -> None:
         self.heads[name.decode("latin-1").lower()] = value.decode("latin-1")
 
-    def on_headers_complete(self):
+    def on_headers_complete(self) -> None:
         code = self.parser.get_status_code()
         self.passing = 100 <= code < 200
         if not self.passing:
             self.call.code, self.call.heads = code, self.heads
 
-    def on_body(self, data):
+    def on_body(self, data: bytes) -> None:
         self.call.take(data, self.mach.now())
 
-    def on_message_complete(self):
+    def on_message_complete(self) -> None:
         if self.passing:
             return
         call, self.call = self.call, None
@@ -232,7 +247,13 @@
         call.end("whole")
 
 
-def connect(mach, host, port, timeout_us, stray=lambda line, data: None):
+def connect(
+    mach: machine.Machine,
+    host: str,
+    port: int,
+    timeout_us: int,
+    stray: collections.abc.Callable[..., object] = lambda line, data: None,
+) -> defer.Deferred[typing.Any]:
     """Open a connection: a Deferred of a Line; it fails as the network says.
 
     Example: `line = await connect(mach, "10.0.2.1", 80, S)`
@@ -242,12 +263,12 @@
     class Factory(protocol.ClientFactory):
         noisy = False
 
-        def buildProtocol(self, addr):
+        def buildProtocol(self, addr: interfaces.IAddress | None) -> Line:
             line = Line(mach, stray)
             mach.later(0, lambda: d.called or d.callback(line))
             return line
 
-        def clientConnectionFailed(self, connector, reason):
+        def clientConnectionFailed(self, connector: sim.Connector, reason: failure.Failure) -> None:
             if not d.called:
                 d.errback(reason)
 
@@ -261,12 +282,17 @@
     Example: `e = Entry(mach, tape)`; `e.nodes["n1"] = ("a", ("10.0.2.1", 8263), ("10.0.2.1", 8268))`
     """
 
-    def __init__(self, mach, tape, near=lambda zone: []):
+    def __init__(
+        self,
+        mach: machine.Machine,
+        tape: simulated_cluster.Tape,
+        near: collections.abc.Callable[..., object] = lambda zone: [],
+    ) -> None:
         self.mach, self.tape, self.near = mach, tape, near
-        self.nodes = {}  # name -> (zone, front, ready)
-        self.misses = {}  # name -> misses in a row
+        self.nodes: dict[str, tuple[str, tuple[str, int], tuple[str, int]]] = {}  # name -> (zone, front, ready)
+        self.misses: dict[str, int] = {}  # name -> misses in a row
 
-    async def run(self):
+    async def run(self) -> None:
         """Ask all nodes each second.
 
         Example: `mach.spawn(entry.run())`
@@ -276,7 +302,7 @@
                 self.mach.spawn(self.ask(name, *self.nodes[name][2]), log)
             await self.mach.sleep(S)
 
-    async def ask(self, name, host, port):
+    async def ask(self, name: str, host: str, port: int) -> None:
         """Ask one node whether it is ready.
 
         Example: `await entry.ask("n1", "10.0.2.1", 8268)`
@@ -303,14 +329,14 @@
         if self.into(name) != was:
             self.tape.put(self.mach.now(), "entry", node=name, into=not was)
 
-    def into(self, name):
+    def into(self, name: str) -> bool:
         """Whether a node gets new connections.
 
         Example: `entry.into("n1")`
         """
         return self.misses.get(name, 2) < 2
 
-    def zone_nodes(self, zone):
+    def zone_nodes(self, zone: str) -> list[str]:
         """The nodes that a zone's clients are passed to.
 
         Example: `entry.zone_nodes("a")`
@@ -319,7 +345,7 @@
         ready = [n for n in mine if self.into(n)]
         return ready if 2 * len(ready) >= len(mine) and ready else mine if ready else []
 
-    def pick(self, zone, client, tries):
+    def pick(self, zone: str, client: str, tries: int) -> tuple[str, tuple[str, int]]:
         """The node of a new connection.
 
         Example: `name, address = entry.pick("a", "c7", 0)`
@@ -337,14 +363,24 @@
     Example: `c = Client(site, "c1", "a")`; `await c.ask(kind)`
     """
 
-    def __init__(self, mach, tape, entry, name, zone, keeps=True, chunked=False, hasty=False):
+    def __init__(
+        self,
+        mach: machine.Machine,
+        tape: simulated_cluster.Tape,
+        entry: Entry,
+        name: str,
+        zone: str,
+        keeps: bool = True,
+        chunked: bool = False,
+        hasty: bool = False,
+    ) -> None:
         self.mach, self.tape, self.entry = mach, tape, entry
         self.name, self.zone = name, zone
         self.keeps, self.chunked, self.hasty = keeps, chunked, hasty
-        self.spare = {}  # node -> lines
+        self.spare: dict[str, list[Line]] = {}  # node -> lines
         self.made = 0
 
-    def stray(self, node):
+    def stray(self, node: str) -> collections.abc.Callable[..., object]:
         """What to do with bytes that nobody asked for.
 
         Example: `connect(..., client.stray("n1"))`
@@ -353,7 +389,7 @@
             self.mach.now(), "stray", node=node, client=self.name, data=data[:80].decode("latin-1")
         )
 
-    def content(self, kind, hot=None):
+    def content(self, kind: Kind, hot: None = None) -> tuple[list[tuple[str, str]], bytes]:
         """A request by chance: headers, body, tokens in and out. `hot` (kind, share) makes one key popular.
 
         Example: `heads, body = client.content(kind)`
@@ -378,7 +414,7 @@
         body = b"%08x" % rng.getrandbits(32) + b"." * max(0, draw(rng, kind.body_bytes, 0.3, 200_000) - 8)
         return heads if kind.sort == "stream" else [], body
 
-    async def ask(self, kind, path="", hot=None, heads=None, body=None):
+    async def ask(self, kind: Kind, path: str = "", hot: None = None, heads: None = None, body: None = None) -> None:
         """One request through all its tries.
 
         Example: `await client.ask(kind)`
@@ -427,7 +463,18 @@
             how=how,
         )
 
-    async def once(self, kind, ident, tries, path, heads, body, until, after, node=None):
+    async def once(
+        self,
+        kind: Kind,
+        ident: str,
+        tries: int,
+        path: str,
+        heads: list[tuple[str, str]],
+        body: bytes,
+        until: int,
+        after: int,
+        node: str | None = None,
+    ) -> dict[str, typing.Any]:
         """One try: its row of the log.
 
         Example: `row = await client.once(kind, "r1", 0, "/desk/1", heads, body, until, 0)`
@@ -528,7 +575,7 @@
         self.tape.put(mach.now(), "tried", **row)
         return row
 
-    def either(self, ended, us):
+    def either(self, ended: defer.Deferred[typing.Any], us: int) -> defer.Deferred[typing.Any]:
         """A Deferred that fires when `ended` has, or after a time.
 
         Example: `await client.either(d, 5 * S)`
@@ -536,7 +583,7 @@
         out = defer.Deferred()
         tick = self.mach.later(max(1, us), lambda: out.called or out.callback(None))
 
-        def end(res):
+        def end(res: None) -> None:
             if tick.active():
                 tick.cancel()
             if not out.called:
@@ -553,13 +600,15 @@
     Example: `Traffic(clients, kinds, 20, rng)`; `mach.spawn(traffic.run(until))`
     """
 
-    def __init__(self, mach, clients, kinds, rate, phase=0.0):
+    def __init__(
+        self, mach: machine.Machine, clients: list[Client], kinds: tuple[Kind, Kind], rate: float, phase: float = 0.0
+    ) -> None:
         self.mach, self.clients, self.kinds, self.rate, self.phase = mach, clients, kinds, rate, phase
-        self.factor = {}  # kind -> how many times as much
-        self.hot = None
+        self.factor: dict[typing.Any, typing.Any] = {}  # kind -> how many times as much
+        self.hot: typing.Any = None
         self.open = 0
 
-    async def run(self, until):
+    async def run(self, until: int) -> None:
         """Ask and ask until a time.
 
         Example: `mach.spawn(traffic.run(30 * S))`
@@ -574,7 +623,7 @@
             kind = rng.choices(self.kinds, weights)[0]
             mach.spawn(self.one(rng.choice(self.clients), kind), log)
 
-    async def one(self, client, kind):
+    async def one(self, client: Client, kind: Kind) -> None:
         """One request, counted while it is open.
 
         Example: `await traffic.one(client, kind)`
@@ -592,15 +641,23 @@
     Example: `o = Operator(mach, tape, lambda: [("10.0.1.1", 8262)], "boss")`; `await o.put(doc, 0)`
     """
 
-    def __init__(self, mach, tape, places, name):
+    def __init__(
+        self,
+        mach: machine.Machine,
+        tape: simulated_cluster.Tape,
+        places: collections.abc.Callable[..., object],
+        name: str,
+    ) -> None:
         self.mach, self.tape, self.places, self.name = mach, tape, places, name
         self.calls = self.sends = 0
-        self.first_place = None  # the address that the next change is sent to first
+        self.first_place: typing.Any = None  # the address that the next change is sent to first
         self.lost_share = 0.0  # of the acknowledgements, which are lost on their way
-        self.last_place = None  # the address that acknowledged last
+        self.last_place: tuple[str, int] | None = None  # the address that acknowledged last
         self.on_send, self.on_acknowledged = [], []  # each called once, at the next change
 
-    async def call(self, method, heads, raw, host, port):
+    async def call(
+        self, method: str, heads: list[tuple[str, str]], raw: bytes, host: str, port: int
+    ) -> tuple[int, bytes]:
         """One call at one place, which may send it on twice: (status, body), or (0, b"") without a clear answer.
 
         Example: `status, body = await operator.call("GET", [], b"", "10.0.1.1", 8262)`
@@ -638,7 +695,9 @@
             host, port, path = place.rpartition(":")[0], int(place.rpartition(":")[2]), f"/{rest}"
         return 0, b""
 
-    async def until_clear(self, method, heads, raw, seconds=60, send=""):
+    async def until_clear(
+        self, method: str, heads: list[tuple[str, str]], raw: bytes, seconds: int = 60, send: str = ""
+    ) -> tuple[int, bytes]:
         """Call until an answer is clear: (status, body), or (0, b"") when time is up.
 
         Example: `status, body = await operator.until_clear("PUT", heads, raw)`
@@ -663,7 +722,7 @@
             pause = min(S, pause * 3 // 2)
         return 0, b""
 
-    def acknowledged(self, status, send):
+    def acknowledged(self, status: int, send: str) -> int:
         """A change was acknowledged: the status that the operator sees, 0 where the answer is lost.
 
         Example: `status = operator.acknowledged(200, "boss-7")`
@@ -676,21 +735,30 @@
             f()
         return status
 
-    async def put(self, doc, base, valid=True, seconds=60):
+    async def put(self, doc: dict[str, typing.Any], base: int, valid: bool = True, seconds: int = 60) -> int:
         """Send a whole configuration on top of a version: the status.
 
         Example: `status = await operator.put(doc, 5)`
         """
         return await self.send("PUT", doc, doc, base, valid, seconds)
 
-    async def patch(self, change, doc, base, valid=True, seconds=60):
+    async def patch(
+        self,
+        change: dict[str, typing.Any],
+        doc: dict[str, typing.Any],
+        base: int,
+        valid: bool = True,
+        seconds: int = 60,
+    ) -> int:
         """Send a change, which makes `doc` out of the version `base`: the status.
 
         Example: `status = await operator.patch(change, doc, 5)`
         """
         return await self.send("PATCH", change, doc, base, valid, seconds)
 
-    async def send(self, method, body, doc, base, valid, seconds):
+    async def send(
+        self, method: str, body: dict[str, typing.Any], doc: dict[str, typing.Any], base: int, valid: bool, seconds: int
+    ) -> int:
         """Send either, and log what came of it.
 
         Example: `await operator.send("PUT", doc, doc, 5, True, 60)`
@@ -708,7 +776,7 @@
         self.tape.put(self.mach.now(), "config_answer", code=status, text=text[:200].decode("latin-1"), **row)
         return status
 
-    async def read(self, seconds=20):
+    async def read(self, seconds: int = 20) -> dict[str, typing.Any]:
         """Read the newest configuration back: it, or None.
 
         Example: `doc = await operator.read()`
--- a/bench/cluster_model.py
+++ b/bench/cluster_model.py
@@ -3,6 +3,8 @@
 Disk, memory and faults of each machine, messages in flight, and what was agreed and acknowledged so far.
 """
 
+from __future__ import annotations
+
 import typing
 
 import msgspec
@@ -45,27 +47,27 @@
     proposal: Proposal | None = None
 
     @property
-    def reachable(self):
+    def reachable(self) -> bool:
         """Whether the machine runs and is not cut off."""
         return self.up and not self.cut
 
     @property
-    def incarnation(self):
+    def incarnation(self) -> str:
         """The boot as chain members carry it."""
         return str(self.boot)
 
     @property
-    def lost(self):
+    def lost(self) -> bool:
         """Whether the machine counts as lost."""
         return not self.reachable or self.leaving or not self.settled
 
     @property
-    def seat(self):
+    def seat(self) -> message.Seat:
         """The machine's seat."""
         return message.Seat(self.ident, f"host{self.place}", 1, "zone")
 
     @property
-    def tip(self):
+    def tip(self) -> tuple[int, int]:
         """The newest entry of the log."""
         return self.log[-1] if self.log else (0, 0)
 
@@ -114,7 +116,7 @@
     keep_identity: bool = False  # the guard on identities taken out: a wiped disk goes on under its old name
 
 
-def start(cores, limits):
+def start(cores: int, limits: Limits) -> World:
     """The first state: view 1 with all cores in it, synced and empty.
 
     >>> len(start(3, Limits()).cores)
@@ -127,7 +129,7 @@
     return World(tuple(replace(core, record=record) for core in machines), limits, views=(view,))
 
 
-def spend(world, name):
+def spend(world: World, name: str) -> World | None:
     """The state with one event of a sort used up, or None where none is left.
 
     >>> spend(start(3, Limits(crashes=0)), "crashes") is None
@@ -137,26 +139,26 @@
     return replace(world, limits=replace(world.limits, **{name: left - 1})) if left else None
 
 
-def put(world, core):
+def put(world: World, core: Core) -> World:
     """The state with one core replaced."""
     cores = list(world.cores)
     cores[core.place] = core
     return replace(world, cores=tuple(cores))
 
 
-def add(items, item):
+def add(items: tuple[typing.Any, ...], item: typing.Any) -> tuple[typing.Any, ...]:
     """A sorted tuple with one more item, kept once."""
     if item in items:
         return items
     return tuple(sorted((*items, item), key=msgspec.msgpack.encode))
 
 
-def by_ident(world, ident):
+def by_ident(world: World, ident: str) -> Core:
     """The core with an identity, or None."""
     return next((core for core in world.cores if core.ident == ident), None)
 
 
-def wanted_seats(world, proposer):
+def wanted_seats(world: World, proposer: Core) -> list[message.Seat]:
     """The seats that a proposer wants: machines that are down, cut off or leaving may be replaced."""
     view = proposer.record.view
     known = {seat.id for seat in view.seats}
@@ -170,22 +172,22 @@
     return agreement.next_seats(view, proposer.ident, proposer.leaving, newcomers, states, len(world.cores))
 
 
-def live(world):
+def live(world: World) -> dict[str, str]:
     """The cores that can be members of a chain, with their incarnations."""
     return {core.ident: core.incarnation for core in world.cores if core.reachable and not core.leaving}
 
 
-def departing(world):
+def departing(world: World) -> dict[str, str]:
     """The cores that leave and are not down yet, with their incarnations."""
     return {core.ident: core.incarnation for core in world.cores if core.reachable and core.leaving}
 
 
-def synced_in(world, number):
+def synced_in(world: World, number: int) -> set[str]:
     """The cores that are synced in a view."""
     return {core.ident for core in world.cores if core.record.whole == number}
 
 
-def is_due(world, core):
+def is_due(world: World, core: Core) -> bool:
     """Whether a core has a reason to propose a view."""
     if not core.reachable or not agreement.is_voter(core.record, core.ident):
         return False
@@ -201,17 +203,17 @@
     return wanted != present or seats != view.seats or agreement.is_sealed(core.record)
 
 
-def names(view):
+def names(view: message.View) -> str:
     """A view's chain and seats, for people."""
     return f"chain {' '.join(m.id for m in view.chain)}, seats {' '.join(s.id for s in view.seats)}"
 
 
-def has_lease(core):
+def has_lease(core: Core) -> bool:
     """Whether a core serves reads."""
     leading = core.up and agreement.may_lead_reads(core.record, core.ident, core.incarnation)
     return leading and len(core.supporters) >= agreement.majority(len(core.record.view.seats))
 
 
-def serves(core):
+def serves(core: Core) -> bool:
     """Whether a core is a member of its view's chain, unsealed."""
     return core.up and agreement.is_serving(core.record, core.ident, core.incarnation)
--- a/bench/cluster_steps.py
+++ b/bench/cluster_steps.py
@@ -5,7 +5,11 @@
 Time passes only where the leases allow it: a voter's grant ends after the lease that counts on it.
 """
 
+from __future__ import annotations
+
+import collections.abc
 import itertools
+import typing
 
 import msgspec
 
@@ -16,7 +20,9 @@
 replace = msgspec.structs.replace
 
 
-def receive_prepare(world, core, request):
+def receive_prepare(
+    world: cluster_model.World, core: cluster_model.Core, request: message.Prepare
+) -> cluster_model.World:
     """One acceptor's step on a Prepare."""
     replica = agreement.Replica(core.ident, core.incarnation, True, core.tip)
     record, answer = agreement.promise(core.record, replica, core.holder, request)
@@ -26,7 +32,9 @@
     return replace(world, promises=cluster_model.add(world.promises, (request.number, answer)))
 
 
-def receive_accept(world, core, request):
+def receive_accept(
+    world: cluster_model.World, core: cluster_model.Core, request: message.Accept
+) -> cluster_model.World:
     """One acceptor's step on an Accept."""
     record, answer = agreement.accept(core.record, core.ident, request)
     if not answer.ok:
@@ -39,7 +47,7 @@
     return world
 
 
-def check_chosen(world, old, request):
+def check_chosen(world: cluster_model.World, old: message.View, request: message.Accept) -> None:
     """Raise ViolationError where a majority accepted a view, and another majority accepted another of this number."""
     number = request.view.number
     if not is_chosen(world, old, request.ballot):
@@ -52,13 +60,13 @@
             )
 
 
-def is_chosen(world, old, ballot):
+def is_chosen(world: cluster_model.World, old: message.View, ballot: tuple[int, str]) -> bool:
     """Whether a majority of a view's voters accepted its successor under a ballot."""
     voters = [ident for made, number, ident in world.accepted if (made, number) == (ballot, old.number + 1)]
     return len(voters) >= agreement.majority(len(old.seats))
 
 
-def adopt(world, core, view):
+def adopt(world: cluster_model.World, core: cluster_model.Core, view: message.View) -> cluster_model.World:
     """One core takes a view that was agreed; two views under one number break an invariant."""
     for other in world.views:
         if other.number == view.number and other != view:
@@ -72,7 +80,7 @@
     return replace(world, views=cluster_model.add(world.views, view))
 
 
-def proposing(world):
+def proposing(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """Start proposals: the proposer answers its own Prepare at once."""
     for core in world.cores:
         used = cluster_model.spend(world, "proposals")
@@ -86,7 +94,7 @@
         yield f"{core.ident} proposes {ballot}", receive_prepare(after, core, request)
 
 
-def suspecting(world):
+def suspecting(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """A voter proposes without a reason that others see: it hears nobody but those who promise."""
     for core in world.cores:
         used = cluster_model.spend(world, "proposals")
@@ -101,7 +109,7 @@
         yield f"{core.ident} suspects the others and proposes {ballot}", receive_prepare(after, core, request)
 
 
-def delivering(world):
+def delivering(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """Deliver any request in flight to any core."""
     for request, core in itertools.product(world.requests, world.cores):
         if not core.reachable:
@@ -117,7 +125,7 @@
             yield label, after
 
 
-def choosing(world):
+def choosing(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World] | None]:
     """A proposer ends its first phase with any majority of the promises that were given."""
     for core in world.cores:
         proposal = core.proposal
@@ -130,7 +138,9 @@
                 yield from choices(world, core, {answer.id: answer for answer in chosen})
 
 
-def choices(world, core, promises):
+def choices(
+    world: cluster_model.World, core: cluster_model.Core, promises: dict[str, message.Promise]
+) -> collections.abc.Iterator[tuple[str, cluster_model.World] | None]:
     """The views that a proposer may ask for: with all live machines, or with those that promised."""
     proposal, seen = core.proposal, []
     for alive in (
@@ -151,7 +161,7 @@
         )
 
 
-def deciding(world):
+def deciding(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """A proposer adopts its view once a majority accepted it."""
     for core in world.cores:
         proposal = core.proposal
@@ -161,14 +171,14 @@
             yield f"{core.ident} adopts view {proposal.view.number}", adopt(world, core, proposal.view)
 
 
-def learning(world):
+def learning(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """A core hears of a view that another adopted, then or later."""
     for core, view in itertools.product(world.cores, world.views):
         if core.reachable and agreement.newer_view(core.record, view.number) is None:
             yield f"{core.ident} learns view {view.number}", adopt(world, core, view)
 
 
-def leasing(world):
+def leasing(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """A voter grants the tail its lease; leases and grants run out, the grant after the lease."""
     tails = [c for c in world.cores if c.reachable and agreement.may_lead_reads(c.record, c.ident, c.incarnation)]
     for tail, core in itertools.product(tails, world.cores):
@@ -193,7 +203,9 @@
             yield f"the grant of {core.ident} runs out", cluster_model.put(world, replace(core, holder=None))
 
 
-def writing(world, setting):
+def writing(
+    world: cluster_model.World, setting: cluster_model.Setting
+) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """The head syncs a change."""
     for core in world.cores:
         used = cluster_model.spend(world, "changes")
@@ -208,7 +220,7 @@
             )
 
 
-def replicating(world):
+def replicating(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World] | None]:
     """A member brings the next one up to date; that one is then synced."""
     for core in world.cores:
         if not core.reachable or not cluster_model.serves(core) or not agreement.is_synced(core.record):
@@ -230,7 +242,7 @@
         yield f"{core.ident} brings {following.ident} up to date", after
 
 
-def refilling(world):
+def refilling(world: cluster_model.World) -> collections.abc.Iterator[typing.Any]:
     """A snapshot that was held up arrives once more."""
     for refill in world.refills:
         used, core = cluster_model.spend(world, "late_refills"), cluster_model.by_ident(world, refill.receiver)
@@ -242,7 +254,7 @@
             yield f"a late snapshot {refill.log} reaches {core.ident}", cluster_model.put(used, after)
 
 
-def acknowledge(world, setting):
+def acknowledge(world: cluster_model.World, setting: cluster_model.Setting) -> cluster_model.World:
     """All that a synced tail holds is acknowledged at that moment."""
     for core in world.cores:
         if core.up and agreement.may_commit(core.record, core.ident, core.incarnation, setting.copies):
@@ -258,22 +270,22 @@
     return world
 
 
-def tolerated(world, core, setting):
+def tolerated(world: cluster_model.World, core: cluster_model.Core, setting: cluster_model.Setting) -> bool:
     """Whether one more machine may be lost."""
     return len([c for c in world.cores if c.lost and c.place != core.place]) < setting.tolerance
 
 
-def stopped(core):
+def stopped(core: cluster_model.Core) -> cluster_model.Core:
     """A machine that went down: what was in memory is gone."""
     return replace(core, up=False, settled=False, holder=None, supporters=(), ballot=0, proposal=None)
 
 
-def restarted(core):
+def restarted(core: cluster_model.Core) -> cluster_model.Core:
     """A machine that came back with its disk; a grant that it gave before may stand."""
     return replace(stopped(core), up=True, boot=core.boot + 1, leaving=False, holder=agreement.UNKNOWN_HOLDER)
 
 
-def wiped(core, setting):
+def wiped(core: cluster_model.Core, setting: cluster_model.Setting) -> cluster_model.Core:
     """A machine that came back with an empty disk, under a new identity."""
     identities = core.identities + 1
     ident = core.ident if setting.keep_identity else f"{core.ident[0]}{identities}"
@@ -281,7 +293,9 @@
     return cluster_model.Core(ident, core.place, identities, core.boot + 1, settled=False, record=record)
 
 
-def failing(world, setting):
+def failing(
+    world: cluster_model.World, setting: cluster_model.Setting
+) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """Faults within the tolerance, and what ends them."""
     for core in world.cores:
         may_fail = tolerated(world, core, setting)
@@ -305,14 +319,16 @@
     yield from power_cycling(world, setting)
 
 
-def fault(world, sort, label, core):
+def fault(
+    world: cluster_model.World, sort: str, label: str, core: cluster_model.Core
+) -> collections.abc.Iterator[typing.Any]:
     """One fault, where one of its sort is left."""
     used = cluster_model.spend(world, sort)
     if used is not None:
         yield label, cluster_model.put(used, core)
 
 
-def is_in_order(world, core):
+def is_in_order(world: cluster_model.World, core: cluster_model.Core) -> bool:
     """Whether a core is a synced member of the newest view's chain."""
     newest = max(view.number for view in world.views)
     return (
@@ -322,7 +338,9 @@
     )
 
 
-def power_cycling(world, setting):
+def power_cycling(
+    world: cluster_model.World, setting: cluster_model.Setting
+) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """All machines restart at once, and as many as the tolerance allows lose their disks."""
     used = cluster_model.spend(world, "power_cycles")
     if used is None or any(core.lost for core in world.cores):
@@ -334,7 +352,7 @@
             yield f"all restart, {list(places)} empty", replace(used, cores=cores, limits=limits)
 
 
-def steps(world, setting):
+def steps(world: cluster_model.World, setting: cluster_model.Setting) -> collections.abc.Iterator[typing.Any]:
     """All transitions out of a state, as (label, next state).
 
     >>> first = cluster_model.start(3, cluster_model.Limits(proposals=0))
@@ -357,7 +375,7 @@
     return itertools.chain(*moves)
 
 
-def tidy(world):
+def tidy(world: cluster_model.World) -> cluster_model.World:
     """The state without messages that no core would take any more."""
     oldest = min((c.record.view.number for c in world.cores if c.record.view is not None), default=0)
     requests = tuple(r for r in world.requests if number_of(r) > oldest)
@@ -366,7 +384,7 @@
     return replace(world, requests=requests, promises=promises, accepted=accepted)
 
 
-def number_of(request):
+def number_of(request: message.Accept | message.Prepare) -> int:
     """The number of the view that a request is about."""
     match request:
         case message.Prepare(number=number):
--- a/bench/core_days.py
+++ b/bench/core_days.py
@@ -5,9 +5,18 @@
 begin until some seconds after its end; no more than the deployment bears are lost at once, so a trouble may wait.
 """
 
+from __future__ import annotations
+
+import collections.abc
+import typing
+
 import bench.platform_model as platform_model
 import bench.words as words
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.defer as defer
+
+
 MS, S = platform_model.MS, platform_model.S
 STORM_GAPS_S = (0.15, 0.4, 0.9)
 TROUBLE_GAPS_S = (0.5, 2, 4, 6)
@@ -26,21 +35,21 @@
     Example: `CoreDay(platform_model).draw(55)`
     """
 
-    def __init__(self, s):
+    def __init__(self, s: platform_model.Site) -> None:
         self.site, self.rng = s, s.rng
-        self.lost = set()
+        self.lost: set[str] = set()
         self.refused = 0
 
     # ---- changes -------------------------------------------------------------------
 
-    def spawn(self, coro):
+    def spawn(self, coro: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any]) -> defer.Deferred[typing.Any]:
         """Run an operator's task.
 
         Example: `day.spawn(platform_model.race())`
         """
         return self.site.office.spawn(coro, platform_model.log)
 
-    async def storm(self, until):
+    async def storm(self, until: int) -> None:
         """Changes one after the other; after some refusals, on top of what is read.
 
         Example: `day.spawn(day.storm(60 * S))`
@@ -50,7 +59,7 @@
             await self.change()
             await self.site.office.sleep(int(gap * S))
 
-    async def change(self):
+    async def change(self) -> None:
         """Send one change; after some refusals in a row, read what there is.
 
         Example: `await day.change()`
@@ -60,7 +69,7 @@
         if self.refused >= REFUSALS:
             await self.read_back()
 
-    async def read_back(self):
+    async def read_back(self) -> None:
         """Take the newest configuration as the base of the next change.
 
         Example: `await day.read_back()`
@@ -71,7 +80,7 @@
             self.site.doc, self.site.version = doc, version
         self.refused = 0
 
-    async def races(self, until):
+    async def races(self, until: int) -> None:
         """Two operators at once, again and again.
 
         Example: `day.spawn(day.races(60 * S))`
@@ -81,7 +90,7 @@
                 await self.site.race()
                 await self.site.office.sleep(RACE_GAP_S * S)
 
-    async def invalid(self, until):
+    async def invalid(self, until: int) -> None:
         """Invalid configurations, again and again.
 
         Example: `day.spawn(day.invalid(60 * S))`
@@ -93,7 +102,7 @@
 
     # ---- core machines -----------------------------------------------------------------
 
-    def leader(self):
+    def leader(self) -> str:
         """The core machine that acknowledged last, or any.
 
         Example: `day.leader()`
@@ -102,7 +111,7 @@
         names = [c for c in sorted(self.site.cores) if place and self.site.places[c][0] == place[0]]
         return names[0] if names else self.any_core()
 
-    def tail(self):
+    def tail(self) -> str:
         """The last core machine of the newest view's chain.
 
         Example: `platform_model.replace_core(day.tail())`
@@ -111,21 +120,26 @@
         newest = max(views, key=lambda view: view.number)
         return next(n for n, c in self.site.cores.items() if c.membership.me.id == newest.chain[-1].id)
 
-    def any_core(self):
+    def any_core(self) -> str:
         """A core machine by lot.
 
         Example: `day.any_core()`
         """
         return self.rng.choice(sorted(self.site.cores))
 
-    def leader_or_any(self):
+    def leader_or_any(self) -> str:
         """The leader in half of all cases.
 
         Example: `day.leader_or_any()`
         """
         return self.rng.choice([self.leader, self.any_core])()
 
-    def in_turn(self, lose, pick=None, whole=False):
+    def in_turn(
+        self,
+        lose: collections.abc.Callable[..., object],
+        pick: collections.abc.Callable[..., object] | None = None,
+        whole: bool = False,
+    ) -> None:
         """Let a trouble strike as soon as one more core machine may be lost, or while none is lost.
 
         `lose` takes the machine's name, and returns when it is back, in seconds.
@@ -133,7 +147,7 @@
         Example: `day.in_turn(lambda name: platform_model.kill(name, 3) or 3)`
         """
 
-        def strike():
+        def strike() -> None:
             if len(self.lost) >= (1 if whole else self.site.shape.bear):
                 self.site.later(POLL_S, strike)
                 return
@@ -147,7 +161,7 @@
 
         strike()
 
-    def send_to(self, name):
+    def send_to(self, name: str) -> None:
         """Let the next change, or the next two at once, begin at this machine.
 
         Example: `day.send_to("c1")`
@@ -160,7 +174,7 @@
         else:
             self.spawn(self.change())
 
-    def met(self, name, seconds):
+    def met(self, name: str, seconds: int) -> None:
         """Changes begin at a machine during its trouble and as it returns.
 
         Example: `day.met("c1", 3)`
@@ -170,7 +184,7 @@
 
     # ---- the day -----------------------------------------------------------------------------
 
-    def draw(self, seconds):
+    def draw(self, seconds: int) -> None:
         """Play the day up to its closing fault.
 
         Example: `day.draw(55)`
@@ -188,7 +202,7 @@
         s.go(seconds)
         self.close()
 
-    def close(self):
+    def close(self) -> None:
         """Wait until no machine is lost, and let the closing fault strike.
 
         Example: `day.close()`
@@ -206,12 +220,12 @@
 # ---- troubles -----------------------------------------------------------------------------
 
 
-def cut(day):
+def cut(day: CoreDay) -> None:
     """A core machine is cut off from the other ones, one way or both; nodes and operators still reach it."""
     ways = day.rng.choice([(True, False), (False, True), (True, True)])
     seconds = day.rng.choice([3, 6, 20])
 
-    def lose(name):
+    def lose(name: str) -> int:
         _cut(day.site, name, sorted(set(day.site.cores) - {name}), seconds, *ways)
         day.met(name, seconds)
         return seconds
@@ -219,19 +233,19 @@
     day.in_turn(lose)
 
 
-def cut_node(day):
+def cut_node(day: typing.Any) -> None:
     """A node is cut off from all core machines."""
     name = day.rng.choice(sorted(day.site.nodes))
     _cut(day.site, name, sorted(day.site.cores), day.rng.choice([4, 20]), True, True)
 
 
-def _cut(s, name, others, seconds, outward, inward):
+def _cut(s: platform_model.Site, name: str, others: list[str], seconds: int, outward: bool, inward: bool) -> None:
     here, there = s.places[name][0], [s.places[o][0] for o in others]
     pairs = {(here, h) for h in there if outward} | {(h, here) for h in there if inward}
     s.trouble(name, "cut")
     s.world.cuts |= pairs
 
-    def heal():
+    def heal() -> None:
         s.world.cuts -= pairs
         s.world.retry()
         s.mend(name, "cut")
@@ -239,10 +253,10 @@
     s.later(seconds, heal)
 
 
-def cut_seeds(day):
+def cut_seeds(day: CoreDay) -> None:
     """A machine is cut off that the settings name first; the other processes read them again, some are restarted."""
 
-    def lose(name):
+    def lose(name: typing.Any) -> int:
         _cut(day.site, name, sorted(set(day.site.cores) - {name}), 20, True, True)
         reload_settings(day)
         day.met(name, 20)
@@ -251,11 +265,11 @@
     day.in_turn(lose)
 
 
-def freeze(day):
+def freeze(day: CoreDay) -> None:
     """The leader stands still, and finds changes as it wakes."""
     seconds = day.rng.choice([3, 8, 20])
 
-    def lose(name):
+    def lose(name: str) -> int:
         day.site.freeze(name, seconds)
         day.met(name, seconds)
         return seconds
@@ -263,12 +277,12 @@
     day.in_turn(lose, day.leader)
 
 
-def lose_after_acknowledgement(day):
+def lose_after_acknowledgement(day: CoreDay) -> None:
     """The machine that acknowledges a change loses power, perhaps its disk too; or it does soon after a sending."""
     wipe, timed, back = day.rng.random() < 0.6, day.rng.random() < 0.4, day.rng.choice([0.9, 3])
     wait = day.rng.uniform(0.005, 0.4) if timed else day.rng.uniform(0, ACKNOWLEDGED_LOSS_S)
 
-    def lose(name):
+    def lose(name: typing.Any) -> typing.Any:
         day.site.power(name, back, wipe)
         return back
 
@@ -276,35 +290,35 @@
     hooks.append(lambda: day.site.later(wait, day.in_turn, lose, day.leader_or_any))
 
 
-def replace(day):
+def replace(day: CoreDay) -> None:
     """A core machine is replaced by an empty one at another address, planned or not."""
 
-    def lose(name):
+    def lose(name: str) -> int:
         day.site.replace_core(name, day.rng.random() < 0.5)
         return 9
 
     day.in_turn(lose)
 
 
-def disk(day):
+def disk(day: CoreDay) -> None:
     """A disk is full, slow or stalled."""
     state, seconds = day.rng.choice(["full", "slow", "stalled"]), day.rng.choice([2, 6, 15])
 
-    def lose(name):
+    def lose(name: str) -> int:
         day.site.disk(name, state, seconds)
         return seconds
 
     day.in_turn(lose)
 
 
-def lose_answers(day):
+def lose_answers(day: typing.Any) -> None:
     """Acknowledgements are lost on their way; the operator sends the same to another machine."""
     for operator in (day.site.boss, day.site.rival):
         operator.lost_share = 0.7
         day.site.later(15, setattr, operator, "lost_share", 0.0)
 
 
-def restart_in_turn(day):
+def restart_in_turn(day: CoreDay) -> None:
     """Core machines are stopped in good order, one after the other, and start again."""
     for name in sorted(day.site.cores):
         day.in_turn(
@@ -312,11 +326,11 @@
         )
 
 
-def whole_core(day):
+def whole_core(day: CoreDay) -> None:
     """All core machines are killed or lose power at the same moment, and come back."""
     strike = day.rng.choice([day.site.kill, day.site.power])
 
-    def lose(_):
+    def lose(_: str) -> int:
         for name in sorted(day.site.cores):
             strike(name, 2)
         return 2
@@ -324,13 +338,13 @@
     day.in_turn(lose, whole=True)
 
 
-def reset_connections(day):
+def reset_connections(day: typing.Any) -> None:
     """Half of the connections at the core are reset, several times."""
     for k in range(6):
         day.site.later(k * 0.5, _reset_some, day.site)
 
 
-def _reset_some(s):
+def _reset_some(s: typing.Any) -> None:
     names = {s.places[n][0]: n for n in [*s.cores, *s.nodes]}
     core_hosts = {s.places[c][0] for c in s.cores}
     hit = set()
@@ -345,10 +359,10 @@
         s.mend(name, "reset")
 
 
-def slow(day):
+def slow(day: CoreDay) -> None:
     """What a core machine sends and takes comes late."""
 
-    def lose(name):
+    def lose(name: typing.Any) -> int:
         host = day.site.places[name][0]
         day.site.trouble(name, "slow")
         day.site.world.slow[host] = SLOW_LINK_US
@@ -359,12 +373,12 @@
     day.in_turn(lose)
 
 
-def lossy(day):
+def lossy(day: CoreDay) -> None:
     """The links of a zone lose packets."""
     day.site.lossy(day.rng.choice(sorted(set(day.site.shape.nodes))), 0.05, 8)
 
 
-def jump_time_of_day(day):
+def jump_time_of_day(day: CoreDay) -> None:
     """The time of day of half of the machines jumps by four seconds, and back after a while."""
     s, error = day.site, day.rng.choice([-JUMP_US, JUMP_US])
     names = [n for n in [*sorted(s.cores), *sorted(s.nodes)] if day.rng.random() < 0.5]
@@ -372,7 +386,7 @@
         s.trouble(name, "time of day")
         s.machine_of(name).set_time_of_day(error)
 
-    def back():
+    def back() -> None:
         for name in names:
             s.machine_of(name).set_time_of_day(0)
             s.mend(name, "time of day")
@@ -380,7 +394,7 @@
     s.later(5, back)
 
 
-def reload_settings(day):
+def reload_settings(day: CoreDay) -> None:
     """All processes read their settings again, one after the other."""
     s = day.site
     names = [*sorted(s.nodes), *sorted(s.cores)]
@@ -388,7 +402,7 @@
         s.later(2 * day.rng.random(), s.reload, name)
 
 
-def change_seeds(day):
+def change_seeds(day: CoreDay) -> None:
     """The settings name other seeds from now on, and all processes read them again."""
     count = day.rng.randrange(1, len(day.site.cores) + 1)
     day.site.seed_names = day.rng.sample(sorted(day.site.cores), count)
@@ -418,7 +432,7 @@
 )
 
 
-def time_of_day(s):
+def time_of_day(s: platform_model.Site) -> None:
     """Changes without pause while times of day jump and come back, and a core machine freezes after each jump."""
     day = CoreDay(s)
     until = s.world.time + 26 * S
@@ -431,7 +445,7 @@
         s.go(6)
 
 
-def lose_tail(s):
+def lose_tail(s: platform_model.Site) -> None:
     """Three times the tail is gone for good under changes without pause; an empty machine comes, then other seeds."""
     day = CoreDay(s)
     day.spawn(day.storm(s.world.time + 30 * S))
@@ -442,6 +456,6 @@
         s.go(5)
 
 
-def core_drawn(s):
+def core_drawn(s: platform_model.Site) -> None:
     """Changes without pause, and drawn troubles of the core over each other; ends with a closing fault."""
     CoreDay(s).draw(40)
--- a/bench/days.py
+++ b/bench/days.py
@@ -6,11 +6,14 @@
 A day gets a site that has begun; it lets time pass and does its harm. `DAYS` lists them by name.
 """
 
+from __future__ import annotations
+
 import collections
 import multiprocessing
 import os
 import sys
 import time
+import typing
 
 import defopt
 import loguru
@@ -19,10 +22,14 @@
 import bench.judge as judge
 import bench.platform_model as platform_model
 
+if typing.TYPE_CHECKING:
+    import iriswheel.core as core
+
+
 S = platform_model.S
 
 
-def some(s, names, share):
+def some(s: platform_model.Site, names: dict[str, core.Core], share: float) -> list[str]:
     """Some of these, at least one.
 
     Example: `some(s, s.nodes, 0.3)`
@@ -31,23 +38,23 @@
     return s.rng.sample(names, max(1, round(share * len(names))))
 
 
-def calm(s):
+def calm(s: platform_model.Site) -> None:
     """Nothing happens, but for one change of the configuration."""
     s.go(3)
     s.change("idle")
 
 
-def changes(s):
+def changes(s: platform_model.Site) -> None:
     """Idle routes, a time-out, and many routes at once."""
     for how in ("idle", "timeout", "big", "idle"):
         s.go(3.5)
         s.change(how)
 
 
-def storm(s):
+def storm(s: platform_model.Site) -> None:
     """Configurations in quick succession."""
 
-    async def go():
+    async def go() -> None:
         for k in range(12):
             await s.next_config(("idle", "timeout")[k % 2], 60)
 
@@ -55,10 +62,10 @@
     s.office.spawn(go(), platform_model.log)
 
 
-def race(s):
+def race(s: platform_model.Site) -> None:
     """Two operators send at once, on top of the same version; invalid configurations come too."""
 
-    async def go():
+    async def go() -> None:
         for _ in range(3):
             await s.race()
             await s.bad()
@@ -67,7 +74,7 @@
     s.office.spawn(go(), platform_model.log)
 
 
-def crash(s, how):
+def crash(s: platform_model.Site, how: str) -> None:
     """A worker crashes, and comes back as another."""
     s.go(4)
     s.change("idle")
@@ -75,24 +82,24 @@
     s.crash(s.rng.choice(s.live_workers()), how, back=4.5)
 
 
-def crash_reset(s):
+def crash_reset(s: platform_model.Site) -> None:
     """A worker's process dies: its connections are reset, its port refuses."""
     crash(s, "reset")
 
 
-def crash_dark(s):
+def crash_dark(s: platform_model.Site) -> None:
     """A worker's machine goes dark: it says nothing more."""
     crash(s, "dark")
 
 
-def crash_lost(s):
+def crash_lost(s: platform_model.Site) -> None:
     """Two workers are lost for good, one after the other."""
     for how in ("dark", "reset"):
         s.go(4)
         s.crash(s.rng.choice(s.live_workers()), how)
 
 
-def flap(s):
+def flap(s: platform_model.Site) -> None:
     """A worker goes down and up by turns."""
     name = s.rng.choice(s.live_workers())
     for _ in range(4):
@@ -101,7 +108,7 @@
         s.go(1.3)
 
 
-def release(s):
+def release(s: platform_model.Site) -> None:
     """Workers are replaced one after the other."""
     s.go(3)
     for name in some(s, s.live_workers(), 0.45):
@@ -110,7 +117,7 @@
     s.change("idle")
 
 
-def release_all(s):
+def release_all(s: platform_model.Site) -> None:
     """All workers are replaced, and addresses are used again after a while."""
     s.go(2)
     hosts = []
@@ -121,7 +128,7 @@
         s.go(2)
 
 
-def other_service(s):
+def other_service(s: platform_model.Site) -> None:
     """The address of a worker that crashed goes to another service, while nodes still know it as the old one."""
     for _ in range(2):
         s.go(3)
@@ -132,7 +139,7 @@
         s.start_worker(f"other{w.host}", w.host, w.zone, pool="other")
 
 
-def kill_node(s):
+def kill_node(s: platform_model.Site) -> None:
     """A node is killed and comes back."""
     s.go(3)
     s.change("idle")
@@ -141,14 +148,14 @@
         s.kill(name, 3.5)
 
 
-def power_node(s):
+def power_node(s: platform_model.Site) -> None:
     """A node loses power and comes back."""
     s.go(4)
     for name in some(s, s.nodes, 0.17):
         s.power(name, 3)
 
 
-def kill_core(s):
+def kill_core(s: platform_model.Site) -> None:
     """Core machines are killed, one after the other, while the configuration changes."""
     for name in some(s, s.cores, 0.6):
         s.go(2)
@@ -158,7 +165,7 @@
         s.go(4)
 
 
-def kill_cores(s):
+def kill_cores(s: platform_model.Site) -> None:
     """All of the core is killed at the same moment, and is back within a second."""
     s.go(4)
     s.change("idle")
@@ -167,14 +174,14 @@
         s.kill(name, 0.8)
 
 
-def herd(s):
+def herd(s: platform_model.Site) -> None:
     """Many nodes are killed at the same moment."""
     s.go(4)
     for name in some(s, s.nodes, 0.55):
         s.kill(name, 2)
 
 
-def freeze(s):
+def freeze(s: platform_model.Site) -> None:
     """A node and then a core machine freeze, and wake again."""
     s.go(3)
     s.freeze(some(s, s.nodes, 0)[0], 4)
@@ -183,7 +190,7 @@
     s.freeze(some(s, s.cores, 0)[0], 4)
 
 
-def roll(s):
+def roll(s: platform_model.Site) -> None:
     """Nodes are stopped in good order and started, one after the other, under load."""
     s.go(3)
     for name in some(s, s.nodes, 0.45):
@@ -191,7 +198,7 @@
         s.go(1.3)
 
 
-def roll_cores(s):
+def roll_cores(s: platform_model.Site) -> None:
     """Core machines are stopped in good order and started, one after the other."""
     for name in some(s, s.cores, 1):
         s.go(2)
@@ -200,7 +207,7 @@
         s.go(4)
 
 
-def cut_node(s):
+def cut_node(s: platform_model.Site) -> None:
     """A node is cut off from all other machines; a change comes meanwhile."""
     s.go(4)
     s.cut(some(s, s.nodes, 0)[0], 5, clients=s.rng.random() < 0.5)
@@ -208,95 +215,95 @@
     s.change("idle")
 
 
-def cut_core(s):
+def cut_core(s: platform_model.Site) -> None:
     """A core machine is cut off, while two operators send."""
     s.go(3)
     s.cut(some(s, s.cores, 0)[0], 5)
     s.office.spawn(s.race(), platform_model.log)
 
 
-def burst(s):
+def burst(s: platform_model.Site) -> None:
     """One kind of request comes in a rush."""
     s.go(4)
     kind = s.rng.choice(s.shape.kinds).name
     for t in s.traffics:
         t.factor[kind] = 1.6
 
-    def over():
+    def over() -> None:
         for t in s.traffics:
             t.factor.clear()
 
     s.later(4, over)
 
 
-def hot_key(s):
+def hot_key(s: platform_model.Site) -> None:
     """One key gets much of the traffic."""
     s.go(3)
     for t in s.traffics:
         t.hot = (s.shape.kinds[0].name, 0.35)
 
 
-def ill(s, **ills):
+def ill(s: platform_model.Site, **ills: typing.Any) -> None:
     """Some workers are ill for a while."""
     s.go(3)
     s.ill(some(s, s.live_workers(), 0.6), 5, **ills)
 
 
-def garble(s):
+def garble(s: platform_model.Site) -> None:
     """Workers send bytes that are no answer."""
     ill(s, garble=0.05)
 
 
-def surplus(s):
+def surplus(s: platform_model.Site) -> None:
     """Workers send more after a whole answer, at once or in the place of the next one."""
     ill(s, surplus=0.1, late=0.1)
 
 
-def answers_lost(s):
+def answers_lost(s: platform_model.Site) -> None:
     """Workers run requests and lose the answers."""
     ill(s, lost=0.05)
 
 
-def broken_off(s):
+def broken_off(s: platform_model.Site) -> None:
     """Workers break streams off midway."""
     ill(s, **{"break": 0.05})
 
 
-def grey(s):
+def grey(s: platform_model.Site) -> None:
     """Workers fail part of their requests while their health is good."""
     way = s.rng.choice(["errors", "hang", "mute"])
     s.go(3)
     s.ill(some(s, s.live_workers(), 0.15), 6, health="good", **{way: 0.45})
 
 
-def lying(s):
+def lying(s: platform_model.Site) -> None:
     """Workers that are well say that they are not."""
     s.go(3)
     s.ill(some(s, s.live_workers(), 0.3), 6, health="bad")
 
 
-def idle_drops(s):
+def idle_drops(s: platform_model.Site) -> None:
     """Workers drop idle connections early and without a word."""
     for w in s.workers.values():
         w.silent_drop, w.idle_us = True, 700 * platform_model.MS
 
 
-def closing_kill(s):
+def closing_kill(s: platform_model.Site) -> None:
     """Right after an acknowledgement every process is killed."""
     closing(s, "kill_all")
 
 
-def closing_power(s):
+def closing_power(s: platform_model.Site) -> None:
     """Right after an acknowledgement every machine loses power."""
     closing(s, "power_off_all")
 
 
-def closing_wipe(s):
+def closing_wipe(s: platform_model.Site) -> None:
     """Right after an acknowledgement every machine loses power, and a core machine its disk."""
     closing(s, "wipe")
 
 
-def closing(s, how):
+def closing(s: platform_model.Site, how: str) -> None:
     """The closing fault; traffic goes on after it."""
     s.go(5)
     done = s.change("idle")
@@ -306,7 +313,7 @@
     s.go(22)
 
 
-def ack_wipe(s):
+def ack_wipe(s: platform_model.Site) -> None:
     """A core machine loses power and its disk right after an acknowledgement."""
     for _ in range(2):
         s.go(3)
@@ -316,7 +323,7 @@
         s.go(8)
 
 
-def reset_conns(s):
+def reset_conns(s: platform_model.Site) -> None:
     """Connections between our machines are reset, twice."""
     for _ in range(2):
         s.go(4)
@@ -324,7 +331,7 @@
         s.reset_some(0.5)
 
 
-def lossy(s):
+def lossy(s: platform_model.Site) -> None:
     """The links of a hall lose packets."""
     s.go(3)
     s.lossy(s.rng.choice(sorted(set(s.shape.nodes))), 0.025, 6)
@@ -332,7 +339,7 @@
     s.change("idle")
 
 
-def disks(s):
+def disks(s: platform_model.Site) -> None:
     """Core machines' disks are slow, full and stalled, one after the other."""
     for state in ("slow", "full", "stalled"):
         s.go(3)
@@ -340,7 +347,7 @@
         s.change("idle")
 
 
-def replace_core(s):
+def replace_core(s: platform_model.Site) -> None:
     """A core machine is replaced by an empty one at another address, gently or not; then another."""
     for gently in s.rng.sample([True, False], 2):
         s.go(3)
@@ -350,32 +357,32 @@
         s.go(5)
 
 
-def drawn(s):
+def drawn(s: platform_model.Site) -> None:
     """Four to eight troubles at drawn times, over one another; half of these days end with a closing fault."""
     pick = s.rng.choice
 
-    def workers(share):
+    def workers(share: typing.Any) -> typing.Any:
         return some(s, s.live_workers(), share)
 
-    def each(names, gap, f):
+    def each(names: typing.Any, gap: typing.Any, f: typing.Any) -> None:
         for k, name in enumerate(names):
             s.later(k * gap, f, name)
 
-    def rush():
+    def rush() -> None:
         kind, x = pick(s.shape.kinds).name, 1.4 + 0.4 * s.rng.random()
         for t in s.traffics:
             t.factor[kind] = x
         s.later(4, lambda: [t.factor.clear() for t in s.traffics])
 
-    def hot():
+    def hot() -> None:
         for t in s.traffics:
             t.hot = (pick(s.shape.kinds).name, 0.3)
 
-    def crash_one(how, back):
+    def crash_one(how: typing.Any, back: typing.Any) -> None:
         if len(s.live_workers()) > 2:
             s.crash(pick(s.live_workers()), how, back=back)
 
-    def alone(names, f):  # a machine has one trouble at a time
+    def alone(names: typing.Any, f: typing.Any) -> None:  # a machine has one trouble at a time
         free = [n for n in sorted(names) if s.process(n).alive and n not in busy]
         if free:
             name = pick(free)
@@ -383,7 +390,7 @@
             s.later(11, busy.discard, name)
             f(name)
 
-    def unless_busy(names, gap, f):
+    def unless_busy(names: typing.Any, gap: typing.Any, f: typing.Any) -> None:
         each(
             [n for n in names if n not in busy and s.process(n).alive], gap, lambda n: n in busy or (busy.add(n), f(n))
         )
@@ -438,7 +445,7 @@
         s.go(18)
 
 
-def mixed(s):
+def mixed(s: platform_model.Site) -> None:
     """Several troubles at once, by chance."""
     for f in s.rng.sample(
         [
@@ -525,7 +532,7 @@
 }
 
 
-def play(name, seed, shape="magnolia", load=1.0, seconds=None):
+def play(name: str, seed: int, shape: str = "magnolia", load: float = 1.0, seconds: None = None) -> platform_model.Site:
     """Play a day to its end: the site.
 
     Example: `play("calm", 1).tape.rows`
@@ -537,7 +544,7 @@
     return s
 
 
-def totals(s):
+def totals(s: typing.Any) -> typing.Any:
     """What a day came to: shares of requests, worth, and what it cost.
 
     Example: `totals(play("calm", 1))["worth"]`
@@ -567,7 +574,7 @@
     )
 
 
-def one(job):
+def one(job: typing.Any) -> tuple[typing.Any, ...]:
     """Play and judge one day: the job, complaints, totals, seconds of computing.
 
     Example: `one(("calm", 1, "magnolia", 1.0, 0, ""))`
@@ -595,7 +602,7 @@
     seconds: float = 0,
     log: str = "",
     procs: int = 0,
-):
+) -> typing.NoReturn:
     """Play days over seeds and judge them; say how to repeat what failed.
 
     :param days: days by name; all where none is named
--- a/bench/engine.py
+++ b/bench/engine.py
@@ -8,9 +8,19 @@
 The model does work only while there are requests: one tick of its machine's clock for each step.
 """
 
+from __future__ import annotations
+
 import bisect
 import collections
 import dataclasses
+import typing
+
+if typing.TYPE_CHECKING:
+    import twisted.internet.base as base
+
+    import bench.sim as sim
+    import iriswheel.machine as machine
+
 
 URGENCY = 5  # of a request that names none; 0 comes first
 
@@ -60,14 +70,14 @@
     state: str = "new"  # new, entering, waiting, running, ended
     put_back: int = 0
 
-    def __post_init__(self):
+    def __post_init__(self) -> None:
         """Derive the size of the prompt and start the counts of its parts."""
         self.prompt = sum(n for _, n in self.parts)
         self.taken_up = self.done
         self.used = []  # kept parts that this one holds
         self.unread = []  # [part, tokens, tokens left] of those that it reads itself
 
-    def rank(self):
+    def rank(self) -> tuple[int, int]:
         """The place in the queue: the most urgent first, then the oldest.
 
         >>> Job("x", [], 1, urgency=2).rank()
@@ -90,11 +100,11 @@
     [(1, False), (2, False), (3, True)]
     """
 
-    def __init__(self, mach, figures=None):
+    def __init__(self, mach: machine.Machine, figures: Figures | None = None) -> None:
         self.mach = mach
         self.figures = figures or Figures()
-        self.waiting = []  # by rank
-        self.running = []  # in the order let in
+        self.waiting: list[Job] = []  # by rank
+        self.running: list[Job] = []  # in the order let in
         self.entering = 0
         self.kept = collections.OrderedDict()  # part -> [tokens, holders], the longest unused first
         self.kept_tokens = 0
@@ -102,16 +112,16 @@
         self.owned = 0
         self.context = 0
         self.offered = 0
-        self.tick = None
+        self.tick: base.DelayedCall | sim.Tick | None = None
         self.slower = 1.0  # a trouble's factor on each step
         self.stopped = False
-        self.past = collections.deque([(0, 0, 0, 0)])
+        self.past: collections.deque[tuple[int, int, int, int]] = collections.deque([(0, 0, 0, 0)])
         self.read = self.read_again = self.steps = self.put_backs = 0
-        self.ever = set()
+        self.ever: set[str] = set()
 
     # ---- in and out -------------------------------------------------------------------
 
-    def offer(self, job):
+    def offer(self, job: Job) -> bool:
         """Take a request, or say that there is no room for it now or ever.
 
         Example: `engine.offer(Job("x", [("a", 100)], 20))`
@@ -130,7 +140,7 @@
             self.enter(job)
         return True
 
-    def enter(self, job):
+    def enter(self, job: Job) -> None:
         """A request is ready for the queue.
 
         Example: `engine.enter(job)`
@@ -141,7 +151,7 @@
         self.wait(job)
         self.go_on()
 
-    def wait(self, job):
+    def wait(self, job: Job) -> None:
         """Put a request in the queue.
 
         Example: `engine.wait(job)`
@@ -150,7 +160,7 @@
         bisect.insort(self.waiting, job, key=Job.rank)
         self.note()
 
-    def cancel(self, job):
+    def cancel(self, job: Job) -> None:
         """Forget a request; its parts that were read stay.
 
         Example: `engine.cancel(job)`
@@ -163,7 +173,7 @@
         job.state = "ended"
         self.note()
 
-    def stop(self):
+    def stop(self) -> None:
         """End for good: nothing more is told.
 
         Example: `engine.stop()`
@@ -176,14 +186,14 @@
 
     # ---- memory ------------------------------------------------------------------------
 
-    def free(self):
+    def free(self) -> int:
         """Tokens of memory that nothing holds, after all that can give way has given way.
 
         Example: `engine.free()`
         """
         return self.figures.kv_capacity - self.owned - self.kept_tokens + self.idle_tokens
 
-    def give_way(self, tokens):
+    def give_way(self, tokens: int) -> bool:
         """Let kept parts go until so many tokens are free; whether they are.
 
         Example: `engine.give_way(100)`
@@ -202,7 +212,7 @@
                     break
         return True
 
-    def hold(self, part):
+    def hold(self, part: str) -> None:
         """Let one more request use a kept part.
 
         Example: `engine.hold("a")`
@@ -211,7 +221,7 @@
         self.idle_tokens -= 0 if row[1] else row[0]
         row[1] += 1
 
-    def known(self, job):
+    def known(self, job: Job) -> list[str]:
         """The kept parts that a request would not read again.
 
         Example: `engine.known(job)`
@@ -223,7 +233,7 @@
             out.append(part)
         return out
 
-    def let_in(self, job):
+    def let_in(self, job: Job) -> bool:
         """Give a request its place and memory; whether there was memory.
 
         Example: `engine.let_in(job)`
@@ -244,7 +254,7 @@
         self.read_again += sum(n for p, n in job.parts[len(known) :] if p in self.ever)
         return True
 
-    def release(self, parts):
+    def release(self, parts: list[str]) -> None:
         """Let go of kept parts, the last first, so that the first is kept the longest.
 
         Example: `engine.release(["a", "b"])`
@@ -255,7 +265,7 @@
             self.idle_tokens += 0 if row[1] else row[0]
             self.kept.move_to_end(part)
 
-    def leave(self, job):
+    def leave(self, job: Job) -> None:
         """Take a request out of the batch.
 
         Example: `engine.leave(job)`
@@ -266,7 +276,7 @@
         self.context -= job.prompt + job.done
         job.used, job.unread, job.owned = [], [], 0
 
-    def put_off(self, job):
+    def put_off(self, job: Job) -> None:
         """Put a request back in the queue; it is read anew.
 
         Example: `engine.put_off(job)`
@@ -276,7 +286,7 @@
         self.put_backs += 1
         self.wait(job)
 
-    def least(self):
+    def least(self) -> Job:
         """The newest request among the least urgent of the batch.
 
         Example: `engine.put_off(engine.least())`
@@ -285,7 +295,7 @@
 
     # ---- steps -------------------------------------------------------------------------
 
-    def go_on(self):
+    def go_on(self) -> None:
         """Begin a step, unless one is under way or there is nothing to do.
 
         Example: `engine.go_on()`
@@ -317,7 +327,7 @@
             cost += n / f.read_tokens_per_ms * 1000 + n * (before + n / 2) / 1e6 * f.read_us_per_megapair
         self.tick = self.mach.later(round(cost * self.slower / f.speed), self.step, plan)
 
-    def step(self, plan):
+    def step(self, plan: list[tuple[Job, int]]) -> None:
         """A step is over: pieces are read, and who has read all has a token more.
 
         Example: `engine.step([])`
@@ -354,7 +364,7 @@
         self.tick = None
         self.go_on()
 
-    def take_in(self, job, n):
+    def take_in(self, job: Job, n: int) -> None:
         """Count n tokens as read; parts read through are kept.
 
         Example: `engine.take_in(job, 100)`
@@ -379,7 +389,7 @@
 
     # ---- what it says --------------------------------------------------------------------
 
-    def note(self):
+    def note(self) -> None:
         """Keep how things stand, for reports.
 
         Example: `engine.note()`
@@ -397,7 +407,7 @@
         while len(self.past) > 1 and self.past[1][0] <= now - self.figures.report_lag_us:
             self.past.popleft()
 
-    def report(self):
+    def report(self) -> tuple[int, int, int]:
         """How things stood a while ago: (waiting, running, tokens that can't give way).
 
         Example: `waiting, running, used = engine.report()`
--- a/bench/explore.py
+++ b/bench/explore.py
@@ -8,6 +8,8 @@
 reachable in it recover.
 """
 
+from __future__ import annotations
+
 import collections
 import hashlib
 import sys
@@ -60,7 +62,7 @@
     trace: tuple[str, ...] = ()
 
 
-def check(world):
+def check(world: cluster_model.World) -> None:
     """Raise ViolationError where a state breaks an invariant."""
     readers = [core.ident for core in world.cores if cluster_model.has_lease(core)]
     if len(readers) > 1:
@@ -81,7 +83,7 @@
                 )
 
 
-def recover(world, setting):
+def recover(world: cluster_model.World, setting: cluster_model.Setting) -> None:
     """Raise ViolationError unless the machines that are reachable get to a chain with all that was acknowledged.
 
     Nothing more fails from here on: leases run out, messages arrive, proposals come one after the other.
@@ -96,7 +98,7 @@
     raise cluster_model.ViolationError("the machines that are left agree on view after view, and none holds")
 
 
-def spread(world):
+def spread(world: cluster_model.World) -> cluster_model.World:
     """All reachable cores learn the newest view that one of them knows, and the chain is brought up to date."""
     known = [c.record.view for c in world.cores if c.reachable and c.record.view is not None]
     newest = max(known, key=lambda view: view.number)
@@ -113,7 +115,7 @@
     return world
 
 
-def is_recovered(world):
+def is_recovered(world: cluster_model.World) -> bool:
     """Whether all reachable cores that stay are synced members of one chain of nobody else."""
     view = next(core.record.view for core in world.cores if core.reachable and core.record.view is not None)
     view = max(
@@ -129,7 +131,7 @@
     )
 
 
-def agree(world):
+def agree(world: cluster_model.World) -> cluster_model.World:
     """One undisturbed proposal by the first reachable voter of the newest view."""
     known = [c for c in world.cores if c.reachable and agreement.is_voter(c.record, c.ident)]
     if not known:
@@ -156,18 +158,27 @@
     return cluster_steps.adopt(world, cluster_model.by_ident(world, proposer.ident), view)
 
 
-def key(world):
+def key(world: cluster_model.World) -> bytes:
     """A hash that tells states apart."""
     return hashlib.blake2b(msgspec.msgpack.encode(world), digest_size=12).digest()
 
 
-def recovery_key(world):
+def recovery_key(world: cluster_model.World) -> bytes:
     """A hash of what a recovery depends on."""
     kept = [replace(c, holder=None, supporters=(), ballot=0, proposal=None, settled=True) for c in world.cores]
     return hashlib.blake2b(msgspec.msgpack.encode([kept, world.views, world.acknowledged]), digest_size=12).digest()
 
 
-def search(cores, limits, depth, *, most_states=10**9, keep_identity=False, recovery=True, first=None):
+def search(
+    cores: int,
+    limits: cluster_model.Limits,
+    depth: int,
+    *,
+    most_states: int = 10**9,
+    keep_identity: bool = False,
+    recovery: bool = True,
+    first: cluster_model.World | None = None,
+) -> Found:
     """Search all states within the limits up to a depth, the shallowest first.
 
     `recovery` says whether each state is also checked for a way on; `first` is where to begin, if not at view 1.
@@ -208,7 +219,7 @@
     return Found(len(origin), level, complete)
 
 
-def recover_once(world, setting, recovered):
+def recover_once(world: cluster_model.World, setting: cluster_model.Setting, recovered: set[bytes]) -> None:
     """Check that the reachable machines recover from a state, where that is not known yet."""
     mark = recovery_key(world)
     if mark not in recovered:
@@ -216,7 +227,7 @@
         recover(world, setting)
 
 
-def path(origin, mark):
+def path(origin: dict[bytes, tuple[bytes, str]], mark: bytes) -> tuple[str, ...]:
     """The labels of the steps that lead to a state."""
     labels = []
     while origin[mark][1]:
@@ -225,7 +236,7 @@
     return tuple(reversed(labels))
 
 
-def main(*, scenario: str = "all", cores: int = 0, depth: int = 7, most_states: int = 10**9):
+def main(*, scenario: str = "all", cores: int = 0, depth: int = 7, most_states: int = 10**9) -> None:
     """Search a scenario and print the states explored; exits 1 with the steps that break an invariant.
 
     :param scenario: which events may happen, by name
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -4,6 +4,10 @@
 python -m bench.fleet magnolia --load 20        run the load generator, then stop
 """
 
+from __future__ import annotations
+
+import builtins
+import collections.abc
 import contextlib
 import json
 import os
@@ -16,11 +20,16 @@
 import sys
 import tempfile
 import time
+import typing
 import urllib.error
 import urllib.request
 
 import defopt
 
+if typing.TYPE_CHECKING:
+    import signal as signal_module
+
+
 SHAPES = {
     # halls of the nodes, workers, pool, configuration
     "small": (["a", "a"], 2, "desk", "magnolia.json"),
@@ -32,7 +41,9 @@
 EXAMPLES = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "examples")
 
 
-def ask(port, method, path, doc=None, timeout=5):
+def ask(
+    port: int, method: str, path: str, doc: dict[str, typing.Any] | None = None, timeout: int = 5
+) -> tuple[int, dict[str, typing.Any]]:
     """One small HTTP exchange: status and JSON.
 
     Example: `ask(8001, "GET", "/state")`
@@ -48,7 +59,7 @@
         return 0, {}
 
 
-def free_port():
+def free_port() -> int:
     """A free port for a core machine, whose port must be known before it starts.
 
     It lies below the ports that the system hands out by itself, so that no connection
@@ -70,30 +81,30 @@
     Example: `with Fleet("small") as f: f.begin(); f.kill("n1")`
     """
 
-    def __init__(self, shape, folder=None):
+    def __init__(self, shape: str, folder: None = None) -> None:
         self.halls, self.worker_count, self.pool, name = SHAPES[shape]
         with open(os.path.join(EXAMPLES, name)) as f:
             self.blueprint = json.load(f)
         self.own = folder is None
         self.folder = folder or tempfile.mkdtemp(prefix="iriswheel-")
-        self.procs = {}  # name -> Popen
-        self.lines = {}  # name -> how it was started
-        self.starts = {}  # name -> where in its log its present life begins
-        self.cores = {}  # name -> (port, http)
-        self.nodes = {}  # name -> (port, http)
-        self.workers = {}  # name -> port
-        self.zones = {}  # name of a core or node -> its hall
+        self.procs: dict[str, subprocess.Popen[typing.Any]] = {}  # name -> Popen
+        self.lines: dict[str, tuple[builtins.list[str], bool]] = {}  # name -> how it was started
+        self.starts: dict[str, int] = {}  # name -> where in its log its present life begins
+        self.cores: dict[str, tuple[int, int]] = {}  # name -> (port, http)
+        self.nodes: dict[str, tuple[int, int]] = {}  # name -> (port, http)
+        self.workers: dict[str, int] = {}  # name -> port
+        self.zones: dict[str, str] = {}  # name of a core or node -> its hall
         self.platform = 0
 
-    def __enter__(self):
+    def __enter__(self) -> Fleet:
         """Return the fleet itself, for a `with` statement."""
         return self
 
-    def __exit__(self, *_):
+    def __exit__(self, *_: None) -> None:
         """Stop all processes."""
         self.end()
 
-    def spawn(self, name, args, told=False):
+    def spawn(self, name: str, args: builtins.list[str], told: bool = False) -> int | None:
         """Start one process; with `told`, read the port that it prints.
 
         Example: `fleet.spawn("w1", ["-m", "bench.stand_ins", "worker", "--ident", "w1"], told=True)`
@@ -108,14 +119,14 @@
         self.lines[name] = (args, told)
         return int(p.stdout.readline()) if told else None
 
-    def events(self, name):
+    def events(self, name: str) -> str:
         """The path of a process's event log.
 
         Example: `fleet.events("w1")`
         """
         return os.path.join(self.folder, f"{name}.events")
 
-    def begin(self, note=None):
+    def begin(self, note: collections.abc.Callable[..., object] | None = None) -> None:
         """Start everything, wait until it serves, confirm the configuration.
 
         Example: `fleet.begin()`
@@ -134,7 +145,7 @@
         self.until(lambda: self.confirm(self.blueprint, note), "the blueprint is confirmed", 30)
         self.until(lambda: all(self.ready(n) for n in self.nodes), "all nodes are ready", 30)
 
-    def add_worker(self, name):
+    def add_worker(self, name: str) -> None:
         """Start a worker and list it.
 
         Example: `fleet.add_worker("w9")`
@@ -143,7 +154,7 @@
         port = self.workers[name] = self.spawn(name, args, True)
         self.list(id=name, host=HOST, port=port, pool=self.pool, state="ready")
 
-    def add_core(self, name, port, zone):
+    def add_core(self, name: str, port: int, zone: str) -> None:
         """Start a core machine.
 
         Example: `fleet.add_core("c4", free_port(), "a")`
@@ -171,7 +182,7 @@
         )
         self.cores[name] = self.learn(name)
 
-    def add_node(self, name, zone):
+    def add_node(self, name: str, zone: str) -> None:
         """Start a node.
 
         Example: `fleet.add_node("n9", "a")`
@@ -198,14 +209,14 @@
         self.nodes[name] = self.learn(name)
         ask(self.platform, "POST", "/nodes", {"name": name, "host": HOST, "port": self.nodes[name][1]})
 
-    def learn(self, name):
+    def learn(self, name: str) -> tuple[int, int]:
         """The ports that a process says it listens on, once it says so.
 
         Example: `port, http = fleet.learn("n1")`
         """
         found = []
 
-        def told():
+        def told() -> list[tuple[str, str]]:
             with open(os.path.join(self.folder, f"{name}.log")) as f:
                 f.seek(self.starts[name])
                 found.extend(LISTENS.findall(f.read()))
@@ -214,21 +225,21 @@
         self.until(told, f"{name} listens", 20)
         return tuple(map(int, found[0]))
 
-    def list(self, **row):
+    def list(self, **row: int | str) -> tuple[int, dict[typing.Any, typing.Any]]:
         """Change the platform's list.
 
         Example: `fleet.list(id="w1", state="leaving")`
         """
         return ask(self.platform, "POST", "/workers", row)
 
-    def ready(self, name):
+    def ready(self, name: str) -> bool:
         """Whether a node says that it is ready.
 
         Example: `fleet.ready("n1")`
         """
         return ask({**self.cores, **self.nodes}[name][1], "GET", "/ready")[0] == 200
 
-    def on_duty(self):
+    def on_duty(self) -> set[str]:
         """The nodes that are a pool's warden or keep its copies.
 
         Example: `"n1" in fleet.on_duty()`
@@ -242,14 +253,18 @@
                     break
         return out
 
-    def state(self, name):
+    def state(self, name: str) -> dict[str, typing.Any]:
         """What a process shows of itself.
 
         Example: `fleet.state("c1")["view"]`
         """
         return ask({**self.cores, **self.nodes}[name][1], "GET", "/state")[1]
 
-    def confirm(self, doc, note=None):
+    def confirm(
+        self,
+        doc: dict[str, dict[str, dict[str, typing.Any]]],
+        note: collections.abc.Callable[..., object] | None = None,
+    ) -> int:
         """Plan and confirm a configuration through any core: its stamp, or 0.
 
         Example: `fleet.confirm(doc)`
@@ -265,7 +280,7 @@
                     return res["stamp"]
         return 0
 
-    def until(self, cond, what, seconds):
+    def until(self, cond: collections.abc.Callable[..., object], what: str, seconds: int) -> float:
         """Wait until a condition holds; how long that took.
 
         Example: `fleet.until(lambda: fleet.ready("n1"), "n1 is ready", 10)`
@@ -280,7 +295,7 @@
             time.sleep(0.05)
         return time.monotonic() - began
 
-    def cpu(self):
+    def cpu(self) -> typing.Any:
         """The share of a core that each process used since it started.
 
         Example: `fleet.cpu()["n1"]`
@@ -294,14 +309,14 @@
             out[name] = (int(rest[11]) + int(rest[12])) / tick / max(0.1, up - int(rest[19]) / tick)
         return out
 
-    def signal(self, name, sig):
+    def signal(self, name: str, sig: signal_module.Signals) -> None:
         """Send a signal to one of our own processes.
 
         Example: `fleet.signal("n1", signal.SIGSTOP)`
         """
         self.procs[name].send_signal(sig)
 
-    def kill(self, name):
+    def kill(self, name: str) -> None:
         """Kill one of our own processes.
 
         Example: `fleet.kill("n1")`
@@ -309,7 +324,7 @@
         self.signal(name, signal.SIGKILL)
         self.procs[name].wait()
 
-    def restart(self, name):
+    def restart(self, name: str) -> None:
         """Start a process again as it was.
 
         Example: `fleet.restart("c1")`
@@ -325,21 +340,21 @@
             self.workers[name] = got
             self.list(id=name, host=HOST, port=got, pool=self.pool, state="ready")
 
-    def warden(self):
+    def warden(self) -> str:
         """The name of the node that is the pool's warden now, or "".
 
         Example: `fleet.kill(fleet.warden())`
         """
         return next((n for n in self.nodes if self.procs[n].poll() is None and self.warden_of(n)), "")
 
-    def warden_of(self, name):
+    def warden_of(self, name: str) -> bool:
         """Whether a node is a seated warden.
 
         Example: `fleet.warden_of("n1")`
         """
         return any(w["seated"] for w in self.state(name).get("wardens", []))
 
-    def end(self):
+    def end(self) -> None:
         """Stop all that was started here.
 
         Example: `fleet.end()`
@@ -355,7 +370,7 @@
         if self.own:
             shutil.rmtree(self.folder, ignore_errors=True)
 
-    def load(self, seconds, *more):
+    def load(self, seconds: int, *more: typing.Any) -> subprocess.Popen[typing.Any]:
         """Start the load generator; its report is what it prints.
 
         Example: `p = fleet.load(20); report = json.loads(p.communicate()[0])`
@@ -382,7 +397,7 @@
         )
 
 
-def run(shape: str, *, load: int = 0, folder: str | None = None):
+def run(shape: str, *, load: int = 0, folder: str | None = None) -> None:
     """Run a fleet of one shape.
 
     :param shape: small, magnolia or swan
--- a/bench/judge.py
+++ b/bench/judge.py
@@ -7,10 +7,14 @@
 Rows are those that bench/client_model.py, bench/serving.py and bench/platform_model.py write.
 """
 
+from __future__ import annotations
+
 import bisect
 import collections
+import collections.abc
 import json
 import sys
+import typing
 
 import defopt
 
@@ -39,7 +43,7 @@
 PROCESS_ENDS = ("kill", "power", "term", "closing", "new")  # troubles that a process's next start ends
 
 
-def covers(prefix, path):
+def covers(prefix: str, path: str) -> bool:
     """Whether a route's prefix begins a path.
 
     >>> covers("/a/", "/a/b"), covers("/a/", "/ab")
@@ -48,7 +52,7 @@
     return path.startswith(prefix)
 
 
-def services(doc, host, path):
+def services(doc: dict[str, typing.Any], host: str, path: str) -> set[str | None]:
     """The services that a configuration lets a request go to; None stands for no route.
 
     >>> r = {words.ROUTE["host"]: "h", words.ROUTE["path"]: "/a/", words.ROUTE["pool"]: "p"}
@@ -63,7 +67,7 @@
     return {p[w["pool"]] for p in r[w["split"]] if p[w["weight"]]} if r.get(w["split"]) else {r[w["pool"]]}
 
 
-def ended(open_rows, what):
+def ended(open_rows: list[list[typing.Any]], what: str | None) -> list[typing.Any] | None:
     """Take out the trouble that a mend ends: the newest of its kind, or of a process's end where it names none.
 
     >>> rows = [[1, 99, "kill"], [2, 99, "cut"]]
@@ -86,16 +90,17 @@
     Example: `log = Log(rows)`
     """
 
-    def __init__(self, rows):
+    def __init__(self, rows: list[dict[str, typing.Any]]) -> None:
         self.rows = rows
-        self.kinds = collections.defaultdict(list)
+        self.kinds: collections.defaultdict[str, list[dict[str, typing.Any]]] = collections.defaultdict(list)
         for r in rows:
             self.kinds[r["kind"]].append(r)
         begun = (self.kinds["begun"] or [{}])[0]
         self.bounds = {**BOUNDS, **begun.get("bounds", {})}
         self.began = begun.get("at", 0)
         self.tries = {r["attempt"]: r for r in self.kinds["tried"]}
-        self.asked = collections.defaultdict(list)  # request -> its tries
+        # request -> its tries
+        self.asked: collections.defaultdict[str, list[dict[str, typing.Any]]] = collections.defaultdict(list)
         for t in self.kinds["tried"]:
             self.asked[t["request"]].append(t)
         self.arrived, self.runs, self.ends = (collections.defaultdict(list) for _ in range(3))
@@ -106,7 +111,8 @@
         self.ended = {r["seal"]: r for r in self.kinds["ran"]}
         self.core = {n for n, m in begun.get("machines", {}).items() if m["role"] == "core"}
         self.core |= {r["name"] for r in self.kinds["machine"] if r["role"] == "core"}
-        self.troubles = collections.defaultdict(list)  # machine -> [begin, end, what]
+        # machine -> [begin, end, what]
+        self.troubles: collections.defaultdict[str, list[list[typing.Any]]] = collections.defaultdict(list)
         self.core_events, open_ = [], collections.defaultdict(list)
         end = rows[-1]["at"] if rows else 0
         for r in rows:
@@ -123,7 +129,7 @@
                 self.core_events.append(r["at"])
         self.configs = self.read_configs()
 
-    def read_configs(self):
+    def read_configs(self) -> list[dict[str, typing.Any]]:
         """Each configuration sent, by version and content: its document, when sent, and what was said of it.
 
         Example: `log.configs`
@@ -146,21 +152,21 @@
             out[r["send"]].update(code=r["code"], answered=r["at"])
         return list(out.values())
 
-    def acked(self):
+    def acked(self) -> list[dict[str, typing.Any]]:
         """The acknowledged configurations, the oldest first.
 
         Example: `log.acked()`
         """
         return sorted((c for c in self.configs if c["code"] == 200), key=lambda c: c["answered"])
 
-    def troubled(self, name, begin, end):
+    def troubled(self, name: str, begin: int, end: int) -> bool:
         """Whether a machine had trouble in a span.
 
         Example: `log.troubled("n1", 0, 5)`
         """
         return any(a <= end and b >= begin for a, b, _ in self.troubles[name])
 
-    def settled(self, at):
+    def settled(self, at: int) -> bool:
         """Whether the core was settled through the contact time before a moment.
 
         Example: `log.settled(5 * S)`
@@ -176,7 +182,7 @@
         down = sum(self.troubled(c, since, at) for c in self.core - gone)
         return not self.core or 2 * (len(self.core) - len(gone) - down) > len(self.core) - len(gone)
 
-    def in_touch(self, name, at):
+    def in_touch(self, name: str, at: int) -> bool:
         """Whether a machine is bound by rules with a time bound.
 
         Example: `log.in_touch("n1", 5 * S)`
@@ -184,7 +190,7 @@
         return not self.troubled(name, at - self.bounds["contact"], at) and self.settled(at)
 
 
-def mixed(log):
+def mixed(log: Log) -> collections.abc.Iterator[str]:
     """Answers that are another's, are not the worker's, or lack its seal."""
     for t in log.kinds["tried"]:
         name = t["attempt"]
@@ -214,7 +220,7 @@
         yield f"client {r['client']} got bytes that it did not ask for from {r['node']}"
 
 
-def unasked(log):
+def unasked(log: Log) -> collections.abc.Iterator[str]:
     """Runs that nobody asked for, or asked for otherwise."""
     for r in log.kinds["arrived"]:
         if r["verdict"]:
@@ -230,21 +236,21 @@
         yield "a worker got bytes that are no request"
 
 
-def twice(log):
+def twice(log: Log) -> collections.abc.Iterator[str]:
     """Requests that must not be repeated and ran more than once."""
     for name, t in log.tries.items():
         if not t["repeat"] and len(log.runs[name]) > 1:
             yield f"try {name} ran {len(log.runs[name])} times"
 
 
-def refused(log):
+def refused(log: Log) -> collections.abc.Iterator[str]:
     """Promises that a request has not run, though it has."""
     for name, t in log.tries.items():
         if not t["repeat"] and t["code"] in PROMISES and log.runs[name]:
             yield f"try {name} got {t['code']}, and ran"
 
 
-def denied(log):
+def denied(log: Log) -> collections.abc.Iterator[str]:
     """Proper requests that machines in touch refused for good."""
     bad = []
     for name, t in log.tries.items():
@@ -260,7 +266,7 @@
         yield f"{len(bad)} proper requests were denied, as {bad[0]} with {log.tries[bad[0]]['code']}"
 
 
-def in_force(log, t):
+def in_force(log: Log, t: dict[str, typing.Any]) -> list[dict[str, typing.Any]]:
     """The configurations that may be in force for a try: the newest that must be, and all later ones that may be.
 
     Example: `in_force(log, t)`
@@ -274,7 +280,7 @@
     ]
 
 
-def outcome(log, t):
+def outcome(log: Log, t: dict[str, typing.Any]) -> str | None:
     """What a try shows of the configuration: a service, None for a 404 of ours, or "" where it shows nothing.
 
     Example: `outcome(log, t)`
@@ -285,7 +291,7 @@
     return None if t["code"] == 404 and t["how"] == "whole" else ""
 
 
-def route(log):
+def route(log: Log) -> collections.abc.Iterator[str]:
     """Runs at a service that no configuration ever sent allows."""
     for r in log.kinds["run"]:
         t = log.tries.get(r["attempt"])
@@ -295,7 +301,7 @@
             yield f"service {r['pool']} ran {r['attempt']}, which no configuration lets go there"
 
 
-def drain(log):
+def drain(log: Log) -> collections.abc.Iterator[str]:
     """Requests that reached a leaving worker too late."""
     shown = {}
     for r in log.kinds["listed"]:
@@ -311,7 +317,7 @@
             yield f"{r['attempt']} reached worker {r['worker']} {after} ms after it was shown as leaving"
 
 
-def lost(log):
+def lost(log: Log) -> collections.abc.Iterator[str]:
     """Requests read and never answered, round planned work."""
     b = log.bounds
     terms = collections.defaultdict(list)
@@ -338,7 +344,7 @@
                 yield f"try {name} was cut off {(t['done'] - at) // MS} ms after {t['node']} was told to end"
 
 
-def config(log):
+def config(log: Log) -> collections.abc.Iterator[str]:
     """Configurations handled wrongly: late, slipped back, not to be in force, or not read back."""
     acked = log.acked()
     for c in acked:
@@ -394,14 +400,14 @@
                 yield f"what was read back as version {version} is not what was sent"
 
 
-def same(a, b):
+def same(a: dict[str, typing.Any], b: dict[str, typing.Any]) -> bool:
     """Whether two configurations say the same, whatever the order of their items.
 
     >>> same({"routes": [{"name": "a"}, {"name": "b"}]}, {"routes": [{"name": "b"}, {"name": "a"}]})
     True
     """
 
-    def plain(doc):
+    def plain(doc: dict[str, typing.Any]) -> dict[str, typing.Any]:
         return {
             k: sorted(v, key=lambda x: json.dumps(x, sort_keys=True)) if isinstance(v, list) else v
             for k, v in doc.items()
@@ -410,7 +416,7 @@
     return plain(a) == plain(b)
 
 
-def acks(log):
+def acks(log: Log) -> collections.abc.Iterator[str]:
     """Proper configurations that were not acknowledged in time although the core was settled."""
     for c in log.configs:
         if not c["valid"] or c["code"] not in (200, 0, None):
@@ -425,7 +431,7 @@
             yield f"version {c['version']} was not acknowledged for {(end - begin) // MS} ms"
 
 
-def budget(log):
+def budget(log: Log) -> collections.abc.Iterator[str]:
     """More arrivals past the first than the budget of a service allows in a window."""
     b = log.bounds
     pools = collections.defaultdict(lambda: ([], []))
@@ -443,7 +449,7 @@
         firsts.sort()
         more.sort()
 
-        def count(begin, end):
+        def count(begin: int, end: int) -> int:
             return bisect.bisect_right(firsts, end) - bisect.bisect_left(firsts, begin)
 
         for k, at in enumerate(more):
@@ -455,7 +461,7 @@
                 break
 
 
-def order(log):
+def order(log: Log) -> collections.abc.Iterator[str]:
     """Streams with a piece missing or doubled, joined from two runs, or ended early."""
     for name, t in log.tries.items():
         if not t["stream"] or not 200 <= t["code"] < 300:
@@ -477,7 +483,7 @@
                     yield f"try {name} joins two runs after event {a[0]}"
 
 
-def recover(log):
+def recover(log: Log) -> collections.abc.Iterator[str]:
     """Service does not come back after the closing fault."""
     for r in log.kinds["closing"]:
         done = [a for a in log.kinds["answered"]]
@@ -492,7 +498,7 @@
             yield f"{sum(a['ok'] for a in after)} of {len(after)} were served after the closing fault"
 
 
-def linearizable(log):
+def linearizable(log: Log) -> collections.abc.Iterator[str]:
     """Operators' calls and reads that no order explains."""
     yield from history.complaints(log.rows)
 
@@ -515,7 +521,7 @@
 )
 
 
-def examine(rows):
+def examine(rows: list[dict[str, typing.Any]]) -> dict[str, list[str]]:
     """Complaints by rule; rules without one are left out.
 
     >>> examine([])
@@ -526,7 +532,9 @@
     return {name: lines for name, lines in found.items() if lines}
 
 
-def worth(rows, kinds, window=2 * S):
+def worth(
+    rows: list[dict[str, typing.Any]], kinds: dict[str, tuple[int, int, float, float]], window: int = 2 * S
+) -> dict[str, dict[str, float]]:
     """What was earned: shares of requests in aim, late and not served, and of worth, in all and by kind.
 
     `kinds` is kind -> (aim in us, longest pause in us, worth, late worth).
@@ -567,7 +575,7 @@
     return out
 
 
-def first_event(tries):
+def first_event(tries: list[dict[str, typing.Any]]) -> int:
     """When the first event of a served request came, or its whole answer.
 
     >>> first_event([dict(events=[], done=7)])
@@ -576,7 +584,7 @@
     return next((e[2] for t in tries for e in t["events"]), tries[-1]["done"])
 
 
-def in_time(log, r, tries, aim, pause):
+def in_time(log: Log, r: dict[str, typing.Any], tries: list[dict[str, typing.Any]], aim: int, pause: int) -> bool:
     """Whether a served request was inside its aim, without a long pause, each event passed on at once.
 
     Example: `in_time(log, answered, tries, 400 * MS, 200 * MS)`
@@ -595,7 +603,7 @@
     return True
 
 
-def main(*, log: str):
+def main(*, log: str) -> typing.NoReturn:
     """Judge an event log.
 
     :param log: the log's file
--- a/bench/lease_cost.py
+++ b/bench/lease_cost.py
@@ -7,10 +7,14 @@
 bench.capacity (3,000 a second are a core; real sockets are not in it).
 """
 
+from __future__ import annotations
+
 import collections
+import collections.abc
 import contextlib
 import dataclasses
 import statistics
+import typing
 import unittest.mock
 
 import defopt
@@ -48,7 +52,7 @@
     messages: float
     size: float
 
-    def __str__(self):
+    def __str__(self) -> str:
         """As it stands in a table."""
         return f"{self.messages:.1f}/s, {self.size:,.0f} B/s"
 
@@ -68,7 +72,7 @@
     tail_loops: float
     core_loops: float
 
-    def line(self):
+    def line(self) -> typing.Any:
         """The row of a table, in the order of COLUMNS.
 
         Example: `print(cost.line())`
@@ -95,12 +99,12 @@
     (1, 9)
     """
 
-    def __init__(self):
-        self.messages = collections.Counter()
-        self.bytes = collections.Counter()
+    def __init__(self) -> None:
+        self.messages: collections.Counter[tuple[str, type[message.Message]]] = collections.Counter()
+        self.bytes: collections.Counter[tuple[str, type[message.Message]]] = collections.Counter()
         self.listed = 0  # nodes in all reports from one core machine to another
 
-    def count(self, way, msg, size):
+    def count(self, way: str, msg: message.Message, size: int) -> None:
         """Count one message.
 
         Example: `traffic.count("core to node", message.Ping(), 9)`
@@ -110,7 +114,7 @@
         if way == "core to core" and isinstance(msg, message.Sessions):
             self.listed += len(msg.members)
 
-    def total(self, way, *types):
+    def total(self, way: str, *types: type[typing.Any]) -> tuple[int, int]:
         """How many messages, and how many bytes, went one way: of some types, or of all.
 
         Example: `traffic.total("core to core", message.Sessions)`
@@ -120,7 +124,7 @@
 
 
 @contextlib.contextmanager
-def counting(cluster):
+def counting(cluster: capacity.Fleet) -> collections.abc.Iterator[Traffic]:
     """Count what the processes of a cluster send each other.
 
     Example: `with counting(cluster) as traffic: cluster.go(5)`
@@ -129,7 +133,7 @@
     cores = {core.mach for core in cluster.cores.values()}
     send = wire.Connection._send
 
-    def counted(connection, kind, seq, msg):
+    def counted(connection: wire.Connection, kind: int, seq: int, msg: message.Message) -> None:
         if connection.post is not None:
             way = "core to node"
         elif connection.mach in cores:
@@ -145,12 +149,12 @@
         yield traffic
 
 
-def _with_core(connection, cluster):
+def _with_core(connection: wire.Connection, cluster: capacity.Fleet) -> bool:
     core_hosts = {cluster.options[name][0] for name in cluster.cores}
     return connection.transport.getPeer().host in core_hosts
 
 
-def quiet_cluster(nodes, cores, seed):
+def quiet_cluster(nodes: int, cores: int, seed: int) -> capacity.Fleet:
     """A settled cluster without load, whose chain holds all core machines.
 
     Example: `cluster = quiet_cluster(6, 3, 1)`
@@ -166,7 +170,7 @@
     return cluster
 
 
-def measure(nodes, cores, seconds, seed):
+def measure(nodes: int, cores: int, seconds: int, seed: int) -> Cost:
     """Measure one cluster.
 
     Example: `print(measure(6, 3, 4, 1).line())`
@@ -177,7 +181,7 @@
     spent = {name: used["loops"] for name, used in cluster.metered(seconds).items()}
     tail = cluster.tail().options.name
 
-    def rate(total, processes):
+    def rate(total: tuple[int, int], processes: int) -> Rate:
         messages, size = total
         return Rate(messages / processes / seconds, size / processes / seconds)
 
@@ -196,7 +200,7 @@
     )
 
 
-def run(*, sizes: list[int] = (6, 73, 370), cores: list[int] = (3, 5, 7), seconds: int = 4, seed: int = 1):
+def run(*, sizes: list[int] = (6, 73, 370), cores: list[int] = (3, 5, 7), seconds: int = 4, seed: int = 1) -> None:
     """Print a table row for each size and number of core machines.
 
     :param sizes: nodes
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -8,9 +8,12 @@
 python -m bench.measure capacity
 """
 
+from __future__ import annotations
+
 import contextlib
 import json
 import statistics
+import typing
 
 import defopt
 import loguru
@@ -25,7 +28,7 @@
 import iriswheel.wire as wire
 
 
-def spans(f):
+def spans(f: typing.Any) -> typing.Any:
     """From the sending of a first send to its arrival at a worker, by node, in ms.
 
     Example: `spans(fleet)["n1"]`
@@ -44,7 +47,7 @@
     return out
 
 
-def hop(*, shape: str = "magnolia", seconds: int = 20, runs: int = 3):
+def hop(*, shape: str = "magnolia", seconds: int = 20, runs: int = 3) -> None:
     """What the way through a node costs, at the warden's own node and at the others.
 
     :param shape: magnolia, swan or small
@@ -67,7 +70,7 @@
         )
 
 
-def saturate(*, shape: str = "magnolia", seconds: int = 8, rates: list[int] = (50, 100, 200, 300, 400)):
+def saturate(*, shape: str = "magnolia", seconds: int = 8, rates: list[int] = (50, 100, 200, 300, 400)) -> None:
     """Raise the rate of short exchanges until first bytes come late.
 
     :param shape: magnolia, swan or small
@@ -91,7 +94,7 @@
             )
 
 
-def elects(*, shape: str = "magnolia", seconds: int = 5, depth: int = 64):
+def elects(*, shape: str = "magnolia", seconds: int = 5, depth: int = 64) -> None:
     """Elections that one warden answers per second, asked over one link, many at a time.
 
     :param shape: magnolia, swan or small
@@ -109,7 +112,7 @@
         mach = machine.Machine(reactor)
         done = []
 
-        async def ask(link, k, sort):
+        async def ask(link: typing.Any, k: typing.Any, sort: typing.Any) -> None:
             ident = f"{sort}-{k}"
             res = await link.call(
                 message.Elect(
@@ -134,13 +137,13 @@
                 done.append(ident)
             link.tell(message.Done(f.pool, ident, "ran"))
 
-        async def lane(link, j, sort, until):
+        async def lane(link: typing.Any, j: typing.Any, sort: typing.Any, until: typing.Any) -> None:
             k = 0
             while mach.now() < until:
                 k += 1
                 await ask(link, f"{j}-{k}", sort)
 
-        async def go():
+        async def go() -> None:
             link = await wire.connect(mach, fleet.HOST, f.nodes[holder][0], lambda *_: None, loguru.logger)
             for sort in ("placed", "claimed", "opened"):
                 done.clear()
@@ -153,7 +156,7 @@
         reactor.run()
 
 
-def slices(*, routes: list[int] = (0, 100, 1000), changes: int = 10):
+def slices(*, routes: list[int] = (0, 100, 1000), changes: int = 10) -> None:
     """Bytes that a change costs on each node's link, as routes outside its slice grow (simulated).
 
     :param routes: routes of another hall that the configuration holds
@@ -168,10 +171,10 @@
         t.begin()
         t.go(2)
 
-        def fed():
+        def fed() -> dict[typing.Any, typing.Any]:
             return {p.member.name: p.link.sent_bytes for c in t.cores.values() for p in c.node_sessions.values()}
 
-        def wait(doc):
+        def wait(doc: typing.Any) -> None:
             done = t.office_mach.spawn(t.boss.change(doc), simulated_cluster.log)
             t.until(lambda: done.called, 20)
 
@@ -204,7 +207,7 @@
     names: list[str] = ("kill_node", "kill_warden", "kill_core", "freeze", "cut_node", "kill_hall"),
     seeds: int = 10,
     shape: str = "magnolia",
-):
+) -> None:
     """After each fault, until when first sends failed, over seeds (simulated).
 
     :param names: scenes
@@ -229,7 +232,7 @@
             )
 
 
-def _sent_bytes(t):
+def _sent_bytes(t: typing.Any) -> typing.Any:
     """What the cores have sent so far, in bytes, on all their links."""
     return sum(
         link.sent_bytes
@@ -238,7 +241,7 @@
     )
 
 
-def scale(*, nodes: list[int] = (8, 32, 128), routes: list[int] = (10, 2000), seed: int = 1):
+def scale(*, nodes: list[int] = (8, 32, 128), routes: list[int] = (10, 2000), seed: int = 1) -> None:
     """Three cores with many nodes and routes: a change's way, traffic, the loss of the tail (simulated).
 
     :param nodes: how many nodes
@@ -278,7 +281,7 @@
             )
 
 
-def sizes(*, minutes: int = 60, shape: str = "magnolia", seed: int = 1):
+def sizes(*, minutes: int = 60, shape: str = "magnolia", seed: int = 1) -> None:
     """What the processes hold, as a long day goes on with changes and faults (simulated).
 
     :param minutes: how long
@@ -291,7 +294,7 @@
     t.load.us = minutes * 60 * simulated_cluster.S
     kinds = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_warden")
 
-    async def change():
+    async def change() -> None:
         while True:
             await t.boss.change(t.with_probe(t.probe + 1))
             await t.office_mach.sleep(3 * simulated_cluster.S)
@@ -320,7 +323,7 @@
             print(f"{k + 1} min: " + ", ".join(f"{n} {v}" for n, v in held(t).items()), flush=True)
 
 
-def held(t):
+def held(t: typing.Any) -> dict[typing.Any, typing.Any]:
     """The largest size of each thing that the processes keep.
 
     Example: `held(simulated_cluster)["claims"]`
@@ -356,7 +359,7 @@
     }
 
 
-def capacity(*, small: bool = False):
+def capacity(*, small: bool = False) -> None:
     """The slopes of docs/CAPACITY.md, one after the other; bench/capacity.py has them singly.
 
     :param small: a few sizes only
--- a/bench/mutation_checks.py
+++ b/bench/mutation_checks.py
@@ -4,10 +4,13 @@
 python -m bench.mutation_checks --names claims via --seeds 10 --shapes swan
 """
 
+from __future__ import annotations
+
 import contextlib
 import multiprocessing
 import os
 import sys
+import typing
 import unittest.mock as mock
 
 import defopt
@@ -33,80 +36,91 @@
 import iriswheel.web as web
 
 
-async def _acknowledge_at_once(self, version, until):
+async def _acknowledge_at_once(self: typing.Any, version: typing.Any, until: typing.Any) -> None:
     return None
 
 
-async def _unsent(self, *args, send=dispatch.Dispatcher.send):
+async def _unsent(self: typing.Any, *args: typing.Any, send: typing.Any = dispatch.Dispatcher.send) -> typing.Any:
     out = await send(self, *args)
     return dispatch.Outcome.UNSENT if out is dispatch.Outcome.BROKE else out
 
 
-async def _elect_once(self, x, shun, elect=gateway.Gateway.elect):
+async def _elect_once(
+    self: typing.Any, x: typing.Any, shun: typing.Any, elect: typing.Any = gateway.Gateway.elect
+) -> typing.Any:
     if shun:
         raise verdict.ServiceError("no_worker", "No worker could be reached.", self.known(x))
     return await elect(self, x, shun)
 
 
-async def _alone(self, w):
+async def _alone(self: typing.Any, w: typing.Any) -> None:
     self.dark[w.id] = self.mach.now()
     self.owner.check_workers()
 
 
-async def _no_token(self, x, worker, send, via, plain=gateway.Gateway.send):
+async def _no_token(
+    self: typing.Any,
+    x: typing.Any,
+    worker: typing.Any,
+    send: typing.Any,
+    via: typing.Any,
+    plain: typing.Any = gateway.Gateway.send,
+) -> typing.Any:
     return await plain(self, x, worker, send, "")
 
 
-def _believe_all(self, workers):
+def _believe_all(self: typing.Any, workers: typing.Any) -> typing.Any:
     return workers
 
 
-def _local_budgets(self, now, room=budget.Budget.room):
+def _local_budgets(self: typing.Any, now: typing.Any, room: typing.Any = budget.Budget.room) -> bool:
     self._trim(now)
     return (len(self.repeats) + 1) * 6 / self.ratio <= len(self.firsts)
 
 
-def _half(self):
+def _half(self: typing.Any) -> typing.Any:
     if self.session.stands():
         return False
     fresh = [g for at, g in self.goes.values() if self.mach.now() - at < follower.GOES_US]
     return any(g.core for g in fresh) or 2 * (len(fresh) + 1) <= len(self.roster.members)
 
 
-def _any_place(self):
+def _any_place(self: typing.Any) -> typing.Any:
     without = {i for i, (at, g) in self.goes.items() if self.mach.now() - at < follower.GOES_US and not g.core}
     return not self.session.stands() and any(
         m.id != self.node.me.id and m.id not in without for m in self.roster.members
     )
 
 
-def _keep_all(self, now):
+def _keep_all(self: typing.Any, now: typing.Any) -> list[typing.Any]:
     return []
 
 
-def _first_list(self, workers, take=follower.Follower.take_workers):
+def _first_list(self: typing.Any, workers: typing.Any, take: typing.Any = follower.Follower.take_workers) -> None:
     take(self, self.workers or workers)
 
 
-def _one_pool(self, workers, take=follower.Follower.take_workers):
+def _one_pool(self: typing.Any, workers: typing.Any, take: typing.Any = follower.Follower.take_workers) -> None:
     pool = next(iter(self.pools), "")
     take(self, [message.Worker(w.id, w.host, w.port, pool, w.state, w.drain_us) for w in workers])
 
 
-def _blank_leads(v, promises, alive):
+def _blank_leads(v: typing.Any, promises: typing.Any, alive: typing.Any) -> list[typing.Any]:
     blank_first = sorted(alive, key=lambda i: (i in promises and promises[i].whole == v.number, i))
     return [message.ChainReplica(i, alive[i]) for i in blank_first]
 
 
-def _no_tips(v, promises, alive, order=agreement.order):
+def _no_tips(v: typing.Any, promises: typing.Any, alive: typing.Any, order: typing.Any = agreement.order) -> typing.Any:
     return order(v, {i: msgspec.structs.replace(p, tip=(0, 0)) for i, p in promises.items()}, alive)
 
 
-async def _nobody_has_it(self, m):
+async def _nobody_has_it(self: typing.Any, m: typing.Any) -> str:
     return ""
 
 
-def _torn_is_whole(self, reason=None, lost=dispatch.Relay.connectionLost):
+def _torn_is_whole(
+    self: typing.Any, reason: typing.Any = None, lost: typing.Any = dispatch.Relay.connectionLost
+) -> None:
     if self.tick is not None and self.tick.active():
         self.tick.cancel()
     self.done(True)
@@ -115,7 +129,9 @@
 _sent_headers = []
 
 
-def _stale_headers(headers, worker, token, onward=edge_protocol.onward):
+def _stale_headers(
+    headers: typing.Any, worker: typing.Any, token: typing.Any, onward: typing.Any = edge_protocol.onward
+) -> typing.Any:
     _sent_headers.append(onward(headers, worker))
     return _sent_headers[-2] if len(_sent_headers) > 50 else _sent_headers[-1]
 
@@ -166,7 +182,7 @@
 }
 
 
-def play(job):
+def play(job: typing.Any) -> tuple[typing.Any, ...]:
     """Play a scene with a guard out: the job, complaints, rows judged.
 
     Example: `play(("calm", 1, "magnolia", "pins"))`
@@ -180,7 +196,9 @@
     return job, *replay.examine(t.tape.rows)
 
 
-def run(*, names: list[str] = (), seeds: int = 5, first: int = 1, shapes: list[str] = ("magnolia", "swan")):
+def run(
+    *, names: list[str] = (), seeds: int = 5, first: int = 1, shapes: list[str] = ("magnolia", "swan")
+) -> typing.NoReturn:
     """Play each guard's scene without it, over seeds and shapes; say how often its checker complained.
 
     :param names: guards by name; all where none is named
--- a/bench/platform_model.py
+++ b/bench/platform_model.py
@@ -5,9 +5,13 @@
 bench/client_model.py. Processor time is not modelled: code takes no time here.
 """
 
+from __future__ import annotations
+
+import collections.abc
 import copy
 import dataclasses
 import sys
+import typing
 
 import loguru
 
@@ -31,6 +35,10 @@
 import run as entry_points  # noqa: E402
 import settings  # noqa: E402
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.defer as defer
+
+
 MS, S = machine.MILLI, machine.SECOND
 FRONT, READY, CONTROL, INNER, LIST, SERVE = 8263, 8268, 8262, 7300, 8266, 8080
 PROVIDER = "10.200.0.4"
@@ -150,7 +158,9 @@
     Example: `s = Site(7, "magnolia"); s.begin(); s.go(30); s.end()`
     """
 
-    def __init__(self, seed, shape="magnolia", seconds=20.0, load=1.0, figures=None):
+    def __init__(
+        self, seed: int, shape: str = "magnolia", seconds: float = 20.0, load: float = 1.0, figures: None = None
+    ) -> None:
         self.seed, self.shape_name, self.shape = seed, shape, SHAPES[shape]
         self.world = sim.World(seed)
         self.world.held_writes = True
@@ -159,20 +169,20 @@
         self.seconds, self.load = seconds, load
         self.figures = figures or engine.Figures(**self.shape.figures)
         self.cores, self.nodes, self.workers = {}, {}, {}
-        self.places = {}  # name -> (host, zone)
+        self.places: dict[str, tuple[str, str]] = {}  # name -> (host, zone)
         self.pool = f"p{self.rng.getrandbits(16):04x}"
         self.doc, self.version = None, 0
         self.idle = 0  # idle routes added so far
         self.born = False  # whether the first start is over
         self.directs = 0
-        self.moved = []  # (when, name) of core machines that came or went
-        self.read_by_some = set()  # parts that some worker has read
+        self.moved: list[tuple[int, str]] = []  # (when, name) of core machines that came or went
+        self.read_by_some: set[str] = set()  # parts that some worker has read
         self.clients_made = 0
-        self.seed_names = None  # the core machines that the settings name, where not all
+        self.seed_names: list[str] | None = None  # the core machines that the settings name, where not all
 
     # ---- building -----------------------------------------------------------------------
 
-    def machine(self, name, host, zone):
+    def machine(self, name: str, host: str, zone: str) -> sim.Machine:
         """The machine of a name, made when first named; it has power.
 
         Example: `site.machine("n1", "10.2.0.1", "mobile")`
@@ -182,7 +192,7 @@
         self.places[name] = (host, zone)
         return m
 
-    def settings(self, name, role):
+    def settings(self, name: str, role: str) -> dict[str, typing.Any]:
         """The settings file of a process, as the platform writes it.
 
         Example: `site.settings("n1", "edge")`
@@ -244,7 +254,7 @@
             "provider_api": {"address": f"{PROVIDER}:{LIST}", "rate_per_s": 40.0, "duties": [], "lag_ms": 800},
         }
 
-    def seeds(self):
+    def seeds(self) -> list[str]:
         """The core machines that the settings name: all, or those chosen that are still there.
 
         Example: `site.seeds()`
@@ -252,14 +262,14 @@
         chosen = [c for c in self.seed_names or () if c in self.cores]
         return chosen or sorted(self.cores)
 
-    def machine_of(self, name):
+    def machine_of(self, name: str) -> sim.Machine:
         """The machine of a name.
 
         Example: `site.machine_of("n1").set_time_of_day(0)`
         """
         return self.world.machines[self.places[name][0]]
 
-    def reload(self, name):
+    def reload(self, name: str) -> None:
         """Let a process read its settings again, as SIGHUP does.
 
         Example: `site.reload("n1")`
@@ -271,7 +281,7 @@
         options = settings.translate("node" if role == "edge" else "core", self.settings(name, role))
         owner.proc.call(lambda: owner.renew(options))
 
-    def start_core(self, name):
+    def start_core(self, name: str) -> None:
         """Start a core machine's process, on the disk that is there.
 
         Example: `site.start_core("c1")`
@@ -287,7 +297,7 @@
         )
         c.start()
 
-    def start_node(self, name):
+    def start_node(self, name: str) -> None:
         """Start a node's process.
 
         Example: `site.start_node("n1")`
@@ -304,7 +314,7 @@
         n.start(o.port, FRONT)
         self.entry.nodes[name] = (zone, (host, FRONT), (host, READY))
 
-    def start_worker(self, name, host, zone, pool=None):
+    def start_worker(self, name: str, host: str, zone: str, pool: str | None = None) -> serving.Worker:
         """Start a worker's new life, and list it.
 
         Example: `w = site.start_worker("w1", "10.128.0.1", "mobile")`
@@ -332,7 +342,7 @@
         )
         return w
 
-    def begin(self, lead=12):
+    def begin(self, lead: int = 12) -> None:
         """Start everything, send the first configuration, and let the traffic begin.
 
         Example: `site.begin()`
@@ -393,7 +403,7 @@
             self.traffics.append(t)
             self.out.spawn(t.run(self.traffic_until), log)
 
-    def bounds(self):
+    def bounds(self) -> dict[str, int]:
         """The bounds that the judge goes by, in microseconds where they are times.
 
         Example: `site.bounds()["contact"]`
@@ -414,7 +424,7 @@
             ack=b["ack_deadline_ms"] * MS,
         )
 
-    def controls(self):
+    def controls(self) -> list[tuple[str, int]]:
         """Where operators call: the core machines.
 
         Example: `site.controls()`
@@ -430,7 +440,7 @@
 
     # ---- configurations --------------------------------------------------------------------
 
-    def route(self, kind, name, **more):
+    def route(self, kind: client_model.Kind, name: str, **more: typing.Any) -> dict[str, typing.Any]:
         """A route of a kind of request, in the platform's words.
 
         Example: `site.route(SHORT, "r-1")`
@@ -452,14 +462,14 @@
             **more,
         }
 
-    def idle_route(self, k):
+    def idle_route(self, k: int) -> dict[str, typing.Any]:
         """An idle route: only direct requests go there.
 
         Example: `site.idle_route(3)`
         """
         return self.route(dataclasses.replace(DIRECT, path=f"/idle{k}/", host="idle.example"), f"r-idle{k}")
 
-    def first(self):
+    def first(self) -> dict[str, typing.Any]:
         """The first configuration.
 
         Example: `doc = site.first()`
@@ -489,14 +499,16 @@
             b["bounds"]: dict(zip(words.BOUNDS.values(), (16384, 4194304, 3000, 15000), strict=False)),
         }
 
-    def change(self, how="idle", wait=60):
+    def change(self, how: str = "idle", wait: int = 60) -> defer.Deferred[typing.Any]:
         """Send the next configuration: a Deferred. `how` is idle, timeout, big, or one that moves nothing.
 
         Example: `site.change("idle")`
         """
         return self.office.spawn(self.next_config(how, wait), log)
 
-    def altered(self, how, count=100):
+    def altered(
+        self, how: str, count: int = 100
+    ) -> tuple[dict[str, typing.Any], dict[str, typing.Any], list[str], list[str]]:
         """The next document, what a PATCH of it says, and the paths that came and went.
 
         Example: `doc, patch, added, gone = site.altered("idle")`
@@ -527,7 +539,7 @@
         patch[b["version"]] = doc[b["version"]]
         return doc, patch, added, gone
 
-    async def next_config(self, how, wait, count=100):
+    async def next_config(self, how: str, wait: int, count: int = 100) -> int:
         """Send the next configuration and try its routes at each node: the status.
 
         Example: `status = await site.next_config("idle", 60)`
@@ -543,7 +555,7 @@
             self.out.spawn(self.try_routes(added + gone + ["/never/"]), log)
         return status
 
-    async def race(self):
+    async def race(self) -> list[int]:
         """Two operators send at once on top of the same version: the statuses.
 
         Example: `await site.race()`
@@ -561,7 +573,7 @@
                 self.doc, self.version = doc, doc[words.BLUEPRINT["version"]]
         return statuses
 
-    async def bad(self):
+    async def bad(self) -> None:
         """Send configurations that are invalid; none may be acknowledged.
 
         Example: `await site.bad()`
@@ -584,7 +596,7 @@
                     r[w["split"]] = [{w["pool"]: self.pool, w["weight"]: 0}]
             await self.boss.put(doc, self.version, valid=False, seconds=15)
 
-    async def try_routes(self, paths):
+    async def try_routes(self, paths: list[str]) -> None:
         """Try paths at each node that takes connections, soon after a change and when it must be in force.
 
         Example: `await site.try_routes(["/idle3/"])`
@@ -603,14 +615,14 @@
 
     # ---- time ---------------------------------------------------------------------------------
 
-    def go(self, seconds):
+    def go(self, seconds: float) -> None:
         """Let virtual time pass.
 
         Example: `site.go(5)`
         """
         self.world.run(self.world.time + int(seconds * S))
 
-    def until(self, cond, seconds):
+    def until(self, cond: collections.abc.Callable[..., object], seconds: int) -> bool:
         """Let time pass until a condition holds; False where it did not in time.
 
         Example: `site.until(lambda: done.called, 10)`
@@ -622,7 +634,7 @@
             self.go(0.05)
         return True
 
-    def end(self):
+    def end(self) -> None:
         """The day's end: what is open ends, and the configuration is read back.
 
         Example: `site.end()`
@@ -637,35 +649,35 @@
 
     # ---- troubles -------------------------------------------------------------------------------
 
-    def trouble(self, name, what):
+    def trouble(self, name: str, what: str) -> None:
         """Note that a machine has trouble from now on.
 
         Example: `site.trouble("n1", "kill")`
         """
         self.tape.put(self.world.time, "trouble", name=name, what=what)
 
-    def mend(self, name, what=None):
+    def mend(self, name: str, what: str | None = None) -> None:
         """Note that a trouble is over: what it was, or what a process's start ends.
 
         Example: `site.mend("n1", "freeze")`
         """
         self.tape.put(self.world.time, "mend", name=name, **({"what": what} if what else {}))
 
-    def later(self, seconds, f, *args):
+    def later(self, seconds: float, f: collections.abc.Callable[..., object], *args: typing.Any) -> None:
         """Do something after a while, whatever the scene does meanwhile.
 
         Example: `site.later(3, site.restart, "n1")`
         """
         self.world.push(self.world.time + int(seconds * S), lambda: f(*args))
 
-    def process(self, name):
+    def process(self, name: str) -> sim.Proc:
         """The process of a name.
 
         Example: `site.process("n1").freeze()`
         """
         return (self.nodes.get(name) or self.cores.get(name) or self.workers[name]).proc
 
-    def restart(self, name):
+    def restart(self, name: str) -> None:
         """Start a node or core again where it was.
 
         Example: `site.restart("n1")`
@@ -673,7 +685,7 @@
         (self.start_node if name in self.nodes else self.start_core)(name)
         self.mend(name)
 
-    def kill(self, name, back):
+    def kill(self, name: str, back: int) -> None:
         """Kill a node or core; it comes back after so many seconds.
 
         Example: `site.kill("n1", 3)`
@@ -682,7 +694,7 @@
         self.process(name).kill()
         self.later(back, self.restart, name)
 
-    def power(self, name, back, wipe=False):
+    def power(self, name: str, back: int, wipe: bool = False) -> None:
         """A node or core loses power, perhaps its disk too.
 
         Example: `site.power("c1", 3, wipe=True)`
@@ -694,7 +706,7 @@
             m.synced.clear()
         self.later(back, self.restart, name)
 
-    def freeze(self, name, seconds):
+    def freeze(self, name: str, seconds: int) -> None:
         """Freeze a node or core for a while.
 
         Example: `site.freeze("n1", 3)`
@@ -702,13 +714,13 @@
         self.trouble(name, "freeze")
         self.process(name).freeze()
 
-        def wake():
+        def wake() -> None:
             self.process(name).wake()
             self.mend(name, "freeze")
 
         self.later(seconds, wake)
 
-    def cut(self, name, seconds, clients=False, both=True):
+    def cut(self, name: typing.Any, seconds: typing.Any, clients: bool = False, both: bool = True) -> None:
         """Cut a machine off from all others, and from clients if said; perhaps only what it sends.
 
         Example: `site.cut("n1", 5)`
@@ -718,14 +730,14 @@
         others = [h for h in self.world.machines if h != host and (clients or self.world.zone(h) != "far")]
         self.world.cut([host], others, both)
 
-        def heal():
+        def heal() -> None:
             self.world.cuts = {(a, b) for a, b in self.world.cuts if host not in (a, b)}
             self.world.retry()
             self.mend(name, "cut")
 
         self.later(seconds, heal)
 
-    def reset_some(self, share):
+    def reset_some(self, share: typing.Any) -> None:
         """Reset a share of the connections between machines of ours.
 
         Example: `site.reset_some(0.4)`
@@ -742,7 +754,7 @@
             self.trouble(n, "reset")
             self.mend(n, "reset")
 
-    def lossy(self, zone, share, seconds):
+    def lossy(self, zone: str, share: float, seconds: int) -> None:
         """The links of a hall's machines lose packets for a while.
 
         Example: `site.lossy("mobile", 0.02, 5)`
@@ -752,14 +764,14 @@
             self.trouble(n, "lossy")
             self.world.loss[self.places[n][0]] = share
 
-        def over():
+        def over() -> None:
             for n in names:
                 self.world.loss.pop(self.places[n][0], None)
                 self.mend(n, "lossy")
 
         self.later(seconds, over)
 
-    def disk(self, name, state, seconds):
+    def disk(self, name: str, state: str, seconds: int) -> None:
         """A core machine's disk is slow, full or stalled for a while.
 
         Example: `site.disk("c1", "slow", 5)`
@@ -768,13 +780,13 @@
         m = self.process(name).host
         m.disk = state
 
-        def over():
+        def over() -> None:
             m.mend()
             self.mend(name, f"disk {state}")
 
         self.later(seconds, over)
 
-    def replace_core(self, name, gently=False):
+    def replace_core(self, name: str, gently: bool = False) -> None:
         """A core machine goes for good, and an empty one comes at another address; settings files change.
 
         Example: `site.replace_core("c1")`
@@ -793,7 +805,7 @@
         self.tape.put(self.world.time, "machine", name=new, host=self.places[new][0], role="core")
         self.trouble(new, "new")
 
-        def come():
+        def come() -> None:
             self.start_core(new)
             self.mend(new)
             for owner in [*self.nodes, *(c for c in self.cores if c != new)]:
@@ -802,7 +814,7 @@
         self.cores[new] = old  # its name and place stand in the settings from now on
         self.later(1, come)
 
-    def term(self, name, grace=8.0, back=0.5):
+    def term(self, name: str, grace: float = 8.0, back: float = 0.5) -> None:
         """Send a node or core a SIGTERM, and SIGKILL after the grace; it comes back once it has ended.
 
         Example: `site.term("n1")`
@@ -811,7 +823,7 @@
         self.tape.put(self.world.time, "term", name=name)
         self.trouble(name, "term")
 
-        def end(_=None):
+        def end(_: None = None) -> None:
             if proc.alive:
                 proc.kill()
                 self.later(back, self.restart, name)
@@ -819,7 +831,7 @@
         owner.mach.spawn(owner.stop(), log).addBoth(end)
         self.later(grace, end)
 
-    def crash(self, name, how="reset", back=None, listed=3.0):
+    def crash(self, name: str, how: str = "reset", back: float | None = None, listed: float = 3.0) -> None:
         """A worker crashes: connections are reset, or it goes dark; it may come back as a new life.
 
         Example: `site.crash("w1", "dark", back=4)`
@@ -835,7 +847,7 @@
         if back is not None:
             self.later(back, self.start_worker, name, w.host, w.zone)
 
-    def release(self, name, host=None):
+    def release(self, name: str, host: None = None) -> None:
         """Replace a worker: its successor comes, then it is shown as leaving, goes on for a while, and ends.
 
         Example: `site.release("w1")`
@@ -844,7 +856,7 @@
         w.leaving = True
         self.listing.show(w.id, state=words.WORD["draining"])
 
-        def end():
+        def end() -> None:
             w.proc.kill()
             w.stop()
             self.listing.drop(w.id)
@@ -853,7 +865,7 @@
         k = len(self.world.procs)
         self.start_worker(f"{name}.{k}", host or f"10.128.1.{k}", w.zone)
 
-    def ill(self, names, seconds, health="", **ills):
+    def ill(self, names: typing.Any, seconds: typing.Any, health: str = "", **ills: typing.Any) -> None:
         """Let workers be ill for a while.
 
         Example: `site.ill(["w1"], 5, garble=0.1)`
@@ -863,7 +875,7 @@
             w.ills, w.health = ills, health
             self.tape.put(self.world.time, "ill", worker=w.id, ills=ills)
 
-        def well():
+        def well() -> None:
             for name in names:
                 w = self.workers[name]
                 w.ills, w.health = {}, ""
@@ -871,7 +883,7 @@
 
         self.later(seconds, well)
 
-    def live_workers(self):
+    def live_workers(self) -> list[str]:
         """The names of the workers that live and do not leave.
 
         Example: `site.live_workers()`
@@ -882,7 +894,7 @@
             if self.workers[n].proc.alive and not self.workers[n].leaving and self.workers[n].proc.host.power
         ]
 
-    def closing(self, how, down):
+    def closing(self, how: str, down: float) -> None:
         """The closing fault: every process is killed, or every machine loses power, or a core loses its disk.
 
         Example: `site.closing("kill_all", 1.0)`
@@ -900,7 +912,7 @@
                 self.process(name).host.synced.clear()
             self.later(down, self.restart, name)
 
-    def kinds(self):
+    def kinds(self) -> dict[typing.Any, typing.Any]:
         """What each kind of request is worth, for the judge.
 
         Example: `judge.worth(rows, site.kinds())`
--- a/bench/process_trial.py
+++ b/bench/process_trial.py
@@ -4,6 +4,8 @@
 python -m bench.process_trial swan --cases warden hall full
 """
 
+from __future__ import annotations
+
 import json
 import os
 import resource
@@ -11,6 +13,7 @@
 import signal
 import sys
 import time
+import typing
 
 import defopt
 
@@ -26,7 +29,7 @@
     Example: `t = Trial(fleet, 60)`; `t.fault("kill", "n1", True)`.
     """
 
-    def __init__(self, f, seconds, more=()):
+    def __init__(self, f: fleet.Fleet, seconds: int, more: list[str] = ()) -> None:
         self.fleet = f
         self.out = open(f.events("trial"), "w")
         self.tape = load.Events(self.out)
@@ -35,7 +38,7 @@
         self.load = f.load(seconds, *more)
         f.until(lambda: self.count("load") > 5, "the load has begun", 20)
 
-    def note(self, kind, **more):
+    def note(self, kind: str, **more: typing.Any) -> None:
         """Write a row to the trial's own log.
 
         Example: `trial.note("ended")`
@@ -43,7 +46,7 @@
         self.tape.put(machine.boottime(), kind, **more)
         self.out.flush()
 
-    def fault(self, what, target, large=False):
+    def fault(self, what: str, target: str, large: bool = False) -> None:
         """Note a fault.
 
         Example: `trial.fault("kill", "n1")`
@@ -62,21 +65,21 @@
             duty=role == "node" and target in self.fleet.on_duty(),
         )
 
-    def mend(self, what, target):
+    def mend(self, what: str, target: str) -> None:
         """Note that a fault is over.
 
         Example: `trial.mend("start", "n1")`
         """
         self.note("mend", what=what, target=target)
 
-    def zones(self):
+    def zones(self) -> dict[str, str]:
         """The halls of the nodes' doors.
 
         Example: `trial.zones()["127.0.0.1:8101"]`
         """
         return {f"{fleet.HOST}:{http}": self.fleet.zones[n] for n, (_, http) in self.fleet.nodes.items()}
 
-    def restart(self, name):
+    def restart(self, name: str) -> None:
         """Start a process again, and note that its fault is over.
 
         Example: `trial.restart("n1")`
@@ -85,7 +88,7 @@
         self.note("moved", zones=self.zones())
         self.mend("start", name)
 
-    def count(self, name):
+    def count(self, name: str) -> int:
         """How many lines a log has so far.
 
         Example: `trial.count("load")`
@@ -96,7 +99,7 @@
         except FileNotFoundError:
             return 0
 
-    def served(self, n):
+    def served(self, n: int) -> None:
         """Wait until the workers have finished n more exchanges.
 
         Example: `trial.served(20)`
@@ -105,7 +108,7 @@
         goal = done() + 2 * n
         self.fleet.until(lambda: done() >= goal, f"{n} more exchanges are served", 30)
 
-    def finish(self):
+    def finish(self) -> tuple[dict[str, typing.Any], dict[str, list[str]], list[str]]:
         """Wait for the load, read the configuration back, judge: report, complaints, recoveries.
 
         Example: `report, found, back = trial.finish()`
@@ -130,7 +133,7 @@
 # ---- cases ---------------------------------------------------------------------------------
 
 
-def spread(t, names, seconds):
+def spread(t: typing.Any, names: typing.Any, seconds: typing.Any) -> None:
     """Kill processes at once, let the load go on, start them again.
 
     Example: `spread(t, ["n1", "n2"], 4)`
@@ -144,7 +147,7 @@
     time.sleep(9)
 
 
-def change(t):
+def change(t: typing.Any) -> None:
     """A change of the configuration is confirmed."""
     doc = json.loads(json.dumps(t.fleet.blueprint))
     doc["routes"]["late"] = {"path": "/v1/late", "pool": t.fleet.pool}
@@ -153,7 +156,7 @@
     print(f"change acknowledged after {1000 * (time.monotonic() - began):.0f} ms")
 
 
-def drain(t):
+def drain(t: typing.Any) -> None:
     """A worker is listed as leaving, then gone, then ended; another one comes."""
     name = sorted(t.fleet.workers)[0]
     t.fleet.add_worker(f"{name}b")
@@ -164,36 +167,36 @@
     time.sleep(3)
 
 
-def node(t):
+def node(t: typing.Any) -> None:
     """A node is killed and started again."""
     spread(t, [next(n for n in t.fleet.nodes if n not in t.fleet.on_duty())], 4)
 
 
-def warden(t):
+def warden(t: typing.Any) -> None:
     """The warden is killed and started again."""
     spread(t, [t.fleet.warden()], 4)
 
 
-def core(t):
+def core(t: typing.Any) -> None:
     """Each core machine in turn is killed and started again."""
     for c in sorted(t.fleet.cores):
         spread(t, [c], 3)
 
 
-def hall(t):
+def hall(t: typing.Any) -> None:
     """All processes of a hall are killed at once."""
     zone = sorted(set(t.fleet.zones.values()))[-1]
     spread(t, [x for x in [*t.fleet.cores, *t.fleet.nodes] if t.fleet.zones[x] == zone], 4)
     time.sleep(6)
 
 
-def everything(t):
+def everything(t: typing.Any) -> None:
     """All cores and nodes are killed at once."""
     spread(t, [*t.fleet.cores, *t.fleet.nodes], 0.5)
     time.sleep(6)
 
 
-def freeze(t):
+def freeze(t: typing.Any) -> None:
     """The warden freezes for four seconds, then a core machine."""
     for name in (t.fleet.warden(), sorted(t.fleet.cores)[-1]):
         t.fault("freeze", name)
@@ -204,7 +207,7 @@
         time.sleep(8)
 
 
-def blank(t):
+def blank(t: typing.Any) -> None:
     """A core machine comes back with an empty data folder."""
     name = sorted(t.fleet.cores)[0]
     t.fault("disk lost", name)
@@ -216,7 +219,7 @@
     time.sleep(4)
 
 
-def moved(t):
+def moved(t: typing.Any) -> None:
     """A core machine is gone for good; an empty one comes at a new address."""
     name = sorted(t.fleet.cores)[0]
     t.fault("gone for good", name)
@@ -229,7 +232,7 @@
     time.sleep(4)
 
 
-def full(t):
+def full(t: typing.Any) -> None:
     """A core machine's files may not grow or change for a while: its disk refuses every write."""
     name = sorted(t.fleet.cores)[-1]
     pid = t.fleet.procs[name].pid
@@ -247,7 +250,7 @@
     time.sleep(3)
 
 
-def roll(t):
+def roll(t: typing.Any) -> None:
     """Every node and core is stopped in good order and started again, one after the other."""
     for name in [*t.fleet.nodes, *t.fleet.cores]:
         if name in t.fleet.cores:
@@ -262,7 +265,9 @@
 CASES = {f.__name__: f for f in (change, drain, node, warden, core, hall, everything, freeze, blank, moved, full, roll)}
 
 
-def run(shape: str = "magnolia", *, cases: list[str] = (), long_rate: float = 4.0, short_rate: float = 40.0):
+def run(
+    shape: str = "magnolia", *, cases: list[str] = (), long_rate: float = 4.0, short_rate: float = 40.0
+) -> typing.NoReturn:
     """Run a fleet under load through cases of changes and faults, and judge what the outside saw.
 
     :param shape: magnolia, swan or small
--- a/bench/scenes.py
+++ b/bench/scenes.py
@@ -4,18 +4,30 @@
 found by name; `SCENES` lists them.
 """
 
+from __future__ import annotations
+
+import collections.abc
+import typing
+
 import bench.simulated_cluster as simulated_cluster
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.defer as defer
+
+    import iriswheel.core as core
+    import iriswheel.node as node_module
+
+
 S = simulated_cluster.S
 
 
-def changes(t, n=8, gap=4.0):
+def changes(t: simulated_cluster.SimulatedCluster, n: int = 8, gap: float = 4.0) -> defer.Deferred[typing.Any]:
     """Let the operator confirm n changes, one each gap seconds.
 
     Example: `changes(t, 3)`
     """
 
-    async def go():
+    async def go() -> None:
         for k in range(t.probe + 1, t.probe + 1 + n):
             await t.boss.change(t.with_probe(k))
             await t.office_mach.sleep(int(gap * S))
@@ -23,7 +35,7 @@
     return t.office_mach.spawn(go(), simulated_cluster.log)
 
 
-def some_node(t, warden=None):
+def some_node(t: simulated_cluster.SimulatedCluster, warden: bool | None = None) -> node_module.Node:
     """A live node by chance; with `warden` said, that one or one that is not it.
 
     Example: `some_node(t, warden=False).me.name`
@@ -37,7 +49,7 @@
     return t.nodes[t.rng.choice(names)]
 
 
-def some_core(t):
+def some_core(t: simulated_cluster.SimulatedCluster) -> core.Core:
     """A live core by chance.
 
     Example: `some_core(t).options.name`
@@ -45,7 +57,13 @@
     return t.cores[t.rng.choice([c for c in sorted(t.cores) if t.cores[c].proc.alive])]
 
 
-def kill(t, proc_owner, name, back=None, large=False):
+def kill(
+    t: simulated_cluster.SimulatedCluster,
+    proc_owner: core.Core | node_module.Node,
+    name: str,
+    back: float | None = None,
+    large: bool = False,
+) -> None:
     """Kill a process, and start it again after a while.
 
     Example: `kill(t, t.nodes["n1"], "n1", back=3)`
@@ -56,20 +74,20 @@
         t.world.push(t.world.time + int(back * S), lambda: restart(t, name))
 
 
-def later(t, seconds, what, target, f):
+def later(t: typing.Any, seconds: typing.Any, what: typing.Any, target: typing.Any, f: typing.Any) -> None:
     """Mend something after a while, and note it.
 
     Example: `later(t, 3, "wake", "n1", proc.wake)`
     """
 
-    def mend():
+    def mend() -> None:
         f()
         t.mend(what, target)
 
     t.world.push(t.world.time + int(seconds * S), mend)
 
 
-def restart(t, name):
+def restart(t: simulated_cluster.SimulatedCluster, name: str) -> None:
     """Start a core, node or worker again where it was.
 
     Example: `restart(t, "n1")`
@@ -83,13 +101,13 @@
         t.start_worker(name, t.workers[name].host)
 
 
-def calm(t):
+def calm(t: simulated_cluster.SimulatedCluster) -> None:
     """Nothing happens, but for the operator's changes."""
     changes(t)
     t.go(40)
 
 
-def kill_node(t):
+def kill_node(t: simulated_cluster.SimulatedCluster) -> None:
     """One node after the other is killed and comes back."""
     changes(t)
     for _ in range(3):
@@ -99,7 +117,7 @@
         t.go(6)
 
 
-def kill_warden(t):
+def kill_warden(t: simulated_cluster.SimulatedCluster) -> None:
     """The warden is killed, and its successor too."""
     changes(t)
     for _ in range(2):
@@ -109,7 +127,7 @@
         t.go(14)
 
 
-def kill_pair(t):
+def kill_pair(t: simulated_cluster.SimulatedCluster) -> None:
     """The warden and, about when its duty moves, the tail are killed; the newest roster may be lost with it."""
     changes(t, 10, 4)
     for _ in range(3):
@@ -122,7 +140,7 @@
         t.go(12)
 
 
-def kill_core(t):
+def kill_core(t: simulated_cluster.SimulatedCluster) -> None:
     """Core machines' processes are killed in turn and come back."""
     changes(t, 12, 3)
     for _ in range(3):
@@ -132,7 +150,7 @@
         t.go(11)
 
 
-def power_after_ack(t):
+def power_after_ack(t: simulated_cluster.SimulatedCluster) -> None:
     """A core machine loses power just after an acknowledgement, with the disk or without."""
     for _ in range(1, 4):
         t.go(4)
@@ -149,7 +167,7 @@
         t.go(16)
 
 
-def kill_many(t):
+def kill_many(t: simulated_cluster.SimulatedCluster) -> None:
     """The warden, its copies and more nodes are killed at once."""
     changes(t)
     t.go(8)
@@ -164,7 +182,7 @@
     t.go(25)
 
 
-def roll_nodes(t):
+def roll_nodes(t: simulated_cluster.SimulatedCluster) -> None:
     """Nodes are stopped in good order and started again, one after the other."""
     changes(t)
     for name in sorted(t.nodes)[:4]:
@@ -178,7 +196,7 @@
         t.until(lambda: t.platform.told.get(name), 10)
 
 
-def upgrade(t):
+def upgrade(t: simulated_cluster.SimulatedCluster) -> None:
     """Half of the fleet is brought to the next version of our messages, all of it, and half back again."""
     changes(t, 16, 3)
     next_one = t.nodes["n1"].mach.version + 1
@@ -195,7 +213,7 @@
         t.until(lambda: t.platform.told.get(name), 10) if name in t.nodes else t.go(6)
 
 
-def roll_cores(t):
+def roll_cores(t: simulated_cluster.SimulatedCluster) -> None:
     """Core machines are stopped in good order and started again, one after the other."""
     changes(t, 10)
     for name in sorted(t.cores):
@@ -209,7 +227,7 @@
         t.go(8)
 
 
-def kill_hall(t):
+def kill_hall(t: simulated_cluster.SimulatedCluster) -> None:
     """A whole hall loses power, and comes back."""
     changes(t)
     t.go(8)
@@ -224,7 +242,7 @@
     t.go(20)
 
 
-def kill_all_cores(t):
+def kill_all_cores(t: simulated_cluster.SimulatedCluster) -> None:
     """All core machines are killed at once and come back."""
     changes(t)
     t.go(8)
@@ -233,7 +251,7 @@
     t.go(25)
 
 
-def kill_all(t):
+def kill_all(t: simulated_cluster.SimulatedCluster) -> None:
     """Everything of ours is killed at once and comes back."""
     changes(t)
     t.go(8)
@@ -242,7 +260,7 @@
     t.go(25)
 
 
-def disk_lost(t):
+def disk_lost(t: simulated_cluster.SimulatedCluster) -> None:
     """Core machines lose their disks, one after the other."""
     changes(t, 10)
     for _ in range(2):
@@ -256,7 +274,7 @@
         t.go(15)
 
 
-def disk_sick(t):
+def disk_sick(t: simulated_cluster.SimulatedCluster) -> None:
     """A core machine's disk is full, slow or stalled for a while."""
     changes(t, 10, 2)
     for sort in ("full", "slow", "stalled"):
@@ -270,7 +288,7 @@
         t.go(6)
 
 
-def freeze(t):
+def freeze(t: simulated_cluster.SimulatedCluster) -> None:
     """The warden, a node and a core machine freeze and wake."""
     changes(t, 12, 3)
     for pick in (lambda: some_node(t, warden=True), lambda: some_node(t), lambda: some_core(t)):
@@ -284,7 +302,7 @@
         t.go(9)
 
 
-def cut_core_one(t):
+def cut_core_one(t: simulated_cluster.SimulatedCluster) -> None:
     """One core machine is cut off from everything."""
     changes(t, 12, 2)
     for _ in range(2):
@@ -298,7 +316,7 @@
         t.go(8)
 
 
-def cut_core_two(t):
+def cut_core_two(t: simulated_cluster.SimulatedCluster) -> None:
     """The core is cut in two: one machine with some nodes, two with the others."""
     changes(t, 12, 2)
     t.go(6)
@@ -315,7 +333,7 @@
     t.go(18)
 
 
-def cut_core_off(t):
+def cut_core_off(t: simulated_cluster.SimulatedCluster) -> None:
     """The whole core is cut off from all nodes."""
     changes(t, 8, 3)
     t.go(6)
@@ -327,7 +345,7 @@
     t.go(16)
 
 
-def cut_node(t):
+def cut_node(t: simulated_cluster.SimulatedCluster) -> None:
     """One node is cut off from the fleet, but not from its clients and the workers."""
     changes(t, 12, 3)
     for warden in (False, True):
@@ -346,7 +364,7 @@
         t.go(8)
 
 
-def one_way(t):
+def one_way(t: simulated_cluster.SimulatedCluster) -> None:
     """What one machine sends is lost, what it gets is not; or the reverse."""
     changes(t, 12, 3)
     for pick in (lambda: some_core(t), lambda: some_node(t)):
@@ -364,7 +382,7 @@
         t.go(12)
 
 
-def slow_link(t):
+def slow_link(t: simulated_cluster.SimulatedCluster) -> None:
     """A node's link and a core machine's link grow slow."""
     changes(t, 10, 3)
     for x in (some_node(t), some_core(t)):
@@ -377,7 +395,7 @@
         t.go(4)
 
 
-def lossy_link(t):
+def lossy_link(t: simulated_cluster.SimulatedCluster) -> None:
     """A node's link and a core machine's link lose a fifth of all packets."""
     changes(t, 10, 3)
     for x in (some_node(t), some_core(t)):
@@ -390,7 +408,7 @@
         t.go(4)
 
 
-def new_address(t):
+def new_address(t: simulated_cluster.SimulatedCluster) -> None:
     """A core machine is gone for good; an empty one comes at a new address."""
     changes(t, 12, 3)
     t.go(6)
@@ -398,7 +416,7 @@
     t.go(25)
 
 
-def replace(t, c, name, host):
+def replace(t: typing.Any, c: typing.Any, name: typing.Any, host: typing.Any) -> None:
     """One core machine is gone for good, another takes its place.
 
     Example: `replace(t, t.cores["c1"], "c4", "10.0.1.4")`
@@ -411,7 +429,7 @@
     t.start_core(name, host, c.options.zone)
 
 
-def replace_all(t):
+def replace_all(t: simulated_cluster.SimulatedCluster) -> None:
     """All core machines are replaced in turn by empty ones at new addresses."""
     changes(t, 14, 3)
     for k, name in enumerate(sorted(t.cores), 4):
@@ -420,7 +438,7 @@
         t.go(13)
 
 
-def worker_crash(t):
+def worker_crash(t: simulated_cluster.SimulatedCluster) -> None:
     """A worker crashes and comes back; another goes dark."""
     changes(t, 6, 5)
     t.go(5)
@@ -436,7 +454,7 @@
     t.go(10)
 
 
-def worker_vanish(t):
+def worker_vanish(t: simulated_cluster.SimulatedCluster) -> None:
     """A worker's machine is gone for good without a word; the platform notices some seconds later."""
     changes(t, 6, 5)
     for _ in range(2):
@@ -449,7 +467,7 @@
         t.go(8)
 
 
-def worker_leaves(t):
+def worker_leaves(t: simulated_cluster.SimulatedCluster) -> None:
     """Workers are replaced one after another, as in a release: leaving, gone, a new one."""
     changes(t, 6, 5)
     for k, name in enumerate(sorted(t.workers)[:3]):
@@ -463,7 +481,7 @@
         t.go(4)
 
 
-def worker_storm(t):
+def worker_storm(t: simulated_cluster.SimulatedCluster) -> None:
     """All workers crash at once, and their clients retry, on and on."""
     changes(t, 4, 5)
     t.load.tries = 30
@@ -474,7 +492,7 @@
         t.go(20)
 
 
-def worker_breaks(t):
+def worker_breaks(t: simulated_cluster.SimulatedCluster) -> None:
     """Most workers take exchanges and break them off unanswered, though they are listed as ready."""
     changes(t, 4, 5)
     t.go(8)
@@ -489,7 +507,7 @@
     t.go(14)
 
 
-def worker_freeze(t):
+def worker_freeze(t: simulated_cluster.SimulatedCluster) -> None:
     """A worker freezes with exchanges on it, and wakes long after they were given up."""
     changes(t, 6, 5)
     t.go(8 + t.rng.random())
@@ -502,7 +520,7 @@
     t.go(16)
 
 
-def other_pool(t):
+def other_pool(t: simulated_cluster.SimulatedCluster) -> None:
     """A worker of a pool that no configuration allows is listed beside the others."""
     t.start_worker("s1", "10.0.3.90")
     t.platform.put("s1", pool="spare")
@@ -510,7 +528,7 @@
     t.go(25)
 
 
-def crowd(t):
+def crowd(t: simulated_cluster.SimulatedCluster) -> None:
     """A crowd arrives at once."""
     changes(t, 4, 5)
     t.go(5)
@@ -521,7 +539,7 @@
     t.go(20)
 
 
-def hot_key(t):
+def hot_key(t: simulated_cluster.SimulatedCluster) -> None:
     """One conversation draws most of the traffic."""
     changes(t, 4, 5)
     t.go(5)
@@ -531,7 +549,7 @@
     t.go(10)
 
 
-def many_talks(t):
+def many_talks(t: simulated_cluster.SimulatedCluster) -> None:
     """More conversations than all workers may hold."""
     t.go(3)
     for k in range(80):
@@ -540,7 +558,7 @@
     t.go(20)
 
 
-def burst(t):
+def burst(t: simulated_cluster.SimulatedCluster) -> None:
     """Changes arrive in quick bursts, while a core machine is killed."""
     done = changes(t, 25, 0.05)
     t.go(3)
@@ -550,11 +568,11 @@
     t.go(14)
 
 
-def race(t):
+def race(t: simulated_cluster.SimulatedCluster) -> None:
     """Two operators race each other, while the head is killed."""
     other = simulated_cluster.Operator(t, t.office_mach, "other")
 
-    async def go(op, ks):
+    async def go(op: simulated_cluster.Operator, ks: range) -> None:
         for k in ks:
             await op.change(t.with_probe(k), tries=60)
 
@@ -569,11 +587,11 @@
     t.go(14)
 
 
-def many_routes(t):
+def many_routes(t: simulated_cluster.SimulatedCluster) -> None:
     """The configuration grows by many routes."""
     more = {f"r{k}": {"path": f"/r/{k}", "pool": t.pool} for k in range(400)}
 
-    async def go():
+    async def go() -> None:
         for k in range(1, 5):
             part = dict(list(more.items())[: k * 100])
             await t.boss.change(t.with_probe(k, part))
@@ -586,7 +604,7 @@
     t.go(16)
 
 
-def last_fault(t):
+def last_fault(t: simulated_cluster.SimulatedCluster) -> None:
     """The day ends with one last fault, right after the last change."""
     changes(t, 6, 3)
     t.go(22)
@@ -601,7 +619,7 @@
         restart(t, c.options.name)
 
 
-def mixed(t):
+def mixed(t: simulated_cluster.SimulatedCluster) -> None:
     """Faults of several kinds, one on the other."""
     changes(t, 20, 2)
     for _ in range(6):
@@ -641,7 +659,7 @@
 # ---- bad links, slow reports ------------------------------------------------------------
 
 
-def blind(t, node, workers, seconds):
+def blind(t: typing.Any, node: typing.Any, workers: typing.Any, seconds: typing.Any) -> None:
     """Cut the links between one node and some workers for a while; all else goes on.
 
     Example: `blind(t, t.warden(), ["w1"], 10)`
@@ -653,7 +671,7 @@
     t.mend("heal", node.me.name)
 
 
-def blind_warden(t):
+def blind_warden(t: simulated_cluster.SimulatedCluster) -> None:
     """The warden is cut from one worker, then from all, and from nothing else."""
     changes(t, 6, 5)
     t.go(6 + t.rng.random())
@@ -663,7 +681,7 @@
     t.go(6)
 
 
-def blind_node(t):
+def blind_node(t: simulated_cluster.SimulatedCluster) -> None:
     """A node that is no warden is cut from one worker, then from all, and from nothing else."""
     changes(t, 6, 5)
     t.go(6 + t.rng.random())
@@ -673,7 +691,7 @@
     t.go(6)
 
 
-def load_reports(t):
+def load_reports(t: simulated_cluster.SimulatedCluster) -> None:
     """Workers whose load report is late, missing, unreadable, of wrong types, or never comes; all serve."""
     changes(t, 6, 5)
     t.go(4)
@@ -688,7 +706,7 @@
 # ---- configurations that change what carries traffic ------------------------------------------
 
 
-def spare_pool(t, n=2):
+def spare_pool(t: simulated_cluster.SimulatedCluster, n: int = 2) -> None:
     """Two more workers, in a second pool that the configuration knows.
 
     Example: `spare_pool(t)`
@@ -699,7 +717,12 @@
     t.blueprint["pools"]["spare"] = dict(t.blueprint["pools"][t.pool])
 
 
-def edited(t, edit, op=None, patch=False):
+def edited(
+    t: simulated_cluster.SimulatedCluster,
+    edit: collections.abc.Callable[..., object],
+    op: None = None,
+    patch: bool = False,
+) -> None:
     """Let an operator change the configuration by edit(doc), and wait for the confirm.
 
     Example: `edited(t, lambda doc: doc["pools"]["desk"].update(cap=2))`
@@ -709,7 +732,7 @@
     t.until(lambda: done.called, 40)
 
 
-def main_route(t):
+def main_route(t: typing.Any) -> typing.Any:
     """The name of the route that carries the load.
 
     Example: `t.blueprint["routes"][main_route(t)]["pool"] = "spare"`
@@ -717,7 +740,7 @@
     return next(n for n, r in t.blueprint["routes"].items() if r["path"] == "/v1/complete")
 
 
-def route_moves(t):
+def route_moves(t: simulated_cluster.SimulatedCluster) -> None:
     """The route that carries the load moves between two pools that both serve; its wardens die meanwhile."""
     spare_pool(t, 3)
     t.paths = ["/v1/complete"]
@@ -741,7 +764,7 @@
     t.go(6)
 
 
-def pool_comes_and_goes(t):
+def pool_comes_and_goes(t: simulated_cluster.SimulatedCluster) -> None:
     """A pool and its route are added, removed, and added again, while others serve; a core dies meanwhile."""
     t.paths = ["/spare/x"]
     for k in range(4):
@@ -751,7 +774,7 @@
             edited(t, lambda doc: doc["routes"].update(spare={"path": "/spare", "pool": "spare"}))
         else:
 
-            def drop(doc):
+            def drop(doc: typing.Any) -> None:
                 del doc["routes"]["spare"], doc["pools"]["spare"]
 
             edited(t, drop, patch=True)
@@ -761,7 +784,7 @@
     t.go(8)
 
 
-def zones_move(t):
+def zones_move(t: simulated_cluster.SimulatedCluster) -> None:
     """A route's halls change again and again, while nodes die."""
     zones = sorted(set(t.halls))
     t.paths = ["/hall/x"]
@@ -777,11 +800,11 @@
     t.go(8)
 
 
-def cap_moves(t):
+def cap_moves(t: simulated_cluster.SimulatedCluster) -> None:
     """The cap is lowered below what is open, and raised again, while conversations open."""
     changes(t, 2, 2)
 
-    def open_talks(n, tag):
+    def open_talks(n: typing.Any, tag: typing.Any) -> None:
         for k in range(n):
             t.load.open.append(
                 t.load.mach.spawn(t.load.exchange("short", ["phrases", f"{tag}-{k}"]), simulated_cluster.log)
@@ -804,11 +827,11 @@
     t.go(6)
 
 
-def release(t):
+def release(t: simulated_cluster.SimulatedCluster) -> None:
     """The cap is full; silent conversations must make room, after a change of warden too."""
     t.load.talks = 0
 
-    def short(doc):
+    def short(doc: dict[str, dict[str, dict[str, typing.Any]]]) -> None:
         doc["pools"][t.pool].update(cap=3)
         for terms in doc["terms"].values():
             terms.update(lifetime_us=8 * S)
@@ -829,11 +852,11 @@
         t.go(17)
 
 
-def operators(t):
+def operators(t: simulated_cluster.SimulatedCluster) -> None:
     """Two operators patch the same field; plans are confirmed twice, late, and on another core."""
     other = simulated_cluster.Operator(t, t.office_mach, "other")
 
-    async def patch_cap(op, caps, k0):
+    async def patch_cap(op: simulated_cluster.Operator, caps: tuple[int, int, int], k0: int) -> None:
         for j, cap in enumerate(caps):
             doc = t.with_probe(k0 + 2 * j)
             doc["pools"][t.pool]["cap"] = cap
@@ -855,7 +878,7 @@
 # ---- machines, disks, the network ------------------------------------------------------------
 
 
-def wake_without_core(t):
+def wake_without_core(t: simulated_cluster.SimulatedCluster) -> None:
     """A node sleeps through a change and wakes while the whole core is gone; clients hold on to its address."""
     t.go(3)
     for _ in range(2):
@@ -877,7 +900,7 @@
         t.go(6)
 
 
-def freeze_many(t):
+def freeze_many(t: simulated_cluster.SimulatedCluster) -> None:
     """A hall's machines freeze together and wake; then half of all light machines."""
     changes(t, 10, 3)
     zone = t.rng.choice(sorted(set(t.halls)))
@@ -896,7 +919,7 @@
         t.go(16)
 
 
-def power_steps(t):
+def power_steps(t: simulated_cluster.SimulatedCluster) -> None:
     """A core machine loses power between two steps of a write: head, middle and tail, with the disk or without."""
     for place in t.rng.sample(range(3), 3):
         t.go(4)
@@ -924,7 +947,7 @@
         t.go(14)
 
 
-def empty_while_down(t):
+def empty_while_down(t: simulated_cluster.SimulatedCluster) -> None:
     """One core machine is down; another comes back with an empty disk."""
     changes(t, 8, 3)
     t.go(6)
@@ -942,7 +965,7 @@
     t.go(20)
 
 
-def disk_old(t):
+def disk_old(t: simulated_cluster.SimulatedCluster) -> None:
     """The head comes back with its disk as it was some changes ago: alone, then after all lost power."""
     t.go(2)
     for together in (False, True):
@@ -961,7 +984,7 @@
         t.go(14)
 
 
-def cut_sides(t):
+def cut_sides(t: simulated_cluster.SimulatedCluster) -> None:
     """The core and the nodes are cut in two sides, each with some of both."""
     changes(t, 12, 2)
     t.go(6)
@@ -979,7 +1002,7 @@
     t.go(18)
 
 
-def flap(t):
+def flap(t: simulated_cluster.SimulatedCluster) -> None:
     """A core machine's and a node's links break and heal every second."""
     changes(t, 12, 2)
     for x in (some_core(t), some_node(t)):
@@ -994,7 +1017,7 @@
         t.go(10)
 
 
-def cut_hall(t):
+def cut_hall(t: simulated_cluster.SimulatedCluster) -> None:
     """Each hall in turn is cut off from the other machines of ours."""
     changes(t, 14, 3)
     for zone in sorted(set(t.halls)):
@@ -1008,7 +1031,7 @@
         t.go(12)
 
 
-def platform_bad(t):
+def platform_bad(t: simulated_cluster.SimulatedCluster) -> None:
     """The platform can't be reached, is slow, answers nonsense, or once lists nobody."""
     changes(t, 8, 4)
     for sort in ("gone", "slow", "nonsense", "empty", "half"):
@@ -1027,7 +1050,7 @@
 # ---- workers ---------------------------------------------------------------------------------
 
 
-def worker_release(t):
+def worker_release(t: simulated_cluster.SimulatedCluster) -> None:
     """All workers are replaced one after another, faster than their drain deadline."""
     changes(t, 6, 5)
     for k, name in enumerate(sorted(t.workers)):
@@ -1040,7 +1063,7 @@
     t.go(8)
 
 
-def worker_returns(t):
+def worker_returns(t: simulated_cluster.SimulatedCluster) -> None:
     """A worker comes back under its name at a new address; another flaps between ready and leaving."""
     changes(t, 6, 5)
     t.go(5)
@@ -1057,7 +1080,7 @@
     t.go(8)
 
 
-def worker_garbles(t):
+def worker_garbles(t: simulated_cluster.SimulatedCluster) -> None:
     """A worker answers slowly, then stops in mid-stream, then breaks its answers off or sends too much."""
     changes(t, 6, 5)
     for mood in ("slow", "stops", "short", "long"):
@@ -1075,7 +1098,7 @@
 # ---- clients ------------------------------------------------------------------------------
 
 
-def rush(t):
+def rush(t: simulated_cluster.SimulatedCluster) -> None:
     """Ten times the short rate for some seconds, most of it with one shared prefix."""
     changes(t, 4, 5)
     t.go(4)
@@ -1086,7 +1109,7 @@
     t.go(10)
 
 
-def bad_requesters(t):
+def bad_requesters(t: simulated_cluster.SimulatedCluster) -> None:
     """Requesters that leave in mid-stream, read slowly, or send bad HTTP, beside proper ones."""
     changes(t, 4, 5)
     t.go(3)
@@ -1097,7 +1120,7 @@
     t.go(14)
 
 
-def retriers(t):
+def retriers(t: simulated_cluster.SimulatedCluster) -> None:
     """A node dies while clients retry at once and without end."""
     changes(t, 4, 5)
     t.load.tries, t.load.quick = 40, 0.8
@@ -1110,7 +1133,7 @@
     t.go(14)
 
 
-def twice_at_once(t):
+def twice_at_once(t: simulated_cluster.SimulatedCluster) -> None:
     """A second try arrives at another node while the first is still under way, or its refusal is on its way."""
     changes(t, 4, 5)
     t.go(3)
@@ -1127,7 +1150,7 @@
     t.go(3)
 
 
-def claim_then_death(t):
+def claim_then_death(t: simulated_cluster.SimulatedCluster) -> None:
     """The warden is killed between a claim and its send, a node before its send, a grant is lost on the link."""
     changes(t, 6, 5)
     t.load.tries = 6
@@ -1164,7 +1187,7 @@
 )
 
 
-def last_faults(t):
+def last_faults(t: simulated_cluster.SimulatedCluster) -> None:
     """The day ends with one last fault of any kind, right after the last change."""
     changes(t, 3, 3)
     t.go(12)
@@ -1211,7 +1234,7 @@
 # ---- sizes of the core, and losses with no pause between them ------------------------------------
 
 
-def blackout(t, wiped):
+def blackout(t: typing.Any, wiped: typing.Any) -> None:
     """All core machines lose power at once, some of them their disks too, and come back within a second.
 
     Example: `blackout(t, ["c2"])`
@@ -1227,7 +1250,7 @@
         restart(t, name)
 
 
-def closing_wipe(t):
+def closing_wipe(t: simulated_cluster.SimulatedCluster) -> None:
     """Right after a change was acknowledged all core machines lose power, one of them its disk as well."""
     for _ in range(4):
         t.go(5)
@@ -1236,7 +1259,7 @@
         t.go(9)
 
 
-def five_cores(t):
+def five_cores(t: simulated_cluster.SimulatedCluster) -> None:
     """Five core machines, of which any two may be lost: kills, lost disks, a blackout right after a change."""
     changes(t, 6, 4)
     t.until(lambda: t.tail() is not None and len(t.tail().membership.view.chain) == 5, 10)
@@ -1260,7 +1283,7 @@
 five_cores.town = {"cores": 5, "seats": 5, "copies": 3}
 
 
-def planned_replace(t):
+def planned_replace(t: simulated_cluster.SimulatedCluster) -> None:
     """A core machine is replaced as planned, the new one first; soon after, all lose power and one its disk."""
     for k in (4, 5):
         t.go(4)
@@ -1279,7 +1302,7 @@
         t.go(10)
 
 
-def seeds_turned(t):
+def seeds_turned(t: simulated_cluster.SimulatedCluster) -> None:
     """Core machines are replaced one after the other, and the seeds named anew; then all processes start again."""
     changes(t, 8, 3)
     for k in (4, 5, 6):
@@ -1373,7 +1396,7 @@
 }
 
 
-def play(scene, seed, shape="magnolia"):
+def play(scene: str, seed: int, shape: str = "magnolia") -> simulated_cluster.SimulatedCluster:
     """Play a scene with a seed; the town, with its log, after the day's end.
 
     Example: `t = play("kill_warden", 7)`; `replay.judge(t.tape.rows)`.
--- a/bench/second_loss.py
+++ b/bench/second_loss.py
@@ -9,12 +9,16 @@
 is over, or any machine as a stress beyond that.
 """
 
+from __future__ import annotations
+
 import collections
+import collections.abc
 import enum
 import itertools
 import multiprocessing
 import sys
 import time
+import typing
 
 import defopt
 import loguru
@@ -25,6 +29,12 @@
 import bench.sim as sim
 import iriswheel.agreement as agreement
 
+if typing.TYPE_CHECKING:
+    import bench.client_model as client_model
+    import iriswheel.core as core_module
+    import iriswheel.message as message
+
+
 MS, S = platform_model.MS, platform_model.S
 POLL_S = 0.001
 LEAD_S = 3
@@ -84,7 +94,7 @@
     seed: int
     slow_disk: bool = False  # of the newcomer, so that its refill takes longer
 
-    def options(self):
+    def options(self) -> str:
         """The options that play this case alone.
 
         >>> Case(3, Loss.WIPED, Step.SEEN, Target.SAME, Loss.GONE, 1).options()
@@ -110,7 +120,7 @@
     """Something was not reached in time."""
 
 
-def shape(cores):
+def shape(cores: int) -> platform_model.Shape:
     """A deployment of so many core machines with a node and a worker.
 
     >>> shape(5).bear
@@ -127,22 +137,22 @@
     Example: `Run(case).play()`
     """
 
-    def __init__(self, case):
+    def __init__(self, case: Case) -> None:
         self.case = case
         self.site = platform_model.Site(case.seed, seconds=0, load=TRAFFIC_SHARE)
         self.site.shape = shape(case.cores)
         self.rng = self.site.rng
         self.newcomer = ""  # the name of the machine that the first loss brings
-        self.leaving = set()  # the names of machines that have a successor, and are about to be stopped
-        self.before = None  # the process that had this name before
-        self.reached_us = None
-        self.leased_at = None
-        self.acknowledged = []  # (sent, answered) of each acknowledged change
+        self.leaving: set[str] = set()  # the names of machines that have a successor, and are about to be stopped
+        self.before: sim.Proc | None = None  # the process that had this name before
+        self.reached_us: int | None = None
+        self.leased_at: typing.Any = None
+        self.acknowledged: list[tuple[int, int]] = []  # (sent, answered) of each acknowledged change
         self.operating = True
 
     # ---- operators ---------------------------------------------------------------------
 
-    async def operate(self, operator, wait_us, version_gap):
+    async def operate(self, operator: client_model.Operator, wait_us: int, version_gap: int) -> None:
         """Send changes one after the other until the run ends.
 
         Example: `await run.operate(site.boss, 0, 0)`
@@ -161,7 +171,7 @@
                 self.take(await operator.read())
             await site.office.sleep(OPERATOR_GAP_US)
 
-    def take(self, document):
+    def take(self, document: dict[str, typing.Any]) -> None:
         """Build the next changes on a configuration, where it is newer.
 
         Example: `run.take(document)`
@@ -170,7 +180,7 @@
         if version > self.site.version:
             self.site.doc, self.site.version = document, version
 
-    def first_change_after(self, at):
+    def first_change_after(self, at: int) -> None:
         """When the first change was acknowledged that was sent after a time, or None.
 
         Example: `run.first_change_after(site.world.time)`
@@ -179,7 +189,7 @@
 
     # ---- losses ------------------------------------------------------------------------
 
-    def lose(self, name, loss):
+    def lose(self, name: str, loss: Loss) -> str:
         """Lose a machine; the name of the one that takes its place.
 
         Example: `run.lose("c1", Loss.GONE)`
@@ -194,7 +204,7 @@
             case Loss.PLANNED:
                 return self.replace_planned(name)
 
-    def replace_planned(self, name):
+    def replace_planned(self, name: str) -> str:
         """Start an empty machine at another address, and stop the old one after that: the new one's name.
 
         Example: `run.replace_planned("c1")`
@@ -212,7 +222,7 @@
         site.later(TERM_DELAY_S, self.terminate, name)
         return new
 
-    def terminate(self, name):
+    def terminate(self, name: str) -> None:
         """Stop a machine in good order, for good.
 
         Example: `run.terminate("c1")`
@@ -223,14 +233,14 @@
         for owner in [*site.nodes, *site.cores]:
             site.reload(owner)
 
-        def end(_=None):
+        def end(_: None = None) -> None:
             if old.proc.alive:
                 old.proc.kill()
 
         old.mach.spawn(old.stop(), platform_model.log).addBoth(end)
         site.later(GRACE_S, end)
 
-    def slow_disk(self, name):
+    def slow_disk(self, name: str) -> None:
         """Let a machine's disk be slow, also where the machine is yet to come.
 
         Example: `run.slow_disk("c4")`
@@ -243,14 +253,14 @@
 
     # ---- steps -------------------------------------------------------------------------
 
-    def live(self):
+    def live(self) -> list[core_module.Core]:
         """The core machines whose processes live.
 
         Example: `run.live()`
         """
         return [core for core in self.site.cores.values() if core.proc.alive]
 
-    def newest_view(self):
+    def newest_view(self) -> message.View:
         """The newest view that a live core machine knows.
 
         Example: `run.newest_view().number`
@@ -258,7 +268,7 @@
         views = [core.membership.view for core in self.live() if core.membership.view is not None]
         return max(views, key=lambda view: view.number, default=None)
 
-    def arrived(self):
+    def arrived(self) -> core_module.Core | None:
         """The newcomer once its process runs, or None.
 
         Example: `run.arrived()`
@@ -266,7 +276,7 @@
         core = self.site.cores.get(self.newcomer)
         return core if core is not None and core.proc is not self.before and core.proc.name == self.newcomer else None
 
-    def reached(self, step):
+    def reached(self, step: Step) -> bool:
         """Whether the newcomer's repair has come to a step.
 
         Example: `run.reached(Step.SEATED)`
@@ -294,14 +304,14 @@
                     self.leased_at = self.site.world.time
                 return self.leased_at is not None and self.first_change_after(self.leased_at) is not None
 
-    def tail_is_leased(self, view):
+    def tail_is_leased(self, view: message.View) -> bool:
         """Whether the tail of a view holds the read lease.
 
         Example: `run.tail_is_leased(run.newest_view())`
         """
         return any(core.membership.view == view and core.membership.leased() for core in self.live())
 
-    def complete(self):
+    def complete(self) -> bool:
         """Whether all core machines are in the chain, each synced, with a leased tail.
 
         Example: `run.complete()`
@@ -313,7 +323,7 @@
         synced = all(core.membership.view == view and agreement.is_synced(core.membership.record) for core in cores)
         return synced and len(members) == self.case.cores and self.tail_is_leased(view)
 
-    def wait(self, condition, what, seconds=REPAIR_S):
+    def wait(self, condition: collections.abc.Callable[..., object], what: str, seconds: int = REPAIR_S) -> None:
         """Let time pass until a condition holds.
 
         Example: `run.wait(run.complete, "the chain is not complete")`
@@ -326,7 +336,7 @@
 
     # ---- the run -----------------------------------------------------------------------
 
-    def struck(self):
+    def struck(self) -> list[str]:
         """The names of the machines that the second loss strikes.
 
         Example: `run.struck()`
@@ -343,7 +353,7 @@
             case Target.STRESS:
                 return self.rng.sample(others, borne)
 
-    def repair(self):
+    def repair(self) -> None:
         """Bring the first loss about, and let its repair come to the step of the case.
 
         Example: `run.repair()`
@@ -361,7 +371,7 @@
             self.wait(lambda: self.reached(step), f"the newcomer {self.newcomer} was not {step.value}")
         self.reached_us = self.site.world.time - began
 
-    def play(self):
+    def play(self) -> Outcome:
         """Play the case and judge it.
 
         Example: `Run(case).play().complaints`
@@ -391,7 +401,7 @@
         complaints += [f"{rule}: {line}" for rule, lines in judge.examine(site.tape.rows).items() for line in lines]
         return Outcome(self.case, complaints, len(self.acknowledged), self.reached_us, first_change_us, complete_us)
 
-    def finish(self):
+    def finish(self) -> None:
         """Stop the operators, and read the configuration back.
 
         Example: `run.finish()`
@@ -405,7 +415,15 @@
         site.tape.put(site.world.time, "ended")
 
 
-def cases(cores, seeds, firsts=tuple(Loss), steps=tuple(Step), seconds=tuple(Loss), targets=tuple(Target), slow=False):
+def cases(
+    cores: int,
+    seeds: list[int],
+    firsts: tuple[Loss, Loss, Loss] = tuple(Loss),
+    steps: tuple[Step, ...] = tuple(Step),
+    seconds: tuple[Loss, Loss, Loss] = tuple(Loss),
+    targets: tuple[Target, Target, Target, Target] = tuple(Target),
+    slow: bool = False,
+) -> list[Case]:
     """The cases of a deployment; those that strike when all is settled again do not depend on the step.
 
     >>> len(cases(3, [1])), len(cases(5, [1]))
@@ -423,7 +441,7 @@
     return out
 
 
-def play(case):
+def play(case: Case) -> Outcome:
     """Play one case in this process.
 
     Example: `play(Case(3, Loss.WIPED, Step.SEEN, Target.SAME, Loss.GONE, 1))`
@@ -432,7 +450,7 @@
     return Run(case).play()
 
 
-def report(outcomes):
+def report(outcomes: list[typing.Any]) -> list[typing.Any]:
     """One line for each target: runs, complaints, and how long the core took.
 
     >>> report([])
@@ -454,7 +472,7 @@
     return lines
 
 
-def report_steps(outcomes):
+def report_steps(outcomes: list[typing.Any]) -> list[typing.Any]:
     """One line for each kind of first loss: when its repair came to each step.
 
     >>> report_steps([])
@@ -473,7 +491,7 @@
     return lines
 
 
-def spread(times):
+def spread(times: list[int]) -> str:
     """Median and worst of sorted times in milliseconds.
 
     >>> spread([1_000, 2_000, 9_000])
@@ -493,7 +511,7 @@
     targets: list[Target] = tuple(Target),
     slow_disk: bool = False,
     procs: int = 2,
-):
+) -> typing.NoReturn:
     """Play a second loss at each step of each repair; print what is complained of, with its case.
 
     :param cores: core machines, 3 or 5
