--- a/bench/serving.py
+++ b/bench/serving.py
@@ -4,8 +4,12 @@
 bytes that are none, or sends another answer in the place of the next one.
 """
 
+from __future__ import annotations
+
 import collections
+import collections.abc
 import json
+import typing
 import urllib.parse
 import zlib
 
@@ -17,6 +21,14 @@
 import bench.words as words
 import iriswheel.machine as machine
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.interfaces as interfaces
+    import twisted.python.failure as failure
+
+    import bench.sim as sim
+    import bench.simulated_cluster as simulated_cluster
+
+
 MS, S = machine.MILLI, machine.SECOND
 PHRASES = {
     200: "OK",
@@ -32,7 +44,7 @@
 log = loguru.logger.bind(part="serving")
 
 
-def digest(raw):
+def digest(raw: bytes) -> str:
     """A short number for a body.
 
     >>> digest(b"") == digest(b"a")
@@ -41,7 +53,7 @@
     return f"{zlib.crc32(raw):08x}-{len(raw)}"
 
 
-def answer(code, heads, body=b""):
+def answer(code: int, heads: list[tuple[str, str]], body: bytes = b"") -> bytes:
     r"""A whole answer as bytes.
 
     >>> answer(404, [("X-A", "1")], b"no")
@@ -61,20 +73,20 @@
     Example: `talk.reply(answer(200, []))`
     """
 
-    def __init__(self, server):
+    def __init__(self, server: Server) -> None:
         self.server = server
         self.mach = server.mach
         self.parser = httptools.HttpRequestParser(self)
         self.up = False
-        self.busy = None  # what the server works on, or None
-        self.ahead = collections.deque()
-        self.idle = None
+        self.busy: Ask | None = None  # what the server works on, or None
+        self.ahead: collections.deque[typing.Any] = collections.deque()
+        self.idle: sim.Tick | None = None
         self.closing = False
         self.dropped = False  # silently: what comes next is reset
         self.served = 0
         self.heads, self.body, self.url = [], [], b""
 
-    def connectionMade(self):
+    def connectionMade(self) -> None:
         self.up = True
         self.peer = self.transport.getPeer().host
         if not self.server.opened(self):
@@ -83,12 +95,12 @@
             return
         self.rest()
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         self.up = False
         self.stop_idle()
         self.server.lost(self)
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         if self.dropped:
             self.transport.abortConnection()
             return
@@ -98,26 +110,26 @@
             self.server.bad(self)
             self.transport.abortConnection()
 
-    def on_message_begin(self):
+    def on_message_begin(self) -> None:
         self.heads, self.body, self.url = [], [], b""
 
-    def on_url(self, url):
+    def on_url(self, url: bytes) -> None:
         self.url += url
 
-    def on_header(self, name, value):
+    def on_header(self, name: bytes, value: bytes) -> None:
         self.heads.append((name.decode("latin-1"), value.decode("latin-1")))
 
-    def on_body(self, data):
+    def on_body(self, data: bytes) -> None:
         self.body.append(data)
 
-    def on_message_complete(self):
+    def on_message_complete(self) -> None:
         ask = Ask(self, self.parser.get_method().decode(), self.url.decode("latin-1"), self.heads, b"".join(self.body))
         if self.busy is not None:
             self.ahead.append(ask)
         else:
             self.begin(ask)
 
-    def begin(self, ask):
+    def begin(self, ask: Ask) -> None:
         """Let the server work on a request.
 
         Example: `talk.begin(ask)`
@@ -126,7 +138,7 @@
         self.busy = ask
         self.server.handle(ask)
 
-    def send(self, raw):
+    def send(self, raw: bytes) -> None:
         """Write bytes, where the connection still stands.
 
         Example: `talk.send(b"...")`
@@ -134,7 +146,7 @@
         if self.up:
             self.transport.write(raw)
 
-    def done(self, close=False):
+    def done(self, close: bool = False) -> None:
         """The answer is out; go on with the next request, or close.
 
         Example: `talk.done()`
@@ -150,7 +162,7 @@
         else:
             self.rest()
 
-    def rest(self):
+    def rest(self) -> None:
         """Wait for the next request, not for ever.
 
         Example: `talk.rest()`
@@ -159,7 +171,7 @@
         if self.server.idle_us:
             self.idle = self.mach.later(self.server.idle_us, self.tired)
 
-    def tired(self):
+    def tired(self) -> None:
         """Nothing came for long: close, or drop the connection without a word.
 
         Example: `talk.tired()`
@@ -169,7 +181,7 @@
         elif self.up:
             self.transport.loseConnection()
 
-    def stop_idle(self):
+    def stop_idle(self) -> None:
         """Stop waiting.
 
         Example: `talk.stop_idle()`
@@ -185,20 +197,22 @@
     '1'
     """
 
-    def __init__(self, talk, method, url, heads, body):
+    def __init__(self, talk: Talk | None, method: str, url: str, heads: list[tuple[str, str]], body: bytes) -> None:
         self.talk, self.method, self.url, self.body = talk, method, url, body
         self.path, _, self.query = url.partition("?")
         self.heads = heads
         self.over = False
 
-    def head(self, name, default=None):
+    def head(self, name: str, default: int | str | None = None) -> int | str | None:
         """A header's value; names have no case.
 
         Example: `ask.head("Host")`
         """
         return next((v for k, v in self.heads if k.lower() == name.lower()), default)
 
-    def reply(self, code, heads=(), body=b"", close=False):
+    def reply(
+        self, code: int, heads: collections.abc.Sequence[tuple[str, str]] = (), body: bytes = b"", close: bool = False
+    ) -> None:
         """Answer at once and whole.
 
         Example: `ask.reply(503, [("X-Not-Executed", "1")])`
@@ -210,7 +224,7 @@
         self.talk.send(answer(code, [*heads, *more], body))
         self.talk.done(close)
 
-    def reply_json(self, code, doc, heads=()):
+    def reply_json(self, code: int, doc: dict[str, typing.Any], heads: tuple[typing.Any, ...] = ()) -> None:
         """Answer with JSON.
 
         Example: `ask.reply_json(200, {})`
@@ -228,14 +242,14 @@
     idle_us = 0
     silent_drop = False
 
-    def __init__(self, mach):
+    def __init__(self, mach: machine.Machine) -> None:
         self.mach = mach
-        self.talks = []
+        self.talks: list[Talk] = []
 
-    def buildProtocol(self, addr):
+    def buildProtocol(self, addr: interfaces.IAddress | None) -> Talk:
         return Talk(self)
 
-    def opened(self, talk):
+    def opened(self, talk: Talk) -> bool:
         """Whether a new connection is taken.
 
         Example: `server.opened(talk)`
@@ -243,7 +257,7 @@
         self.talks.append(talk)
         return True
 
-    def lost(self, talk):
+    def lost(self, talk: Talk) -> None:
         """A connection is no more.
 
         Example: `server.lost(talk)`
@@ -251,7 +265,7 @@
         if talk in self.talks:
             self.talks.remove(talk)
 
-    def bad(self, talk):
+    def bad(self, talk: typing.Any) -> None:
         """Bytes came that are no request.
 
         Example: `server.bad(talk)`
@@ -264,14 +278,14 @@
     Example: `worker.runs[ask]`
     """
 
-    def __init__(self, ask, attempt, number):
+    def __init__(self, ask: Ask, attempt: str, number: int) -> None:
         self.ask, self.attempt, self.number = ask, attempt, number
         self.seal = ""
         self.began = False
         self.over = False
-        self.tick = None
+        self.tick: typing.Any = None
         self.way = ""  # how this one goes wrong
-        self.job = None
+        self.job: typing.Any = None
         self.events = 0
         self.raw, self.times = [], []
 
@@ -284,7 +298,17 @@
     Example: `w = Worker(mach, "w1", "desk", tape, rng=random.Random(1))`; `reactor.listenTCP(8080, w)`
     """
 
-    def __init__(self, mach, name, pool, tape, figures=None, conns=360, idle_us=5 * S, probe=words.PATH["probe"]):
+    def __init__(
+        self,
+        mach: machine.Machine,
+        name: str,
+        pool: str,
+        tape: simulated_cluster.Tape,
+        figures: engine.Figures | None = None,
+        conns: int = 360,
+        idle_us: int = 5 * S,
+        probe: str = words.PATH["probe"],
+    ) -> None:
         super().__init__(mach)
         self.name, self.pool, self.tape = name, pool, tape
         self.id = f"i-{mach.rng.getrandbits(32):08x}"
@@ -292,31 +316,31 @@
         self.engine = engine.Engine(mach, self.figures)
         self.conns, self.idle_us, self.probe = conns, idle_us, probe
         self.leaving = False
-        self.ills = {}
+        self.ills: dict[str, float] = {}
         self.health = ""  # or good or bad, whatever is true
         self.closes = 0.005  # how often an answer says that the connection ends
         self.lingers = 0.1  # how often a request goes on though its connection is gone
         self.linger_us = 1_500 * MS
         self.weights = 1
-        self.runs = {}
+        self.runs: dict[Ask, Run] = {}
         self.count = 0
         self.put("born", pool=pool)
 
-    def put(self, kind, **more):
+    def put(self, kind: str, **more: typing.Any) -> None:
         """Keep one event.
 
         Example: `worker.put("arrived", attempt="a1")`
         """
         self.tape.put(self.mach.now(), kind, worker=self.id, name=self.name, **more)
 
-    def opened(self, talk):
+    def opened(self, talk: Talk) -> bool:
         room = self.conns if len(self.engine.waiting) < self.figures.capacity else self.conns // 2
         self.put("opened", peer=talk.peer)
         if len(self.talks) >= room:
             return False
         return super().opened(talk)
 
-    def lost(self, talk):
+    def lost(self, talk: Talk) -> None:
         super().lost(talk)
         run = self.runs.get(talk.busy)
         if run is None or run.over:
@@ -326,7 +350,7 @@
         else:
             self.cut(run)
 
-    def cut(self, run):
+    def cut(self, run: Run) -> None:
         """Drop a request whose connection is gone.
 
         Example: `worker.cut(run)`
@@ -335,7 +359,7 @@
             self.engine.cancel(run.job)
             self.end(run, "cut")
 
-    def stop(self):
+    def stop(self) -> None:
         """This life ends.
 
         Example: `worker.stop()`
@@ -344,7 +368,7 @@
 
     # ---- requests ------------------------------------------------------------------------
 
-    def handle(self, ask):
+    def handle(self, ask: Ask) -> None:
         if (ask.method, ask.path) == ("GET", words.PATH["report"]):
             ask.reply_json(200, self.report())
         elif (ask.method, ask.path) == ("GET", self.probe):
@@ -352,7 +376,7 @@
         else:
             self.take(ask)
 
-    def report(self):
+    def report(self) -> dict[str, typing.Any]:
         """The report of how things stood some time ago.
 
         Example: `doc = worker.report()`
@@ -371,14 +395,14 @@
             w["accepts"]: 0,
         }
 
-    def models(self):
+    def models(self) -> list[dict[str, typing.Any]]:
         """The models it has.
 
         Example: `worker.models()`
         """
         return [{"name": self.figures.model, "version": self.weights, "adapters": []}]
 
-    def take_probe(self, ask):
+    def take_probe(self, ask: Ask) -> None:
         """A probe waits for a place as a request does.
 
         Example: `worker.take_probe(ask)`
@@ -387,13 +411,13 @@
         well = not self.leaving and not any(self.ills.values())
         well = {"good": True, "bad": False}.get(self.health, well)
 
-        def say(k, last):
+        def say(k: int, last: bool) -> None:
             ask.reply(200 if well else 503, [(words.HEAD["worker"], self.id)])
 
         if not self.engine.offer(engine.Job("probe", [], 1, event=say)):
             ask.reply(503, [(words.HEAD["not_run"], "1")])
 
-    def take(self, ask):
+    def take(self, ask: Ask) -> None:
         """A request: refuse it as one that has not run, or run it.
 
         Example: `worker.take(ask)`
@@ -465,7 +489,7 @@
         run.tick = self.mach.later(left * MS, self.expire, run)
 
     @staticmethod
-    def parts(text):
+    def parts(text: str) -> list[tuple[str, int]]:
         """The parts that a header names, as (id, tokens).
 
         >>> Worker.parts("5c:800,91:410")
@@ -473,7 +497,7 @@
         """
         return [(p.split(":")[0], int(p.split(":")[1])) for p in text.split(",") if p]
 
-    def began(self, run):
+    def began(self, run: Run) -> None:
         """A request runs from its first token on.
 
         Example: `worker.began(run)`
@@ -481,7 +505,7 @@
         run.began = True
         self.put("run", attempt=run.attempt, seal=run.seal, pool=self.pool, after=run.ask.head(words.HEAD["after"]))
 
-    def expire(self, run):
+    def expire(self, run: Run) -> None:
         """The deadline came: a request that has not begun never runs; another ends.
 
         Example: `worker.expire(run)`
@@ -500,7 +524,7 @@
             self.end(run, "expired")
             run.ask.talk.transport.abortConnection()
 
-    def end(self, run, how):
+    def end(self, run: Run, how: str) -> None:
         """A request is over.
 
         Example: `worker.end(run, "ran")`
@@ -520,7 +544,7 @@
                 body=digest(b"".join(run.raw)),
             )
 
-    def heads(self, run, close):
+    def heads(self, run: Run, close: bool) -> list[tuple[str, str]]:
         """The head of a successful answer's start.
 
         Example: `worker.heads(run, False)`
@@ -533,7 +557,7 @@
             out.append(("Keep-Alive", f"timeout={self.idle_us // S}"))
         return out
 
-    def event(self, run, k, last):
+    def event(self, run: Run, k: int, last: bool) -> None:
         """Put out one event of a stream, or a whole short answer.
 
         Example: `worker.event(run, 1, False)`
@@ -580,7 +604,7 @@
             talk.send(b"0\r\n\r\n")
             self.finish(run)
 
-    def begin_stream(self, run):
+    def begin_stream(self, run: Run) -> None:
         """Send the head of a stream.
 
         Example: `worker.begin_stream(run)`
@@ -590,7 +614,7 @@
         head = "".join(f"{a}: {b}\r\n" for a, b in heads)
         run.ask.talk.send(f"HTTP/1.1 200 OK\r\n{head}\r\n".encode())
 
-    def finish_short(self, run):
+    def finish_short(self, run: Run) -> None:
         """Give a whole short answer.
 
         Example: `worker.finish_short(run)`
@@ -608,7 +632,7 @@
         run.ask.talk.send(answer(200, self.heads(run, run.close), body))
         self.finish(run)
 
-    def finish(self, run):
+    def finish(self, run: Run) -> None:
         """The whole answer is out; one in trouble may send more, now or in the place of the next one.
 
         Example: `worker.finish(run)`
@@ -623,7 +647,7 @@
         run.ask.over = True
         talk.done(run.close)
 
-    def bad(self, talk):
+    def bad(self, talk: typing.Any) -> None:
         self.put("bad_request", peer=talk.peer)
 
 
@@ -633,15 +657,22 @@
     Example: `l = Listing(mach, tape)`; `l.show("i-1", pool="desk", address="10.0.3.1:80", zone="a")`
     """
 
-    def __init__(self, mach, tape, lag_us=800 * MS, rate=40.0, page=3):
+    def __init__(
+        self,
+        mach: machine.Machine,
+        tape: simulated_cluster.Tape,
+        lag_us: int = 800 * MS,
+        rate: float = 40.0,
+        page: int = 3,
+    ) -> None:
         super().__init__(mach)
         self.tape, self.lag_us, self.rate, self.page = tape, lag_us, rate, page
-        self.rows = {}
-        self.past = collections.deque([(0, {})])
-        self.calls = collections.deque()
+        self.rows: dict[str, dict[str, typing.Any]] = {}
+        self.past: collections.deque[tuple[int, dict[str, dict[typing.Any, typing.Any]]]] = collections.deque([(0, {})])
+        self.calls: collections.deque[int] = collections.deque()
         self.down = False
 
-    def show(self, ident, **more):
+    def show(self, ident: str, **more: list[dict[str, typing.Any]] | str) -> None:
         """List a worker, or change how it is listed; it is seen when the lag has gone.
 
         Example: `listing.show("i-1", state="draining")`
@@ -658,7 +689,7 @@
         self.rows = {**self.rows, ident: row}
         self.change(ident, row["state"], row["pool"])
 
-    def drop(self, ident):
+    def drop(self, ident: str) -> None:
         """List a worker no more.
 
         Example: `listing.drop("i-1")`
@@ -667,7 +698,7 @@
         self.rows = {k: v for k, v in self.rows.items() if k != ident}
         self.change(ident, "gone", pool)
 
-    def change(self, ident, state, pool):
+    def change(self, ident: str, state: str, pool: str) -> None:
         """Keep the list as it is from now on.
 
         Example: `listing.change("i-1", "gone", "desk")`
@@ -678,7 +709,7 @@
             self.past.popleft()
         self.tape.put(now, "listed", worker=ident, state=state, pool=pool, seen=now + self.lag_us)
 
-    def handle(self, ask):
+    def handle(self, ask: Ask) -> None:
         now = self.mach.now()
         while self.calls and self.calls[0] <= now - S:
             self.calls.popleft()
--- a/bench/sim.py
+++ b/bench/sim.py
@@ -4,11 +4,15 @@
 Nothing in here knows what a fleet is; bench/simulated_cluster.py builds fleets out of it.
 """
 
+from __future__ import annotations
+
 import collections
+import collections.abc
 import heapq
 import random
 import time
 import types
+import typing
 
 import twisted.internet.address as address
 import twisted.internet.defer as defer
@@ -20,6 +24,14 @@
 import iriswheel.machine as machine
 import iriswheel.store as store
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.protocol as protocol
+
+    import iriswheel.dispatch as dispatch
+    import iriswheel.web as web
+    import iriswheel.wire as wire
+
+
 HALL_US = 1_500  # between halls, one way
 NEAR_US = 200  # within a hall
 FAR_US = 4_000  # to and from clients
@@ -40,14 +52,14 @@
     [1, 70]
     """
 
-    def __init__(self):
-        self.spent = collections.Counter()  # process -> nanoseconds
-        self.longest = collections.Counter()  # process -> its longest step, nanoseconds
-        self.sent = {}  # (from, to) -> [writes, bytes]
-        self.stack = []  # [process, its own nanoseconds so far in this step]
+    def __init__(self) -> None:
+        self.spent: collections.Counter[str] = collections.Counter()  # process -> nanoseconds
+        self.longest: collections.Counter[str] = collections.Counter()  # process -> its longest step, nanoseconds
+        self.sent: dict[tuple[str, str], list[int]] = {}  # (from, to) -> [writes, bytes]
+        self.stack: list[list[typing.Any]] = []  # [process, its own nanoseconds so far in this step]
         self.since = 0
 
-    def enter(self, name):
+    def enter(self, name: str) -> None:
         """A process's code begins.
 
         Example: `meter.enter("n1")`
@@ -58,7 +70,7 @@
         self.stack.append([name, 0])
         self.since = time.thread_time_ns()
 
-    def leave(self):
+    def leave(self) -> None:
         """It ends.
 
         Example: `meter.leave()`
@@ -70,7 +82,7 @@
         self.longest[name] = max(self.longest[name], own)
         self.since = time.thread_time_ns()
 
-    def count(self, sender, taker, size):
+    def count(self, sender: str, taker: str, size: int) -> None:
         """One write.
 
         Example: `meter.count("n1", "c1", 70)`
@@ -87,12 +99,14 @@
     False
     """
 
-    def __init__(self, world, at, f, args):
+    def __init__(
+        self, world: World, at: int, f: collections.abc.Callable[..., object], args: tuple[typing.Any, ...]
+    ) -> None:
         self.world, self.at, self.f, self.args = world, at, f, args
         self.state = "due"
-        self.proc = None
+        self.proc: Proc | None = None
 
-    def active(self):
+    def active(self) -> bool:
         """Whether it is still due.
 
         >>> Tick(World(1), 5, print, ()).active()
@@ -100,7 +114,7 @@
         """
         return self.state == "due"
 
-    def cancel(self):
+    def cancel(self) -> None:
         """Take it back.
 
         Example: `tick.cancel()`
@@ -109,10 +123,10 @@
             raise error.AlreadyCalled() if self.state == "done" else error.AlreadyCancelled()
         self.state = "cancelled"
 
-    def getTime(self):
+    def getTime(self) -> typing.Any:
         return self.at / machine.SECOND
 
-    def reset(self, s):
+    def reset(self, s: float) -> None:
         """Put it off to s seconds from now.
 
         Example: `tick.reset(5)`
@@ -120,7 +134,7 @@
         self.at = self._now() + int(s * machine.SECOND)
         self.wait()
 
-    def delay(self, s):
+    def delay(self, s: typing.Any) -> None:
         """Put it off by s seconds.
 
         Example: `tick.delay(5)`
@@ -128,17 +142,17 @@
         self.at += int(s * machine.SECOND)
         self.wait()
 
-    def wait(self):
+    def wait(self) -> None:
         """Let it ring once its reactor's clock, if that does not jump again, has come to the time.
 
         Example: `tick.wait()`
         """
         self.world.push(self.world.time + max(0, self.at - self._now()), self._ring)
 
-    def _now(self):
+    def _now(self) -> int:
         return self.world.time if self.proc is None else self.proc.reactor.clock()
 
-    def _ring(self):
+    def _ring(self) -> None:
         if self.state != "due" or self._now() < self.at:
             return
         if self.proc is not None and not self.proc.runs(self._ring):
@@ -155,22 +169,22 @@
     [7]
     """
 
-    def __init__(self, seed):
+    def __init__(self, seed: int) -> None:
         self.time = 0
         self.rng = random.Random(seed)
-        self.heap = []
+        self.heap: list[tuple[int, int, collections.abc.Callable[..., object]]] = []
         self.pushed = 0
-        self.procs = {}
-        self.machines = {}
-        self.cuts = set()  # (host, host): what the first sends does not reach the second
-        self.slow = {}  # host -> extra delay each way
-        self.loss = {}  # host -> share of its packets that are lost and sent again
+        self.procs: dict[str, Proc] = {}
+        self.machines: dict[str, Machine] = {}
+        self.cuts: set[tuple[str, str]] = set()  # (host, host): what the first sends does not reach the second
+        self.slow: dict[typing.Any, typing.Any] = {}  # host -> extra delay each way
+        self.loss: dict[str, float] = {}  # host -> share of its packets that are lost and sent again
         self.held_writes = False  # whether what is written waits for the process's next turn, and dies with it
-        self.conns = {}  # id -> Conn, in the order made
+        self.conns: dict[int, Conn] = {}  # id -> Conn, in the order made
         self.next_conn = 0
-        self.meter = None  # a Meter, while real processor time is counted
+        self.meter: Meter | None = None  # a Meter, while real processor time is counted
 
-    def push(self, at, f):
+    def push(self, at: int, f: collections.abc.Callable[..., object]) -> None:
         """Let f run at a time.
 
         >>> World(1).push(5, print)
@@ -178,7 +192,7 @@
         self.pushed += 1
         heapq.heappush(self.heap, (at, self.pushed, f))
 
-    def run(self, until):
+    def run(self, until: int) -> None:
         """Let the time pass.
 
         >>> w = World(1); w.run(5); w.time
@@ -190,7 +204,9 @@
             f()
         self.time = max(self.time, until)
 
-    def play(self, proc, f, *args):
+    def play(
+        self, proc: Proc | types.SimpleNamespace | None, f: collections.abc.Callable[..., object], *args: typing.Any
+    ) -> None:
         """Let a process's code run now, on its account where a meter is set.
 
         >>> World(1).play(None, print, "x")
@@ -207,7 +223,7 @@
 
     # ---- the network -----------------------------------------------------------
 
-    def open(self, a, b):
+    def open(self, a: str, b: str) -> bool:
         """Whether what host a sends reaches host b now.
 
         >>> w = World(1); w.cuts.add(("a", "b")); w.open("a", "b"), w.open("b", "a")
@@ -218,7 +234,7 @@
                 return False
         return (a, b) not in self.cuts
 
-    def delay(self, a, b):
+    def delay(self, a: str, b: str) -> int:
         """How long a packet takes from host a to host b.
 
         >>> World(1).delay("a", "a")
@@ -232,7 +248,7 @@
         again = RESEND_US if loss and self.rng.random() < loss else 0
         return base + self.rng.randrange(base // 4) + self.slow.get(a, 0) + self.slow.get(b, 0) + again
 
-    def zone(self, host):
+    def zone(self, host: str) -> str:
         """The hall of a host.
 
         >>> World(1).zone("10.0.0.1")
@@ -240,7 +256,7 @@
         """
         return self.machines[host].zone if host in self.machines else "far"
 
-    def cut(self, some, others, both=True):
+    def cut(self, some: list[str], others: list[str], both: bool = True) -> None:
         """Cut the network between two groups of hosts.
 
         Example: `world.cut(["10.0.0.1"], ["10.0.0.2"])`
@@ -252,7 +268,7 @@
                     if both:
                         self.cuts.add((b, a))
 
-    def heal(self):
+    def heal(self) -> None:
         """Mend all cuts; held data goes out again after a while.
 
         Example: `world.heal()`
@@ -260,7 +276,7 @@
         self.cuts.clear()
         self.retry()
 
-    def retry(self):
+    def retry(self) -> None:
         """Let all connections send what they hold, as TCP does.
 
         Example: `world.retry()`
@@ -277,18 +293,18 @@
     True
     """
 
-    def __init__(self, world, host, zone):
+    def __init__(self, world: World, host: str, zone: str) -> None:
         self.world, self.host, self.zone = world, host, zone
         self.power = True
-        self.synced = {}
+        self.synced: dict[bytes, bytes] = {}
         self.disk = "ok"  # ok, full, slow, stalled
         self.slow_us = 400_000  # what each sync takes more on a slow disk
         self.time_of_day_error = 0  # microseconds by which the time of day has jumped
-        self.held = collections.deque()
+        self.held: collections.deque[typing.Any] = collections.deque()
         self.trap = self.trap_sprung = None  # at which step of the next write power is lost
         world.machines[host] = self
 
-    def fail(self):
+    def fail(self) -> None:
         """Lose power: processes end, and nobody is told.
 
         Example: `machine.fail()`
@@ -305,7 +321,7 @@
                     side.state = "closed"
                     conn.forget()
 
-    def spring(self, trap):
+    def spring(self, trap: typing.Any) -> None:
         """Lose power at a chosen step of a write.
 
         Example: `machine.spring("after sync")`
@@ -314,7 +330,7 @@
             self.trap_sprung = trap
             self.fail()
 
-    def time_of_day(self):
+    def time_of_day(self) -> int:
         """The machine's time of day in microseconds since the simulation's start; it may jump.
 
         >>> m = Machine(World(1), "h", "a"); m.set_time_of_day(-2 * machine.SECOND); m.time_of_day()
@@ -322,7 +338,7 @@
         """
         return self.world.time + self.time_of_day_error
 
-    def set_time_of_day(self, error):
+    def set_time_of_day(self, error: int) -> None:
         """Set how far the time of day is off; timers that go by it ring early or late.
 
         Example: `machine.set_time_of_day(4 * machine.SECOND)`
@@ -334,7 +350,7 @@
             if isinstance(tick, Tick) and tick.active() and tick.proc is not None and tick.proc.host is self:
                 tick.wait()
 
-    def mend(self):
+    def mend(self) -> None:
         """Let a stalled disk go on.
 
         Example: `machine.mend()`
@@ -355,19 +371,19 @@
     {b'k': b'v'}
     """
 
-    def __init__(self, proc):
+    def __init__(self, proc: Proc) -> None:
         self.proc = proc
         self.mach = proc.host
         self.busy = 0
 
-    def read(self):
+    def read(self) -> dict[bytes, bytes]:
         """All that was synced.
 
         Example: `state = disk.read()`
         """
         return dict(sorted(self.mach.synced.items()))
 
-    def write(self, puts):
+    def write(self, puts: list[tuple[bytes, bytes | None]]) -> None:
         """Sync at once; only for a process's start.
 
         Example: `disk.write([(b"k", b"v")])`
@@ -378,7 +394,7 @@
             else:
                 self.mach.synced[k] = v
 
-    def commit(self, puts):
+    def commit(self, puts: list[tuple[bytes, bytes | None]]) -> defer.Deferred[typing.Any]:
         """Sync a little later.
 
         Example: `d = disk.commit([(b"k", b"v")])`
@@ -387,7 +403,7 @@
         cost = 2_000 + world.rng.randrange(2_000) + (self.mach.slow_us if self.mach.disk == "slow" else 0)
         self.busy = max(self.busy, world.time) + cost
 
-        def land():
+        def land() -> None:
             if not self.proc.alive:
                 return
             if self.mach.disk == "stalled":
@@ -419,16 +435,16 @@
     (True, False)
     """
 
-    def __init__(self, world, name, host):
+    def __init__(self, world: World, name: str, host: Machine) -> None:
         self.world, self.name, self.host = world, name, host
         self.alive, self.frozen = True, False
-        self.backlog = []
-        self.ports = {}
+        self.backlog: list[collections.abc.Callable[..., object]] = []
+        self.ports: dict[int, protocol.Factory] = {}
         self.reactor = Reactor(self)
         self.lives = getattr(world.procs.get(name), "lives", 0) + 1
         world.procs[name] = self
 
-    def mach(self):
+    def mach(self) -> machine.Machine:
         """The Machine object that the code gets; its clock ignores wall-clock jumps.
 
         Example: `core.Core(proc.mach(), Disk(proc), options)`
@@ -436,7 +452,7 @@
         seed = f"{self.world.rng.random()}-{self.name}-{self.lives}"
         return machine.Machine(self.reactor, now=lambda: self.world.time, seed=seed)
 
-    def runs(self, f):
+    def runs(self, f: collections.abc.Callable[..., object]) -> bool:
         """Whether the process runs now; if it is frozen, f is kept for its wake.
 
         Example: `if proc.runs(f): f()`
@@ -448,7 +464,7 @@
             return False
         return True
 
-    def call(self, f):
+    def call(self, f: collections.abc.Callable[..., object]) -> None:
         """Run f in this process, now or at its wake.
 
         Example: `proc.call(lambda: d.callback(None))`
@@ -456,7 +472,7 @@
         if self.runs(f):
             self.world.play(self, f)
 
-    def kill(self):
+    def kill(self) -> None:
         """End the process at once; its machine's kernel resets its connections.
 
         Example: `proc.kill()`
@@ -468,14 +484,14 @@
                 if side.proc is self:
                     side.reset()
 
-    def freeze(self):
+    def freeze(self) -> None:
         """Stop the process without ending it.
 
         Example: `proc.freeze()`
         """
         self.frozen = True
 
-    def wake(self):
+    def wake(self) -> None:
         """Let a frozen process go on.
 
         Example: `proc.wake()`
@@ -492,10 +508,10 @@
     Example: `reactor.listenTCP(80, factory).getHost().port`
     """
 
-    def __init__(self, reactor, port, factory):
+    def __init__(self, reactor: typing.Any, port: int, factory: protocol.Factory) -> None:
         self.reactor, self.port, self.factory = reactor, port, factory
 
-    def getHost(self):
+    def getHost(self) -> typing.Any:
         return address.IPv4Address("TCP", self.reactor.proc.host.host, self.port)
 
 
@@ -505,11 +521,11 @@
     Example: `proc.reactor.callLater(1, f)`
     """
 
-    def __init__(self, proc):
+    def __init__(self, proc: Proc) -> None:
         self.proc = proc
         self.next_port = 40_000
 
-    def clock(self):
+    def clock(self) -> int:
         """What timers go by, in microseconds: the clock since boot, as in `process.the_reactor`.
 
         A guard test puts the time of day in its place.
@@ -518,17 +534,19 @@
         """
         return self.proc.world.time
 
-    def seconds(self):
+    def seconds(self) -> typing.Any:
         return self.clock() / machine.SECOND
 
-    def callLater(self, s, f, *args, **kw):
+    def callLater(
+        self, s: float, f: collections.abc.Callable[..., object], *args: typing.Any, **kw: typing.Any
+    ) -> Tick:
         at = self.clock() + int(s * machine.SECOND)
         tick = Tick(self.proc.world, at, (lambda: f(*args, **kw)) if kw else f, () if kw else args)
         tick.proc = self.proc
         tick.wait()
         return tick
 
-    def listenTCP(self, port, factory, backlog=50, interface=""):
+    def listenTCP(self, port: int, factory: protocol.Factory, backlog: int = 50, interface: str = "") -> Port:
         if port == 0:
             self.next_port += 1
             port = self.next_port
@@ -536,7 +554,9 @@
         self.proc.ports[port] = factory
         return Port(self, port, factory)
 
-    def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
+    def connectTCP(
+        self, host: str, port: int, factory: protocol.ClientFactory, timeout: float = 30, bindAddress: None = None
+    ) -> Connector:
         return Connector(self.proc, host, port, factory, timeout)
 
 
@@ -546,7 +566,7 @@
     Example: `reactor.connectTCP("10.0.0.1", 80, factory)`
     """
 
-    def __init__(self, proc, host, port, factory, timeout):
+    def __init__(self, proc: Proc, host: str, port: int, factory: protocol.ClientFactory, timeout: float) -> None:
         self.proc, self.host, self.port, self.factory = proc, host, port, factory
         self.world = proc.world
         self.done = False
@@ -555,7 +575,7 @@
         self.tick = proc.reactor.callLater(timeout or 30, self.fail, error.TimeoutError())
         self.knock()
 
-    def knock(self):
+    def knock(self) -> None:
         """Send the opening packet, again and again while the way is cut.
 
         Example: `connector.knock()`
@@ -568,7 +588,7 @@
             return
         self.world.push(self.world.time + self.world.delay(here, self.host), self.arrive)
 
-    def arrive(self):
+    def arrive(self) -> None:
         """The opening packet is there: the far kernel takes it or refuses.
 
         Example: `connector.arrive()`
@@ -589,7 +609,7 @@
         else:
             self.world.push(back, lambda: self.proc.call(lambda: self.succeed(far)))
 
-    def succeed(self, far):
+    def succeed(self, far: Proc) -> None:
         """Both sides have their connection.
 
         Example: `connector.succeed(proc)`
@@ -606,7 +626,7 @@
             return
         conn.sides[0].attach(proto)
 
-        def accept():
+        def accept() -> None:
             if self.port not in far.ports:
                 conn.sides[1].reset()
                 return
@@ -621,7 +641,7 @@
         else:
             conn.sides[1].reset()
 
-    def fail(self, why):
+    def fail(self, why: Exception) -> None:
         """The connection can't be had.
 
         Example: `connector.fail(error.TimeoutError())`
@@ -633,10 +653,10 @@
             self.tick.cancel()
         self.factory.clientConnectionFailed(self, failure.Failure(why))
 
-    def getDestination(self):
+    def getDestination(self) -> address.IPv4Address:
         return address.IPv4Address("TCP", self.host, self.port)
 
-    def stopConnecting(self):
+    def stopConnecting(self) -> None:
         self.fail(error.UserError())
 
     disconnect = stopConnecting
@@ -648,7 +668,7 @@
     Example: `Conn(world, proc, far, 80)`
     """
 
-    def __init__(self, world, near, far, port):
+    def __init__(self, world: World, near: Proc, far: Proc, port: int) -> None:
         self.world = world
         self.id = world.next_conn
         world.next_conn += 1
@@ -657,7 +677,7 @@
         self.sides = (a, b)
         world.conns[self.id] = self
 
-    def forget(self):
+    def forget(self) -> None:
         """Drop the connection once both sides are through with it.
 
         Example: `conn.forget()`
@@ -675,27 +695,28 @@
 
     disconnecting = False
 
-    def __init__(self, conn, proc, port):
+    def __init__(self, conn: Conn, proc: Proc, port: int) -> None:
         self.conn, self.proc, self.port = conn, proc, port
         self.world = conn.world
-        self.proto = None
+        self.proto: protocol.Protocol | None = None
         self.state = "open"
         self.aborted = False
-        self.out = []  # (number, piece), not yet on the wire; a piece of None is the end
+        # (number, piece), not yet on the wire; a piece of None is the end
+        self.out: list[tuple[int, bytes | None]] = []
         self.numbered = 0
-        self.early = {}  # pieces that came before one that was held up
+        self.early: dict[typing.Any, typing.Any] = {}  # pieces that came before one that was held up
         self.expected = 1
         self.flying = 0  # bytes written here and not yet taken there
         self.last = 0
-        self.inbox = collections.deque()
+        self.inbox: collections.deque[bytes] = collections.deque()
         self.paused = False
-        self.producer = None
+        self.producer: dispatch.Body | web.Channel | wire.Connection | None = None
         self.streaming = False
         self.producer_paused = False
 
     # ---- transport ------------------------------------------------------------
 
-    def attach(self, proto):
+    def attach(self, proto: protocol.Protocol) -> None:
         """Give the connection to its protocol.
 
         Example: `side.attach(protocol)`
@@ -706,32 +727,32 @@
         proto.makeConnection(self)
         self.drain()
 
-    def getPeer(self):
+    def getPeer(self) -> address.IPv4Address:
         return address.IPv4Address("TCP", self.peer.proc.host.host, self.port)
 
-    def getHost(self):
+    def getHost(self) -> address.IPv4Address:
         return address.IPv4Address("TCP", self.proc.host.host, self.port)
 
-    def setTcpNoDelay(self, on):
+    def setTcpNoDelay(self, on: bool) -> None:
         pass
 
-    def getTcpNoDelay(self):
+    def getTcpNoDelay(self) -> bool:
         return True
 
-    def setTcpKeepAlive(self, on):
+    def setTcpKeepAlive(self, on: typing.Any) -> None:
         pass
 
-    def getTcpKeepAlive(self):
+    def getTcpKeepAlive(self) -> bool:
         return False
 
-    def write(self, data):
+    def write(self, data: bytes) -> None:
         if self.state != "open" or self.disconnecting or not data:
             return
         if self.world.meter is not None:
             self.world.meter.count(self.proc.name, self.peer.proc.name, len(data))
         self.world.play(WIRE, self.put, data)
 
-    def put(self, data):
+    def put(self, data: bytes) -> None:
         """Take bytes for the wire; a producer that runs ahead is paused.
 
         Example: `side.put(b"...")`
@@ -746,25 +767,25 @@
             self.producer_paused = True
             self.producer.pauseProducing()
 
-    def writeSequence(self, pieces):
+    def writeSequence(self, pieces: collections.abc.Sequence[bytes]) -> None:
         self.write(b"".join(pieces))
 
-    def loseConnection(self, _=None):
+    def loseConnection(self, _: None = None) -> None:
         if self.state == "open" and not self.disconnecting:
             self.disconnecting = True
             if self.producer is None:
                 self.queue(None)
                 self.flush()
 
-    def loseWriteConnection(self):
+    def loseWriteConnection(self) -> None:
         self.loseConnection()
 
-    def abortConnection(self):
+    def abortConnection(self) -> None:
         if self.state == "open":
             self.disconnecting = True
             self.world.push(self.world.time, lambda: self.reset(error.ConnectionAborted()))
 
-    def registerProducer(self, producer, streaming):
+    def registerProducer(self, producer: dispatch.Body | web.Channel | wire.Connection, streaming: bool) -> None:
         if self.state != "open":
             producer.stopProducing()
             return
@@ -772,25 +793,25 @@
         if not streaming:
             producer.resumeProducing()
 
-    def unregisterProducer(self):
+    def unregisterProducer(self) -> None:
         self.producer = None
         if self.disconnecting and self.state == "open":
             self.queue(None)
             self.flush()
 
-    def pauseProducing(self):
+    def pauseProducing(self) -> None:
         self.paused = True
 
-    def resumeProducing(self):
+    def resumeProducing(self) -> None:
         self.paused = False
         self.world.push(self.world.time, lambda: self.proc.call(self.drain))
 
-    def stopProducing(self):
+    def stopProducing(self) -> None:
         self.loseConnection()
 
     # ---- the wire ----------------------------------------------------------------
 
-    def queue(self, piece):
+    def queue(self, piece: bytes | None) -> None:
         """Number a piece and keep it for the wire.
 
         Example: `side.queue(b"...")`
@@ -798,7 +819,7 @@
         self.numbered += 1
         self.out.append((self.numbered, piece))
 
-    def send_held(self):
+    def send_held(self) -> None:
         """The process's next turn has come: what it wrote goes out, unless it has ended.
 
         Example: `side.send_held()`
@@ -806,7 +827,7 @@
         if self.proc.alive:
             self.flush()
 
-    def flush(self):
+    def flush(self) -> None:
         """Put what is written on the wire, if the way is open.
 
         Example: `side.flush()`
@@ -819,7 +840,7 @@
             self.last = max(self.last, self.world.time + self.world.delay(here, there))
             self.world.push(self.last, lambda k=k, piece=piece: self.peer.land(k, piece))
 
-    def land(self, k, piece):
+    def land(self, k: int, piece: bytes | None) -> None:
         """A piece arrives; on a cut way it is sent again later, and order is restored here.
 
         Example: `side.land(1, b"...")`
@@ -841,7 +862,7 @@
             self.expected += 1
         self.proc.call(self.drain)
 
-    def drain(self):
+    def drain(self) -> None:
         """Hand what arrived to the protocol, unless it has paused.
 
         Example: `side.drain()`
@@ -854,7 +875,7 @@
             self.peer.taken(len(piece))
             self.proto.dataReceived(piece)
 
-    def taken(self, n):
+    def taken(self, n: int) -> None:
         """The far side took n bytes; a paused producer may go on.
 
         Example: `side.taken(100)`
@@ -866,7 +887,7 @@
         elif self.flying == 0 and self.producer is not None and not self.streaming:
             self.proc.call(lambda: self.producer is not None and self.producer.resumeProducing())
 
-    def reset(self, why=None):
+    def reset(self, why: error.ConnectionAborted | None = None) -> None:
         """Close here at once, and tell the far side if the way is open.
 
         Example: `side.reset()`
@@ -876,7 +897,7 @@
         self.closed(why or error.ConnectionLost())
         self.tell_reset()
 
-    def tell_reset(self):
+    def tell_reset(self) -> None:
         """Tell the far side that the connection is no more.
 
         Example: `side.tell_reset()`
@@ -886,7 +907,7 @@
             at = max(self.last, self.world.time + self.world.delay(here, there))
             self.world.push(at, lambda: self.peer.proc.call(lambda: self.peer.closed(error.ConnectionLost())))
 
-    def closed(self, why):
+    def closed(self, why: Exception) -> None:
         """The connection is no more on this side.
 
         Example: `side.closed(error.ConnectionLost())`
--- a/bench/simulated_cluster.py
+++ b/bench/simulated_cluster.py
@@ -1,7 +1,11 @@
 """A simulated town: a whole fleet of either deployment's shape, its users and its faults."""
 
+from __future__ import annotations
+
+import collections.abc
 import json
 import os
+import typing
 
 import loguru
 import twisted.internet.defer as defer
@@ -23,6 +27,12 @@
 import iriswheel.web as web
 import iriswheel.wire as wire
 
+if typing.TYPE_CHECKING:
+    import twisted.web.client as client
+
+    import iriswheel.machine as machine_module
+
+
 S = machine.SECOND
 PEER, HTTP = 7001, 8001
 
@@ -39,10 +49,10 @@
     []
     """
 
-    def __init__(self):
-        self.got = []
+    def __init__(self) -> None:
+        self.got: list[typing.Any] = []
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: typing.Any) -> None:
         self.got.append(data)
 
 
@@ -53,17 +63,17 @@
     [{'at': 5, 'kind': 'sent', 'exchange': 'x1'}]
     """
 
-    def __init__(self):
-        self.rows = []
+    def __init__(self) -> None:
+        self.rows: list[dict[str, typing.Any]] = []
 
-    def put(self, at, kind, **more):
+    def put(self, at: int, kind: str, **more: typing.Any) -> None:
         """Keep one event.
 
         >>> Tape().put(1, "sent")
         """
         self.rows.append({"at": at, "kind": kind, **more})
 
-    def text(self):
+    def text(self) -> str:
         """The log as it would stand in a file.
 
         >>> Tape().text()
@@ -80,17 +90,17 @@
 
     def __init__(
         self,
-        seed,
-        shape="magnolia",
-        long_rate=1.5,
-        short_rate=8.0,
-        talks=6,
-        seconds=600,
-        blueprint=None,
-        halls=None,
-        cores=3,
-        **more,
-    ):
+        seed: int,
+        shape: str = "magnolia",
+        long_rate: float = 1.5,
+        short_rate: float = 8.0,
+        talks: int = 6,
+        seconds: int = 600,
+        blueprint: dict[str, dict[str, dict[str, typing.Any]]] | None = None,
+        halls: list[str] | None = None,
+        cores: int = 3,
+        **more: int,
+    ) -> None:
         self.seed = seed
         self.world = sim.World(seed)
         self.rng = self.world.rng
@@ -103,25 +113,25 @@
         self.seconds = seconds
         self.core_count, self.more = cores, more  # and options that all processes get
         self.cores, self.nodes, self.workers = {}, {}, {}
-        self.options = {}
-        self.seeds = []
+        self.options: dict[str, tuple[str, str]] = {}
+        self.seeds: list[str] = []
         self.numbered_calls = 0  # calls with a numbered change so far
         self.probe = 0  # which probe route was confirmed last
         self.probing = True
         self.probes = 0
-        self.versions = {}  # process -> version of our messages that it speaks, where not this one
-        self.paths = []  # more paths to try at every node
+        self.versions: dict[str, int] = {}  # process -> version of our messages that it speaks, where not this one
+        self.paths: list[str] = []  # more paths to try at every node
 
     # ---- building -----------------------------------------------------------------
 
-    def machine(self, host, zone):
+    def machine(self, host: str, zone: str) -> sim.Machine:
         """The machine of a host, made when first named.
 
         Example: `town.machine("10.0.1.1", "a")`
         """
         return self.world.machines.get(host) or sim.Machine(self.world, host, zone)
 
-    def begin(self):
+    def begin(self) -> None:
         """Start everything and let the configuration be confirmed.
 
         Example: `town.begin()`
@@ -158,14 +168,16 @@
         self.load_done = mach.spawn(self.load.run(), log)
         mach.spawn(self.probe_all(mach), log)
 
-    def listen(self, proc, port, factory):
+    def listen(self, proc: sim.Proc, port: int, factory: web.Server | wire.Listener) -> None:
         """Let a process listen.
 
         Example: `town.listen(proc, 9000, server)`
         """
         proc.reactor.listenTCP(port, factory)
 
-    def place(self, role, name, host, zone, **more):
+    def place(
+        self, role: str, name: str, host: str, zone: str, **more: str
+    ) -> tuple[sim.Proc, machine_module.Machine, options.Options]:
         """A new process on a machine with power, its Machine object and its options.
 
         Example: `proc, mach, o = town.place("node", "n9", "10.0.2.9", "a", platform="10.0.4.1:9000")`
@@ -188,7 +200,7 @@
         mach.version = self.versions.get(name, mach.version)
         return proc, mach, o
 
-    def start_core(self, name, host, zone):
+    def start_core(self, name: str, host: str, zone: str) -> None:
         """Start a core machine's process, on the disk that is there.
 
         Example: `town.start_core("c4", "10.0.1.4", "a")`
@@ -200,7 +212,7 @@
         self.listen(proc, HTTP, web.Server(mach, c.handle))
         c.start()
 
-    def start_node(self, name, host, zone):
+    def start_node(self, name: str, host: str, zone: str) -> None:
         """Start a node's process.
 
         Example: `town.start_node("n9", "10.0.2.9", "a")`
@@ -213,7 +225,7 @@
         n.start(PEER, HTTP)
         self.platform.nodes[name] = (host, HTTP)
 
-    def start_worker(self, name, host):
+    def start_worker(self, name: str, host: str) -> None:
         """Start a worker and list it.
 
         Example: `town.start_worker("w9", "10.0.3.9")`
@@ -227,14 +239,14 @@
 
     # ---- time ---------------------------------------------------------------------------
 
-    def go(self, seconds):
+    def go(self, seconds: float) -> None:
         """Let virtual time pass.
 
         Example: `town.go(5)`
         """
         self.world.run(self.world.time + int(seconds * S))
 
-    def until(self, cond, seconds):
+    def until(self, cond: collections.abc.Callable[..., object], seconds: float) -> bool:
         """Let time pass until a condition holds; False where it did not in time.
 
         Example: `town.until(lambda: town.tail() is not None, 10)`
@@ -246,7 +258,7 @@
             self.go(0.05)
         return True
 
-    def end(self):
+    def end(self) -> None:
         """The day's end: what is open ends, and the configuration is read back.
 
         Example: `town.end()`
@@ -261,7 +273,9 @@
 
     # ---- users ----------------------------------------------------------------------------
 
-    def with_probe(self, k, more=None):
+    def with_probe(
+        self, k: int, more: dict[str, dict[str, str]] | None = None
+    ) -> dict[str, dict[str, dict[str, typing.Any]]]:
         """The configuration with probe route k, and perhaps more routes.
 
         Example: `town.with_probe(3)`
@@ -271,7 +285,7 @@
         doc["routes"].update(more or {})
         return doc
 
-    async def probe_all(self, mach):
+    async def probe_all(self, mach: machine_module.Machine) -> None:
         """Every second, try the newest probe route, the one before, and `paths` at every ready node.
 
         Example: `mach.spawn(town.probe_all(mach))`
@@ -283,7 +297,7 @@
                 for path in [f"/p/{k}" for k in (self.probe, self.probe - 1) if k >= 0] + self.paths:
                     mach.spawn(self.probe_one(mach, agent, name, path), log)
 
-    async def rude(self, host, how):
+    async def rude(self, host: typing.Any, how: typing.Any) -> None:
         """A client that misbehaves: leaves, reads slowly, or sends bad HTTP.
 
         Example: `await town.rude("10.0.2.1", "bad head")`
@@ -319,7 +333,7 @@
         self.tape.put(mach.now(), "rude", how=how, host=f"{host}:{HTTP}", status=text[9:12], text=text[-300:])
         proto.transport.abortConnection()
 
-    async def probe_one(self, mach, agent, name, path):
+    async def probe_one(self, mach: machine_module.Machine, agent: client.Agent, name: str, path: str) -> None:
         """Try one path at one node.
 
         Example: `await town.probe_one(mach, agent, "n1", "/p/3")`
@@ -366,14 +380,14 @@
 
     # ---- what the faults aim at -------------------------------------------------------------
 
-    def tail(self):
+    def tail(self) -> core.Core | None:
         """The core that is the leased tail, or None.
 
         Example: `town.tail().options.name`
         """
         return next((c for c in self.cores.values() if c.proc.alive and c.membership.leased()), None)
 
-    def head(self):
+    def head(self) -> core.Core:
         """The core that is the head of the newest view, or None.
 
         Example: `town.head()`
@@ -382,7 +396,7 @@
         v = max((c.membership.view for c in live), key=lambda v: v.number, default=None)
         return next((c for c in live if v is not None and c.membership.me.id == v.chain[0].id), None)
 
-    def warden(self):
+    def warden(self) -> node.Node | None:
         """The node that is the seated warden, or None.
 
         Example: `town.warden().me.name`
@@ -393,7 +407,7 @@
                 return n
         return None
 
-    def fault(self, what, target, large=False, role=None):
+    def fault(self, what: str, target: str, large: bool = False, role: None = None) -> None:
         """Note a fault in the log.
 
         Example: `town.fault("kill", "n1")`
@@ -418,14 +432,14 @@
             duty=role == "node" and target in self.on_duty(),
         )
 
-    def mend(self, what, target):
+    def mend(self, what: str, target: str) -> None:
         """Note that a fault of this target, or of "all", is over.
 
         Example: `town.mend("start", "n1")`
         """
         self.tape.put(self.world.time, "mend", what=what, target=target)
 
-    def on_duty(self):
+    def on_duty(self) -> set[str]:
         """The nodes that are a pool's warden or keep its copies, by the newest roster.
 
         Example: `"n1" in town.on_duty()`
@@ -433,7 +447,7 @@
         newest = max((n.follower.roster for n in self.nodes.values()), key=lambda r: r.stamp)
         return {i.rsplit("-", 1)[0] for d in newest.duties for i in [d.holder, *d.copies]}
 
-    def hosts(self, *groups):
+    def hosts(self, *groups: str) -> list[str]:
         """The hosts of some groups: "cores", "nodes", "workers", "platform", "outside".
 
         Example: `town.hosts("cores", "nodes")`
@@ -460,10 +474,12 @@
     Example: `mach.spawn(Operator(town, mach, "boss").change(doc))`
     """
 
-    def __init__(self, town, mach, name):
+    def __init__(self, town: SimulatedCluster, mach: machine.Machine, name: str) -> None:
         self.town, self.mach, self.name = town, mach, name
 
-    async def ask(self, method, path, doc=None):
+    async def ask(
+        self, method: str, path: str, doc: dict[str, typing.Any] | None = None
+    ) -> tuple[int, dict[str, typing.Any]]:
         """Ask any core, in a chance order.
 
         Example: `status, doc = await operator.ask("GET", "/blueprint")`
@@ -477,7 +493,7 @@
         except Exception as e:
             return 504, {"code": "unknown_outcome", "verdict": "may_have_run", "text": repr(e)}
 
-    async def stale_plans(self, doc):
+    async def stale_plans(self, doc: typing.Any) -> None:
         """Plan twice on one base; confirm one at one core and again at another, then the other plan, late.
 
         Example: `await operator.stale_plans(doc)`
@@ -514,7 +530,9 @@
                 await self.mach.sleep(300 * machine.MILLI)
         self.town.probe = max(self.town.probe, probe)
 
-    async def change(self, doc, tries=40, patch=False):
+    async def change(
+        self, doc: dict[str, dict[str, dict[str, typing.Any]]], tries: int = 40, patch: bool = False
+    ) -> int:
         """Get a configuration confirmed, whole or as a JSON Patch; the stamp, or 0.
 
         Example: `stamp = await operator.change(doc)`
@@ -566,7 +584,14 @@
                 await self.mach.sleep(300 * machine.MILLI)
         return 0
 
-    async def number(self, number, built_on, what, tries=60, patience_us=S):
+    async def number(
+        self,
+        number: int,
+        built_on: int,
+        what: dict[str, dict[str, dict[str, dict[typing.Any, typing.Any]]]],
+        tries: int = 60,
+        patience_us: int = S,
+    ) -> int:
         """Have a numbered change taken as the users' operators do: by 5xx or silence on to another core.
 
         Returns the last status: 200, a 4xx that ended the call, or 0 where it never got clear.
@@ -593,7 +618,7 @@
             await self.mach.sleep(100 * machine.MILLI)
         return 0
 
-    async def read(self, tries=60):
+    async def read(self, tries: int = 60) -> None:
         """Read the configuration back.
 
         Example: `await operator.read()`
--- a/bench/stand_ins.py
+++ b/bench/stand_ins.py
@@ -4,9 +4,13 @@
 speak what docs/interface.md says, and write event logs of their own.
 """
 
+from __future__ import annotations
+
 import collections
+import collections.abc
 import json
 import sys
+import typing
 
 import defopt
 import loguru
@@ -18,6 +22,10 @@
 import iriswheel.machine as machine
 import iriswheel.web as web
 
+if typing.TYPE_CHECKING:
+    import bench.simulated_cluster as simulated_cluster
+
+
 PREFILL_BYTES_PER_S = 400_000  # prompt bytes read per second, alone
 TOKEN_US = 25 * machine.MILLI
 SHORT_TOKENS = 12
@@ -36,7 +44,7 @@
     Example: `w = Worker(mach, "w1", events)`; `web.Server(mach, w.handle)`.
     """
 
-    def __init__(self, mach, ident, events):
+    def __init__(self, mach: machine.Machine, ident: str, events: load.Events | simulated_cluster.Tape) -> None:
         self.mach = mach
         self.ident = ident
         self.events = events
@@ -44,13 +52,13 @@
         self.running = 0
         self.prefill = defer.DeferredLock()
         self.queue = defer.DeferredSemaphore(BATCH)
-        self.past = collections.deque([(0, 0, 0)])
+        self.past: collections.deque[tuple[int, int, int]] = collections.deque([(0, 0, 0)])
         self.runs = 0
         self.report = "good"  # or late, missing, broken, wrong, never: how it answers /load
         self.mood = ""  # or slow, stops, short, long: how it answers exchanges
         self.sick = False  # a sick worker breaks every exchange off, unanswered
 
-    async def handle(self, req):
+    async def handle(self, req: web.Request) -> None:
         """Answer one exchange.
 
         Example: `Server(mach, worker.handle)`
@@ -82,14 +90,14 @@
             case _:
                 req.answer_json(404, {"error": "no such path"})
 
-    def note(self):
+    def note(self) -> None:
         """Keep the load for the late report.
 
         Example: `worker.note()`
         """
         self.past.append((self.mach.now(), min(self.running, BATCH), max(0, self.running - BATCH)))
 
-    async def run(self, req):
+    async def run(self, req: web.Request) -> None:
         """Read the prompt, then stream the answer, one event a token.
 
         Example: `await worker.run(req)`
@@ -130,7 +138,7 @@
             lost.addErrback(lambda _: None)
             lost.cancel()
 
-    async def answer(self, req, run, ident, parts, size):
+    async def answer(self, req: web.Request, run: str, ident: str, parts: list[str], size: int) -> None:
         """The answer itself: `n` events that name the run, then an end.
 
         Example: `await worker.answer(req, "w1-1", "x1", ["system"], 600)`
@@ -180,16 +188,16 @@
     Example: `p = Platform(mach, events)`; `web.Server(mach, p.handle)`.
     """
 
-    def __init__(self, mach, events):
+    def __init__(self, mach: machine.Machine, events: load.Events | simulated_cluster.Tape) -> None:
         self.mach = mach
         self.events = events
-        self.workers = {}  # id -> its row
-        self.nodes = {}  # name -> (host, HTTP port)
+        self.workers: dict[str, dict[str, typing.Any]] = {}  # id -> its row
+        self.nodes: dict[str, tuple[str, int]] = {}  # name -> (host, HTTP port)
         self.mood = ""  # or slow, nonsense, empty, half: how it answers the question for its workers
-        self.told = {}  # name -> whether it said that it is ready
+        self.told: dict[str, bool] = {}  # name -> whether it said that it is ready
         self.sender = dispatch.Dispatcher(mach)
 
-    async def ask_nodes(self):
+    async def ask_nodes(self) -> None:
         """Ask every node whether it is ready, over and over.
 
         Example: `mach.spawn(platform.ask_nodes())`
@@ -199,7 +207,7 @@
                 self.mach.spawn(self.ask_node(name, host, port), log)
             await self.mach.sleep(500 * machine.MILLI)
 
-    async def ask_node(self, name, host, port):
+    async def ask_node(self, name: str, host: str, port: int) -> None:
         """Ask one node whether it is ready.
 
         Example: `await platform.ask_node("n1", "127.0.0.1", 8101)`
@@ -215,7 +223,7 @@
             self.told[name] = ready
             self.events.put(self.mach.now(), "asked", node=name, ready=ready)
 
-    def places(self):
+    def places(self) -> list[tuple[str, int]]:
         """Where clients are handed to: the ready nodes; all of them where none is.
 
         Example: `load.Load(mach, platform.places, ...)`
@@ -223,7 +231,7 @@
         ready = [self.nodes[n] for n in sorted(self.nodes) if self.told.get(n)]
         return ready or [self.nodes[n] for n in sorted(self.nodes)]
 
-    def put(self, id, **more):
+    def put(self, id: str, **more: int | str) -> None:
         """List a worker, or change how it is listed.
 
         Example: `platform.put("w1", host="127.0.0.1", port=9001, pool="desk")`
@@ -232,7 +240,7 @@
         self.workers[id] = row
         self.events.put(self.mach.now(), "listed", worker=id, state=row["state"], pool=row["pool"])
 
-    def drop(self, ident):
+    def drop(self, ident: typing.Any) -> None:
         """List a worker no more.
 
         Example: `platform.drop("w1")`
@@ -240,7 +248,7 @@
         del self.workers[ident]
         self.events.put(self.mach.now(), "listed", worker=ident, state="gone", pool="")
 
-    async def handle(self, req):
+    async def handle(self, req: web.Request) -> None:
         """Answer the nodes' question, and the runner's changes.
 
         Example: `Server(mach, platform.handle)`
@@ -276,7 +284,7 @@
                 req.answer_json(404, {"error": "no such path"})
 
 
-def serve(make, port, events):
+def serve(make: collections.abc.Callable[..., object], port: int, events: str) -> None:
     """Run a stand-in until it is killed; its port is the first line that it prints.
 
     Example: `serve(lambda mach, ev: Platform(mach, ev), 0, "")`
@@ -293,7 +301,7 @@
     reactor.run()
 
 
-def worker(*, ident: str, port: int = 0, events: str = ""):
+def worker(*, ident: str, port: int = 0, events: str = "") -> None:
     """Run a stand-in worker.
 
     :param ident: its name
@@ -303,14 +311,14 @@
     serve(lambda mach, ev: Worker(mach, ident, ev), port, events)
 
 
-def platform(*, port: int = 0, events: str = ""):
+def platform(*, port: int = 0, events: str = "") -> None:
     """Run a stand-in platform.
 
     :param port: its port; 0 lets the system pick
     :param events: file for its event log
     """
 
-    def make(mach, ev):
+    def make(mach: machine.Machine, ev: load.Events) -> Platform:
         made = Platform(mach, ev)
         mach.spawn(made.ask_nodes(), log)
         return made
--- a/bench/sweep.py
+++ b/bench/sweep.py
@@ -5,11 +5,14 @@
 python -m bench.sweep --scenes kill_warden --first 7 --seeds 1 --log run.events
 """
 
+from __future__ import annotations
+
 import collections
 import multiprocessing
 import os
 import sys
 import time
+import typing
 
 import defopt
 import loguru
@@ -19,7 +22,9 @@
 import iriswheel.replay as replay
 
 
-def one(job):
+def one(
+    job: tuple[str, int, str, str],
+) -> tuple[tuple[str, int, str, str], dict[typing.Any, typing.Any], dict[str, int], float]:
     """Play and judge one run: the job, complaints, rows judged by each checker, seconds of computing.
 
     Example: `one(("calm", 1, "magnolia", ""))`
@@ -38,7 +43,7 @@
 
 def sweep(
     *, scenes: list[str] = (), seeds: int = 10, first: int = 1, shape: str = "magnolia", log: str = "", procs: int = 0
-):
+) -> typing.NoReturn:
     """Play scenes over seeds.
 
     :param scenes: scenes by name; all where none is named
--- a/iriswheel/agreement.py
+++ b/iriswheel/agreement.py
@@ -6,6 +6,9 @@
 it sends the answer, and `bench.explore` searches the interleavings of the same functions.
 """
 
+from __future__ import annotations
+
+import types
 import typing
 
 import msgspec
@@ -41,7 +44,7 @@
     silent: bool  # silent for long enough to be replaced by a newcomer at its own address
 
 
-def majority(n):
+def majority(n: int) -> int:
     """How many of n make a majority.
 
     >>> majority(3), majority(4)
@@ -50,7 +53,7 @@
     return n // 2 + 1
 
 
-def is_sealed(record):
+def is_sealed(record: Record) -> bool:
     """Whether a promise or an acceptance has closed the record's view.
 
     >>> is_sealed(Record()), is_sealed(Record(promised=(1, "a")))
@@ -59,7 +62,7 @@
     return record.promised != NO_BALLOT
 
 
-def is_voter(record, ident):
+def is_voter(record: Record, ident: str) -> bool:
     """Whether a machine votes on the successor of the record's view.
 
     >>> is_voter(Record(), "a")
@@ -68,7 +71,7 @@
     return record.view is not None and any(seat.id == ident for seat in record.view.seats)
 
 
-def is_synced(record):
+def is_synced(record: Record | types.SimpleNamespace) -> bool:
     """Whether the copy holds all that was acknowledged before the record's view.
 
     >>> is_synced(Record(message.View(2, [], []), whole=2))
@@ -77,7 +80,7 @@
     return record.view is not None and record.whole == record.view.number
 
 
-def is_serving(record, ident, boot):
+def is_serving(record: Record, ident: str, boot: str) -> bool:
     """Whether this incarnation of a machine is a member of the record's chain, and the view is not sealed.
 
     >>> is_serving(Record(message.View(2, [], [message.ChainReplica("a", "1")])), "a", "2")
@@ -88,7 +91,7 @@
     return message.ChainReplica(ident, boot) in record.view.chain
 
 
-def is_tail(record, ident, boot):
+def is_tail(record: Record, ident: str, boot: str) -> bool:
     """Whether this incarnation of a machine serves as the tail of the record's chain.
 
     >>> is_tail(Record(message.View(2, [], [message.ChainReplica("a", "1")])), "a", "1")
@@ -97,7 +100,7 @@
     return is_serving(record, ident, boot) and record.view.chain[-1].id == ident
 
 
-def may_lead_reads(record, ident, boot):
+def may_lead_reads(record: Record, ident: str, boot: str) -> bool:
     """Whether a machine may ask for the read lease, and serve reads while it holds it.
 
     >>> may_lead_reads(Record(message.View(2, [], [message.ChainReplica("a", "1")]), whole=1), "a", "1")
@@ -106,7 +109,7 @@
     return is_tail(record, ident, boot) and is_synced(record)
 
 
-def may_commit(record, ident, boot, copies):
+def may_commit(record: Record, ident: str, boot: str, copies: int) -> bool:
     """Whether all that is synced on this machine is committed: it is the synced tail of a chain of enough copies.
 
     >>> may_commit(Record(message.View(2, [], [message.ChainReplica("a", "1")]), whole=2), "a", "1", copies=2)
@@ -115,7 +118,7 @@
     return may_lead_reads(record, ident, boot) and len(record.view.chain) >= copies
 
 
-def newer_view(record, number):
+def newer_view(record: Record, number: int) -> message.View | None:
     """The record's view where it is as new as the one that a proposer works on, or None.
 
     >>> newer_view(Record(message.View(2, [], [])), 3) is None
@@ -124,7 +127,7 @@
     return record.view if record.view is not None and record.view.number >= number else None
 
 
-def refuse_promise(record, replica, number):
+def refuse_promise(record: Record, replica: Replica, number: int) -> message.Promise:
     """The answer to a Prepare that is refused.
 
     >>> refuse_promise(Record(), Replica("a", "1", True), 3).ok
@@ -134,7 +137,7 @@
     return message.Promise(False, record.promised, None, newer, replica.id, replica.boot, record.whole, replica.disk_ok)
 
 
-def is_election(record, ident, number, sender):
+def is_election(record: Record, ident: str, number: int, sender: str) -> bool:
     """Whether a proposal is for the next view, from one voter to another.
 
     >>> seats = [message.Seat(i, "host", 1, "zone") for i in "ab"]
@@ -145,7 +148,9 @@
     return follows and is_voter(record, ident) and is_voter(record, sender)
 
 
-def promise(record, replica, holder, prepare):
+def promise(
+    record: Record, replica: Replica, holder: str | None, prepare: message.Prepare
+) -> tuple[Record, message.Promise]:
     """Answer a Prepare; `holder` is who has an unexpired read lease from this acceptor, or None.
 
     A higher ballot than any before is promised, unless somebody else holds a lease.
@@ -175,7 +180,7 @@
     return promised, answer
 
 
-def is_lease_of_another(holder, sender):
+def is_lease_of_another(holder: str | None, sender: str) -> bool:
     """Whether an unexpired lease forbids a promise to the sender.
 
     >>> is_lease_of_another(None, "a"), is_lease_of_another("a", "a"), is_lease_of_another(UNKNOWN_HOLDER, "a")
@@ -184,7 +189,7 @@
     return holder is not None and holder != sender
 
 
-def accept(record, ident, request):
+def accept(record: Record, ident: str, request: message.Accept) -> tuple[Record, message.Accepted]:
     """Answer an Accept: taken unless a higher ballot was promised.
 
     >>> seats = [message.Seat(i, "host", 1, "zone") for i in "ab"]
@@ -199,7 +204,7 @@
     return accepted, message.Accepted(True, None)
 
 
-def adopt(record, ident, view):
+def adopt(record: Record, ident: str, view: message.View) -> Record:
     """The state after a view was agreed, or the same state where it knows one as new.
 
     The head of a view is synced in it by construction.
@@ -213,7 +218,7 @@
     return Record(view, NO_BALLOT, None, whole)
 
 
-def complete_through(record, ident):
+def complete_through(record: Record, ident: str) -> int:
     """The last view of which a copy holds all that was acknowledged, once the record's view is over.
 
     A chain acknowledges nothing while one of its members is not synced. So a member that held all of the view
@@ -231,7 +236,7 @@
     return record.view.number if is_member else record.whole
 
 
-def become_synced(record, number):
+def become_synced(record: Record, number: int) -> Record:
     """The state once the copy holds all that was acknowledged before the numbered view, unless that is over.
 
     >>> become_synced(Record(message.View(2, [], [])), 2).whole, become_synced(Record(message.View(3, [], [])), 2).whole
@@ -242,7 +247,7 @@
     return msgspec.structs.replace(record, whole=number)
 
 
-def may_restore(record, synced_entry, snapshot_entry):
+def may_restore(record: Record | types.SimpleNamespace, synced_entry: int, snapshot_entry: int) -> bool:
     """Whether a snapshot may replace the copy: always before the copy is synced, then only where it is not older.
 
     A snapshot may arrive after others that were sent later, when it was held up in an old connection.
@@ -253,7 +258,7 @@
     return not is_synced(record) or snapshot_entry >= synced_entry
 
 
-def give_lease(record, ident, request):
+def give_lease(record: Record, ident: str, request: message.LeaseRequest) -> message.LeaseGiven:
     """Answer a LeaseRequest: given to the tail of an unsealed view.
 
     >>> give_lease(Record(), "a", message.LeaseRequest(1, "b")).ok
@@ -265,7 +270,14 @@
     return message.LeaseGiven(given, newer_view(record, request.view + 1))
 
 
-def next_seats(view, ident, leaving, newcomers, states, size):
+def next_seats(
+    view: message.View,
+    ident: str,
+    leaving: bool,
+    newcomers: list[message.Seat],
+    states: dict[str, SeatState],
+    size: int,
+) -> list[message.Seat]:
     """The voters of the next view: a newcomer takes a replaceable seat, else a new one up to `size`.
 
     `newcomers` are seats of live machines that do not vote, in the order in which they are served; `states`
@@ -299,7 +311,9 @@
     return seats
 
 
-def order(view, promises, alive):
+def order(
+    view: message.View, promises: dict[str, message.Promise], alive: dict[str, str]
+) -> list[message.ChainReplica] | None:
     """The chain that view.number + 1 should have, or None where no copy can be trusted.
 
     Members that were synced in the view come first, in their old order: each of them
@@ -342,7 +356,7 @@
     return [message.ChainReplica(i, alive[i]) for i in lead + rest]
 
 
-def is_handing_over(view, alive, leaving, synced):
+def is_handing_over(view: message.View, alive: dict[str, str], leaving: dict[str, str], synced: set[str]) -> bool:
     """Whether the only synced members of the chain are about to leave, and must bring another up to date first.
 
     >>> chain = [message.ChainReplica("a", "1"), message.ChainReplica("b", "1")]
@@ -354,7 +368,13 @@
     return not members & alive.keys() and bool(members & leaving.keys())
 
 
-def next_view(view, promises, seats, alive, leaving):
+def next_view(
+    view: message.View,
+    promises: dict[str, message.Promise],
+    seats: list[message.Seat],
+    alive: dict[str, str],
+    leaving: dict[str, str],
+) -> message.View | None:
     """The view to propose after a majority promised, or None where no synced copy can lead it.
 
     A view that may have been agreed already is proposed again. `alive` are the live machines with their
@@ -383,7 +403,9 @@
     return None
 
 
-def members_of(seats, machines, promises):
+def members_of(
+    seats: list[message.Seat], machines: dict[str, str], promises: dict[str, message.Promise]
+) -> dict[str, str]:
     """The machines that may be members of a chain, with the incarnations that they last told.
 
     >>> said = {"a": message.Promise(True, (1, "a"), None, None, "a", "2", 4, True)}
--- a/iriswheel/budget.py
+++ b/iriswheel/budget.py
@@ -4,6 +4,8 @@
 a tally of its own part, from which a new warden starts.
 """
 
+from __future__ import annotations
+
 import bisect
 
 WINDOW_US = 10_000_000
@@ -28,14 +30,14 @@
     (True, False)
     """
 
-    def __init__(self, slack=0, ratio=RATIO, window_us=WINDOW_US):
+    def __init__(self, slack: int = 0, ratio: float = RATIO, window_us: int = WINDOW_US) -> None:
         self.slack = slack  # repeats in a window that are free
         self.ratio = ratio
         self.window_us = window_us
-        self.firsts = {}  # exchange -> when it was first seen, oldest first
-        self.repeats = []
+        self.firsts: dict[str, int] = {}  # exchange -> when it was first seen, oldest first
+        self.repeats: list[int] = []
 
-    def first(self, now, exchange):
+    def first(self, now: int, exchange: str) -> None:
         """Note an exchange; said again under the same name, it counts once.
 
         >>> b = Budget(); b.first(0, "x1"); b.first(1, "x1"); len(b.firsts)
@@ -44,7 +46,7 @@
         self.firsts.setdefault(exchange, now)
         self._trim(now)
 
-    def room(self, now):
+    def room(self, now: int) -> bool:
         """Whether there is a repeat send left.
 
         >>> Budget().room(0)
@@ -53,7 +55,7 @@
         self._trim(now)
         return not self.repeats or len(self.repeats) + 1 - self.slack <= self.ratio * len(self.firsts) + 1e-9
 
-    def spend(self, now):
+    def spend(self, now: int) -> bool:
         """Take a repeat send from the budget; False where there is none left.
 
         >>> b = Budget(); b.spend(0), b.spend(0)
@@ -64,7 +66,7 @@
         self.repeats.append(now)
         return True
 
-    def refund(self, at):
+    def refund(self, at: int | None) -> None:
         """Give a repeat send back that never went out.
 
         >>> b = Budget(); _ = b.spend(3); b.refund(3); b.repeats
@@ -73,7 +75,7 @@
         if at in self.repeats:
             self.repeats.remove(at)
 
-    def wait_us(self, now):
+    def wait_us(self, now: int) -> int:
         """When it is worth to come back.
 
         >>> Budget().wait_us(0)
@@ -83,7 +85,7 @@
             return max(1_000_000, self.repeats[0] + self.window_us - now)
         return 2_000_000
 
-    def told(self, now):
+    def told(self, now: int) -> tuple[dict[str, int], list[int]]:
         """Both as they travel: exchanges with their ages, and the repeats' ages.
 
         >>> b = Budget(); b.first(2, "x1"); _ = b.spend(3); b.told(5)
@@ -92,7 +94,7 @@
         self._trim(now)
         return {x: now - at for x, at in self.firsts.items()}, [now - at for at in self.repeats]
 
-    def add(self, now, firsts, repeats):
+    def add(self, now: int, firsts: dict[str, int], repeats: list[int]) -> None:
         """Add what another tally held.
 
         >>> b = Budget(); b.add(5, {"x1": 3}, [2]); b.firsts, b.repeats
@@ -104,7 +106,7 @@
         for age in repeats:
             bisect.insort(self.repeats, now - age)
 
-    def _trim(self, now):
+    def _trim(self, now: int) -> None:
         while self.firsts and self.firsts[x := next(iter(self.firsts))] <= now - self.window_us:
             del self.firsts[x]
         while self.repeats and self.repeats[0] <= now - self.window_us:
--- a/iriswheel/chain.py
+++ b/iriswheel/chain.py
@@ -1,5 +1,8 @@
 """The chain: changes enter at the head, are synced on every link, and answered by the tail."""
 
+from __future__ import annotations
+
+import collections.abc
 import typing
 
 import immutables
@@ -15,6 +18,10 @@
 import iriswheel.transfer as transfer
 import iriswheel.wire as wire
 
+if typing.TYPE_CHECKING:
+    import iriswheel.view as view_module
+
+
 CALL_US = 2 * machine.SECOND
 BATCH = 64
 KEEP = 512  # entries kept behind the frame, and states kept for the feed
@@ -29,7 +36,7 @@
 unpack_entry = msgspec.msgpack.Decoder(message.Entry).decode
 
 
-def entry_key(n):
+def entry_key(n: int) -> bytes:
     """The disk's key of an entry.
 
     >>> entry_key(7)
@@ -82,7 +89,7 @@
     taken: immutables.Map = immutables.Map()
     forgotten: int = 0
 
-    def apply(self, e):
+    def apply(self, e: message.Entry) -> Ledger:
         """The state after one more entry.
 
         >>> Ledger().apply(message.Entry(1, 7, "plan", "0-a")).made
@@ -100,7 +107,7 @@
                 plans = forget(self.plans.set(e.plan, Plan(e.n, e.base, [], e.n)))
                 return self._replace(n=e.n, made=e.made, stamp=e.n, plans=plans).take(e).change(e.changes)
 
-    def take(self, entry):
+    def take(self, entry: message.Entry) -> Ledger:
         """The state with an entry's change remembered as taken; the oldest are dropped above the bound.
 
         >>> Ledger().take(message.Entry(4, 1, "apply", "c5-7-0a")).taken["c5-7-0a"]
@@ -114,7 +121,7 @@
         forgotten = max(self.forgotten, *map(configuration.change_number, dropped))
         return self._replace(taken=immutables.Map({k: taken[k] for k in kept}), forgotten=forgotten)
 
-    def change(self, changes):
+    def change(self, changes: list[tuple[str, dict[str, typing.Any] | None]]) -> Ledger:
         """The state with some items changed; None removes.
 
         >>> Ledger().change([("pools/p", {"label": {"a": 1}})]).fed["pools/p"]
@@ -130,7 +137,7 @@
                     fed[key] = configuration.bare(val)
             return self._replace(items=items.finish(), fed=fed.finish())
 
-    def freeze(self):
+    def freeze(self) -> bytes:
         """The state as bytes.
 
         >>> Ledger.thaw(Ledger(n=3).freeze()).n
@@ -149,7 +156,7 @@
         )
 
     @classmethod
-    def thaw(cls, raw):
+    def thaw(cls, raw: bytearray | bytes) -> Ledger:
         """The state from bytes.
 
         >>> Ledger.thaw(Ledger(stamp=2).freeze()).stamp
@@ -168,7 +175,7 @@
 unpack_snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
 
-def taken_in_format_2(plans):
+def taken_in_format_2(plans: collections.abc.Mapping[str, Plan]) -> tuple[dict[str, int], int]:
     """The changes taken and the highest number forgotten, of a snapshot that remembers only plans.
 
     Where so many plans are confirmed that older ones may have been dropped, every number
@@ -184,7 +191,7 @@
     return taken, max(0, min((n for n in numbers if n), default=0) - 1)
 
 
-def forget(plans):
+def forget(plans: immutables.Map[str, Plan]) -> immutables.Map[str, Plan]:
     """Drop the oldest open and the oldest confirmed plans above the bounds.
 
     >>> sorted(forget(immutables.Map({str(i): Plan(i, 0, [], 0, 7 << 20) for i in range(4)})))
@@ -214,11 +221,13 @@
     Example: `chain = Chain(mach, disk, state, peers)`; then `chain.membership = membership`.
     """
 
-    def __init__(self, mach, disk, state, peers):
+    def __init__(
+        self, mach: machine.Machine, disk: store.Guard | None, state: dict[bytes, bytes], peers: wire.Peers | None
+    ) -> None:
         self.mach = mach
         self.disk = disk
         self.peers = peers
-        self.membership = None
+        self.membership: view_module.Membership | None = None
         self.base = Ledger.thaw(state[b"frame"]) if b"frame" in state else Ledger()
         entries = [unpack_entry(v) for k, v in sorted(state.items()) if k.startswith(b"e")]
         self.log = {e.n: e for e in entries}
@@ -233,7 +242,7 @@
         self.settled = 0  # the newest view in which this machine, as its tail, had all committed that it holds
         self.lock = defer.DeferredLock()
         self.recovered = self.synced > self.base.n  # which of the entries from the disk stand is not known yet
-        self.pinned = None  # the snapshot that is being sent to the next link
+        self.pinned: transfer.Outgoing | None = None  # the snapshot that is being sent to the next link
         self.incoming = transfer.Incoming()
         self.appended = machine.Signal()
         self.committed = machine.Signal()
@@ -241,7 +250,7 @@
 
     # ---- state ------------------------------------------------------------------
 
-    def whole(self):
+    def whole(self) -> bool:
         """Whether this copy is whole in the newest view.
 
         Example: `chain.whole()`
@@ -249,7 +258,7 @@
         c = self.membership
         return c.view is not None and c.record.whole == c.view.number
 
-    def place(self, number):
+    def place(self, number: int) -> int | None:
         """This link's place in the numbered view's chain, or None when it is not in it.
 
         Example: `chain.place(4)`
@@ -258,7 +267,7 @@
             return None
         return [link.id for link in self.membership.view.chain].index(self.membership.me.id)
 
-    def install(self, view):
+    def install(self, view: message.View) -> None:
         """Start on a new view: the link to the next machine is made anew.
 
         Example: `chain.install(view)`
@@ -267,7 +276,7 @@
         self.committed.wake()
         self.mach.spawn(self.start(view), log)
 
-    async def start(self, view):
+    async def start(self, view: message.View) -> None:
         """In a new view: commit what the whole chain holds, and feed the next link.
 
         Example: `mach.spawn(chain.start(view))`
@@ -282,7 +291,7 @@
         else:
             await self.pump(view, self.membership.seat(view.chain[k + 1].id))
 
-    def settle_tail(self, number):
+    def settle_tail(self, number: int) -> None:
         """At the tail: all that is synced here is synced everywhere, so it stands.
 
         Example: `chain.settle_tail(4)`
@@ -300,7 +309,7 @@
         if self.base.n >= self.synced:
             self.settled = number
 
-    def commit(self, n):
+    def commit(self, n: int) -> None:
         """Let entries up to n stand.
 
         Example: `chain.commit(17)`
@@ -321,7 +330,7 @@
             self.framed = self.base.n
             self.mach.spawn(self.reframe(), log)
 
-    async def reframe(self):
+    async def reframe(self) -> None:
         """Write a frame of what stands, and drop the entries far behind it.
 
         Example: `mach.spawn(chain.reframe())`
@@ -345,7 +354,7 @@
 
     # ---- from link to link ----------------------------------------------------------
 
-    async def pump(self, view, seat):
+    async def pump(self, view: message.View, seat: message.Seat) -> None:
         """Keep the next link up to date, as long as the view lasts.
 
         Example: `mach.spawn(chain.pump(view, seat))`
@@ -368,7 +377,7 @@
                 sent = None
             await self.mach.sleep(50 * machine.MILLI)
 
-    def batch(self, first):
+    def batch(self, first: int) -> list[message.Entry]:
         """Entries from a number on, bounded by count and by bytes; at least one where there is any.
 
         Example: `entries = chain.batch(17)`
@@ -382,14 +391,16 @@
             entries.append(entry)
         return entries
 
-    async def call(self, seat, msg):
+    async def call(
+        self, seat: message.Seat, msg: message.Message
+    ) -> message.PieceTaken | message.Placed | message.Stored:
         """Call the next link.
 
         Example: `placed = await chain.call(seat, message.Place(4, "c0ffee"))`
         """
         return await self.peers.call(seat.host, seat.port, msg, CALL_US)
 
-    async def deliver(self, seat, msg):
+    async def deliver(self, seat: message.Seat, msg: message.Append | message.Refill) -> int | None:
         """Send entries to the next link; returns how far they stand below, or None where it refused.
 
         Example: `sent = await chain.deliver(seat, message.Append(4, entries))`
@@ -397,14 +408,14 @@
         stored = await self.call(seat, msg)
         return stored.n if stored.ok else None
 
-    def reaches(self, n):
+    def reaches(self, n: int) -> bool:
         """Whether the log holds all entries after n.
 
         Example: `chain.reaches(17)`
         """
         return all(k in self.log for k in range(n + 1, self.synced + 1))
 
-    def continues(self, got):
+    def continues(self, got: message.Placed) -> bool:
         """Whether a copy at some place is a beginning of this one, and the log holds the rest.
 
         Example: `chain.continues(message.Placed(True, n=17, made=3))`
@@ -414,7 +425,7 @@
         at_base = (got.n, got.made) == (self.base.n, self.base.made)
         return at_base or (got.n in self.log and self.log[got.n].made == got.made)
 
-    async def catch_up(self, number, seat):
+    async def catch_up(self, number: int, seat: message.Seat) -> int | None:
         """Bring the next link up to date; returns how far, or None where it has to be tried again.
 
         Example: `sent = await chain.catch_up(4, seat)`
@@ -431,7 +442,7 @@
             return None
         return await self.send_entries(number, seat, snapshot.position, snapshot.digest)
 
-    def pin(self):
+    def pin(self) -> transfer.Outgoing:
         """The snapshot to send: the last one as long as the log follows it, since links may have a part of it.
 
         Example: `snapshot = chain.pin()`
@@ -440,7 +451,9 @@
             self.pinned = transfer.Outgoing.of(message.Position(self.base.n, self.base.made), self.base.freeze())
         return self.pinned
 
-    async def send_snapshot(self, number, seat, snapshot, got):
+    async def send_snapshot(
+        self, number: int, seat: message.Seat, snapshot: transfer.Outgoing, got: message.Placed
+    ) -> bool:
         """Send a snapshot from where the next link has it; whether all of it arrived.
 
         Example: `await chain.send_snapshot(4, seat, snapshot, placed)`
@@ -455,7 +468,7 @@
             offset = taken.received
         return True
 
-    async def send_entries(self, number, seat, after, snapshot):
+    async def send_entries(self, number: int, seat: message.Seat, after: message.Position, snapshot: str) -> int | None:
         """Send all entries after a position in bounded batches; the last one makes the next link whole.
 
         Example: `sent = await chain.send_entries(4, seat, message.Position(17, 3), "")`
@@ -471,7 +484,7 @@
             after = message.Position(entries[-1].n, entries[-1].made)
         return None
 
-    def refill(self, number, got):
+    def refill(self, number: int, got: message.Placed) -> message.Refill:
         """What brings a copy at some place up to date at once, for programs that take no pieces.
 
         Example: `chain.refill(4, message.Placed(True, n=17, made=3))`
@@ -481,7 +494,7 @@
         rest = [self.log[k] for k in range(self.base.n + 1, self.synced + 1)]
         return message.Refill(number, self.base.freeze(), rest)
 
-    async def answer(self, msg):
+    async def answer(self, msg: message.Message) -> message.Message:
         """Answer one of the chain's messages.
 
         Example: `res = await chain.answer(message.Place(4, "c0ffee"))`
@@ -500,7 +513,7 @@
             case message.Look():
                 return self.look(msg)
 
-    async def tell_place(self, msg):
+    async def tell_place(self, msg: message.Place) -> message.Placed:
         """How far this link has come, once no write is under way that would change it.
 
         Example: `placed = await chain.tell_place(message.Place(4, "c0ffee"))`
@@ -511,7 +524,7 @@
             received = len(self.incoming.content)
             return message.Placed(True, self.synced, self.tip.made, True, self.incoming.digest, received)
 
-    def take_piece(self, msg):
+    def take_piece(self, msg: message.Piece) -> message.PieceTaken:
         """Keep one piece of a snapshot in memory.
 
         Example: `taken = chain.take_piece(piece)`
@@ -520,7 +533,7 @@
             return message.PieceTaken(False)
         return message.PieceTaken(True, self.incoming.take_piece(msg))
 
-    async def take_append(self, msg):
+    async def take_append(self, msg: message.Append) -> message.Stored:
         """Store new entries from the link before; answer once they stand below.
 
         Example: `stored = await chain.take_append(message.Append(4, entries))`
@@ -533,7 +546,7 @@
             return message.Stored(False)
         return await self.wait_below(msg.view, msg.entries)
 
-    async def take_refill(self, msg):
+    async def take_refill(self, msg: message.Refill) -> message.Stored:
         """Store what the link before sends to catch up; after the last of it, answer once it stands below.
 
         Example: `stored = await chain.take_refill(message.Refill(4, None, entries, after))`
@@ -554,7 +567,7 @@
             self.on_commit()
         return stored
 
-    async def store_refill(self, msg):
+    async def store_refill(self, msg: message.Refill) -> bool:
         """Store one Refill by its kind; whether it fits what is here.
 
         Example: `fits = await chain.store_refill(refill)`
@@ -566,7 +579,7 @@
         here = message.Position(self.tip.n, self.tip.made)
         return (msg.after is None or msg.after == here) and await self.extend(msg.entries)
 
-    async def stage(self, msg):
+    async def stage(self, msg: message.Refill) -> bool:
         """Keep entries that follow an incoming snapshot; with the last of them the snapshot replaces this copy.
 
         Example: `fits = await chain.stage(refill)`
@@ -581,7 +594,7 @@
             return False
         return not msg.last or await self.restore(bytes(incoming.content), incoming.ledger, incoming.entries)
 
-    async def extend(self, entries):
+    async def extend(self, entries: list[message.Entry]) -> bool:
         """Sync entries that follow the newest one here; those that are here already are passed over.
 
         Example: `fits = await chain.extend(entries)`
@@ -597,7 +610,7 @@
         self.synced = self.tip.n
         return True
 
-    async def restore(self, snapshot, ledger, entries):
+    async def restore(self, snapshot: bytes, ledger: Ledger, entries: list[message.Entry]) -> bool:
         """Replace this copy by a snapshot and all entries after it, in one synced write.
 
         It is one write because what this copy held may have been acknowledged: at any moment it holds
@@ -624,7 +637,7 @@
             self.committed.wake()
         return True
 
-    async def wait_below(self, number, entries):
+    async def wait_below(self, number: int, entries: list[message.Entry]) -> message.Stored:
         """Pass on what was stored, and answer once it stands on all links below.
 
         Example: `stored = await chain.wait_below(4, entries)`
@@ -643,14 +656,14 @@
 
     # ---- operators' changes, at the head ------------------------------------------------
 
-    def refuse(self, code, text):
+    def refuse(self, code: str, text: str) -> message.Proposed:
         """An answer that says: not run.
 
         Example: `chain.refuse("no_chain", "This machine is not the head.")`
         """
         return message.Proposed(code, "not_run", text)
 
-    async def propose(self, m):
+    async def propose(self, m: message.Propose) -> message.Proposed:
         """Take an operator's change at the head.
 
         Example: `res = await chain.propose(message.Propose(4, "confirm", plan="3-ab"))`
@@ -707,7 +720,7 @@
             self.lock.release()
         return await self.outcome(m, n)
 
-    async def outcome(self, m, n):
+    async def outcome(self, m: message.Propose, n: int) -> message.Proposed:
         """The answer to a change that became entry n, once that stands or its view has ended.
 
         Example: `res = await chain.outcome(message.Propose(4, "confirm", plan="3-ab"), 17)`
@@ -722,7 +735,7 @@
             return unknown  # another view may have made another entry of that number
         return message.Proposed("", "ran", "", m.base if m.kind == "plan" else n)
 
-    def look(self, m):
+    def look(self, m: message.Look) -> message.Seen:
         """Answer a read, at the tail and under its lease only.
 
         A tail that is new holds entries that the one before it may have answered reads by;
--- a/iriswheel/client.py
+++ b/iriswheel/client.py
@@ -5,7 +5,10 @@
 the parser is `httptools`.
 """
 
+from __future__ import annotations
+
 import socket
+import typing
 
 import httptools
 import loguru
@@ -16,6 +19,13 @@
 
 import iriswheel.machine as machine
 
+if typing.TYPE_CHECKING:
+    import twisted.python.failure as failure
+
+    import iriswheel.forwarding as forwarding
+    import iriswheel.message as message
+
+
 CONNECT_US = 350 * machine.MILLI
 KEEP_US = 4 * machine.SECOND  # an idle connection, where the worker does not say how long it keeps one
 KEEP_MOST_US = 60 * machine.SECOND  # and where it does, at most
@@ -40,12 +50,12 @@
     Example: `line.start(head + body, flow)`, where flow has bodyless, owns(), head(), data(), end() and lost().
     """
 
-    def __init__(self, mach, worker):
+    def __init__(self, mach: machine.Machine, worker: str) -> None:
         self.mach = mach
         self.worker = worker  # the worker's id
-        self.flow = None
+        self.flow: forwarding.Flow | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.heads = []
+        self.heads: list[tuple[bytes, bytes]] = []
         self.up = False
         self.used = 0  # exchanges that went over it
         self.skips = 0
@@ -61,7 +71,7 @@
         self.on_free = lambda line: None
         self.on_gone = lambda line: None
 
-    def connectionMade(self):
+    def connectionMade(self) -> None:
         self.up = True
         self.transport.setTcpNoDelay(True)
         sock = getattr(self.transport, "getHandle", lambda: None)()
@@ -69,7 +79,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, STALE_MS)
 
-    def start(self, raw, flow):
+    def start(self, raw: bytes, flow: forwarding.Flow) -> None:
         """Send a request; its answer goes to the flow.
 
         Example: `line.start(raw, flow)`
@@ -82,7 +92,7 @@
         self.skipping = False
         self.transport.write(raw)
 
-    def pause(self):
+    def pause(self) -> None:
         """Read no further for now.
 
         Example: `line.pause()`
@@ -90,7 +100,7 @@
         self.paused = True
         self.transport.pauseProducing()
 
-    def resume(self):
+    def resume(self) -> None:
         """Go on reading.
 
         Example: `line.resume()`
@@ -98,7 +108,7 @@
         self.paused = False
         self.transport.resumeProducing()
 
-    def drop(self):
+    def drop(self) -> None:
         """Break the connection off; its flow, if any, hears no more.
 
         Example: `line.drop()`
@@ -108,7 +118,7 @@
         if self.up:
             self.transport.abortConnection()
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         if self.flow is None:
             self.drop()  # nobody asked
             return
@@ -120,7 +130,7 @@
         except httptools.HttpParserUpgrade:
             self.fail("garbled")
 
-    def fail(self, why):
+    def fail(self, why: str) -> None:
         """What came is no answer: end the flow and the connection.
 
         Example: `line.fail("garbled")`
@@ -130,7 +140,7 @@
         if flow is not None:
             flow.lost(why)
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         self.up = False
         self.spoiled = True
         flow, self.flow = self.flow, None
@@ -142,15 +152,15 @@
 
     # ---- what the parser calls -------------------------------------------------------
 
-    def on_message_begin(self):
+    def on_message_begin(self) -> None:
         self.heads = []
         if self.flow is None:
             self.drop()  # more after a whole answer
 
-    def on_header(self, name, value):
+    def on_header(self, name: bytes, value: bytes) -> None:
         self.heads.append((name, value))
 
-    def on_headers_complete(self):
+    def on_headers_complete(self) -> None:
         if self.flow is None:
             return
         status = self.parser.get_status_code()
@@ -171,7 +181,7 @@
             case None:
                 raise ValueError("whose answer it is can't be told")
 
-    def end_without_body(self):
+    def end_without_body(self) -> None:
         """End an exchange whose answer is its head alone; the parser would wait for the length that is told.
 
         Example: `line.end_without_body()`
@@ -180,7 +190,7 @@
         self.drop()
         flow.end()
 
-    def keep(self, low):
+    def keep(self, low: dict[str, str]) -> None:
         """Note how long the worker keeps the connection.
 
         Example: `line.keep({"keep-alive": "timeout=5"})`
@@ -193,11 +203,11 @@
             if name.lower() == "timeout" and val.strip().isdigit():
                 self.keep_us = min(KEEP_MOST_US, int(val) * machine.SECOND - MARGIN_US)
 
-    def on_body(self, body):
+    def on_body(self, body: bytes) -> None:
         if self.flow is not None and not self.skipping:
             self.flow.data(body)
 
-    def on_message_complete(self):
+    def on_message_complete(self) -> None:
         if self.flow is None:
             return
         if self.skipping:
@@ -211,7 +221,7 @@
         flow.end()
         self.free()
 
-    def free(self):
+    def free(self) -> None:
         """The exchange is over; the connection is kept for the next, if it is sound.
 
         Example: `line.free()`
@@ -233,13 +243,13 @@
     0
     """
 
-    def __init__(self, mach):
+    def __init__(self, mach: machine.Machine | None) -> None:
         self.mach = mach
-        self.idle = {}  # worker -> [Line], the latest used last
-        self.open = {}  # worker -> how many there are
-        self.learned = {}  # worker -> (when, how long an idle connection may be trusted)
+        self.idle: dict[str, list[Line]] = {}  # worker -> [Line], the latest used last
+        self.open: dict[str, int] = {}  # worker -> how many there are
+        self.learned: dict[str, tuple[int, int]] = {}  # worker -> (when, how long an idle connection may be trusted)
 
-    def count(self, worker):
+    def count(self, worker: str) -> int:
         """How many connections to a worker are open.
 
         >>> Lines(None).count("w1")
@@ -247,7 +257,7 @@
         """
         return self.open.get(worker, 0)
 
-    def take(self, worker, fresh_us):
+    def take(self, worker: str, fresh_us: int) -> Line | None:
         """An idle connection that was used within fresh_us, or None.
 
         >>> Lines(machine.Machine(None, now=lambda: 0)).take("w1", 1) is None
@@ -267,7 +277,7 @@
                 return kept.pop()
         return None
 
-    def trust(self, worker):
+    def trust(self, worker: str) -> int:
         """How long a connection to a worker may have been idle and still be used.
 
         >>> lines = Lines(machine.Machine(None, now=lambda: 0)); lines.learned["w1"] = (0, 700_000)
@@ -277,7 +287,7 @@
         when, us = self.learned.get(worker, (0, 10**12))
         return us if self.mach.now() - when < LEARNED_US else 10**12
 
-    def stale(self, line):
+    def stale(self, line: Line) -> None:
         """A connection that had been idle was gone when it was used: younger ones are not trusted either.
 
         Example: `lines.stale(line)`
@@ -286,7 +296,7 @@
             us = max(LEAST_IDLE_US, min(line.rested // 2, self.trust(line.worker)))
             self.learned[line.worker] = (self.mach.now(), us)
 
-    async def get(self, w, fresh_us, left_us=CONNECT_US):
+    async def get(self, w: message.Worker, fresh_us: int, left_us: int = CONNECT_US) -> Line:
         """A connection to a worker, an idle one if it was used within fresh_us; raises Unreached.
 
         A new one is waited for up to CONNECT_US, and no longer than left_us.
@@ -318,7 +328,7 @@
             raise UnreachableError("closed")
         return line
 
-    def gone(self, worker):
+    def gone(self, worker: str) -> None:
         """A connection is no more.
 
         Example: `lines.gone("w1")`
@@ -327,14 +337,14 @@
         if not self.open[worker]:
             del self.open[worker]
 
-    def free(self, line):
+    def free(self, line: Line) -> None:
         """Keep a connection that has come free.
 
         Example: `lines.free(line)`
         """
         self.idle.setdefault(line.worker, []).append(line)
 
-    def sweep(self, listed):
+    def sweep(self, listed: set[str]) -> None:
         """Drop idle connections past their time, and those to workers that are listed no more.
 
         >>> Lines(machine.Machine(None, now=lambda: 0)).sweep({"w1"})
--- a/iriswheel/command.py
+++ b/iriswheel/command.py
@@ -1,9 +1,12 @@
 """The command line: one program, and the role is a subcommand."""
 
+from __future__ import annotations
+
 import contextlib
 import json
 import signal
 import sys
+import typing
 
 import defopt
 import loguru
@@ -25,7 +28,7 @@
 log = loguru.logger.bind(part="main")
 
 
-def settle(role, path, flags):
+def settle(role: str, path: str, flags: dict[str, typing.Any]) -> options_reader.Options:
     """The checked options, or an exit with every mistake.
 
     Example: `settle("node", "node.toml", {})`
@@ -47,7 +50,7 @@
     seeds: list[str] | None = None,
     data: str | None = None,
     log_level: str | None = None,
-):
+) -> None:
     """Run a core machine: a link of the chain, with a data folder.
 
     Example: iriswheel core --options core.toml --data /var/lib/iriswheel
@@ -79,7 +82,7 @@
     seeds: list[str] | None = None,
     platform: str | None = None,
     log_level: str | None = None,
-):
+) -> None:
     """Run a light node: the clients' door.
 
     Example: iriswheel node --options node.toml --name n1
@@ -107,7 +110,9 @@
     process.run_node(settle("node", options, flags), options, lambda: options_reader.read("node", options, flags))
 
 
-async def ask(mach, cores, method, path, doc=None):
+async def ask(
+    mach: machine.Machine, cores: list[str], method: str, path: str, doc: dict[str, typing.Any] | None = None
+) -> tuple[int, dict[str, typing.Any]]:
     """Ask the first core that answers; a core that can't be reached is passed over.
 
     Example: `status, doc = await ask(mach, ["127.0.0.1:8001"], "GET", "/blueprint")`
@@ -130,7 +135,7 @@
     return 503, {"code": "no_chain", "verdict": "not_run", "text": "No core machine can be reached."}
 
 
-def operate(cores, method, path, doc=None):
+def operate(cores: list[str], method: str, path: str, doc: dict[str, typing.Any] | None = None) -> None:
     """Ask, print the answer as JSON, and exit by its verdict.
 
     Example: `operate(["127.0.0.1:8001"], "GET", "/blueprint")`
@@ -144,7 +149,7 @@
     reactor = process.the_reactor()
     out = []
 
-    async def go():
+    async def go() -> None:
         try:
             out.append(await ask(machine.Machine(reactor), cores, method, path, doc))
         except Exception as e:
@@ -159,7 +164,7 @@
         sys.exit(UNKNOWN if res.get("verdict") == "may_have_run" else REFUSED)
 
 
-def read_json(path):
+def read_json(path: str) -> dict[str, dict[str, dict[str, typing.Any]]]:
     """A JSON file, or an exit that says why not.
 
     Example: `doc = read_json("blueprint.json")`
@@ -173,7 +178,7 @@
         process.fail(process.BAD_INPUT, [f"{path}: not JSON: {e}"])
 
 
-def check(blueprint_file: str):
+def check(blueprint_file: str) -> None:
     """Check a configuration file and say all that is wrong with it.
 
     Example: iriswheel check blueprint.json
@@ -187,7 +192,7 @@
     print(f"{blueprint_file}: {len(items)} items, no mistakes.")
 
 
-def plan(file: str, *, core: list[str], patch: bool = False, base: int | None = None):
+def plan(file: str, *, core: list[str], patch: bool = False, base: int | None = None) -> None:
     """Send a configuration or a JSON Patch and get a plan of what would change.
 
     Example: iriswheel plan blueprint.json --core 127.0.0.1:8001
@@ -203,7 +208,7 @@
     operate(core, "POST", "/plans", doc)
 
 
-def confirm(plan_id: str, *, core: list[str]):
+def confirm(plan_id: str, *, core: list[str]) -> None:
     """Confirm a plan; it is in force everywhere shortly after the answer.
 
     Saying it again gives the same answer and changes nothing more.
@@ -216,7 +221,7 @@
     operate(core, "POST", f"/plans/{plan_id}/confirm", {})
 
 
-def change(file: str, *, number: int, built_on: int, core: list[str]):
+def change(file: str, *, number: int, built_on: int, core: list[str]) -> None:
     """Have a change taken under a number of your own, in one step and without a plan.
 
     The file holds a whole configuration, or {"upsert": {"routes": {...}}, "remove": {"routes": [...]}}.
@@ -234,7 +239,7 @@
     operate(core, "POST", "/changes", {"number": number, "built_on": built_on, **(doc if part else {"blueprint": doc})})
 
 
-def show(what: str = "blueprint", *, core: list[str]):
+def show(what: str = "blueprint", *, core: list[str]) -> None:
     """Read the configuration back, or a plan by its id, or the state of a process.
 
     Example: iriswheel show blueprint --core 127.0.0.1:8001
@@ -256,7 +261,7 @@
     path: str = "/v1/complete",
     events: str = "",
     seed: int = 1,
-):
+) -> None:
     """Send the brief's mix of exchanges to nodes and report what came of them; SIGINT ends it early.
 
     Example: iriswheel load --nodes 127.0.0.1:8101 127.0.0.1:8102 --seconds 20
@@ -294,7 +299,7 @@
     print(json.dumps(gen.report(), indent=2))
 
 
-def read_logs(paths):
+def read_logs(paths: tuple[str]) -> typing.Any:
     """The events of some logs by their times, or an exit that says what is damaged.
 
     Example: `rows = read_logs(["run.events"])`
@@ -316,7 +321,7 @@
     return lines
 
 
-def replay(*files: str):
+def replay(*files: str) -> typing.NoReturn:
     """Judge event logs by the brief's twelve points; exit 1 where there is a complaint.
 
     Example: iriswheel replay run.events
@@ -334,7 +339,7 @@
     sys.exit(1 if found else 0)
 
 
-def history(*files: str):
+def history(*files: str) -> typing.NoReturn:
     """Judge operators' calls in event logs: whether one order explains every answer; exit 1 where none does.
 
     Example: iriswheel history run.events
@@ -349,7 +354,7 @@
     sys.exit(1 if found else 0)
 
 
-def main():
+def main() -> None:
     """The program.
 
     Example: `python -m iriswheel --help`
--- a/iriswheel/configuration.py
+++ b/iriswheel/configuration.py
@@ -4,6 +4,7 @@
 `terms/default`, so that a change names just the items that it touches.
 """
 
+import collections.abc
 import dataclasses
 import functools
 import hashlib
@@ -27,7 +28,7 @@
         forbid_extra_keys = True
 
     @classmethod
-    def __pre_deserialize__(cls, d):
+    def __pre_deserialize__(cls, d: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
         """Refuse a value of another type than its field's, or out of range."""
         if not isinstance(d, dict):
             raise ValueError("not an object")
@@ -42,7 +43,7 @@
 
 
 @functools.cache
-def wanted(cls):
+def wanted(cls: typing.Any) -> list[tuple[str, type[typing.Any]]]:
     """The fields of an item and the plain type that each one wants.
 
     >>> wanted(Marks)
@@ -97,7 +98,7 @@
     session_part: int = -1
 
     @classmethod
-    def __pre_deserialize__(cls, d):
+    def __pre_deserialize__(cls, d: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
         """Drop a session part of -1, which is the default, before the types are checked."""
         part = d.get("session_part", -1) if isinstance(d, dict) else -1
         if part == -1:
@@ -136,7 +137,7 @@
     urgency: int = 5
     label: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
 
-    def pools(self):
+    def pools(self) -> list[str]:
         """The pools that this route's exchanges may go to.
 
         >>> Route("/", "a", split=[{"pool": "a", "weight": 9}, {"pool": "b", "weight": 1}]).pools()
@@ -187,12 +188,14 @@
 
     code = "bad_blueprint"
 
-    def __init__(self, errors):
+    def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
         self.errors = errors
 
 
-def flatten(doc):
+def flatten(
+    doc: dict[str, dict[str, dict[str, typing.Any]]] | list[typing.Any] | str,
+) -> dict[str, dict[str, typing.Any]]:
     """Turn a configuration document into items, after checking all of it.
 
     >>> flatten({"pools": {"desk": {}}, "terms": {"default": {}}})
@@ -222,7 +225,7 @@
     return items
 
 
-def check(items, errors):
+def check(items: dict[str, dict[str, typing.Any]], errors: list[str]) -> None:
     """Add every mistake in the items to errors.
 
     >>> found = []; check({"pools/p": {"cap": "4"}}, found); found
@@ -277,7 +280,7 @@
                         errors.append(f"{key}: {f} must be above 0")
 
 
-def shares(key, item, errors):
+def shares(key: str, item: "Route", errors: list[str]) -> None:
     """Add what is wrong with a route's split to errors.
 
     >>> found = []; shares("routes/r", Route("/", "p", split=[{"pool": "p", "weight": 0}]), found); found
@@ -298,7 +301,9 @@
         errors.append(f"{key}: pool is not the split's first")
 
 
-def unflatten(items):
+def unflatten(
+    items: collections.abc.Mapping[str, dict[str, typing.Any]],
+) -> dict[str, dict[str, dict[str, typing.Any]]]:
     """Turn items back into a document.
 
     >>> unflatten({"pools/desk": {"cap": 3}})
@@ -311,7 +316,7 @@
     return doc
 
 
-def differ(old, new):
+def differ(old: collections.abc.Mapping[str, typing.Any], new: dict[str, typing.Any]) -> list[tuple[str, typing.Any]]:
     """The changes that lead from old items to new ones; None removes.
 
     >>> differ({"a": 1, "b": 2}, {"b": 3, "c": 4})
@@ -320,7 +325,9 @@
     return [(k, new.get(k)) for k in sorted(set(old) | set(new)) if old.get(k) != new.get(k)]
 
 
-def patch(doc, ops):
+def patch(
+    doc: dict[str, dict[str, dict[str, typing.Any]]], ops: list[dict[str, typing.Any]]
+) -> dict[str, dict[str, dict[str, typing.Any]]]:
     """Apply a JSON Patch (RFC 6902) to a document.
 
     >>> patch({"pools": {}}, [{"op": "add", "path": "/pools/desk", "value": {}}])
@@ -332,7 +339,9 @@
         raise InvalidConfigurationError([f"The patch does not apply: {e}"]) from e
 
 
-def amend(doc, upsert, remove):
+def amend(
+    doc: dict[str, dict[str, dict[str, typing.Any]]], upsert: typing.Any, remove: typing.Any
+) -> dict[str, dict[str, dict[str, typing.Any]]]:
     """A document with items put in or replaced, and others removed, both by kind and name.
 
     >>> amend({"pools": {"a": {}, "b": {}}}, {"pools": {"c": {"cap": 3}}}, {"pools": ["a"]})
@@ -353,7 +362,7 @@
     return out
 
 
-def number(items):
+def number(items: collections.abc.Mapping[str, dict[str, typing.Any]]) -> int:
     """The operator's own number of the configuration; 0 where there is none yet.
 
     >>> number({"marks/operator": {"number": 7}}), number({})
@@ -362,7 +371,7 @@
     return items.get("marks/operator", {}).get("number", 0)
 
 
-def change_id(number, built_on, content):
+def change_id(number: int, built_on: int, content: dict[str, typing.Any] | list[typing.Any]) -> str:
     """The id of a change: the same content under the same number on the same one, the same id.
 
     >>> change_id(7, 5, {"remove": {}})
@@ -372,7 +381,7 @@
     return f"c{built_on}-{number}-{hashlib.sha256(raw).hexdigest()[:16]}"
 
 
-def change_number(ident):
+def change_number(ident: str) -> int:
     """The operator's number in a change's id; 0 for the id of a plan.
 
     >>> change_number("c5-7-2f63a8da44f9e5d5"), change_number("3-ca06da3a935a")
@@ -382,7 +391,7 @@
     return int(parts[1]) if ident.startswith("c") and len(parts) == 3 else 0
 
 
-def plan_id(base, changes):
+def plan_id(base: int, changes: list[tuple[str, dict[str, typing.Any] | None]]) -> str:
     """The id of a plan names its base: the same changes on the same base, the same id.
 
     >>> plan_id(3, [("a", None)])
@@ -392,7 +401,9 @@
     return f"{base}-{hashlib.sha256(raw).hexdigest()[:12]}"
 
 
-def describe(old, changes):
+def describe(
+    old: dict[str, dict[str, typing.Any]], changes: list[tuple[str, dict[str, typing.Any]]]
+) -> dict[str, list[str]]:
     """What a plan will do, for the operator to read.
 
     >>> describe({}, [("pools/desk", {})])["added"]
@@ -422,7 +433,7 @@
     return out
 
 
-def bare(item):
+def bare(item: dict[str, typing.Any]) -> dict[str, typing.Any]:
     """An item as nodes get it: without the operator's label.
 
     >>> bare({"cap": 3, "label": {"team": "night"}})
@@ -431,7 +442,9 @@
     return {k: v for k, v in item.items() if k != "label"} if "label" in item else item
 
 
-def carve(items, zone, pools=()):
+def carve(
+    items: collections.abc.Mapping[str, dict[str, typing.Any]], zone: str, pools: collections.abc.Sequence[str] = ()
+) -> dict[str, dict[str, typing.Any]]:
     """The slice that a node in a zone needs: its routes, their pools and terms, the limits.
 
     >>> carve({"routes/a": {"path": "/", "pool": "p", "zones": ["north"]}, "pools/p": {}}, "south")
--- a/iriswheel/core.py
+++ b/iriswheel/core.py
@@ -1,5 +1,8 @@
 """A core machine: its link of the chain, its nodes' sessions, its operators' door."""
 
+from __future__ import annotations
+
+import collections.abc
 import contextlib
 import typing
 
@@ -22,6 +25,11 @@
 import iriswheel.warden as warden
 import iriswheel.wire as wire
 
+if typing.TYPE_CHECKING:
+    import iriswheel.options as options_module
+    import iriswheel.web as web
+
+
 BEAT_US = 250 * machine.MILLI
 RELIST_US = 2 * machine.SECOND  # the worker list is told the tail again, although it stands
 REPORT_US = 5 * machine.MILLI  # what else the nodes say within this goes to the tail in one word
@@ -36,7 +44,7 @@
 log = loguru.logger.bind(part="core")
 
 
-def shield(d):
+def shield(d: defer.Deferred[typing.Any]) -> defer.Deferred[typing.Any]:
     """A Deferred that fires as d does; cancelling it leaves d to go on.
 
     What has begun to write must know of its write when that ends, whoever still waits for it.
@@ -48,7 +56,7 @@
     """
     out = defer.Deferred()
 
-    def done(res):
+    def done(res: message.Proposed | message.Seen) -> None:
         if not out.called:
             out.callback(res)
         elif isinstance(res, failure.Failure):
@@ -88,7 +96,7 @@
     Example: `post = NodeSession(core, link, join)`; `mach.spawn(post.feed())`.
     """
 
-    def __init__(self, core, link, join):
+    def __init__(self, core: Core, link: wire.Connection, join: message.Join) -> None:
         self.core = core
         self.link = link
         self.member = join.member
@@ -99,10 +107,11 @@
         self.roster = join.roster.stamp if join.roster is not None else (0, 0)
         self.told = 0
         self.node_time = join.sent_at  # the newest time that the node put on a heartbeat, on its clock
-        self.sliced = None  # the state and roster that the last slice was cut from
+        # the state and roster that the last slice was cut from
+        self.sliced: tuple[int, tuple[int, int] | None] | None = None
         self.changed = machine.Signal()
 
-    def slice(self):
+    def slice(self) -> dict[str, dict[str, typing.Any]]:
         """The items that this node needs now.
 
         Example: `post.slice()`
@@ -112,7 +121,7 @@
         pools = [d.key[5:] for d in duties if d.holder == self.member.id and d.key.startswith("pool/")]
         return self.core.slices.slice(self.core.chain.base, self.member.zone, tuple(pools))
 
-    def flush(self):
+    def flush(self) -> None:
         """Send what is new to this node.
 
         Example: `post.flush()`
@@ -138,7 +147,7 @@
             left = self.core.lease.grant(self.member.id, self.told)
             self.link.tell(message.Alive(self.n, self.roster, self.core.same, self.node_time, left))
 
-    async def feed(self):
+    async def feed(self) -> None:
         """Flush at every change, and a heartbeat four times a second; one task per node.
 
         What this core machine knows to stand goes to its nodes also while it is not in touch with
@@ -160,7 +169,7 @@
             self.core.report_now.wake()
 
 
-def replicas(v):
+def replicas(v: message.View) -> list[tuple[str, str]]:
     """The machines of a view's chain, as (core id, incarnation).
 
     >>> replicas(message.View(4, [], [message.ChainReplica("a", "x")]))
@@ -181,17 +190,37 @@
 
     ROOM = 256
 
-    def __init__(self):
-        self.slices = {}
-        self.deltas = {}
-
-    def _keep(self, kept, key, val):
+    def __init__(self) -> None:
+        self.slices: dict[tuple[int, int, str, tuple[str, ...]], dict[str, dict[str, typing.Any]]] = {}
+        self.deltas: dict[
+            tuple[int, int],
+            tuple[
+                dict[str, dict[typing.Any, typing.Any]],
+                dict[str, dict[typing.Any, typing.Any]],
+                dict[str, dict[typing.Any, typing.Any] | None],
+            ],
+        ] = {}
+
+    def _keep(
+        self,
+        kept: dict[tuple[typing.Any, ...], typing.Any],
+        key: tuple[typing.Any, ...],
+        val: dict[str, dict[str, typing.Any]]
+        | tuple[
+            dict[str, dict[str, typing.Any]], dict[str, dict[str, typing.Any]], dict[str, dict[str, typing.Any] | None]
+        ],
+    ) -> (
+        dict[str, dict[str, typing.Any]]
+        | tuple[
+            dict[str, dict[str, typing.Any]], dict[str, dict[str, typing.Any]], dict[str, dict[str, typing.Any] | None]
+        ]
+    ):
         if len(kept) >= self.ROOM:
             del kept[next(iter(kept))]
         kept[key] = val
         return val
 
-    def slice(self, ledger, zone, pools):
+    def slice(self, ledger: chain.Ledger, zone: str, pools: tuple[str, ...]) -> dict[str, dict[str, typing.Any]]:
         """What a node in a zone with these pools' duties needs of a state.
 
         Example: `slices.slice(chain.base, "north", ("desk",))`
@@ -199,7 +228,9 @@
         key = (ledger.n, ledger.made, zone, pools)
         return self.slices.get(key) or self._keep(self.slices, key, configuration.carve(ledger.fed, zone, pools))
 
-    def delta(self, old, new):
+    def delta(
+        self, old: dict[str, dict[str, typing.Any]], new: dict[str, dict[str, typing.Any]]
+    ) -> dict[str, dict[str, typing.Any] | None]:
         """The changes from one slice to another, as a map; None removes.
 
         Example: `slices.delta(sent, now)`
@@ -213,7 +244,7 @@
         return kept[2]
 
 
-def encode_session_replica(session_replica, now):
+def encode_session_replica(session_replica: warden.SessionReplica, now: int) -> bytes:
     """A session replica's sessions as bytes, with the time.
 
     >>> decode_session_replica(encode_session_replica(warden.SessionReplica(), 5), 7).told(7)
@@ -222,7 +253,7 @@
     return msgspec.msgpack.encode([now, session_replica.term, session_replica.told(now)[0]])
 
 
-def decode_session_replica(raw, now):
+def decode_session_replica(raw: bytes, now: int) -> warden.SessionReplica:
     """A session replica from bytes. After a restart of the machine its clock has begun anew.
 
     Example: `decode_session_replica(raw, mach.now())`
@@ -240,7 +271,7 @@
     Example: `core = Core(mach, disk, options)`; `core.start()`.
     """
 
-    def __init__(self, mach, disk, options):
+    def __init__(self, mach: machine.Machine, disk: store.Disk, options: options_module.Options) -> None:
         self.mach = mach
         self.options = options
         state = disk.read()
@@ -279,34 +310,36 @@
         self.membership.tip = lambda: (self.chain.tip.made, self.chain.tip.n)
         self.chain.on_commit = self.wake_node_sessions
         self.issuer = roster.Issuer(mach, self.membership, self.pools)
-        self.node_sessions = {}
+        self.node_sessions: dict[str, NodeSession] = {}
         self.slices = Slices()
         self.named = (-1, [])  # the pools that have wardens, and the state they were read from
         self.beaten = (0, 0)  # when this core sent the newest report that the tail has answered, and in which view
         self.lease = lease.CoreLease(options.lease_us)
         self.holders = lease.Holders(options.lease_us, mach.now())
-        self.heard_reports = {}  # core -> `sent_at` of its newest report in this view
+        self.heard_reports: dict[str, int] = {}  # core -> `sent_at` of its newest report in this view
         self.beat_now = machine.Signal()
-        self.listing = None
+        self.listing: message.Listing | None = None
         self.listing_told = (None, 0)  # to which tail, of which view, under which stamp it was told; and when
-        self.same = None  # the newest word that the worker list stands
-        self.seated = {}  # duty -> the newest term under which its holder here said that it is seated
-        self.contested = {}  # duty -> the term that its holder here can't use
+        self.same: message.Same | None = None  # the newest word that the worker list stands
+        # duty -> the newest term under which its holder here said that it is seated
+        self.seated: dict[str, tuple[int, int]] = {}
+        self.contested: dict[typing.Any, typing.Any] = {}  # duty -> the term that its holder here can't use
         self.report_now = machine.Signal()
-        self.session_replicas = {}  # pool -> warden.SessionReplica, late copies of the wardens' sessions
+        # pool -> warden.SessionReplica, late copies of the wardens' sessions
+        self.session_replicas: dict[str, warden.SessionReplica] = {}
         for key, raw in state.items():
             if key.startswith(b"shelf/"):
                 self.session_replicas[key[6:].decode()] = decode_session_replica(raw, mach.now())
-        self.dirty = set()  # pools whose session replica is not on the disk as it is
+        self.dirty: set[str] = set()  # pools whose session replica is not on the disk as it is
         self.applied_by_all = 0  # every node has come at least this far
         self.applied_by_all_changed = machine.Signal()
         self.sessions = 0  # members that have a session, as the tail counts them
         self.counts = {"plans": 0, "confirms": 0, "changes": 0, "refused": 0, "joins": 0, "views": 0}
-        self.spread = None  # the stamp of the roster last spread from here
+        self.spread: tuple[int, int] | None = None  # the stamp of the roster last spread from here
         self.stopping = False
         self.loads = loads.CoreSide(self)
 
-    def start(self):
+    def start(self) -> None:
         """Start all tasks.
 
         Example: `core.start()`
@@ -333,7 +366,7 @@
         else:
             log.info("Core {} starts blank.", self.membership.me.id)
 
-    def renew(self, options):
+    def renew(self, options: options_module.Options) -> None:
         """Take in options that were read again: further seeds.
 
         Example: `core.renew(options.read("core", path, {}))`
@@ -343,7 +376,7 @@
 
     # ---- state -----------------------------------------------------------------
 
-    def pools(self):
+    def pools(self) -> list[str]:
         """The names of the pools that stand and elect at a warden.
 
         Example: `core.pools()`
@@ -360,14 +393,14 @@
             )
         return self.named[1]
 
-    def seats(self):
+    def seats(self) -> list[message.Seat]:
         """The core machines as far as they are known.
 
         Example: `core.seats()`
         """
         return list(self.membership.view.seats) if self.membership.view is not None else []
 
-    def serving(self):
+    def serving(self) -> bool:
         """Whether nodes may rely on this core: the tail was heard just now.
 
         Example: `core.serving()`
@@ -382,7 +415,7 @@
             and self.mach.now() - heard < FRESH_US
         )
 
-    def installed(self, v):
+    def installed(self, v: message.View) -> None:
         """A new view was agreed.
 
         Example: `core.installed(view)`
@@ -397,7 +430,7 @@
         self.beat_now.wake()
         self.peers.keep(self.membership.addresses())
 
-    def wake_node_sessions(self):
+    def wake_node_sessions(self) -> None:
         """Let all nodes' sessions look for news.
 
         Example: `core.wake_node_sessions()`
@@ -408,7 +441,9 @@
 
     # ---- messages -----------------------------------------------------------------
 
-    def serve(self, link, msg):
+    def serve(
+        self, link: wire.Connection | None, msg: message.Message
+    ) -> collections.abc.Coroutine[typing.Any, typing.Any, typing.Any] | None:
         """Answer one message from another process.
 
         Example: `Listener(mach, core.serve, log)`
@@ -459,7 +494,7 @@
             case _:
                 log.warning("A core has no answer to {}.", type(msg).__name__)
 
-    def hear_node(self, session, heartbeat):
+    def hear_node(self, session: NodeSession, heartbeat: message.Alive) -> None:
         """Take a node's heartbeat: how far it has come, and its time.
 
         Example: `core.hear_node(link.post, message.Alive(17, (3, 1), None, 5_000_000))`
@@ -470,7 +505,7 @@
             session.place = heartbeat.n
             self.report_now.wake()
 
-    def take_report(self, report):
+    def take_report(self, report: message.Sessions) -> None:
         """At the tail: take a core machine's report.
 
         Example: `core.take_report(sessions)`
@@ -485,14 +520,14 @@
         if self.applied() != before:
             self.beat_now.wake()
 
-    def applied(self):
+    def applied(self) -> int:
         """At the tail: how far every node that may hold a lease has come.
 
         Example: `core.applied()`
         """
         return self.holders.applied(self.chain.base.n, self.mach.now()) if self.membership.leased() else 0
 
-    async def pass_leave(self, msg):
+    async def pass_leave(self, msg: message.Leave) -> None:
         """Pass a leaving node's word on to the tail.
 
         Example: `await core.pass_leave(message.Leave("c0ffee"))`
@@ -505,7 +540,7 @@
             if (tail.host, tail.port) != (self.options.host, self.options.port):
                 await self.peers.tell(tail.host, tail.port, msg)
 
-    def hear_beat(self, m):
+    def hear_beat(self, m: message.Beat) -> None:
         """Take the tail's beat.
 
         Example: `core.hear_beat(beat)`
@@ -525,7 +560,7 @@
         self.sessions = m.sessions
         self.wake_node_sessions()
 
-    def take_same(self, same):
+    def take_same(self, same: message.Same | None) -> None:
         """Take a word that the worker list stands, if it is the newest.
 
         Example: `core.take_same(message.Same((1, 2, 9), (1, 2, 3)))`
@@ -533,7 +568,7 @@
         if same is not None and (self.same is None or same.stamp > self.same.stamp):
             self.same = same
 
-    def take_forced(self, n):
+    def take_forced(self, n: int) -> None:
         """Every member has come as far as n.
 
         Example: `core.take_forced(17)`
@@ -542,7 +577,7 @@
             self.applied_by_all = n
             self.applied_by_all_changed.wake()
 
-    def join(self, link, m):
+    def join(self, link: wire.Connection, m: message.Join) -> None:
         """Begin a node's session.
 
         Example: `core.join(link, message.Join(member, 0, None))`
@@ -570,7 +605,7 @@
 
     # ---- tasks -----------------------------------------------------------------------
 
-    async def report(self):
+    async def report(self) -> None:
         """Tell the tail which sessions stand here.
 
         Example: `mach.spawn(core.report())`
@@ -607,7 +642,7 @@
             await self.mach.pause(self.report_now, BEAT_US)
             await self.mach.sleep(REPORT_US)
 
-    def news_of_workers(self, v):
+    def news_of_workers(self, v: message.View) -> message.Listing | None:
         """The worker list, for the tail of a view: where it is new to it, and again now and then.
 
         Example: `core.news_of_workers(membership.view)`
@@ -620,7 +655,7 @@
         self.listing_told = (what, now)
         return self.listing
 
-    async def gathered(self, m):
+    async def gathered(self, m: message.Gather) -> message.Gathered:
         """What is kept here of a pool, for a new warden; `copy` says whether it ever had one.
 
         That it has one now is on the disk before the answer, so that no later warden takes
@@ -640,7 +675,7 @@
                 return message.Gathered(False)
         return message.Gathered(True, session_replica.told(self.mach.now())[0], copy=had)
 
-    async def keep_session_replicas(self):
+    async def keep_session_replicas(self) -> None:
         """Now and then, bring the late copies of sessions to the disk.
 
         Example: `mach.spawn(core.keep_session_replicas())`
@@ -659,7 +694,7 @@
                 with contextlib.suppress(store.DiskError):  # only a late copy; the guard has noted the error
                     await self.disk.commit(puts)
 
-    async def issue(self):
+    async def issue(self) -> None:
         """At the tail: look after the roster's graces.
 
         Example: `mach.spawn(core.issue())`
@@ -670,7 +705,7 @@
                 self.issuer.issue()
                 self.spread_roster()
 
-    def spread_roster(self):
+    def spread_roster(self) -> None:
         """Wake the beat if the roster has moved on.
 
         Example: `core.spread_roster()`
@@ -679,7 +714,7 @@
             self.spread = self.issuer.latest.stamp
             self.wake_node_sessions()
 
-    async def beat(self):
+    async def beat(self) -> None:
         """At the tail, under the lease: tell all cores what stands.
 
         Example: `mach.spawn(core.beat())`
@@ -715,7 +750,7 @@
 
     # ---- operators ----------------------------------------------------------------------
 
-    async def handle(self, req):
+    async def handle(self, req: web.Request) -> None:
         """Answer one operator's exchange.
 
         Example: `Server(mach, core.handle)`
@@ -749,7 +784,7 @@
             case _:
                 raise verdict.ServiceError("not_found", "There is no such path.")
 
-    def state(self):
+    def state(self) -> dict[typing.Any, typing.Any]:
         """What this core shows of itself.
 
         Example: `core.state()["view"]`
@@ -779,7 +814,9 @@
             "counts": self.counts,
         }
 
-    async def ask_link(self, k, make, us=ANSWER_US):
+    async def ask_link(
+        self, k: int, make: collections.abc.Callable[..., object], us: int = ANSWER_US
+    ) -> message.Proposed | message.Seen:
         """Put a message to the chain's link k (0 the head, -1 the tail).
 
         Example: `res = await core.ask_link(-1, lambda number: message.Look(number))`
@@ -800,7 +837,7 @@
                 "unknown_outcome", "No answer came in time.", verdict.Verdict.MAY_HAVE_RUN
             ) from e
 
-    async def look(self, ident, us=ANSWER_US):
+    async def look(self, ident: str, us: int = ANSWER_US) -> message.Seen:
         """Read at the tail.
 
         Example: `seen = await core.look("")`
@@ -813,14 +850,14 @@
             raise verdict.ServiceError("no_chain", "The tail holds no lease now.")
         return seen
 
-    async def read(self):
+    async def read(self) -> dict[str, dict[str, typing.Any]]:
         """The items that stand, read at the tail.
 
         Example: `items = await core.read()`
         """
         return (await self.read_state()).items
 
-    async def read_state(self):
+    async def read_state(self) -> message.Seen:
         """The state that stands, read at the tail; asked for again for a moment where it has no lease.
 
         Example: `seen = await core.read_state()`
@@ -834,7 +871,14 @@
                     raise
             await self.mach.sleep(AGAIN_US)
 
-    async def propose(self, kind, ident, base=0, changes=(), us=ANSWER_US):
+    async def propose(
+        self,
+        kind: str,
+        ident: str,
+        base: int = 0,
+        changes: collections.abc.Sequence[tuple[str, dict[str, typing.Any] | None]] = (),
+        us: int = ANSWER_US,
+    ) -> message.Proposed:
         """Bring a change to the head.
 
         Example: `res = await core.propose("confirm", "3-ab")`
@@ -846,7 +890,7 @@
             raise verdict.ServiceError(res.code, res.text, verdict.Verdict(res.verdict))
         return res
 
-    async def confirm(self, ident):
+    async def confirm(self, ident: str) -> message.Proposed:
         """Have a plan confirmed; returns once it stands and every member has it in force.
 
         Example: `res = await core.confirm("3-ab")`
@@ -863,7 +907,7 @@
             )
         return res
 
-    def without_nodes(self):
+    def without_nodes(self) -> bool:
         """Whether there are nodes, and none has a session: they may all be cut off, and go on by what they have.
 
         Example: `if core.without_nodes(): refuse()`
@@ -871,7 +915,7 @@
         latest = self.issuer.latest
         return latest is not None and bool(latest.members) and not self.sessions
 
-    async def take_change(self, doc):
+    async def take_change(self, doc: typing.Any) -> tuple[int, int]:
         """Take a numbered change: a whole configuration, or items to put in and to remove.
 
         Example: `await core.take_change({"number": 9, "built_on": 7, "remove": {"routes": ["old"]}})`
@@ -895,7 +939,7 @@
             if name not in ("number", "built_on", "blueprint", "upsert", "remove"):
                 raise verdict.ServiceError("bad_request", "Unknown field.", field=name)
 
-        def make(items):
+        def make(items: collections.abc.Mapping[str, dict[str, typing.Any]]) -> dict[str, dict[str, typing.Any]]:
             whole = configuration.unflatten(items)
             return configuration.flatten(
                 doc["blueprint"]
@@ -906,7 +950,7 @@
         ident = configuration.change_id(number, built_on, doc)
         return number, await self.change(Order(ident, number, built_on, make, "blueprint" in doc))
 
-    async def change(self, order):
+    async def change(self, order: Order) -> int:
         """Bring a numbered change into force: its stamp; raises Defect.
 
         The same change (the same id) said again finds itself taken, also when later ones were
@@ -946,7 +990,7 @@
             )
         raise verdict.ServiceError("no_chain", f"The change can't be taken now: {why.text}")
 
-    def known_here(self, order):
+    def known_here(self, order: Order) -> Known:
         """What this machine's own copy says of an order; it may be old.
 
         Example: `known = core.known_here(order)`
@@ -954,7 +998,7 @@
         base = self.chain.base
         return Known(base.stamp, base.items, base.taken.get(order.ident, 0), base.forgotten, False)
 
-    async def known_at_tail(self, order, us):
+    async def known_at_tail(self, order: Order, us: int) -> Known:
         """What the tail says of an order, under its lease; raises Defect.
 
         Example: `known = await core.known_at_tail(order, 500_000)`
@@ -962,7 +1006,7 @@
         seen = await self.look(order.ident, us)
         return Known(seen.stamp, seen.items, seen.taken, seen.forgotten, True)
 
-    def stands_already(self, known, order):
+    def stands_already(self, known: Known, order: Order) -> int:
         """The stamp of a state that is exactly what a whole order would have made, or 0.
 
         Example: `stamp = core.stands_already(known, order)`
@@ -975,7 +1019,7 @@
             return 0
         return known.stamp if not configuration.differ(known.items, made) else 0
 
-    def refusal(self, known, order):
+    def refusal(self, known: Known, order: Order) -> verdict.ServiceError | None:
         """Why an order that is not among those taken can't be taken on a state; None where it can.
 
         Numbers rise, so a number that was passed can't be taken any more. Where its id may
@@ -995,7 +1039,7 @@
             return d
         return None
 
-    async def apply(self, known, order, until):
+    async def apply(self, known: Known, order: Order, until: int) -> int:
         """Propose an order on a known state: the stamp under which it was taken; raises Defect.
 
         Example: `stamp = await core.apply(known, order, until)`
@@ -1009,7 +1053,9 @@
                 raise
         raise verdict.ServiceError("no_chain", "Another change came first.")  # the tail says what became of this one
 
-    def renumber(self, order, items):
+    def renumber(
+        self, order: Order, items: collections.abc.Mapping[str, dict[str, typing.Any]]
+    ) -> dict[str, dict[str, typing.Any]]:
         """The items that an order makes, under its number; raises Defect.
 
         Example: `core.renumber(order, items)`
@@ -1025,7 +1071,7 @@
             raise verdict.ServiceError("bad_blueprint", "; ".join(errors[:50]), field="blueprint")
         return {**new, "marks/operator": {**new.get("marks/operator", {}), "number": order.number}}
 
-    async def show(self, stamp, until):
+    async def show(self, stamp: int, until: int) -> None:
         """Wait until every node that may hold a lease has come as far as a version; raises Defect at `until`.
 
         Example: `await core.show(17, until)`
@@ -1040,7 +1086,7 @@
                 )
             await self.mach.pause(self.applied_by_all_changed, left)
 
-    async def plan(self, doc):
+    async def plan(self, doc: dict[str, typing.Any]) -> dict[str, typing.Any]:
         """Make a plan of an operator's intent: a whole configuration, or a JSON Patch.
 
         Example: `await core.plan({"blueprint": {...}, "base": 7})`
@@ -1078,7 +1124,7 @@
         }
         return {"id": ident, "base": base, **told, "open_sessions": held}
 
-    async def stop(self):
+    async def stop(self) -> None:
         """Send the nodes elsewhere, let the others agree on a chain without this machine, finish.
 
         The only synced copy stays until another is up to date, or until the process is killed. A voter without
--- a/iriswheel/core_session.py
+++ b/iriswheel/core_session.py
@@ -7,6 +7,11 @@
 a committed change stays whoever tells it.
 """
 
+from __future__ import annotations
+
+import collections.abc
+import typing
+
 import loguru
 
 import iriswheel.lease as lease
@@ -14,6 +19,10 @@
 import iriswheel.message as message
 import iriswheel.wire as wire
 
+if typing.TYPE_CHECKING:
+    import iriswheel.follower as follower_module
+
+
 HEDGE_US = (
     600 * machine.MILLI
 )  # without a lease renewed for so long, other core machines are tried; it comes every 250 ms
@@ -34,38 +43,39 @@
     Example: `session = CoreSession(follower, seeds)`; `mach.spawn(session.run())`.
     """
 
-    def __init__(self, follower, seeds):
+    def __init__(self, follower: follower_module.Follower, seeds: list[tuple[str, int]]) -> None:
         self.follower = follower
         self.mach = follower.mach
         self.addresses = list(seeds)
-        self.connection = None
-        self.address = None
+        self.connection: wire.Connection | None = None
+        self.address: tuple[str, int] | None = None
         self.lease = lease.NodeLease()
-        self.leased_at = None  # when a lease last came on the session that stands
-        self.candidates = {}  # connection -> address, of attempts that have brought no lease yet
-        self.attempts = set()  # the addresses of all attempts under way
-        self.tried = {}  # address -> when it was last tried, since a session last stood
-        self.hint = None  # where a peer has its session
+        self.leased_at: int | None = None  # when a lease last came on the session that stands
+        # connection -> address, of attempts that have brought no lease yet
+        self.candidates: dict[wire.Connection, tuple[str, int]] = {}
+        self.attempts: set[tuple[str, int]] = set()  # the addresses of all attempts under way
+        self.tried: dict[tuple[str, int], int] = {}  # address -> when it was last tried, since a session last stood
+        self.hint: tuple[str, int] | None = None  # where a peer has its session
         self.nearer_at = -NEARER_US
         self.moves = 0
 
     # ---- what is known ---------------------------------------------------------
 
-    def stands(self):
+    def stands(self) -> bool:
         """Whether the session stands: a core machine renewed the lease lately.
 
         Example: `session.stands()`
         """
         return self._leased_within(wire.SILENCE_US)
 
-    def heard(self):
+    def heard(self) -> bool:
         """Whether the lease was renewed just now, for peers that ask.
 
         Example: `session.heard()`
         """
         return self._leased_within(SILENT_US)
 
-    def _leased_within(self, us):
+    def _leased_within(self, us: int) -> bool:
         return (
             self.connection is not None
             and self.connection.up
@@ -73,7 +83,7 @@
             and self.mach.now() - self.leased_at < us
         )
 
-    def state(self):
+    def state(self) -> dict[str, typing.Any]:
         """What a node shows of its session.
 
         Example: `session.state()["lease_left_us"]`
@@ -88,7 +98,9 @@
             "attempts": sorted("{}:{}".format(*address) for address in self.attempts),
         }
 
-    def learn(self, addresses):
+    def learn(
+        self, addresses: collections.abc.Iterator[typing.Any] | dict[tuple[str, int], str] | list[tuple[str, int]]
+    ) -> None:
         """Remember further addresses of core machines; they may have been replaced.
 
         Example: `session.learn([("127.0.0.1", 7001)])`
@@ -97,7 +109,7 @@
             if address not in self.addresses:
                 self.addresses.append(address)
 
-    def order(self):
+    def order(self) -> list[tuple[str, int]]:
         """Where to look for a core machine, the best first.
 
         Those of the roster go before older addresses, those of this node's own zone first,
@@ -120,7 +132,7 @@
 
     # ---- messages ---------------------------------------------------------------
 
-    def tell(self, msg):
+    def tell(self, msg: message.Message) -> None:
         """Tell the core something, if the session stands.
 
         Example: `session.tell(message.Seated("pool/desk", (3, 1)))`
@@ -128,7 +140,7 @@
         if self.connection is not None:
             self.connection.tell(msg)
 
-    def heartbeat(self):
+    def heartbeat(self) -> message.Alive:
         """This node's heartbeat: how far it has come, and its time.
 
         Example: `connection.tell(session.heartbeat())`
@@ -136,7 +148,7 @@
         follower = self.follower
         return message.Alive(follower.applied(), follower.roster.stamp, None, self.mach.now())
 
-    def serve(self, connection, msg):
+    def serve(self, connection: wire.Connection, msg: message.Message) -> None:
         """Take what a core machine sends.
 
         Example: `wire.connect(mach, host, port, session.serve, log)`
@@ -157,12 +169,12 @@
         if isinstance(msg, (message.Snapshot, message.Change)):
             connection.tell(self.heartbeat())
 
-    def _leased(self, connection):
+    def _leased(self, connection: wire.Connection) -> None:
         if connection is not self.connection:
             self._move_to(connection)
         self.leased_at = self.mach.now()
 
-    def _move_to(self, connection):
+    def _move_to(self, connection: wire.Connection) -> None:
         old = self.connection
         self.connection, self.address = connection, self.candidates.pop(connection)
         self.moves += 1
@@ -175,7 +187,7 @@
 
     # ---- tasks --------------------------------------------------------------------
 
-    def reset(self):
+    def reset(self) -> None:
         """After a freeze: what the connections still hold is old.
 
         Example: `session.reset()`
@@ -186,7 +198,7 @@
         self.connection = self.leased_at = None
         self.candidates.clear()
 
-    async def run(self):
+    async def run(self) -> None:
         """Keep a session with some core machine; one task.
 
         Example: `mach.spawn(session.run())`
@@ -205,13 +217,13 @@
             if self.connection is not None and not self.connection.up:
                 await self.mach.sleep(self.mach.rng.randrange(JITTER_US))
 
-    def _drop_lost(self):
+    def _drop_lost(self) -> None:
         if self.connection is not None and not self.connection.up:
             log.info("The session with {}:{} ended, at {}.", *self.address, self.follower.place)
             self.tried[self.address] = self.mach.now()
             self.connection = None
 
-    def _try_next(self):
+    def _try_next(self) -> None:
         if len(self.attempts) >= ATTEMPTS:
             return
         here = self.address if self.connection is not None else None
@@ -221,7 +233,7 @@
                 self._try(address)
                 return
 
-    def _nearer(self):
+    def _nearer(self) -> tuple[str, int] | None:
         """A core machine of this node's own zone, where the session is with one of another zone."""
         zones = self.follower.core_zones()
         own = self.follower.options.zone
@@ -234,12 +246,12 @@
         self.nearer_at = now
         return nearer[0]
 
-    def _try(self, address):
+    def _try(self, address: tuple[str, int]) -> None:
         self.attempts.add(address)
         self.tried[address] = self.mach.now()
         self.mach.spawn(self._attempt(address), log)
 
-    async def _attempt(self, address):
+    async def _attempt(self, address: tuple[str, int]) -> None:
         """Open a session beside the one that stands, and give it some time to bring a lease."""
         try:
             connection = await wire.connect(self.mach, *address, self.serve, log)
--- a/iriswheel/dispatch.py
+++ b/iriswheel/dispatch.py
@@ -1,6 +1,10 @@
 """Sending to a worker: one exchange out, its answer streamed back."""
 
+from __future__ import annotations
+
+import collections.abc
 import enum
+import typing
 
 import loguru
 import twisted.internet.defer as defer
@@ -14,6 +18,14 @@
 import iriswheel.edge_protocol as edge_protocol
 import iriswheel.machine as machine
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.base as base
+    import twisted.python.failure as failure
+
+    import iriswheel.message as message
+    import iriswheel.web as web
+
+
 CONNECT_US = 700 * machine.MILLI
 FIRST_US = 10 * machine.SECOND  # until the answer's head
 PAUSE_US = 10 * machine.SECOND  # between two pieces of an answer
@@ -44,21 +56,21 @@
     3
     """
 
-    def __init__(self, raw):
+    def __init__(self, raw: bytes) -> None:
         self.raw = raw
         self.length = len(raw)
 
-    def startProducing(self, consumer):
+    def startProducing(self, consumer: typing.Any) -> defer.Deferred[typing.Any]:
         consumer.write(self.raw)
         return defer.succeed(None)
 
-    def pauseProducing(self):
+    def pauseProducing(self) -> None:
         pass
 
-    def resumeProducing(self):
+    def resumeProducing(self) -> None:
         pass
 
-    def stopProducing(self):
+    def stopProducing(self) -> None:
         pass
 
 
@@ -69,10 +81,10 @@
     Example: `Agent.usingEndpointFactory(reactor, Addresses(reactor), pool)`
     """
 
-    def __init__(self, reactor):
+    def __init__(self, reactor: typing.Any) -> None:
         self.reactor = reactor
 
-    def endpointForURI(self, uri):
+    def endpointForURI(self, uri: client.URI) -> endpoints.TCP4ClientEndpoint:
         return endpoints.TCP4ClientEndpoint(
             self.reactor, uri.host.decode("ascii"), uri.port, timeout=CONNECT_US / machine.SECOND
         )
@@ -84,41 +96,46 @@
     Example: `response.deliverBody(Relay(mach, take, done))`
     """
 
-    def __init__(self, mach, take, done):
+    def __init__(
+        self,
+        mach: machine.Machine,
+        take: collections.abc.Callable[..., object],
+        done: collections.abc.Callable[..., object],
+    ) -> None:
         self.mach = mach
         self.take = take
         self.done = done
         self.last = mach.now()
         self.held = False
-        self.tick = None
+        self.tick: base.DelayedCall | None = None
 
-    def connectionMade(self):
+    def connectionMade(self) -> None:
         self.tick = self.mach.later(PAUSE_US, self._look)
 
-    def _look(self):
+    def _look(self) -> None:
         left = self.last + PAUSE_US - self.mach.now()
         if self.held or left > 0:
             self.tick = self.mach.later(PAUSE_US if self.held else left, self._look)
         else:
             self.stopProducing()
 
-    def pauseProducing(self):
+    def pauseProducing(self) -> None:
         self.held = True
         self.transport.pauseProducing()
 
-    def resumeProducing(self):
+    def resumeProducing(self) -> None:
         self.held = False
         self.last = self.mach.now()
         self.transport.resumeProducing()
 
-    def stopProducing(self):
+    def stopProducing(self) -> None:
         self.transport.stopProducing()
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         self.last = self.mach.now()
         self.take(data)
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         if self.tick is not None and self.tick.active():
             self.tick.cancel()
         self.done(reason.check(client.ResponseDone) is not None)
@@ -130,23 +147,23 @@
     Example: `response.deliverBody(Collect(done))`
     """
 
-    def __init__(self, done):
+    def __init__(self, done: collections.abc.Callable[..., object]) -> None:
         self.done = done
-        self.parts = []
+        self.parts: list[bytes] = []
         self.size = 0
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         self.parts.append(data)
         self.size += len(data)
         if self.size > 1 << 20:
             self.transport.stopProducing()
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         whole = reason.check(client.ResponseDone, client.PotentialDataLoss) is not None
         self.done(b"".join(self.parts) if whole else None)
 
 
-def forget_head(req):
+def forget_head(req: web.Request) -> None:
     """Take a head back that was to go out with the first bytes of an answer which never came.
 
     Example: `forget_head(request)`
@@ -171,15 +188,15 @@
     Example: `send = Send("w1", mach.now())`; `out = await sender.send(req, raw, worker, True, send)`; `send.cut()`.
     """
 
-    def __init__(self, worker, now):
+    def __init__(self, worker: str, now: int) -> None:
         self.worker = worker
         self.last = now  # when something last came
         self.via = False  # whether it goes by way of another node
-        self.waiting = None  # the Deferred that the send waits on
+        self.waiting: typing.Any = None  # the Deferred that the send waits on
         self.was_cut = False
         self.begun = False  # whether the answer's head has come
 
-    def cut(self):
+    def cut(self) -> None:
         """End it now: the worker has had its time.
 
         >>> s = Send("w1", 0); s.cut(); s.was_cut
@@ -196,7 +213,9 @@
     Example: `sender = Dispatcher(mach)`; `raw = await sender.fetch(host, port, "/load", 500_000)`.
     """
 
-    def __init__(self, mach, heard=lambda worker: None):
+    def __init__(
+        self, mach: machine.Machine, heard: collections.abc.Callable[..., object] = lambda worker: None
+    ) -> None:
         self.mach = mach
         self.heard = heard  # called with a worker's name whenever it says something
         self.pool = client.HTTPConnectionPool(mach.reactor, persistent=True)
@@ -209,14 +228,14 @@
         self.agent = client.Agent.usingEndpointFactory(mach.reactor, addresses, self.pool)
         self.fresh = client.Agent.usingEndpointFactory(mach.reactor, addresses, single)
 
-    async def fetch(self, host, port, path, us):
+    async def fetch(self, host: str, port: int, path: str, us: int) -> bytes:
         """A small GET; raises where no whole answer with 200 comes in time.
 
         Example: `raw = await sender.fetch("127.0.0.1", 9000, "/load", 500_000)`
         """
         return await self.mach.within(defer.ensureDeferred(self._fetch(host, port, path)), us)
 
-    async def _fetch(self, host, port, path):
+    async def _fetch(self, host: str, port: int, path: str) -> bytes:
         res = await self.agent.request(b"GET", f"http://{host}:{port}{path}".encode())
         got = defer.Deferred(lambda _: res._transport and res._transport.stopProducing())
         res.deliverBody(Collect(lambda raw: got.called or got.callback(raw)))
@@ -225,7 +244,7 @@
             raise NoAnswerError(f"answer {res.code}")
         return raw
 
-    async def knock(self, host, port, us):
+    async def knock(self, host: str, port: int, us: int) -> bool:
         """Whether a bare connection can be had.
 
         Example: `await sender.knock("127.0.0.1", 9001, 300_000)`
@@ -240,7 +259,16 @@
         proto.transport.abortConnection()
         return True
 
-    async def send(self, req, raw, worker, repeatable, send, token="", door=None):
+    async def send(
+        self,
+        req: web.Request,
+        raw: bytes,
+        worker: message.Worker,
+        repeatable: bool,
+        send: Send,
+        token: str = "",
+        door: None = None,
+    ) -> Outcome:
         """Send an exchange to a worker and stream the answer back; an Outcome.
 
         With a token, the exchange goes to the door of another node, (host, port), which passes it on.
@@ -282,7 +310,7 @@
         if res.length is not client.UNKNOWN_LENGTH:
             req.setHeader("Content-Length", str(res.length))
 
-        def take(data):
+        def take(data: bytes) -> None:
             send.last = self.mach.now()
             if not token:
                 self.heard(worker.id)
--- a/iriswheel/edge_protocol.py
+++ b/iriswheel/edge_protocol.py
@@ -4,13 +4,22 @@
 in prose.
 """
 
+from __future__ import annotations
+
 import dataclasses
 import json
 import re
+import typing
 
 import iriswheel.message as message
 import iriswheel.verdict as verdict
 
+if typing.TYPE_CHECKING:
+    import twisted.web.http_headers as http_headers
+
+    import iriswheel.web as web
+
+
 PREFIX = "X-Prompt-Prefix"
 TARGET = "X-Target-Worker"
 EXCHANGE = "X-Exchange-Id"
@@ -38,7 +47,7 @@
 OWN = {"host", "content-length", TARGET.lower(), PASS.lower()}
 
 
-def header(headers, name):
+def header(headers: http_headers.Headers, name: str) -> str | None:
     """One header's text, or None; given twice it is refused.
 
     >>> import twisted.web.http_headers as hh
@@ -53,7 +62,7 @@
     return vals[0].decode("latin-1").strip()
 
 
-def prefix(headers):
+def prefix(headers: http_headers.Headers) -> list[str]:
     """The shared parts of the prompt, outermost first.
 
     >>> import twisted.web.http_headers as hh
@@ -69,7 +78,7 @@
     return parts
 
 
-def ident(headers, name):
+def ident(headers: http_headers.Headers, name: str) -> str:
     """An id from a header, or "".
 
     >>> import twisted.web.http_headers as hh
@@ -84,7 +93,7 @@
     return text
 
 
-def send_number(headers):
+def send_number(headers: http_headers.Headers) -> int:
     """Which send of the exchange this is, from 1; 0 where it is not said.
 
     >>> import twisted.web.http_headers as hh
@@ -99,7 +108,7 @@
     return int(text)
 
 
-def repeatable(headers):
+def repeatable(headers: http_headers.Headers) -> bool:
     """Whether the exchange may be repeated; unstated, it may not.
 
     >>> import twisted.web.http_headers as hh
@@ -114,7 +123,7 @@
     raise verdict.ServiceError("bad_request", f"{REPEAT} is neither yes nor no.", field=REPEAT)
 
 
-def onward(headers, worker, token=""):
+def onward(headers: http_headers.Headers, worker: str, token: str = "") -> http_headers.Headers:
     """The headers that go to the worker, or with a token to the node that passes them on.
 
     >>> import twisted.web.http_headers as hh
@@ -129,7 +138,7 @@
     return out
 
 
-def back(headers, worker):
+def back(headers: http_headers.Headers, worker: str) -> list[tuple[bytes, list[bytes]]]:
     """The headers that go to the client, as pairs.
 
     >>> import twisted.web.http_headers as hh
@@ -141,7 +150,7 @@
     return list(out.getAllRawHeaders())
 
 
-def connection_options(headers):
+def connection_options(headers: http_headers.Headers) -> set[str]:
     """The names of the headers that concern this connection alone, as `Connection` lists them.
 
     >>> import twisted.web.http_headers as hh
@@ -152,7 +161,7 @@
     return {name.strip().lower() for val in vals for name in val.decode("latin-1").split(",")}
 
 
-def _pass(headers):
+def _pass(headers: http_headers.Headers) -> http_headers.Headers:
     out = headers.copy()
     for name in HOP | OWN | connection_options(headers):
         if name:
@@ -160,7 +169,7 @@
     return out
 
 
-def workers(raw):
+def workers(raw: bytes) -> list[message.Worker]:
     """The platform's worker list.
 
     >>> workers(b'{"workers": [{"id": "w1", "host": "127.0.0.1", "port": 9, "pool": "desk", "state": "ready"}]}')
@@ -177,7 +186,7 @@
     return sorted(out, key=lambda w: w.id)
 
 
-def load(raw):
+def load(raw: bytes) -> tuple[int, int]:
     """A worker's load report: how many exchanges wait there.
 
     >>> load(b'{"running": 3, "queued": 2}')
@@ -195,7 +204,7 @@
 READY_PATH = "/ready"
 
 
-def ready(ok, why=""):
+def ready(ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
     """The answer to the platform's question whether a node is ready.
 
     >>> ready(True)
@@ -243,7 +252,7 @@
     load_path = LOAD_PATH
     any_method = False  # whether exchanges come by other methods than POST
 
-    def ask(self, req):
+    def ask(self, req: web.Request) -> Ask:
         """What a request says of its exchange; raises verdict.Defect where it is malformed.
 
         Example: `ask = outer.ask(req)`
@@ -261,7 +270,15 @@
             tag=ident(heads, EXCHANGE),
         )
 
-    def head(self, req, size, worker, left_us, urgency, after=""):
+    def head(
+        self,
+        req: typing.Any,
+        size: typing.Any,
+        worker: typing.Any,
+        left_us: typing.Any,
+        urgency: typing.Any,
+        after: str = "",
+    ) -> typing.Any:
         """The head of the request to a worker, as bytes; `size` is the body's length in bytes.
 
         Example: `raw = outer.head(req, len(body), worker, 5_000_000, 5)`
@@ -278,7 +295,7 @@
             ],
         )
 
-    def lines(self, req, size, drop, more):
+    def lines(self, req: web.Request, size: int, drop: set[str], more: list[tuple[bytes, bytes]]) -> bytes:
         """A request's head with some headers dropped and others put in.
 
         Example: `raw = outer.lines(req, 3, {"host"}, [(b"Host", b"10.0.0.1:80")])`
@@ -292,7 +309,7 @@
         out.append(b"Content-Length: %d" % size)
         return b"\r\n".join(out) + b"\r\n\r\n"
 
-    def mine(self, tag, status, heads):
+    def mine(self, tag: str, status: int, heads: dict[typing.Any, typing.Any]) -> bool:
         """Whether an answer is the one to this exchange: True, False, or None where it does not say.
 
         >>> EdgeProtocol().mine("x1", 200, {})
@@ -300,7 +317,7 @@
         """
         return True
 
-    def unrun(self, status, heads):
+    def unrun(self, status: int, heads: dict[typing.Any, typing.Any]) -> bool:
         """Whether the worker says that it did not run the request.
 
         >>> EdgeProtocol().unrun(503, {}), EdgeProtocol().unrun(200, {})
@@ -308,7 +325,7 @@
         """
         return status in (421, 429, 503)
 
-    def sound(self, status, heads):
+    def sound(self, status: int, heads: dict[typing.Any, typing.Any]) -> bool:
         """Whether the head can be a worker's.
 
         >>> EdgeProtocol().sound(200, {})
@@ -316,7 +333,7 @@
         """
         return True
 
-    def home(self, heads, worker):
+    def home(self, heads: list[tuple[bytes, bytes]], worker: str) -> list[tuple[bytes, bytes]]:
         """The headers of a worker's answer that go to the client, as pairs of bytes.
 
         >>> EdgeProtocol().home([(b"Keep-Alive", b"5"), (b"X-A", b"b")], "w1")
@@ -330,7 +347,7 @@
             (TARGET.encode(), worker.encode())
         ]
 
-    def refusal(self, d):
+    def refusal(self, d: verdict.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
         """The answer to an error: status, pairs of headers, body.
 
         >>> EdgeProtocol().refusal(verdict.ServiceError("busy", "Full."))[:2]
@@ -338,7 +355,7 @@
         """
         return d.status, [] if d.retry_after is None else [("Retry-After", str(d.retry_after))], d.body()
 
-    def list_path(self, token):
+    def list_path(self, token: str) -> str:
         """Where the platform's list, or its page of that token, is asked for.
 
         >>> EdgeProtocol().list_path("")
@@ -346,7 +363,7 @@
         """
         return WORKERS_PATH
 
-    def page(self, raw):
+    def page(self, raw: bytes) -> tuple[list[message.Worker], str]:
         """A page of the platform's list: workers, and the next page's token or "".
 
         >>> EdgeProtocol().page(b'{"workers": []}')
@@ -354,7 +371,7 @@
         """
         return workers(raw), ""
 
-    def load(self, raw):
+    def load(self, raw: bytes) -> tuple[int, int]:
         """A worker's load report: exchanges that run there, and that wait.
 
         >>> EdgeProtocol().load(b'{"running": 3, "queued": 2}')
@@ -362,7 +379,7 @@
         """
         return load(raw)
 
-    def ready(self, ok, why=""):
+    def ready(self, ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
         """The answer to the platform's question whether a node is ready.
 
         >>> EdgeProtocol().ready(False, "stopping")
--- a/iriswheel/follower.py
+++ b/iriswheel/follower.py
@@ -4,6 +4,13 @@
 place on; what it has never goes back.
 """
 
+from __future__ import annotations
+
+import builtins
+import collections.abc
+import types
+import typing
+
 import loguru
 import twisted.internet.defer as defer
 
@@ -13,6 +20,11 @@
 import iriswheel.message as message
 import iriswheel.wire as wire
 
+if typing.TYPE_CHECKING:
+    import iriswheel.node as node_module
+    import iriswheel.options as options_module
+
+
 FROZEN_US = 1 * machine.SECOND
 REJOIN_US = 1 * machine.SECOND  # how long a thawed node waits for its session
 STALE_US = 2_500 * machine.MILLI  # worker news older than this is not relied on
@@ -28,7 +40,7 @@
 log = loguru.logger.bind(part="follow")
 
 
-def above(path, longest):
+def above(path: str, longest: int) -> collections.abc.Iterator[str | None]:
     """The paths of routes that would cover a path, the longest first.
 
     >>> list(above("/v1/chat", 99)), list(above("/v1/chat", 4))
@@ -51,66 +63,66 @@
     Example: `fol = Follower(node, options)`; `mach.spawn(fol.session.run())`.
     """
 
-    def __init__(self, node, options):
+    def __init__(self, node: node_module.Node | types.SimpleNamespace, options: options_module.Options) -> None:
         self.node = node
         self.mach = node.mach
         self.options = options
         self.session = core_session.CoreSession(self, options.seed_list())
         self.place = 0
-        self.items = None  # the slice, as it came
-        self.early = None  # how far the disk's state reached that this node goes by for now
+        self.items: dict[str, dict[str, typing.Any]] | None = None  # the slice, as it came
+        self.early: tuple[int, int] | None = None  # how far the disk's state reached that this node goes by for now
         self.list_now = machine.Signal()
-        self.routes = {}
-        self.pools = {}
-        self.terms = {}
+        self.routes: dict[str, configuration.Route] = {}
+        self.pools: dict[str, configuration.Pool] = {}
+        self.terms: dict[str, configuration.Terms] = {}
         self.limits = configuration.Limits()
-        self.index = {}  # (host, path) -> names of the routes there
+        self.index: dict[tuple[str, str], builtins.list[str]] = {}  # (host, path) -> names of the routes there
         self.longest = 0  # the longest path of a route
         self.roster = message.Roster((0, 0), [], [], [], [])
-        self.workers = []
-        self.states = {}  # worker -> message.Worker
-        self.drains = {}  # worker that is not ready -> when its streams must have ended
+        self.workers: builtins.list[message.Worker] = []
+        self.states: dict[str, message.Worker] = {}  # worker -> message.Worker
+        self.drains: dict[str, int] = {}  # worker that is not ready -> when its streams must have ended
         self.listed = (0, 0, 0)
         self.of = (0, 0, 0)  # under which stamp the list that is known here was told
-        self.told_on = None  # the session on which the core was told it whole
-        self.told = None  # message.Listing, where this node asks the platform
-        self.missed = {}  # worker -> how many answers of the platform in a row did not list it
-        self.news_at = None  # when worker news last came
+        self.told_on: wire.Connection | None = None  # the session on which the core was told it whole
+        self.told: message.Listing | None = None  # message.Listing, where this node asks the platform
+        self.missed: dict[str, int] = {}  # worker -> how many answers of the platform in a row did not list it
+        self.news_at: int | None = None  # when worker news last came
         self.ticked = self.mach.now()
-        self.thawed = None
-        self.goes = {}  # peer -> (when, Goes) while cut off from the core
+        self.thawed: int | None = None
+        self.goes: dict[str, tuple[int, message.Goes]] = {}  # peer -> (when, Goes) while cut off from the core
 
     # ---- what the node knows ------------------------------------------------------
 
-    def duty(self, key):
+    def duty(self, key: str) -> message.Duty | None:
         """A duty from the roster, or None.
 
         Example: `fol.duty("pool/desk").holder`
         """
         return next((d for d in self.roster.duties if d.key == key), None)
 
-    def member(self, ident):
+    def member(self, ident: str) -> message.Member:
         """A member from the roster, or None.
 
         Example: `fol.member(duty.holder).port`
         """
         return next((m for m in self.roster.members if m.id == ident), None)
 
-    def pool(self, name):
+    def pool(self, name: str) -> configuration.Pool:
         """A pool of the slice, or None.
 
         Example: `fol.pool("desk").cap`
         """
         return self.pools.get(name)
 
-    def by_warden(self, name):
+    def by_warden(self, name: str) -> bool:
         """Whether a pool's workers are elected by its warden.
 
         Example: `fol.by_warden("desk")`
         """
         return name in self.pools and self.pools[name].election == "warden"
 
-    def state(self, worker):
+    def state(self, worker: str) -> str:
         """A worker's state: "ready", "leaving" or "gone".
 
         Example: `fol.state("w1")`
@@ -118,28 +130,28 @@
         w = self.states.get(worker)
         return w.state if w is not None else "gone"
 
-    def drained(self, worker):
+    def drained(self, worker: str) -> bool:
         """Whether a worker that leaves or is gone has had its time for streams under way.
 
         Example: `fol.drained("w1")`
         """
         return self.mach.now() > self.drains.get(worker, self.mach.now())
 
-    def core_zones(self):
+    def core_zones(self) -> dict[tuple[str, int], str]:
         """The core machines of the roster: address -> zone.
 
         Example: `fol.core_zones()[("127.0.0.1", 7001)]`
         """
         return {(core.host, core.port): core.zone for core in self.roster.cores}
 
-    def applied(self):
+    def applied(self) -> int:
         """The version of the configuration that this node has applied; -1 before its first.
 
         Example: `fol.applied()`
         """
         return -1 if self.items is None or self.early else self.place
 
-    def settled(self):
+    def settled(self) -> bool:
         """Whether this node may rely on what it knows: it was not frozen, or has rejoined.
 
         Example: `if not fol.settled(): refuse()`
@@ -147,7 +159,7 @@
         self.look_for_freeze()
         return self.thawed is None
 
-    def look_for_freeze(self):
+    def look_for_freeze(self) -> None:
         """Notice that this process did not run for a while.
 
         Example: `fol.look_for_freeze()`
@@ -160,7 +172,7 @@
             self.session.reset()
         self.ticked = now
 
-    def stale(self):
+    def stale(self) -> bool:
         """Whether a change may be in force elsewhere that this node has not heard of.
 
         While its lease runs, no change is acknowledged that this node has not applied. Without
@@ -174,7 +186,7 @@
             return False
         return self.behind() if self.options.serve_on else self.cut_off()
 
-    def behind(self):
+    def behind(self) -> bool:
         """Whether a peer that is in touch with the core has a newer configuration than this node.
 
         Example: `fol.behind()`
@@ -182,7 +194,7 @@
         now = self.mach.now()
         return any(now - at < GOES_US and goes.core and goes.place > self.place for at, goes in self.goes.values())
 
-    def worker_news(self):
+    def worker_news(self) -> bool:
         """Whether the news of workers is fresh enough to send by.
 
         Example: `fol.worker_news()`
@@ -191,7 +203,7 @@
             return self.news_at is not None
         return self.news_at is not None and self.mach.now() - self.news_at < STALE_US
 
-    def cut_off(self):
+    def cut_off(self) -> bool:
         """Whether this node has lost the core while some member may still have it.
 
         Without the core, a node goes on only if every member says that it has lost the core
@@ -211,7 +223,7 @@
 
     # ---- taking news -----------------------------------------------------------------
 
-    def take_items(self, n, items, whole):
+    def take_items(self, n: int, items: dict[str, dict[str, typing.Any] | None], whole: bool) -> None:
         """Take a frame or a change; an older one than what is here is dropped.
 
         Example: `fol.take_items(17, {"pools/desk": {}}, whole=False)`
@@ -244,7 +256,7 @@
                     self.limits = item or configuration.Limits()
         self.node.on_news()
 
-    def put_route(self, name, route):
+    def put_route(self, name: str, route: configuration.Route | None) -> None:
         """Put a route into the index, or take it out with None.
 
         Example: `fol.put_route("clerk", configuration.Route("/v1", "desk"))`
@@ -260,7 +272,7 @@
             self.index.setdefault((route.host.lower(), route.path), []).append(name)
             self.longest = max(self.longest, len(route.path))
 
-    def find(self, host, path):
+    def find(self, host: str, path: str) -> configuration.Route | None:
         """The route for a host and a path, or None: the longest path that covers it.
 
         A route for that host goes before those for any, one for some zones before one for all.
@@ -275,7 +287,7 @@
                     return max((self.routes[i] for i in names), key=lambda r: bool(r.zones))
         return None
 
-    def take_early(self, m):
+    def take_early(self, m: message.Early) -> None:
         """While this node knows nothing and no core serves: go by what a core's disk holds.
 
         After a loss of everything the core takes some seconds to agree; what it acknowledged
@@ -289,7 +301,7 @@
         self.early = m.at
         log.info("Going by what a core's disk holds, up to {}.", m.at)
 
-    def take_roster(self, r):
+    def take_roster(self, r: message.Roster | None) -> None:
         """Take a roster, unless a newer one is here.
 
         Example: `fol.take_roster(roster)`
@@ -301,7 +313,7 @@
             self.take_listing(message.Listing(r.workers, r.listed))
         self.node.on_news()
 
-    def take_listing(self, m):
+    def take_listing(self, m: message.Listing) -> None:
         """Take a worker list, unless a newer one is here.
 
         Example: `fol.take_listing(listing)`
@@ -311,7 +323,7 @@
         self.listed = self.of = m.stamp
         self.take_workers(m.workers)
 
-    def take_same(self, m):
+    def take_same(self, m: message.Same) -> bool:
         """The platform's list is as it was when it was last told whole; False where that is not known here.
 
         Example: `if not fol.take_same(message.Same((1, 2, 9), (1, 2, 3))): link.tell(message.Relist())`
@@ -322,14 +334,14 @@
         self.news_at = self.mach.now()
         return True
 
-    def orphan(self):
+    def orphan(self) -> bool:
         """Whether this node has a configuration, but has had no news of workers for a while.
 
         Example: `fol.orphan()`
         """
         return self.items is not None and (self.news_at is None or self.mach.now() - self.news_at > ORPHAN_US)
 
-    def take_heard(self, workers):
+    def take_heard(self, workers: builtins.list[message.Worker]) -> None:
         """Take a list that another node had to ask for itself, where this one lacks news too.
 
         Example: `fol.take_heard(heard.workers)`
@@ -337,7 +349,7 @@
         if self.news_at is None or self.mach.now() - self.news_at > ORPHAN_US // 2:
             self.take_workers(workers)
 
-    def take_workers(self, workers):
+    def take_workers(self, workers: builtins.list[message.Worker]) -> None:
         """Note the workers and their states as they are now.
 
         Example: `fol.take_workers(listing.workers)`
@@ -356,7 +368,7 @@
 
     # ---- tasks -----------------------------------------------------------------------
 
-    def take(self, msg):
+    def take(self, msg: message.Message) -> None:
         """Take what a core machine sends on a session.
 
         Example: `fol.take(message.Change(17, {}))`
@@ -379,7 +391,7 @@
             self.thawed = None
             self.node.on_news()
 
-    def join(self):
+    def join(self) -> message.Join:
         """What this node says to begin a session.
 
         Example: `connection.tell(fol.join())`
@@ -387,7 +399,7 @@
         roster = self.roster if self.roster.stamp > (0, 0) else None
         return message.Join(self.node.me, self.applied(), roster, self.mach.now())
 
-    async def watch(self):
+    async def watch(self) -> None:
         """Tick, so that a freeze is noticed; while cut off, ask the peers.
 
         Example: `mach.spawn(fol.watch())`
@@ -407,7 +419,7 @@
                 self.thawed = None  # the whole core is gone; peers are there
                 self.node.on_news()
 
-    def ask_neighbours(self):
+    def ask_neighbours(self) -> None:
         """Ask the peers whether the core stands with them.
 
         All of them, since one that may be with a core that takes changes must be heard; but a
@@ -421,7 +433,7 @@
         for m in others:
             self.mach.spawn(self.ask_neighbour(m), log)
 
-    async def ask_neighbour(self, m):
+    async def ask_neighbour(self, m: message.Member) -> None:
         """Ask one peer whether the core stands with it.
 
         Example: `await fol.ask_neighbour(member)`
@@ -442,7 +454,7 @@
         if a.at is not None:
             self.session.hint = a.at
 
-    def believe(self, workers):
+    def believe(self, workers: builtins.list[message.Worker]) -> builtins.list[message.Worker]:
         """The platform's answer, less what it must say more than once to be believed.
 
         A worker that it lists no more counts as gone from the second answer in a row on, and
@@ -457,7 +469,7 @@
         kept = [w for w in missing if self.missed[w.id] < enough]
         return sorted(workers + kept, key=lambda w: w.id)
 
-    async def pages(self, host, port):
+    async def pages(self, host: str, port: int) -> builtins.list[message.Worker]:
         """The platform's whole list, page by page; raises ValueError and what fetch raises.
 
         Example: `workers = await fol.pages("127.0.0.1", 9000)`
@@ -471,7 +483,7 @@
                 return sorted(out, key=lambda w: w.id)
         raise ValueError("The platform's list has no end.")
 
-    async def list(self):
+    async def list(self) -> None:
         """Ask the platform for its workers, where that is this node's duty.
 
         A node that has had no news of workers for a while asks for itself as well. Many do so
--- a/iriswheel/forwarding.py
+++ b/iriswheel/forwarding.py
@@ -4,8 +4,12 @@
 it decides which: a promise that it did not run, or none.
 """
 
+from __future__ import annotations
+
 import enum
 import re
+import types
+import typing
 
 import loguru
 import twisted.internet.defer as defer
@@ -15,6 +19,12 @@
 import iriswheel.placement as placement
 import iriswheel.verdict as verdict
 
+if typing.TYPE_CHECKING:
+    import iriswheel.gateway as gateway
+    import iriswheel.message as message
+    import iriswheel.node as node_module
+
+
 FRESH_US = 2 * machine.SECOND  # a connection idle for longer carries nothing that may not be repeated
 FRESH_REPEAT_US = 60 * machine.SECOND
 LOOK_US = 100 * machine.MILLI
@@ -56,13 +66,13 @@
     Example: `flow = Flow(forwarder, x, worker, "")`; `line.start(raw, flow)`; `out = await flow.done`.
     """
 
-    def __init__(self, forwarder, x, worker):
+    def __init__(self, forwarder: Forwarder, x: ForwardedRequest, worker: str) -> None:
         self.forwarder = forwarder
         self.x = x
         self.worker = worker
         self.mach = forwarder.mach
         self.bodyless = x.req.method == b"HEAD"  # its answer is a head alone
-        self.line = None
+        self.line: client.Line | None = None
         self.done = defer.Deferred(lambda _: self.stop())
         self.began = self.last = self.mach.now()
         self.expected = 0  # how long its first event was expected to take
@@ -70,12 +80,12 @@
         self.paused = False  # while the client reads too slowly
         self.tokens = 0  # of the prompt, not read yet as far as is known
         self.status = 0
-        self.heads = []
+        self.heads: list[tuple[bytes, bytes]] = []
         self.seen = False  # whether the answer's own bytes have come
         self.rest = b""  # the piece of an event that has no end yet
-        self.small = []  # an answer that is kept back: a refusal or a failure
+        self.small: list[bytes] = []  # an answer that is kept back: a refusal or a failure
 
-    def owns(self, status, low, used):
+    def owns(self, status: int, low: dict[str, str], used: int) -> bool | None:
         """Whether an answer is this exchange's; None where that can't be told.
 
         Example: `flow.owns(200, {"x-attempt-id": "a1"}, 1)`
@@ -83,7 +93,7 @@
         mine = self.forwarder.outer.mine(self.x.ask.tag, status, low)
         return used <= 1 and self.forwarder.outer.unrun(status, low) or None if mine is None else mine
 
-    def head(self, status, heads, low):
+    def head(self, status: int, heads: list[tuple[bytes, bytes]], low: dict[str, str]) -> None:
         """The answer's head came.
 
         Example: `flow.head(200, heads, low)`
@@ -91,7 +101,7 @@
         self.hear()
         self.status, self.heads, self.low = status, list(heads), low
 
-    def hear(self):
+    def hear(self) -> None:
         """The worker said something.
 
         Example: `flow.hear()`
@@ -99,7 +109,7 @@
         self.last = self.mach.now()
         self.x.placement.hear(self.worker)
 
-    def data(self, data):
+    def data(self, data: bytes) -> None:
         r"""A piece of the answer came.
 
         Example: `flow.data(b"id: 1\ndata: x\n\n")`
@@ -121,7 +131,7 @@
                 self.x.after = ids[-1].decode("latin-1")
         self.x.pass_on(self, data)
 
-    def end(self):
+    def end(self) -> None:
         """The whole answer has come.
 
         Example: `flow.end()`
@@ -138,7 +148,7 @@
             self.x.placement.forgive(self.worker)
             self.finish(Outcome.WHOLE)
 
-    def hand_over(self):
+    def hand_over(self) -> None:
         """Give the worker's own failure to the client, as it is.
 
         Example: `flow.hand_over()`
@@ -153,7 +163,7 @@
         req.write(body)
         req.finish()
 
-    def lost(self, why):
+    def lost(self, why: str) -> None:
         """The connection broke off, or brought what is no answer.
 
         Example: `flow.lost("closed")`
@@ -162,7 +172,7 @@
         self.x.placement.blame(self.worker, BROKEN)
         self.finish(Outcome.TORN if self.x.begun else Outcome.BROKE)
 
-    def stop(self, outcome=None):
+    def stop(self, outcome: Outcome | None = None) -> None:
         """End the send from this side; the worker's connection is broken off.
 
         Example: `flow.stop(Outcome.LATE)`
@@ -172,7 +182,7 @@
         if outcome is not None:
             self.finish(outcome)
 
-    def finish(self, outcome):
+    def finish(self, outcome: Outcome) -> None:
         """The send is over.
 
         Example: `flow.finish(Outcome.WHOLE)`
@@ -180,22 +190,22 @@
         if not self.done.called:
             self.done.callback(outcome)
 
-    def pauseProducing(self):
+    def pauseProducing(self) -> None:
         self.paused = True
         if self.line is not None and self.line.flow is self:
             self.line.pause()
 
-    def resumeProducing(self):
+    def resumeProducing(self) -> None:
         self.paused = False
         self.last = self.mach.now()
         if self.line is not None and self.line.flow is self:
             self.line.resume()
 
-    def stopProducing(self):
+    def stopProducing(self) -> None:
         pass  # the client's going away is noticed by the door
 
 
-def whole_events(raw):
+def whole_events(raw: bytes) -> tuple[bytes, bytes]:
     r"""What of a stream's bytes makes whole events, and the rest.
 
     >>> whole_events(b"id: 1\n\nid: 2\n\nid:")
@@ -213,7 +223,7 @@
     Example: `x = ForwardedRequest(exchange, placement)`
     """
 
-    def __init__(self, exchange, place):
+    def __init__(self, exchange: gateway.Exchange, place: placement.Placement) -> None:
         self.req = exchange.req
         self.ask = exchange.said
         self.raw = exchange.raw
@@ -230,9 +240,9 @@
         self.begun = False  # whether a byte went to the client
         self.ran = False  # whether a worker may have run it
         self.sends = 0
-        self.shun = set()  # workers that it is not sent to any more
+        self.shun: set[str] = set()  # workers that it is not sent to any more
 
-    def pass_on(self, flow, data):
+    def pass_on(self, flow: Flow, data: bytes) -> None:
         r"""Hand a piece to the client; the first one takes the answer's head along.
 
         Example: `x.pass_on(flow, b"data: x\n\n")`
@@ -259,13 +269,13 @@
     Example: `forwarder = Forwarder(node)`; `await forwarder.carry(exchange)`.
     """
 
-    def __init__(self, node):
+    def __init__(self, node: node_module.Node | types.SimpleNamespace) -> None:
         self.node = node
         self.mach = node.mach
         self.outer = node.outer
         self.lines = client.Lines(node.mach)
-        self.places = {}  # pool -> placement.Placement
-        self.flows = set()
+        self.places: dict[str, placement.Placement] = {}  # pool -> placement.Placement
+        self.flows: set[Flow] = set()
         self.started = machine.Signal()
         self.counts = {
             "sends": 0,
@@ -280,7 +290,7 @@
             "late": 0,
         }
 
-    def place(self, pool):
+    def place(self, pool: str) -> placement.Placement:
         """The placement over a pool.
 
         Example: `forwarder.place("desk")`
@@ -290,7 +300,7 @@
             p.told_heavy, p.told_some = self.node.loads.soon.wake, self.node.loads.touch
         return self.places[pool]
 
-    async def look(self):
+    async def look(self) -> None:
         """Look after streams that fell silent, idle connections and sessions; one task.
 
         Example: `mach.spawn(forwarder.look())`
@@ -309,7 +319,7 @@
                 for pool, p in self.places.items():
                     p.sweep({w.id for w in fol.workers if w.pool == pool and w.state == "ready"})
 
-    def look_for_silence(self, now):
+    def look_for_silence(self, now: int) -> None:
         """Blame workers that keep sends waiting; take up elsewhere what may be.
 
         Where many sends wait for longer than they should, it is the load, and more sends make it worse.
@@ -341,7 +351,7 @@
                 self.counts["mute"] += 1
                 f.stop(Outcome.TORN if f.x.begun else Outcome.BROKE)
 
-    def planned_work(self, now):
+    def planned_work(self, now: int) -> bool:
         """Whether this node stops, or has read its options again not long ago.
 
         Example: `forwarder.planned_work(mach.now())`
@@ -349,28 +359,28 @@
         renewed_at = self.node.renewed_at
         return self.node.stopping or renewed_at is not None and now - renewed_at < RENEWED_US
 
-    def may_repeat(self, x):
+    def may_repeat(self, x: ForwardedRequest) -> bool:
         """Whether an exchange may be sent once more, by its route and this node's share of the budget.
 
         Example: `forwarder.may_repeat(x)`
         """
         return (not x.route.sends or x.sends < x.route.sends) and self.node.door.tally(x).room(self.mach.now())
 
-    def ready(self, pool):
+    def ready(self, pool: str) -> list[str]:
         """The workers of a pool that may be sent to.
 
         Example: `forwarder.ready("desk")`
         """
         return [w.id for w in self.node.follower.workers if w.pool == pool and w.state == "ready"]
 
-    def others(self, x, *but):
+    def others(self, x: ForwardedRequest, *but: str) -> list[str]:
         """The workers that an exchange may still be sent to.
 
         Example: `forwarder.others(x, "w1")`
         """
         return [n for n in self.ready(x.pool_name) if n not in x.shun and n not in but]
 
-    async def carry(self, exchange):
+    async def carry(self, exchange: gateway.Exchange) -> None:
         """Carry one exchange to its end; raises verdict.Defect where it is refused.
 
         Example: `await forwarder.carry(exchange)`
@@ -387,7 +397,7 @@
             lost.addErrback(lambda _: None)
             lost.cancel()
 
-    async def run(self, x):
+    async def run(self, x: ForwardedRequest) -> None:
         """Send until an answer stands or the exchange must be given up.
 
         Example: `await forwarder.run(x)`
@@ -448,14 +458,14 @@
                     raise self.give_up(x, "busy", "The worker turned it away.")
             raise self.give_up(x, "worker_broke", f"Worker {name} gave no answer.")
 
-    def known(self, x):
+    def known(self, x: ForwardedRequest) -> verdict.Verdict:
         """What may be said of an exchange that is given up now.
 
         Example: `forwarder.known(x)`
         """
         return verdict.Verdict.MAY_HAVE_RUN if x.ran else verdict.Verdict.NOT_RUN
 
-    def give_up(self, x, code, text, back_us=0):
+    def give_up(self, x: ForwardedRequest, code: str, text: str, back_us: int = 0) -> verdict.ServiceError:
         """The final answer to an exchange that is given up.
 
         Example: `raise forwarder.give_up(x, "busy", "The worker turned it away.")`
@@ -464,7 +474,7 @@
             return verdict.ServiceError("worker_broke", text, verdict.Verdict.MAY_HAVE_RUN)
         return verdict.ServiceError(code, text, retry_us=max(BACK_US, back_us))
 
-    async def send(self, x, w):
+    async def send(self, x: ForwardedRequest, w: message.Worker) -> tuple[Outcome | None, Flow | None]:
         """Send to one worker: (Outcome, Flow), or (None, None) where it was not reached.
 
         Example: `outcome, flow = await forwarder.send(x, worker)`
@@ -512,7 +522,7 @@
             if flow.line is not None and not x.req.gone and not x.req.finished:
                 x.req.unregisterProducer()
 
-    def state(self):
+    def state(self) -> dict[str, typing.Any]:
         """What this forwarder shows of itself.
 
         Example: `forwarder.state()["counts"]`
