--- a/iriswheel/gateway.py
+++ b/iriswheel/gateway.py
@@ -1,5 +1,11 @@
 """The way of an exchange through a node: door, filters, holding, elect, send, stream."""
 
+from __future__ import annotations
+
+import collections.abc
+import types
+import typing
+
 import loguru
 import twisted.internet.defer as defer
 
@@ -13,6 +19,12 @@
 import iriswheel.verdict as verdict
 import iriswheel.wire as wire
 
+if typing.TYPE_CHECKING:
+    import iriswheel.configuration as configuration
+    import iriswheel.node as node_module
+    import iriswheel.web as web
+
+
 WORK_BYTES = 16  # body bytes for one unit of work
 WORK_LEAST = 20
 QUIET_US = 600 * machine.MILLI  # a warden not heard for this long is silent
@@ -31,13 +43,13 @@
     Example: `x = Exchange(req, "n1-7/0", now)`
     """
 
-    def __init__(self, req, ask, now):
+    def __init__(self, req: web.Request | None, ask: str, now: int) -> None:
         self.req = req
         self.ask = ask
         self.arrived = now
         self.raw = b""
-        self.said = None  # outer.Ask
-        self.parts = []
+        self.said: typing.Any = None  # outer.Ask
+        self.parts: list[typing.Any] = []
         self.exchange = ""
         self.send = 0
         self.repeatable = False
@@ -60,14 +72,16 @@
     (True, ['a'])
     """
 
-    def __init__(self, mach, room, hands, work):
+    def __init__(
+        self, mach: machine.Machine | None, room: int, hands: int, work: collections.abc.Callable[..., object]
+    ) -> None:
         self.mach = mach or machine.Machine(None, now=lambda: 0)
         self.holding = machine.BoundedQueue(room)
         self.hands = hands
         self.work = work
         self.running = 0
 
-    def put(self, x):
+    def put(self, x: Exchange | str) -> bool:
         """Take an exchange in, or say that there is no room.
 
         >>> async def wait(x): await defer.Deferred()
@@ -81,7 +95,7 @@
             return True
         return self.holding.put(x)
 
-    async def _hand(self, x):
+    async def _hand(self, x: Exchange | str) -> None:
         try:
             await self.work(x)
             while len(self.holding):
@@ -96,12 +110,13 @@
     Example: `door = Gateway(node)`; `Server(mach, door.handle)`.
     """
 
-    def __init__(self, node):
+    def __init__(self, node: node_module.Node | types.SimpleNamespace) -> None:
         self.node = node
         self.mach = node.mach
-        self.tallies = {}  # pool -> budget.Budget, this node's part of the pool's retry budget
+        # pool -> budget.Budget, this node's part of the pool's retry budget
+        self.tallies: dict[str, budget.Budget] = {}
         self.began = self.mach.now()
-        self.sizes = []  # (when, members) of the fleet over the retry window, the largest first
+        self.sizes: list[tuple[int, int]] = []  # (when, members) of the fleet over the retry window, the largest first
         self.lanes = {
             False: Lane(self.mach, room=512, hands=256, work=self.carry),
             True: Lane(self.mach, room=64, hands=48, work=self.carry),
@@ -110,14 +125,15 @@
         self.filters = [self.parse, self.route, self.terms, self.admit]
         self.count = 0
         self.open = 0
-        self.sends = {}  # ask -> sender.Send, under way
-        self.pins = {}  # (pool, session) -> (worker, until)
-        self.passes = {}  # token -> (worker, until): exchanges of other nodes that may pass here
+        self.sends: dict[str, dispatch.Send] = {}  # ask -> sender.Send, under way
+        self.pins: dict[tuple[str, str], tuple[str, int]] = {}  # (pool, session) -> (worker, until)
+        # token -> (worker, until): exchanges of other nodes that may pass here
+        self.passes: dict[typing.Any, typing.Any] = {}
         self.counts = {"exchanges": 0, "whole": 0, "torn": 0, "repeats": 0, "bypass": 0, "passed": 0, "gone": 0}
-        self.refused = {}
+        self.refused: dict[str, int] = {}
         self.closed = machine.Signal()
 
-    async def handle(self, req):
+    async def handle(self, req: web.Request) -> None:
         """Serve one exchange from its arrival to its end.
 
         Example: `Server(mach, door.handle)`
@@ -146,7 +162,7 @@
             self.open -= 1
             self.closed.wake()
 
-    async def take(self, req):
+    async def take(self, req: web.Request) -> None:
         """Lead an exchange through the filters and into its lane.
 
         Example: `await door.take(req)`
@@ -165,7 +181,7 @@
 
     # ---- filters -------------------------------------------------------------------
 
-    def parse(self, x):
+    def parse(self, x: Exchange) -> None:
         """Read what the client says about the exchange.
 
         Example: `door.parse(x)`
@@ -180,7 +196,7 @@
         x.repeatable = x.said.repeatable
         x.raw = req.content.read()
 
-    def route(self, x):
+    def route(self, x: Exchange) -> None:
         """Find the route: the longest path that fits; then its pool.
 
         Example: `door.route(x)`
@@ -202,7 +218,7 @@
         x.pool = fol.pools[x.pool_name]
         x.place = fol.place
 
-    def share(self, route):
+    def share(self, route: configuration.Route) -> str:
         """The pool of a route; where the route is split, one by the weights.
 
         Example: `name = door.share(route)`
@@ -216,7 +232,7 @@
                 break
         return s["pool"]
 
-    def terms(self, x):
+    def terms(self, x: Exchange) -> None:
         """Find the conversation's terms and its session's id.
 
         Example: `door.terms(x)`
@@ -231,7 +247,7 @@
         x.work = WORK_LEAST + len(x.raw) // WORK_BYTES
         x.until = max(x.until, x.arrived + (x.pool.long_wait_us if x.long else x.pool.short_wait_us))
 
-    def admit(self, x):
+    def admit(self, x: Exchange) -> None:
         """Note the exchange in this node's tally; the warden keeps the budget of all nodes.
 
         Example: `door.admit(x)`
@@ -241,7 +257,7 @@
         if x.send <= 1:
             self.tally(x).first(self.mach.now(), x.exchange or x.ask)
 
-    def reroute(self, x):
+    def reroute(self, x: Exchange) -> None:
         """Find the route anew, where the configuration changed while the exchange waited.
 
         Example: `door.reroute(x)`
@@ -250,7 +266,7 @@
             self.route(x)
             self.terms(x)
 
-    def tally(self, x):
+    def tally(self, x: Exchange | types.SimpleNamespace) -> budget.Budget:
         """This node's part of the retry budget of an exchange's pool.
 
         Example: `door.tally(x).first(now, "x1")`
@@ -263,7 +279,7 @@
             t.slack = self.slack()
         return t
 
-    def slack(self):
+    def slack(self) -> int:
         """This node's part of the free repeats that the whole fleet has in a retry window.
 
         Members that were there within the window may have spent their parts, so the largest
@@ -278,7 +294,7 @@
 
     # ---- elect and send ----------------------------------------------------------------
 
-    async def carry(self, x):
+    async def carry(self, x: Exchange) -> None:
         """Elect, send and stream one exchange; its client's going away ends it at once.
 
         Example: `Lane(mach, 64, 48, door.carry)`
@@ -303,7 +319,7 @@
             lost.addErrback(lambda _: None)
             lost.cancel()
 
-    async def run(self, x):
+    async def run(self, x: Exchange) -> None:
         """Send until an answer stands or the exchange must be given up.
 
         Example: `await door.run(x)`
@@ -344,7 +360,7 @@
                     "worker_broke", f"Worker {worker.id} gave no answer.", verdict.Verdict.MAY_HAVE_RUN
                 )
 
-    async def send(self, x, worker, send, via):
+    async def send(self, x: Exchange, worker: message.Worker, send: dispatch.Send, via: str) -> dispatch.Outcome:
         """Send to a worker; by way of another node where this one does not reach it.
 
         Example: `out = await door.send(x, worker, dispatch.Send("w1"), "n2-c0ffee")`
@@ -366,7 +382,7 @@
         self.counts["passed"] += 1
         return await self.node.sender.send(x.req, x.raw, worker, x.repeatable, send, res.token, (m.host, m.http))
 
-    def let_pass(self, name):
+    def let_pass(self, name: typing.Any) -> typing.Any:
         """A token for one exchange of another node to a worker, or "" where this node can't help.
 
         Example: `token = door.let_pass("w1")`
@@ -380,7 +396,7 @@
         self.passes[token] = (name, now + PASS_US)
         return token
 
-    async def pass_on(self, req):
+    async def pass_on(self, req: typing.Any) -> None:
         """Pass an exchange of another node on to its worker; that node answers for it.
 
         Example: `await door.pass_on(req)`
@@ -413,7 +429,7 @@
                 d = verdict.ServiceError("no_worker", "The worker was not reached.")
                 req.answer(d.status, d.body(), {edge_protocol.PASS: out.name.lower()})
 
-    def cut_dark(self, name):
+    def cut_dark(self, name: typing.Any) -> None:
         """Wait no longer for a first byte of a worker that nobody reaches.
 
         Example: `door.cut_dark("w1")`
@@ -421,7 +437,7 @@
         for send in [s for s in self.sends.values() if s.worker == name and not s.begun]:
             send.cut()
 
-    async def look_for_hangs(self):
+    async def look_for_hangs(self) -> None:
         """Twice a second: where sends to a worker hang, see whether it can still be reached from here.
 
         Those to one that can't are ended: a connection that was cut tells nobody.
@@ -434,7 +450,7 @@
             for name in sorted({s.worker for s in hung}):
                 self.mach.spawn(self.end_hangs(name), log)
 
-    async def end_hangs(self, name):
+    async def end_hangs(self, name: str) -> None:
         """End the sends that hang on a worker, if no connection to it can be had from here.
 
         Example: `await door.end_hangs("w1")`
@@ -446,7 +462,7 @@
             if self.mach.now() - s.last > HANG_US:
                 s.cut()
 
-    def cut_drained(self):
+    def cut_drained(self) -> None:
         """End the sends to workers that left and have had their time for them.
 
         Example: `door.cut_drained()`
@@ -454,7 +470,7 @@
         for send in [s for s in self.sends.values() if self.node.follower.drained(s.worker)]:
             send.cut()
 
-    def give_back(self, x, outcome):
+    def give_back(self, x: Exchange, outcome: verdict.Verdict) -> None:
         """Tell the warden that a grant is over, or was never used.
 
         Example: `door.give_back(x, verdict.Verdict.RAN)`
@@ -469,7 +485,7 @@
         if duty is not None:
             self.node.tell_member(duty.holder, message.Done(x.pool_name, x.ask, outcome.value))
 
-    async def elect(self, x, shun):
+    async def elect(self, x: Exchange, shun: list[typing.Any]) -> tuple[message.Worker, str]:
         """Get a worker from the pool's warden; raises Defect where none is to be had.
 
         Example: `worker = await door.elect(x, [])`
@@ -521,14 +537,14 @@
                         return w, ""
             await self.mach.sleep(50 * machine.MILLI)
 
-    def known(self, x):
+    def known(self, x: Exchange) -> verdict.Verdict:
         """What may be said of an exchange that is given up now.
 
         Example: `door.known(x)`
         """
         return verdict.Verdict.MAY_HAVE_RUN if x.sent else verdict.Verdict.NOT_RUN
 
-    def may_send(self, x, w):
+    def may_send(self, x: Exchange, w: message.Worker) -> bool:
         """The last look before a send: the worker is ready, the pool still in a route.
 
         Example: `door.may_send(x, worker)`
@@ -543,7 +559,7 @@
             and any(r.pool == x.pool_name and covers(r.path, x.req.path.decode("latin-1")) for r in fol.routes.values())
         )
 
-    def bypass(self, x, shun):
+    def bypass(self, x: Exchange, shun: list[typing.Any]) -> message.Worker | None:
         """While the warden is silent: the worker of a session known to be pinned, or None.
 
         Example: `worker = door.bypass(x, [])`
@@ -558,7 +574,9 @@
             return w
         return None
 
-    async def ask(self, x, duty, shun, left):
+    async def ask(
+        self, x: Exchange, duty: message.Duty, shun: list[typing.Any], left: int
+    ) -> message.Denied | message.Granted | None:
         """Put the question to the warden; None where it is silent.
 
         Example: `res = await door.ask(x, duty, [], 2_000_000)`
@@ -611,7 +629,7 @@
             d.cancel()
 
 
-def anew(ask):
+def anew(ask: str) -> str:
     """The next ask of the same try: one try makes one after the other, never two that are used.
 
     >>> anew("n1-c0ffee-7/0")
@@ -621,7 +639,7 @@
     return f"{root}/{int(k) + 1}"
 
 
-def covers(path, want):
+def covers(path: str, want: str) -> bool:
     """Whether a route's path covers an exchange's: the same, or above it.
 
     >>> covers("/v1", "/v1/chat"), covers("/v1", "/v10"), covers("/", "/any")
--- a/iriswheel/history.py
+++ b/iriswheel/history.py
@@ -7,8 +7,11 @@
 - plans and their confirmation, under stamps: `confirm_sent`, `confirmed`, `confirm_refused`, `read`.
 """
 
+from __future__ import annotations
+
 import collections
 import json
+import typing
 
 import iriswheel.linearizability as linearizability
 
@@ -22,7 +25,7 @@
 ReadResponse = linearizability.ReadResponse
 
 
-def outcome(code):
+def outcome(code: int | None) -> linearizability.Outcome:
     """What an answer's status says of a change.
 
     >>> [outcome(c).value for c in (200, 409, 412, 422, 504, 0, None)]
@@ -39,20 +42,22 @@
             return Outcome.UNKNOWN
 
 
-def content(doc):
+def content(doc: dict[str, typing.Any]) -> str:
     """A short name for a document, whatever the order of the items in its lists.
 
     >>> content({"routes": [1, 2]}) == content({"routes": [2, 1]})
     True
     """
 
-    def ordered(value):
+    def ordered(value: dict[str, int] | int | list[typing.Any]) -> dict[str, int] | int | list[typing.Any]:
         return sorted(value, key=lambda x: json.dumps(x, sort_keys=True)) if isinstance(value, list) else value
 
     return linearizability.digest({key: ordered(value) for key, value in doc.items()})
 
 
-def configurations(rows):
+def configurations(
+    rows: list[dict[str, typing.Any]],
+) -> list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]:
     """The history of the platform's calls.
 
     A valid document that was refused in any way counts as refused for its number.
@@ -80,7 +85,9 @@
     return events
 
 
-def read(row, number, text=""):
+def read(
+    row: dict[str, typing.Any], number: int, text: str = ""
+) -> list[linearizability.Invocation | linearizability.ReadResponse]:
     """The two events of a read; one whose beginning is not known may have begun at any time.
 
     >>> [e.at for e in read({"at": 9, "began": 4}, 7)]
@@ -90,7 +97,9 @@
     return [Invocation(row.get("began", 0), call, Read()), ReadResponse(row["at"], call, number, text)]
 
 
-def numbered(rows):
+def numbered(
+    rows: list[dict[str, typing.Any]],
+) -> list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]:
     """The history of numbered changes; none where plans are confirmed between them, which have no number.
 
     >>> numbered([{"at": 5, "kind": "number_sent", "call": "a", "number": 1, "built_on": 0, "content": "x"}])[0].at
@@ -113,7 +122,9 @@
     return events if sent else []
 
 
-def confirmations(rows):
+def confirmations(
+    rows: list[dict[str, typing.Any]],
+) -> list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]:
     """The history of confirmed plans, under the stamps that the chain gave them.
 
     A plan that was never acknowledged may have been taken under any stamp that somebody saw and
@@ -157,7 +168,7 @@
     return events
 
 
-def first_answers(rows):
+def first_answers(rows: list[dict[str, typing.Any]]) -> dict[str, int]:
     """When each plan was acknowledged first.
 
     >>> first_answers([{"at": 4, "kind": "confirmed", "plan": "0-a"}])
@@ -173,7 +184,7 @@
 HISTORIES = {"configurations": configurations, "numbered changes": numbered, "confirmed plans": confirmations}
 
 
-def complaints(rows):
+def complaints(rows: list[dict[str, typing.Any]]) -> list[str]:
     """What of a log's operators' calls no order explains, in words.
 
     >>> complaints([{"at": 1, "kind": "ended"}])
@@ -194,7 +205,7 @@
     return out
 
 
-def count(rows):
+def count(rows: list[dict[str, typing.Any]]) -> int:
     """How many calls of operators a log holds.
 
     >>> count([{"at": 1, "kind": "ended"}])
--- a/iriswheel/lease.py
+++ b/iriswheel/lease.py
@@ -18,6 +18,8 @@
 waits for one lease from the time at which it learned of its epoch.
 """
 
+from __future__ import annotations
+
 import msgspec
 
 import iriswheel.machine as machine
@@ -35,10 +37,10 @@
     (True, False)
     """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.until = 0
 
-    def renew(self, echo, left):
+    def renew(self, echo: int, left: int) -> None:
         """Take a core machine's answer to the heartbeat that this node sent at `echo` (µs).
 
         Example: `lease.renew(message.sent_at, message.lease_left)`
@@ -46,7 +48,7 @@
         if echo > 0 and left > 0:
             self.until = max(self.until, echo + left)
 
-    def valid(self, now):
+    def valid(self, now: int) -> bool:
         """Whether the lease runs at `now` (µs).
 
         Example: `lease.valid(mach.now())`
@@ -91,14 +93,14 @@
     ([('n1', 7, 1000000)], [])
     """
 
-    def __init__(self, length):
+    def __init__(self, length: int) -> None:
         self.length = length  # of a lease, in µs
         self.until = 0
         self.echo = 0
-        self.sessions = {}
-        self.grants = {}
+        self.sessions: dict[str, Session] = {}
+        self.grants: dict[str, Grant] = {}
 
-    def renew(self, echo):
+    def renew(self, echo: int) -> None:
         """The tail sent back the time (µs) of a report of this core machine.
 
         Example: `core_lease.renew(beat.echo)`
@@ -107,7 +109,7 @@
             self.echo = echo
             self.until = echo + self.length
 
-    def heard(self, node, applied, now):
+    def heard(self, node: str, applied: int, now: int) -> None:
         """A node's heartbeat came at `now` (µs); it has applied the configuration up to a version.
 
         Example: `core_lease.heard("n1", 17, mach.now())`
@@ -120,14 +122,14 @@
         if node in self.grants:
             self.grants[node].applied = max(applied, self.grants[node].applied)
 
-    def close(self, node):
+    def close(self, node: str) -> None:
         """A node's session ended; what was granted to it may still run.
 
         Example: `core_lease.close("n1")`
         """
         self.sessions.pop(node, None)
 
-    def grant(self, node, now):
+    def grant(self, node: str, now: int) -> int:
         """What is left (µs) at `now` of a lease for a node, noted as granted; 0 where it may not have one.
 
         Example: `left = core_lease.grant("n1", mach.now())`
@@ -140,7 +142,7 @@
         self.grants[node] = Grant(max(until, old.until if old is not None else 0), session.applied)
         return self.until - now
 
-    def report(self, now):
+    def report(self, now: int) -> list[tuple[str, int, int]]:
         """The rows of a report sent at `now` (µs): node, version applied, how long it may hold a lease (µs).
 
         A node with a session may get one up to a whole lease before the next report is answered.
@@ -178,13 +180,15 @@
     5
     """
 
-    def __init__(self, length, now):
+    def __init__(self, length: int, now: int) -> None:
         self.length = length  # of a lease, in µs
         self.unsure_until = now + length + DRIFT_US
-        self.holders = {}
-        self.awaited = set()
+        self.holders: dict[str, Grant] = {}
+        self.awaited: set[str] = set()
 
-    def installed(self, before, chain, now, was_tail=False):
+    def installed(
+        self, before: list[tuple[str, str]] | None, chain: list[tuple[str, str]], now: int, was_tail: bool = False
+    ) -> None:
         """A view was agreed whose chain is `chain`, after one whose chain was `before` (None: not known here).
 
         Both are lists of (core id, incarnation). An empty `before` is the fleet's first view.
@@ -200,7 +204,7 @@
             self.unsure_until = now + self.length + DRIFT_US
         self.awaited = {core for core, _ in chain}
 
-    def heard(self, core, leases, now):
+    def heard(self, core: str, leases: list[tuple[str, int, int]], now: int) -> None:
         """A core machine's report in the present view: the leases that it granted, as `CoreLease.outstanding` has them.
 
         Example: `holders.heard("a", [("n1", 4, 500_000)], mach.now())`
@@ -213,7 +217,7 @@
                 until, applied = max(until, old.until), max(applied, old.applied)
             self.holders[node] = Grant(until, applied)
 
-    def applied(self, version, now):
+    def applied(self, version: int, now: int) -> int:
         """How far up to `version` every node that may hold a lease at `now` (µs) has come; 0 where that is not known.
 
         Example: `holders.applied(17, mach.now())`
--- a/iriswheel/linearizability.py
+++ b/iriswheel/linearizability.py
@@ -9,6 +9,9 @@
 one, each before the first answer among those left, and goes back where it can't go on.
 """
 
+from __future__ import annotations
+
+import collections.abc
 import enum
 import hashlib
 import json
@@ -42,7 +45,7 @@
     content: str
 
     @property
-    def valid_number(self):
+    def valid_number(self) -> bool:
         """Whether the number rises.
 
         >>> Change(7, 5, "a").valid_number
@@ -110,7 +113,7 @@
     """The search was given up; the history is neither judged good nor bad."""
 
 
-def operations(events):
+def operations(events: list[ChangeResponse | Invocation | ReadResponse]) -> list[Operation]:
     """The calls of a history, each with its answer; raises HistoryError.
 
     >>> operations([Invocation(1, "a", Read()), ReadResponse(3, "a", 0)])[0].answered
@@ -130,7 +133,7 @@
     return [operation(invocation, responses.get(call)) for call, invocation in calls.items()]
 
 
-def operation(invocation, response):
+def operation(invocation: Invocation, response: ChangeResponse | ReadResponse | None) -> Operation:
     """One call with its answer, or without.
 
     >>> operation(Invocation(1, "a", Change(7, 5, "x")), None).outcome
@@ -146,7 +149,7 @@
             return Operation(invocation.at, NEVER, invocation.call, invocation.operation, Outcome.UNKNOWN)
 
 
-def results(state, operation):
+def results(state: State, operation: Operation) -> list[State]:
     """The states that a call may leave, given its answer; none where the answer doesn't fit.
 
     >>> results(State(5), Operation(0, 1, "a", Change(7, 5, "x"), Outcome.REFUSED))
@@ -170,7 +173,7 @@
             return []
 
 
-def applies(state, change):
+def applies(state: State, change: Change) -> bool:
     """Whether a change takes effect on a state.
 
     >>> applies(State(5), Change(7, 5, "x")), applies(State(6), Change(7, 5, "x"))
@@ -179,7 +182,7 @@
     return change.valid_number and change.base == state.number and change not in state.taken
 
 
-def applied(state, change):
+def applied(state: State, change: Change) -> State:
     """The state after a change.
 
     >>> applied(State(), Change(7, 0, "x")).number
@@ -207,7 +210,7 @@
     beyond: frozenset = frozenset()
 
     @property
-    def explained(self):
+    def explained(self) -> int:
         """How many answered calls are explained.
 
         >>> Point(State(), 3, frozenset({5})).explained
@@ -215,7 +218,7 @@
         """
         return self.low + len(self.beyond)
 
-    def after(self, k, state):
+    def after(self, k: int, state: State) -> Point:
         """The place after call k, which left a state.
 
         >>> Point(State(), 0, frozenset({1})).after(0, State()).low
@@ -236,14 +239,14 @@
     True
     """
 
-    def __init__(self, calls, bound):
+    def __init__(self, calls: list[Operation], bound: int) -> None:
         calls = sorted(calls, key=lambda c: (c.sent, c.answered, c.call))
         self.answered = [c for c in calls if c.outcome in (Outcome.ACKNOWLEDGED, Outcome.REFUSED)]
         self.unknown = [c for c in calls if c.outcome is Outcome.UNKNOWN and isinstance(c.operation, Change)]
         self.steps = 0
         self.bound = bound
 
-    def run(self, initial):
+    def run(self, initial: State) -> Verdict:
         """Search from a state; raises SearchLimitError.
 
         Example: `Search(calls, SEARCH_BOUND).run(State())`
@@ -264,7 +267,7 @@
         window, _ = self.window(best)
         return Verdict(False, best.explained, [described(self.answered[k]) for k in window])
 
-    def count_step(self):
+    def count_step(self) -> None:
         """Count one step; raises SearchLimitError above the bound.
 
         Example: `search.count_step()`
@@ -273,7 +276,7 @@
         if self.steps > self.bound:
             raise SearchLimitError(f"{len(self.answered)} calls, given up after {self.bound} steps")
 
-    def window(self, point):
+    def window(self, point: Point) -> tuple[list[int], int]:
         """The calls that may be next: those sent before any of them was answered; and that moment.
 
         Example: `window, first_answer = search.window(point)`
@@ -287,7 +290,7 @@
                 first_answer = min(first_answer, self.answered[k].answered)
         return [k for k in window if self.answered[k].sent <= first_answer], first_answer
 
-    def past_fixed(self, point):
+    def past_fixed(self, point: Point) -> Point:
         """The place after all calls that may be next and leave the state as it is.
 
         Taking them at once loses nothing: what follows may follow all the same.
@@ -303,7 +306,7 @@
                 self.count_step()
                 point = point.after(k, point.state)
 
-    def changed(self, point):
+    def changed(self, point: Point) -> collections.abc.Iterator[Point]:
         """The places after one more call that changes the state.
 
         Example: `for after in search.changed(point): ...`
@@ -316,7 +319,11 @@
             yield from (point.after(k, state) for state in results(point.state, self.answered[k]))
 
 
-def check(events, initial=State(), bound=SEARCH_BOUND):  # noqa: B008, a frozen value
+def check(
+    events: list[ChangeResponse | Invocation | ReadResponse],
+    initial: State = State(),  # noqa: B008, a frozen value
+    bound: int = SEARCH_BOUND,
+) -> Verdict:
     """Judge a history; raises HistoryError, or SearchLimitError after so many steps.
 
     >>> check([Invocation(1, "a", Read()), ReadResponse(3, "a", 4)]).unexplained
@@ -325,7 +332,7 @@
     return Search(operations(events), bound).run(initial)
 
 
-def described(call):
+def described(call: Operation) -> str:
     """A call in words.
 
     >>> described(Operation(2, 3, "a", Read(), seen=(4, "x")))
@@ -339,7 +346,7 @@
     return f"call {call.call}, sent at {call.sent}: {what}"
 
 
-def digest(doc):
+def digest(doc: dict[str, typing.Any]) -> str:
     """A short name of a document's content.
 
     >>> digest({"a": 1, "b": 2}) == digest({"b": 2, "a": 1})
--- a/iriswheel/load.py
+++ b/iriswheel/load.py
@@ -1,6 +1,11 @@
 """The load generator: the brief's mix of exchanges, as clients would send them."""
 
+from __future__ import annotations
+
+import collections.abc
+import io
 import json
+import typing
 
 import loguru
 import twisted.internet.defer as defer
@@ -12,6 +17,10 @@
 import iriswheel.edge_protocol as edge_protocol
 import iriswheel.machine as machine
 
+if typing.TYPE_CHECKING:
+    import twisted.python.failure as failure
+
+
 LONG_BYTES = 48_000
 SHORT_BYTES = 600
 TRIES = 4
@@ -28,10 +37,10 @@
     '{"at": 5, "kind": "sent", "exchange": "e1"}\n'
     """
 
-    def __init__(self, out=None):
+    def __init__(self, out: io.StringIO | typing.TextIO | None = None) -> None:
         self.out = out
 
-    def put(self, at, kind, **more):
+    def put(self, at: int, kind: str, **more: typing.Any) -> None:
         """Write one event.
 
         >>> Events().put(1, "sent")
@@ -46,15 +55,15 @@
     Example: `response.deliverBody(Taker(mach, done))`
     """
 
-    def __init__(self, mach, done):
+    def __init__(self, mach: machine.Machine, done: defer.Deferred[typing.Any]) -> None:
         self.mach = mach
         self.done = done
-        self.raw = []
-        self.first = None
-        self.last = None
+        self.raw: list[bytes] = []
+        self.first: int | None = None
+        self.last: int | None = None
         self.pause = 0
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         now = self.mach.now()
         if self.first is None:
             self.first = now
@@ -63,7 +72,7 @@
         self.last = now
         self.raw.append(data)
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         if not self.done.called:
             self.done.callback(reason.check(client.ResponseDone) is not None)
 
@@ -75,13 +84,13 @@
     [('127.0.0.1', 8101)]
     """
 
-    def __init__(self, fixed):
+    def __init__(self, fixed: list[tuple[str, int]]) -> None:
         self.now = fixed
 
-    def __call__(self):
+    def __call__(self) -> list[tuple[str, int]]:
         return self.now
 
-    async def follow(self, mach, host, port):
+    async def follow(self, mach: machine.Machine, host: str, port: int) -> None:
         """Ask the platform for the ready nodes, a few times a second.
 
         Example: `mach.spawn(places.follow(mach, "127.0.0.1", 9000))`
@@ -104,7 +113,17 @@
     Example: `gen = Load(mach, lambda: [("127.0.0.1", 8101)], "/v1/complete", 20 * SECOND, 4, 40, 12, Events())`
     """
 
-    def __init__(self, mach, places, path, us, long_rate, short_rate, talks, events):
+    def __init__(
+        self,
+        mach: machine.Machine,
+        places: Places | collections.abc.Callable[..., object],
+        path: str,
+        us: int,
+        long_rate: float,
+        short_rate: float,
+        talks: int,
+        events: Events,
+    ) -> None:
         self.mach = mach
         self.places = places  # gives the nodes that clients are handed to now
         self.path = path
@@ -116,14 +135,14 @@
         self.tries = TRIES
         self.quick = 0.2  # the share of clients that retry at once
         self.count = 0
-        self.rows = []  # (kind, first byte, longest pause) of whole answers
-        self.codes = {}
+        self.rows: list[tuple[str, int, int]] = []  # (kind, first byte, longest pause) of whole answers
+        self.codes: dict[str, int] = {}
         self.ends = {"whole": 0, "torn": 0, "refused": 0, "lost": 0, "gave_up": 0}
-        self.turns = {}  # conversation -> worker of the last turn
+        self.turns: dict[str, str] = {}  # conversation -> worker of the last turn
         self.pins = [0, 0]  # later turns on the same worker, later turns
-        self.open = []
+        self.open: list[defer.Deferred[typing.Any]] = []
 
-    async def run(self):
+    async def run(self) -> None:
         """Go on until the time is over, then wait for what is open.
 
         Example: `await gen.run()`
@@ -133,21 +152,21 @@
         await defer.DeferredList([defer.ensureDeferred(c) for c in loops], consumeErrors=False)
         await defer.DeferredList(self.open)
 
-    def end(self):
+    def end(self) -> None:
         """Send nothing new from now on.
 
         Example: `gen.end()`
         """
         self.us = 0
 
-    def over(self):
+    def over(self) -> bool:
         """Whether the time is over.
 
         Example: `if gen.over(): return`
         """
         return self.mach.now() - self.began >= self.us
 
-    async def stream(self, kind, rate):
+    async def stream(self, kind: str, rate: float) -> None:
         """Send exchanges of one kind at a rate, whatever becomes of them.
 
         Example: `await gen.stream("short", 40)`
@@ -159,7 +178,7 @@
             parts = ["phrases"] if kind == "short" else ["bundle"]
             self.open.append(self.mach.spawn(self.exchange(kind, parts), log))
 
-    async def talk(self, k):
+    async def talk(self, k: int) -> None:
         """One conversation after the other, each of several turns.
 
         Example: `await gen.talk(0)`
@@ -180,7 +199,7 @@
                 self.turns[name] = worker
             turn = (turn + 1) % turns
 
-    async def exchange(self, kind, parts):
+    async def exchange(self, kind: str, parts: list[str]) -> str | None:
         """One exchange with its client's retries; the worker's name where it came through.
 
         Example: `await gen.exchange("short", ["system"])`
@@ -201,7 +220,9 @@
         self.ends["gave_up"] += 1
         return None
 
-    async def send(self, kind, ident, send, repeat, parts, body):
+    async def send(
+        self, kind: str, ident: str, send: int, repeat: bool, parts: list[str], body: bytes
+    ) -> tuple[str, str | None, int]:
         """One send on a fresh connection: how it ended, where, and when to come back.
 
         Example: `end, worker, wait = await gen.send("short", "x1", 1, True, ["system"], b"...")`
@@ -275,7 +296,7 @@
             return "final", None, wait
         return "refused", None, int(after[0]) * machine.SECOND if after else wait
 
-    def report(self):
+    def report(self) -> dict[str, typing.Any]:
         """What came of it all, times in milliseconds.
 
         Example: `json.dumps(gen.report())`
@@ -296,7 +317,7 @@
         return out
 
 
-def share(vals, part):
+def share(vals: list[int], part: float) -> float:
     """The value below which a part of the sorted values lies, in milliseconds.
 
     >>> share([1000, 2000, 3000], 0.5)
--- a/iriswheel/loads.py
+++ b/iriswheel/loads.py
@@ -6,11 +6,22 @@
 grows with the nodes, not with their square.
 """
 
+from __future__ import annotations
+
+import collections.abc
+import typing
+
 import loguru
 
 import iriswheel.machine as machine
 import iriswheel.message as message
 
+if typing.TYPE_CHECKING:
+    import iriswheel.core as core_module
+    import iriswheel.node as node_module
+    import iriswheel.wire as wire
+
+
 TELL_US = 150 * machine.MILLI
 IDLE_US = 500 * machine.MILLI  # a new session is noticed at the latest after so long
 OLD_US = 2 * machine.SECOND  # another core's sums count no longer without a word of it
@@ -21,7 +32,9 @@
 log = loguru.logger.bind(part="loads")
 
 
-def rows(table, keys):
+def rows(
+    table: dict[tuple[str, str], tuple[int, int, int]], keys: set[tuple[str, str]]
+) -> dict[str, list[tuple[str, int, int, int]]]:
     """The rows of a table for some keys, as they travel.
 
     >>> rows({("p", "w1"): (1, 60, 0)}, {("p", "w1"), ("p", "w2")})
@@ -33,7 +46,7 @@
     return out
 
 
-def plus(have, more, less):
+def plus(have: tuple[int, int, int], more: tuple[int, int, int], less: tuple[int, int, int]) -> tuple[int, int, int]:
     """A row with something added and something taken away.
 
     >>> plus((3, 60, 0), (1, 0, 50), (2, 60, 0))
@@ -42,7 +55,7 @@
     return tuple(a + b - c for a, b, c in zip(have, more, less, strict=False))
 
 
-def changes(old, new):
+def changes(old: dict[typing.Any, typing.Any], new: dict[typing.Any, typing.Any]) -> set[typing.Any]:
     """The keys whose values differ.
 
     >>> changes({"a": 1, "b": 2}, {"b": 2, "c": 3}) == {"a", "c"}
@@ -51,7 +64,7 @@
     return {k for k in old.keys() | new.keys() if old.get(k, NONE) != new.get(k, NONE)}
 
 
-def heavy(was, now):
+def heavy(was: tuple[int, int, int], now: tuple[int, int, int]) -> bool:
     """Whether a worker's load rose by much, or the suspicion of it.
 
     >>> heavy((1, 0, 0), (2, 13_000, 0)), heavy((2, 13_000, 0), (1, 0, 0)), heavy((1, 0, 0), (1, 0, 30))
@@ -60,7 +73,7 @@
     return now[1] - was[1] >= HEAVY or now[2] - was[2] >= ILL
 
 
-def update(table, m):
+def update(table: dict[tuple[str, str], tuple[int, int, int]], m: message.Loads) -> set[tuple[str, str]]:
     """Bring a table up to date by a message; the keys that changed.
 
     >>> t = {}; update(t, message.Loads("n1", True, {"p": [("w1", 1, 60, 0)]})), t
@@ -80,15 +93,16 @@
     Example: `mach.spawn(loads.NodeSide(node).run())`
     """
 
-    def __init__(self, node):
+    def __init__(self, node: node_module.Node) -> None:
         self.node = node
-        self.said = None  # what the core of this session was told; None: nothing yet
-        self.link = None
+        # what the core of this session was told; None: nothing yet
+        self.said: dict[tuple[str, str], tuple[int, int, int]] | None = None
+        self.link: wire.Connection | None = None
         self.soon = machine.Signal()  # tell at once
         self.some = machine.Signal()  # there is something to tell
         self.fresh = True
 
-    def touch(self):
+    def touch(self) -> None:
         """Something changed here; it is told in a moment.
 
         Example: `place.told_some = side.touch`
@@ -97,7 +111,7 @@
             self.fresh = True
             self.some.wake()
 
-    def own(self):
+    def own(self) -> dict[tuple[str, str], tuple[int, int, int]]:
         """This node's own load.
 
         Example: `side.own()`
@@ -108,7 +122,7 @@
             for name, *vals in place.told()
         }
 
-    def tell(self):
+    def tell(self) -> None:
         """Tell the core what changed here.
 
         Example: `side.tell()`
@@ -124,7 +138,7 @@
             fol.session.tell(message.Loads(self.node.me.id, self.said is None, rows(own, changed)))
             self.said = own
 
-    async def run(self):
+    async def run(self) -> None:
         """Tell the core what is under way here; one task.
 
         Example: `mach.spawn(side.run())`
@@ -138,7 +152,7 @@
             self.tell()
             self.fresh = self.fresh or any(v[2] for v in (self.said or {}).values())  # suspicion fades
 
-    def take(self, m):
+    def take(self, m: message.Loads) -> None:
         """Take the others' sums.
 
         Example: `side.take(message.Loads("c0ffee", True, {"desk": [("w1", 3, 900, 0)]}))`
@@ -154,15 +168,16 @@
     Example: `mach.spawn(loads.CoreSide(core).run())`
     """
 
-    def __init__(self, core):
+    def __init__(self, core: core_module.Core) -> None:
         self.core = core
-        self.tables = {}  # node or core -> its table
-        self.heard = {}  # core -> when
-        self.sums = {}  # of this core's nodes
-        self.all = {}  # of everybody
-        self.pending = {}  # node or core -> keys that it has still to hear of; None: it knows nothing yet
-
-    def take(self, link, m):
+        self.tables: dict[str, dict[tuple[str, str], tuple[int, int, int]]] = {}  # node or core -> its table
+        self.heard: dict[str, int] = {}  # core -> when
+        self.sums: dict[tuple[str, str], tuple[int, int, int]] = {}  # of this core's nodes
+        self.all: dict[tuple[str, str], tuple[int, int, int]] = {}  # of everybody
+        # node or core -> keys that it has still to hear of; None: it knows nothing yet
+        self.pending: dict[str, set[tuple[str, str]] | None] = {}
+
+    def take(self, link: wire.Connection, m: message.Loads) -> None:
         """Take a node's own load, or another core's sums; a long prompt is passed on at once.
 
         Example: `side.take(link, message.Loads("n1-c0ffee", True, {}))`
@@ -177,7 +192,7 @@
                 if who != m.sender:
                     self.tell(who, before.keys())
 
-    def change(self, who, node, m):
+    def change(self, who: str, node: bool, m: message.Loads) -> None:
         """Bring the sums up to date by what one says.
 
         Example: `side.change("n1-c0ffee", True, message.Loads("n1-c0ffee", True, {}))`
@@ -194,7 +209,7 @@
                 if other != who and keys is not None:
                     keys.add(k)
 
-    def targets(self):
+    def targets(self) -> list[str]:
         """Who is told: the nodes with a session here, and the other cores.
 
         Example: `side.targets()`
@@ -202,7 +217,7 @@
         cores = [s.id for s in self.core.seats() if s.id != self.core.membership.me.id]
         return [*self.core.node_sessions, *cores]
 
-    def tell(self, who, some=None):
+    def tell(self, who: str, some: collections.abc.Iterable[tuple[str, str]] | None = None) -> None:
         """Tell one what is new to it: all of it, or some keys.
 
         Example: `side.tell("n1-c0ffee")`
@@ -229,7 +244,7 @@
             )
         self.pending[who] = set() if whole else keys - told
 
-    async def run(self):
+    async def run(self) -> None:
         """Tell what changed, a few times a second; one task.
 
         Example: `mach.spawn(side.run())`
--- a/iriswheel/machine.py
+++ b/iriswheel/machine.py
@@ -4,15 +4,24 @@
 chance, so that the simulator can hand in its own. Times are whole microseconds.
 """
 
+from __future__ import annotations
+
 import collections
+import collections.abc
 import random
 import time
+import typing
 
 import loguru
 import twisted.internet.defer as defer
 
 import iriswheel.message as message
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.base as base
+    import twisted.python.failure as failure
+
+
 SECOND = 1_000_000
 MILLI = 1_000
 
@@ -23,7 +32,7 @@
     code = "late"
 
 
-def boottime():
+def boottime() -> int:
     """The time since boot, sleep included; a jump of the wall clock leaves it alone.
 
     >>> boottime() <= boottime()
@@ -45,21 +54,23 @@
     (['tick'], 5000)
     """
 
-    def __init__(self, reactor, now=boottime, seed=None):
+    def __init__(
+        self, reactor: typing.Any, now: collections.abc.Callable[..., object] = boottime, seed: int | str | None = None
+    ) -> None:
         self.reactor = reactor
         self.now = now
         self.rng = random.Random(seed)
         self.version = message.VERSION  # of the messages that this process speaks
         self.boot = f"{self.rng.getrandbits(48):012x}"
 
-    def later(self, us, f, *args):
+    def later(self, us: int, f: collections.abc.Callable[..., object], *args: typing.Any) -> base.DelayedCall:
         """Ring f(*args) after us microseconds.
 
         Example: `tick = mach.later(5 * MILLI, f)`
         """
         return self.reactor.callLater(max(0, us) / SECOND, f, *args)
 
-    def sleep(self, us):
+    def sleep(self, us: int) -> defer.Deferred[typing.Any]:
         """A Deferred that fires after us microseconds, and may be cancelled.
 
         >>> import twisted.internet.task as task
@@ -72,7 +83,7 @@
         tick = self.later(us, d.callback, None)
         return d
 
-    def pause(self, signal, us):
+    def pause(self, signal: Signal, us: int) -> defer.Deferred[typing.Any]:
         """A Deferred that fires at the signal's next wake, or after us microseconds.
 
         >>> import twisted.internet.task as task
@@ -84,14 +95,14 @@
         d = signal.wait()
         tick = self.later(us, signal.drop, d)
 
-        def done(res):
+        def done(res: None) -> None:
             if tick.active():
                 tick.cancel()
             return res
 
         return d.addBoth(done)
 
-    def within(self, d, us):
+    def within(self, d: defer.Deferred[typing.Any], us: int) -> defer.Deferred[typing.Any]:
         """Pass d on, but cancel it and raise Late when us microseconds have gone.
 
         >>> import twisted.internet.task as task
@@ -104,7 +115,7 @@
         out = defer.Deferred(lambda _: d.cancel())
         tick = self.later(us, self._expire, out, d)
 
-        def done(res):
+        def done(res: typing.Any) -> None:
             if tick.active():
                 tick.cancel()
             if not out.called:
@@ -114,12 +125,14 @@
         return out
 
     @staticmethod
-    def _expire(out, d):
+    def _expire(out: defer.Deferred[typing.Any], d: defer.Deferred[typing.Any]) -> None:
         if not out.called:
             out.errback(DeadlineError())
             d.cancel()
 
-    def spawn(self, coro, log=None):
+    def spawn(
+        self, coro: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any], log: loguru.Logger | None = None
+    ) -> defer.Deferred[typing.Any]:
         """Run a coroutine as a task of its own; an error in it is logged, not lost.
 
         >>> async def answer():
@@ -132,7 +145,7 @@
         return d
 
     @staticmethod
-    def _spilt(defect, log):
+    def _spilt(defect: failure.Failure, log: loguru.Logger) -> None:
         if defect.check(defer.CancelledError):
             return
         log.error("A task broke off: {}", defect.getTraceback())
@@ -147,10 +160,10 @@
     True
     """
 
-    def __init__(self):
-        self.waiting = []
+    def __init__(self) -> None:
+        self.waiting: list[defer.Deferred[typing.Any]] = []
 
-    def wait(self):
+    def wait(self) -> defer.Deferred[typing.Any]:
         """A Deferred that fires at the next wake.
 
         >>> Signal().wait().called
@@ -160,7 +173,7 @@
         self.waiting.append(d)
         return d
 
-    def drop(self, d):
+    def drop(self, d: defer.Deferred[typing.Any]) -> None:
         """Wake just one who waits.
 
         >>> s = Signal(); d = s.wait(); s.drop(d); d.called, s.waiting
@@ -170,7 +183,7 @@
             self.waiting.remove(d)
             d.callback(None)
 
-    def wake(self):
+    def wake(self) -> None:
         """Wake all who wait now.
 
         >>> Signal().wake()
@@ -189,15 +202,15 @@
     (True, False, 'a', 0)
     """
 
-    def __init__(self, room):
+    def __init__(self, room: int) -> None:
         self.room = room
-        self.items = collections.deque()
+        self.items: collections.deque[str] = collections.deque()
 
-    def __len__(self):
+    def __len__(self) -> int:
         """Return how many items wait."""
         return len(self.items)
 
-    def put(self, item):
+    def put(self, item: str) -> bool:
         """Add an item unless the holding is full.
 
         >>> BoundedQueue(0).put("a")
@@ -208,7 +221,7 @@
         self.items.append(item)
         return True
 
-    def take(self):
+    def take(self) -> str:
         """Remove and return the item that came first.
 
         >>> h = BoundedQueue(2); _ = h.put("one"), h.put("two"); h.take()
--- a/iriswheel/node.py
+++ b/iriswheel/node.py
@@ -1,6 +1,10 @@
 """A light node: the door towards clients, and the controllers beside it."""
 
+from __future__ import annotations
+
+import collections.abc
 import inspect
+import typing
 
 import loguru
 import twisted.internet.defer as defer
@@ -17,6 +21,10 @@
 import iriswheel.warden as warden
 import iriswheel.wire as wire
 
+if typing.TYPE_CHECKING:
+    import iriswheel.options as options_module
+
+
 RUNNING_US = 1 * machine.SECOND
 IDLE_US = 300 * machine.MILLI  # nothing was open for so long
 LAST_US = 200 * machine.MILLI  # for the last bytes of what was answered
@@ -31,28 +39,31 @@
     Example: `node = Node(mach, options)`; `node.start(peer_port, http_port)`.
     """
 
-    def __init__(self, mach, options, formats=None):
+    def __init__(
+        self, mach: machine.Machine, options: options_module.Options, formats: edge_protocol.EdgeProtocol | None = None
+    ) -> None:
         self.mach = mach
         self.options = options
         self.outer = formats or edge_protocol.EdgeProtocol()
-        self.me = None
+        self.me: message.Member | None = None
         self.peers = wire.Peers(mach, self.serve, log)
         self.reach = reach.Reach(self)
         self.sender = dispatch.Dispatcher(mach, self.reach.hear)
         self.follower = follower.Follower(self, options)
         self.door = gateway.Gateway(self)
         self.loads = loads.NodeSide(self)
-        self.wardens = {}  # pool -> Warden, where the duty is here
-        self.session_replicas = {}  # pool -> SessionReplica, copies of others' records
-        self.grants = {}  # ask -> Grant, of sends under way here
-        self.given_up = {}  # ask -> (pool, until), given up here without a send
+        self.wardens: dict[str, warden.Warden] = {}  # pool -> Warden, where the duty is here
+        # pool -> SessionReplica, copies of others' records
+        self.session_replicas: dict[str, warden.SessionReplica] = {}
+        self.grants: dict[str, message.Grant] = {}  # ask -> Grant, of sends under way here
+        self.given_up: dict[str, tuple[str, int]] = {}  # ask -> (pool, until), given up here without a send
         self.stopping = False  # no longer ready, but still serving whoever comes
         self.closing = False  # newcomers are refused
-        self.asked_at = None  # when the platform first heard that this node stops
+        self.asked_at: int | None = None  # when the platform first heard that this node stops
         self.left = False
-        self.renewed_at = None  # when the options were last read again
+        self.renewed_at: int | None = None  # when the options were last read again
 
-    def start(self, port, http):
+    def start(self, port: int, http: int) -> None:
         """Start all tasks; the ports are those really bound.
 
         Example: `node.start(7101, 8101)`
@@ -72,7 +83,7 @@
             self.mach.spawn(coro, log)
         log.info("Node {} starts in zone {}.", self.me.id, o.zone)
 
-    def renew(self, options):
+    def renew(self, options: options_module.Options) -> None:
         """Take in options that were read again: seeds, and where the platform is.
 
         Example: `node.renew(options.read("node", path, {}))`
@@ -84,7 +95,7 @@
 
     # ---- state ---------------------------------------------------------------------
 
-    def ready(self):
+    def ready(self) -> tuple[bool, str]:
         """Whether clients should be sent here, and why not.
 
         Example: `ok, why = node.ready()`
@@ -102,7 +113,7 @@
             return False, "no news of workers"
         return True, ""
 
-    def state(self):
+    def state(self) -> dict[str, typing.Any]:
         """What this node shows of itself.
 
         Example: `node.state()["place"]`
@@ -132,7 +143,7 @@
 
     # ---- controllers -----------------------------------------------------------------
 
-    def on_news(self):
+    def on_news(self) -> None:
         """The roster, the slice or the workers changed: look which duties are here.
 
         Example: `node.on_news()`
@@ -156,7 +167,7 @@
         # a question to the core machines may be under way, as a new warden puts it to them
         self.peers.keep({(m.host, m.port) for m in fol.roster.members} | set(fol.core_zones()))
 
-    def session_replica(self, pool):
+    def session_replica(self, pool: str) -> warden.SessionReplica:
         """The copies kept here of a pool's records.
 
         Example: `node.session_replica("desk").claims`
@@ -165,7 +176,7 @@
             self.session_replicas[pool] = warden.SessionReplica()
         return self.session_replicas[pool]
 
-    async def tell_running(self):
+    async def tell_running(self) -> None:
         """Every second, list to each pool's warden the grants held here.
 
         Example: `mach.spawn(node.tell_running())`
@@ -204,7 +215,7 @@
 
     # ---- messages -----------------------------------------------------------------------
 
-    def tell_member(self, ident, msg):
+    def tell_member(self, ident: str, msg: message.Done | message.Running) -> None:
         """Tell a member something; this node itself is told straight away.
 
         Example: `node.tell_member(duty.holder, message.Done("desk", ask, "ran"))`
@@ -216,13 +227,15 @@
         if m is not None:
             self.mach.spawn(self.peers.tell(m.host, m.port, msg), log)
 
-    async def ask_members(self, members, msg, us):
+    async def ask_members(
+        self, members: list[message.Member], msg: message.Copy | message.Gather, us: int
+    ) -> dict[str, message.Copied | message.Gathered | None]:
         """Put a call to members, this one included; None where no answer came.
 
         Example: `res = await node.ask_members(members, message.HowGoes(), 700_000)`
         """
 
-        async def ask(m):
+        async def ask(m: message.Member) -> message.Copied | message.Gathered:
             if m.id == self.me.id:
                 res = self.serve(None, msg)
                 return await res if inspect.iscoroutine(res) else res
@@ -232,7 +245,9 @@
         res = await defer.DeferredList(ds, consumeErrors=True)
         return {m.id: val if ok else None for m, (ok, val) in zip(members, res, strict=False)}
 
-    def serve(self, link, msg):
+    def serve(
+        self, link: wire.Connection | None, msg: message.Message
+    ) -> collections.abc.Coroutine[typing.Any, typing.Any, typing.Any] | message.Message | None:
         """Answer one message from another node.
 
         Example: `Listener(mach, node.serve, log)`
@@ -286,7 +301,7 @@
             case _:
                 log.warning("A node has no answer to {}.", type(msg).__name__)
 
-    def gathered(self, pool, term):
+    def gathered(self, pool: str, term: tuple[int, int]) -> message.Gathered:
         """What this node holds of a pool, for its new warden; older terms are fenced off.
 
         Example: `node.gathered("desk", (3, 1))`
@@ -323,7 +338,7 @@
 
     # ---- stopping -------------------------------------------------------------------------
 
-    async def stop(self):
+    async def stop(self) -> None:
         """Say not ready, hand the duties over, let streams end, leave; all of it within the grace.
 
         Newcomers are served until the platform has heard that this node is not ready and
--- a/iriswheel/options.py
+++ b/iriswheel/options.py
@@ -1,13 +1,19 @@
 """What a process learns of its place: an options file, flags over it, all checked at once."""
 
+import collections.abc
 import dataclasses
 import ipaddress
 import math
 import os
 import tomllib
+import typing
 
 import loguru
 
+if typing.TYPE_CHECKING:
+    import iriswheel.machine as machine
+
+
 WATCH_US = 2_000_000
 
 log = loguru.logger.bind(part="options")
@@ -22,12 +28,12 @@
 
     code = "bad_options"
 
-    def __init__(self, errors):
+    def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
         self.errors = errors
 
 
-def address(text):
+def address(text: str) -> tuple[str, int]:
     """An address "IP:port" as a pair; raises ValueError.
 
     >>> address("127.0.0.1:7001")
@@ -85,7 +91,7 @@
     retry_slack: int = 0
     list_us: int = 500_000  # between two questions for the platform's list
 
-    def front_address(self):
+    def front_address(self) -> tuple[str, int]:
         """Where HTTP is served, as a pair.
 
         >>> Options("node", host="127.0.0.1", http_port=8101).front_address()
@@ -93,7 +99,7 @@
         """
         return address(self.front) if self.front else (self.host, self.http_port)
 
-    def seed_list(self):
+    def seed_list(self) -> list[tuple[str, int]]:
         """The seeds as pairs.
 
         >>> Options("core", seeds=["127.0.0.1:1"]).seed_list()
@@ -101,7 +107,7 @@
         """
         return [address(s) for s in self.seeds]
 
-    def platform_address(self):
+    def platform_address(self) -> tuple[str, int]:
         """The platform's address as a pair.
 
         >>> Options("node", platform="127.0.0.1:9000").platform_address()
@@ -109,7 +115,7 @@
         """
         return address(self.platform)
 
-    def check(self):
+    def check(self) -> None:
         """Raise OptionsError with every mistake.
 
         >>> Options("node").check()
@@ -165,14 +171,14 @@
             raise OptionsError(bad)
 
     @staticmethod
-    def _address(name, text, bad):
+    def _address(name: str, text: str, bad: list[str]) -> None:
         try:
             address(text)
         except (ValueError, AttributeError):
             bad.append(f"{name}: {text!r} is no IP:port")
 
 
-def read(role, path, flags):
+def read(role: str, path: str, flags: dict[str, typing.Any]) -> "Options":
     """The options of a file with flags over them, checked.
 
     Example: `read("node", "node.toml", {"name": "n1"})`
@@ -206,14 +212,20 @@
     Example: `watch = Watch(mach, path, lambda: read("node", path, {}), node.renew)`; `mach.spawn(watch.run())`.
     """
 
-    def __init__(self, mach, path, reread, renew):
+    def __init__(
+        self,
+        mach: "machine.Machine",
+        path: str,
+        reread: collections.abc.Callable[..., object],
+        renew: collections.abc.Callable[..., object],
+    ) -> None:
         self.mach = mach
         self.path = path
         self.reread = reread
         self.renew = renew
         self.seen = self.stamp()
 
-    def stamp(self):
+    def stamp(self) -> tuple[int, int, int] | None:
         """What tells one state of the file from another.
 
         Example: `watch.stamp()`
@@ -224,7 +236,7 @@
         except OSError:
             return None
 
-    def again(self):
+    def again(self) -> None:
         """Read the options now; what can't be read leaves the old ones.
 
         Example: `watch.again()`
@@ -237,7 +249,7 @@
             return
         self.renew(o)
 
-    async def run(self):
+    async def run(self) -> None:
         """Look at the file now and then.
 
         Example: `mach.spawn(watch.run())`
--- a/iriswheel/placement.py
+++ b/iriswheel/placement.py
@@ -6,14 +6,23 @@
 needs no message: all nodes rank the workers alike for it (rendezvous hashing).
 """
 
+from __future__ import annotations
+
 import collections
 import hashlib
+import types
+import typing
 
 import loguru
 
 import iriswheel.machine as machine
 import iriswheel.session as session
 
+if typing.TYPE_CHECKING:
+    import iriswheel.configuration as configuration
+    import iriswheel.edge_protocol as edge_protocol
+
+
 READ_RATE = 50  # tokens that a worker reads in a millisecond, until measured
 BATCH = 64  # exchanges that a worker runs at once, where the configuration does not say
 STEP_US = 6_000  # a step of a worker's batch
@@ -50,7 +59,7 @@
 
     __slots__ = ("running", "unread", "kept", "heard", "asked", "ill", "ill_at")
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.running = 0  # own exchanges there
         self.unread = 0  # own prompt tokens that it has still to read
         self.kept = collections.OrderedDict()  # chain key of a part -> tokens, the latest used last
@@ -59,7 +68,7 @@
         self.ill = 0.0  # suspicion, 0 to 1, as it was at ill_at
         self.ill_at = 0
 
-    def note(self, keys, sizes):
+    def note(self, keys: list[typing.Any], sizes: list[int]) -> None:
         """Note the parts that a prompt brings there.
 
         >>> w = Worker(); w.note([7], [100]); list(w.kept.items())
@@ -72,7 +81,7 @@
             self.kept.popitem(last=False)
 
 
-def chain(parts):
+def chain(parts: list[str]) -> list[bytes]:
     """A key for each part that stands for all parts up to it.
 
     >>> a, b = chain(["x", "y"]), chain(["z", "y"]); a[1] == b[1], chain(["x"])[0] == a[0]
@@ -85,7 +94,7 @@
     return out
 
 
-def weigh(key, worker):
+def weigh(key: bytes, worker: str) -> bytes:
     """The weight of a worker for a key; the same on every node.
 
     >>> weigh(b"k", "w1") == weigh(b"k", "w1"), weigh(b"k", "w1") == weigh(b"k", "w2")
@@ -100,11 +109,12 @@
     Example: `p = Placement(mach, "desk")`; `name = p.pick(x, workers, pool)`; `p.begin(...)`.
     """
 
-    def __init__(self, mach, pool):
+    def __init__(self, mach: machine.Machine, pool: str) -> None:
         self.mach = mach
         self.pool = pool
-        self.workers = {}  # id -> Worker
-        self.others = {}  # id -> (running, unread, suspicion in percent) of all other nodes together
+        self.workers: dict[str, Worker] = {}  # id -> Worker
+        # id -> (running, unread, suspicion in percent) of all other nodes together
+        self.others: dict[str, tuple[int, int, int]] = {}
         self.base_us, self.dev_us = 60_000.0, 30_000.0  # of first events of short prompts, beyond what was expected
         self.others_at = 0
         self.told_heavy = lambda: None  # called when a send changes a worker's load by much
@@ -113,7 +123,7 @@
         self.trials = collections.OrderedDict()  # last part's key -> (worker, until): may yet be a session
         self.ranks = collections.OrderedDict()  # key -> workers by weight
 
-    def at(self, name):
+    def at(self, name: str) -> Worker:
         """What is known of a worker.
 
         >>> Placement(machine.Machine(None, now=lambda: 0), "p").at("w1").running
@@ -124,7 +134,7 @@
             w = self.workers[name] = Worker()
         return w
 
-    def rank(self, key, names):
+    def rank(self, key: bytes, names: tuple[str, ...]) -> list[str]:
         """The workers by weight for a key, the heaviest first.
 
         >>> p = Placement(machine.Machine(None, now=lambda: 0), "p")
@@ -138,7 +148,7 @@
                 self.ranks.popitem(last=False)
         return out
 
-    def of_others(self, name, now):
+    def of_others(self, name: str, now: int) -> tuple[int, int, int]:
         """What all other nodes together say of a worker, unless that is old.
 
         >>> Placement(machine.Machine(None, now=lambda: 0), "p").of_others("w1", 0)
@@ -146,7 +156,7 @@
         """
         return self.others.get(name, NONE) if now - self.others_at < OLD_US else NONE
 
-    def ill(self, name, now):
+    def ill(self, name: str, now: int) -> float:
         """The suspicion of a worker, 0 to 1: one's own, and a part of the others'.
 
         >>> p = Placement(machine.Machine(None, now=lambda: 0), "p"); p.blame("w1", 0.5); p.ill("w1", 0)
@@ -154,7 +164,7 @@
         """
         return min(1.0, self.own_ill(name, now) + OTHERS_ILL * self.of_others(name, now)[2] / 100)
 
-    def own_ill(self, name, now):
+    def own_ill(self, name: str, now: int) -> float:
         """This node's own suspicion of a worker, fading.
 
         >>> p = Placement(machine.Machine(None, now=lambda: 0), "p"); p.blame("w1", 0.5)
@@ -164,7 +174,7 @@
         w = self.workers.get(name)
         return w.ill * 0.5 ** ((now - w.ill_at) / ILL_HALF_US) if w is not None and w.ill else 0.0
 
-    def blame(self, name, much):
+    def blame(self, name: str, much: float) -> None:
         """A worker failed, or fell silent: trust it less, and let the other nodes know.
 
         >>> p = Placement(machine.Machine(None, now=lambda: 5), "p"); p.blame("w1", 0.5); p.sick("w1", 5)
@@ -176,7 +186,7 @@
         self.told_some()
         self.told_heavy()
 
-    def forgive(self, name):
+    def forgive(self, name: str) -> None:
         """A worker gave a whole answer.
 
         >>> p = Placement(machine.Machine(None, now=lambda: 5), "p")
@@ -186,7 +196,7 @@
         w = self.at(name)
         w.ill *= 0.7
 
-    def wait_us(self, name, pool, now):
+    def wait_us(self, name: str, pool: configuration.Pool, now: int) -> int:
         """How long a new exchange would wait at a worker before its own prompt is read.
 
         Only real exchanges in flight count here: this is what admission looks at.
@@ -203,7 +213,7 @@
             us += TURN_US * (running - batch + 1) // batch
         return us
 
-    def spared(self, names):
+    def spared(self, names: tuple[str, ...]) -> set[str]:
         """The workers that read no long prompts; the same on every node.
 
         While many shared parts are read for the first time, long prompts would fill every worker,
@@ -214,7 +224,7 @@
         """
         return set(self.rank(b"spared", names)[: round(len(names) * SPARED)] if len(names) > 2 else ())
 
-    def read_us(self, name, keys, sizes, own, names):
+    def read_us(self, name: str, keys: list[bytes], sizes: list[int], own: int, names: tuple[str, ...]) -> int:
         """How long a worker would read at a prompt, less what its cache is likely to hold.
 
         The shared parts are kept at their home, the worker that ranks first for the last of them,
@@ -234,14 +244,14 @@
                 us += size * 1000 * AGAIN // READ_RATE
         return us
 
-    def sick(self, name, now):
+    def sick(self, name: str, now: int) -> bool:
         """Whether a worker is to get nothing as long as others are well.
 
         Example: `placement.sick("w1", now)`
         """
         return self.ill(name, now) > ILL_OUT or self.mute(name, now)
 
-    def patience_us(self, expected):
+    def patience_us(self, expected: int) -> int:
         """How long a first event is waited for that was expected after so long.
 
         >>> Placement(machine.Machine(None, now=lambda: 0), "p").patience_us(10_000)
@@ -249,7 +259,7 @@
         """
         return max(PATIENCE_US, int(expected * 1.5 + self.base_us + 4 * self.dev_us))
 
-    def mute(self, name, now):
+    def mute(self, name: str, now: int) -> bool:
         """Whether a worker that has sends of this node says nothing to any of them.
 
         >>> Placement(machine.Machine(None, now=lambda: 0), "p").mute("w1", 0)
@@ -258,7 +268,15 @@
         w = self.workers.get(name)
         return w is not None and bool(w.running) and now - max(w.asked, w.heard) > MUTE_US
 
-    def pick(self, ask, keys, own, ready, pool, shun):
+    def pick(
+        self,
+        ask: edge_protocol.Ask | types.SimpleNamespace,
+        keys: list[bytes],
+        own: int,
+        ready: list[str],
+        pool: configuration.Pool,
+        shun: set[str],
+    ) -> tuple[str, int]:
         """The worker for an exchange, or "" where there is none; (name, time it waits there).
 
         Example: `name, us = placement.pick(ask, keys, 291, ["w1", "w2"], pool, set())`
@@ -295,7 +313,7 @@
 
     # ---- sends ------------------------------------------------------------------------
 
-    def begin(self, name, keys, sizes, own):
+    def begin(self, name: str, keys: list[bytes], sizes: list[int], own: int) -> int:
         """A send goes out; the tokens that the worker will likely read for it.
 
         Example: `tokens = placement.begin("w1", keys, sizes, 291)`
@@ -315,7 +333,7 @@
             self.told_heavy()
         return tokens
 
-    def first(self, name, tokens, took, expected):
+    def first(self, name: str, tokens: int, took: int, expected: int) -> None:
         """The first event came after `took` microseconds: the prompt is read.
 
         Example: `placement.first("w1", 291, 71_000, 9_000)`
@@ -327,14 +345,14 @@
             self.base_us = max(0.0, self.base_us + off / 16)
             self.dev_us += (abs(off) - self.dev_us) / 16
 
-    def hear(self, name):
+    def hear(self, name: str) -> None:
         """A worker said something.
 
         Example: `placement.hear("w1")`
         """
         self.at(name).heard = self.mach.now()
 
-    def end(self, name, tokens):
+    def end(self, name: str, tokens: int) -> None:
         """A send is over; `tokens` are those that were never read.
 
         Example: `placement.end("w1", 0)`
@@ -346,7 +364,7 @@
 
     # ---- sessions ---------------------------------------------------------------------
 
-    def turn(self, key, name, terms, cap):
+    def turn(self, key: bytes, name: str, terms: configuration.Terms, cap: int) -> None:
         """Note a turn: the second one with the same last part opens a session, if the cap allows.
 
         Nobody says whether a prompt's last part is a conversation's or one exchange's own, and a
@@ -372,7 +390,7 @@
         if len(self.trials) > TRIALS:
             self.trials.popitem(last=False)
 
-    def sweep(self, ready):
+    def sweep(self, ready: set[str]) -> None:
         """Close sessions past their lease, and those of workers that are ready no more.
 
         >>> Placement(machine.Machine(None, now=lambda: 0), "p").sweep({"w1"})
@@ -386,7 +404,7 @@
         for name in [n for n, w in self.workers.items() if n not in ready and not w.running]:
             del self.workers[name]
 
-    def told(self):
+    def told(self) -> list[tuple[str, int, int, int]]:
         """This node's own load, for the load exchange: rows of worker, running, unread tokens, suspicion.
 
         Suspicion travels in steps of ten percent, so that its fading is not news all the time.
@@ -401,7 +419,7 @@
         ]
         return [r for r in rows if r[1] or r[3]]
 
-    def take(self, rows, whole):
+    def take(self, rows: list[tuple[str, int, int, int]], whole: bool) -> None:
         """Take the other nodes' sums: all of them, or what changed.
 
         >>> p = Placement(machine.Machine(None, now=lambda: 0), "p"); p.take([("w1", 3, 900, 0)], True); p.others["w1"]
@@ -415,7 +433,7 @@
                 del self.others[name]
         self.others_at = self.mach.now()
 
-    def state(self):
+    def state(self) -> dict[str, typing.Any]:
         """What this placement shows of itself.
 
         >>> Placement(machine.Machine(None, now=lambda: 0), "p").state()["sessions"]
--- a/iriswheel/process.py
+++ b/iriswheel/process.py
@@ -4,8 +4,12 @@
 in the middle of things, and what it loads is time in which it does not serve.
 """
 
+from __future__ import annotations
+
+import collections.abc
 import signal
 import sys
+import typing
 
 import loguru
 import twisted.internet.defer as defer
@@ -16,13 +20,18 @@
 import iriswheel.web as web
 import iriswheel.wire as wire
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.epollreactor as epollreactor
+    import twisted.internet.tcp as tcp
+
+
 FINISH_US = 500 * machine.MILLI  # for the last bytes of a node's answers
 BAD_INPUT, NO_START = 2, 3
 
 log = loguru.logger.bind(part="main")
 
 
-def set_logs(level):
+def set_logs(level: str) -> None:
     """Logs go to standard error: a time, the part's prefix, a short sentence.
 
     Example: `set_logs("INFO")`
@@ -33,7 +42,7 @@
     loguru.logger.add(sys.stderr, level=level, format=form)
 
 
-def fail(code, lines):
+def fail(code: int, lines: list[str]) -> typing.NoReturn:
     """Say why on standard error, one line each, and exit.
 
     Example: `fail(2, ["seeds: missing"])`
@@ -43,7 +52,7 @@
     sys.exit(code)
 
 
-def the_reactor():
+def the_reactor() -> epollreactor.EPollReactor:
     """The process's reactor, first loaded here and not while this module loads.
 
     Twisted's reactors time their calls by the time of day, so that a clock set back by some
@@ -65,19 +74,24 @@
     return reactor
 
 
-def run(reactor, o, stop, again=lambda: None):
+def run(
+    reactor: typing.Any,
+    o: options.Options,
+    stop: collections.abc.Callable[..., object],
+    again: collections.abc.Callable[..., object] = lambda: None,
+) -> None:
     """Run the reactor until a signal; SIGTERM and SIGINT stop it in good order, SIGHUP has the options read again.
 
     Example: `run(reactor, o, node.stop)`
     """
     stopping = []
 
-    def on_signal(*_):
+    def on_signal(*_: int) -> None:
         if not stopping:
             stopping.append(True)
             reactor.callFromThread(lambda: defer.ensureDeferred(stop()).addBoth(lambda _: reactor.stop()))
 
-    def on_hangup(*_):
+    def on_hangup(*_: typing.Any) -> None:
         reactor.callFromThread(again)
 
     reactor.callWhenRunning(lambda: [signal.signal(s, on_signal) for s in (signal.SIGTERM, signal.SIGINT)])
@@ -86,7 +100,9 @@
     reactor.run(installSignalHandlers=False)
 
 
-def bind(reactor, o, peers, http, ready=None):
+def bind(
+    reactor: typing.Any, o: options.Options, peers: wire.Listener, http: web.Server, ready: web.Server | None = None
+) -> tcp.Port:
     """Bind the ports; the options then hold the real ones. Returns the port where HTTP is served.
 
     Example: `bind(reactor, o, listener, server)`
@@ -105,7 +121,12 @@
         fail(NO_START, [f"The port can't be had: {e}"])
 
 
-def run_core(o, path, reread, door=lambda proc: proc.handle):
+def run_core(
+    o: options.Options,
+    path: str,
+    reread: collections.abc.Callable[..., object],
+    door: collections.abc.Callable[..., object] = lambda proc: proc.handle,
+) -> None:
     """Run a core machine with these options; reread() reads them again from the file at path.
 
     Example: `run_core(o, "core.toml", lambda: options.read("core", "core.toml", {}))`
@@ -130,7 +151,13 @@
     disk.close()
 
 
-def run_node(o, path, reread, ready=None, **parts):
+def run_node(
+    o: options.Options,
+    path: str,
+    reread: collections.abc.Callable[..., object],
+    ready: None = None,
+    **parts: typing.Any,
+) -> None:
     """Run a light node with these options; reread() reads them again from the file at path.
 
     `ready(proc)` makes the handler of the address at which only readiness is told.
@@ -153,7 +180,7 @@
     watch = options.Watch(mach, path, reread, proc.renew)
     mach.spawn(watch.run(), log)
 
-    async def stop():
+    async def stop() -> None:
         await proc.stop()
         front.stopListening()
         await server.finish(FINISH_US)
--- a/iriswheel/reach.py
+++ b/iriswheel/reach.py
@@ -4,12 +4,21 @@
 dark: that takes the warden and a witness on another node, and neither may reach it.
 """
 
+from __future__ import annotations
+
+import typing
+
 import loguru
 import twisted.internet.defer as defer
 
 import iriswheel.machine as machine
 import iriswheel.message as message
 
+if typing.TYPE_CHECKING:
+    import iriswheel.node as node_module
+    import iriswheel.warden as warden
+
+
 PROBE_US = 500 * machine.MILLI
 KNOCK_US = 300 * machine.MILLI  # for a bare connection
 CHECK_US = 1 * machine.SECOND
@@ -27,13 +36,13 @@
     Example: `reach = Reach(node)`; `reach.hear("w1")`; `reach.lost`.
     """
 
-    def __init__(self, node):
+    def __init__(self, node: node_module.Node) -> None:
         self.node = node
         self.mach = node.mach
-        self.heard = {}  # worker -> when it last said anything here
-        self.lost = {}  # worker -> since when no connection to it can be had from here
+        self.heard: dict[str, int] = {}  # worker -> when it last said anything here
+        self.lost: dict[typing.Any, typing.Any] = {}  # worker -> since when no connection to it can be had from here
 
-    def hear(self, worker):
+    def hear(self, worker: str) -> None:
         """A worker said something.
 
         Example: `reach.hear("w1")`
@@ -41,7 +50,7 @@
         self.heard[worker] = self.mach.now()
         self.lost.pop(worker, None)
 
-    def miss(self, worker):
+    def miss(self, worker: typing.Any) -> None:
         """No connection to a worker could be had; look for it until one can.
 
         Example: `reach.miss("w1")`
@@ -53,7 +62,7 @@
                 if w.id not in self.lost and w.state != "gone":
                     self.mach.spawn(self.knock(w), log)  # the rest may be out of reach as well
 
-    async def knock(self, w):
+    async def knock(self, w: message.Worker) -> None:
         """See whether a bare connection to a worker can be had.
 
         Example: `await reach.knock(worker)`
@@ -61,7 +70,7 @@
         if not await self.node.sender.knock(w.host, w.port, KNOCK_US):
             self.miss(w.id)
 
-    async def walk(self):
+    async def walk(self) -> None:
         """Now and then, knock at the workers that were not heard here for a while.
 
         Example: `mach.spawn(reach.walk())`
@@ -74,7 +83,7 @@
                 if w.state == "ready" and w.id not in self.lost and w.id not in self.heard:
                     self.mach.spawn(self.knock(w), log)
 
-    async def seek(self, worker):
+    async def seek(self, worker: typing.Any) -> None:
         """Try a lost worker again, until it is reached or listed no more.
 
         Example: `mach.spawn(reach.seek("w1"))`
@@ -87,7 +96,7 @@
             else:
                 await self.probe(w)
 
-    def lately(self):
+    def lately(self) -> list[str]:
         """The workers heard here in the last second.
 
         Example: `reach.lately()`
@@ -97,7 +106,7 @@
             del self.heard[w]
         return sorted(self.heard)
 
-    async def probe(self, w):
+    async def probe(self, w: message.Worker) -> message.Probed:
         """Ask a worker for its load: it answers anything, takes the connection but is mute, or neither.
 
         Example: `res = await reach.probe(worker)`
@@ -109,7 +118,7 @@
             self.lost.pop(w.id, None)
         return res
 
-    async def ask(self, w):
+    async def ask(self, w: message.Worker) -> message.Probed:
         """The question itself.
 
         Example: `res = await reach.ask(worker)`
@@ -135,17 +144,17 @@
     Example: `watch = Watch(warden)`; `mach.spawn(watch.run())`.
     """
 
-    def __init__(self, owner):
+    def __init__(self, owner: warden.Warden) -> None:
         self.owner = owner  # warden.Warden
         self.node = owner.node
         self.mach = owner.mach
-        self.reports = {}  # worker -> (running, queued), the newest that could be read
-        self.heard = {}  # worker -> {member: when it last heard it}
-        self.spoke = set()  # workers that ever answered the question for their load
-        self.dark = {}  # worker -> since when
-        self.checks = {}  # worker -> machine.Signal, while a check is under way
+        self.reports: dict[str, tuple[int, int]] = {}  # worker -> (running, queued), the newest that could be read
+        self.heard: dict[str, dict[str, int]] = {}  # worker -> {member: when it last heard it}
+        self.spoke: set[str] = set()  # workers that ever answered the question for their load
+        self.dark: dict[typing.Any, typing.Any] = {}  # worker -> since when
+        self.checks: dict[typing.Any, typing.Any] = {}  # worker -> machine.Signal, while a check is under way
 
-    def hear(self, worker, member):
+    def hear(self, worker: str, member: str) -> None:
         """A member heard a worker just now.
 
         Example: `watch.hear("w1", "n1-c0ffee")`
@@ -155,21 +164,21 @@
             log.info("Worker {} is back.", worker)
             self.owner.freed.wake()
 
-    def silent(self, worker):
+    def silent(self, worker: str) -> int:
         """How long nobody has heard a worker.
 
         Example: `watch.silent("w1") < FRESH_US`
         """
         return self.mach.now() - max(self.heard.get(worker, {}).values(), default=-machine.SECOND * 3600)
 
-    def suspect(self, worker):
+    def suspect(self, worker: str) -> bool:
         """Whether a worker that used to answer was not heard lately: no place for new work.
 
         Example: `watch.suspect("w1")`
         """
         return worker in self.spoke and self.silent(worker) > FRESH_US + PROBE_US // 2
 
-    def via(self, worker, member):
+    def via(self, worker: str, member: str) -> str:
         """A member other than this one that heard a worker lately, the latest first, or "".
 
         Example: `watch.via("w1", "n1-c0ffee")`
@@ -179,7 +188,7 @@
         by_age = sorted((now - at, i) for i, at in self.heard.get(worker, {}).items() if i != member and i in live)
         return by_age[0][1] if by_age and by_age[0][0] < MUTE_US else ""
 
-    def take(self, worker, member, res):
+    def take(self, worker: str, member: str, res: message.Probed) -> None:
         """Take what a member's probe found.
 
         Example: `watch.take("w1", "n1-c0ffee", message.Probed("answer", (3, 0)))`
@@ -190,7 +199,7 @@
                 self.reports[worker] = res.load
             self.hear(worker, member)
 
-    async def run(self):
+    async def run(self) -> None:
         """Every half second: ask all workers for their load, and check those that nobody hears.
 
         Example: `mach.spawn(watch.run())`
@@ -205,7 +214,7 @@
             self.owner.check_workers()
             await self.mach.sleep(PROBE_US)
 
-    async def poll(self, w):
+    async def poll(self, w: message.Worker) -> None:
         """Ask one worker; where it does not answer and nobody else hears it, check.
 
         Example: `await watch.poll(worker)`
@@ -216,7 +225,7 @@
         if self.silent(w.id) > FRESH_US and self.mach.now() - self.dark.get(w.id, 0) > wait:
             await self.check(w)
 
-    async def check(self, w):
+    async def check(self, w: typing.Any) -> None:
         """Have this node and the copies' nodes probe a worker; decide whether it is dark.
 
         Example: `await watch.check(worker)`
--- a/iriswheel/replay.py
+++ b/iriswheel/replay.py
@@ -4,9 +4,13 @@
 fleet's own counters. Each checker reads the rows and yields complaints.
 """
 
+from __future__ import annotations
+
 import bisect
 import collections
+import collections.abc
 import json
+import typing
 
 import iriswheel.history as history
 
@@ -40,7 +44,7 @@
     code = "damaged_log"
 
 
-def read(lines):
+def read(lines: list[str] | typing.TextIO) -> tuple[list[dict[str, typing.Any]], bool]:
     """The rows of a log, in time order, and whether it was cut short.
 
     >>> read(['{"at": 1, "kind": "sent"}', '{"at": 2, "ki'])
@@ -82,13 +86,13 @@
     (True, False, True)
     """
 
-    def __init__(self, row, end):
+    def __init__(self, row: dict[str, typing.Any], end: int) -> None:
         self.at, self.end = row["at"], end
         self.what, self.target = row["what"], row["target"]
         self.role, self.addr = row.get("role", ""), row.get("addr", "")
         self.duty, self.large = row.get("duty", False), row.get("large", False)
 
-    def during(self, a, b, after=0):
+    def during(self, a: int, b: int, after: int = 0) -> bool:
         """Whether the span from a to b touches this fault, or the time after it.
 
         >>> Fault({"at": 5, "what": "kill", "target": "n1"}, 9).during(0, 4)
@@ -104,37 +108,37 @@
     [{'at': 1, 'kind': 'asked'}]
     """
 
-    def __init__(self, rows):
+    def __init__(self, rows: list[dict[str, typing.Any]]) -> None:
         self.rows = rows
-        self.looked = collections.Counter()  # checker -> rows that it judged
+        self.looked: collections.Counter[str] = collections.Counter()  # checker -> rows that it judged
         self.talks = self.demand = None  # made when first asked for
-        self.kinds = collections.defaultdict(list)
+        self.kinds: collections.defaultdict[str, list[dict[str, typing.Any]]] = collections.defaultdict(list)
         for r in rows:
             self.kinds[r["kind"]].append(r)
         self.end = rows[-1]["at"] if rows else 0
         self.sent = {(r["exchange"], r["send"]): r for r in self.of("sent")}
         self.asked = {**{(r["exchange"], 0): r for r in self.of("probe")}, **self.sent}  # probes too
         self.repeatable = {r["exchange"]: r["repeat"] for r in self.of("sent")}
-        self.runs = {}
+        self.runs: dict[tuple[str, int], dict[str, typing.Any]] = {}
         for r in self.of("run"):
             self.runs.setdefault((r["exchange"], r["send"]), r)
         self.over = {r["run"]: r["at"] for kind in ("ran", "cut") for r in self.of(kind)}
-        self.listed = collections.defaultdict(list)
-        self.pool = {}
+        self.listed: collections.defaultdict[str, list[dict[str, typing.Any]]] = collections.defaultdict(list)
+        self.pool: dict[str, str] = {}
         for r in self.of("listed"):
             self.listed[r["worker"]].append(r)
             if r["pool"]:
                 self.pool[r["worker"]] = r["pool"]
-        self.faults = []
+        self.faults: list[Fault] = []
         for f in self.of("fault"):
             ends = [m["at"] for m in self.of("mend") if m["at"] > f["at"] and m["target"] in (f["target"], "all")]
             self.faults.append(Fault(f, ends[0] if ends else NEVER))
-        self.zones = {}  # a node's door -> its hall
+        self.zones: dict[str, str] = {}  # a node's door -> its hall
         for r in self.of("begun") + self.of("moved"):
             self.zones.update(r.get("zones", {}))
         self.docs = self._docs()
 
-    def _docs(self):
+    def _docs(self) -> list[tuple[int, int, dict[str, dict[typing.Any, typing.Any]]]]:
         """The configurations that may have been in force: (from, until, document), by time."""
         first, acked = {}, {}
         for r in self.of("confirm_sent"):
@@ -148,7 +152,7 @@
             out.append((r["at"], min(later) + FORCE_US if later else NEVER, r["blueprint"]))
         return out
 
-    def of(self, kind):
+    def of(self, kind: str) -> list[dict[str, typing.Any]]:
         """The rows of one kind.
 
         >>> Log([]).of("run")
@@ -156,7 +160,7 @@
         """
         return self.kinds.get(kind, [])
 
-    def applied_by_all(self, a, b):
+    def applied_by_all(self, a: int, b: int) -> list[dict[str, dict[str, dict[typing.Any, typing.Any]]]]:
         """The configurations of which a node may go by one between two times.
 
         >>> Log([]).applied_by_all(0, 5)
@@ -164,7 +168,7 @@
         """
         return [doc for since, until, doc in self.docs if since <= b and a <= until]
 
-    def at_fault(self, a, b, node=None, worker=None):
+    def at_fault(self, a: int, b: int, node: str | None = None, worker: str | None = None) -> bool:
         """Whether an exchange at a node, on a worker, met a fault of one of them, or a large one.
 
         >>> log = Log([{"at": 5, "kind": "fault", "what": "kill", "target": "w1", "role": "worker"}])
@@ -182,7 +186,7 @@
                 return True  # it was under way when the link broke
         return any(r["state"] != "ready" and a <= r["at"] <= b for r in self.listed.get(worker, []))
 
-    def delayed(self, a, b):
+    def delayed(self, a: int, b: int) -> bool:
         """Whether a small fault elsewhere may have made an exchange start late.
 
         >>> log = Log([{"at": 5, "kind": "fault", "what": "kill", "target": "n1", "role": "node", "duty": True}])
@@ -199,7 +203,7 @@
                 return True
         return False
 
-    def state(self, worker, at):
+    def state(self, worker: str, at: int) -> tuple[str, int]:
         """How the platform listed a worker at a time, and since when.
 
         >>> Log([]).state("w1", 5)
@@ -212,7 +216,7 @@
             got = (r["state"], r["at"] if r["state"] != got[0] else got[1])
         return got
 
-    def ready(self, pool, a, b):
+    def ready(self, pool: str, a: int, b: int) -> list[str]:
         """The workers of a pool that were listed as ready, and at no fault, from a to b.
 
         >>> Log([{"at": 1, "kind": "listed", "worker": "w1", "state": "ready", "pool": "p"}]).ready("p", 5, 6)
@@ -227,7 +231,9 @@
             and not any(f.target == w and f.during(a, b, DARK_US) for f in self.faults)
         ]
 
-    def crowded(self, pool, a, b, long, docs):
+    def crowded(
+        self, pool: str, a: int, b: int, long: bool, docs: list[dict[str, dict[str, dict[typing.Any, typing.Any]]]]
+    ) -> bool:
         """Whether at some time from a to b all seats that the pool's ready workers have were taken.
 
         Example: `log.crowded("desk", sent, ran, False, docs)`
@@ -258,7 +264,7 @@
         return most >= 0.9 * slots * len(ws)
 
 
-def resolve(doc, path, zone):
+def resolve(doc: dict[str, dict[str, dict[str, typing.Any]]], path: str, zone: str) -> str | None:
     """The pool to which a configuration sends a path in a zone, or None.
 
     >>> resolve({"routes": {"r": {"path": "/v1", "pool": "p", "zones": ["a"]}}}, "/v1/x", "a")
@@ -273,7 +279,7 @@
     return max(fits, key=lambda r: (len(r["path"]), bool(r.get("zones"))))["pool"] if fits else None
 
 
-def events(text):
+def events(text: str) -> list[dict[str, typing.Any]] | None:
     r"""The events of an answer, as documents; None where it is not whole and in order.
 
     >>> events('data: {"k": 0, "of": 1}\n\ndata: [DONE]\n\n')
@@ -293,7 +299,7 @@
     return docs
 
 
-def once(log):
+def once(log: Log) -> collections.abc.Iterator[str]:
     """1: what may not be repeated runs once; no answer has gaps, doubles or splices."""
     runs = collections.Counter(r["exchange"] for r in log.of("run") if r["exchange"])
     log.looked["once"] += sum(1 for i in runs if log.repeatable.get(i) is False)
@@ -308,7 +314,7 @@
             yield f"{r['exchange']}: the answer is spliced from {sorted({d['run'] for d in docs})}"
 
 
-def not_run(log):
+def not_run(log: Log) -> collections.abc.Iterator[str]:
     """2: a refusal that says "not run" is true, then and later."""
     runs = {(r["exchange"], r["send"]) for r in log.of("run")}
     for r in log.of("refused"):
@@ -317,7 +323,7 @@
             yield f"{r['exchange']} send {r['send']} was refused as not run, and ran"
 
 
-def own(log):
+def own(log: Log) -> collections.abc.Iterator[str]:
     """3: an answer is the worker's own whole answer to this very exchange."""
     ran = {r["run"]: r for r in log.of("run")}
     whole = {r["run"] for r in log.of("ran")}
@@ -334,7 +340,7 @@
                 yield f"{r['exchange']}: run {d['run']} was never finished, the answer passed for whole"
 
 
-def leaving(log):
+def leaving(log: Log) -> collections.abc.Iterator[str]:
     """4: nothing reaches a worker more than about 3 s after it was listed as leaving or gone."""
     for r in log.of("run"):
         state, since = log.state(r["worker"], r["at"])
@@ -343,7 +349,7 @@
             yield f"{r['worker']} got {r['exchange']} {(r['at'] - since) / SECOND:.1f} s after it was {state}"
 
 
-def in_force(log):
+def in_force(log: Log) -> collections.abc.Iterator[str]:
     """5: a change is in force everywhere within 2 s of its acknowledgement, and never slips back.
 
     Each probe's and each exchange's way (the pool, or that no route is known) must be that of a
@@ -381,7 +387,7 @@
             yield f"{node} sent {path} to {got} at {at / SECOND:.1f} s; in force could be {sorted(map(str, want))}"
 
 
-def kept(log):
+def kept(log: Log) -> collections.abc.Iterator[str]:
     """6: what was acknowledged is there when it is read back."""
     acked = log.of("confirmed")
     by_plan = {}
@@ -411,7 +417,7 @@
         yield "the blueprint could not be read back at the day's end"
 
 
-def same(one, other):
+def same(one: dict[str, dict[str, dict[str, typing.Any]]], other: dict[str, dict[str, dict[str, typing.Any]]]) -> bool:
     """Whether two configurations say the same; empty sections don't count.
 
     >>> same({"pools": {}}, {})
@@ -420,7 +426,7 @@
     return {k: v for k, v in one.items() if v} == {k: v for k, v in other.items() if v}
 
 
-def allowed(log):
+def allowed(log: Log) -> collections.abc.Iterator[str]:
     """7: nothing goes to a pool that no configuration in force allows for its path."""
     for r in log.of("run"):
         sent = log.asked.get((r["exchange"], r["send"]))
@@ -433,7 +439,7 @@
             yield f"{r['exchange']} on {r['path']} went to pool {log.pool.get(r['worker'])} at {r['at'] / SECOND:.1f} s"
 
 
-def talks(log):
+def talks(log: Log) -> dict[tuple[str, str, str], list[dict[str, typing.Any]]]:
     """The runs of conversations, by pool and conversation: a list of two parts and more names one.
 
     In the order in which they were sent, and each send once: a worker that froze may run an
@@ -449,7 +455,7 @@
     return log.talks
 
 
-def spans(log, field, default, a, b):
+def spans(log: Log, field: str, default: int, a: int, b: int) -> list[int]:
     """The values that a field of any terms may have between two times.
 
     >>> spans(Log([]), "lifetime_us", 60, 0, 5)
@@ -459,7 +465,7 @@
     return sorted(vals) or [default]
 
 
-def pinned(log):
+def pinned(log: Log) -> collections.abc.Iterator[str]:
     """8, the first half: a conversation stays on its worker while that is ready.
 
     Three nodes know a conversation from its first turn, a core's disk within a second: so
@@ -485,7 +491,7 @@
             yield f"conversation {name[-1]} moved from {a['worker']} to {b['worker']} at {b['at'] / SECOND:.1f} s"
 
 
-def held(log, at, slack):
+def held(log: Log, at: int, slack: int) -> dict[str, set[tuple[str, str, str]]]:
     """The conversations that may be open at a time, by worker: those not silent for their lifetime and more.
 
     >>> held(Log([]), 5, 0)
@@ -511,7 +517,7 @@
     return dict(out)
 
 
-def unborn(log, at):
+def unborn(log: Log, at: int) -> int:
     """Conversations that are being opened at a time, or that a node at fault may have opened, without a run so far.
 
     >>> unborn(Log([]), 5)
@@ -531,7 +537,7 @@
     )
 
 
-def capped(log):
+def capped(log: Log) -> collections.abc.Iterator[str]:
     """9: no worker holds more open conversations than allowed; one that left or crashed holds none.
 
     Judged where a conversation opens: a cap that is lowered closes nobody's.
@@ -558,7 +564,7 @@
                 yield f"{r['worker']} holds {n} open conversations at {r['at'] / SECOND:.1f} s, {max(caps)} are allowed"
 
 
-def demand(log, at):
+def demand(log: Log, at: int) -> tuple[int, int]:
     """Repeats and exchanges in the ten seconds up to a time.
 
     >>> demand(Log([]), 5)
@@ -579,7 +585,7 @@
     return tuple(bisect.bisect_right(xs, at) - bisect.bisect_right(xs, at - WINDOW_US) for xs in log.demand)
 
 
-def budget(log):
+def budget(log: Log) -> collections.abc.Iterator[str]:
     """10: retries stay within about a fifth of real demand over any ten seconds."""
     demand(log, 0)
     for at in log.demand[0]:
@@ -589,7 +595,7 @@
             yield f"{n} repeats for {d} exchanges in the ten seconds up to {at / SECOND:.1f} s"
 
 
-def refusal(log, r, sent):
+def refusal(log: Log, r: dict[str, typing.Any], sent: dict[str, typing.Any]) -> str | None:
     """Why a refusal turned a proper exchange away, or None where the log bears it out.
 
     Example: `refusal(log, row, log.sent[(row["exchange"], row["send"])])`
@@ -638,7 +644,7 @@
             return "no reason for it stands in the log"
 
 
-def served(log):
+def served(log: Log) -> collections.abc.Iterator[str]:
     """11: proper requests are not turned away by the kit itself; refusals come at once.
 
     Who is at a fault may suffer: clients of a dead, frozen or cut node, streams of a lost
@@ -700,7 +706,7 @@
             yield f"{r['exchange']} paused for {r['pause'] / SECOND:.2f} s"
 
 
-def answered(log):
+def answered(log: Log) -> collections.abc.Iterator[str]:
     """11, for bad input: a named 4xx with its verdict, never a hung connection or a dead process."""
     for r in log.of("rude"):
         log.looked["answered"] += 1
@@ -713,7 +719,7 @@
             yield f"a requester with {r['how']} got {r['status']!r}: {r['text'][-60:]!r}"
 
 
-def back(log):
+def back(log: Log) -> collections.abc.Iterator[str]:
     """12: within about 12 s after a large failure, service is back, and changes are taken.
 
     From then on `served` excuses nothing any more; here at least something must have come through.
@@ -742,7 +748,7 @@
             yield f"{f.what} of {f.target} at {f.at / SECOND:.1f} s: 12 s later only {n} of {len(asked)} came through"
 
 
-def linearizable(log):
+def linearizable(log: Log) -> collections.abc.Iterator[str]:
     """6: one order of all operators' calls explains what each was told."""
     log.looked["linearizable"] += history.count(log.rows)
     yield from history.complaints(log.rows)
@@ -766,7 +772,7 @@
 ]
 
 
-def examine(rows):
+def examine(rows: list[dict[str, typing.Any]]) -> tuple[dict[str, list[str]], dict[str, int]]:
     """All complaints by checker, and how many rows each checker had to judge.
 
     >>> examine([])[1]["once"]
@@ -779,7 +785,7 @@
     }
 
 
-def judge(rows):
+def judge(rows: list[dict[str, typing.Any]]) -> dict[str, list[str]]:
     """All complaints, by checker.
 
     >>> judge([])
@@ -788,7 +794,7 @@
     return examine(rows)[0]
 
 
-def recovery(rows):
+def recovery(rows: list[dict[str, typing.Any]]) -> list[tuple[str, int, int, int]]:
     """For each fault: when the last first send was sent that failed before the next fault, and how many did.
 
     Rows of (fault, ms from the fault to that sending, failed, sent in the 12 s after the
@@ -815,7 +821,7 @@
     return out
 
 
-def recovery_lines(rows):
+def recovery_lines(rows: list[dict[str, typing.Any]]) -> list[str]:
     """The recoveries as lines to print.
 
     >>> recovery_lines([{"at": 1, "kind": "fault", "what": "kill", "target": "n1", "large": False}])
--- a/iriswheel/roster.py
+++ b/iriswheel/roster.py
@@ -4,13 +4,23 @@
 newest roster that anybody still holds, and its stamp begins with its view's number.
 """
 
+from __future__ import annotations
+
+import builtins
+import collections.abc
 import hashlib
+import types
+import typing
 
 import loguru
 
 import iriswheel.machine as machine
 import iriswheel.message as message
 
+if typing.TYPE_CHECKING:
+    import iriswheel.view as view
+
+
 SETTLE_US = 1 * machine.SECOND  # a new tail listens this long before it issues
 GRACE_US = 500 * machine.MILLI  # for a node whose session ended
 SILENT_US = 3_500 * machine.MILLI  # for a node whose core fell silent
@@ -20,7 +30,7 @@
 log = loguru.logger.bind(part="roster")
 
 
-def weigh(key, ident):
+def weigh(key: str, ident: str) -> bytes:
     """The weight of a member for a key; the heaviest one does the duty.
 
     >>> weigh("pool/desk", "n1") == weigh("pool/desk", "n1")
@@ -29,7 +39,7 @@
     return hashlib.sha256(f"{key}\n{ident}".encode()).digest()
 
 
-def elect(key, members):
+def elect(key: str, members: list[message.Member]) -> list[message.Member]:
     """Members by weight for a key, the heaviest first.
 
     >>> ms = [message.Member(i, i, "z", "h", 1, 2) for i in "abc"]
@@ -39,7 +49,7 @@
     return sorted(members, key=lambda m: weigh(key, m.id), reverse=True)
 
 
-def group(key, members, old):
+def group(key: str, members: list[message.Member], old: message.Duty | None) -> tuple[str, list[str]]:
     """Who holds a duty and who keeps its copies: whoever had it keeps it.
 
     A new holder is taken from the old copies first, since those know the records.
@@ -73,21 +83,26 @@
     Example: `issuer = Issuer(mach, membership, pools)`, where pools() names the pools.
     """
 
-    def __init__(self, mach, membership, pools):
+    def __init__(
+        self,
+        mach: machine.Machine | types.SimpleNamespace,
+        membership: types.SimpleNamespace | view.Membership,
+        pools: collections.abc.Callable[..., object],
+    ) -> None:
         self.mach = mach
         self.membership = membership
         self.pools = pools
-        self.latest = None  # the newest roster known here, ours or another's
+        self.latest: message.Roster | None = None  # the newest roster known here, ours or another's
         self.view = 0  # the view in which we issue
-        self.since = None
-        self.heard = {}  # core -> (heard, Sessions)
-        self.seen = {}  # member id -> (seen, Member, at which core)
-        self.left = set()
-        self.listing = None
-        self.dropped = {}  # duty of a pool that was removed -> since when
+        self.since: int | None = None
+        self.heard: dict[str, tuple[int, message.Sessions]] = {}  # core -> (heard, Sessions)
+        self.seen: dict[str, tuple[int, message.Member, str]] = {}  # member id -> (seen, Member, at which core)
+        self.left: set[str] = set()
+        self.listing: message.Listing | None = None
+        self.dropped: dict[typing.Any, typing.Any] = {}  # duty of a pool that was removed -> since when
         self.news = machine.Signal()
 
-    def learn(self, roster):
+    def learn(self, roster: message.Roster | None) -> None:
         """Keep the newest roster.
 
         Example: `issuer.learn(roster)`
@@ -96,7 +111,7 @@
             self.latest = roster
             self.news.wake()
 
-    def list(self, listing):
+    def list(self, listing: message.Listing | None) -> None:
         """Keep the newest worker list.
 
         Example: `issuer.list(listing)`
@@ -104,7 +119,7 @@
         if listing is not None and (self.listing is None or listing.stamp > self.listing.stamp):
             self.listing = listing
 
-    def take(self, m):
+    def take(self, m: message.Sessions) -> None:
         """Take what a core tells of its nodes.
 
         Example: `issuer.take(sessions)`
@@ -142,7 +157,7 @@
         self.heard[m.core] = (now, m)
         self.issue()
 
-    def leave(self, ident):
+    def leave(self, ident: str) -> None:
         """A node leaves of its own will.
 
         Example: `issuer.leave("c0ffee")`
@@ -151,7 +166,7 @@
         self.seen.pop(ident, None)
         self.issue()
 
-    def restart(self):
+    def restart(self) -> None:
         """Begin anew as tail of a view.
 
         Example: `issuer.restart()`
@@ -161,21 +176,21 @@
         self.heard = {}
         self.seen = {}
 
-    def sessions(self):
+    def sessions(self) -> int:
         """How many members have a session now.
 
         Example: `issuer.sessions()`
         """
         return sum(1 for _, _, core in self.seen.values() if core)
 
-    def issuing(self):
+    def issuing(self) -> bool:
         """Whether this tail has issued a roster in its view.
 
         Example: `issuer.issuing()`
         """
         return self.latest is not None and self.latest.stamp[0] == self.view == self.membership.view.number
 
-    def issue(self):
+    def issue(self) -> None:
         """Issue a roster if there is news; only ever under the lease.
 
         Example: `issuer.issue()`
@@ -222,7 +237,9 @@
             return
         self.learn(new)
 
-    def assign(self, stamp, members, old):
+    def assign(
+        self, stamp: tuple[int, int], members: builtins.list[message.Member], old: message.Roster | None
+    ) -> builtins.list[message.Duty]:
         """The duties over the live members; a duty that moves gets a new term.
 
         Example: `issuer.assign((3, 1), members, old)`
--- a/iriswheel/session.py
+++ b/iriswheel/session.py
@@ -6,7 +6,10 @@
 counts in its worker's load, and a worker takes no more sessions than its cap.
 """
 
+from __future__ import annotations
+
 import hashlib
+import typing
 
 import iriswheel.message as message
 
@@ -22,7 +25,9 @@
 
     __slots__ = ("id", "worker", "expires", "lifetime_us", "cost", "stamp", "turns", "pending", "opened_by")
 
-    def __init__(self, ident, worker, expires, lifetime_us, cost, stamp=1):
+    def __init__(
+        self, ident: bytes | str, worker: str, expires: int, lifetime_us: int, cost: int, stamp: int = 1
+    ) -> None:
         self.id = ident
         self.worker = worker
         self.expires = expires
@@ -34,7 +39,7 @@
         self.pending = False  # until copies of its opening stand
 
 
-def derive(parts, session_part):
+def derive(parts: list[str], session_part: int) -> str:
     """The id of a conversation, from the session's part of the prompt's prefix.
 
     With session_part -1 the last part names the conversation, and a list of fewer than
@@ -70,12 +75,12 @@
     (['s1'], None)
     """
 
-    def __init__(self):
-        self.records = {}
-        self.at = {}  # worker -> {id: Record}
+    def __init__(self) -> None:
+        self.records: dict[typing.Any, Record] = {}
+        self.at: dict[str, dict[typing.Any, Record]] = {}  # worker -> {id: Record}
         self.stamp = 0  # the newest of all records, so that a session opened anew beats its old copies
 
-    def open(self, ident, worker, now, lifetime_us, cost):
+    def open(self, ident: bytes | str, worker: str, now: int, lifetime_us: int, cost: int) -> Record:
         """Open a session on a worker.
 
         >>> b = Book(); one = b.open("s", "w1", 0, 60, 100).stamp
@@ -88,7 +93,7 @@
         self.at.setdefault(worker, {})[ident] = r
         return r
 
-    def close(self, ident):
+    def close(self, ident: str) -> Record:
         """Close a session; its cost no longer counts.
 
         >>> b = Book(); _ = b.open("s", "w", 0, 60, 100); _ = b.close("s"); b.load("w")
@@ -99,7 +104,7 @@
             del self.at[r.worker][ident]
         return r
 
-    def pinned(self, ident):
+    def pinned(self, ident: bytes | str) -> Record | None:
         """The open session of this id, or None: an unknown id is closed.
 
         >>> Book().pinned("s") is None
@@ -107,7 +112,7 @@
         """
         return self.records.get(ident)
 
-    def extend(self, r, now):
+    def extend(self, r: Record, now: int) -> None:
         """A turn or its end: silence begins anew, one lifetime is left from now.
 
         >>> b = Book(); r = b.open("s", "w", 0, 60, 100); b.extend(r, 30); r.expires
@@ -117,7 +122,7 @@
         self.stamp += 1
         r.stamp = self.stamp
 
-    def sweep(self, now):
+    def sweep(self, now: int) -> list[Record]:
         """Close every session past its expiry that has no turn in flight.
 
         >>> b = Book(); _ = b.open("s", "w", 0, 60, 100); len(b.sweep(61))
@@ -125,7 +130,7 @@
         """
         return [self.close(r.id) for r in list(self.records.values()) if r.expires < now and not r.turns]
 
-    def evict(self, worker):
+    def evict(self, worker: str) -> list[Record]:
         """Close every session of a worker that is no longer ready.
 
         >>> b = Book(); _ = b.open("s", "w", 0, 60, 100); len(b.evict("w"))
@@ -133,7 +138,7 @@
         """
         return [self.close(i) for i in list(self.at.get(worker, {}))]
 
-    def count(self, worker):
+    def count(self, worker: str) -> int:
         """How many sessions are open on a worker.
 
         >>> Book().count("w")
@@ -141,7 +146,7 @@
         """
         return len(self.at.get(worker, {}))
 
-    def load(self, worker):
+    def load(self, worker: str) -> int:
         """The cost that a worker's open sessions hold.
 
         >>> Book().load("w")
@@ -149,7 +154,7 @@
         """
         return sum(r.cost for r in self.at.get(worker, {}).values())
 
-    def earliest(self, workers):
+    def earliest(self, workers: list[str]) -> int:
         """When the first session on these workers may end, or None.
 
         >>> b = Book(); _ = b.open("s", "w", 0, 60, 100); b.earliest(["w"])
@@ -158,7 +163,7 @@
         return min((r.expires for w in workers for r in self.at.get(w, {}).values()), default=None)
 
 
-def told(r, now):
+def told(r: Record, now: int) -> message.Session:
     """A record as it travels.
 
     >>> told(Record("s", "w", 100, 60, 5), now=40).left_us
--- a/iriswheel/store.py
+++ b/iriswheel/store.py
@@ -4,9 +4,12 @@
 Writes run in a thread of their own, so that a slow disk never stops the reactor.
 """
 
+from __future__ import annotations
+
 import contextlib
 import fcntl
 import os
+import typing
 
 import lmdb
 import loguru
@@ -15,6 +18,10 @@
 
 import iriswheel.machine as machine
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.defer as defer
+
+
 log = loguru.logger.bind(part="disk")
 
 
@@ -24,7 +31,7 @@
     code = "disk"
 
 
-def sync_folders(path, top):
+def sync_folders(path: str, top: str) -> None:
     """Sync a folder and those above it up to `top`: files made in them then outlive a loss of power.
 
     Example: `sync_folders("/data/core/state", "/data")`
@@ -40,7 +47,7 @@
         path = os.path.dirname(path)
 
 
-def nearest_folder(path):
+def nearest_folder(path: str) -> str:
     """The folder next above a path that is there.
 
     >>> nearest_folder("/proc/none/at/all")
@@ -64,13 +71,13 @@
     {b'b': b'2'}
     """
 
-    def __init__(self, folder, reactor=None, size=1 << 28):
+    def __init__(self, folder: str, reactor: typing.Any = None, size: int = 1 << 28) -> None:
         self.folder = folder
         self.reactor = reactor
         self.size = size
         self.pool = threadpool.ThreadPool(0, 1, name="disk")
 
-    def open(self):
+    def open(self) -> None:
         """Open the folder, made where it is missing; a second process is refused.
 
         All that is made here is synced with its folders before anything is written: the database's own
@@ -96,13 +103,13 @@
         if self.reactor is not None:
             self.pool.start()
 
-    def _path(self):
+    def _path(self) -> str:
         return os.path.join(self.folder, "state")
 
-    def _open_environment(self):
+    def _open_environment(self) -> None:
         self.env = lmdb.open(self._path(), map_size=self.size, sync=True)
 
-    def read(self):
+    def read(self) -> dict[bytes, bytes]:
         """All that is on the disk.
 
         Example: `state = disk.read()`
@@ -110,7 +117,7 @@
         with self.env.begin() as txn:
             return {bytes(k): bytes(v) for k, v in txn.cursor()}
 
-    def write(self, puts):
+    def write(self, puts: list[tuple[bytes, bytes | None]]) -> None:
         """Write pairs in one synced transaction; a value of None removes.
 
         The map grows with what is in it: only the disk itself can be full.
@@ -130,7 +137,7 @@
                 self.env.set_mapsize(self.size)
                 log.info("The map grows to {} MiB.", self.size >> 20)
 
-    def _write(self, puts):
+    def _write(self, puts: list[tuple[bytes, bytes | None]]) -> None:
         try:
             if self.env is None:
                 self._open_environment()
@@ -150,7 +157,7 @@
         except (OSError, lmdb.Error) as e:
             raise DiskError(str(e)) from e
 
-    def commit(self, puts):
+    def commit(self, puts: list[tuple[bytes, bytes]]) -> defer.Deferred[typing.Any]:
         """Write off the reactor's thread; the Deferred fires once it is synced.
 
         Example: `await disk.commit([(b"key", b"value")])`
@@ -158,7 +165,7 @@
         d = threads.deferToThreadPool(self.reactor, self.pool, self.write, puts)
         return d
 
-    def close(self):
+    def close(self) -> None:
         """Finish what is under way and let the folder go.
 
         Example: `disk.close()`
@@ -181,13 +188,13 @@
 
     STALL_US = 1 * machine.SECOND
 
-    def __init__(self, mach, disk):
+    def __init__(self, mach: machine.Machine, disk: Disk) -> None:
         self.mach = mach
         self.disk = disk
         self.ok = True
-        self.under_way = []  # when each unfinished write began
+        self.under_way: list[int] = []  # when each unfinished write began
 
-    async def commit(self, puts):
+    async def commit(self, puts: list[tuple[bytes, bytes | None]]) -> None:
         """Write pairs; returns once they are synced, raises DiskError where not.
 
         Example: `await guard.commit([(b"key", b"value")])`
@@ -204,7 +211,7 @@
         finally:
             self.under_way.remove(began)
 
-    async def watch(self):
+    async def watch(self) -> None:
         """Notice a stall; try a bad disk again every second.
 
         Example: `mach.spawn(guard.watch())`
--- a/iriswheel/transfer.py
+++ b/iriswheel/transfer.py
@@ -5,6 +5,8 @@
 own state only when the snapshot and all entries after it are there.
 """
 
+from __future__ import annotations
+
 import hashlib
 import typing
 
@@ -27,14 +29,14 @@
     content: bytes
 
     @classmethod
-    def of(cls, position, content):
+    def of(cls, position: message.Position, content: bytes) -> Outgoing:
         """Pin a snapshot.
 
         Example: `Outgoing.of(message.Position(7, 2), content)`
         """
         return cls(position, hashlib.sha256(content).hexdigest(), content)
 
-    def piece(self, view, offset):
+    def piece(self, view: int, offset: int) -> message.Piece:
         """The piece that begins at an offset.
 
         Example: `outgoing.piece(4, 0)`
@@ -53,10 +55,10 @@
     5
     """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.start("", 0)
 
-    def start(self, digest, total):
+    def start(self, digest: str, total: int) -> None:
         """Forget what is here and begin with another snapshot.
 
         Example: `incoming.start(piece.snapshot, piece.total)`
@@ -69,7 +71,7 @@
         self.position = None  # of the snapshot's last entry
         self.entries = []  # that follow the snapshot
 
-    def take_piece(self, piece):
+    def take_piece(self, piece: message.Piece) -> int:
         """Take one piece; returns how many bytes of its snapshot are here. Pieces out of order change nothing.
 
         Example: `received = incoming.take_piece(piece)`
@@ -81,7 +83,7 @@
             self._check()
         return len(self.content)
 
-    def _check(self):
+    def _check(self) -> None:
         if len(self.content) < self.total:
             return
         if hashlib.sha256(self.content).hexdigest() == self.digest:
@@ -89,7 +91,7 @@
         else:
             self.start("", 0)
 
-    def take_entries(self, after, entries):
+    def take_entries(self, after: message.Position, entries: list[message.Entry]) -> bool:
         """Keep entries that follow what is here; False where they do not. The first batch may come again.
 
         >>> incoming = Incoming(); incoming.position = message.Position(7, 2)
@@ -106,7 +108,7 @@
         return True
 
 
-def follow(n, entries):
+def follow(n: int, entries: list[message.Entry]) -> bool:
     """Whether entries are numbered without a gap after n.
 
     >>> follow(7, [message.Entry(8, 3, "plan", "0-a")]), follow(7, [message.Entry(9, 3, "plan", "0-a")])
--- a/iriswheel/verdict.py
+++ b/iriswheel/verdict.py
@@ -4,6 +4,8 @@
 that the client reads.
 """
 
+from __future__ import annotations
+
 import enum
 import json
 
@@ -55,7 +57,14 @@
     (503, 'not_run', 2)
     """
 
-    def __init__(self, code, text, verdict=Verdict.NOT_RUN, retry_us=1_000_000, field=None):
+    def __init__(
+        self,
+        code: str,
+        text: str,
+        verdict: Verdict = Verdict.NOT_RUN,
+        retry_us: int = 1_000_000,
+        field: str | None = None,
+    ) -> None:
         super().__init__(text)
         self.code = code
         self.text = text
@@ -65,7 +74,7 @@
         self.retry_us = retry_us if waits else None
         self.retry_after = max(1, -(-retry_us // 1_000_000)) if waits else None
 
-    def body(self):
+    def body(self) -> bytes:
         r"""The JSON answer of this error.
 
         >>> ServiceError("no_route", "No route fits.").body()
--- a/iriswheel/view.py
+++ b/iriswheel/view.py
@@ -6,6 +6,11 @@
 acknowledged there. A lease to the tail holds promises to others back until it ran out.
 """
 
+from __future__ import annotations
+
+import collections.abc
+import typing
+
 import loguru
 import msgspec
 import twisted.internet.defer as defer
@@ -38,7 +43,18 @@
     further machines appear; `copies` links must keep a change before it stands.
     """
 
-    def __init__(self, mach, disk, record, me, seeds, peers, on_view, size=3, copies=2):
+    def __init__(
+        self,
+        mach: machine.Machine,
+        disk: store.Guard,
+        record: agreement.Record,
+        me: message.Seat,
+        seeds: list[tuple[str, int]],
+        peers: wire.Peers | None,
+        on_view: collections.abc.Callable[..., object],
+        size: int = 3,
+        copies: int = 2,
+    ) -> None:
         self.mach = mach
         self.disk = disk  # store.Guard
         self.record = record
@@ -52,41 +68,42 @@
         self.began = mach.now()
         self.grant = (agreement.UNKNOWN_HOLDER, mach.now() + LEASE_US)  # after a restart, an old grant may stand
         self.lease = 0
-        self.predecessors = None  # the chain before the newest view's, as (core id, incarnation); None: not known here
-        self.heartbeats = {}  # id -> (heard, Heartbeat)
+        # the chain before the newest view's, as (core id, incarnation); None: not known here
+        self.predecessors: list[tuple[str, str]] | None = None
+        self.heartbeats: dict[str, tuple[int, message.Heartbeat]] = {}  # id -> (heard, Heartbeat)
         self.size = max(size, len(self.founders))
         self.copies = copies
         self.leaving = False
         self.heartbeat_now = machine.Signal()
-        self.blank = {}  # seed address -> heard, of seeds that know no view
-        self.wanted_since = None
+        self.blank: dict[tuple[str, int], int] = {}  # seed address -> heard, of seeds that know no view
+        self.wanted_since: int | None = None
         self.seen_ballot = 0
 
     # ---- what others ask ---------------------------------------------------
 
     @property
-    def view(self):
+    def view(self) -> message.View | None:
         """The newest view known here.
 
         Example: `membership.view.number`
         """
         return self.record.view
 
-    def sealed(self):
+    def sealed(self) -> bool:
         """Whether a promise here has closed the present view.
 
         Example: `if membership.sealed(): refuse()`
         """
         return agreement.is_sealed(self.record)
 
-    def voter(self):
+    def voter(self) -> bool:
         """Whether this machine votes in the newest view.
 
         Example: `membership.voter()`
         """
         return agreement.is_voter(self.record, self.me.id)
 
-    def serving(self, number=None):
+    def serving(self, number: int | None = None) -> bool:
         """Whether this life of this machine is a link of the (numbered) view, unsealed.
 
         Example: `membership.serving(3)`
@@ -95,28 +112,28 @@
             return False
         return agreement.is_serving(self.record, self.me.id, self.mach.boot)
 
-    def tail(self):
+    def tail(self) -> bool:
         """Whether this machine is the tail of the newest view.
 
         Example: `membership.tail()`
         """
         return agreement.is_tail(self.record, self.me.id, self.mach.boot)
 
-    def leased(self):
+    def leased(self) -> bool:
         """Whether this machine is the tail and holds the lease at this very moment.
 
         Example: `if membership.leased(): answer()`
         """
         return self.may_lead_reads() and self.mach.now() < self.lease
 
-    def may_lead_reads(self):
+    def may_lead_reads(self) -> bool:
         """Whether this machine is the synced tail, which may ask for the read lease.
 
         Example: `if membership.may_lead_reads(): ask_for_lease()`
         """
         return agreement.may_lead_reads(self.record, self.me.id, self.mach.boot)
 
-    def heartbeat(self):
+    def heartbeat(self) -> message.Heartbeat:
         """This core's own sign of life.
 
         Example: `link.tell(membership.heartbeat())`
@@ -134,7 +151,7 @@
             self.sealed(),
         )
 
-    def seat(self, ident):
+    def seat(self, ident: str) -> message.Seat | None:
         """Where a core machine is to be reached, or None.
 
         Example: `membership.seat(view.chain[0].id).host`
@@ -144,7 +161,7 @@
                 return s
         return None
 
-    def alive(self):
+    def alive(self) -> dict[str, str]:
         """The cores that live and stay, and whose disk works, with their boots.
 
         Voters that leave count where those that stay are no majority, since nothing could be agreed
@@ -169,7 +186,7 @@
                 out[p.id] = p.boot
         return out
 
-    def departing(self):
+    def departing(self) -> dict[str, str]:
         """The cores that live and leave, and whose disk works, with their boots.
 
         Example: `membership.departing()["c0ffee"]`
@@ -181,7 +198,7 @@
             out[self.me.id] = self.mach.boot
         return out
 
-    def known_synced(self):
+    def known_synced(self) -> set[str]:
         """The cores that are synced in the present view, as far as this one has heard.
 
         Example: `"c0ffee" in membership.known_synced()`
@@ -192,7 +209,7 @@
 
     # ---- answers to other cores ----------------------------------------------
 
-    async def answer(self, msg):
+    async def answer(self, msg: message.Message) -> message.Message:
         """Answer one of the membership's messages.
 
         Example: `res = await membership.answer(message.LeaseRequest(3, "c0ffee"))`
@@ -211,7 +228,7 @@
             case message.LeaseRequest():
                 return self.give(msg)
 
-    def hear(self, p):
+    def hear(self, p: message.Heartbeat) -> None:
         """Take in a sign of life.
 
         Example: `membership.hear(heartbeat)`
@@ -222,14 +239,14 @@
         elif self.view is None or p.view.number > self.view.number:
             self.mach.spawn(self.adopt(p.view), log)
 
-    def _replica(self):
+    def _replica(self) -> agreement.Replica:
         return agreement.Replica(self.me.id, self.mach.boot, self.disk.ok, self.tip())
 
-    def _lease_holder(self):
+    def _lease_holder(self) -> str | None:
         holder, until = self.grant
         return holder if self.mach.now() < until else None
 
-    async def promise(self, m):
+    async def promise(self, m: message.Prepare) -> message.Promise:
         """Answer a Prepare.
 
         Example: `await membership.promise(message.Prepare(4, (1, "a"), "a"))`
@@ -250,7 +267,7 @@
         finally:
             self.lock.release()
 
-    async def accept(self, m):
+    async def accept(self, m: message.Accept) -> message.Accepted:
         """Answer an Accept.
 
         Example: `await membership.accept(message.Accept((1, "a"), view, "a"))`
@@ -270,7 +287,7 @@
         finally:
             self.lock.release()
 
-    async def adopt(self, view):
+    async def adopt(self, view: message.View) -> None:
         """Take a view that was agreed, unless a newer one is known.
 
         Example: `await membership.adopt(view)`
@@ -295,7 +312,7 @@
             self.lock.release()
         log.info("View {}: {}.", view.number, " ".join(link.id for link in view.chain))
 
-    async def lead_later(self, view):
+    async def lead_later(self, view: message.View) -> None:
         """At the head of a view whose disk refused the note that it is whole: try again as long as the view lasts.
 
         Example: `mach.spawn(membership.lead_later(view))`
@@ -309,14 +326,14 @@
         if self.view.number == view.number:
             self.on_view(view)
 
-    def _chain_before(self, view):
+    def _chain_before(self, view: message.View) -> list[tuple[str, str]] | None:
         if view.number == 1:
             return []
         if self.view is None or self.view.number + 1 != view.number:
             return None
         return [(replica.id, replica.boot) for replica in self.view.chain]
 
-    async def grow_whole(self, number):
+    async def grow_whole(self, number: int) -> None:
         """Note, synced, that this copy is whole in a view.
 
         Example: `await membership.grow_whole(4)`
@@ -329,13 +346,13 @@
         finally:
             self.lock.release()
 
-    async def _sync(self, whole=None):
+    async def _sync(self, whole: int | None = None) -> None:
         """Write the record; `whole` counts here only once it is on the disk."""
         record = self.record if whole is None else msgspec.structs.replace(self.record, whole=whole)
         await self.disk.commit([(b"council", msgspec.msgpack.encode(record))])
         self.record = msgspec.structs.replace(self.record, whole=record.whole)
 
-    def give(self, m):
+    def give(self, m: message.LeaseRequest) -> message.LeaseGiven:
         """Answer a LeaseRequest.
 
         Example: `membership.give(message.LeaseRequest(3, "c0ffee"))`
@@ -347,7 +364,7 @@
 
     # ---- tasks ----------------------------------------------------------------
 
-    async def poll(self, seat_or_addr):
+    async def poll(self, seat_or_addr: tuple[str, int]) -> None:
         """Exchange signs of life with one core, over and over.
 
         Example: `mach.spawn(membership.poll(("127.0.0.1", 7001)))`
@@ -361,7 +378,7 @@
                 pass
             await self.mach.pause(self.heartbeat_now, HEARTBEAT_US)
 
-    def leave(self):
+    def leave(self) -> None:
         """Tell the others that this machine leaves: the next chain goes on without it.
 
         Example: `membership.leave()`
@@ -369,7 +386,7 @@
         self.leaving = True
         self.heartbeat_now.wake()
 
-    def needed(self):
+    def needed(self) -> bool:
         """Whether this machine should stay while it leaves.
 
         It should until a chain without it stands, of which as many links as make a majority of
@@ -390,7 +407,7 @@
         whole = [p for p in others if p.id in links and p.whole == v.number and p.id in alive]
         return in_chain or len(whole) < agreement.majority(len(v.seats))
 
-    def holds_only_copy(self):
+    def holds_only_copy(self) -> bool:
         """Whether others go on, and none of them is known to hold what this machine's copy holds.
 
         Example: `while membership.holds_only_copy(): await mach.sleep(50_000)`
@@ -401,14 +418,14 @@
         members = {member.id for member in self.view.chain}
         return bool(others) and not others & members & self.known_synced()
 
-    def learn_seeds(self, seeds):
+    def learn_seeds(self, seeds: list[tuple[str, int]]) -> None:
         """Look for core machines at further addresses; nobody founds a fleet by them.
 
         Example: `membership.learn_seeds([("127.0.0.1", 7004)])`
         """
         self.seeds += [s for s in seeds if s not in self.seeds]
 
-    def addresses(self):
+    def addresses(self) -> set[tuple[str, int]]:
         """All addresses at which core machines are looked for, but this one's.
 
         Example: `membership.addresses()`
@@ -419,7 +436,7 @@
         out.discard((self.me.host, self.me.port))
         return out
 
-    async def exchange_heartbeats(self):
+    async def exchange_heartbeats(self) -> None:
         """Keep one polling task for each address.
 
         Example: `mach.spawn(membership.exchange_heartbeats())`
@@ -431,7 +448,7 @@
                     polls[key] = self.mach.spawn(self.poll(key), log)
             await self.mach.sleep(HEARTBEAT_US)
 
-    async def renew(self):
+    async def renew(self) -> None:
         """While this machine is the tail, keep its lease.
 
         Example: `mach.spawn(membership.renew())`
@@ -449,7 +466,9 @@
                     self.lease = max(self.lease, asked + LEASE_US - DRIFT_US)
             await self.mach.sleep(RENEW_US)
 
-    async def ask_all(self, seats, msg, us, enough=None):
+    async def ask_all(
+        self, seats: list[message.Seat], msg: message.Message, us: int, enough: int | None = None
+    ) -> dict[str, message.Accepted | message.LeaseGiven | message.Promise | None]:
         """Put a message to all seats, this one included; None where no answer came.
 
         Machines that have been silent for long have SILENT_CALL_US; nobody is waited for any more once `enough`
@@ -460,7 +479,7 @@
         answers = {}
         complete = defer.Deferred()
 
-        def note(answer, ident):
+        def note(answer: typing.Any, ident: str) -> None:
             answers[ident] = None if isinstance(answer, failure.Failure) else answer
             positive = len([a for a in answers.values() if a is not None and a.ok])
             done = len(answers) == len(seats) or (enough is not None and positive >= enough)
@@ -474,7 +493,9 @@
         await complete
         return {seat.id: answers.get(seat.id) for seat in seats}
 
-    async def ask(self, seat, msg, us):
+    async def ask(
+        self, seat: message.Seat, msg: message.Message, us: int
+    ) -> message.Accepted | message.LeaseGiven | message.Promise:
         """Put a message to one machine, this one or another.
 
         Example: `answer = await membership.ask(view.seats[0], msg, view.CALL_US)`
@@ -484,7 +505,7 @@
         call = defer.ensureDeferred(self.peers.call(seat.host, seat.port, msg, us))
         return await self.mach.within(call, us)
 
-    async def mend(self):
+    async def mend(self) -> None:
         """Watch the chain, and propose a better view where one is due.
 
         Example: `mach.spawn(membership.mend())`
@@ -496,7 +517,7 @@
             elif self.voter() and self.due():
                 await self.propose()
 
-    async def found(self):
+    async def found(self) -> None:
         """Make view 1: the first seed does it, once all seeds are there and blank.
 
         Example: `await membership.found()`
@@ -512,7 +533,7 @@
         seats = [message.Seat(p.id, p.host, p.port, p.zone) for p in ps]
         await self.adopt(message.View(1, seats, [message.ChainReplica(p.id, p.boot) for p in ps]))
 
-    def seats_wanted(self):
+    def seats_wanted(self) -> list[message.Seat]:
         """The seats of the next view.
 
         A newcomer takes the place of a machine that is lost, that leaves, or that came
@@ -530,14 +551,14 @@
         states = {ident: self._seat_state(ident) for ident in known}
         return agreement.next_seats(self.view, self.me.id, self.leaving, newcomers, states, self.size)
 
-    def _seat_state(self, ident):
+    def _seat_state(self, ident: str) -> agreement.SeatState:
         heard, last = self.heartbeats.get(ident, (self.began, None))
         silent_us = self.mach.now() - heard
         return agreement.SeatState(
             replaceable=silent_us > REPLACE_US or (last is not None and last.leaving), silent=silent_us > DEAD_US
         )
 
-    def sealed_link(self):
+    def sealed_link(self) -> bool:
         """Whether a link of the view is sealed: the chain is broken there until the next view.
 
         The voters that keep the tail's lease refuse the sealed machine's own proposals, so that the
@@ -549,7 +570,7 @@
         heartbeats = [p for heard, p in self.heartbeats.values() if now - heard < DEAD_US] + [self.heartbeat()]
         return any(p.sealed and p.view is not None and p.view.number == self.view.number for p in heartbeats)
 
-    def due(self):
+    def due(self) -> bool:
         """Whether this machine should propose a view now.
 
         Example: `if membership.due(): await membership.propose()`
@@ -579,7 +600,7 @@
         patience = DEAD_US if waits else 0
         return now - self.wanted_since >= patience + rank * RANK_US
 
-    async def propose(self):
+    async def propose(self) -> None:
         """Try to get the next view agreed.
 
         Example: `await membership.propose()`
@@ -610,7 +631,7 @@
         both = {s.id: s for s in old.seats + view.seats}
         self.mach.spawn(self.ask_all([both[i] for i in sorted(both)], message.Decided(view), CALL_US), log)
 
-    async def _overtaken(self, res, number):
+    async def _overtaken(self, res: dict[str, message.Accepted | message.Promise | None], number: int) -> bool:
         for a in res.values():
             if a is not None and a.newer is not None and a.newer.number >= number:
                 await self.adopt(a.newer)
--- a/iriswheel/warden.py
+++ b/iriswheel/warden.py
@@ -5,6 +5,10 @@
 other nodes before it answers; a new warden gathers them before it answers anything.
 """
 
+from __future__ import annotations
+
+import typing
+
 import loguru
 import twisted.internet.defer as defer
 
@@ -15,6 +19,11 @@
 import iriswheel.session as session
 import iriswheel.verdict as verdict
 
+if typing.TYPE_CHECKING:
+    import iriswheel.configuration as configuration
+    import iriswheel.node as node_module
+
+
 GATHER_US = 600 * machine.MILLI
 COPY_US = 500 * machine.MILLI
 CLAIM_US = 600 * machine.SECOND  # how long a claim is remembered
@@ -37,11 +46,11 @@
 
     __slots__ = ("exchange", "send", "node", "ask", "until", "state")
 
-    def __init__(self, exchange, send, node, ask, until, state="claimed"):
+    def __init__(self, exchange: str, send: int, node: str, ask: str, until: int, state: str = "claimed") -> None:
         self.exchange, self.send, self.node, self.ask = exchange, send, node, ask
         self.until, self.state = until, state
 
-    def told(self, now):
+    def told(self, now: int) -> message.Claim:
         """The claim as it travels.
 
         >>> Claim("e", 1, "n", "a", 9).told(4).left_us
@@ -61,12 +70,12 @@
 
     __slots__ = ("held", "long", "work")
 
-    def __init__(self):
-        self.held = {}  # ask -> Grant
+    def __init__(self) -> None:
+        self.held: dict[typing.Any, typing.Any] = {}  # ask -> Grant
         self.long = 0
         self.work = 0
 
-    def add(self, g):
+    def add(self, g: message.Grant) -> None:
         """Count a grant.
 
         >>> Busy().add(message.Grant("p", "a", "n", "w", "", 70, True))
@@ -76,7 +85,7 @@
         self.long += g.long
         self.work += g.work
 
-    def drop(self, ask):
+    def drop(self, ask: str) -> None:
         """Count a grant no more.
 
         >>> Busy().drop("a")
@@ -97,14 +106,14 @@
     False
     """
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.term = (0, 0)
-        self.sessions = {}  # id -> (Session, when it came)
-        self.claims = {}
+        self.sessions: dict[str, tuple[message.Session, int]] = {}  # id -> (Session, when it came)
+        self.claims: dict[str, tuple[message.Claim, int]] = {}
         self.held = False  # whether a copy was ever whole here
         self.broken_until = 0  # until when claims of before may be missing
 
-    def fence(self, term):
+    def fence(self, term: tuple[int, int]) -> bool:
         """Let no older term write here; False where a newer one already did.
 
         >>> s = SessionReplica(); s.fence((3, 1)), s.fence((2, 7))
@@ -115,7 +124,7 @@
         self.term = term
         return True
 
-    def take(self, m, now):
+    def take(self, m: message.Copy, now: int) -> bool:
         """Take a copy; a partial one only counts on top of a whole one.
 
         >>> SessionReplica().take(message.Copy("p", (1, 1), "n", [], [], [], whole=True), 0)
@@ -137,7 +146,7 @@
             self.claims.pop(ident, None)
         return True
 
-    def sweep(self, now):
+    def sweep(self, now: int) -> None:
         """Forget what is long past.
 
         >>> SessionReplica().sweep(0)
@@ -146,7 +155,7 @@
             for key in [k for k, (v, at) in kept.items() if now - at > v.left_us + 60 * machine.SECOND]:
                 del kept[key]
 
-    def told(self, now):
+    def told(self, now: int) -> tuple[list[message.Session], list[message.Claim]]:
         """All copies as they travel, with the spans that are left now.
 
         >>> SessionReplica().told(0)
@@ -158,7 +167,7 @@
         return out[0], out[1]
 
 
-def _aged(v, us):
+def _aged(v: message.Claim | message.Session, us: int) -> message.Claim | message.Session:
     match v:
         case message.Session():
             return message.Session(v.id, v.worker, max(0, v.left_us - us), v.lifetime_us, v.cost, v.stamp, v.ask)
@@ -172,39 +181,40 @@
     Example: `w = Warden(node, "desk", duty)`; `mach.spawn(w.run())`.
     """
 
-    def __init__(self, node, pool, duty):
+    def __init__(self, node: node_module.Node, pool: str, duty: message.Duty) -> None:
         self.node = node
         self.mach = node.mach
         self.pool = pool
         self.duty = duty
         self.book = session.Book()
-        self.claims = {}
-        self.grants = {}  # ask -> [Grant, when last listed, Claim or None, when the budget was charged or None]
-        self.busy = {}  # worker -> Busy
-        self.voids = {}  # ask -> until: asks given up before they came here
+        self.claims: dict[str, Claim] = {}
+        # ask -> [Grant, when last listed, Claim or None, when the budget was charged or None]
+        self.grants: dict[str, list[typing.Any]] = {}
+        self.busy: dict[str, Busy] = {}  # worker -> Busy
+        self.voids: dict[str, int] = {}  # ask -> until: asks given up before they came here
         self.budget = budget.Budget()  # of the whole fleet's sends to this pool
         self.waiting = 0
         self.freed = machine.Signal()
         self.gathered = False
         self.since = self.mach.now()
         self.broken_until = self.since + CLAIM_US  # until when claims of before may be missing
-        self.prefixes = {}  # worker -> {part: None}, newest last
+        self.prefixes: dict[str, dict[str, None]] = {}  # worker -> {part: None}, newest last
         self.watch = reach.Watch(self)
-        self.lazy = {}  # session ids and claims whose copies are out of date
-        self.gone = {}  # ids closed since the last lazy copy
+        self.lazy: dict[str, Claim | session.Record] = {}  # session ids and claims whose copies are out of date
+        self.gone: dict[str, None] = {}  # ids closed since the last lazy copy
         self.over = False
         self.counts = {"elects": 0, "pinned": 0, "opened": 0, "closed": 0, "claims": 0, "denied": 0}
 
     # ---- life --------------------------------------------------------------------
 
-    def live(self):
+    def live(self) -> bool:
         """Whether this term still is the newest that this node knows.
 
         Example: `if not warden.live(): return`
         """
         return not self.over and self.node.wardens.get(self.pool) is self
 
-    def seated(self):
+    def seated(self) -> bool:
         """Whether this warden may answer: gathered, and its seat is in the roster.
 
         Example: `warden.seated()`
@@ -220,7 +230,7 @@
             and self.node.follower.news_at is not None
         )
 
-    async def run(self):
+    async def run(self) -> None:
         """Gather, take the seat, then look after the records.
 
         Example: `mach.spawn(warden.run())`
@@ -235,7 +245,7 @@
             self.freed.wake()
         log.info("Warden of {} seated under {}, {} sessions.", self.pool, self.duty.term, len(self.book.records))
 
-    def end(self):
+    def end(self) -> None:
         """The duty has gone elsewhere.
 
         Example: `warden.end()`
@@ -243,7 +253,7 @@
         self.over = True
         self.freed.wake()
 
-    def leave_to(self, session_replica):
+    def leave_to(self, session_replica: SessionReplica) -> None:
         """Leave the records, if they are whole, to this node's own session replica for the next warden.
 
         Example: `warden.leave_to(node.session_replica("desk"))`
@@ -254,14 +264,14 @@
             session_replica.claims = {c.exchange: (c.told(now), now) for c in self.claims.values()}
             session_replica.held, session_replica.broken_until = True, self.broken_until
 
-    def broken(self):
+    def broken(self) -> bool:
         """Whether claims made under earlier wardens may have been lost.
 
         Example: `warden.broken()`
         """
         return self.mach.now() < self.broken_until
 
-    async def gather(self):
+    async def gather(self) -> bool:
         """Ask every live node for what it holds, mend the copies; False to try again.
 
         Example: `await warden.gather()`
@@ -320,7 +330,7 @@
             log.warning("No copy of the last group of {} answers: claims may be lost.", self.pool)
         return True
 
-    def whole_copy(self):
+    def whole_copy(self) -> message.Copy:
         """All records, as a holder that knows nothing needs them.
 
         Example: `await warden.copy(warden.whole_copy())`
@@ -337,7 +347,7 @@
             max(0, self.broken_until - now),
         )
 
-    async def gather_cores(self):
+    async def gather_cores(self) -> list[typing.Any]:
         """The sessions that core machines keep, for when no holder's copy is left.
 
         Where most core machines answer and none has ever heard of the pool, it is new, and
@@ -358,7 +368,7 @@
                     out[s.id] = s
         return list(out.values())
 
-    def tell_cores(self, msg):
+    def tell_cores(self, msg: message.Copy) -> None:
         """Let the core machines keep a late copy of the sessions; nothing waits for it.
 
         Example: `warden.tell_cores(copy)`
@@ -367,7 +377,7 @@
             message.Copy(msg.pool, msg.term, msg.warden, msg.sessions, [], msg.closed, msg.whole)
         )
 
-    async def copy(self, msg):
+    async def copy(self, msg: message.Copy) -> bool:
         """Put a copy on every holder; False unless all of them took it.
 
         Example: `await warden.copy(message.Copy("desk", term, me, [], [], []))`
@@ -382,7 +392,7 @@
 
     # ---- records -----------------------------------------------------------------
 
-    def hold(self, g, claim=None, paid=None):
+    def hold(self, g: message.Grant, claim: Claim | None = None, paid: int | None = None) -> None:
         """Count a grant as load in flight; `paid` is when the budget was charged for it.
 
         Example: `warden.hold(grant)`
@@ -390,7 +400,7 @@
         self.grants[g.ask] = [g, self.mach.now(), claim, paid]
         self.busy.setdefault(g.worker, Busy()).add(g)
 
-    def release(self, ask, outcome):
+    def release(self, ask: str, outcome: verdict.Verdict) -> None:
         """A grant is over; what waits for a seat looks again.
 
         Example: `warden.release("n1-7", verdict.Verdict.RAN)`
@@ -431,7 +441,7 @@
                 self.lazy[c.exchange] = c
         self.freed.wake()
 
-    def unclaim(self, c):
+    def unclaim(self, c: Claim) -> None:
         """Forget a claim: its time is over, or its node says that it was never used.
 
         Example: `warden.unclaim(claim)`
@@ -439,7 +449,7 @@
         del self.claims[c.exchange]
         self.gone[c.exchange] = None
 
-    def listed(self, m):
+    def listed(self, m: message.Running) -> None:
         """A node lists the grants it holds; those it no longer knows are released.
 
         Example: `warden.listed(message.Running("desk", "n1", ["n1-7"]))`
@@ -460,7 +470,7 @@
             elif now - kept[1] > LOST_US:
                 self.release(ask, verdict.Verdict.MAY_HAVE_RUN)
 
-    def check_workers(self):
+    def check_workers(self) -> None:
         """Close the sessions of workers that are no longer ready, drop lost nodes' grants.
 
         Example: `warden.check_workers()`
@@ -478,7 +488,7 @@
                 self.release(ask, verdict.Verdict.MAY_HAVE_RUN)
         self.freed.wake()
 
-    async def sweep(self):
+    async def sweep(self) -> None:
         """Every five seconds: close what is past its expiry, forget old claims.
 
         Now and then the whole goes out to the copies, in case one of them has gone astray.
@@ -502,7 +512,7 @@
                 del self.voids[ask]
             self.check_workers()
 
-    async def copy_lazily(self):
+    async def copy_lazily(self) -> None:
         """Bring the copies' expiries up to date, a few times a second, and drop dead pins everywhere.
 
         Example: `mach.spawn(warden.copy_lazily())`
@@ -532,7 +542,9 @@
 
     # ---- electing -----------------------------------------------------------------
 
-    def deny(self, code, text, may=verdict.Verdict.NOT_RUN, retry_us=machine.SECOND):
+    def deny(
+        self, code: str, text: str, may: verdict.Verdict = verdict.Verdict.NOT_RUN, retry_us: int = machine.SECOND
+    ) -> message.Denied:
         """A final no.
 
         Example: `return warden.deny("busy", "All seats are taken.")`
@@ -540,7 +552,7 @@
         self.counts["denied"] += 1
         return message.Denied(self.duty.term, code, text, may.value, retry_us)
 
-    def score(self, worker, m):
+    def score(self, worker: str, m: message.Elect) -> float:
         """The load that an exchange would meet on a worker: the lower, the better.
 
         Real work in flight, the reserved cost of open sessions, what the worker itself
@@ -560,7 +572,7 @@
             hits += 1
         return load + m.work * (1 - 0.8 * hits / max(1, len(m.prefix)))
 
-    def has_seat(self, worker, long, pool):
+    def has_seat(self, worker: str, long: bool, pool: configuration.Pool) -> bool:
         """Whether a worker has a free seat; long prompts have fewer of them.
 
         Example: `warden.has_seat("w1", True, pool)`
@@ -568,7 +580,7 @@
         busy = self.busy.get(worker) or Busy()
         return len(busy.held) < pool.slots and (not long or busy.long < pool.long_slots)
 
-    def pick(self, m, pool):
+    def pick(self, m: message.Elect, pool: configuration.Pool) -> str | None:
         """The worker for an exchange: its name, or None to wait, or a Denied.
 
         Example: `warden.pick(elect, configuration.Pool())`
@@ -597,7 +609,7 @@
             return None
         return min(seats, key=lambda w: (self.score(w, m), w))
 
-    def claimed(self, m):
+    def claimed(self, m: message.Elect) -> message.Denied | None:
         """Why an exchange that may not be repeated can't be sent, or None.
 
         Example: `warden.claimed(elect)`
@@ -615,7 +627,7 @@
             )
         return None
 
-    async def ask_pools(self, m):
+    async def ask_pools(self, m: message.Elect) -> str:
         """Ask all other pools' wardens whether a retry was sent there; forbid it there if not.
 
         The route may have moved between two tries, and claims are kept by pool.
@@ -634,7 +646,7 @@
             worst = a.state or worst
         return worst
 
-    async def forbid(self, m):
+    async def forbid(self, m: typing.Any) -> typing.Any:
         """Another pool's warden asks for a retry; what was never sent here never will be.
 
         Example: `res = await warden.forbid(message.Forbid("desk", "spare", "x1"))`
@@ -652,7 +664,7 @@
         ok = await self.copy(message.Copy(self.pool, self.duty.term, self.node.me.id, [], [c.told(now)], []))
         return message.Forbidden("" if ok and self.claims.get(m.exchange) is c else "later")
 
-    async def elect(self, m):
+    async def elect(self, m: message.Elect) -> message.Denied | message.Granted:
         """Elect a worker for an exchange, open its session, claim it: one step.
 
         Example: `res = await warden.elect(message.Elect(...))`
@@ -712,7 +724,7 @@
         finally:
             self.waiting -= 1
 
-    def granted(self, m, worker, pinned):
+    def granted(self, m: message.Elect, worker: str, pinned: bool) -> message.Granted:
         """The yes.
 
         Example: `return warden.granted(elect, "w1", True)`
@@ -721,7 +733,7 @@
         left = r.expires - self.mach.now() if r is not None else 0
         return message.Granted(self.duty.term, worker, USE_US, pinned, left, self.watch.via(worker, m.node))
 
-    async def grant(self, m, worker):
+    async def grant(self, m: message.Elect, worker: str) -> message.Granted:
         """Write the records of a grant; answer once copies stand where they must.
 
         Example: `res = await warden.grant(elect, "w1")`
@@ -787,7 +799,7 @@
             return self.deny("no_warden", "This send was given up.")
         return self.granted(m, worker, pinned)
 
-    def state(self):
+    def state(self) -> dict[str, typing.Any]:
         """What this warden shows of itself.
 
         Example: `json.dumps(warden.state())`
--- a/iriswheel/web.py
+++ b/iriswheel/web.py
@@ -1,8 +1,12 @@
 """HTTP as iriswheel's processes serve it: twisted.web, bounded, one task per exchange."""
 
+from __future__ import annotations
+
+import collections.abc
 import http as status
 import io
 import json
+import typing
 
 import loguru
 import msgspec
@@ -14,13 +18,18 @@
 import iriswheel.machine as machine
 import iriswheel.verdict as verdict
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.interfaces as interfaces
+    import twisted.python.failure as failure
+
+
 LAG_US = 2 * machine.SECOND  # beyond what a client may take: its clock is not ours
 JSON_DEPTH = 100  # of lists and objects in each other: what reads them later has less of the stack left
 
 log = loguru.logger.bind(part="web")
 
 
-def parse_json(raw):
+def parse_json(raw: bytes) -> dict[str, typing.Any]:
     """JSON as it can be kept and passed on; raises ValueError for all other bytes.
 
     Refused are also numbers beyond 64 bits, infinite or no numbers, lone surrogates, and more than JSON_DEPTH
@@ -57,13 +66,13 @@
     gone = False
     taken = 0
 
-    def gotLength(self, length):
+    def gotLength(self, length: int | None) -> None:
         super().gotLength(length)
         self.content = io.BytesIO()  # bounded by body_bytes; never a file
         if length is not None and length > self.channel.factory.limits().body_bytes:
             self.refuse_early("too_large", "The body is too large.")
 
-    def handleContentChunk(self, data):
+    def handleContentChunk(self, data: bytes) -> None:
         self.taken += len(data)
         if self.taken > self.channel.factory.limits().body_bytes:
             if self.refused is None:
@@ -71,7 +80,7 @@
             return
         super().handleContentChunk(data)
 
-    def refuse_early(self, code, text):
+    def refuse_early(self, code: str, text: str) -> None:
         """Answer before the body came in, and close.
 
         Example: `request.refuse_early("too_large", "The body is too large.")`
@@ -86,18 +95,18 @@
         self.channel.transport.write(head.encode() + body)
         self.channel.loseConnection()
 
-    def process(self):
+    def process(self) -> None:
         if self.refused is not None:
             return
         self.lost = machine.Signal()
         self.notifyFinish().addErrback(self._gone)
         self.channel.factory.mach.spawn(self._serve(self.channel.factory.handle), log)
 
-    def _gone(self, _):
+    def _gone(self, _: failure.Failure) -> None:
         self.gone = True
         self.lost.wake()
 
-    async def _serve(self, handle):
+    async def _serve(self, handle: collections.abc.Callable[..., object]) -> None:
         try:
             await handle(self)
         except verdict.ServiceError as d:
@@ -108,7 +117,7 @@
             log.exception("An exchange broke off.")
             self.answer_defect(verdict.ServiceError("worker_broke", "A defect of ours.", verdict.Verdict.MAY_HAVE_RUN))
 
-    def answer_defect(self, d):
+    def answer_defect(self, d: verdict.ServiceError) -> None:
         """Give the final answer that an error asks for; an answer that has begun is broken off.
 
         Example: `request.answer_defect(verdict.ServiceError("busy", "All seats are taken."))`
@@ -121,14 +130,14 @@
         status, heads, body = self.channel.factory.outer.refusal(d)
         self.answer(status, body, dict(heads))
 
-    def answer_json(self, code, val):
+    def answer_json(self, code: int, val: dict[str, typing.Any]) -> None:
         """Give a JSON answer.
 
         Example: `request.answer_json(200, {"stamp": 4})`
         """
         self.answer(code, json.dumps(val).encode() + b"\n")
 
-    def answer(self, code, body, heads=None):
+    def answer(self, code: int, body: bytes, heads: dict[str, str] | None = None) -> None:
         """Give a whole answer at once; a client that has gone away gets none.
 
         Example: `request.answer(200, b"{}")`
@@ -143,7 +152,7 @@
         self.write(body)
         self.finish()
 
-    def break_off(self):
+    def break_off(self) -> None:
         """Break an answer that has begun, so that nobody takes it for whole.
 
         Example: `request.break_off()`
@@ -151,7 +160,7 @@
         if not self.gone and not self.finished:
             self.channel.transport.abortConnection()
 
-    def json(self):
+    def json(self) -> dict[str, typing.Any]:
         """The body as JSON; raises Defect where it is none.
 
         Example: `doc = request.json()`
@@ -170,7 +179,7 @@
 
     requestFactory = Request
 
-    def connectionMade(self):
+    def connectionMade(self) -> None:
         self.factory.open += 1
         self.factory.channels[self] = None
         limits = self.factory.limits()
@@ -180,21 +189,21 @@
         self.idle_since = self.factory.mach.now()  # when something last came or was answered
         super().connectionMade()
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:
         if self.head_since is None and not self.requests:
             self.head_since = self.factory.mach.now()
         self.idle_since = self.factory.mach.now()
         super().dataReceived(data)
 
-    def allHeadersReceived(self):
+    def allHeadersReceived(self) -> None:
         self.head_since = None
         super().allHeadersReceived()
 
-    def requestDone(self, request):
+    def requestDone(self, request: Request) -> None:
         self.idle_since = self.factory.mach.now()
         super().requestDone(request)
 
-    def timeoutConnection(self):
+    def timeoutConnection(self) -> None:
         # the timer was set by the limits of its time, and longer idle times may be allowed since
         left_us = self.idle_since + self.factory.limits().idle_us + LAG_US - self.factory.mach.now()
         if left_us > 0:
@@ -202,24 +211,24 @@
         else:
             super().timeoutConnection()
 
-    def _send100Continue(self):
+    def _send100Continue(self) -> None:
         if self.requests[-1].refused is None:  # after a final answer nothing may follow
             super()._send100Continue()
 
-    def late(self, now):
+    def late(self, now: int) -> bool:
         """Whether a head has been coming for longer than it may.
 
         Example: `channel.late(mach.now())`
         """
         return self.head_since is not None and now - self.head_since > self.factory.limits().head_us + LAG_US
 
-    def connectionLost(self, reason):
+    def connectionLost(self, reason: failure.Failure | None) -> None:
         self.factory.open -= 1
         self.factory.channels.pop(self, None)
         self.factory.ended.wake()
         super().connectionLost(reason)
 
-    def _respondToBadRequestAndDisconnect(self):
+    def _respondToBadRequestAndDisconnect(self) -> None:
         # twisted's answer has no body; ours names the verdict
         body = verdict.ServiceError("bad_request", "The head of the exchange is malformed.", field="head").body()
         head = (
@@ -239,7 +248,14 @@
     noisy = False
     protocol = Channel
 
-    def __init__(self, mach, handle, room=2048, formats=None, limits=configuration.Limits):
+    def __init__(
+        self,
+        mach: machine.Machine,
+        handle: collections.abc.Callable[..., object],
+        room: int = 2048,
+        formats: edge_protocol.EdgeProtocol | None = None,
+        limits: collections.abc.Callable[..., object] | type[configuration.Limits] = configuration.Limits,
+    ) -> None:
         super().__init__(timeout=limits().idle_us / machine.SECOND, reactor=mach.reactor)
         self.mach = mach
         self.handle = handle
@@ -247,22 +263,22 @@
         self.limits = limits  # gives the configuration.Limits that hold now
         self.room = room
         self.open = 0
-        self.channels = {}  # those that are open, in the order in which they came
+        self.channels: dict[Channel, None] = {}  # those that are open, in the order in which they came
         self.ended = machine.Signal()
 
-    def startFactory(self):
+    def startFactory(self) -> None:
         """No access log: the load generator and the counters tell more."""
 
-    def stopFactory(self):
+    def stopFactory(self) -> None:
         pass
 
-    def log(self, request):
+    def log(self, request: Request) -> None:
         pass
 
-    def buildProtocol(self, addr):
+    def buildProtocol(self, addr: interfaces.IAddress | None) -> Channel | None:
         return super().buildProtocol(addr) if self.open < self.room else None
 
-    async def look(self):
+    async def look(self) -> None:
         """Close connections whose head takes too long; one task.
 
         Example: `mach.spawn(server.look())`
@@ -273,7 +289,7 @@
             for channel in [c for c in self.channels if c.late(now)]:
                 channel.loseConnection()
 
-    async def finish(self, us):
+    async def finish(self, us: int) -> None:
         """Close all connections, each once what was written to it has gone out; at most so long.
 
         Example: `await server.finish(500_000)`
--- a/iriswheel/wire.py
+++ b/iriswheel/wire.py
@@ -4,7 +4,11 @@
 it is quiet, and breaks itself off when nothing has been heard for a while.
 """
 
+from __future__ import annotations
+
+import collections.abc
 import inspect
+import typing
 
 import loguru
 import msgspec
@@ -17,6 +21,13 @@
 import iriswheel.machine as machine
 import iriswheel.message as message
 
+if typing.TYPE_CHECKING:
+    import twisted.internet.interfaces as interfaces
+    import twisted.python.failure as failure
+
+    import iriswheel.core as core
+
+
 PING_US = 300 * machine.MILLI
 SILENCE_US = 1_500 * machine.MILLI
 CONNECT_US = 700 * machine.MILLI
@@ -45,7 +56,7 @@
 
     code = "link_broken"
 
-    def __init__(self, sent, refused=False):
+    def __init__(self, sent: bool, refused: bool = False) -> None:
         super().__init__("The link broke off.")
         self.sent = sent
         self.refused = refused
@@ -60,12 +71,12 @@
 
     MAX_LENGTH = 1 << 25
 
-    def __init__(self, mach, serve, log):
+    def __init__(self, mach: machine.Machine, serve: collections.abc.Callable[..., object], log: loguru.Logger) -> None:
         self.mach = mach
         self.serve = serve
         self.log = log
         self.seq = 0
-        self.pending = {}
+        self.pending: dict[int, defer.Deferred[typing.Any]] = {}
         self.lost = machine.Signal()
         self.up = False
         self.heard = self.said = mach.now()
@@ -74,9 +85,9 @@
         self.room = machine.Signal()
         self.version = 0  # of the far side, once it said
         self.refused = False  # whether it speaks a version that this process does not
-        self.post = None  # the node's session, where a core serves one on this link
+        self.post: core.NodeSession | None = None  # the node's session, where a core serves one on this link
 
-    def connectionMade(self):
+    def connectionMade(self) -> None:
         self.up = True
         self.heard = self.said = self.mach.now()
         self.transport.setTcpNoDelay(True)
@@ -84,17 +95,17 @@
         self.beat = self.mach.later(PING_US, self._ping)
         self._send(TELL, 0, message.Hello(self.mach.version))
 
-    def pauseProducing(self):
+    def pauseProducing(self) -> None:
         self.full = True
 
-    def resumeProducing(self):
+    def resumeProducing(self) -> None:
         self.full = False
         self.room.wake()
 
-    def stopProducing(self):
+    def stopProducing(self) -> None:
         self.full = False
 
-    def _ping(self):
+    def _ping(self) -> None:
         now = self.mach.now()
         if now - self.heard > SILENCE_US:
             self.transport.abortConnection()
@@ -103,13 +114,13 @@
             self._send(TELL, 0, message.Ping())
         self.beat = self.mach.later(PING_US, self._ping)
 
-    def _send(self, kind, seq, msg):
+    def _send(self, kind: int, seq: int, msg: message.Message) -> None:
         raw = encoder.encode(Parcel(kind, seq, msg))
         self.said = self.mach.now()
         self.sent_bytes += len(raw) + 4
         self.sendString(raw)
 
-    def tell(self, msg):
+    def tell(self, msg: message.Message) -> None:
         """Send a message that wants no answer. A broken link swallows it.
 
         Example: `link.tell(message.Ping())`
@@ -117,7 +128,7 @@
         if self.up:
             self._send(TELL, 0, msg)
 
-    def call(self, msg, us):
+    def call(self, msg: message.Message, us: int) -> defer.Deferred[typing.Any]:
         """Send a message and wait up to us for its answer.
 
         Example: `seen = await link.call(message.Look(view=3), 500 * machine.MILLI)`
@@ -131,7 +142,7 @@
         self._send(CALL, seq, msg)
         return self.mach.within(d, us)
 
-    def stringReceived(self, raw):
+    def stringReceived(self, raw: bytes) -> None:
         self.heard = self.mach.now()
         try:
             parcel = decoder.decode(raw)
@@ -167,16 +178,18 @@
                 elif kind == CALL and res is not None:
                     self._send(REPLY, seq, res)
 
-    async def _answer(self, coro, kind, seq):
+    async def _answer(
+        self, coro: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any], kind: int, seq: int
+    ) -> None:
         res = await coro
         if kind == CALL and res is not None and self.up:
             self._send(REPLY, seq, res)
 
-    def lengthLimitExceeded(self, length):
+    def lengthLimitExceeded(self, length: int) -> None:
         self.log.warning("A message of {} bytes is too long.", length)
         self.transport.abortConnection()
 
-    def close(self):
+    def close(self) -> None:
         """Break the link off at once.
 
         Example: `link.close()`
@@ -184,7 +197,7 @@
         if self.up:
             self.transport.abortConnection()
 
-    def connectionLost(self, reason=protocol.connectionDone):
+    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         self.up = False
         if self.beat.active():
             self.beat.cancel()
@@ -204,16 +217,18 @@
 
     noisy = False
 
-    def __init__(self, mach, serve, log):
+    def __init__(self, mach: machine.Machine, serve: collections.abc.Callable[..., object], log: loguru.Logger) -> None:
         self.mach = mach
         self.serve = serve
         self.log = log
 
-    def buildProtocol(self, addr):
+    def buildProtocol(self, addr: interfaces.IAddress | None) -> Connection:
         return Connection(self.mach, self.serve, self.log)
 
 
-async def connect(mach, host, port, serve, log):
+async def connect(
+    mach: machine.Machine, host: str, port: int, serve: collections.abc.Callable[..., object], log: loguru.Logger
+) -> Connection:
     """Open a link to an address; raises Broken(sent=False) where nobody answers.
 
     Example: `link = await connect(mach, "127.0.0.1", 7001, serve, log)`
@@ -235,14 +250,19 @@
     {}
     """
 
-    def __init__(self, mach, serve, log):
+    def __init__(
+        self,
+        mach: machine.Machine | None,
+        serve: collections.abc.Callable[..., object] | None,
+        log: loguru.Logger | None,
+    ) -> None:
         self.mach = mach
         self.serve = serve
         self.log = log or loguru.logger
-        self.links = {}
-        self.opening = {}
+        self.links: dict[tuple[str, int], Connection] = {}
+        self.opening: dict[tuple[str, int], machine.Signal] = {}
 
-    async def reach(self, host, port):
+    async def reach(self, host: str, port: int) -> Connection:
         """The link to an address, opened if need be.
 
         Example: `link = await peers.reach("127.0.0.1", 7001)`
@@ -266,7 +286,7 @@
             sig.wake()
         return link
 
-    async def call(self, host, port, msg, us):
+    async def call(self, host: str, port: int, msg: message.Message, us: int) -> message.Message:
         """Call a peer by address.
 
         Example: `res = await peers.call("127.0.0.1", 7001, msg, us)`
@@ -274,7 +294,7 @@
         link = await self.reach(host, port)
         return await link.call(msg, us)
 
-    async def tell(self, host, port, msg):
+    async def tell(self, host: str, port: int, msg: message.Message) -> None:
         """Tell a peer something; nobody home is no error.
 
         Example: `await peers.tell("127.0.0.1", 7001, msg)`
@@ -285,7 +305,7 @@
             return
         link.tell(msg)
 
-    def keep(self, addresses):
+    def keep(self, addresses: set[tuple[str, int]]) -> None:
         """Close the links to all but these addresses.
 
         >>> Peers(None, None, None).keep(set())
