--- a/bench/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Stand-ins and runners for trying iriswheel on one machine."""
--- /dev/null
+++ b/benchmarks/__init__.py
@@ -0,0 +1,1 @@
+"""Measurements on real processes and on the simulator, each a command."""
--- a/bench/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,18 +1,18 @@
 """The slopes of docs/CAPACITY.md: state, messages, processor time and memory, by what they grow with.
 
-    python -m bench.capacity lists        rosters and worker lists: bytes, reading, taking, memory
-    python -m bench.capacity tail         what a tail does over and over
-    python -m bench.capacity records      sessions in one holder, to a million
-    python -m bench.capacity elects       elections at a warden
-    python -m bench.capacity prefixes     shared prefix parts, to 1.5 million
-    python -m bench.capacity routes       routes at the core and at a node
-    python -m bench.capacity places       elections at a node, what its placement holds, its upkeep
-    python -m bench.capacity sockets      what a message costs over a real connection
-    python -m bench.capacity fleet        hollow nodes and workers over the simulated network
-    python -m bench.capacity streams      requests and their streams through nodes that elect
-    python -m bench.capacity exchange     how much a load exchange by change has to tell
-    python -m bench.capacity losses       the same, while members come and go
-    python -m bench.capacity target DIR   the users' target, by the values that the runs left there (--out)
+    python -m benchmarks.capacity lists        memberships and worker lists: bytes, reading, taking, memory
+    python -m benchmarks.capacity tail         what a tail does over and over
+    python -m benchmarks.capacity records      sessions in one holder, to a million
+    python -m benchmarks.capacity elects       elections at a pool owner
+    python -m benchmarks.capacity prefixes     shared prefix parts, to 1.5 million
+    python -m benchmarks.capacity routes       routes at the core and at a node
+    python -m benchmarks.capacity places       elections at a node, what its placement holds, its upkeep
+    python -m benchmarks.capacity sockets      what a message costs over a real connection
+    python -m benchmarks.capacity fleet        hollow nodes and workers over the simulated network
+    python -m benchmarks.capacity streams      requests and their streams through nodes that elect
+    python -m benchmarks.capacity request     how much a load request by change has to tell
+    python -m benchmarks.capacity losses       the same, while members come and go
+    python -m benchmarks.capacity target DIR   the users' target, by the values that the runs left there (--out)
 
 Processor time is real time of this thread's own work over that of a stated loop (`loop`),
 measured right before it, so that figures of different machines can be set side by side.
@@ -39,26 +39,27 @@
 import twisted.internet.defer as defer
 import twisted.internet.task as task
 
-import bench.sim as sim
-import bench.simulated_cluster as simulated_cluster
-import bench.stand_ins as stand_ins
-import iriswheel.chain as chain
-import iriswheel.configuration as configuration
-import iriswheel.core as core
-import iriswheel.edge_protocol as edge_protocol
-import iriswheel.machine as machine
-import iriswheel.message as message
-import iriswheel.node as node
-import iriswheel.options as options
-import iriswheel.placement as placement
-import iriswheel.reach as reach
-import iriswheel.roster as roster
-import iriswheel.session as session
-import iriswheel.warden as warden
-import iriswheel.web as web
-import iriswheel.wire as wire
-
-S = machine.SECOND
+import benchmarks.stand_ins as stand_ins
+import iriswheel.configuration.configuration as configuration
+import iriswheel.control.core as core
+import iriswheel.dataplane.edge_protocol as edge_protocol
+import iriswheel.dataplane.health as health
+import iriswheel.dataplane.placement as placement
+import iriswheel.dataplane.sessions as sessions
+import iriswheel.membership.membership_manager as membership_manager
+import iriswheel.node.node as node
+import iriswheel.pools.pool_owner as pool_owner
+import iriswheel.replication.chain as chain
+import iriswheel.runtime.options as options
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.http_server as http_server
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
+import simulation.simulated_cluster as simulated_cluster
+import simulation.world as world
+
+S = units.SECOND_US
 ZONES = 10
 POOLS = 29
 NEVER_US = 10**13
@@ -91,9 +92,9 @@
     f()
     calls, total = 0, 0
     while total < least:
-        began = time.thread_time_ns()
+        started_at = time.thread_time_ns()
         f()
-        total += time.thread_time_ns() - began
+        total += time.thread_time_ns() - started_at
         calls += 1
     return total / calls
 
@@ -130,10 +131,10 @@
         tracemalloc.stop()
 
 
-class Lines:
+class Measurements:
     """Measured values by line and size, and the straight lines through them.
 
-    >>> ls = Lines(); ls.put("roster", "members", "B", 8, 816); ls.put("roster", "members", "B", 16, 1616)
+    >>> ls = Measurements(); ls.put("roster", "members", "B", 8, 816); ls.put("roster", "members", "B", 16, 1616)
     >>> ls.fit("roster", "members")
     (100.0, 100.0, 100.0, 16.0, 1.0)
     """
@@ -145,15 +146,12 @@
     def put(self, line: str, by: str, unit: str, size: int, value: float) -> None:
         """Keep one value.
 
-        >>> Lines().put("roster", "members", "B", 8, 816)
+        >>> Measurements().put("roster", "members", "B", 8, 816)
         """
         self.rows.setdefault((line, by), (unit, {}))[1].setdefault(size, []).append(value)
 
     def fit(self, line: str, by: str) -> tuple[float, ...]:
-        """Slope of the medians, least and greatest slope of a repeat, base, and R squared.
-
-        Example: `slope, least, most, base, fit = lines.fit("roster", "members")`
-        """
+        """Slope of the medians, least and greatest slope of a repeat, base, and R squared."""
         sizes = self.rows[line, by][1]
         xs = sorted(sizes)
         ys = [statistics.median(sizes[x]) for x in xs]
@@ -165,11 +163,8 @@
         flat = max(ys) - min(ys) <= 1e-9 * max(map(abs, ys))
         return slope, min(each), max(each), base, 1.0 if flat else statistics.correlation(xs, ys) ** 2
 
-    def told(self) -> str:
-        """A table of all lines.
-
-        Example: `print(lines.told())`
-        """
+    def table(self) -> str:
+        """A table of all lines."""
         out = [
             "| line | grows with | slope | repeats | at none | R² | sizes (value) |",
             "|---|---|---|---|---|---|---|",
@@ -198,12 +193,9 @@
     return f"{x:.3g}"
 
 
-def end(lines: Lines, out: str) -> None:
-    """Print the table; with a file's name, keep the values there too.
-
-    Example: `end(lines, "lists.json")`
-    """
-    print(lines.told(), flush=True)
+def end(lines: Measurements, out: str) -> None:
+    """Print the table; with a file's name, keep the values there too."""
+    print(lines.table(), flush=True)
     one = statistics.median(spent(loop) for _ in range(5))
     print(f"\nOne loop (1000 rounds) took {one / 1000:.1f} us here.")
     if out:
@@ -245,21 +237,21 @@
     ]
 
 
-def duties(keys: list[str], ms: list[message.Member]) -> list[message.Duty]:
-    """Seated duties over members.
+def assignments(keys: list[str], ms: list[message.Member]) -> list[message.RoleAssignment]:
+    """Seated role assignments over members.
 
-    >>> [d.key for d in duties(["list"], members(3))]
+    >>> [d.key for d in assignments(["list"], members(3))]
     ['list']
     """
     out = []
     for key in keys:
-        holder, copies = roster.group(key, ms, None)
-        out.append(message.Duty(key, (3, 17), holder, copies, [holder, *copies], True))
+        holder, copies = membership_manager.group(key, ms, None)
+        out.append(message.RoleAssignment(key, (3, 17), holder, copies, [holder, *copies], True))
     return out
 
 
 def pool_keys(pools: int) -> list[str]:
-    """The duties of a fleet with so many pools.
+    """The role assignments of a fleet with so many pools.
 
     >>> pool_keys(1)
     ['list', 'pool/model-0']
@@ -267,24 +259,24 @@
     return ["list", *(f"pool/model-{k}" for k in range(pools))]
 
 
-def rosters(n: int, w: int, p: int) -> message.Roster:
-    """A roster of n members, w workers and p pools.
+def memberships(n: int, w: int, p: int) -> message.Membership:
+    """A membership of n members, w workers and p pools.
 
-    >>> len(rosters(8, 20, 2).duties)
+    >>> len(memberships(8, 20, 2).assignments)
     3
     """
     ms = members(n)
-    seats = [message.Seat(f"{k:016x}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(5)]
-    return message.Roster((3, 17), ms, workers(w, max(1, p)), duties(pool_keys(p), ms), seats, (3, 1, 40))
+    voters = [message.Voter(f"{k:016x}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(5)]
+    return message.Membership((3, 17), ms, workers(w, max(1, p)), assignments(pool_keys(p), ms), voters, (3, 1, 40))
 
 
-def sessions(n: int, w: int = 90) -> session.Book:
+def session_messages(n: int, w: int = 90) -> sessions.SessionTable:
     """Session records over w workers.
 
-    >>> len(sessions(10).records)
+    >>> len(session_messages(10).records)
     10
     """
-    book = session.Book()
+    book = sessions.SessionTable()
     for k in range(n):
         book.open(f"{k:024x}", f"i-{k % w:08x}", 0, 600 * S, 100)
     return book
@@ -293,32 +285,32 @@
 def hollow(zone: str = "zone0") -> node.Node:
     """A node of its own, none of whose tasks runs; its clock stands at `node.clock`.
 
-    >>> hollow().follower.place
+    >>> hollow().follower.applied_index
     0
     """
     clock = task.Clock()
-    mach = machine.Machine(clock, now=lambda: int(clock.seconds() * S), seed=1)
+    runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * S), seed=1)
     clock.advance(1000)
     o = options.Options(
         "node", name="edge-zone0-0", host="10.1.0.0", zone=zone, seeds=["10.2.0.0:7300"], platform="10.3.0.1:80"
     )
-    n = node.Node(mach, o)
+    n = node.Node(runtime, o)
     n.me = members(1)[0]
     n.clock = clock
     return n
 
 
-def issuer(n: int, p: int, cores: int = 5) -> roster.Issuer:
-    """A tail's issuer with n members and p pools, its first roster issued.
+def issuer(n: int, p: int, cores: int = 5) -> membership_manager.MembershipManager:
+    """A tail's issuer with n members and p pools, its first membership issued.
 
     >>> len(issuer(8, 2).latest.members)
     8
     """
     clock = [1000 * S]
-    mach = types.SimpleNamespace(now=lambda: clock[0])
-    view = message.View(3, [message.Seat(f"c{k}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(cores)], [])
-    membership = types.SimpleNamespace(view=view, tail=lambda: True, leased=lambda: True)
-    out = roster.Issuer(mach, membership, lambda: [f"model-{k}" for k in range(p)])
+    runtime = types.SimpleNamespace(now=lambda: clock[0])
+    view = message.View(3, [message.Voter(f"c{k}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(cores)], [])
+    consensus = types.SimpleNamespace(view=view, tail=lambda: True, leased=lambda: True)
+    out = membership_manager.MembershipManager(runtime, consensus, lambda: [f"model-{k}" for k in range(p)])
     out.restart()
     for m in members(n):
         out.seen[m.id] = (clock[0], m, "c0")
@@ -366,10 +358,10 @@
     :param repeats: how often each is measured
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
 
-    def look(by: str, size: int, r: message.Roster) -> None:
-        raw = wire.encoder.encode(wire.Parcel(wire.TELL, 0, message.News(r)))
+    def look(by: str, size: int, r: message.Membership) -> None:
+        raw = wire.encoder.encode(wire.Envelope(wire.TELL, 0, message.MembershipUpdate(r)))
         lines.put("a roster on the wire", by, "B", size, len(raw))
         lines.put("a roster read", by, "loops", size, ratio(lambda: wire.decoder.decode(raw)))
         lines.put(
@@ -377,15 +369,17 @@
             by,
             "loops",
             size,
-            ratio(lambda: wire.encoder.encode(wire.Parcel(0, 0, message.News(r)))),
+            ratio(lambda: wire.encoder.encode(wire.Envelope(0, 0, message.MembershipUpdate(r)))),
         )
-        other = wire.decoder.decode(raw).msg.roster
-        n, stamp = hollow(), [17]
+        other = wire.decoder.decode(raw).msg.membership
+        n, version = hollow(), [17]
 
         def take() -> None:
-            stamp[0] += 1
-            n.follower.take_roster(
-                message.Roster((3, stamp[0]), other.members, other.workers, other.duties, other.cores, (3, 1, stamp[0]))
+            version[0] += 1
+            n.follower.apply_membership(
+                message.Membership(
+                    (3, version[0]), other.members, other.workers, other.assignments, other.cores, (3, 1, version[0])
+                )
             )
 
         lines.put("a roster taken at a node, nothing changed", by, "loops", size, ratio(take))
@@ -393,27 +387,27 @@
 
     for _ in range(repeats):
         for n in sizes:
-            look("members", n, rosters(n, 36, 1))
+            look("members", n, memberships(n, 36, 1))
         for w in listed:
-            look("workers", w, rosters(8, w, 1))
+            look("workers", w, memberships(8, w, 1))
         for p in pools:
-            look("pools", p, rosters(8, 36, p))
+            look("pools", p, memberships(8, 36, p))
         for w in listed:
             ws = workers(w)
-            parcel = wire.Parcel(wire.TELL, 0, message.Spread(message.Listing(ws, (3, 1, 40))))
+            parcel = wire.Envelope(wire.TELL, 0, message.ForwardedListing(message.WorkerListing(ws, (3, 1, 40))))
             raw = wire.encoder.encode(parcel)
             lines.put("a worker list on the wire", "workers", "B", w, len(raw))
             lines.put("a worker list written", "workers", "loops", w, ratio(lambda: wire.encoder.encode(parcel)))
             lines.put("a worker list read", "workers", "loops", w, ratio(lambda: wire.decoder.decode(raw)))
             n = hollow()
-            n.follower.take_listing(message.Listing(ws, (3, 1, 40)))
+            n.follower.apply_listing(message.WorkerListing(ws, (3, 1, 40)))
             same = wire.decoder.decode(raw).msg.listing
             lines.put(
                 "a worker list taken at a node, nothing changed",
                 "workers",
                 "loops",
                 w,
-                ratio(lambda: n.follower.take_listing(same)),
+                ratio(lambda: n.follower.apply_listing(same)),
             )
             page = json.dumps(
                 {
@@ -443,40 +437,40 @@
 
 def _taken(raw: bytes) -> node.Node:
     n = hollow()
-    n.follower.take_roster(wire.decoder.decode(raw).msg.roster)
+    n.follower.apply_membership(wire.decoder.decode(raw).msg.membership)
     return n
 
 
 def tail(
     *, sizes: list[int] = (8, 32, 128, 370), pools: list[int] = (1, 8, 29), repeats: int = 5, out: str = ""
 ) -> None:
-    """What a tail does ten times a second and at each word of a core: look whether a roster is due.
+    """What a tail does ten times a second and at each word of a core: look whether a membership is due.
 
     :param sizes: members
     :param pools: pools
     :param repeats: how often each is measured
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
     for _ in range(repeats):
         for p in pools:
             for n in sizes:
                 iss = issuer(n, p)
                 lines.put(f"a look for news at the tail, {p} pools", "members", "loops", n, ratio(iss.issue))
-                told = message.Sessions("c0", 3, members(n), [0] * n, None, [], None)
+                table = message.NodeSessionsReport("c0", 3, members(n), [0] * n, None, [], None)
                 lines.put(
-                    f"a core's word taken at the tail, {p} pools", "members", "loops", n, ratio(lambda: iss.take(told))
+                    f"a core's word taken at the tail, {p} pools", "members", "loops", n, ratio(lambda: iss.take(table))
                 )
         for n in sizes:
-            told = message.Sessions("c0", 3, members(n), [0] * n, None, [], None)
-            raw = wire.encoder.encode(wire.Parcel(wire.TELL, 0, told))
+            table = message.NodeSessionsReport("c0", 3, members(n), [0] * n, None, [], None)
+            raw = wire.encoder.encode(wire.Envelope(wire.TELL, 0, table))
             lines.put("a core's word on the wire", "members", "B", n, len(raw))
             lines.put(
                 "a core's word written and read",
                 "members",
                 "loops",
                 n,
-                ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Parcel(0, 0, told)))),
+                ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(0, 0, table)))),
             )
     end(lines, out)
 
@@ -488,18 +482,18 @@
     :param repeats: how often each is measured
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
     few = 2_000  # of the single steps, measured as one
 
     for _ in range(repeats):
         for n in sizes:
-            lines.put("session records held at their warden", "sessions", "B", n, held(lambda: sessions(n)))
-            book = sessions(n)
+            lines.put("session records held at their warden", "sessions", "B", n, held(lambda: session_messages(n)))
+            book = session_messages(n)
             names = [f"{k * 7919 % n:024x}" for k in range(few)]
 
             def turns() -> None:
                 for name in names:
-                    book.extend(book.pinned(name), 5)
+                    book.extend(book.affinity(name), 5)
 
             def openings() -> None:
                 for k in range(few):
@@ -510,9 +504,9 @@
             lines.put("a turn noted", "sessions", "loops", n, ratio(turns) / few)
             lines.put("a session opened and closed", "sessions", "loops", n, ratio(openings) / few)
             lines.put("a sweep that finds nothing", "sessions", "loops", n, ratio(lambda: book.sweep(0)))
-            told = [session.told(r, 0) for r in book.records.values()]
-            copy = message.Copy("model-0", (3, 17), members(1)[0].id, told, [], [], True, 0)
-            raw = wire.encoder.encode(wire.Parcel(wire.CALL, 7, copy))
+            table = [sessions.to_message(r, 0) for r in book.records.values()]
+            copy = message.ReplicateRecords("model-0", (3, 17), members(1)[0].id, table, [], [], True, 0)
+            raw = wire.encoder.encode(wire.Envelope(wire.CALL, 7, copy))
             lines.put("a whole copy on the wire", "sessions", "B", n, len(raw))
             lines.put(
                 "a whole copy made and written",
@@ -521,14 +515,14 @@
                 n,
                 ratio(
                     lambda: wire.encoder.encode(
-                        wire.Parcel(
+                        wire.Envelope(
                             1,
                             7,
-                            message.Copy(
+                            message.ReplicateRecords(
                                 "model-0",
                                 (3, 17),
                                 "",
-                                [session.told(r, 0) for r in book.records.values()],
+                                [sessions.to_message(r, 0) for r in book.records.values()],
                                 [],
                                 [],
                                 True,
@@ -543,9 +537,9 @@
                 "sessions",
                 "loops",
                 n,
-                ratio(lambda: warden.SessionReplica().take(wire.decoder.decode(raw).msg, 0)),
+                ratio(lambda: pool_owner.SessionReplica().take(wire.decoder.decode(raw).msg, 0)),
             )
-            session_replica = warden.SessionReplica()
+            session_replica = pool_owner.SessionReplica()
             session_replica.take(copy, 0)
             lines.put(
                 "a shelf frozen at a core",
@@ -562,39 +556,39 @@
                 len(core.encode_session_replica(session_replica, 5)),
             )
             lines.put("a shelf's memory", "sessions", "B", n, held(lambda: _shelved(raw)))
-            del book, told, copy, raw, session_replica
+            del book, table, copy, raw, session_replica
     end(lines, out)
 
 
 def _shelved(raw: typing.Any) -> typing.Any:
-    session_replica = warden.SessionReplica()
+    session_replica = pool_owner.SessionReplica()
     session_replica.take(wire.decoder.decode(raw).msg, 0)
     return session_replica
 
 
-def chief(w: int, s: int, parts: int = 0) -> warden.Warden:
-    """A warden of one pool with w ready workers, s sessions and so many prefix parts on each worker.
+def chief(w: int, s: int, parts: int = 0) -> pool_owner.PoolOwner:
+    """A pool owner of one pool with w ready workers, s sessions and so many prefix parts on each worker.
 
     >>> chief(3, 10).pool
     'model-0'
     """
     n = hollow()
     ws = workers(w, 1)
-    n.follower.take_listing(message.Listing(ws, (3, 1, 40)))
-    out = warden.Warden(n, "model-0", duties(["pool/model-0"], members(3))[0])
-    out.book = sessions(s, w)
+    n.follower.apply_listing(message.WorkerListing(ws, (3, 1, 40)))
+    out = pool_owner.PoolOwner(n, "model-0", assignments(["pool/model-0"], members(3))[0])
+    out.session_table = session_messages(s, w)
     for x in ws:
         out.prefixes[x.id] = {f"{x.id}-{k}": None for k in range(parts)}
     return out
 
 
-def ask(k: int, prefix: collections.abc.Sequence[str] = ("system", "bundle")) -> message.Elect:
+def query(k: int, prefix: collections.abc.Sequence[str] = ("system", "bundle")) -> message.SelectWorker:
     """A question for a worker.
 
-    >>> ask(1).exchange
+    >>> query(1).request_id
     'x1'
     """
-    return message.Elect(
+    return message.SelectWorker(
         "model-0",
         (3, 17),
         "n",
@@ -612,44 +606,44 @@
     )
 
 
-def elects(
+def selections(
     *,
     listed: list[int] = (9, 90, 900, 2600),
     sizes: list[int] = (1_000, 10_000, 100_000),
     repeats: int = 5,
     out: str = "",
 ) -> None:
-    """A warden's choice for one exchange, by the workers of its pool and by its open sessions.
+    """A pool owner's choice for one request, by the workers of its pool and by its open sessions.
 
     :param listed: workers of the pool
     :param sizes: sessions of the pool
     :param repeats: how often each is measured
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
     pool = configuration.Pool(cap=0)
     for _ in range(repeats):
         for w in listed:
             c = chief(w, 0)
             lines.put(
-                "a worker chosen, no sessions", "workers of the pool", "loops", w, ratio(lambda: c.pick(ask(1), pool))
+                "a worker chosen, no sessions", "workers of the pool", "loops", w, ratio(lambda: c.pick(query(1), pool))
             )
         for s in sizes:
             c = chief(90, s)
             lines.put(
-                "a worker chosen, 90 workers", "sessions of the pool", "loops", s, ratio(lambda: c.pick(ask(1), pool))
+                "a worker chosen, 90 workers", "sessions of the pool", "loops", s, ratio(lambda: c.pick(query(1), pool))
             )
     end(lines, out)
 
 
 def prefixes(*, sizes: list[int] = (15_000, 150_000, 1_500_000), repeats: int = 3, out: str = "") -> None:
-    """Shared prefix parts in one warden's tables, without their bound of 256 a worker.
+    """Shared prefix parts in one pool owner's tables, without their bound of 256 a worker.
 
     :param sizes: parts in all
     :param repeats: how often each is measured
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
     pool = configuration.Pool(cap=0)
     for _ in range(repeats):
         for x in sizes:
@@ -662,7 +656,7 @@
                 held(lambda: {f"i-{w:08x}": {f"{w * per + k:08x}": None for k in range(per)} for w in range(2600)}),
             )
             c = chief(90, 0, x // 90)
-            q = ask(1, [f"i-{7:08x}-{k}" for k in range(4)])
+            q = query(1, [f"i-{7:08x}-{k}" for k in range(4)])
             lines.put("a worker chosen by parts, 90 workers", "parts", "loops", x, ratio(lambda: c.pick(q, pool)))
     end(lines, out)
 
@@ -674,13 +668,13 @@
     :param repeats: how often each is measured
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
     for _ in range(repeats):
         for r in sizes:
             had = items(r)
             now = {**had, "routes/r1": {**had["routes/r1"], "path": "/moved/"}}
-            doc = configuration.unflatten(now)
-            raw = json.dumps(doc).encode()
+            document = configuration.unflatten(now)
+            raw = json.dumps(document).encode()
             change = configuration.differ(had, now)
             lines.put("a whole blueprint as the operator sends it", "routes", "B", r, len(raw))
             lines.put(
@@ -695,17 +689,17 @@
                 ),
             )
             ledger = (
-                chain.Ledger()
-                .apply(message.Entry(1, 1, "plan", "0-a", 0, list(had.items())))
-                .apply(message.Entry(2, 1, "confirm", "0-a"))
+                chain.ReplicatedState()
+                .apply(message.LogEntry(1, 1, "plan", "0-a", 0, list(had.items())))
+                .apply(message.LogEntry(2, 1, "confirm", "0-a"))
             )
-            two = ledger.apply(message.Entry(3, 1, "plan", "2-b", 2, change))
+            two = ledger.apply(message.LogEntry(3, 1, "plan", "2-b", 2, change))
             lines.put(
                 "a confirm applied, one route changed",
                 "routes",
                 "loops",
                 r,
-                ratio(lambda: two.apply(message.Entry(4, 1, "confirm", "2-b"))),
+                ratio(lambda: two.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
             )
             lines.put("a frame on a core's disk", "routes", "B", r, len(ledger.freeze()))
             lines.put("a frame written", "routes", "loops", r, ratio(ledger.freeze))
@@ -723,12 +717,12 @@
             )
             n = hollow()
             slice = configuration.carve(had, "zone0")
-            n.follower.take_items(1, slice, True)
+            n.follower.apply_items(1, slice, True)
             place = [1]
 
             def take() -> None:
                 place[0] += 1
-                n.follower.take_items(place[0], dict(change), False)
+                n.follower.apply_items(place[0], dict(change), False)
 
             lines.put("a change of one route taken at a node", "routes", "loops", r, ratio(take))
             lines.put("a slice held at a node", "routes", "B", r, held(lambda: _sliced(slice)))
@@ -741,11 +735,11 @@
 
 def _sliced(slice: dict[str, dict[str, typing.Any]]) -> node.Node:
     n = hollow()
-    n.follower.take_items(1, msgspec.msgpack.decode(msgspec.msgpack.encode(slice)), True)
+    n.follower.apply_items(1, msgspec.msgpack.decode(msgspec.msgpack.encode(slice)), True)
     return n
 
 
-def places(
+def placements(
     *,
     listed: list[int] = (9, 90, 900, 2600),
     keys: list[int] = (128, 512, 1024),
@@ -765,13 +759,13 @@
     :param repeats: how often each is measured
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
     pool = configuration.Pool(cap=0, election="node", batch=64)
     shared = types.SimpleNamespace(sizes=[13_300, 800, 92, 291])
     for _ in range(repeats):
         for w in listed:
-            n = seated(w)
-            place, names = n.door.forwarder.place("model-0"), n.door.forwarder.ready("model-0")
+            n = active(w)
+            place, names = n.gateway.forwarder.placement_of("model-0"), n.gateway.forwarder.ready("model-0")
             place.take([(name, 22, 900, 0) for name in names], True)
             cut = placement.chain([f"{k:08x}" for k in range(4)])
             place.pick(shared, cut, 291, names, pool, set())
@@ -794,7 +788,7 @@
                 "workers",
                 "loops",
                 w,
-                ratio(lambda: n.door.forwarder.ready("model-0")),
+                ratio(lambda: n.gateway.forwarder.ready("model-0")),
             )
             lines.put(
                 "others' loads held", "workers", "B", w, held(lambda: {k: (22, 900, 0) for k in map(str.upper, names)})
@@ -806,23 +800,23 @@
         for x in (1_000, 4_000, 16_000):
             lines.put("first turns held at a node", "first turns", "B", x, held(lambda: tried(x)))
         for x in sizes:
-            lines.put("sessions held at a node", "sessions", "B", x, held(lambda: sessions(x)))
+            lines.put("sessions held at a node", "sessions", "B", x, held(lambda: session_messages(x)))
         for p in pools:
-            n = seated(2600, p)
+            n = active(2600, p)
             for k in range(p):
-                n.door.forwarder.place(f"model-{k}")
+                n.gateway.forwarder.placement_of(f"model-{k}")
             lines.put("the sweep of a node's placements, 2600 workers", "pools", "loops", p, ratio(lambda: swept(n)))
     end(lines, out)
 
 
-def seated(w: int, p: int = 1) -> node.Node:
+def active(w: int, p: int = 1) -> node.Node:
     """A hollow node that knows w workers of p pools.
 
-    >>> seated(3).door.forwarder.ready("model-0")
+    >>> active(3).gateway.forwarder.ready("model-0")
     ['i-00000000', 'i-00000001', 'i-00000002']
     """
     n = hollow()
-    n.follower.take_listing(message.Listing(workers(w, p), (3, 1, 40)))
+    n.follower.apply_listing(message.WorkerListing(workers(w, p), (3, 1, 40)))
     return n
 
 
@@ -832,7 +826,7 @@
     >>> len(ranked(2, 3).ranks)
     2
     """
-    place, names = hollow().door.forwarder.place("model-0"), [x.id for x in workers(w, 1)]
+    place, names = hollow().gateway.forwarder.placement_of("model-0"), [x.id for x in workers(w, 1)]
     for key in range(k):
         place.rank(key.to_bytes(8, "big"), tuple(names))  # each election makes its own, as here
     return place
@@ -844,25 +838,25 @@
     >>> len(tried(3).trials)
     3
     """
-    place = hollow().door.forwarder.place("model-0")
+    place = hollow().gateway.forwarder.placement_of("model-0")
     for k in range(x):
         place.turn(k.to_bytes(8, "big"), f"i-{k % 2600:08x}", configuration.Terms(), 0)
     return place
 
 
 def bare() -> typing.Any:
-    """Memory of a fresh process that has imported the program and made a node, in bytes.
-
-    Example: `bare() > 30_000_000`
-    """
+    """Memory of a fresh process that has imported the program and made a node, in bytes."""
     raw = subprocess.run(
         [
             sys.executable,
             "-c",
-            "import iriswheel.command, iriswheel.machine, iriswheel.node, iriswheel.options\n"
+            "import iriswheel.cli.command\n"
+            "import iriswheel.node.node as node\n"
+            "import iriswheel.runtime.options as options\n"
+            "import iriswheel.runtime.scheduler as scheduler\n"
             "import twisted.internet.reactor as reactor\n"
-            "mach = iriswheel.machine.Machine(reactor)\n"
-            "node = iriswheel.node.Node(mach, iriswheel.options.Options('node', seeds=['127.0.0.1:1']))\n"
+            "runtime = scheduler.Runtime(reactor)\n"
+            "kept = node.Node(runtime, options.Options('node', seeds=['127.0.0.1:1']))\n"
             "print([x for x in open('/proc/self/status') if x.startswith('VmRSS')][0].split()[1])",
         ],
         capture_output=True,
@@ -877,21 +871,18 @@
     >>> len(kept(2600).workers)
     2600
     """
-    place = hollow().door.forwarder.place("model-0")
+    place = hollow().gateway.forwarder.placement_of("model-0")
     for k in range(x):
         place.at(f"i-{k % 2600:08x}").note([k.to_bytes(8, "big")], [800 + k % 64])
     return place
 
 
 def swept(n: node.Node) -> None:
-    """What a node's forwarder does once a second.
-
-    Example: `swept(node)`
-    """
-    fol = n.follower
-    n.door.forwarder.lines.sweep({w.id for w in fol.workers if w.state != "gone"})
-    for pool, p in n.door.forwarder.places.items():
-        p.sweep({w.id for w in fol.workers if w.pool == pool and w.state == "ready"})
+    """What a node's forwarder does once a second."""
+    follower = n.follower
+    n.gateway.forwarder.lines.sweep({w.id for w in follower.workers if w.state != "gone"})
+    for pool, p in n.gateway.forwarder.placements.items():
+        p.sweep({w.id for w in follower.workers if w.pool == pool and w.state == "ready"})
 
 
 def sockets(*, sizes: list[int] = (0, 100, 1000), calls: int = 2000, repeats: int = 5, out: str = "") -> None:
@@ -904,25 +895,34 @@
     """
     import twisted.internet.reactor as reactor
 
-    lines, mach = Lines(), machine.Machine(reactor)
+    lines, runtime = Measurements(), scheduler.Runtime(reactor)
     port = reactor.listenTCP(
-        0, wire.Listener(mach, lambda link, m: message.Copied(True), simulated_cluster.log), interface="127.0.0.1"
+        0,
+        wire.Listener(runtime, lambda connection, m: message.ReplicateResponse(True), simulated_cluster.log),
+        interface="127.0.0.1",
     )
 
     async def go() -> None:
-        link = await wire.connect(mach, "127.0.0.1", port.getHost().port, lambda *_: None, simulated_cluster.log)
+        connection = await wire.connect(
+            runtime, "127.0.0.1", port.getHost().port, lambda *_: None, simulated_cluster.log
+        )
         for _ in range(repeats):
             for n in sizes:
-                copy = message.Copy(
-                    "model-0", (3, 17), "n", [session.told(r, 0) for r in sessions(n).records.values()], [], []
+                copy = message.ReplicateRecords(
+                    "model-0",
+                    (3, 17),
+                    "n",
+                    [sessions.to_message(r, 0) for r in session_messages(n).records.values()],
+                    [],
+                    [],
                 )
-                raw = wire.encoder.encode(wire.Parcel(1, 1, copy))
+                raw = wire.encoder.encode(wire.Envelope(1, 1, copy))
                 one = spent(loop)
-                began = time.thread_time_ns()
+                started_at = time.thread_time_ns()
                 for _ in range(calls):
-                    await link.call(copy, 5 * S)
-                took = (time.thread_time_ns() - began) / calls / 2 / one
-                bare = ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Parcel(1, 1, copy)))) / 2
+                    await connection.call(copy, 5 * S)
+                took = (time.thread_time_ns() - started_at) / calls / 2 / one
+                bare = ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(1, 1, copy)))) / 2
                 lines.put("a message sent and taken over a connection", "bytes", "loops", len(raw), took)
                 lines.put("of it, writing and reading its form", "bytes", "loops", len(raw), bare)
         reactor.stop()
@@ -943,10 +943,7 @@
 
 
 class Fleet(simulated_cluster.SimulatedCluster):
-    """Real cores and nodes without traffic, before workers that one process stands in for.
-
-    Example: `f = Fleet(1, nodes=8, listed=36, pools=2, routes=100)`; `f.begin()`; `f.go(3)`.
-    """
+    """Real cores and nodes without traffic, before workers that one process stands in for."""
 
     def __init__(
         self,
@@ -958,75 +955,65 @@
         walking: bool = True,
         election: str = "warden",
     ) -> None:
-        doc = configuration.unflatten(items(max(routes, pools), pools=pools, election=election))
-        super().__init__(seed, "small", 0, 0, 0, blueprint=doc, halls=[f"zone{k % ZONES}" for k in range(nodes)])
+        document = configuration.unflatten(items(max(routes, pools), pools=pools, election=election))
+        super().__init__(
+            seed, "small", 0, 0, 0, configuration=document, halls=[f"zone{k % ZONES}" for k in range(nodes)]
+        )
         self.worker_count, self.pool, self.pools, self.walking = listed, "model-0", pools, walking
         self.probing = False
-        self.standing: sim.Proc | None = None  # the process of all workers
-        self.meter = sim.Meter()
+        self.standing: world.SimulatedProcess | None = None  # the process of all workers
+        self.meter = world.Meter()
 
     def start_worker(self, name: str, host: str) -> None:
         if self.standing is None:
-            self.standing = sim.Proc(self.world, "workers", self.machine("10.0.3.1", "zone0"))
-            self.standing_mach = self.standing.mach()
+            self.standing = world.SimulatedProcess(self.world, "workers", self.machine("10.0.3.1", "zone0"))
+            self.stand_in_runtime = self.standing.runtime()
         k = len(self.workers)
-        w = self.workers[name] = stand_ins.Worker(self.standing_mach, name, self.tape)
-        self.listen(self.standing, 9001 + k, web.Server(self.standing_mach, w.handle))
+        w = self.workers[name] = stand_ins.Worker(self.stand_in_runtime, name, self.tape)
+        self.listen(self.standing, 9001 + k, http_server.Server(self.stand_in_runtime, w.handle))
         self.platform.put(name, host="10.0.3.1", port=9001 + k, pool=f"model-{k % self.pools}", state="ready")
 
     def start_node(self, name: str, host: str, zone: str) -> None:
-        was = reach.WALK_US
+        was = health.WALK_US
         if not self.walking:  # with many nodes and workers the knocks drown the rest
-            reach.WALK_US = NEVER_US
+            health.WALK_US = NEVER_US
         try:
             super().start_node(name, host, zone)
         finally:
-            reach.WALK_US = was
+            health.WALK_US = was
 
     def load_up(self, rate: float, lasts: int) -> None:
-        """Let every node have so many sends a second under way, each for so many seconds; none of them is sent.
-
-        Example: `fleet.load_up(8.1, 19)`
-        """
+        """Let every node have so many sends a second under way, each for so many seconds; none of them is sent."""
         for n in self.nodes.values():
             for _ in range(int(rate * lasts)):
-                n.mach.spawn(self.stream(n, lasts * n.mach.rng.random()), simulated_cluster.log)
-            n.mach.spawn(self.arrivals(n, rate, lasts), simulated_cluster.log)
+                n.runtime.spawn(self.stream(n, lasts * n.runtime.rng.random()), simulated_cluster.log)
+            n.runtime.spawn(self.arrivals(n, rate, lasts), simulated_cluster.log)
 
     async def arrivals(self, n: node.Node, rate: float, lasts: int) -> None:
-        """One node's hollow sends.
-
-        Example: `mach.spawn(fleet.arrivals(node, 8.1, 19))`
-        """
+        """One node's hollow sends."""
         while True:
-            await n.mach.sleep(int(n.mach.rng.expovariate(rate) * S))
-            n.mach.spawn(self.stream(n, lasts), simulated_cluster.log)
+            await n.runtime.sleep(int(n.runtime.rng.expovariate(rate) * S))
+            n.runtime.spawn(self.stream(n, lasts), simulated_cluster.log)
 
     async def stream(self, n: node.Node, lasts: float) -> None:
-        """One hollow send: counted where a real one would be.
-
-        Example: `await fleet.stream(node, 19)`
-        """
-        pool = f"model-{n.mach.rng.randrange(self.pools)}"
-        place, names = n.door.forwarder.place(pool), n.door.forwarder.ready(pool)
-        name = names[n.mach.rng.randrange(len(names))]
-        tokens = place.begin(name, [], [], LONG if n.mach.rng.random() < LONG_SHARE else 400)
-        await n.mach.sleep(100 * machine.MILLI)
+        """One hollow send: counted where a real one would be."""
+        pool = f"model-{n.runtime.rng.randrange(self.pools)}"
+        place, names = n.gateway.forwarder.placement_of(pool), n.gateway.forwarder.ready(pool)
+        name = names[n.runtime.rng.randrange(len(names))]
+        tokens = place.begin(name, [], [], LONG if n.runtime.rng.random() < LONG_SHARE else 400)
+        await n.runtime.sleep(100 * units.MILLISECOND_US)
         place.first(name, tokens)
-        await n.mach.sleep(int(lasts * S))
+        await n.runtime.sleep(int(lasts * S))
         place.end(name, 0)
 
     def roles(self) -> dict[str, str]:
-        """Each process's role now: tail, other core, lister, warden, node.
-
-        Example: `fleet.roles()["c1"]`
-        """
-        r = max((n.follower.roster for n in self.nodes.values()), key=lambda r: r.stamp)
-        by_key = {d.key: d for d in r.duties}
-        out = {name: "tail" if c.membership.tail() else "core" for name, c in self.cores.items()}
+        """Each process's role now: tail, other core, lister, pool owner, node."""
+        r = max((n.follower.membership for n in self.nodes.values()), key=lambda r: r.version)
+        by_key = {d.key: d for d in r.assignments}
+        out = {name: "tail" if c.consensus.tail() else "core" for name, c in self.cores.items()}
         names = {m.id: m.name for m in r.members}
         out.update({m.name: "node" for m in r.members})
-        for d in r.duties:
+        for d in r.assignments:
             for i in [*d.copies, d.holder]:
                 if d.key.startswith("pool/"):
                     out[names[i]] = "warden" if i == d.holder or out[names[i]] == "warden" else "copy"
@@ -1034,11 +1021,8 @@
         return out
 
     def metered(self, seconds: int) -> dict[str, dict[str, float]]:
-        """Let time pass with the meter on; what each process took, sent, got and spent a second.
-
-        Example: `fleet.metered(5)["n1"]["in_bytes"]`
-        """
-        self.meter = sim.Meter()
+        """Let time pass with the meter on; what each process took, sent, got and spent a second."""
+        self.meter = world.Meter()
         gc.collect()
         gc.disable()
         one = statistics.median(spent(loop) for _ in range(5))
@@ -1069,10 +1053,7 @@
         return out
 
     def between(self, seconds: int) -> dict[str, float]:
-        """Bytes that the meter counted between cores and nodes, a second.
-
-        Example: `fleet.between(4)["core node"]`
-        """
+        """Bytes that the meter counted between cores and nodes, a second."""
         kind = {**dict.fromkeys(self.cores, "core"), **dict.fromkeys(self.nodes, "node")}
         out = {f"{a} {b}": 0 for a in ("core", "node") for b in ("core", "node")}
         for (a, b), (_, size) in self.meter.sent.items():
@@ -1081,10 +1062,7 @@
         return out
 
     def by_role(self, got: dict[str, dict[str, float]]) -> dict[str, dict[str, float]]:
-        """The middle of what the processes of each role took.
-
-        Example: `fleet.by_role(fleet.metered(5))["node"]["loops"]`
-        """
+        """The middle of what the processes of each role took."""
         groups = {}
         for name, role in self.roles().items():
             if name in got:
@@ -1136,7 +1114,7 @@
     """Hollow fleets when all is quiet: by nodes, by workers, by pools; then the greatest of each at once.
 
     With a rate, and election at the node, sends are counted under way as if they were made: so
-    the load exchange has something to tell.
+    the load request has something to tell.
 
     :param sizes: nodes
     :param listed: workers
@@ -1145,12 +1123,12 @@
     :param seconds: simulated time that is counted
     :param seed: the run's seed
     :param walking: whether nodes knock at workers that they do not hear
-    :param election: warden or node
+    :param election: pool owner or node
     :param rate: hollow sends a second at each node
     :param lasts: how many seconds each is under way
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
     print(
         "| fleet | role | loops/s | longest step, loops | messages in/s | B/s in | out/s | B/s out "
         "| writes to others/s |"
@@ -1158,7 +1136,7 @@
     print("|---|---|---|---|---|---|---|---|---|")
     runs = [("nodes", n, (n, listed[0], pools[0])) for n in sizes]
     runs += [("workers", w, (sizes[0], w, pools[0])) for w in listed]
-    runs += [("pools", p, (sizes[-2], listed[0], p)) for p in pools]  # enough nodes that some have no duty
+    runs += [("pools", p, (sizes[-2], listed[0], p)) for p in pools]  # enough nodes that some have no role
     runs += [("all at once", sizes[-1], (sizes[-1], listed[-1], pools[-1]))]
     for by, size, (n, w, p) in runs:
         f = Fleet(seed, n, w, p, routes, walking, election)
@@ -1169,8 +1147,8 @@
         rows = f.by_role(f.metered(seconds))
         show(f"{n} nodes, {w} workers, {p} pools", rows)
         for role, r in rows.items():
-            for what, val in r.items():
-                lines.put(f"{role}: {what}", by, UNITS[what], size, val)
+            for what, value in r.items():
+                lines.put(f"{role}: {what}", by, UNITS[what], size, value)
     end(lines, out)
 
 
@@ -1191,10 +1169,10 @@
     :param listed: workers
     :param seconds: simulated time that is counted
     :param repeats: how many seeds
-    :param election: warden or node
+    :param election: pool owner or node
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
     was = stand_ins.SHORT_TOKENS
     try:
         for seed in range(1, repeats + 1):
@@ -1204,13 +1182,13 @@
             ]:
                 stand_ins.SHORT_TOKENS = n
                 f = Fleet(seed, 4, listed, 1, 10, False, election)
-                f.blueprint["routes"]["all"] = {"path": "/v1", "pool": "model-0", "terms": "t0"}
+                f.configuration["routes"]["all"] = {"path": "/v1", "pool": "model-0", "terms": "t0"}
                 f.rates = (0, rate, 0)
                 f.begin()
                 f.go(8)
-                before = sum(n.door.counts["exchanges"] for n in f.nodes.values())
+                before = sum(n.gateway.counts["exchanges"] for n in f.nodes.values())
                 got = f.metered(seconds)
-                done = (sum(n.door.counts["exchanges"] for n in f.nodes.values()) - before) / seconds
+                done = (sum(n.gateway.counts["exchanges"] for n in f.nodes.values()) - before) / seconds
                 loops = sum(got[x]["loops"] for x in f.nodes)
                 lines.put(
                     "requests through nodes" if by == "requests/s" else "events through nodes",
@@ -1235,10 +1213,10 @@
     spans: list[float] = (0.15, 0.5, 1, 2),
     steps: list[int] = (1, 3, 6),
 ) -> None:
-    """Rows that a load exchange by change has to tell one node, by how often it tells and from which change on.
+    """Rows that a load request by change has to tell one node, by how often it tells and from which change on.
 
     Sends begin at random workers at the fleet's rate, long prompts among them, and each ends after its
-    time; a row is told when running exchanges changed by the step, or tokens to read by 1,000 a step.
+    time; a row is told when running requests changed by the step, or tokens to read by 1,000 a step.
 
     :param listed: workers
     :param rate: sends a second at all nodes together
@@ -1263,10 +1241,10 @@
     events.sort()
     for span in spans:
         for step in steps:
-            now, told = [[0, 0] for _ in names], [[0, 0] for _ in names]
+            now, table = [[0, 0] for _ in names], [[0, 0] for _ in names]
             count = size = k = 0
-            for beat in range(int(seconds / span)):
-                while k < len(events) and events[k][0] < beat * span:
+            for heartbeat_timer in range(int(seconds / span)):
+                while k < len(events) and events[k][0] < heartbeat_timer * span:
                     _, w, running, tokens = events[k]
                     now[w][0] += running
                     now[w][1] += tokens
@@ -1274,18 +1252,20 @@
                 some = [
                     w
                     for w in range(listed)
-                    if abs(now[w][0] - told[w][0]) >= step or abs(now[w][1] - told[w][1]) >= 1000 * step
+                    if abs(now[w][0] - table[w][0]) >= step or abs(now[w][1] - table[w][1]) >= 1000 * step
                 ]
                 for w in some:
-                    told[w] = list(now[w])
-                if beat:
+                    table[w] = list(now[w])
+                if heartbeat_timer:
                     count += len(some)
                     size += len(
                         wire.encoder.encode(
-                            wire.Parcel(
+                            wire.Envelope(
                                 0,
                                 0,
-                                message.Loads("c0ffee", False, {"model-0": [(names[w], *now[w], 0) for w in some]}),
+                                message.LoadReport(
+                                    "c0ffee", False, {"model-0": [(names[w], *now[w], 0) for w in some]}
+                                ),
                             )
                         )
                     )
@@ -1321,11 +1301,11 @@
     :param pools: pools
     :param routes: routes
     :param repeats: how many seeds
-    :param election: warden or node
+    :param election: pool owner or node
     :param only: what happens
     :param out: file for the values
     """
-    lines = Lines()
+    lines = Measurements()
     print(
         "| what | nodes | all know after, ms | B between cores | B from cores to nodes | B between nodes "
         "| B into a node "
@@ -1363,24 +1343,25 @@
 
 
 def lost(f: Fleet, what: str) -> dict[str, float]:
-    """What it costs a fleet that something happens, beyond its quiet; "roster" is the size of its roster.
-
-    Example: `lost(Fleet(1), "zone")["ms"]`
-    """
+    """What it costs a fleet that something happens, beyond its quiet; "membership" is the size of its membership."""
     f.begin()
     f.go(4)
-    size = len(wire.encoder.encode(wire.Parcel(0, 0, message.News(next(iter(f.nodes.values())).follower.roster))))
+    size = len(
+        wire.encoder.encode(
+            wire.Envelope(0, 0, message.MembershipUpdate(next(iter(f.nodes.values())).follower.membership))
+        )
+    )
     quiet, still = f.metered(4), f.between(4)
     one = statistics.median(spent(loop) for _ in range(5))
-    began = f.world.time
-    f.world.meter = f.meter = sim.Meter()
+    started_at = f.world.time
+    f.world.meter = f.meter = world.Meter()
     gc.collect()
     gc.disable()
     happen(f, what)
     f.world.meter = None
     gc.enable()
-    took = (f.world.time - began) / S
-    live = [x for x in quiet if f.world.procs[x].alive]
+    took = (f.world.time - started_at) / S
+    live = [x for x in quiet if f.world.processes[x].alive]
     into = dict.fromkeys(live, 0)
     for (a, b), (_, size_) in f.meter.sent.items():
         if b in into and a in quiet:
@@ -1400,21 +1381,18 @@
 
 
 def happen(f: Fleet, what: str) -> None:
-    """Let something happen to a fleet, and go on until all know.
-
-    Example: `happen(fleet, "zone")`
-    """
-    live = lambda: [x for x in f.nodes.values() if x.proc.alive]  # noqa: E731
-    names = lambda x: {m.id for m in x.follower.roster.members}  # noqa: E731
+    """Let something happen to a fleet, and go on until all know."""
+    live = lambda: [x for x in f.nodes.values() if x.process.alive]  # noqa: E731
+    names = lambda x: {m.id for m in x.follower.membership.members}  # noqa: E731
     mine = [x for name, x in f.nodes.items() if f.roles()[name] == "node"] or list(f.nodes.values())
     match what:
         case "change":
-            done = f.office_mach.spawn(f.boss.change(f.with_probe(f.probe + 1)), simulated_cluster.log)
+            done = f.operator_runtime.spawn(f.operator.change(f.with_probe(f.probe + 1)), simulated_cluster.log)
             f.until(lambda: done.called, 30)
         case "restart":
             x = mine[0]
             name, (host, zone) = x.me.name, f.options[x.me.name]
-            x.proc.kill()
+            x.process.kill()
             f.go(0.1)
             f.start_node(name, host, zone)
             f.until(lambda: all(f.nodes[name].me.id in names(y) for y in live()), 30)
@@ -1422,7 +1400,7 @@
             f.platform.put("w1", state="leaving")
             f.until(
                 lambda: all(
-                    y.follower.state("w1") == "leaving" and y.follower.roster.workers[0].state == "leaving"
+                    y.follower.state("w1") == "leaving" and y.follower.membership.workers[0].state == "leaving"
                     for y in live()
                 ),
                 30,
@@ -1431,14 +1409,16 @@
             gone = {x.me.id for x in f.nodes.values() if x.me.zone == "zone5"}
             for x in f.nodes.values():
                 if x.me.zone == "zone5":
-                    x.proc.host.fail()
+                    x.process.host.fail()
             f.until(lambda: all(not gone & names(y) for y in live()), 30)
         case "tail":
-            was = f.tail().membership.view.number
-            f.tail().proc.kill()
-            f.until(lambda: all(y.follower.roster.stamp[0] > was and y.follower.session.stands() for y in live()), 60)
+            was = f.tail().consensus.view.number
+            f.tail().process.kill()
+            f.until(
+                lambda: all(y.follower.membership.version[0] > was and y.follower.session.stands() for y in live()), 60
+            )
         case "cut":
-            some = [x.proc.host.host for x in f.nodes.values() if int(x.me.zone[4:]) % 3 == 1]
+            some = [x.process.host.host for x in f.nodes.values() if int(x.me.zone[4:]) % 3 == 1]
             rest = [h for h in f.world.machines if h not in some]
             f.world.cut(some, rest)
             f.go(10)
@@ -1463,32 +1443,23 @@
 
 
 class Known:
-    """Values of earlier runs, read from their files.
-
-    Example: `known = Known("runs")`; `known.at("lists", "a roster on the wire", "members", 370)`
-    """
+    """Values of earlier runs, read from their files."""
 
     def __init__(self, folder: typing.Any) -> None:
         self.files: dict[typing.Any, typing.Any] = {}
         for name in sorted(os.listdir(folder)):
             if name.endswith(".json"):
-                lines = self.files[name[:-5]] = Lines()
+                lines = self.files[name[:-5]] = Measurements()
                 with open(os.path.join(folder, name)) as f:
                     for line, by, unit, sizes in json.load(f):
                         lines.rows[line, by] = (unit, {int(x): v for x, v in sizes.items()})
 
     def slope(self, name: typing.Any, line: typing.Any, by: typing.Any) -> typing.Any:
-        """The slope of a line.
-
-        Example: `known.slope("lists", "a roster on the wire", "members")`
-        """
+        """The slope of a line."""
         return self.files[name].fit(line, by)[0]
 
     def at(self, name: typing.Any, line: typing.Any, by: typing.Any, x: typing.Any) -> typing.Any:
-        """A line's value at a size: measured, or between two measured ones, or beyond them along the slope.
-
-        Example: `known.at("lists", "a roster on the wire", "members", 370)`
-        """
+        """A line's value at a size: measured, or between two measured ones, or beyond them along the slope."""
         sizes = self.files[name].rows[line, by][1]
         if x in sizes:
             return statistics.median(sizes[x])
@@ -1509,9 +1480,9 @@
     out = []
 
     def put(
-        role: typing.Any, what: typing.Any, how: typing.Any, val: typing.Any, unit: typing.Any, budget: str = ""
+        role: typing.Any, what: typing.Any, how: typing.Any, value: typing.Any, unit: typing.Any, budget: str = ""
     ) -> None:
-        out.append(f"| {role} | {what} | {how} | {short(val)} {unit} | {budget} |")
+        out.append(f"| {role} | {what} | {how} | {short(value)} {unit} | {budget} |")
 
     rows = {}
     for name in ("fleetwarden", "fleetnode"):
@@ -1519,24 +1490,26 @@
             got = {key[0]: v for key, (_, v) in k.files[name].rows.items() if key[1] == "all at once"}
             rows[name] = {line: statistics.median(v[max(v)]) for line, v in got.items()}
     sock = k.at("sockets", "a message sent and taken over a connection", "bytes", 27) / 2
-    roster_b = sum(
+    membership_bytes = sum(
         k.slope("lists", "a roster on the wire", by) * (x - was)
         for by, x, was in (("members", t.nodes, 8), ("workers", t.workers, 36), ("pools", t.pools, 1))
     ) + k.at("lists", "a roster on the wire", "members", 8)
-    roster_m = sum(
+    membership_messages = sum(
         k.slope("lists", "a roster held at a node", by) * (x - was)
         for by, x, was in (("members", t.nodes, 8), ("workers", t.workers, 36), ("pools", t.pools, 1))
     ) + k.at("lists", "a roster held at a node", "members", 8)
-    roster_l = sum(
+    membership_lists = sum(
         k.slope("lists", "a roster read", by) * (x - was)
         for by, x, was in (("members", t.nodes, 8), ("workers", t.workers, 36), ("pools", t.pools, 1))
     ) + k.at("lists", "a roster read", "members", 8)
-    put("all", "a whole roster", "2.4 KB + members, workers, pools by their slopes (X)", roster_b / 1000, "KB")
-    put("all", "read at a node, one step", "as its bytes (X)", roster_l, "loops", "15 loops a step")
+    put("all", "a whole roster", "2.4 KB + members, workers, pools by their slopes (X)", membership_bytes / 1000, "KB")
+    put("all", "read at a node, one step", "as its bytes (X)", membership_lists, "loops", "15 loops a step")
     day = t.restarts * t.words
     put("all", "rosters a day", f"{t.restarts} failures and restarts x {t.words} words each (R)", day, "")
-    put("node", "rosters in, mean", "rosters a day x roster (X)", day * roster_b / 86_400, "B/s", "16 KB/s")
-    put("cores", "rosters out, mean, all nodes", "x nodes (X)", day * roster_b * t.nodes / 86_400 / 1000, "KB/s")
+    put("node", "rosters in, mean", "rosters a day x roster (X)", day * membership_bytes / 86_400, "B/s", "16 KB/s")
+    put(
+        "cores", "rosters out, mean, all nodes", "x nodes (X)", day * membership_bytes * t.nodes / 86_400 / 1000, "KB/s"
+    )
     for name, path in (("fleetwarden", "wardens"), ("fleetnode", "node election")):
         r = rows.get(name)
         if r is None:
@@ -1576,7 +1549,7 @@
     names = t.workers // t.pools
     memory = [
         ("a fresh process with a node", "M", bare()),
-        ("roster and worker states", "along the slopes (X)", roster_m),
+        ("roster and worker states", "along the slopes (X)", membership_messages),
         ("slice of the blueprint", f"{t.routes} routes", k.at("routes", "a slice held at a node", "routes", t.routes)),
         ("others' loads", "workers", k.at("places", "others' loads held", "workers", t.workers)),
         (
@@ -1597,11 +1570,11 @@
         (
             "sessions",
             "sessions / nodes",
-            k.slope("places", "sessions held at a node", "sessions") * t.sessions / t.nodes,
+            k.slope("places", "sessions held at a node", "sessions") * t.session_messages / t.nodes,
         ),
     ]
-    for what, how, val in memory:
-        put("node", f"memory: {what}", how, val / 1e6, "MB", "64 MB in all")
+    for what, how, value in memory:
+        put("node", f"memory: {what}", how, value / 1e6, "MB", "64 MB in all")
     put("node", "memory: all of them", "", sum(x[2] for x in memory) / 1e6, "MB", "64 MB")
     put(
         "tail",
@@ -1641,21 +1614,21 @@
         "cores",
         "a zone lost, to nodes",
         "nodes x roster (X)",
-        k.slope("losses", "zone: from cores to nodes", "nodes x roster bytes") * t.nodes * roster_b / 1e6,
+        k.slope("losses", "zone: from cores to nodes", "nodes x roster bytes") * t.nodes * membership_bytes / 1e6,
         "MB",
     )
     put(
         "cores",
         "a node restarted, to nodes",
         "nodes x roster (X)",
-        k.slope("losses", "restart: from cores to nodes", "nodes x roster bytes") * t.nodes * roster_b / 1e6,
+        k.slope("losses", "restart: from cores to nodes", "nodes x roster bytes") * t.nodes * membership_bytes / 1e6,
         "MB",
     )
     put(
         "warden",
         "all sessions of the largest pool, half of all: sweep, one step",
         "X",
-        k.at("records", "a sweep that finds nothing", "sessions", t.sessions // 2),
+        k.at("records", "a sweep that finds nothing", "sessions", t.session_messages // 2),
         "loops",
         "15 loops a step",
     )
@@ -1663,7 +1636,7 @@
         "warden",
         "the same: a whole copy",
         "X",
-        k.at("records", "a whole copy on the wire", "sessions", t.sessions // 2) / 1e6,
+        k.at("records", "a whole copy on the wire", "sessions", t.session_messages // 2) / 1e6,
         "MB",
         "33.6 MB a message",
     )
@@ -1671,7 +1644,7 @@
         "node",
         "sessions cut over nodes: sweep, one step",
         "sessions / nodes (X)",
-        k.slope("records", "a sweep that finds nothing", "sessions") * t.sessions / t.nodes,
+        k.slope("records", "a sweep that finds nothing", "sessions") * t.session_messages / t.nodes,
         "loops",
         "15 loops a step",
     )
@@ -1708,13 +1681,13 @@
     print("records")
     records(**dict(sizes=[1_000, 10_000], repeats=2) if small else {})
     print("elects")
-    elects(**dict(listed=[9, 90], sizes=[1_000, 10_000], repeats=2) if small else {})
+    selections(**dict(listed=[9, 90], sizes=[1_000, 10_000], repeats=2) if small else {})
     print("prefixes")
     prefixes(**dict(sizes=[15_000, 150_000], repeats=2) if small else {})
     print("routes")
     routes(**dict(sizes=[100, 500], repeats=2) if small else {})
     print("places")
-    places(
+    placements(
         **dict(listed=[9, 90], keys=[16, 64], parts=[2_600, 5_200], sizes=[1_000, 2_000], pools=[1, 2], repeats=2)
         if small
         else {}
@@ -1738,10 +1711,10 @@
             lists,
             tail,
             records,
-            elects,
+            selections,
             prefixes,
             routes,
-            places,
+            placements,
             sockets,
             fleet,
             streams,
--- a/bench/change_recovery.py
+++ b/benchmarks/change_recovery.py
@@ -1,6 +1,6 @@
 """How long changes are held up by a fault of one core machine, in the simulator and without load.
 
-    python -m bench.change_recovery --seeds 50 --cores 3 5 --lease-ms 3000
+    python -m benchmarks.change_recovery --seeds 50 --cores 3 5 --lease-ms 3000
 
 Operators start a numbered change every 100 ms. In each run one core machine has one fault;
 measured is the time from the fault to the first acknowledgement of a change that was first
@@ -23,17 +23,17 @@
 import loguru
 import twisted.internet.defer as defer
 
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.command as command
-import iriswheel.machine as machine
+import iriswheel.cli.command as command
+import iriswheel.runtime.units as units
+import simulation.simulated_cluster as simulated_cluster
 
 FAULTS = ("cut", "kill", "kill for good", "freeze", "wipe")
 POSITIONS = ("head", "middle", "tail")
 CUT_S, FREEZE_S, RESTART_S = 20, 8, 1
-ORDER_GAP_US = 100 * machine.MILLI
+ORDER_GAP_US = 100 * units.MILLISECOND_US
 MOST_ORDERS = 8  # under way at once
-PATIENCE_US = 1 * machine.SECOND  # an operator's, with one core machine
-RETRY_PAUSE_US = 100 * machine.MILLI
+PATIENCE_US = 1 * units.SECOND_US  # an operator's, with one core machine
+RETRY_PAUSE_US = 100 * units.MILLISECOND_US
 WARM_UP_S = 3
 STEP_S = 0.005
 LIMIT_S = 30
@@ -92,103 +92,80 @@
 
     Each order goes on to the next core machine after a second of silence or a 5xx, with the
     same content. An order that came second on its base is given up, and the current number read.
-
-    Example: `operators = Operators(cluster)`; `cluster.office_mach.spawn(operators.run())`
     """
 
     def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         self.cluster = cluster
-        self.mach = cluster.office_mach
+        self.runtime = cluster.operator_runtime
         self.places = [f"{cluster.options[name][0]}:{simulated_cluster.HTTP}" for name in sorted(cluster.cores)]
         self.current = 0  # the number that new orders build on
         self.under_way = 0
         self.acknowledged: list[Acknowledgement] = []
 
     async def run(self) -> None:
-        """Start orders for as long as the simulation runs.
-
-        Example: `mach.spawn(operators.run())`
-        """
+        """Start orders for as long as the simulation runs."""
         for number in itertools.count(1):
             if self.under_way < MOST_ORDERS:
-                self.mach.spawn(self.order(number), log)
-            await self.mach.sleep(ORDER_GAP_US)
+                self.runtime.spawn(self.order(number), log)
+            await self.runtime.sleep(ORDER_GAP_US)
 
     async def order(self, number: int) -> None:
-        """Bring one order to core machines in turn until its outcome is clear.
-
-        Example: `await operators.order(7)`
-        """
-        sent = self.mach.now()
+        """Bring one order to core machines in turn until its outcome is clear."""
+        sent = self.runtime.now()
         route = {"path": f"/p/{number}", "pool": self.cluster.pool}
         document = {"number": number, "built_on": self.current, "upsert": {"routes": {"probe": route}}}
         self.under_way += 1
         for attempt in itertools.count(number):
             place = self.places[attempt % len(self.places)]
-            status, answer = await self.ask(place, "POST", "/changes", document)
+            status, answer = await self.query(place, "POST", "/changes", document)
             if status < 500:
                 break
-            await self.mach.sleep(RETRY_PAUSE_US)
+            await self.runtime.sleep(RETRY_PAUSE_US)
         self.under_way -= 1
         if status == 200:
             self.current = max(self.current, number)
-            self.acknowledged.append(Acknowledgement(sent, self.mach.now(), answer["stamp"]))
+            self.acknowledged.append(Acknowledgement(sent, self.runtime.now(), answer["stamp"]))
         else:
             await self.catch_up(place)
 
     async def catch_up(self, place: str) -> None:
-        """Read the number that is current.
-
-        Example: `await operators.catch_up("10.0.1.1:8001")`
-        """
-        status, answer = await self.ask(place, "GET", "/blueprint")
+        """Read the number that is current."""
+        status, answer = await self.query(place, "GET", "/blueprint")
         if status == 200:
             marks = answer["blueprint"].get("marks", {})
             self.current = max(self.current, marks.get("operator", {}).get("number", 0))
 
-    async def ask(
+    async def query(
         self, place: str, method: str, path: str, document: dict[str, typing.Any] | None = None
     ) -> tuple[int, dict[str, typing.Any]]:
-        """Send one request; a second of silence or a broken connection counts as 504.
-
-        Example: `status, answer = await operators.ask("10.0.1.1:8001", "GET", "/blueprint")`
-        """
+        """Send one request; a second of silence or a broken connection counts as 504."""
         try:
-            answer = defer.ensureDeferred(command.ask(self.mach, [place], method, path, document))
-            return await self.mach.within(answer, PATIENCE_US)
+            answer = defer.ensureDeferred(command.send_request(self.runtime, [place], method, path, document))
+            return await self.runtime.within(answer, PATIENCE_US)
         except Exception:
             return 504, {}
 
 
 def chain_of(cluster: simulated_cluster.SimulatedCluster) -> list[str]:
-    """The names of the core machines in the order of the newest view's chain.
-
-    Example: `head, *_, tail = chain_of(cluster)`
-    """
-    views = [core.membership.view for core in cluster.cores.values() if core.membership.view is not None]
+    """The names of the core machines in the order of the newest view's chain."""
+    views = [core.consensus.view for core in cluster.cores.values() if core.consensus.view is not None]
     newest = max(views, key=lambda view: view.number)
-    names = {core.membership.me.id: name for name, core in cluster.cores.items()}
-    return [names[link.id] for link in newest.chain]
+    names = {core.consensus.me.id: name for name, core in cluster.cores.items()}
+    return [names[connection.id] for connection in newest.chain]
 
 
 def machine_at(cluster: simulated_cluster.SimulatedCluster, position: str) -> str:
-    """The name of the core machine at a position of the chain.
-
-    Example: `machine_at(cluster, "middle")`
-    """
+    """The name of the core machine at a position of the chain."""
     chain = chain_of(cluster)
     return chain[{"head": 0, "middle": len(chain) // 2, "tail": -1}[position]]
 
 
 def strike(cluster: simulated_cluster.SimulatedCluster, fault: str, name: str) -> None:
-    """Let a fault strike a core machine, and end by itself where it does.
-
-    Example: `strike(cluster, "freeze", "c1")`
-    """
+    """Let a fault strike a core machine, and end by itself where it does."""
     core = cluster.cores[name]
 
     def later(seconds: int, function: collections.abc.Callable[..., object], *arguments: typing.Any) -> None:
-        at = cluster.world.time + seconds * machine.SECOND
+        at = cluster.world.time + seconds * units.SECOND_US
         cluster.world.push(at, functools.partial(function, *arguments))
 
     match fault:
@@ -196,24 +173,21 @@
             cluster.world.cut([core.options.host], list(cluster.world.machines))
             later(CUT_S, cluster.world.heal)
         case "kill":
-            core.proc.kill()
+            core.process.kill()
             later(RESTART_S, cluster.start_core, name, *cluster.options[name])
         case "kill for good":
-            core.proc.kill()
+            core.process.kill()
         case "freeze":
-            core.proc.freeze()
-            later(FREEZE_S, core.proc.wake)
+            core.process.freeze()
+            later(FREEZE_S, core.process.wake)
         case "wipe":
-            core.proc.kill()
-            core.proc.host.synced.clear()
+            core.process.kill()
+            core.process.host.synced.clear()
             later(RESTART_S, cluster.start_core, name, *cluster.options[name])
 
 
 def quiet_cluster(start: Start) -> tuple[simulated_cluster.SimulatedCluster, Operators]:
-    """A cluster without load, all core machines in its chain, at a moment that the seed draws.
-
-    Example: `cluster, operators = quiet_cluster(Start(seed=1, cores=3))`
-    """
+    """A cluster without load, all core machines in its chain, at a moment that the seed draws."""
     cluster = simulated_cluster.SimulatedCluster(
         start.seed,
         "magnolia",
@@ -222,39 +196,33 @@
         talks=0,
         cores=start.cores,
         seats=start.cores,
-        lease_us=start.lease_ms * machine.MILLI,
+        lease_us=start.lease_ms * units.MILLISECOND_US,
     )
     cluster.probing = False
     cluster.begin()
     if not cluster.until(lambda: len(chain_of(cluster)) == start.cores, LIMIT_S):
         raise TimeoutError(f"The chain does not hold all core machines: {start}")
     operators = Operators(cluster)
-    cluster.office_mach.spawn(operators.run(), log)
+    cluster.operator_runtime.spawn(operators.run(), log)
     cluster.go(WARM_UP_S + cluster.rng.random())
     return cluster, operators
 
 
 def measure(cluster: simulated_cluster.SimulatedCluster, operators: Operators, case: Case) -> Recovery:
-    """Let the fault strike, and wait for the next change at all nodes; for all of them, as the faults are the core's.
-
-    Example: `measure(*quiet_cluster(Start(1, 3)), Case("kill", "tail")).acknowledged`
-    """
-    began = cluster.world.time
+    """Let the fault strike, and wait until the next change is applied by all nodes."""
+    started_at = cluster.world.time
     strike(cluster, case.fault, machine_at(cluster, case.position))
     first = None
-    while cluster.world.time < began + LIMIT_S * machine.SECOND:
+    while cluster.world.time < started_at + LIMIT_S * units.SECOND_US:
         cluster.go(STEP_S)
-        first = first or next((done for done in operators.acknowledged if done.sent >= began), None)
-        if first is not None and all(node.follower.place >= first.version for node in cluster.nodes.values()):
-            return Recovery(case, first.answered - began, cluster.world.time - began)
-    return Recovery(case, first and first.answered - began, None)
+        first = first or next((done for done in operators.acknowledged if done.sent >= started_at), None)
+        if first is not None and all(node.follower.applied_index >= first.version for node in cluster.nodes.values()):
+            return Recovery(case, first.answered - started_at, cluster.world.time - started_at)
+    return Recovery(case, first and first.answered - started_at, None)
 
 
 def measure_seed(start: Start, cases: list[Case]) -> list[Recovery]:
-    """Play all cases of one seed, each in a process that goes on from the same quiet cluster.
-
-    Example: `measure_seed(Start(1, 3), [Case("kill", "tail"), Case("cut", "head")])`
-    """
+    """Play all cases of one seed, each in a process that goes on from the same quiet cluster."""
     loguru.logger.remove()
     cluster, operators = quiet_cluster(start)
     results = FORK.SimpleQueue()
@@ -275,9 +243,9 @@
     >>> seconds([1_200_000, 900_000, None])
     '1.20, over 30'
     """
-    ordered = sorted(value if value is not None else LIMIT_S * machine.SECOND for value in values)
-    worst = f"over {LIMIT_S}" if None in values else f"{ordered[-1] / machine.SECOND:.2f}"
-    return f"{statistics.median(ordered) / machine.SECOND:.2f}, {worst}"
+    ordered = sorted(value if value is not None else LIMIT_S * units.SECOND_US for value in values)
+    worst = f"over {LIMIT_S}" if None in values else f"{ordered[-1] / units.SECOND_US:.2f}"
+    return f"{statistics.median(ordered) / units.SECOND_US:.2f}, {worst}"
 
 
 def table(cores: int, cases: list[Case], recoveries: list[Recovery]) -> list[str]:
--- a/bench/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -1,10 +1,10 @@
 """What leases, heartbeats and reports cost when all is quiet, in the simulator.
 
-    python -m bench.lease_cost --sizes 6 73 370 --cores 3 5 7
+    python -m benchmarks.lease_cost --sizes 6 73 370 --cores 3 5 7
 
 Real core machines and nodes without traffic share one process; every message between them is
 counted by its type and its sender, and so is each process's own processor time, in loops of
-bench.capacity (3,000 a second are a core; real sockets are not in it).
+benchmarks.capacity (3,000 a second are a core; real sockets are not in it).
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 import defopt
 import loguru
 
-import bench.capacity as capacity
-import iriswheel.message as message
-import iriswheel.wire as wire
+import benchmarks.capacity as capacity
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
 
 LISTED, POOLS, ROUTES = 6, 1, 100
 SETTLE_S = 3
@@ -73,10 +73,7 @@
     core_loops: float
 
     def line(self) -> typing.Any:
-        """The row of a table, in the order of COLUMNS.
-
-        Example: `print(cost.line())`
-        """
+        """The row of a table, in the order of COLUMNS."""
         loops = [f"{value:.1f} loops/s" for value in (self.node_loops, self.tail_loops, self.core_loops)]
         cells = [
             self.nodes,
@@ -95,7 +92,7 @@
 class Traffic:
     """Messages and bytes by type and sender while it counts.
 
-    >>> traffic = Traffic(); traffic.count("core to node", message.Ping(), 9); traffic.total("core to node")
+    >>> traffic = Traffic(); traffic.count("core to node", message.KeepAlive(), 9); traffic.total("core to node")
     (1, 9)
     """
 
@@ -105,44 +102,35 @@
         self.listed = 0  # nodes in all reports from one core machine to another
 
     def count(self, way: str, msg: message.Message, size: int) -> None:
-        """Count one message.
-
-        Example: `traffic.count("core to node", message.Ping(), 9)`
-        """
+        """Count one message."""
         self.messages[way, type(msg)] += 1
         self.bytes[way, type(msg)] += size
-        if way == "core to core" and isinstance(msg, message.Sessions):
+        if way == "core to core" and isinstance(msg, message.NodeSessionsReport):
             self.listed += len(msg.members)
 
     def total(self, way: str, *types: type[typing.Any]) -> tuple[int, int]:
-        """How many messages, and how many bytes, went one way: of some types, or of all.
-
-        Example: `traffic.total("core to core", message.Sessions)`
-        """
+        """How many messages, and how many bytes, went one way: of some types, or of all."""
         keys = [key for key in self.messages if key[0] == way and (not types or key[1] in types)]
         return sum(self.messages[key] for key in keys), sum(self.bytes[key] for key in keys)
 
 
 @contextlib.contextmanager
 def counting(cluster: capacity.Fleet) -> collections.abc.Iterator[Traffic]:
-    """Count what the processes of a cluster send each other.
-
-    Example: `with counting(cluster) as traffic: cluster.go(5)`
-    """
+    """Count what the processes of a cluster send each other."""
     traffic = Traffic()
-    cores = {core.mach for core in cluster.cores.values()}
+    cores = {core.runtime for core in cluster.cores.values()}
     send = wire.Connection._send
 
     def counted(connection: wire.Connection, kind: int, seq: int, msg: message.Message) -> None:
-        if connection.post is not None:
+        if connection.node_session is not None:
             way = "core to node"
-        elif connection.mach in cores:
+        elif connection.runtime in cores:
             way = "core to core"
         elif _with_core(connection, cluster):
             way = "node to core"
         else:
             way = "node to node"
-        traffic.count(way, msg, len(wire.encoder.encode(wire.Parcel(kind, seq, msg))) + FRAME_BYTES)
+        traffic.count(way, msg, len(wire.encoder.encode(wire.Envelope(kind, seq, msg))) + FRAME_BYTES)
         send(connection, kind, seq, msg)
 
     with unittest.mock.patch.object(wire.Connection, "_send", counted):
@@ -155,15 +143,12 @@
 
 
 def quiet_cluster(nodes: int, cores: int, seed: int) -> capacity.Fleet:
-    """A settled cluster without load, whose chain holds all core machines.
-
-    Example: `cluster = quiet_cluster(6, 3, 1)`
-    """
+    """A settled cluster without load, whose chain holds all core machines."""
     cluster = capacity.Fleet(seed, nodes, LISTED, POOLS, ROUTES, walking=False, election="node")
     cluster.core_count = cores
     cluster.more = {"seats": cores}
     cluster.begin()
-    views = [core.membership for core in cluster.cores.values()]
+    views = [core.consensus for core in cluster.cores.values()]
     if not cluster.until(lambda: all(m.view is not None and len(m.view.chain) == cores for m in views), 30):
         raise TimeoutError("The chain does not hold all core machines.")
     cluster.go(SETTLE_S)
@@ -171,10 +156,7 @@
 
 
 def measure(nodes: int, cores: int, seconds: int, seed: int) -> Cost:
-    """Measure one cluster.
-
-    Example: `print(measure(6, 3, 4, 1).line())`
-    """
+    """Measure one cluster."""
     cluster = quiet_cluster(nodes, cores, seed)
     with counting(cluster) as traffic:
         cluster.go(seconds)
@@ -185,7 +167,7 @@
         messages, size = total
         return Rate(messages / processes / seconds, size / processes / seconds)
 
-    reports = traffic.total("core to core", message.Sessions)
+    reports = traffic.total("core to core", message.NodeSessionsReport)
     return Cost(
         nodes,
         cores,
@@ -194,7 +176,7 @@
         node_loops=statistics.median(spent[name] for name in cluster.nodes),
         reports=rate(reports, cores - 1),
         listed_bytes=reports[1] / max(1, traffic.listed),
-        tail_heartbeats=rate(traffic.total("core to core", message.Beat), cores - 1),
+        tail_heartbeats=rate(traffic.total("core to core", message.TailHeartbeat), cores - 1),
         tail_loops=spent[tail],
         core_loops=statistics.median(spent[name] for name in cluster.cores if name != tail),
     )
--- a/bench/measure.py
+++ b/benchmarks/measure.py
@@ -1,11 +1,11 @@
 """The figures of docs/measurements.md, each a command.
 
-python -m bench.measure hop
-python -m bench.measure saturate
-python -m bench.measure elects
-python -m bench.measure slices
-python -m bench.measure recovery
-python -m bench.measure capacity
+python -m benchmarks.measure hop
+python -m benchmarks.measure saturate
+python -m benchmarks.measure elects
+python -m benchmarks.measure slices
+python -m benchmarks.measure recovery
+python -m benchmarks.measure capacity
 """
 
 from __future__ import annotations
@@ -19,20 +19,18 @@
 import loguru
 import twisted.internet.defer as defer
 
-import bench.fleet as fleet
-import bench.scenes as scenes
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.machine as machine
-import iriswheel.message as message
-import iriswheel.replay as replay
-import iriswheel.wire as wire
+import benchmarks.fleet as fleet
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
+import iriswheel.verification.replay as replay
+import simulation.fault_scenarios as fault_scenarios
+import simulation.simulated_cluster as simulated_cluster
 
 
 def spans(f: typing.Any) -> typing.Any:
-    """From the sending of a first send to its arrival at a worker, by node, in ms.
-
-    Example: `spans(fleet)["n1"]`
-    """
+    """From the sending of a first send to its arrival at a worker, by node, in ms."""
     rows = []
     for name in ["load", *f.workers]:
         with open(f.events(name)) as lines:
@@ -48,7 +46,7 @@
 
 
 def hop(*, shape: str = "magnolia", seconds: int = 20, runs: int = 3) -> None:
-    """What the way through a node costs, at the warden's own node and at the others.
+    """What the way through a node costs, at the pool owner's own node and at the others.
 
     :param shape: magnolia, swan or small
     :param seconds: how long each run lasts
@@ -58,24 +56,24 @@
     for k in range(runs):
         with fleet.Fleet(shape) as f:
             f.begin()
-            at = f.warden()
+            at = f.owner()
             f.load(seconds, "--seed", str(k + 1)).communicate()
-            for name, vals in spans(f).items():
-                (own if name == at else others).extend(vals)
-    for what, vals in (("warden's own node", own), ("other nodes", others)):
-        vals.sort()
+            for name, values in spans(f).items():
+                (own if name == at else others).extend(values)
+    for what, values in (("warden's own node", own), ("other nodes", others)):
+        values.sort()
         print(
-            f"{what}: {len(vals)} exchanges, median {statistics.median(vals):.2f} ms, "
-            f"90 % {vals[int(len(vals) * 0.9)]:.2f} ms"
+            f"{what}: {len(values)} exchanges, median {statistics.median(values):.2f} ms, "
+            f"90 % {values[int(len(values) * 0.9)]:.2f} ms"
         )
 
 
 def saturate(*, shape: str = "magnolia", seconds: int = 8, rates: list[int] = (50, 100, 200, 300, 400)) -> None:
-    """Raise the rate of short exchanges until first bytes come late.
+    """Raise the rate of short requests until first bytes come late.
 
     :param shape: magnolia, swan or small
     :param seconds: how long each rate lasts
-    :param rates: short exchanges per second
+    :param rates: short requests per second
     """
     for rate in rates:
         with fleet.Fleet(shape) as f:
@@ -83,19 +81,19 @@
             rep = json.loads(
                 f.load(seconds, "--short-rate", str(rate), "--long-rate", "1", "--talks", "0").communicate()[0]
             )
-            vals = sorted(v for vs in spans(f).values() for v in vs)
+            values = sorted(v for vs in spans(f).values() for v in vs)
             cpu = f.cpu()
             print(
                 f"{rate}/s: {rep['ends']['whole']} whole, {rep['ends']['refused']} refused; way to the worker "
-                f"median {statistics.median(vals):.1f} ms, 99 % {vals[int(len(vals) * 0.99)]:.1f} ms; "
-                f"CPU of the warden's node {cpu[f.warden()]:.0%}, of the busiest other node "
-                f"{max(v for n, v in cpu.items() if n in f.nodes and n != f.warden()):.0%}",
+                f"median {statistics.median(values):.1f} ms, 99 % {values[int(len(values) * 0.99)]:.1f} ms; "
+                f"CPU of the warden's node {cpu[f.owner()]:.0%}, of the busiest other node "
+                f"{max(v for n, v in cpu.items() if n in f.nodes and n != f.owner()):.0%}",
                 flush=True,
             )
 
 
-def elects(*, shape: str = "magnolia", seconds: int = 5, depth: int = 64) -> None:
-    """Elections that one warden answers per second, asked over one link, many at a time.
+def selections(*, shape: str = "magnolia", seconds: int = 5, depth: int = 64) -> None:
+    """Elections that one pool owner answers per second, asked over one link, many at a time.
 
     :param shape: magnolia, swan or small
     :param seconds: how long to ask
@@ -105,61 +103,61 @@
 
     loguru.logger.remove()
     with fleet.Fleet(shape) as f:
-        f.blueprint["pools"][f.pool].update(slots=100_000, long_slots=100_000, cap=0)
+        f.configuration["pools"][f.pool].update(slots=100_000, long_slots=100_000, cap=0)
         f.begin()
-        holder = f.warden()
-        duty = next(d for d in f.state(holder)["duties"] if d["key"] == f"pool/{f.pool}")
-        mach = machine.Machine(reactor)
+        holder = f.owner()
+        assignment = next(d for d in f.state(holder)["duties"] if d["key"] == f"pool/{f.pool}")
+        runtime = scheduler.Runtime(reactor)
         done = []
 
-        async def ask(link: typing.Any, k: typing.Any, sort: typing.Any) -> None:
-            ident = f"{sort}-{k}"
-            res = await link.call(
-                message.Elect(
+        async def query(connection: typing.Any, k: typing.Any, sort: typing.Any) -> None:
+            identifier = f"{sort}-{k}"
+            response = await connection.call(
+                message.SelectWorker(
                     f.pool,
-                    tuple(duty["term"]),
+                    tuple(assignment["term"]),
                     "bench",
-                    ident,
-                    ident,
+                    identifier,
+                    identifier,
                     1,
                     sort != "claimed",
-                    ident if sort == "opened" else "",
+                    identifier if sort == "opened" else "",
                     ["system"],
                     20,
                     False,
                     [],
-                    {"lifetime_us": 60 * machine.SECOND, "cost": 1},
-                    machine.SECOND,
+                    {"lifetime_us": 60 * units.SECOND_US, "cost": 1},
+                    units.SECOND_US,
                 ),
-                5 * machine.SECOND,
+                5 * units.SECOND_US,
             )
-            if isinstance(res, message.Granted):
-                done.append(ident)
-            link.tell(message.Done(f.pool, ident, "ran"))
+            if isinstance(response, message.SelectionGranted):
+                done.append(identifier)
+            connection.tell(message.GrantReleased(f.pool, identifier, "ran"))
 
-        async def lane(link: typing.Any, j: typing.Any, sort: typing.Any, until: typing.Any) -> None:
+        async def lane(connection: typing.Any, j: typing.Any, sort: typing.Any, until: typing.Any) -> None:
             k = 0
-            while mach.now() < until:
+            while runtime.now() < until:
                 k += 1
-                await ask(link, f"{j}-{k}", sort)
+                await query(connection, f"{j}-{k}", sort)
 
         async def go() -> None:
-            link = await wire.connect(mach, fleet.HOST, f.nodes[holder][0], lambda *_: None, loguru.logger)
+            connection = await wire.connect(runtime, fleet.HOST, f.nodes[holder][0], lambda *_: None, loguru.logger)
             for sort in ("placed", "claimed", "opened"):
                 done.clear()
-                until = mach.now() + seconds * machine.SECOND
-                await defer.DeferredList([defer.ensureDeferred(lane(link, j, sort, until)) for j in range(depth)])
+                until = runtime.now() + seconds * units.SECOND_US
+                await defer.DeferredList([defer.ensureDeferred(lane(connection, j, sort, until)) for j in range(depth)])
                 print(f"{sort}: {len(done) / seconds:.0f} elections a second", flush=True)
             reactor.stop()
 
-        reactor.callWhenRunning(lambda: mach.spawn(go()))
+        reactor.callWhenRunning(lambda: runtime.spawn(go()))
         reactor.run()
 
 
 def slices(*, routes: list[int] = (0, 100, 1000), changes: int = 10) -> None:
     """Bytes that a change costs on each node's link, as routes outside its slice grow (simulated).
 
-    :param routes: routes of another hall that the configuration holds
+    :param routes: routes of another zone that the configuration holds
     :param changes: changes to measure
     """
     loguru.logger.remove()
@@ -167,25 +165,25 @@
         t = simulated_cluster.SimulatedCluster(1, "magnolia", long_rate=0, short_rate=0, talks=0)
         t.probing = False
         for k in range(n):
-            t.blueprint["routes"][f"far{k}"] = {"path": f"/far/{k}", "pool": t.pool, "zones": ["d"]}
+            t.configuration["routes"][f"far{k}"] = {"path": f"/far/{k}", "pool": t.pool, "zones": ["d"]}
         t.begin()
         t.go(2)
 
-        def fed() -> dict[typing.Any, typing.Any]:
-            return {p.member.name: p.link.sent_bytes for c in t.cores.values() for p in c.node_sessions.values()}
+        def published() -> dict[typing.Any, typing.Any]:
+            return {p.member.name: p.connection.sent_bytes for c in t.cores.values() for p in c.node_sessions.values()}
 
-        def wait(doc: typing.Any) -> None:
-            done = t.office_mach.spawn(t.boss.change(doc), simulated_cluster.log)
+        def wait(document: typing.Any) -> None:
+            done = t.operator_runtime.spawn(t.operator.change(document), simulated_cluster.log)
             t.until(lambda: done.called, 20)
 
-        quiet = fed()
+        quiet = published()
         t.go(10)
-        rest = {name: (fed()[name] - b) / 10 for name, b in quiet.items()}
+        rest = {name: (published()[name] - b) / 10 for name, b in quiet.items()}
         for what, grow in (("a route of all halls", "probe"), ("a route of hall d", "far")):
-            before, began = fed(), t.world.time
+            before, started_at = published(), t.world.time
             for k in range(1, changes + 1):
                 if grow == "far":
-                    t.blueprint["routes"]["farther"] = {
+                    t.configuration["routes"]["farther"] = {
                         "path": f"/farther/{t.probe}/{k}",
                         "pool": t.pool,
                         "zones": ["d"],
@@ -193,8 +191,8 @@
                     wait(t.with_probe(t.probe))
                 else:
                     wait(t.with_probe(t.probe + 1))
-            took = (t.world.time - began) / simulated_cluster.S
-            per = {name: (fed()[name] - b - rest[name] * took) / changes for name, b in before.items()}
+            took = (t.world.time - started_at) / simulated_cluster.S
+            per = {name: (published()[name] - b - rest[name] * took) / changes for name, b in before.items()}
             print(
                 f"{n} routes of hall d, a change to {what}: n1 (hall a) {per['n1']:.0f} bytes, "
                 f"n6 (hall d) {per['n6']:.0f} bytes; quiet: {rest['n1']:.0f} bytes/s",
@@ -204,13 +202,13 @@
 
 def recovery(
     *,
-    names: list[str] = ("kill_node", "kill_warden", "kill_core", "freeze", "cut_node", "kill_hall"),
+    names: list[str] = ("kill_node", "kill_owner", "kill_core", "freeze", "cut_node", "kill_hall"),
     seeds: int = 10,
     shape: str = "magnolia",
 ) -> None:
     """After each fault, until when first sends failed, over seeds (simulated).
 
-    :param names: scenes
+    :param names: scenarios
     :param seeds: how many seeds for each
     :param shape: magnolia, swan or small
     """
@@ -219,7 +217,7 @@
         out = {}
         for seed in range(1, seeds + 1):
             with contextlib.suppress(TimeoutError):
-                t = scenes.play(name, seed, shape)
+                t = fault_scenarios.play(name, seed, shape)
                 for fault, ms, bad, n in replay.recovery(t.tape.rows):
                     out.setdefault(fault.split()[0], []).append((ms, bad, n))
         for what, rows in out.items():
@@ -235,9 +233,12 @@
 def _sent_bytes(t: typing.Any) -> typing.Any:
     """What the cores have sent so far, in bytes, on all their links."""
     return sum(
-        link.sent_bytes
+        connection.sent_bytes
         for core in t.cores.values()
-        for link in [*(post.link for post in core.node_sessions.values()), *core.peers.links.values()]
+        for connection in [
+            *(node_session.connection for node_session in core.node_sessions.values()),
+            *core.peers.connections.values(),
+        ]
     )
 
 
@@ -254,7 +255,7 @@
             t = simulated_cluster.SimulatedCluster(seed, "magnolia", 0, 0, 0, halls=[f"h{k % 8}" for k in range(n)])
             t.probing = False
             for k in range(r):
-                t.blueprint["routes"][f"r{k}"] = {"path": f"/r/{k}", "pool": t.pool}
+                t.configuration["routes"][f"r{k}"] = {"path": f"/r/{k}", "pool": t.pool}
             t.begin()
             t.go(3)
             before = _sent_bytes(t)
@@ -262,21 +263,23 @@
             quiet = (_sent_bytes(t) - before) / 10
             took = []
             for _ in range(5):
-                began = t.world.time
-                done = t.office_mach.spawn(t.boss.change(t.with_probe(t.probe + 1)), simulated_cluster.log)
+                started_at = t.world.time
+                done = t.operator_runtime.spawn(t.operator.change(t.with_probe(t.probe + 1)), simulated_cluster.log)
                 t.until(lambda: done.called, 30)
-                took.append((t.world.time - began) / 1000)
+                took.append((t.world.time - started_at) / 1000)
             tail = t.tail()
-            began = t.world.time
-            tail.proc.kill()
-            done = t.office_mach.spawn(t.boss.change(t.with_probe(t.probe + 1)), simulated_cluster.log)
+            started_at = t.world.time
+            tail.process.kill()
+            done = t.operator_runtime.spawn(t.operator.change(t.with_probe(t.probe + 1)), simulated_cluster.log)
             t.until(lambda: done.called, 40)
-            roster = len(wire.encoder.encode(max((c.issuer.latest for c in t.cores.values()), key=lambda x: x.stamp)))
+            membership = len(
+                wire.encoder.encode(max((c.issuer.latest for c in t.cores.values()), key=lambda x: x.version))
+            )
             print(
                 f"{n} nodes, {r} routes: plan and confirm {sorted(took)[2]:.0f} ms "
                 f"(median of 5, worst {max(took):.0f}); the "
-                f" cores send {quiet / 1000:.1f} kB/s when quiet; roster {roster} bytes; "
-                f"tail lost: next change after {(t.world.time - began) / 1e6:.1f} s",
+                f" cores send {quiet / 1000:.1f} kB/s when quiet; roster {membership} bytes; "
+                f"tail lost: next change after {(t.world.time - started_at) / 1e6:.1f} s",
                 flush=True,
             )
 
@@ -292,31 +295,31 @@
     t = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0.2, short_rate=2, talks=4)
     t.begin()
     t.load.us = minutes * 60 * simulated_cluster.S
-    kinds = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_warden")
+    kinds = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_owner")
 
     async def change() -> None:
         while True:
-            await t.boss.change(t.with_probe(t.probe + 1))
-            await t.office_mach.sleep(3 * simulated_cluster.S)
+            await t.operator.change(t.with_probe(t.probe + 1))
+            await t.operator_runtime.sleep(3 * simulated_cluster.S)
 
-    t.office_mach.spawn(change(), simulated_cluster.log)
+    t.operator_runtime.spawn(change(), simulated_cluster.log)
     for k in range(minutes):
         end = t.world.time + 60 * simulated_cluster.S
         if k % 3 == 1:
             name = kinds[(k // 3) % len(kinds)]
             x = {
-                "kill_node": lambda: scenes.some_node(t, warden=False),
-                "kill_core": lambda: scenes.some_core(t),
-                "kill_warden": lambda: scenes.some_node(t, warden=True),
-                "freeze": lambda: scenes.some_node(t),
+                "kill_node": lambda: fault_scenarios.some_node(t, owner=False),
+                "kill_core": lambda: fault_scenarios.some_core(t),
+                "kill_owner": lambda: fault_scenarios.some_node(t, owner=True),
+                "freeze": lambda: fault_scenarios.some_node(t),
                 "worker_crash": lambda: t.workers[sorted(t.workers)[0]],
             }[name]()
             if name == "freeze":
-                x.proc.freeze()
+                x.process.freeze()
                 t.go(4)
-                x.proc.wake()
+                x.process.wake()
             else:
-                scenes.kill(t, x, getattr(x, "ident", None) or x.options.name, back=4)
+                fault_scenarios.kill(t, x, getattr(x, "identifier", None) or x.options.name, back=4)
         t.go((end - t.world.time) / simulated_cluster.S)
         t.tape.rows.clear()
         if (k + 1) % 5 == 0:
@@ -324,35 +327,32 @@
 
 
 def held(t: typing.Any) -> dict[typing.Any, typing.Any]:
-    """The largest size of each thing that the processes keep.
-
-    Example: `held(simulated_cluster)["claims"]`
-    """
-    nodes = [n for n in t.nodes.values() if n.proc.alive]
-    cores = [c for c in t.cores.values() if c.proc.alive]
-    ws = [w for n in nodes for w in n.wardens.values()]
+    """The largest size of each thing that the processes keep."""
+    nodes = [n for n in t.nodes.values() if n.process.alive]
+    cores = [c for c in t.cores.values() if c.process.alive]
+    ws = [w for n in nodes for w in n.pool_owners.values()]
     most = lambda xs: max(xs, default=0)  # noqa: E731
     return {
         "claims": most(len(w.claims) for w in ws),
         "grants": most(len(w.grants) for w in ws),
-        "sessions": most(len(w.book.records) for w in ws),
+        "sessions": most(len(w.session_table.records) for w in ws),
         "voids": most(len(w.voids) for w in ws),
         "budget": most(len(w.budget.firsts) + len(w.budget.repeats) for w in ws),
         "gone": most(len(w.gone) for w in ws),
-        "heard": most(len(h) for w in ws for h in w.watch.heard.values()),
+        "heard": most(len(h) for w in ws for h in w.watch.last_contact.values()),
         "copies": most(len(s.sessions) + len(s.claims) for n in nodes for s in n.session_replicas.values()),
-        "pins": most(len(n.door.pins) for n in nodes),
+        "pins": most(len(n.gateway.affinities) for n in nodes),
         "given up": most(len(n.given_up) for n in nodes),
-        "tallies": most(len(b.firsts) + len(b.repeats) for n in nodes for b in n.door.tallies.values()),
-        "links": most(len(x.peers.links) for x in nodes + cores),
-        "plans": most(len(c.chain.tip.plans) for c in cores),
+        "tallies": most(len(b.firsts) + len(b.repeats) for n in nodes for b in n.gateway.tallies.values()),
+        "links": most(len(x.peers.connections) for x in nodes + cores),
+        "plans": most(len(c.chain.latest_state.plans) for c in cores),
         "history": most(len(c.chain.history) for c in cores),
         "entries": most(len(c.chain.log) for c in cores),
-        "keys on disk": most(len(c.proc.host.synced) for c in cores),
-        "bytes on disk": most(sum(len(v) for v in c.proc.host.synced.values()) for c in cores),
-        "pulses": most(len(c.membership.heartbeats) for c in cores),
+        "keys on disk": most(len(c.process.host.synced) for c in cores),
+        "bytes on disk": most(sum(len(v) for v in c.process.host.synced.values()) for c in cores),
+        "pulses": most(len(c.consensus.heartbeats) for c in cores),
         "posts": most(len(c.node_sessions) for c in cores),
-        "seated": most(len(c.seated) for c in cores),
+        "seated": most(len(c.active) for c in cores),
         "left": most(len(c.issuer.left) for c in cores),
         "places": most(len(c.issuer.places) for c in cores),
         "connections": len(t.world.conns),
@@ -360,14 +360,14 @@
 
 
 def capacity(*, small: bool = False) -> None:
-    """The slopes of docs/CAPACITY.md, one after the other; bench/capacity.py has them singly.
+    """The slopes of docs/CAPACITY.md, one after the other; benchmarks/capacity.py has them singly.
 
     :param small: a few sizes only
     """
-    import bench.capacity as slopes
+    import benchmarks.capacity as slopes
 
     slopes.everything(small=small)
 
 
 if __name__ == "__main__":
-    defopt.run([hop, saturate, elects, slices, recovery, scale, sizes, capacity])
+    defopt.run([hop, saturate, selections, slices, recovery, scale, sizes, capacity])
--- a/bench/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -1,7 +1,7 @@
 """Real processes under load and faults, judged by the same checkers as the simulator's runs.
 
-python -m bench.process_trial magnolia
-python -m bench.process_trial swan --cases warden hall full
+python -m benchmarks.process_trial magnolia
+python -m benchmarks.process_trial swan --cases warden hall full
 """
 
 from __future__ import annotations
@@ -17,82 +17,61 @@
 
 import defopt
 
-import bench.fleet as fleet
-import iriswheel.load as load
-import iriswheel.machine as machine
-import iriswheel.replay as replay
+import benchmarks.fleet as fleet
+import iriswheel.cli.load_generator as load_generator
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.verification.replay as replay
 
 
 class Trial:
-    """A fleet, the load on it, and the log of what was done to it.
-
-    Example: `t = Trial(fleet, 60)`; `t.fault("kill", "n1", True)`.
-    """
+    """A fleet, the load on it, and the log of what was done to it."""
 
     def __init__(self, f: fleet.Fleet, seconds: int, more: list[str] = ()) -> None:
         self.fleet = f
         self.out = open(f.events("trial"), "w")
-        self.tape = load.Events(self.out)
+        self.tape = load_generator.Events(self.out)
         f.begin(self.note)
-        self.note("begun", blueprint=f.blueprint, zones=self.zones())
+        self.note("begun", blueprint=f.configuration, zones=self.zones())
         self.load = f.load(seconds, *more)
         f.until(lambda: self.count("load") > 5, "the load has begun", 20)
 
     def note(self, kind: str, **more: typing.Any) -> None:
-        """Write a row to the trial's own log.
-
-        Example: `trial.note("ended")`
-        """
-        self.tape.put(machine.boottime(), kind, **more)
+        """Write a row to the trial's own log."""
+        self.tape.put(scheduler.boottime(), kind, **more)
         self.out.flush()
 
     def fault(self, what: str, target: str, large: bool = False) -> None:
-        """Note a fault.
-
-        Example: `trial.fault("kill", "n1")`
-        """
+        """Note a fault."""
         role = next(
             (r for r, group in (("core", self.fleet.cores), ("node", self.fleet.nodes)) if target in group), "worker"
         )
-        addr = f"{fleet.HOST}:{self.fleet.nodes[target][1]}" if role == "node" else ""
+        address = f"{fleet.HOST}:{self.fleet.nodes[target][1]}" if role == "node" else ""
         self.note(
             "fault",
             what=what,
             target=target,
             large=large,
             role=role,
-            addr=addr,
-            duty=role == "node" and target in self.fleet.on_duty(),
+            addr=address,
+            duty=role == "node" and target in self.fleet.assigned_owners(),
         )
 
-    def mend(self, what: str, target: str) -> None:
-        """Note that a fault is over.
-
-        Example: `trial.mend("start", "n1")`
-        """
+    def repair(self, what: str, target: str) -> None:
+        """Note that a fault is over."""
         self.note("mend", what=what, target=target)
 
     def zones(self) -> dict[str, str]:
-        """The halls of the nodes' doors.
-
-        Example: `trial.zones()["127.0.0.1:8101"]`
-        """
+        """The zones of the nodes' doors."""
         return {f"{fleet.HOST}:{http}": self.fleet.zones[n] for n, (_, http) in self.fleet.nodes.items()}
 
     def restart(self, name: str) -> None:
-        """Start a process again, and note that its fault is over.
-
-        Example: `trial.restart("n1")`
-        """
+        """Start a process again, and note that its fault is over."""
         self.fleet.restart(name)
         self.note("moved", zones=self.zones())
-        self.mend("start", name)
+        self.repair("start", name)
 
     def count(self, name: str) -> int:
-        """How many lines a log has so far.
-
-        Example: `trial.count("load")`
-        """
+        """How many lines a log has so far."""
         try:
             with open(self.fleet.events(name)) as f:
                 return sum(1 for _ in f)
@@ -100,25 +79,19 @@
             return 0
 
     def served(self, n: int) -> None:
-        """Wait until the workers have finished n more exchanges.
-
-        Example: `trial.served(20)`
-        """
+        """Wait until the workers have finished n more requests."""
         done = lambda: sum(self.count(w) for w in self.fleet.workers)  # noqa: E731
         goal = done() + 2 * n
         self.fleet.until(lambda: done() >= goal, f"{n} more exchanges are served", 30)
 
     def finish(self) -> tuple[dict[str, typing.Any], dict[str, list[str]], list[str]]:
-        """Wait for the load, read the configuration back, judge: report, complaints, recoveries.
-
-        Example: `report, found, back = trial.finish()`
-        """
+        """Wait for the load, read the configuration back, judge: report, complaints, recoveries."""
         self.load.send_signal(signal.SIGINT)
         report = json.loads(self.load.communicate()[0])
         for _, http in self.fleet.cores.values():
-            status, doc = fleet.ask(http, "GET", "/blueprint")
+            status, document = fleet.query(http, "GET", "/blueprint")
             if status == 200:
-                self.note("read", stamp=doc["stamp"], blueprint=doc["blueprint"])
+                self.note("read", stamp=document["stamp"], blueprint=document["blueprint"])
                 break
         self.note("ended")
         self.out.close()
@@ -134,10 +107,7 @@
 
 
 def spread(t: typing.Any, names: typing.Any, seconds: typing.Any) -> None:
-    """Kill processes at once, let the load go on, start them again.
-
-    Example: `spread(t, ["n1", "n2"], 4)`
-    """
+    """Kill processes at once, let the load go on, start them again."""
     for x in names:
         t.fault("kill", x, large=len(names) > 1)
         t.fleet.kill(x)
@@ -149,11 +119,11 @@
 
 def change(t: typing.Any) -> None:
     """A change of the configuration is confirmed."""
-    doc = json.loads(json.dumps(t.fleet.blueprint))
-    doc["routes"]["late"] = {"path": "/v1/late", "pool": t.fleet.pool}
-    began = time.monotonic()
-    t.fleet.until(lambda: t.fleet.confirm(doc, t.note), "the change is confirmed", 20)
-    print(f"change acknowledged after {1000 * (time.monotonic() - began):.0f} ms")
+    document = json.loads(json.dumps(t.fleet.configuration))
+    document["routes"]["late"] = {"path": "/v1/late", "pool": t.fleet.pool}
+    started_at = time.monotonic()
+    t.fleet.until(lambda: t.fleet.confirm(document, t.note), "the change is confirmed", 20)
+    print(f"change acknowledged after {1000 * (time.monotonic() - started_at):.0f} ms")
 
 
 def drain(t: typing.Any) -> None:
@@ -169,11 +139,11 @@
 
 def node(t: typing.Any) -> None:
     """A node is killed and started again."""
-    spread(t, [next(n for n in t.fleet.nodes if n not in t.fleet.on_duty())], 4)
+    spread(t, [next(n for n in t.fleet.nodes if n not in t.fleet.assigned_owners())], 4)
 
 
 def warden(t: typing.Any) -> None:
-    """The warden is killed and started again."""
+    """The pool owner is killed and started again."""
     spread(t, [t.fleet.warden()], 4)
 
 
@@ -184,7 +154,7 @@
 
 
 def hall(t: typing.Any) -> None:
-    """All processes of a hall are killed at once."""
+    """All processes of a zone are killed at once."""
     zone = sorted(set(t.fleet.zones.values()))[-1]
     spread(t, [x for x in [*t.fleet.cores, *t.fleet.nodes] if t.fleet.zones[x] == zone], 4)
     time.sleep(6)
@@ -197,13 +167,13 @@
 
 
 def freeze(t: typing.Any) -> None:
-    """The warden freezes for four seconds, then a core machine."""
+    """The pool owner freezes for four seconds, then a core machine."""
     for name in (t.fleet.warden(), sorted(t.fleet.cores)[-1]):
         t.fault("freeze", name)
         t.fleet.signal(name, signal.SIGSTOP)
         time.sleep(4)
         t.fleet.signal(name, signal.SIGCONT)
-        t.mend("wake", name)
+        t.repair("wake", name)
         time.sleep(8)
 
 
@@ -228,22 +198,22 @@
     time.sleep(2)
     t.fleet.add_core("c9", fleet.free_port(), t.fleet.zones[name])
     t.fleet.until(lambda: t.fleet.state("c9").get("whole"), "c9 is whole", 30)
-    t.mend("start", name)
+    t.repair("start", name)
     time.sleep(4)
 
 
 def full(t: typing.Any) -> None:
     """A core machine's files may not grow or change for a while: its disk refuses every write."""
     name = sorted(t.fleet.cores)[-1]
-    pid = t.fleet.procs[name].pid
+    pid = t.fleet.processes[name].pid
     was = resource.prlimit(pid, resource.RLIMIT_FSIZE)
     t.fault("disk full", name)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, was[1]))
     for _ in range(3):
-        t.fleet.confirm(t.fleet.blueprint, t.note)
+        t.fleet.confirm(t.fleet.configuration, t.note)
         time.sleep(2)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, was)
-    t.mend("disk mended", name)
+    t.repair("disk mended", name)
     t.fleet.until(
         lambda: t.fleet.state(name).get("whole") and t.fleet.state(name).get("disk_ok"), f"{name} is back", 30
     )
@@ -256,7 +226,7 @@
         if name in t.fleet.cores:
             t.fault("stop", name)
         t.fleet.signal(name, signal.SIGTERM)
-        t.fleet.procs[name].wait(40)
+        t.fleet.processes[name].wait(40)
         t.restart(name)
         t.fleet.until(lambda: t.fleet.ready(name), f"{name} is ready", 30)
         time.sleep(1)
--- a/iriswheel/__main__.py
+++ b/iriswheel/__main__.py
@@ -1,5 +1,5 @@
 """Run the command line: `python -m iriswheel`."""
 
-import iriswheel.command
+import iriswheel.cli.command
 
-iriswheel.command.main()
+iriswheel.cli.command.main()
--- /dev/null
+++ b/iriswheel/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line: the programs, and the tools for operators."""
--- a/iriswheel/command.py
+++ b/iriswheel/cli/command.py
@@ -14,14 +14,15 @@
 import twisted.internet.error as error
 import twisted.web.http_headers as http_headers
 
-import iriswheel.configuration as configuration
-import iriswheel.dispatch as dispatch
-import iriswheel.history as operators_history
-import iriswheel.load as load_generator
-import iriswheel.machine as machine
-import iriswheel.options as options_reader
-import iriswheel.process as process
-import iriswheel.replay as judge
+import iriswheel.cli.load_generator as load_generator
+import iriswheel.cli.service as service
+import iriswheel.configuration.configuration as configuration
+import iriswheel.dataplane.dispatch as dispatch
+import iriswheel.runtime.options as options_reader
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.verification.history as operators_history
+import iriswheel.verification.replay as judge
 
 REFUSED, UNKNOWN = 4, 5
 
@@ -29,14 +30,11 @@
 
 
 def settle(role: str, path: str, flags: dict[str, typing.Any]) -> options_reader.Options:
-    """The checked options, or an exit with every mistake.
-
-    Example: `settle("node", "node.toml", {})`
-    """
+    """The checked options, or an exit with every mistake."""
     try:
         return options_reader.read(role, path, flags)
     except options_reader.OptionsError as e:
-        process.fail(process.BAD_INPUT, e.errors)
+        service.fail(service.BAD_INPUT, e.errors)
 
 
 def core(
@@ -53,14 +51,12 @@
 ) -> None:
     """Run a core machine: a link of the chain, with a data folder.
 
-    Example: iriswheel core --options core.toml --data /var/lib/iriswheel
-
     :param options: options file (TOML); flags go over it
     :param name: this machine's name
     :param host: IP number to listen on and to be reached at
     :param port: port for iriswheel's own processes
     :param http_port: port for operators
-    :param zone: hall or zone of this machine
+    :param zone: zone or zone of this machine
     :param seeds: IP:port of the three core machines; the first founds the fleet
     :param data: data folder
     :param log_level: DEBUG, INFO, WARNING or ERROR
@@ -68,7 +64,7 @@
     flags = dict(
         name=name, host=host, port=port, http_port=http_port, zone=zone, seeds=seeds, data=data, log_level=log_level
     )
-    process.run_core(settle("core", options, flags), options, lambda: options_reader.read("core", options, flags))
+    service.run_core(settle("core", options, flags), options, lambda: options_reader.read("core", options, flags))
 
 
 def node(
@@ -85,14 +81,12 @@
 ) -> None:
     """Run a light node: the clients' door.
 
-    Example: iriswheel node --options node.toml --name n1
-
     :param options: options file (TOML); flags go over it
     :param name: this node's name; a node's new life drives out the one before
     :param host: IP number to listen on and to be reached at
     :param port: port for iriswheel's own processes; 0 lets the system pick
     :param http_port: port for clients; 0 lets the system pick
-    :param zone: hall or zone of this node
+    :param zone: zone or zone of this node
     :param seeds: IP:port of core machines
     :param platform: IP:port at which the platform lists the workers
     :param log_level: DEBUG, INFO, WARNING or ERROR
@@ -107,105 +101,92 @@
         platform=platform,
         log_level=log_level,
     )
-    process.run_node(settle("node", options, flags), options, lambda: options_reader.read("node", options, flags))
+    service.run_node(settle("node", options, flags), options, lambda: options_reader.read("node", options, flags))
 
 
-async def ask(
-    mach: machine.Machine, cores: list[str], method: str, path: str, doc: dict[str, typing.Any] | None = None
+async def send_request(
+    runtime: scheduler.Runtime, cores: list[str], method: str, path: str, document: dict[str, typing.Any] | None = None
 ) -> tuple[int, dict[str, typing.Any]]:
-    """Ask the first core that answers; a core that can't be reached is passed over.
-
-    Example: `status, doc = await ask(mach, ["127.0.0.1:8001"], "GET", "/blueprint")`
-    """
-    agent = dispatch.Dispatcher(mach).fresh
+    """Ask the first core that answers; a core that can't be reached is passed over."""
+    agent = dispatch.Dispatcher(runtime).fresh
     for text in cores:
         host, port = options_reader.address(text)
-        body = None if doc is None else dispatch.Body(json.dumps(doc).encode())
-        heads = http_headers.Headers({"Content-Type": ["application/json"]})
+        body = None if document is None else dispatch.Body(json.dumps(document).encode())
+        headers = http_headers.Headers({"Content-Type": ["application/json"]})
         try:
-            res = await agent.request(method.encode(), f"http://{host}:{port}{path}".encode(), heads, body)
+            response = await agent.request(method.encode(), f"http://{host}:{port}{path}".encode(), headers, body)
         except (error.ConnectError, error.TimeoutError):
             continue
         got = defer.Deferred()
-        res.deliverBody(dispatch.Collect(got.callback))
+        response.deliverBody(dispatch.Collect(got.callback))
         raw = await got
         if raw is None:
             raise ValueError("the answer broke off")
-        return res.code, json.loads(raw)
+        return response.code, json.loads(raw)
     return 503, {"code": "no_chain", "verdict": "not_run", "text": "No core machine can be reached."}
 
 
-def operate(cores: list[str], method: str, path: str, doc: dict[str, typing.Any] | None = None) -> None:
-    """Ask, print the answer as JSON, and exit by its verdict.
-
-    Example: `operate(["127.0.0.1:8001"], "GET", "/blueprint")`
-    """
-    process.set_logs("ERROR")
+def operate(cores: list[str], method: str, path: str, document: dict[str, typing.Any] | None = None) -> None:
+    """Ask, print the answer as JSON, and exit by its verdict."""
+    service.set_logs("ERROR")
     for c in cores:
         try:
             options_reader.address(c)
         except ValueError:
-            process.fail(process.BAD_INPUT, [f"--core: {c!r} is no IP:port"])
-    reactor = process.the_reactor()
+            service.fail(service.BAD_INPUT, [f"--core: {c!r} is no IP:port"])
+    reactor = service.the_reactor()
     out = []
 
     async def go() -> None:
         try:
-            out.append(await ask(machine.Machine(reactor), cores, method, path, doc))
+            out.append(await send_request(scheduler.Runtime(reactor), cores, method, path, document))
         except Exception as e:
             out.append((504, {"code": "unknown_outcome", "verdict": "may_have_run", "text": f"No answer: {e}"}))
         reactor.stop()
 
     reactor.callWhenRunning(lambda: defer.ensureDeferred(go()))
     reactor.run()
-    status, res = out[0]
-    print(json.dumps(res, indent=2))
+    status, response = out[0]
+    print(json.dumps(response, indent=2))
     if status != 200:
-        sys.exit(UNKNOWN if res.get("verdict") == "may_have_run" else REFUSED)
+        sys.exit(UNKNOWN if response.get("verdict") == "may_have_run" else REFUSED)
 
 
 def read_json(path: str) -> dict[str, dict[str, dict[str, typing.Any]]]:
-    """A JSON file, or an exit that says why not.
-
-    Example: `doc = read_json("blueprint.json")`
-    """
+    """A JSON file, or an exit that says why not."""
     try:
         with open(path) as f:
             return json.load(f)
     except OSError as e:
-        process.fail(process.BAD_INPUT, [f"{path}: {e.strerror}"])
+        service.fail(service.BAD_INPUT, [f"{path}: {e.strerror}"])
     except ValueError as e:
-        process.fail(process.BAD_INPUT, [f"{path}: not JSON: {e}"])
+        service.fail(service.BAD_INPUT, [f"{path}: not JSON: {e}"])
 
 
 def check(blueprint_file: str) -> None:
     """Check a configuration file and say all that is wrong with it.
 
-    Example: iriswheel check blueprint.json
-
     :param blueprint_file: the configuration, as JSON
     """
     try:
         items = configuration.flatten(read_json(blueprint_file))
     except configuration.InvalidConfigurationError as e:
-        process.fail(process.BAD_INPUT, e.errors)
+        service.fail(service.BAD_INPUT, e.errors)
     print(f"{blueprint_file}: {len(items)} items, no mistakes.")
 
 
 def plan(file: str, *, core: list[str], patch: bool = False, base: int | None = None) -> None:
     """Send a configuration or a JSON Patch and get a plan of what would change.
 
-    Example: iriswheel plan blueprint.json --core 127.0.0.1:8001
-
     :param file: the configuration, or the patch, as JSON
     :param core: IP:port of core machines' HTTP doors, tried in turn
     :param patch: the file is a JSON Patch (RFC 6902)
-    :param base: the stamp that the change was made for; refused where it has moved
+    :param base: the version that the change was made for; refused where it has moved
     """
-    doc = {"patch" if patch else "blueprint": read_json(file)}
+    document = {"patch" if patch else "blueprint": read_json(file)}
     if base is not None:
-        doc["base"] = base
-    operate(core, "POST", "/plans", doc)
+        document["base"] = base
+    operate(core, "POST", "/plans", document)
 
 
 def confirm(plan_id: str, *, core: list[str]) -> None:
@@ -213,8 +194,6 @@
 
     Saying it again gives the same answer and changes nothing more.
 
-    Example: iriswheel confirm 3-0123456789ab --core 127.0.0.1:8001
-
     :param plan_id: the id that the plan came with
     :param core: IP:port of core machines' HTTP doors, tried in turn
     """
@@ -227,24 +206,25 @@
     The file holds a whole configuration, or {"upsert": {"routes": {...}}, "remove": {"routes": [...]}}.
     Saying the same again gives the same answer and changes nothing more.
 
-    Example: iriswheel change night.json --number 9 --built-on 7 --core 127.0.0.1:8001
-
     :param file: the change, as JSON
     :param number: your number for what stands after it, above the one in place
     :param built_on: the number in place that it is made for; 0 before the first
     :param core: IP:port of core machines' HTTP doors, tried in turn
     """
-    doc = read_json(file)
-    part = isinstance(doc, dict) and doc and set(doc) <= {"upsert", "remove"}
-    operate(core, "POST", "/changes", {"number": number, "built_on": built_on, **(doc if part else {"blueprint": doc})})
+    document = read_json(file)
+    part = isinstance(document, dict) and document and set(document) <= {"upsert", "remove"}
+    operate(
+        core,
+        "POST",
+        "/changes",
+        {"number": number, "built_on": built_on, **(document if part else {"blueprint": document})},
+    )
 
 
 def show(what: str = "blueprint", *, core: list[str]) -> None:
     """Read the configuration back, or a plan by its id, or the state of a process.
 
-    Example: iriswheel show blueprint --core 127.0.0.1:8001
-
-    :param what: blueprint, state, or a plan's id
+    :param what: configuration, state, or a plan's id
     :param core: IP:port of core machines' HTTP doors (for state: of any process)
     """
     operate(core, "GET", f"/{what}" if what in ("blueprint", "state") else f"/plans/{what}")
@@ -262,9 +242,7 @@
     events: str = "",
     seed: int = 1,
 ) -> None:
-    """Send the brief's mix of exchanges to nodes and report what came of them; SIGINT ends it early.
-
-    Example: iriswheel load --nodes 127.0.0.1:8101 127.0.0.1:8102 --seconds 20
+    """Send the brief's mix of requests to nodes and report what came of them; SIGINT ends it early.
 
     :param nodes: IP:port of nodes' HTTP doors
     :param platform: IP:port of a platform that names the ready nodes (the stand-in does)
@@ -276,20 +254,20 @@
     :param events: file for the event log, one JSON object a line
     :param seed: seed of the mix
     """
-    process.set_logs("ERROR")
+    service.set_logs("ERROR")
     try:
-        places = load_generator.Places([options_reader.address(n) for n in nodes])
+        places = load_generator.NodeAddresses([options_reader.address(n) for n in nodes])
         follow = options_reader.address(platform) if platform else None
     except ValueError as e:
-        process.fail(process.BAD_INPUT, [f"nodes, platform: {e}"])
-    reactor = process.the_reactor()
-    mach = machine.Machine(reactor, seed=seed)
+        service.fail(service.BAD_INPUT, [f"nodes, platform: {e}"])
+    reactor = service.the_reactor()
+    runtime = scheduler.Runtime(reactor, seed=seed)
     if follow:
-        mach.spawn(places.follow(mach, *follow), log)
+        runtime.spawn(places.follow(runtime, *follow), log)
     with contextlib.ExitStack() as files:
         out = files.enter_context(open(events, "w")) if events else None
-        gen = load_generator.Load(
-            mach, places, path, seconds * machine.SECOND, long_rate, short_rate, talks, load_generator.Events(out)
+        gen = load_generator.LoadGenerator(
+            runtime, places, path, seconds * units.SECOND_US, long_rate, short_rate, talks, load_generator.Events(out)
         )
         reactor.callWhenRunning(
             lambda: [signal.signal(s, lambda *_: gen.end()) for s in (signal.SIGTERM, signal.SIGINT)]
@@ -300,19 +278,16 @@
 
 
 def read_logs(paths: tuple[str]) -> typing.Any:
-    """The events of some logs by their times, or an exit that says what is damaged.
-
-    Example: `rows = read_logs(["run.events"])`
-    """
+    """The events of some logs by their times, or an exit that says what is damaged."""
     lines, cuts = [], []
     for path in paths:
         try:
             with open(path) as f:
                 rows, cut = judge.read(f)
         except OSError as e:
-            process.fail(process.BAD_INPUT, [f"{path}: {e.strerror}"])
+            service.fail(service.BAD_INPUT, [f"{path}: {e.strerror}"])
         except (judge.DamagedLogError, UnicodeDecodeError) as e:
-            process.fail(process.BAD_INPUT, [f"{path}: damaged: {e}"])
+            service.fail(service.BAD_INPUT, [f"{path}: damaged: {e}"])
         lines += rows
         cuts += [path] if cut else []
     lines.sort(key=lambda r: r["at"])
@@ -324,8 +299,6 @@
 def replay(*files: str) -> typing.NoReturn:
     """Judge event logs by the brief's twelve points; exit 1 where there is a complaint.
 
-    Example: iriswheel replay run.events
-
     :param files: event logs of one run, merged by their times
     """
     lines = read_logs(files)
@@ -342,8 +315,6 @@
 def history(*files: str) -> typing.NoReturn:
     """Judge operators' calls in event logs: whether one order explains every answer; exit 1 where none does.
 
-    Example: iriswheel history run.events
-
     :param files: event logs of one run, merged by their times
     """
     rows = read_logs(files)
@@ -355,10 +326,7 @@
 
 
 def main() -> None:
-    """The program.
-
-    Example: `python -m iriswheel --help`
-    """
+    """The program."""
     try:
         defopt.run([core, node, load, check, plan, confirm, change, show, replay, history])
     except KeyboardInterrupt:
--- a/iriswheel/process.py
+++ b/iriswheel/cli/service.py
@@ -15,27 +15,25 @@
 import twisted.internet.defer as defer
 import twisted.internet.error as error
 
-import iriswheel.machine as machine
-import iriswheel.options as options
-import iriswheel.web as web
-import iriswheel.wire as wire
+import iriswheel.runtime.options as options
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.http_server as http_server
+import iriswheel.transport.wire as wire
 
 if typing.TYPE_CHECKING:
     import twisted.internet.epollreactor as epollreactor
     import twisted.internet.tcp as tcp
 
 
-FINISH_US = 500 * machine.MILLI  # for the last bytes of a node's answers
+FINISH_US = 500 * units.MILLISECOND_US  # for the last bytes of a node's answers
 BAD_INPUT, NO_START = 2, 3
 
 log = loguru.logger.bind(part="main")
 
 
 def set_logs(level: str) -> None:
-    """Logs go to standard error: a time, the part's prefix, a short sentence.
-
-    Example: `set_logs("INFO")`
-    """
+    """Logs go to standard error: a time, the part's prefix, a short sentence."""
     loguru.logger.remove()
     loguru.logger.configure(extra={"part": "main"})
     form = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level:<7} {extra[part]}: {message}"
@@ -43,10 +41,7 @@
 
 
 def fail(code: int, lines: list[str]) -> typing.NoReturn:
-    """Say why on standard error, one line each, and exit.
-
-    Example: `fail(2, ["seeds: missing"])`
-    """
+    """Say why on standard error, one line each, and exit."""
     for line in lines:
         print(f"iriswheel: {line}", file=sys.stderr)
     sys.exit(code)
@@ -58,8 +53,6 @@
     Twisted's reactors time their calls by the time of day, so that a clock set back by some
     seconds would hold up every timer of the process for as long. This one goes by the clock
     since boot, as `machine.Machine` does.
-
-    Example: `the_reactor().run()`
     """
     import twisted.internet.epollreactor as epollreactor
     import twisted.internet.main as main
@@ -67,7 +60,7 @@
     class SteadyReactor(epollreactor.EPollReactor):
         """An epoll reactor whose timers follow the clock since boot."""
 
-        seconds = staticmethod(lambda: machine.boottime() / machine.SECOND)
+        seconds = staticmethod(lambda: scheduler.boottime() / units.SECOND_US)
 
     reactor = SteadyReactor()
     main.installReactor(reactor)
@@ -80,10 +73,7 @@
     stop: collections.abc.Callable[..., object],
     again: collections.abc.Callable[..., object] = lambda: None,
 ) -> None:
-    """Run the reactor until a signal; SIGTERM and SIGINT stop it in good order, SIGHUP has the options read again.
-
-    Example: `run(reactor, o, node.stop)`
-    """
+    """Run the reactor until a signal; SIGTERM and SIGINT stop it in good order, SIGHUP has the options read again."""
     stopping = []
 
     def on_signal(*_: int) -> None:
@@ -101,12 +91,13 @@
 
 
 def bind(
-    reactor: typing.Any, o: options.Options, peers: wire.Listener, http: web.Server, ready: web.Server | None = None
+    reactor: typing.Any,
+    o: options.Options,
+    peers: wire.Listener,
+    http: http_server.Server,
+    ready: http_server.Server | None = None,
 ) -> tcp.Port:
-    """Bind the ports; the options then hold the real ones. Returns the port where HTTP is served.
-
-    Example: `bind(reactor, o, listener, server)`
-    """
+    """Bind the ports; the options then hold the real ones. Returns the port where HTTP is served."""
     try:
         o.port = reactor.listenTCP(o.port, peers, interface=o.host, backlog=512).getHost().port
         host, port = o.front_address()
@@ -125,29 +116,31 @@
     o: options.Options,
     path: str,
     reread: collections.abc.Callable[..., object],
-    door: collections.abc.Callable[..., object] = lambda proc: proc.handle,
+    make_handler: collections.abc.Callable[..., object] = lambda process: process.handle,
 ) -> None:
-    """Run a core machine with these options; reread() reads them again from the file at path.
-
-    Example: `run_core(o, "core.toml", lambda: options.read("core", "core.toml", {}))`
-    """
-    import iriswheel.core as core
-    import iriswheel.store as store
+    """Run a core machine with these options; reread() reads them again from the file at path."""
+    import iriswheel.control.core as core
+    import iriswheel.replication.storage as storage
 
     set_logs(o.log_level)
     reactor = the_reactor()
-    disk = store.Disk(o.data, reactor)
+    disk = storage.Disk(o.data, reactor)
     try:
         disk.open()
-        mach = machine.Machine(reactor)
-        proc = core.Core(mach, disk, o)
-    except store.DiskError as e:
+        runtime = scheduler.Runtime(reactor)
+        process = core.Core(runtime, disk, o)
+    except storage.DiskError as e:
         fail(NO_START, [str(e)])
-    bind(reactor, o, wire.Listener(mach, proc.serve, log), web.Server(mach, door(proc), room=o.connections))
-    proc.start()
-    watch = options.Watch(mach, path, reread, proc.renew)
-    mach.spawn(watch.run(), log)
-    run(reactor, o, proc.stop, watch.again)
+    bind(
+        reactor,
+        o,
+        wire.Listener(runtime, process.serve, log),
+        http_server.Server(runtime, make_handler(process), connection_limit=o.connections),
+    )
+    process.start()
+    watch = options.Watch(runtime, path, reread, process.renew)
+    runtime.spawn(watch.run(), log)
+    run(reactor, o, process.stop, watch.again)
     disk.close()
 
 
@@ -161,27 +154,35 @@
     """Run a light node with these options; reread() reads them again from the file at path.
 
     `ready(proc)` makes the handler of the address at which only readiness is told.
-
-    Example: `run_node(o, "node.toml", lambda: options.read("node", "node.toml", {}))`
     """
-    import iriswheel.node as node
+    import iriswheel.node.node as node
 
     set_logs(o.log_level)
     reactor = the_reactor()
-    mach = machine.Machine(reactor)
-    proc = node.Node(mach, o, **parts)
-    handle = proc.door.handle if ready is None else ready(proc)
-    server = web.Server(
-        mach, proc.door.handle, room=o.connections, formats=proc.outer, limits=lambda: proc.follower.limits
+    runtime = scheduler.Runtime(reactor)
+    process = node.Node(runtime, o, **parts)
+    handle = process.gateway.handle if ready is None else ready(process)
+    server = http_server.Server(
+        runtime,
+        process.gateway.handle,
+        connection_limit=o.connections,
+        formats=process.outer,
+        limits=lambda: process.follower.limits,
+    )
+    runtime.spawn(server.look(), log)
+    front = bind(
+        reactor,
+        o,
+        wire.Listener(runtime, process.serve, log),
+        server,
+        http_server.Server(runtime, handle, connection_limit=64),
     )
-    mach.spawn(server.look(), log)
-    front = bind(reactor, o, wire.Listener(mach, proc.serve, log), server, web.Server(mach, handle, room=64))
-    proc.start(o.port, o.front_address()[1])
-    watch = options.Watch(mach, path, reread, proc.renew)
-    mach.spawn(watch.run(), log)
+    process.start(o.port, o.front_address()[1])
+    watch = options.Watch(runtime, path, reread, process.renew)
+    runtime.spawn(watch.run(), log)
 
     async def stop() -> None:
-        await proc.stop()
+        await process.stop()
         front.stopListening()
         await server.finish(FINISH_US)
 
--- /dev/null
+++ b/iriswheel/configuration/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' configuration: schema, validation, differences and slices."""
--- a/iriswheel/configuration.py
+++ b/iriswheel/configuration/configuration.py
@@ -54,9 +54,9 @@
 
 @dataclasses.dataclass
 class Pool(Strict):
-    """A pool: the workers that the platform lists under its name, and their seats.
+    """A pool: the workers that the platform lists under its name, and their voters.
 
-    `election` says where a worker is chosen: at the pool's warden, or at each node for
+    `election` says where a worker is chosen: at the pool's pool owner, or at each node for
     itself. `conns` is how many connections a worker takes from all nodes together (0: no
     known bound), `probe` the path at which it says that it is well, `batch` how many
     requests it runs at once, `memory_tokens` and `event_tokens` what its memory and an
@@ -108,13 +108,13 @@
 
 @dataclasses.dataclass
 class Route(Strict):
-    """Which exchanges go to which pool: a host and path prefix, in some zones or in all.
+    """Which requests go to which pool: a host and path prefix, in some zones or in all.
 
-    `split` shares the exchanges out over pools by weight; `pool` then names the first.
+    `split` shares the requests out over pools by weight; `pool` then names the first.
     `repeat` says whether they may run more than once: "asked" (by the client's word),
     "may", "never"; `resume` whether a stream may be taken up at another worker; `sends` to
     how many workers one try may go (0: no bound of its own). `cutoff_us` is the longest that
-    an exchange is held, `aim_us` the time to its first byte that the operator aims at,
+    a request is held, `aim_us` the time to its first byte that the operator aims at,
     `gap_us` the longest pause between events (0: none said). Urgency 0 goes first, 9 last.
 
     >>> Route.from_dict({"path": "/v1", "pool": "desk"}).zones
@@ -138,7 +138,7 @@
     label: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
 
     def pools(self) -> list[str]:
-        """The pools that this route's exchanges may go to.
+        """The pools that this route's requests may go to.
 
         >>> Route("/", "a", split=[{"pool": "a", "weight": 9}, {"pool": "b", "weight": 1}]).pools()
         ['a', 'b']
@@ -194,7 +194,7 @@
 
 
 def flatten(
-    doc: dict[str, dict[str, dict[str, typing.Any]]] | list[typing.Any] | str,
+    document: dict[str, dict[str, dict[str, typing.Any]]] | list[typing.Any] | str,
 ) -> dict[str, dict[str, typing.Any]]:
     """Turn a configuration document into items, after checking all of it.
 
@@ -203,15 +203,15 @@
     >>> flatten({"routes": {"r": {"path": "x", "pool": "p", "terms": "d"}}})
     Traceback (most recent call last):
     ...
-    iriswheel.configuration.InvalidConfigurationError: routes/r: path must begin with '/'; ...
+    iriswheel.configuration.configuration.InvalidConfigurationError: routes/r: path must begin with '/'; ...
     """
     errors, items = [], {}
-    if not isinstance(doc, dict):
+    if not isinstance(document, dict):
         raise InvalidConfigurationError(["The blueprint is not an object."])
-    for kind in sorted(set(doc) - set(KINDS)):
+    for kind in sorted(set(document) - set(KINDS)):
         errors.append(f"{kind}: unknown section")
     for kind in KINDS:
-        part = doc.get(kind, {})
+        part = document.get(kind, {})
         if not isinstance(part, dict):
             errors.append(f"{kind}: not an object")
             continue
@@ -309,11 +309,11 @@
     >>> unflatten({"pools/desk": {"cap": 3}})
     {'pools': {'desk': {'cap': 3}}, 'routes': {}, 'terms': {}, 'limits': {}, 'marks': {}}
     """
-    doc = {kind: {} for kind in KINDS}
+    document = {kind: {} for kind in KINDS}
     for key in sorted(items):
         kind, name = key.split("/", 1)
-        doc[kind][name] = items[key]
-    return doc
+        document[kind][name] = items[key]
+    return document
 
 
 def differ(old: collections.abc.Mapping[str, typing.Any], new: dict[str, typing.Any]) -> list[tuple[str, typing.Any]]:
@@ -326,7 +326,7 @@
 
 
 def patch(
-    doc: dict[str, dict[str, dict[str, typing.Any]]], ops: list[dict[str, typing.Any]]
+    document: dict[str, dict[str, dict[str, typing.Any]]], ops: list[dict[str, typing.Any]]
 ) -> dict[str, dict[str, dict[str, typing.Any]]]:
     """Apply a JSON Patch (RFC 6902) to a document.
 
@@ -334,13 +334,13 @@
     {'pools': {'desk': {}}}
     """
     try:
-        return jsonpatch.JsonPatch(ops).apply(doc)
+        return jsonpatch.JsonPatch(ops).apply(document)
     except (jsonpatch.JsonPatchException, jsonpatch.JsonPointerException, TypeError, KeyError) as e:
         raise InvalidConfigurationError([f"The patch does not apply: {e}"]) from e
 
 
 def amend(
-    doc: dict[str, dict[str, dict[str, typing.Any]]], upsert: typing.Any, remove: typing.Any
+    document: dict[str, dict[str, dict[str, typing.Any]]], upsert: typing.Any, remove: typing.Any
 ) -> dict[str, dict[str, dict[str, typing.Any]]]:
     """A document with items put in or replaced, and others removed, both by kind and name.
 
@@ -353,7 +353,7 @@
         isinstance(v, list) and all(isinstance(n, str) for n in v) for v in remove.values()
     ):
         raise InvalidConfigurationError(["remove: wants lists of names by kind"])
-    out = {kind: dict(part) for kind, part in doc.items()}
+    out = {kind: dict(part) for kind, part in document.items()}
     for kind, names in remove.items():
         for name in names:
             out.get(kind, {}).pop(name, None)
@@ -381,14 +381,14 @@
     return f"c{built_on}-{number}-{hashlib.sha256(raw).hexdigest()[:16]}"
 
 
-def change_number(ident: str) -> int:
+def change_number(identifier: str) -> int:
     """The operator's number in a change's id; 0 for the id of a plan.
 
     >>> change_number("c5-7-2f63a8da44f9e5d5"), change_number("3-ca06da3a935a")
     (7, 0)
     """
-    parts = ident.split("-")
-    return int(parts[1]) if ident.startswith("c") and len(parts) == 3 else 0
+    parts = identifier.split("-")
+    return int(parts[1]) if identifier.startswith("c") and len(parts) == 3 else 0
 
 
 def plan_id(base: int, changes: list[tuple[str, dict[str, typing.Any] | None]]) -> str:
@@ -411,12 +411,12 @@
     """
     out = {"added": [], "changed": [], "removed": []}
     new = dict(old)
-    for key, val in changes:
-        out["removed" if val is None else "changed" if key in old else "added"].append(key)
-        if val is None:
+    for key, value in changes:
+        out["removed" if value is None else "changed" if key in old else "added"].append(key)
+        if value is None:
             new.pop(key, None)
         else:
-            new[key] = val
+            new[key] = value
     touched = {k for k, _ in changes}
     pools = {k[6:] for k in touched if k.startswith("pools/")}
     for items in (old, new):
--- a/iriswheel/agreement.py
+++ b/iriswheel/consensus/decisions.py
@@ -3,7 +3,7 @@
 A view (who votes, and the order of the chain) is agreed by single-decree Paxos among the voters of the view
 before it. Each function here takes the state of one acceptor and a typed message, and returns the new state
 with the typed answer. Disk, clock and network belong to the caller: `view.Membership` syncs a changed state before
-it sends the answer, and `bench.explore` searches the interleavings of the same functions.
+it sends the answer, and `simulation.explore` searches the interleavings of the same functions.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import msgspec
 
-import iriswheel.message as message
+import iriswheel.transport.message as message
 
 NO_BALLOT = (0, "")
 UNKNOWN_HOLDER = ""  # after a restart: a grant that was given before may stand
@@ -25,19 +25,19 @@
     view: message.View | None = None
     promised: tuple[int, str] = NO_BALLOT
     accepted: tuple[tuple[int, str], message.View] | None = None
-    whole: int = 0
+    synced_view: int = 0
 
 
 class Replica(typing.NamedTuple):
     """What an acceptor tells of itself in a promise: identity, incarnation, disk, last log entry."""
 
     id: str
-    boot: str
+    incarnation: str
     disk_ok: bool
-    tip: tuple[int, int] = (0, 0)
+    last_entry: tuple[int, int] = (0, 0)
 
 
-class SeatState(typing.NamedTuple):
+class VoterState(typing.NamedTuple):
     """What a proposer knows of one voter: whether it may be replaced, and at what address it still answers."""
 
     replaceable: bool  # it was silent for long, or says that it leaves
@@ -62,25 +62,25 @@
     return record.promised != NO_BALLOT
 
 
-def is_voter(record: Record, ident: str) -> bool:
+def is_voter(record: Record, identifier: str) -> bool:
     """Whether a machine votes on the successor of the record's view.
 
     >>> is_voter(Record(), "a")
     False
     """
-    return record.view is not None and any(seat.id == ident for seat in record.view.seats)
+    return record.view is not None and any(voter.id == identifier for voter in record.view.voters)
 
 
 def is_synced(record: Record | types.SimpleNamespace) -> bool:
     """Whether the copy holds all that was acknowledged before the record's view.
 
-    >>> is_synced(Record(message.View(2, [], []), whole=2))
+    >>> is_synced(Record(message.View(2, [], []), synced_view=2))
     True
     """
-    return record.view is not None and record.whole == record.view.number
+    return record.view is not None and record.synced_view == record.view.number
 
 
-def is_serving(record: Record, ident: str, boot: str) -> bool:
+def is_serving(record: Record, identifier: str, incarnation: str) -> bool:
     """Whether this incarnation of a machine is a member of the record's chain, and the view is not sealed.
 
     >>> is_serving(Record(message.View(2, [], [message.ChainReplica("a", "1")])), "a", "2")
@@ -88,34 +88,34 @@
     """
     if record.view is None or is_sealed(record):
         return False
-    return message.ChainReplica(ident, boot) in record.view.chain
+    return message.ChainReplica(identifier, incarnation) in record.view.chain
 
 
-def is_tail(record: Record, ident: str, boot: str) -> bool:
+def is_tail(record: Record, identifier: str, incarnation: str) -> bool:
     """Whether this incarnation of a machine serves as the tail of the record's chain.
 
     >>> is_tail(Record(message.View(2, [], [message.ChainReplica("a", "1")])), "a", "1")
     True
     """
-    return is_serving(record, ident, boot) and record.view.chain[-1].id == ident
+    return is_serving(record, identifier, incarnation) and record.view.chain[-1].id == identifier
 
 
-def may_lead_reads(record: Record, ident: str, boot: str) -> bool:
+def may_lead_reads(record: Record, identifier: str, incarnation: str) -> bool:
     """Whether a machine may ask for the read lease, and serve reads while it holds it.
 
-    >>> may_lead_reads(Record(message.View(2, [], [message.ChainReplica("a", "1")]), whole=1), "a", "1")
+    >>> may_lead_reads(Record(message.View(2, [], [message.ChainReplica("a", "1")]), synced_view=1), "a", "1")
     False
     """
-    return is_tail(record, ident, boot) and is_synced(record)
+    return is_tail(record, identifier, incarnation) and is_synced(record)
 
 
-def may_commit(record: Record, ident: str, boot: str, copies: int) -> bool:
+def may_commit(record: Record, identifier: str, incarnation: str, copies: int) -> bool:
     """Whether all that is synced on this machine is committed: it is the synced tail of a chain of enough copies.
 
-    >>> may_commit(Record(message.View(2, [], [message.ChainReplica("a", "1")]), whole=2), "a", "1", copies=2)
+    >>> may_commit(Record(message.View(2, [], [message.ChainReplica("a", "1")]), synced_view=2), "a", "1", copies=2)
     False
     """
-    return may_lead_reads(record, ident, boot) and len(record.view.chain) >= copies
+    return may_lead_reads(record, identifier, incarnation) and len(record.view.chain) >= copies
 
 
 def newer_view(record: Record, number: int) -> message.View | None:
@@ -134,18 +134,20 @@
     False
     """
     newer = newer_view(record, number)
-    return message.Promise(False, record.promised, None, newer, replica.id, replica.boot, record.whole, replica.disk_ok)
+    return message.Promise(
+        False, record.promised, None, newer, replica.id, replica.incarnation, record.synced_view, replica.disk_ok
+    )
 
 
-def is_election(record: Record, ident: str, number: int, sender: str) -> bool:
+def is_election(record: Record, identifier: str, number: int, sender: str) -> bool:
     """Whether a proposal is for the next view, from one voter to another.
 
-    >>> seats = [message.Seat(i, "host", 1, "zone") for i in "ab"]
-    >>> is_election(Record(message.View(2, seats, [])), "a", 3, "b")
+    >>> voters = [message.Voter(i, "host", 1, "zone") for i in "ab"]
+    >>> is_election(Record(message.View(2, voters, [])), "a", 3, "b")
     True
     """
     follows = record.view is not None and record.view.number + 1 == number
-    return follows and is_voter(record, ident) and is_voter(record, sender)
+    return follows and is_voter(record, identifier) and is_voter(record, sender)
 
 
 def promise(
@@ -155,9 +157,9 @@
 
     A higher ballot than any before is promised, unless somebody else holds a lease.
 
-    >>> seats = [message.Seat(i, "host", 1, "zone") for i in "ab"]
+    >>> voters = [message.Voter(i, "host", 1, "zone") for i in "ab"]
     >>> record, answer = promise(
-    ...     Record(message.View(2, seats, [])), Replica("a", "1", True), None, message.Prepare(3, (1, "b"), "b"))
+    ...     Record(message.View(2, voters, [])), Replica("a", "1", True), None, message.Prepare(3, (1, "b"), "b"))
     >>> record.promised, answer.ok
     ((1, 'b'), True)
     """
@@ -172,10 +174,10 @@
         record.accepted,
         None,
         replica.id,
-        replica.boot,
-        record.whole,
+        replica.incarnation,
+        record.synced_view,
         replica.disk_ok,
-        replica.tip,
+        replica.last_entry,
     )
     return promised, answer
 
@@ -189,62 +191,63 @@
     return holder is not None and holder != sender
 
 
-def accept(record: Record, ident: str, request: message.Accept) -> tuple[Record, message.Accepted]:
+def accept(record: Record, identifier: str, request: message.Accept) -> tuple[Record, message.Accepted]:
     """Answer an Accept: taken unless a higher ballot was promised.
 
-    >>> seats = [message.Seat(i, "host", 1, "zone") for i in "ab"]
-    >>> old, new = message.View(2, seats, []), message.View(3, seats, [])
+    >>> voters = [message.Voter(i, "host", 1, "zone") for i in "ab"]
+    >>> old, new = message.View(2, voters, []), message.View(3, voters, [])
     >>> accept(Record(old, (2, "b")), "a", message.Accept((1, "a"), new, "a"))[1].ok
     False
     """
     number = request.view.number
-    if not is_election(record, ident, number, request.sender) or request.ballot < record.promised:
+    if not is_election(record, identifier, number, request.sender) or request.ballot < record.promised:
         return record, message.Accepted(False, newer_view(record, number))
     accepted = msgspec.structs.replace(record, promised=request.ballot, accepted=(request.ballot, request.view))
     return accepted, message.Accepted(True, None)
 
 
-def adopt(record: Record, ident: str, view: message.View) -> Record:
+def adopt(record: Record, identifier: str, view: message.View) -> Record:
     """The state after a view was agreed, or the same state where it knows one as new.
 
     The head of a view is synced in it by construction.
 
-    >>> adopt(Record(), "a", message.View(1, [], [message.ChainReplica("a", "1")])).whole
+    >>> adopt(Record(), "a", message.View(1, [], [message.ChainReplica("a", "1")])).synced_view
     1
     """
     if newer_view(record, view.number) is not None:
         return record
-    whole = view.number if view.chain[0].id == ident else complete_through(record, ident)
-    return Record(view, NO_BALLOT, None, whole)
+    synced_view = view.number if view.chain[0].id == identifier else complete_through(record, identifier)
+    return Record(view, NO_BALLOT, None, synced_view)
 
 
-def complete_through(record: Record, ident: str) -> int:
+def complete_through(record: Record, identifier: str) -> int:
     """The last view of which a copy holds all that was acknowledged, once the record's view is over.
 
     A chain acknowledges nothing while one of its members is not synced. So a member that held all of the view
     before, and was not synced in this one, holds all of this one too.
 
     >>> view = message.View(3, [], [message.ChainReplica("a", "1"), message.ChainReplica("b", "1")])
-    >>> complete_through(Record(view, whole=2), "b"), complete_through(Record(view, whole=1), "b")
+    >>> complete_through(Record(view, synced_view=2), "b"), complete_through(Record(view, synced_view=1), "b")
     (3, 1)
-    >>> complete_through(Record(view, whole=2), "c")
+    >>> complete_through(Record(view, synced_view=2), "c")
     2
     """
-    if record.view is None or record.whole != record.view.number - 1:
-        return record.whole
-    is_member = any(member.id == ident for member in record.view.chain)
-    return record.view.number if is_member else record.whole
+    if record.view is None or record.synced_view != record.view.number - 1:
+        return record.synced_view
+    is_member = any(member.id == identifier for member in record.view.chain)
+    return record.view.number if is_member else record.synced_view
 
 
 def become_synced(record: Record, number: int) -> Record:
     """The state once the copy holds all that was acknowledged before the numbered view, unless that is over.
 
-    >>> become_synced(Record(message.View(2, [], [])), 2).whole, become_synced(Record(message.View(3, [], [])), 2).whole
+    >>> records = [Record(message.View(number, [], [])) for number in (2, 3)]
+    >>> tuple(become_synced(record, 2).synced_view for record in records)
     (2, 0)
     """
-    if record.view is None or record.view.number != number or is_sealed(record) or record.whole >= number:
+    if record.view is None or record.view.number != number or is_sealed(record) or record.synced_view >= number:
         return record
-    return msgspec.structs.replace(record, whole=number)
+    return msgspec.structs.replace(record, synced_view=number)
 
 
 def may_restore(record: Record | types.SimpleNamespace, synced_entry: int, snapshot_entry: int) -> bool:
@@ -252,13 +255,13 @@
 
     A snapshot may arrive after others that were sent later, when it was held up in an old connection.
 
-    >>> may_restore(Record(message.View(2, [], []), whole=2), synced_entry=17, snapshot_entry=12)
+    >>> may_restore(Record(message.View(2, [], []), synced_view=2), synced_entry=17, snapshot_entry=12)
     False
     """
     return not is_synced(record) or snapshot_entry >= synced_entry
 
 
-def give_lease(record: Record, ident: str, request: message.LeaseRequest) -> message.LeaseGiven:
+def give_lease(record: Record, identifier: str, request: message.LeaseRequest) -> message.LeaseResponse:
     """Answer a LeaseRequest: given to the tail of an unsealed view.
 
     >>> give_lease(Record(), "a", message.LeaseRequest(1, "b")).ok
@@ -266,49 +269,49 @@
     """
     view = record.view
     current = view is not None and view.number == request.view and not is_sealed(record)
-    given = current and is_voter(record, ident) and view.chain[-1].id == request.tail
-    return message.LeaseGiven(given, newer_view(record, request.view + 1))
+    given = current and is_voter(record, identifier) and view.chain[-1].id == request.tail
+    return message.LeaseResponse(given, newer_view(record, request.view + 1))
 
 
-def next_seats(
+def next_voters(
     view: message.View,
-    ident: str,
+    identifier: str,
     leaving: bool,
-    newcomers: list[message.Seat],
-    states: dict[str, SeatState],
+    joining_members: list[message.Voter],
+    states: dict[str, VoterState],
     size: int,
-) -> list[message.Seat]:
-    """The voters of the next view: a newcomer takes a replaceable seat, else a new one up to `size`.
+) -> list[message.Voter]:
+    """The voters of the next view: a newcomer takes a replaceable voter, else a new one up to `size`.
 
-    `newcomers` are seats of live machines that do not vote, in the order in which they are served; `states`
+    `joining members` are voters of live machines that do not vote, in the order in which they are served; `states`
     says of each other voter what this proposer, `ident`, knows of it. A newcomer at the address of a voter
     waits until that voter is silent.
 
-    >>> a, b, c = [message.Seat(i, i, 1, "zone") for i in "abc"]
-    >>> states = {"b": SeatState(True, True)}
-    >>> [seat.id for seat in next_seats(message.View(1, [a, b], []), "a", False, [c], states, 2)]
+    >>> a, b, c = [message.Voter(i, i, 1, "zone") for i in "abc"]
+    >>> states = {"b": VoterState(True, True)}
+    >>> [voter.id for voter in next_voters(message.View(1, [a, b], []), "a", False, [c], states, 2)]
     ['a', 'c']
     """
-    known = {seat.id for seat in view.seats}
-    seats = list(view.seats)
-    for newcomer in newcomers:
-        for k, seat in enumerate(seats):
-            if seat.id not in known or (seat.id == ident and not leaving):
+    known = {voter.id for voter in view.voters}
+    voters = list(view.voters)
+    for joining in joining_members:
+        for k, voter in enumerate(voters):
+            if voter.id not in known or (voter.id == identifier and not leaving):
                 continue
-            if seat.id == ident:
-                seats[k] = newcomer
+            if voter.id == identifier:
+                voters[k] = joining
                 break
-            state = states[seat.id]
-            same_place = (seat.host, seat.port) == (newcomer.host, newcomer.port)
+            state = states[voter.id]
+            same_place = (voter.host, voter.port) == (joining.host, joining.port)
             if same_place and not state.silent:
                 break  # its last heartbeat may be an old one
             if state.replaceable or same_place:
-                seats[k] = newcomer
+                voters[k] = joining
                 break
         else:
-            if len(seats) < size:
-                seats.append(newcomer)
-    return seats
+            if len(voters) < size:
+                voters.append(joining)
+    return voters
 
 
 def order(
@@ -330,26 +333,28 @@
 
     >>> a, b, c = [message.ChainReplica(i, "x") for i in "abc"]
     >>> v = message.View(4, [], [a, b, c])
-    >>> said = {i: message.Promise(True, (1, "b"), None, None, i, "x", w, True)
+    >>> promises_by_id = {i: message.Promise(True, (1, "b"), None, None, i, "x", w, True)
     ...         for i, w in (("b", 4), ("c", 4))}
-    >>> [l.id for l in order(v, said, {"b": "x", "c": "y", "d": "z"})]
+    >>> [l.id for l in order(v, promises_by_id, {"b": "x", "c": "y", "d": "z"})]
     ['b', 'c', 'd']
-    >>> order(v, {"d": said["b"]}, {"d": "z"}) is None
+    >>> order(v, {"d": promises_by_id["b"]}, {"d": "z"}) is None
     True
-    >>> said["c"] = message.Promise(True, (1, "b"), None, None, "c", "x", 4, True, (4, 17))
-    >>> [l.id for l in order(v, said, {"b": "x", "c": "y"})]
+    >>> promises_by_id["c"] = message.Promise(True, (1, "b"), None, None, "c", "x", 4, True, (4, 17))
+    >>> [l.id for l in order(v, promises_by_id, {"b": "x", "c": "y"})]
     ['c', 'b']
     """
     old = [member.id for member in view.chain]
     able = [i for i in old if i in promises and i in alive]
-    lead = [i for i in able if promises[i].whole == view.number]
-    lead = [i for k, i in enumerate(lead) if all(promises[j].tip <= promises[i].tip for j in lead[k + 1 :])]
+    lead = [i for i in able if promises[i].synced_view == view.number]
+    lead = [
+        i for k, i in enumerate(lead) if all(promises[j].last_entry <= promises[i].last_entry for j in lead[k + 1 :])
+    ]
     if not lead:
-        answered = [promises[i].whole for i in old if i in promises]
+        answered = [promises[i].synced_view for i in old if i in promises]
         if not answered or view.number in answered:
             return None
-        lead = [i for i in sorted(promises) if promises[i].whole == view.number - 1 and i in alive]
-        lead = sorted(lead, key=lambda i: promises[i].tip, reverse=True)[:1]
+        lead = [i for i in sorted(promises) if promises[i].synced_view == view.number - 1 and i in alive]
+        lead = sorted(lead, key=lambda i: promises[i].last_entry, reverse=True)[:1]
     if not lead:
         return None
     rest = [i for i in able if i not in lead] + [i for i in sorted(alive) if i not in old and i not in lead]
@@ -371,7 +376,7 @@
 def next_view(
     view: message.View,
     promises: dict[str, message.Promise],
-    seats: list[message.Seat],
+    voters: list[message.Voter],
     alive: dict[str, str],
     leaving: dict[str, str],
 ) -> message.View | None:
@@ -379,44 +384,45 @@
 
     A view that may have been agreed already is proposed again. `alive` are the live machines with their
     incarnations, but for those in `leaving`; what a promise says of a machine goes before it. Where none but a
-    machine that leaves can lead, it stays for one more view, with the seats as they are, to bring the others up
+    machine that leaves can lead, it stays for one more view, with the voters as they are, to bring the others up
     to date.
 
     >>> a, b = message.ChainReplica("a", "1"), message.ChainReplica("b", "1")
-    >>> old = message.View(4, [message.Seat(i, i, 1, "zone") for i in "ab"], [a, b])
-    >>> said = {
-    ...     i: message.Promise(True, (1, "a"), None, None, i, "1", whole, True) for i, whole in (("a", 4), ("b", 3))}
-    >>> [member.id for member in next_view(old, said, old.seats, {"a": "1", "b": "1"}, {}).chain]
+    >>> old = message.View(4, [message.Voter(i, i, 1, "zone") for i in "ab"], [a, b])
+    >>> promises_by_id = {
+    ...     i: message.Promise(True, (1, "a"), None, None, i, "1", synced_view, True)
+    ...     for i, synced_view in (("a", 4), ("b", 3))}
+    >>> [member.id for member in next_view(old, promises_by_id, old.voters, {"a": "1", "b": "1"}, {}).chain]
     ['a', 'b']
-    >>> [member.id for member in next_view(old, said, old.seats, {"b": "1"}, {"a": "1"}).chain]
+    >>> [member.id for member in next_view(old, promises_by_id, old.voters, {"b": "1"}, {"a": "1"}).chain]
     ['a', 'b']
-    >>> next_view(old, said, old.seats, {"b": "1"}, {}) is None
+    >>> next_view(old, promises_by_id, old.voters, {"b": "1"}, {}) is None
     True
     """
     taken = [answer.accepted for answer in promises.values() if answer.accepted is not None]
     if taken:
         return max(taken, key=lambda accepted: accepted[0])[1]
-    for voters, machines in ((seats, alive), (view.seats, alive | leaving)):
-        chain = order(view, promises, members_of(voters, machines, promises))
+    for voter_ids, machines in ((voters, alive), (view.voters, alive | leaving)):
+        chain = order(view, promises, members_of(voter_ids, machines, promises))
         if chain is not None:
-            return message.View(view.number + 1, voters, chain)
+            return message.View(view.number + 1, voter_ids, chain)
     return None
 
 
 def members_of(
-    seats: list[message.Seat], machines: dict[str, str], promises: dict[str, message.Promise]
+    voters: list[message.Voter], machines: dict[str, str], promises: dict[str, message.Promise]
 ) -> dict[str, str]:
     """The machines that may be members of a chain, with the incarnations that they last told.
 
-    >>> said = {"a": message.Promise(True, (1, "a"), None, None, "a", "2", 4, True)}
-    >>> members_of([message.Seat("a", "a", 1, "zone")], {"a": "1", "b": "1"}, said)
+    >>> promises_by_id = {"a": message.Promise(True, (1, "a"), None, None, "a", "2", 4, True)}
+    >>> members_of([message.Voter("a", "a", 1, "zone")], {"a": "1", "b": "1"}, promises_by_id)
     {'a': '2'}
     """
-    voters = {seat.id for seat in seats}
-    members = {ident: boot for ident, boot in machines.items() if ident in voters}
-    for ident, answer in promises.items():
-        if ident in members:
-            members[ident] = answer.boot
+    voter_ids = {voter.id for voter in voters}
+    members = {identifier: incarnation for identifier, incarnation in machines.items() if identifier in voter_ids}
+    for identifier, answer in promises.items():
+        if identifier in members:
+            members[identifier] = answer.incarnation
         if not answer.disk_ok:
-            members.pop(ident, None)
+            members.pop(identifier, None)
     return members
--- a/iriswheel/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -11,22 +11,22 @@
 import re
 import typing
 
-import iriswheel.message as message
-import iriswheel.verdict as verdict
+import iriswheel.errors as errors
+import iriswheel.transport.message as message
 
 if typing.TYPE_CHECKING:
     import twisted.web.http_headers as http_headers
 
-    import iriswheel.web as web
+    import iriswheel.transport.http_server as http_server
 
 
 PREFIX = "X-Prompt-Prefix"
 TARGET = "X-Target-Worker"
-EXCHANGE = "X-Exchange-Id"
+REQUEST_ID = "X-Exchange-Id"
 SEND = "X-Send-Number"
 REPEAT = "X-May-Repeat"
-REQUESTER = "X-Requester"
-PASS = "X-Iriswheel-Pass"  # between nodes alone: one exchange passed on
+CLIENT = "X-Requester"
+PASS = "X-Iriswheel-Pass"  # between nodes alone: one request passed on
 
 PART = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,128}\Z")
 PARTS = 32
@@ -54,12 +54,12 @@
     >>> header(hh.Headers({"X-A": ["b"]}), "X-A")
     'b'
     """
-    vals = headers.getRawHeaders(name.encode("ascii"), [])
-    if not vals:
+    values = headers.getRawHeaders(name.encode("ascii"), [])
+    if not values:
         return None
-    if len(vals) > 1:
-        raise verdict.ServiceError("bad_request", f"{name} is given twice.", field=name)
-    return vals[0].decode("latin-1").strip()
+    if len(values) > 1:
+        raise errors.ServiceError("bad_request", f"{name} is given twice.", field=name)
+    return values[0].decode("latin-1").strip()
 
 
 def prefix(headers: http_headers.Headers) -> list[str]:
@@ -74,27 +74,27 @@
         return []
     parts = [p.strip() for p in text.split(",")]
     if len(parts) > PARTS or not all(PART.match(p) for p in parts):
-        raise verdict.ServiceError("bad_request", f"{PREFIX} is not a list of up to {PARTS} parts.", field=PREFIX)
+        raise errors.ServiceError("bad_request", f"{PREFIX} is not a list of up to {PARTS} parts.", field=PREFIX)
     return parts
 
 
-def ident(headers: http_headers.Headers, name: str) -> str:
+def identifier(headers: http_headers.Headers, name: str) -> str:
     """An id from a header, or "".
 
     >>> import twisted.web.http_headers as hh
-    >>> ident(hh.Headers({EXCHANGE: ["e1"]}), EXCHANGE)
+    >>> identifier(hh.Headers({REQUEST_ID: ["e1"]}), REQUEST_ID)
     'e1'
     """
     text = header(headers, name)
     if text is None:
         return ""
     if not ID.match(text):
-        raise verdict.ServiceError("bad_request", f"{name} is not an id.", field=name)
+        raise errors.ServiceError("bad_request", f"{name} is not an id.", field=name)
     return text
 
 
 def send_number(headers: http_headers.Headers) -> int:
-    """Which send of the exchange this is, from 1; 0 where it is not said.
+    """Which send of the request this is, from 1; 0 where it is not said.
 
     >>> import twisted.web.http_headers as hh
     >>> send_number(hh.Headers({SEND: ["2"]}))
@@ -104,15 +104,15 @@
     if text is None:
         return 0
     if not text.isdigit() or not 1 <= int(text[:9]) <= 1_000_000 or len(text) > 7:
-        raise verdict.ServiceError("bad_request", f"{SEND} is not a number from 1.", field=SEND)
+        raise errors.ServiceError("bad_request", f"{SEND} is not a number from 1.", field=SEND)
     return int(text)
 
 
-def repeatable(headers: http_headers.Headers) -> bool:
-    """Whether the exchange may be repeated; unstated, it may not.
+def idempotent(headers: http_headers.Headers) -> bool:
+    """Whether the request may be repeated; unstated, it may not.
 
     >>> import twisted.web.http_headers as hh
-    >>> repeatable(hh.Headers({REPEAT: ["yes"]})), repeatable(hh.Headers())
+    >>> idempotent(hh.Headers({REPEAT: ["yes"]})), idempotent(hh.Headers())
     (True, False)
     """
     match header(headers, REPEAT):
@@ -120,7 +120,7 @@
             return False
         case "yes" | "true" | "1":
             return True
-    raise verdict.ServiceError("bad_request", f"{REPEAT} is neither yes nor no.", field=REPEAT)
+    raise errors.ServiceError("bad_request", f"{REPEAT} is neither yes nor no.", field=REPEAT)
 
 
 def onward(headers: http_headers.Headers, worker: str, token: str = "") -> http_headers.Headers:
@@ -157,8 +157,8 @@
     >>> sorted(connection_options(hh.Headers({"Connection": ["close, X-A"]})))
     ['close', 'x-a']
     """
-    vals = headers.getRawHeaders(b"connection", [])
-    return {name.strip().lower() for val in vals for name in val.decode("latin-1").split(",")}
+    values = headers.getRawHeaders(b"connection", [])
+    return {name.strip().lower() for value in values for name in value.decode("latin-1").split(",")}
 
 
 def _pass(headers: http_headers.Headers) -> http_headers.Headers:
@@ -187,14 +187,14 @@
 
 
 def load(raw: bytes) -> tuple[int, int]:
-    """A worker's load report: how many exchanges wait there.
+    """A worker's load report: how many requests wait there.
 
     >>> load(b'{"running": 3, "queued": 2}')
     (3, 2)
     """
     try:
-        doc = json.loads(raw)
-        return int(doc["running"]), int(doc["queued"])
+        document = json.loads(raw)
+        return int(document["running"]), int(document["queued"])
     except (ValueError, KeyError, TypeError) as e:
         raise ValueError(f"The load report can't be read: {e!r}") from e
 
@@ -217,10 +217,10 @@
 
 
 @dataclasses.dataclass
-class Ask:
-    """What a client says of its exchange.
+class ParsedRequest:
+    """What a client says of its request.
 
-    >>> Ask().left_us is None
+    >>> ParsedRequest().left_us is None
     True
     """
 
@@ -228,10 +228,10 @@
     sizes: list = dataclasses.field(default_factory=list)  # their tokens, where told
     tokens_in: int = 0
     tokens_out: int = 0
-    exchange: str = ""
+    request_id: str = ""
     send: int = 0
-    repeatable: bool = False
-    requester: str = ""
+    idempotent: bool = False
+    client: str = ""
     left_us: int | None = None  # how long the client will wait
     tag: str = ""  # what the worker's answer carries back
     host: str = ""
@@ -250,42 +250,36 @@
 
     ready_path = READY_PATH
     load_path = LOAD_PATH
-    any_method = False  # whether exchanges come by other methods than POST
+    any_method = False  # whether requests come by other methods than POST
 
-    def ask(self, req: web.Request) -> Ask:
-        """What a request says of its exchange; raises verdict.Defect where it is malformed.
-
-        Example: `ask = outer.ask(req)`
-        """
-        heads = req.requestHeaders
-        parts = prefix(heads)
-        return Ask(
+    def parse_request(self, request: http_server.Request) -> ParsedRequest:
+        """What a request says of its request; raises verdict.Defect where it is malformed."""
+        headers = request.requestHeaders
+        parts = prefix(headers)
+        return ParsedRequest(
             parts=parts,
             sizes=[0] * len(parts),
-            exchange=ident(heads, EXCHANGE),
-            send=send_number(heads),
-            repeatable=repeatable(heads),
-            requester=header(heads, REQUESTER) or "",
-            host=header(heads, "host") or "",
-            tag=ident(heads, EXCHANGE),
+            request_id=identifier(headers, REQUEST_ID),
+            send=send_number(headers),
+            idempotent=idempotent(headers),
+            client=header(headers, CLIENT) or "",
+            host=header(headers, "host") or "",
+            tag=identifier(headers, REQUEST_ID),
         )
 
     def head(
         self,
-        req: typing.Any,
+        request: typing.Any,
         size: typing.Any,
         worker: typing.Any,
         left_us: typing.Any,
         urgency: typing.Any,
         after: str = "",
     ) -> typing.Any:
-        """The head of the request to a worker, as bytes; `size` is the body's length in bytes.
-
-        Example: `raw = outer.head(req, len(body), worker, 5_000_000, 5)`
-        """
+        """The head of the request to a worker, as bytes; `size` is the body's length in bytes."""
         more = [(TARGET.encode(), worker.id.encode())]
         return self.lines(
-            req,
+            request,
             size,
             HOP | OWN | {"last-event-id"},
             [
@@ -295,29 +289,26 @@
             ],
         )
 
-    def lines(self, req: web.Request, size: int, drop: set[str], more: list[tuple[bytes, bytes]]) -> bytes:
-        """A request's head with some headers dropped and others put in.
-
-        Example: `raw = outer.lines(req, 3, {"host"}, [(b"Host", b"10.0.0.1:80")])`
-        """
-        drop = drop | connection_options(req.requestHeaders)
-        out = [b"%s %s HTTP/1.1" % (req.method, req.uri)]
-        for name, vals in req.requestHeaders.getAllRawHeaders():
+    def lines(self, request: http_server.Request, size: int, drop: set[str], more: list[tuple[bytes, bytes]]) -> bytes:
+        """A request's head with some headers dropped and others put in."""
+        drop = drop | connection_options(request.requestHeaders)
+        out = [b"%s %s HTTP/1.1" % (request.method, request.uri)]
+        for name, values in request.requestHeaders.getAllRawHeaders():
             if name.decode("latin-1").lower() not in drop:
-                out += [b"%s: %s" % (name, v) for v in vals]
+                out += [b"%s: %s" % (name, v) for v in values]
         out += [b"%s: %s" % pair for pair in more]
         out.append(b"Content-Length: %d" % size)
         return b"\r\n".join(out) + b"\r\n\r\n"
 
-    def mine(self, tag: str, status: int, heads: dict[typing.Any, typing.Any]) -> bool:
-        """Whether an answer is the one to this exchange: True, False, or None where it does not say.
+    def mine(self, tag: str, status: int, headers: dict[typing.Any, typing.Any]) -> bool:
+        """Whether an answer is the one to this request: True, False, or None where it does not say.
 
         >>> EdgeProtocol().mine("x1", 200, {})
         True
         """
         return True
 
-    def unrun(self, status: int, heads: dict[typing.Any, typing.Any]) -> bool:
+    def unrun(self, status: int, headers: dict[typing.Any, typing.Any]) -> bool:
         """Whether the worker says that it did not run the request.
 
         >>> EdgeProtocol().unrun(503, {}), EdgeProtocol().unrun(200, {})
@@ -325,7 +316,7 @@
         """
         return status in (421, 429, 503)
 
-    def sound(self, status: int, heads: dict[typing.Any, typing.Any]) -> bool:
+    def sound(self, status: int, headers: dict[typing.Any, typing.Any]) -> bool:
         """Whether the head can be a worker's.
 
         >>> EdgeProtocol().sound(200, {})
@@ -333,24 +324,24 @@
         """
         return True
 
-    def home(self, heads: list[tuple[bytes, bytes]], worker: str) -> list[tuple[bytes, bytes]]:
+    def home(self, headers: list[tuple[bytes, bytes]], worker: str) -> list[tuple[bytes, bytes]]:
         """The headers of a worker's answer that go to the client, as pairs of bytes.
 
         >>> EdgeProtocol().home([(b"Keep-Alive", b"5"), (b"X-A", b"b")], "w1")
         [(b'X-A', b'b'), (b'X-Target-Worker', b'w1')]
         """
         named = {
-            n.strip().lower() for k, v in heads if k.lower() == b"connection" for n in v.decode("latin-1").split(",")
+            n.strip().lower() for k, v in headers if k.lower() == b"connection" for n in v.decode("latin-1").split(",")
         }
         drop = HOP | OWN | named
-        return [(k, v) for k, v in heads if k.decode("latin-1").lower() not in drop] + [
+        return [(k, v) for k, v in headers if k.decode("latin-1").lower() not in drop] + [
             (TARGET.encode(), worker.encode())
         ]
 
-    def refusal(self, d: verdict.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
+    def refusal(self, d: errors.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
         """The answer to an error: status, pairs of headers, body.
 
-        >>> EdgeProtocol().refusal(verdict.ServiceError("busy", "Full."))[:2]
+        >>> EdgeProtocol().refusal(errors.ServiceError("busy", "Full."))[:2]
         (503, [('Retry-After', '1')])
         """
         return d.status, [] if d.retry_after is None else [("Retry-After", str(d.retry_after))], d.body()
@@ -372,7 +363,7 @@
         return workers(raw), ""
 
     def load(self, raw: bytes) -> tuple[int, int]:
-        """A worker's load report: exchanges that run there, and that wait.
+        """A worker's load report: requests that run there, and that wait.
 
         >>> EdgeProtocol().load(b'{"running": 3, "queued": 2}')
         (3, 2)
--- a/iriswheel/budget.py
+++ b/iriswheel/dataplane/retry_budget.py
@@ -1,7 +1,7 @@
 """The retry budget: repeat sends stay within a part of first sends, a fifth unless told otherwise.
 
-A pool's warden sees every election, so it keeps one budget for all nodes; each node keeps
-a tally of its own part, from which a new warden starts.
+A pool's pool owner sees every election, so it keeps one budget for all nodes; each node keeps
+a tally of its own part, from which a new pool owner starts.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
         self.slack = slack  # repeats in a window that are free
         self.ratio = ratio
         self.window_us = window_us
-        self.firsts: dict[str, int] = {}  # exchange -> when it was first seen, oldest first
+        self.firsts: dict[str, int] = {}  # request -> when it was first seen, oldest first
         self.repeats: list[int] = []
 
-    def first(self, now: int, exchange: str) -> None:
-        """Note an exchange; said again under the same name, it counts once.
+    def first(self, now: int, request_id: str) -> None:
+        """Note a request; said again under the same name, it counts once.
 
         >>> b = Budget(); b.first(0, "x1"); b.first(1, "x1"); len(b.firsts)
         1
         """
-        self.firsts.setdefault(exchange, now)
+        self.firsts.setdefault(request_id, now)
         self._trim(now)
 
-    def room(self, now: int) -> bool:
+    def has_capacity(self, now: int) -> bool:
         """Whether there is a repeat send left.
 
-        >>> Budget().room(0)
+        >>> Budget().has_capacity(0)
         True
         """
         self._trim(now)
@@ -61,7 +61,7 @@
         >>> b = Budget(); b.spend(0), b.spend(0)
         (True, False)
         """
-        if not self.room(now):
+        if not self.has_capacity(now):
             return False
         self.repeats.append(now)
         return True
@@ -85,10 +85,10 @@
             return max(1_000_000, self.repeats[0] + self.window_us - now)
         return 2_000_000
 
-    def told(self, now: int) -> tuple[dict[str, int], list[int]]:
-        """Both as they travel: exchanges with their ages, and the repeats' ages.
+    def export(self, now: int) -> tuple[dict[str, int], list[int]]:
+        """Both as they travel: requests with their ages, and the repeats' ages.
 
-        >>> b = Budget(); b.first(2, "x1"); _ = b.spend(3); b.told(5)
+        >>> b = Budget(); b.first(2, "x1"); _ = b.spend(3); b.export(5)
         ({'x1': 3}, [2])
         """
         self._trim(now)
--- a/iriswheel/client.py
+++ b/iriswheel/dataplane/worker_connections.py
@@ -1,4 +1,4 @@
-"""Connections to workers: one exchange at a time on each, kept for the next one.
+"""Connections to workers: one request at a time on each, kept for the next one.
 
 The library's own agent reads one answer for each request and knows no other; a worker in
 trouble may send another's answer first, or more than one. So the connections are ours, and
@@ -17,22 +17,23 @@
 import twisted.internet.error as error
 import twisted.internet.protocol as protocol
 
-import iriswheel.machine as machine
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
 
 if typing.TYPE_CHECKING:
     import twisted.python.failure as failure
 
-    import iriswheel.forwarding as forwarding
-    import iriswheel.message as message
+    import iriswheel.dataplane.forwarding as forwarding
+    import iriswheel.transport.message as message
 
 
-CONNECT_US = 350 * machine.MILLI
-KEEP_US = 4 * machine.SECOND  # an idle connection, where the worker does not say how long it keeps one
-KEEP_MOST_US = 60 * machine.SECOND  # and where it does, at most
-MARGIN_US = 400 * machine.MILLI  # dropped so long before the worker would
+CONNECT_US = 350 * units.MILLISECOND_US
+KEEP_US = 4 * units.SECOND_US  # an idle connection, where the worker does not say how long it keeps one
+KEEP_MOST_US = 60 * units.SECOND_US  # and where it does, at most
+MARGIN_US = 400 * units.MILLISECOND_US  # dropped so long before the worker would
 STALE_MS = 2_000  # sent bytes that nobody acknowledged: the connection is dead
-LEARNED_US = 30 * machine.SECOND  # how long it counts that a worker had dropped an idle connection
-LEAST_IDLE_US = 100 * machine.MILLI  # idle connections this young are used whatever was learned
+LEARNED_US = 30 * units.SECOND_US  # how long it counts that a worker had dropped an idle connection
+LEAST_IDLE_US = 100 * units.MILLISECOND_US  # idle connections this young are used whatever was learned
 SKIPS = 3  # answers of others that are passed over on one connection
 
 log = loguru.logger.bind(part="client")
@@ -44,28 +45,25 @@
     code = "unreached"
 
 
-class Line(protocol.Protocol):
-    """One connection to a worker.
+class WorkerConnection(protocol.Protocol):
+    """One connection to a worker."""
 
-    Example: `line.start(head + body, flow)`, where flow has bodyless, owns(), head(), data(), end() and lost().
-    """
-
-    def __init__(self, mach: machine.Machine, worker: str) -> None:
-        self.mach = mach
+    def __init__(self, runtime: scheduler.Runtime, worker: str) -> None:
+        self.runtime = runtime
         self.worker = worker  # the worker's id
-        self.flow: forwarding.Flow | None = None
+        self.flow: forwarding.AnswerStream | None = None
         self.parser = httptools.HttpResponseParser(self)
-        self.heads: list[tuple[bytes, bytes]] = []
+        self.headers: list[tuple[bytes, bytes]] = []
         self.up = False
-        self.used = 0  # exchanges that went over it
+        self.used = 0  # requests that went over it
         self.skips = 0
         self.skipping = False
         self.spoiled = False  # it is not to be used again
         self.keep_us = KEEP_US
         self.until = 0  # when an idle one is dropped
         self.idle_since = 0
-        self.rested = 0  # how long it was idle before the exchange under way
-        self.heard = False  # whether anything came back in this exchange
+        self.rested = 0  # how long it was idle before the request under way
+        self.received_any = False  # whether anything came back in this request
         self.paused = False  # while the client reads too slowly
         self.on_stale = lambda line: None
         self.on_free = lambda line: None
@@ -79,40 +77,28 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, STALE_MS)
 
-    def start(self, raw: bytes, flow: forwarding.Flow) -> None:
-        """Send a request; its answer goes to the flow.
-
-        Example: `line.start(raw, flow)`
-        """
+    def start(self, raw: bytes, flow: forwarding.AnswerStream) -> None:
+        """Send a request; its answer goes to the flow."""
         self.flow = flow
-        self.rested = self.mach.now() - self.idle_since if self.used else 0
-        self.heard = False
+        self.rested = self.runtime.now() - self.idle_since if self.used else 0
+        self.received_any = False
         self.used += 1
         self.skips = 0
         self.skipping = False
         self.transport.write(raw)
 
     def pause(self) -> None:
-        """Read no further for now.
-
-        Example: `line.pause()`
-        """
+        """Read no further for now."""
         self.paused = True
         self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Go on reading.
-
-        Example: `line.resume()`
-        """
+        """Go on reading."""
         self.paused = False
         self.transport.resumeProducing()
 
     def drop(self) -> None:
-        """Break the connection off; its flow, if any, hears no more.
-
-        Example: `line.drop()`
-        """
+        """Break the connection off; its flow, if any, hears no more."""
         self.spoiled = True
         self.flow = None
         if self.up:
@@ -122,7 +108,7 @@
         if self.flow is None:
             self.drop()  # nobody asked
             return
-        self.heard = True
+        self.received_any = True
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -131,10 +117,7 @@
             self.fail("garbled")
 
     def fail(self, why: str) -> None:
-        """What came is no answer: end the flow and the connection.
-
-        Example: `line.fail("garbled")`
-        """
+        """What came is no answer: end the flow and the connection."""
         flow, self.flow = self.flow, None
         self.drop()
         if flow is not None:
@@ -146,19 +129,19 @@
         flow, self.flow = self.flow, None
         self.on_gone(self)
         if flow is not None:
-            if self.rested and not self.heard:
+            if self.rested and not self.received_any:
                 self.on_stale(self)
             flow.lost("closed")
 
     # ---- what the parser calls -------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        self.heads = []
+        self.headers = []
         if self.flow is None:
             self.drop()  # more after a whole answer
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.heads.append((name, value))
+        self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         if self.flow is None:
@@ -167,12 +150,12 @@
         if 100 <= status < 200:
             self.skipping = True
             return
-        low = {k.decode("latin-1").lower(): v.decode("latin-1") for k, v in self.heads}
+        low = {k.decode("latin-1").lower(): v.decode("latin-1") for k, v in self.headers}
         match self.flow.owns(status, low, self.used):
             case True:
                 self.skipping = False
                 self.keep(low)
-                self.flow.head(status, self.heads, low)
+                self.flow.head(status, self.headers, low)
                 if self.flow.bodyless:
                     self.end_without_body()
             case False:
@@ -182,26 +165,20 @@
                 raise ValueError("whose answer it is can't be told")
 
     def end_without_body(self) -> None:
-        """End an exchange whose answer is its head alone; the parser would wait for the length that is told.
-
-        Example: `line.end_without_body()`
-        """
+        """End a request whose answer is its head alone; the parser would wait for the length that is told."""
         flow, self.flow = self.flow, None
         self.drop()
         flow.end()
 
     def keep(self, low: dict[str, str]) -> None:
-        """Note how long the worker keeps the connection.
-
-        Example: `line.keep({"keep-alive": "timeout=5"})`
-        """
+        """Note how long the worker keeps the connection."""
         self.keep_us = KEEP_US
         if "close" in low.get("connection", "").lower():
             self.spoiled = True
-        for word in low.get("keep-alive", "").split(","):
-            name, _, val = word.strip().partition("=")
-            if name.lower() == "timeout" and val.strip().isdigit():
-                self.keep_us = min(KEEP_MOST_US, int(val) * machine.SECOND - MARGIN_US)
+        for token in low.get("keep-alive", "").split(","):
+            name, _, value = token.strip().partition("=")
+            if name.lower() == "timeout" and value.strip().isdigit():
+                self.keep_us = min(KEEP_MOST_US, int(value) * units.SECOND_US - MARGIN_US)
 
     def on_body(self, body: bytes) -> None:
         if self.flow is not None and not self.skipping:
@@ -222,48 +199,45 @@
         self.free()
 
     def free(self) -> None:
-        """The exchange is over; the connection is kept for the next, if it is sound.
-
-        Example: `line.free()`
-        """
+        """The request is over; the connection is kept for the next, if it is sound."""
         if self.spoiled or self.keep_us <= 0 or not self.up:
             self.drop()
             return
         if self.paused:
             self.resume()  # else its end would not be noticed, nor the next answer read
-        self.idle_since = self.mach.now()
+        self.idle_since = self.runtime.now()
         self.until = self.idle_since + self.keep_us
         self.on_free(self)
 
 
-class Lines:
+class ConnectionPool:
     """All connections of this process to workers.
 
-    >>> Lines(None).count("w1")
+    >>> ConnectionPool(None).count("w1")
     0
     """
 
-    def __init__(self, mach: machine.Machine | None) -> None:
-        self.mach = mach
-        self.idle: dict[str, list[Line]] = {}  # worker -> [Line], the latest used last
+    def __init__(self, runtime: scheduler.Runtime | None) -> None:
+        self.runtime = runtime
+        self.idle: dict[str, list[WorkerConnection]] = {}  # worker -> [Line], the latest used last
         self.open: dict[str, int] = {}  # worker -> how many there are
         self.learned: dict[str, tuple[int, int]] = {}  # worker -> (when, how long an idle connection may be trusted)
 
     def count(self, worker: str) -> int:
         """How many connections to a worker are open.
 
-        >>> Lines(None).count("w1")
+        >>> ConnectionPool(None).count("w1")
         0
         """
         return self.open.get(worker, 0)
 
-    def take(self, worker: str, fresh_us: int) -> Line | None:
+    def take(self, worker: str, fresh_us: int) -> WorkerConnection | None:
         """An idle connection that was used within fresh_us, or None.
 
-        >>> Lines(machine.Machine(None, now=lambda: 0)).take("w1", 1) is None
+        >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).take("w1", 1) is None
         True
         """
-        now = self.mach.now()
+        now = self.runtime.now()
         kept = self.idle.get(worker, [])
         fresh_us = min(fresh_us, self.trust(worker))
         while kept:
@@ -280,37 +254,32 @@
     def trust(self, worker: str) -> int:
         """How long a connection to a worker may have been idle and still be used.
 
-        >>> lines = Lines(machine.Machine(None, now=lambda: 0)); lines.learned["w1"] = (0, 700_000)
-        >>> lines.trust("w1"), lines.trust("w2") > 60 * machine.SECOND
+        >>> lines = ConnectionPool(scheduler.Runtime(None, now=lambda: 0)); lines.learned["w1"] = (0, 700_000)
+        >>> lines.trust("w1"), lines.trust("w2") > 60 * units.SECOND_US
         (700000, True)
         """
         when, us = self.learned.get(worker, (0, 10**12))
-        return us if self.mach.now() - when < LEARNED_US else 10**12
-
-    def stale(self, line: Line) -> None:
-        """A connection that had been idle was gone when it was used: younger ones are not trusted either.
+        return us if self.runtime.now() - when < LEARNED_US else 10**12
 
-        Example: `lines.stale(line)`
-        """
+    def stale(self, line: WorkerConnection) -> None:
+        """A connection that had been idle was gone when it was used: younger ones are not trusted either."""
         if line.rested > LEAST_IDLE_US:
             us = max(LEAST_IDLE_US, min(line.rested // 2, self.trust(line.worker)))
-            self.learned[line.worker] = (self.mach.now(), us)
+            self.learned[line.worker] = (self.runtime.now(), us)
 
-    async def get(self, w: message.Worker, fresh_us: int, left_us: int = CONNECT_US) -> Line:
+    async def get(self, w: message.Worker, fresh_us: int, left_us: int = CONNECT_US) -> WorkerConnection:
         """A connection to a worker, an idle one if it was used within fresh_us; raises Unreached.
 
         A new one is waited for up to CONNECT_US, and no longer than left_us.
-
-        Example: `line = await lines.get(worker, 1_000_000)`
         """
         line = self.take(w.id, fresh_us)
         if line is not None:
             return line
-        wait_s = max(0, min(CONNECT_US, left_us)) / machine.SECOND
-        point = endpoints.TCP4ClientEndpoint(self.mach.reactor, w.host, w.port, timeout=wait_s)
+        wait_s = max(0, min(CONNECT_US, left_us)) / units.SECOND_US
+        point = endpoints.TCP4ClientEndpoint(self.runtime.reactor, w.host, w.port, timeout=wait_s)
         factory = protocol.Factory()
         factory.noisy = False
-        factory.buildProtocol = lambda addr: Line(self.mach, w.id)
+        factory.buildProtocol = lambda address: WorkerConnection(self.runtime, w.id)
         self.open[w.id] = self.open.get(w.id, 0) + 1
         try:
             line = await point.connect(factory)
@@ -329,27 +298,21 @@
         return line
 
     def gone(self, worker: str) -> None:
-        """A connection is no more.
-
-        Example: `lines.gone("w1")`
-        """
+        """A connection is no more."""
         self.open[worker] -= 1
         if not self.open[worker]:
             del self.open[worker]
 
-    def free(self, line: Line) -> None:
-        """Keep a connection that has come free.
-
-        Example: `lines.free(line)`
-        """
+    def free(self, line: WorkerConnection) -> None:
+        """Keep a connection that has come free."""
         self.idle.setdefault(line.worker, []).append(line)
 
     def sweep(self, listed: set[str]) -> None:
         """Drop idle connections past their time, and those to workers that are listed no more.
 
-        >>> Lines(machine.Machine(None, now=lambda: 0)).sweep({"w1"})
+        >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).sweep({"w1"})
         """
-        now = self.mach.now()
+        now = self.runtime.now()
         self.learned = {w: row for w, row in self.learned.items() if w in listed}
         for worker, kept in list(self.idle.items()):
             good = [x for x in kept if x.up and not x.spoiled and now < x.until and worker in listed]
--- a/iriswheel/verdict.py
+++ b/iriswheel/errors.py
@@ -1,4 +1,4 @@
-"""The verdict: may an exchange have run? And the error that carries it.
+"""The verdict: may a request have run? And the error that carries it.
 
 One type goes through every layer, from a refused connection up to the answer
 that the client reads.
@@ -10,10 +10,10 @@
 import json
 
 
-class Verdict(str, enum.Enum):
-    """What is known of an exchange.
+class ExecutionOutcome(str, enum.Enum):
+    """What is known of a request.
 
-    >>> Verdict.NOT_RUN.value
+    >>> ExecutionOutcome.NOT_RUN.value
     'not_run'
     """
 
@@ -50,10 +50,10 @@
 
 
 class ServiceError(Exception):
-    """Something that stops an exchange or a change, with its code and verdict.
+    """Something that stops a request or a change, with its code and verdict.
 
     >>> d = ServiceError("busy", "All seats are taken.", retry_us=1_500_000)
-    >>> d.status, d.verdict.value, d.retry_after
+    >>> d.status, d.execution.value, d.retry_after
     (503, 'not_run', 2)
     """
 
@@ -61,14 +61,14 @@
         self,
         code: str,
         text: str,
-        verdict: Verdict = Verdict.NOT_RUN,
+        execution: ExecutionOutcome = ExecutionOutcome.NOT_RUN,
         retry_us: int = 1_000_000,
         field: str | None = None,
     ) -> None:
         super().__init__(text)
         self.code = code
         self.text = text
-        self.verdict = verdict
+        self.execution = execution
         self.field = field
         self.status, waits = CODES[code]
         self.retry_us = retry_us if waits else None
@@ -80,7 +80,7 @@
         >>> ServiceError("no_route", "No route fits.").body()
         b'{"code": "no_route", "verdict": "not_run", "text": "No route fits."}\n'
         """
-        out = {"code": self.code, "verdict": self.verdict.value, "text": self.text}
+        out = {"code": self.code, "verdict": self.execution.value, "text": self.text}
         if self.field:
             out["field"] = self.field
         if self.retry_after:
--- /dev/null
+++ b/iriswheel/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Cluster membership: live nodes, role assignments, leases."""
