--- a/iriswheel/lease.py
+++ b/iriswheel/membership/lease.py
@@ -22,10 +22,10 @@
 
 import msgspec
 
-import iriswheel.machine as machine
+import iriswheel.runtime.units as units
 
-DRIFT_US = 50 * machine.MILLI
-SILENT_US = 700 * machine.MILLI  # a node that was not heard for so long gets no lease before it is listed again
+DRIFT_US = 50 * units.MILLISECOND_US
+SILENT_US = 700 * units.MILLISECOND_US  # a node that was not heard for so long gets no lease before it is listed again
 
 
 class NodeLease:
@@ -41,33 +41,27 @@
         self.until = 0
 
     def renew(self, echo: int, left: int) -> None:
-        """Take a core machine's answer to the heartbeat that this node sent at `echo` (µs).
-
-        Example: `lease.renew(message.sent_at, message.lease_left)`
-        """
+        """Take a core machine's answer to the heartbeat that this node sent at `echo` (µs)."""
         if echo > 0 and left > 0:
             self.until = max(self.until, echo + left)
 
     def valid(self, now: int) -> bool:
-        """Whether the lease runs at `now` (µs).
-
-        Example: `lease.valid(mach.now())`
-        """
+        """Whether the lease runs at `now` (µs)."""
         return now < self.until
 
 
-class Grant(msgspec.Struct):
+class GrantedLease(msgspec.Struct):
     """What one node may hold: until when (µs, local clock), and the version that it has applied."""
 
     until: int
     applied: int
 
 
-class Session(msgspec.Struct):
+class SessionLease(msgspec.Struct):
     """What a core machine knows of a node whose session stands: times in µs on the core's clock."""
 
     applied: int  # the version that the node has applied, -1 before its first
-    heard_at: int  # when its newest heartbeat came
+    last_contact_at: int  # when its newest heartbeat came
     listed_at: int | None = None  # since which report to the tail it is listed as one that may get a lease
 
 
@@ -78,7 +72,7 @@
     the tail waits for it, and this machine has every change acknowledged before.
 
     >>> core = CoreLease(2_000_000)
-    >>> core.heard("n1", 7, now=1_000_000)
+    >>> core.record_heartbeat("n1", 7, now=1_000_000)
     >>> core.renew(echo=900_000); core.grant("n1", now=1_010_000)
     0
     >>> core.report(now=1_020_000)
@@ -97,57 +91,43 @@
         self.length = length  # of a lease, in µs
         self.until = 0
         self.echo = 0
-        self.sessions: dict[str, Session] = {}
-        self.grants: dict[str, Grant] = {}
+        self.sessions: dict[str, SessionLease] = {}
+        self.grants: dict[str, GrantedLease] = {}
 
     def renew(self, echo: int) -> None:
-        """The tail sent back the time (µs) of a report of this core machine.
-
-        Example: `core_lease.renew(beat.echo)`
-        """
+        """The tail sent back the time (µs) of a report of this core machine."""
         if echo > self.echo:
             self.echo = echo
             self.until = echo + self.length
 
-    def heard(self, node: str, applied: int, now: int) -> None:
-        """A node's heartbeat came at `now` (µs); it has applied the configuration up to a version.
-
-        Example: `core_lease.heard("n1", 17, mach.now())`
-        """
+    def record_heartbeat(self, node: str, applied: int, now: int) -> None:
+        """A node's heartbeat came at `now` (µs); it has applied the configuration up to a version."""
         session = self.sessions.get(node)
         if session is None:
-            self.sessions[node] = Session(applied, now)
+            self.sessions[node] = SessionLease(applied, now)
         else:
-            session.applied, session.heard_at = max(applied, session.applied), now
+            session.applied, session.last_contact_at = max(applied, session.applied), now
         if node in self.grants:
             self.grants[node].applied = max(applied, self.grants[node].applied)
 
     def close(self, node: str) -> None:
-        """A node's session ended; what was granted to it may still run.
-
-        Example: `core_lease.close("n1")`
-        """
+        """A node's session ended; what was granted to it may still run."""
         self.sessions.pop(node, None)
 
     def grant(self, node: str, now: int) -> int:
-        """What is left (µs) at `now` of a lease for a node, noted as granted; 0 where it may not have one.
-
-        Example: `left = core_lease.grant("n1", mach.now())`
-        """
+        """What is left (µs) at `now` of a lease for a node, noted as granted; 0 where it may not have one."""
         session = self.sessions.get(node)
         if session is None or session.listed_at is None or self.echo < session.listed_at or now >= self.until:
             return 0
-        until = min(self.until, session.heard_at + self.length)
+        until = min(self.until, session.last_contact_at + self.length)
         old = self.grants.get(node)
-        self.grants[node] = Grant(max(until, old.until if old is not None else 0), session.applied)
+        self.grants[node] = GrantedLease(max(until, old.until if old is not None else 0), session.applied)
         return self.until - now
 
     def report(self, now: int) -> list[tuple[str, int, int]]:
         """The rows of a report sent at `now` (µs): node, version applied, how long it may hold a lease (µs).
 
         A node with a session may get one up to a whole lease before the next report is answered.
-
-        Example: `rows = core_lease.report(mach.now())`
         """
         rows = {}
         self.grants = {node: grant for node, grant in self.grants.items() if grant.until > now}
@@ -156,7 +136,7 @@
         for node, session in self.sessions.items():
             if session.applied < 0:
                 continue
-            if now - session.heard_at > SILENT_US:
+            if now - session.last_contact_at > SILENT_US:
                 session.listed_at = None
                 continue
             if session.listed_at is None:
@@ -165,16 +145,16 @@
         return [row for _, row in sorted(rows.items())]
 
 
-class Holders:
+class LeaseHolders:
     """At a core machine that may become the tail: who may hold a lease, and how far each has come.
 
     `installed` is called for each view; `heard` with each report; `applied` says how far up to
     a version all holders have come.
 
-    >>> holders = Holders(2_000_000, now=0)
+    >>> holders = LeaseHolders(2_000_000, now=0)
     >>> holders.installed([], [("a", "1"), ("b", "1")], now=0)
-    >>> holders.heard("a", [("n1", 4, 500_000)], now=10)
-    >>> holders.applied(5, now=20), holders.heard("b", [], now=30), holders.applied(5, now=40)
+    >>> holders.record_heartbeat("a", [("n1", 4, 500_000)], now=10)
+    >>> holders.applied(5, now=20), holders.record_heartbeat("b", [], now=30), holders.applied(5, now=40)
     (0, None, 4)
     >>> holders.applied(5, now=600_000)
     5
@@ -183,7 +163,7 @@
     def __init__(self, length: int, now: int) -> None:
         self.length = length  # of a lease, in µs
         self.unsure_until = now + length + DRIFT_US
-        self.holders: dict[str, Grant] = {}
+        self.holders: dict[str, GrantedLease] = {}
         self.awaited: set[str] = set()
 
     def installed(
@@ -195,8 +175,6 @@
         A core machine of the view before that is gone, or lives anew, may have granted leases
         that nobody can tell of, but for the one that was the tail (`was_tail`): it has answered
         every report on which a lease was granted.
-
-        Example: `holders.installed([("a", "1")], [("a", "1"), ("b", "2")], mach.now())`
         """
         if before == []:
             self.unsure_until = now
@@ -204,24 +182,18 @@
             self.unsure_until = now + self.length + DRIFT_US
         self.awaited = {core for core, _ in chain}
 
-    def heard(self, core: str, leases: list[tuple[str, int, int]], now: int) -> None:
-        """A core machine's report in the present view: the leases that it granted, as `CoreLease.outstanding` has them.
-
-        Example: `holders.heard("a", [("n1", 4, 500_000)], mach.now())`
-        """
+    def record_heartbeat(self, core: str, leases: list[tuple[str, int, int]], now: int) -> None:
+        """Record a core machine's report in the present view: the leases that it granted."""
         self.awaited.discard(core)
         for node, applied, left in leases:
             old = self.holders.get(node)
             until = now + left + DRIFT_US
             if old is not None:
                 until, applied = max(until, old.until), max(applied, old.applied)
-            self.holders[node] = Grant(until, applied)
+            self.holders[node] = GrantedLease(until, applied)
 
     def applied(self, version: int, now: int) -> int:
-        """How far up to `version` every node that may hold a lease at `now` (µs) has come; 0 where that is not known.
-
-        Example: `holders.applied(17, mach.now())`
-        """
+        """How far up to `version` every node with a possible lease at `now` (µs) has come; 0 if unknown."""
         if self.awaited or now < self.unsure_until:
             return 0
         self.holders = {node: grant for node, grant in self.holders.items() if grant.until > now}
--- a/iriswheel/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -14,38 +14,35 @@
 
 import loguru
 
-import iriswheel.lease as lease
-import iriswheel.machine as machine
-import iriswheel.message as message
-import iriswheel.wire as wire
+import iriswheel.membership.lease as lease
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
 
 if typing.TYPE_CHECKING:
-    import iriswheel.follower as follower_module
+    import iriswheel.node.follower as follower
 
 
 HEDGE_US = (
-    600 * machine.MILLI
+    600 * units.MILLISECOND_US
 )  # without a lease renewed for so long, other core machines are tried; it comes every 250 ms
-ATTEMPT_US = 1_500 * machine.MILLI  # an attempt that brought no lease by then ends
+ATTEMPT_US = 1_500 * units.MILLISECOND_US  # an attempt that brought no lease by then ends
 ATTEMPTS = 3  # at a time
-STEP_US = 200 * machine.MILLI  # between the starts of attempts
-JITTER_US = 50 * machine.MILLI  # many nodes lose one core machine at the same time
-OVERLAP_US = 1 * machine.SECOND  # the old session ends so long after the new one stands
-NEARER_US = 10 * machine.SECOND  # between looks for a core machine of the node's own zone
-SILENT_US = 800 * machine.MILLI  # leases come four times a second
+STEP_US = 200 * units.MILLISECOND_US  # between the starts of attempts
+JITTER_US = 50 * units.MILLISECOND_US  # many nodes lose one core machine at the same time
+OVERLAP_US = 1 * units.SECOND_US  # the old session ends so long after the new one stands
+NEARER_US = 10 * units.SECOND_US  # between looks for a core machine of the node's own zone
+SILENT_US = 800 * units.MILLISECOND_US  # leases come four times a second
 
 log = loguru.logger.bind(part="follow")
 
 
 class CoreSession:
-    """Keeps one node's session with a core machine.
+    """Keeps one node's session with a core machine."""
 
-    Example: `session = CoreSession(follower, seeds)`; `mach.spawn(session.run())`.
-    """
-
-    def __init__(self, follower: follower_module.Follower, seeds: list[tuple[str, int]]) -> None:
+    def __init__(self, follower: follower.Follower, seeds: list[tuple[str, int]]) -> None:
         self.follower = follower
-        self.mach = follower.mach
+        self.runtime = follower.runtime
         self.addresses = list(seeds)
         self.connection: wire.Connection | None = None
         self.address: tuple[str, int] | None = None
@@ -62,17 +59,11 @@
     # ---- what is known ---------------------------------------------------------
 
     def stands(self) -> bool:
-        """Whether the session stands: a core machine renewed the lease lately.
-
-        Example: `session.stands()`
-        """
-        return self._leased_within(wire.SILENCE_US)
+        """Whether the session stands: a core machine renewed the lease lately."""
+        return self._leased_within(wire.TIMEOUT_US)
 
-    def heard(self) -> bool:
-        """Whether the lease was renewed just now, for peers that ask.
-
-        Example: `session.heard()`
-        """
+    def has_recent_contact(self) -> bool:
+        """Whether the lease was renewed just now, for peers that ask."""
         return self._leased_within(SILENT_US)
 
     def _leased_within(self, us: int) -> bool:
@@ -80,15 +71,12 @@
             self.connection is not None
             and self.connection.up
             and self.leased_at is not None
-            and self.mach.now() - self.leased_at < us
+            and self.runtime.now() - self.leased_at < us
         )
 
     def state(self) -> dict[str, typing.Any]:
-        """What a node shows of its session.
-
-        Example: `session.state()["lease_left_us"]`
-        """
-        now = self.mach.now()
+        """What a node shows of its session."""
+        now = self.runtime.now()
         return {
             "core": "{}:{}".format(*self.address) if self.address is not None else None,
             "stands": self.stands(),
@@ -101,10 +89,7 @@
     def learn(
         self, addresses: collections.abc.Iterator[typing.Any] | dict[tuple[str, int], str] | list[tuple[str, int]]
     ) -> None:
-        """Remember further addresses of core machines; they may have been replaced.
-
-        Example: `session.learn([("127.0.0.1", 7001)])`
-        """
+        """Remember further addresses of core machines; they may have been replaced."""
         for address in addresses:
             if address not in self.addresses:
                 self.addresses.append(address)
@@ -112,14 +97,12 @@
     def order(self) -> list[tuple[str, int]]:
         """Where to look for a core machine, the best first.
 
-        Those of the roster go before older addresses, those of this node's own zone first,
+        Those of the membership go before older addresses, those of this node's own zone first,
         and what was tried a moment ago last.
-
-        Example: `host, port = session.order()[0]`
         """
         zones = self.follower.core_zones()
         own = self.follower.options.zone
-        chance = {address: self.mach.rng.random() for address in self.addresses}
+        chance = {address: self.runtime.rng.random() for address in self.addresses}
         return sorted(
             self.addresses,
             key=lambda address: (
@@ -133,65 +116,53 @@
     # ---- messages ---------------------------------------------------------------
 
     def tell(self, msg: message.Message) -> None:
-        """Tell the core something, if the session stands.
-
-        Example: `session.tell(message.Seated("pool/desk", (3, 1)))`
-        """
+        """Tell the core something, if the session stands."""
         if self.connection is not None:
             self.connection.tell(msg)
 
-    def heartbeat(self) -> message.Alive:
-        """This node's heartbeat: how far it has come, and its time.
-
-        Example: `connection.tell(session.heartbeat())`
-        """
+    def heartbeat(self) -> message.SessionHeartbeat:
+        """This node's heartbeat: how far it has come, and its time."""
         follower = self.follower
-        return message.Alive(follower.applied(), follower.roster.stamp, None, self.mach.now())
+        return message.SessionHeartbeat(follower.applied(), follower.membership.version, None, self.runtime.now())
 
     def serve(self, connection: wire.Connection, msg: message.Message) -> None:
-        """Take what a core machine sends.
-
-        Example: `wire.connect(mach, host, port, session.serve, log)`
-        """
+        """Take what a core machine sends."""
         if connection is not self.connection and connection not in self.candidates:
             return
         match msg:
-            case message.Elsewhere(cores=cores):
+            case message.Redirect(cores=cores):
                 self.learn((core.host, core.port) for core in cores)
                 connection.close()
                 return
-            case message.Alive(sent_at=sent_at, lease_left=lease_left):
+            case message.SessionHeartbeat(sent_at=sent_at, lease_left=lease_left):
                 if lease_left > 0:
                     self.lease.renew(sent_at, lease_left)
                     self._leased(connection)
                 connection.tell(self.heartbeat())
         self.follower.take(msg)
-        if isinstance(msg, (message.Snapshot, message.Change)):
+        if isinstance(msg, (message.ConfigurationSnapshot, message.ConfigurationUpdate)):
             connection.tell(self.heartbeat())
 
     def _leased(self, connection: wire.Connection) -> None:
         if connection is not self.connection:
             self._move_to(connection)
-        self.leased_at = self.mach.now()
+        self.leased_at = self.runtime.now()
 
     def _move_to(self, connection: wire.Connection) -> None:
         old = self.connection
         self.connection, self.address = connection, self.candidates.pop(connection)
         self.moves += 1
         self.tried.clear()
-        log.info("The session with the core is now with {}:{}, at {}.", *self.address, self.follower.place)
+        log.info("The session with the core is now with {}:{}, at {}.", *self.address, self.follower.applied_index)
         if old is not None:
-            self.mach.later(OVERLAP_US, old.close)
+            self.runtime.later(OVERLAP_US, old.close)
         for other in list(self.candidates):
             other.close()
 
     # ---- tasks --------------------------------------------------------------------
 
     def reset(self) -> None:
-        """After a freeze: what the connections still hold is old.
-
-        Example: `session.reset()`
-        """
+        """After a freeze: what the connections still hold is old."""
         for connection in [self.connection, *self.candidates]:
             if connection is not None:
                 connection.close()
@@ -199,10 +170,7 @@
         self.candidates.clear()
 
     async def run(self) -> None:
-        """Keep a session with some core machine; one task.
-
-        Example: `mach.spawn(session.run())`
-        """
+        """Keep a session with some core machine; one task."""
         while not self.follower.node.left:
             self.learn(self.follower.core_zones())
             self._drop_lost()
@@ -211,16 +179,16 @@
             elif (nearer := self._nearer()) is not None:
                 self._try(nearer)
             if self.connection is not None:
-                await self.mach.pause(self.connection.lost, STEP_US)
+                await self.runtime.pause(self.connection.lost, STEP_US)
             else:
-                await self.mach.sleep(STEP_US)
+                await self.runtime.sleep(STEP_US)
             if self.connection is not None and not self.connection.up:
-                await self.mach.sleep(self.mach.rng.randrange(JITTER_US))
+                await self.runtime.sleep(self.runtime.rng.randrange(JITTER_US))
 
     def _drop_lost(self) -> None:
         if self.connection is not None and not self.connection.up:
-            log.info("The session with {}:{} ended, at {}.", *self.address, self.follower.place)
-            self.tried[self.address] = self.mach.now()
+            log.info("The session with {}:{} ended, at {}.", *self.address, self.follower.applied_index)
+            self.tried[self.address] = self.runtime.now()
             self.connection = None
 
     def _try_next(self) -> None:
@@ -237,7 +205,7 @@
         """A core machine of this node's own zone, where the session is with one of another zone."""
         zones = self.follower.core_zones()
         own = self.follower.options.zone
-        now = self.mach.now()
+        now = self.runtime.now()
         if zones.get(self.address, own) == own or now - self.nearer_at < NEARER_US or self.attempts:
             return None
         nearer = [address for address, zone in zones.items() if zone == own]
@@ -248,18 +216,18 @@
 
     def _try(self, address: tuple[str, int]) -> None:
         self.attempts.add(address)
-        self.tried[address] = self.mach.now()
-        self.mach.spawn(self._attempt(address), log)
+        self.tried[address] = self.runtime.now()
+        self.runtime.spawn(self._attempt(address), log)
 
     async def _attempt(self, address: tuple[str, int]) -> None:
         """Open a session beside the one that stands, and give it some time to bring a lease."""
         try:
-            connection = await wire.connect(self.mach, *address, self.serve, log)
+            connection = await wire.connect(self.runtime, *address, self.serve, log)
             self.candidates[connection] = address
             connection.tell(self.follower.join())
-            until = self.mach.now() + ATTEMPT_US
-            while connection in self.candidates and connection.up and self.mach.now() < until:
-                await self.mach.pause(connection.lost, STEP_US)
+            until = self.runtime.now() + ATTEMPT_US
+            while connection in self.candidates and connection.up and self.runtime.now() < until:
+                await self.runtime.pause(connection.lost, STEP_US)
             if self.candidates.pop(connection, None) is not None:
                 connection.close()
         except wire.ConnectionBrokenError:
--- /dev/null
+++ b/iriswheel/replication/__init__.py
@@ -0,0 +1,1 @@
+"""Chain replication of the configuration: log, state, snapshot transfer, storage."""
--- a/iriswheel/store.py
+++ b/iriswheel/replication/storage.py
@@ -16,7 +16,8 @@
 import twisted.internet.threads as threads
 import twisted.python.threadpool as threadpool
 
-import iriswheel.machine as machine
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
 
 if typing.TYPE_CHECKING:
     import twisted.internet.defer as defer
@@ -32,10 +33,7 @@
 
 
 def sync_folders(path: str, top: str) -> None:
-    """Sync a folder and those above it up to `top`: files made in them then outlive a loss of power.
-
-    Example: `sync_folders("/data/core/state", "/data")`
-    """
+    """Sync a folder and those above it up to `top`: files made in them then outlive a loss of power."""
     while True:
         handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
@@ -86,7 +84,7 @@
         >>> Disk("/proc/none").open()
         Traceback (most recent call last):
         ...
-        iriswheel.store.DiskError: The data folder can't be used: ...
+        iriswheel.replication.storage.DiskError: The data folder can't be used: ...
         """
         try:
             top = nearest_folder(os.path.abspath(self.folder))
@@ -110,10 +108,7 @@
         self.env = lmdb.open(self._path(), map_size=self.size, sync=True)
 
     def read(self) -> dict[bytes, bytes]:
-        """All that is on the disk.
-
-        Example: `state = disk.read()`
-        """
+        """All that is on the disk."""
         with self.env.begin() as txn:
             return {bytes(k): bytes(v) for k, v in txn.cursor()}
 
@@ -142,11 +137,11 @@
             if self.env is None:
                 self._open_environment()
             with self.env.begin(write=True) as txn:
-                for key, val in puts:
-                    if val is None:
+                for key, value in puts:
+                    if value is None:
                         txn.delete(key)
                     else:
-                        txn.put(key, val)
+                        txn.put(key, value)
         except lmdb.MapFullError:
             raise
         except lmdb.PanicError as e:
@@ -158,18 +153,12 @@
             raise DiskError(str(e)) from e
 
     def commit(self, puts: list[tuple[bytes, bytes]]) -> defer.Deferred[typing.Any]:
-        """Write off the reactor's thread; the Deferred fires once it is synced.
-
-        Example: `await disk.commit([(b"key", b"value")])`
-        """
+        """Write off the reactor's thread; the Deferred fires once it is synced."""
         d = threads.deferToThreadPool(self.reactor, self.pool, self.write, puts)
         return d
 
     def close(self) -> None:
-        """Finish what is under way and let the folder go.
-
-        Example: `disk.close()`
-        """
+        """Finish what is under way and let the folder go."""
         if self.pool.started:
             self.pool.stop()
         if self.env is not None:
@@ -177,30 +166,25 @@
         self.lock.close()
 
 
-class Guard:
+class MonitoredDisk:
     """A disk watched: writes in order, with a note on whether it works.
 
     A disk that refuses a write, or holds one for more than a second, is not `ok`
     until a later write went through.
-
-    Example: `guard = Guard(mach, disk)`; `mach.spawn(guard.watch())`.
     """
 
-    STALL_US = 1 * machine.SECOND
+    STALL_US = 1 * units.SECOND_US
 
-    def __init__(self, mach: machine.Machine, disk: Disk) -> None:
-        self.mach = mach
+    def __init__(self, runtime: scheduler.Runtime, disk: Disk) -> None:
+        self.runtime = runtime
         self.disk = disk
         self.ok = True
         self.under_way: list[int] = []  # when each unfinished write began
 
     async def commit(self, puts: list[tuple[bytes, bytes | None]]) -> None:
-        """Write pairs; returns once they are synced, raises DiskError where not.
-
-        Example: `await guard.commit([(b"key", b"value")])`
-        """
-        began = self.mach.now()
-        self.under_way.append(began)
+        """Write pairs; returns once they are synced, raises DiskError where not."""
+        started_at = self.runtime.now()
+        self.under_way.append(started_at)
         try:
             await self.disk.commit(puts)
         except DiskError as e:
@@ -209,23 +193,20 @@
             self.ok = False
             raise
         finally:
-            self.under_way.remove(began)
+            self.under_way.remove(started_at)
 
     async def watch(self) -> None:
-        """Notice a stall; try a bad disk again every second.
-
-        Example: `mach.spawn(guard.watch())`
-        """
+        """Notice a stall; try a bad disk again every second."""
         while True:
-            await self.mach.sleep(250 * machine.MILLI)
+            await self.runtime.sleep(250 * units.MILLISECOND_US)
             if self.under_way:
-                if self.ok and self.mach.now() - self.under_way[0] > self.STALL_US:
+                if self.ok and self.runtime.now() - self.under_way[0] > self.STALL_US:
                     log.warning("The disk stalls.")
                     self.ok = False
             elif not self.ok:
-                await self.mach.sleep(machine.SECOND)
+                await self.runtime.sleep(units.SECOND_US)
                 try:
-                    await self.commit([(b"probe", b"%d" % self.mach.now())])
+                    await self.commit([(b"probe", b"%d" % self.runtime.now())])
                     self.ok = True
                     log.info("The disk works again.")
                 except DiskError:
--- a/iriswheel/options.py
+++ b/iriswheel/runtime/options.py
@@ -11,7 +11,7 @@
 import loguru
 
 if typing.TYPE_CHECKING:
-    import iriswheel.machine as machine
+    import iriswheel.runtime.scheduler as scheduler
 
 
 WATCH_US = 2_000_000
@@ -53,7 +53,7 @@
     `front` is where HTTP is served where that isn't host:http_port, `ready` a further place
     at which a node tells only whether it is ready. `grace_us` is the time from a signal to
     the process's end. `copies` synced copies are kept of a change before it is answered, on
-    `seats` core machines once so many are there; only with `found` may a blank core make a
+    `voters` core machines once so many are there; only with `found` may a blank core make a
     new fleet. With `serve_on` a node that lost the core goes on by what it has. The
     platform takes `call_rate` calls a second from all nodes together.
 
@@ -77,7 +77,7 @@
     ready: str = ""
     grace_us: int = 30_000_000
     lease_us: int = 3_000_000  # of nodes, granted by core machines; the same on all of these
-    notice_us: int = 700_000  # after the platform first heard that a node is not ready, newcomers still come
+    notice_us: int = 700_000  # after the platform first heard that a node is not ready, joining members still come
     connections: int = 2048
     copies: int = 2
     seats: int = 3
@@ -121,18 +121,18 @@
         >>> Options("node").check()
         Traceback (most recent call last):
         ...
-        iriswheel.options.OptionsError: name: missing; zone: missing; host: '' is no IP number; ...
+        iriswheel.runtime.options.OptionsError: name: missing; zone: missing; host: '' is no IP number; ...
         """
         bad = []
         for f in dataclasses.fields(self):
-            val, want = getattr(self, f.name), f.type
-            if want is float and type(val) is int:
-                val = float(val)
-                setattr(self, f.name, val)
-            if type(val) is not want:
-                bad.append(f"{f.name}: wants {want.__name__}, not {type(val).__name__}")
-            elif want is float and not math.isfinite(val):
-                bad.append(f"{f.name}: {val} is no finite number")
+            value, want = getattr(self, f.name), f.type
+            if want is float and type(value) is int:
+                value = float(value)
+                setattr(self, f.name, value)
+            if type(value) is not want:
+                bad.append(f"{f.name}: wants {want.__name__}, not {type(value).__name__}")
+            elif want is float and not math.isfinite(value):
+                bad.append(f"{f.name}: {value} is no finite number")
         if bad:
             raise OptionsError(bad)
         need = ["name", "zone"] + (["data"] if self.role == "core" else [])
@@ -179,24 +179,21 @@
 
 
 def read(role: str, path: str, flags: dict[str, typing.Any]) -> "Options":
-    """The options of a file with flags over them, checked.
-
-    Example: `read("node", "node.toml", {"name": "n1"})`
-    """
-    vals = {}
+    """The options of a file with flags over them, checked."""
+    values = {}
     if path:
         try:
             with open(path, "rb") as f:
-                vals = tomllib.load(f)
+                values = tomllib.load(f)
         except OSError as e:
             raise OptionsError([f"options: {path}: {e.strerror}"]) from e
         except (ValueError, RecursionError) as e:
             raise OptionsError([f"options: {path}: {e}"]) from e
     known = {f.name for f in dataclasses.fields(Options)} - {"role"}
-    unknown = [f"{k}: unknown option" for k in sorted(set(vals) - known)]
-    vals = {k: v for k, v in vals.items() if k in known}
-    vals.update({k: v for k, v in flags.items() if v is not None})
-    out = Options(role=role, **vals)
+    unknown = [f"{k}: unknown option" for k in sorted(set(values) - known)]
+    values = {k: v for k, v in values.items() if k in known}
+    values.update({k: v for k, v in flags.items() if v is not None})
+    out = Options(role=role, **values)
     try:
         out.check()
     except OptionsError as e:
@@ -207,29 +204,23 @@
 
 
 class Watch:
-    """Reads a process's options again when their file has changed, or when told to.
-
-    Example: `watch = Watch(mach, path, lambda: read("node", path, {}), node.renew)`; `mach.spawn(watch.run())`.
-    """
+    """Reads a process's options again when their file has changed, or when told to."""
 
     def __init__(
         self,
-        mach: "machine.Machine",
+        runtime: "scheduler.Runtime",
         path: str,
         reread: collections.abc.Callable[..., object],
         renew: collections.abc.Callable[..., object],
     ) -> None:
-        self.mach = mach
+        self.runtime = runtime
         self.path = path
         self.reread = reread
         self.renew = renew
-        self.seen = self.stamp()
-
-    def stamp(self) -> tuple[int, int, int] | None:
-        """What tells one state of the file from another.
+        self.seen = self.version()
 
-        Example: `watch.stamp()`
-        """
+    def version(self) -> tuple[int, int, int] | None:
+        """What tells one state of the file from another."""
         try:
             s = os.stat(self.path)
             return s.st_mtime_ns, s.st_size, s.st_ino
@@ -237,11 +228,8 @@
             return None
 
     def again(self) -> None:
-        """Read the options now; what can't be read leaves the old ones.
-
-        Example: `watch.again()`
-        """
-        self.seen = self.stamp()
+        """Read the options now; what can't be read leaves the old ones."""
+        self.seen = self.version()
         try:
             o = self.reread()
         except OptionsError as e:
@@ -250,12 +238,9 @@
         self.renew(o)
 
     async def run(self) -> None:
-        """Look at the file now and then.
-
-        Example: `mach.spawn(watch.run())`
-        """
+        """Look at the file now and then."""
         while True:
-            await self.mach.sleep(WATCH_US)
-            now = self.stamp()
+            await self.runtime.sleep(WATCH_US)
+            now = self.version()
             if now is not None and now != self.seen:
                 self.again()
--- a/iriswheel/machine.py
+++ b/iriswheel/runtime/scheduler.py
@@ -6,7 +6,6 @@
 
 from __future__ import annotations
 
-import collections
 import collections.abc
 import random
 import time
@@ -15,17 +14,14 @@
 import loguru
 import twisted.internet.defer as defer
 
-import iriswheel.message as message
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
 
 if typing.TYPE_CHECKING:
     import twisted.internet.base as base
     import twisted.python.failure as failure
 
 
-SECOND = 1_000_000
-MILLI = 1_000
-
-
 class DeadlineError(Exception):
     """An answer did not come within its time."""
 
@@ -41,14 +37,14 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-class Machine:
+class Runtime:
     """Reactor, clock and randomness of one process.
 
     >>> import twisted.internet.task as task
     >>> clock = task.Clock()
-    >>> m = Machine(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
+    >>> m = Runtime(clock, now=lambda: int(clock.seconds() * units.SECOND_US), seed=1)
     >>> rung = []
-    >>> _ = m.later(5 * MILLI, rung.append, "tick")
+    >>> _ = m.later(5 * units.MILLISECOND_US, rung.append, "tick")
     >>> clock.advance(0.005)
     >>> rung, m.now()
     (['tick'], 5000)
@@ -61,21 +57,18 @@
         self.now = now
         self.rng = random.Random(seed)
         self.version = message.VERSION  # of the messages that this process speaks
-        self.boot = f"{self.rng.getrandbits(48):012x}"
+        self.incarnation = f"{self.rng.getrandbits(48):012x}"
 
     def later(self, us: int, f: collections.abc.Callable[..., object], *args: typing.Any) -> base.DelayedCall:
-        """Ring f(*args) after us microseconds.
-
-        Example: `tick = mach.later(5 * MILLI, f)`
-        """
-        return self.reactor.callLater(max(0, us) / SECOND, f, *args)
+        """Ring f(*args) after us microseconds."""
+        return self.reactor.callLater(max(0, us) / units.SECOND_US, f, *args)
 
     def sleep(self, us: int) -> defer.Deferred[typing.Any]:
         """A Deferred that fires after us microseconds, and may be cancelled.
 
         >>> import twisted.internet.task as task
         >>> clock = task.Clock()
-        >>> d = Machine(clock, now=lambda: 0).sleep(SECOND)
+        >>> d = Runtime(clock, now=lambda: 0).sleep(units.SECOND_US)
         >>> clock.advance(1); d.called
         True
         """
@@ -88,17 +81,17 @@
 
         >>> import twisted.internet.task as task
         >>> clock = task.Clock()
-        >>> s = Signal(); d = Machine(clock, now=lambda: 0).pause(s, SECOND)
+        >>> s = Signal(); d = Runtime(clock, now=lambda: 0).pause(s, units.SECOND_US)
         >>> clock.advance(1); d.called, s.waiting
         (True, [])
         """
         d = signal.wait()
         tick = self.later(us, signal.drop, d)
 
-        def done(res: None) -> None:
+        def done(response: None) -> None:
             if tick.active():
                 tick.cancel()
-            return res
+            return response
 
         return d.addBoth(done)
 
@@ -107,7 +100,7 @@
 
         >>> import twisted.internet.task as task
         >>> clock = task.Clock()
-        >>> d = Machine(clock, now=lambda: 0).within(defer.Deferred(), SECOND)
+        >>> d = Runtime(clock, now=lambda: 0).within(defer.Deferred(), units.SECOND_US)
         >>> clock.advance(1)
         >>> d.addErrback(lambda f: f.type.code).result
         'late'
@@ -115,11 +108,11 @@
         out = defer.Deferred(lambda _: d.cancel())
         tick = self.later(us, self._expire, out, d)
 
-        def done(res: typing.Any) -> None:
+        def done(response: typing.Any) -> None:
             if tick.active():
                 tick.cancel()
             if not out.called:
-                out.callback(res)
+                out.callback(response)
 
         d.addBoth(done)
         return out
@@ -131,24 +124,24 @@
             d.cancel()
 
     def spawn(
-        self, coro: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any], log: loguru.Logger | None = None
+        self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any], log: loguru.Logger | None = None
     ) -> defer.Deferred[typing.Any]:
         """Run a coroutine as a task of its own; an error in it is logged, not lost.
 
         >>> async def answer():
         ...     return 42
-        >>> Machine(None, now=lambda: 0).spawn(answer()).result
+        >>> Runtime(None, now=lambda: 0).spawn(answer()).result
         42
         """
-        d = defer.ensureDeferred(coro)
+        d = defer.ensureDeferred(coroutine)
         d.addErrback(self._spilt, log or loguru.logger.bind(part="task"))
         return d
 
     @staticmethod
-    def _spilt(defect: failure.Failure, log: loguru.Logger) -> None:
-        if defect.check(defer.CancelledError):
+    def _spilt(error: failure.Failure, log: loguru.Logger) -> None:
+        if error.check(defer.CancelledError):
             return
-        log.error("A task broke off: {}", defect.getTraceback())
+        log.error("A task broke off: {}", error.getTraceback())
 
 
 class Signal:
@@ -192,39 +185,3 @@
         for d in woken:
             if not d.called:
                 d.callback(None)
-
-
-class BoundedQueue:
-    """A bounded holding between two stages; put says whether there was room.
-
-    >>> h = BoundedQueue(1)
-    >>> h.put("a"), h.put("b"), h.take(), len(h)
-    (True, False, 'a', 0)
-    """
-
-    def __init__(self, room: int) -> None:
-        self.room = room
-        self.items: collections.deque[str] = collections.deque()
-
-    def __len__(self) -> int:
-        """Return how many items wait."""
-        return len(self.items)
-
-    def put(self, item: str) -> bool:
-        """Add an item unless the holding is full.
-
-        >>> BoundedQueue(0).put("a")
-        False
-        """
-        if len(self.items) >= self.room:
-            return False
-        self.items.append(item)
-        return True
-
-    def take(self) -> str:
-        """Remove and return the item that came first.
-
-        >>> h = BoundedQueue(2); _ = h.put("one"), h.put("two"); h.take()
-        'one'
-        """
-        return self.items.popleft()
--- a/iriswheel/message.py
+++ b/iriswheel/transport/message.py
@@ -15,27 +15,27 @@
     """The base of all messages."""
 
 
-def plain(val):
+def plain(value):
     """A message as plain data, under the names that its fields have outside.
 
     A field that is renamed in the code keeps its name outside by `rename=` of its class.
 
-    >>> plain([Seat("c0ffee", "127.0.0.1", 7001, "a")])
+    >>> plain([Voter("c0ffee", "127.0.0.1", 7001, "a")])
     [{'id': 'c0ffee', 'host': '127.0.0.1', 'port': 7001, 'zone': 'a'}]
     """
-    match val:
+    match value:
         case Message():
-            names = zip(val.__struct_fields__, val.__struct_encode_fields__, strict=True)
-            return {shown: plain(getattr(val, name)) for name, shown in names}
+            names = zip(value.__struct_fields__, value.__struct_encode_fields__, strict=True)
+            return {shown: plain(getattr(value, name)) for name, shown in names}
         case list() | tuple():
-            return [plain(v) for v in val]
-    return val
+            return [plain(v) for v in value]
+    return value
 
 
 # ---- shared shapes -------------------------------------------------------
 
 
-class Seat(Message, tag="Seat"):
+class Voter(Message, tag="Seat"):
     """A core machine that votes: its identity, address and zone."""
 
     id: str
@@ -48,22 +48,22 @@
     """A place in the chain: a voter, in one of its lives."""
 
     id: str
-    boot: str
+    incarnation: str
 
 
 class View(Message, tag="View"):
     """The agreed view: who votes, and the chain from head to tail."""
 
     number: int
-    seats: list[Seat]
+    voters: list[Voter]
     chain: list[ChainReplica]
 
 
-class Entry(Message, tag="Entry"):
+class LogEntry(Message, tag="Entry"):
     """One numbered change in the chain. `made` is the view in which it was made."""
 
-    n: int
-    made: int
+    index: int
+    view: int
     kind: str  # "plan", "confirm", or "apply": both in one
     plan: str
     base: int = 0
@@ -92,7 +92,7 @@
     drain_us: int = 0
 
 
-class Duty(Message, tag="Duty"):
+class RoleAssignment(Message, tag="Duty", rename={"active": "seated"}):
     """A task that one live node does, under a term.
 
     `base` names the nodes of the last group that was seated: one of them must be
@@ -104,21 +104,21 @@
     holder: str
     copies: list[str]
     base: list[str]
-    seated: bool = False
+    active: bool = False
 
 
-class Roster(Message, tag="Roster"):
-    """The soft state that the tail issues, stamped by view and count."""
+class Membership(Message, tag="Roster", rename={"version": "stamp", "assignments": "duties"}):
+    """The soft state that the tail issues, versioned by view and count."""
 
-    stamp: tuple[int, int]
+    version: tuple[int, int]
     members: list[Member]
     workers: list[Worker]
-    duties: list[Duty]
-    cores: list[Seat]
+    assignments: list[RoleAssignment]
+    cores: list[Voter]
     listed: tuple[int, int, int] = (0, 0, 0)
 
 
-class Session(Message, tag="Session"):
+class SessionRecord(Message, tag="Session"):
     """A conversation's record. Spans are what is left when it was sent."""
 
     id: str
@@ -126,25 +126,25 @@
     left_us: int
     lifetime_us: int
     cost: int
-    stamp: int
-    ask: str = ""  # the send that opened it, until that reached the worker
+    version: int
+    attempt_id: str = ""  # the send that opened it, until that reached the worker
 
 
 class Claim(Message, tag="Claim"):
-    """The claim on an exchange that may not be repeated."""
+    """The claim on a request that may not be repeated."""
 
-    exchange: str
+    request_id: str
     send: int
     node: str
-    ask: str
+    attempt_id: str
     state: str  # "claimed", "void" or "ran"
     left_us: int
 
 
-class Same(Message, tag="Same"):
-    """The worker list is as it was when it was told whole under the stamp `of`."""
+class ListingUnchanged(Message, tag="Same"):
+    """The worker list is as it was when it was told whole under the version `of`."""
 
-    stamp: tuple[int, int, int]
+    version: tuple[int, int, int]
     of: tuple[int, int, int]
 
 
@@ -155,12 +155,12 @@
     """A core's sign of life, and the answer to one."""
 
     id: str
-    boot: str
+    incarnation: str
     zone: str
     host: str
     port: int
     view: View | None
-    whole: int
+    synced_view: int
     disk_ok: bool
     leaving: bool = False
     sealed: bool = False  # whether a promise closed the view there, so that nothing is acknowledged in it
@@ -182,10 +182,10 @@
     accepted: tuple[tuple[int, str], View] | None
     newer: View | None
     id: str
-    boot: str
-    whole: int
+    incarnation: str
+    synced_view: int
     disk_ok: bool
-    tip: tuple[int, int] = (0, 0)  # its newest entry: the view it was made in, its number
+    last_entry: tuple[int, int] = (0, 0)  # its newest entry: the view it was made in, its number
 
 
 class Accept(Message, tag="Accept"):
@@ -216,40 +216,40 @@
     tail: str
 
 
-class LeaseGiven(Message, tag="LeaseGiven"):
+class LeaseResponse(Message, tag="LeaseGiven"):
     """The answer to a tail that asks for its lease."""
 
     ok: bool
     newer: View | None
 
 
-class Place(Message, tag="Place"):
-    """Ask the next link how far it has come."""
+class PositionRequest(Message, tag="Place"):
+    """Ask the next replica how far it has come."""
 
     view: int
     sender: str
 
 
-class Placed(Message, tag="Placed"):
+class PositionResponse(Message, tag="Placed"):
     """How far a link has come: its newest synced entry, and how much of a snapshot has arrived in pieces."""
 
     ok: bool
-    n: int = 0
-    made: int = 0
+    index: int = 0
+    view: int = 0
     pieces: bool = False  # whether it takes snapshots in pieces; older programs do not
     snapshot: str = ""  # digest of the snapshot that is arriving
     received: int = 0  # bytes of it
 
 
-class Position(Message, tag="Position"):
+class LogPosition(Message, tag="Position"):
     """A place in the log: an entry's number, and the view in which it was made."""
 
-    n: int
-    made: int
+    index: int
+    view: int
 
 
-class Piece(Message, tag="Piece"):
-    """One piece of a snapshot for the next link; changes nothing there until a last Refill names the snapshot."""
+class SnapshotChunk(Message, tag="Piece"):
+    """One piece of a snapshot for the next replica; changes nothing there until a last Refill names the snapshot."""
 
     view: int
     snapshot: str  # digest of the whole snapshot
@@ -258,42 +258,42 @@
     content: bytes
 
 
-class PieceTaken(Message, tag="PieceTaken"):
+class SnapshotChunkResponse(Message, tag="PieceTaken"):
     """How much of the snapshot has arrived."""
 
     ok: bool
     received: int = 0
 
 
-class Refill(Message, tag="Refill"):
-    """Bring the next link up to date: entries after its own newest one, or after a snapshot sent before in pieces.
+class CatchUp(Message, tag="Refill"):
+    """Bring the next replica up to date: entries after its own newest one, or after a snapshot sent before in pieces.
 
     `frame` holds a whole snapshot, for programs that take none in pieces.
     """
 
     view: int
     frame: bytes | None
-    entries: list[Entry]
-    after: Position | None = None  # the entry that these follow
+    entries: list[LogEntry]
+    after: LogPosition | None = None  # the entry that these follow
     snapshot: str = ""  # digest of the snapshot that these follow
     last: bool = True  # whether the link then holds all that the sender holds
 
 
-class Append(Message, tag="Append"):
+class AppendRequest(Message, tag="Append"):
     """Entries for the next replica of the chain, in order."""
 
     view: int
-    entries: list[Entry]
+    entries: list[LogEntry]
 
 
-class Stored(Message, tag="Stored"):
+class AppendResponse(Message, tag="Stored"):
     """All links from here to the tail have synced up to n."""
 
     ok: bool
-    n: int = 0
+    index: int = 0
 
 
-class Propose(Message, tag="Propose"):
+class ProposeChange(Message, tag="Propose"):
     """An operator's change, on its way to the head."""
 
     view: int
@@ -303,80 +303,80 @@
     changes: list[tuple[str, typing.Any]] = []
 
 
-class Proposed(Message, tag="Proposed"):
-    """The answer to `Propose`: an error, or the stamp under which the change stands."""
+class ProposeChangeResponse(Message, tag="Proposed"):
+    """The answer to `Propose`: an error, or the version under which the change stands."""
 
     code: str  # "" where it stands
-    verdict: str = "not_run"
+    execution: str = "not_run"
     text: str = ""
-    stamp: int = 0
+    version: int = 0
 
 
-class Look(Message, tag="Look"):
+class ReadRequest(Message, tag="Look"):
     """Read at the tail: the configuration, and a plan where one is named."""
 
     view: int
     plan: str = ""
 
 
-class Seen(Message, tag="Seen"):
-    """The answer to `Look`: the items under their stamp, and the plan asked for."""
+class ReadResponse(Message, tag="Seen"):
+    """The answer to `Look`: the items under their version, and the plan asked for."""
 
     ok: bool
-    stamp: int = 0
+    version: int = 0
     items: dict[str, typing.Any] = {}
     plan: dict[str, typing.Any] | None = None
-    taken: int = 0  # the stamp under which the change of that id was taken
+    taken: int = 0  # the version under which the change of that id was taken
     forgotten: int = 0  # the highest number of a change taken whose id is no longer remembered
 
 
-class Sessions(Message, tag="Sessions"):
+class NodeSessionsReport(Message, tag="Sessions"):
     """What a core tells the tail: its nodes' sessions and what the nodes found."""
 
     core: str
     view: int
     members: list[Member]
-    places: list[int]  # how far each of the members has come
-    listing: "Listing | None"
-    seated: list[tuple[str, tuple[int, int]]]
-    roster: Roster | None
-    contested: list[tuple[str, tuple[int, int]]] = []  # duties whose holder met a newer term than its own
-    same: Same | None = None
+    applied_indexes: list[int]  # how far each of the members has come
+    listing: "WorkerListing | None"
+    active: list[tuple[str, tuple[int, int]]]
+    membership: Membership | None
+    contested: list[tuple[str, tuple[int, int]]] = []  # role assignments whose holder met a newer term than its own
+    listing_unchanged: ListingUnchanged | None = None
     sent_at: int = 0  # on the core's clock, in µs; the tail sends it back
     leases: list[tuple[str, int, int]] = []  # node, version applied, how long it may hold a lease (µs)
 
 
-class Beat(Message, tag="Beat"):
+class TailHeartbeat(Message, tag="Beat"):
     """From the tail to the cores, and from a core to its nodes: all is well."""
 
     view: int
-    n: int
+    index: int
     applied_by_all: int  # every member has come at least this far
     sessions: int  # members that have a session
-    roster: Roster | None
-    same: Same | None = None
+    membership: Membership | None
+    listing_unchanged: ListingUnchanged | None = None
     echo: int = 0  # `sent_at` of the newest report that came from the addressed core in this view
 
 
 # ---- between a node and a core ----------------------------------------------
 
 
-class Join(Message, tag="Join"):
+class JoinRequest(Message, tag="Join"):
     """A node opens its session with a core, and says how far it has come."""
 
     member: Member
-    place: int
-    roster: Roster | None
+    applied_index: int
+    membership: Membership | None
     sent_at: int = 0  # on the node's clock, in µs
 
 
-class Elsewhere(Message, tag="Elsewhere"):
+class Redirect(Message, tag="Elsewhere"):
     """This core machine stops; others serve."""
 
-    cores: list[Seat]
+    cores: list[Voter]
 
 
-class Early(Message, tag="Early"):
+class UnconfirmedConfiguration(Message, tag="Early"):
     """What a core's disk holds, for a node that knows nothing while no core serves.
 
     All of it was synced here; the newest of it may not have been answered yet.
@@ -386,58 +386,58 @@
     items: dict[str, typing.Any]
 
 
-class Snapshot(Message, tag="Frame"):
+class ConfigurationSnapshot(Message, tag="Frame"):
     """All items that a node needs, as of entry `n`."""
 
-    n: int
+    index: int
     items: dict[str, typing.Any]
 
 
-class Change(Message, tag="Change"):
+class ConfigurationUpdate(Message, tag="Change"):
     """The items that changed for a node up to entry `n`."""
 
-    n: int
+    index: int
     items: dict[str, typing.Any]  # None removes
 
 
-class News(Message, tag="News"):
-    """A newer roster."""
+class MembershipUpdate(Message, tag="News"):
+    """A newer membership."""
 
-    roster: Roster
+    membership: Membership
 
 
-class Alive(Message, tag="Alive"):
+class SessionHeartbeat(Message, tag="Alive"):
     """A heartbeat on a session; from a node, how far it has come; to a node, that the worker list stands."""
 
-    n: int
-    stamp: tuple[int, int]
-    same: Same | None = None
+    index: int
+    version: tuple[int, int]
+    listing_unchanged: ListingUnchanged | None = None
     sent_at: int = 0  # from a node: on its clock, in µs; to a node: the newest of these that came
     lease_left: int = 0  # to a node: how long a lease counted from `sent_at` may run at most, in µs
 
 
-class Listing(Message, tag="Listing"):
-    """The platform's worker list, from the node whose duty it is to ask."""
+class WorkerListing(Message, tag="Listing"):
+    """The platform's worker list, from the node whose role it is to ask."""
 
     workers: list[Worker]
-    stamp: tuple[int, int, int]  # the term of the duty, and a count
+    version: tuple[int, int, int]  # the term of the role, and a count
 
 
-class Seated(Message, tag="Seated"):
-    """The holder of a duty has taken it up under this term."""
+class RoleActivated(Message, tag="Seated"):
+    """The holder of a role has taken it up under this term."""
 
     key: str
     term: tuple[int, int]
 
 
-class Contested(Message, tag="Contested"):
-    """A duty's holder met a newer term than its own, of a roster that was lost: it needs a term anew."""
+class RoleContested(Message, tag="Contested"):
+    """A role's holder met a newer term than its own, of a membership that was lost: it needs a term anew."""
 
     key: str
     term: tuple[int, int]
 
 
-class Leave(Message, tag="Leave"):
+class MemberLeaving(Message, tag="Leave"):
     """A node leaves in good order."""
 
     member: str
@@ -446,16 +446,16 @@
 # ---- between nodes ----------------------------------------------------------
 
 
-class Elect(Message, tag="Elect"):
-    """Ask the warden for a worker for one exchange."""
+class SelectWorker(Message, tag="Elect"):
+    """Ask the pool owner for a worker for one request."""
 
     pool: str
     term: tuple[int, int]
     node: str
-    ask: str  # this send's own id, from the node
-    exchange: str
+    attempt_id: str  # this send's own id, from the node
+    request_id: str
     send: int
-    repeatable: bool
+    idempotent: bool
     session: str
     prefix: list[str]
     work: int
@@ -466,86 +466,86 @@
     again: bool = False  # whether this would repeat an earlier send
 
 
-class Granted(Message, tag="Granted"):
+class SelectionGranted(Message, tag="Granted"):
     """The answer to `Elect`: the worker elected, and for how long the grant may be used."""
 
     term: tuple[int, int]
     worker: str
     left_us: int
-    pinned: bool
+    affinity: bool
     session_us: int
     via: str = ""  # a member that hears the worker, should the asking node not reach it
 
 
-class Denied(Message, tag="Denied"):
-    """The answer to `Elect` where no worker was elected, with the verdict for the exchange."""
+class SelectionDenied(Message, tag="Denied"):
+    """The answer to `Elect` where no worker was elected, with the verdict for the request."""
 
     term: tuple[int, int]
     code: str
     text: str
-    verdict: str
+    execution: str
     retry_us: int
 
 
-class Forbid(Message, tag="Forbid"):
+class RevokeRequest(Message, tag="Forbid"):
     """A retry came to another pool, as its route moved: was it sent here? If not, it never will be."""
 
     pool: str
     by: str  # the pool that asks
-    exchange: str
+    request_id: str
 
 
-class Forbidden(Message, tag="Forbidden"):
+class RevokeResponse(Message, tag="Forbidden"):
     """The answer to `Forbid`."""
 
     state: str  # "" where it was never sent, else "claimed", "ran", "unknown", or "later": ask again
 
 
-class Done(Message, tag="Done"):
+class GrantReleased(Message, tag="Done"):
     """A grant is over: used (ran), or given back (not sent)."""
 
     pool: str
-    ask: str
-    verdict: str
+    attempt_id: str
+    execution: str
 
 
-class Running(Message, tag="Running"):
+class GrantReport(Message, tag="Running"):
     """All grants that this node holds in a pool, told every second."""
 
     pool: str
     node: str
-    asks: list[str]
-    heard: list[str] = []  # workers that it heard in the last second
+    attempt_ids: list[str]
+    reachable_workers: list[str] = []  # workers that it heard in the last second
     voids: list[str] = []  # asks that it gave up lately without a send
 
 
-class Gather(Message, tag="Gather"):
-    """A new warden asks for all that is known of a pool."""
+class RecordsRequest(Message, tag="Gather"):
+    """A new pool owner asks for all that is known of a pool."""
 
     pool: str
     term: tuple[int, int]
-    warden: str
+    owner: str
 
 
-class Gathered(Message, tag="Gathered"):
+class RecordsResponse(Message, tag="Gathered"):
     """The answer to `Gather`: a core's or a node's records of the pool."""
 
     ok: bool
-    sessions: list[Session] = []
+    sessions: list[SessionRecord] = []
     claims: list[Claim] = []
-    held: list["Grant"] = []
-    pins: list[Session] = []
+    held: list["WorkerGrant"] = []
+    affinities: list[SessionRecord] = []
     copy: bool = False
     broken_us: int = 0  # for how long yet claims of before may be missing
-    firsts: dict[str, int] = {}  # the node's part of the retry budget: exchanges and their ages
+    firsts: dict[str, int] = {}  # the node's part of the retry budget: requests and their ages
     repeats: list[int] = []
 
 
-class Grant(Message, tag="Grant"):
-    """A grant that a node holds: enough for a new warden to count it."""
+class WorkerGrant(Message, tag="Grant"):
+    """A grant that a node holds: enough for a new pool owner to count it."""
 
     pool: str
-    ask: str
+    attempt_id: str
     node: str
     worker: str
     session: str
@@ -553,117 +553,117 @@
     long: bool
 
 
-class Copy(Message, tag="Copy"):
-    """A warden's records for those that keep copies: the changed ones, or all where `whole`."""
+class ReplicateRecords(Message, tag="Copy"):
+    """A pool owner's records for those that keep copies: the changed ones, or all where `whole`."""
 
     pool: str
     term: tuple[int, int]
-    warden: str
-    sessions: list[Session]
+    owner: str
+    sessions: list[SessionRecord]
     claims: list[Claim]
     closed: list[str]
-    whole: bool = False
+    complete: bool = False
     broken_us: int = 0
 
 
-class Copied(Message, tag="Copied"):
+class ReplicateResponse(Message, tag="Copied"):
     """The answer to `Copy`: whether it was taken."""
 
     ok: bool
 
 
-class Unpin(Message, tag="Unpin"):
+class SessionsClosed(Message, tag="Unpin"):
     """Sessions that were closed or moved: no node may go by what it remembers of them."""
 
     pool: str
     sessions: list[str]
 
 
-class Spread(Message, tag="Spread"):
+class ForwardedListing(Message, tag="Spread"):
     """The worker list, told directly from node to node."""
 
-    listing: Listing
+    listing: WorkerListing
 
 
-class Relist(Message, tag="Relist"):
+class ListingRequest(Message, tag="Relist"):
     """That list is not known here: tell it whole."""
 
 
-class Loads(Message, tag="Loads"):
+class LoadReport(Message, tag="Loads"):
     """Load in flight, by pool.
 
-    A row holds a worker, exchanges running there, prompt tokens not read yet, and the suspicion of it in
+    A row holds a worker, requests running there, prompt tokens not read yet, and the suspicion of it in
     percent. From a node to its core: its own. Between cores: the sum of a core's nodes. From a core to a
     node: the sum of all other nodes. Only what changed, unless `whole`.
     """
 
     sender: str
-    whole: bool
+    complete: bool
     rows: dict[str, list[tuple[str, int, int, int]]]
 
 
-class Probe(Message, tag="Probe"):
-    """A warden asks for a witness: does this worker answer you?"""
+class ProbeRequest(Message, tag="Probe"):
+    """A pool owner asks for a witness: does this worker answer you?"""
 
     worker: Worker
 
 
-class Probed(Message, tag="Probed"):
+class ProbeResponse(Message, tag="Probed"):
     """The answer to `Probe`."""
 
     sort: str  # "answer", "mute" (takes the connection, says nothing) or "none"
     load: tuple[int, int] | None
 
 
-class Dark(Message, tag="Dark"):
+class WorkerUnreachable(Message, tag="Dark"):
     """Nobody reaches this worker: who waits for a first byte from it waits in vain."""
 
     worker: str
 
 
-class Pass(Message, tag="Pass"):
-    """Ask a member to pass one exchange on to a worker that this node does not reach."""
+class RelayRequest(Message, tag="Pass"):
+    """Ask a member to pass one request on to a worker that this node does not reach."""
 
     worker: str
 
 
-class Passed(Message, tag="Passed"):
+class RelayResponse(Message, tag="Passed"):
     """The answer to `Pass`."""
 
-    token: str  # for one exchange at its door; "" where it can't
+    token: str  # for one request at its door; "" where it can't
 
 
-class HowGoes(Message, tag="HowGoes"):
+class CoreStatusQuery(Message, tag="HowGoes"):
     """A node that has lost the core asks its peers how they fare.
 
-    `stamp` is that of the roster it has.
+    `version` is that of the membership it has.
     """
 
-    stamp: tuple[int, int] = (0, 0)
+    version: tuple[int, int] = (0, 0)
 
 
-class Heard(Message, tag="Heard"):
+class PolledWorkers(Message, tag="Heard"):
     """The worker list as one node had to ask for it, for others that lack news too."""
 
     workers: list[Worker]
 
 
-class Goes(Message, tag="Goes"):
+class CoreStatusResponse(Message, tag="Goes"):
     """The answer to `HowGoes`: whether the core was heard, and where."""
 
     core: bool
-    roster: Roster | None  # where it is newer than the asking node's
+    membership: Membership | None  # where it is newer than the asking node's
     at: tuple[str, int] | None = None  # the core that the peer has its session with
-    place: int = 0  # how far its configuration has come
+    applied_index: int = 0  # how far its configuration has come
 
 
-class Hello(Message, tag="Hello"):
+class VersionHandshake(Message, tag="Hello"):
     """The first message on a link, both ways."""
 
     version: int
 
 
-class Ping(Message, tag="Ping"):
+class KeepAlive(Message, tag="Ping"):
     """A sign of life on a quiet link."""
 
 
@@ -675,58 +675,58 @@
     Accepted,
     Decided,
     LeaseRequest,
-    LeaseGiven,
-    Place,
-    Placed,
-    Position,
-    Piece,
-    PieceTaken,
-    Refill,
-    Append,
-    Stored,
-    Propose,
-    Proposed,
-    Look,
-    Seen,
-    Sessions,
-    Beat,
-    Join,
-    Elsewhere,
-    Snapshot,
-    Change,
-    News,
-    Alive,
-    Listing,
-    Seated,
-    Leave,
-    Elect,
-    Granted,
-    Denied,
-    Done,
-    Running,
-    Gather,
-    Gathered,
-    Copy,
-    Copied,
-    Unpin,
-    Spread,
-    HowGoes,
-    Goes,
-    Ping,
-    Entry,
-    Roster,
-    Hello,
-    Contested,
-    Early,
-    Heard,
-    Same,
-    Relist,
-    Loads,
-    Probe,
-    Probed,
-    Dark,
-    Pass,
-    Passed,
-    Forbid,
-    Forbidden,
+    LeaseResponse,
+    PositionRequest,
+    PositionResponse,
+    LogPosition,
+    SnapshotChunk,
+    SnapshotChunkResponse,
+    CatchUp,
+    AppendRequest,
+    AppendResponse,
+    ProposeChange,
+    ProposeChangeResponse,
+    ReadRequest,
+    ReadResponse,
+    NodeSessionsReport,
+    TailHeartbeat,
+    JoinRequest,
+    Redirect,
+    ConfigurationSnapshot,
+    ConfigurationUpdate,
+    MembershipUpdate,
+    SessionHeartbeat,
+    WorkerListing,
+    RoleActivated,
+    MemberLeaving,
+    SelectWorker,
+    SelectionGranted,
+    SelectionDenied,
+    GrantReleased,
+    GrantReport,
+    RecordsRequest,
+    RecordsResponse,
+    ReplicateRecords,
+    ReplicateResponse,
+    SessionsClosed,
+    ForwardedListing,
+    CoreStatusQuery,
+    CoreStatusResponse,
+    KeepAlive,
+    LogEntry,
+    Membership,
+    VersionHandshake,
+    RoleContested,
+    UnconfirmedConfiguration,
+    PolledWorkers,
+    ListingUnchanged,
+    ListingRequest,
+    LoadReport,
+    ProbeRequest,
+    ProbeResponse,
+    WorkerUnreachable,
+    RelayRequest,
+    RelayResponse,
+    RevokeRequest,
+    RevokeResponse,
 ]
--- /dev/null
+++ b/iriswheel/verification/__init__.py
@@ -0,0 +1,1 @@
+"""Checkers of event logs: the product's guarantees, histories, linearizability."""
--- a/iriswheel/history.py
+++ b/iriswheel/verification/history.py
@@ -4,7 +4,7 @@
 
 - configurations of the users' platform: `config_sent`, `config_answer`, `config_read`;
 - numbered changes of iriswheel's own interface: `number_sent`, `numbered`, `read`;
-- plans and their confirmation, under stamps: `confirm_sent`, `confirmed`, `confirm_refused`, `read`.
+- plans and their confirmation, under versions: `confirm_sent`, `confirmed`, `confirm_refused`, `read`.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import json
 import typing
 
-import iriswheel.linearizability as linearizability
+import iriswheel.verification.linearizability as linearizability
 
 STALE_NUMBER = -1  # of a plan that was never taken
 
@@ -42,7 +42,7 @@
             return Outcome.UNKNOWN
 
 
-def content(doc: dict[str, typing.Any]) -> str:
+def content(document: dict[str, typing.Any]) -> str:
     """A short name for a document, whatever the order of the items in its lists.
 
     >>> content({"routes": [1, 2]}) == content({"routes": [2, 1]})
@@ -52,7 +52,7 @@
     def ordered(value: dict[str, int] | int | list[typing.Any]) -> dict[str, int] | int | list[typing.Any]:
         return sorted(value, key=lambda x: json.dumps(x, sort_keys=True)) if isinstance(value, list) else value
 
-    return linearizability.digest({key: ordered(value) for key, value in doc.items()})
+    return linearizability.digest({key: ordered(value) for key, value in document.items()})
 
 
 def configurations(
@@ -74,14 +74,14 @@
                 valid[row["send"]] = row["valid"]
                 events.append(Invocation(row["at"], row["send"], change))
             case {"kind": "config_answer"} if row["send"] in valid:
-                said = outcome(row["code"])
-                if said is Outcome.INVALID and valid[row["send"]]:
-                    said = Outcome.REFUSED
-                elif said is Outcome.REFUSED and not valid[row["send"]]:
-                    said = Outcome.INVALID
-                events.append(ChangeResponse(row["at"], row["send"], said))
-            case {"kind": "config_read", "doc": dict(doc), "version": int(version)}:
-                events += read(row, version, content(doc))
+                result = outcome(row["code"])
+                if result is Outcome.INVALID and valid[row["send"]]:
+                    result = Outcome.REFUSED
+                elif result is Outcome.REFUSED and not valid[row["send"]]:
+                    result = Outcome.INVALID
+                events.append(ChangeResponse(row["at"], row["send"], result))
+            case {"kind": "config_read", "doc": dict(document), "version": int(version)}:
+                events += read(row, version, content(document))
     return events
 
 
@@ -125,16 +125,16 @@
 def confirmations(
     rows: list[dict[str, typing.Any]],
 ) -> list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]:
-    """The history of confirmed plans, under the stamps that the chain gave them.
+    """The history of confirmed plans, under the versions that the chain gave them.
 
-    A plan that was never acknowledged may have been taken under any stamp that somebody saw and
-    that no other plan has. None where numbered changes are among them: their stamps are not in logs.
+    A plan that was never acknowledged may have been taken under any version that somebody saw and
+    that no other plan has. None where numbered changes are among them: their versions are not in logs.
 
     >>> row = {"plan": "0-a", "base": 0, "blueprint": {}}
     >>> confirmations([{"at": 1, "kind": "confirm_sent", **row}])
     []
     """
-    sent, stamps, seen = {}, {}, set()
+    sent, versions, seen = {}, {}, set()
     refused = collections.defaultdict(list)
     events = []
     for row in rows:
@@ -145,25 +145,25 @@
                 sent.setdefault(row["plan"], row)
                 seen.add(row["base"])
             case {"kind": "confirmed"} if row["plan"] in sent:
-                stamps.setdefault(row["plan"], row["stamp"])
+                versions.setdefault(row["plan"], row["stamp"])
             case {"kind": "confirm_refused", "code": "base_moved"} if row["plan"] in sent:
                 refused[row["plan"]].append(row["at"])
             case {"kind": "read"}:
                 seen.add(row["stamp"])
                 events += read(row, row["stamp"])
-    free = sorted(seen - set(stamps.values()))
+    free = sorted(seen - set(versions.values()))
     answered = first_answers(rows)
     for plan, row in sent.items():
-        if plan in stamps:
-            change = Change(stamps[plan], row["base"], plan)
+        if plan in versions:
+            change = Change(versions[plan], row["base"], plan)
             events.append(Invocation(row["at"], plan, change))
             events.append(ChangeResponse(answered[plan], plan, Outcome.ACKNOWLEDGED))
         elif plan not in refused:
-            may = [Change(stamp, row["base"], plan) for stamp in free if stamp > row["base"]]
+            may = [Change(version, row["base"], plan) for version in free if version > row["base"]]
             events += [Invocation(row["at"], f"{plan} as {change.number}", change) for change in may]
         for k, at in enumerate(refused[plan]):
             call = f"{plan} refused {k}"
-            change = Change(stamps.get(plan, STALE_NUMBER), row["base"], plan)
+            change = Change(versions.get(plan, STALE_NUMBER), row["base"], plan)
             events += [Invocation(row["at"], call, change), ChangeResponse(at, call, Outcome.REFUSED)]
     return events
 
--- a/iriswheel/linearizability.py
+++ b/iriswheel/verification/linearizability.py
@@ -191,7 +191,7 @@
     return State(change.number, change.content, state.taken | {change})
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class CheckResult(msgspec.Struct, frozen=True):
     """Whether a history is linearizable, and where not, the answers that nothing explains."""
 
     linearizable: bool
@@ -246,11 +246,8 @@
         self.steps = 0
         self.bound = bound
 
-    def run(self, initial: State) -> Verdict:
-        """Search from a state; raises SearchLimitError.
-
-        Example: `Search(calls, SEARCH_BOUND).run(State())`
-        """
+    def run(self, initial: State) -> CheckResult:
+        """Search from a state; raises SearchLimitError."""
         best = Point(initial)
         frontier, seen = [best], {best}
         while frontier:
@@ -258,29 +255,23 @@
             if point.explained > best.explained:
                 best = point
             if point.low == len(self.answered):
-                return Verdict(True, point.low, [])
+                return CheckResult(True, point.low, [])
             for after in self.changed(point):
                 self.count_step()
                 if after not in seen:
                     seen.add(after)
                     frontier.append(after)
         window, _ = self.window(best)
-        return Verdict(False, best.explained, [described(self.answered[k]) for k in window])
+        return CheckResult(False, best.explained, [described(self.answered[k]) for k in window])
 
     def count_step(self) -> None:
-        """Count one step; raises SearchLimitError above the bound.
-
-        Example: `search.count_step()`
-        """
+        """Count one step; raises SearchLimitError above the bound."""
         self.steps += 1
         if self.steps > self.bound:
             raise SearchLimitError(f"{len(self.answered)} calls, given up after {self.bound} steps")
 
     def window(self, point: Point) -> tuple[list[int], int]:
-        """The calls that may be next: those sent before any of them was answered; and that moment.
-
-        Example: `window, first_answer = search.window(point)`
-        """
+        """The calls that may be next: those sent before any of them was answered; and that moment."""
         first_answer, window = NEVER, []
         for k in range(point.low, len(self.answered)):
             if self.answered[k].sent > first_answer:
@@ -294,8 +285,6 @@
         """The place after all calls that may be next and leave the state as it is.
 
         Taking them at once loses nothing: what follows may follow all the same.
-
-        Example: `point = search.past_fixed(point)`
         """
         while True:
             window, _ = self.window(point)
@@ -307,10 +296,7 @@
                 point = point.after(k, point.state)
 
     def changed(self, point: Point) -> collections.abc.Iterator[Point]:
-        """The places after one more call that changes the state.
-
-        Example: `for after in search.changed(point): ...`
-        """
+        """The places after one more call that changes the state."""
         window, first_answer = self.window(point)
         for call in self.unknown:
             if call.sent <= first_answer:
@@ -323,7 +309,7 @@
     events: list[ChangeResponse | Invocation | ReadResponse],
     initial: State = State(),  # noqa: B008, a frozen value
     bound: int = SEARCH_BOUND,
-) -> Verdict:
+) -> CheckResult:
     """Judge a history; raises HistoryError, or SearchLimitError after so many steps.
 
     >>> check([Invocation(1, "a", Read()), ReadResponse(3, "a", 4)]).unexplained
@@ -346,10 +332,10 @@
     return f"call {call.call}, sent at {call.sent}: {what}"
 
 
-def digest(doc: dict[str, typing.Any]) -> str:
+def digest(document: dict[str, typing.Any]) -> str:
     """A short name of a document's content.
 
     >>> digest({"a": 1, "b": 2}) == digest({"b": 2, "a": 1})
     True
     """
-    return hashlib.sha256(json.dumps(doc, sort_keys=True).encode()).hexdigest()[:16]
+    return hashlib.sha256(json.dumps(document, sort_keys=True).encode()).hexdigest()[:16]
--- a/iriswheel/replay.py
+++ b/iriswheel/verification/replay.py
@@ -12,14 +12,14 @@
 import json
 import typing
 
-import iriswheel.history as history
+import iriswheel.verification.history as history
 
 SECOND = 1_000_000
 NEVER = 1 << 62
 LEARN_US = 3_600_000  # 3 s, and the platform's list is asked every half second
 FORCE_US = 2_000_000
 WAY_US = 500_000  # from a node's last look to the arrival at a worker, over a slow link too
-LIFE_SLACK_US = 2_000_000
+INCARNATION_SLACK_US = 2_000_000
 SWEEP_US = 5_000_000
 BACK_US = 12_000_000
 WINDOW_US = 10_000_000
@@ -29,7 +29,7 @@
 CHANGE_US = 5_000_000  # an operator's change, from wish to acknowledgement
 HELD_US = 500_000  # a refusal may come this long after the pool's wait is over
 # what a small fault may do to others than those who were at it
-DUTY_US = 4_000_000  # a pool's warden or a copy is lost: others may start late this long
+ROLE_US = 4_000_000  # a pool's pool owner or a copy is lost: others may start late this long
 DARK_US = 3_000_000  # a worker is lost without a word: others may start late this long
 REJOIN_US = 2_000_000  # a node that was frozen, cut or started again comes back within this
 
@@ -52,7 +52,7 @@
     >>> read(['{"at": 1}', '{"at": 2, "kind": "sent"}'])
     Traceback (most recent call last):
     ...
-    iriswheel.replay.DamagedLogError: line 1 is no event
+    iriswheel.verification.replay.DamagedLogError: line 1 is no event
     """
     rows, cut = [], False
     lines = list(lines)
@@ -78,7 +78,7 @@
 
     A row of kind "fault" begins it, a row of kind "mend" for the same target (or for
     "all") ends it. `role` says what the target is, `addr` where clients reach it,
-    `duty` whether it was a pool's warden or kept its copies, `large` whether the
+    `role` whether it was a pool's pool owner or kept its copies, `large` whether the
     brief's twelve seconds hold.
 
     >>> f = Fault({"at": 5, "what": "kill", "target": "n1", "role": "node", "addr": "h:1"}, 9)
@@ -89,8 +89,8 @@
     def __init__(self, row: dict[str, typing.Any], end: int) -> None:
         self.at, self.end = row["at"], end
         self.what, self.target = row["what"], row["target"]
-        self.role, self.addr = row.get("role", ""), row.get("addr", "")
-        self.duty, self.large = row.get("duty", False), row.get("large", False)
+        self.role, self.address = row.get("role", ""), row.get("addr", "")
+        self.assignment, self.large = row.get("duty", False), row.get("large", False)
 
     def during(self, a: int, b: int, after: int = 0) -> bool:
         """Whether the span from a to b touches this fault, or the time after it.
@@ -101,10 +101,10 @@
         return a <= self.end + after and b >= self.at
 
 
-class Log:
+class EventLog:
     """The rows, indexed for the checkers.
 
-    >>> Log([{"at": 1, "kind": "asked"}]).of("asked")
+    >>> EventLog([{"at": 1, "kind": "asked"}]).of("asked")
     [{'at': 1, 'kind': 'asked'}]
     """
 
@@ -118,7 +118,7 @@
         self.end = rows[-1]["at"] if rows else 0
         self.sent = {(r["exchange"], r["send"]): r for r in self.of("sent")}
         self.asked = {**{(r["exchange"], 0): r for r in self.of("probe")}, **self.sent}  # probes too
-        self.repeatable = {r["exchange"]: r["repeat"] for r in self.of("sent")}
+        self.idempotent = {r["exchange"]: r["repeat"] for r in self.of("sent")}
         self.runs: dict[tuple[str, int], dict[str, typing.Any]] = {}
         for r in self.of("run"):
             self.runs.setdefault((r["exchange"], r["send"]), r)
@@ -133,10 +133,10 @@
         for f in self.of("fault"):
             ends = [m["at"] for m in self.of("mend") if m["at"] > f["at"] and m["target"] in (f["target"], "all")]
             self.faults.append(Fault(f, ends[0] if ends else NEVER))
-        self.zones: dict[str, str] = {}  # a node's door -> its hall
+        self.zones: dict[str, str] = {}  # a node's door -> its zone
         for r in self.of("begun") + self.of("moved"):
             self.zones.update(r.get("zones", {}))
-        self.docs = self._docs()
+        self.documents = self._docs()
 
     def _docs(self) -> list[tuple[int, int, dict[str, dict[typing.Any, typing.Any]]]]:
         """The configurations that may have been in force: (from, until, document), by time."""
@@ -147,15 +147,15 @@
             acked.setdefault(r["plan"], r)
         out = []
         for plan, r in first.items():
-            stamp = acked[plan]["stamp"] if plan in acked else r["base"]
-            later = [a["at"] for p, a in acked.items() if p != plan and a["stamp"] > stamp]
+            version = acked[plan]["stamp"] if plan in acked else r["base"]
+            later = [a["at"] for p, a in acked.items() if p != plan and a["stamp"] > version]
             out.append((r["at"], min(later) + FORCE_US if later else NEVER, r["blueprint"]))
         return out
 
     def of(self, kind: str) -> list[dict[str, typing.Any]]:
         """The rows of one kind.
 
-        >>> Log([]).of("run")
+        >>> EventLog([]).of("run")
         []
         """
         return self.kinds.get(kind, [])
@@ -163,33 +163,33 @@
     def applied_by_all(self, a: int, b: int) -> list[dict[str, dict[str, dict[typing.Any, typing.Any]]]]:
         """The configurations of which a node may go by one between two times.
 
-        >>> Log([]).applied_by_all(0, 5)
+        >>> EventLog([]).applied_by_all(0, 5)
         []
         """
-        return [doc for since, until, doc in self.docs if since <= b and a <= until]
+        return [document for since, until, document in self.documents if since <= b and a <= until]
 
     def at_fault(self, a: int, b: int, node: str | None = None, worker: str | None = None) -> bool:
-        """Whether an exchange at a node, on a worker, met a fault of one of them, or a large one.
+        """Whether a request at a node, on a worker, met a fault of one of them, or a large one.
 
-        >>> log = Log([{"at": 5, "kind": "fault", "what": "kill", "target": "w1", "role": "worker"}])
+        >>> log = EventLog([{"at": 5, "kind": "fault", "what": "kill", "target": "w1", "role": "worker"}])
         >>> log.at_fault(6, 7, worker="w1"), log.at_fault(6, 7, worker="w2")
         (True, False)
         """
         for f in self.faults:
             if f.large and a <= f.at + BACK_US and b >= f.at:
                 return True
-            if f.role == "node" and f.addr == node and f.during(a, b, REJOIN_US):
+            if f.role == "node" and f.address == node and f.during(a, b, REJOIN_US):
                 return True
             if f.role == "worker" and f.target == worker and f.during(a, b, SECOND):
                 return True
-            if f.role == "link" and f.addr == node and a <= f.at <= b:
+            if f.role == "link" and f.address == node and a <= f.at <= b:
                 return True  # it was under way when the link broke
         return any(r["state"] != "ready" and a <= r["at"] <= b for r in self.listed.get(worker, []))
 
     def delayed(self, a: int, b: int) -> bool:
-        """Whether a small fault elsewhere may have made an exchange start late.
+        """Whether a small fault elsewhere may have made a request start late.
 
-        >>> log = Log([{"at": 5, "kind": "fault", "what": "kill", "target": "n1", "role": "node", "duty": True}])
+        >>> log = EventLog([{"at": 5, "kind": "fault", "what": "kill", "target": "n1", "role": "node", "duty": True}])
         >>> log.delayed(6, 7), log.delayed(6 * SECOND, 7 * SECOND)
         (True, False)
         """
@@ -197,7 +197,7 @@
             slow = f.what in ("slow", "lossy", "flap") and f.end != NEVER
             if f.role == "link" and a <= f.at + DARK_US and b >= f.at:
                 return True
-            if f.duty and a <= (f.end if slow else f.at) + DUTY_US and b >= f.at:
+            if f.assignment and a <= (f.end if slow else f.at) + ROLE_US and b >= f.at:
                 return True
             if f.role == "worker" and f.what not in ("kill", "sick") and a <= f.at + DARK_US and b >= f.at:
                 return True
@@ -206,7 +206,7 @@
     def state(self, worker: str, at: int) -> tuple[str, int]:
         """How the platform listed a worker at a time, and since when.
 
-        >>> Log([]).state("w1", 5)
+        >>> EventLog([]).state("w1", 5)
         ('gone', 0)
         """
         got = ("gone", 0)
@@ -219,7 +219,7 @@
     def ready(self, pool: str, a: int, b: int) -> list[str]:
         """The workers of a pool that were listed as ready, and at no fault, from a to b.
 
-        >>> Log([{"at": 1, "kind": "listed", "worker": "w1", "state": "ready", "pool": "p"}]).ready("p", 5, 6)
+        >>> EventLog([{"at": 1, "kind": "listed", "worker": "w1", "state": "ready", "pool": "p"}]).ready("p", 5, 6)
         ['w1']
         """
         return [
@@ -232,20 +232,17 @@
         ]
 
     def crowded(
-        self, pool: str, a: int, b: int, long: bool, docs: list[dict[str, dict[str, dict[typing.Any, typing.Any]]]]
+        self, pool: str, a: int, b: int, long: bool, documents: list[dict[str, dict[str, dict[typing.Any, typing.Any]]]]
     ) -> bool:
-        """Whether at some time from a to b all seats that the pool's ready workers have were taken.
-
-        Example: `log.crowded("desk", sent, ran, False, docs)`
-        """
+        """Whether at some time from a to b all voters that the pool's ready workers have were taken."""
         ws = set(self.ready(pool, a, b))
         if not ws:
             return True
         slots = min(
             [
-                doc["pools"][pool].get("long_slots", 4) if long else doc["pools"][pool].get("slots", 16)
-                for doc in docs
-                if pool in doc["pools"]
+                document["pools"][pool].get("long_slots", 4) if long else document["pools"][pool].get("slots", 16)
+                for document in documents
+                if pool in document["pools"]
             ],
             default=0,
         )
@@ -264,7 +261,7 @@
         return most >= 0.9 * slots * len(ws)
 
 
-def resolve(doc: dict[str, dict[str, dict[str, typing.Any]]], path: str, zone: str) -> str | None:
+def resolve(document: dict[str, dict[str, dict[str, typing.Any]]], path: str, zone: str) -> str | None:
     """The pool to which a configuration sends a path in a zone, or None.
 
     >>> resolve({"routes": {"r": {"path": "/v1", "pool": "p", "zones": ["a"]}}}, "/v1/x", "a")
@@ -273,7 +270,9 @@
     True
     """
     fits = [
-        r for r in doc.get("routes", {}).values() if path == r["path"] or path.startswith(r["path"].rstrip("/") + "/")
+        r
+        for r in document.get("routes", {}).values()
+        if path == r["path"] or path.startswith(r["path"].rstrip("/") + "/")
     ]
     fits = [r for r in fits if not r.get("zones") or zone in r["zones"]]
     return max(fits, key=lambda r: (len(r["path"]), bool(r.get("zones"))))["pool"] if fits else None
@@ -291,30 +290,30 @@
     if parts[-1] != "" or len(parts) < 3 or parts[-2] != "data: [DONE]":
         return None
     try:
-        docs = [json.loads(p[6:]) for p in parts[:-2]]
+        documents = [json.loads(p[6:]) for p in parts[:-2]]
     except ValueError:
         return None
-    if [d.get("k") for d in docs] != list(range(docs[0].get("of", -1))):
+    if [d.get("k") for d in documents] != list(range(documents[0].get("of", -1))):
         return None
-    return docs
+    return documents
 
 
-def once(log: Log) -> collections.abc.Iterator[str]:
+def once(log: EventLog) -> collections.abc.Iterator[str]:
     """1: what may not be repeated runs once; no answer has gaps, doubles or splices."""
     runs = collections.Counter(r["exchange"] for r in log.of("run") if r["exchange"])
-    log.looked["once"] += sum(1 for i in runs if log.repeatable.get(i) is False)
-    for ident, n in sorted(runs.items()):
-        if n > 1 and log.repeatable.get(ident) is False:
-            yield f"{ident} may not be repeated and ran {n} times"
+    log.looked["once"] += sum(1 for i in runs if log.idempotent.get(i) is False)
+    for identifier, n in sorted(runs.items()):
+        if n > 1 and log.idempotent.get(identifier) is False:
+            yield f"{identifier} may not be repeated and ran {n} times"
     for r in log.of("whole"):
-        docs = events(r["text"])
-        if docs is None:
+        documents = events(r["text"])
+        if documents is None:
             yield f"{r['exchange']}: the answer has a gap or a double"
-        elif len({d["run"] for d in docs}) != 1:
-            yield f"{r['exchange']}: the answer is spliced from {sorted({d['run'] for d in docs})}"
+        elif len({d["run"] for d in documents}) != 1:
+            yield f"{r['exchange']}: the answer is spliced from {sorted({d['run'] for d in documents})}"
 
 
-def not_run(log: Log) -> collections.abc.Iterator[str]:
+def not_run(log: EventLog) -> collections.abc.Iterator[str]:
     """2: a refusal that says "not run" is true, then and later."""
     runs = {(r["exchange"], r["send"]) for r in log.of("run")}
     for r in log.of("refused"):
@@ -323,14 +322,14 @@
             yield f"{r['exchange']} send {r['send']} was refused as not run, and ran"
 
 
-def own(log: Log) -> collections.abc.Iterator[str]:
-    """3: an answer is the worker's own whole answer to this very exchange."""
+def own(log: EventLog) -> collections.abc.Iterator[str]:
+    """3: an answer is the worker's own whole answer to this very request."""
     ran = {r["run"]: r for r in log.of("run")}
     whole = {r["run"] for r in log.of("ran")}
     for r in log.of("whole"):
         log.looked["own"] += 1
-        docs = events(r["text"]) or []
-        for d in docs[:1]:
+        documents = events(r["text"]) or []
+        for d in documents[:1]:
             run = ran.get(d["run"])
             if d["exchange"] != r["exchange"] or run is None or run["exchange"] != r["exchange"]:
                 yield f"{r['exchange']} got the answer to {d['exchange']}"
@@ -340,7 +339,7 @@
                 yield f"{r['exchange']}: run {d['run']} was never finished, the answer passed for whole"
 
 
-def leaving(log: Log) -> collections.abc.Iterator[str]:
+def leaving(log: EventLog) -> collections.abc.Iterator[str]:
     """4: nothing reaches a worker more than about 3 s after it was listed as leaving or gone."""
     for r in log.of("run"):
         state, since = log.state(r["worker"], r["at"])
@@ -349,10 +348,10 @@
             yield f"{r['worker']} got {r['exchange']} {(r['at'] - since) / SECOND:.1f} s after it was {state}"
 
 
-def in_force(log: Log) -> collections.abc.Iterator[str]:
+def in_force(log: EventLog) -> collections.abc.Iterator[str]:
     """5: a change is in force everywhere within 2 s of its acknowledgement, and never slips back.
 
-    Each probe's and each exchange's way (the pool, or that no route is known) must be that of a
+    Each probe's and each request's way (the pool, or that no route is known) must be that of a
     configuration which could be in force at that node then: one not yet replaced for 2 s.
     """
     asked = [
@@ -375,32 +374,34 @@
                         r.get("code") == "no_route",
                     )
                 )
-    for at, done, node, zone, path, ident, send, unknown in asked:
-        run = log.runs.get((ident, send))
+    for at, done, node, zone, path, identifier, send, unknown in asked:
+        run = log.runs.get((identifier, send))
         if not unknown and run is None:
             continue
         log.looked["in_force"] += 1
-        docs = log.applied_by_all(at, done if unknown else run["at"] - WAY_US if run["at"] - WAY_US > at else run["at"])
-        want = {resolve(doc, path, zone) for doc in docs}
+        documents = log.applied_by_all(
+            at, done if unknown else run["at"] - WAY_US if run["at"] - WAY_US > at else run["at"]
+        )
+        want = {resolve(document, path, zone) for document in documents}
         got = None if unknown else log.pool.get(run["worker"])
         if got not in want:
             yield f"{node} sent {path} to {got} at {at / SECOND:.1f} s; in force could be {sorted(map(str, want))}"
 
 
-def kept(log: Log) -> collections.abc.Iterator[str]:
+def kept(log: EventLog) -> collections.abc.Iterator[str]:
     """6: what was acknowledged is there when it is read back."""
     acked = log.of("confirmed")
     by_plan = {}
     for r in acked:
         if by_plan.setdefault(r["plan"], r["stamp"]) != r["stamp"]:
             yield f"plan {r['plan']} was acknowledged under two stamps"
-    stamps = collections.Counter({s: 0 for s in by_plan.values()})
+    versions = collections.Counter({s: 0 for s in by_plan.values()})
     for s in by_plan.values():
-        stamps[s] += 1
-        if stamps[s] > 1:
+        versions[s] += 1
+        if versions[s] > 1:
             yield f"two plans were acknowledged under stamp {s}"
     log.looked["kept"] += len(log.of("read"))
-    docs = {r["plan"]: r["blueprint"] for r in log.of("confirm_sent")}
+    documents = {r["plan"]: r["blueprint"] for r in log.of("confirm_sent")}
     open_docs = [r["blueprint"] for r in log.of("confirm_sent") if r["plan"] not in by_plan]
     for r in log.of("read"):
         before = [a for a in acked if a["at"] < r["at"]]
@@ -409,9 +410,11 @@
         last = max(before, key=lambda a: a["stamp"])
         if r["stamp"] < last["stamp"]:
             yield f"read back at {r['stamp']}, though {last['stamp']} was acknowledged"
-        elif r["stamp"] == last["stamp"] and not same(r["blueprint"], docs[last["plan"]]):
+        elif r["stamp"] == last["stamp"] and not same(r["blueprint"], documents[last["plan"]]):
             yield f"read back at {r['stamp']} something else than was acknowledged"
-        elif r["stamp"] > last["stamp"] and not any(same(r["blueprint"], d) for d in open_docs + list(docs.values())):
+        elif r["stamp"] > last["stamp"] and not any(
+            same(r["blueprint"], d) for d in open_docs + list(documents.values())
+        ):
             yield f"read back at {r['stamp']} something that nobody confirmed"
     if log.of("ended") and not log.of("read"):
         yield "the blueprint could not be read back at the day's end"
@@ -426,24 +429,24 @@
     return {k: v for k, v in one.items() if v} == {k: v for k, v in other.items() if v}
 
 
-def allowed(log: Log) -> collections.abc.Iterator[str]:
+def allowed(log: EventLog) -> collections.abc.Iterator[str]:
     """7: nothing goes to a pool that no configuration in force allows for its path."""
     for r in log.of("run"):
         sent = log.asked.get((r["exchange"], r["send"]))
         late = [f for f in log.faults if f.target == r["worker"] and f.during(r["at"] - SECOND, r["at"], SECOND)]
         since = sent["at"] if sent is not None and late else r["at"] - WAY_US  # a worker may wake long after
-        docs = log.applied_by_all(since, r["at"])
+        documents = log.applied_by_all(since, r["at"])
         zones = set(log.zones.values()) or {""}
         log.looked["allowed"] += 1
-        if log.pool.get(r["worker"]) not in {resolve(doc, r["path"], z) for doc in docs for z in zones}:
+        if log.pool.get(r["worker"]) not in {resolve(document, r["path"], z) for document in documents for z in zones}:
             yield f"{r['exchange']} on {r['path']} went to pool {log.pool.get(r['worker'])} at {r['at'] / SECOND:.1f} s"
 
 
-def talks(log: Log) -> dict[tuple[str, str, str], list[dict[str, typing.Any]]]:
+def talks(log: EventLog) -> dict[tuple[str, str, str], list[dict[str, typing.Any]]]:
     """The runs of conversations, by pool and conversation: a list of two parts and more names one.
 
     In the order in which they were sent, and each send once: a worker that froze may run an
-    exchange long after it was given up there and went elsewhere.
+    request long after it was given up there and went elsewhere.
     """
     if log.talks is None:
         out = collections.defaultdict(list)
@@ -455,17 +458,19 @@
     return log.talks
 
 
-def spans(log: Log, field: str, default: int, a: int, b: int) -> list[int]:
+def spans(log: EventLog, field: str, default: int, a: int, b: int) -> list[int]:
     """The values that a field of any terms may have between two times.
 
-    >>> spans(Log([]), "lifetime_us", 60, 0, 5)
+    >>> spans(EventLog([]), "lifetime_us", 60, 0, 5)
     [60]
     """
-    vals = {t.get(field, default) for doc in log.applied_by_all(a, b) for t in doc.get("terms", {}).values()}
-    return sorted(vals) or [default]
+    values = {
+        t.get(field, default) for document in log.applied_by_all(a, b) for t in document.get("terms", {}).values()
+    }
+    return sorted(values) or [default]
 
 
-def pinned(log: Log) -> collections.abc.Iterator[str]:
+def pinned(log: EventLog) -> collections.abc.Iterator[str]:
     """8, the first half: a conversation stays on its worker while that is ready.
 
     Three nodes know a conversation from its first turn, a core's disk within a second: so
@@ -474,8 +479,8 @@
     ends = [f.at for f in log.faults if f.what.split()[0] in ("kill", "power") and f.role != "worker"]
     for name, runs in sorted(talks(log).items(), key=str):
         for a, b in zip(runs, runs[1:], strict=False):
-            life = spans(log, "lifetime_us", 60 * SECOND, a["at"], b["at"])[0]
-            if b["at"] - a["at"] > life - LIFE_SLACK_US:
+            incarnation = spans(log, "lifetime_us", 60 * SECOND, a["at"], b["at"])[0]
+            if b["at"] - a["at"] > incarnation - INCARNATION_SLACK_US:
                 continue
             log.looked["pinned"] += 1
             if a["worker"] == b["worker"]:
@@ -491,10 +496,10 @@
             yield f"conversation {name[-1]} moved from {a['worker']} to {b['worker']} at {b['at'] / SECOND:.1f} s"
 
 
-def held(log: Log, at: int, slack: int) -> dict[str, set[tuple[str, str, str]]]:
+def held(log: EventLog, at: int, slack: int) -> dict[str, set[tuple[str, str, str]]]:
     """The conversations that may be open at a time, by worker: those not silent for their lifetime and more.
 
-    >>> held(Log([]), 5, 0)
+    >>> held(EventLog([]), 5, 0)
     {}
     """
     out = collections.defaultdict(set)
@@ -505,9 +510,9 @@
                 last[name] = r
     for name, r in last.items():
         w = r["worker"]
-        life = spans(log, "lifetime_us", 60 * SECOND, r["at"], at)
+        incarnation = spans(log, "lifetime_us", 60 * SECOND, r["at"], at)
         quiet = at - min(at, log.over.get(r["run"], r["at"]))
-        if quiet > (life[0] if slack < 0 else life[-1]) + slack:
+        if quiet > (incarnation[0] if slack < 0 else incarnation[-1]) + slack:
             continue
         if any(r["at"] < x["at"] <= at and x["state"] != "ready" for x in log.listed[w]):
             continue
@@ -517,10 +522,10 @@
     return dict(out)
 
 
-def unborn(log: Log, at: int) -> int:
+def unborn(log: EventLog, at: int) -> int:
     """Conversations that are being opened at a time, or that a node at fault may have opened, without a run so far.
 
-    >>> unborn(Log([]), 5)
+    >>> unborn(EventLog([]), 5)
     0
     """
     ran = {(r["exchange"], r["send"]) for r in log.of("run") if r["at"] <= at}
@@ -537,7 +542,7 @@
     )
 
 
-def capped(log: Log) -> collections.abc.Iterator[str]:
+def capped(log: EventLog) -> collections.abc.Iterator[str]:
     """9: no worker holds more open conversations than allowed; one that left or crashed holds none.
 
     Judged where a conversation opens: a cap that is lowered closes nobody's.
@@ -547,8 +552,8 @@
             fresh = before is None or before["worker"] != r["worker"] or r["at"] - before["at"] > SECOND
             if not fresh:
                 continue
-            docs = log.applied_by_all(r["at"] - WAY_US, r["at"])
-            caps = [doc["pools"][name[0]].get("cap", 10) for doc in docs if name[0] in doc["pools"]]
+            documents = log.applied_by_all(r["at"] - WAY_US, r["at"])
+            caps = [document["pools"][name[0]].get("cap", 10) for document in documents if name[0] in document["pools"]]
             if not caps or 0 in caps:
                 continue
             if (
@@ -559,15 +564,15 @@
             ):
                 continue  # a later turn: nothing opens
             log.looked["capped"] += 1
-            n = len(held(log, r["at"], -LIFE_SLACK_US).get(r["worker"], ()))
+            n = len(held(log, r["at"], -INCARNATION_SLACK_US).get(r["worker"], ()))
             if n > max(caps):
                 yield f"{r['worker']} holds {n} open conversations at {r['at'] / SECOND:.1f} s, {max(caps)} are allowed"
 
 
-def demand(log: Log, at: int) -> tuple[int, int]:
-    """Repeats and exchanges in the ten seconds up to a time.
+def demand(log: EventLog, at: int) -> tuple[int, int]:
+    """Repeats and requests in the ten seconds up to a time.
 
-    >>> demand(Log([]), 5)
+    >>> demand(EventLog([]), 5)
     (0, 0)
     """
     if log.demand is None:
@@ -585,7 +590,7 @@
     return tuple(bisect.bisect_right(xs, at) - bisect.bisect_right(xs, at - WINDOW_US) for xs in log.demand)
 
 
-def budget(log: Log) -> collections.abc.Iterator[str]:
+def budget(log: EventLog) -> collections.abc.Iterator[str]:
     """10: retries stay within about a fifth of real demand over any ten seconds."""
     demand(log, 0)
     for at in log.demand[0]:
@@ -595,45 +600,42 @@
             yield f"{n} repeats for {d} exchanges in the ten seconds up to {at / SECOND:.1f} s"
 
 
-def refusal(log: Log, r: dict[str, typing.Any], sent: dict[str, typing.Any]) -> str | None:
-    """Why a refusal turned a proper exchange away, or None where the log bears it out.
-
-    Example: `refusal(log, row, log.sent[(row["exchange"], row["send"])])`
-    """
+def refusal(log: EventLog, r: dict[str, typing.Any], sent: dict[str, typing.Any]) -> str | None:
+    """Why a refusal turned a proper request away, or None where the log bears it out."""
     a, b, code = sent["at"], r["at"], r["code"]
-    docs = log.applied_by_all(a, b)
-    pools = {resolve(doc, sent["path"], log.zones.get(sent.get("node"), "")) for doc in docs}
+    documents = log.applied_by_all(a, b)
+    pools = {resolve(document, sent["path"], log.zones.get(sent.get("node"), "")) for document in documents}
     if code == "no_route":
         return None  # in_force judges it
     if code == "already_sent":
         if any(x["exchange"] == r["exchange"] for x in log.of("run")):
             return None
-        tries = [s for (i, k), s in log.sent.items() if i == r["exchange"] and k < r["send"]]
-        if any(log.at_fault(s["at"], a, s.get("node")) for s in tries):
+        attempts = [s for (i, k), s in log.sent.items() if i == r["exchange"] and k < r["send"]]
+        if any(log.at_fault(s["at"], a, s.get("node")) for s in attempts):
             return None
         return "it reached no worker"
     if log.at_fault(a, b, sent.get("node"), log.runs.get((r["exchange"], r["send"]), {}).get("worker")):
         return None
     match code:
         case "retry_budget":
-            if any(f.duty and f.at <= b <= f.at + WINDOW_US + DUTY_US for f in log.faults):
+            if any(f.assignment and f.at <= b <= f.at + WINDOW_US + ROLE_US for f in log.faults):
                 return None  # the tally of the lost node is lost with it
             n, d = demand(log, b)
             return f"{n} repeats for {d} exchanges" if r["send"] > 1 and n + 1 <= 0.15 * d else None
         case "sessions_full":
             for pool in pools:
-                caps = [doc["pools"][pool].get("cap", 10) for doc in docs if pool in doc["pools"]]
-                open_now = held(log, b, SWEEP_US + LIFE_SLACK_US)
+                caps = [document["pools"][pool].get("cap", 10) for document in documents if pool in document["pools"]]
+                open_now = held(log, b, SWEEP_US + INCARNATION_SLACK_US)
                 free = [w for w in log.ready(pool, a, b) if len(open_now.get(w, ())) < min(caps, default=0)]
-                room = sum(min(caps, default=0) - len(open_now.get(w, ())) for w in free)
-                if room > unborn(log, b):
+                capacity = sum(min(caps, default=0) - len(open_now.get(w, ())) for w in free)
+                if capacity > unborn(log, b):
                     return f"{free[0]} holds {len(open_now.get(free[0], ()))} conversations"
             return None
         case "no_worker":
             ws = [w for pool in pools for w in log.ready(pool, a, b)]
             return f"{ws[0]} was ready" if ws else None
         case "busy":
-            full = any(log.crowded(p, a, b, sent["sort"] == "long", docs) for p in pools if p)
+            full = any(log.crowded(p, a, b, sent["sort"] == "long", documents) for p in pools if p)
             return None if full else "seats were free"
         case "worker_broke":
             w = log.runs.get((r["exchange"], r["send"]), {}).get("worker")
@@ -644,11 +646,11 @@
             return "no reason for it stands in the log"
 
 
-def served(log: Log) -> collections.abc.Iterator[str]:
+def served(log: EventLog) -> collections.abc.Iterator[str]:
     """11: proper requests are not turned away by the kit itself; refusals come at once.
 
     Who is at a fault may suffer: clients of a dead, frozen or cut node, streams of a lost
-    worker. After a large failure, everybody may for 12 s. Where a pool's warden or a copy is
+    worker. After a large failure, everybody may for 12 s. Where a pool's pool owner or a copy is
     lost, others may start late for DUTY_US, but are not turned away.
     """
     for r in log.of("refused"):
@@ -658,8 +660,8 @@
         log.looked["served"] += 1
         waits = [
             p.get("long_wait_us", 10 * SECOND) if sent["sort"] == "long" else p.get("short_wait_us", 5 * SECOND)
-            for doc in log.applied_by_all(sent["at"], r["at"])
-            for p in doc["pools"].values()
+            for document in log.applied_by_all(sent["at"], r["at"])
+            for p in document["pools"].values()
         ]
         hung = log.at_fault(
             sent["at"], r["at"], sent.get("node"), log.runs.get((r["exchange"], r["send"]), {}).get("worker")
@@ -695,9 +697,9 @@
                 sent["at"], first
             ):
                 run = log.runs.get((r["exchange"], r["send"]), {"at": first})
-                docs = log.applied_by_all(sent["at"], first)
+                documents = log.applied_by_all(sent["at"], first)
                 pool = log.pool.get(r["worker"])
-                if not log.crowded(pool, sent["at"], run["at"], sent["sort"] == "long", docs):
+                if not log.crowded(pool, sent["at"], run["at"], sent["sort"] == "long", documents):
                     yield (
                         f"{r['exchange']} ({sent['sort']}) waited {r['first'] / SECOND:.2f} s for its first byte "
                         f"at {sent['at'] / SECOND:.1f} s ({(run['at'] - sent['at']) / SECOND:.2f} s of it for a worker)"
@@ -706,7 +708,7 @@
             yield f"{r['exchange']} paused for {r['pause'] / SECOND:.2f} s"
 
 
-def answered(log: Log) -> collections.abc.Iterator[str]:
+def answered(log: EventLog) -> collections.abc.Iterator[str]:
     """11, for bad input: a named 4xx with its verdict, never a hung connection or a dead process."""
     for r in log.of("rude"):
         log.looked["answered"] += 1
@@ -719,7 +721,7 @@
             yield f"a requester with {r['how']} got {r['status']!r}: {r['text'][-60:]!r}"
 
 
-def back(log: Log) -> collections.abc.Iterator[str]:
+def back(log: EventLog) -> collections.abc.Iterator[str]:
     """12: within about 12 s after a large failure, service is back, and changes are taken.
 
     From then on `served` excuses nothing any more; here at least something must have come through.
@@ -748,7 +750,7 @@
             yield f"{f.what} of {f.target} at {f.at / SECOND:.1f} s: 12 s later only {n} of {len(asked)} came through"
 
 
-def linearizable(log: Log) -> collections.abc.Iterator[str]:
+def linearizable(log: EventLog) -> collections.abc.Iterator[str]:
     """6: one order of all operators' calls explains what each was told."""
     log.looked["linearizable"] += history.count(log.rows)
     yield from history.complaints(log.rows)
@@ -778,7 +780,7 @@
     >>> examine([])[1]["once"]
     0
     """
-    log = Log(rows)
+    log = EventLog(rows)
     found = {c.__name__: list(c(log)) for c in CHECKERS}
     return {name: lines for name, lines in found.items() if lines}, {
         c.__name__: log.looked[c.__name__] for c in CHECKERS
@@ -803,7 +805,7 @@
     >>> recovery([{"at": 1, "kind": "fault", "what": "kill", "target": "n1", "large": False}])
     [('kill n1', 0, 0, 0)]
     """
-    log = Log(rows)
+    log = EventLog(rows)
     ends = [
         (r["at"], log.sent[(r["exchange"], 1)]["at"])
         for kind in ("refused", "torn", "lost")
@@ -813,10 +815,10 @@
     faults = log.of("fault") + log.of("mend")
     faults.sort(key=lambda r: r["at"])
     out = []
-    for f, nxt in zip(faults, faults[1:] + [{"at": log.end + 1}], strict=False):
-        until = min(nxt["at"], f["at"] + BACK_US)
+    for f, following in zip(faults, faults[1:] + [{"at": log.end + 1}], strict=False):
+        until = min(following["at"], f["at"] + BACK_US)
         n = sum(1 for r in log.of("sent") if r["send"] == 1 and f["at"] <= r["at"] < until)
-        failed = [sent for end, sent in ends if f["at"] <= end < nxt["at"] and sent < until]
+        failed = [sent for end, sent in ends if f["at"] <= end < following["at"] and sent < until]
         out.append((f"{f['what']} {f['target']}", max([0] + [s - f["at"] for s in failed]) // 1000, len(failed), n))
     return out
 
--- a/bench/client_model.py
+++ b/simulation/client_model.py
@@ -18,19 +18,20 @@
 import twisted.internet.defer as defer
 import twisted.internet.protocol as protocol
 
-import bench.serving as serving
-import bench.words as words
-import iriswheel.machine as machine
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import simulation.platform_names as platform_names
+import simulation.serving as serving
 
 if typing.TYPE_CHECKING:
     import twisted.internet.interfaces as interfaces
     import twisted.python.failure as failure
 
-    import bench.sim as sim
-    import bench.simulated_cluster as simulated_cluster
+    import simulation.simulated_cluster as simulated_cluster
+    import simulation.world as world
 
 
-MS, S = machine.MILLI, machine.SECOND
+MS, S = units.MILLISECOND_US, units.SECOND_US
 PROMISES = (408, 421, 429, 503)  # the request has not run and never will
 FINAL = (400, 401, 404, 413, 431)
 
@@ -38,10 +39,10 @@
 
 
 @dataclasses.dataclass
-class Kind:
+class RequestKind:
     """A kind of request. Times in ms; parts are (mean tokens, spread, things, skew), from the outermost on.
 
-    >>> Kind("desk").sort
+    >>> RequestKind("desk").sort
     'stream'
     """
 
@@ -55,9 +56,9 @@
     pause_ms: int = 200
     deadline_ms: int = 5_000
     sends: int = 2
-    more_tries: int = 1
-    worth: float = 3.0
-    late_worth: float = 0.9
+    more_attempts: int = 1
+    value: float = 3.0
+    late_value: float = 0.9
     share: float = 1.0  # of all requests
     parts: tuple = ((55, 0.4, 40, 0.0), (37, 0.7, 1400, 0.3))
     own: tuple = (290, 1.4, 1800)  # mean, spread, most
@@ -89,17 +90,14 @@
     return min(things - 1, int(things * rng.random() ** (1 / (1 - skew)))) if skew < 1 else 0
 
 
-class Call:
-    """One request on a connection, and what came back. `ended(call)` is told once.
-
-    Example: `Call(["a", "bc"], done)`
-    """
+class PendingAnswer:
+    """One request on a connection, and what came back. `ended(call)` is told once."""
 
     def __init__(self, ended: collections.abc.Callable[..., object]) -> None:
         self.ended = ended
         self.over = False
         self.how = ""  # whole, closed, garbage, or a word of who gave up
-        self.code, self.heads, self.body = 0, {}, b""
+        self.code, self.headers, self.body = 0, {}, b""
         self.events: list[list[typing.Any]] = []  # [id, seal, when, last]
         self.rest = b""
         self.bad_events = 0
@@ -107,26 +105,17 @@
         self.pause = 0
 
     def end(self, how: str) -> None:
-        """It is over.
-
-        Example: `call.end("whole")`
-        """
+        """It is over."""
         if not self.over:
             self.over, self.how = True, how
             self.ended(self)
 
     def head(self, name: str) -> str | None:
-        """A header of the answer, or None.
-
-        Example: `call.head("Retry-After")`
-        """
-        return self.heads.get(name.lower())
+        """A header of the answer, or None."""
+        return self.headers.get(name.lower())
 
     def take(self, data: bytes, now: int) -> None:
-        r"""Bytes of the body.
-
-        Example: `call.take(b"id: 1\n", now)`
-        """
+        r"""Bytes of the body."""
         if self.first is None:
             self.first = now
         else:
@@ -148,47 +137,35 @@
                 self.bad_events += 1
 
 
-class Line(protocol.Protocol):
-    """A client's connection: one call at a time, kept for the next one if both sides like.
-
-    Example: `line.start(call, raw)`
-    """
+class ClientConnection(protocol.Protocol):
+    """A client's connection: one call at a time, kept for the next one if both sides like."""
 
     def __init__(
-        self, mach: machine.Machine, stray: collections.abc.Callable[..., object] = lambda line, data: None
+        self, runtime: scheduler.Runtime, stray: collections.abc.Callable[..., object] = lambda line, data: None
     ) -> None:
-        self.mach, self.stray = mach, stray
+        self.runtime, self.stray = runtime, stray
         self.parser = httptools.HttpResponseParser(self)
-        self.call: Call | None = None
+        self.call: PendingAnswer | None = None
         self.up = False
         self.keep = True
         self.until: typing.Any = None  # when the other side ends it if idle
-        self.heads: dict[str, str] = {}
+        self.headers: dict[str, str] = {}
         self.passing = False  # what comes is no final answer
 
     def connectionMade(self) -> None:
         self.up = True
 
-    def start(self, call: Call, raw: bytes) -> None:
-        r"""Send a request.
-
-        Example: `line.start(call, b"GET / HTTP/1.1\r\n\r\n")`
-        """
+    def start(self, call: PendingAnswer, raw: bytes) -> None:
+        r"""Send a request."""
         self.call = call
         self.transport.write(raw)
 
     def unread(self) -> bool:
-        """Whether the other side has not read all that was sent.
-
-        Example: `line.unread()`
-        """
+        """Whether the other side has not read all that was sent."""
         return getattr(self.transport, "flying", 0) > 0
 
     def drop(self, how: str) -> None:
-        """Give the call up, and the connection with it.
-
-        Example: `line.drop("silent")`
-        """
+        """Give the call up, and the connection with it."""
         call, self.call, self.keep = self.call, None, False
         if self.up:
             self.transport.abortConnection()
@@ -220,101 +197,91 @@
             call.end("closed")
 
     def on_message_begin(self) -> None:
-        self.heads = {}
+        self.headers = {}
         if self.call is None:
             raise ValueError("an answer that nobody asked for")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.heads[name.decode("latin-1").lower()] = value.decode("latin-1")
+        self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
         code = self.parser.get_status_code()
         self.passing = 100 <= code < 200
         if not self.passing:
-            self.call.code, self.call.heads = code, self.heads
+            self.call.code, self.call.headers = code, self.headers
 
     def on_body(self, data: bytes) -> None:
-        self.call.take(data, self.mach.now())
+        self.call.take(data, self.runtime.now())
 
     def on_message_complete(self) -> None:
         if self.passing:
             return
         call, self.call = self.call, None
         self.keep = self.keep and self.parser.should_keep_alive()
-        told = self.heads.get("keep-alive", "")
-        self.until = self.mach.now() + int(told.split("timeout=")[1].split(",")[0]) * S if "timeout=" in told else None
-        call.whole_at = self.mach.now()
+        told = self.headers.get("keep-alive", "")
+        self.until = (
+            self.runtime.now() + int(told.split("timeout=")[1].split(",")[0]) * S if "timeout=" in told else None
+        )
+        call.completed_at = self.runtime.now()
         call.end("whole")
 
 
 def connect(
-    mach: machine.Machine,
+    runtime: scheduler.Runtime,
     host: str,
     port: int,
     timeout_us: int,
     stray: collections.abc.Callable[..., object] = lambda line, data: None,
 ) -> defer.Deferred[typing.Any]:
-    """Open a connection: a Deferred of a Line; it fails as the network says.
-
-    Example: `line = await connect(mach, "10.0.2.1", 80, S)`
-    """
+    """Open a connection: a Deferred of a Line; it fails as the network says."""
     d = defer.Deferred()
 
     class Factory(protocol.ClientFactory):
         noisy = False
 
-        def buildProtocol(self, addr: interfaces.IAddress | None) -> Line:
-            line = Line(mach, stray)
-            mach.later(0, lambda: d.called or d.callback(line))
+        def buildProtocol(self, address: interfaces.IAddress | None) -> ClientConnection:
+            line = ClientConnection(runtime, stray)
+            runtime.later(0, lambda: d.called or d.callback(line))
             return line
 
-        def clientConnectionFailed(self, connector: sim.Connector, reason: failure.Failure) -> None:
+        def clientConnectionFailed(self, connector: world.Connector, reason: failure.Failure) -> None:
             if not d.called:
                 d.errback(reason)
 
-    mach.reactor.connectTCP(host, port, Factory(), timeout=timeout_us / S)
+    runtime.reactor.connectTCP(host, port, Factory(), timeout=timeout_us / S)
     return d
 
 
-class Entry:
-    """The platform's virtual address: asks nodes whether they are ready, and picks one for a new connection.
-
-    Example: `e = Entry(mach, tape)`; `e.nodes["n1"] = ("a", ("10.0.2.1", 8263), ("10.0.2.1", 8268))`
-    """
+class VirtualAddress:
+    """The platform's virtual address: asks nodes whether they are ready, and picks one for a new connection."""
 
     def __init__(
         self,
-        mach: machine.Machine,
-        tape: simulated_cluster.Tape,
+        runtime: scheduler.Runtime,
+        tape: simulated_cluster.EventLog,
         near: collections.abc.Callable[..., object] = lambda zone: [],
     ) -> None:
-        self.mach, self.tape, self.near = mach, tape, near
+        self.runtime, self.tape, self.near = runtime, tape, near
         self.nodes: dict[str, tuple[str, tuple[str, int], tuple[str, int]]] = {}  # name -> (zone, front, ready)
         self.misses: dict[str, int] = {}  # name -> misses in a row
 
     async def run(self) -> None:
-        """Ask all nodes each second.
-
-        Example: `mach.spawn(entry.run())`
-        """
+        """Ask all nodes each second."""
         while True:
             for name in sorted(self.nodes):
-                self.mach.spawn(self.ask(name, *self.nodes[name][2]), log)
-            await self.mach.sleep(S)
+                self.runtime.spawn(self.ask(name, *self.nodes[name][2]), log)
+            await self.runtime.sleep(S)
 
     async def ask(self, name: str, host: str, port: int) -> None:
-        """Ask one node whether it is ready.
-
-        Example: `await entry.ask("n1", "10.0.2.1", 8268)`
-        """
+        """Ask one node whether it is ready."""
         was = self.into(name)
         ok = False
         try:
-            line = await connect(self.mach, host, port, 900 * MS)
+            line = await connect(self.runtime, host, port, 900 * MS)
             d = defer.Deferred()
-            head = f"GET {words.PATH['ready']} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
-            line.start(Call(d.callback), head.encode())
-            self.mach.later(900 * MS, line.drop, "silent")
+            head = f"GET {platform_names.PATHS['ready']} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+            line.start(PendingAnswer(d.callback), head.encode())
+            self.runtime.later(900 * MS, line.drop, "silent")
             call = await d
             ok = call.how == "whole" and call.code == 200
             line.drop("done")
@@ -325,139 +292,120 @@
         if name not in self.nodes:
             return
         self.misses[name] = 0 if ok else self.misses.get(name, 2) + 1
-        self.tape.put(self.mach.now(), "asked", node=name, ok=ok)
+        self.tape.put(self.runtime.now(), "asked", node=name, ok=ok)
         if self.into(name) != was:
-            self.tape.put(self.mach.now(), "entry", node=name, into=not was)
+            self.tape.put(self.runtime.now(), "entry", node=name, into=not was)
 
     def into(self, name: str) -> bool:
-        """Whether a node gets new connections.
-
-        Example: `entry.into("n1")`
-        """
+        """Whether a node gets new connections."""
         return self.misses.get(name, 2) < 2
 
     def zone_nodes(self, zone: str) -> list[str]:
-        """The nodes that a zone's clients are passed to.
-
-        Example: `entry.zone_nodes("a")`
-        """
+        """The nodes that a zone's clients are passed to."""
         mine = [n for n in sorted(self.nodes) if self.nodes[n][0] == zone]
         ready = [n for n in mine if self.into(n)]
         return ready if 2 * len(ready) >= len(mine) and ready else mine if ready else []
 
-    def pick(self, zone: str, client: str, tries: int) -> tuple[str, tuple[str, int]]:
-        """The node of a new connection.
-
-        Example: `name, address = entry.pick("a", "c7", 0)`
-        """
+    def pick(self, zone: str, client: str, attempts: int) -> tuple[str, tuple[str, int]]:
+        """The node of a new connection."""
         zones = [zone, *[z for z in sorted({v[0] for v in self.nodes.values()}) if z != zone]]
         names = next((got for z in zones if (got := self.zone_nodes(z))), sorted(self.nodes))
-        at = zlib.crc32(f"{client}".encode()) + tries
+        at = zlib.crc32(f"{client}".encode()) + attempts
         name = names[at % len(names)]
         return name, self.nodes[name][1]
 
 
 class Client:
-    """One client, with its own connections.
-
-    Example: `c = Client(site, "c1", "a")`; `await c.ask(kind)`
-    """
+    """One client, with its own connections."""
 
     def __init__(
         self,
-        mach: machine.Machine,
-        tape: simulated_cluster.Tape,
-        entry: Entry,
+        runtime: scheduler.Runtime,
+        tape: simulated_cluster.EventLog,
+        entry: VirtualAddress,
         name: str,
         zone: str,
         keeps: bool = True,
         chunked: bool = False,
         hasty: bool = False,
     ) -> None:
-        self.mach, self.tape, self.entry = mach, tape, entry
+        self.runtime, self.tape, self.entry = runtime, tape, entry
         self.name, self.zone = name, zone
         self.keeps, self.chunked, self.hasty = keeps, chunked, hasty
-        self.spare: dict[str, list[Line]] = {}  # node -> lines
-        self.made = 0
+        self.spare: dict[str, list[ClientConnection]] = {}  # node -> lines
+        self.view = 0
 
     def stray(self, node: str) -> collections.abc.Callable[..., object]:
-        """What to do with bytes that nobody asked for.
-
-        Example: `connect(..., client.stray("n1"))`
-        """
+        """What to do with bytes that nobody asked for."""
         return lambda line, data: self.tape.put(
-            self.mach.now(), "stray", node=node, client=self.name, data=data[:80].decode("latin-1")
+            self.runtime.now(), "stray", node=node, client=self.name, data=data[:80].decode("latin-1")
         )
 
-    def content(self, kind: Kind, hot: None = None) -> tuple[list[tuple[str, str]], bytes]:
-        """A request by chance: headers, body, tokens in and out. `hot` (kind, share) makes one key popular.
-
-        Example: `heads, body = client.content(kind)`
-        """
-        rng = self.mach.rng
+    def content(self, kind: RequestKind, hot: None = None) -> tuple[list[tuple[str, str]], bytes]:
+        """A request by chance: headers, body, tokens in and out. `hot` (kind, share) makes one key popular."""
+        rng = self.runtime.rng
         parts = []
         for level, (mean, spread, things, skew) in enumerate(kind.parts):
             hit = hot is not None and hot[0] == kind.name and rng.random() < hot[1]
             thing = 0 if hit else some_thing(rng, things, skew)
-            ident = zlib.crc32(f"{kind.name} {level} {thing}".encode())
-            sizes = machine.random.Random(ident)
-            parts.append((f"{ident:08x}", draw(sizes, mean, spread, 3 * mean)))
+            identifier = zlib.crc32(f"{kind.name} {level} {thing}".encode())
+            sizes = scheduler.random.Random(identifier)
+            parts.append((f"{identifier:08x}", draw(sizes, mean, spread, 3 * mean)))
         parts.append((f"{rng.getrandbits(32):08x}", draw(rng, *kind.own)))
         out = kind.event_tokens * (draw(rng, *kind.events) - 1) + 1
-        h = words.HEAD
+        h = platform_names.HEADERS
         tokens = sum(n for _, n in parts)
-        heads = [
+        headers = [
             (h["model"], "m"),
             (h["tokens"], f"{tokens},{out}"),
             (h["parts"], ",".join(f"{p}:{n}" for p, n in parts)),
         ]
         body = b"%08x" % rng.getrandbits(32) + b"." * max(0, draw(rng, kind.body_bytes, 0.3, 200_000) - 8)
-        return heads if kind.sort == "stream" else [], body
-
-    async def ask(self, kind: Kind, path: str = "", hot: None = None, heads: None = None, body: None = None) -> None:
-        """One request through all its tries.
+        return headers if kind.sort == "stream" else [], body
 
-        Example: `await client.ask(kind)`
-        """
-        mach, rng = self.mach, self.mach.rng
+    async def ask(
+        self, kind: RequestKind, path: str = "", hot: None = None, headers: None = None, body: None = None
+    ) -> None:
+        """One request through all its tries."""
+        runtime, rng = self.runtime, self.runtime.rng
         made, made_body = self.content(kind, hot)
-        heads, body = heads if heads is not None else made, body if body is not None else made_body
-        self.made += 1
-        ident = f"{self.name}-{self.made}"
-        began = mach.now()
-        until = began + kind.deadline_ms * MS
+        headers, body = headers if headers is not None else made, body if body is not None else made_body
+        self.view += 1
+        identifier = f"{self.name}-{self.view}"
+        started_at = runtime.now()
+        until = started_at + kind.deadline_ms * MS
         path = path or f"{kind.path}{rng.getrandbits(8):02x}"
-        after, tries = 0, 0
-        self.tape.put(began, "asked_for", request=ident, sort=kind.name, zone=self.zone)
+        after, attempts = 0, 0
+        self.tape.put(started_at, "asked_for", request=identifier, sort=kind.name, zone=self.zone)
         while True:
-            row = await self.once(kind, ident, tries, path, heads, body, until, after)
-            tries += 1
-            code, how, now = row["code"], row["how"], mach.now()
+            row = await self.once(kind, identifier, attempts, path, headers, body, until, after)
+            attempts += 1
+            code, how, now = row["code"], row["how"], runtime.now()
             got = [e[0] for e in row["events"]]
             after = max([after, *got]) if kind.resumable else 0
             if how == "whole" and 200 <= code < 300 or how == "whole" and code in FINAL or now >= until:
                 break
-            repeatable = kind.sort == "may" or kind.resumable
-            if not (repeatable or how == "unconnected" or how == "whole" and code in PROMISES):
+            idempotent = kind.sort == "may" or kind.resumable
+            if not (idempotent or how == "unconnected" or how == "whole" and code in PROMISES):
                 break
-            if tries > kind.more_tries * (3 if self.hasty else 1):
+            if attempts > kind.more_attempts * (3 if self.hasty else 1):
                 break
             wait = 50 * MS
             if row["retry_after"] is not None and not self.hasty:
                 wait = min(int(row["retry_after"] * S), (until - now) // 3)
             if self.hasty:
                 wait = 1
-            await mach.sleep(wait)
-            if mach.now() >= until:
+            await runtime.sleep(wait)
+            if runtime.now() >= until:
                 break
         self.tape.put(
-            mach.now(),
+            runtime.now(),
             "answered",
-            request=ident,
+            request=identifier,
             sort=kind.name,
             zone=self.zone,
-            began=began,
-            tries=tries,
+            began=started_at,
+            tries=attempts,
             ok=how == "whole" and 200 <= code < 300,
             code=code,
             how=how,
@@ -465,26 +413,25 @@
 
     async def once(
         self,
-        kind: Kind,
-        ident: str,
-        tries: int,
+        kind: RequestKind,
+        identifier: str,
+        attempts: int,
         path: str,
-        heads: list[tuple[str, str]],
+        headers: list[tuple[str, str]],
         body: bytes,
         until: int,
         after: int,
         node: str | None = None,
     ) -> dict[str, typing.Any]:
-        """One try: its row of the log.
-
-        Example: `row = await client.once(kind, "r1", 0, "/desk/1", heads, body, until, 0)`
-        """
-        mach, h = self.mach, words.HEAD
-        attempt = f"{mach.rng.getrandbits(64):016x}"
-        name, (host, port) = (node, self.entry.nodes[node][1]) if node else self.entry.pick(self.zone, self.name, tries)
-        began = mach.now()
-        left = max(1, (until - began) // MS)
-        lines = [("Host", kind.host), (h["attempt"], attempt), *heads, (h["left"], str(left))]
+        """One try: its row of the log."""
+        runtime, h = self.runtime, platform_names.HEADERS
+        attempt = f"{runtime.rng.getrandbits(64):016x}"
+        name, (host, port) = (
+            (node, self.entry.nodes[node][1]) if node else self.entry.pick(self.zone, self.name, attempts)
+        )
+        started_at = runtime.now()
+        left = max(1, (until - started_at) // MS)
+        lines = [("Host", kind.host), (h["attempt"], attempt), *headers, (h["left"], str(left))]
         if after:
             lines.append((h["after"], str(after)))
         if self.chunked and body:
@@ -499,18 +446,18 @@
             lines.append(("Connection", "close"))
         raw = (f"POST {path} HTTP/1.1\r\n" + "".join(f"{k}: {v}\r\n" for k, v in lines) + "\r\n").encode() + raw
         ended = defer.Deferred()
-        call = Call(lambda c: ended.callback(None))
+        call = PendingAnswer(lambda c: ended.callback(None))
         line = None
         spare = self.spare.setdefault(name, [])
         while spare and line is None:
             line = spare.pop()
-            if not line.up or not line.keep or (line.until is not None and line.until - 200 * MS < began):
+            if not line.up or not line.keep or (line.until is not None and line.until - 200 * MS < started_at):
                 line.drop("idle")
                 line = None
         row = dict(
             attempt=attempt,
-            request=ident,
-            tries=tries,
+            request=identifier,
+            tries=attempts,
             sort=kind.name,
             repeat=kind.sort == "may" or kind.resumable,
             stream=kind.sort == "stream",
@@ -520,25 +467,25 @@
             body=serving.digest(body),
             node=name,
             zone=self.zone,
-            sent=began,
+            sent=started_at,
             until=until,
             after=after,
             direct=node is not None,
         )
         if line is None:
             try:
-                line = await connect(mach, host, port, min(S, max(1, until - began)), self.stray(name))
+                line = await connect(runtime, host, port, min(S, max(1, until - started_at)), self.stray(name))
             except defer.CancelledError:
                 raise
             except Exception:
                 call.end("unconnected")
         kept_silent = max(2 * S, 4 * kind.aim_ms * MS, 8 * kind.pause_ms * MS) if kind.sort == "stream" else 10**12
         if line is not None:
-            row["sent"] = mach.now()
+            row["sent"] = runtime.now()
             line.start(call, raw)
-            limit = min(S, (until - began) // 3)
+            limit = min(S, (until - started_at) // 3)
             while not call.over:
-                now = mach.now()
+                now = runtime.now()
                 last = call.last or row["sent"]
                 if now >= until + 50 * MS:
                     line.drop("deadline")
@@ -569,65 +516,58 @@
             first=call.first,
             pause=call.pause,
             encoding=call.head("content-encoding"),
-            done=mach.now(),
+            done=runtime.now(),
             text=call.body[:120].decode("latin-1") if not 200 <= call.code < 300 else "",
         )
-        self.tape.put(mach.now(), "tried", **row)
+        self.tape.put(runtime.now(), "tried", **row)
         return row
 
     def either(self, ended: defer.Deferred[typing.Any], us: int) -> defer.Deferred[typing.Any]:
-        """A Deferred that fires when `ended` has, or after a time.
-
-        Example: `await client.either(d, 5 * S)`
-        """
+        """A Deferred that fires when `ended` has, or after a time."""
         out = defer.Deferred()
-        tick = self.mach.later(max(1, us), lambda: out.called or out.callback(None))
+        tick = self.runtime.later(max(1, us), lambda: out.called or out.callback(None))
 
-        def end(res: None) -> None:
+        def end(response: None) -> None:
             if tick.active():
                 tick.cancel()
             if not out.called:
                 out.callback(None)
-            return res
+            return response
 
         ended.addCallback(end)
         return out
 
 
 class Traffic:
-    """All clients of a zone.
-
-    Example: `Traffic(clients, kinds, 20, rng)`; `mach.spawn(traffic.run(until))`
-    """
+    """All clients of a zone."""
 
     def __init__(
-        self, mach: machine.Machine, clients: list[Client], kinds: tuple[Kind, Kind], rate: float, phase: float = 0.0
+        self,
+        runtime: scheduler.Runtime,
+        clients: list[Client],
+        kinds: tuple[RequestKind, RequestKind],
+        rate: float,
+        phase: float = 0.0,
     ) -> None:
-        self.mach, self.clients, self.kinds, self.rate, self.phase = mach, clients, kinds, rate, phase
+        self.runtime, self.clients, self.kinds, self.rate, self.phase = runtime, clients, kinds, rate, phase
         self.factor: dict[typing.Any, typing.Any] = {}  # kind -> how many times as much
         self.hot: typing.Any = None
         self.open = 0
 
     async def run(self, until: int) -> None:
-        """Ask and ask until a time.
-
-        Example: `mach.spawn(traffic.run(30 * S))`
-        """
-        mach, rng = self.mach, self.mach.rng
-        while mach.now() < until:
+        """Ask and ask until a time."""
+        runtime, rng = self.runtime, self.runtime.rng
+        while runtime.now() < until:
             weights = [k.share * self.factor.get(k.name, 1) for k in self.kinds]
-            wave = 1 + 0.15 * math.sin(2 * math.pi * (mach.now() / (11 * S) + self.phase))
-            await mach.sleep(
+            wave = 1 + 0.15 * math.sin(2 * math.pi * (runtime.now() / (11 * S) + self.phase))
+            await runtime.sleep(
                 int(rng.expovariate(self.rate * sum(weights) / sum(k.share for k in self.kinds) * wave) * S)
             )
             kind = rng.choices(self.kinds, weights)[0]
-            mach.spawn(self.one(rng.choice(self.clients), kind), log)
+            runtime.spawn(self.one(rng.choice(self.clients), kind), log)
 
-    async def one(self, client: Client, kind: Kind) -> None:
-        """One request, counted while it is open.
-
-        Example: `await traffic.one(client, kind)`
-        """
+    async def one(self, client: Client, kind: RequestKind) -> None:
+        """One request, counted while it is open."""
         self.open += 1
         try:
             await client.ask(kind, hot=self.hot)
@@ -636,19 +576,16 @@
 
 
 class Operator:
-    """Sends configurations, and reads them back.
-
-    Example: `o = Operator(mach, tape, lambda: [("10.0.1.1", 8262)], "boss")`; `await o.put(doc, 0)`
-    """
+    """Sends configurations, and reads them back."""
 
     def __init__(
         self,
-        mach: machine.Machine,
-        tape: simulated_cluster.Tape,
+        runtime: scheduler.Runtime,
+        tape: simulated_cluster.EventLog,
         places: collections.abc.Callable[..., object],
         name: str,
     ) -> None:
-        self.mach, self.tape, self.places, self.name = mach, tape, places, name
+        self.runtime, self.tape, self.places, self.name = runtime, tape, places, name
         self.calls = self.sends = 0
         self.first_place: typing.Any = None  # the address that the next change is sent to first
         self.lost_share = 0.0  # of the acknowledgements, which are lost on their way
@@ -656,32 +593,29 @@
         self.on_send, self.on_acknowledged = [], []  # each called once, at the next change
 
     async def call(
-        self, method: str, heads: list[tuple[str, str]], raw: bytes, host: str, port: int
+        self, method: str, headers: list[tuple[str, str]], raw: bytes, host: str, port: int
     ) -> tuple[int, bytes]:
-        """One call at one place, which may send it on twice: (status, body), or (0, b"") without a clear answer.
-
-        Example: `status, body = await operator.call("GET", [], b"", "10.0.1.1", 8262)`
-        """
-        path = words.PATH["blueprint"]
+        """One call at one place, which may send it on twice: (status, body), or (0, b"") without a clear answer."""
+        path = platform_names.PATHS["blueprint"]
         for _ in range(3):
             self.calls += 1
             lines = [
                 ("Host", f"{host}:{port}"),
                 ("Content-Type", "application/json"),
-                *heads,
+                *headers,
                 ("Content-Length", str(len(raw))),
                 ("Connection", "close"),
             ]
             head = f"{method} {path} HTTP/1.1\r\n" + "".join(f"{k}: {v}\r\n" for k, v in lines) + "\r\n"
             try:
-                line = await connect(self.mach, host, port, S)
+                line = await connect(self.runtime, host, port, S)
             except defer.CancelledError:
                 raise
             except Exception:
                 return 0, b""
             d = defer.Deferred()
-            line.start(Call(d.callback), head.encode() + raw)
-            self.mach.later(S + len(raw) * 5, line.drop, "silent")
+            line.start(PendingAnswer(d.callback), head.encode() + raw)
+            self.runtime.later(S + len(raw) * 5, line.drop, "silent")
             call = await d
             line.drop("done")
             if call.how != "whole":
@@ -696,18 +630,15 @@
         return 0, b""
 
     async def until_clear(
-        self, method: str, heads: list[tuple[str, str]], raw: bytes, seconds: int = 60, send: str = ""
+        self, method: str, headers: list[tuple[str, str]], raw: bytes, seconds: int = 60, send: str = ""
     ) -> tuple[int, bytes]:
-        """Call until an answer is clear: (status, body), or (0, b"") when time is up.
-
-        Example: `status, body = await operator.until_clear("PUT", heads, raw)`
-        """
-        until, pause, odd = self.mach.now() + seconds * S, 100 * MS, 0
-        at = self.mach.rng.randrange(100)
-        while self.mach.now() < until:
+        """Call until an answer is clear: (status, body), or (0, b"") when time is up."""
+        until, pause, odd = self.runtime.now() + seconds * S, 100 * MS, 0
+        at = self.runtime.rng.randrange(100)
+        while self.runtime.now() < until:
             places = self.places()
             place, self.first_place = self.first_place or places[at % len(places)], None
-            status, body = await self.call(method, heads, raw, *place)
+            status, body = await self.call(method, headers, raw, *place)
             if status == 200 and method != "GET":
                 self.last_place = place
                 status = self.acknowledged(status, send)
@@ -718,72 +649,71 @@
                 if odd == 3:
                     return status, body
             at += 1
-            await self.mach.sleep(pause)
+            await self.runtime.sleep(pause)
             pause = min(S, pause * 3 // 2)
         return 0, b""
 
     def acknowledged(self, status: int, send: str) -> int:
-        """A change was acknowledged: the status that the operator sees, 0 where the answer is lost.
-
-        Example: `status = operator.acknowledged(200, "boss-7")`
-        """
-        if self.lost_share and self.mach.rng.random() < self.lost_share:
-            self.tape.put(self.mach.now(), "acknowledgement_lost", send=send)
+        """A change was acknowledged: the status that the operator sees, 0 where the answer is lost."""
+        if self.lost_share and self.runtime.rng.random() < self.lost_share:
+            self.tape.put(self.runtime.now(), "acknowledgement_lost", send=send)
             return 0
         waiting, self.on_acknowledged = self.on_acknowledged, []
         for f in waiting:
             f()
         return status
 
-    async def put(self, doc: dict[str, typing.Any], base: int, valid: bool = True, seconds: int = 60) -> int:
-        """Send a whole configuration on top of a version: the status.
-
-        Example: `status = await operator.put(doc, 5)`
-        """
-        return await self.send("PUT", doc, doc, base, valid, seconds)
+    async def put(self, document: dict[str, typing.Any], base: int, valid: bool = True, seconds: int = 60) -> int:
+        """Send a whole configuration on top of a version: the status."""
+        return await self.send("PUT", document, document, base, valid, seconds)
 
     async def patch(
         self,
         change: dict[str, typing.Any],
-        doc: dict[str, typing.Any],
+        document: dict[str, typing.Any],
         base: int,
         valid: bool = True,
         seconds: int = 60,
     ) -> int:
-        """Send a change, which makes `doc` out of the version `base`: the status.
-
-        Example: `status = await operator.patch(change, doc, 5)`
-        """
-        return await self.send("PATCH", change, doc, base, valid, seconds)
+        """Send a change, which makes `doc` out of the version `base`: the status."""
+        return await self.send("PATCH", change, document, base, valid, seconds)
 
     async def send(
-        self, method: str, body: dict[str, typing.Any], doc: dict[str, typing.Any], base: int, valid: bool, seconds: int
+        self,
+        method: str,
+        body: dict[str, typing.Any],
+        document: dict[str, typing.Any],
+        base: int,
+        valid: bool,
+        seconds: int,
     ) -> int:
-        """Send either, and log what came of it.
-
-        Example: `await operator.send("PUT", doc, doc, 5, True, 60)`
-        """
-        version = doc[words.BLUEPRINT["version"]]
+        """Send either, and log what came of it."""
+        version = document[platform_names.CONFIGURATION["version"]]
         self.sends += 1
         waiting, self.on_send = self.on_send, []
         for f in waiting:
             f()
         row = dict(version=version, base=base, send=f"{self.name}-{self.sends}")
-        self.tape.put(self.mach.now(), "config_sent", doc=doc, valid=valid, **row)
+        self.tape.put(self.runtime.now(), "config_sent", doc=document, valid=valid, **row)
         status, text = await self.until_clear(
             method, [("If-Match", str(base))], json.dumps(body).encode(), seconds, row["send"]
         )
-        self.tape.put(self.mach.now(), "config_answer", code=status, text=text[:200].decode("latin-1"), **row)
+        self.tape.put(self.runtime.now(), "config_answer", code=status, text=text[:200].decode("latin-1"), **row)
         return status
 
     async def read(self, seconds: int = 20) -> dict[str, typing.Any]:
-        """Read the newest configuration back: it, or None.
-
-        Example: `doc = await operator.read()`
-        """
-        began = self.mach.now()
+        """Read the newest configuration back: it, or None."""
+        started_at = self.runtime.now()
         status, raw = await self.until_clear("GET", [], b"", seconds)
-        doc = json.loads(raw) if status == 200 else None
-        version = doc.get(words.BLUEPRINT["version"]) if doc is not None else None
-        self.tape.put(self.mach.now(), "config_read", code=status, doc=doc, version=version, began=began, who=self.name)
-        return doc
+        document = json.loads(raw) if status == 200 else None
+        version = document.get(platform_names.CONFIGURATION["version"]) if document is not None else None
+        self.tape.put(
+            self.runtime.now(),
+            "config_read",
+            code=status,
+            doc=document,
+            version=version,
+            began=started_at,
+            who=self.name,
+        )
+        return document
--- a/bench/cluster_model.py
+++ b/simulation/cluster_model.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-import iriswheel.agreement as agreement
-import iriswheel.message as message
+import iriswheel.consensus.decisions as decisions
+import iriswheel.transport.message as message
 
 replace = msgspec.structs.replace
 
@@ -20,26 +20,26 @@
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
-    """A proposal under way: its ballot, the seats it wants, and the view once promises were enough."""
+    """A proposal under way: its ballot, the voters it wants, and the view once promises were enough."""
 
     ballot: tuple[int, str]
-    seats: list[message.Seat]
+    voters: list[message.Voter]
     view: message.View | None = None
 
 
 class Core(msgspec.Struct, frozen=True, array_like=True):
     """One core machine: what is on its disk, what is in its memory, and what a fault did to it."""
 
-    ident: str
+    identifier: str
     place: int
     identities: int = 1
-    boot: int = 1
+    incarnation_number: int = 1
     up: bool = True
     cut: bool = False
     leaving: bool = False
     settled: bool = True
     stale_disk: bool = False
-    record: agreement.Record = agreement.Record()
+    record: decisions.Record = decisions.Record()
     log: tuple[tuple[int, int], ...] = ()  # (view it was made in, number) of each entry
     holder: str | None = None  # who has this voter's unexpired grant
     supporters: tuple[str, ...] = ()  # whose grants this tail counts on
@@ -54,7 +54,7 @@
     @property
     def incarnation(self) -> str:
         """The boot as chain members carry it."""
-        return str(self.boot)
+        return str(self.incarnation_number)
 
     @property
     def lost(self) -> bool:
@@ -62,12 +62,12 @@
         return not self.reachable or self.leaving or not self.settled
 
     @property
-    def seat(self) -> message.Seat:
-        """The machine's seat."""
-        return message.Seat(self.ident, f"host{self.place}", 1, "zone")
+    def voter(self) -> message.Voter:
+        """The machine's voter."""
+        return message.Voter(self.identifier, f"host{self.place}", 1, "zone")
 
     @property
-    def tip(self) -> tuple[int, int]:
+    def last_entry(self) -> tuple[int, int]:
         """The newest entry of the log."""
         return self.log[-1] if self.log else (0, 0)
 
@@ -123,9 +123,9 @@
     3
     """
     machines = [Core("abcdefg"[k], k) for k in range(cores)]
-    seats = [core.seat for core in machines]
-    view = message.View(1, seats, [message.ChainReplica(core.ident, core.incarnation) for core in machines])
-    record = agreement.Record(view, whole=1)
+    voters = [core.voter for core in machines]
+    view = message.View(1, voters, [message.ChainReplica(core.identifier, core.incarnation) for core in machines])
+    record = decisions.Record(view, synced_view=1)
     return World(tuple(replace(core, record=record) for core in machines), limits, views=(view,))
 
 
@@ -153,67 +153,67 @@
     return tuple(sorted((*items, item), key=msgspec.msgpack.encode))
 
 
-def by_ident(world: World, ident: str) -> Core:
+def by_identifier(world: World, identifier: str) -> Core:
     """The core with an identity, or None."""
-    return next((core for core in world.cores if core.ident == ident), None)
+    return next((core for core in world.cores if core.identifier == identifier), None)
 
 
-def wanted_seats(world: World, proposer: Core) -> list[message.Seat]:
-    """The seats that a proposer wants: machines that are down, cut off or leaving may be replaced."""
+def wanted_voters(world: World, proposer: Core) -> list[message.Voter]:
+    """The voters that a proposer wants: machines that are down, cut off or leaving may be replaced."""
     view = proposer.record.view
-    known = {seat.id for seat in view.seats}
-    newcomers = [c.seat for c in world.cores if c.reachable and not c.leaving and c.ident not in known]
-    newcomers.sort(key=lambda seat: seat.id)
+    known = {voter.id for voter in view.voters}
+    joining_members = [c.voter for c in world.cores if c.reachable and not c.leaving and c.identifier not in known]
+    joining_members.sort(key=lambda voter: voter.id)
     states = {}
-    for ident in known:
-        core = by_ident(world, ident)
+    for identifier in known:
+        core = by_identifier(world, identifier)
         silent = core is None or not core.reachable
-        states[ident] = agreement.SeatState(silent or core.leaving, silent)
-    return agreement.next_seats(view, proposer.ident, proposer.leaving, newcomers, states, len(world.cores))
+        states[identifier] = decisions.VoterState(silent or core.leaving, silent)
+    return decisions.next_voters(view, proposer.identifier, proposer.leaving, joining_members, states, len(world.cores))
 
 
 def live(world: World) -> dict[str, str]:
     """The cores that can be members of a chain, with their incarnations."""
-    return {core.ident: core.incarnation for core in world.cores if core.reachable and not core.leaving}
+    return {core.identifier: core.incarnation for core in world.cores if core.reachable and not core.leaving}
 
 
 def departing(world: World) -> dict[str, str]:
     """The cores that leave and are not down yet, with their incarnations."""
-    return {core.ident: core.incarnation for core in world.cores if core.reachable and core.leaving}
+    return {core.identifier: core.incarnation for core in world.cores if core.reachable and core.leaving}
 
 
 def synced_in(world: World, number: int) -> set[str]:
     """The cores that are synced in a view."""
-    return {core.ident for core in world.cores if core.record.whole == number}
+    return {core.identifier for core in world.cores if core.record.synced_view == number}
 
 
 def is_due(world: World, core: Core) -> bool:
     """Whether a core has a reason to propose a view."""
-    if not core.reachable or not agreement.is_voter(core.record, core.ident):
+    if not core.reachable or not decisions.is_voter(core.record, core.identifier):
         return False
     view = core.record.view
-    alive, seats = live(world), wanted_seats(world, core)
-    if agreement.is_handing_over(view, alive, departing(world), synced_in(world, view.number)):
-        alive, seats = alive | departing(world), view.seats
-    voters = [seat.id for seat in view.seats if seat.id in alive]
-    if len(voters) < agreement.majority(len(view.seats)):
+    alive, voters = live(world), wanted_voters(world, core)
+    if decisions.is_handing_over(view, alive, departing(world), synced_in(world, view.number)):
+        alive, voters = alive | departing(world), view.voters
+    voter_ids = [voter.id for voter in view.voters if voter.id in alive]
+    if len(voter_ids) < decisions.majority(len(view.voters)):
         return False
-    wanted = {(seat.id, alive[seat.id]) for seat in seats if seat.id in alive}
-    present = {(member.id, member.boot) for member in view.chain}
-    return wanted != present or seats != view.seats or agreement.is_sealed(core.record)
+    wanted = {(voter.id, alive[voter.id]) for voter in voters if voter.id in alive}
+    present = {(member.id, member.incarnation) for member in view.chain}
+    return wanted != present or voters != view.voters or decisions.is_sealed(core.record)
 
 
 def names(view: message.View) -> str:
-    """A view's chain and seats, for people."""
-    return f"chain {' '.join(m.id for m in view.chain)}, seats {' '.join(s.id for s in view.seats)}"
+    """A view's chain and voters, for people."""
+    return f"chain {' '.join(m.id for m in view.chain)}, seats {' '.join(s.id for s in view.voters)}"
 
 
 def has_lease(core: Core) -> bool:
     """Whether a core serves reads."""
-    leading = core.up and agreement.may_lead_reads(core.record, core.ident, core.incarnation)
-    return leading and len(core.supporters) >= agreement.majority(len(core.record.view.seats))
+    leading = core.up and decisions.may_lead_reads(core.record, core.identifier, core.incarnation)
+    return leading and len(core.supporters) >= decisions.majority(len(core.record.view.voters))
 
 
 def serves(core: Core) -> bool:
     """Whether a core is a member of its view's chain, unsealed."""
-    return core.up and agreement.is_serving(core.record, core.ident, core.incarnation)
+    return core.up and decisions.is_serving(core.record, core.identifier, core.incarnation)
--- a/bench/cluster_steps.py
+++ b/simulation/cluster_steps.py
@@ -1,6 +1,7 @@
 """All steps that a few core machines may take: messages, leases, the chain, and faults within the tolerance.
 
-The steps call `iriswheel.agreement`, the functions that the core itself runs; only disk, network and clock are
+The steps call `iriswheel.consensus.decisions`, the functions that the core itself runs; only disk, network and clock
+are
 abstract. A message stays in flight until its view is over, so each may arrive late, twice, in any order or never.
 Time passes only where the leases allow it: a voter's grant ends after the lease that counts on it.
 """
@@ -13,9 +14,9 @@
 
 import msgspec
 
-import bench.cluster_model as cluster_model
-import iriswheel.agreement as agreement
-import iriswheel.message as message
+import iriswheel.consensus.decisions as decisions
+import iriswheel.transport.message as message
+import simulation.cluster_model as cluster_model
 
 replace = msgspec.structs.replace
 
@@ -24,8 +25,8 @@
     world: cluster_model.World, core: cluster_model.Core, request: message.Prepare
 ) -> cluster_model.World:
     """One acceptor's step on a Prepare."""
-    replica = agreement.Replica(core.ident, core.incarnation, True, core.tip)
-    record, answer = agreement.promise(core.record, replica, core.holder, request)
+    replica = decisions.Replica(core.identifier, core.incarnation, True, core.last_entry)
+    record, answer = decisions.promise(core.record, replica, core.holder, request)
     if not answer.ok:
         return world
     world = cluster_model.put(world, replace(core, record=record, supporters=()))
@@ -36,12 +37,12 @@
     world: cluster_model.World, core: cluster_model.Core, request: message.Accept
 ) -> cluster_model.World:
     """One acceptor's step on an Accept."""
-    record, answer = agreement.accept(core.record, core.ident, request)
+    record, answer = decisions.accept(core.record, core.identifier, request)
     if not answer.ok:
         return world
     world = cluster_model.put(world, replace(core, record=record))
     world = replace(
-        world, accepted=cluster_model.add(world.accepted, (request.ballot, request.view.number, core.ident))
+        world, accepted=cluster_model.add(world.accepted, (request.ballot, request.view.number, core.identifier))
     )
     check_chosen(world, core.record.view, request)
     return world
@@ -62,8 +63,8 @@
 
 def is_chosen(world: cluster_model.World, old: message.View, ballot: tuple[int, str]) -> bool:
     """Whether a majority of a view's voters accepted its successor under a ballot."""
-    voters = [ident for made, number, ident in world.accepted if (made, number) == (ballot, old.number + 1)]
-    return len(voters) >= agreement.majority(len(old.seats))
+    voters = [identifier for made, number, identifier in world.accepted if (made, number) == (ballot, old.number + 1)]
+    return len(voters) >= decisions.majority(len(old.voters))
 
 
 def adopt(world: cluster_model.World, core: cluster_model.Core, view: message.View) -> cluster_model.World:
@@ -73,7 +74,7 @@
             raise cluster_model.ViolationError(
                 f"two views {view.number}: {cluster_model.names(other)} and {cluster_model.names(view)}"
             )
-    record = agreement.adopt(core.record, core.ident, view)
+    record = decisions.adopt(core.record, core.identifier, view)
     if record is core.record:
         return world
     world = cluster_model.put(world, replace(core, record=record, supporters=(), proposal=None))
@@ -86,27 +87,27 @@
         used = cluster_model.spend(world, "proposals")
         if used is None or not cluster_model.is_due(world, core):
             continue
-        ballot = (max(core.ballot, core.record.promised[0]) + 1, core.ident)
-        proposal = cluster_model.Proposal(ballot, cluster_model.wanted_seats(world, core))
+        ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
+        proposal = cluster_model.Proposal(ballot, cluster_model.wanted_voters(world, core))
         core = replace(core, ballot=ballot[0], proposal=proposal)
-        request = message.Prepare(core.record.view.number + 1, ballot, core.ident)
+        request = message.Prepare(core.record.view.number + 1, ballot, core.identifier)
         after = replace(cluster_model.put(used, core), requests=cluster_model.add(used.requests, request))
-        yield f"{core.ident} proposes {ballot}", receive_prepare(after, core, request)
+        yield f"{core.identifier} proposes {ballot}", receive_prepare(after, core, request)
 
 
 def suspecting(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """A voter proposes without a reason that others see: it hears nobody but those who promise."""
     for core in world.cores:
         used = cluster_model.spend(world, "proposals")
-        if used is None or not core.reachable or not agreement.is_voter(core.record, core.ident):
+        if used is None or not core.reachable or not decisions.is_voter(core.record, core.identifier):
             continue
         if cluster_model.is_due(world, core):
             continue
-        ballot = (max(core.ballot, core.record.promised[0]) + 1, core.ident)
-        core = replace(core, ballot=ballot[0], proposal=cluster_model.Proposal(ballot, core.record.view.seats))
-        request = message.Prepare(core.record.view.number + 1, ballot, core.ident)
+        ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
+        core = replace(core, ballot=ballot[0], proposal=cluster_model.Proposal(ballot, core.record.view.voters))
+        request = message.Prepare(core.record.view.number + 1, ballot, core.identifier)
         after = replace(cluster_model.put(used, core), requests=cluster_model.add(used.requests, request))
-        yield f"{core.ident} suspects the others and proposes {ballot}", receive_prepare(after, core, request)
+        yield f"{core.identifier} suspects the others and proposes {ballot}", receive_prepare(after, core, request)
 
 
 def delivering(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
@@ -117,10 +118,10 @@
         match request:
             case message.Prepare():
                 after = receive_prepare(world, core, request)
-                label = f"{core.ident} promises {request.ballot}"
+                label = f"{core.identifier} promises {request.ballot}"
             case message.Accept():
                 after = receive_accept(world, core, request)
-                label = f"{core.ident} accepts {request.ballot}: {cluster_model.names(request.view)}"
+                label = f"{core.identifier} accepts {request.ballot}: {cluster_model.names(request.view)}"
         if after is not world:
             yield label, after
 
@@ -133,7 +134,7 @@
             continue
         old = core.record.view
         answers = [a for n, a in world.promises if n == old.number + 1 and a.ballot == proposal.ballot]
-        for count in range(agreement.majority(len(old.seats)), len(answers) + 1):
+        for count in range(decisions.majority(len(old.voters)), len(answers) + 1):
             for chosen in itertools.combinations(answers, count):
                 yield from choices(world, core, {answer.id: answer for answer in chosen})
 
@@ -145,18 +146,19 @@
     proposal, seen = core.proposal, []
     for alive in (
         cluster_model.live(world),
-        {i: a.boot for i, a in promises.items() if i in cluster_model.live(world)},
+        {i: a.incarnation for i, a in promises.items() if i in cluster_model.live(world)},
     ):
-        view = agreement.next_view(core.record.view, promises, proposal.seats, alive, cluster_model.departing(world))
+        view = decisions.next_view(core.record.view, promises, proposal.voters, alive, cluster_model.departing(world))
         if view is None or view in seen:
             continue
         seen.append(view)
-        request = message.Accept(proposal.ballot, view, core.ident)
+        request = message.Accept(proposal.ballot, view, core.identifier)
         proposer = replace(core, proposal=replace(proposal, view=view))
         after = replace(cluster_model.put(world, proposer), requests=cluster_model.add(world.requests, request))
         after = receive_accept(after, proposer, request)
         yield (
-            f"{core.ident} asks to accept {proposal.ballot} after {'+'.join(promises)}: {cluster_model.names(view)}",
+            f"{core.identifier} asks to accept {proposal.ballot} after {'+'.join(promises)}: "
+            f"{cluster_model.names(view)}",
             after,
         )
 
@@ -168,39 +170,39 @@
         if not core.up or proposal is None or proposal.view is None:
             continue
         if is_chosen(world, core.record.view, proposal.ballot):
-            yield f"{core.ident} adopts view {proposal.view.number}", adopt(world, core, proposal.view)
+            yield f"{core.identifier} adopts view {proposal.view.number}", adopt(world, core, proposal.view)
 
 
 def learning(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """A core hears of a view that another adopted, then or later."""
     for core, view in itertools.product(world.cores, world.views):
-        if core.reachable and agreement.newer_view(core.record, view.number) is None:
-            yield f"{core.ident} learns view {view.number}", adopt(world, core, view)
+        if core.reachable and decisions.newer_view(core.record, view.number) is None:
+            yield f"{core.identifier} learns view {view.number}", adopt(world, core, view)
 
 
 def leasing(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
     """A voter grants the tail its lease; leases and grants run out, the grant after the lease."""
-    tails = [c for c in world.cores if c.reachable and agreement.may_lead_reads(c.record, c.ident, c.incarnation)]
+    tails = [c for c in world.cores if c.reachable and decisions.may_lead_reads(c.record, c.identifier, c.incarnation)]
     for tail, core in itertools.product(tails, world.cores):
         used = cluster_model.spend(world, "leases")
-        if used is None or not core.reachable or core.ident in tail.supporters:
+        if used is None or not core.reachable or core.identifier in tail.supporters:
             continue
-        answer = agreement.give_lease(
-            core.record, core.ident, message.LeaseRequest(tail.record.view.number, tail.ident)
+        answer = decisions.give_lease(
+            core.record, core.identifier, message.LeaseRequest(tail.record.view.number, tail.identifier)
         )
         if answer.ok:
-            after = cluster_model.put(used, replace(core, holder=tail.ident))
+            after = cluster_model.put(used, replace(core, holder=tail.identifier))
             tail_after = after.cores[tail.place]
             after = cluster_model.put(
-                after, replace(tail_after, supporters=cluster_model.add(tail_after.supporters, core.ident))
+                after, replace(tail_after, supporters=cluster_model.add(tail_after.supporters, core.identifier))
             )
-            yield f"{core.ident} grants {tail.ident} a lease", after
+            yield f"{core.identifier} grants {tail.identifier} a lease", after
     counted = set().union(*(core.supporters for core in world.cores))
     for core in world.cores:
         if core.supporters:
-            yield f"the lease of {core.ident} runs out", cluster_model.put(world, replace(core, supporters=()))
-        if core.holder is not None and core.ident not in counted:
-            yield f"the grant of {core.ident} runs out", cluster_model.put(world, replace(core, holder=None))
+            yield f"the lease of {core.identifier} runs out", cluster_model.put(world, replace(core, supporters=()))
+        if core.holder is not None and core.identifier not in counted:
+            yield f"the grant of {core.identifier} runs out", cluster_model.put(world, replace(core, holder=None))
 
 
 def writing(
@@ -209,13 +211,13 @@
     """The head syncs a change."""
     for core in world.cores:
         used = cluster_model.spend(world, "changes")
-        if used is None or not core.reachable or not cluster_model.serves(core) or not agreement.is_synced(core.record):
+        if used is None or not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
             continue
         view = core.record.view
-        if view.chain[0].id == core.ident and len(view.chain) >= setting.copies:
-            entry = (view.number, core.tip[1] + 1)
+        if view.chain[0].id == core.identifier and len(view.chain) >= setting.copies:
+            entry = (view.number, core.last_entry[1] + 1)
             yield (
-                f"head {core.ident} syncs change {entry}",
+                f"head {core.identifier} syncs change {entry}",
                 cluster_model.put(used, replace(core, log=(*core.log, entry))),
             )
 
@@ -223,47 +225,47 @@
 def replicating(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World] | None]:
     """A member brings the next one up to date; that one is then synced."""
     for core in world.cores:
-        if not core.reachable or not cluster_model.serves(core) or not agreement.is_synced(core.record):
+        if not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
             continue
         members = [member.id for member in core.record.view.chain]
-        place = members.index(core.ident) + 1
-        following = cluster_model.by_ident(world, members[place]) if place < len(members) else None
+        place = members.index(core.identifier) + 1
+        following = cluster_model.by_identifier(world, members[place]) if place < len(members) else None
         if following is None or not following.reachable or not cluster_model.serves(following):
             continue
         if following.record.view.number != core.record.view.number:
             continue
-        record = agreement.become_synced(following.record, core.record.view.number)
+        record = decisions.become_synced(following.record, core.record.view.number)
         if record is following.record and following.log == core.log:
             continue
         after = cluster_model.put(world, replace(following, record=record, log=core.log, stale_disk=core.stale_disk))
         if record is not following.record and world.limits.late_refills:
-            refill = cluster_model.Refill(record.view.number, following.ident, core.log)
+            refill = cluster_model.Refill(record.view.number, following.identifier, core.log)
             after = replace(after, refills=cluster_model.add(after.refills, refill))
-        yield f"{core.ident} brings {following.ident} up to date", after
+        yield f"{core.identifier} brings {following.identifier} up to date", after
 
 
 def refilling(world: cluster_model.World) -> collections.abc.Iterator[typing.Any]:
     """A snapshot that was held up arrives once more."""
     for refill in world.refills:
-        used, core = cluster_model.spend(world, "late_refills"), cluster_model.by_ident(world, refill.receiver)
+        used, core = cluster_model.spend(world, "late_refills"), cluster_model.by_identifier(world, refill.receiver)
         if used is None or core is None or not core.reachable or not cluster_model.serves(core):
             continue
         last = refill.log[-1][1] if refill.log else 0
-        if core.record.view.number == refill.view and agreement.may_restore(core.record, core.tip[1], last):
-            after = replace(core, log=refill.log, record=agreement.become_synced(core.record, refill.view))
-            yield f"a late snapshot {refill.log} reaches {core.ident}", cluster_model.put(used, after)
+        if core.record.view.number == refill.view and decisions.may_restore(core.record, core.last_entry[1], last):
+            after = replace(core, log=refill.log, record=decisions.become_synced(core.record, refill.view))
+            yield f"a late snapshot {refill.log} reaches {core.identifier}", cluster_model.put(used, after)
 
 
 def acknowledge(world: cluster_model.World, setting: cluster_model.Setting) -> cluster_model.World:
     """All that a synced tail holds is acknowledged at that moment."""
     for core in world.cores:
-        if core.up and agreement.may_commit(core.record, core.ident, core.incarnation, setting.copies):
+        if core.up and decisions.may_commit(core.record, core.identifier, core.incarnation, setting.copies):
             known = {entry for _, entry in world.acknowledged}
             for entry in core.log:
                 if entry not in known:
-                    if core.record.promised != agreement.NO_BALLOT:
+                    if core.record.promised != decisions.NO_BALLOT:
                         raise cluster_model.ViolationError(
-                            f"{core.ident} acknowledges {entry} in the sealed view {core.record.view.number}"
+                            f"{core.identifier} acknowledges {entry} in the sealed view {core.record.view.number}"
                         )
                     marked = cluster_model.add(world.acknowledged, (core.record.view.number, entry))
                     world = replace(world, acknowledged=marked)
@@ -282,15 +284,23 @@
 
 def restarted(core: cluster_model.Core) -> cluster_model.Core:
     """A machine that came back with its disk; a grant that it gave before may stand."""
-    return replace(stopped(core), up=True, boot=core.boot + 1, leaving=False, holder=agreement.UNKNOWN_HOLDER)
+    return replace(
+        stopped(core),
+        up=True,
+        incarnation_number=core.incarnation_number + 1,
+        leaving=False,
+        holder=decisions.UNKNOWN_HOLDER,
+    )
 
 
 def wiped(core: cluster_model.Core, setting: cluster_model.Setting) -> cluster_model.Core:
     """A machine that came back with an empty disk, under a new identity."""
     identities = core.identities + 1
-    ident = core.ident if setting.keep_identity else f"{core.ident[0]}{identities}"
-    record = agreement.Record(core.record.view) if setting.keep_identity else agreement.Record()
-    return cluster_model.Core(ident, core.place, identities, core.boot + 1, settled=False, record=record)
+    identifier = core.identifier if setting.keep_identity else f"{core.identifier[0]}{identities}"
+    record = decisions.Record(core.record.view) if setting.keep_identity else decisions.Record()
+    return cluster_model.Core(
+        identifier, core.place, identities, core.incarnation_number + 1, settled=False, record=record
+    )
 
 
 def failing(
@@ -301,21 +311,21 @@
         may_fail = tolerated(world, core, setting)
         if core.up:
             if may_fail or core.leaving:
-                yield from fault(world, "crashes", f"{core.ident} goes down", stopped(core))
+                yield from fault(world, "crashes", f"{core.identifier} goes down", stopped(core))
             if may_fail and not core.cut:
-                yield from fault(world, "wipes", f"{core.ident} loses its disk", wiped(core, setting))
-                yield from fault(world, "cuts", f"{core.ident} is cut off", replace(core, cut=True, settled=False))
-                yield from fault(world, "leaves", f"{core.ident} leaves", replace(core, leaving=True))
+                yield from fault(world, "wipes", f"{core.identifier} loses its disk", wiped(core, setting))
+                yield from fault(world, "cuts", f"{core.identifier} is cut off", replace(core, cut=True, settled=False))
+                yield from fault(world, "leaves", f"{core.identifier} leaves", replace(core, leaving=True))
         else:
-            yield f"{core.ident} comes back", cluster_model.put(world, restarted(core))
-            yield from fault(world, "wipes", f"{core.ident} comes back empty", wiped(core, setting))
+            yield f"{core.identifier} comes back", cluster_model.put(world, restarted(core))
+            yield from fault(world, "wipes", f"{core.identifier} comes back empty", wiped(core, setting))
             if core.log:
                 stale = replace(restarted(core), log=core.log[:-1], stale_disk=True)
-                yield from fault(world, "stale_disks", f"{core.ident} comes back with an older disk", stale)
+                yield from fault(world, "stale_disks", f"{core.identifier} comes back with an older disk", stale)
         if core.cut:
-            yield f"{core.ident} is connected again", cluster_model.put(world, replace(core, cut=False))
+            yield f"{core.identifier} is connected again", cluster_model.put(world, replace(core, cut=False))
         if core.reachable and not core.settled and is_in_order(world, core):
-            yield f"{core.ident} has settled", cluster_model.put(world, replace(core, settled=True))
+            yield f"{core.identifier} has settled", cluster_model.put(world, replace(core, settled=True))
     yield from power_cycling(world, setting)
 
 
@@ -334,7 +344,7 @@
     return (
         core.record.view is not None
         and core.record.view.number == newest
-        and (cluster_model.serves(core) and agreement.is_synced(core.record))
+        and (cluster_model.serves(core) and decisions.is_synced(core.record))
     )
 
 
--- a/bench/core_days.py
+++ b/simulation/core_days.py
@@ -10,8 +10,8 @@
 import collections.abc
 import typing
 
-import bench.platform_model as platform_model
-import bench.words as words
+import simulation.platform_model as platform_model
+import simulation.platform_names as platform_names
 
 if typing.TYPE_CHECKING:
     import twisted.internet.defer as defer
@@ -19,7 +19,7 @@
 
 MS, S = platform_model.MS, platform_model.S
 STORM_GAPS_S = (0.15, 0.4, 0.9)
-TROUBLE_GAPS_S = (0.5, 2, 4, 6)
+FAULT_GAPS_S = (0.5, 2, 4, 6)
 RACES, RACE_GAP_S = 18, 3
 INVALID, INVALID_GAP_S = 8, 5
 POLL_S = 0.1
@@ -30,10 +30,7 @@
 
 
 class CoreDay:
-    """A drawn day under way: the site, and the core machines that count as lost.
-
-    Example: `CoreDay(platform_model).draw(55)`
-    """
+    """A drawn day under way: the site, and the core machines that count as lost."""
 
     def __init__(self, s: platform_model.Site) -> None:
         self.site, self.rng = s, s.rng
@@ -42,116 +39,86 @@
 
     # ---- changes -------------------------------------------------------------------
 
-    def spawn(self, coro: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any]) -> defer.Deferred[typing.Any]:
-        """Run an operator's task.
-
-        Example: `day.spawn(platform_model.race())`
-        """
-        return self.site.office.spawn(coro, platform_model.log)
+    def spawn(
+        self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any]
+    ) -> defer.Deferred[typing.Any]:
+        """Run an operator's task."""
+        return self.site.operator_site.spawn(coroutine, platform_model.log)
 
     async def storm(self, until: int) -> None:
-        """Changes one after the other; after some refusals, on top of what is read.
-
-        Example: `day.spawn(day.storm(60 * S))`
-        """
+        """Changes one after the other; after some refusals, on top of what is read."""
         gap = self.rng.choice(STORM_GAPS_S)
         while self.site.world.time < until:
             await self.change()
-            await self.site.office.sleep(int(gap * S))
+            await self.site.operator_site.sleep(int(gap * S))
 
     async def change(self) -> None:
-        """Send one change; after some refusals in a row, read what there is.
-
-        Example: `await day.change()`
-        """
+        """Send one change; after some refusals in a row, read what there is."""
         status = await self.site.next_config(self.rng.choice(["idle", "timeout"]), 60)
         self.refused = 0 if status == 200 else self.refused + 1
         if self.refused >= REFUSALS:
             await self.read_back()
 
     async def read_back(self) -> None:
-        """Take the newest configuration as the base of the next change.
-
-        Example: `await day.read_back()`
-        """
-        doc = await self.site.boss.read()
-        version = doc[words.BLUEPRINT["version"]] if doc is not None else 0
+        """Take the newest configuration as the base of the next change."""
+        document = await self.site.operator.read()
+        version = document[platform_names.CONFIGURATION["version"]] if document is not None else 0
         if version > self.site.version:
-            self.site.doc, self.site.version = doc, version
+            self.site.document, self.site.version = document, version
         self.refused = 0
 
     async def races(self, until: int) -> None:
-        """Two operators at once, again and again.
-
-        Example: `day.spawn(day.races(60 * S))`
-        """
+        """Two operators at once, again and again."""
         for _ in range(RACES):
             if self.site.world.time < until:
                 await self.site.race()
-                await self.site.office.sleep(RACE_GAP_S * S)
+                await self.site.operator_site.sleep(RACE_GAP_S * S)
 
     async def invalid(self, until: int) -> None:
-        """Invalid configurations, again and again.
-
-        Example: `day.spawn(day.invalid(60 * S))`
-        """
+        """Invalid configurations, again and again."""
         for _ in range(INVALID):
             if self.site.world.time < until:
                 await self.site.bad()
-                await self.site.office.sleep(INVALID_GAP_S * S)
+                await self.site.operator_site.sleep(INVALID_GAP_S * S)
 
     # ---- core machines -----------------------------------------------------------------
 
     def leader(self) -> str:
-        """The core machine that acknowledged last, or any.
-
-        Example: `day.leader()`
-        """
-        place = self.site.boss.last_place
+        """The core machine that acknowledged last, or any."""
+        place = self.site.operator.last_place
         names = [c for c in sorted(self.site.cores) if place and self.site.places[c][0] == place[0]]
         return names[0] if names else self.any_core()
 
     def tail(self) -> str:
-        """The last core machine of the newest view's chain.
-
-        Example: `platform_model.replace_core(day.tail())`
-        """
-        views = [c.membership.view for c in self.site.cores.values() if c.proc.alive and c.membership.view is not None]
+        """The last core machine of the newest view's chain."""
+        views = [c.consensus.view for c in self.site.cores.values() if c.process.alive and c.consensus.view is not None]
         newest = max(views, key=lambda view: view.number)
-        return next(n for n, c in self.site.cores.items() if c.membership.me.id == newest.chain[-1].id)
+        return next(n for n, c in self.site.cores.items() if c.consensus.me.id == newest.chain[-1].id)
 
     def any_core(self) -> str:
-        """A core machine by lot.
-
-        Example: `day.any_core()`
-        """
+        """A core machine by lot."""
         return self.rng.choice(sorted(self.site.cores))
 
     def leader_or_any(self) -> str:
-        """The leader in half of all cases.
-
-        Example: `day.leader_or_any()`
-        """
+        """The leader in half of all cases."""
         return self.rng.choice([self.leader, self.any_core])()
 
     def in_turn(
         self,
         lose: collections.abc.Callable[..., object],
         pick: collections.abc.Callable[..., object] | None = None,
-        whole: bool = False,
+        complete: bool = False,
     ) -> None:
         """Let a trouble strike as soon as one more core machine may be lost, or while none is lost.
 
         `lose` takes the machine's name, and returns when it is back, in seconds.
-
-        Example: `day.in_turn(lambda name: platform_model.kill(name, 3) or 3)`
         """
 
         def strike() -> None:
-            if len(self.lost) >= (1 if whole else self.site.shape.bear):
+            if len(self.lost) >= (1 if complete else self.site.shape.bear):
                 self.site.later(POLL_S, strike)
                 return
-            name = "all" if whole else (pick or self.leader_or_any)()
+            name = "all" if complete else (pick or self.leader_or_any)()
             if name in self.lost:
                 self.site.later(POLL_S, strike)
                 return
@@ -162,12 +129,9 @@
         strike()
 
     def send_to(self, name: str) -> None:
-        """Let the next change, or the next two at once, begin at this machine.
-
-        Example: `day.send_to("c1")`
-        """
+        """Let the next change, or the next two at once, begin at this machine."""
         place = (self.site.places[name][0], platform_model.CONTROL)
-        self.site.boss.first_place = place
+        self.site.operator.first_place = place
         if self.rng.random() < 0.5:
             self.site.rival.first_place = place
             self.spawn(self.site.race())
@@ -175,20 +139,14 @@
             self.spawn(self.change())
 
     def met(self, name: str, seconds: int) -> None:
-        """Changes begin at a machine during its trouble and as it returns.
-
-        Example: `day.met("c1", 3)`
-        """
+        """Changes begin at a machine during its trouble and as it returns."""
         for at in self.rng.choice([(), (seconds / 2, seconds), (0.1, seconds / 3, seconds / 2, seconds + 0.05)]):
             self.site.later(at, self.send_to, name)
 
     # ---- the day -----------------------------------------------------------------------------
 
     def draw(self, seconds: int) -> None:
-        """Play the day up to its closing fault.
-
-        Example: `day.draw(55)`
-        """
+        """Play the day up to its closing fault."""
         s = self.site
         begin = s.world.time
         until = begin + seconds * S
@@ -197,16 +155,13 @@
         s.later(3, lambda: self.spawn(self.invalid(until)))
         at = 4.0
         while at < seconds:
-            s.later(at, self.rng.choice(TROUBLES), self)
-            at += self.rng.choice(TROUBLE_GAPS_S)
+            s.later(at, self.rng.choice(FAULTS), self)
+            at += self.rng.choice(FAULT_GAPS_S)
         s.go(seconds)
         self.close()
 
     def close(self) -> None:
-        """Wait until no machine is lost, and let the closing fault strike.
-
-        Example: `day.close()`
-        """
+        """Wait until no machine is lost, and let the closing fault strike."""
         s = self.site
         s.until(lambda: not self.lost, 40)
         self.lost.add("all")
@@ -242,13 +197,13 @@
 def _cut(s: platform_model.Site, name: str, others: list[str], seconds: int, outward: bool, inward: bool) -> None:
     here, there = s.places[name][0], [s.places[o][0] for o in others]
     pairs = {(here, h) for h in there if outward} | {(h, here) for h in there if inward}
-    s.trouble(name, "cut")
+    s.inject_fault(name, "cut")
     s.world.cuts |= pairs
 
     def heal() -> None:
         s.world.cuts -= pairs
         s.world.retry()
-        s.mend(name, "cut")
+        s.repair(name, "cut")
 
     s.later(seconds, heal)
 
@@ -286,7 +241,7 @@
         day.site.power(name, back, wipe)
         return back
 
-    hooks = day.site.boss.on_send if timed else day.site.boss.on_acknowledged
+    hooks = day.site.operator.on_send if timed else day.site.operator.on_acknowledged
     hooks.append(lambda: day.site.later(wait, day.in_turn, lose, day.leader_or_any))
 
 
@@ -313,7 +268,7 @@
 
 def lose_answers(day: typing.Any) -> None:
     """Acknowledgements are lost on their way; the operator sends the same to another machine."""
-    for operator in (day.site.boss, day.site.rival):
+    for operator in (day.site.operator, day.site.rival):
         operator.lost_share = 0.7
         day.site.later(15, setattr, operator, "lost_share", 0.0)
 
@@ -326,7 +281,7 @@
         )
 
 
-def whole_core(day: CoreDay) -> None:
+def entire_core(day: CoreDay) -> None:
     """All core machines are killed or lose power at the same moment, and come back."""
     strike = day.rng.choice([day.site.kill, day.site.power])
 
@@ -335,7 +290,7 @@
             strike(name, 2)
         return 2
 
-    day.in_turn(lose, whole=True)
+    day.in_turn(lose, complete=True)
 
 
 def reset_connections(day: typing.Any) -> None:
@@ -348,15 +303,15 @@
     names = {s.places[n][0]: n for n in [*s.cores, *s.nodes]}
     core_hosts = {s.places[c][0] for c in s.cores}
     hit = set()
-    for conn in list(s.world.conns.values()):
-        hosts = {side.proc.host.host for side in conn.sides}
+    for connection in list(s.world.conns.values()):
+        hosts = {side.process.host.host for side in connection.sides}
         if hosts & core_hosts and s.rng.random() < 0.5:
             hit |= {names[h] for h in hosts if h in names}
-            for side in conn.sides:
+            for side in connection.sides:
                 side.reset()
     for name in sorted(hit):
-        s.trouble(name, "reset")
-        s.mend(name, "reset")
+        s.inject_fault(name, "reset")
+        s.repair(name, "reset")
 
 
 def slow(day: CoreDay) -> None:
@@ -364,10 +319,10 @@
 
     def lose(name: typing.Any) -> int:
         host = day.site.places[name][0]
-        day.site.trouble(name, "slow")
+        day.site.inject_fault(name, "slow")
         day.site.world.slow[host] = SLOW_LINK_US
         day.site.later(8, day.site.world.slow.pop, host, None)
-        day.site.later(8, day.site.mend, name, "slow")
+        day.site.later(8, day.site.repair, name, "slow")
         return 8
 
     day.in_turn(lose)
@@ -383,13 +338,13 @@
     s, error = day.site, day.rng.choice([-JUMP_US, JUMP_US])
     names = [n for n in [*sorted(s.cores), *sorted(s.nodes)] if day.rng.random() < 0.5]
     for name in names:
-        s.trouble(name, "time of day")
+        s.inject_fault(name, "time of day")
         s.machine_of(name).set_time_of_day(error)
 
     def back() -> None:
         for name in names:
             s.machine_of(name).set_time_of_day(0)
-            s.mend(name, "time of day")
+            s.repair(name, "time of day")
 
     s.later(5, back)
 
@@ -409,7 +364,7 @@
     reload_settings(day)
 
 
-TROUBLES = (
+FAULTS = (
     cut,
     cut,
     cut_node,
@@ -422,7 +377,7 @@
     disk,
     lose_answers,
     restart_in_turn,
-    whole_core,
+    entire_core,
     reset_connections,
     slow,
     lossy,
--- a/bench/explore.py
+++ b/simulation/explore.py
@@ -1,9 +1,9 @@
 """Search every interleaving of the view agreement, the chain and its leases, up to a stated depth.
 
-python -m bench.explore --cores 3 --depth 7
-python -m bench.explore --scenario replacement --depth 12
+python -m simulation.explore --cores 3 --depth 7
+python -m simulation.explore --scenario replacement --depth 12
 
-The steps are those of `bench.cluster_steps`. States are told apart by a hash of their encoding, and each is
+The steps are those of `simulation.cluster_steps`. States are told apart by a hash of their encoding, and each is
 searched once, in order of depth. Each is checked against the invariants, and for whether the machines that are
 reachable in it recover.
 """
@@ -19,10 +19,10 @@
 import defopt
 import msgspec
 
-import bench.cluster_model as cluster_model
-import bench.cluster_steps as cluster_steps
-import iriswheel.agreement as agreement
-import iriswheel.message as message
+import iriswheel.consensus.decisions as decisions
+import iriswheel.transport.message as message
+import simulation.cluster_model as cluster_model
+import simulation.cluster_steps as cluster_steps
 
 replace = msgspec.structs.replace
 
@@ -64,22 +64,22 @@
 
 def check(world: cluster_model.World) -> None:
     """Raise ViolationError where a state breaks an invariant."""
-    readers = [core.ident for core in world.cores if cluster_model.has_lease(core)]
+    readers = [core.identifier for core in world.cores if cluster_model.has_lease(core)]
     if len(readers) > 1:
         raise cluster_model.ViolationError(f"two tails serve reads: {' '.join(readers)}")
     for core in world.cores:
         for view, entry in world.acknowledged:
-            if view <= core.record.whole and entry not in core.log and not core.stale_disk:
+            if view <= core.record.synced_view and entry not in core.log and not core.stale_disk:
                 raise cluster_model.ViolationError(
-                    f"{core.ident} is synced in view {core.record.whole} without acknowledged {entry}"
+                    f"{core.identifier} is synced in view {core.record.synced_view} without acknowledged {entry}"
                 )
     newest = max(world.views, key=lambda view: view.number)
-    head = cluster_model.by_ident(world, newest.chain[0].id)
-    if head is not None and head.record.whole == newest.number:
+    head = cluster_model.by_identifier(world, newest.chain[0].id)
+    if head is not None and head.record.synced_view == newest.number:
         for view, entry in world.acknowledged:
             if view < newest.number and entry not in head.log:
                 raise cluster_model.ViolationError(
-                    f"head {head.ident} of view {newest.number} is without acknowledged {entry}"
+                    f"head {head.identifier} of view {newest.number} is without acknowledged {entry}"
                 )
 
 
@@ -121,41 +121,41 @@
     view = max(
         (c.record.view for c in world.cores if c.reachable and c.record.view), key=lambda v: v.number, default=view
     )
-    members = {(member.id, member.boot) for member in view.chain}
+    members = {(member.id, member.incarnation) for member in view.chain}
     if members != set(cluster_model.live(world).items()):
         return False
     return all(
-        cluster_model.serves(core) and agreement.is_synced(core.record)
+        cluster_model.serves(core) and decisions.is_synced(core.record)
         for core in world.cores
-        if (core.ident, core.incarnation) in members
+        if (core.identifier, core.incarnation) in members
     )
 
 
 def agree(world: cluster_model.World) -> cluster_model.World:
     """One undisturbed proposal by the first reachable voter of the newest view."""
-    known = [c for c in world.cores if c.reachable and agreement.is_voter(c.record, c.ident)]
+    known = [c for c in world.cores if c.reachable and decisions.is_voter(c.record, c.identifier)]
     if not known:
         raise cluster_model.ViolationError("no voter is left")
     proposer = max(known, key=lambda core: core.record.view.number)
-    old, seats = proposer.record.view, cluster_model.wanted_seats(world, proposer)
-    ballot = (max(core.record.promised[0] for core in known) + 1, proposer.ident)
+    old, voters = proposer.record.view, cluster_model.wanted_voters(world, proposer)
+    ballot = (max(core.record.promised[0] for core in known) + 1, proposer.identifier)
     before = world
-    request = message.Prepare(old.number + 1, ballot, proposer.ident)
+    request = message.Prepare(old.number + 1, ballot, proposer.identifier)
     for place in range(len(world.cores)):
         if world.cores[place].reachable:
             world = cluster_steps.receive_prepare(world, world.cores[place], request)
     given = [answer for number, answer in world.promises if answer.ballot == ballot and number == request.number]
     given = [answer for answer in given if (request.number, answer) not in before.promises]
-    if len(given) < agreement.majority(len(old.seats)):
+    if len(given) < decisions.majority(len(old.voters)):
         raise cluster_model.ViolationError(f"no majority is left of view {old.number}: {cluster_model.names(old)}")
-    view = agreement.next_view(
-        old, {answer.id: answer for answer in given}, seats, cluster_model.live(world), cluster_model.departing(world)
+    view = decisions.next_view(
+        old, {answer.id: answer for answer in given}, voters, cluster_model.live(world), cluster_model.departing(world)
     )
     if view is None:
         raise cluster_model.ViolationError(
             f"no synced copy is left that could lead after view {old.number}: {cluster_model.names(old)}"
         )
-    return cluster_steps.adopt(world, cluster_model.by_ident(world, proposer.ident), view)
+    return cluster_steps.adopt(world, cluster_model.by_identifier(world, proposer.identifier), view)
 
 
 def key(world: cluster_model.World) -> bytes:
@@ -248,11 +248,12 @@
         print(f"explore: there is no such scenario; there are {' '.join(SCENARIOS)}", file=sys.stderr)
         sys.exit(2)
     chosen = SCENARIOS[scenario]
-    began = time.monotonic()
+    started_at = time.monotonic()
     found = search(cores or chosen.cores, chosen.limits, depth, most_states=most_states)
     scope = "all states within the limits" if found.complete else f"depth {found.depth} reached"
     print(
-        f"{scenario}, {cores or chosen.cores} cores: {found.states} states, {scope}, {time.monotonic() - began:.0f} s"
+        f"{scenario}, {cores or chosen.cores} cores: {found.states} states, {scope}, "
+        f"{time.monotonic() - started_at:.0f} s"
     )
     if found.violation:
         print(f"broken: {found.violation}", *found.trace, sep="\n  ")
--- a/bench/fingerprint.py
+++ b/simulation/fingerprint.py
@@ -1,9 +1,9 @@
 """Fingerprints of the behaviour of every simulated run, to show that a refactoring changes none.
 
-    python -m bench.fingerprint record tests/data/behaviour.json
-    python -m bench.fingerprint check tests/data/behaviour.json --jobs 8
-    python -m bench.fingerprint check tests/data/behaviour.json --only day
-    python -m bench.fingerprint show tests/data/behaviour.json "scene calm magnolia 1"
+    python -m simulation.fingerprint record tests/data/behaviour.json
+    python -m simulation.fingerprint check tests/data/behaviour.json --jobs 8
+    python -m simulation.fingerprint check tests/data/behaviour.json --only day
+    python -m simulation.fingerprint show tests/data/behaviour.json "scenario calm magnolia 1"
 
 A run has a key of words: its part, its name, and what else it is played with. Its fingerprint holds a digest of
 its event log, and how many writes of how many bytes went to the simulated network. The order of those writes is left
@@ -29,7 +29,7 @@
 import defopt
 import msgspec
 
-import bench.observed_runs as observed_runs
+import simulation.observed_runs as observed_runs
 
 DIGEST_LENGTH = 16
 MARK_LENGTH = 4
@@ -111,10 +111,7 @@
 
 
 def fingerprint(run: str, observed: observed_runs.Observed, names: Names) -> Fingerprint:
-    """The fingerprint of what a run left.
-
-    Example: `fingerprint(run, observed_runs.observe(run, names), names)`
-    """
+    """The fingerprint of what a run left."""
     lines = [canonical(row, names) for row in observed.rows]
     text = "".join(f"{line}\n" for line in lines)
     traffic = observed.traffic
@@ -129,10 +126,7 @@
 
 
 def first_difference(recorded: Fingerprint, rows: list[Row], names: Names) -> str:
-    """Where a log leaves the recorded one, as near as the recorded marks tell.
-
-    Example: `first_difference(recorded, observed.rows, names)`
-    """
+    """Where a log leaves the recorded one, as near as the recorded marks tell."""
     places = mark_places(recorded.rows)
     present = log_marks([canonical(row, names) for row in rows], places)
     begun = 0
@@ -146,10 +140,7 @@
 
 
 def differences(recorded: Fingerprint, names: Names) -> list[str]:
-    """Play a recorded run again: what differs.
-
-    Example: `differences(record.runs[0], record.names)`
-    """
+    """Play a recorded run again: what differs."""
     observed = observed_runs.observe(recorded.run, names)
     present = fingerprint(recorded.run, observed, names)
     found = []
@@ -168,10 +159,7 @@
 
 
 def read(path: str) -> Record:
-    """The fingerprints and names of a file.
-
-    Example: `read("tests/data/behaviour.json").runs[0]`
-    """
+    """The fingerprints and names of a file."""
     with open(path, "rb") as file:
         return msgspec.json.decode(file.read(), type=Record)
 
@@ -228,10 +216,10 @@
     """Play the recorded runs again; print what differs, and exit with 1 if anything does.
 
     :param file: the recorded fingerprints
-    :param only: the one part to check: scene, day or second_loss; or the beginning of a key
+    :param only: the one part to check: scenario, day or second_loss; or the beginning of a key
     :param jobs: processes to use; half of the cores where 0
     """
-    recorded, began, failed = read(file), time.monotonic(), 0
+    recorded, started_at, failed = read(file), time.monotonic(), 0
     chosen = [(run, recorded.names) for run in recorded.runs if f"{run.run} ".startswith(only)]
     if not chosen:
         sys.exit(f"fingerprint: no recorded run begins with {only!r}")
@@ -240,7 +228,7 @@
             failed += bool(found)
             for line in found:
                 print(f"DIFFERS {run}: {line}", flush=True)
-    print(f"{len(chosen)} runs checked, {failed} differ; {time.monotonic() - began:.0f} s on the clock")
+    print(f"{len(chosen)} runs checked, {failed} differ; {time.monotonic() - started_at:.0f} s on the clock")
     sys.exit(1 if failed else 0)
 
 
@@ -256,12 +244,9 @@
 
 
 def fix_hash_seed() -> None:
-    """Start this program again with the recorded hash seed, where it has another.
-
-    Example: `fix_hash_seed()`
-    """
+    """Start this program again with the recorded hash seed, where it has another."""
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
-        arguments = [sys.executable, "-m", "bench.fingerprint", *sys.argv[1:]]
+        arguments = [sys.executable, "-m", "simulation.fingerprint", *sys.argv[1:]]
         os.execve(sys.executable, arguments, {**os.environ, "PYTHONHASHSEED": HASH_SEED})
 
 
