--- a/bench/engine.py
+++ b/simulation/inference_engine.py
@@ -18,8 +18,8 @@
 if typing.TYPE_CHECKING:
     import twisted.internet.base as base
 
-    import bench.sim as sim
-    import iriswheel.machine as machine
+    import iriswheel.runtime.scheduler as scheduler
+    import simulation.world as world
 
 
 URGENCY = 5  # of a request that names none; 0 comes first
@@ -34,7 +34,7 @@
     """
 
     capacity: int = 64  # requests in the batch
-    room: int = 192  # requests that may wait for it
+    waiting_limit: int = 192  # requests that may wait for it
     enter_us: int = 45_000  # before a request is in the queue
     step_us: int = 5_000
     step_us_per_request: float = 30.0
@@ -57,12 +57,12 @@
     15
     """
 
-    ident: str
+    identifier: str
     parts: list  # of (part, tokens), in order
     tokens: int  # to put out
     urgency: int = URGENCY
     event: object = lambda k, last: None
-    began: object = lambda: None
+    started_at: object = lambda: None
     done: int = 0  # tokens put out so far; above 0 at the start for one that is taken up
     number: int = 0
     left: int = 0  # tokens still to read before the next token
@@ -89,10 +89,12 @@
 class Engine:
     """One engine on a machine's clock.
 
-    >>> import iriswheel.machine as machine
+    >>> import iriswheel.runtime.units as units
+    >>> import iriswheel.runtime.scheduler as scheduler
+    >>> import iriswheel.runtime.scheduler as machine
     >>> import twisted.internet.task as task
     >>> clock = task.Clock()
-    >>> e = Engine(machine.Machine(clock, now=lambda: round(clock.seconds() * machine.SECOND)), Figures(enter_us=0))
+    >>> e = Engine(scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US)), Figures(enter_us=0))
     >>> out = []
     >>> e.offer(Job("x", [("a", 100)], 6, event=lambda k, last: out.append((k, last))))
     True
@@ -100,8 +102,8 @@
     [(1, False), (2, False), (3, True)]
     """
 
-    def __init__(self, mach: machine.Machine, figures: Figures | None = None) -> None:
-        self.mach = mach
+    def __init__(self, runtime: scheduler.Runtime, figures: Figures | None = None) -> None:
+        self.runtime = runtime
         self.figures = figures or Figures()
         self.waiting: list[Job] = []  # by rank
         self.running: list[Job] = []  # in the order let in
@@ -112,7 +114,7 @@
         self.owned = 0
         self.context = 0
         self.offered = 0
-        self.tick: base.DelayedCall | sim.Tick | None = None
+        self.tick: base.DelayedCall | world.Timer | None = None
         self.slower = 1.0  # a trouble's factor on each step
         self.stopped = False
         self.past: collections.deque[tuple[int, int, int, int]] = collections.deque([(0, 0, 0, 0)])
@@ -122,29 +124,23 @@
     # ---- in and out -------------------------------------------------------------------
 
     def offer(self, job: Job) -> bool:
-        """Take a request, or say that there is no room for it now or ever.
-
-        Example: `engine.offer(Job("x", [("a", 100)], 20))`
-        """
+        """Take a request, or say that there is no room for it now or ever."""
         f = self.figures
         if job.prompt + job.tokens > f.kv_capacity:
             return False
-        if len(self.running) + len(self.waiting) + self.entering >= f.capacity + f.room:
+        if len(self.running) + len(self.waiting) + self.entering >= f.capacity + f.waiting_limit:
             return False
         self.offered += 1
         job.number, job.state = self.offered, "entering"
         self.entering += 1
         if f.enter_us:
-            self.mach.later(f.enter_us, self.enter, job)
+            self.runtime.later(f.enter_us, self.enter, job)
         else:
             self.enter(job)
         return True
 
     def enter(self, job: Job) -> None:
-        """A request is ready for the queue.
-
-        Example: `engine.enter(job)`
-        """
+        """A request is ready for the queue."""
         self.entering -= 1
         if job.state != "entering" or self.stopped:
             return
@@ -152,19 +148,13 @@
         self.go_on()
 
     def wait(self, job: Job) -> None:
-        """Put a request in the queue.
-
-        Example: `engine.wait(job)`
-        """
+        """Put a request in the queue."""
         job.state = "waiting"
         bisect.insort(self.waiting, job, key=Job.rank)
         self.note()
 
     def cancel(self, job: Job) -> None:
-        """Forget a request; its parts that were read stay.
-
-        Example: `engine.cancel(job)`
-        """
+        """Forget a request; its parts that were read stay."""
         match job.state:
             case "waiting":
                 self.waiting.remove(job)
@@ -174,10 +164,7 @@
         self.note()
 
     def stop(self) -> None:
-        """End for good: nothing more is told.
-
-        Example: `engine.stop()`
-        """
+        """End for good: nothing more is told."""
         self.stopped = True
         if self.tick is not None and self.tick.active():
             self.tick.cancel()
@@ -187,45 +174,33 @@
     # ---- memory ------------------------------------------------------------------------
 
     def free(self) -> int:
-        """Tokens of memory that nothing holds, after all that can give way has given way.
-
-        Example: `engine.free()`
-        """
+        """Tokens of memory that nothing holds, after all that can give way has given way."""
         return self.figures.kv_capacity - self.owned - self.kept_tokens + self.idle_tokens
 
     def give_way(self, tokens: int) -> bool:
-        """Let kept parts go until so many tokens are free; whether they are.
-
-        Example: `engine.give_way(100)`
-        """
+        """Let kept parts go until so many tokens are free; whether they are."""
         if self.free() < tokens:
             return False
-        room = self.figures.kv_capacity - self.owned - self.kept_tokens
-        for part in list(self.kept) if room < tokens else ():
+        waiting_limit = self.figures.kv_capacity - self.owned - self.kept_tokens
+        for part in list(self.kept) if waiting_limit < tokens else ():
             n, holders = self.kept[part]
             if not holders:
                 del self.kept[part]
                 self.kept_tokens -= n
                 self.idle_tokens -= n
-                room += n
-                if room >= tokens:
+                waiting_limit += n
+                if waiting_limit >= tokens:
                     break
         return True
 
     def hold(self, part: str) -> None:
-        """Let one more request use a kept part.
-
-        Example: `engine.hold("a")`
-        """
+        """Let one more request use a kept part."""
         row = self.kept[part]
         self.idle_tokens -= 0 if row[1] else row[0]
         row[1] += 1
 
     def known(self, job: Job) -> list[str]:
-        """The kept parts that a request would not read again.
-
-        Example: `engine.known(job)`
-        """
+        """The kept parts that a request would not read again."""
         out = []
         for part, _ in job.parts:
             if part not in self.kept:
@@ -234,10 +209,7 @@
         return out
 
     def let_in(self, job: Job) -> bool:
-        """Give a request its place and memory; whether there was memory.
-
-        Example: `engine.let_in(job)`
-        """
+        """Give a request its place and memory; whether there was memory."""
         known = self.known(job)
         for part in known:
             self.hold(part)
@@ -255,10 +227,7 @@
         return True
 
     def release(self, parts: list[str]) -> None:
-        """Let go of kept parts, the last first, so that the first is kept the longest.
-
-        Example: `engine.release(["a", "b"])`
-        """
+        """Let go of kept parts, the last first, so that the first is kept the longest."""
         for part in reversed(parts):
             row = self.kept[part]
             row[1] -= 1
@@ -266,10 +235,7 @@
             self.kept.move_to_end(part)
 
     def leave(self, job: Job) -> None:
-        """Take a request out of the batch.
-
-        Example: `engine.leave(job)`
-        """
+        """Take a request out of the batch."""
         self.running.remove(job)
         self.release(job.used)
         self.owned -= job.owned
@@ -277,29 +243,20 @@
         job.used, job.unread, job.owned = [], [], 0
 
     def put_off(self, job: Job) -> None:
-        """Put a request back in the queue; it is read anew.
-
-        Example: `engine.put_off(job)`
-        """
+        """Put a request back in the queue; it is read anew."""
         self.leave(job)
         job.put_back += 1
         self.put_backs += 1
         self.wait(job)
 
     def least(self) -> Job:
-        """The newest request among the least urgent of the batch.
-
-        Example: `engine.put_off(engine.least())`
-        """
+        """The newest request among the least urgent of the batch."""
         return max(self.running, key=Job.rank)
 
     # ---- steps -------------------------------------------------------------------------
 
     def go_on(self) -> None:
-        """Begin a step, unless one is under way or there is nothing to do.
-
-        Example: `engine.go_on()`
-        """
+        """Begin a step, unless one is under way or there is nothing to do."""
         if self.stopped or (self.tick is not None and self.tick.active()):
             return
         f = self.figures
@@ -314,24 +271,21 @@
         self.note()
         if not self.running:
             return
-        room, cost = f.piece, f.step_us + f.step_us_per_request * len(self.running)
+        waiting_limit, cost = f.piece, f.step_us + f.step_us_per_request * len(self.running)
         cost += f.step_us_per_kilotoken * self.context / 1000
         plan = []
         for job in sorted((j for j in self.running if j.left), key=Job.rank):
-            n = min(room, job.left)
+            n = min(waiting_limit, job.left)
             if not n:
                 break
-            room -= n
+            waiting_limit -= n
             plan.append((job, n))
             before = job.prompt + job.done - job.left
             cost += n / f.read_tokens_per_ms * 1000 + n * (before + n / 2) / 1e6 * f.read_us_per_megapair
-        self.tick = self.mach.later(round(cost * self.slower / f.speed), self.step, plan)
+        self.tick = self.runtime.later(round(cost * self.slower / f.speed), self.step, plan)
 
     def step(self, plan: list[tuple[Job, int]]) -> None:
-        """A step is over: pieces are read, and who has read all has a token more.
-
-        Example: `engine.step([])`
-        """
+        """A step is over: pieces are read, and who has read all has a token more."""
         f = self.figures
         self.steps += 1
         for job, n in plan:
@@ -353,7 +307,7 @@
             self.context += 1
             whole = job.done >= job.tokens
             if job.done == job.taken_up + 1:
-                told.append((job.began,))
+                told.append((job.started_at,))
             if whole or (job.done - 1) % f.event_tokens == 0:
                 told.append((job.event, -(-(job.done - 1) // f.event_tokens) + 1, whole))
             if whole:
@@ -365,10 +319,7 @@
         self.go_on()
 
     def take_in(self, job: Job, n: int) -> None:
-        """Count n tokens as read; parts read through are kept.
-
-        Example: `engine.take_in(job, 100)`
-        """
+        """Count n tokens as read; parts read through are kept."""
         while n and job.unread:
             part, size, left = job.unread[0]
             took = min(n, left)
@@ -390,11 +341,8 @@
     # ---- what it says --------------------------------------------------------------------
 
     def note(self) -> None:
-        """Keep how things stand, for reports.
-
-        Example: `engine.note()`
-        """
-        now = self.mach.now()
+        """Keep how things stand, for reports."""
+        now = self.runtime.now()
         row = (
             now,
             len(self.waiting) + self.entering,
@@ -408,9 +356,6 @@
             self.past.popleft()
 
     def report(self) -> tuple[int, int, int]:
-        """How things stood a while ago: (waiting, running, tokens that can't give way).
-
-        Example: `waiting, running, used = engine.report()`
-        """
-        then = self.mach.now() - self.figures.report_lag_us
+        """How things stood a while ago: (waiting, running, tokens that can't give way)."""
+        then = self.runtime.now() - self.figures.report_lag_us
         return next((row for row in reversed(self.past) if row[0] <= then), self.past[0])[1:]
--- a/bench/observed_runs.py
+++ b/simulation/observed_runs.py
@@ -1,6 +1,6 @@
 """Every simulated run by a key, with its event log and the traffic of its network.
 
-A run has a key of words: its part (scene, day or second_loss), its name, and what else it is played with.
+A run has a key of words: its part (scenario, day or second_loss), its name, and what else it is played with.
 """
 
 import collections.abc
@@ -10,11 +10,11 @@
 import loguru
 import msgspec
 
-import bench.days as days
-import bench.fleet as fleet
-import bench.scenes as scenes
-import bench.second_loss as second_loss
-import bench.sim as sim
+import benchmarks.fleet as fleet
+import simulation.fault_scenarios as fault_scenarios
+import simulation.platform_days as platform_days
+import simulation.second_loss as second_loss
+import simulation.world as world
 
 DAY_LOAD = 0.3  # of the usual traffic: a day costs less, and its troubles are the same
 DAY_SHAPES = ("magnolia", "swan")
@@ -54,13 +54,13 @@
     def leave(self) -> None:
         """Called where it ends."""
 
-    def count(self, sender: str, taker: str, size: int) -> None:
+    def count(self, sender: str, receiver: str, size: int) -> None:
         """Take in one write."""
         self.writes += 1
         self.size += size
 
 
-class ObservedWorld(sim.World):
+class ObservedWorld(world.World):
     """A simulated world whose traffic is counted from its beginning."""
 
     newest: typing.ClassVar["ObservedWorld"]
@@ -85,8 +85,12 @@
     'day calm grown 1 0.1'
     """
     found = [f"day {name} grown 1 {GROWN_LOAD}" for name in GROWN_DAYS]
-    found += [f"day {name} {shape} {DAY_SEEDS[shape]} {DAY_LOAD}" for shape in DAY_SHAPES for name in days.DAYS]
-    found += [f"scene {name} {shape} {SCENE_SEEDS[shape]}" for shape in fleet.SHAPES for name in scenes.SCENES]
+    found += [
+        f"day {name} {shape} {DAY_SEEDS[shape]} {DAY_LOAD}" for shape in DAY_SHAPES for name in platform_days.DAYS
+    ]
+    found += [
+        f"scene {name} {shape} {SCENE_SEEDS[shape]}" for shape in fleet.SHAPES for name in fault_scenarios.SCENARIOS
+    ]
     for case in (case for cores in CORE_COUNTS for case in second_loss.cases(cores, [1])):
         losses = f"{case.first.name} {case.step.name} {case.target.name} {case.second.name}"
         found.append(f"second_loss {case.cores} {losses} {case.seed}")
@@ -104,13 +108,13 @@
 
 
 def play_scene(name: str, shape: str, seed: str) -> list[Row]:
-    """Play a scene; the rows of its event log."""
-    return scenes.play(name, int(seed), shape).tape.rows
+    """Play a scenario; the rows of its event log."""
+    return fault_scenarios.play(name, int(seed), shape).tape.rows
 
 
 def play_day(name: str, shape: str, seed: str, load: str) -> list[Row]:
     """Play a day; the rows of its event log."""
-    return days.play(name, int(seed), shape, float(load)).tape.rows
+    return platform_days.play(name, int(seed), shape, float(load)).tape.rows
 
 
 def play_second_loss(cores: str, first: str, step: str, target: str, second: str, seed: str) -> list[Row]:
@@ -137,12 +141,9 @@
 
 
 def observe(run: str, names: Names) -> Observed:
-    """Play the run of a recorded key.
-
-    Example: `observe("scene calm magnolia 1", Names()).rows`
-    """
+    """Play the run of a recorded key."""
     loguru.logger.remove()
     part, *words = present_words(run, names)
-    with mock.patch.object(sim, sim.World.__name__, ObservedWorld):
+    with mock.patch.object(world, world.World.__name__, ObservedWorld):
         rows = PARTS[part](*words)
     return Observed(rows, ObservedWorld.newest.traffic)
--- a/bench/days.py
+++ b/simulation/platform_days.py
@@ -1,7 +1,7 @@
 """Days of the users' platform on the simulator: each brings about some of its troubles, and is judged by its rules.
 
-    python -m bench.days --seeds 10 --shape swan
-    python -m bench.days --days crash_dark roll --first 7 --seeds 1 --log day.events
+    python -m simulation.platform_days --seeds 10 --shape swan
+    python -m simulation.platform_days --days crash_dark roll --first 7 --seeds 1 --log day.events
 
 A day gets a site that has begun; it lets time pass and does its harm. `DAYS` lists them by name.
 """
@@ -18,22 +18,19 @@
 import defopt
 import loguru
 
-import bench.core_days as core_days
-import bench.judge as judge
-import bench.platform_model as platform_model
+import simulation.core_days as core_days
+import simulation.platform_model as platform_model
+import simulation.platform_rules as platform_rules
 
 if typing.TYPE_CHECKING:
-    import iriswheel.core as core
+    import iriswheel.control.core as core
 
 
 S = platform_model.S
 
 
 def some(s: platform_model.Site, names: dict[str, core.Core], share: float) -> list[str]:
-    """Some of these, at least one.
-
-    Example: `some(s, s.nodes, 0.3)`
-    """
+    """Some of these, at least one."""
     names = sorted(names)
     return s.rng.sample(names, max(1, round(share * len(names))))
 
@@ -59,7 +56,7 @@
             await s.next_config(("idle", "timeout")[k % 2], 60)
 
     s.go(3)
-    s.office.spawn(go(), platform_model.log)
+    s.operator_site.spawn(go(), platform_model.log)
 
 
 def race(s: platform_model.Site) -> None:
@@ -71,7 +68,7 @@
             await s.bad()
 
     s.go(3)
-    s.office.spawn(go(), platform_model.log)
+    s.operator_site.spawn(go(), platform_model.log)
 
 
 def crash(s: platform_model.Site, how: str) -> None:
@@ -219,7 +216,7 @@
     """A core machine is cut off, while two operators send."""
     s.go(3)
     s.cut(some(s, s.cores, 0)[0], 5)
-    s.office.spawn(s.race(), platform_model.log)
+    s.operator_site.spawn(s.race(), platform_model.log)
 
 
 def burst(s: platform_model.Site) -> None:
@@ -243,43 +240,43 @@
         t.hot = (s.shape.kinds[0].name, 0.35)
 
 
-def ill(s: platform_model.Site, **ills: typing.Any) -> None:
+def unhealthy(s: platform_model.Site, **faults: typing.Any) -> None:
     """Some workers are ill for a while."""
     s.go(3)
-    s.ill(some(s, s.live_workers(), 0.6), 5, **ills)
+    s.make_unhealthy(some(s, s.live_workers(), 0.6), 5, **faults)
 
 
 def garble(s: platform_model.Site) -> None:
     """Workers send bytes that are no answer."""
-    ill(s, garble=0.05)
+    unhealthy(s, garble=0.05)
 
 
 def surplus(s: platform_model.Site) -> None:
     """Workers send more after a whole answer, at once or in the place of the next one."""
-    ill(s, surplus=0.1, late=0.1)
+    unhealthy(s, surplus=0.1, late=0.1)
 
 
 def answers_lost(s: platform_model.Site) -> None:
     """Workers run requests and lose the answers."""
-    ill(s, lost=0.05)
+    unhealthy(s, lost=0.05)
 
 
 def broken_off(s: platform_model.Site) -> None:
     """Workers break streams off midway."""
-    ill(s, **{"break": 0.05})
+    unhealthy(s, **{"break": 0.05})
 
 
 def grey(s: platform_model.Site) -> None:
     """Workers fail part of their requests while their health is good."""
     way = s.rng.choice(["errors", "hang", "mute"])
     s.go(3)
-    s.ill(some(s, s.live_workers(), 0.15), 6, health="good", **{way: 0.45})
+    s.make_unhealthy(some(s, s.live_workers(), 0.15), 6, health="good", **{way: 0.45})
 
 
 def lying(s: platform_model.Site) -> None:
     """Workers that are well say that they are not."""
     s.go(3)
-    s.ill(some(s, s.live_workers(), 0.3), 6, health="bad")
+    s.make_unhealthy(some(s, s.live_workers(), 0.3), 6, health="bad")
 
 
 def idle_drops(s: platform_model.Site) -> None:
@@ -332,7 +329,7 @@
 
 
 def lossy(s: platform_model.Site) -> None:
-    """The links of a hall lose packets."""
+    """The links of a zone lose packets."""
     s.go(3)
     s.lossy(s.rng.choice(sorted(set(s.shape.nodes))), 0.025, 6)
     s.go(1)
@@ -420,16 +417,16 @@
         rush,
         hot,
         lambda: s.reset_some(0.4),
-        lambda: s.ill(workers(0.6), 5, garble=0.04),
-        lambda: s.ill(workers(0.6), 5, lost=0.05),
-        lambda: s.ill(workers(0.6), 5, surplus=0.05, late=0.05),
-        lambda: s.ill(workers(0.2), 5, health="good", mute=0.4),
-        lambda: s.ill(workers(0.2), 5, health="good", errors=0.4),
-        lambda: s.ill(workers(0.2), 5, hang=0.4),
-        lambda: s.office.spawn(s.race(), platform_model.log),
-        lambda: s.office.spawn(s.bad(), platform_model.log),
+        lambda: s.make_unhealthy(workers(0.6), 5, garble=0.04),
+        lambda: s.make_unhealthy(workers(0.6), 5, lost=0.05),
+        lambda: s.make_unhealthy(workers(0.6), 5, surplus=0.05, late=0.05),
+        lambda: s.make_unhealthy(workers(0.2), 5, health="good", mute=0.4),
+        lambda: s.make_unhealthy(workers(0.2), 5, health="good", errors=0.4),
+        lambda: s.make_unhealthy(workers(0.2), 5, hang=0.4),
+        lambda: s.operator_site.spawn(s.race(), platform_model.log),
+        lambda: s.operator_site.spawn(s.bad(), platform_model.log),
         lambda: each(range(6), 0.35, lambda _: s.change(pick(["idle", "timeout"]))),
-        lambda: s.office.spawn(s.next_config("big", 60, 280), platform_model.log),
+        lambda: s.operator_site.spawn(s.next_config("big", 60, 280), platform_model.log),
     ]
     for op in s.rng.sample(ops, s.rng.randrange(3, 7)):
         s.later(1.5 + 14 * s.rng.random(), op)
@@ -533,10 +530,7 @@
 
 
 def play(name: str, seed: int, shape: str = "magnolia", load: float = 1.0, seconds: None = None) -> platform_model.Site:
-    """Play a day to its end: the site.
-
-    Example: `play("calm", 1).tape.rows`
-    """
+    """Play a day to its end: the site."""
     s = platform_model.Site(seed, shape, seconds or LENGTH.get(name, 16), load)
     s.begin()
     DAYS[name](s)
@@ -545,12 +539,9 @@
 
 
 def totals(s: typing.Any) -> typing.Any:
-    """What a day came to: shares of requests, worth, and what it cost.
-
-    Example: `totals(play("calm", 1))["worth"]`
-    """
+    """What a day came to: shares of requests, worth, and what it cost."""
     rows = s.tape.rows
-    got = judge.worth(rows, s.kinds())
+    got = platform_rules.earned_value(rows, s.kinds())
     kinds = collections.Counter(r["kind"] for r in rows)
     every = got["all"]
     return dict(
@@ -575,21 +566,18 @@
 
 
 def one(job: typing.Any) -> tuple[typing.Any, ...]:
-    """Play and judge one day: the job, complaints, totals, seconds of computing.
-
-    Example: `one(("calm", 1, "magnolia", 1.0, 0, ""))`
-    """
+    """Play and judge one day: the job, complaints, totals, seconds of computing."""
     name, seed, shape, load, seconds, path = job
     loguru.logger.remove()
-    began = time.process_time()
+    started_at = time.process_time()
     try:
         s = play(name, seed, shape, load, seconds)
     except Exception as e:  # a day that can't go on is a finding too
-        return job, {"crash": [repr(e)]}, {}, time.process_time() - began
+        return job, {"crash": [repr(e)]}, {}, time.process_time() - started_at
     if path:
         with open(path, "w") as f:
             f.write(s.tape.text())
-    return job, judge.examine(s.tape.rows), totals(s), time.process_time() - began
+    return job, platform_rules.examine(s.tape.rows), totals(s), time.process_time() - started_at
 
 
 def run(
@@ -601,7 +589,7 @@
     load: float = 1.0,
     seconds: float = 0,
     log: str = "",
-    procs: int = 0,
+    processes: int = 0,
 ) -> typing.NoReturn:
     """Play days over seeds and judge them; say how to repeat what failed.
 
@@ -620,15 +608,16 @@
         print(f"days: no such day or shape, or --log with more than one run: {' '.join(bad) or shape}", file=sys.stderr)
         sys.exit(2)
     jobs = [(n, s, shape, load, seconds, log) for s in range(first, first + seeds) for n in names]
-    failed, sums, began = 0, collections.defaultdict(list), time.monotonic()
-    with multiprocessing.Pool(procs or os.cpu_count(), maxtasksperchild=8) as pool:
+    failed, sums, started_at = 0, collections.defaultdict(list), time.monotonic()
+    with multiprocessing.Pool(processes or os.cpu_count(), maxtasksperchild=8) as pool:
         for (name, seed, *_), found, got, _ in pool.imap_unordered(one, jobs):
             if got:
                 sums[name].append(got)
             if found:
                 failed += 1
                 print(
-                    f"FAILED {name} seed {seed}: python -m bench.days --days {name} --first {seed} --seeds 1 "
+                    f"FAILED {name} seed {seed}: python -m simulation.platform_days --days {name} "
+                    f"--first {seed} --seeds 1 "
                     f"--shape {shape} --load {load}",
                     flush=True,
                 )
@@ -665,7 +654,7 @@
             print(f"{kind.name}: {', '.join(f'{k} {v:.3f}' for k, v in means.items())}, mean of {len(rows)} days")
     print(
         f"{len(jobs)} days, shape {shape}, seeds {first} to {first + seeds - 1}, load {load}: "
-        f"{len(jobs) - failed} kept all rules, {failed} did not; {time.monotonic() - began:.0f} s on the clock"
+        f"{len(jobs) - failed} kept all rules, {failed} did not; {time.monotonic() - started_at:.0f} s on the clock"
     )
     sys.exit(1 if failed else 0)
 
--- a/bench/platform_model.py
+++ b/simulation/platform_model.py
@@ -1,8 +1,9 @@
 """A simulated site of the users' platform: a fleet as platform/ starts it, its workers, clients, operators, faults.
 
-The fleet's processes run on bench/sim.py's machines with the options that platform/settings.py makes of a settings
-file, speak through platform/formats.py and platform/configuration_api.py, and see the stand-ins of bench/serving.py and
-bench/client_model.py. Processor time is not modelled: code takes no time here.
+The fleet's processes run on simulation/world.py's machines with the options that platform/settings.py makes of a
+settings file, speak through platform/formats.py and platform/configuration_api.py, and see the stand-ins of
+simulation/serving.py and
+simulation/client_model.py. Processor time is not modelled: code takes no time here.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 
 import loguru
 
-import bench.client_model as client_model
-import bench.engine as engine
-import bench.serving as serving
-import bench.sim as sim
-import bench.simulated_cluster as simulated_cluster
-import bench.words as words
-import iriswheel.core as core
-import iriswheel.machine as machine
-import iriswheel.node as node
-import iriswheel.web as web
-import iriswheel.wire as wire
-
-if words.PLATFORM not in sys.path:
-    sys.path.append(words.PLATFORM)
+import iriswheel.control.core as core
+import iriswheel.node.node as node
+import iriswheel.runtime.units as units
+import iriswheel.transport.http_server as http_server
+import iriswheel.transport.wire as wire
+import simulation.client_model as client_model
+import simulation.inference_engine as inference_engine
+import simulation.platform_names as platform_names
+import simulation.serving as serving
+import simulation.simulated_cluster as simulated_cluster
+import simulation.world as world
+
+if platform_names.PLATFORM not in sys.path:
+    sys.path.append(platform_names.PLATFORM)
 
 import configuration_api  # noqa: E402
 import formats  # noqa: E402
@@ -39,14 +40,14 @@
     import twisted.internet.defer as defer
 
 
-MS, S = machine.MILLI, machine.SECOND
+MS, S = units.MILLISECOND_US, units.SECOND_US
 FRONT, READY, CONTROL, INNER, LIST, SERVE = 8263, 8268, 8262, 7300, 8266, 8080
 PROVIDER = "10.200.0.4"
 SEED_LAG_US = 3_000_000
 
 log = loguru.logger.bind(part="site")
 
-LONG = client_model.Kind(
+LONG = client_model.RequestKind(
     "bundle",
     host="long.example",
     path="/lohu/",
@@ -54,21 +55,21 @@
     deadline_ms=10_000,
     sends=1,
     urgency=1,
-    worth=2.0,
-    late_worth=0.6,
+    value=2.0,
+    late_value=0.6,
     share=5.9,
     parts=((13_300, 0.7, 44, 0.3),),
     own=(3_720, 1.1, 53_000),
     events=(30, 1.4, 120),
     body_bytes=34_000,
 )
-SHORT = client_model.Kind("phrase", host="short.example", path="/pufi/", resumable=True, share=86.0)
-DIRECT = client_model.Kind("direct", sort="may", deadline_ms=3_000, aim_ms=3_000, body_bytes=8)
+SHORT = client_model.RequestKind("phrase", host="short.example", path="/pufi/", resumable=True, share=86.0)
+DIRECT = client_model.RequestKind("direct", sort="may", deadline_ms=3_000, aim_ms=3_000, body_bytes=8)
 
 
 @dataclasses.dataclass
 class Shape:
-    """A deployment: the halls of its nodes, cores and workers, and its load.
+    """A deployment: the zones of its nodes, cores and workers, and its load.
 
     >>> SHAPES["swan"].rate
     122.0
@@ -100,7 +101,7 @@
         ["osborne", "malaga", "kewdale"],
         ["osborne", "osborne", "malaga", "malaga", "kewdale", "kewdale"],
         122.0,
-        (dataclasses.replace(LONG, late_worth=0.2, share=7.9), dataclasses.replace(SHORT, late_worth=0.3, share=114.0)),
+        (dataclasses.replace(LONG, late_value=0.2, share=7.9), dataclasses.replace(SHORT, late_value=0.3, share=114.0)),
         56,
     ),
     "grown": Shape(
@@ -111,7 +112,7 @@
         (
             dataclasses.replace(
                 LONG,
-                late_worth=0.2,
+                late_value=0.2,
                 share=42.8,
                 aim_ms=863,
                 pause_ms=250,
@@ -123,7 +124,7 @@
             ),
             dataclasses.replace(
                 SHORT,
-                late_worth=0.3,
+                late_value=0.3,
                 share=356.0,
                 aim_ms=423,
                 pause_ms=250,
@@ -153,25 +154,22 @@
 
 
 class Site:
-    """One simulated run.
-
-    Example: `s = Site(7, "magnolia"); s.begin(); s.go(30); s.end()`
-    """
+    """One simulated run."""
 
     def __init__(
         self, seed: int, shape: str = "magnolia", seconds: float = 20.0, load: float = 1.0, figures: None = None
     ) -> None:
         self.seed, self.shape_name, self.shape = seed, shape, SHAPES[shape]
-        self.world = sim.World(seed)
+        self.world = world.World(seed)
         self.world.held_writes = True
         self.rng = self.world.rng
-        self.tape = simulated_cluster.Tape()
+        self.tape = simulated_cluster.EventLog()
         self.seconds, self.load = seconds, load
-        self.figures = figures or engine.Figures(**self.shape.figures)
+        self.figures = figures or inference_engine.Figures(**self.shape.figures)
         self.cores, self.nodes, self.workers = {}, {}, {}
         self.places: dict[str, tuple[str, str]] = {}  # name -> (host, zone)
         self.pool = f"p{self.rng.getrandbits(16):04x}"
-        self.doc, self.version = None, 0
+        self.document, self.version = None, 0
         self.idle = 0  # idle routes added so far
         self.born = False  # whether the first start is over
         self.directs = 0
@@ -182,21 +180,15 @@
 
     # ---- building -----------------------------------------------------------------------
 
-    def machine(self, name: str, host: str, zone: str) -> sim.Machine:
-        """The machine of a name, made when first named; it has power.
-
-        Example: `site.machine("n1", "10.2.0.1", "mobile")`
-        """
-        m = self.world.machines.get(host) or sim.Machine(self.world, host, zone)
+    def machine(self, name: str, host: str, zone: str) -> world.Host:
+        """The machine of a name, made when first named; it has power."""
+        m = self.world.machines.get(host) or world.Host(self.world, host, zone)
         m.power = True
         self.places[name] = (host, zone)
         return m
 
     def settings(self, name: str, role: str) -> dict[str, typing.Any]:
-        """The settings file of a process, as the platform writes it.
-
-        Example: `site.settings("n1", "edge")`
-        """
+        """The settings file of a process, as the platform writes it."""
         host, zone = self.places[name]
         ports = (
             {"front": f"{host}:{FRONT}", "ready": f"{host}:{READY}"}
@@ -255,84 +247,67 @@
         }
 
     def seeds(self) -> list[str]:
-        """The core machines that the settings name: all, or those chosen that are still there.
-
-        Example: `site.seeds()`
-        """
+        """The core machines that the settings name: all, or those chosen that are still there."""
         chosen = [c for c in self.seed_names or () if c in self.cores]
         return chosen or sorted(self.cores)
 
-    def machine_of(self, name: str) -> sim.Machine:
-        """The machine of a name.
-
-        Example: `site.machine_of("n1").set_time_of_day(0)`
-        """
+    def machine_of(self, name: str) -> world.Host:
+        """The machine of a name."""
         return self.world.machines[self.places[name][0]]
 
     def reload(self, name: str) -> None:
-        """Let a process read its settings again, as SIGHUP does.
-
-        Example: `site.reload("n1")`
-        """
+        """Let a process read its settings again, as SIGHUP does."""
         owner = {**self.nodes, **self.cores}.get(name)
-        if owner is None or not owner.proc.alive:
+        if owner is None or not owner.process.alive:
             return
         role = "edge" if name in self.nodes else "core"
         options = settings.translate("node" if role == "edge" else "core", self.settings(name, role))
-        owner.proc.call(lambda: owner.renew(options))
+        owner.process.call(lambda: owner.renew(options))
 
     def start_core(self, name: str) -> None:
-        """Start a core machine's process, on the disk that is there.
-
-        Example: `site.start_core("c1")`
-        """
+        """Start a core machine's process, on the disk that is there."""
         host, zone = self.places[name]
-        proc = sim.Proc(self.world, name, self.machine(name, host, zone))
+        process = world.SimulatedProcess(self.world, name, self.machine(name, host, zone))
         o = settings.translate("core", self.settings(name, "core"))
-        c = self.cores[name] = core.Core(proc.mach(), sim.Disk(proc), o)
-        c.proc = proc
-        proc.reactor.listenTCP(o.port, wire.Listener(c.mach, c.serve, log))
-        proc.reactor.listenTCP(
-            CONTROL, web.Server(c.mach, configuration_api.Configuration(c).handle, room=o.connections)
+        c = self.cores[name] = core.Core(process.runtime(), world.Disk(process), o)
+        c.process = process
+        process.reactor.listenTCP(o.port, wire.Listener(c.runtime, c.serve, log))
+        process.reactor.listenTCP(
+            CONTROL,
+            http_server.Server(c.runtime, configuration_api.Configuration(c).handle, connection_limit=o.connections),
         )
         c.start()
 
     def start_node(self, name: str) -> None:
-        """Start a node's process.
-
-        Example: `site.start_node("n1")`
-        """
+        """Start a node's process."""
         host, zone = self.places[name]
-        proc = sim.Proc(self.world, name, self.machine(name, host, zone))
+        process = world.SimulatedProcess(self.world, name, self.machine(name, host, zone))
         o = settings.translate("node", self.settings(name, "edge"))
-        mach = proc.mach()
-        n = self.nodes[name] = node.Node(mach, o, formats=formats.Formats(o.drain_us))
-        n.proc = proc
-        proc.reactor.listenTCP(o.port, wire.Listener(mach, n.serve, log))
-        proc.reactor.listenTCP(FRONT, web.Server(mach, n.door.handle, room=o.connections))
-        proc.reactor.listenTCP(READY, web.Server(mach, entry_points.readiness(n), room=64))
+        runtime = process.runtime()
+        n = self.nodes[name] = node.Node(runtime, o, formats=formats.Formats(o.drain_us))
+        n.process = process
+        process.reactor.listenTCP(o.port, wire.Listener(runtime, n.serve, log))
+        process.reactor.listenTCP(FRONT, http_server.Server(runtime, n.gateway.handle, connection_limit=o.connections))
+        process.reactor.listenTCP(READY, http_server.Server(runtime, entry_points.readiness(n), connection_limit=64))
         n.start(o.port, FRONT)
         self.entry.nodes[name] = (zone, (host, FRONT), (host, READY))
 
     def start_worker(self, name: str, host: str, zone: str, pool: str | None = None) -> serving.Worker:
-        """Start a worker's new life, and list it.
-
-        Example: `w = site.start_worker("w1", "10.128.0.1", "mobile")`
-        """
-        proc = sim.Proc(self.world, name, self.machine(name, host, zone))
+        """Start a worker's new life, and list it."""
+        process = world.SimulatedProcess(self.world, name, self.machine(name, host, zone))
         speed = 0.93 + 0.14 * self.rng.random()
         w = serving.Worker(
-            proc.mach(),
+            process.runtime(),
             name,
             pool or self.pool,
             self.tape,
             dataclasses.replace(self.figures, speed=speed),
             conns=self.shape.conns,
         )
-        w.proc, w.host, w.zone = proc, host, zone
+        w.process, w.host, w.zone = process, host, zone
         w.engine.ever = self.read_by_some
         self.workers[name] = w
-        proc.reactor.listenTCP(SERVE, w)
+        process.reactor.listenTCP(SERVE, w)
         self.listing.show(
             w.id,
             pool=w.pool,
@@ -343,19 +318,16 @@
         return w
 
     def begin(self, lead: int = 12) -> None:
-        """Start everything, send the first configuration, and let the traffic begin.
-
-        Example: `site.begin()`
-        """
+        """Start everything, send the first configuration, and let the traffic begin."""
         sh = self.shape
-        list_proc = sim.Proc(self.world, "provider", self.machine("provider", PROVIDER, sh.cores[0]))
-        self.listing = serving.Listing(list_proc.mach(), self.tape, page=3 if len(sh.workers) < 10 else 25)
+        list_proc = world.SimulatedProcess(self.world, "provider", self.machine("provider", PROVIDER, sh.cores[0]))
+        self.listing = serving.Listing(list_proc.runtime(), self.tape, page=3 if len(sh.workers) < 10 else 25)
         list_proc.reactor.listenTCP(LIST, self.listing)
-        outside = sim.Proc(self.world, "outside", sim.Machine(self.world, "10.9.0.1", "far"))
-        self.out = outside.mach()
-        self.entry = client_model.Entry(self.out, self.tape)
-        office = sim.Proc(self.world, "office", sim.Machine(self.world, "10.9.0.2", "far"))
-        self.office = office.mach()
+        outside = world.SimulatedProcess(self.world, "outside", world.Host(self.world, "10.9.0.1", "far"))
+        self.out = outside.runtime()
+        self.entry = client_model.VirtualAddress(self.out, self.tape)
+        operator_site = world.SimulatedProcess(self.world, "office", world.Host(self.world, "10.9.0.2", "far"))
+        self.operator_site = operator_site.runtime()
         for k, zone in enumerate(sh.workers, 1):
             self.start_worker(f"w{k}", f"10.128.0.{k}", zone)
         for k, zone in enumerate(sh.cores, 1):
@@ -367,10 +339,10 @@
             self.start_node(f"n{k}")
         self.born = True
         self.out.spawn(self.entry.run(), log)
-        self.boss = client_model.Operator(self.office, self.tape, self.controls, "boss")
-        self.rival = client_model.Operator(self.office, self.tape, self.controls, "rival")
-        self.doc, self.version = self.first(), 1
-        first = self.office.spawn(self.boss.put(self.doc, 0, seconds=60), log)
+        self.operator = client_model.Operator(self.operator_site, self.tape, self.controls, "boss")
+        self.rival = client_model.Operator(self.operator_site, self.tape, self.controls, "rival")
+        self.document, self.version = self.first(), 1
+        first = self.operator_site.spawn(self.operator.put(self.document, 0, seconds=60), log)
         self.until(lambda: first.called, 60)
         self.go(max(0, lead - self.world.time / S))
         self.tape.put(
@@ -404,10 +376,7 @@
             self.out.spawn(t.run(self.traffic_until), log)
 
     def bounds(self) -> dict[str, int]:
-        """The bounds that the judge goes by, in microseconds where they are times.
-
-        Example: `site.bounds()["contact"]`
-        """
+        """The bounds that the judge goes by, in microseconds where they are times."""
         b = self.settings(sorted(self.cores)[0], "core")["bounds"]
         return dict(
             contact=b["contact_ms"] * MS,
@@ -425,10 +394,7 @@
         )
 
     def controls(self) -> list[tuple[str, int]]:
-        """Where operators call: the core machines.
-
-        Example: `site.controls()`
-        """
+        """Where operators call: the core machines."""
         seen = {c: self.places[c][0] for c in self.cores}
         for at, name in self.moved:
             if self.world.time < at + SEED_LAG_US:  # the list is late
@@ -440,12 +406,16 @@
 
     # ---- configurations --------------------------------------------------------------------
 
-    def route(self, kind: client_model.Kind, name: str, **more: typing.Any) -> dict[str, typing.Any]:
-        """A route of a kind of request, in the platform's words.
-
-        Example: `site.route(SHORT, "r-1")`
-        """
-        w, sort = words.ROUTE, {"stream": words.WORD["stream"], "may": words.WORD["may"], "once": words.WORD["once"]}
+    def route(self, kind: client_model.RequestKind, name: str, **more: typing.Any) -> dict[str, typing.Any]:
+        """A route of a kind of request, in the platform's words."""
+        w, sort = (
+            platform_names.ROUTE,
+            {
+                "stream": platform_names.TERMS["stream"],
+                "may": platform_names.TERMS["may"],
+                "once": platform_names.TERMS["once"],
+            },
+        )
         return {
             w["name"]: name,
             w["host"]: kind.host,
@@ -463,21 +433,15 @@
         }
 
     def idle_route(self, k: int) -> dict[str, typing.Any]:
-        """An idle route: only direct requests go there.
-
-        Example: `site.idle_route(3)`
-        """
+        """An idle route: only direct requests go there."""
         return self.route(dataclasses.replace(DIRECT, path=f"/idle{k}/", host="idle.example"), f"r-idle{k}")
 
     def first(self) -> dict[str, typing.Any]:
-        """The first configuration.
-
-        Example: `doc = site.first()`
-        """
-        b, p, f = words.BLUEPRINT, words.POOL, self.figures
+        """The first configuration."""
+        b, p, f = platform_names.CONFIGURATION, platform_names.POOL, self.figures
         plant = {
             p["name"]: self.pool,
-            p["probe"]: words.PATH["probe"],
+            p["probe"]: platform_names.PATHS["probe"],
             p["conns"]: self.shape.conns,
             p["protocol"]: "h1",
             p["tls"]: False,
@@ -496,27 +460,21 @@
             b["version"]: 1,
             b["routes"]: routes,
             b["pools"]: [plant],
-            b["bounds"]: dict(zip(words.BOUNDS.values(), (16384, 4194304, 3000, 15000), strict=False)),
+            b["bounds"]: dict(zip(platform_names.BOUNDS.values(), (16384, 4194304, 3000, 15000), strict=False)),
         }
 
     def change(self, how: str = "idle", wait: int = 60) -> defer.Deferred[typing.Any]:
-        """Send the next configuration: a Deferred. `how` is idle, timeout, big, or one that moves nothing.
-
-        Example: `site.change("idle")`
-        """
-        return self.office.spawn(self.next_config(how, wait), log)
+        """Send the next configuration: a Deferred. `how` is idle, timeout, big, or one that moves nothing."""
+        return self.operator_site.spawn(self.next_config(how, wait), log)
 
     def altered(
         self, how: str, count: int = 100
     ) -> tuple[dict[str, typing.Any], dict[str, typing.Any], list[str], list[str]]:
-        """The next document, what a PATCH of it says, and the paths that came and went.
-
-        Example: `doc, patch, added, gone = site.altered("idle")`
-        """
-        b, w = words.BLUEPRINT, words.ROUTE
-        doc = copy.deepcopy(self.doc)
-        doc[b["version"]] = self.version + 1 + self.rng.randrange(3)
-        routes, added, gone, put = doc[b["routes"]], [], [], []
+        """The next document, what a PATCH of it says, and the paths that came and went."""
+        b, w = platform_names.CONFIGURATION, platform_names.ROUTE
+        document = copy.deepcopy(self.document)
+        document[b["version"]] = self.version + 1 + self.rng.randrange(3)
+        routes, added, gone, put = document[b["routes"]], [], [], []
         match how:
             case "idle":
                 dropped = next(r for r in routes if r[w["name"]].startswith("r-idle"))
@@ -536,71 +494,59 @@
                 r[w["cutoff_ms"]] = 9_000 + self.rng.randrange(1000)
                 patch = {b["put"]: {b["routes"]: [dict(r)]}}
         routes += put
-        patch[b["version"]] = doc[b["version"]]
-        return doc, patch, added, gone
+        patch[b["version"]] = document[b["version"]]
+        return document, patch, added, gone
 
     async def next_config(self, how: str, wait: int, count: int = 100) -> int:
-        """Send the next configuration and try its routes at each node: the status.
-
-        Example: `status = await site.next_config("idle", 60)`
-        """
-        doc, patch, added, gone = self.altered(how, count)
+        """Send the next configuration and try its routes at each node: the status."""
+        document, patch, added, gone = self.altered(how, count)
         base = self.version
         if self.rng.random() < 0.5:
-            status = await self.boss.patch(patch, doc, base, seconds=wait)
+            status = await self.operator.patch(patch, document, base, seconds=wait)
         else:
-            status = await self.boss.put(doc, base, seconds=wait)
+            status = await self.operator.put(document, base, seconds=wait)
         if status == 200:
-            self.doc, self.version = doc, doc[words.BLUEPRINT["version"]]
+            self.document, self.version = document, document[platform_names.CONFIGURATION["version"]]
             self.out.spawn(self.try_routes(added + gone + ["/never/"]), log)
         return status
 
     async def race(self) -> list[int]:
-        """Two operators send at once on top of the same version: the statuses.
-
-        Example: `await site.race()`
-        """
-        base, docs, waits = self.version, [], []
-        for who in (self.boss, self.rival):
-            doc, patch, added, gone = self.altered("idle")
-            docs.append(doc)
+        """Two operators send at once on top of the same version: the statuses."""
+        base, documents, waits = self.version, [], []
+        for who in (self.operator, self.rival):
+            document, patch, added, gone = self.altered("idle")
+            documents.append(document)
             if who is self.rival:
-                doc[words.BLUEPRINT["version"]] += 10
-            waits.append(self.office.spawn(who.put(doc, base), log))
+                document[platform_names.CONFIGURATION["version"]] += 10
+            waits.append(self.operator_site.spawn(who.put(document, base), log))
         statuses = [await d for d in waits]
-        for status, doc in zip(statuses, docs, strict=False):
+        for status, document in zip(statuses, documents, strict=False):
             if status == 200:
-                self.doc, self.version = doc, doc[words.BLUEPRINT["version"]]
+                self.document, self.version = document, document[platform_names.CONFIGURATION["version"]]
         return statuses
 
     async def bad(self) -> None:
-        """Send configurations that are invalid; none may be acknowledged.
-
-        Example: `await site.bad()`
-        """
-        b, w = words.BLUEPRINT, words.ROUTE
+        """Send configurations that are invalid; none may be acknowledged."""
+        b, w = platform_names.CONFIGURATION, platform_names.ROUTE
         for k in range(5):
-            doc, *_ = self.altered("timeout")
-            r = doc[b["routes"]][0]
+            document, *_ = self.altered("timeout")
+            r = document[b["routes"]][0]
             match k:
                 case 0:
                     r[w["pool"]] = "nowhere"
                 case 1:
-                    doc[b["routes"]].append({**r, w["name"]: "r-double"})
+                    document[b["routes"]].append({**r, w["name"]: "r-double"})
                 case 2:
                     r[w["cutoff_ms"]] = 0
                 case 3:
-                    doc[b["version"]] = self.version
+                    document[b["version"]] = self.version
                 case 4:
                     del r[w["pool"]]
                     r[w["split"]] = [{w["pool"]: self.pool, w["weight"]: 0}]
-            await self.boss.put(doc, self.version, valid=False, seconds=15)
+            await self.operator.put(document, self.version, valid=False, seconds=15)
 
     async def try_routes(self, paths: list[str]) -> None:
-        """Try paths at each node that takes connections, soon after a change and when it must be in force.
-
-        Example: `await site.try_routes(["/idle3/"])`
-        """
+        """Try paths at each node that takes connections, soon after a change and when it must be in force."""
         for wait in (300, 700, 1_100, 900):
             await self.out.sleep(wait * MS)
             for name in sorted(n for n in self.entry.nodes if self.entry.into(n)):
@@ -616,90 +562,60 @@
     # ---- time ---------------------------------------------------------------------------------
 
     def go(self, seconds: float) -> None:
-        """Let virtual time pass.
-
-        Example: `site.go(5)`
-        """
+        """Let virtual time pass."""
         self.world.run(self.world.time + int(seconds * S))
 
-    def until(self, cond: collections.abc.Callable[..., object], seconds: int) -> bool:
-        """Let time pass until a condition holds; False where it did not in time.
-
-        Example: `site.until(lambda: done.called, 10)`
-        """
+    def until(self, condition: collections.abc.Callable[..., object], seconds: int) -> bool:
+        """Let time pass until a condition holds; False where it did not in time."""
         end = self.world.time + int(seconds * S)
-        while not cond():
+        while not condition():
             if self.world.time >= end:
                 return False
             self.go(0.05)
         return True
 
     def end(self) -> None:
-        """The day's end: what is open ends, and the configuration is read back.
-
-        Example: `site.end()`
-        """
+        """The day's end: what is open ends, and the configuration is read back."""
         self.go(max(0, (self.traffic_until - self.world.time) / S))
         self.until(lambda: not any(t.open for t in self.traffics), 15)
         for _ in range(3):
-            done = self.office.spawn(self.boss.read(), log)
+            done = self.operator_site.spawn(self.operator.read(), log)
             self.until(lambda: done.called, 30)
             self.go(1.1)
         self.tape.put(self.world.time, "ended")
 
     # ---- troubles -------------------------------------------------------------------------------
 
-    def trouble(self, name: str, what: str) -> None:
-        """Note that a machine has trouble from now on.
-
-        Example: `site.trouble("n1", "kill")`
-        """
+    def inject_fault(self, name: str, what: str) -> None:
+        """Note that a machine has trouble from now on."""
         self.tape.put(self.world.time, "trouble", name=name, what=what)
 
-    def mend(self, name: str, what: str | None = None) -> None:
-        """Note that a trouble is over: what it was, or what a process's start ends.
-
-        Example: `site.mend("n1", "freeze")`
-        """
+    def repair(self, name: str, what: str | None = None) -> None:
+        """Note that a trouble is over: what it was, or what a process's start ends."""
         self.tape.put(self.world.time, "mend", name=name, **({"what": what} if what else {}))
 
     def later(self, seconds: float, f: collections.abc.Callable[..., object], *args: typing.Any) -> None:
-        """Do something after a while, whatever the scene does meanwhile.
-
-        Example: `site.later(3, site.restart, "n1")`
-        """
+        """Do something after a while, whatever the scenario does meanwhile."""
         self.world.push(self.world.time + int(seconds * S), lambda: f(*args))
 
-    def process(self, name: str) -> sim.Proc:
-        """The process of a name.
-
-        Example: `site.process("n1").freeze()`
-        """
-        return (self.nodes.get(name) or self.cores.get(name) or self.workers[name]).proc
+    def process(self, name: str) -> world.SimulatedProcess:
+        """The process of a name."""
+        return (self.nodes.get(name) or self.cores.get(name) or self.workers[name]).process
 
     def restart(self, name: str) -> None:
-        """Start a node or core again where it was.
-
-        Example: `site.restart("n1")`
-        """
+        """Start a node or core again where it was."""
         (self.start_node if name in self.nodes else self.start_core)(name)
-        self.mend(name)
+        self.repair(name)
 
     def kill(self, name: str, back: int) -> None:
-        """Kill a node or core; it comes back after so many seconds.
-
-        Example: `site.kill("n1", 3)`
-        """
-        self.trouble(name, "kill")
+        """Kill a node or core; it comes back after so many seconds."""
+        self.inject_fault(name, "kill")
         self.process(name).kill()
         self.later(back, self.restart, name)
 
     def power(self, name: str, back: int, wipe: bool = False) -> None:
-        """A node or core loses power, perhaps its disk too.
-
-        Example: `site.power("c1", 3, wipe=True)`
-        """
-        self.trouble(name, "power")
+        """A node or core loses power, perhaps its disk too."""
+        self.inject_fault(name, "power")
         m = self.process(name).host
         m.fail()
         if wipe:
@@ -707,25 +623,19 @@
         self.later(back, self.restart, name)
 
     def freeze(self, name: str, seconds: int) -> None:
-        """Freeze a node or core for a while.
-
-        Example: `site.freeze("n1", 3)`
-        """
-        self.trouble(name, "freeze")
+        """Freeze a node or core for a while."""
+        self.inject_fault(name, "freeze")
         self.process(name).freeze()
 
         def wake() -> None:
             self.process(name).wake()
-            self.mend(name, "freeze")
+            self.repair(name, "freeze")
 
         self.later(seconds, wake)
 
     def cut(self, name: typing.Any, seconds: typing.Any, clients: bool = False, both: bool = True) -> None:
-        """Cut a machine off from all others, and from clients if said; perhaps only what it sends.
-
-        Example: `site.cut("n1", 5)`
-        """
-        self.trouble(name, "cut")
+        """Cut a machine off from all others, and from clients if said; perhaps only what it sends."""
+        self.inject_fault(name, "cut")
         host = self.places[name][0]
         others = [h for h in self.world.machines if h != host and (clients or self.world.zone(h) != "far")]
         self.world.cut([host], others, both)
@@ -733,81 +643,69 @@
         def heal() -> None:
             self.world.cuts = {(a, b) for a, b in self.world.cuts if host not in (a, b)}
             self.world.retry()
-            self.mend(name, "cut")
+            self.repair(name, "cut")
 
         self.later(seconds, heal)
 
     def reset_some(self, share: typing.Any) -> None:
-        """Reset a share of the connections between machines of ours.
-
-        Example: `site.reset_some(0.4)`
-        """
+        """Reset a share of the connections between machines of ours."""
         names = {self.places[n][0]: n for n in [*self.nodes, *self.cores]}
         hit = set()
-        for conn in list(self.world.conns.values()):
-            ends = [names.get(side.proc.host.host) for side in conn.sides]
+        for connection in list(self.world.conns.values()):
+            ends = [names.get(side.process.host.host) for side in connection.sides]
             if all(ends) and self.rng.random() < share:
                 hit.update(ends)
-                for side in conn.sides:
+                for side in connection.sides:
                     side.reset()
         for n in sorted(hit):
-            self.trouble(n, "reset")
-            self.mend(n, "reset")
+            self.inject_fault(n, "reset")
+            self.repair(n, "reset")
 
     def lossy(self, zone: str, share: float, seconds: int) -> None:
-        """The links of a hall's machines lose packets for a while.
-
-        Example: `site.lossy("mobile", 0.02, 5)`
-        """
+        """The links of a zone's machines lose packets for a while."""
         names = [n for n in [*sorted(self.nodes), *sorted(self.cores)] if self.places[n][1] == zone]
         for n in names:
-            self.trouble(n, "lossy")
+            self.inject_fault(n, "lossy")
             self.world.loss[self.places[n][0]] = share
 
         def over() -> None:
             for n in names:
                 self.world.loss.pop(self.places[n][0], None)
-                self.mend(n, "lossy")
+                self.repair(n, "lossy")
 
         self.later(seconds, over)
 
     def disk(self, name: str, state: str, seconds: int) -> None:
-        """A core machine's disk is slow, full or stalled for a while.
-
-        Example: `site.disk("c1", "slow", 5)`
-        """
-        self.trouble(name, f"disk {state}")
+        """A core machine's disk is slow, full or stalled for a while."""
+        self.inject_fault(name, f"disk {state}")
         m = self.process(name).host
         m.disk = state
 
         def over() -> None:
-            m.mend()
-            self.mend(name, f"disk {state}")
+            m.repair()
+            self.repair(name, f"disk {state}")
 
         self.later(seconds, over)
 
     def replace_core(self, name: str, gently: bool = False) -> None:
-        """A core machine goes for good, and an empty one comes at another address; settings files change.
-
-        Example: `site.replace_core("c1")`
-        """
+        """A core machine goes for good, and an empty one comes at another address; settings files change."""
         number = 1 + max(int(c[1:]) for c in [*self.cores, *(n for _, n in self.moved)])
         new, zone = f"c{number}", self.places[name][1]
         old = self.cores.pop(name)
-        self.trouble(name, "term" if gently else "gone")
+        self.inject_fault(name, "term" if gently else "gone")
         if gently:
-            old.mach.spawn(old.stop(), log).addBoth(lambda _: old.proc.alive and old.proc.kill())
-            self.later(8, lambda: old.proc.alive and old.proc.kill())
+            old.runtime.spawn(old.stop(), log).addBoth(lambda _: old.process.alive and old.process.kill())
+            self.later(8, lambda: old.process.alive and old.process.kill())
         else:
-            old.proc.host.fail()
+            old.process.host.fail()
         self.places[new] = (f"10.1.0.{number}", zone)
         self.moved += [(self.world.time, name), (self.world.time, new)]
         self.tape.put(self.world.time, "machine", name=new, host=self.places[new][0], role="core")
-        self.trouble(new, "new")
+        self.inject_fault(new, "new")
 
         def come() -> None:
             self.start_core(new)
-            self.mend(new)
+            self.repair(new)
             for owner in [*self.nodes, *(c for c in self.cores if c != new)]:
                 self.reload(owner)
 
@@ -815,95 +713,77 @@
         self.later(1, come)
 
     def term(self, name: str, grace: float = 8.0, back: float = 0.5) -> None:
-        """Send a node or core a SIGTERM, and SIGKILL after the grace; it comes back once it has ended.
-
-        Example: `site.term("n1")`
-        """
-        proc, owner = self.process(name), self.nodes.get(name) or self.cores[name]
+        """Send a node or core a SIGTERM, and SIGKILL after the grace; it comes back once it has ended."""
+        process, owner = self.process(name), self.nodes.get(name) or self.cores[name]
         self.tape.put(self.world.time, "term", name=name)
-        self.trouble(name, "term")
+        self.inject_fault(name, "term")
 
         def end(_: None = None) -> None:
-            if proc.alive:
-                proc.kill()
+            if process.alive:
+                process.kill()
                 self.later(back, self.restart, name)
 
-        owner.mach.spawn(owner.stop(), log).addBoth(end)
+        owner.runtime.spawn(owner.stop(), log).addBoth(end)
         self.later(grace, end)
 
     def crash(self, name: str, how: str = "reset", back: float | None = None, listed: float = 3.0) -> None:
-        """A worker crashes: connections are reset, or it goes dark; it may come back as a new life.
-
-        Example: `site.crash("w1", "dark", back=4)`
-        """
+        """A worker crashes: connections are reset, or it goes dark; it may come back as a new life."""
         w = self.workers[name]
         self.tape.put(self.world.time, "crash", worker=w.id, how=how)
         if how == "dark":
-            w.proc.host.fail()
+            w.process.host.fail()
         else:
-            w.proc.kill()
+            w.process.kill()
         w.stop()
         self.later(listed, self.listing.drop, w.id)
         if back is not None:
             self.later(back, self.start_worker, name, w.host, w.zone)
 
     def release(self, name: str, host: None = None) -> None:
-        """Replace a worker: its successor comes, then it is shown as leaving, goes on for a while, and ends.
-
-        Example: `site.release("w1")`
-        """
+        """Replace a worker: its successor comes, then it is shown as leaving, goes on for a while, and ends."""
         w = self.workers[name]
         w.leaving = True
-        self.listing.show(w.id, state=words.WORD["draining"])
+        self.listing.show(w.id, state=platform_names.TERMS["draining"])
 
         def end() -> None:
-            w.proc.kill()
+            w.process.kill()
             w.stop()
             self.listing.drop(w.id)
 
         self.later(self.shape.bounds.get("drain_deadline_ms", 3000) / 1000 + 1 + self.listing.lag_us / S, end)
-        k = len(self.world.procs)
+        k = len(self.world.processes)
         self.start_worker(f"{name}.{k}", host or f"10.128.1.{k}", w.zone)
 
-    def ill(self, names: typing.Any, seconds: typing.Any, health: str = "", **ills: typing.Any) -> None:
-        """Let workers be ill for a while.
-
-        Example: `site.ill(["w1"], 5, garble=0.1)`
-        """
+    def make_unhealthy(self, names: typing.Any, seconds: typing.Any, health: str = "", **faults: typing.Any) -> None:
+        """Let workers be ill for a while."""
         for name in names:
             w = self.workers[name]
-            w.ills, w.health = ills, health
-            self.tape.put(self.world.time, "ill", worker=w.id, ills=ills)
+            w.faults, w.health = faults, health
+            self.tape.put(self.world.time, "ill", worker=w.id, ills=faults)
 
         def well() -> None:
             for name in names:
                 w = self.workers[name]
-                w.ills, w.health = {}, ""
+                w.faults, w.health = {}, ""
                 self.tape.put(self.world.time, "well", worker=w.id)
 
         self.later(seconds, well)
 
     def live_workers(self) -> list[str]:
-        """The names of the workers that live and do not leave.
-
-        Example: `site.live_workers()`
-        """
+        """The names of the workers that live and do not leave."""
         return [
             n
             for n in sorted(self.workers)
-            if self.workers[n].proc.alive and not self.workers[n].leaving and self.workers[n].proc.host.power
+            if self.workers[n].process.alive and not self.workers[n].leaving and self.workers[n].process.host.power
         ]
 
     def closing(self, how: str, down: float) -> None:
-        """The closing fault: every process is killed, or every machine loses power, or a core loses its disk.
-
-        Example: `site.closing("kill_all", 1.0)`
-        """
+        """The closing fault: every process is killed, or every machine loses power, or a core loses its disk."""
         names = [*sorted(self.cores), *sorted(self.nodes)]
         wiped = self.rng.choice(sorted(self.cores)) if how == "wipe" else ""
         self.tape.put(self.world.time, "closing", back=self.world.time + int(down * S), how=how)
         for name in names:
-            self.trouble(name, "closing")
+            self.inject_fault(name, "closing")
             if how == "kill_all":
                 self.process(name).kill()
             else:
@@ -913,8 +793,5 @@
             self.later(down, self.restart, name)
 
     def kinds(self) -> dict[typing.Any, typing.Any]:
-        """What each kind of request is worth, for the judge.
-
-        Example: `judge.worth(rows, site.kinds())`
-        """
-        return {k.name: (k.aim_ms * MS, k.pause_ms * MS, k.worth, k.late_worth) for k in self.shape.kinds}
+        """What each kind of request is worth, for the judge."""
+        return {k.name: (k.aim_ms * MS, k.pause_ms * MS, k.value, k.late_value) for k in self.shape.kinds}
--- a/bench/words.py
+++ b/simulation/platform_names.py
@@ -6,6 +6,6 @@
 PLATFORM = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "platform")
 with open(os.path.join(PLATFORM, "words.toml"), "rb") as f:
     ALL = tomllib.load(f)
-HEAD, PATH, LISTING, REPORT, BLUEPRINT, BOUNDS, ROUTE, POOL, WORD = (
+HEADERS, PATHS, LISTING, REPORT, CONFIGURATION, BOUNDS, ROUTE, POOL, TERMS = (
     ALL[k] for k in ("head", "path", "listing", "report", "blueprint", "bounds", "route", "pool", "word")
 )
--- a/bench/judge.py
+++ b/simulation/platform_rules.py
@@ -1,10 +1,10 @@
 """Judges an event log of the users' side by the rules of their platform, and counts what was earned.
 
-    python -m bench.judge day.events
+    python -m simulation.platform_rules day.events
 
 Only what clients, workers, operators and the platform saw is looked at. Each rule is a function that yields
 complaints; `examine` runs them all.
-Rows are those that bench/client_model.py, bench/serving.py and bench/platform_model.py write.
+Rows are those that simulation/client_model.py, simulation/serving.py and simulation/platform_model.py write.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 
 import defopt
 
-import bench.words as words
-import iriswheel.history as history
+import iriswheel.verification.history as history
+import simulation.platform_names as platform_names
 
 MS, S = 1_000, 1_000_000
 PROMISES = (408, 421, 429, 503)
@@ -55,12 +55,15 @@
 def services(doc: dict[str, typing.Any], host: str, path: str) -> set[str | None]:
     """The services that a configuration lets a request go to; None stands for no route.
 
-    >>> r = {words.ROUTE["host"]: "h", words.ROUTE["path"]: "/a/", words.ROUTE["pool"]: "p"}
-    >>> services({words.BLUEPRINT["routes"]: [r]}, "h", "/a/x"), services({words.BLUEPRINT["routes"]: [r]}, "h", "/b")
+    >>> r = {platform_names.ROUTE["host"]: "h", platform_names.ROUTE["path"]: "/a/", platform_names.ROUTE["pool"]: "p"}
+    >>> document = {platform_names.CONFIGURATION["routes"]: [r]}
+    >>> services(document, "h", "/a/x"), services(document, "h", "/b")
     ({'p'}, {None})
     """
-    w = words.ROUTE
-    fits = [r for r in doc[words.BLUEPRINT["routes"]] if r[w["host"]] == host and covers(r[w["path"]], path)]
+    w = platform_names.ROUTE
+    fits = [
+        r for r in doc[platform_names.CONFIGURATION["routes"]] if r[w["host"]] == host and covers(r[w["path"]], path)
+    ]
     if not fits:
         return {None}
     r = max(fits, key=lambda r: len(r[w["path"]]))
@@ -85,10 +88,7 @@
 
 
 class Log:
-    """The rows of one run, by kind and by try.
-
-    Example: `log = Log(rows)`
-    """
+    """The rows of one run, by kind and by try."""
 
     def __init__(self, rows: list[dict[str, typing.Any]]) -> None:
         self.rows = rows
@@ -97,8 +97,8 @@
             self.kinds[r["kind"]].append(r)
         begun = (self.kinds["begun"] or [{}])[0]
         self.bounds = {**BOUNDS, **begun.get("bounds", {})}
-        self.began = begun.get("at", 0)
-        self.tries = {r["attempt"]: r for r in self.kinds["tried"]}
+        self.started_at = begun.get("at", 0)
+        self.attempts = {r["attempt"]: r for r in self.kinds["tried"]}
         # request -> its tries
         self.asked: collections.defaultdict[str, list[dict[str, typing.Any]]] = collections.defaultdict(list)
         for t in self.kinds["tried"]:
@@ -130,10 +130,7 @@
         self.configs = self.read_configs()
 
     def read_configs(self) -> list[dict[str, typing.Any]]:
-        """Each configuration sent, by version and content: its document, when sent, and what was said of it.
-
-        Example: `log.configs`
-        """
+        """Each configuration sent, by version and content: its document, when sent, and what was said of it."""
         out = {
             r["send"]: dict(
                 version=r["version"],
@@ -153,24 +150,15 @@
         return list(out.values())
 
     def acked(self) -> list[dict[str, typing.Any]]:
-        """The acknowledged configurations, the oldest first.
-
-        Example: `log.acked()`
-        """
+        """The acknowledged configurations, the oldest first."""
         return sorted((c for c in self.configs if c["code"] == 200), key=lambda c: c["answered"])
 
-    def troubled(self, name: str, begin: int, end: int) -> bool:
-        """Whether a machine had trouble in a span.
-
-        Example: `log.troubled("n1", 0, 5)`
-        """
+    def is_faulted(self, name: str, begin: int, end: int) -> bool:
+        """Whether a machine had trouble in a span."""
         return any(a <= end and b >= begin for a, b, _ in self.troubles[name])
 
     def settled(self, at: int) -> bool:
-        """Whether the core was settled through the contact time before a moment.
-
-        Example: `log.settled(5 * S)`
-        """
+        """Whether the core was settled through the contact time before a moment."""
         since = at - self.bounds["contact"]
         if any(since <= t <= at for t in self.core_events):
             return False
@@ -179,15 +167,12 @@
             for c in self.core
             if any(what in ("gone", "term") and a <= since and b >= at for a, b, what in self.troubles[c])
         }
-        down = sum(self.troubled(c, since, at) for c in self.core - gone)
+        down = sum(self.is_faulted(c, since, at) for c in self.core - gone)
         return not self.core or 2 * (len(self.core) - len(gone) - down) > len(self.core) - len(gone)
 
     def in_touch(self, name: str, at: int) -> bool:
-        """Whether a machine is bound by rules with a time bound.
-
-        Example: `log.in_touch("n1", 5 * S)`
-        """
-        return not self.troubled(name, at - self.bounds["contact"], at) and self.settled(at)
+        """Whether a machine is bound by rules with a time bound."""
+        return not self.is_faulted(name, at - self.bounds["contact"], at) and self.settled(at)
 
 
 def mixed(log: Log) -> collections.abc.Iterator[str]:
@@ -225,7 +210,7 @@
     for r in log.kinds["arrived"]:
         if r["verdict"]:
             continue
-        t = log.tries.get(r["attempt"])
+        t = log.attempts.get(r["attempt"])
         if t is None:
             if r["at"] < log.rows[-1]["at"] - S:
                 yield f"worker {r['worker']} got {r['attempt']}, which no client sent"
@@ -238,14 +223,14 @@
 
 def twice(log: Log) -> collections.abc.Iterator[str]:
     """Requests that must not be repeated and ran more than once."""
-    for name, t in log.tries.items():
+    for name, t in log.attempts.items():
         if not t["repeat"] and len(log.runs[name]) > 1:
             yield f"try {name} ran {len(log.runs[name])} times"
 
 
 def refused(log: Log) -> collections.abc.Iterator[str]:
     """Promises that a request has not run, though it has."""
-    for name, t in log.tries.items():
+    for name, t in log.attempts.items():
         if not t["repeat"] and t["code"] in PROMISES and log.runs[name]:
             yield f"try {name} got {t['code']}, and ran"
 
@@ -253,7 +238,7 @@
 def denied(log: Log) -> collections.abc.Iterator[str]:
     """Proper requests that machines in touch refused for good."""
     bad = []
-    for name, t in log.tries.items():
+    for name, t in log.attempts.items():
         own = 300 <= t["code"] < 500 and t["code"] not in (408, 421, 429) and not log.arrived[name]
         if (
             own
@@ -262,15 +247,12 @@
             and all(services(c["doc"], t["host"], t["url"]) != {None} for c in in_force(log, t))
         ):
             bad.append(name)
-    if len(bad) > 5 + len(log.tries) / 500:
-        yield f"{len(bad)} proper requests were denied, as {bad[0]} with {log.tries[bad[0]]['code']}"
+    if len(bad) > 5 + len(log.attempts) / 500:
+        yield f"{len(bad)} proper requests were denied, as {bad[0]} with {log.attempts[bad[0]]['code']}"
 
 
 def in_force(log: Log, t: dict[str, typing.Any]) -> list[dict[str, typing.Any]]:
-    """The configurations that may be in force for a try: the newest that must be, and all later ones that may be.
-
-    Example: `in_force(log, t)`
-    """
+    """The configurations that may be in force for a try: the newest that must be, and all later ones that may be."""
     must = [c for c in log.acked() if c["answered"] + log.bounds["apply"] < t["sent"]]
     floor = max((c["version"] for c in must), default=0)
     return [
@@ -281,10 +263,7 @@
 
 
 def outcome(log: Log, t: dict[str, typing.Any]) -> str | None:
-    """What a try shows of the configuration: a service, None for a 404 of ours, or "" where it shows nothing.
-
-    Example: `outcome(log, t)`
-    """
+    """What a try shows of the configuration: a service, None for a 404 of ours, or "" where it shows nothing."""
     ran = [r["pool"] for r in log.arrived[t["attempt"]] if not r["verdict"]]
     if ran:
         return ran[0]
@@ -294,7 +273,7 @@
 def route(log: Log) -> collections.abc.Iterator[str]:
     """Runs at a service that no configuration ever sent allows."""
     for r in log.kinds["run"]:
-        t = log.tries.get(r["attempt"])
+        t = log.attempts.get(r["attempt"])
         if t is not None and not any(
             r["pool"] in services(c["doc"], t["host"], t["url"]) for c in log.configs if c["sent"] <= r["at"]
         ):
@@ -305,14 +284,14 @@
     """Requests that reached a leaving worker too late."""
     shown = {}
     for r in log.kinds["listed"]:
-        if r["state"] in (words.WORD["draining"], "gone"):
+        if r["state"] in (platform_names.TERMS["draining"], "gone"):
             shown.setdefault(r["worker"], r["seen"])
     for r in log.kinds["arrived"]:
         seen = shown.get(r["worker"])
-        t = log.tries.get(r["attempt"])
+        t = log.attempts.get(r["attempt"])
         if r["verdict"] == 421 or seen is None or t is None or r["at"] <= seen + log.bounds["drain"]:
             continue
-        if log.in_touch(t["node"], r["at"]) and not log.troubled(t["node"], seen, r["at"]):
+        if log.in_touch(t["node"], r["at"]) and not log.is_faulted(t["node"], seen, r["at"]):
             after = (r["at"] - seen) // MS
             yield f"{r['attempt']} reached worker {r['worker']} {after} ms after it was shown as leaving"
 
@@ -323,7 +302,7 @@
     terms = collections.defaultdict(list)
     for r in log.kinds["term"]:
         terms[r["name"]].append(r["at"])
-    for name, t in log.tries.items():
+    for name, t in log.attempts.items():
         if t["how"] != "closed" or t["done"] >= t["until"]:
             continue
         went_on = any(not r["verdict"] for r in log.arrived[name])
@@ -357,7 +336,7 @@
     never = [c for c in log.configs if c["code"] not in (200, 0, None) or not c["valid"]]
     may = [c for c in log.configs if c["valid"] and c["code"] in (200, 0, None)]
     seen = collections.defaultdict(list)  # machine -> (when, version whose effect it showed)
-    for t in sorted(log.tries.values(), key=lambda t: t["sent"]):
+    for t in sorted(log.attempts.values(), key=lambda t: t["sent"]):
         got = outcome(log, t)
         if got == "":
             continue
@@ -374,12 +353,12 @@
                 f"try {name} at {t['node']} was handled as only version {newest} or older allows, "
                 f"{max(must)} being in force"
             )
-        lives = [b for _, b, what in log.troubles[t["node"]] if b <= t["sent"]]
+        incarnations = [b for _, b, what in log.troubles[t["node"]] if b <= t["sent"]]
         slack = log.bounds["revert"] * (
-            8 if log.troubled(t["node"], t["sent"] - log.bounds["contact"], t["sent"]) else 1
+            8 if log.is_faulted(t["node"], t["sent"] - log.bounds["contact"], t["sent"]) else 1
         )
         floor = max(
-            (v for at, v in seen[t["node"]] if at + slack < t["sent"] and at > max(lives, default=-1)), default=0
+            (v for at, v in seen[t["node"]] if at + slack < t["sent"] and at > max(incarnations, default=-1)), default=0
         )
         if newest < floor:
             yield f"try {name}: {t['node']} went back from version {floor} to {newest}"
@@ -392,7 +371,7 @@
             yield "the configuration did not come when read back"
         else:
             doc = reads[-1]["doc"]
-            version = doc.get(words.BLUEPRINT["version"])
+            version = doc.get(platform_names.CONFIGURATION["version"])
             sent = [c for c in log.configs if c["version"] == version and c["valid"]]
             if version < newest["version"]:
                 yield f"version {version} was read back, though {newest['version']} was acknowledged"
@@ -421,11 +400,11 @@
     for c in log.configs:
         if not c["valid"] or c["code"] not in (200, 0, None):
             continue
-        routes = len(c["doc"][words.BLUEPRINT["routes"]])
+        routes = len(c["doc"][platform_names.CONFIGURATION["routes"]])
         bound = log.bounds["ack"] + 3 * MS * routes
         end = c["answered"] if c["answered"] is not None else log.rows[-1]["at"]
         end = c.get("acknowledged", end)  # the first acknowledgement was lost on its way to the operator
-        begin = max([c["sent"], log.began, *[t for t in log.core_events if t < end]])
+        begin = max([c["sent"], log.started_at, *[t for t in log.core_events if t < end]])
         late = c["code"] != 200 and "acknowledged" not in c or end - begin > bound
         if late and end - begin > bound and log.settled(end):
             yield f"version {c['version']} was not acknowledged for {(end - begin) // MS} ms"
@@ -435,7 +414,7 @@
     """More arrivals past the first than the budget of a service allows in a window."""
     b = log.bounds
     pools = collections.defaultdict(lambda: ([], []))
-    for name, t in log.tries.items():
+    for name, t in log.attempts.items():
         rows = sorted(log.arrived[name], key=lambda r: r["at"])
         if not rows:  # a request that did not arrive is one for its route's services
             for pool in {p for c in in_force(log, t)[-1:] for p in services(c["doc"], t["host"], t["url"]) if p}:
@@ -463,7 +442,7 @@
 
 def order(log: Log) -> collections.abc.Iterator[str]:
     """Streams with a piece missing or doubled, joined from two runs, or ended early."""
-    for name, t in log.tries.items():
+    for name, t in log.attempts.items():
         if not t["stream"] or not 200 <= t["code"] < 300:
             continue
         ids = [e[0] for e in t["events"]]
@@ -532,29 +511,29 @@
     return {name: lines for name, lines in found.items() if lines}
 
 
-def worth(
+def earned_value(
     rows: list[dict[str, typing.Any]], kinds: dict[str, tuple[int, int, float, float]], window: int = 2 * S
 ) -> dict[str, dict[str, float]]:
     """What was earned: shares of requests in aim, late and not served, and of worth, in all and by kind.
 
     `kinds` is kind -> (aim in us, longest pause in us, worth, late worth).
 
-    >>> worth([], {})["all"]["asked"]
+    >>> earned_value([], {})["all"]["asked"]
     0
     """
     log = Log(rows)
-    tries = log.asked
+    attempts = log.asked
     firsts = collections.defaultdict(list)
     totals = collections.defaultdict(lambda: dict(asked=0, in_aim=0, late=0, none=0, earned=0.0, owed=0.0))
     spans = collections.defaultdict(lambda: [0.0, 0.0])
     for r in log.kinds["answered"]:
-        if r["sort"] not in kinds or r["began"] < log.began:
+        if r["sort"] not in kinds or r["began"] < log.started_at:
             continue
         aim, pause, full, half = kinds[r["sort"]]
-        last = tries[r["request"]][-1] if tries[r["request"]] else None
+        last = attempts[r["request"]][-1] if attempts[r["request"]] else None
         earned, state = 0.0, "none"
         if r["ok"] and last is not None:
-            state, earned = ("in_aim", full) if in_time(log, r, tries[r["request"]], aim, pause) else ("late", half)
+            state, earned = ("in_aim", full) if in_time(log, r, attempts[r["request"]], aim, pause) else ("late", half)
         for name in ("all", r["sort"], f"zone {r['zone']}"):
             row = totals[name]
             row["asked"] += 1
@@ -562,7 +541,7 @@
             row["earned"] += earned
             row["owed"] += full
         if state != "none":
-            firsts[r["sort"]].append(first_event(tries[r["request"]]) - r["began"])
+            firsts[r["sort"]].append(first_event(attempts[r["request"]]) - r["began"])
         spans[r["began"] // window][0] += earned
         spans[r["began"] // window][1] += full
     totals["all"]
@@ -575,22 +554,19 @@
     return out
 
 
-def first_event(tries: list[dict[str, typing.Any]]) -> int:
+def first_event(attempts: list[dict[str, typing.Any]]) -> int:
     """When the first event of a served request came, or its whole answer.
 
     >>> first_event([dict(events=[], done=7)])
     7
     """
-    return next((e[2] for t in tries for e in t["events"]), tries[-1]["done"])
-
+    return next((e[2] for t in attempts for e in t["events"]), attempts[-1]["done"])
 
-def in_time(log: Log, r: dict[str, typing.Any], tries: list[dict[str, typing.Any]], aim: int, pause: int) -> bool:
-    """Whether a served request was inside its aim, without a long pause, each event passed on at once.
 
-    Example: `in_time(log, answered, tries, 400 * MS, 200 * MS)`
-    """
-    events = [e for t in tries for e in t["events"]]
-    if first_event(tries) - r["began"] > aim:
+def in_time(log: Log, r: dict[str, typing.Any], attempts: list[dict[str, typing.Any]], aim: int, pause: int) -> bool:
+    """Whether a served request was inside its aim, without a long pause, each event passed on at once."""
+    events = [e for t in attempts for e in t["events"]]
+    if first_event(attempts) - r["began"] > aim:
         return False
     if any(b[2] - a[2] > pause for a, b in zip(events, events[1:], strict=False)):
         return False
--- a/bench/second_loss.py
+++ b/simulation/second_loss.py
@@ -1,7 +1,7 @@
 """A second loss at each step of a repair of the core.
 
-    python -m bench.second_loss --cores 3 --seeds 5
-    python -m bench.second_loss --cores 5 --firsts WIPED --steps SEATED --seconds GONE --first-seed 2
+    python -m simulation.second_loss --cores 3 --seeds 5
+    python -m simulation.second_loss --cores 5 --firsts WIPED --steps SEATED --seconds GONE --first-seed 2
 
 A core machine is lost, or is to be replaced. Its repair is watched until it reaches a chosen step, and then a
 second loss strikes, while two operators send a change each 150 ms. The `Target` says who is struck and when: what
@@ -24,15 +24,15 @@
 import loguru
 import msgspec
 
-import bench.judge as judge
-import bench.platform_model as platform_model
-import bench.sim as sim
-import iriswheel.agreement as agreement
+import iriswheel.consensus.decisions as decisions
+import simulation.platform_model as platform_model
+import simulation.platform_rules as platform_rules
+import simulation.world as world
 
 if typing.TYPE_CHECKING:
-    import bench.client_model as client_model
-    import iriswheel.core as core_module
-    import iriswheel.message as message
+    import iriswheel.control.core as core
+    import iriswheel.transport.message as message
+    import simulation.client_model as client_model
 
 
 MS, S = platform_model.MS, platform_model.S
@@ -62,7 +62,7 @@
     """A step of the newcomer's repair."""
 
     SEEN = "seen"  # a voter has heard it
-    SEATED = "seated"  # it has a seat in an agreed view
+    SEATED = "seated"  # it has a voter in an agreed view
     CHAINED = "chained"  # it is in the chain of an agreed view
     REFILLED = "refilled"  # it has taken the first piece or entries
     SYNCED = "synced"  # its copy is whole
@@ -132,19 +132,16 @@
 
 
 class Run:
-    """One run under way.
-
-    Example: `Run(case).play()`
-    """
+    """One run under way."""
 
     def __init__(self, case: Case) -> None:
         self.case = case
         self.site = platform_model.Site(case.seed, seconds=0, load=TRAFFIC_SHARE)
         self.site.shape = shape(case.cores)
         self.rng = self.site.rng
-        self.newcomer = ""  # the name of the machine that the first loss brings
+        self.joining = ""  # the name of the machine that the first loss brings
         self.leaving: set[str] = set()  # the names of machines that have a successor, and are about to be stopped
-        self.before: sim.Proc | None = None  # the process that had this name before
+        self.before: world.SimulatedProcess | None = None  # the process that had this name before
         self.reached_us: int | None = None
         self.leased_at: typing.Any = None
         self.acknowledged: list[tuple[int, int]] = []  # (sent, answered) of each acknowledged change
@@ -153,47 +150,35 @@
     # ---- operators ---------------------------------------------------------------------
 
     async def operate(self, operator: client_model.Operator, wait_us: int, version_gap: int) -> None:
-        """Send changes one after the other until the run ends.
-
-        Example: `await run.operate(site.boss, 0, 0)`
-        """
+        """Send changes one after the other until the run ends."""
         site = self.site
-        await site.office.sleep(wait_us)
+        await site.operator_site.sleep(wait_us)
         while self.operating:
             sent, base = site.world.time, site.version
             document, *_ = site.altered("idle")
-            document[platform_model.words.BLUEPRINT["version"]] += version_gap
+            document[platform_model.platform_names.CONFIGURATION["version"]] += version_gap
             status = await operator.put(document, base, seconds=CHANGE_PATIENCE_S)
             if status == 200:
                 self.acknowledged.append((sent, site.world.time))
                 self.take(document)
             else:
                 self.take(await operator.read())
-            await site.office.sleep(OPERATOR_GAP_US)
+            await site.operator_site.sleep(OPERATOR_GAP_US)
 
     def take(self, document: dict[str, typing.Any]) -> None:
-        """Build the next changes on a configuration, where it is newer.
-
-        Example: `run.take(document)`
-        """
-        version = 0 if document is None else document[platform_model.words.BLUEPRINT["version"]]
+        """Build the next changes on a configuration, where it is newer."""
+        version = 0 if document is None else document[platform_model.platform_names.CONFIGURATION["version"]]
         if version > self.site.version:
-            self.site.doc, self.site.version = document, version
+            self.site.document, self.site.version = document, version
 
     def first_change_after(self, at: int) -> None:
-        """When the first change was acknowledged that was sent after a time, or None.
-
-        Example: `run.first_change_after(site.world.time)`
-        """
+        """When the first change was acknowledged that was sent after a time, or None."""
         return min((answered for sent, answered in self.acknowledged if sent > at), default=None)
 
     # ---- losses ------------------------------------------------------------------------
 
     def lose(self, name: str, loss: Loss) -> str:
-        """Lose a machine; the name of the one that takes its place.
-
-        Example: `run.lose("c1", Loss.GONE)`
-        """
+        """Lose a machine; the name of the one that takes its place."""
         match loss:
             case Loss.WIPED:
                 self.site.power(name, RESTART_S, wipe=True)
@@ -205,98 +190,79 @@
                 return self.replace_planned(name)
 
     def replace_planned(self, name: str) -> str:
-        """Start an empty machine at another address, and stop the old one after that: the new one's name.
-
-        Example: `run.replace_planned("c1")`
-        """
+        """Start an empty machine at another address, and stop the old one after that: the new one's name."""
         site = self.site
         number = 1 + max(int(c[1:]) for c in [*site.cores, *(n for _, n in site.moved)])
         new = f"c{number}"
         site.places[new] = (f"10.1.0.{number}", site.places[name][1])
         site.moved.append((site.world.time, new))
         site.tape.put(site.world.time, "machine", name=new, host=site.places[new][0], role="core")
-        site.trouble(new, "new")
+        site.inject_fault(new, "new")
         site.start_core(new)
-        site.mend(new)
+        site.repair(new)
         self.leaving.add(name)
         site.later(TERM_DELAY_S, self.terminate, name)
         return new
 
     def terminate(self, name: str) -> None:
-        """Stop a machine in good order, for good.
-
-        Example: `run.terminate("c1")`
-        """
+        """Stop a machine in good order, for good."""
         site, old = self.site, self.site.cores.pop(name)
         site.moved.append((site.world.time, name))
-        site.trouble(name, "term")
+        site.inject_fault(name, "term")
         for owner in [*site.nodes, *site.cores]:
             site.reload(owner)
 
         def end(_: None = None) -> None:
-            if old.proc.alive:
-                old.proc.kill()
+            if old.process.alive:
+                old.process.kill()
 
-        old.mach.spawn(old.stop(), platform_model.log).addBoth(end)
+        old.runtime.spawn(old.stop(), platform_model.log).addBoth(end)
         site.later(GRACE_S, end)
 
     def slow_disk(self, name: str) -> None:
-        """Let a machine's disk be slow, also where the machine is yet to come.
-
-        Example: `run.slow_disk("c4")`
-        """
+        """Let a machine's disk be slow, also where the machine is yet to come."""
         host, zone = self.site.places[name]
         if host not in self.site.world.machines:
-            sim.Machine(self.site.world, host, zone).power = False
+            world.Host(self.site.world, host, zone).power = False
         disk = self.site.world.machines[host]
         disk.disk, disk.slow_us = "slow", SLOW_SYNC_US
 
     # ---- steps -------------------------------------------------------------------------
 
-    def live(self) -> list[core_module.Core]:
-        """The core machines whose processes live.
-
-        Example: `run.live()`
-        """
-        return [core for core in self.site.cores.values() if core.proc.alive]
+    def live(self) -> list[core.Core]:
+        """The core machines whose processes live."""
+        return [core for core in self.site.cores.values() if core.process.alive]
 
     def newest_view(self) -> message.View:
-        """The newest view that a live core machine knows.
-
-        Example: `run.newest_view().number`
-        """
-        views = [core.membership.view for core in self.live() if core.membership.view is not None]
+        """The newest view that a live core machine knows."""
+        views = [core.consensus.view for core in self.live() if core.consensus.view is not None]
         return max(views, key=lambda view: view.number, default=None)
 
-    def arrived(self) -> core_module.Core | None:
-        """The newcomer once its process runs, or None.
-
-        Example: `run.arrived()`
-        """
-        core = self.site.cores.get(self.newcomer)
-        return core if core is not None and core.proc is not self.before and core.proc.name == self.newcomer else None
+    def arrived(self) -> core.Core | None:
+        """The newcomer once its process runs, or None."""
+        core = self.site.cores.get(self.joining)
+        return (
+            core if core is not None and core.process is not self.before and core.process.name == self.joining else None
+        )
 
     def reached(self, step: Step) -> bool:
-        """Whether the newcomer's repair has come to a step.
-
-        Example: `run.reached(Step.SEATED)`
-        """
+        """Whether the newcomer's repair has come to a step."""
         core, view = self.arrived(), self.newest_view()
         if core is None or view is None:
             return False
-        ident, boot = core.membership.me.id, core.mach.boot
-        chained = any(member.id == ident and member.boot == boot for member in view.chain)
+        identifier, incarnation = core.consensus.me.id, core.runtime.incarnation
+        chained = any(member.id == identifier and member.incarnation == incarnation for member in view.chain)
         match step:
             case Step.SEEN:
-                return any(ident in other.membership.heartbeats for other in self.live() if other is not core)
+                return any(identifier in other.consensus.heartbeats for other in self.live() if other is not core)
             case Step.SEATED:
-                return any(seat.id == ident for seat in view.seats)
+                return any(voter.id == identifier for voter in view.voters)
             case Step.CHAINED:
                 return chained
             case Step.REFILLED:
                 return chained and (core.chain.synced > 0 or len(core.chain.incoming.content) > 0)
             case Step.SYNCED:
-                return chained and agreement.is_synced(core.membership.record)
+                return chained and decisions.is_synced(core.consensus.record)
             case Step.LEASED:
                 return chained and self.tail_is_leased(view)
             case Step.ACKNOWLEDGED:
@@ -305,29 +271,20 @@
                 return self.leased_at is not None and self.first_change_after(self.leased_at) is not None
 
     def tail_is_leased(self, view: message.View) -> bool:
-        """Whether the tail of a view holds the read lease.
-
-        Example: `run.tail_is_leased(run.newest_view())`
-        """
-        return any(core.membership.view == view and core.membership.leased() for core in self.live())
+        """Whether the tail of a view holds the read lease."""
+        return any(core.consensus.view == view and core.consensus.leased() for core in self.live())
 
     def complete(self) -> bool:
-        """Whether all core machines are in the chain, each synced, with a leased tail.
-
-        Example: `run.complete()`
-        """
+        """Whether all core machines are in the chain, each synced, with a leased tail."""
         view, cores = self.newest_view(), self.site.cores.values()
-        members = {(core.membership.me.id, core.mach.boot) for core in cores if core.proc.alive}
-        if view is None or members != {(member.id, member.boot) for member in view.chain}:
+        members = {(core.consensus.me.id, core.runtime.incarnation) for core in cores if core.process.alive}
+        if view is None or members != {(member.id, member.incarnation) for member in view.chain}:
             return False
-        synced = all(core.membership.view == view and agreement.is_synced(core.membership.record) for core in cores)
+        synced = all(core.consensus.view == view and decisions.is_synced(core.consensus.record) for core in cores)
         return synced and len(members) == self.case.cores and self.tail_is_leased(view)
 
     def wait(self, condition: collections.abc.Callable[..., object], what: str, seconds: int = REPAIR_S) -> None:
-        """Let time pass until a condition holds.
-
-        Example: `run.wait(run.complete, "the chain is not complete")`
-        """
+        """Let time pass until a condition holds."""
         end = self.site.world.time + int(seconds * S)
         while not condition():
             if self.site.world.time >= end:
@@ -337,15 +294,12 @@
     # ---- the run -----------------------------------------------------------------------
 
     def struck(self) -> list[str]:
-        """The names of the machines that the second loss strikes.
-
-        Example: `run.struck()`
-        """
+        """The names of the machines that the second loss strikes."""
         names, borne = sorted(self.site.cores), self.site.shape.bear
-        others = [name for name in names if name != self.newcomer and name not in self.leaving]
+        others = [name for name in names if name != self.joining and name not in self.leaving]
         match self.case.target:
             case Target.SAME:
-                return [self.newcomer]
+                return [self.joining]
             case Target.OTHER:
                 return [self.rng.choice(others)]
             case Target.SETTLED:
@@ -354,32 +308,26 @@
                 return self.rng.sample(others, borne)
 
     def repair(self) -> None:
-        """Bring the first loss about, and let its repair come to the step of the case.
-
-        Example: `run.repair()`
-        """
+        """Bring the first loss about, and let its repair come to the step of the case."""
         name = self.rng.choice(sorted(self.site.cores))
-        self.before = self.site.cores[name].proc
-        began, step = self.site.world.time, self.case.step
-        self.newcomer = self.lose(name, self.case.first)
+        self.before = self.site.cores[name].process
+        started_at, step = self.site.world.time, self.case.step
+        self.joining = self.lose(name, self.case.first)
         if self.case.slow_disk:
-            self.slow_disk(self.newcomer)
+            self.slow_disk(self.joining)
         if self.case.target is Target.SETTLED:
-            self.wait(lambda: self.arrived() is not None, f"the newcomer {self.newcomer} did not start")
-            self.site.go(self.site.settings(self.newcomer, "core")["bounds"]["settle_s"])
+            self.wait(lambda: self.arrived() is not None, f"the newcomer {self.joining} did not start")
+            self.site.go(self.site.settings(self.joining, "core")["bounds"]["settle_s"])
         else:
-            self.wait(lambda: self.reached(step), f"the newcomer {self.newcomer} was not {step.value}")
-        self.reached_us = self.site.world.time - began
+            self.wait(lambda: self.reached(step), f"the newcomer {self.joining} was not {step.value}")
+        self.reached_us = self.site.world.time - started_at
 
     def play(self) -> Outcome:
-        """Play the case and judge it.
-
-        Example: `Run(case).play().complaints`
-        """
+        """Play the case and judge it."""
         site = self.site
         site.begin(lead=LEAD_S)
-        site.office.spawn(self.operate(site.boss, 0, 0), platform_model.log)
-        site.office.spawn(self.operate(site.rival, OPERATOR_GAP_US // 2, 10), platform_model.log)
+        site.operator_site.spawn(self.operate(site.operator, 0, 0), platform_model.log)
+        site.operator_site.spawn(self.operate(site.rival, OPERATOR_GAP_US // 2, 10), platform_model.log)
         site.go(AFTERWARDS_S)
         complaints, struck_at = [], None
         first_change_us = complete_us = None
@@ -398,19 +346,18 @@
         except UnreachedError as error:
             complaints.append(str(error))
         self.finish()
-        complaints += [f"{rule}: {line}" for rule, lines in judge.examine(site.tape.rows).items() for line in lines]
+        complaints += [
+            f"{rule}: {line}" for rule, lines in platform_rules.examine(site.tape.rows).items() for line in lines
+        ]
         return Outcome(self.case, complaints, len(self.acknowledged), self.reached_us, first_change_us, complete_us)
 
     def finish(self) -> None:
-        """Stop the operators, and read the configuration back.
-
-        Example: `run.finish()`
-        """
+        """Stop the operators, and read the configuration back."""
         site = self.site
         site.go(AFTERWARDS_S)
         self.operating = False
         site.go(AFTERWARDS_S)
-        done = site.office.spawn(site.boss.read(), platform_model.log)
+        done = site.operator_site.spawn(site.operator.read(), platform_model.log)
         site.until(lambda: done.called, 30)
         site.tape.put(site.world.time, "ended")
 
@@ -442,10 +389,7 @@
 
 
 def play(case: Case) -> Outcome:
-    """Play one case in this process.
-
-    Example: `play(Case(3, Loss.WIPED, Step.SEEN, Target.SAME, Loss.GONE, 1))`
-    """
+    """Play one case in this process."""
     loguru.logger.remove()
     return Run(case).play()
 
@@ -510,7 +454,7 @@
     seconds: list[Loss] = tuple(Loss),
     targets: list[Target] = tuple(Target),
     slow_disk: bool = False,
-    procs: int = 2,
+    processes: int = 2,
 ) -> typing.NoReturn:
     """Play a second loss at each step of each repair; print what is complained of, with its case.
 
@@ -525,14 +469,14 @@
     :param procs: processes to use
     """
     chosen = cases(cores, range(first_seed, first_seed + seeds), firsts, steps, seconds, targets, slow_disk)
-    began, outcomes = time.monotonic(), []
-    with multiprocessing.Pool(procs, maxtasksperchild=16) as pool:
+    started_at, outcomes = time.monotonic(), []
+    with multiprocessing.Pool(processes, maxtasksperchild=16) as pool:
         for outcome in pool.imap_unordered(play, chosen):
             outcomes.append(outcome)
             for line in outcome.complaints[:3]:
                 print(f"FAILED {outcome.case.options()}: {line}", flush=True)
     print("\n".join(report(outcomes) + report_steps(outcomes)))
-    print(f"{len(outcomes)} runs, {time.monotonic() - began:.0f} s on the clock")
+    print(f"{len(outcomes)} runs, {time.monotonic() - started_at:.0f} s on the clock")
     sys.exit(1 if any(outcome.complaints for outcome in outcomes) else 0)
 
 
--- a/bench/sim.py
+++ b/simulation/world.py
@@ -1,7 +1,7 @@
-"""The simulated world: one virtual clock, machines, their disks, and a network of halls.
+"""The simulated world: one virtual clock, machines, their disks, and a network of zones.
 
 The real core and node code runs here unchanged. A seed gives the same run each time.
-Nothing in here knows what a fleet is; bench/simulated_cluster.py builds fleets out of it.
+Nothing in here knows what a fleet is; simulation/simulated_cluster.py builds fleets out of it.
 """
 
 from __future__ import annotations
@@ -21,19 +21,20 @@
 import twisted.python.failure as failure
 import zope.interface as interface
 
-import iriswheel.machine as machine
-import iriswheel.store as store
+import iriswheel.replication.storage as storage
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
 
 if typing.TYPE_CHECKING:
     import twisted.internet.protocol as protocol
 
-    import iriswheel.dispatch as dispatch
-    import iriswheel.web as web
-    import iriswheel.wire as wire
+    import iriswheel.dataplane.dispatch as dispatch
+    import iriswheel.transport.http_server as http_server
+    import iriswheel.transport.wire as wire
 
 
-HALL_US = 1_500  # between halls, one way
-NEAR_US = 200  # within a hall
+ZONE_LATENCY_US = 1_500  # between zones, one way
+NEAR_US = 200  # within a zone
 FAR_US = 4_000  # to and from clients
 WINDOW = 65_536
 RESEND_US = 200_000  # how long TCP needs to notice that a cut has healed
@@ -60,10 +61,7 @@
         self.since = 0
 
     def enter(self, name: str) -> None:
-        """A process's code begins.
-
-        Example: `meter.enter("n1")`
-        """
+        """A process's code begins."""
         now = time.thread_time_ns()
         if self.stack:
             self.stack[-1][1] += now - self.since
@@ -71,10 +69,7 @@
         self.since = time.thread_time_ns()
 
     def leave(self) -> None:
-        """It ends.
-
-        Example: `meter.leave()`
-        """
+        """It ends."""
         now = time.thread_time_ns()
         name, own = self.stack.pop()
         own += now - self.since
@@ -82,20 +77,17 @@
         self.longest[name] = max(self.longest[name], own)
         self.since = time.thread_time_ns()
 
-    def count(self, sender: str, taker: str, size: int) -> None:
-        """One write.
-
-        Example: `meter.count("n1", "c1", 70)`
-        """
-        row = self.sent.setdefault((sender, taker), [0, 0])
+    def count(self, sender: str, receiver: str, size: int) -> None:
+        """One write."""
+        row = self.sent.setdefault((sender, receiver), [0, 0])
         row[0] += 1
         row[1] += size
 
 
-class Tick:
+class Timer:
     """A call that is due later, as a reactor gives it.
 
-    >>> w = World(1); t = Tick(w, 5, print, ()); t.cancel(); t.active()
+    >>> w = World(1); t = Timer(w, 5, print, ()); t.cancel(); t.active()
     False
     """
 
@@ -104,61 +96,49 @@
     ) -> None:
         self.world, self.at, self.f, self.args = world, at, f, args
         self.state = "due"
-        self.proc: Proc | None = None
+        self.process: SimulatedProcess | None = None
 
     def active(self) -> bool:
         """Whether it is still due.
 
-        >>> Tick(World(1), 5, print, ()).active()
+        >>> Timer(World(1), 5, print, ()).active()
         True
         """
         return self.state == "due"
 
     def cancel(self) -> None:
-        """Take it back.
-
-        Example: `tick.cancel()`
-        """
+        """Take it back."""
         if self.state != "due":
             raise error.AlreadyCalled() if self.state == "done" else error.AlreadyCancelled()
         self.state = "cancelled"
 
     def getTime(self) -> typing.Any:
-        return self.at / machine.SECOND
+        return self.at / units.SECOND_US
 
     def reset(self, s: float) -> None:
-        """Put it off to s seconds from now.
-
-        Example: `tick.reset(5)`
-        """
-        self.at = self._now() + int(s * machine.SECOND)
+        """Put it off to s seconds from now."""
+        self.at = self._now() + int(s * units.SECOND_US)
         self.wait()
 
     def delay(self, s: typing.Any) -> None:
-        """Put it off by s seconds.
-
-        Example: `tick.delay(5)`
-        """
-        self.at += int(s * machine.SECOND)
+        """Put it off by s seconds."""
+        self.at += int(s * units.SECOND_US)
         self.wait()
 
     def wait(self) -> None:
-        """Let it ring once its reactor's clock, if that does not jump again, has come to the time.
-
-        Example: `tick.wait()`
-        """
+        """Let it ring once its reactor's clock, if that does not jump again, has come to the time."""
         self.world.push(self.world.time + max(0, self.at - self._now()), self._ring)
 
     def _now(self) -> int:
-        return self.world.time if self.proc is None else self.proc.reactor.clock()
+        return self.world.time if self.process is None else self.process.reactor.clock()
 
     def _ring(self) -> None:
         if self.state != "due" or self._now() < self.at:
             return
-        if self.proc is not None and not self.proc.runs(self._ring):
+        if self.process is not None and not self.process.runs(self._ring):
             return
         self.state = "done"
-        self.world.play(self.proc, self.f, *self.args)
+        self.world.play(self.process, self.f, *self.args)
 
 
 class World:
@@ -174,13 +154,13 @@
         self.rng = random.Random(seed)
         self.heap: list[tuple[int, int, collections.abc.Callable[..., object]]] = []
         self.pushed = 0
-        self.procs: dict[str, Proc] = {}
-        self.machines: dict[str, Machine] = {}
+        self.processes: dict[str, SimulatedProcess] = {}
+        self.machines: dict[str, Host] = {}
         self.cuts: set[tuple[str, str]] = set()  # (host, host): what the first sends does not reach the second
         self.slow: dict[typing.Any, typing.Any] = {}  # host -> extra delay each way
         self.loss: dict[str, float] = {}  # host -> share of its packets that are lost and sent again
         self.held_writes = False  # whether what is written waits for the process's next turn, and dies with it
-        self.conns: dict[int, Conn] = {}  # id -> Conn, in the order made
+        self.conns: dict[int, SimulatedConnection] = {}  # id -> Conn, in the order made
         self.next_conn = 0
         self.meter: Meter | None = None  # a Meter, while real processor time is counted
 
@@ -205,17 +185,20 @@
         self.time = max(self.time, until)
 
     def play(
-        self, proc: Proc | types.SimpleNamespace | None, f: collections.abc.Callable[..., object], *args: typing.Any
+        self,
+        process: SimulatedProcess | types.SimpleNamespace | None,
+        f: collections.abc.Callable[..., object],
+        *args: typing.Any,
     ) -> None:
         """Let a process's code run now, on its account where a meter is set.
 
         >>> World(1).play(None, print, "x")
         x
         """
-        if self.meter is None or proc is None:
+        if self.meter is None or process is None:
             f(*args)
             return
-        self.meter.enter(proc.name)
+        self.meter.enter(process.name)
         try:
             f(*args)
         finally:
@@ -243,13 +226,13 @@
         if a == b:
             return 30
         za, zb = self.zone(a), self.zone(b)
-        base = FAR_US if "far" in (za, zb) else NEAR_US if za == zb else HALL_US
+        base = FAR_US if "far" in (za, zb) else NEAR_US if za == zb else ZONE_LATENCY_US
         loss = max(self.loss.get(a, 0), self.loss.get(b, 0))
         again = RESEND_US if loss and self.rng.random() < loss else 0
         return base + self.rng.randrange(base // 4) + self.slow.get(a, 0) + self.slow.get(b, 0) + again
 
     def zone(self, host: str) -> str:
-        """The hall of a host.
+        """The zone of a host.
 
         >>> World(1).zone("10.0.0.1")
         'far'
@@ -257,10 +240,7 @@
         return self.machines[host].zone if host in self.machines else "far"
 
     def cut(self, some: list[str], others: list[str], both: bool = True) -> None:
-        """Cut the network between two groups of hosts.
-
-        Example: `world.cut(["10.0.0.1"], ["10.0.0.2"])`
-        """
+        """Cut the network between two groups of hosts."""
         for a in some:
             for b in others:
                 if a != b:
@@ -269,27 +249,21 @@
                         self.cuts.add((b, a))
 
     def heal(self) -> None:
-        """Mend all cuts; held data goes out again after a while.
-
-        Example: `world.heal()`
-        """
+        """Mend all cuts; held data goes out again after a while."""
         self.cuts.clear()
         self.retry()
 
     def retry(self) -> None:
-        """Let all connections send what they hold, as TCP does.
-
-        Example: `world.retry()`
-        """
-        for conn in list(self.conns.values()):
-            for side in conn.sides:
+        """Let all connections send what they hold, as TCP does."""
+        for connection in list(self.conns.values()):
+            for side in connection.sides:
                 self.push(self.time + RESEND_US, side.flush)
 
 
-class Machine:
-    """A machine: power, a hall, and a disk that keeps what was synced.
+class Host:
+    """A machine: power, a zone, and a disk that keeps what was synced.
 
-    >>> Machine(World(1), "10.0.0.1", "a").power
+    >>> Host(World(1), "10.0.0.1", "a").power
     True
     """
 
@@ -305,27 +279,21 @@
         world.machines[host] = self
 
     def fail(self) -> None:
-        """Lose power: processes end, and nobody is told.
-
-        Example: `machine.fail()`
-        """
+        """Lose power: processes end, and nobody is told."""
         self.power = False
         self.held.clear()
-        for p in self.world.procs.values():
+        for p in self.world.processes.values():
             if p.host is self:
                 p.alive = False
                 p.ports.clear()
-        for conn in list(self.world.conns.values()):
-            for side in conn.sides:
-                if side.proc.host is self:
+        for connection in list(self.world.conns.values()):
+            for side in connection.sides:
+                if side.process.host is self:
                     side.state = "closed"
-                    conn.forget()
+                    connection.forget()
 
     def spring(self, trap: typing.Any) -> None:
-        """Lose power at a chosen step of a write.
-
-        Example: `machine.spring("after sync")`
-        """
+        """Lose power at a chosen step of a write."""
         if self.power:
             self.trap_sprung = trap
             self.fail()
@@ -333,28 +301,22 @@
     def time_of_day(self) -> int:
         """The machine's time of day in microseconds since the simulation's start; it may jump.
 
-        >>> m = Machine(World(1), "h", "a"); m.set_time_of_day(-2 * machine.SECOND); m.time_of_day()
+        >>> m = Host(World(1), "h", "a"); m.set_time_of_day(-2 * units.SECOND_US); m.time_of_day()
         -2000000
         """
         return self.world.time + self.time_of_day_error
 
     def set_time_of_day(self, error: int) -> None:
-        """Set how far the time of day is off; timers that go by it ring early or late.
-
-        Example: `machine.set_time_of_day(4 * machine.SECOND)`
-        """
+        """Set how far the time of day is off; timers that go by it ring early or late."""
         self.time_of_day_error = error
         rings = [f for _, _, f in sorted(self.world.heap, key=lambda entry: entry[:2])]
         ticks = [getattr(f, "__self__", None) for f in rings]
         for tick in ticks:
-            if isinstance(tick, Tick) and tick.active() and tick.proc is not None and tick.proc.host is self:
+            if isinstance(tick, Timer) and tick.active() and tick.process is not None and tick.process.host is self:
                 tick.wait()
 
-    def mend(self) -> None:
-        """Let a stalled disk go on.
-
-        Example: `machine.mend()`
-        """
+    def repair(self) -> None:
+        """Let a stalled disk go on."""
         self.disk = "ok"
         held, self.held = self.held, collections.deque()
         for f in held:
@@ -364,99 +326,84 @@
 class Disk:
     """The disk as one process has it: writes are synced in order, or lost with the process.
 
-    >>> w = World(1); m = Machine(w, "h", "a"); p = Proc(w, "p", m)
+    >>> w = World(1); m = Host(w, "h", "a"); p = SimulatedProcess(w, "p", m)
     >>> d = Disk(p).commit([(b"k", b"v")]); m.synced
     {}
     >>> w.run(10_000); m.synced
     {b'k': b'v'}
     """
 
-    def __init__(self, proc: Proc) -> None:
-        self.proc = proc
-        self.mach = proc.host
+    def __init__(self, process: SimulatedProcess) -> None:
+        self.process = process
+        self.runtime = process.host
         self.busy = 0
 
     def read(self) -> dict[bytes, bytes]:
-        """All that was synced.
-
-        Example: `state = disk.read()`
-        """
-        return dict(sorted(self.mach.synced.items()))
+        """All that was synced."""
+        return dict(sorted(self.runtime.synced.items()))
 
     def write(self, puts: list[tuple[bytes, bytes | None]]) -> None:
-        """Sync at once; only for a process's start.
-
-        Example: `disk.write([(b"k", b"v")])`
-        """
+        """Sync at once; only for a process's start."""
         for k, v in puts:
             if v is None:
-                self.mach.synced.pop(k, None)
+                self.runtime.synced.pop(k, None)
             else:
-                self.mach.synced[k] = v
+                self.runtime.synced[k] = v
 
     def commit(self, puts: list[tuple[bytes, bytes | None]]) -> defer.Deferred[typing.Any]:
-        """Sync a little later.
-
-        Example: `d = disk.commit([(b"k", b"v")])`
-        """
-        world, d = self.proc.world, defer.Deferred()
-        cost = 2_000 + world.rng.randrange(2_000) + (self.mach.slow_us if self.mach.disk == "slow" else 0)
+        """Sync a little later."""
+        world, d = self.process.world, defer.Deferred()
+        cost = 2_000 + world.rng.randrange(2_000) + (self.runtime.slow_us if self.runtime.disk == "slow" else 0)
         self.busy = max(self.busy, world.time) + cost
 
         def land() -> None:
-            if not self.proc.alive:
+            if not self.process.alive:
                 return
-            if self.mach.disk == "stalled":
-                self.mach.held.append(land)
+            if self.runtime.disk == "stalled":
+                self.runtime.held.append(land)
                 return
-            if self.mach.disk == "full":
-                self.proc.call(lambda: d.errback(store.DiskError("No space is left.")))
+            if self.runtime.disk == "full":
+                self.process.call(lambda: d.errback(storage.DiskError("No space is left.")))
                 return
-            trap, self.mach.trap = self.mach.trap, None
+            trap, self.runtime.trap = self.runtime.trap, None
             if trap == "before sync":
-                self.mach.spring(trap)
+                self.runtime.spring(trap)
                 return
             self.write(puts)
             if trap == "after sync":
-                self.mach.spring(trap)
+                self.runtime.spring(trap)
                 return
-            self.proc.call(lambda: d.callback(None))
+            self.process.call(lambda: d.callback(None))
             if trap is not None:
-                world.push(world.time + world.rng.randrange(3_000), lambda: self.mach.spring(trap))
+                world.push(world.time + world.rng.randrange(3_000), lambda: self.runtime.spring(trap))
 
         world.push(self.busy, land)
         return d
 
 
-class Proc:
+class SimulatedProcess:
     """One process on a machine: its reactor, and whether it lives or is frozen.
 
-    >>> p = Proc(World(1), "p", Machine(World(1), "h", "a")); p.alive, p.frozen
+    >>> p = SimulatedProcess(World(1), "p", Host(World(1), "h", "a")); p.alive, p.frozen
     (True, False)
     """
 
-    def __init__(self, world: World, name: str, host: Machine) -> None:
+    def __init__(self, world: World, name: str, host: Host) -> None:
         self.world, self.name, self.host = world, name, host
         self.alive, self.frozen = True, False
         self.backlog: list[collections.abc.Callable[..., object]] = []
         self.ports: dict[int, protocol.Factory] = {}
         self.reactor = Reactor(self)
-        self.lives = getattr(world.procs.get(name), "lives", 0) + 1
-        world.procs[name] = self
+        self.incarnations = getattr(world.processes.get(name), "incarnations", 0) + 1
+        world.processes[name] = self
 
-    def mach(self) -> machine.Machine:
-        """The Machine object that the code gets; its clock ignores wall-clock jumps.
-
-        Example: `core.Core(proc.mach(), Disk(proc), options)`
-        """
-        seed = f"{self.world.rng.random()}-{self.name}-{self.lives}"
-        return machine.Machine(self.reactor, now=lambda: self.world.time, seed=seed)
+    def runtime(self) -> scheduler.Runtime:
+        """The Machine object that the code gets; its clock ignores wall-clock jumps."""
+        seed = f"{self.world.rng.random()}-{self.name}-{self.incarnations}"
+        return scheduler.Runtime(self.reactor, now=lambda: self.world.time, seed=seed)
 
     def runs(self, f: collections.abc.Callable[..., object]) -> bool:
-        """Whether the process runs now; if it is frozen, f is kept for its wake.
-
-        Example: `if proc.runs(f): f()`
-        """
+        """Whether the process runs now; if it is frozen, f is kept for its wake."""
         if not self.alive:
             return False
         if self.frozen:
@@ -465,37 +412,25 @@
         return True
 
     def call(self, f: collections.abc.Callable[..., object]) -> None:
-        """Run f in this process, now or at its wake.
-
-        Example: `proc.call(lambda: d.callback(None))`
-        """
+        """Run f in this process, now or at its wake."""
         if self.runs(f):
             self.world.play(self, f)
 
     def kill(self) -> None:
-        """End the process at once; its machine's kernel resets its connections.
-
-        Example: `proc.kill()`
-        """
+        """End the process at once; its machine's kernel resets its connections."""
         self.alive = False
         self.ports.clear()
-        for conn in list(self.world.conns.values()):
-            for side in conn.sides:
-                if side.proc is self:
+        for connection in list(self.world.conns.values()):
+            for side in connection.sides:
+                if side.process is self:
                     side.reset()
 
     def freeze(self) -> None:
-        """Stop the process without ending it.
-
-        Example: `proc.freeze()`
-        """
+        """Stop the process without ending it."""
         self.frozen = True
 
     def wake(self) -> None:
-        """Let a frozen process go on.
-
-        Example: `proc.wake()`
-        """
+        """Let a frozen process go on."""
         self.frozen = False
         backlog, self.backlog = self.backlog, []
         for f in backlog:
@@ -503,46 +438,38 @@
 
 
 class Port:
-    """A listening port.
-
-    Example: `reactor.listenTCP(80, factory).getHost().port`
-    """
+    """A listening port."""
 
     def __init__(self, reactor: typing.Any, port: int, factory: protocol.Factory) -> None:
         self.reactor, self.port, self.factory = reactor, port, factory
 
     def getHost(self) -> typing.Any:
-        return address.IPv4Address("TCP", self.reactor.proc.host.host, self.port)
+        return address.IPv4Address("TCP", self.reactor.process.host.host, self.port)
 
 
 class Reactor:
-    """What the code under test takes for its reactor.
-
-    Example: `proc.reactor.callLater(1, f)`
-    """
+    """What the code under test takes for its reactor."""
 
-    def __init__(self, proc: Proc) -> None:
-        self.proc = proc
+    def __init__(self, process: SimulatedProcess) -> None:
+        self.process = process
         self.next_port = 40_000
 
     def clock(self) -> int:
         """What timers go by, in microseconds: the clock since boot, as in `process.the_reactor`.
 
         A guard test puts the time of day in its place.
-
-        Example: `reactor.clock()`
         """
-        return self.proc.world.time
+        return self.process.world.time
 
     def seconds(self) -> typing.Any:
-        return self.clock() / machine.SECOND
+        return self.clock() / units.SECOND_US
 
     def callLater(
         self, s: float, f: collections.abc.Callable[..., object], *args: typing.Any, **kw: typing.Any
-    ) -> Tick:
-        at = self.clock() + int(s * machine.SECOND)
-        tick = Tick(self.proc.world, at, (lambda: f(*args, **kw)) if kw else f, () if kw else args)
-        tick.proc = self.proc
+    ) -> Timer:
+        at = self.clock() + int(s * units.SECOND_US)
+        tick = Timer(self.process.world, at, (lambda: f(*args, **kw)) if kw else f, () if kw else args)
+        tick.process = self.process
         tick.wait()
         return tick
 
@@ -551,53 +478,46 @@
             self.next_port += 1
             port = self.next_port
         factory.doStart()
-        self.proc.ports[port] = factory
+        self.process.ports[port] = factory
         return Port(self, port, factory)
 
     def connectTCP(
         self, host: str, port: int, factory: protocol.ClientFactory, timeout: float = 30, bindAddress: None = None
     ) -> Connector:
-        return Connector(self.proc, host, port, factory, timeout)
+        return Connector(self.process, host, port, factory, timeout)
 
 
 class Connector:
-    """A connection that is being opened.
-
-    Example: `reactor.connectTCP("10.0.0.1", 80, factory)`
-    """
+    """A connection that is being opened."""
 
-    def __init__(self, proc: Proc, host: str, port: int, factory: protocol.ClientFactory, timeout: float) -> None:
-        self.proc, self.host, self.port, self.factory = proc, host, port, factory
-        self.world = proc.world
+    def __init__(
+        self, process: SimulatedProcess, host: str, port: int, factory: protocol.ClientFactory, timeout: float
+    ) -> None:
+        self.process, self.host, self.port, self.factory = process, host, port, factory
+        self.world = process.world
         self.done = False
         factory.doStart()
         factory.startedConnecting(self)
-        self.tick = proc.reactor.callLater(timeout or 30, self.fail, error.TimeoutError())
+        self.tick = process.reactor.callLater(timeout or 30, self.fail, error.TimeoutError())
         self.knock()
 
     def knock(self) -> None:
-        """Send the opening packet, again and again while the way is cut.
-
-        Example: `connector.knock()`
-        """
-        if self.done or not self.proc.alive:
+        """Send the opening packet, again and again while the way is cut."""
+        if self.done or not self.process.alive:
             return
-        here = self.proc.host.host
+        here = self.process.host.host
         if not self.world.open(here, self.host) or self.host not in self.world.machines:
             self.world.push(self.world.time + RESEND_US, self.knock)
             return
         self.world.push(self.world.time + self.world.delay(here, self.host), self.arrive)
 
     def arrive(self) -> None:
-        """The opening packet is there: the far kernel takes it or refuses.
-
-        Example: `connector.arrive()`
-        """
-        if self.done or not self.proc.alive:
+        """The opening packet is there: the far kernel takes it or refuses."""
+        if self.done or not self.process.alive:
             return
-        here = self.proc.host.host
+        here = self.process.host.host
         far = next(
-            (p for p in self.world.procs.values() if p.alive and p.host.host == self.host and self.port in p.ports),
+            (p for p in self.world.processes.values() if p.alive and p.host.host == self.host and self.port in p.ports),
             None,
         )
         if not self.world.open(self.host, here):
@@ -605,47 +525,41 @@
             return
         back = self.world.time + self.world.delay(self.host, here)
         if far is None:
-            self.world.push(back, lambda: self.proc.call(lambda: self.fail(error.ConnectionRefusedError())))
+            self.world.push(back, lambda: self.process.call(lambda: self.fail(error.ConnectionRefusedError())))
         else:
-            self.world.push(back, lambda: self.proc.call(lambda: self.succeed(far)))
-
-    def succeed(self, far: Proc) -> None:
-        """Both sides have their connection.
+            self.world.push(back, lambda: self.process.call(lambda: self.succeed(far)))
 
-        Example: `connector.succeed(proc)`
-        """
+    def succeed(self, far: SimulatedProcess) -> None:
+        """Both sides have their connection."""
         if self.done:
             return
         self.done = True
         if self.tick.active():
             self.tick.cancel()
-        proto = self.factory.buildProtocol(address.IPv4Address("TCP", self.host, self.port))
-        conn = Conn(self.world, self.proc, far, self.port)
-        if proto is None:
-            conn.sides[0].abortConnection()
+        peer_protocol = self.factory.buildProtocol(address.IPv4Address("TCP", self.host, self.port))
+        connection = SimulatedConnection(self.world, self.process, far, self.port)
+        if peer_protocol is None:
+            connection.sides[0].abortConnection()
             return
-        conn.sides[0].attach(proto)
+        connection.sides[0].attach(peer_protocol)
 
         def accept() -> None:
             if self.port not in far.ports:
-                conn.sides[1].reset()
+                connection.sides[1].reset()
                 return
-            made = far.ports[self.port].buildProtocol(address.IPv4Address("TCP", self.proc.host.host, 1))
+            made = far.ports[self.port].buildProtocol(address.IPv4Address("TCP", self.process.host.host, 1))
             if made is None:
-                conn.sides[1].abortConnection()
+                connection.sides[1].abortConnection()
             else:
-                conn.sides[1].attach(made)
+                connection.sides[1].attach(made)
 
         if far.alive:
             far.call(accept)
         else:
-            conn.sides[1].reset()
+            connection.sides[1].reset()
 
     def fail(self, why: Exception) -> None:
-        """The connection can't be had.
-
-        Example: `connector.fail(error.TimeoutError())`
-        """
+        """The connection can't be had."""
         if self.done:
             return
         self.done = True
@@ -662,43 +576,34 @@
     disconnect = stopConnecting
 
 
-class Conn:
-    """A connection between two processes.
+class SimulatedConnection:
+    """A connection between two processes."""
 
-    Example: `Conn(world, proc, far, 80)`
-    """
-
-    def __init__(self, world: World, near: Proc, far: Proc, port: int) -> None:
+    def __init__(self, world: World, near: SimulatedProcess, far: SimulatedProcess, port: int) -> None:
         self.world = world
         self.id = world.next_conn
         world.next_conn += 1
-        a, b = Side(self, near, port), Side(self, far, port)
+        a, b = ConnectionSide(self, near, port), ConnectionSide(self, far, port)
         a.peer, b.peer = b, a
         self.sides = (a, b)
         world.conns[self.id] = self
 
     def forget(self) -> None:
-        """Drop the connection once both sides are through with it.
-
-        Example: `conn.forget()`
-        """
+        """Drop the connection once both sides are through with it."""
         if all(s.state == "closed" for s in self.sides):
             self.world.conns.pop(self.id, None)
 
 
 @interface.implementer(interfaces.ITCPTransport, interfaces.IPushProducer, interfaces.IConsumer)
-class Side:
-    """One side's transport: an ordered stream that a cut holds up and a kill resets.
-
-    Example: `side.write(b"...")`
-    """
+class ConnectionSide:
+    """One side's transport: an ordered stream that a cut holds up and a kill resets."""
 
     disconnecting = False
 
-    def __init__(self, conn: Conn, proc: Proc, port: int) -> None:
-        self.conn, self.proc, self.port = conn, proc, port
-        self.world = conn.world
-        self.proto: protocol.Protocol | None = None
+    def __init__(self, connection: SimulatedConnection, process: SimulatedProcess, port: int) -> None:
+        self.connection, self.process, self.port = connection, process, port
+        self.world = connection.world
+        self.peer_protocol: protocol.Protocol | None = None
         self.state = "open"
         self.aborted = False
         # (number, piece), not yet on the wire; a piece of None is the end
@@ -710,28 +615,25 @@
         self.last = 0
         self.inbox: collections.deque[bytes] = collections.deque()
         self.paused = False
-        self.producer: dispatch.Body | web.Channel | wire.Connection | None = None
+        self.producer: dispatch.Body | http_server.Channel | wire.Connection | None = None
         self.streaming = False
         self.producer_paused = False
 
     # ---- transport ------------------------------------------------------------
 
-    def attach(self, proto: protocol.Protocol) -> None:
-        """Give the connection to its protocol.
-
-        Example: `side.attach(protocol)`
-        """
+    def attach(self, peer_protocol: protocol.Protocol) -> None:
+        """Give the connection to its protocol."""
         if self.state == "closed":
             return
-        self.proto = proto
-        proto.makeConnection(self)
+        self.peer_protocol = peer_protocol
+        peer_protocol.makeConnection(self)
         self.drain()
 
     def getPeer(self) -> address.IPv4Address:
-        return address.IPv4Address("TCP", self.peer.proc.host.host, self.port)
+        return address.IPv4Address("TCP", self.peer.process.host.host, self.port)
 
     def getHost(self) -> address.IPv4Address:
-        return address.IPv4Address("TCP", self.proc.host.host, self.port)
+        return address.IPv4Address("TCP", self.process.host.host, self.port)
 
     def setTcpNoDelay(self, on: bool) -> None:
         pass
@@ -749,14 +651,11 @@
         if self.state != "open" or self.disconnecting or not data:
             return
         if self.world.meter is not None:
-            self.world.meter.count(self.proc.name, self.peer.proc.name, len(data))
+            self.world.meter.count(self.process.name, self.peer.process.name, len(data))
         self.world.play(WIRE, self.put, data)
 
     def put(self, data: bytes) -> None:
-        """Take bytes for the wire; a producer that runs ahead is paused.
-
-        Example: `side.put(b"...")`
-        """
+        """Take bytes for the wire; a producer that runs ahead is paused."""
         self.queue(bytes(data))
         self.flying += len(data)
         if self.world.held_writes:
@@ -785,7 +684,9 @@
             self.disconnecting = True
             self.world.push(self.world.time, lambda: self.reset(error.ConnectionAborted()))
 
-    def registerProducer(self, producer: dispatch.Body | web.Channel | wire.Connection, streaming: bool) -> None:
+    def registerProducer(
+        self, producer: dispatch.Body | http_server.Channel | wire.Connection, streaming: bool
+    ) -> None:
         if self.state != "open":
             producer.stopProducing()
             return
@@ -804,7 +705,7 @@
 
     def resumeProducing(self) -> None:
         self.paused = False
-        self.world.push(self.world.time, lambda: self.proc.call(self.drain))
+        self.world.push(self.world.time, lambda: self.process.call(self.drain))
 
     def stopProducing(self) -> None:
         self.loseConnection()
@@ -812,27 +713,18 @@
     # ---- the wire ----------------------------------------------------------------
 
     def queue(self, piece: bytes | None) -> None:
-        """Number a piece and keep it for the wire.
-
-        Example: `side.queue(b"...")`
-        """
+        """Number a piece and keep it for the wire."""
         self.numbered += 1
         self.out.append((self.numbered, piece))
 
     def send_held(self) -> None:
-        """The process's next turn has come: what it wrote goes out, unless it has ended.
-
-        Example: `side.send_held()`
-        """
-        if self.proc.alive:
+        """The process's next turn has come: what it wrote goes out, unless it has ended."""
+        if self.process.alive:
             self.flush()
 
     def flush(self) -> None:
-        """Put what is written on the wire, if the way is open.
-
-        Example: `side.flush()`
-        """
-        here, there = self.proc.host.host, self.peer.proc.host.host
+        """Put what is written on the wire, if the way is open."""
+        here, there = self.process.host.host, self.peer.process.host.host
         if not self.out or not self.world.open(here, there):
             return
         out, self.out = self.out, []
@@ -841,17 +733,14 @@
             self.world.push(self.last, lambda k=k, piece=piece: self.peer.land(k, piece))
 
     def land(self, k: int, piece: bytes | None) -> None:
-        """A piece arrives; on a cut way it is sent again later, and order is restored here.
-
-        Example: `side.land(1, b"...")`
-        """
+        """A piece arrives; on a cut way it is sent again later, and order is restored here."""
         if self.state == "closed":
             if piece is not None and self.peer.state == "open":
                 self.tell_reset()
             return
-        if not self.proc.host.power:
+        if not self.process.host.power:
             return
-        if not self.world.open(self.peer.proc.host.host, self.proc.host.host):
+        if not self.world.open(self.peer.process.host.host, self.process.host.host):
             if self.peer.aborted:
                 return  # nobody is left to send it again
             self.peer.out = sorted(self.peer.out + [(k, piece)], key=lambda x: x[0])
@@ -860,58 +749,43 @@
         while self.expected in self.early:
             self.inbox.append(self.early.pop(self.expected))
             self.expected += 1
-        self.proc.call(self.drain)
+        self.process.call(self.drain)
 
     def drain(self) -> None:
-        """Hand what arrived to the protocol, unless it has paused.
-
-        Example: `side.drain()`
-        """
-        while self.inbox and self.proto is not None and self.state == "open" and not self.paused:
+        """Hand what arrived to the protocol, unless it has paused."""
+        while self.inbox and self.peer_protocol is not None and self.state == "open" and not self.paused:
             piece = self.inbox.popleft()
             if piece is None:
                 self.closed(error.ConnectionDone())
                 return
             self.peer.taken(len(piece))
-            self.proto.dataReceived(piece)
+            self.peer_protocol.dataReceived(piece)
 
     def taken(self, n: int) -> None:
-        """The far side took n bytes; a paused producer may go on.
-
-        Example: `side.taken(100)`
-        """
+        """The far side took n bytes; a paused producer may go on."""
         self.flying -= n
         if self.flying < WINDOW // 4 and self.producer_paused and self.producer is not None:
             self.producer_paused = False
-            self.proc.call(lambda: self.producer is not None and self.producer.resumeProducing())
+            self.process.call(lambda: self.producer is not None and self.producer.resumeProducing())
         elif self.flying == 0 and self.producer is not None and not self.streaming:
-            self.proc.call(lambda: self.producer is not None and self.producer.resumeProducing())
+            self.process.call(lambda: self.producer is not None and self.producer.resumeProducing())
 
     def reset(self, why: error.ConnectionAborted | None = None) -> None:
-        """Close here at once, and tell the far side if the way is open.
-
-        Example: `side.reset()`
-        """
+        """Close here at once, and tell the far side if the way is open."""
         if self.state == "closed":
             return
         self.closed(why or error.ConnectionLost())
         self.tell_reset()
 
     def tell_reset(self) -> None:
-        """Tell the far side that the connection is no more.
-
-        Example: `side.tell_reset()`
-        """
-        here, there = self.proc.host.host, self.peer.proc.host.host
+        """Tell the far side that the connection is no more."""
+        here, there = self.process.host.host, self.peer.process.host.host
         if self.world.open(here, there):
             at = max(self.last, self.world.time + self.world.delay(here, there))
-            self.world.push(at, lambda: self.peer.proc.call(lambda: self.peer.closed(error.ConnectionLost())))
+            self.world.push(at, lambda: self.peer.process.call(lambda: self.peer.closed(error.ConnectionLost())))
 
     def closed(self, why: Exception) -> None:
-        """The connection is no more on this side.
-
-        Example: `side.closed(error.ConnectionLost())`
-        """
+        """The connection is no more on this side."""
         if self.state == "closed":
             return
         self.state = "closed"
@@ -921,9 +795,9 @@
         if isinstance(why, error.ConnectionDone) and self.peer.state == "open":
             self.queue(None)
             self.flush()
-        self.conn.forget()
-        if self.proto is not None and self.proc.alive:
+        self.connection.forget()
+        if self.peer_protocol is not None and self.process.alive:
             if self.producer is not None:
                 self.producer.stopProducing()
                 self.producer = None
-            self.proto.connectionLost(failure.Failure(why))
+            self.peer_protocol.connectionLost(failure.Failure(why))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 import loguru
 import pytest
 
-import bench.simulated_cluster as simulated_cluster
+import simulation.simulated_cluster as simulated_cluster
 
 
 class QuietCluster(Protocol):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -44,10 +44,7 @@
 
 
 class KnownRed:
-    """Marks the listed tests, notes what came of them, and judges the list.
-
-    Example: `config.pluginmanager.register(KnownRed(config, parse(text)))`
-    """
+    """Marks the listed tests, notes what came of them, and judges the list."""
 
     def __init__(self, config: pytest.Config, known: Mapping[str, Known]) -> None:
         self.config = config
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -4,17 +4,18 @@
 
 import pytest
 
-import bench.platform_model as platform_model
-import bench.sim as sim
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.budget as budget
-import iriswheel.configuration as configuration
-import iriswheel.forwarding as forwarding
-import iriswheel.gateway as gateway
-import iriswheel.machine as machine
-import iriswheel.web as web
+import iriswheel.configuration.configuration as configuration
+import iriswheel.dataplane.forwarding as forwarding
+import iriswheel.dataplane.gateway as gateway
+import iriswheel.dataplane.retry_budget as retry_budget
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.http_server as http_server
+import simulation.platform_model as platform_model
+import simulation.simulated_cluster as simulated_cluster
+import simulation.world as world
 
-S = machine.SECOND
+S = units.SECOND_US
 
 
 class NodeFixture:
@@ -22,36 +23,40 @@
 
     @pytest.fixture(autouse=True)
     def start_node(self) -> None:
-        self.world = sim.World(5)
-        self.tape = simulated_cluster.Tape()
-        proc = self.proc = sim.Proc(self.world, "n1", sim.Machine(self.world, "10.0.2.1", "a"))
-        self.mach = proc.mach()
-        self.fol = types.SimpleNamespace(workers=[], states={}, state=lambda name: "ready")
-        self.tally = budget.Budget(slack=9)
+        self.world = world.World(5)
+        self.tape = simulated_cluster.EventLog()
+        process = self.process = world.SimulatedProcess(self.world, "n1", world.Host(self.world, "10.0.2.1", "a"))
+        self.runtime = process.runtime()
+        self.follower = types.SimpleNamespace(workers=[], states={}, state=lambda name: "ready")
+        self.tally = retry_budget.Budget(slack=9)
         self.node = types.SimpleNamespace(
-            mach=self.mach,
+            runtime=self.runtime,
             outer=platform_model.formats.Formats(),
-            follower=self.fol,
+            follower=self.follower,
             stopping=False,
             left=False,
             renewed_at=None,
-            loads=types.SimpleNamespace(soon=machine.Signal(), touch=lambda: None),
-            door=types.SimpleNamespace(tally=lambda x: self.tally),
+            loads=types.SimpleNamespace(soon=scheduler.Signal(), touch=lambda: None),
+            gateway=types.SimpleNamespace(tally=lambda x: self.tally),
         )
         self.forwarder = forwarding.Forwarder(self.node)
-        proc.reactor.listenTCP(80, web.Server(self.mach, self.handle, formats=self.node.outer))
-        self.mach.spawn(self.forwarder.look(), None)
-        self.near = sim.Proc(self.world, "near", sim.Machine(self.world, "10.9.0.1", "a"))
+        process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.outer))
+        self.runtime.spawn(self.forwarder.look(), None)
+        self.near = world.SimulatedProcess(self.world, "near", world.Host(self.world, "10.9.0.1", "a"))
         self.workers = []
         self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * S)
 
-    async def handle(self, req):
-        x = gateway.Exchange(req, "n1/0", self.mach.now())
-        x.said, x.raw, x.repeatable = self.node.outer.ask(req), req.content.read(), self.route.repeat == "may"
+    async def handle(self, request):
+        x = gateway.RoutedRequest(request, "n1/0", self.runtime.now())
+        x.parsed, x.raw, x.idempotent = (
+            self.node.outer.parse_request(request),
+            request.content.read(),
+            self.route.repeat == "may",
+        )
         x.route, x.pool, x.pool_name = self.route, configuration.Pool(election="node"), "desk"
-        x.terms, x.until = configuration.Terms(), x.arrived + x.said.left_us
-        await self.forwarder.carry(x)
+        x.terms, x.until = configuration.Terms(), x.arrived + x.parsed.left_us
+        await self.forwarder.forward(x)
 
     def go(self, ms):
         """Let simulated milliseconds pass."""
-        self.world.run(self.world.time + ms * machine.MILLI)
+        self.world.run(self.world.time + ms * units.MILLISECOND_US)
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -18,18 +18,18 @@
 import twisted.internet.endpoints as endpoints
 import twisted.internet.protocol as protocol
 
-import bench.scenes as scenes
-import bench.simulated_cluster as simulated_cluster
-import bench.stand_ins as stand_ins
-import iriswheel.configuration as configuration
-import iriswheel.options as options
-import iriswheel.replay as replay
-import iriswheel.verdict as verdict
+import benchmarks.stand_ins as stand_ins
+import iriswheel.configuration.configuration as configuration
+import iriswheel.errors as errors
+import iriswheel.runtime.options as options
+import iriswheel.verification.replay as replay
+import simulation.fault_scenarios as fault_scenarios
+import simulation.simulated_cluster as simulated_cluster
 import tests.recorded as recorded
 
 ROOT = pathlib.Path(__file__).parent.parent
 COMMANDS = ("core", "node", "load", "check", "plan", "confirm", "change", "show", "replay", "history")
-EXCHANGE = "X-Exchange-Id: x{}\r\nX-Send-Number: 1\r\nX-May-Repeat: yes\r\nX-Requester: someone\r\n"
+REQUEST_ID = "X-Exchange-Id: x{}\r\nX-Send-Number: 1\r\nX-May-Repeat: yes\r\nX-Requester: someone\r\n"
 CHANGE = {"number": 1, "built_on": 0, "upsert": {"routes": {"r1": {"path": "/r1", "pool": "desk"}}}}
 CORE_CALLS = (  # method, path, body
     ("GET", "/blueprint", None),
@@ -55,13 +55,13 @@
 NODE_CALLS = (  # method, path, further headers, body
     ("GET", "/ready", "", None),
     ("GET", "/state", "", None),
-    ("POST", "/v1/complete", EXCHANGE, "hello"),
-    ("POST", "/v1/complete", EXCHANGE + "X-Prompt-Prefix: system-1, talk-{}\r\nX-Further: yes\r\n", "hello"),
+    ("POST", "/v1/complete", REQUEST_ID, "hello"),
+    ("POST", "/v1/complete", REQUEST_ID + "X-Prompt-Prefix: system-1, talk-{}\r\nX-Further: yes\r\n", "hello"),
     ("POST", "/v1/complete", "X-Send-Number: minus\r\n", "hello"),
     ("POST", "/v1/complete", "X-May-Repeat: perhaps\r\n", "hello"),
     ("POST", "/v1/complete", "X-Prompt-Prefix: a b\r\n", "hello"),
     ("POST", "/v1/complete", "Content-Length: 99999999\r\n", None),
-    ("POST", "/no-route", EXCHANGE, "hello"),
+    ("POST", "/no-route", REQUEST_ID, "hello"),
     ("GET", "/v1/complete", "", None),
     ("POST", "/v1/complete", "", None),
 )
@@ -107,12 +107,12 @@
     headers = sorted(line if line.split(":")[0].lower() not in skipped else line.split(":")[0] for line in lines[1:])
     out: dict[str, typing.Any] = {"status": lines[0], "headers": headers}
     try:
-        doc = json.loads(body)
+        document = json.loads(body)
     except ValueError:
         return {**out, "text": re.sub(r"[0-9a-f-]{3,}|w[0-9]", "#", body.decode("latin-1"))[:200]}
-    if isinstance(doc, dict) and "code" in doc:
-        return {**out, "refusal": doc}
-    return {**out, "body": shape(doc)}
+    if isinstance(document, dict) and "code" in document:
+        return {**out, "refusal": document}
+    return {**out, "body": shape(document)}
 
 
 class Outside:
@@ -135,10 +135,10 @@
 
         return mock.patch.object(owner, "handle", noting)
 
-    def ask(self, host: str, port: int, text: str) -> bytes:
+    def query(self, host: str, port: int, text: str) -> bytes:
         """Send a request as it stands; all that came back within three seconds."""
-        mach = self.cluster.office_mach
-        point = endpoints.TCP4ClientEndpoint(mach.reactor, host, port, timeout=2)
+        runtime = self.cluster.operator_runtime
+        point = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=2)
         opened = point.connect(protocol.Factory.forProtocol(Client))
         self.cluster.until(lambda: opened.called, 3)
         client = opened.result
@@ -150,10 +150,10 @@
     def core_answers(self) -> list[typing.Any]:
         """The answers of a core machine to all calls."""
         out, plan = [], ""
-        for method, path, doc in CORE_CALLS:
-            body = "" if doc is None else json.dumps(doc)
+        for method, path, document in CORE_CALLS:
+            body = "" if document is None else json.dumps(document)
             text = f"{method} {path.format(plan=plan)} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}"
-            raw = self.ask("10.0.1.1", simulated_cluster.HTTP, text)
+            raw = self.query("10.0.1.1", simulated_cluster.HTTP, text)
             if path == "/plans" and not plan:
                 plan = json.loads(raw.partition(b"\r\n\r\n")[2])["id"]
             out.append([f"{method} {path}", answer(raw)])
@@ -165,12 +165,12 @@
         for place, (method, path, headers, body) in enumerate(NODE_CALLS):
             length = "" if body is None else f"Content-Length: {len(body)}\r\n"
             head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{headers.format(place, place)}{length}\r\n"
-            raw = self.ask("10.0.2.1", simulated_cluster.HTTP, head + (body or ""))
+            raw = self.query("10.0.2.1", simulated_cluster.HTTP, head + (body or ""))
             out.append([f"{method} {path} {place}", answer(raw)])
         return out
 
     def gather(self) -> dict[str, typing.Any]:
-        """All exchanges."""
+        """All requests."""
         with self.note("worker", stand_ins.Worker), self.note("platform", stand_ins.Platform):
             self.cluster.begin()
             self.cluster.go(2)
@@ -179,10 +179,7 @@
 
 
 def run(*arguments: str) -> tuple[str, int]:
-    """Run the program: what it printed, and its exit code.
-
-    Example: `run("replay", "run.events")`
-    """
+    """Run the program: what it printed, and its exit code."""
     environment = {**os.environ, "COLUMNS": "100", "PYTHONPATH": str(ROOT)}
     command = [sys.executable, "-m", "iriswheel", *arguments]
     done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, env=environment, check=False)
@@ -190,10 +187,7 @@
 
 
 def command_arguments(name: str) -> list[str]:
-    """The arguments of a subcommand, from its help: names, and defaults where they have one.
-
-    Example: `command_arguments("check")`
-    """
+    """The arguments of a subcommand, from its help: names, and defaults where they have one."""
     text, _ = run(name, "--help")
     usage, _, rest = text.partition("\n\n")
     lines = [" ".join(usage.split()).partition(" ")[2].partition(" ")[2]]
@@ -207,77 +201,56 @@
 
 
 def command_list() -> list[str]:
-    """The subcommands, in their order.
-
-    Example: `command_list()[0]`
-    """
+    """The subcommands, in their order."""
     return re.search(r"\{(.*?)\}", run("--help")[0]).group(1).split(",")
 
 
 def option_defaults() -> dict[str, typing.Any]:
-    """The keys of an options file, with their types and defaults.
-
-    Example: `option_defaults()["lease_us"]`
-    """
+    """The keys of an options file, with their types and defaults."""
     blank = options.Options("core")
     return {f.name: [f.type.__name__, getattr(blank, f.name)] for f in dataclasses.fields(blank) if f.name != "role"}
 
 
 def configuration_defaults() -> dict[str, typing.Any]:
-    """The keys of each sort of item of the configuration, with what is there where one is not given.
-
-    Example: `configuration_defaults()["pools"]["cap"]`
-    """
+    """The keys of each sort of item of the configuration, with what is there where one is not given."""
     given = {"routes": {"path": "/", "pool": "p"}}
     return {kind: cls.from_dict(given.get(kind, {})).to_dict() for kind, cls in configuration.KINDS.items()}
 
 
 def refusals() -> dict[str, typing.Any]:
-    """Each error code with its status and whether waiting helps.
-
-    Example: `refusals()["busy"]`
-    """
+    """Each error code with its status and whether waiting helps."""
     return {
-        code: [verdict.ServiceError(code, "").status, verdict.ServiceError(code, "").retry_after]
-        for code in sorted(verdict.CODES)
+        code: [errors.ServiceError(code, "").status, errors.ServiceError(code, "").retry_after]
+        for code in sorted(errors.CODES)
     }
 
 
 def deployment() -> dict[str, typing.Any]:
-    """What the platform is told of the program, and the digest of the platform's own words.
-
-    Example: `deployment()["words"]`
-    """
+    """What the platform is told of the program, and the digest of the platform's own words."""
     words = (ROOT / "platform" / "words.toml").read_bytes()
     system = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     return {"system": system, "words": hashlib.sha256(words).hexdigest()}
 
 
 def event_rows() -> list[dict[str, typing.Any]]:
-    """The event log of a short simulated run with changes and faults.
-
-    Example: `event_rows()[0]["kind"]`
-    """
+    """The event log of a short simulated run with changes and faults."""
     cluster = simulated_cluster.SimulatedCluster(4, "small", long_rate=0.5, short_rate=3, talks=2, seconds=24)
     cluster.begin()
-    scenes.changes(cluster, 3, 3)
+    fault_scenarios.changes(cluster, 3, 3)
     cluster.go(6)
-    scenes.kill(cluster, cluster.nodes["n1"], "n1", back=2)
+    fault_scenarios.kill(cluster, cluster.nodes["n1"], "n1", back=2)
     cluster.go(6)
-    scenes.kill(cluster, cluster.cores["c1"], "c1", back=2)
-    operator = simulated_cluster.Operator(cluster, cluster.office_mach, "numbers")
+    fault_scenarios.kill(cluster, cluster.cores["c1"], "c1", back=2)
+    operator = simulated_cluster.Operator(cluster, cluster.operator_runtime, "numbers")
     numbered = {"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": cluster.pool}}}}
-    cluster.office_mach.spawn(operator.number(6, 5, numbered), simulated_cluster.log)
+    cluster.operator_runtime.spawn(operator.number(6, 5, numbered), simulated_cluster.log)
     cluster.go(6)
     cluster.end()
     return cluster.tape.rows
 
 
 def judged(rows: list[dict[str, typing.Any]]) -> dict[str, typing.Any]:
-    """What the program prints of an event log, and how many rows each of its checks judged.
-
-    Example: `judged(event_rows())["replay"]`
-    """
+    """What the program prints of an event log, and how many rows each of its checks judged."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "run.events"
         path.write_text("".join(json.dumps(row) + "\n" for row in rows))
@@ -286,10 +259,7 @@
 
 
 def recorded_rows() -> list[dict[str, typing.Any]]:
-    """The recorded event log.
-
-    Example: `recorded_rows()[0]["kind"]`
-    """
+    """The recorded event log."""
     with gzip.open(recorded.DATA / "run.events.gz", "rt") as lines:
         return [json.loads(line) for line in lines]
 
@@ -307,10 +277,7 @@
 
 
 def damaged(rows: list[dict[str, typing.Any]]) -> list[dict[str, typing.Any]]:
-    """The rows with faults that the judge must name: second runs, runs after a refusal, a lost configuration.
-
-    Example: `damaged(event_rows())`
-    """
+    """The rows with faults that the judge must name: second runs, runs after a refusal, a lost configuration."""
     out = []
     any_run = next(row for row in rows if row["kind"] == "run")
     for row in rows:
@@ -330,10 +297,7 @@
 
 
 def http_sections() -> dict[str, typing.Any]:
-    """The exchanges over HTTP, by section.
-
-    Example: `http_sections()["core answers"]`
-    """
+    """The requests over HTTP, by section."""
     found = Outside().gather()
     return {
         "core answers": {f"{k:02} {name}": seen for k, (name, seen) in enumerate(found["core"])},
@@ -343,18 +307,12 @@
 
 
 def command_sections() -> dict[str, typing.Any]:
-    """The subcommands, and the arguments of each.
-
-    Example: `command_sections()["all"]`
-    """
+    """The subcommands, and the arguments of each."""
     return {name: command_arguments(name) for name in COMMANDS} | {"all": command_list()}
 
 
 def gather() -> dict[str, typing.Any]:
-    """All that is compared but for the event log, as sections of named records.
-
-    Example: `recorded.save("outside.json", gather())`
-    """
+    """All that is compared but for the event log, as sections of named records."""
     return {
         **http_sections(),
         "commands": command_sections(),
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -46,18 +46,12 @@
 
 
 def load(name: str) -> typing.Any:
-    """Read a recording from the data folder.
-
-    Example: `load("wire.json")["messages"]`
-    """
+    """Read a recording from the data folder."""
     return json.loads((DATA / name).read_text())
 
 
 def save(name: str, sections: dict[str, typing.Any]) -> None:
-    """Write a recording, one record a line.
-
-    Example: `save("wire.json", {"messages": {...}})`
-    """
+    """Write a recording, one record a line."""
     parts = []
     for section, records in sections.items():
         lines = ",\n".join(f"  {json.dumps(key)}: {json.dumps(record)}" for key, record in sorted(records.items()))
@@ -66,10 +60,7 @@
 
 
 def struct_types(root: typing.Any) -> dict[str, msgspec.inspect.StructType]:
-    """All tagged structs that a type reaches, by their tag.
-
-    Example: `struct_types(wire.Parcel)["Ping"]`
-    """
+    """All tagged structs that a type reaches, by their tag."""
     found: dict[str, msgspec.inspect.StructType] = {}
     _collect(msgspec.inspect.type_info(root), found, set())
     return found
@@ -93,10 +84,7 @@
 
 
 def build(cls: type, values: list[typing.Any]) -> typing.Any:
-    """Build a struct from plain values by position; fields beyond them get their defaults.
-
-    Example: `build(struct_types(wire.Parcel)["Hello"].cls, [3])`
-    """
+    """Build a struct from plain values by position; fields beyond them get their defaults."""
     hints = [field.type for field in msgspec.structs.fields(cls)]
     return cls(*(msgspec.convert(value, hint) for value, hint in zip(values, hints, strict=False)))
 
@@ -162,8 +150,5 @@
         raise TypeError(f"no sample for {info}")
 
     def field(self, field: msgspec.inspect.Field) -> typing.Any:
-        """A value of a field, as plain data: a switch that is on by default is off.
-
-        Example: `Sampler().field(info.fields[0])`
-        """
+        """A value of a field, as plain data: a switch that is on by default is off."""
         return False if field.default is True else self.plain(field.type)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -4,45 +4,45 @@
 import twisted.internet.defer as defer
 import twisted.internet.task as task
 
-import iriswheel.agreement as agreement
-import iriswheel.chain as chain
-import iriswheel.machine as machine
-import iriswheel.message as message
-import iriswheel.view as view
+import iriswheel.consensus.decisions as decisions
+import iriswheel.consensus.view_consensus as view_consensus
+import iriswheel.replication.chain as chain
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.transport.message as message
 
 SECOND = 1_000_000
 
 
-def promised(ident, whole, tip=(0, 0)):
+def promised(identifier, whole, last_entry=(0, 0)):
     """A promise that tells of a copy."""
-    return message.Promise(True, (1, "a"), None, None, ident, "1", whole, True, tip)
+    return message.Promise(True, (1, "a"), None, None, identifier, "1", whole, True, last_entry)
 
 
 def make_view(number, members):
     """A view in which all members vote, each in its first incarnation."""
-    seats = [message.Seat(ident, ident, 1, "zone") for ident in members]
-    return message.View(number, seats, [message.ChainReplica(ident, "1") for ident in members])
+    voters = [message.Voter(identifier, identifier, 1, "zone") for identifier in members]
+    return message.View(number, voters, [message.ChainReplica(identifier, "1") for identifier in members])
 
 
 class TestOrder:
     def test_of_copies_synced_one_view_before_the_newest_leads(self) -> None:
         answers = {"b": promised("b", 3, (3, 6)), "c": promised("c", 3, (3, 7))}
-        members = agreement.order(make_view(4, "abc"), answers, {"b": "1", "c": "1"})
+        members = decisions.order(make_view(4, "abc"), answers, {"b": "1", "c": "1"})
         assert [member.id for member in members] == ["c", "b"]
 
     def test_newcomers_alone_agree_on_no_chain(self) -> None:
         answers = {"b2": promised("b2", 0), "c2": promised("c2", 0)}
         old = make_view(4, ["a", "b2", "c2"])
-        assert agreement.next_view(old, answers, old.seats, {"b2": "1", "c2": "1"}, {}) is None
+        assert decisions.next_view(old, answers, old.voters, {"b2": "1", "c2": "1"}, {}) is None
 
     def test_a_copy_that_leaves_leads_only_where_no_other_can(self) -> None:
         old = make_view(4, "abc")
         alive, leaving = {"b": "1", "c": "1"}, {"a": "1"}
         answers = {"a": promised("a", 4), "b": promised("b", 3)}
-        agreed = agreement.next_view(old, answers, old.seats, alive, leaving)
+        agreed = decisions.next_view(old, answers, old.voters, alive, leaving)
         assert [member.id for member in agreed.chain] == ["a", "b"]
         answers["b"] = promised("b", 4)
-        agreed = agreement.next_view(old, answers, old.seats, alive, leaving)
+        agreed = decisions.next_view(old, answers, old.voters, alive, leaving)
         assert [member.id for member in agreed.chain] == ["b"]
 
 
@@ -58,25 +58,25 @@
 class TestSnapshots:
     def test_a_snapshot_that_was_held_up_takes_nothing_back(self) -> None:
         clock = task.Clock()
-        mach = machine.Machine(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
-        members = [message.ChainReplica("a", "1"), message.ChainReplica("b", mach.boot)]
-        agreed = message.View(4, make_view(4, "ab").seats, members)
-        replica = chain.Chain(mach, Disk(), {}, None)
-        replica.membership = view.Membership(
-            mach, Disk(), agreement.Record(agreed), agreed.seats[1], [], None, lambda agreed: None
+        runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
+        members = [message.ChainReplica("a", "1"), message.ChainReplica("b", runtime.incarnation)]
+        agreed = message.View(4, make_view(4, "ab").voters, members)
+        replica = chain.Chain(runtime, Disk(), {}, None)
+        replica.consensus = view_consensus.ViewConsensus(
+            runtime, Disk(), decisions.Record(agreed), agreed.voters[1], [], None, lambda agreed: None
         )
-        snapshot = chain.Ledger().freeze()
+        snapshot = chain.ReplicatedState().freeze()
 
         def take(entries, snapshot):
-            refill = message.Refill(4, snapshot, entries)
+            refill = message.CatchUp(4, snapshot, entries)
             return self.result_of(defer.ensureDeferred(replica.answer(refill)))
 
-        entries = [message.Entry(n, 4, "plan", f"0-{n}", 0, []) for n in (1, 2)]
+        entries = [message.LogEntry(n, 4, "plan", f"0-{n}", 0, []) for n in (1, 2)]
         assert take(entries[:1], snapshot).ok
         assert take(entries, None).ok
-        assert (replica.synced, replica.base.n) == (2, 2)  # acknowledged: this is the tail
+        assert (replica.synced, replica.base.index) == (2, 2)  # acknowledged: this is the tail
         assert not take(entries[:1], snapshot).ok
-        assert (replica.synced, replica.base.n) == (2, 2)
+        assert (replica.synced, replica.base.index) == (2, 2)
 
     def result_of(self, deferred):
         """The result of a deferred that has fired."""
@@ -101,64 +101,70 @@
 class TestQuorum:
     def make_council(self, answers):
         clock = task.Clock()
-        mach = machine.Machine(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
+        runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
         agreed = make_view(4, "bca")
-        agreed = message.View(4, agreed.seats, [*agreed.chain[:2], message.ChainReplica("a", mach.boot)])
-        record = agreement.Record(agreed, whole=4)
-        membership = view.Membership(mach, Disk(), record, agreed.seats[2], [], Peers(answers), lambda agreed: None)
-        for ident in "bc":
-            membership.hear(message.Heartbeat(ident, "1", "zone", ident, 1, agreed, 4, True))
-        return clock, membership
+        agreed = message.View(4, agreed.voters, [*agreed.chain[:2], message.ChainReplica("a", runtime.incarnation)])
+        record = decisions.Record(agreed, synced_view=4)
+        consensus = view_consensus.ViewConsensus(
+            runtime, Disk(), record, agreed.voters[2], [], Peers(answers), lambda agreed: None
+        )
+        for identifier in "bc":
+            consensus.hear(message.Heartbeat(identifier, "1", "zone", identifier, 1, agreed, 4, True))
+        return clock, consensus
 
     def test_the_tail_holds_its_lease_as_soon_as_a_majority_gave_it(self) -> None:
-        _, membership = self.make_council({"b": message.LeaseGiven(True, None)})
-        membership.mach.spawn(membership.renew())
-        assert membership.leased()
+        _, consensus = self.make_council({"b": message.LeaseResponse(True, None)})
+        consensus.runtime.spawn(consensus.renew())
+        assert consensus.leased()
 
     def test_a_proposal_waits_but_shortly_for_machines_that_are_silent(self) -> None:
-        clock, membership = self.make_council({"b": promised("b", 4)})
+        clock, consensus = self.make_council({"b": promised("b", 4)})
         clock.advance(2)  # the grants of before the start have run out, and so have the heartbeats
-        membership.hear(message.Heartbeat("b", "1", "zone", "b", 1, membership.view, 4, True))
+        consensus.hear(message.Heartbeat("b", "1", "zone", "b", 1, consensus.view, 4, True))
         prepare = message.Prepare(5, (1, "a"), "a")
         answers = []
-        defer.ensureDeferred(membership.ask_all(membership.view.seats, prepare, view.CALL_US)).addCallback(
+        defer.ensureDeferred(consensus.call_all(consensus.view.voters, prepare, view_consensus.CALL_US)).addCallback(
             answers.append
         )
-        clock.advance(view.SILENT_CALL_US / SECOND)
-        assert {ident for ident, answer in answers[0].items() if answer is not None} == {"a", "b"}
+        clock.advance(view_consensus.SILENT_CALL_US / SECOND)
+        assert {identifier for identifier, answer in answers[0].items() if answer is not None} == {"a", "b"}
 
 
 class TestLeaving:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.clock = task.Clock()
-        mach = machine.Machine(self.clock, now=lambda: int(self.clock.seconds() * SECOND), seed=1)
+        runtime = scheduler.Runtime(self.clock, now=lambda: int(self.clock.seconds() * SECOND), seed=1)
         agreed = make_view(4, "abc")
-        agreed = message.View(4, agreed.seats, [message.ChainReplica("a", mach.boot), *agreed.chain[1:]])
-        record = agreement.Record(agreed, whole=4)
-        self.membership = view.Membership(mach, Disk(), record, agreed.seats[0], [], None, lambda agreed: None)
-        self.membership.leave()
+        agreed = message.View(4, agreed.voters, [message.ChainReplica("a", runtime.incarnation), *agreed.chain[1:]])
+        record = decisions.Record(agreed, synced_view=4)
+        self.consensus = view_consensus.ViewConsensus(
+            runtime, Disk(), record, agreed.voters[0], [], None, lambda agreed: None
+        )
+        self.consensus.leave()
 
     def hear(self, whole):
         """Take in a heartbeat of each other member."""
-        for ident in "bc":
-            self.membership.hear(message.Heartbeat(ident, "1", "zone", ident, 1, self.membership.view, whole, True))
+        for identifier in "bc":
+            self.consensus.hear(
+                message.Heartbeat(identifier, "1", "zone", identifier, 1, self.consensus.view, whole, True)
+            )
 
     def test_the_only_synced_copy_stays_until_another_is_synced(self) -> None:
         self.hear(whole=3)
-        assert self.membership.holds_only_copy()
-        self.membership.due()
+        assert self.consensus.holds_only_copy()
+        self.consensus.due()
         self.clock.advance(2)
         self.hear(whole=3)
-        assert not self.membership.due()
+        assert not self.consensus.due()
         self.hear(whole=4)
-        assert not self.membership.holds_only_copy()
-        self.membership.due()
+        assert not self.consensus.holds_only_copy()
+        self.consensus.due()
         self.clock.advance(2)
         self.hear(whole=4)
-        assert self.membership.due()
+        assert self.consensus.due()
 
     def test_the_last_machine_does_not_wait_for_anybody(self) -> None:
         self.hear(whole=3)
         self.clock.advance(2)
-        assert not self.membership.holds_only_copy()
+        assert not self.consensus.holds_only_copy()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-import bench.capacity as capacity
-import iriswheel.wire as wire
+import benchmarks.capacity as capacity
+import iriswheel.transport.wire as wire
 
 PAGE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "docs", "CAPACITY.md")
 
@@ -53,7 +53,7 @@
         self.hold(self.ran(capacity.records, sizes=[1000, 2000], repeats=1), 0.05)
 
     def test_elections_and_parts_run(self) -> None:
-        self.hold(self.ran(capacity.elects, listed=[9, 18], sizes=[100, 1000], repeats=1), 0.05)
+        self.hold(self.ran(capacity.selections, listed=[9, 18], sizes=[100, 1000], repeats=1), 0.05)
         self.hold(self.ran(capacity.prefixes, sizes=[2600, 26_000], repeats=1), 0.05)
 
     def test_blueprints_are_as_long_as_the_page_says(self) -> None:
@@ -81,7 +81,7 @@
             assert 0 < quiet["node"]["loops"] < quiet["warden"]["loops"]
         node, lister, quiet, size = (more - few for few, more in zip(appended[9], appended[90], strict=False))
         assert abs(quiet) < 0.02 * size, quiet  # a second, by 81 workers more: signs of life come as they fall
-        assert abs(node - 2 * size) < 0.05 * size, node / size  # in a list and in a roster
+        assert abs(node - 2 * size) < 0.05 * size, node / size  # in a list and in a membership
         # to five other nodes; the core is told twice a second anyway, and may be once more in the second span
         assert 4.95 * size < lister < 6.05 * size, lister / size
 
@@ -104,7 +104,7 @@
         f.go(1)
         busy = f.by_role(f.metered(2))
         assert busy["node"]["out_bytes"] > quiet["node"]["out_bytes"] + 100, (quiet, busy)
-        others = f.nodes["n1"].door.forwarder.place("model-0").others
+        others = f.nodes["n1"].gateway.forwarder.placement_of("model-0").others
         assert others
         assert set(others) <= set(f.workers), others
 
@@ -113,7 +113,7 @@
     def test_elections_at_a_node_and_the_exchange_run(self) -> None:
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
-            capacity.places(
+            capacity.placements(
                 listed=[9, 18], keys=[16, 32], parts=[2600, 5200], sizes=[100, 200], pools=[1, 2], repeats=1
             )
             capacity.exchange(listed=26, rate=30, seconds=3, spans=[0.5], steps=[1, 3])
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -5,15 +5,15 @@
 import pytest
 import twisted.internet.defer as defer
 
-import bench.sim as sim
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.agreement as agreement
-import iriswheel.chain as chain
-import iriswheel.machine as machine
-import iriswheel.message as message
-import iriswheel.store as store
-import iriswheel.view as view
-import iriswheel.wire as wire
+import iriswheel.consensus.decisions as decisions
+import iriswheel.consensus.view_consensus as view_consensus
+import iriswheel.replication.chain as chain
+import iriswheel.replication.storage as storage
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
+import simulation.simulated_cluster as simulated_cluster
+import simulation.world as world
 
 S = simulated_cluster.S
 ROUTES = 1_400
@@ -21,7 +21,7 @@
 
 def entry(n, made, changes=(), base=None):
     """A change that stands by itself."""
-    return message.Entry(n, made, "apply", f"{n}-{made}", n - 1 if base is None else base, list(changes))
+    return message.LogEntry(n, made, "apply", f"{n}-{made}", n - 1 if base is None else base, list(changes))
 
 
 def large_change(n, made=1, pool="p"):
@@ -46,14 +46,14 @@
     async def call(self, host, port, msg, us):
         self.sent.append(msg)
         fate = self.meet(msg)
-        mach = self.members["head"].mach
-        await mach.sleep(2 * machine.MILLI)
+        runtime = self.members["head"].runtime
+        await runtime.sleep(2 * units.MILLISECOND_US)
         if fate == "lose":
-            await mach.sleep(us)
+            await runtime.sleep(us)
             raise wire.ConnectionBrokenError(sent=True)
-        answer = await mach.within(defer.ensureDeferred(self.members[host].chain.answer(msg)), us)
+        answer = await runtime.within(defer.ensureDeferred(self.members[host].chain.answer(msg)), us)
         if fate == "lose answer":
-            await mach.sleep(us)
+            await runtime.sleep(us)
             raise wire.ConnectionBrokenError(sent=True)
         return answer
 
@@ -63,35 +63,37 @@
 
     def __init__(self, network, name, entries=(), copies=2):
         self.network, self.name, self.copies = network, name, copies
-        self.host = sim.Machine(network.world, name, "a")
+        self.host = world.Host(network.world, name, "a")
         for e in entries:
-            self.host.synced[b"e%016d" % e.n] = chain.pack(e)
+            self.host.synced[b"e%016d" % e.index] = chain.pack(e)
         self.start()
 
     def start(self):
         """Begin a new life on the disk that is there."""
-        self.proc = sim.Proc(self.network.world, self.name, self.host)
-        self.mach = self.proc.mach()
-        disk = sim.Disk(self.proc)
+        self.process = world.SimulatedProcess(self.network.world, self.name, self.host)
+        self.runtime = self.process.runtime()
+        disk = world.Disk(self.process)
         state = disk.read()
-        guard = store.Guard(self.mach, disk)
+        guard = storage.MonitoredDisk(self.runtime, disk)
         raw = state.get(b"council")
-        record = view.msgspec.msgpack.decode(raw, type=agreement.Record) if raw else agreement.Record()
-        self.chain = chain.Chain(self.mach, guard, state, self.network)
-        seat = message.Seat(self.name, self.name, 1, "a")
-        self.membership = view.Membership(self.mach, guard, record, seat, [], None, lambda v: None, copies=self.copies)
-        self.chain.membership = self.membership
+        record = view_consensus.msgspec.msgpack.decode(raw, type=decisions.Record) if raw else decisions.Record()
+        self.chain = chain.Chain(self.runtime, guard, state, self.network)
+        voter = message.Voter(self.name, self.name, 1, "a")
+        self.consensus = view_consensus.ViewConsensus(
+            self.runtime, guard, record, voter, [], None, lambda v: None, copies=self.copies
+        )
+        self.chain.consensus = self.consensus
         self.network.members[self.name] = self
 
     def install(self, number, order, whole=None):
         """Let a view begin here."""
         members = [self.network.members[i] for i in order]
-        seats = [message.Seat(m.name, m.name, 1, "a") for m in members]
-        links = [message.ChainReplica(m.name, m.mach.boot) for m in members]
-        before = self.membership.record.whole
+        voters = [message.Voter(m.name, m.name, 1, "a") for m in members]
+        connections = [message.ChainReplica(m.name, m.runtime.incarnation) for m in members]
+        before = self.consensus.record.synced_view
         whole = number if order[0] == self.name else whole or before
-        self.membership.record = agreement.Record(message.View(number, seats, links), whole=whole)
-        self.chain.install(self.membership.view)
+        self.consensus.record = decisions.Record(message.View(number, voters, connections), synced_view=whole)
+        self.chain.install(self.consensus.view)
 
 
 class TestChains:
@@ -99,7 +101,7 @@
 
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        self.world = sim.World(1)
+        self.world = world.World(1)
         self.network = Network(self.world)
 
     def pair(self, head, tail):
@@ -113,18 +115,21 @@
         self.world.run(self.world.time + int(seconds * S))
 
     def until(self, condition, seconds):
-        began = self.world.time
-        while not condition() and self.world.time < began + seconds * S:
+        started_at = self.world.time
+        while not condition() and self.world.time < started_at + seconds * S:
             self.go(0.01)
         assert condition()
-        return (self.world.time - began) / S
+        return (self.world.time - started_at) / S
 
     def assert_same(self, one, other):
-        assert (other.chain.synced, other.chain.tip.made) == (one.chain.synced, one.chain.tip.made)
-        assert other.chain.tip.items == one.chain.tip.items
-        state = sim.Disk(other.proc).read()
-        reread = chain.Chain(other.mach, None, state, None)
-        assert (reread.tip.n, reread.tip.items) == (one.chain.tip.n, one.chain.tip.items)
+        assert (other.chain.synced, other.chain.latest_state.view) == (one.chain.synced, one.chain.latest_state.view)
+        assert other.chain.latest_state.items == one.chain.latest_state.items
+        state = world.Disk(other.process).read()
+        reread = chain.Chain(other.runtime, None, state, None)
+        assert (reread.latest_state.index, reread.latest_state.items) == (
+            one.chain.latest_state.index,
+            one.chain.latest_state.items,
+        )
 
     def route(self, name):
         return [(f"routes/{name}", {"path": "/", "pool": "p"})]
@@ -139,21 +144,23 @@
                 shared + [entry(k, 2, self.route(f"old{k}")) for k in range(4, 4 + theirs)],
             )
             self.install(4, head, tail)
-            self.until(tail.chain.whole, 5)
+            self.until(tail.chain.is_synced, 5)
             self.assert_same(head, tail)
 
     def test_a_write_that_an_older_view_began_does_not_hide_entries_of_the_newer_one(self) -> None:
         shared = [entry(1, 1)]
         head, tail = self.pair(shared, shared)
         self.install(2, head, tail)
-        self.until(tail.chain.whole, 5)
+        self.until(tail.chain.is_synced, 5)
         tail.host.disk = "slow"
-        stale = message.Append(2, [entry(2, 2, self.route("old"))])  # by a head that is lost
-        tail.mach.spawn(tail.chain.answer(stale))
+        stale = message.AppendRequest(2, [entry(2, 2, self.route("old"))])  # by a head that is lost
+        tail.runtime.spawn(tail.chain.answer(stale))
         self.go(0.05)
         self.install(3, head, tail)
-        proposed = head.mach.spawn(
-            head.chain.propose(message.Propose(3, "apply", "x", head.chain.tip.stamp, self.route("new")))
+        proposed = head.runtime.spawn(
+            head.chain.propose(
+                message.ProposeChange(3, "apply", "x", head.chain.latest_state.version, self.route("new"))
+            )
         )
         self.until(lambda: proposed.called, 10)
         assert proposed.result.code == ""
@@ -163,9 +170,9 @@
     def test_a_late_snapshot_takes_nothing_back_from_a_whole_copy(self) -> None:
         head, tail = self.pair([entry(k, 1) for k in range(1, 9)], [])
         self.install(2, head, tail)
-        self.until(tail.chain.whole, 5)
-        late = message.Refill(2, chain.Ledger().apply(entry(1, 1)).freeze(), [entry(2, 1)])
-        done = tail.mach.spawn(tail.chain.answer(late))
+        self.until(tail.chain.is_synced, 5)
+        late = message.CatchUp(2, chain.ReplicatedState().apply(entry(1, 1)).freeze(), [entry(2, 1)])
+        done = tail.runtime.spawn(tail.chain.answer(late))
         self.until(lambda: done.called, 5)
         assert tail.chain.synced == 8
         self.assert_same(head, tail)
@@ -175,17 +182,17 @@
         tail.host.disk = "full"
         self.install(4, head, tail)
         self.go(1)
-        assert (tail.chain.synced, tail.chain.tip.n, tail.chain.whole()) == (2, 2, False)
+        assert (tail.chain.synced, tail.chain.latest_state.index, tail.chain.is_synced()) == (2, 2, False)
         assert set(tail.chain.log) == {1, 2}
         tail.host.disk = "ok"
-        self.until(tail.chain.whole, 5)
+        self.until(tail.chain.is_synced, 5)
         self.assert_same(head, tail)
 
     def test_a_restarted_member_that_leads_alone_serves_all_that_was_acknowledged(self) -> None:
         head = Member(self.network, "head", [entry(k, 1, self.route(f"r{k}")) for k in range(1, 301)])
         self.install(2, head)
         self.go(0.1)
-        assert (head.chain.base.n, len(head.chain.base.items)) == (300, 300)
+        assert (head.chain.base.index, len(head.chain.base.items)) == (300, 300)
 
     # ---- snapshots in pieces ------------------------------------------------------------------
 
@@ -196,7 +203,7 @@
         return head, tail
 
     def size(self, msg):
-        return len(wire.encoder.encode(wire.Parcel(wire.CALL, 1, msg)))
+        return len(wire.encoder.encode(wire.Envelope(wire.CALL, 1, msg)))
 
     def test_no_message_to_catch_up_is_large(self) -> None:
         head, tail = self.large_pair()
@@ -204,10 +211,10 @@
             head.chain.log[k] = entry(
                 k, 1, [("routes/big", {"path": "/", "pool": "p", "label": {"note": "x" * 400_000}})]
             )
-            head.chain.tip = head.chain.tip.apply(head.chain.log[k])
+            head.chain.latest_state = head.chain.latest_state.apply(head.chain.log[k])
             head.chain.synced = k
         self.install(2, head, tail)
-        self.until(tail.chain.whole, 10)
+        self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
         assert max(self.size(m) for m in self.network.sent) < 1_200_000
 
@@ -221,10 +228,10 @@
 
         self.network.meet = meet
         self.install(2, head, tail)
-        self.until(tail.chain.whole, 60)
+        self.until(tail.chain.is_synced, 60)
         self.assert_same(head, tail)
         total = len(head.chain.base.freeze())
-        pieces = [m for m in calls if isinstance(m, message.Piece)]
+        pieces = [m for m in calls if isinstance(m, message.SnapshotChunk)]
         assert total > 700_000
         assert sum(len(m.content) for m in pieces) < 2.5 * total  # lost ones are sent again, others are not
         assert sorted(m.offset for m in pieces) == [m.offset for m in pieces]
@@ -232,41 +239,43 @@
     def test_a_snapshot_goes_on_in_a_later_view_while_the_state_moves_on(self) -> None:
         head, tail = self.large_pair()
         third = Member(self.network, "third", [])
-        self.network.meet = lambda msg: "lose" if isinstance(msg, message.Piece) and msg.offset > 300_000 else "pass"
+        self.network.meet = lambda msg: (
+            "lose" if isinstance(msg, message.SnapshotChunk) and msg.offset > 300_000 else "pass"
+        )
         self.install(2, head, tail)
         self.go(3)
         assert len(tail.chain.incoming.content) > 200_000
         self.network.meet = lambda msg: "pass"
         third.host.synced.update(head.host.synced)
         self.install(3, head, third)  # the second link is cut off
-        self.until(third.chain.whole, 10)
+        self.until(third.chain.is_synced, 10)
         for k in range(5):
-            msg = message.Propose(3, "apply", f"x{k}", head.chain.tip.stamp, self.route(f"x{k}"))
-            done = head.mach.spawn(head.chain.propose(msg))
+            msg = message.ProposeChange(3, "apply", f"x{k}", head.chain.latest_state.version, self.route(f"x{k}"))
+            done = head.runtime.spawn(head.chain.propose(msg))
             self.until(lambda done=done: done.called, 5)
             assert done.result.code == ""
         del self.network.sent[:]
         self.install(4, head, tail)
-        self.until(tail.chain.whole, 10)
+        self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
-        offsets = [m.offset for m in self.network.sent if isinstance(m, message.Piece)]
+        offsets = [m.offset for m in self.network.sent if isinstance(m, message.SnapshotChunk)]
         assert min(offsets) > 200_000
 
     def test_a_member_that_loses_power_in_a_transfer_keeps_its_old_copy_and_begins_anew(self) -> None:
         head, tail = self.large_pair()
         tail.host.synced.update({b"e%016d" % k: chain.pack(entry(k, 7, self.route(f"old{k}"))) for k in (1, 2)})
         tail.start()
-        self.network.meet = lambda msg: "lose" if isinstance(msg, message.Refill) else "pass"
+        self.network.meet = lambda msg: "lose" if isinstance(msg, message.CatchUp) else "pass"
         self.install(8, head, tail)
         self.until(lambda: tail.chain.incoming.complete, 5)
         tail.host.fail()
         self.go(1)
         tail.host.power = True
         tail.start()
-        assert (tail.chain.synced, tail.chain.tip.made) == (2, 7)
+        assert (tail.chain.synced, tail.chain.latest_state.view) == (2, 7)
         self.network.meet = lambda msg: "pass"
         self.install(9, head, tail)
-        self.until(tail.chain.whole, 10)
+        self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
 
     def test_a_piece_that_was_spoilt_is_sent_again(self) -> None:
@@ -274,16 +283,16 @@
         spoilt = []
 
         def meet(msg):
-            if isinstance(msg, message.Piece) and not spoilt:
+            if isinstance(msg, message.SnapshotChunk) and not spoilt:
                 spoilt.append(msg)
                 tail.chain.incoming.take_piece(
-                    message.Piece(msg.view, msg.snapshot, msg.total, 0, bytes(len(msg.content)))
+                    message.SnapshotChunk(msg.view, msg.snapshot, msg.total, 0, bytes(len(msg.content)))
                 )
             return "pass"
 
         self.network.meet = meet
         self.install(2, head, tail)
-        self.until(tail.chain.whole, 10)
+        self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
 
     def test_a_member_whose_program_takes_no_pieces_gets_all_in_one(self) -> None:
@@ -292,11 +301,15 @@
 
         async def older(msg):
             got = await answer(msg)
-            return message.Placed(got.ok, got.n, got.made) if isinstance(got, message.Placed) else got
+            return (
+                message.PositionResponse(got.ok, got.index, got.view)
+                if isinstance(got, message.PositionResponse)
+                else got
+            )
 
         tail.chain.answer = older
         self.install(2, head, tail)
-        self.until(tail.chain.whole, 10)
+        self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
 
 
@@ -307,12 +320,12 @@
 
     def propose(self, t, k):
         head = t.head()
-        if head is None or not head.chain.whole():
+        if head is None or not head.chain.is_synced():
             return None
         change = [(f"routes/s{k % 50}", {"path": f"/s/{k}", "pool": "desk"})]
-        number = head.membership.view.number
-        msg = message.Propose(number, "apply", f"s{k}-{t.world.time}", head.chain.tip.stamp, change)
-        return head.mach.spawn(head.chain.propose(msg))
+        number = head.consensus.view.number
+        msg = message.ProposeChange(number, "apply", f"s{k}-{t.world.time}", head.chain.latest_state.version, change)
+        return head.runtime.spawn(head.chain.propose(msg))
 
     def away_for_many_changes(self):
         """A fleet in which one member is down while many routes and changes come."""
@@ -321,14 +334,14 @@
         t.begin()
         t.go(1)
         for n in t.nodes.values():  # they only cost time here
-            n.proc.kill()
+            n.process.kill()
         name = t.tail().options.name
-        t.cores[name].proc.host.fail()
-        assert t.until(lambda: t.tail() is not None and len(t.tail().membership.view.chain) == 2, 10)
+        t.cores[name].process.host.fail()
+        assert t.until(lambda: t.tail() is not None and len(t.tail().consensus.view.chain) == 2, 10)
         head = t.head()
-        many = large_change(head.chain.tip.n + 1, pool="desk").changes
-        msg = message.Propose(head.membership.view.number, "apply", "many", head.chain.tip.stamp, many)
-        done = head.mach.spawn(head.chain.propose(msg))
+        many = large_change(head.chain.latest_state.index + 1, pool="desk").changes
+        msg = message.ProposeChange(head.consensus.view.number, "apply", "many", head.chain.latest_state.version, many)
+        done = head.runtime.spawn(head.chain.propose(msg))
         assert t.until(lambda: done.called, 10)
         for k in range(self.AWAY_CHANGES):
             done = self.propose(t, k)
@@ -340,22 +353,22 @@
     def catch_up(self, t, name):
         """Seconds until the member is whole again, and the longest time in which no change was taken meanwhile."""
         t.start_core(name, *t.options[name])
-        back, began = t.cores[name], t.world.time
-        proposed, taken, last, longest, caught_up = [], 0, began, 0, None
-        while t.world.time - began < 4 * S or caught_up is None:
-            assert t.world.time - began < 40 * S
+        back, started_at = t.cores[name], t.world.time
+        proposed, taken, last, longest, caught_up = [], 0, started_at, 0, None
+        while t.world.time - started_at < 4 * S or caught_up is None:
+            assert t.world.time - started_at < 40 * S
             d = self.propose(t, len(proposed))
             proposed += [d] if d is not None else []
             for _ in range(15):
                 t.go(0.01)
-                assert not (back.membership.leased() and not back.chain.whole())
-                if caught_up is None and back.chain.whole():
-                    caught_up = t.world.time - began
+                assert not (back.consensus.leased() and not back.chain.is_synced())
+                if caught_up is None and back.chain.is_synced():
+                    caught_up = t.world.time - started_at
             done = [d for d in proposed if d.called and d.result.code == ""]
             if len(done) > taken:
                 taken, last = len(done), t.world.time
             longest = max(longest, t.world.time - last)
-        assert t.head().chain.tip.n - back.chain.base.n < 4
+        assert t.head().chain.latest_state.index - back.chain.base.index < 4
         return caught_up / S, longest / S
 
     def test_a_member_that_was_away_for_a_thousand_changes_and_a_blank_one_catch_up(self) -> None:
@@ -363,7 +376,7 @@
         caught_up, longest = self.catch_up(t, name)
         assert caught_up < 2
         assert longest < 1
-        host = t.cores[name].proc.host
+        host = t.cores[name].process.host
         host.fail()
         host.synced.clear()
         t.go(3)
