--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -5,9 +5,9 @@
 import pytest
 import twisted.internet.defer as defer
 
-import iriswheel.chain as chain
-import iriswheel.machine as machine
-import iriswheel.message as message
+import iriswheel.replication.chain as chain
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.transport.message as message
 
 
 class Disk:
@@ -41,7 +41,7 @@
 
     def agree(self, number, *ids, whole=True):
         self.view = message.View(number, [], [message.ChainReplica(i, "1") for i in ids])
-        self.record = types.SimpleNamespace(view=self.view, whole=number if whole else number - 1)
+        self.record = types.SimpleNamespace(view=self.view, synced_view=number if whole else number - 1)
 
     def serving(self, number):
         return number == self.view.number
@@ -49,12 +49,12 @@
     def leased(self):
         return self.view.chain[-1].id == self.me.id
 
-    async def grow_whole(self, number):
-        self.record.whole = number
+    async def mark_synced(self, number):
+        self.record.synced_view = number
 
 
-def entry(n, made, ident):
-    return message.Entry(n, made, "apply", ident, 0, [("marks/operator", {"number": n})])
+def entry(n, made, identifier):
+    return message.LogEntry(n, made, "apply", identifier, 0, [("marks/operator", {"number": n})])
 
 
 class TestReplica:
@@ -62,10 +62,10 @@
     def set_up(self) -> None:
         self.disk = Disk()
 
-    def replica(self, membership, entries=()):
-        state = {b"e%016d" % e.n: chain.pack(e) for e in entries}
-        made = chain.Chain(machine.Machine(None, now=lambda: 0), self.disk, state, None)
-        made.membership = membership
+    def replica(self, consensus, entries=()):
+        state = {b"e%016d" % e.index: chain.pack(e) for e in entries}
+        made = chain.Chain(scheduler.Runtime(None, now=lambda: 0), self.disk, state, None)
+        made.consensus = consensus
         return made
 
     def put(self, replica, msg):
@@ -73,58 +73,60 @@
 
     def test_a_new_tail_answers_no_read_before_what_it_holds_is_committed(self) -> None:
         replica = self.replica(Membership(4, "b", "a"), [entry(1, 3, "c0-1-0a")])
-        assert not self.put(replica, message.Look(4)).result.ok
+        assert not self.put(replica, message.ReadRequest(4)).result.ok
         replica.settle_tail(4)
-        seen = self.put(replica, message.Look(4, "c0-1-0a")).result
-        assert (seen.ok, seen.stamp, seen.taken) == (True, 1, 1)
-        replica.membership.agree(5, "b", "a")
-        assert not self.put(replica, message.Look(5)).result.ok
+        seen = self.put(replica, message.ReadRequest(4, "c0-1-0a")).result
+        assert (seen.ok, seen.version, seen.taken) == (True, 1, 1)
+        replica.consensus.agree(5, "b", "a")
+        assert not self.put(replica, message.ReadRequest(5)).result.ok
 
     def test_a_read_that_comes_after_the_lease_has_ended_fails(self) -> None:
         replica = self.replica(Membership(4, "b", "a"))
         replica.settle_tail(4)
-        assert self.put(replica, message.Look(4)).result.ok
-        replica.membership.leased = lambda: False
-        assert not self.put(replica, message.Look(4)).result.ok
+        assert self.put(replica, message.ReadRequest(4)).result.ok
+        replica.consensus.leased = lambda: False
+        assert not self.put(replica, message.ReadRequest(4)).result.ok
 
     def test_a_tail_that_may_not_commit_alone_answers_no_read_by_less_than_it_holds(self) -> None:
         replica = self.replica(Membership(4, "a", "b"))
-        self.put(replica, message.Propose(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})]))
+        self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})]))
         self.disk.finish()
-        replica.membership.agree(5, "a")
+        replica.consensus.agree(5, "a")
         replica.settle_tail(5)
-        assert not self.put(replica, message.Look(5)).result.ok
+        assert not self.put(replica, message.ReadRequest(5)).result.ok
         restarted = self.replica(Membership(4, "a"), [entry(1, 3, "c0-1-0a")])
-        assert not self.put(restarted, message.Look(4)).result.ok
+        assert not self.put(restarted, message.ReadRequest(4)).result.ok
         restarted.settle_tail(4)
-        seen = self.put(restarted, message.Look(4, "c0-1-0a")).result
-        assert (seen.ok, seen.stamp, seen.taken) == (True, 1, 1)
+        seen = self.put(restarted, message.ReadRequest(4, "c0-1-0a")).result
+        assert (seen.ok, seen.version, seen.taken) == (True, 1, 1)
         blank = self.replica(Membership(4, "a"))
         blank.settle_tail(4)
-        assert self.put(blank, message.Look(4)).result.ok
+        assert self.put(blank, message.ReadRequest(4)).result.ok
 
     def test_a_change_synced_after_its_view_ended_is_not_acknowledged_by_another_entry(self) -> None:
         replica = self.replica(Membership(4, "a", "b"))
-        proposed = self.put(replica, message.Propose(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})]))
-        replica.membership.agree(5, "b", "a", whole=False)
-        placed = self.put(replica, message.Place(5, "b"))
+        proposed = self.put(
+            replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})])
+        )
+        replica.consensus.agree(5, "b", "a", whole=False)
+        placed = self.put(replica, message.PositionRequest(5, "b"))
         assert not placed.called
         self.disk.finish()
         assert proposed.result.code == "unknown_outcome"
-        assert (placed.result.n, placed.result.made) == (1, 4)
-        other = chain.Ledger().apply(entry(1, 5, "c0-1-0b"))
-        refilled = self.put(replica, message.Refill(5, other.freeze(), []))
+        assert (placed.result.index, placed.result.view) == (1, 4)
+        other = chain.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
+        refilled = self.put(replica, message.CatchUp(5, other.freeze(), []))
         self.disk.finish()
         assert refilled.result.ok
         assert dict(replica.base.taken) == {"c0-1-0b": 1}
 
     def test_a_change_taken_again_after_a_refill_by_snapshot_is_told_apart(self) -> None:
         replica = self.replica(Membership(4, "a", "b"))
-        proposed = self.put(replica, message.Propose(4, "apply", "c0-1-0a", 0, []))
+        proposed = self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, []))
         self.disk.finish()
         assert not proposed.called
-        replica.membership.agree(5, "b", "a", whole=False)
-        other = chain.Ledger().apply(entry(1, 5, "c0-1-0b"))
-        self.put(replica, message.Refill(5, other.freeze(), []))
+        replica.consensus.agree(5, "b", "a", whole=False)
+        other = chain.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
+        self.put(replica, message.CatchUp(5, other.freeze(), []))
         self.disk.finish()
         assert proposed.result.code == "unknown_outcome"
--- a/tests/test_change_recovery.py
+++ b/tests/test_change_recovery.py
@@ -1,7 +1,7 @@
 """The command that measures how long changes are held up by a fault of a core machine."""
 
-import bench.change_recovery as change_recovery
-import iriswheel.machine as machine
+import benchmarks.change_recovery as change_recovery
+import iriswheel.runtime.units as units
 
 
 class TestOneSeed:
@@ -10,10 +10,10 @@
         start = change_recovery.Start(seed=1, cores=3, lease_ms=1_500)
         (recovery,) = change_recovery.measure_seed(start, [kill])
         assert recovery.case == kill
-        assert recovery.acknowledged > 1 * machine.SECOND  # the others don't take it for dead before
-        assert recovery.acknowledged < 5 * machine.SECOND
+        assert recovery.acknowledged > 1 * units.SECOND_US  # the others don't take it for dead before
+        assert recovery.acknowledged < 5 * units.SECOND_US
         assert recovery.applied >= recovery.acknowledged
-        assert recovery.applied < 6 * machine.SECOND
+        assert recovery.applied < 6 * units.SECOND_US
 
 
 class TestTables:
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.chain as chain
-import iriswheel.configuration as configuration
-import iriswheel.message as message
+import iriswheel.configuration.configuration as configuration
+import iriswheel.replication.chain as chain
+import iriswheel.transport.message as message
+import simulation.simulated_cluster as simulated_cluster
 import tests.conftest as conftest
 
 S = simulated_cluster.S
@@ -18,8 +18,8 @@
 
 class TestChanges:
     def start(self, t, number, built_on, what, who="boss"):
-        return t.office_mach.spawn(
-            simulated_cluster.Operator(t, t.office_mach, who).number(number, built_on, what), simulated_cluster.log
+        return t.operator_runtime.spawn(
+            simulated_cluster.Operator(t, t.operator_runtime, who).number(number, built_on, what), simulated_cluster.log
         )
 
     def wait(self, t, *ds):
@@ -48,10 +48,10 @@
         t = quiet_cluster()
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
             assert self.wait(t, self.start(t, number, built_on, route(number))) == [200]
-        n = t.tail().chain.base.n
+        n = t.tail().chain.base.index
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
             assert self.wait(t, self.start(t, number, built_on, route(number))) == [200]
-        assert t.tail().chain.base.n == n
+        assert t.tail().chain.base.index == n
         assert self.wait(t, self.start(t, 9, 4, route("other"))) == [409]
         assert self.wait(t, self.start(t, 10, 10, route("other"))) == [422]
         assert self.wait(t, self.start(t, 12, 10, {"upsert": {"routes": {"r": {"path": "/", "pool": "x"}}}})) == [422]
@@ -68,9 +68,9 @@
             t.go(t.rng.random() * 0.1)
             victims = [t.head() or t.tail(), t.tail()][k % 2 : k % 2 + 1] if k < 4 else list(t.cores.values())
             for c in [c for c in victims if c is not None]:
-                c.proc.kill()
+                c.process.kill()
             t.go(0.5 + t.rng.random())
-            for name in [n for n, c in t.cores.items() if not c.proc.alive]:
+            for name in [n for n, c in t.cores.items() if not c.process.alive]:
                 t.start_core(name, *t.options[name])
             assert self.wait(t, d) == [200], (seed, k)
             number += 2
@@ -94,7 +94,7 @@
         again = [orders[k] for k in (-1, -2, -6, -20, 0)]
         assert self.wait(t, *(self.start(t, *order) for order in again)) == [200] * 5
         for c in t.cores.values():
-            c.proc.kill()
+            c.process.kill()
         t.go(1)
         for name in t.cores:
             t.start_core(name, *t.options[name])
@@ -111,7 +111,10 @@
         orders = self.take(t, 8)
         assert [
             self.wait(
-                t, t.office_mach.spawn(simulated_cluster.Operator(t, t.office_mach, "boss").number(*order, tries=3))
+                t,
+                t.operator_runtime.spawn(
+                    simulated_cluster.Operator(t, t.operator_runtime, "boss").number(*order, attempts=3)
+                ),
             )[0]
             for order in (orders[0], orders[-2], (8, 6, route(9)))
         ] == [0, 200, 409]
@@ -127,13 +130,13 @@
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster()
-        doc, other = t.with_probe(1), t.with_probe(2)
-        assert self.wait(t, self.start(t, 4, 0, {"blueprint": doc})) == [200]
-        n = t.tail().chain.base.n
-        assert self.wait(t, self.start(t, 4, 3, {"blueprint": doc})) == [200]
+        document, other = t.with_probe(1), t.with_probe(2)
+        assert self.wait(t, self.start(t, 4, 0, {"blueprint": document})) == [200]
+        n = t.tail().chain.base.index
+        assert self.wait(t, self.start(t, 4, 3, {"blueprint": document})) == [200]
         assert self.wait(t, self.start(t, 4, 3, {"blueprint": other})) == [409]
-        assert self.wait(t, self.start(t, 5, 3, {"blueprint": doc})) == [409]
-        assert t.tail().chain.base.n == n
+        assert self.wait(t, self.start(t, 5, 3, {"blueprint": document})) == [409]
+        assert t.tail().chain.base.index == n
 
     def test_it_is_taken_where_no_node_is_there_once_their_leases_ran_out(
         self, quiet_cluster: conftest.QuietCluster
@@ -141,14 +144,14 @@
         t = quiet_cluster()
         lease_us = t.tail().options.lease_us
         for n in t.nodes.values():
-            n.proc.kill()
+            n.process.kill()
         killed = t.world.time
         t.go(1)
         assert self.wait(t, self.start(t, 1, 0, route(1))) == [200]
         assert lease_us - S < t.world.time - killed < lease_us + S // 2
-        began = t.world.time
+        started_at = t.world.time
         assert self.wait(t, self.start(t, 2, 1, route(2))) == [200]
-        assert t.world.time - began < S // 2
+        assert t.world.time - started_at < S // 2
 
     def test_a_lone_core_machine_takes_changes_where_one_copy_is_enough(
         self, quiet_cluster: conftest.QuietCluster
@@ -156,7 +159,7 @@
         t = quiet_cluster(cores=1, copies=1, seats=1)
         assert self.wait(t, self.start(t, 1, 0, route(1))) + self.wait(t, self.start(t, 2, 1, route(2))) == [200, 200]
         c = t.cores["c1"]
-        c.proc.host.fail()
+        c.process.host.fail()
         t.go(1)
         t.start_core("c1", *t.options["c1"])
         assert self.wait(t, self.start(t, 3, 2, route(3))) == [200]
@@ -167,16 +170,16 @@
     """The memory of changes that were taken."""
 
     def apply(self, count):
-        ledger = chain.Ledger()
+        ledger = chain.ReplicatedState()
         for n in range(1, count + 1):
             changes = [("marks/operator", {"number": n})]
-            ledger = ledger.apply(message.Entry(n, 1, "apply", f"c{n - 1}-{n}-0a", n - 1, changes))
+            ledger = ledger.apply(message.LogEntry(n, 1, "apply", f"c{n - 1}-{n}-0a", n - 1, changes))
         return ledger
 
     def test_it_outlives_the_plans_and_is_in_the_snapshot(self) -> None:
         ledger = self.apply(1_100)
         assert "c0-1-0a" not in ledger.plans
-        again = chain.Ledger.thaw(ledger.freeze())
+        again = chain.ReplicatedState.thaw(ledger.freeze())
         assert (*(again.taken[f"c{n - 1}-{n}-0a"] for n in (1, 100, 1_100)), again.forgotten) == (1, 100, 1_100, 0)
         assert again == ledger
 
@@ -184,14 +187,14 @@
         ledger = self.apply(chain.TAKEN + chain.TAKEN_SLACK + 2)
         assert (len(ledger.taken), ledger.forgotten) == (chain.TAKEN + 1, chain.TAKEN_SLACK + 1)
         assert len(ledger.freeze()) < 1 << 20
-        assert chain.Ledger.thaw(ledger.freeze()) == ledger
+        assert chain.ReplicatedState.thaw(ledger.freeze()) == ledger
 
     def old(self, ledger):
-        """The snapshot as format 2 had it: number, view, stamp, items and plans."""
+        """The snapshot as format 2 had it: number, view, version, items and plans."""
         plans = [(k, list(p)) for k, p in sorted(ledger.plans.items())]
-        return chain.pack([ledger.n, ledger.made, ledger.stamp, dict(ledger.items), plans])
+        return chain.pack([ledger.index, ledger.view, ledger.version, dict(ledger.items), plans])
 
     def test_a_snapshot_of_format_2_is_read(self) -> None:
-        few, many = (chain.Ledger.thaw(self.old(self.apply(count))) for count in (20, 600))
+        few, many = (chain.ReplicatedState.thaw(self.old(self.apply(count))) for count in (20, 600))
         assert (len(few.taken), few.forgotten, few.taken["c6-7-0a"]) == (20, 0, 7)
         assert (len(many.taken), many.forgotten, configuration.number(many.items)) == (512, 88, 600)
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import iriswheel.replay as replay
+import iriswheel.verification.replay as replay
 
 S = replay.SECOND
 DOC = {
@@ -13,29 +13,45 @@
 }
 
 
-def answer(ident, run, ks=(0, 1), of=2):
-    rows = [json.dumps({"exchange": ident, "run": run, "k": k, "of": of}) for k in ks]
+def answer(identifier, run, ks=(0, 1), of=2):
+    rows = [json.dumps({"exchange": identifier, "run": run, "k": k, "of": of}) for k in ks]
     return "".join(f"data: {r}\n\n" for r in rows) + "data: [DONE]\n\n"
 
 
-def good(ident="x1", at=20 * S, worker="w1", parts=("system",), send=1, repeat=False):
-    """The rows of one exchange that went well."""
-    run = f"{worker}-{ident}"
+def good(identifier="x1", at=20 * S, worker="w1", parts=("system",), send=1, repeat=False):
+    """The rows of one request that went well."""
+    run = f"{worker}-{identifier}"
     return [
         dict(
-            at=at, kind="sent", exchange=ident, send=send, repeat=repeat, parts=list(parts), sort="short", path="/v1/a"
+            at=at,
+            kind="sent",
+            exchange=identifier,
+            send=send,
+            repeat=repeat,
+            parts=list(parts),
+            sort="short",
+            path="/v1/a",
+        ),
+        dict(
+            at=at + 5,
+            kind="run",
+            worker=worker,
+            run=run,
+            exchange=identifier,
+            send=send,
+            parts=list(parts),
+            path="/v1/a",
         ),
-        dict(at=at + 5, kind="run", worker=worker, run=run, exchange=ident, send=send, parts=list(parts), path="/v1/a"),
-        dict(at=at + 90, kind="ran", worker=worker, run=run, exchange=ident),
+        dict(at=at + 90, kind="ran", worker=worker, run=run, exchange=identifier),
         dict(
             at=at + 99,
             kind="whole",
-            exchange=ident,
+            exchange=identifier,
             send=send,
             worker=worker,
             first=50,
             pause=10,
-            text=answer(ident, run),
+            text=answer(identifier, run),
         ),
     ]
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -3,16 +3,16 @@
 import pytest
 import twisted.internet.defer as defer
 
-import bench.engine as engine
-import bench.serving as serving
-import bench.sim as sim
-import bench.simulated_cluster as simulated_cluster
-import bench.words as words
-import iriswheel.client as client
-import iriswheel.machine as machine
-import iriswheel.message as message
+import iriswheel.dataplane.worker_connections as worker_connections
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import simulation.inference_engine as inference_engine
+import simulation.platform_names as platform_names
+import simulation.serving as serving
+import simulation.simulated_cluster as simulated_cluster
+import simulation.world as world
 
-MS, S = machine.MILLI, machine.SECOND
+MS, S = units.MILLISECOND_US, units.SECOND_US
 
 
 class Flow:
@@ -26,7 +26,7 @@
     def owns(self, status, low, used):
         return True
 
-    def head(self, status, heads, low):
+    def head(self, status, headers, low):
         pass
 
     def data(self, data):
@@ -42,15 +42,17 @@
 class TestIdleLines:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        self.world = sim.World(3)
-        self.tape = simulated_cluster.Tape()
-        proc = sim.Proc(self.world, "w1", sim.Machine(self.world, "10.0.3.1", "a"))
-        self.worker = serving.Worker(proc.mach(), "w1", "desk", self.tape, engine.Figures(enter_us=0), idle_us=700 * MS)
+        self.world = world.World(3)
+        self.tape = simulated_cluster.EventLog()
+        process = world.SimulatedProcess(self.world, "w1", world.Host(self.world, "10.0.3.1", "a"))
+        self.worker = serving.Worker(
+            process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), idle_us=700 * MS
+        )
         self.worker.closes = 0
         self.worker.silent_drop = True
-        proc.reactor.listenTCP(8080, self.worker)
-        near = sim.Proc(self.world, "n1", sim.Machine(self.world, "10.0.2.1", "a"))
-        self.lines = client.Lines(near.mach())
+        process.reactor.listenTCP(8080, self.worker)
+        near = world.SimulatedProcess(self.world, "n1", world.Host(self.world, "10.0.2.1", "a"))
+        self.lines = worker_connections.ConnectionPool(near.runtime())
         self.at = message.Worker(self.worker.id, "10.0.3.1", 8080, "desk", "ready", 0)
 
     def go(self, ms):
@@ -62,8 +64,8 @@
         async def one():
             line = await self.lines.get(self.at, 2 * S)
             line.start(
-                f"POST /x/ HTTP/1.1\r\nHost: h\r\n{words.HEAD['attempt']}: a{self.world.time}\r\n"
-                f"{words.HEAD['tokens']}: 1,9\r\nContent-Length: 0\r\n\r\n".encode(),
+                f"POST /x/ HTTP/1.1\r\nHost: h\r\n{platform_names.HEADERS['attempt']}: a{self.world.time}\r\n"
+                f"{platform_names.HEADERS['tokens']}: 1,9\r\nContent-Length: 0\r\n\r\n".encode(),
                 flow,
             )
 
@@ -97,7 +99,7 @@
         self.go(1000)
         self.send()
         self.worker.silent_drop, self.worker.idle_us = False, 0
-        self.go(client.LEARNED_US // MS + 1000)
+        self.go(worker_connections.LEARNED_US // MS + 1000)
         self.send()
         before = self.opened()
         self.go(1000)
@@ -106,10 +108,10 @@
 
     def test_a_connection_reset_while_it_works_teaches_nothing(self) -> None:
         self.send()
-        self.worker.ills = {"break": 1.0}
+        self.worker.faults = {"break": 1.0}
         self.go(300)
         assert self.send() == "lost"
-        self.worker.ills = {}
+        self.worker.faults = {}
         self.send()
         before = self.opened()
         self.go(500)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -4,11 +4,13 @@
 import sys
 
 SCRIPT = """
-import iriswheel.core, iriswheel.node, iriswheel.web  # what a process loads must not install a reactor of its own
-import iriswheel.machine as machine
-import iriswheel.process as process
-reactor = process.the_reactor()
-late = reactor.callLater(5, print).getTime() - machine.boottime() / machine.SECOND
+# what a process loads must not install a reactor of its own
+import iriswheel.control.core, iriswheel.node.node, iriswheel.transport.http_server
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.cli.service as service
+import iriswheel.runtime.units as units
+reactor = service.the_reactor()
+late = reactor.callLater(5, print).getTime() - scheduler.boottime() / units.SECOND_US
 print(round(late, 1))
 """
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -5,19 +5,19 @@
 
 import twisted.internet.task as task
 
-import iriswheel.chain as chain
-import iriswheel.configuration as configuration
-import iriswheel.core as core
-import iriswheel.follower as follower
-import iriswheel.gateway as gateway
-import iriswheel.machine as machine
-import iriswheel.options as options
+import iriswheel.configuration.configuration as configuration
+import iriswheel.control.core as core
+import iriswheel.dataplane.gateway as gateway
+import iriswheel.node.follower as follower
+import iriswheel.replication.chain as chain
+import iriswheel.runtime.options as options
+import iriswheel.runtime.scheduler as scheduler
 
 
 def a_follower():
     """A follower whose node only counts news."""
-    mach = machine.Machine(task.Clock(), now=lambda: 0, seed=1)
-    return follower.Follower(types.SimpleNamespace(mach=mach, on_news=lambda: None), options.Options("node"))
+    runtime = scheduler.Runtime(task.Clock(), now=lambda: 0, seed=1)
+    return follower.Follower(types.SimpleNamespace(runtime=runtime, on_update=lambda: None), options.Options("node"))
 
 
 def longest(routes, host, path):
@@ -31,9 +31,9 @@
 
 class TestItems:
     def errors(self, routes, pools=("p", "q"), **more):
-        doc = {"routes": routes, "pools": {p: {} for p in pools}, "terms": {"default": {}}, **more}
+        document = {"routes": routes, "pools": {p: {} for p in pools}, "terms": {"default": {}}, **more}
         try:
-            configuration.flatten(doc)
+            configuration.flatten(document)
         except configuration.InvalidConfigurationError as e:
             return e.errors
         return []
@@ -57,7 +57,7 @@
         assert self.errors({}, limits={"door": {"idle_us": 0}}) == ["limits/door: idle_us must be above 0"]
 
     def test_a_slice_has_all_that_its_routes_use_and_no_label(self) -> None:
-        ledger = chain.Ledger().change(
+        ledger = chain.ReplicatedState().change(
             [
                 (
                     "routes/r",
@@ -76,7 +76,7 @@
                 ("marks/operator", {"number": 4}),
             ]
         )
-        cut = core.Slices().slice(chain.Ledger.thaw(ledger.freeze()), "north", ())
+        cut = core.Slices().slice(chain.ReplicatedState.thaw(ledger.freeze()), "north", ())
         assert set(cut) == {"routes/r", "pools/p", "pools/q", "terms/default", "limits/door"}
         assert "label" not in str(cut)
         assert ledger.items["routes/r"]["label"] == {"a": 1}
@@ -86,7 +86,7 @@
     def test_find_agrees_with_a_look_at_all_routes(self) -> None:
         rng = random.Random(7)
         part = lambda: "/" + "/".join(rng.choices(["a", "b", "ab"], k=rng.randrange(4))) + rng.choice(["", "/"])  # noqa: E731
-        fol, items = a_follower(), {}
+        follower, items = a_follower(), {}
         for n in range(1, 200):
             change = {}
             for _ in range(rng.randrange(3)):
@@ -96,26 +96,26 @@
                 )
             items = {k: v for k, v in {**items, **change}.items() if v is not None}
             whole = rng.random() < 0.1 or n == 1
-            fol.take_items(n, items if whole else change, whole)
-            assert {k[7:]: configuration.Route.from_dict(v) for k, v in items.items()} == fol.routes
+            follower.apply_items(n, items if whole else change, whole)
+            assert {k[7:]: configuration.Route.from_dict(v) for k, v in items.items()} == follower.routes
             for _ in range(20):
                 host, path = rng.choice(["x", "z"]), part()
-                assert longest(fol.routes, host, path) == fol.find(host, path), (host, path)
+                assert longest(follower.routes, host, path) == follower.find(host, path), (host, path)
 
     def test_host_by_any_case_and_port(self) -> None:
-        fol = a_follower()
-        fol.take_items(1, {"routes/r": {"path": "/", "pool": "p", "host": "Desk.example"}}, True)
-        assert fol.find("desk.EXAMPLE:8080", "/x").pool == "p"
-        assert fol.find("other", "/x") is None
+        follower = a_follower()
+        follower.apply_items(1, {"routes/r": {"path": "/", "pool": "p", "host": "Desk.example"}}, True)
+        assert follower.find("desk.EXAMPLE:8080", "/x").pool == "p"
+        assert follower.find("other", "/x") is None
 
     def test_only_what_changed_is_parsed(self) -> None:
-        fol = a_follower()
+        follower = a_follower()
         items = {f"routes/r{k}": {"path": f"/{k}", "pool": "p"} for k in range(50)}
-        fol.take_items(1, items, True)
-        had = dict(fol.routes)
-        fol.take_items(2, {"routes/r7": {"path": "/7", "pool": "q"}, "limits/door": {"head_us": 5}}, False)
-        assert [k for k in had if fol.routes[k] is not had[k]] == ["r7"]
-        assert fol.limits.head_us == 5
-        fol.take_items(3, items, True)
-        assert [k for k in had if fol.routes[k] is not had[k]] == ["r7"]
-        assert configuration.Limits() == fol.limits
+        follower.apply_items(1, items, True)
+        had = dict(follower.routes)
+        follower.apply_items(2, {"routes/r7": {"path": "/7", "pool": "q"}, "limits/door": {"head_us": 5}}, False)
+        assert [k for k in had if follower.routes[k] is not had[k]] == ["r7"]
+        assert follower.limits.head_us == 5
+        follower.apply_items(3, items, True)
+        assert [k for k in had if follower.routes[k] is not had[k]] == ["r7"]
+        assert configuration.Limits() == follower.limits
--- a/tests/test_core_days.py
+++ b/tests/test_core_days.py
@@ -15,17 +15,17 @@
 
 import pytest
 
-import bench.core_days as core_days
-import bench.days as days
-import bench.judge as judge
-import bench.sim as sim
+import simulation.core_days as core_days
+import simulation.platform_days as platform_days
+import simulation.platform_rules as platform_rules
+import simulation.world as world
 
 
 def _time_of_day(self):
-    return self.proc.host.time_of_day()
+    return self.process.host.time_of_day()
 
 
-GUARDS = {"": (), "steady_timers": ((sim.Reactor, "clock", _time_of_day),)}
+GUARDS = {"": (), "steady_timers": ((world.Reactor, "clock", _time_of_day),)}
 # day, seed, shape, share of the usual load, guard that is taken out
 KEPT = [("time_of_day", 1, "magnolia", 0.1, ""), ("core_drawn", 3, "magnolia", 0.05, "")]
 FOUND = [("lose_tail", 2, "swan", 0.05, "")]
@@ -38,8 +38,8 @@
     with contextlib.ExitStack() as stack:
         for owner, attribute, instead in GUARDS[guard]:
             stack.enter_context(mock.patch.object(owner, attribute, instead))
-        s = days.play(name, seed, shape, load)
-    return job, judge.examine(s.tape.rows)
+        s = platform_days.play(name, seed, shape, load)
+    return job, platform_rules.examine(s.tape.rows)
 
 
 def name_of(job):
@@ -68,9 +68,9 @@
 class TestJumps:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        self.world = sim.World(1)
-        self.machine = sim.Machine(self.world, "h", "a")
-        self.reactor = sim.Proc(self.world, "p", self.machine).reactor
+        self.world = world.World(1)
+        self.machine = world.Host(self.world, "h", "a")
+        self.reactor = world.SimulatedProcess(self.world, "p", self.machine).reactor
         self.rung = []
 
     def ring(self):
@@ -83,7 +83,7 @@
         assert self.rung == [core_days.S]
 
     def test_timers_by_the_time_of_day_ring_late_and_early(self) -> None:
-        with mock.patch.object(sim.Reactor, "clock", _time_of_day):
+        with mock.patch.object(world.Reactor, "clock", _time_of_day):
             self.reactor.callLater(1, self.ring)
             self.machine.set_time_of_day(-core_days.JUMP_US)
             self.world.run(6 * core_days.S)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -11,16 +11,16 @@
 
 import pytest
 
-import bench.days as days
-import bench.judge as judge
-import bench.platform_model as platform_model
-import bench.sim as sim
-import iriswheel.budget as budget
-import iriswheel.follower as follower
-import iriswheel.forwarding as forwarding
-import iriswheel.machine as machine
-import iriswheel.node as node
-import iriswheel.verdict as verdict
+import iriswheel.dataplane.forwarding as forwarding
+import iriswheel.dataplane.retry_budget as retry_budget
+import iriswheel.errors as errors
+import iriswheel.node.follower as follower
+import iriswheel.node.node as node
+import iriswheel.runtime.units as units
+import simulation.platform_days as platform_days
+import simulation.platform_model as platform_model
+import simulation.platform_rules as platform_rules
+import simulation.world as world
 
 CLEAN = [
     ("calm", 1, "magnolia"),
@@ -43,44 +43,44 @@
 ]
 
 
-def _always_repeat(self, exchange, place, init=forwarding.ForwardedRequest.__init__):
-    init(self, exchange, place)
-    self.repeatable = True
+def _always_repeat(self, request_id, place, init=forwarding.ForwardedRequest.__init__):
+    init(self, request_id, place)
+    self.idempotent = True
 
 
 def _promise(self, x, code, text, back_us=0):
-    return verdict.ServiceError("busy", text, retry_us=150_000)
+    return errors.ServiceError("busy", text, retry_us=150_000)
 
 
-def _first_list(self, workers, *more, take=follower.Follower.take_workers):
+def _first_list(self, workers, *more, take=follower.Follower.apply_workers):
     take(self, self.workers or workers, *more)
 
 
-def _first_items(self, n, items, whole, take=follower.Follower.take_items):
+def _first_items(self, n, items, whole, take=follower.Follower.apply_items):
     """Says that it has applied everything, and goes by the first that it got."""
     if self.items is None or not self.items:
         take(self, n, items, whole)
     else:
-        self.place = max(self.place, n)
+        self.applied_index = max(self.applied_index, n)
 
 
 async def _leave_at_once(self):
     self.left = True
 
 
-async def _leave_with_the_last_exchange(self):
+async def _leave_with_the_last_request(self):
     self.stopping = True
-    while not self.asked_at or self.mach.now() < self.asked_at + self.options.notice_us or self.door.open:
-        await self.mach.pause(self.door.closed, 100 * machine.MILLI)
+    while not self.asked_at or self.runtime.now() < self.asked_at + self.options.notice_us or self.gateway.open:
+        await self.runtime.pause(self.gateway.closed, 100 * units.MILLISECOND_US)
     self.left = True
 
 
-_sent_heads = []
+_sent_headers = []
 
 
-def _stale_head(self, req, size, *more, head=platform_model.formats.Formats.head):
-    _sent_heads.append(head(self, req, size, *more))
-    return _sent_heads[-2] if len(_sent_heads) > 50 else _sent_heads[-1]
+def _stale_head(self, request, size, *more, head=platform_model.formats.Formats.head):
+    _sent_headers.append(head(self, request, size, *more))
+    return _sent_headers[-2] if len(_sent_headers) > 50 else _sent_headers[-1]
 
 
 def _no_target(self, *args, head=platform_model.formats.Formats.head):
@@ -90,12 +90,12 @@
 # guard -> what is put in its place, the day, its seed, the rule that must be seen broken
 GUARDS = {
     "own_answers": (
-        [(platform_model.formats.Formats, "mine", lambda self, tag, status, heads: True)],
+        [(platform_model.formats.Formats, "mine", lambda self, tag, status, headers: True)],
         "surplus",
         1,
         "mixed",
     ),
-    "seal": ([(platform_model.formats.Formats, "home", lambda self, heads, worker: [])], "calm", 1, "mixed"),
+    "seal": ([(platform_model.formats.Formats, "home", lambda self, headers, worker: [])], "calm", 1, "mixed"),
     "own_heads": ([(platform_model.formats.Formats, "head", _stale_head)], "calm", 1, "unasked"),
     "target": ([(platform_model.formats.Formats, "head", _no_target)], "other_service", 1, "route"),
     "once": (
@@ -108,18 +108,18 @@
         "twice",
     ),
     "promises": ([(forwarding.Forwarder, "give_up", _promise)], "some_fail", 1, "refused"),
-    "whole_events": ([(forwarding, "whole_events", lambda raw: (raw, b""))], "broken_off", 1, "order"),
-    "worker_states": ([(follower.Follower, "take_workers", _first_list)], "release", 1, "drain"),
+    "complete_events": ([(forwarding, "complete_events", lambda raw: (raw, b""))], "broken_off", 1, "order"),
+    "worker_states": ([(follower.Follower, "apply_workers", _first_list)], "release", 1, "drain"),
     "drain": ([(node.Node, "stop", _leave_at_once)], "roll", 1, "lost"),
-    "last_bytes": ([(node.Node, "stop", _leave_with_the_last_exchange)], "roll", 4, "lost"),
+    "last_bytes": ([(node.Node, "stop", _leave_with_the_last_request)], "roll", 4, "lost"),
     "routes": ([(follower.Follower, "find", lambda self, host, path: None)], "calm", 1, "denied"),
-    "news": ([(follower.Follower, "take_items", _first_items)], "changes", 1, "config"),
-    "budget": ([(budget.Budget, "room", lambda self, now: True)], "all_fail", 1, "budget"),
-    "disk": ([(sim.Disk, "read", lambda self: {})], "closing_power", 1, "config"),
+    "news": ([(follower.Follower, "apply_items", _first_items)], "changes", 1, "config"),
+    "budget": ([(retry_budget.Budget, "has_capacity", lambda self, now: True)], "all_fail", 1, "budget"),
+    "disk": ([(world.Disk, "read", lambda self: {})], "closing_power", 1, "config"),
 }
 OWN = {  # days that only a guard's absence needs
-    "some_fail": lambda s: (s.go(2), s.ill(s.live_workers(), 8, garble=0.3)),
-    "all_fail": lambda s: (s.go(2), s.ill(s.live_workers(), 12, garble=0.9)),
+    "some_fail": lambda s: (s.go(2), s.make_unhealthy(s.live_workers(), 8, garble=0.3)),
+    "all_fail": lambda s: (s.go(2), s.make_unhealthy(s.live_workers(), 12, garble=0.9)),
 }
 
 
@@ -129,10 +129,16 @@
     with contextlib.ExitStack() as stack:
         for owner, what, instead in GUARDS[guard][0] if guard else ():
             stack.enter_context(mock.patch.object(owner, what, instead))
-        stack.enter_context(mock.patch.dict(days.DAYS, OWN))
-        s = days.play(name, seed, shape)
+        stack.enter_context(mock.patch.dict(platform_days.DAYS, OWN))
+        s = platform_days.play(name, seed, shape)
     ran = {r["how"] for r in s.tape.rows if r["kind"] == "ran"}
-    return job, judge.examine(s.tape.rows), s.tape.text() if name == "calm" and not guard else "", ran, days.totals(s)
+    return (
+        job,
+        platform_rules.examine(s.tape.rows),
+        s.tape.text() if name == "calm" and not guard else "",
+        ran,
+        platform_days.totals(s),
+    )
 
 
 @functools.cache
@@ -157,12 +163,12 @@
 
 
 @pytest.mark.parametrize(
-    ("name", "shape", "ill"),
+    ("name", "shape", "unhealthy"),
     [("garble", "swan", "garble"), ("answers_lost", "swan", "lost"), ("broken_off", "magnolia", "broke")],
 )
-def test_the_ills_of_a_day_happen(name: str, shape: str, ill: str) -> None:
+def test_the_ills_of_a_day_happen(name: str, shape: str, unhealthy: str) -> None:
     _, _, _, ran, _ = played(name, 1, shape)
-    assert ill in ran
+    assert unhealthy in ran
 
 
 @pytest.mark.parametrize("shape", ["magnolia", "swan"])
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -6,15 +6,15 @@
 import pytest
 import twisted.internet.defer as defer
 
-import bench.sim as sim
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.agreement as agreement
-import iriswheel.message as message
-import iriswheel.store as store
-import iriswheel.view as view
+import iriswheel.consensus.decisions as decisions
+import iriswheel.consensus.view_consensus as view_consensus
+import iriswheel.replication.storage as storage
+import iriswheel.transport.message as message
+import simulation.simulated_cluster as simulated_cluster
+import simulation.world as world
 
 S = simulated_cluster.S
-SEATS = [message.Seat(i, f"10.0.1.{k}", simulated_cluster.PEER, "a") for k, i in enumerate("abc", 1)]
+SEATS = [message.Voter(i, f"10.0.1.{k}", simulated_cluster.PEER, "a") for k, i in enumerate("abc", 1)]
 
 
 class TestMembership:
@@ -22,76 +22,80 @@
 
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        self.world = sim.World(1)
-        self.host = sim.Machine(self.world, "10.0.1.2", "a")
+        self.world = world.World(1)
+        self.host = world.Host(self.world, "10.0.1.2", "a")
         self.start()
-        self.wait(self.membership.adopt(self.epoch(1)))
+        self.wait(self.consensus.adopt(self.epoch(1)))
         self.world.run(self.world.time + 2 * S)  # a restarted voter waits one lease before it promises
 
     def start(self):
-        self.proc = sim.Proc(self.world, "b", self.host)
-        mach = self.proc.mach()
-        self.disk = sim.Disk(self.proc)
+        self.process = world.SimulatedProcess(self.world, "b", self.host)
+        runtime = self.process.runtime()
+        self.disk = world.Disk(self.process)
         state = self.disk.read()
-        record = view.msgspec.msgpack.decode(state[b"council"], type=agreement.Record) if state else agreement.Record()
+        record = (
+            view_consensus.msgspec.msgpack.decode(state[b"council"], type=decisions.Record)
+            if state
+            else decisions.Record()
+        )
         self.installed = []
-        guard = store.Guard(mach, self.disk)
-        self.membership = view.Membership(mach, guard, record, SEATS[1], [], None, self.installed.append)
+        guard = storage.MonitoredDisk(runtime, self.disk)
+        self.consensus = view_consensus.ViewConsensus(runtime, guard, record, SEATS[1], [], None, self.installed.append)
 
     def epoch(self, number, order="abc"):
-        boots = {"b": self.membership.mach.boot}
+        boots = {"b": self.consensus.runtime.incarnation}
         return message.View(number, SEATS, [message.ChainReplica(i, boots.get(i, "x")) for i in order])
 
-    def wait(self, coro):
-        done = defer.ensureDeferred(coro)
+    def wait(self, coroutine):
+        done = defer.ensureDeferred(coroutine)
         self.world.run(self.world.time + S)
         assert done.called
         return done.result
 
     def test_a_promise_that_the_disk_refuses_is_a_refusal_and_seals_nothing(self) -> None:
         self.host.disk = "full"
-        answer = self.wait(self.membership.answer(message.Prepare(2, (5, "a"), "a")))
+        answer = self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a")))
         assert (answer.ok, answer.ballot) == (False, (0, ""))
-        assert not self.membership.sealed()
+        assert not self.consensus.sealed()
         self.host.disk = "ok"
-        assert self.wait(self.membership.answer(message.Prepare(2, (4, "c"), "c"))).ok
+        assert self.wait(self.consensus.answer(message.Prepare(2, (4, "c"), "c"))).ok
 
     def test_an_acceptance_that_the_disk_refuses_is_told_to_nobody(self) -> None:
-        assert self.wait(self.membership.answer(message.Prepare(2, (5, "a"), "a"))).ok
+        assert self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a"))).ok
         self.host.disk = "full"
-        answer = self.wait(self.membership.answer(message.Accept((5, "a"), self.epoch(2, "ab"), "a")))
+        answer = self.wait(self.consensus.answer(message.Accept((5, "a"), self.epoch(2, "ab"), "a")))
         assert not answer.ok
         self.host.disk = "ok"
-        promise = self.wait(self.membership.answer(message.Prepare(2, (6, "c"), "c")))
+        promise = self.wait(self.consensus.answer(message.Prepare(2, (6, "c"), "c")))
         assert (promise.ok, promise.accepted) == (True, None)
 
     def test_a_promise_that_was_given_outlives_a_refused_one_and_a_restart(self) -> None:
-        assert self.wait(self.membership.answer(message.Prepare(2, (5, "a"), "a"))).ok
+        assert self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a"))).ok
         self.host.disk = "full"
-        assert not self.wait(self.membership.answer(message.Prepare(2, (9, "c"), "c"))).ok
+        assert not self.wait(self.consensus.answer(message.Prepare(2, (9, "c"), "c"))).ok
         self.host.disk = "ok"
-        assert self.wait(self.membership.answer(message.Accept((5, "a"), self.epoch(2, "ab"), "a"))).ok
+        assert self.wait(self.consensus.answer(message.Accept((5, "a"), self.epoch(2, "ab"), "a"))).ok
         self.start()
         self.world.run(self.world.time + 2 * S)
-        assert not self.wait(self.membership.answer(message.Prepare(2, (4, "c"), "c"))).ok
-        promise = self.wait(self.membership.answer(message.Prepare(2, (6, "c"), "c")))
+        assert not self.wait(self.consensus.answer(message.Prepare(2, (4, "c"), "c"))).ok
+        promise = self.wait(self.consensus.answer(message.Prepare(2, (6, "c"), "c")))
         assert (promise.accepted[0], "".join(x.id for x in promise.accepted[1].chain)) == ((5, "a"), "ab")
 
     def test_a_copy_counts_as_whole_only_once_that_is_on_the_disk(self) -> None:
         self.host.disk = "full"
-        done = defer.ensureDeferred(self.membership.grow_whole(1))
-        done.addErrback(lambda f: f.trap(store.DiskError))
+        done = defer.ensureDeferred(self.consensus.mark_synced(1))
+        done.addErrback(lambda f: f.trap(storage.DiskError))
         self.world.run(self.world.time + S)
-        assert (done.called, self.membership.record.whole) == (True, 0)
+        assert (done.called, self.consensus.record.synced_view) == (True, 0)
 
     def test_a_head_whose_disk_refused_the_view_leads_once_the_disk_works(self) -> None:
         self.host.disk = "full"
-        self.wait(self.membership.adopt(self.epoch(2, "bac")))
-        assert (self.membership.view.number, self.membership.record.whole) == (2, 0)
+        self.wait(self.consensus.adopt(self.epoch(2, "bac")))
+        assert (self.consensus.view.number, self.consensus.record.synced_view) == (2, 0)
         self.host.disk = "ok"
         installed = len(self.installed)
         self.world.run(self.world.time + S)
-        assert self.membership.record.whole == 2
+        assert self.consensus.record.synced_view == 2
         assert len(self.installed) == installed + 1  # so that the chain starts
 
 
@@ -101,7 +105,7 @@
         monkeypatch.setattr(os, "fsync", lambda fd: (synced.append(os.readlink(f"/proc/self/fd/{fd}")), real(fd)))
         with tempfile.TemporaryDirectory() as d:
             d = os.path.realpath(d)
-            disk = store.Disk(os.path.join(d, "one", "two"))
+            disk = storage.Disk(os.path.join(d, "one", "two"))
             disk.open()
             disk.close()
             folders = {os.path.relpath(p, d) for p in synced if os.path.isdir(p)}
--- a/tests/test_encoding.py
+++ b/tests/test_encoding.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-import iriswheel.agreement as agreement
-import iriswheel.message as message
-import iriswheel.wire as wire
+import iriswheel.consensus.decisions as decisions
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
 
 
 class TestEncoding:
@@ -12,7 +12,7 @@
         assert wire.encoder.encode(message.LeaseRequest(3, "a")) == b"\x93\xa8LeaseAsk\x03\xa1a"
 
     def test_a_snapshot_keeps_its_bytes(self) -> None:
-        assert wire.encoder.encode(message.Snapshot(7, {})) == b"\x93\xa5Frame\x07\x80"
+        assert wire.encoder.encode(message.ConfigurationSnapshot(7, {})) == b"\x93\xa5Frame\x07\x80"
 
     def test_a_heartbeat_keeps_its_tag(self) -> None:
         heartbeat = message.Heartbeat("a", "b", "z", "10.0.0.1", 7001, None, 0, True, False)
@@ -20,6 +20,6 @@
 
     def test_the_view_on_the_disk_keeps_its_bytes(self) -> None:
         old = b"\x94\x94\xa4View\x04\x90\x91\x93\xa9ChainLink\xa1a\xa1b\x92\x00\xa0\xc0\x04"
-        record = msgspec.msgpack.decode(old, type=agreement.Record)
+        record = msgspec.msgpack.decode(old, type=decisions.Record)
         assert [message.ChainReplica("a", "b")] == record.view.chain
         assert msgspec.msgpack.encode(record) == old
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -4,10 +4,11 @@
 
 import twisted.internet.task as task
 
-import bench.engine as engine
-import iriswheel.machine as machine
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import simulation.inference_engine as inference_engine
 
-MS = machine.MILLI
+MS = units.MILLISECOND_US
 
 
 class TestEngines:
@@ -25,23 +26,27 @@
             event_tokens=4,
             capacity=8,
         )
-        self.mach = machine.Machine(self.clock, now=lambda: round(self.clock.seconds() * machine.SECOND), seed=1)
-        self.engine = engine.Engine(self.mach, engine.Figures(**{**base, **figures}))
+        self.runtime = scheduler.Runtime(self.clock, now=lambda: round(self.clock.seconds() * units.SECOND_US), seed=1)
+        self.engine = inference_engine.Engine(self.runtime, inference_engine.Figures(**{**base, **figures}))
         self.told = {}
         return self.engine
 
-    def job(self, ident, parts, tokens=4, **more):
-        self.told[ident] = []
-        job = engine.Job(
-            ident, parts, tokens, event=lambda k, last: self.told[ident].append((k, last, self.mach.now())), **more
+    def job(self, identifier, parts, tokens=4, **more):
+        self.told[identifier] = []
+        job = inference_engine.Job(
+            identifier,
+            parts,
+            tokens,
+            event=lambda k, last: self.told[identifier].append((k, last, self.runtime.now())),
+            **more,
         )
         return job
 
     def go(self, ms):
         self.clock.pump([0.001] * ms)
 
-    def first(self, ident):
-        return self.told[ident][0][2] / MS
+    def first(self, identifier):
+        return self.told[identifier][0][2] / MS
 
     def test_a_stream_has_its_events_in_order_and_ends(self) -> None:
         e = self.make()
@@ -109,7 +114,7 @@
         assert e.offer(self.job("y", [("a", 990)], tokens=10))
 
     def test_a_full_queue_turns_away(self) -> None:
-        e = self.make(capacity=2, room=3)
+        e = self.make(capacity=2, waiting_limit=3)
         took = [e.offer(self.job(f"x{k}", [("a", 10)], tokens=40)) for k in range(7)]
         assert took == [True] * 5 + [False] * 2
 
@@ -123,7 +128,7 @@
         self.go(900)
         assert [jobs[0].put_back, jobs[1].put_back, jobs[2].put_back > 0] == [0, 0, True]
         for j in jobs:
-            assert [*range(1, 12)] == [t[0] for t in self.told[j.ident]]
+            assert [*range(1, 12)] == [t[0] for t in self.told[j.identifier]]
         assert e.owned == 0
 
     def test_the_more_urgent_is_let_in_first_and_takes_a_place(self) -> None:
@@ -165,7 +170,7 @@
 
     def test_what_is_owned_is_given_back(self) -> None:
         e = self.make(kv_capacity=5000, capacity=4)
-        rng = self.mach.rng
+        rng = self.runtime.rng
         jobs = [
             self.job(
                 f"x{k}",
@@ -187,5 +192,5 @@
         assert sum(n for n, _ in e.kept.values()) == e.kept_tokens
         assert e.put_backs > 0
         for j in jobs:
-            got = [t[0] for t in self.told[j.ident]]
+            got = [t[0] for t in self.told[j.identifier]]
             assert [*range(1, len(got) + 1)] == got
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -5,43 +5,45 @@
 import msgspec
 import pytest
 
-import bench.cluster_model as cluster_model
-import bench.explore as explore
-import iriswheel.agreement as agreement
-import iriswheel.message as message
+import iriswheel.consensus.decisions as decisions
+import iriswheel.transport.message as message
+import simulation.cluster_model as cluster_model
+import simulation.explore as explore
 
 STATES = 4_000  # of each search without a fault, so that the whole file stays quick
 GUARD_STATES = 60_000
 
 
-def any_ballot(record, replica, holder, prepare, promise=agreement.promise):
+def any_ballot(record, replica, holder, prepare, promise=decisions.promise):
     """Promise without a look at the ballot promised before."""
-    return promise(msgspec.structs.replace(record, promised=agreement.NO_BALLOT), replica, holder, prepare)
+    return promise(msgspec.structs.replace(record, promised=decisions.NO_BALLOT), replica, holder, prepare)
 
 
 def unsynced_order(view, promises, alive):
     """Order the chain by name, whoever is synced."""
-    return [message.ChainReplica(ident, alive[ident]) for ident in sorted(alive, reverse=True)]
+    return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
 
 
-def order_without_tips(view, promises, alive, order=agreement.order):
+def order_without_tips(view, promises, alive, order=decisions.order):
     """Order the chain without a look at the last log entries."""
-    promises = {ident: msgspec.structs.replace(answer, tip=(0, 0)) for ident, answer in promises.items()}
+    promises = {
+        identifier: msgspec.structs.replace(answer, last_entry=(0, 0)) for identifier, answer in promises.items()
+    }
     return order(view, promises, alive)
 
 
-def no_hand_over(view, promises, seats, alive, leaving, next_view=agreement.next_view):
+def no_hand_over(view, promises, voters, alive, leaving, next_view=decisions.next_view):
     """Never let a leaving machine lead."""
-    return next_view(view, promises, seats, alive, {})
+    return next_view(view, promises, voters, alive, {})
 
 
 def two_views(limits):
     """A state in which `a` and `b` have gone on to a chain of their own, and `b` is not synced in it yet."""
     world = cluster_model.start(3, limits)
     a, b, c = world.cores
-    agreed = message.View(2, a.record.view.seats, a.record.view.chain[:2])
-    a = msgspec.structs.replace(a, record=agreement.Record(agreed, whole=2))
-    b = msgspec.structs.replace(b, record=agreement.Record(agreed, whole=1))
+    agreed = message.View(2, a.record.view.voters, a.record.view.chain[:2])
+    a = msgspec.structs.replace(a, record=decisions.Record(agreed, synced_view=2))
+    b = msgspec.structs.replace(b, record=decisions.Record(agreed, synced_view=1))
     return msgspec.structs.replace(world, cores=(a, b, c), views=(*world.views, agreed))
 
 
@@ -51,7 +53,7 @@
 
     def breaks(self, guard, limits, words, **more):
         name, replacement = guard
-        with mock.patch.object(agreement, name, replacement):
+        with mock.patch.object(decisions, name, replacement):
             found = self.search(limits, states=GUARD_STATES, **more)
         assert words in found.violation
 
@@ -74,12 +76,12 @@
         limits = cluster_model.Limits(proposals=1, changes=0, crashes=1)
         first = two_views(limits)
         assert self.search(limits, first=first).violation == ""
-        guard = ("complete_through", lambda record, ident: record.whole)
+        guard = ("complete_through", lambda record, identifier: record.synced_view)
         self.breaks(guard, limits, "no synced copy is left", first=first)
 
     def test_a_machine_outside_the_chain_does_not_count_as_complete(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1)
-        guard = ("complete_through", lambda record, ident: record.view.number)
+        guard = ("complete_through", lambda record, identifier: record.view.number)
         self.breaks(guard, limits, "without acknowledged", first=two_views(limits))
 
     def test_without_the_ballot_check_two_views_have_one_number(self) -> None:
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,6 +1,6 @@
 """Simulated runs behave as recorded in tests/data/behaviour.json, and a changed behaviour is noticed.
 
-A few runs of each part are played here; `python -m bench.fingerprint check tests/data/behaviour.json` plays all.
+A few runs of each part are played here; `python -m simulation.fingerprint check tests/data/behaviour.json` plays all.
 A failure of a run here means that the software's behaviour has changed. Where that is meant, record the file again.
 """
 
@@ -15,8 +15,8 @@
 import msgspec
 import testtools
 
-import bench.fingerprint as fingerprint
-import bench.observed_runs as observed_runs
+import simulation.fingerprint as fingerprint
+import simulation.observed_runs as observed_runs
 
 RECORDED = os.path.join(os.path.dirname(os.path.abspath(__file__)), "data", "behaviour.json")
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
@@ -50,7 +50,7 @@
 
 def _plays(run: str) -> collections.abc.Callable[[Recorded], None]:
     def test(self: Recorded) -> None:
-        command = [sys.executable, "-m", "bench.fingerprint", "check", RECORDED, "--only", run, "--jobs", "1"]
+        command = [sys.executable, "-m", "simulation.fingerprint", "check", RECORDED, "--only", run, "--jobs", "1"]
         done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
         self.assertEqual(0, done.returncode, done.stdout + done.stderr)
         self.assertIn("1 runs checked, 0 differ", done.stdout)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,34 +1,36 @@
 """One node's forwarder between a client and stand-in workers: what it makes of each trouble."""
 
-import bench.client_model as client_model
-import bench.engine as engine
-import bench.serving as serving
-import bench.sim as sim
-import bench.words as words
-import iriswheel.machine as machine
-import iriswheel.message as message
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import simulation.client_model as client_model
+import simulation.inference_engine as inference_engine
+import simulation.platform_names as platform_names
+import simulation.serving as serving
+import simulation.world as world
 import tests.node_fixture as node_fixture
 
-S = machine.SECOND
-H = words.HEAD
+S = units.SECOND_US
+H = platform_names.HEADERS
 
 
 class TestCarrying(node_fixture.NodeFixture):
-    def worker(self, **ills):
+    def worker(self, **faults):
         k = len(self.workers) + 1
-        proc = sim.Proc(self.world, f"w{k}", sim.Machine(self.world, f"10.0.3.{k}", "a"))
-        w = serving.Worker(proc.mach(), f"w{k}", "desk", self.tape, engine.Figures(enter_us=0), conns=50)
-        w.proc, w.ills, w.closes, w.lingers = proc, ills, 0, 0
-        proc.reactor.listenTCP(80, w)
+        process = world.SimulatedProcess(self.world, f"w{k}", world.Host(self.world, f"10.0.3.{k}", "a"))
+        w = serving.Worker(
+            process.runtime(), f"w{k}", "desk", self.tape, inference_engine.Figures(enter_us=0), conns=50
+        )
+        w.process, w.faults, w.closes, w.lingers = process, faults, 0, 0
+        process.reactor.listenTCP(80, w)
         self.workers.append(w)
-        self.fol.workers.append(message.Worker(w.id, f"10.0.3.{k}", 80, "desk", "ready", 0))
-        self.fol.states = {w.id: w for w in self.fol.workers}
+        self.follower.workers.append(message.Worker(w.id, f"10.0.3.{k}", 80, "desk", "ready", 0))
+        self.follower.states = {w.id: w for w in self.follower.workers}
         return w
 
-    def ask(self, events=40, read=True):
+    def query(self, events=40, read=True):
         """Send a request for a stream; the client's connection and what comes of it."""
-        call, got = client_model.Call(lambda call: None), []
-        client_model.connect(self.near.mach(), "10.0.2.1", 80, S).addCallback(got.append)
+        call, got = client_model.PendingAnswer(lambda call: None), []
+        client_model.connect(self.near.runtime(), "10.0.2.1", 80, S).addCallback(got.append)
         self.go(10)
         head = {
             "Host": "h.example",
@@ -52,9 +54,9 @@
     def test_a_stream_that_breaks_off_is_taken_up_elsewhere(self) -> None:
         for _ in range(2):
             self.worker()
-        call, _ = self.ask()
+        call, _ = self.query()
         self.go(60)
-        self.elected().proc.kill()
+        self.elected().process.kill()
         self.go(1000)
         assert ("whole", list(range(1, 42))) == (call.how, [e[0] for e in call.events])
         assert self.forwarder.counts["resumed"] == 1
@@ -62,31 +64,31 @@
     def test_a_stream_that_nobody_can_take_up_is_broken_off(self) -> None:
         for _ in range(2):
             self.worker()
-        call, _ = self.ask()
+        call, _ = self.query()
         self.go(60)
         for w in self.workers:  # and their ports reset
-            w.proc.kill()
+            w.process.kill()
         self.go(1000)
         assert (call.how, 0 < len(call.events) < 41) == ("closed", True)
 
     def test_a_silent_worker_keeps_a_stream_that_nobody_can_take_up(self) -> None:
         w = self.worker()
-        call, _ = self.ask()
+        call, _ = self.query()
         self.go(60)
-        w.proc.freeze()
+        w.process.freeze()
         self.go(1500)
-        w.proc.wake()
+        w.process.wake()
         self.go(1000)
         assert (self.forwarder.counts["mute"], call.how, len(call.events)) == (0, "whole", 41)
 
     def test_a_requester_that_reads_slowly_speaks_against_no_worker(self) -> None:
         for _ in range(2):
             self.worker().figures.step_us = 100
-        call, line = self.ask(events=4000)
+        call, line = self.query(events=4000)
         self.go(60)
         line.transport.pauseProducing()
         self.go(2500)
         line.transport.resumeProducing()
         self.go(2000)
         assert (self.forwarder.counts["mute"], len(self.runs()), call.how) == (0, 1, "whole")
-        assert self.forwarder.place("desk").own_ill(self.elected().id, self.world.time) == 0
+        assert self.forwarder.placement_of("desk").own_suspicion(self.elected().id, self.world.time) == 0
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -22,17 +22,18 @@
 import twisted.internet.task as task
 import twisted.internet.testing as testing
 
-import bench.words as words
-import iriswheel.client as client
-import iriswheel.configuration as configuration
-import iriswheel.core as core
-import iriswheel.machine as machine
-import iriswheel.message as message
-import iriswheel.options as options
-import iriswheel.web as web
-import iriswheel.wire as wire
-
-H = words.HEAD
+import iriswheel.configuration.configuration as configuration
+import iriswheel.control.core as core
+import iriswheel.dataplane.worker_connections as worker_connections
+import iriswheel.runtime.options as options
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.http_server as http_server
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
+import simulation.platform_names as platform_names
+
+H = platform_names.HEADERS
 QUICK = hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=150)
 SCALARS = strategies.one_of(
     strategies.none(),
@@ -71,7 +72,7 @@
 def new_machine():
     """A clock and the machine on it."""
     clock = task.Clock()
-    return clock, machine.Machine(clock, now=lambda: int(clock.seconds() * machine.SECOND), seed=1)
+    return clock, scheduler.Runtime(clock, now=lambda: int(clock.seconds() * units.SECOND_US), seed=1)
 
 
 class Quiet:
@@ -85,20 +86,20 @@
 class TestFrames(Quiet):
     """Frames between processes."""
 
-    def link(self):
-        self.clock, mach = new_machine()
+    def connection(self):
+        self.clock, runtime = new_machine()
         self.got = []
-        link = wire.Connection(mach, lambda link, msg: self.got.append(msg), loguru.logger)
+        connection = wire.Connection(runtime, lambda connection, msg: self.got.append(msg), loguru.logger)
         transport = Transport()
-        link.makeConnection(transport)
-        return link, transport
+        connection.makeConnection(transport)
+        return connection, transport
 
     def feed(self, raw, cuts=()):
-        link, transport = self.link()
+        connection, transport = self.connection()
         places = [0, *sorted(cut % (len(raw) + 1) for cut in cuts), len(raw)]
         for start, end in itertools.pairwise(places):
             if not transport.aborted:
-                link.dataReceived(raw[start:end])
+                connection.dataReceived(raw[start:end])
         assert all(isinstance(msg, message.Message) for msg in self.got), self.got
         assert [line for line in self.broken if "speaks version" not in line] == []
         return transport
@@ -131,9 +132,9 @@
         ),
         strategies.integers(0, 3),
     )
-    def test_values_of_wrong_types(self, val: Any, kind: int) -> None:
-        for doc in (val, [kind, 1, val], [kind, val, ["Ping"]], [kind, 1, [val, val, val]]):
-            raw = msgspec.msgpack.encode(doc)
+    def test_values_of_wrong_types(self, value: Any, kind: int) -> None:
+        for document in (value, [kind, 1, value], [kind, value, ["Ping"]], [kind, 1, [value, value, value]]):
+            raw = msgspec.msgpack.encode(document)
             self.feed(struct.pack("!I", len(raw)) + raw)
 
     @QUICK
@@ -149,9 +150,9 @@
     @QUICK
     @hypothesis.given(strategies.data())
     def test_messages_with_bytes_changed(self, data: strategies.DataObject) -> None:
-        good = wire.encoder.encode(wire.Parcel(0, 0, message.Worker("w", "h", 1, "p", "ready", 0)))
+        good = wire.encoder.encode(wire.Envelope(0, 0, message.Worker("w", "h", 1, "p", "ready", 0)))
         good = (
-            wire.encoder.encode(wire.Parcel(1, 1, message.Listing([], (3, 1, 40))))
+            wire.encoder.encode(wire.Envelope(1, 1, message.WorkerListing([], (3, 1, 40))))
             if data.draw(strategies.booleans())
             else good
         )
@@ -172,7 +173,7 @@
 
     async def change(self, order):
         new = self.renumber(order, self.items)
-        msgspec.msgpack.decode(msgspec.msgpack.encode([order.ident, configuration.differ(self.items, new)]))
+        msgspec.msgpack.decode(msgspec.msgpack.encode([order.identifier, configuration.differ(self.items, new)]))
         configuration.carve(new, "a")
         json.dumps(configuration_api.show(new))
         return 1
@@ -262,7 +263,7 @@
     },
 )
 PLANT = strategies.fixed_dictionaries({"name": strategies.just("p") | SCALARS}, optional={"engine": DOCUMENTS})
-WHOLE = strategies.fixed_dictionaries(
+COMPLETE = strategies.fixed_dictionaries(
     {
         "version": strategies.integers(1, 9) | SCALARS,
         "channels": strategies.lists(CHANNEL, max_size=2) | DOCUMENTS,
@@ -280,8 +281,8 @@
     """Operators' documents are taken or refused."""
 
     def call(self, method, path, body):
-        _, mach = new_machine()
-        server = web.Server(mach, configuration_api.Configuration(Memory()).handle)
+        _, runtime = new_machine()
+        server = http_server.Server(runtime, configuration_api.Configuration(Memory()).handle)
         channel = server.buildProtocol(None)
         transport = Transport()
         channel.makeConnection(transport)
@@ -294,14 +295,14 @@
         return status
 
     @QUICK
-    @hypothesis.given(WHOLE | DOCUMENTS, strategies.sampled_from(["PUT", "PATCH"]))
-    def test_any_configuration(self, doc: Any, method: str) -> None:
-        self.call(method, "/configuration", json.dumps(doc).encode())
+    @hypothesis.given(COMPLETE | DOCUMENTS, strategies.sampled_from(["PUT", "PATCH"]))
+    def test_any_configuration(self, document: Any, method: str) -> None:
+        self.call(method, "/configuration", json.dumps(document).encode())
 
     @QUICK
     @hypothesis.given(CHANGE | DOCUMENTS)
-    def test_any_numbered_change(self, doc: Any) -> None:
-        self.call("POST", "/changes", json.dumps(doc).encode())
+    def test_any_numbered_change(self, document: Any) -> None:
+        self.call("POST", "/changes", json.dumps(document).encode())
 
     @QUICK
     @hypothesis.given(strategies.binary(max_size=30))
@@ -324,21 +325,21 @@
         channel = {"name": "r", "path_prefix": "/a/", "mode": "streaming", "cutoff_ms": 5, "plant": "p"}
         fields = [*channel, "urgency", "retries", "authority", "partition", "later"]
         for field in fields:
-            for val in ODD_JSON:
-                doc = {"version": 1, "channels": [{**channel, field: val}], "plants": [{"name": "p"}]}
-                self.call("PUT", "/configuration", json.dumps(doc).encode())
+            for value in ODD_JSON:
+                document = {"version": 1, "channels": [{**channel, field: value}], "plants": [{"name": "p"}]}
+                self.call("PUT", "/configuration", json.dumps(document).encode())
         for field in ("name", "probe", "conn_limit", "engine", "later"):
-            for val in [*ODD_JSON, *({"capacity": val, "stride": val} for val in ODD_JSON)]:
-                doc = {"version": 1, "channels": [], "plants": [{"name": "p", field: val}]}
-                self.call("PUT", "/configuration", json.dumps(doc).encode())
+            for value in [*ODD_JSON, *({"capacity": value, "stride": value} for value in ODD_JSON)]:
+                document = {"version": 1, "channels": [], "plants": [{"name": "p", field: value}]}
+                self.call("PUT", "/configuration", json.dumps(document).encode())
         for field in ("header_bytes", "body_bytes", "header_deadline_ms", "idle_ms", "later"):
-            for val in ODD_JSON:
-                doc = {"version": 1, "channels": [], "plants": [], "constraints": {field: val}}
-                self.call("PUT", "/configuration", json.dumps(doc).encode())
+            for value in ODD_JSON:
+                document = {"version": 1, "channels": [], "plants": [], "constraints": {field: value}}
+                self.call("PUT", "/configuration", json.dumps(document).encode())
         for field in ("number", "built_on", "upsert", "remove", "blueprint", "later"):
-            for val in [*ODD_JSON, *({"pools": {"p": {"cap": val, "label": {"a": val}}}} for val in ODD_JSON)]:
-                doc = {"number": 1, "built_on": 0, "upsert": {}, field: val}
-                self.call("POST", "/changes", json.dumps(doc).encode())
+            for value in [*ODD_JSON, *({"pools": {"p": {"cap": value, "label": {"a": value}}}} for value in ODD_JSON)]:
+                document = {"number": 1, "built_on": 0, "upsert": {}, field: value}
+                self.call("POST", "/changes", json.dumps(document).encode())
 
     def test_a_proper_one_is_taken(self) -> None:
         assert self.call("PUT", "/configuration", b'{"version":1,"channels":[],"plants":[]}') == 200
@@ -420,22 +421,22 @@
         strategies.sets(strategies.sampled_from(sorted(GOOD_SETTINGS)), max_size=2),
     )
     def test_odd_values(self, odd: dict[str, str], missing: set[str]) -> None:
-        doc = {name: val for name, val in {**GOOD_SETTINGS, **odd}.items() if name not in missing}
-        self.read("".join(f"{name} = {val}\n" for name, val in doc.items()).encode())
+        document = {name: value for name, value in {**GOOD_SETTINGS, **odd}.items() if name not in missing}
+        self.read("".join(f"{name} = {value}\n" for name, value in document.items()).encode())
 
     def test_each_odd_value_in_each_place(self) -> None:
         for name in GOOD_SETTINGS:
-            for val in ODD_VALUES:
-                doc = {**GOOD_SETTINGS, name: val}
-                self.read("".join(f"{key} = {text}\n" for key, text in doc.items()).encode())
+            for value in ODD_VALUES:
+                document = {**GOOD_SETTINGS, name: value}
+                self.read("".join(f"{key} = {text}\n" for key, text in document.items()).encode())
 
     def test_a_rate_is_a_finite_number(self) -> None:
         for rate in ("nan", "inf"):
-            doc = {**GOOD_SETTINGS, "provider_api": f'{{address = "10.0.0.3:80", rate_per_s = {rate}}}'}
+            document = {**GOOD_SETTINGS, "provider_api": f'{{address = "10.0.0.3:80", rate_per_s = {rate}}}'}
             with tempfile.TemporaryDirectory() as folder:
                 path = os.path.join(folder, "boot.toml")
                 with open(path, "w") as file:
-                    file.writelines(f"{key} = {text}\n" for key, text in doc.items())
+                    file.writelines(f"{key} = {text}\n" for key, text in document.items())
                 with pytest.raises(options.OptionsError):
                     settings.read("node", path)
 
@@ -451,7 +452,7 @@
 ATTEMPTS = ("a1", "a2", "a3", "a4")
 
 
-def whole_answer(attempt, status, chunked, size, bare):
+def complete_answer(attempt, status, chunked, size, bare):
     """A whole answer whose body names its attempt over and over."""
     body = f"<{attempt}>".encode() * size
     head = "" if bare else f"{H['attempt']}: {attempt}\r\n{H['seal']}: s\r\n"
@@ -462,7 +463,7 @@
 
 
 ANSWERS = strategies.builds(
-    whole_answer,
+    complete_answer,
     strategies.sampled_from(ATTEMPTS),
     strategies.sampled_from([200, 500, 503, 100, 204]),
     strategies.booleans(),
@@ -487,7 +488,7 @@
         got = low.get(H["attempt"].lower())
         return None if got is None else got == self.attempt
 
-    def head(self, status, heads, low):
+    def head(self, status, headers, low):
         assert self.low is None, "two answers to one request"
         self.low = low
 
@@ -509,8 +510,8 @@
         strategies.lists(strategies.lists(PIECES, max_size=4), min_size=1, max_size=4), strategies.integers(1, 400)
     )
     def test_answers_of_others(self, turns: list[list[bytes]], step: int) -> None:
-        _, mach = new_machine()
-        line = client.Line(mach, "w1")
+        _, runtime = new_machine()
+        line = worker_connections.WorkerConnection(runtime, "w1")
         transport = Transport()
         line.makeConnection(transport)
         flows = []
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -2,19 +2,19 @@
 
 import copy
 
-import bench.judge as judge
-import bench.words as words
+import simulation.platform_names as platform_names
+import simulation.platform_rules as platform_rules
 
-MS, S = judge.MS, judge.S
-ROUTE, BLUEPRINT = words.ROUTE, words.BLUEPRINT
+MS, S = platform_rules.MS, platform_rules.S
+ROUTE, CONFIGURATION = platform_names.ROUTE, platform_names.CONFIGURATION
 
 
 def doc(version, *routes):
     """A configuration; routes are (path, service)."""
     return {
-        BLUEPRINT["version"]: version,
-        BLUEPRINT["pools"]: [],
-        BLUEPRINT["routes"]: [
+        CONFIGURATION["version"]: version,
+        CONFIGURATION["pools"]: [],
+        CONFIGURATION["routes"]: [
             {ROUTE["name"]: f"r{k}", ROUTE["host"]: "h", ROUTE["path"]: path, ROUTE["pool"]: pool}
             for k, (path, pool) in enumerate(routes)
         ],
@@ -103,7 +103,7 @@
 
 def sent(at, d, base=0, who="boss", valid=True, code=200, after=100 * MS):
     """The rows of a configuration that was sent and answered."""
-    row = dict(version=d[BLUEPRINT["version"]], base=base, send=f"{who}-{at}")
+    row = dict(version=d[CONFIGURATION["version"]], base=base, send=f"{who}-{at}")
     return [
         dict(at=at, kind="config_sent", doc=d, valid=valid, **row),
         dict(at=at + after, kind="config_answer", code=code, text="", **row),
@@ -126,13 +126,13 @@
 END = [dict(at=60 * S, kind="config_read", code=200, doc=FIRST), dict(at=61 * S, kind="ended")]
 
 
-def trouble(name, what, begin, end):
+def inject_fault(name, what, begin, end):
     return [dict(at=begin, kind="trouble", name=name, what=what), dict(at=end, kind="mend", name=name)]
 
 
 class TestJudge:
     def judged(self, rows, end=END):
-        return judge.examine(sorted(copy.deepcopy(BASE + rows + end), key=lambda r: r["at"]))
+        return platform_rules.examine(sorted(copy.deepcopy(BASE + rows + end), key=lambda r: r["at"]))
 
     def complains(self, rule, rows, end=END):
         assert rule in self.judged(rows, end)
@@ -211,14 +211,14 @@
         self.complains("denied", denials(6))
         self.content(denials(6, code=429))
         self.content(denials(6, direct=True))
-        self.content(denials(6) + trouble("n1", "kill", 18 * S, 19 * S))
+        self.content(denials(6) + inject_fault("n1", "kill", 18 * S, 19 * S))
 
     def test_a_trouble_goes_on_when_another_one_of_the_same_machine_ends(self) -> None:
         denials = [r for k in range(6) for r in one(f"a{k}", at=20 * S + k, code=400) if r["kind"] == "tried"]
-        cut = [{**r, "what": "cut"} for r in trouble("n1", "cut", 10 * S, 40 * S)]
-        reset = [{**r, "what": "reset"} for r in trouble("n1", "reset", 12 * S, 12 * S)]
+        cut = [{**r, "what": "cut"} for r in inject_fault("n1", "cut", 10 * S, 40 * S)]
+        reset = [{**r, "what": "reset"} for r in inject_fault("n1", "reset", 12 * S, 12 * S)]
         self.content(denials + cut + reset)
-        self.content(denials + cut + trouble("n1", "kill", 11 * S, 12 * S))
+        self.content(denials + cut + inject_fault("n1", "kill", 11 * S, 12 * S))
         self.complains("denied", denials + reset)
 
     def test_an_acknowledgement_that_is_lost_on_its_way_counts_for_the_core(self) -> None:
@@ -239,16 +239,16 @@
             listed = [dict(at=15 * S, kind="listed", worker="i-1", state=state, pool="desk", seen=16 * S)]
             self.complains("drain", one(at=20 * S) + listed)
             self.content(one(at=18 * S) + listed)
-            self.content(one(at=20 * S) + listed + trouble("n1", "freeze", 17 * S, 18 * S))
+            self.content(one(at=20 * S) + listed + inject_fault("n1", "freeze", 17 * S, 18 * S))
             self.content(self.change("arrived", verdict=421)[:1] + listed)
 
     def test_lost(self) -> None:
         cut = one(how="closed", done=20 * S + 30 * MS)
-        term = [dict(at=19 * S, kind="term", name="n1"), *trouble("n1", "term", 19 * S, 27 * S)]
+        term = [dict(at=19 * S, kind="term", name="n1"), *inject_fault("n1", "term", 19 * S, 27 * S)]
         self.complains("lost", cut + term)
         self.content(one() + term)
         self.content(cut)
-        self.content(cut + [term[0], *trouble("n1", "cut", 18 * S, 21 * S)])
+        self.content(cut + [term[0], *inject_fault("n1", "cut", 18 * S, 21 * S)])
         broke = one(how="closed", done=20 * S + 30 * MS)
         broke[2]["how"] = "broke"
         self.content(broke + term)
@@ -262,7 +262,7 @@
         end = [{**END[0], "doc": doc(3, ("/a/", "other"))}, END[1]]
         self.complains("config", one(at=13 * S) + moved, end)
         self.content(one(at=11 * S) + moved, end)
-        self.content(one(at=13 * S) + moved + trouble("n1", "cut", 9 * S, 11 * S), end)
+        self.content(one(at=13 * S) + moved + inject_fault("n1", "cut", 9 * S, 11 * S), end)
         self.content(one(at=13 * S, pool="other") + moved, end)
         gone = sent(10 * S, doc(3, ("/b/", "desk")), base=1)
         end = [{**END[0], "doc": doc(3, ("/b/", "desk"))}, END[1]]
@@ -278,7 +278,7 @@
         self.content(new + one("a2", at=11 * S, node="n2") + moved, end)
         self.content(new + one("a2", at=10 * S + 600 * MS) + moved, end)
         self.content(
-            new + one("a2", at=11 * S) + moved + trouble("n1", "kill", 10 * S + 600 * MS, 10 * S + 900 * MS), end
+            new + one("a2", at=11 * S) + moved + inject_fault("n1", "kill", 10 * S + 600 * MS, 10 * S + 900 * MS), end
         )
 
     def test_config_that_must_not_be_in_force(self) -> None:
@@ -304,7 +304,7 @@
         self.complains("config", rows, [{**END[0], "doc": None}, END[1]])
         self.complains("config", rows, END[1:])
         self.complains("config", rows, [{**END[0], "doc": doc(3, ("/a/", "desk"))}, END[1]])
-        turned = {**third, BLUEPRINT["routes"]: third[BLUEPRINT["routes"]][::-1]}
+        turned = {**third, CONFIGURATION["routes"]: third[CONFIGURATION["routes"]][::-1]}
         self.content(rows, [{**END[0], "doc": turned}, END[1]])
 
     def test_acks(self) -> None:
@@ -312,7 +312,7 @@
         end = [{**END[0], "doc": third}, END[1]]
         self.complains("acks", sent(10 * S, third, base=1, after=5 * S), end)
         self.content(sent(10 * S, third, base=1, after=3 * S), end)
-        self.content(sent(10 * S, third, base=1, after=5 * S) + trouble("c1", "kill", 11 * S, 13 * S), end)
+        self.content(sent(10 * S, third, base=1, after=5 * S) + inject_fault("c1", "kill", 11 * S, 13 * S), end)
         self.complains("acks", sent(10 * S, third, base=1, code=0, after=30 * S))
 
     def test_budget(self) -> None:
@@ -366,6 +366,6 @@
         held[3]["events"] = [[k, s, at + 130 * MS, last, n] for k, s, at, last, n in held[3]["events"]]
         none = one("a5", at=24 * S + 3)
         none[4]["ok"] = False
-        got = judge.worth(sorted(BASE + rows + slow + held + none, key=lambda r: r["at"]), kinds)["all"]
+        got = platform_rules.earned_value(sorted(BASE + rows + slow + held + none, key=lambda r: r["at"]), kinds)["all"]
         assert tuple(got[k] for k in ("asked", "in_aim", "late", "none", "earned", "owed")) == (5, 2, 2, 1, 8.0, 15.0)
         assert got["worst_windows"] == [5 / 12, 1.0]
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.configuration as configuration
-import iriswheel.core_session as core_session
-import iriswheel.lease as lease
-import iriswheel.verdict as verdict
+import iriswheel.configuration.configuration as configuration
+import iriswheel.errors as errors
+import iriswheel.membership.lease as lease
+import iriswheel.node.core_session as core_session
+import simulation.simulated_cluster as simulated_cluster
 import tests.conftest as conftest
 
 S = simulated_cluster.S
@@ -18,61 +18,61 @@
 
     async def go():
         seen = await core.look("")
-        doc = {"blueprint": configuration.unflatten(dict(seen.items))}
-        doc["blueprint"]["routes"]["new"] = {"path": "/new", "pool": next(iter(doc["blueprint"]["pools"]))}
-        plan = await core.plan(doc)
+        document = {"blueprint": configuration.unflatten(dict(seen.items))}
+        document["blueprint"]["routes"]["new"] = {"path": "/new", "pool": next(iter(document["blueprint"]["pools"]))}
+        plan = await core.plan(document)
         try:
             got.append(await core.confirm(plan["id"]))
-        except verdict.ServiceError as d:
+        except errors.ServiceError as d:
             got.append(d)
 
-    core.mach.spawn(go(), simulated_cluster.log)
+    core.runtime.spawn(go(), simulated_cluster.log)
     return got
 
 
 class TestHolders:
     def test_a_change_waits_for_a_holder_that_does_not_apply_it_until_its_lease_ran_out(self) -> None:
-        holders = lease.Holders(2 * S, now=0)
+        holders = lease.LeaseHolders(2 * S, now=0)
         holders.installed([], [("a", "1")], now=0)
-        holders.heard("a", [("n1", 4, S), ("n2", 5, S)], now=0)
+        holders.record_heartbeat("a", [("n1", 4, S), ("n2", 5, S)], now=0)
         assert holders.applied(5, now=S) == 4
         assert holders.applied(5, now=S + lease.DRIFT_US) == 5
 
     def test_a_new_tail_waits_one_lease_for_what_a_lost_core_machine_granted(self) -> None:
         for chain, sure in (([("b", "1"), ("c", "1")], False), ([("a", "2"), ("b", "1")], False)):
-            holders = lease.Holders(2 * S, now=0)
+            holders = lease.LeaseHolders(2 * S, now=0)
             holders.installed([("a", "1"), ("b", "1")], chain, now=10 * S)
             for core, _ in chain:
-                holders.heard(core, [], now=10 * S)
+                holders.record_heartbeat(core, [], now=10 * S)
             assert holders.applied(5, now=12 * S) == 0
             assert holders.applied(5, now=12 * S + lease.DRIFT_US) == 5, (chain, sure)
 
     def test_a_tail_that_stays_waits_only_for_what_it_knows_that_a_lost_core_machine_granted(self) -> None:
-        holders = lease.Holders(2 * S, now=0)
+        holders = lease.LeaseHolders(2 * S, now=0)
         holders.installed([], [("a", "1"), ("b", "1")], now=0)
-        holders.heard("a", [("n1", 4, 2 * S)], now=9 * S)
+        holders.record_heartbeat("a", [("n1", 4, 2 * S)], now=9 * S)
         holders.installed([("a", "1"), ("b", "1")], [("b", "1"), ("c", "1")], now=10 * S, was_tail=True)
         for core in "bc":
-            holders.heard(core, [], now=10 * S)
+            holders.record_heartbeat(core, [], now=10 * S)
         assert holders.applied(5, now=11 * S) == 4
         assert holders.applied(5, now=11 * S + lease.DRIFT_US) == 5
 
     def test_a_new_tail_that_hears_all_of_the_chain_before_it_waits_for_none(self) -> None:
-        holders = lease.Holders(2 * S, now=0)
+        holders = lease.LeaseHolders(2 * S, now=0)
         holders.installed([], [("a", "1"), ("b", "1")], now=0)
         holders.installed([("a", "1"), ("b", "1")], [("a", "1"), ("b", "1"), ("c", "1")], now=10 * S)
         for core in "ab":
-            holders.heard(core, [], now=10 * S)
+            holders.record_heartbeat(core, [], now=10 * S)
         assert holders.applied(5, now=10 * S) == 0
-        holders.heard("c", [], now=10 * S)
+        holders.record_heartbeat("c", [], now=10 * S)
         assert holders.applied(5, now=10 * S) == 5
 
     def test_a_doubt_is_passed_on_through_the_next_view(self) -> None:
-        holders = lease.Holders(2 * S, now=0)
+        holders = lease.LeaseHolders(2 * S, now=0)
         holders.installed([("a", "1"), ("b", "1")], [("b", "1")], now=10 * S)
         holders.installed([("b", "1")], [("b", "1"), ("c", "1")], now=11 * S)
         for core in "bc":
-            holders.heard(core, [], now=11 * S)
+            holders.record_heartbeat(core, [], now=11 * S)
         assert holders.applied(5, now=12 * S) == 0
 
 
@@ -85,9 +85,9 @@
         t.world.cut(t.hosts("cores"), [cut.options.host])
         got = confirm(t, t.tail())
         assert t.until(lambda: got, 10)
-        assert not isinstance(got[0], verdict.ServiceError)
-        assert not cut.follower.session.lease.valid(cut.mach.now())
-        assert cut.follower.place < got[0].stamp <= t.nodes["n2"].follower.place
+        assert not isinstance(got[0], errors.ServiceError)
+        assert not cut.follower.session.lease.valid(cut.runtime.now())
+        assert cut.follower.applied_index < got[0].version <= t.nodes["n2"].follower.applied_index
 
     def test_a_lease_is_not_renewed_by_a_core_machine_that_does_not_hear_the_tail(
         self, quiet_cluster: conftest.QuietCluster
@@ -98,8 +98,8 @@
         others = [c.options.host for c in t.cores.values() if c is not head]
         t.world.cut([head.options.host], others)
         t.go(1.2 + head.options.lease_us / S)
-        assert head.lease.until <= head.mach.now()
-        assert [0] * len(t.nodes) == [head.lease.grant(n.me.id, head.mach.now()) for n in t.nodes.values()]
+        assert head.lease.until <= head.runtime.now()
+        assert [0] * len(t.nodes) == [head.lease.grant(n.me.id, head.runtime.now()) for n in t.nodes.values()]
         for n in t.nodes.values():
             assert n.follower.session.address != (head.options.host, head.options.port)
             assert n.follower.session.stands()
@@ -114,14 +114,14 @@
             nodes = [n for n in t.nodes.values() if n.follower.session.address == address]
             if core is t.tail() or not nodes:
                 continue
-            core.proc.freeze()
+            core.process.freeze()
             self.moved_away(t, nodes, address)
             return
         pytest.fail("no core machine but the tail has a node")
 
     def moved_away(self, t, nodes, address):
         assert t.until(lambda: all(n.follower.session.address != address for n in nodes), 1.5)
-        assert all(n.follower.session.lease.valid(n.mach.now()) for n in nodes)
+        assert all(n.follower.session.lease.valid(n.runtime.now()) for n in nodes)
 
     def test_committed_changes_reach_nodes_through_a_core_machine_without_a_lease(
         self, quiet_cluster: conftest.QuietCluster
@@ -132,10 +132,10 @@
         core = next(c for c in t.cores.values() if c is not tail)
         n.follower.session.reset()
         n.follower.session.addresses[:] = [(core.options.host, core.options.port)]
-        core.beaten = (0, 0)
-        place = n.follower.place
+        core.answered_report = (0, 0)
+        place = n.follower.applied_index
         got = confirm(t, tail)
-        assert t.until(lambda: got and n.follower.place > place, 5)
+        assert t.until(lambda: got and n.follower.applied_index > place, 5)
 
     def test_where_no_core_machine_answers_attempts_go_on_side_by_side(
         self, quiet_cluster: conftest.QuietCluster
@@ -143,7 +143,7 @@
         t = quiet_cluster(seconds=2)
         n = t.nodes["n1"]
         for core in t.cores.values():
-            core.proc.freeze()
+            core.process.freeze()
         t.go(1.5)
         assert 2 <= len(n.follower.session.attempts) <= core_session.ATTEMPTS
 
@@ -160,6 +160,6 @@
         got = confirm(t, t.tail())
         assert t.until(lambda: got, 10)
         assert t.until(cut.follower.stale, 2)
-        assert peer.follower.place > cut.follower.place
+        assert peer.follower.applied_index > cut.follower.applied_index
         t.world.heal()
         assert t.until(lambda: not cut.follower.stale() and cut.ready()[0], 5)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -4,10 +4,10 @@
 import hypothesis.strategies as strategies
 import pytest
 
-import bench.judge as judge
-import iriswheel.history as history
-import iriswheel.linearizability as linearizability
-import iriswheel.replay as replay
+import iriswheel.verification.history as history
+import iriswheel.verification.linearizability as linearizability
+import iriswheel.verification.replay as replay
+import simulation.platform_rules as platform_rules
 
 Change = linearizability.Change
 Outcome = linearizability.Outcome
@@ -141,11 +141,11 @@
 class TestLogs:
     """Rows of event logs."""
 
-    def config(self, at, version, base, code, doc=None, valid=True):
+    def config(self, at, version, base, code, document=None, valid=True):
         row = dict(send=f"boss-{at}", version=version, base=base)
-        doc = {"version": version, "channels": [], "plants": [], **(doc or {})}
+        document = {"version": version, "channels": [], "plants": [], **(document or {})}
         return [
-            dict(at=at, kind="config_sent", doc=doc, valid=valid, **row),
+            dict(at=at, kind="config_sent", doc=document, valid=valid, **row),
             dict(at=at + 1, kind="config_answer", code=code, text="", **row),
         ]
 
@@ -168,7 +168,7 @@
         ):
             rows = [*first, *wrong, back]
             assert history.complaints(rows), wrong
-            assert "linearizable" in judge.examine(rows)
+            assert "linearizable" in platform_rules.examine(rows)
         assert history.complaints([*first, *self.config(3, 2, 1, 0), back]) == []
         assert history.complaints([*first, *self.config(3, 2, 1, 400, valid=False), back]) == []
 
@@ -180,16 +180,16 @@
             assert "linearizable" in replay.judge([*first, *wrong, back])
 
     def test_confirmed_plans(self) -> None:
-        def plan(at, name, base, stamp=None, code=None):
+        def plan(at, name, base, version=None, code=None):
             rows = [dict(at=at, kind="confirm_sent", plan=name, base=base, blueprint={})]
-            if stamp is not None:
-                rows.append(dict(at=at + 1, kind="confirmed", plan=name, stamp=stamp))
+            if version is not None:
+                rows.append(dict(at=at + 1, kind="confirmed", plan=name, stamp=version))
             if code is not None:
                 rows.append(dict(at=at + 2, kind="confirm_refused", plan=name, code=code, verdict="not_run"))
             return rows
 
-        def seen(at, stamp):
-            return dict(at=at, began=at - 1, kind="read", stamp=stamp, blueprint={})
+        def seen(at, version):
+            return dict(at=at, began=at - 1, kind="read", stamp=version, blueprint={})
 
         first = plan(1, "0-a", 0, 2)
         assert history.complaints([*first, *plan(4, "2-b", 2), seen(9, 4), *plan(10, "4-c", 4, 6)]) == []
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -13,23 +13,20 @@
 import loguru
 import testtools
 
-import bench.scenes as scenes
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.replay as replay
-import iriswheel.wire as wire
+import iriswheel.transport.wire as wire
+import iriswheel.verification.replay as replay
+import simulation.fault_scenarios as fault_scenarios
+import simulation.simulated_cluster as simulated_cluster
 import tests.frozen_codec as frozen_codec
 import tests.recorded as recorded
 
 
 def filtered(name: str, old: set[str], codec: frozen_codec.FrozenCodec) -> typing.Callable[..., None]:
-    """A connection's method that drops the frames which an old process could not have said or read.
-
-    Example: `filtered("sendString", {"c1"}, codec)`
-    """
+    """A connection's method that drops the frames which an old process could not have said or read."""
     original = getattr(wire.Connection, name)
 
     def method(connection: wire.Connection, raw: bytes) -> None:
-        if connection.transport.proc.name not in old or codec.passes(raw):
+        if connection.transport.process.name not in old or codec.passes(raw):
             original(connection, raw)
 
     return method
@@ -37,10 +34,7 @@
 
 @contextlib.contextmanager
 def mixed_fleet(old: set[str]) -> collections.abc.Iterator[frozen_codec.FrozenCodec]:
-    """Let some processes of the simulator speak through the frozen messages.
-
-    Example: `with mixed_fleet({"c1", "n1"}) as codec: ...`
-    """
+    """Let some processes of the simulator speak through the frozen messages."""
     codec = frozen_codec.FrozenCodec()
     with contextlib.ExitStack() as stack:
         for name in ("sendString", "stringReceived"):
@@ -69,15 +63,15 @@
         loguru.logger.remove()
 
     def play(self, cluster: simulated_cluster.SimulatedCluster) -> None:
-        """Changes, a core machine and a node that end and come back, the pool's warden too."""
+        """Changes, a core machine and a node that end and come back, the pool's pool owner too."""
         cluster.begin()
-        scenes.changes(cluster, 6, 3)
+        fault_scenarios.changes(cluster, 6, 3)
         cluster.go(6)
         for name in ("c1", "c2"):
-            scenes.kill(cluster, cluster.cores[name], name, back=2)
+            fault_scenarios.kill(cluster, cluster.cores[name], name, back=2)
             cluster.go(8)
-        warden = cluster.warden()
-        scenes.kill(cluster, warden, warden.options.name, back=2)
+        owner = cluster.owner()
+        fault_scenarios.kill(cluster, owner, owner.options.name, back=2)
         cluster.go(10)
         cluster.end()
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -10,25 +10,25 @@
 import twisted.internet.defer as defer
 import twisted.internet.protocol as protocol
 
-import bench.sim as sim
-import bench.words as words
-import iriswheel.budget as budget
-import iriswheel.configuration as configuration
-import iriswheel.dispatch as dispatch
-import iriswheel.gateway as gateway
-import iriswheel.machine as machine
-import iriswheel.message as message
-import iriswheel.verdict as verdict
+import iriswheel.configuration.configuration as configuration
+import iriswheel.dataplane.dispatch as dispatch
+import iriswheel.dataplane.gateway as gateway
+import iriswheel.dataplane.retry_budget as retry_budget
+import iriswheel.errors as errors
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import simulation.platform_names as platform_names
+import simulation.world as world
 import tests.node_fixture as node_fixture
 
-S = machine.SECOND
-H = words.HEAD
+S = units.SECOND_US
+H = platform_names.HEADERS
 
 
 def answer(attempt, body=b"", status=200, seal="s", length=None, **more):
     """The bytes of a worker's answer; `length` may tell another length than the body has."""
-    heads = {H["attempt"]: attempt, H["seal"]: seal, **more}
-    lines = "".join(f"{name}: {value}\r\n" for name, value in heads.items() if value is not None)
+    headers = {H["attempt"]: attempt, H["seal"]: seal, **more}
+    lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value is not None)
     size = len(body) if length is None else length
     return f"HTTP/1.1 {status} Some\r\n{lines}Content-Length: {size}\r\n\r\n".encode() + body
 
@@ -68,7 +68,7 @@
         self.seen = []  # attempts, in the order in which they came
         self.connections = []
 
-    def buildProtocol(self, addr):
+    def buildProtocol(self, address):
         self.connections.append(WorkerConnection(self))
         return self.connections[-1]
 
@@ -112,30 +112,30 @@
         self.born += 1
         number = self.born
         host = f"10.0.3.{number}"
-        proc = sim.Proc(self.world, f"w{number}", sim.Machine(self.world, host, "a"))
+        process = world.SimulatedProcess(self.world, f"w{number}", world.Host(self.world, host, "a"))
         worker = ScriptedWorker(script)
-        worker.proc = proc
-        proc.reactor.listenTCP(80, worker)
+        worker.process = process
+        process.reactor.listenTCP(80, worker)
         self.workers.append(worker)
-        self.fol.workers.append(message.Worker(f"i-{number}", host, 80, "desk", "ready", 0))
-        self.fol.states = {w.id: w for w in self.fol.workers}
+        self.follower.workers.append(message.Worker(f"i-{number}", host, 80, "desk", "ready", 0))
+        self.follower.states = {w.id: w for w in self.follower.workers}
         return worker
 
     def client(self):
         client = Client()
         factory = protocol.ClientFactory()
         factory.noisy = False
-        factory.buildProtocol = lambda addr: client
+        factory.buildProtocol = lambda address: client
         self.near.reactor.connectTCP("10.0.2.1", 80, factory)
         self.go(10)
         return client
 
     def write(self, client, attempt, method="POST", left_ms=5000, **more):
-        heads = {"Host": "h.example", H["attempt"]: attempt, H["left"]: left_ms, "Content-Length": 2, **more}
-        lines = "".join(f"{name}: {value}\r\n" for name, value in heads.items())
+        headers = {"Host": "h.example", H["attempt"]: attempt, H["left"]: left_ms, "Content-Length": 2, **more}
+        lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         client.transport.write(f"{method} /x/ HTTP/1.1\r\n{lines}\r\nhi".encode("latin-1"))
 
-    def ask(self, attempt, ms=50, **more):
+    def query(self, attempt, ms=50, **more):
         """A request on a connection of its own; the client after some time."""
         client = self.client()
         self.write(client, attempt, **more)
@@ -151,96 +151,96 @@
         assert client.raw.count(b"HTTP/1.1") == 1
 
 
-def good(conn, attempt):
+def good(connection, attempt):
     """Answer as a sound worker does."""
-    conn.transport.write(answer(attempt, f"body of {attempt}".encode()))
+    connection.transport.write(answer(attempt, f"body of {attempt}".encode()))
 
 
 class TestAnswersOfOthers(RequestPath):
     def test_a_second_answer_in_one_segment_reaches_nobody(self) -> None:
-        def script(conn, attempt):
-            conn.transport.write(answer(attempt, f"body of {attempt}".encode()) * 2)
+        def script(connection, attempt):
+            connection.transport.write(answer(attempt, f"body of {attempt}".encode()) * 2)
 
         worker = self.worker(script)
         for attempt in ("a1", "a2"):
-            self.assert_own(self.ask(attempt), attempt)
-        assert [conn.closed for conn in worker.connections] == [True, True]
+            self.assert_own(self.query(attempt), attempt)
+        assert [connection.closed for connection in worker.connections] == [True, True]
 
     def test_a_partial_second_answer_reaches_nobody(self) -> None:
-        def script(conn, attempt):
+        def script(connection, attempt):
             whole = answer(attempt, f"body of {attempt}".encode())
-            conn.transport.write(whole + whole[:-3])
+            connection.transport.write(whole + whole[:-3])
 
         worker = self.worker(script)
         for attempt in ("a1", "a2"):
-            self.assert_own(self.ask(attempt), attempt)
+            self.assert_own(self.query(attempt), attempt)
         assert len(worker.connections) == 2
 
     def test_a_late_answer_on_an_idle_connection_ends_the_connection(self) -> None:
         worker = self.worker(good)
-        self.ask("a1")
+        self.query("a1")
         worker.connections[0].transport.write(answer("a1", b"body of a1"))
         self.go(10)
-        self.assert_own(self.ask("a2"), "a2")
-        assert [conn.closed for conn in worker.connections] == [True, False]
+        self.assert_own(self.query("a2"), "a2")
+        assert [connection.closed for connection in worker.connections] == [True, False]
 
     def test_a_late_answer_in_the_place_of_the_next_is_passed_over(self) -> None:
-        def script(conn, attempt):
+        def script(connection, attempt):
             if attempt == "a2":
-                conn.transport.write(answer("a1", b"body of a1"))
-            good(conn, attempt)
+                connection.transport.write(answer("a1", b"body of a1"))
+            good(connection, attempt)
 
         worker = self.worker(script)
         for attempt in ("a1", "a2"):
-            self.assert_own(self.ask(attempt), attempt)
+            self.assert_own(self.query(attempt), attempt)
         assert len(worker.connections) == 1
 
     def test_a_late_failure_in_the_place_of_the_next_is_passed_over(self) -> None:
-        def script(conn, attempt):
+        def script(connection, attempt):
             if attempt == "a2":
-                conn.transport.write(answer("a1", b"no", status=503, seal=None, **{H["not_run"]: "1"}))
-            good(conn, attempt)
+                connection.transport.write(answer("a1", b"no", status=503, seal=None, **{H["not_run"]: "1"}))
+            good(connection, attempt)
 
         worker = self.worker(script)
         for attempt in ("a1", "a2"):
-            self.assert_own(self.ask(attempt), attempt)
+            self.assert_own(self.query(attempt), attempt)
         assert worker.seen == ["a1", "a2"]
 
     def test_an_answer_without_id_on_a_kept_connection_is_nobodys(self) -> None:
-        def script(conn, attempt):
+        def script(connection, attempt):
             if attempt == "a2":
-                conn.transport.write(answer(None, b"no", status=503, seal=None, **{H["not_run"]: "1"}))
+                connection.transport.write(answer(None, b"no", status=503, seal=None, **{H["not_run"]: "1"}))
             else:
-                good(conn, attempt)
+                good(connection, attempt)
 
         self.worker(script)
-        self.ask("a1")
-        assert self.ask("a2").status == 502
+        self.query("a1")
+        assert self.query("a2").status == 502
         assert self.seen() == ["a1", "a2"]
 
     def test_only_answers_of_others_are_no_answer(self) -> None:
-        self.worker(lambda conn, attempt: conn.transport.write(answer("a9", b"body of a9")))
-        client = self.ask("a1", ms=700, left_ms=500)
+        self.worker(lambda connection, attempt: connection.transport.write(answer("a9", b"body of a9")))
+        client = self.query("a1", ms=700, left_ms=500)
         assert client.status == 504
         assert b"body of a9" not in client.raw
         assert self.seen() == ["a1"]
 
     def test_a_body_longer_than_its_length_reaches_nobody_beyond_it(self) -> None:
-        def script(conn, attempt):
+        def script(connection, attempt):
             body = f"body of {attempt}".encode()
-            conn.transport.write(answer(attempt, body + b" and more", length=len(body)))
+            connection.transport.write(answer(attempt, body + b" and more", length=len(body)))
 
         self.worker(script)
         for attempt in ("a1", "a2"):
-            self.assert_own(self.ask(attempt), attempt)
+            self.assert_own(self.query(attempt), attempt)
 
     def test_a_body_shorter_than_its_length_is_not_given_as_whole(self) -> None:
-        def script(conn, attempt):
-            conn.transport.write(answer(attempt, b"body", length=9))
-            conn.transport.loseConnection()
+        def script(connection, attempt):
+            connection.transport.write(answer(attempt, b"body", length=9))
+            connection.transport.loseConnection()
 
         self.worker(script)
-        client = self.ask("a1")
+        client = self.query("a1")
         assert (client.status, client.closed, self.seen()) == (200, True, ["a1"])
         assert not client.raw.endswith(b"0\r\n\r\n")
         assert b"Content-Length: 9" in client.raw
@@ -248,50 +248,53 @@
     def test_an_id_may_hold_any_bytes(self) -> None:
         attempt = b"\xc3\xa9\xff".decode("latin-1")
 
-        def echo(conn, attempt):
+        def echo(connection, attempt):
             head = f"{H['attempt']}: {attempt}\r\n{H['seal']}: s\r\nContent-Length: 10\r\n\r\n"
-            conn.transport.write(b"HTTP/1.1 200 OK\r\n" + head.encode("latin-1") + b"body of a1")
+            connection.transport.write(b"HTTP/1.1 200 OK\r\n" + head.encode("latin-1") + b"body of a1")
 
         self.worker(echo)
-        self.assert_own(self.ask(attempt), "a1")
+        self.assert_own(self.query(attempt), "a1")
 
     def test_a_header_can_not_bring_another_along(self) -> None:
         self.worker(good)
-        for heads in (
+        for headers in (
             {"X-A": "b\nX-Attempt-Id: a9"},
             {"X-A": "b\rX-Attempt-Id: a9"},
             {"Transfer-Encoding": "chunked"},
             {"content-length": 3},
         ):
-            assert self.ask("a1", **heads).status == 400
+            assert self.query("a1", **headers).status == 400
         assert self.seen() == []
 
     def test_connection_options_may_hold_any_bytes(self) -> None:
         self.worker(good)
-        self.assert_own(self.ask("a1", Connection="\xff"), "a1")
+        self.assert_own(self.query("a1", Connection="\xff"), "a1")
 
     def test_interim_answers_are_not_passed_on(self) -> None:
-        def script(conn, attempt):
-            conn.transport.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n")
-            good(conn, attempt)
+        def script(connection, attempt):
+            connection.transport.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n")
+            good(connection, attempt)
 
         self.worker(script)
         for attempt in ("a1", "a2"):
-            self.assert_own(self.ask(attempt), attempt)
+            self.assert_own(self.query(attempt), attempt)
 
     def test_an_answer_to_head_ends_with_its_head(self) -> None:
-        def script(conn, attempt):
-            conn.transport.write(answer(attempt, length=10) if attempt == "a1" else answer(attempt, b"body of a2"))
+        def script(connection, attempt):
+            connection.transport.write(
+                answer(attempt, length=10) if attempt == "a1" else answer(attempt, b"body of a2")
+            )
 
         self.worker(script)
-        client = self.ask("a1", method="HEAD")
+        client = self.query("a1", method="HEAD")
         assert (client.status, client.raw.endswith(b"\r\n\r\n")) == (200, True)
-        self.assert_own(self.ask("a2"), "a2")
+        self.assert_own(self.query("a2"), "a2")
 
     def test_pipelined_requests_are_answered_in_their_order(self) -> None:
-        def script(conn, attempt):
+        def script(connection, attempt):
             self.world.push(
-                self.world.time + (30 if attempt == "a1" else 1) * machine.MILLI, lambda: good(conn, attempt)
+                self.world.time + (30 if attempt == "a1" else 1) * units.MILLISECOND_US,
+                lambda: good(connection, attempt),
             )
 
         self.worker(script)
@@ -304,12 +307,12 @@
         assert -1 not in places
 
     def test_a_connection_whose_client_went_away_is_not_used_again(self) -> None:
-        worker = self.worker(lambda conn, attempt: attempt == "a2" and good(conn, attempt))
-        client = self.ask("a1")
+        worker = self.worker(lambda connection, attempt: attempt == "a2" and good(connection, attempt))
+        client = self.query("a1")
         client.transport.abortConnection()
         self.go(20)
         assert worker.connections[0].closed
-        self.assert_own(self.ask("a2"), "a2")
+        self.assert_own(self.query("a2"), "a2")
 
     def test_a_client_that_goes_away_while_a_worker_is_connected_ends_its_request(
         self, logged_errors: list[str]
@@ -317,7 +320,7 @@
         for _ in range(2):
             self.worker(good)
         self.world.cut(["10.0.2.1"], ["10.0.3.1", "10.0.3.2"])
-        client = self.ask("a1")
+        client = self.query("a1")
         client.transport.abortConnection()
         self.go(20)
         self.world.heal()
@@ -327,20 +330,20 @@
         assert self.forwarder.lines.open == {}
 
     def test_a_connection_that_a_slow_client_paused_is_read_again(self) -> None:
-        size = 4 * sim.WINDOW
+        size = 4 * world.WINDOW
 
-        def script(conn, attempt):
+        def script(connection, attempt):
             if attempt == "a1":
-                conn.transport.write(answer(attempt, b"." * size))
+                connection.transport.write(answer(attempt, b"." * size))
             else:
-                good(conn, attempt)
+                good(connection, attempt)
 
         worker = self.worker(script)
         slow = self.client()
         slow.transport.pauseProducing()
         self.write(slow, "a1")
         self.go(50)
-        self.assert_own(self.ask("a2", ms=200), "a2")
+        self.assert_own(self.query("a2", ms=200), "a2")
         slow.transport.resumeProducing()
         self.go(500)
         assert (len(worker.connections), slow.raw.count(b".") - slow.raw.split(b"\r\n\r\n")[0].count(b".")) == (1, size)
@@ -359,132 +362,132 @@
             self.worker(script)
 
     def test_after_a_reset(self) -> None:
-        self.two(lambda conn, attempt: conn.transport.abortConnection())
-        self.assert_once(self.ask("a1"), 502)
+        self.two(lambda connection, attempt: connection.transport.abortConnection())
+        self.assert_once(self.query("a1"), 502)
 
     def test_after_a_close_without_a_word(self) -> None:
-        self.two(lambda conn, attempt: conn.transport.loseConnection())
-        self.assert_once(self.ask("a1"), 502)
+        self.two(lambda connection, attempt: connection.transport.loseConnection())
+        self.assert_once(self.query("a1"), 502)
 
     def test_after_bytes_that_are_no_answer(self) -> None:
-        self.two(lambda conn, attempt: conn.transport.write(b"\x16\x03\x01 HTTP/9\r\n\r\n"))
-        self.assert_once(self.ask("a1"), 502)
+        self.two(lambda connection, attempt: connection.transport.write(b"\x16\x03\x01 HTTP/9\r\n\r\n"))
+        self.assert_once(self.query("a1"), 502)
 
     def test_after_a_silence(self) -> None:
-        self.two(lambda conn, attempt: None)
-        self.assert_once(self.ask("a1"), 504)
+        self.two(lambda connection, attempt: None)
+        self.assert_once(self.query("a1"), 504)
 
     def test_after_a_failure_of_the_worker(self) -> None:
-        self.two(lambda conn, attempt: conn.transport.write(answer(attempt, b"broken", status=500)))
-        client = self.ask("a1")
+        self.two(lambda connection, attempt: connection.transport.write(answer(attempt, b"broken", status=500)))
+        client = self.query("a1")
         self.assert_once(client, 500)
         assert H["seal"].lower().encode() in client.raw.lower()
 
     def test_after_a_success_without_a_stamp(self) -> None:
-        self.two(lambda conn, attempt: conn.transport.write(answer(attempt, b"what", seal=None)))
-        self.assert_once(self.ask("a1"), 502)
+        self.two(lambda connection, attempt: connection.transport.write(answer(attempt, b"what", seal=None)))
+        self.assert_once(self.query("a1"), 502)
 
     @pytest.mark.parametrize("status", [408, 429, 503])
     def test_after_a_status_that_would_promise_too_much(self, status: int) -> None:
-        self.two(lambda conn, attempt, s=status: conn.transport.write(answer(attempt, b"no", status=s)))
-        client = self.ask("a1")
+        self.two(lambda connection, attempt, s=status: connection.transport.write(answer(attempt, b"no", status=s)))
+        client = self.query("a1")
         self.assert_once(client, 502)
         assert H["seal"].lower().encode() not in client.raw.lower()
 
     def test_after_a_reset_of_a_kept_connection(self) -> None:
-        def script(conn, attempt):
-            good(conn, attempt) if attempt == "a0" else conn.transport.abortConnection()
+        def script(connection, attempt):
+            good(connection, attempt) if attempt == "a0" else connection.transport.abortConnection()
 
         self.two(script)
-        self.assert_own(self.ask("a0"), "a0")
-        client = self.ask("a1")
+        self.assert_own(self.query("a0"), "a0")
+        client = self.query("a1")
         self.go(2000)
         assert (client.status, self.seen()) == (502, ["a0", "a1"])
 
     def test_after_a_freeze_of_the_node(self) -> None:
-        self.two(lambda conn, attempt: None)
-        client = self.ask("a1")
-        self.proc.freeze()
+        self.two(lambda connection, attempt: None)
+        client = self.query("a1")
+        self.process.freeze()
         self.go(7000)
-        self.proc.wake()
+        self.process.wake()
         self.assert_once(client, 504)
 
     def test_after_a_freeze_of_the_worker(self) -> None:
         self.two(good)
         for worker in self.workers:
-            worker.proc.freeze()
-        client = self.ask("a1", ms=1500)
+            worker.process.freeze()
+        client = self.query("a1", ms=1500)
         for worker in self.workers:
-            worker.proc.wake()
+            worker.process.wake()
         self.assert_once(client, 200)
 
     @pytest.mark.parametrize("status", [421, 429, 503])
     def test_a_worker_that_did_not_run_it_is_followed_by_another(self, status: int) -> None:
-        tries = []
+        attempts = []
 
-        def script(conn, attempt, s=status, tries=tries):
-            tries.append(attempt)
-            if len(tries) == 1:
-                conn.transport.write(answer(attempt, b"no", status=s, seal=None, **{H["not_run"]: "1"}))
+        def script(connection, attempt, s=status, attempts=attempts):
+            attempts.append(attempt)
+            if len(attempts) == 1:
+                connection.transport.write(answer(attempt, b"no", status=s, seal=None, **{H["not_run"]: "1"}))
             else:
-                good(conn, attempt)
+                good(connection, attempt)
 
         self.two(script)
-        self.assert_own(self.ask("a1"), "a1")
+        self.assert_own(self.query("a1"), "a1")
         assert self.seen() == ["a1", "a1"]
 
     def test_a_refusal_that_breaks_off_is_no_promise(self) -> None:
-        def script(conn, attempt):
+        def script(connection, attempt):
             refusal = answer(attempt, b"no", status=503, seal=None, length=9, **{H["not_run"]: "1"})
-            conn.transport.write(refusal)
-            conn.transport.loseConnection()
+            connection.transport.write(refusal)
+            connection.transport.loseConnection()
 
         self.two(script)
-        self.assert_once(self.ask("a1"), 502)
+        self.assert_once(self.query("a1"), 502)
 
 
 class TestByElection(RequestPath):
     """The way of a request whose worker is elected by the owner of its pool."""
 
-    async def handle(self, req):
+    async def handle(self, request):
         self.outcomes = []
-        work = defer.ensureDeferred(self.send_to_all(req))
-        req.lost.wait().addCallback(lambda _: work.cancel())
+        work = defer.ensureDeferred(self.send_to_all(request))
+        request.lost.wait().addCallback(lambda _: work.cancel())
         try:
             await work
         except defer.CancelledError:
             self.outcomes.append("cancelled")
 
-    async def send_to_all(self, req):
-        send, raw = dispatch.Dispatcher(self.mach).send, req.content.read()
-        for worker in self.fol.workers:
-            out = await send(req, raw, worker, True, dispatch.Send(worker.id, self.mach.now()))
+    async def send_to_all(self, request):
+        send, raw = dispatch.Dispatcher(self.runtime).send, request.content.read()
+        for worker in self.follower.workers:
+            out = await send(request, raw, worker, True, dispatch.Attempt(worker.id, self.runtime.now()))
             self.outcomes.append(out.name)
-            if out is dispatch.Outcome.WHOLE:
+            if out is dispatch.AttemptOutcome.COMPLETE:
                 return
-        req.answer(502, b"no")
+        request.answer(502, b"no")
 
     def test_a_client_that_goes_away_while_a_worker_is_connected_ends_its_request(self) -> None:
         for _ in range(2):
             self.worker(good)
         self.world.cut(["10.0.2.1"], ["10.0.3.1"])
-        client = self.ask("a1")
+        client = self.query("a1")
         client.transport.abortConnection()
         self.go(2000)
         assert (self.outcomes, self.seen()) == (["cancelled"], [])
 
-    def head_alone(self, conn, attempt):
-        conn.transport.write(answer(attempt, length=9, **{"X-First": "1"}))
-        self.world.push(self.world.time + 5000, conn.transport.abortConnection)
+    def head_alone(self, connection, attempt):
+        connection.transport.write(answer(attempt, length=9, **{"X-First": "1"}))
+        self.world.push(self.world.time + 5000, connection.transport.abortConnection)
 
     def test_the_head_of_an_answer_that_never_came_is_not_given_with_another(self) -> None:
-        def chunked(conn, attempt):
-            conn.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            conn.transport.write(b"a\r\nbody of a1\r\n0\r\n\r\n")
+        def chunked(connection, attempt):
+            connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            connection.transport.write(b"a\r\nbody of a1\r\n0\r\n\r\n")
 
         self.worker(self.head_alone)
         self.worker(chunked)
-        client = self.ask("a1", ms=200)
+        client = self.query("a1", ms=200)
         head, _, body = client.raw.partition(b"\r\n\r\n")
         assert b"x-first" not in head.lower()
         assert b"content-length" not in head.lower()
@@ -492,7 +495,7 @@
 
     def test_nor_with_a_failure_of_our_own(self) -> None:
         self.worker(self.head_alone)
-        client = self.ask("a1", ms=200)
+        client = self.query("a1", ms=200)
         assert client.status == 502
         assert H["seal"].lower().encode() not in client.raw.lower()
 
@@ -502,28 +505,28 @@
         for sends, expected in ((0, gateway.RESENDS + 1), (1, 1), (2, 2), (9, gateway.RESENDS + 1)):
             seen = []
 
-            async def elect(x, shun):
+            async def select_worker(x, shun):
                 return types.SimpleNamespace(id=f"w{len(shun)}"), ""
 
             async def send(x, worker, under_way, via, seen=seen):
                 seen.append(worker.id)
-                return dispatch.Outcome.BROKE
+                return dispatch.AttemptOutcome.BROKE
 
-            node_door = types.SimpleNamespace(
-                elect=elect,
+            node_gateway = types.SimpleNamespace(
+                select_worker=select_worker,
                 send=send,
-                tally=lambda x: budget.Budget(),
+                tally=lambda x: retry_budget.Budget(),
                 counts={"repeats": 0},
                 sends={},
-                mach=types.SimpleNamespace(now=lambda: 0),
+                runtime=types.SimpleNamespace(now=lambda: 0),
                 give_back=lambda x, outcome: None,
             )
-            request = gateway.Exchange(None, "n1-1/0", 0)
+            request = gateway.RoutedRequest(None, "n1-1/0", 0)
             request.route = configuration.Route("/x/", "desk", sends=sends)
-            request.repeatable = True
-            done = defer.ensureDeferred(gateway.Gateway.run(node_door, request))
-            done.addErrback(lambda failure: failure.value.verdict)
-            assert done.result == verdict.Verdict.MAY_HAVE_RUN
+            request.idempotent = True
+            done = defer.ensureDeferred(gateway.Gateway.run(node_gateway, request))
+            done.addErrback(lambda failure: failure.value.execution)
+            assert done.result == errors.ExecutionOutcome.MAY_HAVE_RUN
             assert len(seen) == expected
 
 
@@ -533,25 +536,25 @@
     def test_a_try_goes_to_no_more_workers_than_its_route_allows(self, status: int, sends: int) -> None:
         self.idempotent(sends)
         self.tally.slack = 99
-        heads = {H["not_run"]: "1"} if status == 503 else {}
+        headers = {H["not_run"]: "1"} if status == 503 else {}
         for _ in range(4):
-            self.worker(lambda c, a, s=status, h=heads: c.transport.write(answer(a, b"no", s, **h)))
-        self.ask("a1", ms=200)
+            self.worker(lambda c, a, s=status, h=headers: c.transport.write(answer(a, b"no", s, **h)))
+        self.query("a1", ms=200)
         assert len(self.seen()) == sends
         assert max(len(worker.seen) for worker in self.workers) <= 1
 
     def test_a_stream_that_goes_on_elsewhere_does_not_tell_the_first_length(self) -> None:
-        def script(conn, attempt):
+        def script(connection, attempt):
             if len(self.seen()) == 1:
-                conn.transport.write(answer(attempt, b"id: 1\ndata: a\n\nid: 2\nda", length=32))
-                self.world.push(self.world.time + 5000, conn.transport.abortConnection)
+                connection.transport.write(answer(attempt, b"id: 1\ndata: a\n\nid: 2\nda", length=32))
+                self.world.push(self.world.time + 5000, connection.transport.abortConnection)
             else:
-                conn.transport.write(answer(attempt, b"id: 2\ndata: longer than before\n\n"))
+                connection.transport.write(answer(attempt, b"id: 2\ndata: longer than before\n\n"))
 
         self.resumable()
         for _ in range(2):
             self.worker(script)
-        client = self.ask("a1", ms=200)
+        client = self.query("a1", ms=200)
         head, _, body = client.raw.partition(b"\r\n\r\n")
         assert b"content-length" not in head.lower()
         assert b"transfer-encoding: chunked" in head.lower()
@@ -561,18 +564,18 @@
     def silent_stream(self, plan):
         """A stream whose worker is silent for two seconds, and what of it comes, where other workers refuse it."""
 
-        def script(conn, attempt):
+        def script(connection, attempt):
             if len(self.seen()) == 1:
-                conn.transport.write(answer(attempt, b"id: 1\ndata: a\n\n", length=30))
-                self.world.push(self.world.time + 2 * S, lambda: conn.transport.write(b"id: 2\ndata: b\n\n"))
+                connection.transport.write(answer(attempt, b"id: 1\ndata: a\n\n", length=30))
+                self.world.push(self.world.time + 2 * S, lambda: connection.transport.write(b"id: 2\ndata: b\n\n"))
             else:
                 refusal = answer(attempt, b"no", status=503, seal=None, **{H["not_run"]: "1"})
-                conn.transport.write(refusal)
+                connection.transport.write(refusal)
 
         self.resumable()
         for _ in range(2):
             self.worker(script)
-        client = self.ask("a1")
+        client = self.query("a1")
         plan()
         self.go(3000)
         return client.raw.endswith(b"0\r\n\r\n"), len(self.seen())
@@ -590,5 +593,5 @@
         for number in (1, 2):
             self.worker(good)
             self.world.cut(["10.0.2.1"], [f"10.0.3.{number}"])
-        client = self.ask("a1", ms=130, left_ms=100)
+        client = self.query("a1", ms=130, left_ms=100)
         assert client.status == 503
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -7,12 +7,12 @@
 import twisted.internet.error as error
 import twisted.web.client as client
 
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.chain as chain
-import iriswheel.command as command
-import iriswheel.core as core
-import iriswheel.history as history
-import iriswheel.machine as machine
+import iriswheel.cli.command as command
+import iriswheel.control.core as core
+import iriswheel.replication.chain as chain
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.verification.history as history
+import simulation.simulated_cluster as simulated_cluster
 
 S = simulated_cluster.S
 CUT_SECONDS = 20
@@ -23,53 +23,53 @@
     """An operator who is bound to one core machine, and notes each call with its answer."""
 
     def __init__(self, simulated, core):
-        self.town = simulated
-        self.mach = simulated.office_mach
+        self.cluster = simulated
+        self.runtime = simulated.operator_runtime
         self.place = f"{simulated.options[core][0]}:{simulated_cluster.HTTP}"
         self.name = f"at-{core}"
         self.slowest = 0
 
-    async def ask(self, method, path, doc=None):
+    async def query(self, method, path, document=None):
         """One call: its status and document, and when it was sent."""
-        began = self.mach.now()
-        asked = defer.ensureDeferred(command.ask(self.mach, [self.place], method, path, doc))
+        started_at = self.runtime.now()
+        asked = defer.ensureDeferred(command.send_request(self.runtime, [self.place], method, path, document))
         try:
-            status, answer = await self.mach.within(asked, 3 * S)
-        except (machine.DeadlineError, error.ConnectionDone, error.ConnectionLost, client.ResponseFailed, ValueError):
+            status, answer = await self.runtime.within(asked, 3 * S)
+        except (scheduler.DeadlineError, error.ConnectionDone, error.ConnectionLost, client.ResponseFailed, ValueError):
             status, answer = 0, {}
         if status:
-            self.slowest = max(self.slowest, self.mach.now() - began)
-        return status, answer, began
+            self.slowest = max(self.slowest, self.runtime.now() - started_at)
+        return status, answer, started_at
 
     async def read(self):
-        status, doc, began = await self.ask("GET", "/blueprint")
+        status, document, started_at = await self.query("GET", "/blueprint")
         if status == 200:
-            row = dict(stamp=doc["stamp"], blueprint=doc["blueprint"], began=began, who=self.name)
-            self.town.tape.put(self.mach.now(), "read", **row)
-            number = doc["blueprint"].get("marks", {}).get("operator", {}).get("number", 0)
-            self.town.newest = max(self.town.newest, number)
+            row = dict(stamp=document["stamp"], blueprint=document["blueprint"], began=started_at, who=self.name)
+            self.cluster.tape.put(self.runtime.now(), "read", **row)
+            number = document["blueprint"].get("marks", {}).get("operator", {}).get("number", 0)
+            self.cluster.newest = max(self.cluster.newest, number)
         return status
 
     async def order(self, number, built_on, path):
-        what = {"upsert": {"routes": {"r": {"path": path, "pool": self.town.pool}}}}
-        self.town.numbered_calls += 1
-        row = dict(call=f"{self.name}-{self.town.numbered_calls}", number=number, built_on=built_on)
-        self.town.tape.put(self.mach.now(), "number_sent", content=path, **row)
-        status, _, _ = await self.ask("POST", "/changes", {"number": number, "built_on": built_on, **what})
-        self.town.tape.put(self.mach.now(), "numbered", status=status, **row)
+        what = {"upsert": {"routes": {"r": {"path": path, "pool": self.cluster.pool}}}}
+        self.cluster.numbered_calls += 1
+        row = dict(call=f"{self.name}-{self.cluster.numbered_calls}", number=number, built_on=built_on)
+        self.cluster.tape.put(self.runtime.now(), "number_sent", content=path, **row)
+        status, _, _ = await self.query("POST", "/changes", {"number": number, "built_on": built_on, **what})
+        self.cluster.tape.put(self.runtime.now(), "numbered", status=status, **row)
         return status
 
     async def work(self, until):
         """Read, and order on the newest number known to anybody, until a moment."""
-        while self.mach.now() < until:
+        while self.runtime.now() < until:
             await self.read()
-            newest = self.town.newest
-            number = newest + self.mach.rng.randrange(1, 3)
-            path = f"/{self.name}/{self.mach.rng.randrange(2)}"
+            newest = self.cluster.newest
+            number = newest + self.runtime.rng.randrange(1, 3)
+            path = f"/{self.name}/{self.runtime.rng.randrange(2)}"
             for _ in range(2):  # the same again, as after a lost answer
                 if await self.order(number, newest, path) == 200:
-                    self.town.newest = max(self.town.newest, number)
-            await self.mach.sleep(self.mach.rng.randrange(S // 2, 2 * S))
+                    self.cluster.newest = max(self.cluster.newest, number)
+            await self.runtime.sleep(self.runtime.rng.randrange(S // 2, 2 * S))
 
 
 class TestCutOff:
@@ -82,12 +82,12 @@
         t.begin()
         t.newest = 0
         t.go(2)
-        chain = t.head().membership.view.chain
-        cut = next(c for c in t.cores.values() if c.membership.me.id == chain[place].id)
+        chain = t.head().consensus.view.chain
+        cut = next(c for c in t.cores.values() if c.consensus.me.id == chain[place].id)
         others = [c.options.host for c in t.cores.values() if c is not cut]
         callers = [Caller(t, name) for name in t.cores]
         until = t.world.time + (CUT_SECONDS + 10) * S
-        work = [t.office_mach.spawn(caller.work(until), simulated_cluster.log) for caller in callers]
+        work = [t.operator_runtime.spawn(caller.work(until), simulated_cluster.log) for caller in callers]
         t.go(2 + t.rng.random())
         if outward:
             t.world.cut([cut.options.host], others, both=False)
@@ -118,7 +118,7 @@
         lookup = chain.Chain.look
 
         def look(self, msg):
-            with unittest.mock.patch.object(self.membership, "leased", lambda: True):
+            with unittest.mock.patch.object(self.consensus, "leased", lambda: True):
                 return lookup(self, msg)
 
         monkeypatch.setattr(chain.Chain, "look", look)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,8 +8,8 @@
 import pytest
 import twisted.internet.defer as defer
 
-import iriswheel.configuration as configuration
-import iriswheel.verdict as verdict
+import iriswheel.configuration.configuration as configuration
+import iriswheel.errors as errors
 
 CHANNEL = {
     "name": "r-a",
@@ -34,14 +34,14 @@
     "transport_security": False,
     "engine": {"capacity": 64, "kv_capacity": 443888, "stride": 4, "model_list": [{"name": "m"}]},
 }
-WHOLE = {
+COMPLETE = {
     "version": 7,
     "channels": [CHANNEL, {**CHANNEL, "name": "r b", "path_prefix": "/b/", "plant": "p1"}],
     "plants": [PLANT, {**PLANT, "name": "p2"}],
     "extra": {"x": 1},
     "constraints": {"header_bytes": 16384, "body_bytes": 4194304, "header_deadline_ms": 3000, "idle_ms": 15000},
 }
-del WHOLE["channels"][1]["partition"]
+del COMPLETE["channels"][1]["partition"]
 
 
 class Memory:
@@ -51,18 +51,18 @@
         self.items, self.taken = {}, set()
 
     async def change(self, order):
-        if order.ident in self.taken:
+        if order.identifier in self.taken:
             return
         if order.built_on != configuration.number(self.items):
-            raise verdict.ServiceError("base_moved", "")
+            raise errors.ServiceError("base_moved", "")
         if order.number <= order.built_on:
-            raise verdict.ServiceError("bad_blueprint", "")
+            raise errors.ServiceError("bad_blueprint", "")
         try:
             new = order.make(self.items)
         except configuration.InvalidConfigurationError as e:
-            raise verdict.ServiceError("bad_blueprint", str(e)) from e
+            raise errors.ServiceError("bad_blueprint", str(e)) from e
         self.items = {**new, "marks/operator": {**new["marks/operator"], "number": order.number}}
-        self.taken.add(order.ident)
+        self.taken.add(order.identifier)
 
     async def read(self):
         return self.items
@@ -72,31 +72,31 @@
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.core = Memory()
-        self.door = configuration_api.Configuration(self.core)
+        self.gateway = configuration_api.Configuration(self.core)
 
-    def call(self, method, doc=None, match=None, raw=None):
+    def call(self, method, document=None, match=None, raw=None):
         def load():
             try:
-                return json.loads(raw if raw is not None else json.dumps(doc))
+                return json.loads(raw if raw is not None else json.dumps(document))
             except ValueError:
-                raise verdict.ServiceError("bad_request", "") from None
+                raise errors.ServiceError("bad_request", "") from None
 
         out = []
-        req = types.SimpleNamespace(
+        request = types.SimpleNamespace(
             method=method,
             path=b"/configuration",
             json=load,
             getHeader=lambda name: match,
-            answer_json=lambda status, val: out.append((status, val)),
+            answer_json=lambda status, value: out.append((status, value)),
         )
-        d = defer.ensureDeferred(self.door.handle(req))
-        d.addErrback(lambda f: f.trap(verdict.ServiceError) and out.append((f.value.status, f.value.code)))
+        d = defer.ensureDeferred(self.gateway.handle(request))
+        d.addErrback(lambda f: f.trap(errors.ServiceError) and out.append((f.value.status, f.value.code)))
         return out[0]
 
     def test_what_was_sent_comes_back(self) -> None:
-        assert self.call(b"PUT", WHOLE, "0") == (200, {"version": 7})
-        assert self.call(b"GET") == (200, WHOLE)
-        assert self.call(b"PUT", WHOLE, "0") == (200, {"version": 7})
+        assert self.call(b"PUT", COMPLETE, "0") == (200, {"version": 7})
+        assert self.call(b"GET") == (200, COMPLETE)
+        assert self.call(b"PUT", COMPLETE, "0") == (200, {"version": 7})
         r = self.core.items["routes/r-a"]
         assert tuple(r[k] for k in ("cutoff_us", "aim_us", "gap_us", "repeat", "resume", "sends")) == (
             10_000_000,
@@ -112,11 +112,11 @@
         assert self.core.items["limits/door"]["idle_us"] == 15_000_000
 
     def test_a_channel_without_retries_goes_to_one_worker(self) -> None:
-        self.call(b"PUT", {**WHOLE, "channels": [{**CHANNEL, "retries": 0}]}, "0")
+        self.call(b"PUT", {**COMPLETE, "channels": [{**CHANNEL, "retries": 0}]}, "0")
         assert self.core.items["routes/r-a"]["sends"] == 1
 
     def test_a_patch_is_laid_over_what_was_sent(self) -> None:
-        self.call(b"PUT", WHOLE, "0")
+        self.call(b"PUT", COMPLETE, "0")
         new = {**CHANNEL, "name": "r-c", "path_prefix": "/c/", "resumable": True}
         change = {
             "version": 12,
@@ -127,7 +127,7 @@
         assert self.call(b"PATCH", change, "7") == (200, {"version": 12})
         assert self.call(b"PATCH", change, "7") == (200, {"version": 12})
         assert self.call(b"GET")[1] == {
-            **WHOLE,
+            **COMPLETE,
             "version": 12,
             "channels": [{**CHANNEL, "cutoff_ms": 5}, new],
             "plants": [PLANT],
@@ -135,20 +135,20 @@
         assert (self.core.items["routes/r-c"]["repeat"], self.core.items["routes/r-c"]["resume"]) == ("may", True)
 
     def test_a_patch_touches_only_what_it_names(self) -> None:
-        self.call(b"PUT", WHOLE, "0")
+        self.call(b"PUT", COMPLETE, "0")
         had = self.core.items
         self.call(b"PATCH", {"version": 8, "remove": {"channels": ["r-a"]}}, "7")
         assert {k for k, _ in configuration.differ(had, self.core.items)} == {"routes/r-a", "marks/operator"}
 
     def test_invalid_ones_are_refused(self) -> None:
         def spoiled(f):
-            doc = copy.deepcopy(WHOLE)
-            f(doc)
-            return doc
+            document = copy.deepcopy(COMPLETE)
+            f(document)
+            return document
 
-        self.call(b"PUT", {**WHOLE, "version": 6}, "0")
-        assert self.call(b"PUT", raw=json.dumps(WHOLE)[:-40], match="6")[0] == 400
-        assert self.call(b"PUT", WHOLE, None)[0] == 400
+        self.call(b"PUT", {**COMPLETE, "version": 6}, "0")
+        assert self.call(b"PUT", raw=json.dumps(COMPLETE)[:-40], match="6")[0] == 400
+        assert self.call(b"PUT", COMPLETE, None)[0] == 400
         for f in (
             lambda d: d["channels"][1].update(plant="nowhere"),
             lambda d: d["channels"][1].update(path_prefix="/a/"),
@@ -165,6 +165,6 @@
             lambda d: d.update(plants=7),
         ):
             assert self.call(b"PUT", spoiled(f), "6")[0] == 400, spoiled(f)
-        assert self.call(b"GET")[1] == {**WHOLE, "version": 6}
-        assert self.call(b"PUT", WHOLE, "5")[0] == 412
-        assert self.call(b"PUT", WHOLE, "6")[0] == 200
+        assert self.call(b"GET")[1] == {**COMPLETE, "version": 6}
+        assert self.call(b"PUT", COMPLETE, "5")[0] == 412
+        assert self.call(b"PUT", COMPLETE, "6")[0] == 200
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-import bench.fleet as fleet
-import bench.process_trial as process_trial
+import benchmarks.fleet as fleet
+import benchmarks.process_trial as process_trial
 
 
 def program(*args):
@@ -79,7 +79,7 @@
 
     def test_sweep_of_an_unknown_scene(self) -> None:
         p = subprocess.run(
-            [sys.executable, "-m", "bench.sweep", "--scenes", "nonsense"], capture_output=True, text=True
+            [sys.executable, "-m", "simulation.sweep", "--scenarios", "nonsense"], capture_output=True, text=True
         )
         assert (p.returncode, len(p.stderr.splitlines())) == (2, 1)
 
@@ -109,23 +109,23 @@
 
     def refused(self, text, status, code, field=None):
         head, body = raw(self.port, text)
-        doc = json.loads(body)
+        document = json.loads(body)
         assert f" {status} " in head.splitlines()[0] + " "
-        assert (doc["code"], doc["verdict"], doc.get("field")) == (code, "not_run", field)
+        assert (document["code"], document["verdict"], document.get("field")) == (code, "not_run", field)
 
-    def post(self, heads="", body=b"hello", path="/v1/complete"):
+    def node_session(self, headers="", body=b"hello", path="/v1/complete"):
         return (
-            f"POST {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {len(body)}\r\n{heads}\r\n"
+            f"POST {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
         ).encode() + body
 
     def test_bad_input_is_named(self) -> None:
-        self.refused(self.post(path="/nowhere"), 404, "no_route", "path")
-        self.refused(self.post("X-May-Repeat: perhaps\r\n"), 400, "bad_request", "X-May-Repeat")
-        self.refused(self.post("X-Send-Number: 0\r\n"), 400, "bad_request", "X-Send-Number")
-        self.refused(self.post("X-Exchange-Id: a b\r\n"), 400, "bad_request", "X-Exchange-Id")
-        self.refused(self.post("X-Exchange-Id: a\r\nX-Exchange-Id: b\r\n"), 400, "bad_request", "X-Exchange-Id")
+        self.refused(self.node_session(path="/nowhere"), 404, "no_route", "path")
+        self.refused(self.node_session("X-May-Repeat: perhaps\r\n"), 400, "bad_request", "X-May-Repeat")
+        self.refused(self.node_session("X-Send-Number: 0\r\n"), 400, "bad_request", "X-Send-Number")
+        self.refused(self.node_session("X-Exchange-Id: a b\r\n"), 400, "bad_request", "X-Exchange-Id")
+        self.refused(self.node_session("X-Exchange-Id: a\r\nX-Exchange-Id: b\r\n"), 400, "bad_request", "X-Exchange-Id")
         self.refused(
-            self.post("X-Prompt-Prefix: " + ",".join("p" * 33) + "\r\n"), 400, "bad_request", "X-Prompt-Prefix"
+            self.node_session("X-Prompt-Prefix: " + ",".join("p" * 33) + "\r\n"), 400, "bad_request", "X-Prompt-Prefix"
         )
         self.refused(b"GET /v1/complete HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", 405, "bad_method")
         self.refused(
@@ -138,17 +138,17 @@
         self.refused(b"nonsense\r\n\r\n", 400, "bad_request", "head")
 
     def test_an_answer_streams_back_with_its_worker(self) -> None:
-        head, body = raw(self.port, self.post("X-Target-Worker: w9\r\nX-Exchange-Id: s1\r\n"))
+        head, body = raw(self.port, self.node_session("X-Target-Worker: w9\r\nX-Exchange-Id: s1\r\n"))
         assert "200" in head.splitlines()[0]
-        heads = head.lower()
-        assert "x-target-worker: w1" in heads or "x-target-worker: w2" in heads
-        assert "transfer-encoding: chunked" in heads
+        headers = head.lower()
+        assert "x-target-worker: w1" in headers or "x-target-worker: w2" in headers
+        assert "transfer-encoding: chunked" in headers
         assert b"[DONE]" in body
 
     def test_a_second_send_of_what_may_not_be_repeated(self) -> None:
-        heads = "X-Exchange-Id: once\r\nX-Send-Number: 1\r\n"
-        assert "200" in raw(self.port, self.post(heads))[0].splitlines()[0]
-        head, body = raw(self.fleet.nodes["n2"][1], self.post(heads.replace("Number: 1", "Number: 2")))
+        headers = "X-Exchange-Id: once\r\nX-Send-Number: 1\r\n"
+        assert "200" in raw(self.port, self.node_session(headers))[0].splitlines()[0]
+        head, body = raw(self.fleet.nodes["n2"][1], self.node_session(headers.replace("Number: 1", "Number: 2")))
         assert "409" in head.splitlines()[0]
         assert json.loads(body)["verdict"] in ("ran", "may_have_run")  # the word of its end may be under way
 
@@ -162,16 +162,16 @@
             assert program(*args) == first
             code, out, _ = program("change", f.name, "--number", "4", "--built-on", "1", "--core", self.core)
             assert (code, json.loads(out)["code"]) == (4, "base_moved")
-        doc = json.loads(program("show", "--core", self.core)[1])["blueprint"]
-        assert (doc["marks"]["operator"]["number"], doc["routes"]["numbered"]["path"]) == (3, "/numbered")
+        document = json.loads(program("show", "--core", self.core)[1])["blueprint"]
+        assert (document["marks"]["operator"]["number"], document["routes"]["numbered"]["path"]) == (3, "/numbered")
 
     def test_plan_confirm_show(self) -> None:
         path = os.path.join(fleet.EXAMPLES, "magnolia.json")
         with open(path) as f:
-            doc = json.load(f)
-        doc["pools"]["desk"]["cap"] = 7
+            document = json.load(f)
+        document["pools"]["desk"]["cap"] = 7
         with tempfile.NamedTemporaryFile("w", suffix=".json") as f:
-            json.dump(doc, f)
+            json.dump(document, f)
             f.flush()
             code, out, _ = program("plan", f.name, "--core", self.core)
         plan = json.loads(out)
@@ -190,14 +190,14 @@
 
     def test_unknown_plans_and_paths(self) -> None:
         http = self.fleet.cores["c1"][1]
-        status, doc = fleet.ask(http, "POST", "/plans/99-0000/confirm", {})
-        assert (status, doc["verdict"]) == (404, "not_run")
-        status, doc = fleet.ask(http, "POST", "/plans/0-0000/confirm", {})
-        assert (status, doc["verdict"]) == (404, "may_have_run")
-        assert fleet.ask(http, "GET", "/nowhere")[0] == 404
-        status, doc = fleet.ask(http, "POST", "/plans", {"blueprint": {"pools": {"p": {"cap": "x"}}, "odd": {}}})
-        assert (status, doc["verdict"]) == (422, "not_run")
-        assert "odd: unknown section" in doc["text"]
+        status, document = fleet.query(http, "POST", "/plans/99-0000/confirm", {})
+        assert (status, document["verdict"]) == (404, "not_run")
+        status, document = fleet.query(http, "POST", "/plans/0-0000/confirm", {})
+        assert (status, document["verdict"]) == (404, "may_have_run")
+        assert fleet.query(http, "GET", "/nowhere")[0] == 404
+        status, document = fleet.query(http, "POST", "/plans", {"blueprint": {"pools": {"p": {"cap": "x"}}, "odd": {}}})
+        assert (status, document["verdict"]) == (422, "not_run")
+        assert "odd: unknown section" in document["text"]
 
 
 class TestFaults:
@@ -205,29 +205,29 @@
         with fleet.Fleet("small") as f:
             t = process_trial.Trial(f, 16, ["--short-rate", "15", "--long-rate", "1", "--talks", "3"])
             t.served(10)
-            name = f.warden()
+            name = f.owner()
             t.fault("kill", name)
             f.kill(name)
-            f.until(lambda: f.warden() not in ("", name), "another warden is seated", 30)
+            f.until(lambda: f.owner() not in ("", name), "another warden is seated", 30)
             t.served(10)
             t.restart(name)
             f.until(lambda: f.ready(name), "the node is ready again", 30)
             t.fault("kill", "c1")
             f.kill("c1")
-            doc = json.loads(json.dumps(f.blueprint))
-            doc["routes"]["late"] = {"path": "/v1/late", "pool": f.pool}
-            f.until(lambda: f.confirm(doc, t.note), "a change is confirmed without c1", 30)
+            document = json.loads(json.dumps(f.configuration))
+            document["routes"]["late"] = {"path": "/v1/late", "pool": f.pool}
+            f.until(lambda: f.confirm(document, t.note), "a change is confirmed without c1", 30)
             t.restart("c1")
-            name = f.warden()
+            name = f.owner()
             t.fault("freeze", name)
             f.signal(name, signal.SIGSTOP)
             other = next(n for n in f.nodes if n != name)
-            f.until(lambda: f.warden_of(other), "the other node is the warden", 30)
+            f.until(lambda: f.owner_of(other), "the other node is the warden", 30)
             f.signal(name, signal.SIGCONT)
-            t.mend("wake", name)
+            t.repair("wake", name)
             t.served(5)
             report, found, _ = t.finish()
-            # how fast a shared machine answers is for bench.process_trial to say, not for a test
+            # how fast a shared machine answers is for benchmarks.process_trial to say, not for a test
             lines = [line for ls in found.values() for line in ls if " waited " not in line and " paused " not in line]
             assert lines == []
             assert report["ends"]["whole"] > 30
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -17,33 +17,27 @@
 import msgspec
 import testtools
 
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.agreement as agreement
-import iriswheel.chain as chain
-import iriswheel.core as core
-import iriswheel.message as message
-import iriswheel.store as store
+import iriswheel.consensus.decisions as decisions
+import iriswheel.control.core as core
+import iriswheel.replication.chain as chain
+import iriswheel.replication.storage as storage
+import iriswheel.transport.message as message
+import simulation.simulated_cluster as simulated_cluster
 import tests.recorded as recorded
 
 RECORDS = recorded.load("disk.json")["records"]
-TYPES = {"entry": message.Entry, "frame": chain.Snapshot, "council": agreement.Record}
+TYPES = {"entry": message.LogEntry, "frame": chain.Snapshot, "council": decisions.Record}
 FOLDERS = ("folder-e746a15", "folder-format-2")
 NAMES = ("c1", "c2", "c3")
 
 
 def content(folder: str) -> dict[str, typing.Any]:
-    """What a recorded folder holds, and what was answered before.
-
-    Example: `content("folder-e746a15")["stamp"]`
-    """
+    """What a recorded folder holds, and what was answered before."""
     return recorded.load(f"{folder}/content.json")
 
 
 def disks(folder: str) -> dict[str, dict[bytes, bytes]]:
-    """The keys and values of each core machine's recorded data folder.
-
-    Example: `disks("folder-e746a15")["c1"][b"format"]`
-    """
+    """The keys and values of each core machine's recorded data folder."""
     return {
         name: {key.encode(): base64.b64decode(value) for key, value in disk.items()}
         for name, disk in content(folder)["disks"].items()
@@ -51,14 +45,11 @@
 
 
 def rewrite(key: bytes, raw: bytes) -> bytes:
-    """Read a record from the disk with the present program, and write it again.
-
-    Example: `rewrite(b"e0000000000000007", raw)`
-    """
+    """Read a record from the disk with the present program, and write it again."""
     if key == b"council":
-        return msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=agreement.Record))
+        return msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=decisions.Record))
     if key == b"frame":
-        return chain.Ledger.thaw(raw).freeze()
+        return chain.ReplicatedState.thaw(raw).freeze()
     if key.startswith(b"shelf/"):
         written_at = msgspec.msgpack.decode(raw)[0]
         return core.encode_session_replica(core.decode_session_replica(raw, written_at), written_at)
@@ -106,7 +97,7 @@
                 with tempfile.TemporaryDirectory() as scratch:
                     copy = pathlib.Path(scratch) / name
                     shutil.copytree(recorded.DATA / folder / name, copy)
-                    disk = store.Disk(str(copy))
+                    disk = storage.Disk(str(copy))
                     disk.open()
                     self.assertEqual(expected, disk.read())
                     disk.close()
@@ -158,9 +149,9 @@
         cluster.begin()
         return cluster
 
-    def ask(self, cluster: simulated_cluster.SimulatedCluster, *call: typing.Any) -> typing.Any:
-        operator = simulated_cluster.Operator(cluster, cluster.office_mach, "boss")
-        done = cluster.office_mach.spawn(operator.ask(*call), simulated_cluster.log)
+    def query(self, cluster: simulated_cluster.SimulatedCluster, *call: typing.Any) -> typing.Any:
+        operator = simulated_cluster.Operator(cluster, cluster.operator_runtime, "boss")
+        done = cluster.operator_runtime.spawn(operator.query(*call), simulated_cluster.log)
         self.assertTrue(cluster.until(lambda: done.called, 20))
         return done.result
 
@@ -168,7 +159,7 @@
         self, cluster: simulated_cluster.SimulatedCluster, number: int, built_on: int, what: typing.Any
     ) -> typing.Any:
         """Have a numbered change taken: the status and the answer."""
-        return self.ask(cluster, "POST", "/changes", {"number": number, "built_on": built_on, **what})
+        return self.query(cluster, "POST", "/changes", {"number": number, "built_on": built_on, **what})
 
     def check_what_was_answered(self, cluster: simulated_cluster.SimulatedCluster, was: dict[str, typing.Any]) -> None:
         """All that was answered before still stands: items, taken changes, plans."""
@@ -176,25 +167,27 @@
             status, answer = self.take(cluster, number, built_on, what)
             self.assertEqual((200, number), (status, answer["number"]))
             self.assertLessEqual(answer["stamp"], was["stamp"])
-        status, answer = self.ask(cluster, "POST", f"/plans/{was['confirmed']['id']}/confirm", {})
+        status, answer = self.query(cluster, "POST", f"/plans/{was['confirmed']['id']}/confirm", {})
         self.assertEqual((200, was["confirmed"]["stamp"]), (status, answer["stamp"]))
-        self.assertEqual(200, self.ask(cluster, "GET", f"/plans/{was['open_plan']['id']}")[0])
+        self.assertEqual(200, self.query(cluster, "GET", f"/plans/{was['open_plan']['id']}")[0])
 
     def check_a_further_change(self, cluster: simulated_cluster.SimulatedCluster, folder: str) -> None:
         """A further change is taken, and a started core machine's folder says the present format."""
-        status, now = self.ask(cluster, "GET", "/blueprint")
+        status, now = self.query(cluster, "GET", "/blueprint")
         number = now["blueprint"]["marks"]["operator"]["number"]
         what = {"upsert": {"routes": {"further": {"path": "/further", "pool": cluster.pool}}}}
         self.assertEqual(200, self.take(cluster, number + 1, number, what)[0])
-        status, after = self.ask(cluster, "GET", "/blueprint")
+        status, after = self.query(cluster, "GET", "/blueprint")
         now["blueprint"]["routes"].update(what["upsert"]["routes"])
         now["blueprint"]["marks"]["operator"]["number"] = number + 1
         self.assertEqual((200, now["blueprint"]), (status, after["blueprint"]))
         for machine in cluster.cores.values():
-            keys = {re.sub(rb"^e[0-9]{16}$|^shelf/desk$", b"", key) for key in machine.proc.host.synced}
+            keys = {re.sub(rb"^e[0-9]{16}$|^shelf/desk$", b"", key) for key in machine.process.host.synced}
             self.assertEqual(set(), keys - {b"", b"identity", b"format", b"council", b"frame"})
-            self.assertEqual(b"3", machine.proc.host.synced[b"format"])
-            self.assertIn(machine.proc.host.synced[b"identity"], [disk[b"identity"] for disk in disks(folder).values()])
+            self.assertEqual(b"3", machine.process.host.synced[b"format"])
+            self.assertIn(
+                machine.process.host.synced[b"identity"], [disk[b"identity"] for disk in disks(folder).values()]
+            )
 
     def go_on(self, folder: str, missing: str | None = None) -> None:
         was, cluster = content(folder), self.begin(folder, missing)
@@ -228,7 +221,7 @@
         old = disks("folder-e746a15")
         for disk in old.values():
             disk[b"format"] = b"4"
-        self.assertRaises(store.DiskError, OldCluster(old).begin)
+        self.assertRaises(storage.DiskError, OldCluster(old).begin)
 
 
 class OldCluster(simulated_cluster.SimulatedCluster):
@@ -249,20 +242,20 @@
             return
         super().start_core(name, host, zone)
         replicas = self.cores[name].session_replicas
-        self.sessions_at_start[name] = {ident for replica in replicas.values() for ident in replica.sessions}
+        self.sessions_at_start[name] = {identifier for replica in replicas.values() for identifier in replica.sessions}
 
     def with_probe(self, k: int, more: dict[str, typing.Any] | None = None) -> dict[str, typing.Any]:
         """The configuration that stands with a probe route, in place of the example's."""
         if self.first_read is None:
-            operator = simulated_cluster.Operator(self, self.office_mach, "reader")
+            operator = simulated_cluster.Operator(self, self.operator_runtime, "reader")
             for _ in range(60):
-                done = self.office_mach.spawn(operator.ask("GET", "/blueprint"), simulated_cluster.log)
+                done = self.operator_runtime.spawn(operator.query("GET", "/blueprint"), simulated_cluster.log)
                 self.until(lambda done=done: done.called, 10)
                 if done.result[0] == 200:
                     self.first_read = done.result[1]
                     break
                 self.go(0.3)
-        doc = msgspec.json.decode(msgspec.json.encode(self.first_read["blueprint"]))
-        doc["routes"]["probe"] = {"path": f"/p/{k}", "pool": self.pool}
-        self.blueprint = self.first_read["blueprint"]
-        return doc
+        document = msgspec.json.decode(msgspec.json.encode(self.first_read["blueprint"]))
+        document["routes"]["probe"] = {"path": f"/p/{k}", "pool": self.pool}
+        self.configuration = self.first_read["blueprint"]
+        return document
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -8,8 +8,8 @@
 import testtools
 import twisted.internet.testing as testing
 
-import bench.sim as sim
-import iriswheel.wire as wire
+import iriswheel.transport.wire as wire
+import simulation.world as world
 import tests.recorded as recorded
 
 RECORDING = recorded.load("wire.json")
@@ -28,9 +28,9 @@
     """A real connection that keeps the messages it hands on, encoded again."""
 
     def __init__(self) -> None:
-        process = sim.Proc(sim.World(1), "receiver", sim.Machine(sim.World(1), "10.0.0.1", "zone"))
+        process = world.SimulatedProcess(world.World(1), "receiver", world.Host(world.World(1), "10.0.0.1", "zone"))
         self.received: list[str] = []
-        self.connection = wire.Connection(process.mach(), self.keep, loguru.logger)
+        self.connection = wire.Connection(process.runtime(), self.keep, loguru.logger)
         self.transport = Transport()
         self.connection.makeConnection(self.transport)
 
@@ -52,7 +52,7 @@
     def setUp(self) -> None:
         super().setUp()
         loguru.logger.remove()
-        self.types = recorded.struct_types(wire.Parcel)
+        self.types = recorded.struct_types(wire.Envelope)
 
     def samples(self) -> typing.Iterator[tuple[str, type, dict[str, typing.Any]]]:
         for section in RECORDING.values():
@@ -61,7 +61,7 @@
                     yield tag, self.types[tag].cls, sample
 
     def test_the_tags_are_those_recorded(self) -> None:
-        sendable = {info.tag for info in msgspec.inspect.type_info(wire.Parcel).fields[2].type.types}
+        sendable = {info.tag for info in msgspec.inspect.type_info(wire.Envelope).fields[2].type.types}
         self.assertEqual(sorted(RECORDING["messages"]), sorted(sendable))
         self.assertEqual(sorted(RECORDING["parts"]), sorted(set(self.types) - sendable))
 
@@ -126,7 +126,7 @@
             self.assertEqual([text for text, _ in frames()], receiver.received)
 
     def test_what_a_connection_sends_is_what_was_recorded(self) -> None:
-        types = recorded.struct_types(wire.Parcel)
+        types = recorded.struct_types(wire.Envelope)
         for tag, record in RECORDING["messages"].items():
             for sample in record.values():
                 receiver = Receiver()
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,9 +1,9 @@
-"""The roster's issuer: who does which duty."""
+"""The membership's issuer: who does which role."""
 
 import random
 
-import bench.capacity as capacity
-import iriswheel.roster as roster
+import benchmarks.capacity as capacity
+import iriswheel.membership.membership_manager as membership_manager
 
 
 class TestDuties:
@@ -15,13 +15,13 @@
         seen = 0
         for _ in range(60):
             live = rng.sample(everybody, rng.randrange(1, 20))
-            now = iss.mach.now()
+            now = iss.runtime.now()
             iss.seen = {m.id: (now, m, "c0") for m in live}
             iss.issue()
             latest = iss.latest
             assert sorted(m.id for m in live) == sorted(m.id for m in latest.members)
-            for d in latest.duties:
-                assert roster.group(d.key, latest.members, d) == (d.holder, d.copies)
+            for d in latest.assignments:
+                assert membership_manager.group(d.key, latest.members, d) == (d.holder, d.copies)
                 seen += 1
             iss.issue()
             assert iss.latest is latest
--- a/tests/test_scenes.py
+++ b/tests/test_scenes.py
@@ -1,6 +1,6 @@
-"""The simulator's scenes with fixed seeds: clean as the code stands, and failing without its guards.
+"""The simulator's scenarios with fixed seeds: clean as the code stands, and failing without its guards.
 
-A guard test takes one guard out (bench/mutation_checks.py) and wants the matching checker to complain:
+A guard test takes one guard out (simulation/mutation_checks.py) and wants the matching checker to complain:
 so each "must never happen" point is seen failing before it is seen to hold.
 """
 
@@ -8,11 +8,11 @@
 
 import pytest
 
-import bench.mutation_checks as mutation_checks
-import bench.scenes as scenes
-import iriswheel.replay as replay
+import iriswheel.verification.replay as replay
+import simulation.fault_scenarios as fault_scenarios
+import simulation.mutation_checks as mutation_checks
 
-SEEDS = {name: 1 for name in scenes.SCENES}
+SEEDS = {name: 1 for name in fault_scenarios.SCENARIOS}
 # runs that a sweep once found failing
 FOUND = [
     ("cut_core_two", 2, "magnolia"),
@@ -25,20 +25,20 @@
     ("race", 100, "magnolia"),
     ("kill_many", 4, "swan"),
 ]
-SWAN = [("calm", 1, "swan"), ("kill_warden", 2, "swan"), ("replace_all", 2, "swan")]
+SWAN = [("calm", 1, "swan"), ("kill_owner", 2, "swan"), ("replace_all", 2, "swan")]
 
 
 def play(job):
-    """Play one scene, perhaps with a guard out: what the checkers say, or the log itself."""
-    scene, seed, shape, guard = job
+    """Play one scenario, perhaps with a guard out: what the checkers say, or the log itself."""
+    scenario, seed, shape, guard = job
     if guard:
         return job, mutation_checks.play(job)[1], ""
-    t = scenes.play(scene, seed, shape)
-    return job, replay.judge(t.tape.rows), t.tape.text() if scene == "calm" else ""
+    t = fault_scenarios.play(scenario, seed, shape)
+    return job, replay.judge(t.tape.rows), t.tape.text() if scenario == "calm" else ""
 
 
 def play_in_two_processes(job):
-    """Play one scene in two processes at once: what each of them gives."""
+    """Play one scenario in two processes at once: what each of them gives."""
     with multiprocessing.Pool(2, maxtasksperchild=1) as pool:
         return pool.map(play, [job, job], chunksize=1)
 
@@ -56,14 +56,14 @@
     assert not differ
 
 
-@pytest.mark.parametrize(("scene", "seed", "shape"), runs_to_keep())
-def test_no_checker_complains_of_a_scene(scene: str, seed: int, shape: str) -> None:
-    _, complaints, _ = play((scene, seed, shape, ""))
+@pytest.mark.parametrize(("scenario", "seed", "shape"), runs_to_keep())
+def test_no_checker_complains_of_a_scene(scenario: str, seed: int, shape: str) -> None:
+    _, complaints, _ = play((scenario, seed, shape, ""))
     assert complaints == {}
 
 
 @pytest.mark.parametrize("guard", mutation_checks.GUARDS)
 def test_a_scene_without_its_guard_is_complained_of(guard: str) -> None:
-    _, scene, seed, checker = mutation_checks.GUARDS[guard]
-    _, complaints, _ = play((scene, seed, "magnolia", guard))
+    _, scenario, seed, checker = mutation_checks.GUARDS[guard]
+    _, complaints, _ = play((scenario, seed, "magnolia", guard))
     assert checker in complaints
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -1,13 +1,13 @@
 """A second loss during a repair of the core: a few of the cases, and that a guard taken out is noticed.
 
-All cases are played by `python -m bench.second_loss`.
+All cases are played by `python -m simulation.second_loss`.
 """
 
 import pytest
 
-import bench.second_loss as second_loss
-import iriswheel.agreement as agreement
-import iriswheel.message as message
+import iriswheel.consensus.decisions as decisions
+import iriswheel.transport.message as message
+import simulation.second_loss as second_loss
 
 Case, Loss, Step, Target = second_loss.Case, second_loss.Loss, second_loss.Step, second_loss.Target
 
@@ -25,7 +25,7 @@
 
 def unsynced_order(view, promises, alive):
     """Order the chain by name, whoever is synced."""
-    return [message.ChainReplica(ident, alive[ident]) for ident in sorted(alive, reverse=True)]
+    return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
 
 
 def name_of(case):
@@ -44,6 +44,6 @@
 
 
 def test_a_chain_led_by_a_copy_that_is_not_synced_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(agreement, "order", unsynced_order)
+    monkeypatch.setattr(decisions, "order", unsynced_order)
     found = [line for case in GUARDED for line in second_loss.play(case).complaints]
     assert f"no change was acknowledged for {second_loss.REPAIR_S} s" in found
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -6,20 +6,20 @@
 import pytest
 import twisted.internet.protocol as protocol
 
-import bench.engine as engine
-import bench.serving as serving
-import bench.sim as sim
-import bench.simulated_cluster as simulated_cluster
-import bench.words as words
-import iriswheel.machine as machine
+import iriswheel.runtime.units as units
+import simulation.inference_engine as inference_engine
+import simulation.platform_names as platform_names
+import simulation.serving as serving
+import simulation.simulated_cluster as simulated_cluster
+import simulation.world as world
 
-MS, S = machine.MILLI, machine.SECOND
-H = words.HEAD
+MS, S = units.MILLISECOND_US, units.SECOND_US
+H = platform_names.HEADERS
 
 
 class Answer:
     def __init__(self):
-        self.heads, self.body, self.code, self.whole = {}, b"", 0, False
+        self.headers, self.body, self.code, self.complete = {}, b"", 0, False
 
 
 class Caller(protocol.Protocol):
@@ -45,7 +45,7 @@
         self.answers.append(Answer())
 
     def on_header(self, name, value):
-        self.answers[-1].heads[name.decode().lower()] = value.decode()
+        self.answers[-1].headers[name.decode().lower()] = value.decode()
 
     def on_headers_complete(self):
         self.answers[-1].code = self.parser.get_status_code()
@@ -54,19 +54,21 @@
         self.answers[-1].body += data
 
     def on_message_complete(self):
-        self.answers[-1].whole = True
+        self.answers[-1].complete = True
 
 
 class TestServing:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        self.world = sim.World(5)
-        self.tape = simulated_cluster.Tape()
-        self.proc = sim.Proc(self.world, "w1", sim.Machine(self.world, "10.0.3.1", "a"))
-        self.worker = serving.Worker(self.proc.mach(), "w1", "desk", self.tape, engine.Figures(enter_us=0), conns=5)
+        self.world = world.World(5)
+        self.tape = simulated_cluster.EventLog()
+        self.process = world.SimulatedProcess(self.world, "w1", world.Host(self.world, "10.0.3.1", "a"))
+        self.worker = serving.Worker(
+            self.process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), conns=5
+        )
         self.worker.closes = self.worker.lingers = 0
-        self.proc.reactor.listenTCP(8080, self.worker)
-        self.near = sim.Proc(self.world, "near", sim.Machine(self.world, "10.0.2.1", "a"))
+        self.process.reactor.listenTCP(8080, self.worker)
+        self.near = world.SimulatedProcess(self.world, "near", world.Host(self.world, "10.0.2.1", "a"))
 
     def go(self, ms):
         self.world.run(self.world.time + ms * MS)
@@ -75,13 +77,13 @@
         c = Caller()
         f = protocol.ClientFactory()
         f.noisy = False
-        f.buildProtocol = lambda addr: c
+        f.buildProtocol = lambda address: c
         self.near.reactor.connectTCP(host, port, f)
         self.go(2)
         return c
 
-    def ask(self, c, attempt="a1", tokens="10,9", parts="aa:10", left=5000, path="/x/", **more):
-        heads = {
+    def request(self, c, attempt="a1", tokens="10,9", parts="aa:10", left=5000, path="/x/", **more):
+        headers = {
             H["attempt"]: attempt,
             H["tokens"]: tokens,
             H["parts"]: parts,
@@ -90,7 +92,7 @@
             "Content-Length": 2,
             **{H[k]: v for k, v in more.items()},
         }
-        lines = "".join(f"{k}: {v}\r\n" for k, v in heads.items() if v is not None)
+        lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items() if v is not None)
         c.transport.write(f"POST {path} HTTP/1.1\r\n{lines}\r\nhi".encode())
 
     def kinds(self, *kinds):
@@ -98,11 +100,11 @@
 
     def test_a_stream_has_seal_attempt_and_rising_events(self) -> None:
         c = self.dial()
-        self.ask(c, target=self.worker.id)
+        self.request(c, target=self.worker.id)
         self.go(300)
         (a,) = c.answers
-        seal = a.heads[H["seal"].lower()]
-        assert (a.code, a.whole, a.heads[H["attempt"].lower()], a.heads["content-type"]) == (
+        seal = a.headers[H["seal"].lower()]
+        assert (a.code, a.complete, a.headers[H["attempt"].lower()], a.headers["content-type"]) == (
             200,
             True,
             "a1",
@@ -113,54 +115,54 @@
             == a.body.decode()
         )
         assert [r["kind"] for r in self.kinds("arrived", "run", "ran")] == ["arrived", "run", "ran"]
-        self.ask(c, attempt="a2")
+        self.request(c, attempt="a2")
         self.go(300)
-        assert [x.heads[H["attempt"].lower()] for x in c.answers] == ["a1", "a2"]
+        assert [x.headers[H["attempt"].lower()] for x in c.answers] == ["a1", "a2"]
 
     def test_what_does_not_run_says_so(self) -> None:
         c = self.dial()
-        self.ask(c, attempt="a1", target="i-other")
-        self.ask(c, attempt=None)
-        self.ask(c, attempt="a3", left=0)
-        self.ask(c, attempt="a4", weights_wanted="2")
-        self.ask(c, attempt="a5", tokens="10,99000000")
+        self.request(c, attempt="a1", target="i-other")
+        self.request(c, attempt=None)
+        self.request(c, attempt="a3", left=0)
+        self.request(c, attempt="a4", weights_wanted="2")
+        self.request(c, attempt="a5", tokens="10,99000000")
         self.go(50)
         assert [a.code for a in c.answers] == [421, 400, 503, 421, 503]
-        assert all(H["not_run"].lower() in a.heads for a in c.answers)
+        assert all(H["not_run"].lower() in a.headers for a in c.answers)
         assert self.kinds("run") == []
 
     def test_a_deadline_that_passes_in_the_queue_is_told_as_not_run(self) -> None:
         self.worker.engine.figures.capacity = 1
         c, d = self.dial(), self.dial()
-        self.ask(c, attempt="a1", tokens="10,400")
+        self.request(c, attempt="a1", tokens="10,400")
         self.go(20)
-        self.ask(d, attempt="a2", left=100)
+        self.request(d, attempt="a2", left=100)
         self.go(200)
         assert [a.code for a in d.answers] == [503]
-        assert H["not_run"].lower() in d.answers[0].heads
+        assert H["not_run"].lower() in d.answers[0].headers
         assert [r["attempt"] for r in self.kinds("run")] == ["a1"]
 
     def test_a_deadline_in_the_middle_of_a_stream_cuts_it(self) -> None:
         c = self.dial()
-        self.ask(c, tokens="10,400", left=200)
+        self.request(c, tokens="10,400", left=200)
         self.go(400)
-        assert (c.answers[0].whole, c.closed) == (False, "ConnectionLost")
+        assert (c.answers[0].complete, c.closed) == (False, "ConnectionLost")
 
     def test_a_stream_is_taken_up_after_its_last_event(self) -> None:
         c = self.dial()
-        self.ask(c, tokens="10,17", after="3")
+        self.request(c, tokens="10,17", after="3")
         self.go(300)
         assert [p.split(b"\n")[0] for p in c.answers[0].body.split(b"\n\n") if p] == [b"id: 4", b"id: 5"]
 
     def test_nothing_is_left_to_take_up_after_the_last_event(self) -> None:
         c = self.dial()
-        self.ask(c, tokens="10,17", after="5")
+        self.request(c, tokens="10,17", after="5")
         self.go(300)
-        assert (c.answers[0].code, c.answers[0].whole, c.answers[0].body) == (200, True, b"")
+        assert (c.answers[0].code, c.answers[0].complete, c.answers[0].body) == (200, True, b"")
 
     def test_a_request_is_dropped_with_its_connection(self) -> None:
         c = self.dial()
-        self.ask(c, tokens="10,400")
+        self.request(c, tokens="10,400")
         self.go(100)
         c.transport.abortConnection()
         self.go(50)
@@ -180,25 +182,25 @@
         c = self.dial()
         self.go(6000)
         assert c.closed is None
-        self.ask(c)
+        self.request(c)
         self.go(50)
         assert (c.closed, c.answers) == ("ConnectionLost", [])
 
     def test_ills_show(self) -> None:
         want = {
-            "garble": lambda c: c.garbage and not any(a.whole for a in c.answers),
+            "garble": lambda c: c.garbage and not any(a.complete for a in c.answers),
             "errors": lambda c: [a.code for a in c.answers] == [500],
-            "break": lambda c: c.closed == "ConnectionLost" and not c.answers[0].whole and c.answers[0].body,
-            "lost": lambda c: c.closed == "ConnectionLost" and not c.answers[0].whole,
+            "break": lambda c: c.closed == "ConnectionLost" and not c.answers[0].complete and c.answers[0].body,
+            "lost": lambda c: c.closed == "ConnectionLost" and not c.answers[0].complete,
             "mute": lambda c: not c.answers and c.closed is None,
-            "hang": lambda c: not c.answers[0].whole and c.closed is None,
-            "surplus": lambda c: [a.whole for a in c.answers] == [True, True],
-            "late": lambda c: [a.whole for a in c.answers] == [True, True],
+            "hang": lambda c: not c.answers[0].complete and c.closed is None,
+            "surplus": lambda c: [a.complete for a in c.answers] == [True, True],
+            "late": lambda c: [a.complete for a in c.answers] == [True, True],
         }
         for way, seen in want.items():
-            self.worker.ills = {way: 1.0}
+            self.worker.faults = {way: 1.0}
             c = self.dial()
-            self.ask(c, attempt=way)
+            self.request(c, attempt=way)
             self.go(800)
             assert seen(c), (way, c.raw)
             c.transport.abortConnection()
@@ -207,26 +209,31 @@
 
     def test_health_is_told_truly_or_falsely(self) -> None:
         c = self.dial()
-        for health, ills, code in (("", {}, 200), ("", {"mute": 1}, 503), ("good", {"mute": 1}, 200), ("bad", {}, 503)):
-            self.worker.health, self.worker.ills = health, ills
+        for health, faults, code in (
+            ("", {}, 200),
+            ("", {"mute": 1}, 503),
+            ("good", {"mute": 1}, 200),
+            ("bad", {}, 503),
+        ):
+            self.worker.health, self.worker.faults = health, faults
             c.transport.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
             self.go(50)
-            assert (c.answers[-1].code, c.answers[-1].heads[H["worker"].lower()]) == (code, self.worker.id)
+            assert (c.answers[-1].code, c.answers[-1].headers[H["worker"].lower()]) == (code, self.worker.id)
 
     def test_the_report_is_old(self) -> None:
         c, d = self.dial(), self.dial()
         self.go(300)
-        self.ask(c, tokens="10,400")
+        self.request(c, tokens="10,400")
         for ms, running in ((50, 0), (250, 1)):
             self.go(ms)
             d.transport.write(b"GET /report HTTP/1.1\r\nHost: x\r\n\r\n")
             self.go(5)
-            assert json.loads(d.answers[-1].body)[words.REPORT["running"]] == running
+            assert json.loads(d.answers[-1].body)[platform_names.REPORT["running"]] == running
 
     def test_the_list_comes_late_in_pages_and_at_a_rate(self) -> None:
-        proc = sim.Proc(self.world, "list", sim.Machine(self.world, "10.0.4.1", "a"))
-        listing = serving.Listing(proc.mach(), self.tape, page=2, rate=4)
-        proc.reactor.listenTCP(9000, listing)
+        process = world.SimulatedProcess(self.world, "list", world.Host(self.world, "10.0.4.1", "a"))
+        listing = serving.Listing(process.runtime(), self.tape, page=2, rate=4)
+        process.reactor.listenTCP(9000, listing)
         for k in range(5):
             listing.show(f"i-{k}", pool="desk", address=f"10.0.3.{k}:80", zone="ab"[k % 2])
         c = self.dial("10.0.4.1", 9000)
@@ -240,9 +247,9 @@
         self.go(1500)
         got, token = [], ""
         for _ in range(3):
-            doc = page(f"?page_token={token}")
-            got += [r["id"] for r in doc["worker_pool"]]
-            token = doc["next_cursor"]
+            document = page(f"?page_token={token}")
+            got += [r["id"] for r in document["worker_pool"]]
+            token = document["next_cursor"]
         assert ([f"i-{k}" for k in range(5)], None) == (got, token)
         assert [r["id"] for r in page("?zone=b")["worker_pool"]] == ["i-1", "i-3"]
         page()
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -6,26 +6,28 @@
 import pytest
 import twisted.web.http_headers as http_headers
 
-import bench.sim as sim
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.dispatch as dispatch
-import iriswheel.load as load
-import iriswheel.message as message
-import iriswheel.web as web
+import iriswheel.cli.load_generator as load_generator
+import iriswheel.dataplane.dispatch as dispatch
+import iriswheel.transport.http_server as http_server
+import iriswheel.transport.message as message
+import simulation.simulated_cluster as simulated_cluster
+import simulation.world as world
 import tests.conftest as conftest
 
 S = simulated_cluster.S
 
 
 class TestTowns:
-    def ask(self, t, parts=("system",), node="n1", path="/v1/complete", body=b"hello", send=1, repeat=True, ident="x"):
-        """Send one exchange; a box that will hold (status, head of the answer, its Taker)."""
+    def query(
+        self, t, parts=("system",), node="n1", path="/v1/complete", body=b"hello", send=1, repeat=True, identifier="x"
+    ):
+        """Send one request; a box that will hold (status, head of the answer, its Taker)."""
         box = []
-        agent = dispatch.Dispatcher(t.load.mach).fresh
-        heads = http_headers.Headers(
+        agent = dispatch.Dispatcher(t.load.runtime).fresh
+        headers = http_headers.Headers(
             {
                 "X-Prompt-Prefix": [", ".join(parts)],
-                "X-Exchange-Id": [ident],
+                "X-Exchange-Id": [identifier],
                 "X-Send-Number": [str(send)],
                 "X-May-Repeat": ["yes" if repeat else "no"],
             }
@@ -33,24 +35,26 @@
 
         async def go():
             host, port = t.platform.nodes[node]
-            res = await agent.request(b"POST", f"http://{host}:{port}{path}".encode(), heads, dispatch.Body(body))
-            done = load.defer.Deferred()
-            taker = load.Taker(t.load.mach, done)
-            res.deliverBody(taker)
-            box.append((res.code, res.headers, taker, done))
+            response = await agent.request(
+                b"POST", f"http://{host}:{port}{path}".encode(), headers, dispatch.Body(body)
+            )
+            done = load_generator.defer.Deferred()
+            receiver = load_generator.AnswerCollector(t.load.runtime, done)
+            response.deliverBody(receiver)
+            box.append((response.code, response.headers, receiver, done))
 
-        box.append(t.load.mach.spawn(go(), simulated_cluster.log))
+        box.append(t.load.runtime.spawn(go(), simulated_cluster.log))
         return box
 
     def answer(self, t, **more):
-        """Send one exchange and wait for its end: status, headers, body."""
-        box = self.ask(t, **more)
+        """Send one request and wait for its end: status, headers, body."""
+        box = self.query(t, **more)
         assert t.until(lambda: len(box) > 1 and box[1][3].called, 30)
-        code, heads, taker, _ = box[1]
-        return code, heads, b"".join(taker.raw)
+        code, headers, receiver, _ = box[1]
+        return code, headers, b"".join(receiver.raw)
 
     def open_sessions(self, t):
-        return sum(len(rs) for rs in t.warden().wardens[t.pool].book.at.values())
+        return sum(len(rs) for rs in t.owner().pool_owners[t.pool].session_table.at.values())
 
     def test_a_conversation_is_released_after_a_minute_of_silence(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
@@ -69,30 +73,30 @@
         assert self.open_sessions(t) == 0
 
     def test_the_cap_refuses_at_once_until_the_earliest_expiry(self, quiet_cluster: conftest.QuietCluster) -> None:
-        doc = {
+        document = {
             "pools": {"desk": {"cap": 1}},
             "terms": {"default": {"lifetime_us": 30 * S}},
             "routes": {"all": {"path": "/v1", "pool": "desk"}},
         }
-        t = quiet_cluster(blueprint=doc)
+        t = quiet_cluster(configuration=document)
         for k in range(2):
-            assert self.answer(t, parts=("system", f"talk-{k}"), ident=f"x{k}")[0] == 200
-        began = t.world.time
-        code, heads, body = self.answer(t, parts=("system", "talk-2"), ident="x2")
-        assert t.world.time - began < S
+            assert self.answer(t, parts=("system", f"talk-{k}"), identifier=f"x{k}")[0] == 200
+        started_at = t.world.time
+        code, headers, body = self.answer(t, parts=("system", "talk-2"), identifier="x2")
+        assert t.world.time - started_at < S
         assert code == 503
         assert b"sessions_full" in body
-        assert 25 <= int(heads.getRawHeaders("Retry-After")[0]) <= 31
+        assert 25 <= int(headers.getRawHeaders("Retry-After")[0]) <= 31
 
     def test_a_requester_that_goes_away_ends_the_run_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
-        box = self.ask(t)
+        box = self.query(t)
         assert t.until(lambda: len(box) > 1 and box[1][2].first, 5)
         box[1][2].transport.stopProducing()
         t.go(0.1)
         assert [r["kind"] for r in t.tape.rows if r["kind"] in ("ran", "cut")] == ["cut"]
         t.go(1)
-        assert t.warden().wardens[t.pool].grants == {}
+        assert t.owner().pool_owners[t.pool].grants == {}
 
     def test_a_slow_requester_slows_the_worker(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
@@ -100,28 +104,28 @@
         t = quiet_cluster()
         sent = []
 
-        async def flood(req):
-            if req.method == b"GET":
-                req.answer_json(200, {"running": 0, "queued": 0})
+        async def flood(request):
+            if request.method == b"GET":
+                request.answer_json(200, {"running": 0, "queued": 0})
                 return
             for _ in range(200):
-                while req.channel.transport.producer_held:
-                    await t.load.mach.sleep(10_000)
-                req.write(b"x" * 16_384)
+                while request.channel.transport.producer_held:
+                    await t.load.runtime.sleep(10_000)
+                request.write(b"x" * 16_384)
                 sent.append(16_384)
-            req.finish()
+            request.finish()
 
         for w in t.workers.values():
-            w.proc.ports.clear()
-            t.listen(w.proc, 9001, web.Server(w.mach, flood))
-        held = property(lambda side: side.producer_paused or side.flying > sim.WINDOW)
-        monkeypatch.setattr(sim.Side, "producer_held", held, raising=False)
+            w.process.ports.clear()
+            t.listen(w.process, 9001, http_server.Server(w.runtime, flood))
+        held = property(lambda side: side.producer_paused or side.flying > world.WINDOW)
+        monkeypatch.setattr(world.ConnectionSide, "producer_held", held, raising=False)
         assert held is not None
-        box = self.ask(t)
+        box = self.query(t)
         assert t.until(lambda: len(box) > 1 and box[1][2].first, 5)
         box[1][2].transport.pauseProducing()
         t.go(5)
-        assert sum(sent) < 12 * sim.WINDOW
+        assert sum(sent) < 12 * world.WINDOW
         box[1][2].transport.resumeProducing()
         assert t.until(lambda: box[1][3].called, 30)
         assert sum(map(len, box[1][2].raw)) == 200 * 16_384
@@ -142,21 +146,21 @@
     def test_new_terms_hold_for_an_open_conversation(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         self.answer(t, parts=("system", "talk"))
-        doc = t.with_probe(1)
-        doc["terms"]["default"]["lifetime_us"] = 10 * S
-        done = t.office_mach.spawn(t.boss.change(doc), simulated_cluster.log)
+        document = t.with_probe(1)
+        document["terms"]["default"]["lifetime_us"] = 10 * S
+        done = t.operator_runtime.spawn(t.operator.change(document), simulated_cluster.log)
         assert t.until(lambda: done.called, 10)
         self.answer(t, parts=("system", "talk"))
         t.go(17)
         assert self.open_sessions(t) == 0
 
     def test_a_route_of_another_hall_is_not_known_here(self, quiet_cluster: conftest.QuietCluster) -> None:
-        doc = {
+        document = {
             "pools": {"desk": {}},
             "terms": {"default": {}},
             "routes": {"all": {"path": "/v1", "pool": "desk"}, "far": {"path": "/far", "pool": "desk", "zones": ["d"]}},
         }
-        t = quiet_cluster(shape="magnolia", blueprint=doc)
+        t = quiet_cluster(shape="magnolia", configuration=document)
         assert self.answer(t, path="/far", node="n1")[0] == 404
         assert self.answer(t, path="/far", node="n6")[0] == 200
         assert "routes/far" not in t.nodes["n1"].follower.items
@@ -168,21 +172,21 @@
         t.world.cut(["10.0.2.7"], t.hosts("cores"))
         t.start_node("n7", "10.0.2.7", "a")
         t.go(3)
-        assert not t.platform.told["n7"]
+        assert not t.platform.heartbeat_sent_at["n7"]
         code, _, body = self.answer(t, node="n7")
         assert (code, b"not_ready" in body, b"not_run" in body) == (503, True, True)
 
     def test_one_working_disk_takes_no_change(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         for name in ("c2", "c3"):
-            t.cores[name].proc.host.disk = "full"
-        done = t.office_mach.spawn(t.boss.change(t.with_probe(1)), simulated_cluster.log)
+            t.cores[name].process.host.disk = "full"
+        done = t.operator_runtime.spawn(t.operator.change(t.with_probe(1)), simulated_cluster.log)
         t.go(8)
         assert not done.called
         code, may = self.plan_refused(t)
         assert (code in ("too_few_copies", "no_chain"), may) == (True, "not_run")
         for name in ("c2", "c3"):
-            t.cores[name].proc.host.mend()
+            t.cores[name].process.host.repair()
         assert t.until(lambda: done.called, 20)
         assert done.result > 0
 
@@ -191,13 +195,13 @@
     ) -> None:
         t = quiet_cluster()
         head = t.head()
-        number = head.membership.view.number + 1
-        c = head.membership
+        number = head.consensus.view.number + 1
+        c = head.consensus
         c.grant = ("", 0)  # as after a short cut, in which its grant ran out
-        t.office_mach.spawn(c.answer(message.Prepare(number, (1, c.me.id), c.me.id)), simulated_cluster.log)
+        t.operator_runtime.spawn(c.answer(message.Prepare(number, (1, c.me.id), c.me.id)), simulated_cluster.log)
         t.go(0.1)
         assert c.sealed()
-        done = t.office_mach.spawn(t.boss.change(t.with_probe(1)), simulated_cluster.log)
+        done = t.operator_runtime.spawn(t.operator.change(t.with_probe(1)), simulated_cluster.log)
         assert t.until(lambda: done.called, 5)
         assert done.result > 0
 
@@ -206,21 +210,21 @@
         got = []
 
         async def go():
-            _, doc = await t.boss.ask("POST", "/plans", {"blueprint": t.with_probe(9)})
-            got.extend([doc["code"], doc["verdict"]])
+            _, document = await t.operator.query("POST", "/plans", {"blueprint": t.with_probe(9)})
+            got.extend([document["code"], document["verdict"]])
 
-        d = t.office_mach.spawn(go(), simulated_cluster.log)
+        d = t.operator_runtime.spawn(go(), simulated_cluster.log)
         assert t.until(lambda: d.called, 10)
         return got
 
     def test_a_late_ask_that_was_given_up_gets_no_grant(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
-        n = t.warden()
-        w = n.wardens[t.pool]
-        w.release("late-ask", simulated_cluster.node.verdict.Verdict.NOT_RUN)
-        msg = simulated_cluster.node.message.Elect(
+        n = t.owner()
+        w = n.pool_owners[t.pool]
+        w.release("late-ask", simulated_cluster.node.errors.ExecutionOutcome.NOT_RUN)
+        msg = simulated_cluster.node.message.SelectWorker(
             t.pool,
-            w.duty.term,
+            w.assignment.term,
             "n1",
             "late-ask",
             "e1",
@@ -234,31 +238,31 @@
             {"lifetime_us": S, "cost": 1},
             S,
         )
-        d = n.mach.spawn(w.elect(msg), simulated_cluster.log)
+        d = n.runtime.spawn(w.select_worker(msg), simulated_cluster.log)
         t.go(1)
         assert d.result.code == "no_warden"
         assert w.claims == {}
 
     def test_a_claim_of_a_grant_that_came_too_late_is_given_back(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
-        n = t.warden()
-        w = n.wardens[t.pool]
-        w.claims["e1"] = simulated_cluster.node.warden.Claim(
+        n = t.owner()
+        w = n.pool_owners[t.pool]
+        w.claims["e1"] = simulated_cluster.node.pool_owner.Claim(
             "e1", 1, "n1", "old-ask", t.world.time + 600 * S
         )  # as gathered
-        w.release("old-ask", simulated_cluster.node.verdict.Verdict.NOT_RUN)
-        assert self.answer(t, ident="e1", repeat=False)[0] == 200
-        code, _, body = self.answer(t, ident="e1", repeat=False, send=2, node="n2")
+        w.release("old-ask", simulated_cluster.node.errors.ExecutionOutcome.NOT_RUN)
+        assert self.answer(t, identifier="e1", repeat=False)[0] == 200
+        code, _, body = self.answer(t, identifier="e1", repeat=False, send=2, node="n2")
         assert (code, b'"ran"' in body) == (409, True)
 
     def test_an_old_warden_gets_no_copy_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster(shape="magnolia")
-        n = t.warden()
-        old = n.wardens[t.pool]
-        holder = next(m for m in t.nodes.values() if m.me.id == old.duty.copies[0])
-        holder.session_replica(t.pool).fence((old.duty.term[0], old.duty.term[1] + 1))
-        d = n.mach.spawn(
-            old.copy(simulated_cluster.node.message.Copy(t.pool, old.duty.term, n.me.id, [], [], [])),
+        n = t.owner()
+        old = n.pool_owners[t.pool]
+        holder = next(m for m in t.nodes.values() if m.me.id == old.assignment.copies[0])
+        holder.session_replica(t.pool).fence((old.assignment.term[0], old.assignment.term[1] + 1))
+        d = n.runtime.spawn(
+            old.copy(simulated_cluster.node.message.ReplicateRecords(t.pool, old.assignment.term, n.me.id, [], [], [])),
             simulated_cluster.log,
         )
         t.go(1)
@@ -270,66 +274,66 @@
         t = quiet_cluster()
         core = t.tail()
 
-        def had_a_warden(term):
-            asked = core.mach.spawn(core.gathered(message.Gather("new", term, "n1")), simulated_cluster.log)
+        def had_an_owner(term):
+            asked = core.runtime.spawn(core.gathered(message.RecordsRequest("new", term, "n1")), simulated_cluster.log)
             t.go(0.1)
             assert asked.result.ok
             return asked.result.copy
 
-        assert [had_a_warden((9, k)) for k in (1, 1, 2, 3)] == [False, False, True, True]
+        assert [had_an_owner((9, k)) for k in (1, 1, 2, 3)] == [False, False, True, True]
 
     def test_news_does_not_break_off_a_question_to_the_core_machines(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster()
         n, core = t.nodes["n1"], t.tail()
-        asked = n.mach.spawn(
-            n.peers.call(core.options.host, core.options.port, message.Gather("new", (9, 1), "n1"), S),
+        asked = n.runtime.spawn(
+            n.peers.call(core.options.host, core.options.port, message.RecordsRequest("new", (9, 1), "n1"), S),
             simulated_cluster.log,
         )
-        n.on_news()
+        n.on_update()
         t.go(0.5)
         assert asked.result.ok
-        n.on_news()
-        assert n.peers.links[(core.options.host, core.options.port)].up
+        n.on_update()
+        assert n.peers.connections[(core.options.host, core.options.port)].up
 
     def test_a_term_that_a_lost_roster_had_passed_is_replaced(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster(shape="magnolia")
         for who in ("copy", "holder"):
-            duty = t.warden().wardens[t.pool].duty
-            name = duty.holder if who == "holder" else duty.copies[0]
+            assignment = t.owner().pool_owners[t.pool].assignment
+            name = assignment.holder if who == "holder" else assignment.copies[0]
             n = next(m for m in t.nodes.values() if m.me.id == name)
-            newer = (duty.term[0], t.tail().issuer.latest.stamp[1] + 1)  # of a roster that nobody kept
-            n.serve(None, simulated_cluster.node.message.Gather(t.pool, newer, "somebody"))
-            assert self.answer(t, ident=who, repeat=False, node="n1")[0] == 200
+            newer = (assignment.term[0], t.tail().issuer.latest.version[1] + 1)  # of a membership that nobody kept
+            n.serve(None, simulated_cluster.node.message.RecordsRequest(t.pool, newer, "somebody"))
+            assert self.answer(t, identifier=who, repeat=False, node="n1")[0] == 200
 
     def test_a_thawed_tail_answers_nothing_on_its_old_lease(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         tail = t.tail()
-        tail.proc.freeze()
+        tail.process.freeze()
         t.go(4)
-        tail.proc.frozen = False  # it runs again, before it has heard anything
-        assert not tail.membership.leased()
-        assert not tail.chain.look(simulated_cluster.node.message.Look(1)).ok
+        tail.process.frozen = False  # it runs again, before it has heard anything
+        assert not tail.consensus.leased()
+        assert not tail.chain.look(simulated_cluster.node.message.ReadRequest(1)).ok
         assert not tail.serving()
 
     def test_versions_that_are_two_steps_apart_do_not_talk(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
-        ours = t.nodes["n1"].mach.version
+        ours = t.nodes["n1"].runtime.version
         for name, version in (("n8", ours + 1), ("n9", ours + 2)):
             t.versions[name] = version
             t.start_node(name, f"10.0.2.{name[1]}", "a")
         t.go(5)
-        assert (t.platform.told["n8"], t.platform.told["n9"]) == (True, False)
+        assert (t.platform.heartbeat_sent_at["n8"], t.platform.heartbeat_sent_at["n9"]) == (True, False)
         assert self.answer(t, node="n8")[0] == 200
-        assert "n9" not in [m.name for m in t.nodes["n1"].follower.roster.members]
+        assert "n9" not in [m.name for m in t.nodes["n1"].follower.membership.members]
 
     def test_an_older_program_refuses_a_newer_data_folder(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         c = t.cores["c1"]
-        c.proc.kill()
-        c.proc.host.synced[b"format"] = b"99"
-        with pytest.raises(simulated_cluster.core.store.DiskError):
+        c.process.kill()
+        c.process.host.synced[b"format"] = b"99"
+        with pytest.raises(simulated_cluster.core.storage.DiskError):
             t.start_core("c1", *t.options["c1"])
 
     def test_open_plans_are_bounded_by_their_bytes(self, quiet_cluster: conftest.QuietCluster) -> None:
@@ -337,24 +341,24 @@
         chain = t.head().chain
         pad = [["terms/t", {"pad": "x" * (1 << 20)}]]
         for k in range(40):
-            d = t.head().mach.spawn(
+            d = t.head().runtime.spawn(
                 chain.propose(
-                    simulated_cluster.node.message.Propose(
-                        t.head().membership.view.number, "plan", f"2-{k}", chain.tip.stamp, pad
+                    simulated_cluster.node.message.ProposeChange(
+                        t.head().consensus.view.number, "plan", f"2-{k}", chain.latest_state.version, pad
                     )
                 ),
                 simulated_cluster.log,
             )
             assert t.until(lambda: d.called, 5)
         t.go(2)
-        assert sum(p.size for p in chain.tip.plans.values()) <= 16 << 20
-        assert sum(map(len, t.head().proc.host.synced.values())) < 120 << 20
+        assert sum(p.size for p in chain.latest_state.plans.values()) <= 16 << 20
+        assert sum(map(len, t.head().process.host.synced.values())) < 120 << 20
 
     def test_a_thawed_node_elects_nothing_before_it_has_rejoined(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         n = t.nodes["n1"]
-        n.proc.freeze()
+        n.process.freeze()
         t.go(4)
-        n.proc.frozen = False
+        n.process.frozen = False
         assert not n.follower.settled()
         assert n.ready() == (False, "rejoining")
