--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -10,11 +10,11 @@
 import twisted.internet.task as task
 import twisted.internet.testing as testing
 
-import bench.simulated_cluster as simulated_cluster
-import iriswheel.machine as machine
-import iriswheel.message as message
-import iriswheel.options as options
-import iriswheel.web as web
+import iriswheel.runtime.options as options
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.transport.http_server as http_server
+import iriswheel.transport.message as message
+import simulation.simulated_cluster as simulated_cluster
 import tests.conftest as conftest
 
 S = simulated_cluster.S
@@ -23,12 +23,12 @@
 class TestConnections:
     def test_what_was_answered_goes_out_before_the_connection_ends(self) -> None:
         clock = task.Clock()
-        mach = machine.Machine(clock, now=lambda: int(clock.seconds() * S), seed=1)
+        runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * S), seed=1)
 
-        async def handle(req):
-            req.answer_json(200, {"whole": True})
+        async def handle(request):
+            request.answer_json(200, {"whole": True})
 
-        server = web.Server(mach, handle)
+        server = http_server.Server(runtime, handle)
         wire = testing.StringTransport()
         wire.abortConnection = lambda: pytest.fail("broken off")
         channel = server.buildProtocol(address.IPv4Address("TCP", "127.0.0.1", 1))
@@ -45,7 +45,7 @@
 class TestOptions:
     def test_a_changed_file_is_read_again_and_a_bad_one_is_not(self) -> None:
         clock, got = task.Clock(), []
-        mach = machine.Machine(clock, now=lambda: int(clock.seconds() * S), seed=1)
+        runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * S), seed=1)
         with tempfile.TemporaryDirectory() as d:
             path = os.path.join(d, "node.toml")
 
@@ -55,8 +55,8 @@
                 return os.utime(path, ns=(len(got), hash(seeds) % 10**9))
 
             write('["127.0.0.1:1"]')
-            watch = options.Watch(mach, path, lambda: options.read("node", path, {}), lambda o: got.append(o.seeds))
-            mach.spawn(watch.run())
+            watch = options.Watch(runtime, path, lambda: options.read("node", path, {}), lambda o: got.append(o.seeds))
+            runtime.spawn(watch.run())
             clock.advance(2)
             assert got == []
             write('["127.0.0.1:2"]')
@@ -75,16 +75,16 @@
     def test_a_node_leaves_within_its_grace_whatever_is_open(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster(grace_us=8 * S)
         n = t.nodes["n1"]
-        n.door.open += 1  # an exchange that never ends
-        began = t.world.time
-        done = n.mach.spawn(n.stop(), simulated_cluster.log)
+        n.gateway.open += 1  # a request that never ends
+        started_at = t.world.time
+        done = n.runtime.spawn(n.stop(), simulated_cluster.log)
         assert not n.ready()[0]
         t.go(3.9)
         assert not n.closing
         t.go(0.5)
         assert n.closing
         assert t.until(lambda: done.called, 10)
-        assert 6.5 * S < t.world.time - began < 7.5 * S
+        assert 6.5 * S < t.world.time - started_at < 7.5 * S
 
     @pytest.mark.parametrize("serve_on", [True, False])
     def test_nodes_cut_off_from_the_core_serve_on_where_told_to(
@@ -103,18 +103,18 @@
         t = quiet_cluster()
         for at in (t.tail, t.head):
             c = at()
-            began = t.world.time
-            done = c.mach.spawn(c.stop(), simulated_cluster.log)
+            started_at = t.world.time
+            done = c.runtime.spawn(c.stop(), simulated_cluster.log)
             assert t.until(lambda: done.called, 5)
-            assert t.world.time - began < S
-            c.proc.kill()
+            assert t.world.time - started_at < S
+            c.process.kill()
             others = [x for x in t.cores.values() if x is not c]
-            assert {len(x.membership.view.chain) for x in others} == {2}
+            assert {len(x.consensus.view.chain) for x in others} == {2}
             t.start_core(c.options.name, *t.options[c.options.name])
-            assert t.until(lambda: t.tail() is not None and len(t.tail().membership.view.chain) == 3, 5)
+            assert t.until(lambda: t.tail() is not None and len(t.tail().consensus.view.chain) == 3, 5)
 
     def stop(self, t, c):
-        return c.mach.spawn(c.stop(), simulated_cluster.log)
+        return c.runtime.spawn(c.stop(), simulated_cluster.log)
 
     def test_a_core_machine_that_holds_the_only_whole_copy_stays_until_another_has_it(
         self, quiet_cluster: conftest.QuietCluster
@@ -123,8 +123,8 @@
         head = t.head()
         others = [c for c in t.cores.values() if c is not head]
         for c in others:
-            c.proc.host.fail()
-            c.proc.host.synced.clear()
+            c.process.host.fail()
+            c.process.host.synced.clear()
         done = self.stop(t, head)
         t.go(4.5)
         assert not done.called
@@ -140,42 +140,42 @@
         head, held = t.head(), [True]
 
         async def answer(msg, real):
-            late = held and isinstance(msg, message.Refill)
-            return message.Stored(False) if late else await real(msg)
+            late = held and isinstance(msg, message.CatchUp)
+            return message.AppendResponse(False) if late else await real(msg)
 
-        newcomers = []
+        joining_members = []
         for c in [c for c in t.cores.values() if c is not head]:
-            c.proc.host.fail()
-            c.proc.host.synced.clear()
+            c.process.host.fail()
+            c.process.host.synced.clear()
             t.start_core(c.options.name, *t.options[c.options.name])
-            newcomers.append(t.cores[c.options.name])
-            newcomers[-1].chain.answer = functools.partial(answer, real=newcomers[-1].chain.answer)
-            ident = newcomers[-1].membership.me.id
-            assert t.until(lambda ident=ident: ident in [x.id for x in head.membership.view.chain], 10)
-        assert len(head.membership.view.chain) == 3
+            joining_members.append(t.cores[c.options.name])
+            joining_members[-1].chain.answer = functools.partial(answer, real=joining_members[-1].chain.answer)
+            identifier = joining_members[-1].consensus.me.id
+            assert t.until(lambda identifier=identifier: identifier in [x.id for x in head.consensus.view.chain], 10)
+        assert len(head.consensus.view.chain) == 3
         done = self.stop(t, head)
         t.go(5)
         assert not done.called
-        assert not any(c.chain.whole() for c in newcomers)
+        assert not any(c.chain.is_synced() for c in joining_members)
         held.clear()
         assert t.until(lambda: done.called, 5)
-        assert all(c.chain.whole() for c in newcomers)
+        assert all(c.chain.is_synced() for c in joining_members)
 
     def test_a_core_machine_without_which_no_majority_is_left_stays_for_its_grace(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster(grace_us=8 * S)
         lost, leaving = t.tail(), t.head()
-        lost.proc.host.fail()
+        lost.process.host.fail()
         t.go(4)
         done = self.stop(t, leaving)
         t.go(4.5)
         assert not done.called
-        lost.proc.host.synced.clear()
+        lost.process.host.synced.clear()
         t.start_core(lost.options.name, *t.options[lost.options.name])
         assert t.until(lambda: done.called, 3)
-        leaving.proc.kill()
-        assert t.until(lambda: t.tail() is not None and len(t.tail().membership.view.chain) == 2, 5)
+        leaving.process.kill()
+        assert t.until(lambda: t.tail() is not None and len(t.tail().consensus.view.chain) == 2, 5)
 
     def test_a_fleet_whose_core_machines_all_stop_ends_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster(grace_us=8 * S)
@@ -199,14 +199,14 @@
 
         assert t.until(at_home, 15)
         c = next(c for c in t.cores.values() if c.options.zone == "a")
-        c.proc.kill()
+        c.process.kill()
         assert t.until(lambda: not at_home() and all(n.follower.session.stands() for n in t.nodes.values()), 5)
         t.go(5)
         t.start_core(c.options.name, *t.options[c.options.name])
         members = set()
 
         def at_home_with_all():
-            members.add(len(next(iter(t.nodes.values())).follower.roster.members))
+            members.add(len(next(iter(t.nodes.values())).follower.membership.members))
             return at_home()
 
         assert t.until(at_home_with_all, 15)
@@ -222,8 +222,8 @@
     ) -> None:
         t = quiet_cluster(halls=["a"] * 12, serve_on=serve_on)
         n, asked = t.nodes["n1"], []
-        n.follower.mach.spawn = lambda coro, log=None: asked.append(coro) or coro.close()
-        n.follower.ask_neighbours()
+        n.follower.runtime.spawn = lambda coroutine, log=None: asked.append(coroutine) or coroutine.close()
+        n.follower.query_peers()
         assert len(asked) == most
 
     def test_nodes_without_news_of_workers_do_not_storm_the_platform(
@@ -233,19 +233,19 @@
         asked = []
         handle = t.platform.handle
 
-        async def counted(req):
-            if req.path == b"/workers":
+        async def counted(request):
+            if request.path == b"/workers":
                 asked.append(t.world.time)
-            await handle(req)
+            await handle(request)
 
         t.platform_proc.ports[9000].handle = counted
-        for c in t.cores.values():  # nobody can hand the duty on
-            c.proc.kill()
-        holder = next(n for n in t.nodes.values() if n.follower.duty("list").holder == n.me.id)
-        holder.proc.kill()
+        for c in t.cores.values():  # nobody can hand the role on
+            c.process.kill()
+        holder = next(n for n in t.nodes.values() if n.follower.assignment("list").holder == n.me.id)
+        holder.process.kill()
         del t.nodes[holder.options.name]
         t.go(2)
         del asked[:]
         t.go(10)
-        assert all(n.follower.mach.now() - n.follower.news_at < 4 * S for n in t.nodes.values())
+        assert all(n.follower.runtime.now() - n.follower.updated_at < 4 * S for n in t.nodes.values())
         assert 5 < len(asked) < 30, len(asked)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,7 +5,7 @@
 import lmdb
 import pytest
 
-import iriswheel.store as store
+import iriswheel.replication.storage as storage
 
 
 class PanickedEnvironment:
@@ -21,12 +21,12 @@
 class TestEnvironment:
     def test_a_panicked_environment_is_opened_anew_and_keeps_what_it_held(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            disk = store.Disk(folder)
+            disk = storage.Disk(folder)
             disk.open()
             disk.write([(b"a", b"1")])
             disk.env.close()
             disk.env = PanickedEnvironment()
-            with pytest.raises(store.DiskError):
+            with pytest.raises(storage.DiskError):
                 disk.write([(b"b", b"2")])
             disk.write([(b"c", b"3")])
             assert disk.read() == {b"a": b"1", b"c": b"3"}
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -9,10 +9,11 @@
 import twisted.internet.testing as testing
 import twisted.python.failure as failure
 
-import iriswheel.configuration as configuration
-import iriswheel.machine as machine
-import iriswheel.verdict as verdict
-import iriswheel.web as web
+import iriswheel.configuration.configuration as configuration
+import iriswheel.errors as errors
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.http_server as http_server
 
 
 class TestLimits:
@@ -20,15 +21,15 @@
     def start_server(self) -> Iterator[None]:
         self.clock = task.Clock()
         self.limits = configuration.Limits(head_bytes=300, body_bytes=10, head_us=3_000_000, idle_us=15_000_000)
-        mach = machine.Machine(self.clock, now=lambda: int(self.clock.seconds() * machine.SECOND))
+        runtime = scheduler.Runtime(self.clock, now=lambda: int(self.clock.seconds() * units.SECOND_US))
         self.served = []
 
-        async def handle(req):
-            self.served.append(req.content.read())
-            req.answer_json(200, {})
+        async def handle(request):
+            self.served.append(request.content.read())
+            request.answer_json(200, {})
 
-        self.server = web.Server(mach, handle, limits=lambda: self.limits)
-        look = mach.spawn(self.server.look())
+        self.server = http_server.Server(runtime, handle, limits=lambda: self.limits)
+        look = runtime.spawn(self.server.look())
         yield
         look.cancel()
 
@@ -68,14 +69,14 @@
     def test_a_refusal_for_a_client_that_has_gone_away_is_dropped(self, logged_errors: list[str]) -> None:
         answer = defer.Deferred()
 
-        async def handle(req):
+        async def handle(request):
             await answer
 
         self.server.handle = handle
         channel, _ = self.connect()
         channel.dataReceived(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         channel.connectionLost(failure.Failure(error.ConnectionLost()))
-        answer.errback(verdict.ServiceError("no_chain", "The tail holds no lease now."))
+        answer.errback(errors.ServiceError("no_chain", "The tail holds no lease now."))
         assert logged_errors == []
 
     def test_an_idle_connection_may_stay_for_its_time(self) -> None:
