--- a/iriswheel/errors.py
+++ b/iriswheel/errors.py
@@ -80,7 +80,7 @@
         >>> ServiceError("no_route", "No route fits.").body()
         b'{"code": "no_route", "verdict": "not_run", "text": "No route fits."}\n'
         """
-        out = {"code": self.code, "verdict": self.execution.value, "text": self.text}
+        out: dict[str, str | int] = {"code": self.code, "verdict": self.execution.value, "text": self.text}
         if self.field:
             out["field"] = self.field
         if self.retry_after:
