--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -120,7 +120,7 @@
 ) -> None:
     """Run a core machine with these options; reread() reads them again from the file at path."""
     import iriswheel.control.core as core
-    import iriswheel.replication.storage as storage
+    import iriswheel.runtime.storage as storage
 
     set_logs(o.log_level)
     reactor = the_reactor()
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -20,8 +20,8 @@
 import iriswheel.membership.membership_manager as membership_manager
 import iriswheel.pools.pool_owner as pool_owner
 import iriswheel.replication.chain as chain
-import iriswheel.replication.storage as storage
 import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.storage as storage
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
 import iriswheel.transport.wire as wire
--- a/iriswheel/replication/chain.py
+++ b/iriswheel/replication/chain.py
@@ -13,8 +13,8 @@
 import iriswheel.configuration.configuration as configuration
 import iriswheel.consensus.decisions as decisions
 import iriswheel.replication.snapshot_transfer as snapshot_transfer
-import iriswheel.replication.storage as storage
 import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.storage as storage
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
 import iriswheel.transport.wire as wire
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -21,8 +21,8 @@
 import twisted.python.failure as failure
 import zope.interface as interface
 
-import iriswheel.replication.storage as storage
 import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.storage as storage
 import iriswheel.runtime.units as units
 
 if typing.TYPE_CHECKING:
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -8,7 +8,7 @@
 import iriswheel.consensus.decisions as decisions
 import iriswheel.consensus.view_consensus as view_consensus
 import iriswheel.replication.chain as chain
-import iriswheel.replication.storage as storage
+import iriswheel.runtime.storage as storage
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
 import iriswheel.transport.wire as wire
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -8,7 +8,7 @@
 
 import iriswheel.consensus.decisions as decisions
 import iriswheel.consensus.view_consensus as view_consensus
-import iriswheel.replication.storage as storage
+import iriswheel.runtime.storage as storage
 import iriswheel.transport.message as message
 import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -20,7 +20,7 @@
 import iriswheel.consensus.decisions as decisions
 import iriswheel.control.core as core
 import iriswheel.replication.chain as chain
-import iriswheel.replication.storage as storage
+import iriswheel.runtime.storage as storage
 import iriswheel.transport.message as message
 import simulation.simulated_cluster as simulated_cluster
 import tests.recorded as recorded
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,7 +5,7 @@
 import lmdb
 import pytest
 
-import iriswheel.replication.storage as storage
+import iriswheel.runtime.storage as storage
 
 
 class PanickedEnvironment:
