--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -362,10 +362,10 @@
 
     def look(by: str, size: int, r: message.Membership) -> None:
         raw = wire.encoder.encode(wire.Envelope(wire.TELL, 0, message.MembershipUpdate(r)))
-        lines.put("a roster on the wire", by, "B", size, len(raw))
-        lines.put("a roster read", by, "loops", size, ratio(lambda: wire.decoder.decode(raw)))
+        lines.put("a membership on the wire", by, "B", size, len(raw))
+        lines.put("a membership read", by, "loops", size, ratio(lambda: wire.decoder.decode(raw)))
         lines.put(
-            "a roster written",
+            "a membership written",
             by,
             "loops",
             size,
@@ -382,8 +382,8 @@
                 )
             )
 
-        lines.put("a roster taken at a node, nothing changed", by, "loops", size, ratio(take))
-        lines.put("a roster held at a node", by, "B", size, held(lambda: _taken(raw)))
+        lines.put("a membership taken at a node, nothing changed", by, "loops", size, ratio(take))
+        lines.put("a membership held at a node", by, "B", size, held(lambda: _taken(raw)))
 
     for _ in range(repeats):
         for n in sizes:
@@ -487,7 +487,7 @@
 
     for _ in range(repeats):
         for n in sizes:
-            lines.put("session records held at their warden", "sessions", "B", n, held(lambda: session_messages(n)))
+            lines.put("session records held at their pool owner", "sessions", "B", n, held(lambda: session_messages(n)))
             book = session_messages(n)
             names = [f"{k * 7919 % n:024x}" for k in range(few)]
 
@@ -676,9 +676,9 @@
             document = configuration.unflatten(now)
             raw = json.dumps(document).encode()
             change = configuration.differ(had, now)
-            lines.put("a whole blueprint as the operator sends it", "routes", "B", r, len(raw))
+            lines.put("a whole configuration as the operator sends it", "routes", "B", r, len(raw))
             lines.put(
-                "a plan of a whole blueprint: read, checked, compared, named",
+                "a plan of a whole configuration: read, checked, compared, named",
                 "routes",
                 "loops",
                 r,
@@ -1325,7 +1325,7 @@
                     lines.put(f"{what}: between cores", "nodes", "B", n, r["core core"])
                     lines.put(f"{what}: busiest core", "nodes", "loops", n, r["busiest"])
                 else:
-                    lines.put(f"{what}: from cores to nodes", "nodes x roster bytes", "B", n * size, r["core node"])
+                    lines.put(f"{what}: from cores to nodes", "nodes x membership bytes", "B", n * size, r["core node"])
                 lines.put(f"{what}: all know after", "nodes", "ms", n, r["ms"])
                 lines.put(f"{what}: into a node", "nodes", "B", n, r["into"])
             mid = {k: statistics.median(r[k] for r in rows) for k in rows[0]}
@@ -1491,24 +1491,41 @@
             rows[name] = {line: statistics.median(v[max(v)]) for line, v in got.items()}
     sock = k.at("sockets", "a message sent and taken over a connection", "bytes", 27) / 2
     membership_bytes = sum(
-        k.slope("lists", "a roster on the wire", by) * (x - was)
+        k.slope("lists", "a membership on the wire", by) * (x - was)
         for by, x, was in (("members", t.nodes, 8), ("workers", t.workers, 36), ("pools", t.pools, 1))
-    ) + k.at("lists", "a roster on the wire", "members", 8)
+    ) + k.at("lists", "a membership on the wire", "members", 8)
     membership_messages = sum(
-        k.slope("lists", "a roster held at a node", by) * (x - was)
+        k.slope("lists", "a membership held at a node", by) * (x - was)
         for by, x, was in (("members", t.nodes, 8), ("workers", t.workers, 36), ("pools", t.pools, 1))
-    ) + k.at("lists", "a roster held at a node", "members", 8)
+    ) + k.at("lists", "a membership held at a node", "members", 8)
     membership_lists = sum(
-        k.slope("lists", "a roster read", by) * (x - was)
+        k.slope("lists", "a membership read", by) * (x - was)
         for by, x, was in (("members", t.nodes, 8), ("workers", t.workers, 36), ("pools", t.pools, 1))
-    ) + k.at("lists", "a roster read", "members", 8)
-    put("all", "a whole roster", "2.4 KB + members, workers, pools by their slopes (X)", membership_bytes / 1000, "KB")
+    ) + k.at("lists", "a membership read", "members", 8)
+    put(
+        "all",
+        "a whole membership",
+        "2.4 KB + members, workers, pools by their slopes (X)",
+        membership_bytes / 1000,
+        "KB",
+    )
     put("all", "read at a node, one step", "as its bytes (X)", membership_lists, "loops", "15 loops a step")
     day = t.restarts * t.words
-    put("all", "rosters a day", f"{t.restarts} failures and restarts x {t.words} words each (R)", day, "")
-    put("node", "rosters in, mean", "rosters a day x roster (X)", day * membership_bytes / 86_400, "B/s", "16 KB/s")
+    put("all", "memberships a day", f"{t.restarts} failures and restarts x {t.words} words each (R)", day, "")
     put(
-        "cores", "rosters out, mean, all nodes", "x nodes (X)", day * membership_bytes * t.nodes / 86_400 / 1000, "KB/s"
+        "node",
+        "memberships in, mean",
+        "memberships a day x membership (X)",
+        day * membership_bytes / 86_400,
+        "B/s",
+        "16 KB/s",
+    )
+    put(
+        "cores",
+        "memberships out, mean, all nodes",
+        "x nodes (X)",
+        day * membership_bytes * t.nodes / 86_400 / 1000,
+        "KB/s",
     )
     for name, path in (("fleetwarden", "wardens"), ("fleetnode", "node election")):
         r = rows.get(name)
@@ -1549,8 +1566,12 @@
     names = t.workers // t.pools
     memory = [
         ("a fresh process with a node", "M", bare()),
-        ("roster and worker states", "along the slopes (X)", membership_messages),
-        ("slice of the blueprint", f"{t.routes} routes", k.at("routes", "a slice held at a node", "routes", t.routes)),
+        ("membership and worker states", "along the slopes (X)", membership_messages),
+        (
+            "slice of the configuration",
+            f"{t.routes} routes",
+            k.at("routes", "a slice held at a node", "routes", t.routes),
+        ),
         ("others' loads", "workers", k.at("places", "others' loads held", "workers", t.workers)),
         (
             "ranks",
@@ -1585,7 +1606,7 @@
         "15 loops a step",
     )
     change = k.at("losses", "change: busiest core", "nodes", t.nodes)
-    put("tail", "a change of the blueprint", "nodes (X)", change, "loops", "12,000 loops in 4 s")
+    put("tail", "a change of the configuration", "nodes (X)", change, "loops", "12,000 loops in 4 s")
     put(
         "cores",
         "a change, between cores",
@@ -1613,15 +1634,18 @@
     put(
         "cores",
         "a zone lost, to nodes",
-        "nodes x roster (X)",
-        k.slope("losses", "zone: from cores to nodes", "nodes x roster bytes") * t.nodes * membership_bytes / 1e6,
+        "nodes x membership (X)",
+        k.slope("losses", "zone: from cores to nodes", "nodes x membership bytes") * t.nodes * membership_bytes / 1e6,
         "MB",
     )
     put(
         "cores",
         "a node restarted, to nodes",
-        "nodes x roster (X)",
-        k.slope("losses", "restart: from cores to nodes", "nodes x roster bytes") * t.nodes * membership_bytes / 1e6,
+        "nodes x membership (X)",
+        k.slope("losses", "restart: from cores to nodes", "nodes x membership bytes")
+        * t.nodes
+        * membership_bytes
+        / 1e6,
         "MB",
     )
     put(
