--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -341,9 +341,11 @@
         "gone": most(len(w.gone) for w in ws),
         "heard": most(len(h) for w in ws for h in w.watch.last_contact.values()),
         "copies": most(len(s.sessions) + len(s.claims) for n in nodes for s in n.session_replicas.values()),
-        "pins": most(len(n.gateway.affinities) for n in nodes),
+        "pins": most(len(n.gateway.selector.affinities) for n in nodes),
         "given up": most(len(n.given_up) for n in nodes),
-        "tallies": most(len(b.firsts) + len(b.repeats) for n in nodes for b in n.gateway.tallies.values()),
+        "tallies": most(
+            len(b.firsts) + len(b.repeats) for n in nodes for b in n.gateway.retry_budgets.budgets.values()
+        ),
         "links": most(len(x.peers.connections) for x in nodes + cores),
         "plans": most(len(c.chain.latest_state.plans) for c in cores),
         "history": most(len(c.chain.history) for c in cores),
--- /dev/null
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -0,0 +1,68 @@
+"""The attempts under way at this node, and when one is cut short."""
+
+from __future__ import annotations
+
+import typing
+
+import loguru
+
+import iriswheel.dataplane.dispatch as dispatch
+import iriswheel.runtime.units as units
+
+if typing.TYPE_CHECKING:
+    import iriswheel.node.node as node
+
+CHECK_INTERVAL_US = 500 * units.MILLISECOND_US
+HANG_US = 1 * units.SECOND_US  # an attempt that nothing came on for so long hangs
+
+log = loguru.logger.bind(part="door")
+
+
+class AttemptRegistry:
+    """The attempts under way, by attempt id."""
+
+    def __init__(self, node: node.Node) -> None:
+        self.node = node
+        self.runtime = node.runtime
+        self.attempts: dict[str, dispatch.Attempt] = {}
+
+    def begin(self, attempt_id: str, worker: str) -> dispatch.Attempt:
+        """Register an attempt at a worker."""
+        attempt = self.attempts[attempt_id] = dispatch.Attempt(worker, self.runtime.now())
+        return attempt
+
+    def end(self, attempt_id: str) -> None:
+        """Forget an attempt that is over; one that never began is ignored."""
+        self.attempts.pop(attempt_id, None)
+
+    def cut_unreachable(self, worker: str) -> None:
+        """Wait no longer for a first byte of a worker that nobody reaches."""
+        for attempt in [a for a in self.attempts.values() if a.worker == worker and not a.begun]:
+            attempt.cut()
+
+    def cut_drained(self) -> None:
+        """End the attempts at workers that left and whose drain time is over."""
+        for attempt in [a for a in self.attempts.values() if self.node.follower.drained(a.worker)]:
+            attempt.cut()
+
+    async def watch_hangs(self) -> None:
+        """Twice a second, check the workers of attempts that hang.
+
+        Attempts at a worker that can't be reached are ended: a connection that was cut reports no error.
+        """
+        while not self.node.left:
+            await self.runtime.sleep(CHECK_INTERVAL_US)
+            for worker in sorted({a.worker for a in self.attempts.values() if self._hangs(a)}):
+                self.runtime.spawn(self._cut_hanging(worker), log)
+
+    async def _cut_hanging(self, worker_id: str) -> None:
+        """End the attempts that hang at a worker, if no connection to it can be had from here."""
+        worker, reach = self.node.follower.states.get(worker_id), self.node.reach
+        if worker is not None and worker_id not in reach.lost and (await reach.probe(worker)).sort != "none":
+            return
+        for attempt in [a for a in self.attempts.values() if a.worker == worker_id and not a.via]:
+            if self._hangs(attempt):
+                attempt.cut()
+
+    def _hangs(self, attempt: dispatch.Attempt) -> bool:
+        return not attempt.via and self.runtime.now() - attempt.last > HANG_US
--- /dev/null
+++ b/iriswheel/dataplane/client_disconnect.py
@@ -0,0 +1,31 @@
+"""Work for a client that ends when the client disconnects."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import twisted.internet.defer as defer
+
+if typing.TYPE_CHECKING:
+    import iriswheel.transport.http_server as http_server
+
+Result = typing.TypeVar("Result")
+
+
+async def run_until_disconnect(
+    request: http_server.Request, work: collections.abc.Coroutine[typing.Any, typing.Any, Result]
+) -> Result:
+    """Run a coroutine for a request and cancel it when the request's client disconnects.
+
+    Raises:
+        defer.CancelledError: The client disconnected first.
+    """
+    task = defer.ensureDeferred(work)
+    lost = request.lost.wait()
+    lost.addCallback(lambda _: task.cancel())
+    try:
+        return await task
+    finally:
+        lost.addErrback(lambda _: None)
+        lost.cancel()
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -244,7 +244,7 @@
         idempotent: bool,
         send: Attempt,
         token: str = "",
-        relay_address: None = None,
+        relay_address: tuple[str, int] | None = None,
     ) -> AttemptOutcome:
         """Send a request to a worker and stream the answer back; an Outcome.
 
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -21,7 +21,7 @@
 import iriswheel.runtime.units as units
 
 if typing.TYPE_CHECKING:
-    import iriswheel.dataplane.gateway as gateway
+    import iriswheel.dataplane.routed_request as routed_request
     import iriswheel.node.node as node
     import iriswheel.transport.message as message
 
@@ -193,16 +193,16 @@
 class ForwardedRequest:
     """One request on this way; what is kept over its sends."""
 
-    def __init__(self, routed_request: gateway.RoutedRequest, pool_placement: placement.Placement) -> None:
-        self.request = routed_request.request
-        self.attempt_id = routed_request.parsed
-        self.raw = routed_request.raw
-        self.route, self.pool, self.terms = routed_request.route, routed_request.pool, routed_request.terms
-        self.pool_name = routed_request.pool_name
+    def __init__(self, request: routed_request.RoutedRequest, pool_placement: placement.Placement) -> None:
+        self.request = request.request
+        self.attempt_id = request.parsed
+        self.raw = request.raw
+        self.route, self.pool, self.terms = request.route, request.pool, request.terms
+        self.pool_name = request.pool_name
         self.placement = pool_placement
-        self.idempotent = routed_request.idempotent
-        self.resume = routed_request.route.resume
-        self.until = routed_request.until
+        self.idempotent = request.idempotent
+        self.resume = request.route.resume
+        self.until = request.until
         self.keys = placement.chain(self.attempt_id.parts)
         self.loose = max(0, self.attempt_id.tokens_in - sum(self.attempt_id.sizes))  # tokens that no part names
         self.own = self.loose + (self.attempt_id.sizes[-1] if self.attempt_id.sizes else 0)
@@ -314,9 +314,9 @@
 
     def may_repeat(self, x: ForwardedRequest) -> bool:
         """Whether a request may be sent once more, by its route and this node's share of the budget."""
-        return (not x.route.sends or x.sends < x.route.sends) and self.node.gateway.tally(x).has_capacity(
-            self.runtime.now()
-        )
+        return (not x.route.sends or x.sends < x.route.sends) and self.node.gateway.retry_budgets.budget(
+            x
+        ).has_capacity(self.runtime.now())
 
     def ready(self, pool: str) -> list[str]:
         """The workers of a pool that may be sent to."""
@@ -326,9 +326,9 @@
         """The workers that a request may still be sent to."""
         return [n for n in self.ready(x.pool_name) if n not in x.shun and n not in but]
 
-    async def forward(self, routed_request: gateway.RoutedRequest) -> None:
+    async def forward(self, request: routed_request.RoutedRequest) -> None:
         """Carry one request to its end; raises verdict.Defect where it is refused."""
-        x = ForwardedRequest(routed_request, self.placement_of(routed_request.pool_name))
+        x = ForwardedRequest(request, self.placement_of(request.pool_name))
         work = defer.ensureDeferred(self.run(x))
         lost = x.request.lost.wait()
         lost.addCallback(lambda _: work.cancel())
@@ -384,7 +384,7 @@
                     x.shun.add(name)
             again = (x.idempotent if x.ran else True) and (not x.begun or x.resume) and self.may_repeat(x)
             if again and self.runtime.now() < x.until and self.others(x):
-                self.node.gateway.tally(x).spend(self.runtime.now())
+                self.node.gateway.retry_budgets.budget(x).spend(self.runtime.now())
                 self.counts["resumed" if x.begun else "again"] += 1
                 continue
             if x.begun:
--- /dev/null
+++ b/iriswheel/dataplane/owner_client.py
@@ -0,0 +1,139 @@
+"""Asking a pool's owner for a worker, and telling it that a grant is over."""
+
+from __future__ import annotations
+
+import typing
+
+import loguru
+import twisted.internet.defer as defer
+
+import iriswheel.dataplane.local_member as local_member
+import iriswheel.errors as errors
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
+
+if typing.TYPE_CHECKING:
+    import iriswheel.dataplane.routed_request as routed_request
+    import iriswheel.node.node as node
+
+SILENT_US = 600 * units.MILLISECOND_US  # a pool owner not heard for this long is silent
+CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
+ANSWER_MARGIN_US = 500 * units.MILLISECOND_US  # how long an answer is waited for beyond the request's own time
+GIVEN_UP_US = 10 * units.SECOND_US  # how long pool owners are told of an attempt that was given up
+
+Selection: typing.TypeAlias = message.SelectionDenied | message.SelectionGranted
+
+log = loguru.logger.bind(part="door")
+
+
+class OwnerClient:
+    """This node's requests to the pools' owners; an owner may be this node itself."""
+
+    def __init__(self, node: node.Node) -> None:
+        self.node = node
+        self.runtime = node.runtime
+
+    def assignment(self, pool_name: str) -> message.RoleAssignment | None:
+        """Return the role assignment that names a pool's owner, or None where there is none."""
+        return self.node.follower.assignment(f"pool/{pool_name}")
+
+    async def select_worker(
+        self,
+        request: routed_request.RoutedRequest,
+        assignment: message.RoleAssignment,
+        shun: list[str],
+        left_us: int,
+    ) -> Selection | None:
+        """Ask the owner of a request's pool for a worker.
+
+        Args:
+            request: The request to be sent.
+            assignment: The owner's role assignment.
+            shun: Ids of workers that an earlier attempt did not reach.
+            left_us: How long the request may still wait.
+
+        Returns:
+            The owner's decision, or None where it is silent.
+        """
+        query = self._query(request, assignment, shun, left_us)
+        request.grant_requested = True
+        if assignment.holder == local_member.member_id(self.node):
+            return await self._ask_local_owner(query)
+        owner = self.node.follower.member(assignment.holder)
+        if owner is None:
+            return None
+        return await self._ask_peer(owner, query, left_us)
+
+    def release(self, request: routed_request.RoutedRequest, outcome: errors.ExecutionOutcome) -> None:
+        """Tell the pool owner that a grant is over, or was never used."""
+        if not request.grant_requested:
+            return
+        request.grant_requested = False
+        pool_name, attempt_id = request.pool_name, request.attempt_id
+        self.node.grants.pop(attempt_id, None)
+        if outcome == errors.ExecutionOutcome.NOT_RUN:
+            self.node.given_up[attempt_id] = (pool_name, self.runtime.now() + GIVEN_UP_US)
+        assignment = self.assignment(pool_name)
+        if assignment is not None:
+            self.node.tell_member(assignment.holder, message.GrantReleased(pool_name, attempt_id, outcome.value))
+
+    def _query(
+        self,
+        request: routed_request.RoutedRequest,
+        assignment: message.RoleAssignment,
+        shun: list[str],
+        left_us: int,
+    ) -> message.SelectWorker:
+        return message.SelectWorker(
+            request.pool_name,
+            assignment.term,
+            local_member.member_id(self.node),
+            request.attempt_id,
+            request.request_id,
+            request.send,
+            request.idempotent,
+            request.session,
+            request.parts,
+            request.work,
+            request.long,
+            shun,
+            {"lifetime_us": request.terms.lifetime_us, "cost": request.terms.cost},
+            left_us,
+            request.is_repeat,
+        )
+
+    async def _ask_local_owner(self, query: message.SelectWorker) -> Selection | None:
+        owner = self.node.pool_owners.get(query.pool)
+        if owner is None:
+            return None
+        # The owner's step is a task of its own and is never cut short: where the request is cancelled meanwhile,
+        # the grant is released instead.
+        answer: defer.Deferred[Selection | None] = defer.Deferred()
+
+        def deliver(selection: Selection | None) -> None:
+            if not answer.called:
+                answer.callback(selection)
+
+        self.runtime.spawn(owner.select_worker(query), log).addBoth(deliver)
+        return await answer
+
+    async def _ask_peer(self, owner: message.Member, query: message.SelectWorker, left_us: int) -> Selection | None:
+        try:
+            connection = await self.node.peers.connection_to(owner.host, owner.port)
+        except wire.ConnectionBrokenError:
+            return None
+        call = connection.call(query, left_us + ANSWER_MARGIN_US)
+        answers: list[Selection | None] = []
+        answered = scheduler.Signal()
+        call.addCallbacks(answers.append, lambda _: answers.append(None))
+        call.addBoth(lambda _: answered.wake())
+        try:
+            while not answers:
+                await self.runtime.pause(answered, CHECK_INTERVAL_US)
+                if not answers and self.runtime.now() - connection.last_received > SILENT_US:
+                    return None
+            return answers[0]
+        finally:
+            call.cancel()
--- /dev/null
+++ b/iriswheel/dataplane/request_router.py
@@ -0,0 +1,123 @@
+"""Admission of a request: what the client says of it, its route and pool, its terms, this node's tally."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.dataplane.sessions as sessions
+import iriswheel.errors as errors
+
+if typing.TYPE_CHECKING:
+    import iriswheel.configuration.configuration as configuration
+    import iriswheel.dataplane.node_budgets as node_budgets
+    import iriswheel.dataplane.routed_request as routed_request
+    import iriswheel.node.node as node
+
+
+BYTES_PER_WORK_UNIT = 16
+MIN_WORK_UNITS = 20
+
+
+class RequestRouter:
+    """Fills in a request by this node's copy of the configuration."""
+
+    def __init__(self, node: node.Node, budgets: node_budgets.NodeBudgets) -> None:
+        self.node = node
+        self.runtime = node.runtime
+        self.budgets = budgets
+
+    def admit(self, request: routed_request.RoutedRequest) -> None:
+        """Parse and route a new request, and count it as a first send.
+
+        Raises:
+            errors.ServiceError: The request is malformed, has no route, or this node takes none now.
+        """
+        self._parse(request)
+        self._route(request)
+        self._set_terms(request)
+        if self.node.closing:
+            raise errors.ServiceError("stopping", "This node is stopping.")
+        if request.send <= 1:
+            self.budgets.budget(request).first(self.runtime.now(), request.request_id or request.attempt_id)
+
+    def reroute(self, request: routed_request.RoutedRequest) -> None:
+        """Find the route anew, where the configuration changed while the request waited."""
+        if request.configuration_index != self.node.follower.applied_index:
+            self._route(request)
+            self._set_terms(request)
+
+    def _parse(self, request: routed_request.RoutedRequest) -> None:
+        """Read what the client says about the request."""
+        http_request, headers = request.request, request.request.requestHeaders
+        if http_request.method != b"POST" and not self.node.outer.any_method:
+            raise errors.ServiceError("bad_method", "Exchanges are sent with POST.")
+        if (
+            http_request.method == b"POST"
+            and not headers.hasHeader("content-length")
+            and not headers.hasHeader("transfer-encoding")
+        ):
+            raise errors.ServiceError("length_required", "The body's length is not said.", field="Content-Length")
+        parsed = request.parsed = self.node.outer.parse_request(http_request)
+        request.parts, request.request_id, request.send = parsed.parts, parsed.request_id, parsed.send
+        request.idempotent = parsed.idempotent
+        assert http_request.content is not None, "the body is read before the request is handled"
+        request.raw = http_request.content.read()
+
+    def _route(self, request: routed_request.RoutedRequest) -> None:
+        """Find the route: the longest path that fits; then its pool."""
+        follower = self.node.follower
+        if follower.items is None:
+            raise errors.ServiceError("not_ready", "This node has no blueprint yet.")
+        route = follower.find(request.parsed.host, request_path(request))
+        if route is None and (follower.stale() or not follower.settled()):
+            raise errors.ServiceError("not_ready", "This node is cut off for now.", request.known_outcome())
+        if route is None:
+            raise errors.ServiceError("no_route", "No route fits this path.", request.known_outcome(), field="path")
+        request.route = route
+        match route.repeat:
+            case "may":
+                request.idempotent = True
+            case "never":
+                request.idempotent = False
+        request.pool_name = self._choose_pool(route)
+        request.pool = follower.pools[request.pool_name]
+        request.configuration_index = follower.applied_index
+
+    def _choose_pool(self, route: configuration.Route) -> str:
+        """Return the pool of a route; where the route is split, one at random by the weights."""
+        if not route.split:
+            return route.pool
+        left = self.runtime.rng.random() * sum(share["weight"] for share in route.split)
+        for share in route.split:
+            left -= share["weight"]
+            if left < 0:
+                break
+        return str(share["pool"])
+
+    def _set_terms(self, request: routed_request.RoutedRequest) -> None:
+        """Set the conversation's terms, the session's id and the time by which the request must be sent."""
+        route, pool, parsed = request.route, request.pool, request.parsed
+        terms = request.terms = self.node.follower.terms[route.requesters.get(parsed.client, route.terms)]
+        if pool.election == "node":
+            spans_us = [span_us for span_us in (parsed.left_us, route.cutoff_us or None) if span_us is not None]
+            request.until = request.arrived + min(spans_us, default=pool.long_wait_us)
+            return
+        request.session = sessions.derive(request.parts, terms.session_part)
+        request.long = len(request.raw) >= pool.long_bytes
+        request.work = MIN_WORK_UNITS + len(request.raw) // BYTES_PER_WORK_UNIT
+        wait_us = pool.long_wait_us if request.long else pool.short_wait_us
+        request.until = max(request.until, request.arrived + wait_us)
+
+
+def request_path(request: routed_request.RoutedRequest) -> str:
+    """Return the path of a request's target."""
+    return request.request.path.decode("latin-1")
+
+
+def covers(path: str, requested_path: str) -> bool:
+    """Whether a route's path covers a request's: the same, or above it.
+
+    >>> covers("/v1", "/v1/chat"), covers("/v1", "/v10"), covers("/", "/any")
+    (True, False, True)
+    """
+    return requested_path == path or requested_path.startswith(path if path.endswith("/") else path + "/")
--- /dev/null
+++ b/iriswheel/dataplane/worker_selection.py
@@ -0,0 +1,178 @@
+"""Getting a worker for a request from its pool's owner, and the bypass for sessions while that owner is silent."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.dataplane.local_member as local_member
+import iriswheel.dataplane.request_router as request_router
+import iriswheel.errors as errors
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.dataplane.owner_client as owner_client
+    import iriswheel.dataplane.routed_request as routed_request
+    import iriswheel.node.node as node
+
+RETRY_INTERVAL_US = 50 * units.MILLISECOND_US
+REJOIN_US = 1 * units.SECOND_US  # how long a request waits for this node to rejoin, or for a worker after one broke
+LATE_GRANT_US = 1 * units.SECOND_US  # a grant may come so long after the request's time and still be used
+
+
+class SelectedWorker(typing.NamedTuple):
+    """A worker, and the member that relays to it if this node does not reach it ("" where none is known)."""
+
+    worker: message.Worker
+    via: str
+
+
+class WorkerSelector:
+    """Selects workers by asking the pools' owners; remembers where sessions are pinned."""
+
+    def __init__(
+        self,
+        node: node.Node,
+        router: request_router.RequestRouter,
+        owners: owner_client.OwnerClient,
+        counts: dict[str, int],
+    ) -> None:
+        self.node = node
+        self.runtime = node.runtime
+        self.router = router
+        self.owners = owners
+        self.counts = counts  # "bypass" is counted here
+        self.affinities: dict[tuple[str, str], tuple[str, int]] = {}  # (pool, session) -> (worker, until)
+
+    async def select_worker(self, request: routed_request.RoutedRequest, shun: list[str]) -> SelectedWorker:
+        """Get a worker for a request, waiting for one as long as the request may.
+
+        Args:
+            request: The request; its route is found anew where the configuration changed meanwhile.
+            shun: Ids of the workers of earlier attempts.
+
+        Raises:
+            errors.ServiceError: None is to be had: the owner refuses, or the time is over.
+        """
+        last_error: errors.ServiceError | None = None
+        while True:
+            self.router.reroute(request)
+            left_us = request.until - self.runtime.now()
+            if left_us <= 0:
+                raise last_error or errors.ServiceError(
+                    "no_warden", "The pool's warden does not answer.", request.known_outcome()
+                )
+            if self._is_cut_off():
+                last_error = errors.ServiceError("not_ready", "This node is cut off for now.", request.known_outcome())
+                request.until = min(request.until, request.arrived + REJOIN_US)
+                await self.runtime.sleep(min(left_us, RETRY_INTERVAL_US))
+                continue
+            assignment = self.owners.assignment(request.pool_name)
+            selection = None
+            if assignment is not None:
+                selection = await self.owners.select_worker(request, assignment, shun, left_us)
+            selected = None
+            match selection:
+                case message.SelectionGranted():
+                    selected = self._accept(request, selection)
+                case message.SelectionDenied():
+                    last_error = self._denial(request, selection)
+                case None:
+                    selected = self._bypass(request, shun)
+            if selected is not None:
+                return selected
+            await self.runtime.sleep(RETRY_INTERVAL_US)
+
+    def may_send(self, request: routed_request.RoutedRequest, worker: message.Worker) -> bool:
+        """Whether a worker is ready now and its pool still in a route for the request; the check before a send."""
+        follower = self.node.follower
+        path = request_router.request_path(request)
+        return (
+            worker.state == "ready"
+            and worker.pool == request.pool_name
+            and follower.settled()
+            and not follower.stale()
+            and any(
+                route.pool == request.pool_name and request_router.covers(route.path, path)
+                for route in follower.routes.values()
+            )
+        )
+
+    def forget_sessions(self, pool: str, identifiers: list[str]) -> None:
+        """Forget where sessions were pinned: the pool's owner has closed them."""
+        for identifier in identifiers:
+            self.affinities.pop((pool, identifier), None)
+
+    def forget_expired_sessions(self, now: int) -> None:
+        """Forget the sessions whose lifetime is over."""
+        for key in [key for key, (_, until) in self.affinities.items() if until < now]:
+            del self.affinities[key]
+
+    def export_sessions(self, pool: str, now: int) -> list[message.SessionRecord]:
+        """Return where the sessions of a pool are pinned, for the pool's new owner."""
+        return [
+            message.SessionRecord(session, worker, until - now, until - now, 0, 0)
+            for (session_pool, session), (worker, until) in sorted(self.affinities.items())
+            if session_pool == pool and until > now
+        ]
+
+    def _is_cut_off(self) -> bool:
+        follower = self.node.follower
+        return not follower.settled() or not follower.has_worker_update() or follower.stale()
+
+    def _accept(self, request: routed_request.RoutedRequest, grant: message.SelectionGranted) -> SelectedWorker | None:
+        """Take a grant; returns None, and gives it back, where it holds no longer."""
+        pool_name = request.pool_name
+        assignment = self.owners.assignment(pool_name)
+        worker = self.node.follower.states.get(grant.worker)
+        if (
+            assignment is None
+            or grant.term < assignment.term
+            or worker is None
+            or not self.may_send(request, worker)
+            or self.runtime.now() >= request.until + LATE_GRANT_US
+        ):
+            self.owners.release(request, errors.ExecutionOutcome.NOT_RUN)
+            request.renew_attempt_id()
+            return None
+        if request.session:
+            self.affinities[(pool_name, request.session)] = (grant.worker, self.runtime.now() + grant.session_us)
+        self.node.grants[request.attempt_id] = message.WorkerGrant(
+            pool_name,
+            request.attempt_id,
+            local_member.member_id(self.node),
+            grant.worker,
+            request.session,
+            request.work,
+            request.long,
+        )
+        return SelectedWorker(worker, grant.via)
+
+    def _denial(self, request: routed_request.RoutedRequest, denial: message.SelectionDenied) -> errors.ServiceError:
+        """Return the error for a denial after which the owner may be asked again; raises that of a final one."""
+        if denial.code == "no_warden":
+            return errors.ServiceError("no_warden", denial.text, request.known_outcome())
+        outcome = errors.ExecutionOutcome(denial.execution)
+        if outcome is errors.ExecutionOutcome.NOT_RUN:
+            outcome = request.known_outcome()  # the owner knows of this attempt alone
+        raise errors.ServiceError(denial.code, denial.text, outcome, denial.retry_us)
+
+    def _bypass(self, request: routed_request.RoutedRequest, shun: list[str]) -> SelectedWorker | None:
+        """While the pool owner is silent: return the worker of a session known to be pinned, or None."""
+        if not request.idempotent or not request.session or request.is_repeat:
+            return None  # repeats go by the pool owner's budget
+        key = (request.pool_name, request.session)
+        worker_id, until = self.affinities.get(key, ("", 0))
+        worker = self.node.follower.states.get(worker_id)
+        now = self.runtime.now()
+        if (
+            worker is None
+            or until <= now
+            or worker_id in shun
+            or not self.may_send(request, worker)
+            or not self.node.follower.has_worker_update()
+        ):
+            return None
+        self.affinities[key] = (worker_id, now + request.terms.lifetime_us)
+        self.counts["bypass"] += 1
+        return SelectedWorker(worker, "")
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -98,7 +98,7 @@
         """A role from the membership, or None."""
         return next((d for d in self.membership.assignments if d.key == key), None)
 
-    def member(self, identifier: str) -> message.Member:
+    def member(self, identifier: str) -> message.Member | None:
         """A member from the membership, or None."""
         return next((m for m in self.membership.members if m.id == identifier), None)
 
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -70,7 +70,7 @@
             self.follower.watch(),
             self.follower.list(),
             self.tell_running(),
-            self.gateway.look_for_hangs(),
+            self.gateway.attempts.watch_hangs(),
             self.reach.walk(),
             self.gateway.forwarder.look(),
             self.loads.run(),
@@ -186,13 +186,11 @@
                             [a for a, (p, _) in self.given_up.items() if p == pool],
                         ),
                     )
-            self.gateway.cut_drained()
+            self.gateway.attempts.cut_drained()
             now = self.runtime.now()
             for session_replica in self.session_replicas.values():
                 session_replica.sweep(now)
-            affinities = self.gateway.affinities
-            for key in [k for k, (_, until) in affinities.items() if until < now]:
-                del affinities[key]
+            self.gateway.selector.forget_expired_sessions(now)
 
     # ---- messages -----------------------------------------------------------------------
 
@@ -246,14 +244,13 @@
             case message.ReplicateRecords(pool=pool):
                 return message.ReplicateResponse(self.session_replica(pool).take(msg, self.runtime.now()))
             case message.SessionsClosed(pool=pool, sessions=identifiers):
-                for identifier in identifiers:
-                    self.gateway.affinities.pop((pool, identifier), None)
+                self.gateway.selector.forget_sessions(pool, identifiers)
             case message.ProbeRequest(worker=w):
                 return self.reach.probe(w)
             case message.WorkerUnreachable(worker=w):
-                self.gateway.cut_dark(w)
+                self.gateway.attempts.cut_unreachable(w)
             case message.RelayRequest(worker=w):
-                return message.RelayResponse(self.gateway.let_pass(w))
+                return message.RelayResponse(self.gateway.relays.issue_token(w))
             case message.ForwardedListing(listing=listing):
                 self.follower.apply_listing(listing)
             case message.ListingUnchanged():
@@ -284,18 +281,14 @@
             return message.RecordsResponse(False)
         sessions, claims = session_replica.export(now)
         held = [g for _, g in sorted(self.grants.items()) if g.pool == pool]
-        affinities = [
-            message.SessionRecord(s, w, until - now, until - now, 0, 0)
-            for (p, s), (w, until) in sorted(self.gateway.affinities.items())
-            if p == pool and until > now
-        ]
+        affinities = self.gateway.selector.export_sessions(pool, now)
         w = self.pool_owners.get(pool)
         if w is not None and w.assignment.term < term:
             del self.pool_owners[pool]
             w.end()
             w.leave_to(session_replica)
             sessions, claims = session_replica.export(now)
-        firsts, repeats = self.gateway.tallies[pool].export(now) if pool in self.gateway.tallies else ({}, [])
+        firsts, repeats = self.gateway.retry_budgets.export(pool, now)
         return message.RecordsResponse(
             True,
             sessions,
--- a/iriswheel/runtime/queues.py
+++ b/iriswheel/runtime/queues.py
@@ -1,9 +1,12 @@
 """A bounded queue between two stages of a pipeline."""
 
 import collections
+import typing
 
+Item = typing.TypeVar("Item")
 
-class BoundedQueue:
+
+class BoundedQueue(typing.Generic[Item]):
     """A bounded holding between two stages; put says whether there was room.
 
     >>> h = BoundedQueue(1)
@@ -13,13 +16,13 @@
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self.items: collections.deque[str] = collections.deque()
+        self.items: collections.deque[Item] = collections.deque()
 
     def __len__(self) -> int:
         """Return how many items wait."""
         return len(self.items)
 
-    def put(self, item: str) -> bool:
+    def put(self, item: Item) -> bool:
         """Add an item unless the holding is full.
 
         >>> BoundedQueue(0).put("a")
@@ -30,7 +33,7 @@
         self.items.append(item)
         return True
 
-    def take(self) -> str:
+    def take(self) -> Item:
         """Remove and return the item that came first.
 
         >>> h = BoundedQueue(2); _ = h.put("one"), h.put("two"); h.take()
--- a/iriswheel/runtime/scheduler.py
+++ b/iriswheel/runtime/scheduler.py
@@ -51,7 +51,7 @@
     """
 
     def __init__(
-        self, reactor: typing.Any, now: collections.abc.Callable[..., object] = boottime, seed: int | str | None = None
+        self, reactor: typing.Any, now: collections.abc.Callable[[], int] = boottime, seed: int | str | None = None
     ) -> None:
         self.reactor = reactor
         self.now = now
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -23,8 +23,10 @@
 import iriswheel.dataplane.edge_protocol as edge_protocol
 import iriswheel.dataplane.gateway as gateway
 import iriswheel.dataplane.health as health
+import iriswheel.dataplane.request_router as request_router
 import iriswheel.dataplane.retry_budget as retry_budget
 import iriswheel.dataplane.sessions as sessions
+import iriswheel.dataplane.worker_selection as worker_selection
 import iriswheel.errors as errors
 import iriswheel.membership.lease as lease
 import iriswheel.membership.membership_manager as membership_manager
@@ -46,10 +48,10 @@
 
 
 async def _elect_once(
-    self: typing.Any, x: typing.Any, shun: typing.Any, elect: typing.Any = gateway.Gateway.select_worker
+    self: typing.Any, x: typing.Any, shun: typing.Any, elect: typing.Any = worker_selection.WorkerSelector.select_worker
 ) -> typing.Any:
     if shun:
-        raise errors.ServiceError("no_worker", "No worker could be reached.", self.known(x))
+        raise errors.ServiceError("no_worker", "No worker could be reached.", x.known_outcome())
     return await elect(self, x, shun)
 
 
@@ -143,7 +145,7 @@
     "torn_answers": ([(dispatch.AnswerRelay, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"),
     "own_headers": ([(edge_protocol, "onward", _stale_headers)], "calm", 1, "own"),
     "unsent_or_broke": (
-        [(dispatch.Dispatcher, "send", _unsent), (gateway.Gateway, "select_worker", _elect_once)],
+        [(dispatch.Dispatcher, "send", _unsent), (worker_selection.WorkerSelector, "select_worker", _elect_once)],
         "worker_freeze",
         1,
         "not_run",
@@ -168,7 +170,7 @@
     "stale": ([(follower.Follower, "stale", lambda self: False)], "cut_node", 3, "in_force"),
     "places": ([(follower.Follower, "cut_off", _any_place)], "wake_without_core", 1, "in_force"),
     "all_neighbours": ([(follower.Follower, "cut_off", _half)], "cut_sides", 1, "in_force"),
-    "rerouted": ([(gateway.Gateway, "reroute", lambda self, x: None)], "crowd", 1, "served"),
+    "rerouted": ([(request_router.RequestRouter, "reroute", lambda self, request: None)], "crowd", 1, "served"),
     "twice_said": ([(follower.Follower, "believe", _believe_all)], "platform_bad", 1, "pinned"),
     "sweep": ([(sessions.SessionTable, "sweep", _keep_all)], "release", 1, "served"),
     "early_answers": (
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -6,8 +6,8 @@
 
 import iriswheel.configuration.configuration as configuration
 import iriswheel.dataplane.forwarding as forwarding
-import iriswheel.dataplane.gateway as gateway
 import iriswheel.dataplane.retry_budget as retry_budget
+import iriswheel.dataplane.routed_request as routed_request
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 import iriswheel.transport.http_server as http_server
@@ -37,7 +37,7 @@
             left=False,
             renewed_at=None,
             loads=types.SimpleNamespace(soon=scheduler.Signal(), touch=lambda: None),
-            gateway=types.SimpleNamespace(tally=lambda x: self.tally),
+            gateway=types.SimpleNamespace(retry_budgets=types.SimpleNamespace(budget=lambda request: self.tally)),
         )
         self.forwarder = forwarding.Forwarder(self.node)
         process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.outer))
@@ -47,7 +47,7 @@
         self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * S)
 
     async def handle(self, request):
-        x = gateway.RoutedRequest(request, "n1/0", self.runtime.now())
+        x = routed_request.RoutedRequest(request, "n1/0", self.runtime.now())
         x.parsed, x.raw, x.idempotent = (
             self.node.outer.parse_request(request),
             request.content.read(),
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -6,7 +6,7 @@
 
 import iriswheel.configuration.configuration as configuration
 import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.dataplane.gateway as gateway
+import iriswheel.dataplane.node_budgets as node_budgets
 import iriswheel.runtime.options as options
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
@@ -21,43 +21,43 @@
         self.members = [f"n{k}" for k in range(9)]
         self.attempt_ids = 0
 
-    def gateway(self, **more):
-        """The door of a node whose process starts now."""
+    def budgets(self, **more):
+        """The budgets of a node whose process starts now."""
         node = types.SimpleNamespace(
             runtime=scheduler.Runtime(None, now=lambda: self.now),
             outer=edge_protocol.EdgeProtocol(),
             options=options.Options("node", **more),
             follower=types.SimpleNamespace(membership=types.SimpleNamespace(members=self.members)),
         )
-        return gateway.Gateway(node)
+        return node_budgets.NodeBudgets(node)
 
     def spent(self, d, firsts=0):
         """How many repeats it grants now, after some first sends."""
         x = types.SimpleNamespace(pool_name="desk", pool=configuration.Pool(election="node"))
         for _ in range(firsts):
             self.attempt_ids += 1
-            d.tally(x).first(self.now, f"x{self.attempt_ids}")
+            d.budget(x).first(self.now, f"x{self.attempt_ids}")
         count = 0
-        while d.tally(x).spend(self.now):
+        while d.budget(x).spend(self.now):
             count += 1
         return count
 
     def test_ratio_and_window_are_the_deployment_s(self) -> None:
         for more, granted in (({}, 20), ({"retry_ratio": 0.1}, 10)):
-            d = self.gateway(retry_window_us=4 * S, **more)
+            d = self.budgets(retry_window_us=4 * S, **more)
             assert (self.spent(d, 100), self.spent(d)) == (granted, 0)
             self.now += 5 * S
             assert self.spent(d, 100) == granted
 
     def test_a_new_process_takes_none_of_what_its_former_life_may_have_spent(self) -> None:
         self.now += 11 * S
-        d = self.gateway(retry_slack=50)
+        d = self.budgets(retry_slack=50)
         assert self.spent(d) == 1  # the one that is always free
         self.now += 11 * S
         assert self.spent(d) == 5
 
     def test_those_that_left_within_the_window_may_have_spent_their_parts(self) -> None:
-        d = self.gateway(retry_slack=50)
+        d = self.budgets(retry_slack=50)
         self.now += 11 * S
         assert d.slack() == 5
         del self.members[4:]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,7 +7,7 @@
 
 import iriswheel.configuration.configuration as configuration
 import iriswheel.control.core as core
-import iriswheel.dataplane.gateway as gateway
+import iriswheel.dataplane.request_router as request_router
 import iriswheel.node.follower as follower
 import iriswheel.replication.chain as chain
 import iriswheel.runtime.options as options
@@ -23,7 +23,7 @@
 def longest(routes, host, path):
     """The look-up as it is meant, over all routes."""
     for h in (host, ""):
-        fits = [r for r in routes.values() if r.host == h and gateway.covers(r.path, path)]
+        fits = [r for r in routes.values() if r.host == h and request_router.covers(r.path, path)]
         if fits:
             return max(fits, key=lambda r: (len(r.path), bool(r.zones)))
     return None
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -11,9 +11,11 @@
 import twisted.internet.protocol as protocol
 
 import iriswheel.configuration.configuration as configuration
+import iriswheel.dataplane.attempt_registry as attempt_registry
 import iriswheel.dataplane.dispatch as dispatch
 import iriswheel.dataplane.gateway as gateway
 import iriswheel.dataplane.retry_budget as retry_budget
+import iriswheel.dataplane.routed_request as routed_request
 import iriswheel.errors as errors
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
@@ -502,7 +504,7 @@
 
 class TestSendsOfARoute:
     def test_an_elected_way_goes_to_no_more_workers_than_its_route_allows(self) -> None:
-        for sends, expected in ((0, gateway.RESENDS + 1), (1, 1), (2, 2), (9, gateway.RESENDS + 1)):
+        for sends, expected in ((0, gateway.MAX_ATTEMPTS), (1, 1), (2, 2), (9, gateway.MAX_ATTEMPTS)):
             seen = []
 
             async def select_worker(x, shun):
@@ -512,16 +514,17 @@
                 seen.append(worker.id)
                 return dispatch.AttemptOutcome.BROKE
 
+            runtime = types.SimpleNamespace(now=lambda: 0)
             node_gateway = types.SimpleNamespace(
-                select_worker=select_worker,
+                selector=types.SimpleNamespace(select_worker=select_worker),
                 send=send,
-                tally=lambda x: retry_budget.Budget(),
+                retry_budgets=types.SimpleNamespace(budget=lambda request: retry_budget.Budget()),
                 counts={"repeats": 0},
-                sends={},
-                runtime=types.SimpleNamespace(now=lambda: 0),
-                give_back=lambda x, outcome: None,
+                attempts=attempt_registry.AttemptRegistry(types.SimpleNamespace(runtime=runtime)),
+                runtime=runtime,
+                owners=types.SimpleNamespace(release=lambda request, outcome: None),
             )
-            request = gateway.RoutedRequest(None, "n1-1/0", 0)
+            request = routed_request.RoutedRequest(None, "n1-1/0", 0)
             request.route = configuration.Route("/x/", "desk", sends=sends)
             request.idempotent = True
             done = defer.ensureDeferred(gateway.Gateway.run(node_gateway, request))
