--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -675,7 +675,7 @@
             now = {**had, "routes/r1": {**had["routes/r1"], "path": "/moved/"}}
             document = configuration.unflatten(now)
             raw = json.dumps(document).encode()
-            change = configuration.differ(had, now)
+            change = configuration.difference(had, now)
             lines.put("a whole configuration as the operator sends it", "routes", "B", r, len(raw))
             lines.put(
                 "a plan of a whole configuration: read, checked, compared, named",
@@ -684,7 +684,7 @@
                 r,
                 ratio(
                     lambda: configuration.describe(
-                        had, configuration.differ(had, configuration.flatten(json.loads(raw)))
+                        had, configuration.difference(had, configuration.flatten(json.loads(raw)))
                     )
                 ),
             )
@@ -709,14 +709,15 @@
                 "loops",
                 r,
                 ratio(
-                    lambda: configuration.differ(
-                        configuration.carve(ledger.items, "zone0"), configuration.carve(two.items, "zone0")
+                    lambda: configuration.difference(
+                        configuration.slice_for_node(ledger.items, "zone0"),
+                        configuration.slice_for_node(two.items, "zone0"),
                     )
                 )
                 / 2,
             )
             n = hollow()
-            slice = configuration.carve(had, "zone0")
+            slice = configuration.slice_for_node(had, "zone0")
             n.follower.apply_items(1, slice, True)
             place = [1]
 
--- /dev/null
+++ b/iriswheel/configuration/items.py
@@ -0,0 +1,67 @@
+"""The flat map of items, `pools/desk` or `routes/clerk`, as which a configuration travels and is kept.
+
+A change so names just the items that it touches.
+"""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.configuration.schema as schema
+import iriswheel.configuration.validation as validation
+
+OPERATOR_MARK = "marks/operator"
+
+
+def flatten(document: object) -> dict[str, schema.Item]:
+    """Turn a configuration document into items, after checking all of it.
+
+    Raises:
+        InvalidConfigurationError: with everything that is wrong.
+
+    >>> flatten({"pools": {"desk": {}}, "terms": {"default": {}}})
+    {'pools/desk': {}, 'terms/default': {}}
+    >>> flatten({"routes": {"r": {"path": "x", "pool": "p", "terms": "d"}}})
+    Traceback (most recent call last):
+    ...
+    iriswheel.configuration.validation.InvalidConfigurationError: routes/r: path must begin with '/'; ...
+    """
+    if not isinstance(document, dict):
+        raise validation.InvalidConfigurationError(["The blueprint is not an object."])
+    errors = [f"{kind}: unknown section" for kind in sorted(set(document) - set(schema.KINDS))]
+    items: dict[str, schema.Item] = {}
+    for kind in schema.KINDS:
+        section = document.get(kind, {})
+        if not isinstance(section, dict):
+            errors.append(f"{kind}: not an object")
+            continue
+        for name, item in section.items():
+            if not schema.NAME.match(name) or name != schema.SINGLETONS.get(kind, name):
+                errors.append(f"{kind}/{name}: bad name")
+            items[f"{kind}/{name}"] = item
+    errors += validation.find_errors(items)
+    if errors:
+        raise validation.InvalidConfigurationError(errors)
+    return items
+
+
+def unflatten(items: schema.Items) -> schema.Document:
+    """Turn items back into a document.
+
+    >>> unflatten({"pools/desk": {"cap": 3}})
+    {'pools': {'desk': {'cap': 3}}, 'routes': {}, 'terms': {}, 'limits': {}, 'marks': {}}
+    """
+    document: schema.Document = {kind: {} for kind in schema.KINDS}
+    for key in sorted(items):
+        kind, name = key.split("/", 1)
+        document[kind][name] = items[key]
+    return document
+
+
+def operator_number(items: schema.Items) -> int:
+    """The operator's own number of the configuration; 0 where there is none yet.
+
+    >>> operator_number({"marks/operator": {"number": 7}}), operator_number({})
+    (7, 0)
+    """
+    return typing.cast("int", items.get(OPERATOR_MARK, {}).get("number", 0))  # validated as an int
--- /dev/null
+++ b/iriswheel/configuration/schema.py
@@ -0,0 +1,233 @@
+"""The schema of the operators' configuration: a dataclass for each kind of item.
+
+The field names are those of the JSON documents. mashumaro reads the annotations at run time, so that this module
+does not postpone their evaluation.
+"""
+
+import collections.abc
+import dataclasses
+import enum
+import functools
+import re
+import typing
+
+import mashumaro.config
+import mashumaro.mixins.dict
+
+NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}\Z")
+INTEGER_BOUND = 1 << 53  # JSON numbers are exact below it
+URGENCY_MAX = 9
+
+# JSON objects: an item's fields by name; the flat map of items by `kind/name`; items by kind and name.
+Item = dict[str, typing.Any]
+Items = collections.abc.Mapping[str, Item]
+Document = dict[str, dict[str, Item]]
+
+
+class Election(enum.StrEnum):
+    """Where the worker for a request is chosen: at the pool's owner, or at each node for itself."""
+
+    POOL_OWNER = "warden"
+    NODE = "node"
+
+
+class RepeatPolicy(enum.StrEnum):
+    """Whether a route's requests may run more than once; ASKED leaves it to the client's header."""
+
+    ASKED = "asked"
+    MAY = "may"
+    NEVER = "never"
+
+
+@dataclasses.dataclass(eq=False)
+class StrictItem(mashumaro.mixins.dict.DataClassDictMixin):
+    """An item that refuses unknown fields and does not convert between strings and numbers."""
+
+    class Config(mashumaro.config.BaseConfig):
+        """Refuses unknown keys."""
+
+        forbid_extra_keys = True
+
+    @classmethod
+    def __pre_deserialize__(cls, d: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
+        """Refuse a value of another type than its field's, or out of range.
+
+        Raises:
+            ValueError: the text names the field.
+        """
+        if not isinstance(d, dict):
+            raise ValueError("not an object")
+        for name, expected in field_types(typing.cast("collections.abc.Hashable", cls)):  # mypy: classes are hashable
+            if name not in d:
+                continue
+            if type(d[name]) is not expected:
+                raise ValueError(f"{name}: wants {expected.__name__}, not {type(d[name]).__name__}")
+            if expected is int and not 0 <= d[name] < INTEGER_BOUND:
+                raise ValueError(f"{name}: out of range")
+        return d
+
+
+@functools.cache
+def field_types(cls: collections.abc.Hashable) -> list[tuple[str, type[object]]]:
+    """The fields of an item and the plain type that each one has in JSON.
+
+    >>> field_types(Marks)
+    [('number', <class 'int'>), ('label', <class 'dict'>)]
+    """
+    fields = dataclasses.fields(typing.cast("type[StrictItem]", cls))
+    types = {field.name: typing.get_origin(field.type) or field.type for field in fields}
+    return list(typing.cast("dict[str, type[object]]", types).items())  # annotations are not strings in this module
+
+
+@dataclasses.dataclass
+class Pool(StrictItem):
+    """A pool: the workers that the platform lists under its name, and their capacity.
+
+    Attributes:
+        cap: Open sessions that a worker may hold; 0 for no bound.
+        slots: Requests that a worker may run at once.
+        long_slots: How many of these may be long requests.
+        long_bytes: Body length from which a request counts as long.
+        long_wait_us: How long a long request may wait for a worker.
+        short_wait_us: How long a short request may wait for a worker.
+        waiting: Requests that may wait for a worker at once.
+        election: Where a worker is chosen, one of `Election`.
+        conns: Connections that a worker takes from all nodes together; 0 for no known bound.
+        probe: Path of the worker's health check; "" for none.
+        batch: Requests that a worker runs at once; 0 if unknown.
+        memory_tokens: Tokens that a worker's memory holds; 0 if unknown.
+        event_tokens: Tokens in one event of a stream.
+        label: The operator's own data, which stays on the core machines.
+
+    >>> Pool.from_dict({"cap": 4}).cap
+    4
+    """
+
+    cap: int = 10
+    slots: int = 16
+    long_slots: int = 4
+    long_bytes: int = 16384
+    long_wait_us: int = 10_000_000
+    short_wait_us: int = 5_000_000
+    waiting: int = 256
+    election: str = "warden"
+    conns: int = 0
+    probe: str = ""
+    batch: int = 0
+    memory_tokens: int = 0
+    event_tokens: int = 1
+    label: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
+
+
+@dataclasses.dataclass
+class Terms(StrictItem):
+    """The terms of a session.
+
+    Attributes:
+        lifetime_us: How long a session stays open without a request.
+        cost: The session's weight in the choice of a worker.
+        session_part: Place of the session's part in X-Prompt-Prefix; -1 is the last one, and then a list of a single
+            part, which all clients share, opens no session.
+
+    >>> Terms().lifetime_us
+    60000000
+    """
+
+    lifetime_us: int = 60_000_000
+    cost: int = 100
+    session_part: int = -1
+
+    @classmethod
+    def __pre_deserialize__(cls, d: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
+        """Drop a session part of -1, which is the default, before negative numbers are refused."""
+        if isinstance(d, dict) and d.get("session_part", -1) == -1:
+            d = {name: value for name, value in d.items() if name != "session_part"}
+        return super().__pre_deserialize__(d)
+
+
+@dataclasses.dataclass
+class Route(StrictItem):
+    """Which requests go to which pool: those of a host and path prefix, in some zones or in all.
+
+    Attributes:
+        path: Path prefix, beginning with "/".
+        pool: The pool; where `split` is given, the first of its pools.
+        terms: Name of the terms for requesters that `requesters` does not name.
+        zones: Zones in which the route holds; empty for all.
+        requesters: Names of terms by requester.
+        host: Host name; "" for any.
+        split: Pools with weights, over which the requests are shared out.
+        repeat: Whether requests may run more than once, one of `RepeatPolicy`.
+        resume: Whether a stream may be resumed at another worker.
+        sends: Workers to which one attempt may go; 0 for no bound of its own.
+        cutoff_us: The longest that a request is held; 0 for no bound.
+        aim_us: The operator's target for the time to the first byte; 0 for none.
+        gap_us: The longest pause between events; 0 for no bound.
+        urgency: 0 goes first, 9 last.
+        label: The operator's own data, which stays on the core machines.
+
+    >>> Route.from_dict({"path": "/v1", "pool": "desk"}).zones
+    []
+    """
+
+    path: str
+    pool: str
+    terms: str = "default"
+    zones: list[str] = dataclasses.field(default_factory=list)
+    requesters: dict[str, str] = dataclasses.field(default_factory=dict)
+    host: str = ""
+    split: list[dict[str, typing.Any]] = dataclasses.field(default_factory=list)
+    repeat: str = "asked"
+    resume: bool = False
+    sends: int = 0
+    cutoff_us: int = 0
+    aim_us: int = 0
+    gap_us: int = 0
+    urgency: int = 5
+    label: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
+
+    def pools(self) -> list[str]:
+        """The pools that this route's requests may go to.
+
+        >>> Route("/", "a", split=[{"pool": "a", "weight": 9}, {"pool": "b", "weight": 1}]).pools()
+        ['a', 'b']
+        """
+        return [share["pool"] for share in self.split] or [self.pool]
+
+
+@dataclasses.dataclass
+class Limits(StrictItem):
+    """What a client may send, and how long it may take over it; the only item is `limits/door`.
+
+    Attributes:
+        head_bytes: Length of a request's head.
+        body_bytes: Length of a request's body.
+        head_us: Time within which the head must be complete.
+        idle_us: Time after which an idle connection is closed.
+        label: The operator's own data, which stays on the core machines.
+
+    >>> Limits().head_bytes
+    16384
+    """
+
+    head_bytes: int = 16384
+    body_bytes: int = 8 << 20
+    head_us: int = 10_000_000
+    idle_us: int = 75_000_000
+    label: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
+
+
+@dataclasses.dataclass
+class Marks(StrictItem):
+    """The operator's own number of the configuration; the only item is `marks/operator`.
+
+    >>> Marks(7).number
+    7
+    """
+
+    number: int = 0
+    label: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
+
+
+KINDS: dict[str, type[StrictItem]] = {"pools": Pool, "routes": Route, "terms": Terms, "limits": Limits, "marks": Marks}
+SINGLETONS = {"limits": "door", "marks": "operator"}  # the kinds that have a single item, and its name
--- /dev/null
+++ b/iriswheel/configuration/slices.py
@@ -0,0 +1,54 @@
+"""Slices of a configuration: the items that one node needs, without what only operators need."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+if typing.TYPE_CHECKING:
+    import iriswheel.configuration.schema as schema
+
+LIMITS = "limits/door"
+
+
+def without_label(item: schema.Item) -> schema.Item:
+    """An item as nodes get it: without the operator's label.
+
+    >>> without_label({"cap": 3, "label": {"team": "night"}})
+    {'cap': 3}
+    """
+    return {name: value for name, value in item.items() if name != "label"} if "label" in item else item
+
+
+def slice_for_node(items: schema.Items, zone: str, pools: collections.abc.Sequence[str] = ()) -> dict[str, schema.Item]:
+    """The items that a node in a zone needs: its routes, their pools and terms, the limits.
+
+    Args:
+        items: The whole configuration.
+        zone: The node's zone.
+        pools: Further pools, of which the node is owner or replica.
+
+    >>> slice_for_node({"routes/a": {"path": "/", "pool": "p", "zones": ["north"]}, "pools/p": {}}, "south")
+    {}
+    >>> slice_for_node({"pools/p": {"label": {"a": 1}}, "limits/door": {}, "marks/operator": {}}, "south", ["p"])
+    {'limits/door': {}, 'pools/p': {}}
+    """
+    node_slice: dict[str, schema.Item] = {}
+    needed = {f"pools/{pool}" for pool in pools} | {LIMITS}
+    for key, item in items.items():
+        if not key.startswith("routes/"):
+            continue
+        zones = item.get("zones")
+        if zones and zone not in zones:
+            continue
+        node_slice[key] = without_label(item)
+        needed.add(f"pools/{item['pool']}")
+        needed.add(f"terms/{item.get('terms', 'default')}")
+        if "split" in item:
+            needed.update(f"pools/{share['pool']}" for share in item["split"])
+        if "requesters" in item:
+            needed.update(f"terms/{terms}" for terms in item["requesters"].values())
+    for key in sorted(needed):
+        if key in items:
+            node_slice[key] = without_label(items[key])
+    return node_slice
--- /dev/null
+++ b/iriswheel/configuration/validation.py
@@ -0,0 +1,169 @@
+"""Validation of a configuration's items: every mistake is reported at once, with the item's key."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import mashumaro.exceptions
+
+import iriswheel.configuration.schema as schema
+
+POSITIVE_POOL_FIELDS = ("slots", "long_slots", "waiting", "event_tokens")
+POSITIVE_LIMITS_FIELDS = ("head_bytes", "head_us", "idle_us")
+
+RouteOwners = dict[tuple[str, str, str], str]  # (host, path, zone) -> the key of the route that has it
+
+
+class InvalidConfigurationError(ValueError):
+    """All that is wrong with a configuration.
+
+    >>> InvalidConfigurationError(["a", "b"]).errors
+    ['a', 'b']
+    """
+
+    code = "bad_blueprint"
+
+    def __init__(self, errors: list[str]) -> None:
+        super().__init__("; ".join(errors))
+        self.errors = errors
+
+
+def find_errors(items: schema.Items) -> list[str]:
+    """Every mistake in the items, in the order of their keys.
+
+    >>> find_errors({"pools/p": {"cap": "4"}})
+    ['pools/p: cap: wants int, not str']
+    """
+    errors: list[str] = []
+    owners: RouteOwners = {}
+    for key in sorted(items):
+        try:
+            item = parse_item(key, items[key])
+        except InvalidConfigurationError as error:
+            errors += error.errors
+            continue
+        match item:
+            case schema.Route():
+                errors += route_errors(key, item, items, owners)
+            case schema.Terms(lifetime_us=0):
+                errors.append(f"{key}: lifetime_us must be above 0")
+            case schema.Pool():
+                errors += pool_errors(key, item)
+            case schema.Limits():
+                errors += positive_errors(key, item, POSITIVE_LIMITS_FIELDS)
+    return errors
+
+
+def parse_item(key: str, fields: schema.Item) -> schema.StrictItem:
+    """One item as its dataclass.
+
+    Raises:
+        InvalidConfigurationError: a field is missing, unknown, or of another type.
+
+    >>> parse_item("marks/operator", {"number": 7})
+    Marks(number=7, label={})
+    """
+    kind = key.split("/", 1)[0]
+    try:
+        return schema.KINDS[kind].from_dict(fields)
+    except mashumaro.exceptions.MissingField as error:
+        raise InvalidConfigurationError([f"{key}: {error.field_name} is missing"]) from error
+    except mashumaro.exceptions.ExtraKeysError as error:
+        unknown = ", ".join(sorted(map(str, error.extra_keys)))
+        raise InvalidConfigurationError([f"{key}: unknown field {unknown}"]) from error
+    except (ValueError, TypeError) as error:
+        raise InvalidConfigurationError([f"{key}: {error}"]) from error
+
+
+def route_errors(
+    key: str, route: schema.Route, items: schema.Items, owners: RouteOwners
+) -> collections.abc.Iterator[str]:
+    """What is wrong with a route; what it matches is added to `owners`.
+
+    >>> list(route_errors("routes/r", schema.Route("x", "p"), {"pools/p": {}, "terms/default": {}}, {}))
+    ["routes/r: path must begin with '/'"]
+    """
+    if not route.path.startswith("/"):
+        yield f"{key}: path must begin with '/'"
+    yield from split_errors(key, route)
+    yield from reference_errors(key, route, items)
+    for zone in route.zones or [""]:
+        owner = owners.setdefault((route.host.lower(), route.path, zone), key)
+        if owner != key:
+            yield f"{key}: same host, path and zone as {owner}"
+    if route.repeat not in tuple(schema.RepeatPolicy):
+        yield f"{key}: repeat is none of {', '.join(schema.RepeatPolicy)}"
+    if route.urgency > schema.URGENCY_MAX:
+        yield f"{key}: urgency is above {schema.URGENCY_MAX}"
+
+
+def reference_errors(key: str, route: schema.Route, items: schema.Items) -> collections.abc.Iterator[str]:
+    """The pools and terms that a route names and that do not exist.
+
+    >>> list(reference_errors("routes/r", schema.Route("/", "p"), {"terms/default": {}}))
+    ["routes/r: no pool 'p'"]
+    """
+    for pool in {route.pool: None, **dict.fromkeys(share.get("pool") for share in route.split)}:
+        if f"pools/{pool}" not in items:
+            yield f"{key}: no pool '{pool}'"
+    for terms in [route.terms, *route.requesters.values()]:
+        if not isinstance(terms, str) or f"terms/{terms}" not in items:
+            yield f"{key}: no terms '{terms}'"
+
+
+def split_errors(key: str, route: schema.Route) -> collections.abc.Iterator[str]:
+    """What is wrong with a route's split.
+
+    >>> list(split_errors("routes/r", schema.Route("/", "p", split=[{"pool": "p", "weight": 0}])))
+    ['routes/r: the weights sum to 0']
+    """
+    if not route.split:
+        return
+    if not all(is_share(share) for share in route.split):
+        yield f"{key}: split wants pools and weights"
+        return
+    if not sum(share["weight"] for share in route.split):
+        yield f"{key}: the weights sum to 0"
+    if route.split[0]["pool"] != route.pool:
+        yield f"{key}: pool is not the split's first"
+
+
+def is_share(share: dict[str, typing.Any]) -> bool:
+    """Whether this is a pool with its weight.
+
+    >>> is_share({"pool": "p", "weight": 0.5}), is_share({"pool": "p", "weight": True})
+    (True, False)
+    """
+    return (
+        set(share) == {"pool", "weight"}
+        and type(share["pool"]) is str
+        and type(share["weight"]) in (int, float)
+        and 0 <= share["weight"] < schema.INTEGER_BOUND
+    )
+
+
+def pool_errors(key: str, pool: schema.Pool) -> collections.abc.Iterator[str]:
+    """What is wrong with a pool.
+
+    >>> list(pool_errors("pools/p", schema.Pool(slots=1)))
+    ['pools/p: long_slots is above slots']
+    """
+    if pool.election not in tuple(schema.Election):
+        yield f"{key}: election is none of {', '.join(schema.Election)}"
+    yield from positive_errors(key, pool, POSITIVE_POOL_FIELDS)
+    if pool.long_slots > pool.slots:
+        yield f"{key}: long_slots is above slots"
+
+
+def positive_errors(
+    key: str, item: schema.StrictItem, names: collections.abc.Iterable[str]
+) -> collections.abc.Iterator[str]:
+    """Those of the named fields that are 0.
+
+    >>> list(positive_errors("limits/door", schema.Limits(head_us=0), POSITIVE_LIMITS_FIELDS))
+    ['limits/door: head_us must be above 0']
+    """
+    for name in names:
+        if getattr(item, name) < 1:
+            yield f"{key}: {name} must be above 0"
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -217,7 +217,9 @@
     ) -> dict[str, dict[str, typing.Any]]:
         """What a node in a zone with these pools' role assignments needs of a state."""
         key = (ledger.index, ledger.view, zone, pools)
-        return self.slices.get(key) or self._keep(self.slices, key, configuration.carve(ledger.published, zone, pools))
+        return self.slices.get(key) or self._keep(
+            self.slices, key, configuration.slice_for_node(ledger.published, zone, pools)
+        )
 
     def delta(
         self, old: dict[str, dict[str, typing.Any]], new: dict[str, dict[str, typing.Any]]
@@ -228,7 +230,7 @@
         key = (id(old), id(new))
         kept = self.deltas.get(key)  # with the slices themselves, so that their ids stay theirs
         if kept is None:
-            kept = self._keep(self.deltas, key, (old, new, dict(configuration.differ(old, new))))
+            kept = self._keep(self.deltas, key, (old, new, dict(configuration.difference(old, new))))
         return kept[2]
 
 
@@ -534,7 +536,8 @@
             latest_state = self.chain.latest_state
             connection.tell(
                 message.UnconfirmedConfiguration(
-                    (latest_state.view, latest_state.index), configuration.carve(latest_state.items, m.member.zone)
+                    (latest_state.view, latest_state.index),
+                    configuration.slice_for_node(latest_state.items, m.member.zone),
                 )
             )
         self.loads.pending.pop(m.member.id, None)
@@ -899,13 +902,13 @@
 
     def stands_already(self, known: KnownState, order: ChangeOrder) -> int:
         """The version of a state that is exactly what a whole order would have made, or 0."""
-        if not order.complete or configuration.number(known.items) != order.number:
+        if not order.complete or configuration.operator_number(known.items) != order.number:
             return 0
         try:
             expected = self.renumber(order, known.items)
         except errors.ServiceError:
             return 0
-        return known.version if not configuration.differ(known.items, expected) else 0
+        return known.version if not configuration.difference(known.items, expected) else 0
 
     def refusal(self, known: KnownState, order: ChangeOrder) -> errors.ServiceError | None:
         """Why an order that is not among those taken can't be taken on a state; None where it can.
@@ -913,7 +916,7 @@
         Numbers rise, so a number that was passed can't be taken any more. Where its id may
         have been forgotten, nobody knows whether it was.
         """
-        current = configuration.number(known.items)
+        current = configuration.operator_number(known.items)
         if current != order.built_on:
             if order.number <= known.forgotten:
                 text = "Changes of that age are no longer remembered."
@@ -927,7 +930,7 @@
 
     async def apply(self, known: KnownState, order: ChangeOrder, until: int) -> int:
         """Propose an order on a known state: the version under which it was taken; raises Defect."""
-        changes = configuration.differ(known.items, self.renumber(order, known.items))
+        changes = configuration.difference(known.items, self.renumber(order, known.items))
         left = max(0, until - self.runtime.now())
         try:
             return (await self.propose("apply", order.identifier, known.version, changes, left)).version
@@ -985,11 +988,11 @@
         try:
             new = document.get("blueprint")
             if "patch" in document:
-                new = configuration.patch(configuration.unflatten(seen.items), document["patch"])
+                new = configuration.apply_patch(configuration.unflatten(seen.items), document["patch"])
             items = configuration.flatten(new)
         except configuration.InvalidConfigurationError as e:
             raise errors.ServiceError("bad_blueprint", "; ".join(e.errors[:50]), field="blueprint") from e
-        changes = configuration.differ(seen.items, items)
+        changes = configuration.difference(seen.items, items)
         identifier = configuration.plan_id(base, changes)
         await self.propose("plan", identifier, base, changes)
         sent = configuration.describe(seen.items, changes)
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -196,7 +196,7 @@
             return
         self.early = None
         had = self.items or {}
-        changes = configuration.differ(had, items) if whole else items.items()
+        changes = configuration.difference(had, items) if whole else items.items()
         parsed = [
             (*key.split("/", 1), None if value is None else configuration.KINDS[key.split("/", 1)[0]].from_dict(value))
             for key, value in changes
--- a/iriswheel/replication/chain.py
+++ b/iriswheel/replication/chain.py
@@ -139,7 +139,7 @@
                     published.pop(key, None)
                 else:
                     items[key] = value
-                    published[key] = configuration.bare(value)
+                    published[key] = configuration.without_label(value)
             return self._replace(items=items.finish(), published=published.finish())
 
     def freeze(self) -> bytes:
@@ -169,7 +169,7 @@
         """
         kept = unpack_snapshot(raw)
         plans = immutables.Map(kept.plans)
-        published = immutables.Map({k: configuration.bare(v) for k, v in kept.items.items()})
+        published = immutables.Map({k: configuration.without_label(v) for k, v in kept.items.items()})
         taken, forgotten = kept.taken, kept.forgotten
         if taken is None:
             taken, forgotten = taken_in_format_2(plans)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -39,7 +39,7 @@
             won, lost = (3, 5) if one.result == 200 else (5, 3)
             number += won
             items = self.items(t)
-            assert configuration.number(items) == number
+            assert configuration.operator_number(items) == number
             assert tuple(f"routes/r{10 * k + j}" in items for j in (won, lost)) == (True, False)
 
     def test_said_again_it_gives_the_same_answer_when_later_ones_were_taken(
@@ -100,7 +100,7 @@
             t.start_core(name, *t.options[name])
         assert self.wait(t, *(self.start(t, *order) for order in again)) == [200] * 5
         assert self.wait(t, self.start(t, 1, 0, route(9))) == [409]
-        assert configuration.number(self.items(t)) == 24
+        assert configuration.operator_number(self.items(t)) == 24
 
     def test_a_change_older_than_the_memory_gets_no_clear_answer(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
@@ -197,4 +197,4 @@
     def test_a_snapshot_of_format_2_is_read(self) -> None:
         few, many = (chain.ReplicatedState.thaw(self.old(self.apply(count))) for count in (20, 600))
         assert (len(few.taken), few.forgotten, few.taken["c6-7-0a"]) == (20, 0, 7)
-        assert (len(many.taken), many.forgotten, configuration.number(many.items)) == (512, 88, 600)
+        assert (len(many.taken), many.forgotten, configuration.operator_number(many.items)) == (512, 88, 600)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -173,8 +173,8 @@
 
     async def change(self, order):
         new = self.renumber(order, self.items)
-        msgspec.msgpack.decode(msgspec.msgpack.encode([order.identifier, configuration.differ(self.items, new)]))
-        configuration.carve(new, "a")
+        msgspec.msgpack.decode(msgspec.msgpack.encode([order.identifier, configuration.difference(self.items, new)]))
+        configuration.slice_for_node(new, "a")
         json.dumps(configuration_api.show(new))
         return 1
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -53,7 +53,7 @@
     async def change(self, order):
         if order.identifier in self.taken:
             return
-        if order.built_on != configuration.number(self.items):
+        if order.built_on != configuration.operator_number(self.items):
             raise errors.ServiceError("base_moved", "")
         if order.number <= order.built_on:
             raise errors.ServiceError("bad_blueprint", "")
@@ -138,7 +138,7 @@
         self.call(b"PUT", COMPLETE, "0")
         had = self.core.items
         self.call(b"PATCH", {"version": 8, "remove": {"channels": ["r-a"]}}, "7")
-        assert {k for k, _ in configuration.differ(had, self.core.items)} == {"routes/r-a", "marks/operator"}
+        assert {k for k, _ in configuration.difference(had, self.core.items)} == {"routes/r-a", "marks/operator"}
 
     def test_invalid_ones_are_refused(self) -> None:
         def spoiled(f):
