--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -49,6 +49,7 @@
 import iriswheel.membership.membership_manager as membership_manager
 import iriswheel.node.node as node
 import iriswheel.pools.pool_owner as pool_owner
+import iriswheel.pools.session_replicas as session_replicas
 import iriswheel.replication.chain as chain
 import iriswheel.runtime.options as options
 import iriswheel.runtime.scheduler as scheduler
@@ -537,9 +538,9 @@
                 "sessions",
                 "loops",
                 n,
-                ratio(lambda: pool_owner.SessionReplica().take(wire.decoder.decode(raw).msg, 0)),
+                ratio(lambda: session_replicas.SessionReplica().take(wire.decoder.decode(raw).msg, 0)),
             )
-            session_replica = pool_owner.SessionReplica()
+            session_replica = session_replicas.SessionReplica()
             session_replica.take(copy, 0)
             lines.put(
                 "a shelf frozen at a core",
@@ -561,7 +562,7 @@
 
 
 def _shelved(raw: typing.Any) -> typing.Any:
-    session_replica = pool_owner.SessionReplica()
+    session_replica = session_replicas.SessionReplica()
     session_replica.take(wire.decoder.decode(raw).msg, 0)
     return session_replica
 
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -18,7 +18,7 @@
 import iriswheel.errors as errors
 import iriswheel.membership.lease as lease
 import iriswheel.membership.membership_manager as membership_manager
-import iriswheel.pools.pool_owner as pool_owner
+import iriswheel.pools.session_replicas as session_replicas
 import iriswheel.replication.chain as chain
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.storage as storage
@@ -234,19 +234,19 @@
         return kept[2]
 
 
-def encode_session_replica(session_replica: pool_owner.SessionReplica, now: int) -> bytes:
+def encode_session_replica(session_replica: session_replicas.SessionReplica, now: int) -> bytes:
     """A session replica's sessions as bytes, with the time.
 
-    >>> decode_session_replica(encode_session_replica(pool_owner.SessionReplica(), 5), 7).export(7)
+    >>> decode_session_replica(encode_session_replica(session_replicas.SessionReplica(), 5), 7).export(7)
     ([], [])
     """
     return msgspec.msgpack.encode([now, session_replica.term, session_replica.export(now)[0]])
 
 
-def decode_session_replica(raw: bytes, now: int) -> pool_owner.SessionReplica:
+def decode_session_replica(raw: bytes, now: int) -> session_replicas.SessionReplica:
     """A session replica from bytes. After a restart of the machine its clock has begun anew."""
     at, term, sessions = msgspec.msgpack.decode(raw, type=tuple[int, tuple[int, int], list[message.SessionRecord]])
-    session_replica = pool_owner.SessionReplica()
+    session_replica = session_replicas.SessionReplica()
     session_replica.term = term
     session_replica.sessions = {s.id: (s, min(at, now)) for s in sessions}
     return session_replica
@@ -312,8 +312,8 @@
         self.active: dict[str, tuple[int, int]] = {}
         self.contested: dict[typing.Any, typing.Any] = {}  # role -> the term that its holder here can't use
         self.report_now = scheduler.Signal()
-        # pool -> pool owner.SessionReplica, late copies of the pool owners' sessions
-        self.session_replicas: dict[str, pool_owner.SessionReplica] = {}
+        # pool -> SessionReplica, late copies of the pool owners' sessions
+        self.session_replicas: dict[str, session_replicas.SessionReplica] = {}
         for key, raw in state.items():
             if key.startswith(b"shelf/"):
                 self.session_replicas[key[6:].decode()] = decode_session_replica(raw, runtime.now())
@@ -446,7 +446,9 @@
             case message.MemberLeaving():
                 return self.pass_leave(msg)
             case message.ReplicateRecords(pool=pool):
-                if self.session_replicas.setdefault(pool, pool_owner.SessionReplica()).take(msg, self.runtime.now()):
+                if self.session_replicas.setdefault(pool, session_replicas.SessionReplica()).take(
+                    msg, self.runtime.now()
+                ):
                     self.dirty.add(pool)
                 if connection is not None and connection.node_session is not None:
                     for s in self.voters():
@@ -601,7 +603,7 @@
         That it has one now is on the disk before the answer, so that no later pool owner takes
         the pool for new. A pool owner that asks again under its own term is not a later one.
         """
-        session_replica = self.session_replicas.setdefault(m.pool, pool_owner.SessionReplica())
+        session_replica = self.session_replicas.setdefault(m.pool, session_replicas.SessionReplica())
         had = session_replica.term not in ((0, 0), m.term)
         session_replica.fence(m.term)
         if not had:
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -17,6 +17,7 @@
 import iriswheel.errors as errors
 import iriswheel.node.follower as follower
 import iriswheel.pools.pool_owner as pool_owner
+import iriswheel.pools.session_replicas as session_replicas
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
@@ -52,7 +53,7 @@
         self.loads = load_exchange.LoadReporter(self)
         self.pool_owners: dict[str, pool_owner.PoolOwner] = {}  # pool -> Pool owner, where the role is here
         # pool -> SessionReplica, copies of others' records
-        self.session_replicas: dict[str, pool_owner.SessionReplica] = {}
+        self.session_replicas: dict[str, session_replicas.SessionReplica] = {}
         self.grants: dict[str, message.WorkerGrant] = {}  # ask -> Grant, of sends under way here
         self.given_up: dict[str, tuple[str, int]] = {}  # ask -> (pool, until), given up here without a send
         self.stopping = False  # no longer ready, but still serving whoever comes
@@ -154,10 +155,10 @@
         # a question to the core machines may be under way, as a new pool owner puts it to them
         self.peers.keep({(m.host, m.port) for m in follower.membership.members} | set(follower.core_zones()))
 
-    def session_replica(self, pool: str) -> pool_owner.SessionReplica:
+    def session_replica(self, pool: str) -> session_replicas.SessionReplica:
         """The copies kept here of a pool's records."""
         if pool not in self.session_replicas:
-            self.session_replicas[pool] = pool_owner.SessionReplica()
+            self.session_replicas[pool] = session_replicas.SessionReplica()
         return self.session_replicas[pool]
 
     async def tell_running(self) -> None:
--- /dev/null
+++ b/iriswheel/pools/claims.py
@@ -0,0 +1,96 @@
+"""Claims: the pool owner's records that make a request run at most once in its pool.
+
+A request that may not be repeated is claimed before its worker is granted. While the claim
+is remembered, no other attempt of the same request gets a grant.
+"""
+
+from __future__ import annotations
+
+import enum
+
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+RETENTION_US = 600 * units.SECOND_US
+"""How long a claim is remembered after its grant was made or released."""
+
+REVOKED_PREFIX = "pool/"
+"""Attempt ids of claims that another pool's owner made, to forbid the request here, begin with this."""
+
+
+class ClaimState(enum.StrEnum):
+    """What is known of a claimed request."""
+
+    CLAIMED = "claimed"
+    RAN = "ran"
+
+
+class Claim:
+    """The claim on one request.
+
+    Args:
+        request_id: The request that may not be repeated.
+        send: The number of the attempt, as the client or its node counts them.
+        node: The member that holds the grant.
+        attempt_id: The attempt that was granted a worker.
+        until: When the claim may be forgotten, in µs on this process's clock.
+        state: What is known of the request.
+
+    >>> Claim("e", 1, "n", "a", 0).state.value
+    'claimed'
+    """
+
+    __slots__ = ("request_id", "send", "node", "attempt_id", "until", "state")
+
+    def __init__(
+        self,
+        request_id: str,
+        send: int,
+        node: str,
+        attempt_id: str,
+        until: int,
+        state: ClaimState = ClaimState.CLAIMED,
+    ) -> None:
+        self.request_id = request_id
+        self.send = send
+        self.node = node
+        self.attempt_id = attempt_id
+        self.until = until
+        self.state = state
+
+    def export(self, now: int) -> message.Claim:
+        """Return the claim as a message, with the time that is left of it at `now`.
+
+        >>> Claim("e", 1, "n", "a", 9).export(4).left_us
+        5
+        """
+        return message.Claim(
+            self.request_id, self.send, self.node, self.attempt_id, self.state.value, max(0, self.until - now)
+        )
+
+    def was_revoked(self) -> bool:
+        """Whether another pool's owner made this claim, to forbid the request here.
+
+        >>> Claim("e", 0, "n", "pool/other", 0).was_revoked()
+        True
+        """
+        return self.attempt_id.startswith(REVOKED_PREFIX)
+
+    def is_same_call(self, attempt_id: str) -> bool:
+        """Whether an attempt id belongs to the very call that made this claim, asked again.
+
+        >>> claim = Claim("e", 1, "n", "n-7/0", 0)
+        >>> claim.is_same_call("n-7/1"), claim.is_same_call("n-8/0")
+        (True, False)
+        """
+        return self.attempt_id.rpartition("/")[0] == attempt_id.rpartition("/")[0]
+
+
+def from_message(record: message.Claim, now: int) -> Claim:
+    """Return the claim that a message holds.
+
+    >>> from_message(message.Claim("e", 1, "n", "a", "ran", 5), now=4).until
+    9
+    """
+    state = ClaimState.RAN if record.state == ClaimState.RAN else ClaimState.CLAIMED
+    return Claim(record.request_id, record.send, record.node, record.attempt_id, now + record.left_us, state)
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -16,6 +16,8 @@
 import iriswheel.dataplane.retry_budget as retry_budget
 import iriswheel.dataplane.sessions as sessions
 import iriswheel.errors as errors
+import iriswheel.pools.claims as claims
+import iriswheel.pools.in_flight as in_flight
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
@@ -23,12 +25,11 @@
 if typing.TYPE_CHECKING:
     import iriswheel.configuration.configuration as configuration
     import iriswheel.node.node as node
+    import iriswheel.pools.session_replicas as session_replicas
 
 
 GATHER_US = 600 * units.MILLISECOND_US
 COPY_US = 500 * units.MILLISECOND_US
-CLAIM_US = 600 * units.SECOND_US  # how long a claim is remembered
-FOREIGN = "pool/"  # the ask of a claim that another pool's pool owner had made
 VOID_US = 60 * units.SECOND_US  # how long an ask that was given up gets no grant
 USE_US = 2 * units.SECOND_US  # how long a grant may lie unused
 FULL_SWEEPS = 6  # every so many sweeps the copies get the whole
@@ -38,150 +39,6 @@
 log = loguru.logger.bind(part="warden")
 
 
-class Claim:
-    """The claim on one request.
-
-    >>> Claim("e", 1, "n", "a", 0).state
-    'claimed'
-    """
-
-    __slots__ = ("request_id", "send", "node", "attempt_id", "until", "state")
-
-    def __init__(
-        self, request_id: str, send: int, node: str, attempt_id: str, until: int, state: str = "claimed"
-    ) -> None:
-        self.request_id, self.send, self.node, self.attempt_id = request_id, send, node, attempt_id
-        self.until, self.state = until, state
-
-    def export(self, now: int) -> message.Claim:
-        """The claim as it travels.
-
-        >>> Claim("e", 1, "n", "a", 9).export(4).left_us
-        5
-        """
-        return message.Claim(
-            self.request_id, self.send, self.node, self.attempt_id, self.state, max(0, self.until - now)
-        )
-
-
-class InFlightLoad:
-    """What a worker has in flight, added up.
-
-    >>> b = InFlightLoad(); b.add(message.WorkerGrant("p", "a", "n", "w", "", 70, True)); len(b.held), b.long, b.work
-    (1, 1, 70)
-    >>> b.drop("a"); b.drop("a"); len(b.held), b.long, b.work
-    (0, 0, 0)
-    """
-
-    __slots__ = ("held", "long", "work")
-
-    def __init__(self) -> None:
-        self.held: dict[typing.Any, typing.Any] = {}  # ask -> Grant
-        self.long = 0
-        self.work = 0
-
-    def add(self, g: message.WorkerGrant) -> None:
-        """Count a grant.
-
-        >>> InFlightLoad().add(message.WorkerGrant("p", "a", "n", "w", "", 70, True))
-        """
-        self.drop(g.attempt_id)
-        self.held[g.attempt_id] = g
-        self.long += g.long
-        self.work += g.work
-
-    def drop(self, attempt_id: str) -> None:
-        """Count a grant no more.
-
-        >>> InFlightLoad().drop("a")
-        """
-        g = self.held.pop(attempt_id, None)
-        if g is not None:
-            self.long -= g.long
-            self.work -= g.work
-
-
-class SessionReplica:
-    """The copies that a node keeps of one pool's records, under the newest term it saw.
-
-    >>> s = SessionReplica()
-    >>> s.take(message.ReplicateRecords("p", (2, 1), "n1", [], [], []), now=0)
-    True
-    >>> s.take(message.ReplicateRecords("p", (1, 9), "n0", [], [], []), now=0)
-    False
-    """
-
-    def __init__(self) -> None:
-        self.term = (0, 0)
-        self.sessions: dict[str, tuple[message.SessionRecord, int]] = {}  # id -> (Session, when it came)
-        self.claims: dict[str, tuple[message.Claim, int]] = {}
-        self.held = False  # whether a copy was ever whole here
-        self.broken_until = 0  # until when claims of before may be missing
-
-    def fence(self, term: tuple[int, int]) -> bool:
-        """Let no older term write here; False where a newer one already did.
-
-        >>> s = SessionReplica(); s.fence((3, 1)), s.fence((2, 7))
-        (True, False)
-        """
-        if term < self.term:
-            return False
-        self.term = term
-        return True
-
-    def take(self, m: message.ReplicateRecords, now: int) -> bool:
-        """Take a copy; a partial one only counts on top of a whole one.
-
-        >>> SessionReplica().take(message.ReplicateRecords("p", (1, 1), "n", [], [], [], complete=True), 0)
-        True
-        """
-        if not self.fence(m.term):
-            return False
-        if m.complete:
-            self.sessions, self.claims, self.held = {}, {}, True
-            self.broken_until = now + m.broken_us
-        for s in m.sessions:
-            old = self.sessions.get(s.id)
-            if old is None or old[0].version <= s.version:
-                self.sessions[s.id] = (s, now)
-        for c in m.claims:
-            self.claims[c.request_id] = (c, now)
-        for identifier in m.closed:
-            self.sessions.pop(identifier, None)
-            self.claims.pop(identifier, None)
-        return True
-
-    def sweep(self, now: int) -> None:
-        """Forget what is long past.
-
-        >>> SessionReplica().sweep(0)
-        """
-        for kept in (self.sessions, self.claims):
-            for key in [k for k, (v, at) in kept.items() if now - at > v.left_us + 60 * units.SECOND_US]:
-                del kept[key]
-
-    def export(self, now: int) -> tuple[list[message.SessionRecord], list[message.Claim]]:
-        """All copies as they travel, with the spans that are left now.
-
-        >>> SessionReplica().export(0)
-        ([], [])
-        """
-        out = []
-        for kept in (self.sessions, self.claims):
-            out.append([_aged(v, now - at) for _, (v, at) in sorted(kept.items())])
-        return out[0], out[1]
-
-
-def _aged(v: message.Claim | message.SessionRecord, us: int) -> message.Claim | message.SessionRecord:
-    match v:
-        case message.SessionRecord():
-            return message.SessionRecord(
-                v.id, v.worker, max(0, v.left_us - us), v.lifetime_us, v.cost, v.version, v.attempt_id
-            )
-        case message.Claim():
-            return message.Claim(v.request_id, v.send, v.node, v.attempt_id, v.state, max(0, v.left_us - us))
-
-
 class PoolOwner:
     """One pool's pool owner, for as long as the role is here under one term."""
 
@@ -191,20 +48,22 @@
         self.pool = pool
         self.assignment = assignment
         self.session_table = sessions.SessionTable()
-        self.claims: dict[str, Claim] = {}
+        self.claims: dict[str, claims.Claim] = {}
         # ask -> [Grant, when last listed, Claim or None, when the budget was charged or None]
         self.grants: dict[str, list[typing.Any]] = {}
-        self.busy: dict[str, InFlightLoad] = {}  # worker -> Busy
+        self.busy: dict[str, in_flight.InFlightLoad] = {}  # worker -> Busy
         self.voids: dict[str, int] = {}  # ask -> until: asks given up before they came here
         self.budget = retry_budget.Budget()  # of the whole fleet's sends to this pool
         self.waiting = 0
         self.freed = scheduler.Signal()
         self.gathered = False
         self.since = self.runtime.now()
-        self.broken_until = self.since + CLAIM_US  # until when claims of before may be missing
+        self.broken_until = self.since + claims.RETENTION_US  # until when claims of before may be missing
         self.prefixes: dict[str, dict[str, None]] = {}  # worker -> {part: None}, newest last
         self.watch = health.WorkerWatch(self)
-        self.lazy: dict[str, Claim | sessions.Session] = {}  # session ids and claims whose copies are out of date
+        self.lazy: dict[
+            str, claims.Claim | sessions.Session
+        ] = {}  # session ids and claims whose copies are out of date
         self.gone: dict[str, None] = {}  # ids closed since the last lazy copy
         self.over = False
         self.counts = {"elects": 0, "pinned": 0, "opened": 0, "closed": 0, "claims": 0, "denied": 0}
@@ -250,15 +109,16 @@
         self.over = True
         self.freed.wake()
 
-    def leave_to(self, session_replica: SessionReplica) -> None:
+    def leave_to(self, replica: session_replicas.SessionReplica) -> None:
         """Leave the records, if they are whole, to this node's own session replica for the next pool owner."""
         if self.gathered:
             now = self.runtime.now()
-            session_replica.sessions = {
-                r.id: (sessions.to_message(r, now), now) for r in self.session_table.records.values()
-            }
-            session_replica.claims = {c.request_id: (c.export(now), now) for c in self.claims.values()}
-            session_replica.held, session_replica.broken_until = True, self.broken_until
+            replica.replace(
+                [sessions.to_message(r, now) for r in self.session_table.records.values()],
+                [c.export(now) for c in self.claims.values()],
+                self.broken_until,
+                now,
+            )
 
     def broken(self) -> bool:
         """Whether claims made under earlier pool owners may have been lost."""
@@ -283,7 +143,7 @@
             return False
         if base:  # what an earlier pool owner had lost is lost to this one too
             self.broken_until = max(now + got[i].broken_us for i in base)
-        session_records, claims = {}, {}
+        session_records, claim_records = {}, {}
         for i in sorted(got):
             self.budget.add(now, got[i].firsts, got[i].repeats)
             for s in got[i].sessions:
@@ -291,9 +151,9 @@
                 if old is None or (s.version, s.left_us) > (old.version, old.left_us):
                     session_records[s.id] = s
             for c in got[i].claims:
-                old = claims.get(c.request_id)
+                old = claim_records.get(c.request_id)
                 if old is None or (c.send, c.state == "ran") > (old.send, old.state == "ran"):
-                    claims[c.request_id] = c
+                    claim_records[c.request_id] = c
             for s in [] if base else got[i].affinities:
                 session_records.setdefault(s.id, s)
         for s in [] if base else await self.gather_cores():
@@ -303,10 +163,8 @@
             r = self.session_table.open(s.id, s.worker, now, s.lifetime_us, s.cost)
             r.expires, r.opened_by = now + s.left_us, s.attempt_id
         by_attempt = {}
-        for c in claims.values():
-            by_attempt[c.attempt_id] = self.claims[c.request_id] = Claim(
-                c.request_id, c.send, c.node, c.attempt_id, now + c.left_us, c.state
-            )
+        for c in claim_records.values():
+            by_attempt[c.attempt_id] = self.claims[c.request_id] = claims.from_message(c, now)
         for g in [g for a in got.values() for g in a.held]:
             self.hold(g, by_attempt.get(g.attempt_id))
             r = self.session_table.affinity(g.session)
@@ -348,7 +206,7 @@
         out = {}
         got = [a for ok, a in await defer.DeferredList(ds, consumeErrors=True) if ok and a.ok]
         known = 2 * len(got) <= len(voters) or any(a.copy for a in got)
-        self.broken_until = self.runtime.now() + CLAIM_US if known else 0
+        self.broken_until = self.runtime.now() + claims.RETENTION_US if known else 0
         for a in got:
             for s in a.sessions:
                 if s.id not in out or (out[s.id].version, out[s.id].left_us) < (s.version, s.left_us):
@@ -373,10 +231,10 @@
 
     # ---- records -----------------------------------------------------------------
 
-    def hold(self, g: message.WorkerGrant, claim: Claim | None = None, paid: int | None = None) -> None:
+    def hold(self, g: message.WorkerGrant, claim: claims.Claim | None = None, paid: int | None = None) -> None:
         """Count a grant as load in flight; `paid` is when the budget was charged for it."""
         self.grants[g.attempt_id] = [g, self.runtime.now(), claim, paid]
-        self.busy.setdefault(g.worker, InFlightLoad()).add(g)
+        self.busy.setdefault(g.worker, in_flight.InFlightLoad()).add(g)
 
     def release(self, attempt_id: str, outcome: errors.ExecutionOutcome) -> None:
         """A grant is over; what waits for a voter looks again."""
@@ -411,12 +269,12 @@
             if outcome == errors.ExecutionOutcome.NOT_RUN:
                 self.unclaim(c)
             else:
-                c.state = "ran"
-                c.until = now + CLAIM_US
+                c.state = claims.ClaimState.RAN
+                c.until = now + claims.RETENTION_US
                 self.lazy[c.request_id] = c
         self.freed.wake()
 
-    def unclaim(self, c: Claim) -> None:
+    def unclaim(self, c: claims.Claim) -> None:
         """Forget a claim: its time is over, or its node says that it was never used."""
         del self.claims[c.request_id]
         self.gone[c.request_id] = None
@@ -490,15 +348,17 @@
                 for r in lazy.values()
                 if isinstance(r, sessions.Session) and self.session_table.affinity(r.id) is r
             ]
-            claims = [
-                c.export(now) for c in lazy.values() if isinstance(c, Claim) and self.claims.get(c.request_id) is c
+            claim_records = [
+                c.export(now)
+                for c in lazy.values()
+                if isinstance(c, claims.Claim) and self.claims.get(c.request_id) is c
             ]
             closed = [i for i in gone if i not in self.session_table.records and i not in self.claims]
             if gone:
                 for m in self.node.follower.membership.members:
                     self.node.tell_member(m.id, message.SessionsClosed(self.pool, list(gone)))
             msg = message.ReplicateRecords(
-                self.pool, self.assignment.term, self.node.me.id, session_records, claims, closed
+                self.pool, self.assignment.term, self.node.me.id, session_records, claim_records, closed
             )
             self.tell_cores(msg)
             if not await self.copy(msg):
@@ -524,7 +384,7 @@
         Real work in flight, the reserved cost of open sessions, what the worker itself
         reports beyond that, and the request's own work less the prefix held there.
         """
-        busy = self.busy.get(worker) or InFlightLoad()
+        busy = self.busy.get(worker) or in_flight.InFlightLoad()
         load = busy.work + self.session_table.load(worker)
         running, queued = self.watch.reports.get(worker, (0, 0))
         load += max(0, running + queued - len(busy.held)) * 100
@@ -538,7 +398,7 @@
 
     def has_slot(self, worker: str, long: bool, pool: configuration.Pool) -> bool:
         """Whether a worker has a free voter; long prompts have fewer of them."""
-        busy = self.busy.get(worker) or InFlightLoad()
+        busy = self.busy.get(worker) or in_flight.InFlightLoad()
         return len(busy.held) < pool.slots and (not long or busy.long < pool.long_slots)
 
     def pick(self, m: message.SelectWorker, pool: configuration.Pool) -> str | None:
@@ -575,7 +435,7 @@
         same = (
             c is not None and c.attempt_id.rpartition("/")[0] == m.attempt_id.rpartition("/")[0]
         )  # this very try asks anew
-        if c is not None and not same and not (c.attempt_id.startswith(FOREIGN) and m.send != 1):
+        if c is not None and not same and not (c.attempt_id.startswith(claims.REVOKED_PREFIX) and m.send != 1):
             ran = errors.ExecutionOutcome.RAN if c.state == "ran" else errors.ExecutionOutcome.MAY_HAVE_RUN
             return self.deny("already_sent", "This exchange was sent before and may not be repeated.", ran)
         if c is None and m.send != 1 and self.broken():
@@ -610,13 +470,13 @@
         if not self.active():
             return message.RevokeResponse("later")
         c = self.claims.get(m.request_id)
-        mine = f"{FOREIGN}{m.by}"
-        if c is not None and not c.attempt_id.startswith(FOREIGN):
-            return message.RevokeResponse(c.state)
+        mine = f"{claims.REVOKED_PREFIX}{m.by}"
+        if c is not None and not c.attempt_id.startswith(claims.REVOKED_PREFIX):
+            return message.RevokeResponse(c.state.value)
         if c is None and self.broken():
             return message.RevokeResponse("unknown")
         now = self.runtime.now()
-        c = self.claims[m.request_id] = Claim(m.request_id, 0, self.node.me.id, mine, now + CLAIM_US)
+        c = self.claims[m.request_id] = claims.Claim(m.request_id, 0, self.node.me.id, mine, now + claims.RETENTION_US)
         ok = await self.copy(
             message.ReplicateRecords(self.pool, self.assignment.term, self.node.me.id, [], [c.export(now)], [])
         )
@@ -714,7 +574,9 @@
         if r is not None:
             r.turns += 1
         if not m.idempotent and m.request_id:
-            claim = self.claims[m.request_id] = Claim(m.request_id, m.send, m.node, m.attempt_id, now + CLAIM_US)
+            claim = self.claims[m.request_id] = claims.Claim(
+                m.request_id, m.send, m.node, m.attempt_id, now + claims.RETENTION_US
+            )
             self.counts["claims"] += 1
         if m.again:
             self.budget.spend(now)
--- /dev/null
+++ b/iriswheel/pools/session_replicas.py
@@ -0,0 +1,136 @@
+"""The copies that a process keeps of one pool's records, for the next owner of the pool."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+EXPIRED_RETENTION_US = 60 * units.SECOND_US
+"""How long a copy is kept after the record itself has expired."""
+
+Term = tuple[int, int]
+"""The version of the membership under which a role was assigned."""
+
+Record = typing.TypeVar("Record", message.SessionRecord, message.Claim)
+
+
+class SessionReplica:
+    """Copies of one pool's sessions and claims, under the newest term that was seen here.
+
+    >>> replica = SessionReplica()
+    >>> replica.take(message.ReplicateRecords("p", (2, 1), "n1", [], [], []), now=0)
+    True
+    >>> replica.take(message.ReplicateRecords("p", (1, 9), "n0", [], [], []), now=0)
+    False
+    """
+
+    def __init__(self) -> None:
+        self.term: Term = (0, 0)
+        self.sessions: dict[str, tuple[message.SessionRecord, int]] = {}  # id -> (record, when it came)
+        self.claims: dict[str, tuple[message.Claim, int]] = {}  # request id -> (record, when it came)
+        self.held = False  # whether all records of an owner ever came here
+        self.broken_until = 0  # until when claims made under earlier owners may be missing
+
+    def fence(self, term: Term) -> bool:
+        """Refuse older terms from now on; False where a newer one was seen already.
+
+        >>> replica = SessionReplica(); replica.fence((3, 1)), replica.fence((2, 7))
+        (True, False)
+        """
+        if term < self.term:
+            return False
+        self.term = term
+        return True
+
+    def take(self, update: message.ReplicateRecords, now: int) -> bool:
+        """Store what the owner sent, unless a newer term was seen; whether it was stored.
+
+        A partial update is stored as well, but only one that holds all records makes this
+        replica count as whole.
+
+        >>> SessionReplica().take(message.ReplicateRecords("p", (1, 1), "n", [], [], [], complete=True), 0)
+        True
+        """
+        if not self.fence(update.term):
+            return False
+        if update.complete:
+            self.sessions, self.claims, self.held = {}, {}, True
+            self.broken_until = now + update.broken_us
+        for session in update.sessions:
+            stored = self.sessions.get(session.id)
+            if stored is None or stored[0].version <= session.version:
+                self.sessions[session.id] = (session, now)
+        for claim in update.claims:
+            self.claims[claim.request_id] = (claim, now)
+        for identifier in update.closed:
+            self.sessions.pop(identifier, None)
+            self.claims.pop(identifier, None)
+        return True
+
+    def replace(
+        self,
+        sessions: collections.abc.Iterable[message.SessionRecord],
+        claims: collections.abc.Iterable[message.Claim],
+        broken_until: int,
+        now: int,
+    ) -> None:
+        """Take over all records of an owner that ran in this process.
+
+        >>> replica = SessionReplica(); replica.replace([], [], broken_until=0, now=0); replica.held
+        True
+        """
+        self.sessions = {session.id: (session, now) for session in sessions}
+        self.claims = {claim.request_id: (claim, now) for claim in claims}
+        self.held, self.broken_until = True, broken_until
+
+    def sweep(self, now: int) -> None:
+        """Forget the records that expired long ago.
+
+        >>> SessionReplica().sweep(0)
+        """
+        _drop_expired(self.sessions, now)
+        _drop_expired(self.claims, now)
+
+    def export(self, now: int) -> tuple[list[message.SessionRecord], list[message.Claim]]:
+        """Return all records, with the time that is left of them at `now`.
+
+        >>> SessionReplica().export(0)
+        ([], [])
+        """
+        sessions = [_age_session(record, now - came_at) for _, (record, came_at) in sorted(self.sessions.items())]
+        claims = [_age_claim(record, now - came_at) for _, (record, came_at) in sorted(self.claims.items())]
+        return sessions, claims
+
+
+def _drop_expired(records: dict[str, tuple[Record, int]], now: int) -> None:
+    expired = [
+        key for key, (record, came_at) in records.items() if now - came_at > record.left_us + EXPIRED_RETENTION_US
+    ]
+    for key in expired:
+        del records[key]
+
+
+def _age_session(record: message.SessionRecord, age_us: int) -> message.SessionRecord:
+    return message.SessionRecord(
+        record.id,
+        record.worker,
+        max(0, record.left_us - age_us),
+        record.lifetime_us,
+        record.cost,
+        record.version,
+        record.attempt_id,
+    )
+
+
+def _age_claim(record: message.Claim, age_us: int) -> message.Claim:
+    return message.Claim(
+        record.request_id,
+        record.send,
+        record.node,
+        record.attempt_id,
+        record.state,
+        max(0, record.left_us - age_us),
+    )
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -8,6 +8,7 @@
 
 import iriswheel.cli.load_generator as load_generator
 import iriswheel.dataplane.dispatch as dispatch
+import iriswheel.pools.claims as claims
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.message as message
 import simulation.simulated_cluster as simulated_cluster
@@ -247,9 +248,7 @@
         t = quiet_cluster()
         n = t.owner()
         w = n.pool_owners[t.pool]
-        w.claims["e1"] = simulated_cluster.node.pool_owner.Claim(
-            "e1", 1, "n1", "old-ask", t.world.time + 600 * S
-        )  # as gathered
+        w.claims["e1"] = claims.Claim("e1", 1, "n1", "old-ask", t.world.time + 600 * S)  # as gathered
         w.release("old-ask", simulated_cluster.node.errors.ExecutionOutcome.NOT_RUN)
         assert self.answer(t, identifier="e1", repeat=False)[0] == 200
         code, _, body = self.answer(t, identifier="e1", repeat=False, send=2, node="n2")
