--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -1,11 +1,12 @@
-"""Everything that the outside defines: headers, worker list, load report, readiness.
+"""The formats that the outside defines: headers, worker list, load report, readiness.
 
-A site whose formats differ changes this module alone; docs/interface.md has the same
-in prose.
+A site whose formats differ hands a subclass of `EdgeProtocol` to its nodes; docs/interface.md describes the formats
+of this module.
 """
 
 from __future__ import annotations
 
+import collections.abc
 import dataclasses
 import json
 import re
@@ -19,6 +20,8 @@
 
     import iriswheel.transport.http_server as http_server
 
+    HeaderPairs = list[tuple[bytes, bytes]]  # (name, value), in the order on the connection
+    LowerCaseHeaders = collections.abc.Mapping[str, str]  # by lower-case name
 
 PREFIX = "X-Prompt-Prefix"
 TARGET = "X-Target-Worker"
@@ -26,14 +29,16 @@
 SEND = "X-Send-Number"
 REPEAT = "X-May-Repeat"
 CLIENT = "X-Requester"
-PASS = "X-Iriswheel-Pass"  # between nodes alone: one request passed on
+PASS = "X-Iriswheel-Pass"  # between nodes only: the one-time token of a request that one node hands to another
 
-PART = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,128}\Z")
-PARTS = 32
-ID = re.compile(r"[\x21-\x7e]{1,128}\Z")
+PART_PATTERN = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,128}\Z")
+PART_COUNT_MAX = 32
+ID_PATTERN = re.compile(r"[\x21-\x7e]{1,128}\Z")
+SEND_NUMBER_MAX = 1_000_000
+SEND_DIGITS_MAX = 7
 
-# RFC 9110, section 7.6.1, and what the two HTTP sides make for themselves
-HOP = {
+# RFC 9110, section 7.6.1
+HOP_BY_HOP = {
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -44,11 +49,22 @@
     "upgrade",
     "proxy-connection",
 }
-OWN = {"host", "content-length", TARGET.lower(), PASS.lower()}
+# What each HTTP side writes for itself.
+GENERATED = {"host", "content-length", TARGET.lower(), PASS.lower()}
+
+WORKERS_PATH = "/workers"
+LOAD_PATH = "/load"
+READY_PATH = "/ready"
+
+NOT_RUN_STATUSES = (421, 429, 503)
+MILLISECOND_US = 1_000
 
 
 def header(headers: http_headers.Headers, name: str) -> str | None:
-    """One header's text, or None; given twice it is refused.
+    """One header's text, or None where it is absent.
+
+    Raises:
+        ServiceError: the header is given twice.
 
     >>> import twisted.web.http_headers as hh
     >>> header(hh.Headers({"X-A": ["b"]}), "X-A")
@@ -65,6 +81,9 @@
 def prefix(headers: http_headers.Headers) -> list[str]:
     """The shared parts of the prompt, outermost first.
 
+    Raises:
+        ServiceError: the header is no list of parts.
+
     >>> import twisted.web.http_headers as hh
     >>> prefix(hh.Headers({PREFIX: ["system-1, bundle-7"]}))
     ['system-1', 'bundle-7']
@@ -72,14 +91,19 @@
     text = header(headers, PREFIX)
     if not text:
         return []
-    parts = [p.strip() for p in text.split(",")]
-    if len(parts) > PARTS or not all(PART.match(p) for p in parts):
-        raise errors.ServiceError("bad_request", f"{PREFIX} is not a list of up to {PARTS} parts.", field=PREFIX)
+    parts = [part.strip() for part in text.split(",")]
+    if len(parts) > PART_COUNT_MAX or not all(PART_PATTERN.match(part) for part in parts):
+        raise errors.ServiceError(
+            "bad_request", f"{PREFIX} is not a list of up to {PART_COUNT_MAX} parts.", field=PREFIX
+        )
     return parts
 
 
 def identifier(headers: http_headers.Headers, name: str) -> str:
-    """An id from a header, or "".
+    """An id from a header, or "" where it is absent.
+
+    Raises:
+        ServiceError: the header is no id.
 
     >>> import twisted.web.http_headers as hh
     >>> identifier(hh.Headers({REQUEST_ID: ["e1"]}), REQUEST_ID)
@@ -88,13 +112,16 @@
     text = header(headers, name)
     if text is None:
         return ""
-    if not ID.match(text):
+    if not ID_PATTERN.match(text):
         raise errors.ServiceError("bad_request", f"{name} is not an id.", field=name)
     return text
 
 
 def send_number(headers: http_headers.Headers) -> int:
-    """Which send of the request this is, from 1; 0 where it is not said.
+    """The number of the client's attempt at this request, from 1; 0 where the client does not say.
+
+    Raises:
+        ServiceError: the header is no number in range.
 
     >>> import twisted.web.http_headers as hh
     >>> send_number(hh.Headers({SEND: ["2"]}))
@@ -103,13 +130,16 @@
     text = header(headers, SEND)
     if text is None:
         return 0
-    if not text.isdigit() or not 1 <= int(text[:9]) <= 1_000_000 or len(text) > 7:
+    if not text.isdigit() or not 1 <= int(text[:9]) <= SEND_NUMBER_MAX or len(text) > SEND_DIGITS_MAX:
         raise errors.ServiceError("bad_request", f"{SEND} is not a number from 1.", field=SEND)
     return int(text)
 
 
 def idempotent(headers: http_headers.Headers) -> bool:
-    """Whether the request may be repeated; unstated, it may not.
+    """Whether the client allows that the request runs more than once; it does not unless it says so.
+
+    Raises:
+        ServiceError: the header is neither yes nor no.
 
     >>> import twisted.web.http_headers as hh
     >>> idempotent(hh.Headers({REPEAT: ["yes"]})), idempotent(hh.Headers())
@@ -124,30 +154,30 @@
 
 
 def onward(headers: http_headers.Headers, worker: str, token: str = "") -> http_headers.Headers:
-    """The headers that go to the worker, or with a token to the node that passes them on.
+    """The headers of the request to a worker, or with a token to the node that relays it.
 
     >>> import twisted.web.http_headers as hh
     >>> h = onward(hh.Headers({"X-A": ["b"], TARGET: ["w9"], "Connection": ["X-C"], "X-C": ["d"]}), "w1")
     >>> sorted(h.getAllRawHeaders())
     [(b'X-A', [b'b']), (b'X-Target-Worker', [b'w1'])]
     """
-    out = _pass(headers)
-    out.setRawHeaders(TARGET, [worker])
+    kept = _end_to_end(headers)
+    kept.setRawHeaders(TARGET, [worker])
     if token:
-        out.setRawHeaders(PASS, [token])
-    return out
+        kept.setRawHeaders(PASS, [token])
+    return kept
 
 
-def back(headers: http_headers.Headers, worker: str) -> list[tuple[bytes, list[bytes]]]:
-    """The headers that go to the client, as pairs.
+def back(headers: http_headers.Headers, worker: str) -> list[tuple[bytes, collections.abc.Sequence[bytes]]]:
+    """The headers of the answer to the client, each name with its values.
 
     >>> import twisted.web.http_headers as hh
     >>> back(hh.Headers({"Keep-Alive": ["5"]}), "w1")
     [(b'X-Target-Worker', [b'w1'])]
     """
-    out = _pass(headers)
-    out.setRawHeaders(TARGET, [worker])
-    return list(out.getAllRawHeaders())
+    kept = _end_to_end(headers)
+    kept.setRawHeaders(TARGET, [worker])
+    return list(kept.getAllRawHeaders())
 
 
 def connection_options(headers: http_headers.Headers) -> set[str]:
@@ -157,37 +187,58 @@
     >>> sorted(connection_options(hh.Headers({"Connection": ["close, X-A"]})))
     ['close', 'x-a']
     """
-    values = headers.getRawHeaders(b"connection", [])
+    return _listed_names(headers.getRawHeaders(b"connection", []))
+
+
+def end_to_end_pairs(headers: HeaderPairs, dropped: set[str]) -> HeaderPairs:
+    """The headers without those named in `dropped` (lower case) and those that `Connection` lists.
+
+    >>> end_to_end_pairs([(b"Connection", b"X-A"), (b"X-A", b"1"), (b"X-B", b"2")], HOP_BY_HOP)
+    [(b'X-B', b'2')]
+    """
+    dropped = dropped | _listed_names(value for name, value in headers if name.lower() == b"connection")
+    return [(name, value) for name, value in headers if name.decode("latin-1").lower() not in dropped]
+
+
+def _listed_names(values: collections.abc.Iterable[bytes]) -> set[str]:
     return {name.strip().lower() for value in values for name in value.decode("latin-1").split(",")}
 
 
-def _pass(headers: http_headers.Headers) -> http_headers.Headers:
-    out = headers.copy()
-    for name in HOP | OWN | connection_options(headers):
+def _end_to_end(headers: http_headers.Headers) -> http_headers.Headers:
+    kept = headers.copy()
+    for name in HOP_BY_HOP | GENERATED | connection_options(headers):
         if name:
-            out.removeHeader(name)
-    return out
+            kept.removeHeader(name)
+    return kept
 
 
 def workers(raw: bytes) -> list[message.Worker]:
-    """The platform's worker list.
+    """The platform's worker list, by id.
+
+    Raises:
+        ValueError: the list can't be read.
 
     >>> workers(b'{"workers": [{"id": "w1", "host": "127.0.0.1", "port": 9, "pool": "desk", "state": "ready"}]}')
     [Worker(id='w1', host='127.0.0.1', port=9, pool='desk', state='ready', drain_us=0)]
     """
     try:
-        out = []
-        for w in json.loads(raw)["workers"]:
-            state = w["state"] if w["state"] in ("ready", "leaving") else "gone"
-            drain = int(w.get("drain_deadline_ms", 0)) * 1000
-            out.append(message.Worker(str(w["id"]), str(w["host"]), int(w["port"]), str(w["pool"]), state, drain))
-    except (ValueError, KeyError, TypeError) as e:
-        raise ValueError(f"The platform's list can't be read: {e!r}") from e
-    return sorted(out, key=lambda w: w.id)
+        listed = [_worker(entry) for entry in json.loads(raw)["workers"]]
+    except (ValueError, KeyError, TypeError) as error:
+        raise ValueError(f"The platform's list can't be read: {error!r}") from error
+    return sorted(listed, key=lambda worker: worker.id)
+
+
+def _worker(entry: dict[str, typing.Any]) -> message.Worker:
+    state = entry["state"] if entry["state"] in ("ready", "leaving") else "gone"
+    drain_us = int(entry.get("drain_deadline_ms", 0)) * MILLISECOND_US
+    return message.Worker(str(entry["id"]), str(entry["host"]), int(entry["port"]), str(entry["pool"]), state, drain_us)
 
 
 def load(raw: bytes) -> tuple[int, int]:
-    """A worker's load report: how many requests wait there.
+    """A worker's load report: how many requests run there, and how many wait.
+
+    Raises:
+        ValueError: the report can't be read.
 
     >>> load(b'{"running": 3, "queued": 2}')
     (3, 2)
@@ -195,17 +246,12 @@
     try:
         document = json.loads(raw)
         return int(document["running"]), int(document["queued"])
-    except (ValueError, KeyError, TypeError) as e:
-        raise ValueError(f"The load report can't be read: {e!r}") from e
-
-
-WORKERS_PATH = "/workers"
-LOAD_PATH = "/load"
-READY_PATH = "/ready"
+    except (ValueError, KeyError, TypeError) as error:
+        raise ValueError(f"The load report can't be read: {error!r}") from error
 
 
 def ready(ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
-    """The answer to the platform's question whether a node is ready.
+    """The answer to the platform's question whether a node is ready: status and JSON body.
 
     >>> ready(True)
     (200, {'ready': True})
@@ -213,36 +259,51 @@
     return (200, {"ready": True}) if ok else (503, {"ready": False, "why": why})
 
 
-# ---- the seam ---------------------------------------------------------------------
-
-
 @dataclasses.dataclass
 class ParsedRequest:
     """What a client says of its request.
 
+    Attributes:
+        parts: Ids of the prompt's parts, outermost first.
+        sizes: Tokens of each part; 0 where not told.
+        tokens_in: Tokens of the prompt; 0 where not told.
+        tokens_out: Tokens of the answer; 0 where not told.
+        request_id: The request's id, the same for all attempts; "" where not told.
+        send: Number of the client's attempt, from 1; 0 where not told.
+        idempotent: Whether the request may run more than once.
+        client: The requester, by which a route may choose terms.
+        left_us: How long the client will wait; None where not told.
+        tag: Id of this attempt, which the worker's answer carries back.
+        host: The Host header.
+        model: The model asked for.
+        after: Id of the last event that the client has, where it resumes a stream.
+
     >>> ParsedRequest().left_us is None
     True
     """
 
-    parts: list = dataclasses.field(default_factory=list)  # ids of the prompt's parts, outermost first
-    sizes: list = dataclasses.field(default_factory=list)  # their tokens, where told
+    parts: list[str] = dataclasses.field(default_factory=list)
+    sizes: list[int] = dataclasses.field(default_factory=list)
     tokens_in: int = 0
     tokens_out: int = 0
     request_id: str = ""
     send: int = 0
     idempotent: bool = False
     client: str = ""
-    left_us: int | None = None  # how long the client will wait
-    tag: str = ""  # what the worker's answer carries back
+    left_us: int | None = None
+    tag: str = ""
     host: str = ""
     model: str = ""
-    after: str = ""  # the last event that the client has, where it takes a stream up again
+    after: str = ""
 
 
 class EdgeProtocol:
     """The formats towards clients, workers and platform; this class has iriswheel's own.
 
-    A site whose formats differ hands in a subclass; nothing else changes.
+    Attributes:
+        ready_path: Where the platform asks a node whether it is ready.
+        load_path: Where a worker answers with its load report.
+        any_method: Whether requests come by other methods than POST.
 
     >>> EdgeProtocol().ready(True)
     (200, {'ready': True})
@@ -250,10 +311,14 @@
 
     ready_path = READY_PATH
     load_path = LOAD_PATH
-    any_method = False  # whether requests come by other methods than POST
+    any_method = False
 
     def parse_request(self, request: http_server.Request) -> ParsedRequest:
-        """What a request says of its request; raises verdict.Defect where it is malformed."""
+        """What a client says of its request.
+
+        Raises:
+            ServiceError: a header is malformed.
+        """
         headers = request.requestHeaders
         parts = prefix(headers)
         return ParsedRequest(
@@ -269,85 +334,82 @@
 
     def head(
         self,
-        request: typing.Any,
-        size: typing.Any,
-        worker: typing.Any,
-        left_us: typing.Any,
-        urgency: typing.Any,
+        request: http_server.Request,
+        size: int,
+        worker: message.Worker,
+        left_us: int | None,
+        urgency: int,
         after: str = "",
-    ) -> typing.Any:
-        """The head of the request to a worker, as bytes; `size` is the body's length in bytes."""
-        more = [(TARGET.encode(), worker.id.encode())]
-        return self.lines(
-            request,
-            size,
-            HOP | OWN | {"last-event-id"},
-            [
-                (b"Host", f"{worker.host}:{worker.port}".encode()),
-                *more,
-                *([(b"Last-Event-ID", after.encode())] if after else []),
-            ],
-        )
+    ) -> bytes:
+        """The head of the request to a worker.
+
+        Args:
+            request: The client's request.
+            size: Length of the body in bytes.
+            worker: The worker that gets it.
+            left_us: How long the client will wait; None where not told.
+            urgency: Of the route; 0 goes first.
+            after: Id of the last event that the client has, where a stream is resumed.
+        """
+        added = [(b"Host", f"{worker.host}:{worker.port}".encode()), (TARGET.encode(), worker.id.encode())]
+        if after:
+            added.append((b"Last-Event-ID", after.encode()))
+        return self.lines(request, size, HOP_BY_HOP | GENERATED | {"last-event-id"}, added)
 
-    def lines(self, request: http_server.Request, size: int, drop: set[str], more: list[tuple[bytes, bytes]]) -> bytes:
-        """A request's head with some headers dropped and others put in."""
+    def lines(self, request: http_server.Request, size: int, drop: set[str], more: HeaderPairs) -> bytes:
+        """A request's head with the headers in `drop` (lower case) left out and those in `more` added."""
         drop = drop | connection_options(request.requestHeaders)
-        out = [b"%s %s HTTP/1.1" % (request.method, request.uri)]
+        head = [b"%s %s HTTP/1.1" % (request.method, request.uri)]
         for name, values in request.requestHeaders.getAllRawHeaders():
             if name.decode("latin-1").lower() not in drop:
-                out += [b"%s: %s" % (name, v) for v in values]
-        out += [b"%s: %s" % pair for pair in more]
-        out.append(b"Content-Length: %d" % size)
-        return b"\r\n".join(out) + b"\r\n\r\n"
+                head += [b"%s: %s" % (name, value) for value in values]
+        head += [b"%s: %s" % pair for pair in more]
+        head.append(b"Content-Length: %d" % size)
+        return b"\r\n".join(head) + b"\r\n\r\n"
 
-    def mine(self, tag: str, status: int, headers: dict[typing.Any, typing.Any]) -> bool:
-        """Whether an answer is the one to this request: True, False, or None where it does not say.
+    def mine(self, tag: str, status: int, headers: LowerCaseHeaders) -> bool | None:
+        """Whether an answer belongs to the attempt with this tag; None where the answer does not say.
 
         >>> EdgeProtocol().mine("x1", 200, {})
         True
         """
         return True
 
-    def unrun(self, status: int, headers: dict[typing.Any, typing.Any]) -> bool:
+    def unrun(self, status: int, headers: LowerCaseHeaders) -> bool:
         """Whether the worker says that it did not run the request.
 
         >>> EdgeProtocol().unrun(503, {}), EdgeProtocol().unrun(200, {})
         (True, False)
         """
-        return status in (421, 429, 503)
+        return status in NOT_RUN_STATUSES
 
-    def sound(self, status: int, headers: dict[typing.Any, typing.Any]) -> bool:
-        """Whether the head can be a worker's.
+    def sound(self, status: int, headers: LowerCaseHeaders) -> bool:
+        """Whether the head of a successful answer can be a worker's.
 
         >>> EdgeProtocol().sound(200, {})
         True
         """
         return True
 
-    def home(self, headers: list[tuple[bytes, bytes]], worker: str) -> list[tuple[bytes, bytes]]:
-        """The headers of a worker's answer that go to the client, as pairs of bytes.
+    def home(self, headers: HeaderPairs, worker: str) -> HeaderPairs:
+        """The headers of a worker's answer that go to the client.
 
         >>> EdgeProtocol().home([(b"Keep-Alive", b"5"), (b"X-A", b"b")], "w1")
         [(b'X-A', b'b'), (b'X-Target-Worker', b'w1')]
         """
-        named = {
-            n.strip().lower() for k, v in headers if k.lower() == b"connection" for n in v.decode("latin-1").split(",")
-        }
-        drop = HOP | OWN | named
-        return [(k, v) for k, v in headers if k.decode("latin-1").lower() not in drop] + [
-            (TARGET.encode(), worker.encode())
-        ]
+        return [*end_to_end_pairs(headers, HOP_BY_HOP | GENERATED), (TARGET.encode(), worker.encode())]
 
-    def refusal(self, d: errors.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
-        """The answer to an error: status, pairs of headers, body.
+    def refusal(self, error: errors.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
+        """The answer to an error: status, headers, body.
 
         >>> EdgeProtocol().refusal(errors.ServiceError("busy", "Full."))[:2]
         (503, [('Retry-After', '1')])
         """
-        return d.status, [] if d.retry_after is None else [("Retry-After", str(d.retry_after))], d.body()
+        headers = [] if error.retry_after is None else [("Retry-After", str(error.retry_after))]
+        return error.status, headers, error.body()
 
     def list_path(self, token: str) -> str:
-        """Where the platform's list, or its page of that token, is asked for.
+        """Where the platform's worker list is asked for, or its page of this token.
 
         >>> EdgeProtocol().list_path("")
         '/workers'
@@ -355,7 +417,10 @@
         return WORKERS_PATH
 
     def page(self, raw: bytes) -> tuple[list[message.Worker], str]:
-        """A page of the platform's list: workers, and the next page's token or "".
+        """A page of the platform's worker list: workers, and the next page's token or "".
+
+        Raises:
+            ValueError: the page can't be read.
 
         >>> EdgeProtocol().page(b'{"workers": []}')
         ([], '')
@@ -365,13 +430,16 @@
     def load(self, raw: bytes) -> tuple[int, int]:
         """A worker's load report: requests that run there, and that wait.
 
+        Raises:
+            ValueError: the report can't be read.
+
         >>> EdgeProtocol().load(b'{"running": 3, "queued": 2}')
         (3, 2)
         """
         return load(raw)
 
     def ready(self, ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
-        """The answer to the platform's question whether a node is ready.
+        """The answer to the platform's question whether a node is ready: status and JSON body.
 
         >>> EdgeProtocol().ready(False, "stopping")
         (503, {'ready': False, 'why': 'stopping'})
--- a/simulation/platform_model.py
+++ b/simulation/platform_model.py
@@ -274,7 +274,7 @@
         process.reactor.listenTCP(o.port, wire.Listener(c.runtime, c.serve, log))
         process.reactor.listenTCP(
             CONTROL,
-            http_server.Server(c.runtime, configuration_api.Configuration(c).handle, connection_limit=o.connections),
+            http_server.Server(c.runtime, configuration_api.ConfigurationApi(c).handle, connection_limit=o.connections),
         )
         c.start()
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -282,7 +282,7 @@
 
     def call(self, method, path, body):
         _, runtime = new_machine()
-        server = http_server.Server(runtime, configuration_api.Configuration(Memory()).handle)
+        server = http_server.Server(runtime, configuration_api.ConfigurationApi(Memory()).handle)
         channel = server.buildProtocol(None)
         transport = Transport()
         channel.makeConnection(transport)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -72,7 +72,7 @@
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.core = Memory()
-        self.gateway = configuration_api.Configuration(self.core)
+        self.gateway = configuration_api.ConfigurationApi(self.core)
 
     def call(self, method, document=None, match=None, raw=None):
         def load():
