--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -57,8 +57,9 @@
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.message as message
 import iriswheel.transport.wire as wire
+import simulation.process_model as process_model
+import simulation.processor_meter as processor_meter
 import simulation.simulated_cluster as simulated_cluster
-import simulation.world as world
 
 S = units.SECOND_US
 ZONES = 10
@@ -963,12 +964,12 @@
         )
         self.worker_count, self.pool, self.pools, self.walking = listed, "model-0", pools, walking
         self.probing = False
-        self.standing: world.SimulatedProcess | None = None  # the process of all workers
-        self.meter = world.Meter()
+        self.standing: process_model.SimulatedProcess | None = None  # the process of all workers
+        self.meter = processor_meter.Meter()
 
     def start_worker(self, name: str, host: str) -> None:
         if self.standing is None:
-            self.standing = world.SimulatedProcess(self.world, "workers", self.machine("10.0.3.1", "zone0"))
+            self.standing = process_model.SimulatedProcess(self.world, "workers", self.machine("10.0.3.1", "zone0"))
             self.stand_in_runtime = self.standing.runtime()
         k = len(self.workers)
         w = self.workers[name] = stand_ins.Worker(self.stand_in_runtime, name, self.tape)
@@ -1024,7 +1025,7 @@
 
     def metered(self, seconds: int) -> dict[str, dict[str, float]]:
         """Let time pass with the meter on; what each process took, sent, got and spent a second."""
-        self.meter = world.Meter()
+        self.meter = processor_meter.Meter()
         gc.collect()
         gc.disable()
         one = statistics.median(spent(loop) for _ in range(5))
@@ -1356,7 +1357,7 @@
     quiet, still = f.metered(4), f.between(4)
     one = statistics.median(spent(loop) for _ in range(5))
     started_at = f.world.time
-    f.world.meter = f.meter = world.Meter()
+    f.world.meter = f.meter = processor_meter.Meter()
     gc.collect()
     gc.disable()
     happen(f, what)
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -357,7 +357,7 @@
         "seated": most(len(c.active) for c in cores),
         "left": most(len(c.issuer.left) for c in cores),
         "places": most(len(c.issuer.places) for c in cores),
-        "connections": len(t.world.conns),
+        "connections": len(t.world.connections),
     }
 
 
--- a/simulation/client_model.py
+++ b/simulation/client_model.py
@@ -27,8 +27,8 @@
     import twisted.internet.interfaces as interfaces
     import twisted.python.failure as failure
 
+    import simulation.network_model as network_model
     import simulation.simulated_cluster as simulated_cluster
-    import simulation.world as world
 
 
 MS, S = units.MILLISECOND_US, units.SECOND_US
@@ -244,7 +244,7 @@
             runtime.later(0, lambda: d.called or d.callback(line))
             return line
 
-        def clientConnectionFailed(self, connector: world.Connector, reason: failure.Failure) -> None:
+        def clientConnectionFailed(self, connector: network_model.Connector, reason: failure.Failure) -> None:
             if not d.called:
                 d.errback(reason)
 
--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -303,7 +303,7 @@
     names = {s.places[n][0]: n for n in [*s.cores, *s.nodes]}
     core_hosts = {s.places[c][0] for c in s.cores}
     hit = set()
-    for connection in list(s.world.conns.values()):
+    for connection in list(s.world.connections.values()):
         hosts = {side.process.host.host for side in connection.sides}
         if hosts & core_hosts and s.rng.random() < 0.5:
             hit |= {names[h] for h in hosts if h in names}
--- /dev/null
+++ b/simulation/disk_model.py
@@ -0,0 +1,86 @@
+"""Disks of simulated processes."""
+
+from __future__ import annotations
+
+import typing
+
+import twisted.internet.defer as defer
+
+import iriswheel.runtime.storage as storage
+
+if typing.TYPE_CHECKING:
+    import simulation.process_model as process_model
+    import simulation.world as world
+
+SYNC_US = 2_000  # the least time of a sync, and how much it varies
+TRAP_DELAY_US = 3_000  # within what time after a write's answer power is lost
+
+Puts = list[tuple[bytes, bytes | None]]
+
+
+class Disk:
+    """A host's disk as one process has it: its writes are synced in order, or lost with the process.
+
+    >>> import simulation.host_model, simulation.process_model, simulation.world
+    >>> world = simulation.world.World(1); host = simulation.host_model.Host(world, "h", "a")
+    >>> process = simulation.process_model.SimulatedProcess(world, "p", host)
+    >>> synced = Disk(process).commit([(b"k", b"v")]); host.synced
+    {}
+    >>> world.run(10_000); host.synced
+    {b'k': b'v'}
+    """
+
+    def __init__(self, process: process_model.SimulatedProcess) -> None:
+        self.process = process
+        self.host = process.host
+        self.busy_until = 0
+
+    def read(self) -> dict[bytes, bytes]:
+        """All records that were synced, in the order of their keys."""
+        return dict(sorted(self.host.synced.items()))
+
+    def write(self, puts: Puts) -> None:
+        """Sync records at once, as a process does while it starts."""
+        for key, value in puts:
+            if value is None:
+                self.host.synced.pop(key, None)
+            else:
+                self.host.synced[key] = value
+
+    def commit(self, puts: Puts) -> defer.Deferred[None]:
+        """Sync records after the time that the disk needs.
+
+        Args:
+            puts: The records by key; a value of None deletes one.
+
+        Returns:
+            Fires once the records are synced, or fails with `storage.DiskError` where the disk is full.
+        """
+        simulated_world: world.World = self.process.world
+        synced: defer.Deferred[None] = defer.Deferred()
+        cost = SYNC_US + simulated_world.rng.randrange(SYNC_US) + (self.host.slow_us if self.host.disk == "slow" else 0)
+        self.busy_until = max(self.busy_until, simulated_world.time) + cost
+        simulated_world.push(self.busy_until, lambda: self._sync(puts, synced))
+        return synced
+
+    def _sync(self, puts: Puts, synced: defer.Deferred[None]) -> None:
+        if not self.process.alive:
+            return
+        if self.host.disk == "stalled":
+            self.host.held.append(lambda: self._sync(puts, synced))
+            return
+        if self.host.disk == "full":
+            self.process.call(lambda: synced.errback(storage.DiskError("No space is left.")))
+            return
+        trap, self.host.trap = self.host.trap, None
+        if trap == "before sync":
+            self.host.spring(trap)
+            return
+        self.write(puts)
+        if trap == "after sync":
+            self.host.spring(trap)
+            return
+        self.process.call(lambda: synced.callback(None))
+        if trap is not None:
+            delay = self.process.world.rng.randrange(TRAP_DELAY_US)
+            self.process.world.push(self.process.world.time + delay, lambda: self.host.spring(trap))
--- /dev/null
+++ b/simulation/host_model.py
@@ -0,0 +1,80 @@
+"""Machines of a simulation."""
+
+from __future__ import annotations
+
+import collections
+import typing
+
+import simulation.virtual_timer as virtual_timer
+import simulation.world as world
+
+DiskCondition = typing.Literal["ok", "full", "slow", "stalled"]
+WriteStep = typing.Literal["before sync", "after sync", "after answer"]
+
+REPAIR_US = 1_000  # until a write that a stalled disk held up is carried out
+
+
+class Host:
+    """A machine: its power, zone, time of day, and the records on its disk.
+
+    >>> Host(world.World(1), "10.0.0.1", "a").power
+    True
+    """
+
+    def __init__(self, simulated_world: world.World, host: str, zone: str) -> None:
+        self.world, self.host, self.zone = simulated_world, host, zone
+        self.power = True
+        self.synced: dict[bytes, bytes] = {}
+        self.disk: DiskCondition = "ok"
+        self.slow_us = 400_000  # what each sync takes more on a slow disk
+        self.time_of_day_error = 0  # microseconds by which the time of day has jumped
+        self.held: collections.deque[world.Callback] = collections.deque()  # writes held up by a stalled disk
+        self.trap: WriteStep | None = None  # at which step of the next write power is lost
+        self.trap_sprung: WriteStep | None = None
+        simulated_world.machines[host] = self
+
+    def fail(self) -> None:
+        """Lose power: all processes end, and no peer is told."""
+        self.power = False
+        self.held.clear()
+        for process in self.world.processes.values():
+            if process.host is self:
+                process.alive = False
+                process.ports.clear()
+        for connection in list(self.world.connections.values()):
+            for side in connection.sides:
+                if side.process.host is self:
+                    side.state = "closed"
+                    connection.forget()
+
+    def spring(self, trap: WriteStep) -> None:
+        """Lose power at a chosen step of a write."""
+        if self.power:
+            self.trap_sprung = trap
+            self.fail()
+
+    def time_of_day(self) -> int:
+        """The machine's time of day in microseconds since the simulation's start; it may jump.
+
+        >>> host = Host(world.World(1), "h", "a"); host.set_time_of_day(-2_000_000); host.time_of_day()
+        -2000000
+        """
+        return self.world.time + self.time_of_day_error
+
+    def set_time_of_day(self, error: int) -> None:
+        """Set how far the time of day is off; timers that go by it become due early or late."""
+        self.time_of_day_error = error
+        events = sorted(self.world.heap, key=lambda event: (event.at, event.number))
+        timers = [getattr(event.function, "__self__", None) for event in events]
+        for timer in timers:
+            if not isinstance(timer, virtual_timer.Timer) or not timer.active():
+                continue
+            if timer.process is not None and timer.process.host is self:
+                timer.schedule()
+
+    def repair(self) -> None:
+        """Let a full, slow or stalled disk work again, and carry out the writes that it held up."""
+        self.disk = "ok"
+        held, self.held = self.held, collections.deque()
+        for write in held:
+            self.world.push(self.world.time + REPAIR_US, write)
--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -19,7 +19,7 @@
     import twisted.internet.base as base
 
     import iriswheel.runtime.scheduler as scheduler
-    import simulation.world as world
+    import simulation.virtual_timer as virtual_timer
 
 
 URGENCY = 5  # of a request that names none; 0 comes first
@@ -114,7 +114,7 @@
         self.owned = 0
         self.context = 0
         self.offered = 0
-        self.tick: base.DelayedCall | world.Timer | None = None
+        self.tick: base.DelayedCall | virtual_timer.Timer | None = None
         self.slower = 1.0  # a trouble's factor on each step
         self.stopped = False
         self.past: collections.deque[tuple[int, int, int, int]] = collections.deque([(0, 0, 0, 0)])
--- a/simulation/platform_model.py
+++ b/simulation/platform_model.py
@@ -22,8 +22,11 @@
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.wire as wire
 import simulation.client_model as client_model
+import simulation.disk_model as disk_model
+import simulation.host_model as host_model
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
+import simulation.process_model as process_model
 import simulation.serving as serving
 import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
@@ -180,9 +183,9 @@
 
     # ---- building -----------------------------------------------------------------------
 
-    def machine(self, name: str, host: str, zone: str) -> world.Host:
+    def machine(self, name: str, host: str, zone: str) -> host_model.Host:
         """The machine of a name, made when first named; it has power."""
-        m = self.world.machines.get(host) or world.Host(self.world, host, zone)
+        m = self.world.machines.get(host) or host_model.Host(self.world, host, zone)
         m.power = True
         self.places[name] = (host, zone)
         return m
@@ -251,7 +254,7 @@
         chosen = [c for c in self.seed_names or () if c in self.cores]
         return chosen or sorted(self.cores)
 
-    def machine_of(self, name: str) -> world.Host:
+    def machine_of(self, name: str) -> host_model.Host:
         """The machine of a name."""
         return self.world.machines[self.places[name][0]]
 
@@ -267,9 +270,9 @@
     def start_core(self, name: str) -> None:
         """Start a core machine's process, on the disk that is there."""
         host, zone = self.places[name]
-        process = world.SimulatedProcess(self.world, name, self.machine(name, host, zone))
+        process = process_model.SimulatedProcess(self.world, name, self.machine(name, host, zone))
         o = settings.translate("core", self.settings(name, "core"))
-        c = self.cores[name] = core.Core(process.runtime(), world.Disk(process), o)
+        c = self.cores[name] = core.Core(process.runtime(), disk_model.Disk(process), o)
         c.process = process
         process.reactor.listenTCP(o.port, wire.Listener(c.runtime, c.serve, log))
         process.reactor.listenTCP(
@@ -281,7 +284,7 @@
     def start_node(self, name: str) -> None:
         """Start a node's process."""
         host, zone = self.places[name]
-        process = world.SimulatedProcess(self.world, name, self.machine(name, host, zone))
+        process = process_model.SimulatedProcess(self.world, name, self.machine(name, host, zone))
         o = settings.translate("node", self.settings(name, "edge"))
         runtime = process.runtime()
         n = self.nodes[name] = node.Node(runtime, o, formats=formats.Formats(o.drain_us))
@@ -294,7 +297,7 @@
 
     def start_worker(self, name: str, host: str, zone: str, pool: str | None = None) -> serving.Worker:
         """Start a worker's new life, and list it."""
-        process = world.SimulatedProcess(self.world, name, self.machine(name, host, zone))
+        process = process_model.SimulatedProcess(self.world, name, self.machine(name, host, zone))
         speed = 0.93 + 0.14 * self.rng.random()
         w = serving.Worker(
             process.runtime(),
@@ -320,13 +323,17 @@
     def begin(self, lead: int = 12) -> None:
         """Start everything, send the first configuration, and let the traffic begin."""
         sh = self.shape
-        list_proc = world.SimulatedProcess(self.world, "provider", self.machine("provider", PROVIDER, sh.cores[0]))
+        list_proc = process_model.SimulatedProcess(
+            self.world, "provider", self.machine("provider", PROVIDER, sh.cores[0])
+        )
         self.listing = serving.Listing(list_proc.runtime(), self.tape, page=3 if len(sh.workers) < 10 else 25)
         list_proc.reactor.listenTCP(LIST, self.listing)
-        outside = world.SimulatedProcess(self.world, "outside", world.Host(self.world, "10.9.0.1", "far"))
+        outside = process_model.SimulatedProcess(self.world, "outside", host_model.Host(self.world, "10.9.0.1", "far"))
         self.out = outside.runtime()
         self.entry = client_model.VirtualAddress(self.out, self.tape)
-        operator_site = world.SimulatedProcess(self.world, "office", world.Host(self.world, "10.9.0.2", "far"))
+        operator_site = process_model.SimulatedProcess(
+            self.world, "office", host_model.Host(self.world, "10.9.0.2", "far")
+        )
         self.operator_site = operator_site.runtime()
         for k, zone in enumerate(sh.workers, 1):
             self.start_worker(f"w{k}", f"10.128.0.{k}", zone)
@@ -598,7 +605,7 @@
         """Do something after a while, whatever the scenario does meanwhile."""
         self.world.push(self.world.time + int(seconds * S), lambda: f(*args))
 
-    def process(self, name: str) -> world.SimulatedProcess:
+    def process(self, name: str) -> process_model.SimulatedProcess:
         """The process of a name."""
         return (self.nodes.get(name) or self.cores.get(name) or self.workers[name]).process
 
@@ -651,7 +658,7 @@
         """Reset a share of the connections between machines of ours."""
         names = {self.places[n][0]: n for n in [*self.nodes, *self.cores]}
         hit = set()
-        for connection in list(self.world.conns.values()):
+        for connection in list(self.world.connections.values()):
             ends = [names.get(side.process.host.host) for side in connection.sides]
             if all(ends) and self.rng.random() < share:
                 hit.update(ends)
--- /dev/null
+++ b/simulation/process_model.py
@@ -0,0 +1,74 @@
+"""Processes of a simulation."""
+
+from __future__ import annotations
+
+import functools
+import typing
+
+import iriswheel.runtime.scheduler as scheduler
+import simulation.reactor_model as reactor_model
+
+if typing.TYPE_CHECKING:
+    import twisted.internet.protocol as protocol
+
+    import simulation.host_model as host_model
+    import simulation.world as world
+
+
+class SimulatedProcess:
+    """One process on a host: its reactor, its listening ports, and whether it is alive or frozen.
+
+    >>> import simulation.host_model, simulation.world
+    >>> world = simulation.world.World(1)
+    >>> process = SimulatedProcess(world, "p", simulation.host_model.Host(world, "h", "a"))
+    >>> process.alive, process.frozen
+    (True, False)
+    """
+
+    def __init__(self, simulated_world: world.World, name: str, host: host_model.Host) -> None:
+        self.world, self.name, self.host = simulated_world, name, host
+        self.alive, self.frozen = True, False
+        self.backlog: list[world.Callback] = []  # what became due while frozen
+        self.ports: dict[int, protocol.Factory] = {}
+        self.reactor = reactor_model.Reactor(self)
+        self.incarnations: int = getattr(simulated_world.processes.get(name), "incarnations", 0) + 1
+        simulated_world.processes[name] = self
+
+    def runtime(self) -> scheduler.Runtime:
+        """A runtime for the code under test; its clock does not follow jumps of the time of day. Draws randomness."""
+        seed = f"{self.world.rng.random()}-{self.name}-{self.incarnations}"
+        return scheduler.Runtime(self.reactor, now=lambda: self.world.time, seed=seed)
+
+    def may_run(self, function: world.Callback) -> bool:
+        """Whether the process runs now; where it is frozen the function is kept until it wakes."""
+        if not self.alive:
+            return False
+        if self.frozen:
+            self.backlog.append(function)
+            return False
+        return True
+
+    def call(self, function: world.Callback) -> None:
+        """Run a function in this process, now or when it wakes."""
+        if self.may_run(function):
+            self.world.play(self, function)
+
+    def kill(self) -> None:
+        """End the process at once; its host's kernel resets its connections."""
+        self.alive = False
+        self.ports.clear()
+        for connection in list(self.world.connections.values()):
+            for side in connection.sides:
+                if side.process is self:
+                    side.reset()
+
+    def freeze(self) -> None:
+        """Stop the process without ending it."""
+        self.frozen = True
+
+    def wake(self) -> None:
+        """Let a frozen process go on."""
+        self.frozen = False
+        backlog, self.backlog = self.backlog, []
+        for function in backlog:
+            self.world.push(self.world.time, functools.partial(self.call, function))
--- /dev/null
+++ b/simulation/reactor_model.py
@@ -0,0 +1,72 @@
+"""The reactor that the code under test runs on; its methods have the names and the contract of Twisted's."""
+
+from __future__ import annotations
+
+import functools
+import typing
+
+import twisted.internet.address as address
+
+import iriswheel.runtime.units as units
+import simulation.network_model as network_model
+import simulation.virtual_timer as virtual_timer
+
+if typing.TYPE_CHECKING:
+    import twisted.internet.protocol as protocol
+
+    import simulation.process_model as process_model
+    import simulation.world as world
+
+FIRST_EPHEMERAL_PORT = 40_000
+
+
+class Port:
+    """A listening port, as a reactor's `listenTCP` returns it."""
+
+    def __init__(self, reactor: Reactor, port: int, factory: protocol.Factory) -> None:
+        self.reactor, self.port, self.factory = reactor, port, factory
+
+    def getHost(self) -> address.IPv4Address:
+        return address.IPv4Address("TCP", self.reactor.process.host.host, self.port)
+
+
+class Reactor:
+    """The reactor of one simulated process: the clock and the sockets that Twisted code asks for."""
+
+    def __init__(self, process: process_model.SimulatedProcess) -> None:
+        self.process = process
+        self.next_port = FIRST_EPHEMERAL_PORT
+
+    def clock(self) -> int:
+        """The time that timers go by, in microseconds: since boot, as in `service.the_reactor`.
+
+        A guard test puts the time of day in its place.
+        """
+        return self.process.world.time
+
+    def seconds(self) -> float:
+        return self.clock() / units.SECOND_US
+
+    def callLater(
+        self, seconds: float, function: world.Callback, *arguments: typing.Any, **keywords: typing.Any
+    ) -> virtual_timer.Timer:
+        due_at = self.clock() + int(seconds * units.SECOND_US)
+        if keywords:
+            function, arguments = functools.partial(function, *arguments, **keywords), ()
+        timer = virtual_timer.Timer(self.process.world, due_at, function, arguments)
+        timer.process = self.process
+        timer.schedule()
+        return timer
+
+    def listenTCP(self, port: int, factory: protocol.Factory, backlog: int = 50, interface: str = "") -> Port:
+        if port == 0:
+            self.next_port += 1
+            port = self.next_port
+        factory.doStart()
+        self.process.ports[port] = factory
+        return Port(self, port, factory)
+
+    def connectTCP(
+        self, host: str, port: int, factory: protocol.ClientFactory, timeout: float = 30, bindAddress: None = None
+    ) -> network_model.Connector:
+        return network_model.Connector(self.process, host, port, factory, timeout)
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -25,9 +25,10 @@
 import msgspec
 
 import iriswheel.consensus.decisions as decisions
+import simulation.host_model as host_model
 import simulation.platform_model as platform_model
 import simulation.platform_rules as platform_rules
-import simulation.world as world
+import simulation.process_model as process_model
 
 if typing.TYPE_CHECKING:
     import iriswheel.control.core as core
@@ -141,7 +142,7 @@
         self.rng = self.site.rng
         self.joining = ""  # the name of the machine that the first loss brings
         self.leaving: set[str] = set()  # the names of machines that have a successor, and are about to be stopped
-        self.before: world.SimulatedProcess | None = None  # the process that had this name before
+        self.before: process_model.SimulatedProcess | None = None  # the process that had this name before
         self.reached_us: int | None = None
         self.leased_at: typing.Any = None
         self.acknowledged: list[tuple[int, int]] = []  # (sent, answered) of each acknowledged change
@@ -223,7 +224,7 @@
         """Let a machine's disk be slow, also where the machine is yet to come."""
         host, zone = self.site.places[name]
         if host not in self.site.world.machines:
-            world.Host(self.site.world, host, zone).power = False
+            host_model.Host(self.site.world, host, zone).power = False
         disk = self.site.world.machines[host]
         disk.disk, disk.slow_us = "slow", SLOW_SYNC_US
 
--- a/simulation/serving.py
+++ b/simulation/serving.py
@@ -27,7 +27,7 @@
     import twisted.python.failure as failure
 
     import simulation.simulated_cluster as simulated_cluster
-    import simulation.world as world
+    import simulation.virtual_timer as virtual_timer
 
 
 MS, S = units.MILLISECOND_US, units.SECOND_US
@@ -78,7 +78,7 @@
         self.up = False
         self.busy: ServedRequest | None = None  # what the server works on, or None
         self.ahead: collections.deque[typing.Any] = collections.deque()
-        self.idle: world.Timer | None = None
+        self.idle: virtual_timer.Timer | None = None
         self.closing = False
         self.dropped = False  # silently: what comes next is reset
         self.served = 0
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -26,6 +26,9 @@
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.wire as wire
 import iriswheel.verification.linearizability as linearizability
+import simulation.disk_model as disk_model
+import simulation.host_model as host_model
+import simulation.process_model as process_model
 import simulation.world as world
 
 if typing.TYPE_CHECKING:
@@ -122,15 +125,15 @@
 
     # ---- building -----------------------------------------------------------------
 
-    def machine(self, host: str, zone: str) -> world.Host:
+    def machine(self, host: str, zone: str) -> host_model.Host:
         """The machine of a host, made when first named."""
-        return self.world.machines.get(host) or world.Host(self.world, host, zone)
+        return self.world.machines.get(host) or host_model.Host(self.world, host, zone)
 
     def begin(self) -> None:
         """Start everything and let the configuration be confirmed."""
         zones = sorted(set(self.zones))
         self.seeds = [f"10.0.1.{k}:{PEER}" for k in range(1, min(3, self.core_count) + 1)]
-        self.platform_proc = world.SimulatedProcess(self.world, "platform", self.machine("10.0.4.1", zones[0]))
+        self.platform_proc = process_model.SimulatedProcess(self.world, "platform", self.machine("10.0.4.1", zones[0]))
         self.platform = stand_ins.Platform(self.platform_proc.runtime(), self.tape)
         self.listen(self.platform_proc, 9000, http_server.Server(self.platform.runtime, self.platform.handle))
         for k in range(1, self.worker_count + 1):
@@ -140,8 +143,8 @@
         for k, zone_name in enumerate(self.zones, 1):
             self.start_node(f"n{k}", f"10.0.2.{k}", zone_name)
         self.platform.runtime.spawn(self.platform.poll_nodes(), log)
-        self.callers = world.SimulatedProcess(self.world, "callers", self.machine("10.9.0.1", "far"))
-        self.operator_site = world.SimulatedProcess(self.world, "office", self.machine("10.9.0.2", "far"))
+        self.callers = process_model.SimulatedProcess(self.world, "callers", self.machine("10.9.0.1", "far"))
+        self.operator_site = process_model.SimulatedProcess(self.world, "office", self.machine("10.9.0.2", "far"))
         self.operator_runtime = self.operator_site.runtime()
         self.operator = Operator(self, self.operator_runtime, "boss")
         first = self.operator_runtime.spawn(self.operator.change(self.with_probe(0)), log)
@@ -162,17 +165,19 @@
         self.load_done = runtime.spawn(self.load.run(), log)
         runtime.spawn(self.probe_all(runtime), log)
 
-    def listen(self, process: world.SimulatedProcess, port: int, factory: http_server.Server | wire.Listener) -> None:
+    def listen(
+        self, process: process_model.SimulatedProcess, port: int, factory: http_server.Server | wire.Listener
+    ) -> None:
         """Let a process listen."""
         process.reactor.listenTCP(port, factory)
 
     def place(
         self, role: str, name: str, host: str, zone: str, **more: str
-    ) -> tuple[world.SimulatedProcess, scheduler.Runtime, options.Options]:
+    ) -> tuple[process_model.SimulatedProcess, scheduler.Runtime, options.Options]:
         """A new process on a machine with power, its Machine object and its options."""
         m = self.machine(host, zone)
         m.power = True
-        process = world.SimulatedProcess(self.world, name, m)
+        process = process_model.SimulatedProcess(self.world, name, m)
         self.options[name] = (host, zone)
         o = options.Options(
             role,
@@ -191,7 +196,7 @@
     def start_core(self, name: str, host: str, zone: str) -> None:
         """Start a core machine's process, on the disk that is there."""
         process, runtime, o = self.place("core", name, host, zone, data="sim")
-        c = self.cores[name] = core.Core(runtime, world.Disk(process), o)
+        c = self.cores[name] = core.Core(runtime, disk_model.Disk(process), o)
         c.process = process
         self.listen(process, PEER, wire.Listener(runtime, c.serve, log))
         self.listen(process, HTTP, http_server.Server(runtime, c.handle))
@@ -209,7 +214,7 @@
 
     def start_worker(self, name: str, host: str) -> None:
         """Start a worker and list it."""
-        process = world.SimulatedProcess(self.world, name, self.machine(host, sorted(set(self.zones))[0]))
+        process = process_model.SimulatedProcess(self.world, name, self.machine(host, sorted(set(self.zones))[0]))
         runtime = process.runtime()
         w = self.workers[name] = stand_ins.Worker(runtime, name, self.tape)
         w.process, w.host = process, host
--- /dev/null
+++ b/simulation/virtual_timer.py
@@ -0,0 +1,81 @@
+"""Delayed calls of a simulated reactor."""
+
+from __future__ import annotations
+
+import typing
+
+import twisted.internet.error as error
+
+import iriswheel.runtime.units as units
+
+if typing.TYPE_CHECKING:
+    import simulation.process_model as process_model
+    import simulation.world as world
+
+TimerState = typing.Literal["due", "done", "cancelled"]
+
+
+class Timer:
+    """A delayed call as a reactor's `callLater` returns it.
+
+    >>> import simulation.world as world
+    >>> timer = Timer(world.World(1), 5, print, ()); timer.cancel(); timer.active()
+    False
+    """
+
+    def __init__(
+        self, simulated_world: world.World, due_at: int, function: world.Callback, arguments: tuple[typing.Any, ...]
+    ) -> None:
+        self.world, self.due_at = simulated_world, due_at
+        self.function, self.arguments = function, arguments
+        self.state: TimerState = "due"
+        self.process: process_model.SimulatedProcess | None = None
+
+    def active(self) -> bool:
+        """Whether the call is still due.
+
+        >>> import simulation.world as world
+        >>> Timer(world.World(1), 5, print, ()).active()
+        True
+        """
+        return self.state == "due"
+
+    def cancel(self) -> None:
+        """Withdraw the call.
+
+        Raises:
+            twisted.internet.error.AlreadyCalled: the call was made.
+            twisted.internet.error.AlreadyCancelled: the call was cancelled before.
+        """
+        if self.state != "due":
+            raise error.AlreadyCalled() if self.state == "done" else error.AlreadyCancelled()
+        self.state = "cancelled"
+
+    def getTime(self) -> float:
+        """The time at which the call is due, in seconds."""
+        return self.due_at / units.SECOND_US
+
+    def reset(self, seconds: float) -> None:
+        """Make the call due a number of seconds from now."""
+        self.due_at = self._now() + int(seconds * units.SECOND_US)
+        self.schedule()
+
+    def delay(self, seconds: float) -> None:
+        """Make the call due a number of seconds later than it was."""
+        self.due_at += int(seconds * units.SECOND_US)
+        self.schedule()
+
+    def schedule(self) -> None:
+        """Ask the world to try the call at the time it is due by the reactor's clock, which may jump until then."""
+        self.world.push(self.world.time + max(0, self.due_at - self._now()), self._fire)
+
+    def _now(self) -> int:
+        return self.world.time if self.process is None else self.process.reactor.clock()
+
+    def _fire(self) -> None:
+        if self.state != "due" or self._now() < self.due_at:
+            return
+        if self.process is not None and not self.process.may_run(self._fire):
+            return
+        self.state = "done"
+        self.world.play(self.process, self.function, *self.arguments)
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -11,7 +11,9 @@
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 import iriswheel.transport.http_server as http_server
+import simulation.host_model as host_model
 import simulation.platform_model as platform_model
+import simulation.process_model as process_model
 import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
 
@@ -25,7 +27,9 @@
     def start_node(self) -> None:
         self.world = world.World(5)
         self.tape = simulated_cluster.EventLog()
-        process = self.process = world.SimulatedProcess(self.world, "n1", world.Host(self.world, "10.0.2.1", "a"))
+        process = self.process = process_model.SimulatedProcess(
+            self.world, "n1", host_model.Host(self.world, "10.0.2.1", "a")
+        )
         self.runtime = process.runtime()
         self.follower = types.SimpleNamespace(workers=[], states={}, state=lambda name: "ready")
         self.tally = retry_budget.Budget(slack=9)
@@ -42,7 +46,7 @@
         self.forwarder = forwarding.Forwarder(self.node)
         process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.outer))
         self.runtime.spawn(self.forwarder.look(), None)
-        self.near = world.SimulatedProcess(self.world, "near", world.Host(self.world, "10.9.0.1", "a"))
+        self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.9.0.1", "a"))
         self.workers = []
         self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * S)
 
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -12,6 +12,9 @@
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
 import iriswheel.transport.wire as wire
+import simulation.disk_model as disk_model
+import simulation.host_model as host_model
+import simulation.process_model as process_model
 import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
 
@@ -63,16 +66,16 @@
 
     def __init__(self, network, name, entries=(), copies=2):
         self.network, self.name, self.copies = network, name, copies
-        self.host = world.Host(network.world, name, "a")
+        self.host = host_model.Host(network.world, name, "a")
         for e in entries:
             self.host.synced[b"e%016d" % e.index] = chain.pack(e)
         self.start()
 
     def start(self):
         """Begin a new life on the disk that is there."""
-        self.process = world.SimulatedProcess(self.network.world, self.name, self.host)
+        self.process = process_model.SimulatedProcess(self.network.world, self.name, self.host)
         self.runtime = self.process.runtime()
-        disk = world.Disk(self.process)
+        disk = disk_model.Disk(self.process)
         state = disk.read()
         guard = storage.MonitoredDisk(self.runtime, disk)
         raw = state.get(b"council")
@@ -124,7 +127,7 @@
     def assert_same(self, one, other):
         assert (other.chain.synced, other.chain.latest_state.view) == (one.chain.synced, one.chain.latest_state.view)
         assert other.chain.latest_state.items == one.chain.latest_state.items
-        state = world.Disk(other.process).read()
+        state = disk_model.Disk(other.process).read()
         reread = chain.Chain(other.runtime, None, state, None)
         assert (reread.latest_state.index, reread.latest_state.items) == (
             one.chain.latest_state.index,
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -6,8 +6,10 @@
 import iriswheel.dataplane.worker_connections as worker_connections
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
+import simulation.host_model as host_model
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
+import simulation.process_model as process_model
 import simulation.serving as serving
 import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
@@ -44,14 +46,14 @@
     def set_up(self) -> None:
         self.world = world.World(3)
         self.tape = simulated_cluster.EventLog()
-        process = world.SimulatedProcess(self.world, "w1", world.Host(self.world, "10.0.3.1", "a"))
+        process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
         self.worker = serving.Worker(
             process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), idle_us=700 * MS
         )
         self.worker.closes = 0
         self.worker.silent_drop = True
         process.reactor.listenTCP(8080, self.worker)
-        near = world.SimulatedProcess(self.world, "n1", world.Host(self.world, "10.0.2.1", "a"))
+        near = process_model.SimulatedProcess(self.world, "n1", host_model.Host(self.world, "10.0.2.1", "a"))
         self.lines = worker_connections.ConnectionPool(near.runtime())
         self.at = message.Worker(self.worker.id, "10.0.3.1", 8080, "desk", "ready", 0)
 
--- a/tests/test_core_days.py
+++ b/tests/test_core_days.py
@@ -16,8 +16,11 @@
 import pytest
 
 import simulation.core_days as core_days
+import simulation.host_model as host_model
 import simulation.platform_days as platform_days
 import simulation.platform_rules as platform_rules
+import simulation.process_model as process_model
+import simulation.reactor_model as reactor_model
 import simulation.world as world
 
 
@@ -25,7 +28,7 @@
     return self.process.host.time_of_day()
 
 
-GUARDS = {"": (), "steady_timers": ((world.Reactor, "clock", _time_of_day),)}
+GUARDS = {"": (), "steady_timers": ((reactor_model.Reactor, "clock", _time_of_day),)}
 # day, seed, shape, share of the usual load, guard that is taken out
 KEPT = [("time_of_day", 1, "magnolia", 0.1, ""), ("core_drawn", 3, "magnolia", 0.05, "")]
 FOUND = [("lose_tail", 2, "swan", 0.05, "")]
@@ -69,8 +72,8 @@
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.world = world.World(1)
-        self.machine = world.Host(self.world, "h", "a")
-        self.reactor = world.SimulatedProcess(self.world, "p", self.machine).reactor
+        self.machine = host_model.Host(self.world, "h", "a")
+        self.reactor = process_model.SimulatedProcess(self.world, "p", self.machine).reactor
         self.rung = []
 
     def ring(self):
@@ -83,7 +86,7 @@
         assert self.rung == [core_days.S]
 
     def test_timers_by_the_time_of_day_ring_late_and_early(self) -> None:
-        with mock.patch.object(world.Reactor, "clock", _time_of_day):
+        with mock.patch.object(reactor_model.Reactor, "clock", _time_of_day):
             self.reactor.callLater(1, self.ring)
             self.machine.set_time_of_day(-core_days.JUMP_US)
             self.world.run(6 * core_days.S)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -17,10 +17,10 @@
 import iriswheel.node.follower as follower
 import iriswheel.node.node as node
 import iriswheel.runtime.units as units
+import simulation.disk_model as disk_model
 import simulation.platform_days as platform_days
 import simulation.platform_model as platform_model
 import simulation.platform_rules as platform_rules
-import simulation.world as world
 
 CLEAN = [
     ("calm", 1, "magnolia"),
@@ -115,7 +115,7 @@
     "routes": ([(follower.Follower, "find", lambda self, host, path: None)], "calm", 1, "denied"),
     "news": ([(follower.Follower, "apply_items", _first_items)], "changes", 1, "config"),
     "budget": ([(retry_budget.Budget, "has_capacity", lambda self, now: True)], "all_fail", 1, "budget"),
-    "disk": ([(world.Disk, "read", lambda self: {})], "closing_power", 1, "config"),
+    "disk": ([(disk_model.Disk, "read", lambda self: {})], "closing_power", 1, "config"),
 }
 OWN = {  # days that only a guard's absence needs
     "some_fail": lambda s: (s.go(2), s.make_unhealthy(s.live_workers(), 8, garble=0.3)),
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -10,6 +10,9 @@
 import iriswheel.consensus.view_consensus as view_consensus
 import iriswheel.runtime.storage as storage
 import iriswheel.transport.message as message
+import simulation.disk_model as disk_model
+import simulation.host_model as host_model
+import simulation.process_model as process_model
 import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
 
@@ -23,15 +26,15 @@
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.world = world.World(1)
-        self.host = world.Host(self.world, "10.0.1.2", "a")
+        self.host = host_model.Host(self.world, "10.0.1.2", "a")
         self.start()
         self.wait(self.consensus.adopt(self.epoch(1)))
         self.world.run(self.world.time + 2 * S)  # a restarted voter waits one lease before it promises
 
     def start(self):
-        self.process = world.SimulatedProcess(self.world, "b", self.host)
+        self.process = process_model.SimulatedProcess(self.world, "b", self.host)
         runtime = self.process.runtime()
-        self.disk = world.Disk(self.process)
+        self.disk = disk_model.Disk(self.process)
         state = self.disk.read()
         record = (
             view_consensus.msgspec.msgpack.decode(state[b"council"], type=decisions.Record)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -3,10 +3,11 @@
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
 import simulation.client_model as client_model
+import simulation.host_model as host_model
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
+import simulation.process_model as process_model
 import simulation.serving as serving
-import simulation.world as world
 import tests.node_fixture as node_fixture
 
 S = units.SECOND_US
@@ -16,7 +17,7 @@
 class TestCarrying(node_fixture.NodeFixture):
     def worker(self, **faults):
         k = len(self.workers) + 1
-        process = world.SimulatedProcess(self.world, f"w{k}", world.Host(self.world, f"10.0.3.{k}", "a"))
+        process = process_model.SimulatedProcess(self.world, f"w{k}", host_model.Host(self.world, f"10.0.3.{k}", "a"))
         w = serving.Worker(
             process.runtime(), f"w{k}", "desk", self.tape, inference_engine.Figures(enter_us=0), conns=50
         )
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -19,8 +19,10 @@
 import iriswheel.errors as errors
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
+import simulation.host_model as host_model
+import simulation.network_model as network_model
 import simulation.platform_names as platform_names
-import simulation.world as world
+import simulation.process_model as process_model
 import tests.node_fixture as node_fixture
 
 S = units.SECOND_US
@@ -114,7 +116,7 @@
         self.born += 1
         number = self.born
         host = f"10.0.3.{number}"
-        process = world.SimulatedProcess(self.world, f"w{number}", world.Host(self.world, host, "a"))
+        process = process_model.SimulatedProcess(self.world, f"w{number}", host_model.Host(self.world, host, "a"))
         worker = ScriptedWorker(script)
         worker.process = process
         process.reactor.listenTCP(80, worker)
@@ -332,7 +334,7 @@
         assert self.forwarder.lines.open == {}
 
     def test_a_connection_that_a_slow_client_paused_is_read_again(self) -> None:
-        size = 4 * world.WINDOW
+        size = 4 * network_model.WINDOW_BYTES
 
         def script(connection, attempt):
             if attempt == "a1":
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -9,6 +9,8 @@
 import twisted.internet.testing as testing
 
 import iriswheel.transport.wire as wire
+import simulation.host_model as host_model
+import simulation.process_model as process_model
 import simulation.world as world
 import tests.recorded as recorded
 
@@ -28,7 +30,9 @@
     """A real connection that keeps the messages it hands on, encoded again."""
 
     def __init__(self) -> None:
-        process = world.SimulatedProcess(world.World(1), "receiver", world.Host(world.World(1), "10.0.0.1", "zone"))
+        process = process_model.SimulatedProcess(
+            world.World(1), "receiver", host_model.Host(world.World(1), "10.0.0.1", "zone")
+        )
         self.received: list[str] = []
         self.connection = wire.Connection(process.runtime(), self.keep, loguru.logger)
         self.transport = Transport()
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -7,8 +7,10 @@
 import twisted.internet.protocol as protocol
 
 import iriswheel.runtime.units as units
+import simulation.host_model as host_model
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
+import simulation.process_model as process_model
 import simulation.serving as serving
 import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
@@ -62,13 +64,13 @@
     def set_up(self) -> None:
         self.world = world.World(5)
         self.tape = simulated_cluster.EventLog()
-        self.process = world.SimulatedProcess(self.world, "w1", world.Host(self.world, "10.0.3.1", "a"))
+        self.process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
         self.worker = serving.Worker(
             self.process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), conns=5
         )
         self.worker.closes = self.worker.lingers = 0
         self.process.reactor.listenTCP(8080, self.worker)
-        self.near = world.SimulatedProcess(self.world, "near", world.Host(self.world, "10.0.2.1", "a"))
+        self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.0.2.1", "a"))
 
     def go(self, ms):
         self.world.run(self.world.time + ms * MS)
@@ -231,7 +233,7 @@
             assert json.loads(d.answers[-1].body)[platform_names.REPORT["running"]] == running
 
     def test_the_list_comes_late_in_pages_and_at_a_rate(self) -> None:
-        process = world.SimulatedProcess(self.world, "list", world.Host(self.world, "10.0.4.1", "a"))
+        process = process_model.SimulatedProcess(self.world, "list", host_model.Host(self.world, "10.0.4.1", "a"))
         listing = serving.Listing(process.runtime(), self.tape, page=2, rate=4)
         process.reactor.listenTCP(9000, listing)
         for k in range(5):
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -11,8 +11,8 @@
 import iriswheel.pools.claims as claims
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.message as message
+import simulation.network_model as network_model
 import simulation.simulated_cluster as simulated_cluster
-import simulation.world as world
 import tests.conftest as conftest
 
 S = simulated_cluster.S
@@ -119,14 +119,14 @@
         for w in t.workers.values():
             w.process.ports.clear()
             t.listen(w.process, 9001, http_server.Server(w.runtime, flood))
-        held = property(lambda side: side.producer_paused or side.flying > world.WINDOW)
-        monkeypatch.setattr(world.ConnectionSide, "producer_held", held, raising=False)
+        held = property(lambda side: side.producer_paused or side.bytes_in_flight > network_model.WINDOW_BYTES)
+        monkeypatch.setattr(network_model.ConnectionSide, "producer_held", held, raising=False)
         assert held is not None
         box = self.query(t)
         assert t.until(lambda: len(box) > 1 and box[1][2].first, 5)
         box[1][2].transport.pauseProducing()
         t.go(5)
-        assert sum(sent) < 12 * world.WINDOW
+        assert sum(sent) < 12 * network_model.WINDOW_BYTES
         box[1][2].transport.resumeProducing()
         assert t.until(lambda: box[1][3].called, 30)
         assert sum(map(len, box[1][2].raw)) == 200 * 16_384
