--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -20,8 +20,17 @@
 import iriswheel.runtime.units as units
 
 if typing.TYPE_CHECKING:
+    import collections.abc
+
     import twisted.internet.defer as defer
 
+Write: typing.TypeAlias = tuple[bytes, bytes | None]  # a key and its value; None removes the key
+
+INITIAL_MAP_BYTES = 1 << 28
+STALL_US = 1 * units.SECOND_US
+WATCH_INTERVAL_US = 250 * units.MILLISECOND_US
+RETRY_INTERVAL_US = units.SECOND_US
+PROBE_KEY = b"probe"
 
 log = loguru.logger.bind(part="disk")
 
@@ -32,14 +41,21 @@
     code = "disk"
 
 
+class SyncedWrites(typing.Protocol):
+    """A data folder as the running process writes to it."""
+
+    def commit(self, writes: list[Write], /) -> collections.abc.Awaitable[object]:
+        """Write pairs in order; done once they are synced, fails with DiskError where they are not."""
+
+
 def sync_folders(path: str, top: str) -> None:
     """Sync a folder and those above it up to `top`: files made in them then outlive a loss of power."""
     while True:
-        handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
         if path == top or path == os.path.dirname(path):
             return
         path = os.path.dirname(path)
@@ -60,6 +76,11 @@
 class Disk:
     """A data folder on a real disk.
 
+    Args:
+        folder: Made by `open` where it is missing.
+        reactor: Whose thread must not wait for the disk; None where nothing is written by `commit`.
+        size: Bytes that the database may hold before its map grows.
+
     >>> import tempfile
     >>> with tempfile.TemporaryDirectory() as d:
     ...     disk = Disk(d); disk.open()
@@ -69,11 +90,12 @@
     {b'b': b'2'}
     """
 
-    def __init__(self, folder: str, reactor: typing.Any = None, size: int = 1 << 28) -> None:
+    def __init__(self, folder: str, reactor: typing.Any = None, size: int = INITIAL_MAP_BYTES) -> None:
         self.folder = folder
         self.reactor = reactor
         self.size = size
         self.pool = threadpool.ThreadPool(0, 1, name="disk")
+        self.env: lmdb.Environment | None = None
 
     def open(self) -> None:
         """Open the folder, made where it is missing; a second process is refused.
@@ -81,6 +103,9 @@
         All that is made here is synced with its folders before anything is written: the database's own
         sync does not cover the names of its files.
 
+        Raises:
+            DiskError: The folder can't be made or opened, or another process has it.
+
         >>> Disk("/proc/none").open()
         Traceback (most recent call last):
         ...
@@ -89,30 +114,32 @@
         try:
             top = nearest_folder(os.path.abspath(self.folder))
             os.makedirs(self.folder, exist_ok=True)
-            self.lock = open(os.path.join(self.folder, "lock"), "w")
+            self.lock = open(os.path.join(self.folder, "lock"), "w")  # noqa: SIM115 - stays open as long as the process
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             path = self._path()
             with contextlib.suppress(FileNotFoundError):  # it may have grown in an earlier life
                 self.size = max(self.size, 2 * os.path.getsize(os.path.join(path, "data.mdb")))
-            self._open_environment()
+            self._environment()
             sync_folders(os.path.abspath(path), top)
-        except (OSError, lmdb.Error) as e:
-            raise DiskError(f"The data folder can't be used: {e}") from e
+        except (OSError, lmdb.Error) as error:
+            raise DiskError(f"The data folder can't be used: {error}") from error
         if self.reactor is not None:
             self.pool.start()
 
     def _path(self) -> str:
         return os.path.join(self.folder, "state")
 
-    def _open_environment(self) -> None:
-        self.env = lmdb.open(self._path(), map_size=self.size, sync=True)
+    def _environment(self) -> lmdb.Environment:
+        if self.env is None:
+            self.env = lmdb.open(self._path(), map_size=self.size, sync=True)
+        return self.env
 
     def read(self) -> dict[bytes, bytes]:
         """All that is on the disk."""
-        with self.env.begin() as txn:
-            return {bytes(k): bytes(v) for k, v in txn.cursor()}
+        with self._environment().begin() as transaction:
+            return {bytes(key): bytes(value) for key, value in transaction.cursor()}
 
-    def write(self, puts: list[tuple[bytes, bytes | None]]) -> None:
+    def write(self, writes: list[Write]) -> None:
         """Write pairs in one synced transaction; a value of None removes.
 
         The map grows with what is in it: only the disk itself can be full.
@@ -125,89 +152,91 @@
         """
         while True:
             try:
-                self._write(puts)
+                self._write(writes)
                 return
             except lmdb.MapFullError:
                 self.size *= 2
-                self.env.set_mapsize(self.size)
+                self._environment().set_mapsize(self.size)
                 log.info("The map grows to {} MiB.", self.size >> 20)
 
-    def _write(self, puts: list[tuple[bytes, bytes | None]]) -> None:
+    def _write(self, writes: list[Write]) -> None:
         try:
-            if self.env is None:
-                self._open_environment()
-            with self.env.begin(write=True) as txn:
-                for key, value in puts:
+            with self._environment().begin(write=True) as transaction:
+                for key, value in writes:
                     if value is None:
-                        txn.delete(key)
+                        transaction.delete(key)
                     else:
-                        txn.put(key, value)
+                        transaction.put(key, value)
         except lmdb.MapFullError:
-            raise
-        except lmdb.PanicError as e:
+            raise  # `write` lets the map grow
+        except lmdb.PanicError as error:
             # a commit that failed at its last page leaves the environment unusable until it is opened anew
+            self._close_environment()
+            raise DiskError(str(error)) from error
+        except (OSError, lmdb.Error) as error:
+            raise DiskError(str(error)) from error
+
+    def _close_environment(self) -> None:
+        if self.env is not None:
             self.env.close()
             self.env = None
-            raise DiskError(str(e)) from e
-        except (OSError, lmdb.Error) as e:
-            raise DiskError(str(e)) from e
 
-    def commit(self, puts: list[tuple[bytes, bytes]]) -> defer.Deferred[typing.Any]:
+    def commit(self, writes: list[Write]) -> defer.Deferred[None]:
         """Write off the reactor's thread; the Deferred fires once it is synced."""
-        d = threads.deferToThreadPool(self.reactor, self.pool, self.write, puts)
-        return d
+        return threads.deferToThreadPool(self.reactor, self.pool, self.write, writes)
 
     def close(self) -> None:
         """Finish what is under way and let the folder go."""
         if self.pool.started:
             self.pool.stop()
-        if self.env is not None:
-            self.env.close()
+        self._close_environment()
         self.lock.close()
 
 
 class MonitoredDisk:
     """A disk watched: writes in order, with a note on whether it works.
 
-    A disk that refuses a write, or holds one for more than a second, is not `ok`
+    A disk that refuses a write, or holds one for more than STALL_US, is not `ok`
     until a later write went through.
     """
 
-    STALL_US = 1 * units.SECOND_US
-
-    def __init__(self, runtime: scheduler.Runtime, disk: Disk) -> None:
+    def __init__(self, runtime: scheduler.Runtime, disk: SyncedWrites) -> None:
         self.runtime = runtime
         self.disk = disk
         self.ok = True
-        self.under_way: list[int] = []  # when each unfinished write began
+        self._started_at_us: list[int] = []  # when each unfinished write began
+
+    async def commit(self, writes: list[Write]) -> None:
+        """Write pairs; returns once they are synced.
 
-    async def commit(self, puts: list[tuple[bytes, bytes | None]]) -> None:
-        """Write pairs; returns once they are synced, raises DiskError where not."""
+        Raises:
+            DiskError: The disk refused the writes.
+        """
         started_at = self.runtime.now()
-        self.under_way.append(started_at)
+        self._started_at_us.append(started_at)
         try:
-            await self.disk.commit(puts)
-        except DiskError as e:
+            await self.disk.commit(writes)
+        except DiskError as error:
             if self.ok:
-                log.error("The disk refuses a write: {}", e)
+                log.error("The disk refuses a write: {}", error)
             self.ok = False
             raise
         finally:
-            self.under_way.remove(started_at)
+            self._started_at_us.remove(started_at)
 
     async def watch(self) -> None:
         """Notice a stall; try a bad disk again every second."""
         while True:
-            await self.runtime.sleep(250 * units.MILLISECOND_US)
-            if self.under_way:
-                if self.ok and self.runtime.now() - self.under_way[0] > self.STALL_US:
+            await self.runtime.sleep(WATCH_INTERVAL_US)
+            if self._started_at_us:
+                if self.ok and self.runtime.now() - self._started_at_us[0] > STALL_US:
                     log.warning("The disk stalls.")
                     self.ok = False
             elif not self.ok:
-                await self.runtime.sleep(units.SECOND_US)
+                await self.runtime.sleep(RETRY_INTERVAL_US)
                 try:
-                    await self.commit([(b"probe", b"%d" % self.runtime.now())])
+                    await self.commit([(PROBE_KEY, b"%d" % self.runtime.now())])
                     self.ok = True
                     log.info("The disk works again.")
                 except DiskError:
-                    pass
+                    pass  # it is tried again at the next round
