--- /dev/null
+++ b/iriswheel/consensus/acceptor.py
@@ -0,0 +1,215 @@
+"""The acceptor of view consensus: answers to proposals and lease requests, and its record on disk.
+
+The decisions themselves are the pure functions of `iriswheel.consensus.decisions`. This module syncs each changed
+record before the answer is sent, one change at a time.
+"""
+
+from __future__ import annotations
+
+import typing
+
+import loguru
+import msgspec
+import twisted.internet.defer as defer
+
+import iriswheel.consensus.decisions as decisions
+import iriswheel.consensus.timing as timing
+import iriswheel.runtime.storage as storage
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import collections.abc
+
+    import iriswheel.runtime.scheduler as scheduler
+
+RECORD_KEY = b"council"
+
+VoterRequest: typing.TypeAlias = message.Prepare | message.Accept | message.Decided | message.LeaseRequest
+VoterResponse: typing.TypeAlias = message.Promise | message.Accepted | message.LeaseResponse
+
+log = loguru.logger.bind(part="view")
+
+
+class LeaseGrant(typing.NamedTuple):
+    """A read lease that this voter gave, by its own clock."""
+
+    holder: str
+    expires_at_us: int
+
+
+class Acceptor:
+    """One voter's record of views and ballots; the only owner of what it promised, accepted and leased.
+
+    Args:
+        runtime: Clock and tasks.
+        disk: Where the record is synced.
+        record: What the disk held at the start.
+        own_voter: Identity and address of this machine.
+        on_view: Called with each view that is adopted here, once that is on disk or the disk refused it.
+        last_entry: The newest log entry here, as (view, index); promises tell it.
+    """
+
+    def __init__(
+        self,
+        runtime: scheduler.Runtime,
+        disk: storage.MonitoredDisk,
+        record: decisions.Record,
+        own_voter: message.Voter,
+        on_view: collections.abc.Callable[[message.View], object],
+        last_entry: collections.abc.Callable[[], tuple[int, int]],
+    ) -> None:
+        self.runtime = runtime
+        self.disk = disk
+        self.record = record
+        self.own_voter = own_voter
+        self.on_seal: collections.abc.Callable[[], None] = lambda: None  # the view was closed or replaced here
+        self.on_adopt: collections.abc.Callable[[], None] = lambda: None  # a newer view is about to be written
+        self.predecessors: list[decisions.ReplicaIncarnation] | None = None
+        """The chain before the newest view's; None where it is not known here."""
+        self._on_view = on_view
+        self._last_entry = last_entry
+        self._lock = defer.DeferredLock()
+        # after a restart, a grant that was given before may stand
+        self.lease_grant = LeaseGrant(decisions.UNKNOWN_HOLDER, runtime.now() + timing.LEASE_US)
+
+    @property
+    def view(self) -> message.View | None:
+        """The newest view known here."""
+        return self.record.view
+
+    def is_sealed(self) -> bool:
+        """Whether a promise here has closed the newest view."""
+        return decisions.is_sealed(self.record)
+
+    def is_voter(self) -> bool:
+        """Whether this machine votes in the newest view."""
+        return decisions.is_voter(self.record, self.own_voter.id)
+
+    def is_synced(self) -> bool:
+        """Whether this copy holds all that was acknowledged before the newest view."""
+        return decisions.is_synced(self.record)
+
+    def is_serving(self) -> bool:
+        """Whether this incarnation is a replica of the newest view's chain, and the view is not sealed here."""
+        return decisions.is_serving(self.record, self.own_voter.id, self.runtime.incarnation)
+
+    def is_tail(self) -> bool:
+        """Whether this incarnation serves as the tail of the newest view's chain."""
+        return decisions.is_tail(self.record, self.own_voter.id, self.runtime.incarnation)
+
+    def may_lead_reads(self) -> bool:
+        """Whether this machine is the synced tail, which may ask for the read lease."""
+        return decisions.may_lead_reads(self.record, self.own_voter.id, self.runtime.incarnation)
+
+    async def answer(self, request: VoterRequest) -> VoterResponse:
+        """Answer one request of a proposer or of a tail."""
+        match request:
+            case message.Prepare():
+                return await self.promise(request)
+            case message.Accept():
+                return await self.accept(request)
+            case message.Decided():
+                await self.adopt(request.view)
+                return message.Accepted(True, None)
+            case message.LeaseRequest():
+                return self.grant_lease(request)
+
+    async def promise(self, request: message.Prepare) -> message.Promise:
+        """Answer a Prepare; a promise is on disk before it is returned."""
+        async with self._lock:
+            record, answer = decisions.promise(self.record, self._replica(), self._lease_holder(), request)
+            if not answer.ok:
+                return answer
+            before, self.record = self.record, record  # seals the view here while the write is under way
+            self.on_seal()
+            try:
+                await self._sync()
+            except storage.DiskError:
+                self.record = before
+                return decisions.refuse_promise(before, self._replica(), request.number)
+            return answer
+
+    async def accept(self, request: message.Accept) -> message.Accepted:
+        """Answer an Accept; an acceptance is on disk before it is returned."""
+        async with self._lock:
+            record, answer = decisions.accept(self.record, self.own_voter.id, request)
+            if not answer.ok:
+                return answer
+            before, self.record = self.record, record
+            try:
+                await self._sync()
+            except storage.DiskError:
+                self.record = before
+                return message.Accepted(False, None)
+            return answer
+
+    async def adopt(self, view: message.View) -> None:
+        """Take a view that was agreed, unless a newer one is known."""
+        async with self._lock:
+            before, predecessors = self.record, self._chain_before(view)
+            adopted = decisions.adopt(before, self.own_voter.id, view)
+            if adopted is before:
+                return
+            self.record = msgspec.structs.replace(adopted, synced_view=before.synced_view)
+            self.predecessors = predecessors
+            self.on_seal()
+            self.on_adopt()
+            try:
+                await self._sync(adopted.synced_view)
+            except storage.DiskError:
+                # an agreed view may be known without the disk; being synced in it may not
+                if view.chain[0].id == self.own_voter.id:
+                    self.runtime.spawn(self._lead_once_synced(view), log)
+            self._on_view(view)
+        log.info("View {}: {}.", view.number, " ".join(replica.id for replica in view.chain))
+
+    async def mark_synced(self, number: int) -> None:
+        """Note on disk that this copy is synced in a view.
+
+        Raises:
+            storage.DiskError: The disk refused the note, and the copy does not count as synced.
+        """
+        async with self._lock:
+            synced = decisions.become_synced(self.record, number)
+            if synced is not self.record:
+                await self._sync(synced.synced_view)
+
+    def grant_lease(self, request: message.LeaseRequest) -> message.LeaseResponse:
+        """Answer a LeaseRequest; a grant holds promises to others back until it expires."""
+        answer = decisions.give_lease(self.record, self.own_voter.id, request)
+        if answer.ok:
+            self.lease_grant = LeaseGrant(request.tail, self.runtime.now() + timing.LEASE_US)
+        return answer
+
+    def _replica(self) -> decisions.Replica:
+        return decisions.Replica(self.own_voter.id, self.runtime.incarnation, self.disk.ok, self._last_entry())
+
+    def _lease_holder(self) -> str | None:
+        return self.lease_grant.holder if self.runtime.now() < self.lease_grant.expires_at_us else None
+
+    def _chain_before(self, view: message.View) -> list[decisions.ReplicaIncarnation] | None:
+        if view.number == 1:
+            return []
+        if self.view is None or self.view.number + 1 != view.number:
+            return None
+        return [decisions.ReplicaIncarnation(replica.id, replica.incarnation) for replica in self.view.chain]
+
+    def _is_newest(self, view: message.View) -> bool:
+        return self.view is not None and self.view.number == view.number
+
+    async def _lead_once_synced(self, view: message.View) -> None:
+        """At the head of a view whose disk refused the note that it is synced: retry as long as the view lasts."""
+        while self._is_newest(view) and self.record.synced_view < view.number:
+            await self.runtime.sleep(timing.LEASE_RENEWAL_INTERVAL_US)
+            try:
+                await self.mark_synced(view.number)
+            except storage.DiskError:
+                continue
+        if self._is_newest(view):
+            self._on_view(view)
+
+    async def _sync(self, synced_view: int | None = None) -> None:
+        """Write the record; `synced_view` counts here only once it is on the disk."""
+        record = self.record if synced_view is None else msgspec.structs.replace(self.record, synced_view=synced_view)
+        await self.disk.commit([(RECORD_KEY, msgspec.msgpack.encode(record))])
+        self.record = msgspec.structs.replace(self.record, synced_view=record.synced_view)
--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -2,32 +2,41 @@
 
 A view (who votes, and the order of the chain) is agreed by single-decree Paxos among the voters of the view
 before it. Each function here takes the state of one acceptor and a typed message, and returns the new state
-with the typed answer. Disk, clock and network belong to the caller: `view.Membership` syncs a changed state before
+with the typed answer. Disk, clock and network belong to the caller: `acceptor.Acceptor` syncs a changed state before
 it sends the answer, and `simulation.explore` searches the interleavings of the same functions.
 """
 
 from __future__ import annotations
 
-import types
 import typing
 
 import msgspec
 
 import iriswheel.transport.message as message
 
-NO_BALLOT = (0, "")
+Ballot: typing.TypeAlias = tuple[int, str]  # a round, and the machine that proposes in it
+Incarnations: typing.TypeAlias = dict[str, str]  # of machines, by id
+
+NO_BALLOT: Ballot = (0, "")
 UNKNOWN_HOLDER = ""  # after a restart: a grant that was given before may stand
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """What an acceptor keeps on disk; its copy holds all that was acknowledged in the views up to `whole`."""
+    """What an acceptor keeps on disk; its copy holds all that was acknowledged in the views up to `synced_view`."""
 
     view: message.View | None = None
-    promised: tuple[int, str] = NO_BALLOT
-    accepted: tuple[tuple[int, str], message.View] | None = None
+    promised: Ballot = NO_BALLOT
+    accepted: tuple[Ballot, message.View] | None = None
     synced_view: int = 0
 
 
+class ReplicaIncarnation(typing.NamedTuple):
+    """A replica of the chain in one of its lives; a restarted machine is another replica."""
+
+    id: str
+    incarnation: str
+
+
 class Replica(typing.NamedTuple):
     """What an acceptor tells of itself in a promise: identity, incarnation, disk, last log entry."""
 
@@ -44,13 +53,13 @@
     silent: bool  # silent for long enough to be replaced by a newcomer at its own address
 
 
-def majority(n: int) -> int:
-    """How many of n make a majority.
+def majority(count: int) -> int:
+    """How many of `count` voters make a majority.
 
     >>> majority(3), majority(4)
     (2, 3)
     """
-    return n // 2 + 1
+    return count // 2 + 1
 
 
 def is_sealed(record: Record) -> bool:
@@ -71,7 +80,7 @@
     return record.view is not None and any(voter.id == identifier for voter in record.view.voters)
 
 
-def is_synced(record: Record | types.SimpleNamespace) -> bool:
+def is_synced(record: Record) -> bool:
     """Whether the copy holds all that was acknowledged before the record's view.
 
     >>> is_synced(Record(message.View(2, [], []), synced_view=2))
@@ -97,7 +106,9 @@
     >>> is_tail(Record(message.View(2, [], [message.ChainReplica("a", "1")])), "a", "1")
     True
     """
-    return is_serving(record, identifier, incarnation) and record.view.chain[-1].id == identifier
+    if record.view is None or not is_serving(record, identifier, incarnation):
+        return False
+    return record.view.chain[-1].id == identifier
 
 
 def may_lead_reads(record: Record, identifier: str, incarnation: str) -> bool:
@@ -115,7 +126,9 @@
     >>> may_commit(Record(message.View(2, [], [message.ChainReplica("a", "1")]), synced_view=2), "a", "1", copies=2)
     False
     """
-    return may_lead_reads(record, identifier, incarnation) and len(record.view.chain) >= copies
+    if record.view is None or not may_lead_reads(record, identifier, incarnation):
+        return False
+    return len(record.view.chain) >= copies
 
 
 def newer_view(record: Record, number: int) -> message.View | None:
@@ -250,7 +263,7 @@
     return msgspec.structs.replace(record, synced_view=number)
 
 
-def may_restore(record: Record | types.SimpleNamespace, synced_entry: int, snapshot_entry: int) -> bool:
+def may_restore(record: Record, synced_entry: int, snapshot_entry: int) -> bool:
     """Whether a snapshot may replace the copy: always before the copy is synced, then only where it is not older.
 
     A snapshot may arrive after others that were sent later, when it was held up in an old connection.
@@ -268,9 +281,11 @@
     False
     """
     view = record.view
-    current = view is not None and view.number == request.view and not is_sealed(record)
-    given = current and is_voter(record, identifier) and view.chain[-1].id == request.tail
-    return message.LeaseResponse(given, newer_view(record, request.view + 1))
+    newer = newer_view(record, request.view + 1)
+    if view is None or view.number != request.view or is_sealed(record):
+        return message.LeaseResponse(False, newer)
+    is_granted = is_voter(record, identifier) and view.chain[-1].id == request.tail
+    return message.LeaseResponse(is_granted, newer)
 
 
 def next_voters(
@@ -283,8 +298,8 @@
 ) -> list[message.Voter]:
     """The voters of the next view: a newcomer takes a replaceable voter, else a new one up to `size`.
 
-    `joining members` are voters of live machines that do not vote, in the order in which they are served; `states`
-    says of each other voter what this proposer, `ident`, knows of it. A newcomer at the address of a voter
+    `joining_members` are live machines that do not vote, in the order in which they are served; `states`
+    says of each other voter what this proposer, `identifier`, knows of it. A newcomer at the address of a voter
     waits until that voter is silent.
 
     >>> a, b, c = [message.Voter(i, i, 1, "zone") for i in "abc"]
@@ -293,29 +308,35 @@
     ['a', 'c']
     """
     known = {voter.id for voter in view.voters}
+    candidates = {key: state for key, state in states.items() if key in known and key != identifier}
+    if leaving:
+        candidates[identifier] = VoterState(replaceable=True, silent=True)
     voters = list(view.voters)
     for joining in joining_members:
-        for k, voter in enumerate(voters):
-            if voter.id not in known or (voter.id == identifier and not leaving):
-                continue
-            if voter.id == identifier:
-                voters[k] = joining
-                break
-            state = states[voter.id]
-            same_place = (voter.host, voter.port) == (joining.host, joining.port)
-            if same_place and not state.silent:
-                break  # its last heartbeat may be an old one
-            if state.replaceable or same_place:
-                voters[k] = joining
-                break
-        else:
-            if len(voters) < size:
-                voters.append(joining)
+        _place_newcomer(joining, voters, candidates, size)
     return voters
 
 
+def _place_newcomer(
+    joining: message.Voter, voters: list[message.Voter], candidates: dict[str, VoterState], size: int
+) -> None:
+    """Put a newcomer into the place of the first voter that it may replace, else at the end while there is room."""
+    for index, voter in enumerate(voters):
+        state = candidates.get(voter.id)
+        if state is None:
+            continue
+        is_same_address = (voter.host, voter.port) == (joining.host, joining.port)
+        if is_same_address and not state.silent:
+            return  # its last heartbeat may be an old one
+        if state.replaceable or is_same_address:
+            voters[index] = joining
+            return
+    if len(voters) < size:
+        voters.append(joining)
+
+
 def order(
-    view: message.View, promises: dict[str, message.Promise], alive: dict[str, str]
+    view: message.View, promises: dict[str, message.Promise], alive: Incarnations
 ) -> list[message.ChainReplica] | None:
     """The chain that view.number + 1 should have, or None where no copy can be trusted.
 
@@ -344,24 +365,41 @@
     ['c', 'b']
     """
     old = [member.id for member in view.chain]
-    able = [i for i in old if i in promises and i in alive]
-    lead = [i for i in able if promises[i].synced_view == view.number]
-    lead = [
-        i for k, i in enumerate(lead) if all(promises[j].last_entry <= promises[i].last_entry for j in lead[k + 1 :])
-    ]
+    able = [identifier for identifier in old if identifier in promises and identifier in alive]
+    lead = _synced_in_order(view, promises, able)
     if not lead:
-        answered = [promises[i].synced_view for i in old if i in promises]
+        answered = [promises[identifier].synced_view for identifier in old if identifier in promises]
         if not answered or view.number in answered:
             return None
-        lead = [i for i in sorted(promises) if promises[i].synced_view == view.number - 1 and i in alive]
-        lead = sorted(lead, key=lambda i: promises[i].last_entry, reverse=True)[:1]
+        lead = _newest_of_view_before(view, promises, alive)
     if not lead:
         return None
-    rest = [i for i in able if i not in lead] + [i for i in sorted(alive) if i not in old and i not in lead]
-    return [message.ChainReplica(i, alive[i]) for i in lead + rest]
+    rest = [identifier for identifier in able if identifier not in lead]
+    newcomers = [identifier for identifier in sorted(alive) if identifier not in old and identifier not in lead]
+    return [message.ChainReplica(identifier, alive[identifier]) for identifier in lead + rest + newcomers]
+
+
+def _synced_in_order(view: message.View, promises: dict[str, message.Promise], able: list[str]) -> list[str]:
+    """Of the old members that can go on, those that are synced and hold all that those behind them hold."""
+    synced = [identifier for identifier in able if promises[identifier].synced_view == view.number]
+    return [
+        identifier
+        for index, identifier in enumerate(synced)
+        if all(promises[behind].last_entry <= promises[identifier].last_entry for behind in synced[index + 1 :])
+    ]
+
+
+def _newest_of_view_before(view: message.View, promises: dict[str, message.Promise], alive: Incarnations) -> list[str]:
+    """The machine with the newest entry of those that were synced in the view before, if there is one."""
+    synced = [
+        identifier
+        for identifier in sorted(promises)
+        if promises[identifier].synced_view == view.number - 1 and identifier in alive
+    ]
+    return sorted(synced, key=lambda identifier: promises[identifier].last_entry, reverse=True)[:1]
 
 
-def is_handing_over(view: message.View, alive: dict[str, str], leaving: dict[str, str], synced: set[str]) -> bool:
+def is_handing_over(view: message.View, alive: Incarnations, leaving: Incarnations, synced: set[str]) -> bool:
     """Whether the only synced members of the chain are about to leave, and must bring another up to date first.
 
     >>> chain = [message.ChainReplica("a", "1"), message.ChainReplica("b", "1")]
@@ -377,8 +415,8 @@
     view: message.View,
     promises: dict[str, message.Promise],
     voters: list[message.Voter],
-    alive: dict[str, str],
-    leaving: dict[str, str],
+    alive: Incarnations,
+    leaving: Incarnations,
 ) -> message.View | None:
     """The view to propose after a majority promised, or None where no synced copy can lead it.
 
@@ -402,16 +440,16 @@
     taken = [answer.accepted for answer in promises.values() if answer.accepted is not None]
     if taken:
         return max(taken, key=lambda accepted: accepted[0])[1]
-    for voter_ids, machines in ((voters, alive), (view.voters, alive | leaving)):
-        chain = order(view, promises, members_of(voter_ids, machines, promises))
+    for candidates, machines in ((voters, alive), (view.voters, alive | leaving)):
+        chain = order(view, promises, members_of(candidates, machines, promises))
         if chain is not None:
-            return message.View(view.number + 1, voter_ids, chain)
+            return message.View(view.number + 1, candidates, chain)
     return None
 
 
 def members_of(
-    voters: list[message.Voter], machines: dict[str, str], promises: dict[str, message.Promise]
-) -> dict[str, str]:
+    voters: list[message.Voter], machines: Incarnations, promises: dict[str, message.Promise]
+) -> Incarnations:
     """The machines that may be members of a chain, with the incarnations that they last told.
 
     >>> promises_by_id = {"a": message.Promise(True, (1, "a"), None, None, "a", "2", 4, True)}
--- /dev/null
+++ b/iriswheel/consensus/tail_lease.py
@@ -0,0 +1,61 @@
+"""The tail's read lease, renewed with a majority of the voters.
+
+While a majority has granted the lease, none of them promises the next view to another machine; so no other tail can
+serve newer state, and reads at this one are current.
+"""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.consensus.decisions as decisions
+import iriswheel.consensus.timing as timing
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.consensus.acceptor as acceptor
+    import iriswheel.consensus.voter_calls as voter_calls
+    import iriswheel.runtime.scheduler as scheduler
+
+
+class TailLease:
+    """The read lease of this machine, while it is the tail."""
+
+    def __init__(
+        self, runtime: scheduler.Runtime, view_acceptor: acceptor.Acceptor, calls: voter_calls.VoterCalls
+    ) -> None:
+        self.runtime = runtime
+        self.acceptor = view_acceptor
+        self.calls = calls
+        self._expires_at_us = 0
+
+    def is_held(self) -> bool:
+        """Whether this machine is the synced tail and holds the lease at this very moment."""
+        return self.acceptor.may_lead_reads() and self.runtime.now() < self._expires_at_us
+
+    def revoke(self) -> None:
+        """End the lease at once: its view is sealed or over."""
+        self._expires_at_us = 0
+
+    async def keep_renewed(self) -> None:
+        """While this machine is the tail, renew its lease in time."""
+        while True:
+            view = self.acceptor.view
+            if view is not None and self.acceptor.may_lead_reads() and self.acceptor.disk.ok:
+                await self._renew(view)
+            await self.runtime.sleep(timing.LEASE_RENEWAL_INTERVAL_US)
+
+    async def _renew(self, view: message.View) -> None:
+        asked_at_us = self.runtime.now()  # grants began later than this
+        quorum = decisions.majority(len(view.voters))
+        answers = await self.calls.call_all(
+            view.voters,
+            message.LeaseRequest(view.number, self.acceptor.own_voter.id),
+            timing.LEASE_CALL_TIMEOUT_US,
+            enough=quorum,
+        )
+        granted = [answer for answer in answers.values() if answer is not None and answer.ok]
+        newest = self.acceptor.view
+        is_current = newest is not None and newest.number == view.number and self.acceptor.is_serving()
+        if len(granted) >= quorum and is_current and self.acceptor.disk.ok:
+            self._expires_at_us = max(self._expires_at_us, asked_at_us + timing.LEASE_US - timing.CLOCK_DRIFT_US)
--- /dev/null
+++ b/iriswheel/consensus/timing.py
@@ -0,0 +1,35 @@
+"""Durations that the parts of view consensus rely on together, in microseconds."""
+
+from __future__ import annotations
+
+import iriswheel.runtime.units as units
+
+LEASE_US = 1_500 * units.MILLISECOND_US
+"""How long a voter's grant of the read lease binds it, counted on its own clock."""
+
+CLOCK_DRIFT_US = 150 * units.MILLISECOND_US
+"""How much earlier the tail ends its lease, since clocks do not run at the same rate."""
+
+LEASE_RENEWAL_INTERVAL_US = 300 * units.MILLISECOND_US
+
+HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
+
+PEER_TIMEOUT_US = 1_300 * units.MILLISECOND_US
+"""A core machine that was not heard for so long counts as dead."""
+
+VOTER_REPLACEMENT_US = 1_500 * units.MILLISECOND_US
+"""A newcomer takes the place of a voter that is silent for so long."""
+
+PROPOSER_RANK_DELAY_US = 300 * units.MILLISECOND_US
+"""By how much each further live voter waits before it proposes, so that proposals rarely collide."""
+
+VIEW_CHECK_INTERVAL_US = 200 * units.MILLISECOND_US
+
+VIEW_CHECK_JITTER_US = 50 * units.MILLISECOND_US
+
+CALL_TIMEOUT_US = 1 * units.SECOND_US
+
+LEASE_CALL_TIMEOUT_US = 500 * units.MILLISECOND_US
+
+DEAD_PEER_CALL_TIMEOUT_US = 150 * units.MILLISECOND_US
+"""For a call to a machine that counts as dead: it may be back, but nobody waits for it."""
--- /dev/null
+++ b/iriswheel/consensus/view_change.py
@@ -0,0 +1,199 @@
+"""The proposer of view consensus: founds the first view, and proposes the next one where the chain should change."""
+
+from __future__ import annotations
+
+import typing
+
+import loguru
+
+import iriswheel.consensus.decisions as decisions
+import iriswheel.consensus.timing as timing
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import collections.abc
+
+    import iriswheel.consensus.acceptor as acceptor
+    import iriswheel.consensus.peer_heartbeats as peer_heartbeats
+    import iriswheel.consensus.voter_calls as voter_calls
+    import iriswheel.runtime.scheduler as scheduler
+
+log = loguru.logger.bind(part="view")
+
+
+class ViewChange:
+    """Watches the chain, and gets the next view agreed where one is due.
+
+    Args:
+        runtime: Clock, tasks and randomness.
+        view_acceptor: This machine's record of views.
+        heartbeats: What is known of the other machines.
+        calls: Requests to the voters.
+        founders: Addresses of the machines that make view 1; the first of them does it.
+        voter_count: How many machines vote once so many are there.
+    """
+
+    def __init__(
+        self,
+        runtime: scheduler.Runtime,
+        view_acceptor: acceptor.Acceptor,
+        heartbeats: peer_heartbeats.PeerHeartbeats,
+        calls: voter_calls.VoterCalls,
+        founders: collections.abc.Iterable[peer_heartbeats.Address],
+        voter_count: int,
+    ) -> None:
+        self.runtime = runtime
+        self.acceptor = view_acceptor
+        self.heartbeats = heartbeats
+        self.calls = calls
+        self.own_voter = view_acceptor.own_voter
+        self.started_at_us = runtime.now()
+        self._founders = list(founders)
+        self._voter_count = max(voter_count, len(self._founders))
+        self._wanted_since_us: int | None = None  # since when the chain differs from the one that it should be
+        self._highest_ballot_round = 0
+
+    def reset(self) -> None:
+        """Count the time for which a change is wanted anew: a newer view is there."""
+        self._wanted_since_us = None
+
+    async def keep_view_current(self) -> None:
+        """Look at the chain over and over, and propose a better view where one is due."""
+        while True:
+            jitter_us = self.runtime.rng.randrange(timing.VIEW_CHECK_JITTER_US)
+            await self.runtime.sleep(timing.VIEW_CHECK_INTERVAL_US + jitter_us)
+            view = self.acceptor.view
+            if view is None:
+                await self._found()
+            elif self.acceptor.is_voter() and self.is_due(view):
+                await self._propose_after(view)
+
+    # ---- when ------------------------------------------------------------------
+
+    def is_due(self, view: message.View) -> bool:
+        """Whether this machine should propose the successor of the newest view now."""
+        now = self.runtime.now()
+        alive = self.heartbeats.alive()
+        voters = self._desired_voters(view)
+        leaving = self.heartbeats.departing()
+        if decisions.is_handing_over(view, alive, leaving, self.heartbeats.known_synced(view)):
+            alive, voters = alive | leaving, view.voters
+        live_ids = [voter.id for voter in view.voters if voter.id in alive]
+        is_unchanged = voters == view.voters and _members(voters, alive) == set(_replicas(view))
+        has_quorum = len(live_ids) >= decisions.majority(len(view.voters))
+        if (is_unchanged and not self.heartbeats.is_any_sealed(view)) or not has_quorum:
+            self._wanted_since_us = None
+            return False
+        if self._wanted_since_us is None:
+            self._wanted_since_us = now
+        if self.acceptor.is_tail() and not is_unchanged:
+            return True
+        return now - self._wanted_since_us >= self._patience_us(view, alive, live_ids)
+
+    def _patience_us(self, view: message.View, alive: decisions.Incarnations, live_ids: list[str]) -> int:
+        """How long others go first: a live tail, whose lease holds proposals of others back, then lower ranks."""
+        rank = live_ids.index(self.own_voter.id) if self.own_voter.id in live_ids else len(live_ids)
+        tail = view.chain[-1]
+        is_tail_first = (
+            alive.get(tail.id) == tail.incarnation and not self.acceptor.is_sealed() and not self.acceptor.is_tail()
+        )
+        return (timing.PEER_TIMEOUT_US if is_tail_first else 0) + rank * timing.PROPOSER_RANK_DELAY_US
+
+    def _desired_voters(self, view: message.View) -> list[message.Voter]:
+        """The voters of the next view.
+
+        A newcomer takes the place of a machine that is lost, that leaves, or that came
+        back blank at the newcomer's address; else a place of its own up to the number of voters.
+        """
+        known = {voter.id for voter in view.voters}
+        newcomers = [
+            message.Voter(heartbeat.id, heartbeat.host, heartbeat.port, heartbeat.zone)
+            for heartbeat in sorted(self.heartbeats.recent(), key=lambda heartbeat: heartbeat.id)
+            if heartbeat.id not in known and heartbeat.disk_ok and not heartbeat.leaving
+        ]
+        states = {identifier: self.heartbeats.voter_state(identifier, self.started_at_us) for identifier in known}
+        return decisions.next_voters(
+            view, self.own_voter.id, self.heartbeats.leaving, newcomers, states, self._voter_count
+        )
+
+    # ---- how -------------------------------------------------------------------
+
+    async def _found(self) -> None:
+        """Make view 1: the first of the founders does it, once all of them are there and know no view."""
+        own_address = (self.own_voter.host, self.own_voter.port)
+        blank = self.heartbeats.recent_blank() | {own_address}
+        if not self._founders or self._founders[0] != own_address or not set(self._founders) <= blank:
+            return
+        by_address = {(heartbeat.host, heartbeat.port): heartbeat for heartbeat in self.heartbeats.recent()}
+        by_address[own_address] = self.heartbeats.own_heartbeat()
+        founders = [by_address[address] for address in self._founders]
+        voters = [message.Voter(founder.id, founder.host, founder.port, founder.zone) for founder in founders]
+        chain = [message.ChainReplica(founder.id, founder.incarnation) for founder in founders]
+        await self.acceptor.adopt(message.View(1, voters, chain))
+
+    async def _propose_after(self, old: message.View) -> None:
+        """Try to get the successor of a view agreed: one ballot of single-decree Paxos among its voters."""
+        self._highest_ballot_round = max(self._highest_ballot_round, self.acceptor.record.promised[0]) + 1
+        ballot = (self._highest_ballot_round, self.own_voter.id)
+        voters = self._desired_voters(old)
+        promises = await self._collect_promises(old, ballot)
+        if promises is None:
+            return
+        view = decisions.next_view(old, promises, voters, self.heartbeats.alive(), self.heartbeats.departing())
+        if view is None:
+            log.warning("No machine that answers holds a synced copy; view {} must wait.", old.number + 1)
+            return
+        if await self._is_accepted(old, ballot, view):
+            await self.acceptor.adopt(view)
+            self._announce(old, view)
+
+    async def _collect_promises(self, old: message.View, ballot: decisions.Ballot) -> dict[str, message.Promise] | None:
+        """The promises by voter, or None where a majority did not promise."""
+        number = old.number + 1
+        request = message.Prepare(number, ballot, self.own_voter.id)
+        answers = await self.calls.call_all(old.voters, request, timing.CALL_TIMEOUT_US)
+        if await self._adopt_newer(answers, number):
+            return None
+        told = {identifier: answer for identifier, answer in answers.items() if isinstance(answer, message.Promise)}
+        rounds = [answer.ballot[0] for answer in told.values()]
+        self._highest_ballot_round = max([self._highest_ballot_round, *rounds])
+        promises = {identifier: answer for identifier, answer in told.items() if answer.ok}
+        return promises if len(promises) >= decisions.majority(len(old.voters)) else None
+
+    async def _is_accepted(self, old: message.View, ballot: decisions.Ballot, view: message.View) -> bool:
+        """Whether a majority of the old view's voters accepts a view."""
+        quorum = decisions.majority(len(old.voters))
+        request = message.Accept(ballot, view, self.own_voter.id)
+        answers = await self.calls.call_all(old.voters, request, timing.CALL_TIMEOUT_US, enough=quorum)
+        if await self._adopt_newer(answers, old.number + 1):
+            return False
+        return len([answer for answer in answers.values() if answer is not None and answer.ok]) >= quorum
+
+    async def _adopt_newer(
+        self, answers: collections.abc.Mapping[str, acceptor.VoterResponse | None], number: int
+    ) -> bool:
+        """Adopt a view that was agreed meanwhile, where an answer tells one; whether it did."""
+        for answer in answers.values():
+            if answer is not None and answer.newer is not None and answer.newer.number >= number:
+                await self.acceptor.adopt(answer.newer)
+                return True
+        return False
+
+    def _announce(self, old: message.View, view: message.View) -> None:
+        voters = {voter.id: voter for voter in old.voters + view.voters}
+        request = message.Decided(view)
+        everybody = [voters[identifier] for identifier in sorted(voters)]
+        self.runtime.spawn(self.calls.call_all(everybody, request, timing.CALL_TIMEOUT_US), log)
+
+
+def _replicas(view: message.View) -> list[decisions.ReplicaIncarnation]:
+    return [decisions.ReplicaIncarnation(replica.id, replica.incarnation) for replica in view.chain]
+
+
+def _members(voters: list[message.Voter], alive: decisions.Incarnations) -> set[decisions.ReplicaIncarnation]:
+    voter_ids = {voter.id for voter in voters}
+    return {
+        decisions.ReplicaIncarnation(identifier, incarnation)
+        for identifier, incarnation in alive.items()
+        if identifier in voter_ids
+    }
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -5,6 +5,7 @@
 import twisted.internet.task as task
 
 import iriswheel.consensus.decisions as decisions
+import iriswheel.consensus.timing as timing
 import iriswheel.consensus.view_consensus as view_consensus
 import iriswheel.replication.chain as chain
 import iriswheel.runtime.scheduler as scheduler
@@ -123,10 +124,10 @@
         consensus.hear(message.Heartbeat("b", "1", "zone", "b", 1, consensus.view, 4, True))
         prepare = message.Prepare(5, (1, "a"), "a")
         answers = []
-        defer.ensureDeferred(consensus.call_all(consensus.view.voters, prepare, view_consensus.CALL_US)).addCallback(
-            answers.append
-        )
-        clock.advance(view_consensus.SILENT_CALL_US / SECOND)
+        defer.ensureDeferred(
+            consensus.calls.call_all(consensus.view.voters, prepare, timing.CALL_TIMEOUT_US)
+        ).addCallback(answers.append)
+        clock.advance(timing.DEAD_PEER_CALL_TIMEOUT_US / SECOND)
         assert {identifier for identifier, answer in answers[0].items() if answer is not None} == {"a", "b"}
 
 
@@ -153,16 +154,16 @@
     def test_the_only_synced_copy_stays_until_another_is_synced(self) -> None:
         self.hear(whole=3)
         assert self.consensus.holds_only_copy()
-        self.consensus.due()
+        self.consensus.view_change.is_due(self.consensus.view)
         self.clock.advance(2)
         self.hear(whole=3)
-        assert not self.consensus.due()
+        assert not self.consensus.view_change.is_due(self.consensus.view)
         self.hear(whole=4)
         assert not self.consensus.holds_only_copy()
-        self.consensus.due()
+        self.consensus.view_change.is_due(self.consensus.view)
         self.clock.advance(2)
         self.hear(whole=4)
-        assert self.consensus.due()
+        assert self.consensus.view_change.is_due(self.consensus.view)
 
     def test_the_last_machine_does_not_wait_for_anybody(self) -> None:
         self.hear(whole=3)
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -2,6 +2,7 @@
 
 import hashlib
 
+import msgspec
 import pytest
 import twisted.internet.defer as defer
 
@@ -79,7 +80,7 @@
         state = disk.read()
         guard = storage.MonitoredDisk(self.runtime, disk)
         raw = state.get(b"council")
-        record = view_consensus.msgspec.msgpack.decode(raw, type=decisions.Record) if raw else decisions.Record()
+        record = msgspec.msgpack.decode(raw, type=decisions.Record) if raw else decisions.Record()
         self.chain = chain.Chain(self.runtime, guard, state, self.network)
         voter = message.Voter(self.name, self.name, 1, "a")
         self.consensus = view_consensus.ViewConsensus(
@@ -95,7 +96,7 @@
         connections = [message.ChainReplica(m.name, m.runtime.incarnation) for m in members]
         before = self.consensus.record.synced_view
         whole = number if order[0] == self.name else whole or before
-        self.consensus.record = decisions.Record(message.View(number, voters, connections), synced_view=whole)
+        self.consensus.acceptor.record = decisions.Record(message.View(number, voters, connections), synced_view=whole)
         self.chain.install(self.consensus.view)
 
 
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -3,6 +3,7 @@
 import os
 import tempfile
 
+import msgspec
 import pytest
 import twisted.internet.defer as defer
 
@@ -36,11 +37,7 @@
         runtime = self.process.runtime()
         self.disk = disk_model.Disk(self.process)
         state = self.disk.read()
-        record = (
-            view_consensus.msgspec.msgpack.decode(state[b"council"], type=decisions.Record)
-            if state
-            else decisions.Record()
-        )
+        record = msgspec.msgpack.decode(state[b"council"], type=decisions.Record) if state else decisions.Record()
         self.installed = []
         guard = storage.MonitoredDisk(runtime, self.disk)
         self.consensus = view_consensus.ViewConsensus(runtime, guard, record, SEATS[1], [], None, self.installed.append)
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -7,6 +7,7 @@
 import twisted.web.http_headers as http_headers
 
 import iriswheel.cli.load_generator as load_generator
+import iriswheel.consensus.acceptor as acceptor
 import iriswheel.dataplane.dispatch as dispatch
 import iriswheel.pools.claims as claims
 import iriswheel.transport.http_server as http_server
@@ -198,7 +199,7 @@
         head = t.head()
         number = head.consensus.view.number + 1
         c = head.consensus
-        c.grant = ("", 0)  # as after a short cut, in which its grant ran out
+        c.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a short cut, in which its grant ran out
         t.operator_runtime.spawn(c.answer(message.Prepare(number, (1, c.me.id), c.me.id)), simulated_cluster.log)
         t.go(0.1)
         assert c.sealed()
