--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -50,7 +50,8 @@
 import iriswheel.node.node as node
 import iriswheel.pools.pool_owner as pool_owner
 import iriswheel.pools.session_replicas as session_replicas
-import iriswheel.replication.chain as chain
+import iriswheel.replication.replicated_state as replicated_state
+import iriswheel.replication.snapshot_format as snapshot_format
 import iriswheel.runtime.options as options
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
@@ -691,7 +692,7 @@
                 ),
             )
             ledger = (
-                chain.ReplicatedState()
+                replicated_state.ReplicatedState()
                 .apply(message.LogEntry(1, 1, "plan", "0-a", 0, list(had.items())))
                 .apply(message.LogEntry(2, 1, "confirm", "0-a"))
             )
@@ -703,8 +704,8 @@
                 r,
                 ratio(lambda: two.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
             )
-            lines.put("a frame on a core's disk", "routes", "B", r, len(ledger.freeze()))
-            lines.put("a frame written", "routes", "loops", r, ratio(ledger.freeze))
+            lines.put("a frame on a core's disk", "routes", "B", r, len(snapshot_format.encode(ledger)))
+            lines.put("a frame written", "routes", "loops", r, ratio(lambda: snapshot_format.encode(ledger)))
             lines.put(
                 "a slice cut and compared for one node",
                 "routes",
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -349,7 +349,7 @@
         "links": most(len(x.peers.connections) for x in nodes + cores),
         "plans": most(len(c.chain.latest_state.plans) for c in cores),
         "history": most(len(c.chain.history) for c in cores),
-        "entries": most(len(c.chain.log) for c in cores),
+        "entries": most(len(c.chain.log.entries) for c in cores),
         "keys on disk": most(len(c.process.host.synced) for c in cores),
         "bytes on disk": most(sum(len(v) for v in c.process.host.synced.values()) for c in cores),
         "pulses": most(len(c.consensus.heartbeats) for c in cores),
--- a/iriswheel/consensus/peer_heartbeats.py
+++ b/iriswheel/consensus/peer_heartbeats.py
@@ -18,19 +18,13 @@
     import twisted.internet.defer as defer
 
     import iriswheel.consensus.acceptor as acceptor
+    import iriswheel.transport.peer_calls as peer_calls
 
 Address: typing.TypeAlias = tuple[str, int]
 
 log = loguru.logger.bind(part="view")
 
 
-class PeerCalls(typing.Protocol):
-    """Calls to other core machines by address."""
-
-    async def call(self, host: str, port: int, request: message.Message, timeout_us: int, /) -> message.Message:
-        """Send a request and wait for its answer; raises ConnectionBrokenError or DeadlineError without one."""
-
-
 class ReceivedHeartbeat(typing.NamedTuple):
     """The newest heartbeat of a machine, and when it came."""
 
@@ -51,7 +45,7 @@
     def __init__(
         self,
         runtime: scheduler.Runtime,
-        peers: PeerCalls,
+        peers: peer_calls.PeerCalls,
         view_acceptor: acceptor.Acceptor,
         seeds: collections.abc.Iterable[Address],
     ) -> None:
--- a/iriswheel/consensus/view_consensus.py
+++ b/iriswheel/consensus/view_consensus.py
@@ -25,6 +25,7 @@
     import iriswheel.consensus.decisions as decisions
     import iriswheel.runtime.scheduler as scheduler
     import iriswheel.runtime.storage as storage
+    import iriswheel.transport.peer_calls as peer_calls
 
 DEFAULT_VOTER_COUNT = 3
 DEFAULT_COPIES = 2
@@ -55,7 +56,7 @@
         record: decisions.Record,
         own_voter: message.Voter,
         seeds: collections.abc.Sequence[peer_heartbeats.Address],
-        peers: peer_heartbeats.PeerCalls,
+        peers: peer_calls.PeerCalls,
         on_view: collections.abc.Callable[[message.View], object],
         voter_count: int = DEFAULT_VOTER_COUNT,
         copies: int = DEFAULT_COPIES,
--- a/iriswheel/consensus/voter_calls.py
+++ b/iriswheel/consensus/voter_calls.py
@@ -16,6 +16,7 @@
     import iriswheel.consensus.peer_heartbeats as peer_heartbeats
     import iriswheel.runtime.scheduler as scheduler
     import iriswheel.transport.message as message
+    import iriswheel.transport.peer_calls as peer_calls
 
 
 class VoterCalls:
@@ -24,7 +25,7 @@
     def __init__(
         self,
         runtime: scheduler.Runtime,
-        peers: peer_heartbeats.PeerCalls,
+        peers: peer_calls.PeerCalls,
         view_acceptor: acceptor.Acceptor,
         heartbeats: peer_heartbeats.PeerHeartbeats,
     ) -> None:
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -20,6 +20,7 @@
 import iriswheel.membership.membership_manager as membership_manager
 import iriswheel.pools.session_replicas as session_replicas
 import iriswheel.replication.chain as chain
+import iriswheel.replication.replicated_state as replicated_state
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.storage as storage
 import iriswheel.runtime.units as units
@@ -114,11 +115,11 @@
         latest = self.core.issuer.latest
         assignments = latest.assignments if latest is not None else []
         pools = [d.key[5:] for d in assignments if d.holder == self.member.id and d.key.startswith("pool/")]
-        return self.core.slices.slice(self.core.chain.base, self.member.zone, tuple(pools))
+        return self.core.slices.slice(self.core.chain.committed_state, self.member.zone, tuple(pools))
 
     def flush(self) -> None:
         """Send what is new to this node."""
-        base = self.core.chain.base
+        base = self.core.chain.committed_state
         latest = self.core.issuer.latest
         cut_from = (base.index, latest.version if latest is not None else None)
         if base.index >= self.index and cut_from != self.sliced and (self.index >= 0 or self.core.serving()):
@@ -173,7 +174,7 @@
 class Slices:
     """Slices and their differences, kept so that many nodes of a zone cost one carving.
 
-    >>> one, two = [chain.ReplicatedState(n).change([("limits/door", {"head_us": n})]) for n in (1, 2)]
+    >>> one, two = [replicated_state.ReplicatedState(n).with_changes([("limits/door", {"head_us": n})]) for n in (1, 2)]
     >>> slices = Slices()
     >>> a, b = slices.slice(one, "north", ()), slices.slice(two, "north", ())
     >>> slices.slice(one, "north", ()) is a, slices.delta(a, b)
@@ -213,7 +214,7 @@
         return value
 
     def slice(
-        self, ledger: chain.ReplicatedState, zone: str, pools: tuple[str, ...]
+        self, ledger: replicated_state.ReplicatedState, zone: str, pools: tuple[str, ...]
     ) -> dict[str, dict[str, typing.Any]]:
         """What a node in a zone with these pools' role assignments needs of a state."""
         key = (ledger.index, ledger.view, zone, pools)
@@ -359,7 +360,7 @@
 
     def pools(self) -> list[str]:
         """The names of the pools that stand and elect at a pool owner."""
-        base = self.chain.base
+        base = self.chain.committed_state
         if self.named[0] != base.index:
             self.named = (
                 base.index,
@@ -481,7 +482,9 @@
 
     def applied(self) -> int:
         """At the tail: how far every node that may hold a lease has come."""
-        return self.holders.applied(self.chain.base.index, self.runtime.now()) if self.consensus.leased() else 0
+        return (
+            self.holders.applied(self.chain.committed_state.index, self.runtime.now()) if self.consensus.leased() else 0
+        )
 
     async def pass_leave(self, msg: message.MemberLeaving) -> None:
         """Pass a leaving node's word on to the tail."""
@@ -655,7 +658,7 @@
                 heartbeats += 1
                 if heartbeats % 4 == 0:
                     sent.clear()  # a membership may have been lost with a link
-                n = self.chain.base.index
+                n = self.chain.committed_state.index
                 latest = self.issuer.latest if self.issuer.issuing() else None
                 for connection in v.chain:
                     update = (
@@ -729,8 +732,8 @@
             "leased": c.leased(),
             "serving": self.serving(),
             "whole": self.chain.is_synced(),
-            "stamp": self.chain.base.version,
-            "n": self.chain.base.index,
+            "stamp": self.chain.committed_state.version,
+            "n": self.chain.committed_state.index,
             "tip": self.chain.latest_state.index,
             "lease_left_us": max(0, self.lease.until - self.runtime.now()),
             "disk_ok": self.disk.ok,
@@ -894,7 +897,7 @@
 
     def known_here(self, order: ChangeOrder) -> KnownState:
         """What this machine's own copy says of an order; it may be old."""
-        base = self.chain.base
+        base = self.chain.committed_state
         return KnownState(base.version, base.items, base.taken.get(order.identifier, 0), base.forgotten, False)
 
     async def known_at_tail(self, order: ChangeOrder, us: int) -> KnownState:
--- a/iriswheel/replication/__init__.py
+++ b/iriswheel/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Chain replication of the configuration: log, state, snapshot transfer, storage."""
+"""Chain replication of the configuration: log, state, snapshots, sender, receiver, head and tail."""
--- /dev/null
+++ b/iriswheel/replication/proposals.py
@@ -0,0 +1,114 @@
+"""Operators' changes at the head of the chain: admitted, appended, and answered once they are committed."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.runtime.storage as storage
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.replication.chain_position as chain_position
+    import iriswheel.replication.replicated_log as replicated_log
+    import iriswheel.replication.replicated_state as replicated_state
+    import iriswheel.replication.tail as tail
+
+
+def refuse(code: str, text: str) -> message.ProposeChangeResponse:
+    """The answer to a change that was not run, and never will be by this request."""
+    return message.ProposeChangeResponse(code, "not_run", text)
+
+
+def known_index(state: replicated_state.ReplicatedState, request: message.ProposeChange) -> int | None:
+    """The entry that the same change became before, or None where it is new or no longer remembered."""
+    if request.kind == "plan":
+        plan = state.plans.get(request.plan)
+        return plan.index if plan is not None else None
+    return state.taken.get(request.plan)
+
+
+def refusal(
+    state: replicated_state.ReplicatedState, request: message.ProposeChange
+) -> message.ProposeChangeResponse | None:
+    """Why a new change can't follow the state, or None where it can."""
+    if request.kind == "confirm":
+        plan = state.plans.get(request.plan)
+        if plan is None:
+            return _refuse_unknown_plan(state, request.plan)
+        base, what = plan.base, "plan"
+    else:
+        base, what = request.base, "plan" if request.kind == "plan" else "change"
+    if base == state.version:
+        return None
+    return refuse("base_moved", f"The blueprint is at {state.version}, the {what}'s base is {base}.")
+
+
+def _refuse_unknown_plan(state: replicated_state.ReplicatedState, identifier: str) -> message.ProposeChangeResponse:
+    prefix = identifier.split("-")[0]  # the version that a plan was computed on
+    if prefix.isdigit() and int(prefix) < state.version:
+        return message.ProposeChangeResponse("not_found", "may_have_run", "The plan is no longer remembered.")
+    return refuse("not_found", "There is no such plan.")
+
+
+class Proposals:
+    """Takes operators' changes at the head."""
+
+    def __init__(
+        self,
+        position: chain_position.ChainPosition,
+        log: replicated_log.ReplicatedLog,
+        chain_tail: tail.Tail,
+    ) -> None:
+        self.position = position
+        self.log = log
+        self.tail = chain_tail
+
+    async def propose(self, request: message.ProposeChange) -> message.ProposeChangeResponse:
+        """Take an operator's change; the same change again has the same answer."""
+        async with self.log.lock:
+            refused = self._refuse_here(request.view)
+            if refused is not None:
+                return refused
+            index = known_index(self.log.latest_state, request)
+            if index is None:
+                refused = refusal(self.log.latest_state, request)
+                if refused is not None:
+                    return refused
+                try:
+                    index = await self._append(request)
+                except storage.DiskError:
+                    return message.ProposeChangeResponse("no_chain", "may_have_run", "The head's disk does not work.")
+        return await self._outcome(request, index)
+
+    def _refuse_here(self, number: int) -> message.ProposeChangeResponse | None:
+        """Why this machine can take no change now, or None."""
+        view = self.position.consensus.view
+        if view is None or self.position.index_in(number) != 0 or not self.position.is_synced():
+            return refuse("no_chain", "This machine is not the head of the chain now.")
+        if not self.position.has_enough_copies(view):
+            copies = self.position.consensus.copies
+            text = f"Machines with a disk: {len(view.chain)} are there, {copies} must keep a change."
+            return refuse("too_few_copies", text)
+        if not self.log.disk.ok:
+            return refuse("no_chain", "The head's disk does not work.")
+        return None
+
+    async def _append(self, request: message.ProposeChange) -> int:
+        index = self.log.last_index + 1
+        entry = message.LogEntry(index, request.view, request.kind, request.plan, request.base, request.changes)
+        await self.log.append([entry])
+        self.log.appended.wake()
+        self.tail.commit_synced(request.view)  # where one copy is enough, the head may be the tail
+        return index
+
+    async def _outcome(self, request: message.ProposeChange, index: int) -> message.ProposeChangeResponse:
+        """The answer to a change that became an entry, once that is committed or its view has ended."""
+        unknown = message.ProposeChangeResponse("unknown_outcome", "may_have_run", "The chain changed meanwhile.")
+        while self.log.committed_state.index < index:
+            if not self.position.serves_in(request.view):
+                return unknown
+            await self.log.committed.wait()
+        entry = self.log.entries.get(index)
+        if not self.position.serves_in(request.view) and (entry is None or entry.plan != request.plan):
+            return unknown  # another view may have made another entry of that number
+        return message.ProposeChangeResponse("", "ran", "", request.base if request.kind == "plan" else index)
--- /dev/null
+++ b/iriswheel/replication/receiver.py
@@ -0,0 +1,132 @@
+"""The receiving side between two replicas: stores what the replica before sends, and answers once it is committed."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.consensus.decisions as decisions
+import iriswheel.replication.snapshot_format as snapshot_format
+import iriswheel.replication.snapshot_transfer as snapshot_transfer
+import iriswheel.runtime.storage as storage
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.replication.chain_position as chain_position
+    import iriswheel.replication.replicated_log as replicated_log
+    import iriswheel.replication.replicated_state as replicated_state
+    import iriswheel.replication.tail as tail
+
+
+class Receiver:
+    """Answers the replica before this one in the chain."""
+
+    def __init__(
+        self,
+        position: chain_position.ChainPosition,
+        log: replicated_log.ReplicatedLog,
+        chain_tail: tail.Tail,
+    ) -> None:
+        self.position = position
+        self.log = log
+        self.tail = chain_tail
+        self.incoming = snapshot_transfer.IncomingSnapshot()
+
+    async def answer_position(self, request: message.PositionRequest) -> message.PositionResponse:
+        """How far this replica has come, once no write is under way that would change it."""
+        async with self.log.lock:
+            if not self.position.follows_in(request.view):
+                return message.PositionResponse(False)
+            return message.PositionResponse(
+                True,
+                self.log.last_index,
+                self.log.latest_state.view,
+                True,
+                self.incoming.digest,
+                len(self.incoming.content),
+            )
+
+    def take_chunk(self, chunk: message.SnapshotChunk) -> message.SnapshotChunkResponse:
+        """Keep one chunk of a snapshot in memory."""
+        if not self.position.follows_in(chunk.view) or self.position.is_synced():
+            return message.SnapshotChunkResponse(False)
+        return message.SnapshotChunkResponse(True, self.incoming.add_chunk(chunk))
+
+    async def append(self, request: message.AppendRequest) -> message.AppendResponse:
+        """Store new entries from the replica before; answer once they are committed."""
+        try:
+            async with self.log.lock:
+                is_in_place = self.position.follows_in(request.view) and self.position.is_synced()
+                if not is_in_place or not await self.log.extend(request.entries):
+                    return message.AppendResponse(False)
+        except storage.DiskError:
+            return message.AppendResponse(False)
+        return await self._wait_for_commit(request.view, request.entries)
+
+    async def catch_up(self, request: message.CatchUp) -> message.AppendResponse:
+        """Store what the replica before sends to catch up; after the last of it, answer once it is committed."""
+        try:
+            async with self.log.lock:
+                if not self.position.follows_in(request.view) or not await self._store(request):
+                    return message.AppendResponse(False)
+                if request.last:
+                    await self.position.consensus.mark_synced(request.view)
+                    self.incoming = snapshot_transfer.IncomingSnapshot()
+        except storage.DiskError:
+            return message.AppendResponse(False)
+        if not request.last:
+            return message.AppendResponse(True, request.entries[-1].index)
+        response = await self._wait_for_commit(request.view, request.entries)
+        if response.ok and (request.snapshot or request.frame is not None):
+            self.log.on_commit()
+        return response
+
+    async def _store(self, request: message.CatchUp) -> bool:
+        """Store one message of catching up by its kind; whether it fits what is here."""
+        if request.frame is not None:
+            return await self._restore(request.frame, snapshot_format.decode(request.frame), request.entries)
+        if request.snapshot:
+            return await self._stage(request)
+        if request.after is not None and request.after != self.log.latest_state.position:
+            return False
+        return await self.log.extend(request.entries)
+
+    async def _stage(self, request: message.CatchUp) -> bool:
+        """Keep entries that follow an incoming snapshot; with the last of them the snapshot replaces this copy."""
+        incoming = self.incoming
+        if not incoming.complete or incoming.digest != request.snapshot:
+            return False
+        state = incoming.state
+        if state is None:
+            state = snapshot_format.decode(incoming.content)
+            incoming.decoded(state)
+        if not incoming.add_entries(request.after, request.entries):
+            return False
+        return not request.last or await self._restore(bytes(incoming.content), state, incoming.entries)
+
+    async def _restore(
+        self, snapshot: bytes, state: replicated_state.ReplicatedState, entries: list[message.LogEntry]
+    ) -> bool:
+        """Replace this copy by a snapshot and all entries after it, unless the snapshot is a late one.
+
+        A copy that is synced in this view is a beginning of the sender's, so that an older snapshot for it is late.
+        """
+        record = self.position.consensus.record
+        may_restore = decisions.may_restore(record, self.log.last_index, state.index)
+        if not may_restore or not snapshot_transfer.is_consecutive(state.index, entries):
+            return False
+        await self.log.replace(snapshot, state, entries)
+        return True
+
+    async def _wait_for_commit(self, number: int, entries: list[message.LogEntry]) -> message.AppendResponse:
+        """Pass on what was stored, and answer once all replicas down to the tail have it."""
+        if not self.position.serves_in(number) or not self.position.is_synced():
+            return message.AppendResponse(False)
+        index = entries[-1].index if entries else self.log.last_index
+        self.log.appended.wake()
+        self.tail.commit_synced(number)
+        is_tail = self.position.is_tail_of(number)
+        while not is_tail and self.log.committed_state.index < index:
+            await self.log.committed.wait()
+            if not self.position.follows_in(number):
+                return message.AppendResponse(False)
+        return message.AppendResponse(True, index)
--- /dev/null
+++ b/iriswheel/replication/replicated_log.py
@@ -0,0 +1,227 @@
+"""One replica's log: entries and snapshot on disk, and the committed and the latest state in memory."""
+
+from __future__ import annotations
+
+import typing
+
+import loguru
+import msgspec
+import twisted.internet.defer as defer
+
+import iriswheel.replication.replicated_state as replicated_state
+import iriswheel.replication.snapshot_format as snapshot_format
+import iriswheel.replication.snapshot_transfer as snapshot_transfer
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.storage as storage
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import collections.abc
+
+SNAPSHOT_KEY = b"frame"
+ENTRY_KEY_PREFIX = b"e"
+
+MAX_BATCH_ENTRIES = 64
+KEPT_ENTRIES = 512  # behind the snapshot, and states kept for nodes that resume
+MAX_BYTES_SINCE_SNAPSHOT = 32 << 20  # a snapshot after so many bytes of changes; entries are kept up to this size
+
+log = loguru.logger.bind(part="chain")
+encode_entry = msgspec.msgpack.encode
+decode_entry = msgspec.msgpack.Decoder(message.LogEntry).decode
+
+
+def entry_key(index: int) -> bytes:
+    """The disk's key of an entry.
+
+    >>> entry_key(7)
+    b'e0000000000000007'
+    """
+    return ENTRY_KEY_PREFIX + b"%016d" % index
+
+
+class ReplicatedLog:
+    """The entries that this replica has synced, and the states that they make.
+
+    Args:
+        runtime: Clock and tasks.
+        disk: Where entries and snapshots are synced.
+        records: What the disk held at the start.
+    """
+
+    def __init__(
+        self,
+        runtime: scheduler.Runtime,
+        disk: storage.MonitoredDisk,
+        records: collections.abc.Mapping[bytes, bytes],
+    ) -> None:
+        self.runtime = runtime
+        self.disk = disk
+        self.lock = defer.DeferredLock()
+        """Held by whoever decides on a write until that is synced."""
+        raw = records.get(SNAPSHOT_KEY)
+        self.committed_state = replicated_state.ReplicatedState() if raw is None else snapshot_format.decode(raw)
+        stored = [decode_entry(value) for key, value in sorted(records.items()) if key.startswith(ENTRY_KEY_PREFIX)]
+        self.entries = {entry.index: entry for entry in stored}
+        self.latest_state = self.committed_state
+        """With the entries that are not committed yet."""
+        for entry in stored:
+            if entry.index > self.latest_state.index:
+                self.latest_state = self.latest_state.apply(entry)
+        self.history = {self.committed_state.index: self.committed_state}
+        """The newest committed states, by index."""
+        self.appended = scheduler.Signal()
+        self.committed = scheduler.Signal()
+        self.on_commit: collections.abc.Callable[[], object] = lambda: None
+        self._snapshot_index = self.committed_state.index
+        self._bytes_since_snapshot = 0
+        self._pinned_snapshot: snapshot_transfer.OutgoingSnapshot | None = None
+
+    @property
+    def last_index(self) -> int:
+        """The newest entry that is synced here."""
+        return self.latest_state.index
+
+    # ---- commit --------------------------------------------------------------
+
+    def commit(self, index: int) -> None:
+        """Commit the entries up to an index, as far as they are here."""
+        if index <= self.committed_state.index:
+            return
+        while self.committed_state.index < min(index, self.last_index):
+            entry = self.entries[self.committed_state.index + 1]
+            self.committed_state = self.committed_state.apply(entry)
+            self._bytes_since_snapshot += len(encode_entry(entry.changes)) if entry.changes else 0
+            self.history[self.committed_state.index] = self.committed_state
+        for old in [key for key in self.history if key <= self.committed_state.index - KEPT_ENTRIES]:
+            del self.history[old]
+        self.committed.wake()
+        self.on_commit()
+        entries_since_snapshot = self.committed_state.index - self._snapshot_index
+        if entries_since_snapshot >= KEPT_ENTRIES or self._bytes_since_snapshot > MAX_BYTES_SINCE_SNAPSHOT:
+            self._bytes_since_snapshot = 0
+            self._snapshot_index = self.committed_state.index
+            self.runtime.spawn(self._compact(), log)
+
+    async def _compact(self) -> None:
+        """Write a snapshot of the committed state, and drop the entries far behind it."""
+        async with self.lock:
+            old = self._compactable()
+            snapshot: storage.Write = (SNAPSHOT_KEY, snapshot_format.encode(self.committed_state))
+            removals: list[storage.Write] = [(entry_key(index), None) for index in old]
+            try:
+                await self.disk.commit([snapshot, *removals])
+            except storage.DiskError:
+                self._snapshot_index -= KEPT_ENTRIES // 2  # again a little later
+                return
+            for index in old:
+                del self.entries[index]
+            if self._pinned_snapshot is not None and not self.reaches_back_to(self._pinned_snapshot.position.index):
+                self._pinned_snapshot = None
+
+    def _compactable(self) -> list[int]:
+        """The committed entries behind the bounds on count and bytes, newest first."""
+        old: list[int] = []
+        kept_bytes = 0
+        for index in sorted(self.entries, reverse=True):
+            kept_bytes += len(encode_entry(self.entries[index]))
+            is_far_behind = index <= self.committed_state.index - KEPT_ENTRIES
+            is_too_much = index <= self.committed_state.index and kept_bytes > MAX_BYTES_SINCE_SNAPSHOT
+            if is_far_behind or is_too_much:
+                old.append(index)
+        return old
+
+    # ---- read ----------------------------------------------------------------
+
+    def reaches_back_to(self, index: int) -> bool:
+        """Whether all entries after an index are here."""
+        return all(key in self.entries for key in range(index + 1, self.last_index + 1))
+
+    def continues(self, position: message.LogPosition) -> bool:
+        """Whether a copy that ends at a position is a beginning of this one, and all entries after it are here."""
+        if position.index > self.last_index or not self.reaches_back_to(position.index):
+            return False
+        if position == self.committed_state.position:
+            return True
+        return position.index in self.entries and self.entries[position.index].view == position.view
+
+    def batch(self, first: int) -> list[message.LogEntry]:
+        """Entries from an index on, bounded by count and by bytes; at least one where there is any."""
+        entries: list[message.LogEntry] = []
+        size = 0
+        for index in range(first, min(self.last_index, first + MAX_BATCH_ENTRIES - 1) + 1):
+            entry = self.entries[index]
+            size += len(encode_entry(entry))
+            if entries and size > snapshot_transfer.BATCH_BYTES:
+                break
+            entries.append(entry)
+        return entries
+
+    def entries_after(self, index: int) -> list[message.LogEntry]:
+        """All entries after an index."""
+        return [self.entries[key] for key in range(index + 1, self.last_index + 1)]
+
+    def pin_snapshot(self) -> snapshot_transfer.OutgoingSnapshot:
+        """The snapshot to send: the last one as long as the log follows it, since replicas may have a part of it."""
+        pinned = self._pinned_snapshot
+        if pinned is None or not self.reaches_back_to(pinned.position.index):
+            content = snapshot_format.encode(self.committed_state)
+            pinned = snapshot_transfer.OutgoingSnapshot.pin(self.committed_state.position, content)
+            self._pinned_snapshot = pinned
+        return pinned
+
+    # ---- write, under the lock -------------------------------------------------
+
+    async def append(self, entries: list[message.LogEntry]) -> None:
+        """Sync entries that follow the newest one here.
+
+        Raises:
+            storage.DiskError: The disk refused them, and they are not here.
+        """
+        await self.disk.commit([(entry_key(entry.index), encode_entry(entry)) for entry in entries])
+        for entry in entries:
+            self.entries[entry.index] = entry
+            self.latest_state = self.latest_state.apply(entry)
+
+    async def extend(self, entries: list[message.LogEntry]) -> bool:
+        """Append those of the entries that are not here already; False where there is a gap before them.
+
+        Raises:
+            storage.DiskError: The disk refused them.
+        """
+        new = [entry for entry in entries if entry.index > self.last_index]
+        if not snapshot_transfer.is_consecutive(self.last_index, new):
+            return False
+        if new:
+            await self.append(new)
+        return True
+
+    async def replace(
+        self, snapshot: bytes, state: replicated_state.ReplicatedState, entries: list[message.LogEntry]
+    ) -> None:
+        """Replace all that is here by a snapshot and the entries after it, in one synced write.
+
+        It is one write because what was here may have been acknowledged: at any moment this replica holds
+        either that, or all that the replica before held when it sent the last entry.
+
+        Args:
+            snapshot: The bytes to store.
+            state: The same snapshot decoded.
+            entries: All that follow it, without a gap.
+
+        Raises:
+            storage.DiskError: The disk refused it, and all is as it was.
+        """
+        writes: list[storage.Write] = [(entry_key(index), None) for index in self.entries]
+        writes.append((SNAPSHOT_KEY, snapshot))
+        writes += [(entry_key(entry.index), encode_entry(entry)) for entry in entries]
+        await self.disk.commit(writes)
+        self.entries = {entry.index: entry for entry in entries}
+        self.latest_state = state
+        for entry in entries:
+            self.latest_state = self.latest_state.apply(entry)
+        self._pinned_snapshot = None
+        if state.index >= self.committed_state.index:
+            self.committed_state = state
+            self._snapshot_index = state.index
+            self.history[state.index] = state
+            self.committed.wake()
--- /dev/null
+++ b/iriswheel/replication/replicated_state.py
@@ -0,0 +1,172 @@
+"""The replicated state: what the log entries so far make of the configuration, plans and taken changes.
+
+All values are immutable: a state stays as it is while newer ones share what they have in common with it.
+"""
+
+from __future__ import annotations
+
+import typing
+
+import immutables
+import msgspec
+
+import iriswheel.configuration.differences as differences
+import iriswheel.configuration.slices as slices
+import iriswheel.transport.message as message
+
+MAX_PLANS = 512  # remembered, of each sort: open, confirmed
+MAX_OPEN_PLAN_BYTES = 16 << 20  # of all open plans together
+MIN_TAKEN_CHANGES = 16_384  # ids of changes that were taken, remembered at least
+TAKEN_CHANGES_SLACK = 1_024  # and so many more before the oldest are dropped together
+
+Item: typing.TypeAlias = dict[str, typing.Any]  # one item of the configuration, as JSON
+Change: typing.TypeAlias = tuple[str, Item | None]  # an item's key and its new value; None removes it
+
+
+class Plan(typing.NamedTuple):
+    """A plan as the replicated state keeps it; stored as an array in snapshots.
+
+    Attributes:
+        index: The log entry that made it, or that confirmed it.
+        base: The configuration version that its changes were computed on.
+        changes: What it would change; empty once it is confirmed.
+        version: The configuration version that it became; 0 until it is confirmed.
+        size: Bytes of the changes.
+    """
+
+    index: int  # type: ignore[assignment]  # hides tuple.index, which has no use here
+    base: int
+    changes: list[Change]
+    version: int = 0
+    size: int = 0
+
+
+class ReplicatedState(typing.NamedTuple):
+    """The state after the entry `index`, which was made in the view `view`.
+
+    Attributes:
+        index: The newest log entry in it.
+        view: The view in which that entry was made.
+        version: The configuration version: the newest entry that changed an item.
+        items: The configuration's items by key.
+        plans: The plans that are remembered, by id.
+        published: `items` as nodes may have them: without the operator's labels.
+        taken: The version of each change that was taken, by the change's id.
+        forgotten: The highest operator's number among those changes that were dropped from `taken`.
+
+    >>> one = ReplicatedState().apply(message.LogEntry(1, 1, "plan", "0-a", 0, [("pools/p", {})]))
+    >>> two = one.apply(message.LogEntry(2, 1, "confirm", "0-a"))
+    >>> two.version, dict(two.items), two.plans["0-a"].version
+    (2, {'pools/p': {}}, 2)
+    """
+
+    index: int = 0  # type: ignore[assignment]  # hides tuple.index, which has no use here
+    view: int = 0
+    version: int = 0
+    items: immutables.Map[str, Item] = immutables.Map()
+    plans: immutables.Map[str, Plan] = immutables.Map()
+    published: immutables.Map[str, Item] = immutables.Map()
+    taken: immutables.Map[str, int] = immutables.Map()
+    forgotten: int = 0
+
+    @property
+    def position(self) -> message.LogPosition:
+        """The place of the newest entry in the log."""
+        return message.LogPosition(self.index, self.view)
+
+    def apply(self, entry: message.LogEntry) -> ReplicatedState:
+        """The state after one more entry.
+
+        >>> ReplicatedState().apply(message.LogEntry(1, 7, "plan", "0-a")).view
+        7
+        """
+        state = self._replace(index=entry.index, view=entry.view)
+        match entry.kind:
+            case "plan":
+                size = len(msgspec.msgpack.encode(entry.changes))
+                return state._with_plan(entry.plan, Plan(entry.index, entry.base, entry.changes, 0, size))
+            case "confirm":
+                plan = self.plans[entry.plan]
+                confirmed = Plan(entry.index, plan.base, [], entry.index)
+                return state._with_plan(entry.plan, confirmed).with_taken(entry).with_changes(plan.changes)
+            case "apply":
+                applied = Plan(entry.index, entry.base, [], entry.index)
+                return state._with_plan(entry.plan, applied).with_taken(entry).with_changes(entry.changes)
+            case _:
+                raise ValueError(f"a log entry of the unknown kind {entry.kind!r}")
+
+    def _with_plan(self, identifier: str, plan: Plan) -> ReplicatedState:
+        return self._replace(plans=retain_plans(self.plans.set(identifier, plan)))
+
+    def with_taken(self, entry: message.LogEntry) -> ReplicatedState:
+        """The state at the version of an entry, whose change is remembered as taken.
+
+        Above the bound the oldest are dropped together.
+
+        >>> ReplicatedState().with_taken(message.LogEntry(4, 1, "apply", "c5-7-0a")).taken["c5-7-0a"]
+        4
+        """
+        taken = self.taken.set(entry.plan, entry.index)
+        if len(taken) <= MIN_TAKEN_CHANGES + TAKEN_CHANGES_SLACK:
+            return self._replace(version=entry.index, taken=taken)
+        by_age = sorted(taken, key=lambda identifier: taken[identifier])
+        dropped, kept = by_age[:-MIN_TAKEN_CHANGES], by_age[-MIN_TAKEN_CHANGES:]
+        return self._replace(
+            version=entry.index,
+            taken=immutables.Map({identifier: taken[identifier] for identifier in kept}),
+            forgotten=max(self.forgotten, *map(differences.change_number, dropped)),
+        )
+
+    def with_changes(self, changes: list[Change]) -> ReplicatedState:
+        """The state with some items changed; None removes.
+
+        >>> ReplicatedState().with_changes([("pools/p", {"label": {"a": 1}})]).published["pools/p"]
+        {}
+        """
+        items, published = self.items.mutate(), self.published.mutate()
+        for key, value in changes:
+            if value is None:
+                items.pop(key, None)
+                published.pop(key, None)
+            else:
+                items[key] = value
+                published[key] = slices.without_label(value)
+        return self._replace(items=items.finish(), published=published.finish())
+
+
+def retain_plans(plans: immutables.Map[str, Plan]) -> immutables.Map[str, Plan]:
+    """Drop the oldest open and the oldest confirmed plans above the bounds.
+
+    >>> sorted(retain_plans(immutables.Map({str(i): Plan(i, 0, [], 0, 7 << 20) for i in range(4)})))
+    ['2', '3']
+
+    >>> len(retain_plans(immutables.Map({str(i): Plan(i, 0, []) for i in range(MAX_PLANS + 3)})))
+    512
+    """
+    return _within_plan_count(_within_plan_bytes(plans))
+
+
+def _within_plan_bytes(plans: immutables.Map[str, Plan]) -> immutables.Map[str, Plan]:
+    if sum(plan.size for plan in plans.values()) <= MAX_OPEN_PLAN_BYTES:
+        return plans
+    left_bytes = MAX_OPEN_PLAN_BYTES
+    for identifier in reversed(_by_age(plans, confirmed=False)):
+        left_bytes -= plans[identifier].size
+        if left_bytes < 0 and len(plans) > 1:
+            plans = plans.delete(identifier)
+    return plans
+
+
+def _within_plan_count(plans: immutables.Map[str, Plan]) -> immutables.Map[str, Plan]:
+    if len(plans) <= MAX_PLANS:
+        return plans
+    for confirmed in (False, True):
+        for identifier in _by_age(plans, confirmed)[:-MAX_PLANS]:
+            plans = plans.delete(identifier)
+    return plans
+
+
+def _by_age(plans: immutables.Map[str, Plan], confirmed: bool) -> list[str]:
+    """The ids of the open or of the confirmed plans, oldest first."""
+    aged = sorted((plan.index, key) for key, plan in plans.items() if bool(plan.version) == confirmed)
+    return [identifier for _, identifier in aged]
--- /dev/null
+++ b/iriswheel/replication/sender.py
@@ -0,0 +1,122 @@
+"""The sending side between two replicas: keeps the next replica of the chain up to date."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.replication.snapshot_format as snapshot_format
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
+
+if typing.TYPE_CHECKING:
+    import iriswheel.replication.chain_position as chain_position
+    import iriswheel.replication.replicated_log as replicated_log
+    import iriswheel.replication.snapshot_transfer as snapshot_transfer
+    import iriswheel.transport.peer_calls as peer_calls
+
+CALL_TIMEOUT_US = 2 * units.SECOND_US
+RETRY_INTERVAL_US = 50 * units.MILLISECOND_US
+
+
+class Sender:
+    """Feeds the next replica, first by catching it up, then entry by entry."""
+
+    def __init__(
+        self,
+        runtime: scheduler.Runtime,
+        peers: peer_calls.PeerCalls,
+        position: chain_position.ChainPosition,
+        log: replicated_log.ReplicatedLog,
+    ) -> None:
+        self.runtime = runtime
+        self.peers = peers
+        self.position = position
+        self.log = log
+
+    async def feed(self, view: message.View, successor: message.Voter) -> None:
+        """Keep the next replica up to date, as long as the view lasts."""
+        stored: int | None = None  # how far the replicas from the next one to the tail have come
+        while self.position.serves_in(view.number):
+            if not self.position.is_synced() or (stored is not None and stored >= self.log.last_index):
+                await self.log.appended.wait()
+                continue
+            try:
+                stored = await self._send(view.number, successor, stored)
+            except (wire.ConnectionBrokenError, scheduler.DeadlineError):
+                stored = None
+            if stored is None:
+                await self.runtime.sleep(RETRY_INTERVAL_US)
+            elif self.position.serves_in(view.number) and self.position.has_enough_copies(view):
+                self.log.commit(stored)
+
+    async def _send(self, number: int, successor: message.Voter, stored: int | None) -> int | None:
+        """Send what comes next; returns how far it is stored down to the tail, or None where it was refused."""
+        if stored is None:
+            return await self._catch_up(number, successor)
+        return await self._deliver(successor, message.AppendRequest(number, self.log.batch(stored + 1)))
+
+    async def _deliver(self, successor: message.Voter, request: message.AppendRequest | message.CatchUp) -> int | None:
+        """Send entries; returns how far they are stored down to the tail, or None where they were refused."""
+        response = await self._call(successor, request)
+        return response.index if isinstance(response, message.AppendResponse) and response.ok else None
+
+    async def _call(self, successor: message.Voter, request: message.Message) -> message.Message:
+        return await self.peers.call(successor.host, successor.port, request, CALL_TIMEOUT_US)
+
+    async def _catch_up(self, number: int, successor: message.Voter) -> int | None:
+        """Bring the next replica up to date; returns how far, or None where it has to be tried again."""
+        place = await self._call(successor, message.PositionRequest(number, self.position.consensus.me.id))
+        if not isinstance(place, message.PositionResponse) or not place.ok:
+            return None
+        if not place.pieces:
+            return await self._deliver(successor, self._whole_catch_up(number, place))
+        at = message.LogPosition(place.index, place.view)
+        if self.log.continues(at):
+            return await self._send_entries(number, successor, at, "")
+        snapshot = self.log.pin_snapshot()
+        if not await self._send_snapshot(number, successor, snapshot, place):
+            return None
+        return await self._send_entries(number, successor, snapshot.position, snapshot.digest)
+
+    async def _send_snapshot(
+        self,
+        number: int,
+        successor: message.Voter,
+        snapshot: snapshot_transfer.OutgoingSnapshot,
+        place: message.PositionResponse,
+    ) -> bool:
+        """Send a snapshot from where the next replica has it; whether all of it arrived."""
+        offset = place.received if place.snapshot == snapshot.digest else 0
+        while offset < len(snapshot.content):
+            if not self.position.serves_in(number):
+                return False
+            response = await self._call(successor, snapshot.chunk(number, offset))
+            if not isinstance(response, message.SnapshotChunkResponse):
+                return False
+            if not response.ok or response.received <= offset:
+                return False
+            offset = response.received
+        return True
+
+    async def _send_entries(
+        self, number: int, successor: message.Voter, after: message.LogPosition, snapshot: str
+    ) -> int | None:
+        """Send all entries after a position in bounded batches; with the last one the next replica is synced."""
+        while self.position.serves_in(number) and self.log.reaches_back_to(after.index):
+            entries = self.log.batch(after.index + 1)
+            last = after.index + len(entries) >= self.log.last_index
+            request = message.CatchUp(number, None, entries, after, snapshot, last)
+            stored = await self._deliver(successor, request)
+            if stored is None or last:
+                return stored
+            after = message.LogPosition(entries[-1].index, entries[-1].view)
+        return None
+
+    def _whole_catch_up(self, number: int, place: message.PositionResponse) -> message.CatchUp:
+        """What brings a replica up to date in one message, for programs that take no chunks."""
+        if self.log.continues(message.LogPosition(place.index, place.view)):
+            return message.CatchUp(number, None, self.log.entries_after(place.index))
+        state = self.log.committed_state
+        return message.CatchUp(number, snapshot_format.encode(state), self.log.entries_after(state.index))
--- a/iriswheel/replication/snapshot_transfer.py
+++ b/iriswheel/replication/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots between core machines, sent in pieces of bounded size that resume where they were.
+"""Snapshots between core machines, sent in chunks of bounded size that resume where they were.
 
 The sender pins one snapshot while it is being sent, however far its own state moves on; entries after it
 follow in batches. The receiver keeps what has arrived through lost connections and new views, and replaces its
@@ -12,15 +12,18 @@
 
 import iriswheel.transport.message as message
 
-PIECE_BYTES = 256 << 10
+if typing.TYPE_CHECKING:
+    import iriswheel.replication.replicated_state as replicated_state
+
+CHUNK_BYTES = 256 << 10
 BATCH_BYTES = 1 << 20  # of entries in one message; a single larger entry goes alone
 
 
-class Outgoing(typing.NamedTuple):
+class OutgoingSnapshot(typing.NamedTuple):
     """A snapshot pinned by its sender.
 
-    >>> outgoing = Outgoing.of(message.LogPosition(7, 2), b"state")
-    >>> piece = outgoing.piece(4, 2); piece.offset, piece.total, piece.content
+    >>> outgoing = OutgoingSnapshot.pin(message.LogPosition(7, 2), b"state")
+    >>> chunk = outgoing.chunk(4, 2); chunk.offset, chunk.total, chunk.content
     (2, 5, b'ate')
     """
 
@@ -29,45 +32,45 @@
     content: bytes
 
     @classmethod
-    def of(cls, position: message.LogPosition, content: bytes) -> Outgoing:
+    def pin(cls, position: message.LogPosition, content: bytes) -> OutgoingSnapshot:
         """Pin a snapshot."""
         return cls(position, hashlib.sha256(content).hexdigest(), content)
 
-    def piece(self, view: int, offset: int) -> message.SnapshotChunk:
-        """The piece that begins at an offset."""
-        content = self.content[offset : offset + PIECE_BYTES]
+    def chunk(self, view: int, offset: int) -> message.SnapshotChunk:
+        """The chunk that begins at an offset, as a message of a view."""
+        content = self.content[offset : offset + CHUNK_BYTES]
         return message.SnapshotChunk(view, self.digest, len(self.content), offset, content)
 
 
-class Incoming:
+class IncomingSnapshot:
     """A snapshot that is being received, and the entries after it.
 
-    >>> incoming = Incoming(); outgoing = Outgoing.of(message.LogPosition(7, 2), b"state")
-    >>> incoming.take_piece(outgoing.piece(4, 0)), incoming.complete
+    >>> incoming = IncomingSnapshot(); outgoing = OutgoingSnapshot.pin(message.LogPosition(7, 2), b"state")
+    >>> incoming.add_chunk(outgoing.chunk(4, 0)), incoming.complete
     (5, True)
-    >>> incoming.take_piece(outgoing.piece(4, 0))
+    >>> incoming.add_chunk(outgoing.chunk(4, 0))
     5
     """
 
     def __init__(self) -> None:
-        self.start("", 0)
+        self._begin("", 0)
 
-    def start(self, digest: str, total: int) -> None:
-        """Forget what is here and begin with another snapshot."""
+    def _begin(self, digest: str, total: int) -> None:
+        """Drop what is here and begin with another snapshot."""
         self.digest = digest
         self.total = total
         self.content = bytearray()
         self.complete = False
-        self.state = None  # the snapshot decoded, once it is complete
-        self.position = None  # of the snapshot's last entry
-        self.entries = []  # that follow the snapshot
-
-    def take_piece(self, piece: message.SnapshotChunk) -> int:
-        """Take one piece; returns how many bytes of its snapshot are here. Pieces out of order change nothing."""
-        if piece.snapshot != self.digest:
-            self.start(piece.snapshot, piece.total)
-        if piece.offset == len(self.content) and not self.complete:
-            self.content += piece.content
+        self.state: replicated_state.ReplicatedState | None = None  # the snapshot decoded, once it is complete
+        self.position: message.LogPosition | None = None  # of the snapshot's last entry
+        self.entries: list[message.LogEntry] = []  # that follow the snapshot
+
+    def add_chunk(self, chunk: message.SnapshotChunk) -> int:
+        """Take one chunk; returns how many bytes of its snapshot are here. Chunks out of order change nothing."""
+        if chunk.snapshot != self.digest:
+            self._begin(chunk.snapshot, chunk.total)
+        if chunk.offset == len(self.content) and not self.complete:
+            self.content += chunk.content
             self._check()
         return len(self.content)
 
@@ -77,29 +80,36 @@
         if hashlib.sha256(self.content).hexdigest() == self.digest:
             self.complete = True
         else:
-            self.start("", 0)
+            self._begin("", 0)
+
+    def decoded(self, state: replicated_state.ReplicatedState) -> None:
+        """Keep the decoded state of the complete snapshot."""
+        self.state = state
+        self.position = state.position
 
-    def take_entries(self, after: message.LogPosition, entries: list[message.LogEntry]) -> bool:
+    def add_entries(self, after: message.LogPosition | None, entries: list[message.LogEntry]) -> bool:
         """Keep entries that follow what is here; False where they do not. The first batch may come again.
 
-        >>> incoming = Incoming(); incoming.position = message.LogPosition(7, 2)
+        >>> incoming = IncomingSnapshot(); incoming.position = message.LogPosition(7, 2)
         >>> one = [message.LogEntry(8, 3, "plan", "0-a")]
-        >>> incoming.take_entries(message.LogPosition(7, 2), one), incoming.take_entries(message.LogPosition(9, 3), one)
+        >>> incoming.add_entries(message.LogPosition(7, 2), one), incoming.add_entries(message.LogPosition(9, 3), one)
         (True, False)
         """
         if after == self.position:
             self.entries = []
         newest = message.LogPosition(self.entries[-1].index, self.entries[-1].view) if self.entries else self.position
-        if after != newest or not follow(after.index, entries):
+        if after is None or after != newest or not is_consecutive(after.index, entries):
             return False
         self.entries += entries
         return True
 
 
-def follow(n: int, entries: list[message.LogEntry]) -> bool:
-    """Whether entries are numbered without a gap after n.
+def is_consecutive(after: int, entries: list[message.LogEntry]) -> bool:
+    """Whether entries are numbered without a gap after an index.
 
-    >>> follow(7, [message.LogEntry(8, 3, "plan", "0-a")]), follow(7, [message.LogEntry(9, 3, "plan", "0-a")])
-    (True, False)
+    >>> is_consecutive(7, [message.LogEntry(8, 3, "plan", "0-a")])
+    True
+    >>> is_consecutive(7, [message.LogEntry(9, 3, "plan", "0-a")])
+    False
     """
-    return [e.index for e in entries] == list(range(n + 1, n + 1 + len(entries)))
+    return [entry.index for entry in entries] == list(range(after + 1, after + 1 + len(entries)))
--- /dev/null
+++ b/iriswheel/replication/tail.py
@@ -0,0 +1,50 @@
+"""The tail's part in the chain: it commits what all replicas have synced, and answers reads."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.replication.chain_position as chain_position
+    import iriswheel.replication.replicated_log as replicated_log
+
+
+class Tail:
+    """Commits and reads at the tail."""
+
+    def __init__(self, position: chain_position.ChainPosition, log: replicated_log.ReplicatedLog) -> None:
+        self.position = position
+        self.log = log
+        # some entries from the disk may have been acknowledged before the restart; the disk does not say which
+        self._holds_recovered_entries = log.last_index > log.committed_state.index
+        self._committed_view = 0  # the newest view in which this tail had committed all that it holds
+
+    def commit_synced(self, number: int) -> None:
+        """At the synced tail of the numbered view: what is synced here is synced on all replicas, so commit it."""
+        view = self.position.consensus.view
+        if view is None or not self.position.is_tail_of(number) or not self.position.is_synced():
+            return
+        if self.position.has_enough_copies(view) or self._holds_recovered_entries:
+            self._holds_recovered_entries = False
+            self.log.commit(self.log.last_index)
+        if self.log.committed_state.index >= self.log.last_index:
+            self._committed_view = number
+
+    def answer_read(self, request: message.ReadRequest) -> message.ReadResponse:
+        """Answer a read, at the tail and under its lease only.
+
+        A tail that is new holds entries that the one before it may have answered reads by;
+        until these are committed here, it answers none.
+        """
+        consensus = self.position.consensus
+        if not consensus.leased() or consensus.view is None or self._committed_view != consensus.view.number:
+            return message.ReadResponse(False)
+        state = self.log.committed_state
+        plan = state.plans.get(request.plan)
+        plan_fields = None
+        if plan is not None:
+            plan_fields = {"id": request.plan, "base": plan.base, "stamp": plan.version, "changes": plan.changes}
+        taken = state.taken.get(request.plan, 0)
+        return message.ReadResponse(True, state.version, dict(state.items), plan_fields, taken, state.forgotten)
--- /dev/null
+++ b/iriswheel/transport/peer_calls.py
@@ -0,0 +1,20 @@
+"""Calls to other core machines, as the subsystems above the transport make them."""
+
+from __future__ import annotations
+
+import typing
+
+if typing.TYPE_CHECKING:
+    import iriswheel.transport.message as message
+
+
+class PeerCalls(typing.Protocol):
+    """Calls to other core machines by address."""
+
+    async def call(self, host: str, port: int, request: message.Message, timeout_us: int, /) -> message.Message:
+        """Send a request and wait for its answer.
+
+        Raises:
+            wire.ConnectionBrokenError: The connection could not be opened, or broke.
+            scheduler.DeadlineError: No answer came within the timeout.
+        """
--- a/simulation/fault_scenarios.py
+++ b/simulation/fault_scenarios.py
@@ -911,7 +911,7 @@
                 x
                 for x in t.cores.values()
                 if x.consensus.view is not None
-                and x.chain.position_in_chain(x.consensus.view.number) == min(place, len(x.consensus.view.chain) - 1)
+                and x.chain.position.index_in(x.consensus.view.number) == min(place, len(x.consensus.view.chain) - 1)
             ),
             None,
         ) or some_core(t)
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -261,7 +261,7 @@
             case Step.CHAINED:
                 return chained
             case Step.REFILLED:
-                return chained and (core.chain.synced > 0 or len(core.chain.incoming.content) > 0)
+                return chained and (core.chain.log.last_index > 0 or len(core.chain.receiver.incoming.content) > 0)
             case Step.SYNCED:
                 return chained and decisions.is_synced(core.consensus.record)
             case Step.LEASED:
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -8,6 +8,8 @@
 import iriswheel.consensus.timing as timing
 import iriswheel.consensus.view_consensus as view_consensus
 import iriswheel.replication.chain as chain
+import iriswheel.replication.replicated_state as replicated_state
+import iriswheel.replication.snapshot_format as snapshot_format
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.transport.message as message
 
@@ -66,7 +68,7 @@
         replica.consensus = view_consensus.ViewConsensus(
             runtime, Disk(), decisions.Record(agreed), agreed.voters[1], [], None, lambda agreed: None
         )
-        snapshot = chain.ReplicatedState().freeze()
+        snapshot = snapshot_format.encode(replicated_state.ReplicatedState())
 
         def take(entries, snapshot):
             refill = message.CatchUp(4, snapshot, entries)
@@ -75,9 +77,9 @@
         entries = [message.LogEntry(n, 4, "plan", f"0-{n}", 0, []) for n in (1, 2)]
         assert take(entries[:1], snapshot).ok
         assert take(entries, None).ok
-        assert (replica.synced, replica.base.index) == (2, 2)  # acknowledged: this is the tail
+        assert (replica.log.last_index, replica.committed_state.index) == (2, 2)  # acknowledged: this is the tail
         assert not take(entries[:1], snapshot).ok
-        assert (replica.synced, replica.base.index) == (2, 2)
+        assert (replica.log.last_index, replica.committed_state.index) == (2, 2)
 
     def result_of(self, deferred):
         """The result of a deferred that has fired."""
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -9,6 +9,9 @@
 import iriswheel.consensus.decisions as decisions
 import iriswheel.consensus.view_consensus as view_consensus
 import iriswheel.replication.chain as chain
+import iriswheel.replication.replicated_log as replicated_log
+import iriswheel.replication.replicated_state as replicated_state
+import iriswheel.replication.snapshot_format as snapshot_format
 import iriswheel.runtime.storage as storage
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
@@ -69,7 +72,7 @@
         self.network, self.name, self.copies = network, name, copies
         self.host = host_model.Host(network.world, name, "a")
         for e in entries:
-            self.host.synced[b"e%016d" % e.index] = chain.pack(e)
+            self.host.synced[b"e%016d" % e.index] = replicated_log.encode_entry(e)
         self.start()
 
     def start(self):
@@ -126,7 +129,10 @@
         return (self.world.time - started_at) / S
 
     def assert_same(self, one, other):
-        assert (other.chain.synced, other.chain.latest_state.view) == (one.chain.synced, one.chain.latest_state.view)
+        assert (other.chain.log.last_index, other.chain.latest_state.view) == (
+            one.chain.log.last_index,
+            one.chain.latest_state.view,
+        )
         assert other.chain.latest_state.items == one.chain.latest_state.items
         state = disk_model.Disk(other.process).read()
         reread = chain.Chain(other.runtime, None, state, None)
@@ -162,23 +168,25 @@
         self.go(0.05)
         self.install(3, head, tail)
         proposed = head.runtime.spawn(
-            head.chain.propose(
+            head.chain.answer(
                 message.ProposeChange(3, "apply", "x", head.chain.latest_state.version, self.route("new"))
             )
         )
         self.until(lambda: proposed.called, 10)
         assert proposed.result.code == ""
         self.assert_same(head, tail)
-        assert "routes/new" in tail.chain.base.items
+        assert "routes/new" in tail.chain.committed_state.items
 
     def test_a_late_snapshot_takes_nothing_back_from_a_whole_copy(self) -> None:
         head, tail = self.pair([entry(k, 1) for k in range(1, 9)], [])
         self.install(2, head, tail)
         self.until(tail.chain.is_synced, 5)
-        late = message.CatchUp(2, chain.ReplicatedState().apply(entry(1, 1)).freeze(), [entry(2, 1)])
+        late = message.CatchUp(
+            2, snapshot_format.encode(replicated_state.ReplicatedState().apply(entry(1, 1))), [entry(2, 1)]
+        )
         done = tail.runtime.spawn(tail.chain.answer(late))
         self.until(lambda: done.called, 5)
-        assert tail.chain.synced == 8
+        assert tail.chain.log.last_index == 8
         self.assert_same(head, tail)
 
     def test_a_snapshot_that_the_disk_refuses_leaves_the_copy_as_it_is(self) -> None:
@@ -186,8 +194,8 @@
         tail.host.disk = "full"
         self.install(4, head, tail)
         self.go(1)
-        assert (tail.chain.synced, tail.chain.latest_state.index, tail.chain.is_synced()) == (2, 2, False)
-        assert set(tail.chain.log) == {1, 2}
+        assert (tail.chain.log.last_index, tail.chain.latest_state.index, tail.chain.is_synced()) == (2, 2, False)
+        assert set(tail.chain.log.entries) == {1, 2}
         tail.host.disk = "ok"
         self.until(tail.chain.is_synced, 5)
         self.assert_same(head, tail)
@@ -196,14 +204,14 @@
         head = Member(self.network, "head", [entry(k, 1, self.route(f"r{k}")) for k in range(1, 301)])
         self.install(2, head)
         self.go(0.1)
-        assert (head.chain.base.index, len(head.chain.base.items)) == (300, 300)
+        assert (head.chain.committed_state.index, len(head.chain.committed_state.items)) == (300, 300)
 
     # ---- snapshots in pieces ------------------------------------------------------------------
 
     def large_pair(self):
         head, tail = self.pair([large_change(1)], [])
         head.chain.commit(1)
-        head.chain.log.clear()  # as after a snapshot
+        head.chain.log.entries.clear()  # as after a snapshot
         return head, tail
 
     def size(self, msg):
@@ -212,11 +220,10 @@
     def test_no_message_to_catch_up_is_large(self) -> None:
         head, tail = self.large_pair()
         for k in range(2, 9):
-            head.chain.log[k] = entry(
+            head.chain.log.entries[k] = entry(
                 k, 1, [("routes/big", {"path": "/", "pool": "p", "label": {"note": "x" * 400_000}})]
             )
-            head.chain.latest_state = head.chain.latest_state.apply(head.chain.log[k])
-            head.chain.synced = k
+            head.chain.log.latest_state = head.chain.latest_state.apply(head.chain.log.entries[k])
         self.install(2, head, tail)
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
@@ -234,7 +241,7 @@
         self.install(2, head, tail)
         self.until(tail.chain.is_synced, 60)
         self.assert_same(head, tail)
-        total = len(head.chain.base.freeze())
+        total = len(snapshot_format.encode(head.chain.committed_state))
         pieces = [m for m in calls if isinstance(m, message.SnapshotChunk)]
         assert total > 700_000
         assert sum(len(m.content) for m in pieces) < 2.5 * total  # lost ones are sent again, others are not
@@ -248,14 +255,14 @@
         )
         self.install(2, head, tail)
         self.go(3)
-        assert len(tail.chain.incoming.content) > 200_000
+        assert len(tail.chain.receiver.incoming.content) > 200_000
         self.network.meet = lambda msg: "pass"
         third.host.synced.update(head.host.synced)
         self.install(3, head, third)  # the second link is cut off
         self.until(third.chain.is_synced, 10)
         for k in range(5):
             msg = message.ProposeChange(3, "apply", f"x{k}", head.chain.latest_state.version, self.route(f"x{k}"))
-            done = head.runtime.spawn(head.chain.propose(msg))
+            done = head.runtime.spawn(head.chain.answer(msg))
             self.until(lambda done=done: done.called, 5)
             assert done.result.code == ""
         del self.network.sent[:]
@@ -267,16 +274,18 @@
 
     def test_a_member_that_loses_power_in_a_transfer_keeps_its_old_copy_and_begins_anew(self) -> None:
         head, tail = self.large_pair()
-        tail.host.synced.update({b"e%016d" % k: chain.pack(entry(k, 7, self.route(f"old{k}"))) for k in (1, 2)})
+        tail.host.synced.update(
+            {b"e%016d" % k: replicated_log.encode_entry(entry(k, 7, self.route(f"old{k}"))) for k in (1, 2)}
+        )
         tail.start()
         self.network.meet = lambda msg: "lose" if isinstance(msg, message.CatchUp) else "pass"
         self.install(8, head, tail)
-        self.until(lambda: tail.chain.incoming.complete, 5)
+        self.until(lambda: tail.chain.receiver.incoming.complete, 5)
         tail.host.fail()
         self.go(1)
         tail.host.power = True
         tail.start()
-        assert (tail.chain.synced, tail.chain.latest_state.view) == (2, 7)
+        assert (tail.chain.log.last_index, tail.chain.latest_state.view) == (2, 7)
         self.network.meet = lambda msg: "pass"
         self.install(9, head, tail)
         self.until(tail.chain.is_synced, 10)
@@ -289,7 +298,7 @@
         def meet(msg):
             if isinstance(msg, message.SnapshotChunk) and not spoilt:
                 spoilt.append(msg)
-                tail.chain.incoming.take_piece(
+                tail.chain.receiver.incoming.add_chunk(
                     message.SnapshotChunk(msg.view, msg.snapshot, msg.total, 0, bytes(len(msg.content)))
                 )
             return "pass"
@@ -329,7 +338,7 @@
         change = [(f"routes/s{k % 50}", {"path": f"/s/{k}", "pool": "desk"})]
         number = head.consensus.view.number
         msg = message.ProposeChange(number, "apply", f"s{k}-{t.world.time}", head.chain.latest_state.version, change)
-        return head.runtime.spawn(head.chain.propose(msg))
+        return head.runtime.spawn(head.chain.answer(msg))
 
     def away_for_many_changes(self):
         """A fleet in which one member is down while many routes and changes come."""
@@ -345,7 +354,7 @@
         head = t.head()
         many = large_change(head.chain.latest_state.index + 1, pool="desk").changes
         msg = message.ProposeChange(head.consensus.view.number, "apply", "many", head.chain.latest_state.version, many)
-        done = head.runtime.spawn(head.chain.propose(msg))
+        done = head.runtime.spawn(head.chain.answer(msg))
         assert t.until(lambda: done.called, 10)
         for k in range(self.AWAY_CHANGES):
             done = self.propose(t, k)
@@ -372,7 +381,7 @@
             if len(done) > taken:
                 taken, last = len(done), t.world.time
             longest = max(longest, t.world.time - last)
-        assert t.head().chain.latest_state.index - back.chain.base.index < 4
+        assert t.head().chain.latest_state.index - back.chain.committed_state.index < 4
         return caught_up / S, longest / S
 
     def test_a_member_that_was_away_for_a_thousand_changes_and_a_blank_one_catch_up(self) -> None:
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -6,6 +6,9 @@
 import twisted.internet.defer as defer
 
 import iriswheel.replication.chain as chain
+import iriswheel.replication.replicated_log as replicated_log
+import iriswheel.replication.replicated_state as replicated_state
+import iriswheel.replication.snapshot_format as snapshot_format
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.transport.message as message
 
@@ -63,7 +66,7 @@
         self.disk = Disk()
 
     def replica(self, consensus, entries=()):
-        state = {b"e%016d" % e.index: chain.pack(e) for e in entries}
+        state = {b"e%016d" % e.index: replicated_log.encode_entry(e) for e in entries}
         made = chain.Chain(scheduler.Runtime(None, now=lambda: 0), self.disk, state, None)
         made.consensus = consensus
         return made
@@ -74,7 +77,7 @@
     def test_a_new_tail_answers_no_read_before_what_it_holds_is_committed(self) -> None:
         replica = self.replica(Membership(4, "b", "a"), [entry(1, 3, "c0-1-0a")])
         assert not self.put(replica, message.ReadRequest(4)).result.ok
-        replica.settle_tail(4)
+        replica.tail.commit_synced(4)
         seen = self.put(replica, message.ReadRequest(4, "c0-1-0a")).result
         assert (seen.ok, seen.version, seen.taken) == (True, 1, 1)
         replica.consensus.agree(5, "b", "a")
@@ -82,7 +85,7 @@
 
     def test_a_read_that_comes_after_the_lease_has_ended_fails(self) -> None:
         replica = self.replica(Membership(4, "b", "a"))
-        replica.settle_tail(4)
+        replica.tail.commit_synced(4)
         assert self.put(replica, message.ReadRequest(4)).result.ok
         replica.consensus.leased = lambda: False
         assert not self.put(replica, message.ReadRequest(4)).result.ok
@@ -92,15 +95,15 @@
         self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})]))
         self.disk.finish()
         replica.consensus.agree(5, "a")
-        replica.settle_tail(5)
+        replica.tail.commit_synced(5)
         assert not self.put(replica, message.ReadRequest(5)).result.ok
         restarted = self.replica(Membership(4, "a"), [entry(1, 3, "c0-1-0a")])
         assert not self.put(restarted, message.ReadRequest(4)).result.ok
-        restarted.settle_tail(4)
+        restarted.tail.commit_synced(4)
         seen = self.put(restarted, message.ReadRequest(4, "c0-1-0a")).result
         assert (seen.ok, seen.version, seen.taken) == (True, 1, 1)
         blank = self.replica(Membership(4, "a"))
-        blank.settle_tail(4)
+        blank.tail.commit_synced(4)
         assert self.put(blank, message.ReadRequest(4)).result.ok
 
     def test_a_change_synced_after_its_view_ended_is_not_acknowledged_by_another_entry(self) -> None:
@@ -114,11 +117,11 @@
         self.disk.finish()
         assert proposed.result.code == "unknown_outcome"
         assert (placed.result.index, placed.result.view) == (1, 4)
-        other = chain.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
-        refilled = self.put(replica, message.CatchUp(5, other.freeze(), []))
+        other = replicated_state.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
+        refilled = self.put(replica, message.CatchUp(5, snapshot_format.encode(other), []))
         self.disk.finish()
         assert refilled.result.ok
-        assert dict(replica.base.taken) == {"c0-1-0b": 1}
+        assert dict(replica.committed_state.taken) == {"c0-1-0b": 1}
 
     def test_a_change_taken_again_after_a_refill_by_snapshot_is_told_apart(self) -> None:
         replica = self.replica(Membership(4, "a", "b"))
@@ -126,7 +129,7 @@
         self.disk.finish()
         assert not proposed.called
         replica.consensus.agree(5, "b", "a", whole=False)
-        other = chain.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
-        self.put(replica, message.CatchUp(5, other.freeze(), []))
+        other = replicated_state.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
+        self.put(replica, message.CatchUp(5, snapshot_format.encode(other), []))
         self.disk.finish()
         assert proposed.result.code == "unknown_outcome"
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -1,9 +1,12 @@
 """Numbered changes: one winner of a race, the same answer said again, no refusal of what was taken."""
 
+import msgspec
 import pytest
 
 import iriswheel.configuration.configuration as configuration
-import iriswheel.replication.chain as chain
+import iriswheel.replication.replicated_log as replicated_log
+import iriswheel.replication.replicated_state as replicated_state
+import iriswheel.replication.snapshot_format as snapshot_format
 import iriswheel.transport.message as message
 import simulation.simulated_cluster as simulated_cluster
 import tests.conftest as conftest
@@ -28,7 +31,7 @@
 
     def items(self, t):
         assert t.until(lambda: t.tail() is not None, 10)
-        return dict(t.tail().chain.base.items)
+        return dict(t.tail().chain.committed_state.items)
 
     def test_one_of_two_on_the_same_number_is_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
@@ -48,10 +51,10 @@
         t = quiet_cluster()
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
             assert self.wait(t, self.start(t, number, built_on, route(number))) == [200]
-        n = t.tail().chain.base.index
+        n = t.tail().chain.committed_state.index
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
             assert self.wait(t, self.start(t, number, built_on, route(number))) == [200]
-        assert t.tail().chain.base.index == n
+        assert t.tail().chain.committed_state.index == n
         assert self.wait(t, self.start(t, 9, 4, route("other"))) == [409]
         assert self.wait(t, self.start(t, 10, 10, route("other"))) == [422]
         assert self.wait(t, self.start(t, 12, 10, {"upsert": {"routes": {"r": {"path": "/", "pool": "x"}}}})) == [422]
@@ -87,8 +90,8 @@
     def test_a_taken_change_is_acknowledged_again_after_many_later_ones_and_a_fall_of_the_whole_core(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(chain, "PLANS", 4)
-        monkeypatch.setattr(chain, "KEEP", 8)
+        monkeypatch.setattr(replicated_state, "MAX_PLANS", 4)
+        monkeypatch.setattr(replicated_log, "KEPT_ENTRIES", 8)
         t = quiet_cluster()
         orders = self.take(t, 24)
         again = [orders[k] for k in (-1, -2, -6, -20, 0)]
@@ -105,8 +108,8 @@
     def test_a_change_older_than_the_memory_gets_no_clear_answer(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(chain, "TAKEN", 4)
-        monkeypatch.setattr(chain, "TAKEN_SLACK", 2)
+        monkeypatch.setattr(replicated_state, "MIN_TAKEN_CHANGES", 4)
+        monkeypatch.setattr(replicated_state, "TAKEN_CHANGES_SLACK", 2)
         t = quiet_cluster()
         orders = self.take(t, 8)
         assert [
@@ -132,11 +135,11 @@
         t = quiet_cluster()
         document, other = t.with_probe(1), t.with_probe(2)
         assert self.wait(t, self.start(t, 4, 0, {"blueprint": document})) == [200]
-        n = t.tail().chain.base.index
+        n = t.tail().chain.committed_state.index
         assert self.wait(t, self.start(t, 4, 3, {"blueprint": document})) == [200]
         assert self.wait(t, self.start(t, 4, 3, {"blueprint": other})) == [409]
         assert self.wait(t, self.start(t, 5, 3, {"blueprint": document})) == [409]
-        assert t.tail().chain.base.index == n
+        assert t.tail().chain.committed_state.index == n
 
     def test_it_is_taken_where_no_node_is_there_once_their_leases_ran_out(
         self, quiet_cluster: conftest.QuietCluster
@@ -170,7 +173,7 @@
     """The memory of changes that were taken."""
 
     def apply(self, count):
-        ledger = chain.ReplicatedState()
+        ledger = replicated_state.ReplicatedState()
         for n in range(1, count + 1):
             changes = [("marks/operator", {"number": n})]
             ledger = ledger.apply(message.LogEntry(n, 1, "apply", f"c{n - 1}-{n}-0a", n - 1, changes))
@@ -179,22 +182,25 @@
     def test_it_outlives_the_plans_and_is_in_the_snapshot(self) -> None:
         ledger = self.apply(1_100)
         assert "c0-1-0a" not in ledger.plans
-        again = chain.ReplicatedState.thaw(ledger.freeze())
+        again = snapshot_format.decode(snapshot_format.encode(ledger))
         assert (*(again.taken[f"c{n - 1}-{n}-0a"] for n in (1, 100, 1_100)), again.forgotten) == (1, 100, 1_100, 0)
         assert again == ledger
 
     def test_it_is_bounded(self) -> None:
-        ledger = self.apply(chain.TAKEN + chain.TAKEN_SLACK + 2)
-        assert (len(ledger.taken), ledger.forgotten) == (chain.TAKEN + 1, chain.TAKEN_SLACK + 1)
-        assert len(ledger.freeze()) < 1 << 20
-        assert chain.ReplicatedState.thaw(ledger.freeze()) == ledger
+        ledger = self.apply(replicated_state.MIN_TAKEN_CHANGES + replicated_state.TAKEN_CHANGES_SLACK + 2)
+        assert (len(ledger.taken), ledger.forgotten) == (
+            replicated_state.MIN_TAKEN_CHANGES + 1,
+            replicated_state.TAKEN_CHANGES_SLACK + 1,
+        )
+        assert len(snapshot_format.encode(ledger)) < 1 << 20
+        assert snapshot_format.decode(snapshot_format.encode(ledger)) == ledger
 
     def old(self, ledger):
         """The snapshot as format 2 had it: number, view, version, items and plans."""
         plans = [(k, list(p)) for k, p in sorted(ledger.plans.items())]
-        return chain.pack([ledger.index, ledger.view, ledger.version, dict(ledger.items), plans])
+        return msgspec.msgpack.encode([ledger.index, ledger.view, ledger.version, dict(ledger.items), plans])
 
     def test_a_snapshot_of_format_2_is_read(self) -> None:
-        few, many = (chain.ReplicatedState.thaw(self.old(self.apply(count))) for count in (20, 600))
+        few, many = (snapshot_format.decode(self.old(self.apply(count))) for count in (20, 600))
         assert (len(few.taken), few.forgotten, few.taken["c6-7-0a"]) == (20, 0, 7)
         assert (len(many.taken), many.forgotten, configuration.operator_number(many.items)) == (512, 88, 600)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,7 +9,8 @@
 import iriswheel.control.core as core
 import iriswheel.dataplane.request_router as request_router
 import iriswheel.node.follower as follower
-import iriswheel.replication.chain as chain
+import iriswheel.replication.replicated_state as replicated_state
+import iriswheel.replication.snapshot_format as snapshot_format
 import iriswheel.runtime.options as options
 import iriswheel.runtime.scheduler as scheduler
 
@@ -57,7 +58,7 @@
         assert self.errors({}, limits={"door": {"idle_us": 0}}) == ["limits/door: idle_us must be above 0"]
 
     def test_a_slice_has_all_that_its_routes_use_and_no_label(self) -> None:
-        ledger = chain.ReplicatedState().change(
+        ledger = replicated_state.ReplicatedState().with_changes(
             [
                 (
                     "routes/r",
@@ -76,7 +77,7 @@
                 ("marks/operator", {"number": 4}),
             ]
         )
-        cut = core.Slices().slice(chain.ReplicatedState.thaw(ledger.freeze()), "north", ())
+        cut = core.Slices().slice(snapshot_format.decode(snapshot_format.encode(ledger)), "north", ())
         assert set(cut) == {"routes/r", "pools/p", "pools/q", "terms/default", "limits/door"}
         assert "label" not in str(cut)
         assert ledger.items["routes/r"]["label"] == {"a": 1}
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -9,7 +9,7 @@
 
 import iriswheel.cli.command as command
 import iriswheel.control.core as core
-import iriswheel.replication.chain as chain
+import iriswheel.replication.tail as tail
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.verification.history as history
 import simulation.simulated_cluster as simulated_cluster
@@ -115,13 +115,13 @@
         assert max(caller.slowest for caller in callers) < S, case
 
     def test_without_the_lease_old_reads_are_found(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        lookup = chain.Chain.look
+        lookup = tail.Tail.answer_read
 
         def look(self, msg):
-            with unittest.mock.patch.object(self.consensus, "leased", lambda: True):
+            with unittest.mock.patch.object(self.position.consensus, "leased", lambda: True):
                 return lookup(self, msg)
 
-        monkeypatch.setattr(chain.Chain, "look", look)
+        monkeypatch.setattr(tail.Tail, "answer_read", look)
         t, _, _ = self.play(40, 2, True, True)
         assert "read number" in "".join(history.complaints(t.tape.rows))
 
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -19,14 +19,15 @@
 
 import iriswheel.consensus.decisions as decisions
 import iriswheel.control.core as core
-import iriswheel.replication.chain as chain
+import iriswheel.replication.replicated_log as replicated_log
+import iriswheel.replication.snapshot_format as snapshot_format
 import iriswheel.runtime.storage as storage
 import iriswheel.transport.message as message
 import simulation.simulated_cluster as simulated_cluster
 import tests.recorded as recorded
 
 RECORDS = recorded.load("disk.json")["records"]
-TYPES = {"entry": message.LogEntry, "frame": chain.Snapshot, "council": decisions.Record}
+TYPES = {"entry": message.LogEntry, "frame": snapshot_format.Snapshot, "council": decisions.Record}
 FOLDERS = ("folder-e746a15", "folder-format-2")
 NAMES = ("c1", "c2", "c3")
 
@@ -49,12 +50,12 @@
     if key == b"council":
         return msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=decisions.Record))
     if key == b"frame":
-        return chain.ReplicatedState.thaw(raw).freeze()
+        return snapshot_format.encode(snapshot_format.decode(raw))
     if key.startswith(b"shelf/"):
         written_at = msgspec.msgpack.decode(raw)[0]
         return core.encode_session_replica(core.decode_session_replica(raw, written_at), written_at)
     if key.startswith(b"e"):
-        return chain.pack(chain.unpack_entry(raw))
+        return replicated_log.encode_entry(replicated_log.decode_entry(raw))
     return raw
 
 
@@ -83,7 +84,9 @@
             self.assertEqual(raw, rewrite(key, raw), name)
 
     def test_entries_are_kept_under_keys_that_sort_by_number(self) -> None:
-        self.assertEqual([b"e0000000000000009", b"e0000000000012345"], [chain.entry_key(n) for n in (9, 12_345)])
+        self.assertEqual(
+            [b"e0000000000000009", b"e0000000000012345"], [replicated_log.entry_key(n) for n in (9, 12_345)]
+        )
 
 
 class RecordedFolders(testtools.TestCase):
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -314,7 +314,7 @@
         t.go(4)
         tail.process.frozen = False  # it runs again, before it has heard anything
         assert not tail.consensus.leased()
-        assert not tail.chain.look(simulated_cluster.node.message.ReadRequest(1)).ok
+        assert not tail.chain.tail.answer_read(simulated_cluster.node.message.ReadRequest(1)).ok
         assert not tail.serving()
 
     def test_versions_that_are_two_steps_apart_do_not_talk(self, quiet_cluster: conftest.QuietCluster) -> None:
@@ -342,7 +342,7 @@
         pad = [["terms/t", {"pad": "x" * (1 << 20)}]]
         for k in range(40):
             d = t.head().runtime.spawn(
-                chain.propose(
+                chain.answer(
                     simulated_cluster.node.message.ProposeChange(
                         t.head().consensus.view.number, "plan", f"2-{k}", chain.latest_state.version, pad
                     )
