--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -119,7 +119,7 @@
 
     async def _wait_for_commit(self, number: int, entries: list[message.LogEntry]) -> message.AppendResponse:
         """Pass on what was stored, and answer once all replicas down to the tail have it."""
-        if not self.position.serves_in(number) or not self.position.is_synced():
+        if not self.position.follows_in(number) or not self.position.is_synced():
             return message.AppendResponse(False)
         index = entries[-1].index if entries else self.log.last_index
         self.log.appended.wake()
