--- /dev/null
+++ b/iriswheel/verification/configuration_checks.py
@@ -0,0 +1,71 @@
+"""Checkers of operators' calls: what was acknowledged stays, and one order explains all answers."""
+
+from __future__ import annotations
+
+import collections
+import typing
+
+import iriswheel.verification.event_log as event_log
+import iriswheel.verification.history as history
+
+if typing.TYPE_CHECKING:
+    import collections.abc
+
+
+def kept(log: event_log.EventLog) -> collections.abc.Iterator[str]:
+    """6: what was acknowledged is there when it is read back."""
+    versions: dict[str, int] = {}
+    for row in log.of("confirmed"):
+        if versions.setdefault(row["plan"], row["stamp"]) != row["stamp"]:
+            yield f"plan {row['plan']} was acknowledged under two stamps"
+    counts: collections.Counter[int] = collections.Counter()
+    for version in versions.values():
+        counts[version] += 1
+        if counts[version] > 1:
+            yield f"two plans were acknowledged under stamp {version}"
+    log.looked["kept"] += len(log.of("read"))
+    for row in log.of("read"):
+        complaint = read_complaint(log, row, versions)
+        if complaint is not None:
+            yield complaint
+    if log.of("ended") and not log.of("read"):
+        yield "the blueprint could not be read back at the day's end"
+
+
+def read_complaint(log: event_log.EventLog, read: event_log.Row, versions: dict[str, int]) -> str | None:
+    """What is wrong with what was read back, or None.
+
+    Args:
+        log: The log.
+        read: The row of the read.
+        versions: The version of each acknowledged plan.
+    """
+    before = [row for row in log.of("confirmed") if row["at"] < read["at"]]
+    if not before:
+        return None
+    last = max(before, key=lambda row: row["stamp"])
+    documents = {row["plan"]: row["blueprint"] for row in log.of("confirm_sent")}
+    unanswered = [row["blueprint"] for row in log.of("confirm_sent") if row["plan"] not in versions]
+    if read["stamp"] < last["stamp"]:
+        return f"read back at {read['stamp']}, though {last['stamp']} was acknowledged"
+    if read["stamp"] == last["stamp"]:
+        if not same(read["blueprint"], documents[last["plan"]]):
+            return f"read back at {read['stamp']} something else than was acknowledged"
+    elif not any(same(read["blueprint"], document) for document in [*unanswered, *documents.values()]):
+        return f"read back at {read['stamp']} something that nobody confirmed"
+    return None
+
+
+def same(one: event_log.Document, other: event_log.Document) -> bool:
+    """Whether two configurations say the same; empty sections don't count.
+
+    >>> same({"pools": {}}, {})
+    True
+    """
+    return {key: value for key, value in one.items() if value} == {key: value for key, value in other.items() if value}
+
+
+def linearizable(log: event_log.EventLog) -> collections.abc.Iterator[str]:
+    """6: one order of all operators' calls explains what each was told."""
+    log.looked["linearizable"] += history.count(log.rows)
+    yield from history.complaints(log.rows)
--- /dev/null
+++ b/iriswheel/verification/event_log.py
@@ -0,0 +1,383 @@
+"""Event logs: reading them, and the indexes over their rows that the checkers share.
+
+A log holds what clients, workers, the platform and operators noted, never the fleet's own counters.
+"""
+
+from __future__ import annotations
+
+import collections
+import collections.abc
+import functools
+import json
+import typing
+
+SECOND_US = 1_000_000
+NEVER = 1 << 62
+TRAVEL_US = 500_000  # from a node's last look to the arrival at a worker, over a slow link too
+APPLY_US = 2_000_000  # a configuration that was replaced may be in force for so long
+LARGE_FAULT_US = 12_000_000  # everybody may suffer from a large fault for so long
+# What a small fault may do to others than those who were at it:
+ROLE_FAULT_US = 4_000_000  # a pool's owner or a replica is lost: others may start late for so long
+SILENT_FAULT_US = 3_000_000  # a worker is lost without a word: others may start late for so long
+REJOIN_US = 2_000_000  # a node that was frozen, cut off or started again comes back within this
+CROWDED_SHARE = 0.9  # of all slots in use at once: requests may then have to wait
+
+DEFAULT_SLOTS = 16
+DEFAULT_LONG_SLOTS = 4
+
+Row = dict[str, typing.Any]  # one event: "at" (microseconds), "kind", and the kind's own fields
+Document = dict[str, typing.Any]  # a configuration, as sent by an operator
+AttemptKey = tuple[str, int]  # a request's id and the number of the client's attempt
+Conversation = tuple[str | None, ...]  # the pool, and the parts of the prompt's prefix
+
+
+class DamagedLogError(ValueError):
+    """The log can't be read; the text says where.
+
+    >>> DamagedLogError("line 3").code
+    'damaged_log'
+    """
+
+    code = "damaged_log"
+
+
+def read(lines: collections.abc.Iterable[str]) -> tuple[list[Row], bool]:
+    """The rows of a log, in time order, and whether it was cut short.
+
+    Raises:
+        DamagedLogError: a line before the last one is no event.
+
+    >>> read(['{"at": 1, "kind": "sent"}', '{"at": 2, "ki'])
+    ([{'at': 1, 'kind': 'sent'}], True)
+    >>> read(['{"at": 1}', '{"at": 2, "kind": "sent"}'])
+    Traceback (most recent call last):
+    ...
+    iriswheel.verification.event_log.DamagedLogError: line 1 is no event
+    """
+    rows: list[Row] = []
+    truncated = False
+    lines = list(lines)
+    for number, line in enumerate(lines, 1):
+        if not line.strip():
+            continue
+        try:
+            row = json.loads(line)
+            if type(row["at"]) is not int or type(row["kind"]) is not str:
+                raise ValueError
+        except (ValueError, KeyError, TypeError):
+            if number == len(lines):
+                truncated = True
+                break
+            raise DamagedLogError(f"line {number} is no event") from None
+        rows.append(row)
+    rows.sort(key=lambda row: row["at"])
+    return rows, truncated
+
+
+class Fault:
+    """A fault: from when to when, and whom it touches.
+
+    A row of kind "fault" begins it, a row of kind "mend" for the same target (or for "all") ends it.
+
+    Attributes:
+        at: When it began.
+        end: When it ended, or NEVER.
+        what: The kind of fault.
+        target: The name of what is at fault.
+        role: What the target is: "node", "worker", "link", "core", "all" or "".
+        address: Where clients reach the target.
+        assignment: Whether the target was a pool's owner or kept its replica.
+        large: Whether everybody may suffer from it.
+
+    >>> f = Fault({"at": 5, "what": "kill", "target": "n1", "role": "node", "addr": "h:1"}, 9)
+    >>> f.during(8, 12), f.during(10, 12), f.during(10, 12, after=2)
+    (True, False, True)
+    """
+
+    def __init__(self, row: Row, end: int) -> None:
+        self.at: int = row["at"]
+        self.end = end
+        self.what: str = row["what"]
+        self.target: str = row["target"]
+        self.role: str = row.get("role", "")
+        self.address: str = row.get("addr", "")
+        self.assignment: bool = row.get("duty", False)
+        self.large: bool = row.get("large", False)
+
+    def during(self, since: int, until: int, after: int = 0) -> bool:
+        """Whether a span of time touches this fault, or so many microseconds after it.
+
+        >>> Fault({"at": 5, "what": "kill", "target": "n1"}, 9).during(0, 4)
+        False
+        """
+        return since <= self.end + after and until >= self.at
+
+    def stops_request(self, since: int, until: int, node: str | None, worker: str | None) -> bool:
+        """Whether a request at a node, on a worker, in a span of time met this fault."""
+        if self.large and since <= self.at + LARGE_FAULT_US and until >= self.at:
+            return True
+        match self.role:
+            case "node":
+                return self.address == node and self.during(since, until, REJOIN_US)
+            case "worker":
+                return self.target == worker and self.during(since, until, SECOND_US)
+            case "link":
+                return self.address == node and since <= self.at <= until  # it was under way when the link broke
+            case _:
+                return False
+
+    def delays_others(self, since: int, until: int) -> bool:
+        """Whether this fault may have made a request elsewhere start late in a span of time."""
+        if until < self.at:
+            return False
+        slow = self.what in ("slow", "lossy", "flap") and self.end != NEVER
+        silent = self.role == "link" or (self.role == "worker" and self.what not in ("kill", "sick"))
+        if silent and since <= self.at + SILENT_FAULT_US:
+            return True
+        return self.assignment and since <= (self.end if slow else self.at) + ROLE_FAULT_US
+
+
+class ListedState(typing.NamedTuple):
+    """How the platform lists a worker, and since when."""
+
+    state: str
+    since: int
+
+
+class ActiveConfiguration(typing.NamedTuple):
+    """A configuration, and the span of time within which a node may go by it."""
+
+    since: int
+    until: int
+    document: Document
+
+
+class RetryTimes(typing.NamedTuple):
+    """When repeats ran, and when requests were first sent or probes were answered, by time."""
+
+    repeats: list[int]
+    requests: list[int]
+
+
+class EventLog:
+    """The rows of a log, indexed for the checkers.
+
+    Attributes:
+        rows: All rows, by time.
+        end: The time of the last row.
+        looked: How many rows each checker judged, by its name.
+        sent: The row of each attempt of a client.
+        asked: These, and the probes as attempt 0.
+        idempotent: Whether a request may run more than once, by its id.
+        runs: The first run of each attempt.
+        over: When a run ended, by its id.
+        listed: The platform's words on each worker.
+        pool: The pool of each worker.
+        faults: All faults.
+        zones: The zone of each node, by its address.
+        documents: The configurations that may have been in force.
+
+    >>> EventLog([{"at": 1, "kind": "asked"}]).of("asked")
+    [{'at': 1, 'kind': 'asked'}]
+    """
+
+    def __init__(self, rows: list[Row]) -> None:
+        self.rows = rows
+        self.end: int = rows[-1]["at"] if rows else 0
+        self.looked: collections.Counter[str] = collections.Counter()
+        self.kinds: collections.defaultdict[str, list[Row]] = collections.defaultdict(list)
+        for row in rows:
+            self.kinds[row["kind"]].append(row)
+        self.sent: dict[AttemptKey, Row] = {attempt_key(row): row for row in self.of("sent")}
+        probes: dict[AttemptKey, Row] = {(row["exchange"], 0): row for row in self.of("probe")}
+        self.asked = {**probes, **self.sent}
+        self.idempotent: dict[str, bool] = {row["exchange"]: row["repeat"] for row in self.of("sent")}
+        self.runs: dict[AttemptKey, Row] = {}
+        for row in self.of("run"):
+            self.runs.setdefault(attempt_key(row), row)
+        self.over: dict[str, int] = {row["run"]: row["at"] for kind in ("ran", "cut") for row in self.of(kind)}
+        self.listed: collections.defaultdict[str, list[Row]] = collections.defaultdict(list)
+        self.pool: dict[str, str] = {}
+        for row in self.of("listed"):
+            self.listed[row["worker"]].append(row)
+            if row["pool"]:
+                self.pool[row["worker"]] = row["pool"]
+        self.faults = self._faults()
+        self.zones: dict[str, str] = {}
+        for row in self.of("begun") + self.of("moved"):
+            self.zones.update(row.get("zones", {}))
+        self.documents = self._documents()
+
+    def _faults(self) -> list[Fault]:
+        faults = []
+        for row in self.of("fault"):
+            ends = [
+                mend["at"]
+                for mend in self.of("mend")
+                if mend["at"] > row["at"] and mend["target"] in (row["target"], "all")
+            ]
+            faults.append(Fault(row, ends[0] if ends else NEVER))
+        return faults
+
+    def _documents(self) -> list[ActiveConfiguration]:
+        first_sent: dict[str, Row] = {}
+        acknowledged: dict[str, Row] = {}
+        for row in self.of("confirm_sent"):
+            first_sent.setdefault(row["plan"], row)
+        for row in self.of("confirmed"):
+            acknowledged.setdefault(row["plan"], row)
+        documents = []
+        for plan, row in first_sent.items():
+            version = acknowledged[plan]["stamp"] if plan in acknowledged else row["base"]
+            later = [
+                answer["at"] for other, answer in acknowledged.items() if other != plan and answer["stamp"] > version
+            ]
+            until = min(later) + APPLY_US if later else NEVER
+            documents.append(ActiveConfiguration(row["at"], until, row["blueprint"]))
+        return documents
+
+    def of(self, kind: str) -> list[Row]:
+        """The rows of one kind.
+
+        >>> EventLog([]).of("run")
+        []
+        """
+        return self.kinds.get(kind, [])
+
+    def applied_by_all(self, since: int, until: int) -> list[Document]:
+        """The configurations by which a node may go in a span of time.
+
+        >>> EventLog([]).applied_by_all(0, 5)
+        []
+        """
+        return [active.document for active in self.documents if active.since <= until and since <= active.until]
+
+    def at_fault(self, since: int, until: int, node: str | None = None, worker: str | None = None) -> bool:
+        """Whether a request at a node, on a worker, met a fault of one of them, or a large one.
+
+        >>> log = EventLog([{"at": 5, "kind": "fault", "what": "kill", "target": "w1", "role": "worker"}])
+        >>> log.at_fault(6, 7, worker="w1"), log.at_fault(6, 7, worker="w2")
+        (True, False)
+        """
+        if any(fault.stops_request(since, until, node, worker) for fault in self.faults):
+            return True
+        listed = self.listed.get(worker, []) if worker is not None else []
+        return any(row["state"] != "ready" and since <= row["at"] <= until for row in listed)
+
+    def delayed(self, since: int, until: int) -> bool:
+        """Whether a small fault elsewhere may have made a request start late.
+
+        >>> log = EventLog([{"at": 5, "kind": "fault", "what": "kill", "target": "n1", "role": "node", "duty": True}])
+        >>> log.delayed(6, 7), log.delayed(6 * SECOND_US, 7 * SECOND_US)
+        (True, False)
+        """
+        return any(fault.delays_others(since, until) for fault in self.faults)
+
+    def state(self, worker: str, at: int) -> ListedState:
+        """How the platform listed a worker at a time, and since when.
+
+        >>> EventLog([]).state("w1", 5)
+        ListedState(state='gone', since=0)
+        """
+        state = ListedState("gone", 0)
+        for row in self.listed.get(worker, []):
+            if row["at"] > at:
+                break
+            if row["state"] != state.state:
+                state = ListedState(row["state"], row["at"])
+        return state
+
+    def ready(self, pool: str | None, since: int, until: int) -> list[str]:
+        """The workers of a pool that were listed as ready, and at no fault, in a span of time.
+
+        >>> EventLog([{"at": 1, "kind": "listed", "worker": "w1", "state": "ready", "pool": "p"}]).ready("p", 5, 6)
+        ['w1']
+        """
+        return [
+            worker
+            for worker, its_pool in sorted(self.pool.items())
+            if its_pool == pool
+            and self.state(worker, since).state == "ready"
+            and not any(since < row["at"] <= until for row in self.listed[worker])
+            and not any(fault.target == worker and fault.during(since, until, SILENT_FAULT_US) for fault in self.faults)
+        ]
+
+    def crowded(self, pool: str | None, since: int, until: int, long: bool, documents: list[Document]) -> bool:
+        """Whether at some time in a span nearly all slots of the pool's ready workers were taken.
+
+        Args:
+            pool: The pool.
+            since: Where the span begins.
+            until: Where it ends.
+            long: Whether the slots for long requests are meant.
+            documents: The configurations in force.
+        """
+        workers = set(self.ready(pool, since, until))
+        if not workers:
+            return True
+        field, default = ("long_slots", DEFAULT_LONG_SLOTS) if long else ("slots", DEFAULT_SLOTS)
+        slots = min(
+            [document["pools"][pool].get(field, default) for document in documents if pool in document["pools"]],
+            default=0,
+        )
+        spans = []
+        for row in self.of("run"):
+            sort = self.sent.get(attempt_key(row), {}).get("sort")
+            end = self.over.get(row["run"], NEVER)
+            if row["worker"] in workers and (not long or sort == "long") and end >= since and row["at"] <= until:
+                spans.append((max(since, row["at"]), end))
+        busy: bool = most_at_once(spans, until) >= CROWDED_SHARE * slots * len(workers)
+        return busy
+
+    @functools.cached_property
+    def conversations(self) -> dict[Conversation, list[Row]]:
+        """The runs of conversations, by pool and conversation: a prefix of two parts and more names one.
+
+        In the order in which they were sent, and each attempt once: a worker that froze may run a request long after
+        it was given up there and went elsewhere.
+        """
+        found: collections.defaultdict[Conversation, list[tuple[int, int, Row]]] = collections.defaultdict(list)
+        for row in self.of("run"):
+            if len(row["parts"]) > 1 and self.runs[attempt_key(row)] is row:
+                sent = self.sent.get(attempt_key(row), row)
+                found[(self.pool.get(row["worker"]), *row["parts"])].append((sent["at"], row["at"], row))
+        return {name: [row for _, _, row in sorted(runs, key=lambda run: run[:2])] for name, runs in found.items()}
+
+    @functools.cached_property
+    def retry_times(self) -> RetryTimes:
+        """The times of repeats and of requests."""
+        first_sent = {row["exchange"]: row["at"] for row in reversed(self.of("sent"))}
+        probes = [row["at"] for row in self.of("probe") if row["status"] != 404]
+        repeats: list[int] = []
+        seen: set[str] = set()
+        for row in self.of("run"):
+            if row["exchange"]:
+                if row["exchange"] in seen or row["send"] > 1:
+                    repeats.append(row["at"])
+                seen.add(row["exchange"])
+        return RetryTimes(repeats, sorted([*first_sent.values(), *probes]))
+
+
+def attempt_key(row: Row) -> AttemptKey:
+    """The attempt that a row is about.
+
+    >>> attempt_key({"exchange": "x1", "send": 2})
+    ('x1', 2)
+    """
+    return row["exchange"], row["send"]
+
+
+def most_at_once(spans: list[tuple[int, int]], until: int) -> int:
+    """The most spans of time that overlap at any time up to `until`.
+
+    >>> most_at_once([(1, 5), (2, 6), (5, 9)], 7)
+    2
+    """
+    steps = sorted([(begin, 1) for begin, _ in spans] + [(end, -1) for _, end in spans])
+    current = most = 0
+    for at, step in steps:
+        if at > until:
+            break
+        current += step
+        most = max(most, current)
+    return most
--- a/iriswheel/verification/history.py
+++ b/iriswheel/verification/history.py
@@ -1,4 +1,4 @@
-"""Operators' histories in event logs: rows of calls and answers, as typed events for the checker.
+"""Operators' histories in event logs: turns rows of calls and answers into events for the linearizability checker.
 
 Three kinds of call are found in logs, each a history of its own:
 
@@ -17,6 +17,8 @@
 
 STALE_NUMBER = -1  # of a plan that was never taken
 
+Row = dict[str, typing.Any]  # one event of a log
+
 Change = linearizability.Change
 ChangeResponse = linearizability.ChangeResponse
 Invocation = linearizability.Invocation
@@ -49,15 +51,15 @@
     True
     """
 
-    def ordered(value: dict[str, int] | int | list[typing.Any]) -> dict[str, int] | int | list[typing.Any]:
-        return sorted(value, key=lambda x: json.dumps(x, sort_keys=True)) if isinstance(value, list) else value
+    def ordered(value: object) -> object:
+        return sorted(value, key=lambda item: json.dumps(item, sort_keys=True)) if isinstance(value, list) else value
 
     return linearizability.digest({key: ordered(value) for key, value in document.items()})
 
 
 def configurations(
-    rows: list[dict[str, typing.Any]],
-) -> list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]:
+    rows: list[Row],
+) -> list[linearizability.Event]:
     """The history of the platform's calls.
 
     A valid document that was refused in any way counts as refused for its number.
@@ -66,7 +68,8 @@
     >>> len(configurations([{"at": 1, "kind": "config_sent", **row}]))
     1
     """
-    events, valid = [], {}
+    events: list[linearizability.Event] = []
+    valid: dict[str, bool] = {}
     for row in rows:
         match row:
             case {"kind": "config_sent"}:
@@ -74,20 +77,25 @@
                 valid[row["send"]] = row["valid"]
                 events.append(Invocation(row["at"], row["send"], change))
             case {"kind": "config_answer"} if row["send"] in valid:
-                result = outcome(row["code"])
-                if result is Outcome.INVALID and valid[row["send"]]:
-                    result = Outcome.REFUSED
-                elif result is Outcome.REFUSED and not valid[row["send"]]:
-                    result = Outcome.INVALID
+                result = judged_outcome(outcome(row["code"]), valid[row["send"]])
                 events.append(ChangeResponse(row["at"], row["send"], result))
             case {"kind": "config_read", "doc": dict(document), "version": int(version)}:
                 events += read(row, version, content(document))
     return events
 
 
-def read(
-    row: dict[str, typing.Any], number: int, text: str = ""
-) -> list[linearizability.Invocation | linearizability.ReadResponse]:
+def judged_outcome(answered: linearizability.Outcome, valid: bool) -> linearizability.Outcome:
+    """The outcome of a change, given whether its document is valid: only a valid one can be refused for its number.
+
+    >>> judged_outcome(Outcome.INVALID, True).value
+    'refused'
+    """
+    if answered in (Outcome.INVALID, Outcome.REFUSED):
+        return Outcome.REFUSED if valid else Outcome.INVALID
+    return answered
+
+
+def read(row: Row, number: int, text: str = "") -> list[linearizability.Event]:
     """The two events of a read; one whose beginning is not known may have begun at any time.
 
     >>> [e.at for e in read({"at": 9, "began": 4}, 7)]
@@ -98,14 +106,15 @@
 
 
 def numbered(
-    rows: list[dict[str, typing.Any]],
-) -> list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]:
+    rows: list[Row],
+) -> list[linearizability.Event]:
     """The history of numbered changes; none where plans are confirmed between them, which have no number.
 
     >>> numbered([{"at": 5, "kind": "number_sent", "call": "a", "number": 1, "built_on": 0, "content": "x"}])[0].at
     5
     """
-    events, sent = [], set()
+    events: list[linearizability.Event] = []
+    sent: set[str] = set()
     for row in rows:
         match row:
             case {"kind": "confirm_sent"} if sent:
@@ -123,8 +132,8 @@
 
 
 def confirmations(
-    rows: list[dict[str, typing.Any]],
-) -> list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]:
+    rows: list[Row],
+) -> list[linearizability.Event]:
     """The history of confirmed plans, under the versions that the chain gave them.
 
     A plan that was never acknowledged may have been taken under any version that somebody saw and
@@ -134,78 +143,109 @@
     >>> confirmations([{"at": 1, "kind": "confirm_sent", **row}])
     []
     """
-    sent, versions, seen = {}, {}, set()
-    refused = collections.defaultdict(list)
-    events = []
+    plans = ConfirmedPlans()
+    events: list[linearizability.Event] = []
     for row in rows:
         match row:
             case {"kind": "number_sent"}:
                 return []
-            case {"kind": "confirm_sent"}:
-                sent.setdefault(row["plan"], row)
-                seen.add(row["base"])
-            case {"kind": "confirmed"} if row["plan"] in sent:
-                versions.setdefault(row["plan"], row["stamp"])
-            case {"kind": "confirm_refused", "code": "base_moved"} if row["plan"] in sent:
-                refused[row["plan"]].append(row["at"])
+            case {"kind": "confirm_sent" | "confirmed"} | {"kind": "confirm_refused", "code": "base_moved"}:
+                plans.add(row)
             case {"kind": "read"}:
-                seen.add(row["stamp"])
+                plans.seen.add(row["stamp"])
                 events += read(row, row["stamp"])
-    free = sorted(seen - set(versions.values()))
-    answered = first_answers(rows)
-    for plan, row in sent.items():
-        if plan in versions:
-            change = Change(versions[plan], row["base"], plan)
-            events.append(Invocation(row["at"], plan, change))
-            events.append(ChangeResponse(answered[plan], plan, Outcome.ACKNOWLEDGED))
-        elif plan not in refused:
-            may = [Change(version, row["base"], plan) for version in free if version > row["base"]]
-            events += [Invocation(row["at"], f"{plan} as {change.number}", change) for change in may]
-        for k, at in enumerate(refused[plan]):
-            call = f"{plan} refused {k}"
-            change = Change(versions.get(plan, STALE_NUMBER), row["base"], plan)
-            events += [Invocation(row["at"], call, change), ChangeResponse(at, call, Outcome.REFUSED)]
-    return events
+    return events + plans.events(first_answers(rows))
 
 
-def first_answers(rows: list[dict[str, typing.Any]]) -> dict[str, int]:
+class ConfirmedPlans:
+    """What a log says of plans that operators had confirmed.
+
+    Attributes:
+        sent: The first call for each plan.
+        versions: The version under which a plan was acknowledged.
+        refused: When a plan was refused since another version was in place.
+        seen: All versions that somebody saw.
+
+    >>> ConfirmedPlans().events({})
+    []
+    """
+
+    def __init__(self) -> None:
+        self.sent: dict[str, Row] = {}
+        self.versions: dict[str, int] = {}
+        self.refused: collections.defaultdict[str, list[int]] = collections.defaultdict(list)
+        self.seen: set[int] = set()
+
+    def add(self, row: Row) -> None:
+        """Take in a call for a plan, its acknowledgement, or its refusal; answers to unknown calls are ignored."""
+        plan = row["plan"]
+        if row["kind"] == "confirm_sent":
+            self.sent.setdefault(plan, row)
+            self.seen.add(row["base"])
+        elif plan not in self.sent:
+            return
+        elif row["kind"] == "confirmed":
+            self.versions.setdefault(plan, row["stamp"])
+        else:
+            self.refused[plan].append(row["at"])
+
+    def events(self, answered: dict[str, int]) -> list[linearizability.Event]:
+        """The calls and answers, given when each plan was acknowledged first."""
+        events: list[linearizability.Event] = []
+        free = sorted(self.seen - set(self.versions.values()))
+        for plan, row in self.sent.items():
+            if plan in self.versions:
+                change = Change(self.versions[plan], row["base"], plan)
+                events.append(Invocation(row["at"], plan, change))
+                events.append(ChangeResponse(answered[plan], plan, Outcome.ACKNOWLEDGED))
+            elif plan not in self.refused:
+                possible = [Change(version, row["base"], plan) for version in free if version > row["base"]]
+                events += [Invocation(row["at"], f"{plan} as {change.number}", change) for change in possible]
+            for number, at in enumerate(self.refused.get(plan, [])):
+                call = f"{plan} refused {number}"
+                change = Change(self.versions.get(plan, STALE_NUMBER), row["base"], plan)
+                events += [Invocation(row["at"], call, change), ChangeResponse(at, call, Outcome.REFUSED)]
+        return events
+
+
+def first_answers(rows: list[Row]) -> dict[str, int]:
     """When each plan was acknowledged first.
 
     >>> first_answers([{"at": 4, "kind": "confirmed", "plan": "0-a"}])
     {'0-a': 4}
     """
-    out = {}
+    answered: dict[str, int] = {}
     for row in rows:
         if row["kind"] == "confirmed":
-            out.setdefault(row["plan"], row["at"])
-    return out
+            answered.setdefault(row["plan"], row["at"])
+    return answered
 
 
 HISTORIES = {"configurations": configurations, "numbered changes": numbered, "confirmed plans": confirmations}
 
 
-def complaints(rows: list[dict[str, typing.Any]]) -> list[str]:
+def complaints(rows: list[Row]) -> list[str]:
     """What of a log's operators' calls no order explains, in words.
 
     >>> complaints([{"at": 1, "kind": "ended"}])
     []
     """
-    out = []
+    found = []
     for name, find in HISTORIES.items():
         try:
             judged = linearizability.check(find(rows))
-        except linearizability.SearchLimitError as e:
-            out.append(f"{name}: not judged: {e}")
+        except linearizability.SearchLimitError as error:
+            found.append(f"{name}: not judged: {error}")
             continue
-        except linearizability.HistoryError as e:
-            out.append(f"{name}: no history: {e}")
+        except linearizability.HistoryError as error:
+            found.append(f"{name}: no history: {error}")
             continue
         if not judged.linearizable:
-            out.append(f"{name}: after {judged.longest} calls, no order explains: {'; '.join(judged.unexplained)}")
-    return out
+            found.append(f"{name}: after {judged.longest} calls, no order explains: {'; '.join(judged.unexplained)}")
+    return found
 
 
-def count(rows: list[dict[str, typing.Any]]) -> int:
+def count(rows: list[Row]) -> int:
     """How many calls of operators a log holds.
 
     >>> count([{"at": 1, "kind": "ended"}])
--- a/iriswheel/verification/linearizability.py
+++ b/iriswheel/verification/linearizability.py
@@ -19,14 +19,14 @@
 
 import msgspec
 
-NEVER = 1 << 62
-SEARCH_BOUND = 200_000  # steps of the search, then it gives up
+NEVER = 1 << 62  # a time after all others
+SEARCH_STEPS_MAX = 200_000  # steps of the search, then it gives up
 
 INITIAL = "initial"  # the content before the first change
 
 
 class Outcome(enum.Enum):
-    """What is known of a call that changes the configuration."""
+    """What the answer to a change says of it."""
 
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"  # another number is in place
@@ -94,7 +94,7 @@
     call: str
     operation: Change | Read
     outcome: Outcome = Outcome.ACKNOWLEDGED
-    seen: tuple[int, str] | None = None
+    seen: tuple[int, str] | None = None  # of a read: the number and the content
 
 
 class State(typing.NamedTuple):
@@ -102,7 +102,7 @@
 
     number: int = 0
     content: str = INITIAL
-    taken: frozenset = frozenset()
+    taken: frozenset[Change] = frozenset()
 
 
 class HistoryError(ValueError):
@@ -113,14 +113,15 @@
     """The search was given up; the history is neither judged good nor bad."""
 
 
-def operations(events: list[ChangeResponse | Invocation | ReadResponse]) -> list[Operation]:
+def operations(events: list[Event]) -> list[Operation]:
     """The calls of a history, each with its answer; raises HistoryError.
 
     >>> operations([Invocation(1, "a", Read()), ReadResponse(3, "a", 0)])[0].answered
     3
     """
-    calls, responses = {}, {}
-    for event in sorted(events, key=lambda e: (e.at, not isinstance(e, Invocation))):
+    calls: dict[str, Invocation] = {}
+    responses: dict[str, ChangeResponse | ReadResponse] = {}
+    for event in sorted(events, key=lambda event: (event.at, not isinstance(event, Invocation))):
         match event:
             case Invocation(call=call) if call in calls:
                 raise HistoryError(f"call {call} is sent twice")
@@ -207,7 +208,7 @@
 
     state: State
     low: int = 0
-    beyond: frozenset = frozenset()
+    beyond: frozenset[int] = frozenset()
 
     @property
     def explained(self) -> int:
@@ -218,13 +219,13 @@
         """
         return self.low + len(self.beyond)
 
-    def after(self, k: int, state: State) -> Point:
-        """The place after call k, which left a state.
+    def after(self, index: int, state: State) -> Point:
+        """The place after the answered call of this index, which left a state.
 
         >>> Point(State(), 0, frozenset({1})).after(0, State()).low
         2
         """
-        beyond = set(self.beyond) | {k}
+        beyond = set(self.beyond) | {index}
         low = self.low
         while low in beyond:
             beyond.remove(low)
@@ -240,9 +241,11 @@
     """
 
     def __init__(self, calls: list[Operation], bound: int) -> None:
-        calls = sorted(calls, key=lambda c: (c.sent, c.answered, c.call))
-        self.answered = [c for c in calls if c.outcome in (Outcome.ACKNOWLEDGED, Outcome.REFUSED)]
-        self.unknown = [c for c in calls if c.outcome is Outcome.UNKNOWN and isinstance(c.operation, Change)]
+        calls = sorted(calls, key=lambda call: (call.sent, call.answered, call.call))
+        self.answered = [call for call in calls if call.outcome in (Outcome.ACKNOWLEDGED, Outcome.REFUSED)]
+        self.unknown = [
+            call for call in calls if call.outcome is Outcome.UNKNOWN and isinstance(call.operation, Change)
+        ]
         self.steps = 0
         self.bound = bound
 
@@ -262,7 +265,7 @@
                     seen.add(after)
                     frontier.append(after)
         window, _ = self.window(best)
-        return CheckResult(False, best.explained, [described(self.answered[k]) for k in window])
+        return CheckResult(False, best.explained, [described(self.answered[index]) for index in window])
 
     def count_step(self) -> None:
         """Count one step; raises SearchLimitError above the bound."""
@@ -272,14 +275,15 @@
 
     def window(self, point: Point) -> tuple[list[int], int]:
         """The calls that may be next: those sent before any of them was answered; and that moment."""
-        first_answer, window = NEVER, []
-        for k in range(point.low, len(self.answered)):
-            if self.answered[k].sent > first_answer:
+        first_answer = NEVER
+        window: list[int] = []
+        for index in range(point.low, len(self.answered)):
+            if self.answered[index].sent > first_answer:
                 break
-            if k not in point.beyond:
-                window.append(k)
-                first_answer = min(first_answer, self.answered[k].answered)
-        return [k for k in window if self.answered[k].sent <= first_answer], first_answer
+            if index not in point.beyond:
+                window.append(index)
+                first_answer = min(first_answer, self.answered[index].answered)
+        return [index for index in window if self.answered[index].sent <= first_answer], first_answer
 
     def past_fixed(self, point: Point) -> Point:
         """The place after all calls that may be next and leave the state as it is.
@@ -288,12 +292,12 @@
         """
         while True:
             window, _ = self.window(point)
-            fixed = [k for k in window if results(point.state, self.answered[k]) == [point.state]]
+            fixed = [index for index in window if results(point.state, self.answered[index]) == [point.state]]
             if not fixed:
                 return point
-            for k in fixed:
+            for index in fixed:
                 self.count_step()
-                point = point.after(k, point.state)
+                point = point.after(index, point.state)
 
     def changed(self, point: Point) -> collections.abc.Iterator[Point]:
         """The places after one more call that changes the state."""
@@ -301,14 +305,14 @@
         for call in self.unknown:
             if call.sent <= first_answer:
                 yield from (point._replace(state=state) for state in results(point.state, call))
-        for k in window:
-            yield from (point.after(k, state) for state in results(point.state, self.answered[k]))
+        for index in window:
+            yield from (point.after(index, state) for state in results(point.state, self.answered[index]))
 
 
 def check(
-    events: list[ChangeResponse | Invocation | ReadResponse],
+    events: list[Event],
     initial: State = State(),  # noqa: B008, a frozen value
-    bound: int = SEARCH_BOUND,
+    bound: int = SEARCH_STEPS_MAX,
 ) -> CheckResult:
     """Judge a history; raises HistoryError, or SearchLimitError after so many steps.
 
@@ -326,7 +330,7 @@
     """
     match call.operation:
         case Read():
-            what = f"read number {call.seen[0]}"
+            what = f"read number {call.seen[0] if call.seen else None}"
         case Change(number=number, base=base):
             what = f"change to {number} on {base} {call.outcome.value}"
     return f"call {call.call}, sent at {call.sent}: {what}"
--- /dev/null
+++ b/iriswheel/verification/recovery_times.py
@@ -0,0 +1,62 @@
+"""How long first attempts failed after each fault of a log."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.verification.event_log as event_log
+
+MILLISECOND_US = 1_000
+
+
+class Recovery(typing.NamedTuple):
+    """What came of clients' first attempts after a fault or its mending.
+
+    Attributes:
+        fault: Kind and target of the fault.
+        last_failed_ms: From the fault to the sending of the last attempt that failed before the next fault.
+        failed: How many failed.
+        sent: How many were sent, within 12 s at most.
+    """
+
+    fault: str
+    last_failed_ms: int
+    failed: int
+    sent: int
+
+
+def recovery(rows: list[event_log.Row]) -> list[Recovery]:
+    """The recoveries of a log; refusals because of the cap are no failures.
+
+    >>> recovery([{"at": 1, "kind": "fault", "what": "kill", "target": "n1", "large": False}])
+    [Recovery(fault='kill n1', last_failed_ms=0, failed=0, sent=0)]
+    """
+    log = event_log.EventLog(rows)
+    ends = [
+        (row["at"], log.sent[(row["exchange"], 1)]["at"])
+        for kind in ("refused", "torn", "lost")
+        for row in log.of(kind)
+        if row["send"] == 1 and row.get("code") != "sessions_full"
+    ]
+    faults = sorted(log.of("fault") + log.of("mend"), key=lambda row: row["at"])
+    recoveries = []
+    for fault, following in zip(faults, [*faults[1:], {"at": log.end + 1}], strict=False):
+        until = min(following["at"], fault["at"] + event_log.LARGE_FAULT_US)
+        sent = sum(1 for row in log.of("sent") if row["send"] == 1 and fault["at"] <= row["at"] < until)
+        failed = [sent_at for end, sent_at in ends if fault["at"] <= end < following["at"] and sent_at < until]
+        last_failed_us = max([0, *(sent_at - fault["at"] for sent_at in failed)])
+        name = f"{fault['what']} {fault['target']}"
+        recoveries.append(Recovery(name, last_failed_us // MILLISECOND_US, len(failed), sent))
+    return recoveries
+
+
+def recovery_lines(rows: list[event_log.Row]) -> list[str]:
+    """The recoveries as lines to print.
+
+    >>> recovery_lines([{"at": 1, "kind": "fault", "what": "kill", "target": "n1", "large": False}])
+    ['recovery: kill n1: 0 first sends failed, the last one sent after 0 ms; 0 sent']
+    """
+    return [
+        f"recovery: {fault}: {failed} first sends failed, the last one sent after {last_failed_ms} ms; {sent} sent"
+        for fault, last_failed_ms, failed, sent in recovery(rows)
+    ]
--- /dev/null
+++ b/iriswheel/verification/routing_checks.py
@@ -0,0 +1,115 @@
+"""Checkers of where requests go: to pools that a configuration in force names, and to workers that are listed."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.verification.event_log as event_log
+
+if typing.TYPE_CHECKING:
+    import collections.abc
+
+LEARN_US = 3_600_000  # 3 s, and the platform's list is asked every half second
+
+
+class Observation(typing.NamedTuple):
+    """What was seen of one request's way through a node."""
+
+    at: int
+    done: int
+    node: str
+    zone: str
+    path: str
+    attempt: event_log.AttemptKey
+    no_route: bool
+
+
+def resolve(document: event_log.Document, path: str, zone: str) -> str | None:
+    """The pool to which a configuration sends a path in a zone, or None.
+
+    >>> resolve({"routes": {"r": {"path": "/v1", "pool": "p", "zones": ["a"]}}}, "/v1/x", "a")
+    'p'
+    >>> resolve({"routes": {"r": {"path": "/v1", "pool": "p", "zones": ["a"]}}}, "/v1/x", "b") is None
+    True
+    """
+    matching = [
+        route
+        for route in document.get("routes", {}).values()
+        if path == route["path"] or path.startswith(route["path"].rstrip("/") + "/")
+    ]
+    matching = [route for route in matching if not route.get("zones") or zone in route["zones"]]
+    if not matching:
+        return None
+    best = max(matching, key=lambda route: (len(route["path"]), bool(route.get("zones"))))
+    pool: str = best["pool"]
+    return pool
+
+
+def leaving(log: event_log.EventLog) -> collections.abc.Iterator[str]:
+    """4: nothing reaches a worker more than about 3 s after it was listed as leaving or gone."""
+    for row in log.of("run"):
+        state, since = log.state(row["worker"], row["at"])
+        log.looked["leaving"] += any(listed["state"] != "ready" for listed in log.listed.get(row["worker"], []))
+        if state != "ready" and row["at"] - since > LEARN_US:
+            late_s = (row["at"] - since) / event_log.SECOND_US
+            yield f"{row['worker']} got {row['exchange']} {late_s:.1f} s after it was {state}"
+
+
+def observations(log: event_log.EventLog) -> collections.abc.Iterator[Observation]:
+    """What probes and clients' requests show of routes."""
+    for row in log.of("probe"):
+        yield Observation(
+            row["at"], row["done"], row["node"], row["zone"], row["path"], (row["exchange"], 0), row["status"] == 404
+        )
+    for kind in ("whole", "torn", "refused"):
+        for row in log.of(kind):
+            attempt = event_log.attempt_key(row)
+            sent = log.sent.get(attempt)
+            if sent is not None and sent.get("node") in log.zones:
+                node = sent["node"]
+                no_route = row.get("code") == "no_route"
+                yield Observation(sent["at"], row["at"], node, log.zones[node], sent["path"], attempt, no_route)
+
+
+def in_force(log: event_log.EventLog) -> collections.abc.Iterator[str]:
+    """5: a change is in force everywhere within 2 s of its acknowledgement, and never slips back.
+
+    Each probe's and each request's way (the pool, or that no route is known) must be that of a
+    configuration which could be in force at that node then: one not yet replaced for 2 s.
+    """
+    for seen in observations(log):
+        run = log.runs.get(seen.attempt)
+        if seen.no_route:
+            pool, until = None, seen.done
+        elif run is not None:
+            pool = log.pool.get(run["worker"])
+            routed_at = run["at"] - event_log.TRAVEL_US
+            until = routed_at if routed_at > seen.at else run["at"]
+        else:
+            continue
+        log.looked["in_force"] += 1
+        allowed_pools = {resolve(document, seen.path, seen.zone) for document in log.applied_by_all(seen.at, until)}
+        if pool not in allowed_pools:
+            yield (
+                f"{seen.node} sent {seen.path} to {pool} at {seen.at / event_log.SECOND_US:.1f} s; "
+                f"in force could be {sorted(map(str, allowed_pools))}"
+            )
+
+
+def allowed(log: event_log.EventLog) -> collections.abc.Iterator[str]:
+    """7: nothing goes to a pool that no configuration in force allows for its path."""
+    zones = set(log.zones.values()) or {""}
+    for row in log.of("run"):
+        sent = log.asked.get(event_log.attempt_key(row))
+        delayed = any(
+            fault.target == row["worker"]
+            and fault.during(row["at"] - event_log.SECOND_US, row["at"], event_log.SECOND_US)
+            for fault in log.faults
+        )
+        # A worker at fault may wake and run a request long after it was routed.
+        since = sent["at"] if sent is not None and delayed else row["at"] - event_log.TRAVEL_US
+        documents = log.applied_by_all(since, row["at"])
+        log.looked["allowed"] += 1
+        pool = log.pool.get(row["worker"])
+        if pool not in {resolve(document, row["path"], zone) for document in documents for zone in zones}:
+            yield f"{row['exchange']} on {row['path']} went to pool {pool} at {row['at'] / event_log.SECOND_US:.1f} s"
--- /dev/null
+++ b/iriswheel/verification/session_checks.py
@@ -0,0 +1,178 @@
+"""Checkers of sessions: a conversation stays on its worker, and no worker holds too many."""
+
+from __future__ import annotations
+
+import collections
+import typing
+
+import iriswheel.verification.event_log as event_log
+
+if typing.TYPE_CHECKING:
+    import collections.abc
+
+INCARNATION_SLACK_US = 2_000_000  # clocks and travel, at the end of a session's lifetime
+SWEEP_US = 5_000_000  # an ended session may be counted for so long
+DEFAULT_LIFETIME_US = 60_000_000
+DEFAULT_CAP = 10
+REPLICATION_US = 1_000_000  # a session that is younger may be lost with three processes
+REPLICAS = 3
+
+
+def spans(log: event_log.EventLog, field: str, default: int, since: int, until: int) -> list[int]:
+    """The values that a field of any terms may have in a span of time, in rising order.
+
+    >>> spans(event_log.EventLog([]), "lifetime_us", 60, 0, 5)
+    [60]
+    """
+    values = {
+        terms.get(field, default)
+        for document in log.applied_by_all(since, until)
+        for terms in document.get("terms", {}).values()
+    }
+    return sorted(values) or [default]
+
+
+def lifetimes(log: event_log.EventLog, since: int, until: int) -> list[int]:
+    """The lifetimes in microseconds that sessions may have in a span of time, in rising order.
+
+    >>> lifetimes(event_log.EventLog([]), 0, 5)
+    [60000000]
+    """
+    return spans(log, "lifetime_us", DEFAULT_LIFETIME_US, since, until)
+
+
+def pinned(log: event_log.EventLog) -> collections.abc.Iterator[str]:
+    """8, the first half: a conversation stays on its worker while that is ready.
+
+    Three nodes know a conversation from its first turn, a core's disk within a second: so
+    one that is younger than that may be lost where three processes and more end at once.
+    """
+    process_ends = [
+        fault.at for fault in log.faults if fault.what.split()[0] in ("kill", "power") and fault.role != "worker"
+    ]
+    for name, runs in sorted(log.conversations.items(), key=str):
+        for earlier, later in zip(runs, runs[1:], strict=False):
+            lifetime_us = lifetimes(log, earlier["at"], later["at"])[0]
+            if later["at"] - earlier["at"] > lifetime_us - INCARNATION_SLACK_US:
+                continue
+            log.looked["pinned"] += 1
+            if earlier["worker"] == later["worker"] or may_move(log, earlier, later["at"], process_ends):
+                continue
+            yield (
+                f"conversation {name[-1]} moved from {earlier['worker']} to {later['worker']} "
+                f"at {later['at'] / event_log.SECOND_US:.1f} s"
+            )
+
+
+def may_move(log: event_log.EventLog, run: event_log.Row, until: int, process_ends: list[int]) -> bool:
+    """Whether a conversation may have lost its worker between a run and a later time.
+
+    Args:
+        log: The log.
+        run: The earlier run.
+        until: When the conversation ran elsewhere.
+        process_ends: When processes of the fleet were ended.
+    """
+    worker, since = run["worker"], run["at"]
+    if any(since - event_log.SECOND_US <= row["at"] <= until for row in log.listed[worker]):
+        return True
+    if sum(since <= end <= since + REPLICATION_US for end in process_ends) >= REPLICAS:
+        return True
+    if log.state(worker, since).state != "ready":
+        return True
+    return any(fault.target == worker and fault.during(since, until, event_log.SECOND_US) for fault in log.faults)
+
+
+def held(log: event_log.EventLog, at: int, slack_us: int) -> dict[str, set[event_log.Conversation]]:
+    """The conversations that may be open at a time, by worker: those not silent for their lifetime and more.
+
+    Args:
+        log: The log.
+        at: The time.
+        slack_us: Added to the lifetimes. Below 0, only conversations count that are surely open.
+
+    >>> held(event_log.EventLog([]), 5, 0)
+    {}
+    """
+    open_by_worker: collections.defaultdict[str, set[event_log.Conversation]] = collections.defaultdict(set)
+    for name, runs in log.conversations.items():
+        last = next((run for run in reversed(runs) if run["at"] <= at), None)
+        if last is not None and still_open(log, last, at, slack_us):
+            open_by_worker[last["worker"]].add(name)
+    return dict(open_by_worker)
+
+
+def still_open(log: event_log.EventLog, run: event_log.Row, at: int, slack_us: int) -> bool:
+    """Whether the conversation whose last run this is may be open at a time, as `held` counts it."""
+    certain = slack_us < 0
+    worker = run["worker"]
+    known_lifetimes = lifetimes(log, run["at"], at)
+    last_at: int = run["at"]
+    quiet_us = at - min(at, log.over.get(run["run"], last_at))
+    if quiet_us > (known_lifetimes[0] if certain else known_lifetimes[-1]) + slack_us:
+        return False
+    if any(run["at"] < row["at"] <= at and row["state"] != "ready" for row in log.listed[worker]):
+        return False
+    return not (certain and any(fault.target == worker and fault.during(run["at"], at) for fault in log.faults))
+
+
+def unborn(log: event_log.EventLog, at: int) -> int:
+    """Conversations that are being opened at a time, or that a node at fault may have opened, without a run so far.
+
+    >>> unborn(event_log.EventLog([]), 5)
+    0
+    """
+    ran = {event_log.attempt_key(row) for row in log.of("run") if row["at"] <= at}
+    ends = {
+        event_log.attempt_key(row): row["at"] for kind in ("lost", "torn", "refused", "whole") for row in log.of(kind)
+    }
+    return len(
+        {
+            tuple(sent["parts"])
+            for attempt, sent in log.sent.items()
+            if len(sent["parts"]) > 1
+            and attempt not in ran
+            and sent["at"] < at
+            and (ends.get(attempt, event_log.NEVER) > at or log.at_fault(sent["at"], ends[attempt], sent.get("node")))
+        }
+    )
+
+
+def capped(log: event_log.EventLog) -> collections.abc.Iterator[str]:
+    """9: no worker holds more open conversations than allowed; one that left or crashed holds none.
+
+    Judged where a conversation opens: a cap that is lowered closes nobody's.
+    """
+    for name, runs in sorted(log.conversations.items(), key=str):
+        for before, run in zip([None, *runs], runs, strict=False):
+            if before is not None and not may_open(log, before, run):
+                continue
+            documents = log.applied_by_all(run["at"] - event_log.TRAVEL_US, run["at"])
+            caps = session_caps(documents, name[0])
+            if not caps or 0 in caps:
+                continue
+            log.looked["capped"] += 1
+            count = len(held(log, run["at"], -INCARNATION_SLACK_US).get(run["worker"], ()))
+            if count > max(caps):
+                at_s = run["at"] / event_log.SECOND_US
+                yield f"{run['worker']} holds {count} open conversations at {at_s:.1f} s, {max(caps)} are allowed"
+
+
+def may_open(log: event_log.EventLog, before: event_log.Row, run: event_log.Row) -> bool:
+    """Whether a run may open its conversation anew, given the run before: elsewhere, or after its lifetime."""
+    if before["worker"] != run["worker"]:
+        return True
+    quiet_us: int = run["at"] - before["at"]
+    if quiet_us <= event_log.SECOND_US:
+        return False
+    lifetime_us = lifetimes(log, before["at"], run["at"])[-1]
+    return quiet_us >= lifetime_us + SWEEP_US
+
+
+def session_caps(documents: list[event_log.Document], pool: str | None) -> list[int]:
+    """The caps on a worker's open sessions in those configurations that have the pool.
+
+    >>> session_caps([{"pools": {"p": {"cap": 3}}}, {"pools": {}}], "p")
+    [3]
+    """
+    return [document["pools"][pool].get("cap", DEFAULT_CAP) for document in documents if pool in document["pools"]]
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -6,7 +6,7 @@
 
 import iriswheel.verification.replay as replay
 
-S = replay.SECOND
+S = replay.SECOND_US
 DOC = {
     "pools": {"desk": {}},
     "routes": {"probe": {"path": "/p/0", "pool": "desk"}, "v1": {"path": "/v1", "pool": "desk"}},
