--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -41,11 +41,12 @@
 
 import benchmarks.stand_ins as stand_ins
 import iriswheel.configuration.configuration as configuration
-import iriswheel.control.core as core
+import iriswheel.control.replica_store as replica_store
 import iriswheel.dataplane.edge_protocol as edge_protocol
 import iriswheel.dataplane.health as health
 import iriswheel.dataplane.placement as placement
 import iriswheel.dataplane.sessions as sessions
+import iriswheel.membership.assignments as role_assignments
 import iriswheel.membership.membership_manager as membership_manager
 import iriswheel.node.node as node
 import iriswheel.pools.pool_owner as pool_owner
@@ -248,7 +249,7 @@
     """
     out = []
     for key in keys:
-        holder, copies = membership_manager.group(key, ms, None)
+        holder, copies = role_assignments.group(key, ms, None)
         out.append(message.RoleAssignment(key, (3, 17), holder, copies, [holder, *copies], True))
     return out
 
@@ -316,7 +317,7 @@
     out = membership_manager.MembershipManager(runtime, consensus, lambda: [f"model-{k}" for k in range(p)])
     out.restart()
     for m in members(n):
-        out.seen[m.id] = (clock[0], m, "c0")
+        out.seen[m.id] = membership_manager.SeenMember(clock[0], m, "c0")
     out.issue()
     clock[0] += S // 2
     out.issue()
@@ -549,14 +550,14 @@
                 "sessions",
                 "loops",
                 n,
-                ratio(lambda: core.encode_session_replica(session_replica, 5)),
+                ratio(lambda: replica_store.encode_session_replica(session_replica, 5)),
             )
             lines.put(
                 "a shelf's bytes on a core's disk",
                 "sessions",
                 "B",
                 n,
-                len(core.encode_session_replica(session_replica, 5)),
+                len(replica_store.encode_session_replica(session_replica, 5)),
             )
             lines.put("a shelf's memory", "sessions", "B", n, held(lambda: _shelved(raw)))
             del book, table, copy, raw, session_replica
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -170,7 +170,11 @@
         t.go(2)
 
         def published() -> dict[typing.Any, typing.Any]:
-            return {p.member.name: p.connection.sent_bytes for c in t.cores.values() for p in c.node_sessions.values()}
+            return {
+                p.member.name: p.connection.sent_bytes
+                for c in t.cores.values()
+                for p in c.node_sessions.by_node.values()
+            }
 
         def wait(document: typing.Any) -> None:
             done = t.operator_runtime.spawn(t.operator.change(document), simulated_cluster.log)
@@ -236,7 +240,7 @@
         connection.sent_bytes
         for core in t.cores.values()
         for connection in [
-            *(node_session.connection for node_session in core.node_sessions.values()),
+            *(node_session.connection for node_session in core.node_sessions.by_node.values()),
             *core.peers.connections.values(),
         ]
     )
@@ -353,10 +357,10 @@
         "keys on disk": most(len(c.process.host.synced) for c in cores),
         "bytes on disk": most(sum(len(v) for v in c.process.host.synced.values()) for c in cores),
         "pulses": most(len(c.consensus.heartbeats) for c in cores),
-        "posts": most(len(c.node_sessions) for c in cores),
-        "seated": most(len(c.active) for c in cores),
+        "posts": most(len(c.node_sessions.by_node) for c in cores),
+        "seated": most(len(c.findings.active) for c in cores),
         "left": most(len(c.issuer.left) for c in cores),
-        "places": most(len(c.issuer.places) for c in cores),
+        "places": most(len(c.issuer.seen) for c in cores),
         "connections": len(t.world.connections),
     }
 
--- /dev/null
+++ b/iriswheel/control/chain_client.py
@@ -0,0 +1,138 @@
+"""Calls of a core machine to the head and the tail of the chain: proposals and reads.
+
+The head or the tail may be this machine itself.
+"""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import loguru
+import twisted.internet.defer as defer
+import twisted.python.failure as failure
+
+import iriswheel.errors as errors
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
+
+if typing.TYPE_CHECKING:
+    import iriswheel.configuration.configuration as configuration
+    import iriswheel.control.core_parts as core_parts
+    import iriswheel.control.counters as counters
+
+HEAD, TAIL = 0, -1  # positions in the chain
+TIMEOUT_US = 3 * units.SECOND_US  # of one call
+READ_RETRY_US = 900 * units.MILLISECOND_US  # a read is tried again for so long while the tail has no lease
+RETRY_DELAY_US = 30 * units.MILLISECOND_US
+
+Result = typing.TypeVar("Result")
+
+log = loguru.logger.bind(part="core")
+
+
+def shield(deferred: defer.Deferred[Result]) -> defer.Deferred[Result]:
+    """A Deferred that fires as the given one does; cancelling it lets the given one go on.
+
+    A write that has begun must learn how it ended, also when nobody waits for it any more.
+
+    >>> deferred = defer.Deferred()
+    >>> shield(deferred).addErrback(lambda f: None).cancel()
+    >>> deferred.called
+    False
+    """
+    shielded: defer.Deferred[Result] = defer.Deferred()
+
+    def pass_on(result: Result | failure.Failure) -> None:
+        if not shielded.called:
+            shielded.callback(result)
+        elif isinstance(result, failure.Failure):
+            log.error("A call that nobody waited for any more failed: {}", result.getTraceback())
+
+    deferred.addBoth(pass_on)
+    return shielded
+
+
+class ChainClient:
+    """Proposes changes to the head and reads at the tail."""
+
+    def __init__(self, parts: core_parts.CoreParts, counters: counters.Counters) -> None:
+        self.parts = parts
+        self.counters = counters
+
+    async def look(self, identifier: str, timeout_us: int = TIMEOUT_US) -> message.ReadResponse:
+        """Read the committed state at the tail, under its lease, with the plan or change of an id.
+
+        Raises:
+            errors.ServiceError: `no_chain` where the tail does not answer or has no lease.
+        """
+        try:
+            response = await self._call(TAIL, lambda view: message.ReadRequest(view, identifier), timeout_us)
+        except errors.ServiceError:
+            raise errors.ServiceError("no_chain", "The tail does not answer now.") from None
+        read = typing.cast(message.ReadResponse, response)  # the only answer to a ReadRequest
+        if not read.ok:
+            raise errors.ServiceError("no_chain", "The tail holds no lease now.")
+        return read
+
+    async def read_state(self) -> message.ReadResponse:
+        """Read the committed state at the tail; tried again for READ_RETRY_US where that fails."""
+        until = self.parts.runtime.now() + READ_RETRY_US
+        while True:
+            try:
+                return await self.look("", max(1, until - self.parts.runtime.now()))
+            except errors.ServiceError:
+                if self.parts.runtime.now() >= until:
+                    raise
+            await self.parts.runtime.sleep(RETRY_DELAY_US)
+
+    async def propose(
+        self,
+        kind: str,
+        identifier: str,
+        base: int = 0,
+        changes: collections.abc.Sequence[configuration.ItemChange] = (),
+        timeout_us: int = TIMEOUT_US,
+    ) -> message.ProposeChangeResponse:
+        """Propose a change to the head, and wait until it is committed.
+
+        Raises:
+            errors.ServiceError: The change was refused, or it is not known whether it was committed.
+        """
+        response = await self._call(
+            HEAD, lambda view: message.ProposeChange(view, kind, identifier, base, list(changes)), timeout_us
+        )
+        proposed = typing.cast(message.ProposeChangeResponse, response)  # the only answer to a ProposeChange
+        if proposed.code:
+            self.counters.refused += 1
+            raise errors.ServiceError(proposed.code, proposed.text, errors.ExecutionOutcome(proposed.execution))
+        return proposed
+
+    async def _call(
+        self,
+        position: int,
+        make: collections.abc.Callable[[int], message.ProposeChange | message.ReadRequest],
+        timeout_us: int,
+    ) -> message.Message:
+        """Call the replica at a position of the chain with the message made for the view's number."""
+        view = self.parts.consensus.view
+        if view is None:
+            raise errors.ServiceError("no_chain", "No view is agreed yet.")
+        voter = self.parts.voter_of(view.chain[position])
+        request = make(view.number)
+        try:
+            answer: defer.Deferred[message.Message]
+            if voter.id == self.parts.consensus.me.id:
+                answer = shield(defer.ensureDeferred(self.parts.chain.answer(request)))
+            else:
+                answer = defer.ensureDeferred(self.parts.peers.call(voter.host, voter.port, request, timeout_us))
+            response: message.Message = await self.parts.runtime.within(answer, timeout_us)
+            return response
+        except (wire.ConnectionBrokenError, scheduler.DeadlineError) as error:
+            if isinstance(error, wire.ConnectionBrokenError) and not error.sent:
+                raise errors.ServiceError("no_chain", "The chain's machine can't be reached.") from error
+            raise errors.ServiceError(
+                "unknown_outcome", "No answer came in time.", errors.ExecutionOutcome.MAY_HAVE_RUN
+            ) from error
--- /dev/null
+++ b/iriswheel/control/change_orders.py
@@ -0,0 +1,222 @@
+"""Numbered changes of operators: how they are judged, and brought into force just once.
+
+An operator gives each change a number, and the number that it is built on. The same change
+may come again, after a lost answer, at any core machine.
+"""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import iriswheel.configuration.configuration as configuration
+import iriswheel.errors as errors
+import iriswheel.runtime.units as units
+
+if typing.TYPE_CHECKING:
+    import iriswheel.control.chain_client as chain_client
+    import iriswheel.control.core_parts as core_parts
+    import iriswheel.control.counters as counters
+    import iriswheel.control.tail_contact as tail_contact
+
+TIMEOUT_US = 900 * units.MILLISECOND_US  # a change is answered within this, known or not
+RETRY_DELAY_US = 30 * units.MILLISECOND_US
+PROBLEMS_SHOWN = 50
+NUMBER_KEY = "marks/operator"  # the item that holds the operator's number
+
+Translate: typing.TypeAlias = collections.abc.Callable[[configuration.Items], dict[str, configuration.Item]]
+
+
+class ChangeOrder(typing.NamedTuple):
+    """An operator's change with the number `number`, built on the number `built_on`.
+
+    make(items) gives the new items, or raises InvalidConfigurationError. `complete` says that these
+    don't depend on the old ones.
+    """
+
+    identifier: str
+    number: int
+    built_on: int
+    make: Translate
+    complete: bool = False
+
+
+class KnownState(typing.NamedTuple):
+    """The state that an order is judged by."""
+
+    version: int
+    items: configuration.Items
+    taken: int  # the version under which the order was taken; 0: it is not among those remembered
+    forgotten: int  # the highest number of a change that is no longer remembered
+    read_at_tail: bool  # for this order, under the tail's lease; else it may be out of date
+
+
+class InForce(typing.NamedTuple):
+    """The order stands, under a version."""
+
+    version: int
+
+
+class Applicable(typing.NamedTuple):
+    """The order can be taken: it makes these changes."""
+
+    changes: list[configuration.ItemChange]
+
+
+class Refused(typing.NamedTuple):
+    """The order can't be taken on this state."""
+
+    error: errors.ServiceError
+
+
+Judgement: typing.TypeAlias = InForce | Applicable | Refused
+
+
+def translate(order: ChangeOrder, items: configuration.Items) -> dict[str, configuration.Item]:
+    """The items that an order makes of others, under its number.
+
+    Raises:
+        errors.ServiceError: `bad_blueprint`, with what is wrong.
+
+    >>> translate(ChangeOrder("c0-3-x", 3, 0, dict), {"pools/p": {}})
+    {'pools/p': {}, 'marks/operator': {'number': 3}}
+    """
+    problems = []
+    if order.number <= order.built_on:
+        problems.append(f"{NUMBER_KEY}: number {order.number} is not above {order.built_on}")
+    made: dict[str, configuration.Item] = {}
+    try:
+        made = order.make(items)
+    except configuration.InvalidConfigurationError as error:
+        problems += error.errors
+    if problems:
+        raise errors.ServiceError("bad_blueprint", "; ".join(problems[:PROBLEMS_SHOWN]), field="blueprint")
+    return {**made, NUMBER_KEY: {**made.get(NUMBER_KEY, {}), "number": order.number}}
+
+
+def judge(known: KnownState, order: ChangeOrder) -> Judgement:
+    """What a state says of an order.
+
+    An order stands where it is among those taken, or where a complete one would make just the state that
+    is there. Numbers rise, so an order on a number that was passed can't be taken any more.
+
+    >>> order = ChangeOrder("c0-3-x", 3, 0, lambda items: {"pools/p": {}})
+    >>> judge(KnownState(0, {}, 0, 0, True), order)
+    Applicable(changes=[('marks/operator', {'number': 3}), ('pools/p', {})])
+    >>> judge(KnownState(8, {"marks/operator": {"number": 3}}, 5, 0, True), order)
+    InForce(version=5)
+    >>> judge(KnownState(8, {"marks/operator": {"number": 4}}, 0, 0, True), order).error.code
+    'base_moved'
+    """
+    if known.taken:
+        return InForce(known.taken)
+    current = configuration.operator_number(known.items)
+    is_base = current == order.built_on
+    may_stand = order.complete and current == order.number
+    if not is_base and not may_stand:
+        return Refused(_base_passed(known, order, current))
+    try:
+        made = translate(order, known.items)
+    except errors.ServiceError as error:
+        return Refused(error if is_base else _base_passed(known, order, current))
+    changes = configuration.difference(known.items, made)
+    if may_stand and not changes and known.version:
+        return InForce(known.version)
+    return Applicable(changes) if is_base else Refused(_base_passed(known, order, current))
+
+
+def _base_passed(known: KnownState, order: ChangeOrder, current: int) -> errors.ServiceError:
+    """The refusal of an order whose base is not the present number.
+
+    Where the id of an order may have been forgotten, nobody knows whether it was taken.
+    """
+    if order.number <= known.forgotten:
+        text = "list[configuration.ItemChange] of that age are no longer remembered."
+        return errors.ServiceError("unknown_outcome", text, errors.ExecutionOutcome.MAY_HAVE_RUN)
+    return errors.ServiceError("base_moved", f"The blueprint is at number {current}.")
+
+
+class ChangeOrders:
+    """Brings orders into force."""
+
+    def __init__(
+        self,
+        parts: core_parts.CoreParts,
+        client: chain_client.ChainClient,
+        contact: tail_contact.TailContact,
+        counters: counters.Counters,
+    ) -> None:
+        self.parts = parts
+        self.client = client
+        self.contact = contact
+        self.counters = counters
+
+    async def bring_into_force(self, order: ChangeOrder) -> int:
+        """Bring an order into force, and wait until the nodes have applied it.
+
+        An order that comes again is found taken, also when later ones were taken since. The head
+        compares versions, so of two orders on one base just one is taken. A refusal is given only
+        after a read at the tail, under its lease, made for this order.
+
+        Returns:
+            The version under which the order stands.
+
+        Raises:
+            errors.ServiceError: The order is refused, or after TIMEOUT_US it is not known to be in force.
+        """
+        until = self.parts.runtime.now() + TIMEOUT_US
+        self.counters.changes += 1
+        known: KnownState | None = self.known_here(order)
+        may_have_run, last_error = False, None
+        while self.parts.runtime.now() < until:
+            try:
+                if known is None:
+                    known = await self.known_at_tail(order, until - self.parts.runtime.now())
+                outcome = await self._try(known, order, until)
+            except errors.ServiceError as error:
+                may_have_run = may_have_run or error.execution is errors.ExecutionOutcome.MAY_HAVE_RUN
+                known, last_error = None, error
+                await self.parts.runtime.sleep(RETRY_DELAY_US)
+                continue
+            if isinstance(outcome, InForce):
+                return outcome.version
+            if known.read_at_tail:
+                raise outcome.error
+            known = None
+        if may_have_run or last_error is None:
+            raise errors.ServiceError(
+                "unknown_outcome",
+                "It is not known yet whether the change was taken.",
+                errors.ExecutionOutcome.MAY_HAVE_RUN,
+            )
+        raise errors.ServiceError("no_chain", f"The change can't be taken now: {last_error.text}")
+
+    def known_here(self, order: ChangeOrder) -> KnownState:
+        """What this machine's own copy says of an order; it may be out of date."""
+        base = self.parts.chain.committed_state
+        return KnownState(base.version, base.items, base.taken.get(order.identifier, 0), base.forgotten, False)
+
+    async def known_at_tail(self, order: ChangeOrder, timeout_us: int) -> KnownState:
+        """What the tail says of an order, under its lease."""
+        read = await self.client.look(order.identifier, timeout_us)
+        return KnownState(read.version, read.items, read.taken, read.forgotten, True)
+
+    async def _try(self, known: KnownState, order: ChangeOrder, until: int) -> InForce | Refused:
+        """Propose an order on a known state, unless it stands already or can't be taken."""
+        judgement = judge(known, order)
+        if isinstance(judgement, Refused):
+            return judgement
+        if isinstance(judgement, Applicable):
+            judgement = InForce(await self._propose(known.version, order, judgement.changes, until))
+        await self.contact.wait_until_applied(judgement.version, until)
+        return judgement
+
+    async def _propose(self, base: int, order: ChangeOrder, changes: list[configuration.ItemChange], until: int) -> int:
+        left = max(0, until - self.parts.runtime.now())
+        try:
+            return (await self.client.propose("apply", order.identifier, base, changes, left)).version
+        except errors.ServiceError as error:
+            if error.code != "base_moved":
+                raise
+            # a read at the tail will say what became of this order
+            raise errors.ServiceError("no_chain", "Another change came first.") from error
--- /dev/null
+++ b/iriswheel/control/core_parts.py
@@ -0,0 +1,38 @@
+"""The parts of a core machine that most of its other parts use."""
+
+from __future__ import annotations
+
+import typing
+
+if typing.TYPE_CHECKING:
+    import iriswheel.consensus.view_consensus as view_consensus
+    import iriswheel.control.reports as reports
+    import iriswheel.membership.lease as lease
+    import iriswheel.membership.membership_manager as membership_manager
+    import iriswheel.replication.chain as chain
+    import iriswheel.runtime.scheduler as scheduler
+    import iriswheel.transport.message as message
+    import iriswheel.transport.wire as wire
+
+
+class CoreParts(typing.NamedTuple):
+    """References only: each part owns its state."""
+
+    runtime: scheduler.Runtime
+    peers: wire.Peers
+    chain: chain.Chain
+    consensus: view_consensus.ViewConsensus
+    issuer: membership_manager.MembershipManager
+    lease: lease.CoreLease  # from the tail; what it passes on to nodes
+    findings: reports.NodeFindings
+
+    def voters(self) -> list[message.Voter]:
+        """The core machines as far as they are known."""
+        view = self.consensus.view
+        return list(view.voters) if view is not None else []
+
+    def voter_of(self, replica: message.ChainReplica) -> message.Voter:
+        """The address of a replica of the present view's chain."""
+        voter = self.consensus.voter(replica.id)
+        assert voter is not None  # all replicas of a chain are voters of its view
+        return voter
--- /dev/null
+++ b/iriswheel/control/node_session.py
@@ -0,0 +1,195 @@
+"""The sessions of nodes at a core machine: what each node is sent, and how far each has come."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import loguru
+
+import iriswheel.configuration.configuration as configuration
+import iriswheel.control.slices as slices
+import iriswheel.membership.assignments as assignments
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.control.core_parts as core_parts
+    import iriswheel.transport.wire as wire
+
+HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
+# A core machine that has run for longer and does not serve is cut off: its state may be out of date.
+UNCONFIRMED_AFTER_START_US = 15 * units.SECOND_US
+NO_MEMBERSHIP = (0, 0)
+
+log = loguru.logger.bind(part="core")
+
+
+class SliceSource(typing.NamedTuple):
+    """The versions of the state and of the membership that a slice was cut from."""
+
+    log_index: int
+    membership: tuple[int, int] | None
+
+
+class NodeSession:
+    """One node's session: sends the node its slice of the configuration, the membership, and heartbeats."""
+
+    def __init__(
+        self,
+        parts: core_parts.CoreParts,
+        slice_cache: slices.Slices,
+        is_serving: collections.abc.Callable[[], bool],
+        connection: wire.Connection,
+        join: message.JoinRequest,
+    ) -> None:
+        self.parts = parts
+        self.slices = slice_cache
+        self.is_serving = is_serving
+        self.connection = connection
+        self.member = join.member
+        self.sent_index = join.applied_index
+        self.applied_index = join.applied_index
+        known_state = parts.chain.history.get(join.applied_index)
+        self.sent_slice: slices.Slice | None = (
+            None if known_state is None else slice_cache.slice(known_state, self.member.zone, ())
+        )
+        self.sent_membership = join.membership.version if join.membership is not None else NO_MEMBERSHIP
+        self.heartbeat_sent_at = 0
+        self.node_time = join.sent_at  # the newest time that the node put on a heartbeat, on its clock
+        self.sliced_from: SliceSource | None = None
+        self.changed = scheduler.Signal()
+
+    def flush(self) -> None:
+        """Send what is new to this node, and a heartbeat where one is due."""
+        self._send_configuration()
+        self._send_membership()
+        self._send_heartbeat()
+
+    def receive_heartbeat(self, heartbeat: message.SessionHeartbeat) -> None:
+        """Take the node's heartbeat: its time, and how far it has come."""
+        self.node_time = max(self.node_time, heartbeat.sent_at)
+        self.parts.lease.record_heartbeat(self.member.id, heartbeat.index, self.parts.runtime.now())
+        if heartbeat.index > self.applied_index:
+            self.applied_index = heartbeat.index
+            self.parts.findings.report_now.wake()
+
+    async def run(self, is_stopping: collections.abc.Callable[[], bool]) -> None:
+        """Flush at every change, and every HEARTBEAT_INTERVAL_US, while the connection stands; one task a node.
+
+        A change that is committed as far as this core machine knows goes to its nodes also while the
+        tail is not heard: it stays committed. No lease goes with it then, and nodes look for another
+        core machine.
+        """
+        while self.connection.up and not is_stopping():
+            if self.connection.full:
+                await self.connection.writable.wait()
+                continue
+            self.flush()
+            await self.parts.runtime.pause(self.changed, HEARTBEAT_INTERVAL_US)
+        if self.connection.up:
+            self.connection.tell(message.Redirect(self.parts.voters()))
+
+    def _slice(self) -> slices.Slice:
+        """The items that this node needs now."""
+        latest = self.parts.issuer.latest
+        pools = assignments.owned_pools(latest.assignments, self.member.id) if latest is not None else ()
+        return self.slices.slice(self.parts.chain.committed_state, self.member.zone, pools)
+
+    def _send_configuration(self) -> None:
+        base, latest = self.parts.chain.committed_state, self.parts.issuer.latest
+        source = SliceSource(base.index, latest.version if latest is not None else None)
+        if base.index < self.sent_index or source == self.sliced_from:
+            return
+        if self.sent_index < 0 and not self.is_serving():
+            return  # the state may be out of date, and the node has none at all yet
+        self.sliced_from = source
+        current = self._slice()
+        if self.sent_slice is None:
+            self.connection.tell(message.ConfigurationSnapshot(base.index, current))
+        else:
+            changes = self.slices.delta(self.sent_slice, current)
+            if changes or base.index > self.sent_index:
+                self.connection.tell(message.ConfigurationUpdate(base.index, changes))
+        self.sent_slice, self.sent_index = current, base.index
+
+    def _send_membership(self) -> None:
+        latest = self.parts.issuer.latest
+        if latest is not None and latest.version > self.sent_membership:
+            self.connection.tell(message.MembershipUpdate(latest))
+            self.sent_membership = latest.version
+
+    def _send_heartbeat(self) -> None:
+        parts = self.parts
+        if parts.runtime.now() - self.heartbeat_sent_at < HEARTBEAT_INTERVAL_US:
+            return
+        self.heartbeat_sent_at = parts.runtime.now()
+        lease_left = parts.lease.grant(self.member.id, self.heartbeat_sent_at)
+        unchanged = parts.findings.listing_unchanged
+        self.connection.tell(
+            message.SessionHeartbeat(self.sent_index, self.sent_membership, unchanged, self.node_time, lease_left)
+        )
+
+
+class NodeSessions:
+    """All sessions of one core machine, by node."""
+
+    def __init__(self, parts: core_parts.CoreParts, is_serving: collections.abc.Callable[[], bool]) -> None:
+        self.parts = parts
+        self.is_serving = is_serving
+        self._slices = slices.Slices()
+        self.by_node: dict[str, NodeSession] = {}
+        self.stopping = False
+
+    def in_order(self) -> list[NodeSession]:
+        """The sessions, ordered by node."""
+        return [self.by_node[node] for node in sorted(self.by_node)]
+
+    def wake_all(self) -> None:
+        """Let every session look for what is new to its node."""
+        for session in list(self.by_node.values()):
+            session.changed.wake()
+
+    def stop(self) -> None:
+        """From now on, redirect nodes to the other core machines; sessions that stand notice when woken."""
+        self.stopping = True
+
+    def redirect(self, connection: wire.Connection) -> None:
+        """Tell a node where else the core is to be reached."""
+        connection.tell(message.Redirect(self.parts.voters()))
+
+    def open(self, connection: wire.Connection, join: message.JoinRequest) -> None:
+        """Begin a node's session, in place of an older one of this node."""
+        node = join.member.id
+        session = self.by_node[node] = NodeSession(self.parts, self._slices, self.is_serving, connection, join)
+        connection.node_session = session
+        log.info("Node {} joins at {}; serving: {}.", join.member.name, join.applied_index, self.is_serving())
+        self.parts.lease.close(node)
+        self.parts.lease.record_heartbeat(node, join.applied_index, self.parts.runtime.now())
+        self.parts.runtime.spawn(self._run(session), log)
+        self.parts.findings.report_now.wake()
+
+    def offer_unconfirmed(self, connection: wire.Connection, join: message.JoinRequest) -> None:
+        """Send what this disk holds to a node that knows nothing, while no tail is heard soon after the start."""
+        parts = self.parts
+        state = parts.chain.latest_state
+        early = parts.runtime.now() - parts.consensus.started_at < UNCONFIRMED_AFTER_START_US
+        if self.is_serving() or join.applied_index >= 0 or not state.index or not early:
+            return
+        items = configuration.slice_for_node(state.items, join.member.zone)
+        connection.tell(message.UnconfirmedConfiguration((state.view, state.index), items))
+
+    def drop_broken(self) -> None:
+        """Drop the sessions whose connection has broken."""
+        for node in [node for node, session in self.by_node.items() if not session.connection.up]:
+            del self.by_node[node]
+            self.parts.lease.close(node)
+
+    async def _run(self, session: NodeSession) -> None:
+        await session.run(lambda: self.stopping)
+        node = session.member.id
+        if self.by_node.get(node) is session:
+            del self.by_node[node]
+            self.parts.lease.close(node)
+            self.parts.findings.report_now.wake()
--- /dev/null
+++ b/iriswheel/control/operator_api.py
@@ -0,0 +1,221 @@
+"""The HTTP API of a core machine for operators: read the configuration, plan and confirm, numbered changes, state."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import msgspec
+
+import iriswheel.configuration.configuration as configuration
+import iriswheel.control.change_orders as change_orders
+import iriswheel.errors as errors
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.control.chain_client as chain_client
+    import iriswheel.control.core as core
+    import iriswheel.control.counters as counters
+    import iriswheel.control.replica_store as replica_store
+    import iriswheel.control.tail_contact as tail_contact
+    import iriswheel.transport.http_server as http_server
+
+CONFIRM_GRACE_US = 1 * units.SECOND_US  # beyond a lease, a confirmation waits so long for nodes
+CHANGE_FIELDS = ("number", "built_on", "blueprint", "upsert", "remove")
+PLAN_FIELDS = ("blueprint", "patch", "base")
+
+
+def read_change(document: typing.Any) -> change_orders.ChangeOrder:
+    """A numbered change out of a request's body: a whole configuration, or items to put in and to remove.
+
+    Raises:
+        errors.ServiceError: `bad_request`, where the body is something else.
+
+    >>> read_change({"number": 3, "built_on": 1, "remove": {"pools": ["p"]}}).number
+    3
+    """
+    match document:
+        case {"blueprint": _, "upsert": _} | {"blueprint": _, "remove": _}:
+            raise errors.ServiceError(
+                "bad_request", "Send a blueprint, or items to put in and remove.", field="blueprint"
+            )
+        case (
+            {"number": int(number), "built_on": int(built_on), "blueprint": _}
+            | {"number": int(number), "built_on": int(built_on), "upsert": _}
+            | {"number": int(number), "built_on": int(built_on), "remove": _}
+        ):
+            pass
+        case _:
+            raise errors.ServiceError(
+                "bad_request", "A change wants number, built_on, and what it changes.", field="number"
+            )
+    refuse_unknown_fields(document, CHANGE_FIELDS)
+
+    def make(items: configuration.Items) -> dict[str, configuration.Item]:
+        current = configuration.unflatten(items)
+        return configuration.flatten(
+            document["blueprint"]
+            if "blueprint" in document
+            else configuration.amend(current, document.get("upsert", {}), document.get("remove", {}))
+        )
+
+    identifier = configuration.change_id(number, built_on, document)
+    return change_orders.ChangeOrder(identifier, number, built_on, make, "blueprint" in document)
+
+
+def check_plan(document: typing.Any) -> None:
+    """Refuse a plan's request that is malformed.
+
+    >>> check_plan({"patch": []})
+    """
+    match document:
+        case {"blueprint": _, "patch": _}:
+            raise errors.ServiceError("bad_request", "Send a blueprint or a patch, not both.", field="patch")
+        case {"blueprint": _} | {"patch": _}:
+            pass
+        case _:
+            raise errors.ServiceError("bad_request", "A blueprint or a patch is needed.", field="blueprint")
+    refuse_unknown_fields(document, PLAN_FIELDS)
+
+
+def refuse_unknown_fields(document: dict[str, typing.Any], known: collections.abc.Container[str]) -> None:
+    """Refuse a document that has other fields than the known ones.
+
+    >>> refuse_unknown_fields({"base": 1}, PLAN_FIELDS)
+    """
+    for name in document:
+        if name not in known:
+            raise errors.ServiceError("bad_request", "Unknown field.", field=name)
+
+
+def planned_items(document: dict[str, typing.Any], current: configuration.Items) -> dict[str, configuration.Item]:
+    """The items that a plan's request makes of the current ones.
+
+    >>> planned_items({"patch": [{"op": "add", "path": "/pools/p", "value": {}}]}, {"terms/default": {}})
+    {'pools/p': {}, 'terms/default': {}}
+    """
+    try:
+        planned: typing.Any = document.get("blueprint")
+        if "patch" in document:
+            planned = configuration.apply_patch(configuration.unflatten(current), document["patch"])
+        return configuration.flatten(planned)
+    except configuration.InvalidConfigurationError as error:
+        text = "; ".join(error.errors[: change_orders.PROBLEMS_SHOWN])
+        raise errors.ServiceError("bad_blueprint", text, field="blueprint") from error
+
+
+class OperatorApi:
+    """Answers the operators' requests."""
+
+    def __init__(
+        self,
+        core: core.Core,
+        client: chain_client.ChainClient,
+        orders: change_orders.ChangeOrders,
+        contact: tail_contact.TailContact,
+        replicas: replica_store.SessionReplicaStore,
+        counters: counters.Counters,
+    ) -> None:
+        self.core = core
+        self.client = client
+        self.orders = orders
+        self.contact = contact
+        self.replicas = replicas
+        self.counters = counters
+
+    async def handle(self, request: http_server.Request) -> None:
+        """Answer one request."""
+        path = request.path.decode("latin-1").split("?")[0].strip("/").split("/")
+        match (request.method, path):
+            case (b"GET", ["blueprint"]):
+                read = await self.client.read_state()
+                request.answer_json(200, {"stamp": read.version, "blueprint": configuration.unflatten(read.items)})
+            case (b"POST", ["plans"]):
+                request.answer_json(200, await self.plan(request.json()))
+            case (b"GET", ["plans", identifier]):
+                request.answer_json(200, await self._planned(identifier))
+            case (b"POST", ["plans", identifier, "confirm"]):
+                response = await self.confirm(identifier)
+                request.answer_json(200, {"id": identifier, "stamp": response.version, "verdict": "ran"})
+            case (b"POST", ["changes"]):
+                order = read_change(request.json())
+                version = await self.orders.bring_into_force(order)
+                request.answer_json(200, {"number": order.number, "stamp": version, "verdict": "ran"})
+            case (b"GET", ["state"]):
+                request.answer_json(200, self.state())
+            case (b"GET", ["ready"]):
+                ready = self.core.serving()
+                request.answer_json(200 if ready else 503, {"ready": ready})
+            case (_, ["blueprint" | "plans" | "changes" | "state" | "ready", *_]):
+                raise errors.ServiceError("bad_method", "This path does not take that method.")
+            case _:
+                raise errors.ServiceError("not_found", "There is no such path.")
+
+    async def plan(self, document: typing.Any) -> dict[str, typing.Any]:
+        """Make a plan of an operator's intent: a whole configuration, or a JSON Patch (RFC 6902)."""
+        self.counters.plans += 1
+        check_plan(document)
+        read = await self.client.look("")
+        base = document.get("base", read.version)
+        if type(base) is not int:
+            raise errors.ServiceError("bad_request", "base is not a stamp.", field="base")
+        if base != read.version:
+            raise errors.ServiceError("base_moved", f"The blueprint is at {read.version}, not at {base}.")
+        changes = configuration.difference(read.items, planned_items(document, read.items))
+        identifier = configuration.plan_id(base, changes)
+        await self.client.propose("plan", identifier, base, changes)
+        described = configuration.describe(read.items, changes)
+        counts = {pool: self.replicas.session_count(pool) for pool in described["pools"]}
+        open_sessions = {pool: count for pool, count in counts.items() if count is not None}
+        return {"id": identifier, "base": base, **described, "open_sessions": open_sessions}
+
+    async def confirm(self, identifier: str) -> message.ProposeChangeResponse:
+        """Confirm a plan; returns once it is committed and every node has applied it."""
+        self.counters.confirms += 1
+        if self.contact.no_node_reachable():
+            raise errors.ServiceError("no_nodes", "No node can be reached; a change would not come into force.")
+        response = await self.client.propose("confirm", identifier)
+        until = self.core.runtime.now() + self.core.options.lease_us + CONFIRM_GRACE_US
+        await self.contact.wait_until_applied(response.version, until)
+        if self.contact.no_node_reachable():
+            raise errors.ServiceError(
+                "unknown_outcome",
+                "The change is committed, but no node can be reached.",
+                errors.ExecutionOutcome.MAY_HAVE_RUN,
+            )
+        return response
+
+    async def _planned(self, identifier: str) -> dict[str, typing.Any]:
+        read = await self.client.look(identifier)
+        if read.plan is None:
+            raise errors.ServiceError("not_found", "No such plan is remembered.")
+        return {**read.plan, "now": read.version}
+
+    def state(self) -> dict[str, typing.Any]:
+        """What this core machine shows of itself; the names and their order are those that operators see."""
+        core = self.core
+        consensus, sessions = core.consensus, core.node_sessions.by_node.values()
+        view = consensus.view
+        return {
+            "role": "core",
+            "id": consensus.me.id,
+            "boot": core.runtime.incarnation,
+            "zone": consensus.me.zone,
+            "view": view.number if view is not None else 0,
+            "chain": [replica.id for replica in view.chain] if view is not None else [],
+            "seats": message.plain(view.voters) if view is not None else [],
+            "tail": consensus.tail(),
+            "leased": consensus.leased(),
+            "serving": core.serving(),
+            "whole": core.chain.is_synced(),
+            "stamp": core.chain.committed_state.version,
+            "n": core.chain.committed_state.index,
+            "tip": core.chain.latest_state.index,
+            "lease_left_us": max(0, core.lease.until - core.runtime.now()),
+            "disk_ok": core.disk.ok,
+            "sessions": sorted(session.member.name for session in sessions),
+            "fed_bytes": {session.member.name: session.connection.sent_bytes for session in sessions},
+            "roster": message.plain(core.issuer.latest),
+            "counts": msgspec.structs.asdict(self.counters),
+        }
--- /dev/null
+++ b/iriswheel/control/owned_pools.py
@@ -0,0 +1,32 @@
+"""The pools whose workers are selected by a pool owner, as the committed configuration names them."""
+
+from __future__ import annotations
+
+import typing
+
+if typing.TYPE_CHECKING:
+    import iriswheel.replication.chain as chain
+
+POOL_PREFIX = "pools/"
+SELECTED_BY_OWNER = "warden"  # the value of `election` in the configuration; also its default
+
+
+class OwnedPools:
+    """The names of these pools, computed once for each committed state."""
+
+    def __init__(self, chain: chain.Chain) -> None:
+        self._chain = chain
+        self._names: list[str] = []
+        self._index: int | None = None  # of the state that the names were read from
+
+    def names(self) -> list[str]:
+        """The names, sorted."""
+        state = self._chain.committed_state
+        if self._index != state.index:
+            self._index = state.index
+            self._names = sorted(
+                key.removeprefix(POOL_PREFIX)
+                for key, pool in state.items.items()
+                if key.startswith(POOL_PREFIX) and pool.get("election", SELECTED_BY_OWNER) == SELECTED_BY_OWNER
+            )
+        return self._names
--- /dev/null
+++ b/iriswheel/control/reports.py
@@ -0,0 +1,128 @@
+"""What a core machine reports to the tail: the sessions of its nodes, their leases, and what the nodes found."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import loguru
+
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.control.core_parts as core_parts
+    import iriswheel.control.node_session as node_session
+
+REPORT_INTERVAL_US = 250 * units.MILLISECOND_US
+BATCH_DELAY_US = 5 * units.MILLISECOND_US  # what else the nodes say within this goes in the same report
+LISTING_REPEAT_US = 2 * units.SECOND_US  # an unchanged worker list is sent again: a report may be lost
+
+log = loguru.logger.bind(part="core")
+
+
+class NodeFindings:
+    """What the nodes of this core machine found: the worker list, and which roles are active or contested."""
+
+    def __init__(self) -> None:
+        self.report_now = scheduler.Signal()
+        self.listing: message.WorkerListing | None = None
+        self.listing_unchanged: message.ListingUnchanged | None = None  # the newest, of any core machine
+        self.active: dict[str, tuple[int, int]] = {}  # role -> the newest term in which its holder was active
+        self.contested: dict[str, tuple[int, int]] = {}  # role -> the term that its holder can't use
+
+    def take_listing(self, listing: message.WorkerListing) -> None:
+        """Take a worker list, if it is the newest."""
+        if self.listing is None or listing.version > self.listing.version:
+            self.listing = listing
+            self.report_now.wake()
+
+    def take_listing_unchanged(self, unchanged: message.ListingUnchanged | None) -> None:
+        """Take the word that the worker list has not changed, if it is the newest."""
+        if unchanged is not None and (
+            self.listing_unchanged is None or unchanged.version > self.listing_unchanged.version
+        ):
+            self.listing_unchanged = unchanged
+
+    def role_activated(self, key: str, term: tuple[int, int]) -> None:
+        """The holder of a role is active in a term."""
+        self.active[key] = max(term, self.active.get(key, (0, 0)))
+        self.report_now.wake()
+
+    def role_contested(self, key: str, term: tuple[int, int]) -> None:
+        """The holder of a role met a newer term than its own."""
+        self.contested[key] = term
+        self.report_now.wake()
+
+
+class SentListing(typing.NamedTuple):
+    """Which worker list was sent last, to the tail of which view, and when (µs)."""
+
+    view: int
+    version: tuple[int, int, int]
+    at: int
+
+
+class SessionReporter:
+    """Sends the reports."""
+
+    def __init__(
+        self,
+        parts: core_parts.CoreParts,
+        sessions: node_session.NodeSessions,
+        take_own: collections.abc.Callable[[message.NodeSessionsReport], None],
+    ) -> None:
+        """`take_own` takes the report where this machine is the tail itself."""
+        self.parts = parts
+        self.sessions = sessions
+        self.take_own = take_own
+        self.sent_listing: SentListing | None = None
+
+    async def run(self) -> None:
+        """Report at every change, and every REPORT_INTERVAL_US; one task."""
+        while True:
+            view = self.parts.consensus.view
+            if view is not None and self.parts.consensus.serving():
+                self.sessions.drop_broken()
+                self._send(view)
+            await self.parts.runtime.pause(self.parts.findings.report_now, REPORT_INTERVAL_US)
+            await self.parts.runtime.sleep(BATCH_DELAY_US)
+
+    def _send(self, view: message.View) -> None:
+        report = self._report(view)
+        tail = view.chain[-1]
+        if tail.id == self.parts.consensus.me.id:
+            self.take_own(report)
+            return
+        voter = self.parts.voter_of(tail)
+        self.parts.runtime.spawn(self.parts.peers.tell(voter.host, voter.port, report), log)
+
+    def _report(self, view: message.View) -> message.NodeSessionsReport:
+        sessions = self.sessions.in_order()
+        latest = self.parts.issuer.latest
+        now = self.parts.runtime.now()
+        return message.NodeSessionsReport(
+            self.parts.consensus.me.id,
+            view.number,
+            [session.member for session in sessions],
+            [session.applied_index for session in sessions],
+            self._listing_to_send(view.number, now),
+            sorted(self.parts.findings.active.items()),
+            latest if latest is not None and latest.version[0] < view.number else None,
+            sorted(self.parts.findings.contested.items()),
+            self.parts.findings.listing_unchanged,
+            now,
+            self.parts.lease.report(now),
+        )
+
+    def _listing_to_send(self, view: int, now: int) -> message.WorkerListing | None:
+        """The worker list, where it is new to the tail of a view, and again every LISTING_REPEAT_US."""
+        listing, sent = self.parts.findings.listing, self.sent_listing
+        if listing is None:
+            return None
+        is_known = sent is not None and (sent.view, sent.version) == (view, listing.version)
+        if sent is not None and is_known and now - sent.at < LISTING_REPEAT_US:
+            return None
+        self.sent_listing = SentListing(view, listing.version, now)
+        return listing
--- /dev/null
+++ b/iriswheel/control/slices.py
@@ -0,0 +1,79 @@
+"""Slices: the part of the configuration that one node needs, and the differences between slices.
+
+Both are cached, so that many nodes of a zone with the same roles cost one computation.
+"""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.configuration.configuration as configuration
+
+if typing.TYPE_CHECKING:
+    import iriswheel.replication.replicated_state as replicated_state
+
+CAPACITY = 256  # of each cache
+
+Slice: typing.TypeAlias = dict[str, configuration.Item]
+SliceChanges: typing.TypeAlias = dict[str, configuration.Item | None]  # None removes an item
+
+Key = typing.TypeVar("Key")
+Value = typing.TypeVar("Value")
+
+
+class SliceKey(typing.NamedTuple):
+    """What a slice is cut from and for."""
+
+    log_index: int  # of the newest log entry in the state
+    view: int  # in which that entry was made
+    zone: str
+    pools: tuple[str, ...]
+
+
+class CachedChanges(typing.NamedTuple):
+    """The changes between two slices, with the slices: while these are kept, no other object has their ids."""
+
+    old: Slice
+    new: Slice
+    changes: SliceChanges
+
+
+class Slices:
+    """Cuts slices out of replicated states.
+
+    >>> import iriswheel.replication.replicated_state as replicated_state
+    >>> one, two = [replicated_state.ReplicatedState(n).with_changes([("limits/door", {"head_us": n})]) for n in (1, 2)]
+    >>> slices = Slices()
+    >>> a, b = slices.slice(one, "north", ()), slices.slice(two, "north", ())
+    >>> slices.slice(one, "north", ()) is a, slices.delta(a, b)
+    (True, {'limits/door': {'head_us': 2}})
+    """
+
+    def __init__(self) -> None:
+        self._slices: dict[SliceKey, Slice] = {}
+        self._changes: dict[tuple[int, int], CachedChanges] = {}
+
+    def slice(self, state: replicated_state.ReplicatedState, zone: str, pools: tuple[str, ...]) -> Slice:
+        """What a node needs of a state: `pools` are those for which it holds the role of pool owner."""
+        key = SliceKey(state.index, state.view, zone, pools)
+        return self._slices.get(key) or _store(
+            self._slices, key, configuration.slice_for_node(state.published, zone, pools)
+        )
+
+    def delta(self, old: Slice, new: Slice) -> SliceChanges:
+        """The changes that lead from one slice to another."""
+        if old is new:
+            return {}
+        key = (id(old), id(new))
+        cached = self._changes.get(key)
+        if cached is None:
+            cached = _store(self._changes, key, CachedChanges(old, new, dict(configuration.difference(old, new))))
+        return cached.changes
+
+
+def _store(cache: dict[Key, Value], key: Key, value: Value) -> Value:
+    """Put a value into a cache, in place of the oldest one where the cache is full."""
+    if len(cache) >= CAPACITY:
+        del cache[next(iter(cache))]
+    cache[key] = value
+    return value
--- /dev/null
+++ b/iriswheel/control/tail_contact.py
@@ -0,0 +1,96 @@
+"""What a core machine knows from the tail's heartbeats: whether it is in touch, and how far all nodes have come."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import iriswheel.errors as errors
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+
+if typing.TYPE_CHECKING:
+    import iriswheel.control.core_parts as core_parts
+    import iriswheel.transport.message as message
+
+FRESH_US = 1_100 * units.MILLISECOND_US  # without an answer of the tail for so long, a core machine does not serve
+
+
+class AnsweredReport(typing.NamedTuple):
+    """The newest report of this core machine that the tail has answered."""
+
+    sent_at: int = 0  # µs, on this core machine's clock
+    view: int = 0
+
+
+class TailContact:
+    """Takes the tail's heartbeats."""
+
+    def __init__(self, parts: core_parts.CoreParts, announce: collections.abc.Callable[[], None]) -> None:
+        """`announce` wakes those who pass on what a heartbeat brought."""
+        self.parts = parts
+        self.announce = announce
+        self.answered_report = AnsweredReport()
+        self.session_count = 0  # members that have a session, as the tail counts them
+        self.applied_by_all = 0  # every node has applied the log at least up to this index
+        self._applied_by_all_changed = scheduler.Signal()
+
+    def is_fresh(self) -> bool:
+        """Whether the tail of the present view answered a report not longer than FRESH_US ago."""
+        view = self.parts.consensus.view
+        return (
+            view is not None
+            and self.answered_report.view == view.number
+            and self.parts.runtime.now() - self.answered_report.sent_at < FRESH_US
+        )
+
+    def no_node_reachable(self) -> bool:
+        """Whether there are nodes, and none has a session: they may all be cut off, and keep their configuration."""
+        latest = self.parts.issuer.latest
+        return latest is not None and bool(latest.members) and not self.session_count
+
+    def receive(self, heartbeat: message.TailHeartbeat) -> None:
+        """Take a heartbeat of the present view's tail."""
+        if self.parts.consensus.view is None or heartbeat.view != self.parts.consensus.view.number:
+            return
+        self.parts.lease.renew(heartbeat.echo)
+        if heartbeat.echo:
+            sent_at = max(heartbeat.echo, self.answered_report.sent_at)
+            self.answered_report = AnsweredReport(sent_at, heartbeat.view)
+        else:
+            self.parts.findings.report_now.wake()
+        self.parts.issuer.learn(heartbeat.membership)
+        if self.parts.chain.is_synced():
+            self.parts.chain.commit(heartbeat.index)
+        self._advance(heartbeat.applied_by_all)
+        self.parts.findings.take_listing_unchanged(heartbeat.listing_unchanged)
+        self.session_count = heartbeat.sessions
+        self.announce()
+
+    def record_own_heartbeat(self, view: int, echo: int, applied_by_all: int, session_count: int) -> None:
+        """This machine is the tail: it needs no message to be in touch."""
+        self.parts.lease.renew(echo)
+        self.answered_report = AnsweredReport(self.parts.runtime.now(), view)
+        self._advance(applied_by_all)
+        self.session_count = session_count
+
+    async def wait_until_applied(self, index: int, until: int) -> None:
+        """Wait until every node that may hold a lease has applied the log up to an index.
+
+        Raises:
+            errors.ServiceError: `unknown_outcome`, where that is not known at the time `until` (µs).
+        """
+        while self.applied_by_all < index:
+            left = until - self.parts.runtime.now()
+            if left <= 0:
+                raise errors.ServiceError(
+                    "unknown_outcome",
+                    "The change is committed, but a node may not have applied it yet.",
+                    errors.ExecutionOutcome.MAY_HAVE_RUN,
+                )
+            await self.parts.runtime.pause(self._applied_by_all_changed, left)
+
+    def _advance(self, index: int) -> None:
+        if index > self.applied_by_all:
+            self.applied_by_all = index
+            self._applied_by_all_changed.wake()
--- /dev/null
+++ b/iriswheel/control/tail_service.py
@@ -0,0 +1,162 @@
+"""The work of the tail: it takes the core machines' reports, issues the membership, and sends heartbeats."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import loguru
+
+import iriswheel.membership.lease as lease
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.control.core_parts as core_parts
+    import iriswheel.control.node_session as node_session
+    import iriswheel.control.tail_contact as tail_contact
+    import iriswheel.runtime.options as options
+
+HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
+ISSUE_INTERVAL_US = 100 * units.MILLISECOND_US
+# Every so many rounds, the membership goes to all core machines anew: it may have been lost with a connection.
+FULL_ROUND_INTERVAL = 4
+
+log = loguru.logger.bind(part="core")
+
+
+def chain_members(view: message.View) -> list[lease.ChainMember]:
+    """The machines of a view's chain.
+
+    >>> chain_members(message.View(4, [], [message.ChainReplica("a", "x")]))
+    [('a', 'x')]
+    """
+    return [(replica.id, replica.incarnation) for replica in view.chain]
+
+
+class SentMembership(typing.NamedTuple):
+    """Which membership was sent to a core machine, and in which view."""
+
+    view: int
+    version: tuple[int, int]
+
+
+class TailService:
+    """On every core machine, since each may become the tail."""
+
+    def __init__(
+        self,
+        parts: core_parts.CoreParts,
+        options: options.Options,
+        contact: tail_contact.TailContact,
+        sessions: node_session.NodeSessions,
+        announce: collections.abc.Callable[[], None],
+    ) -> None:
+        """`announce` wakes those who pass on a new membership."""
+        self.parts = parts
+        self.options = options
+        self.contact = contact
+        self.sessions = sessions
+        self.announce = announce
+        self.holders = lease.LeaseHolders(options.lease_us, parts.runtime.now())
+        self.received_reports: dict[str, int] = {}  # core -> `sent_at` of its newest report in this view
+        self.heartbeat_now = scheduler.Signal()
+        self._announced_version: tuple[int, int] | None = None  # of the membership that was last announced
+        self._sent_memberships: dict[message.ChainReplica, SentMembership] = {}
+
+    def installed(self, view: message.View) -> None:
+        """A new view was agreed."""
+        self.received_reports = {}
+        before = self.parts.consensus.predecessors
+        was_tail = before is not None and before[-1:] == [(self.parts.consensus.me.id, self.parts.runtime.incarnation)]
+        self.holders.installed(before, chain_members(view), self.parts.runtime.now(), was_tail)
+
+    def take_report(self, report: message.NodeSessionsReport) -> None:
+        """Take a core machine's report."""
+        before = self.applied()
+        self.parts.findings.take_listing_unchanged(report.listing_unchanged)
+        self.parts.issuer.take(report)
+        self._announce_membership()
+        view = self.parts.consensus.view
+        if self.parts.consensus.tail() and view is not None and report.view == view.number:
+            self.received_reports[report.core] = max(report.sent_at, self.received_reports.get(report.core, 0))
+            self.holders.record_heartbeat(report.core, report.leases, self.parts.runtime.now())
+        if self.applied() != before:
+            self.heartbeat_now.wake()
+
+    def applied(self) -> int:
+        """The index up to which every node that may hold a lease has applied the log; 0 where it is not known."""
+        if not self.parts.consensus.leased():
+            return 0
+        return self.holders.applied(self.parts.chain.committed_state.index, self.parts.runtime.now())
+
+    async def take_leaving(self, leaving: message.MemberLeaving) -> None:
+        """Take the word of a node that leaves; where another machine is the tail, pass it on."""
+        if self.parts.consensus.tail():
+            self.parts.issuer.leave(leaving.member)
+            self._announce_membership()
+        elif self.parts.consensus.view is not None:
+            tail = self.parts.voter_of(self.parts.consensus.view.chain[-1])
+            if (tail.host, tail.port) != (self.options.host, self.options.port):
+                await self.parts.peers.tell(tail.host, tail.port, leaving)
+
+    async def issue_regularly(self) -> None:
+        """Issue the membership where a member's time has run out; one task."""
+        while True:
+            await self.parts.runtime.sleep(ISSUE_INTERVAL_US)
+            if self.parts.consensus.tail():
+                self.parts.issuer.issue()
+                self._announce_membership()
+
+    async def send_heartbeats(self) -> None:
+        """Under the lease, tell all core machines of the chain what is committed; one task."""
+        rounds = 0
+        while True:
+            view = self.parts.consensus.view
+            if view is not None and self.parts.consensus.leased():
+                rounds += 1
+                if rounds % FULL_ROUND_INTERVAL == 0:
+                    self._sent_memberships.clear()
+                self._send_round(view)
+            await self.parts.runtime.pause(self.heartbeat_now, HEARTBEAT_INTERVAL_US)
+
+    def _send_round(self, view: message.View) -> None:
+        index = self.parts.chain.committed_state.index
+        latest = self.parts.issuer.latest if self.parts.issuer.issuing() else None
+        for replica in view.chain:
+            heartbeat = message.TailHeartbeat(
+                view.number,
+                index,
+                self.applied(),
+                self.parts.issuer.sessions(),
+                self._membership_for(replica, view.number, latest),
+                self.parts.findings.listing_unchanged,
+                self.received_reports.get(replica.id, 0),
+            )
+            if replica.id == self.parts.consensus.me.id:
+                self.contact.record_own_heartbeat(
+                    view.number, heartbeat.echo, heartbeat.applied_by_all, heartbeat.sessions
+                )
+                self.sessions.wake_all()
+            else:
+                voter = self.parts.voter_of(replica)
+                self.parts.runtime.spawn(self.parts.peers.tell(voter.host, voter.port, heartbeat), log)
+
+    def _membership_for(
+        self, replica: message.ChainReplica, view: int, latest: message.Membership | None
+    ) -> message.Membership | None:
+        """The membership, unless it was sent to this core machine already."""
+        if latest is None:
+            return None
+        sent, self._sent_memberships[replica] = (
+            self._sent_memberships.get(replica),
+            SentMembership(view, latest.version),
+        )
+        return latest if sent != (view, latest.version) else None
+
+    def _announce_membership(self) -> None:
+        """Have the membership passed on where it has changed."""
+        if self.parts.issuer.latest is not None and self.parts.issuer.latest.version != self._announced_version:
+            self._announced_version = self.parts.issuer.latest.version
+            self.announce()
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -258,7 +258,7 @@
         """The placement over a pool."""
         if pool not in self.placements:
             p = self.placements[pool] = placement.Placement(self.runtime, pool)
-            p.reported_heavy, p.reported_some = self.node.loads.soon.wake, self.node.loads.touch
+            p.reported_heavy, p.reported_some = self.node.loads.report_now.wake, self.node.loads.touch
         return self.placements[pool]
 
     async def look(self) -> None:
--- /dev/null
+++ b/iriswheel/membership/assignments.py
@@ -0,0 +1,144 @@
+"""Which member holds which role: pure decisions over the members and the assignments before.
+
+A role is the worker list ("list") or the pool owner of one pool ("pool/<name>").
+"""
+
+from __future__ import annotations
+
+import collections.abc
+import hashlib
+import typing
+
+import iriswheel.transport.message as message
+
+COPIES = 2  # members beside the holder that keep a role's records
+LISTING_ROLE = "list"
+POOL_ROLE_PREFIX = "pool/"
+
+Term: typing.TypeAlias = tuple[int, int]
+RoleTerm: typing.TypeAlias = tuple[str, Term]
+
+
+class Group(typing.NamedTuple):
+    """The members of a role: their ids."""
+
+    holder: str
+    copies: list[str]
+
+
+def pool_role(pool: str) -> str:
+    """The key of the role of a pool's owner.
+
+    >>> pool_role("desk")
+    'pool/desk'
+    """
+    return POOL_ROLE_PREFIX + pool
+
+
+def owned_pools(assignments: collections.abc.Iterable[message.RoleAssignment], node: str) -> tuple[str, ...]:
+    """The pools whose owner a node is.
+
+    >>> owned_pools([message.RoleAssignment("pool/desk", (1, 1), "n1", [], [])], "n1")
+    ('desk',)
+    """
+    return tuple(
+        assignment.key.removeprefix(POOL_ROLE_PREFIX)
+        for assignment in assignments
+        if assignment.holder == node and assignment.key.startswith(POOL_ROLE_PREFIX)
+    )
+
+
+def rendezvous_weight(key: str, identifier: str) -> bytes:
+    """The weight of a member for a key; the heaviest one gets the role.
+
+    >>> rendezvous_weight("pool/desk", "n1") == rendezvous_weight("pool/desk", "n1")
+    True
+    """
+    return hashlib.sha256(f"{key}\n{identifier}".encode()).digest()
+
+
+def rank_members(key: str, members: collections.abc.Iterable[message.Member]) -> list[message.Member]:
+    """Members by weight for a key, the heaviest first.
+
+    >>> members = [message.Member(i, i, "z", "h", 1, 2) for i in "abc"]
+    >>> [member.id for member in rank_members("pool/desk", members)]
+    ['c', 'a', 'b']
+    """
+    return sorted(members, key=lambda member: rendezvous_weight(key, member.id), reverse=True)
+
+
+def group(
+    key: str, members: collections.abc.Sequence[message.Member], previous: message.RoleAssignment | None
+) -> Group:
+    """Who holds a role and who keeps its copies: whoever had it keeps it.
+
+    A new holder is taken from the old copies first, since those know the records.
+    Copies stand in other zones than the holder's where there are such.
+
+    >>> members = [message.Member(i, i, z, "h", 1, 2) for i, z in ("an", "bn", "cs", "ds")]
+    >>> tuple(group("pool/desk", members, None))
+    ('c', ['a', 'b'])
+    >>> tuple(group("pool/desk", members[1:], message.RoleAssignment("pool/desk", (1, 1), "a", ["d", "c"], [])))
+    ('d', ['b', 'c'])
+    >>> tuple(group("pool/desk", members[1:], message.RoleAssignment("pool/desk", (1, 2), "d", ["b", "c"], [])))
+    ('d', ['b', 'c'])
+    """
+    ranked = rank_members(key, members)
+    by_id = {member.id: member for member in ranked}
+    old_copies = previous.copies if previous is not None else []
+    old_group = [previous.holder, *old_copies] if previous is not None else []
+    holder = next((identifier for identifier in old_group if identifier in by_id), ranked[0].id)
+    zone = by_id[holder].zone
+
+    def preference(member: message.Member) -> tuple[bool, int]:
+        place = old_copies.index(member.id) if member.id in old_copies else len(old_copies)
+        return member.zone == zone, place
+
+    others = sorted((member for member in ranked if member.id != holder), key=preference)
+    return Group(holder, [member.id for member in others[:COPIES]])
+
+
+def assign(
+    key: str,
+    version: tuple[int, int],
+    members: collections.abc.Sequence[message.Member],
+    previous: message.RoleAssignment | None,
+    active: collections.abc.Set[RoleTerm],
+    contested: collections.abc.Set[RoleTerm],
+    same_members: bool = False,
+) -> message.RoleAssignment:
+    """The next assignment of one role over the live members.
+
+    Args:
+        key: The role.
+        version: Of the membership that is being made; the term of a role that moves.
+        members: The live members, at least one.
+        previous: The assignment before.
+        active: The roles whose holders are active, with their terms.
+        contested: The roles whose holders met a newer term than their own: they need a new one.
+        same_members: Whether the members are those of the previous assignment; then its group stays.
+
+    >>> members = [message.Member(i, i, "z", "h", 1, 2) for i in "abc"]
+    >>> first = assign("pool/desk", (1, 1), members, None, set(), set())
+    >>> assign("pool/desk", (1, 2), members, first, {("pool/desk", (1, 1))}, set()).active
+    True
+    >>> assign("pool/desk", (1, 2), members, first, set(), {("pool/desk", (1, 1))}).term
+    (1, 2)
+    """
+    if previous is None:
+        holder, copies = group(key, members, None)
+        return message.RoleAssignment(key, version, holder, copies, [])
+    current = previous
+    if not current.active and (key, current.term) in active:
+        current = message.RoleAssignment(key, current.term, current.holder, current.copies, current.base, True)
+    if (key, current.term) in contested:
+        current = _under_new_term(current, version, Group(current.holder, current.copies))
+    members_before = Group(current.holder, current.copies)
+    members_now = members_before if same_members else group(key, members, current)
+    return current if members_now == members_before else _under_new_term(current, version, members_now)
+
+
+def _under_new_term(assignment: message.RoleAssignment, term: Term, new_group: Group) -> message.RoleAssignment:
+    """A role's assignment to a group under a new term, not active yet; its base is the last active group."""
+    base = [assignment.holder, *assignment.copies] if assignment.active else assignment.base
+    return message.RoleAssignment(assignment.key, term, new_group.holder, new_group.copies, base)
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -20,6 +20,9 @@
 
 from __future__ import annotations
 
+import collections.abc
+import typing
+
 import msgspec
 
 import iriswheel.runtime.units as units
@@ -28,6 +31,10 @@
 SILENT_US = 700 * units.MILLISECOND_US  # a node that was not heard for so long gets no lease before it is listed again
 
 
+ChainMember: typing.TypeAlias = tuple[str, str]  # core id, incarnation
+LeaseRow: typing.TypeAlias = tuple[str, int, int]  # node, version applied, how long it may hold a lease (µs)
+
+
 class NodeLease:
     """A node's lease, on the node's clock.
 
@@ -124,8 +131,8 @@
         self.grants[node] = GrantedLease(max(until, old.until if old is not None else 0), session.applied)
         return self.until - now
 
-    def report(self, now: int) -> list[tuple[str, int, int]]:
-        """The rows of a report sent at `now` (µs): node, version applied, how long it may hold a lease (µs).
+    def report(self, now: int) -> list[LeaseRow]:
+        """The rows of a report sent at `now` (µs).
 
         A node with a session may get one up to a whole lease before the next report is answered.
         """
@@ -148,7 +155,7 @@
 class LeaseHolders:
     """At a core machine that may become the tail: who may hold a lease, and how far each has come.
 
-    `installed` is called for each view; `heard` with each report; `applied` says how far up to
+    `installed` is called for each view; `record_heartbeat` with each report; `applied` says how far up to
     a version all holders have come.
 
     >>> holders = LeaseHolders(2_000_000, now=0)
@@ -167,11 +174,15 @@
         self.awaited: set[str] = set()
 
     def installed(
-        self, before: list[tuple[str, str]] | None, chain: list[tuple[str, str]], now: int, was_tail: bool = False
+        self,
+        before: collections.abc.Sequence[ChainMember] | None,
+        chain: collections.abc.Sequence[ChainMember],
+        now: int,
+        was_tail: bool = False,
     ) -> None:
         """A view was agreed whose chain is `chain`, after one whose chain was `before` (None: not known here).
 
-        Both are lists of (core id, incarnation). An empty `before` is the fleet's first view.
+        An empty `before` is the fleet's first view.
         A core machine of the view before that is gone, or lives anew, may have granted leases
         that nobody can tell of, but for the one that was the tail (`was_tail`): it has answered
         every report on which a lease was granted.
@@ -182,7 +193,7 @@
             self.unsure_until = now + self.length + DRIFT_US
         self.awaited = {core for core, _ in chain}
 
-    def record_heartbeat(self, core: str, leases: list[tuple[str, int, int]], now: int) -> None:
+    def record_heartbeat(self, core: str, leases: list[LeaseRow], now: int) -> None:
         """Record a core machine's report in the present view: the leases that it granted."""
         self.awaited.discard(core)
         for node, applied, left in leases:
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -1,4 +1,4 @@
-"""The membership: who is a member, which workers there are, and who does which role.
+"""The membership: who is a member, which workers there are, and who holds which role.
 
 The tail issues it under its lease. It is never on a disk: a new tail starts from the
 newest membership that anybody still holds, and its version begins with its view's number.
@@ -6,98 +6,80 @@
 
 from __future__ import annotations
 
-import builtins
 import collections.abc
-import hashlib
-import types
 import typing
 
 import loguru
 
+import iriswheel.membership.assignments as assignments
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
 
-if typing.TYPE_CHECKING:
-    import iriswheel.consensus.view_consensus as view_consensus
-
-
 SETTLE_US = 1 * units.SECOND_US  # a new tail listens this long before it issues
 GRACE_US = 500 * units.MILLISECOND_US  # for a node whose session ended
-SILENT_US = 3_500 * units.MILLISECOND_US  # for a node whose core fell silent
-COPIES = 2
+SILENT_US = 3_500 * units.MILLISECOND_US  # for a node whose core machine fell silent
 LINGER_US = 600 * units.SECOND_US  # a removed pool keeps its pool owner as long as claims are kept
+NO_CORE = ""
 
 log = loguru.logger.bind(part="roster")
 
 
-def rendezvous_weight(key: str, identifier: str) -> bytes:
-    """The weight of a member for a key; the heaviest one does the role.
+class Clock(typing.Protocol):
+    """What tells the time."""
+
+    @property
+    def now(self) -> collections.abc.Callable[[], int]:
+        """The time in µs."""
+
 
-    >>> rendezvous_weight("pool/desk", "n1") == rendezvous_weight("pool/desk", "n1")
-    True
-    """
-    return hashlib.sha256(f"{key}\n{identifier}".encode()).digest()
+class Consensus(typing.Protocol):
+    """What the membership asks of the view agreement."""
 
+    @property
+    def view(self) -> message.View | None:
+        """The newest view known here."""
 
-def select_owner(key: str, members: list[message.Member]) -> list[message.Member]:
-    """Members by weight for a key, the heaviest first.
+    def tail(self) -> bool:
+        """Whether this machine is the tail of the newest view."""
 
-    >>> ms = [message.Member(i, i, "z", "h", 1, 2) for i in "abc"]
-    >>> [m.id for m in select_owner("pool/desk", ms)]
-    ['c', 'a', 'b']
-    """
-    return sorted(members, key=lambda m: rendezvous_weight(key, m.id), reverse=True)
+    def leased(self) -> bool:
+        """Whether this machine is the tail and holds the lease."""
 
 
-def group(key: str, members: list[message.Member], old: message.RoleAssignment | None) -> tuple[str, list[str]]:
-    """Who holds a role and who keeps its copies: whoever had it keeps it.
+class SeenMember(typing.NamedTuple):
+    """A member, when it was last seen (µs), and the core machine with which it has its session, or NO_CORE."""
 
-    A new holder is taken from the old copies first, since those know the records.
-    Copies stand in other zones than the holder's where there are such.
+    seen_at: int
+    member: message.Member
+    core: str
 
-    >>> ms = [message.Member(i, i, z, "h", 1, 2) for i, z in ("an", "bn", "cs", "ds")]
-    >>> group("pool/desk", ms, None)
-    ('c', ['a', 'b'])
-    >>> group("pool/desk", ms[1:], message.RoleAssignment("pool/desk", (1, 1), "a", ["d", "c"], []))
-    ('d', ['b', 'c'])
-    >>> group("pool/desk", ms[1:], message.RoleAssignment("pool/desk", (1, 2), "d", ["b", "c"], []))
-    ('d', ['b', 'c'])
-    """
-    ranked = select_owner(key, members)
-    by_id = {m.id: m for m in ranked}
-    holder = old.holder if old is not None and old.holder in by_id else None
-    if holder is None and old is not None:
-        holder = next((i for i in old.copies if i in by_id), None)
-    if holder is None:
-        holder = ranked[0].id
-    zone = by_id[holder].zone
-    had = old.copies if old is not None else []
-    rest = [m for m in ranked if m.id != holder]
-    rest.sort(key=lambda m: (m.zone == zone, had.index(m.id) if m.id in had else len(had)))
-    return holder, [m.id for m in rest[:COPIES]]
+
+class ReceivedReport(typing.NamedTuple):
+    """A core machine's newest report, and when it came (µs)."""
+
+    received_at: int
+    report: message.NodeSessionsReport
 
 
 class MembershipManager:
-    """Makes memberships while this core is the leased tail."""
+    """Makes memberships while this core machine is the leased tail."""
 
     def __init__(
-        self,
-        runtime: scheduler.Runtime | types.SimpleNamespace,
-        consensus: types.SimpleNamespace | view_consensus.ViewConsensus,
-        pools: collections.abc.Callable[..., object],
+        self, runtime: Clock, consensus: Consensus, pools: collections.abc.Callable[[], collections.abc.Sequence[str]]
     ) -> None:
+        """`pools` gives the names of the pools that have a pool owner."""
         self.runtime = runtime
         self.consensus = consensus
         self.pools = pools
         self.latest: message.Membership | None = None  # the newest membership known here, ours or another's
-        self.view = 0  # the view in which we issue
-        self.since: int | None = None
-        self.reports: dict[str, tuple[int, message.NodeSessionsReport]] = {}  # core -> (heard, Sessions)
-        self.seen: dict[str, tuple[int, message.Member, str]] = {}  # member id -> (seen, Member, at which core)
+        self.view = 0  # the view in which this machine issues
+        self.leased_since: int | None = None  # when the lease was first held in this view
+        self.reports: dict[str, ReceivedReport] = {}  # by core machine
+        self.seen: dict[str, SeenMember] = {}  # by member
         self.left: set[str] = set()
         self.listing: message.WorkerListing | None = None
-        self.dropped: dict[typing.Any, typing.Any] = {}  # role of a pool that was removed -> since when
+        self.removed_since: dict[str, int] = {}  # role of a pool that was removed -> since when
         self.updated = scheduler.Signal()
 
     def learn(self, membership: message.Membership | None) -> None:
@@ -106,44 +88,26 @@
             self.latest = membership
             self.updated.wake()
 
-    def list(self, listing: message.WorkerListing | None) -> None:
+    def learn_listing(self, listing: message.WorkerListing | None) -> None:
         """Keep the newest worker list."""
         if listing is not None and (self.listing is None or listing.version > self.listing.version):
             self.listing = listing
 
-    def take(self, m: message.NodeSessionsReport) -> None:
-        """Take what a core tells of its nodes."""
-        if not self.consensus.tail() or m.view != self.consensus.view.number:
+    def take(self, report: message.NodeSessionsReport) -> None:
+        """Take a core machine's report of its nodes, and issue a membership if there is news."""
+        view = self.consensus.view
+        if not self.consensus.tail() or view is None or report.view != view.number:
             return
         now = self.runtime.now()
-        if self.view != m.view:
+        if self.view != report.view:
             self.restart()
         if not self.issuing():
-            self.learn(m.membership)
-        self.list(m.listing)
-        ids = {x.id for x in m.members}
-        for x in m.members:
-            if x.id not in self.left:
-                self.seen[x.id] = (now, x, m.core)
-        for i, (seen, x, core) in self.seen.items():
-            if core != m.core or i in ids:
-                continue
-            other = next(
-                (
-                    c
-                    for c, (at, report) in self.reports.items()
-                    if c != m.core and now - at < SETTLE_US and any(y.id == i for y in report.members)
-                ),
-                "",
-            )
-            if other:  # it has moved to another core machine
-                self.seen[i] = (seen, x, other)
-            else:
-                self.seen[i] = (min(seen, now - SILENT_US + GRACE_US), x, "")
-        for i, (seen, x, core) in self.seen.items():
-            if core and now - self.reports.get(core, (now,))[0] > SETTLE_US:
-                self.seen[i] = (seen, x, "")
-        self.reports[m.core] = (now, m)
+            self.learn(report.membership)
+        self.learn_listing(report.listing)
+        self._see_reported(report, now)
+        self._see_missing(report, now)
+        self._end_sessions_of_silent_cores(now)
+        self.reports[report.core] = ReceivedReport(now, report)
         self.issue()
 
     def leave(self, identifier: str) -> None:
@@ -154,96 +118,159 @@
 
     def restart(self) -> None:
         """Begin anew as tail of a view."""
-        self.view = self.consensus.view.number
-        self.since = None  # when the lease was first held in this view
+        self.view = self._view_number()
+        self.leased_since = None
         self.reports = {}
         self.seen = {}
 
     def sessions(self) -> int:
         """How many members have a session now."""
-        return sum(1 for _, _, core in self.seen.values() if core)
+        return sum(1 for seen in self.seen.values() if seen.core)
 
     def issuing(self) -> bool:
         """Whether this tail has issued a membership in its view."""
-        return self.latest is not None and self.latest.version[0] == self.view == self.consensus.view.number
+        return self.latest is not None and self.latest.version[0] == self.view == self._view_number()
 
     def issue(self) -> None:
         """Issue a membership if there is news; only ever under the lease."""
+        if not self.consensus.leased() or self.view != self._view_number():
+            return
         now = self.runtime.now()
-        if not self.consensus.leased() or self.view != self.consensus.view.number:
+        if not self.issuing() and not self._begin(now):
             return
+        if self.seen and not self.sessions():
+            self._renew_graces(now)
+        for node in [node for node, seen in self.seen.items() if now - seen.seen_at > SILENT_US]:
+            del self.seen[node]
+        membership = self._next_membership()
+        if not self.issuing() or not _same_content(membership, self.latest):
+            self.learn(membership)
+
+    def _view_number(self) -> int:
+        return self.consensus.view.number if self.consensus.view is not None else 0
+
+    def _see_reported(self, report: message.NodeSessionsReport, now: int) -> None:
+        """Members that have a session with the reporting core machine."""
+        for member in report.members:
+            if member.id not in self.left:
+                self.seen[member.id] = SeenMember(now, member, report.core)
+
+    def _see_missing(self, report: message.NodeSessionsReport, now: int) -> None:
+        """Members that had their session with the reporting core machine and have it no longer.
+
+        One that another core machine has reported has moved there; else its grace begins.
+        """
+        reported = {member.id for member in report.members}
+        for node, seen in self.seen.items():
+            if seen.core != report.core or node in reported:
+                continue
+            core = self._other_core_of(node, report.core, now)
+            seen_at = seen.seen_at if core else min(seen.seen_at, now - SILENT_US + GRACE_US)
+            self.seen[node] = SeenMember(seen_at, seen.member, core)
+
+    def _other_core_of(self, node: str, excluded: str, now: int) -> str:
+        for core, (received_at, report) in self.reports.items():
+            is_recent = core != excluded and now - received_at < SETTLE_US
+            if is_recent and any(member.id == node for member in report.members):
+                return core
+        return NO_CORE
+
+    def _end_sessions_of_silent_cores(self, now: int) -> None:
+        for node, seen in self.seen.items():
+            report = self.reports.get(seen.core)
+            if report is not None and now - report.received_at > SETTLE_US:
+                self.seen[node] = seen._replace(core=NO_CORE)
+
+    def _begin(self, now: int) -> bool:
+        """Start from the newest membership known; False as long as others may still report a newer one."""
+        if self.leased_since is None:
+            self.leased_since = now
+        waited = now - self.leased_since
+        view = self.consensus.view
+        cores = {replica.id for replica in view.chain} if view is not None else set()
+        if waited < SETTLE_US and not cores <= set(self.reports):
+            return False
+        if waited < SETTLE_US // 2:
+            return False  # nodes need a moment to come back
         old = self.latest
-        if not self.issuing():
-            if self.since is None:
-                self.since = now
-            cores = {replica.id for replica in self.consensus.view.chain}
-            if now - self.since < SETTLE_US and not cores <= set(self.reports):
-                return
-            if now - self.since < SETTLE_US // 2:
-                return  # nodes need a moment to come back
-            for m in old.members if old is not None else []:
-                self.seen.setdefault(m.id, (now, m, ""))
-            if old is not None and self.listing is None:
+        if old is not None:
+            for member in old.members:
+                self.seen.setdefault(member.id, SeenMember(now, member, NO_CORE))
+            if self.listing is None:
                 self.listing = message.WorkerListing(old.workers, old.listed)
-        if self.seen and not self.sessions():
-            # no node at all is left: the core is more likely cut off than all nodes are
-            # dead, and role assignments handed out now would reach nobody; each has a grace again
-            for i, (_, m, core) in self.seen.items():
-                self.seen[i] = (now - SILENT_US + GRACE_US, m, core)
-        for i in [i for i, (seen, _, _) in self.seen.items() if now - seen > SILENT_US]:
-            del self.seen[i]
-        names = {}
-        for _, (_, m, _) in sorted(self.seen.items(), key=lambda x: (x[1][0], x[0])):
-            names[m.name] = m  # a node's newest life drives out the ones before
-        members = sorted(names.values(), key=lambda m: m.name)
-        count = old.version[1] + 1 if self.issuing() else 1
-        version = (self.view, count)
-        assignments = self.assign(version, members, old)
+        return True
+
+    def _renew_graces(self, now: int) -> None:
+        """No node at all is left: give each a grace again.
+
+        The core is more likely cut off than all nodes are dead, and role assignments made now would
+        reach nobody.
+        """
+        for node, seen in self.seen.items():
+            self.seen[node] = seen._replace(seen_at=now - SILENT_US + GRACE_US)
+
+    def _next_membership(self) -> message.Membership:
+        old = self.latest
+        version = (self.view, old.version[1] + 1 if old is not None and self.issuing() else 1)
+        members = self._live_members()
         listing = self.listing or message.WorkerListing([], (0, 0, 0))
-        cores = list(self.consensus.view.voters)
-        new = message.Membership(version, members, listing.workers, assignments, cores, listing.version)
-        if self.issuing() and (new.members, new.workers, new.assignments, new.cores) == (
-            old.members,
-            old.workers,
-            old.assignments,
-            old.cores,
-        ):
-            return
-        self.learn(new)
+        roles = self._assign(version, members)
+        cores = list(self.consensus.view.voters) if self.consensus.view is not None else []
+        return message.Membership(version, members, listing.workers, roles, cores, listing.version)
 
-    def assign(
-        self, version: tuple[int, int], members: builtins.list[message.Member], old: message.Membership | None
-    ) -> builtins.list[message.RoleAssignment]:
+    def _live_members(self) -> list[message.Member]:
+        """The members by name; a node's newest incarnation replaces the ones before."""
+        by_name = {}
+        for _, seen in sorted(self.seen.items(), key=lambda item: (item[1].seen_at, item[0])):
+            by_name[seen.member.name] = seen.member
+        return sorted(by_name.values(), key=lambda member: member.name)
+
+    def _assign(self, version: tuple[int, int], members: list[message.Member]) -> list[message.RoleAssignment]:
         """The role assignments over the live members; a role that moves gets a new term."""
-        had = {d.key: d for d in old.assignments} if old is not None else {}
-        active, contested = set(), set()
-        for _, m in self.reports.values():
-            active |= {(key, tuple(term)) for key, term in m.active}
-            contested |= {(key, tuple(term)) for key, term in m.contested}
-        out = []
+        old = self.latest
+        previous = {assignment.key: assignment for assignment in old.assignments} if old is not None else {}
         if not members:
-            return list(had.values())
-        keys = ["list"] + [f"pool/{p}" for p in self.pools()]
+            return list(previous.values())
+        reports = [received.report for received in self.reports.values()]
+        active = {(key, term) for report in reports for key, term in report.active}
+        contested = {(key, term) for report in reports for key, term in report.contested}
+        same_members = old is not None and self.issuing() and members == old.members
+        assigned = []
+        for key in self._roles(previous):
+            assignment = assignments.assign(key, version, members, previous.get(key), active, contested, same_members)
+            _log_change(previous.get(key), assignment, contested)
+            assigned.append(assignment)
+        return assigned
+
+    def _roles(self, previous: collections.abc.Iterable[str]) -> list[str]:
+        """The roles that are needed now; that of a removed pool stays as long as its claims must be asked for."""
+        needed = [assignments.LISTING_ROLE, *map(assignments.pool_role, self.pools())]
         now = self.runtime.now()
-        same = self.issuing() and members == old.members  # then every group of before is the group still
-        for key in [k for k in had if k not in keys]:  # its claims must still be asked for
-            if now - self.dropped.setdefault(key, now) < LINGER_US:
-                keys.append(key)
-        self.dropped = {k: at for k, at in self.dropped.items() if k in keys[1:] and k[5:] not in self.pools()}
-        for key in keys:
-            d = had.get(key)
-            if d is not None and not d.active and (key, d.term) in active:
-                d = message.RoleAssignment(key, d.term, d.holder, d.copies, d.base, True)
-            if d is not None and (key, d.term) in contested:
-                log.warning("Role {} gets a new term in place of {}: a newer one was lost.", key, d.term)
-                base = [d.holder] + d.copies if d.active else d.base
-                d = message.RoleAssignment(key, version, d.holder, d.copies, base)
-            holder, copies = (d.holder, d.copies) if same and d is not None else group(key, members, d)
-            if d is None:
-                d = message.RoleAssignment(key, version, holder, copies, [])
-            elif holder != d.holder or copies != d.copies:
-                base = [d.holder] + d.copies if d.active else d.base
-                d = message.RoleAssignment(key, version, holder, copies, base)
-                log.info("Role {} goes to {} under term {}.", key, holder, version)
-            out.append(d)
-        return out
+        removed = [key for key in previous if key not in needed]
+        lingering = [key for key in removed if now - self.removed_since.setdefault(key, now) < LINGER_US]
+        self.removed_since = {key: since for key, since in self.removed_since.items() if key in lingering}
+        return needed + lingering
+
+
+def _same_content(new: message.Membership, old: message.Membership | None) -> bool:
+    """Whether two memberships differ in their versions only."""
+    return old is not None and (new.members, new.workers, new.assignments, new.cores) == (
+        old.members,
+        old.workers,
+        old.assignments,
+        old.cores,
+    )
+
+
+def _log_change(
+    previous: message.RoleAssignment | None,
+    assignment: message.RoleAssignment,
+    contested: collections.abc.Set[assignments.RoleTerm],
+) -> None:
+    if previous is None:
+        return
+    key, term = assignment.key, assignment.term
+    if (key, previous.term) in contested:
+        log.warning("Role {} gets a new term in place of {}: a newer one was lost.", key, previous.term)
+    if (previous.holder, previous.copies) != (assignment.holder, assignment.copies):
+        log.info("Role {} goes to {} under term {}.", key, assignment.holder, term)
--- /dev/null
+++ b/iriswheel/node/load_reporter.py
@@ -0,0 +1,80 @@
+"""Reports this node's load to its core machine, and takes in the load of the other nodes.
+
+Only what changed is reported, a few times a second, but a long prompt at once: later requests
+should go elsewhere.
+"""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.membership.load_table as load_table
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.node.node as node
+    import iriswheel.transport.wire as wire
+
+IDLE_US = 500 * units.MILLISECOND_US  # a new session is noticed at the latest after so long
+
+
+class LoadReporter:
+    """One node's end of the load exchange."""
+
+    def __init__(self, node: node.Node) -> None:
+        self.node = node
+        # what the core machine of this session was told; None: nothing yet
+        self.last_reported: load_table.LoadTable | None = None
+        self.connection: wire.Connection | None = None
+        self.report_now = scheduler.Signal()
+        self.changed = scheduler.Signal()
+        self.has_changed = True
+
+    def touch(self) -> None:
+        """Note that the load changed; it is reported within REPORT_INTERVAL_US."""
+        if not self.has_changed:
+            self.has_changed = True
+            self.changed.wake()
+
+    def own(self) -> load_table.LoadTable:
+        """This node's own load."""
+        return {
+            (pool, worker): (requests, tokens, suspicion)
+            for pool, placement in self.node.gateway.forwarder.placements.items()
+            for worker, requests, tokens, suspicion in placement.export()
+        }
+
+    def report(self) -> None:
+        """Tell the core machine what changed; a new session is told all."""
+        session = self.node.follower.session
+        if session.connection is not self.connection:
+            self.connection, self.last_reported = session.connection, None
+        if self.connection is None or not session.stands():
+            return
+        own = self.own()
+        changed = load_table.changes(self.last_reported or {}, own)
+        if changed or self.last_reported is None:
+            rows = load_table.rows(own, changed)
+            assert self.node.me is not None  # known since the node started, before any session
+            session.tell(message.LoadReport(self.node.me.id, self.last_reported is None, rows))
+            self.last_reported = own
+
+    async def run(self) -> None:
+        """Report until the node has left; one task."""
+        while not self.node.left:
+            if not self.has_changed and self.connection is self.node.follower.session.connection:
+                await self.node.runtime.pause(self.changed, IDLE_US)
+                continue
+            await self.node.runtime.pause(self.report_now, load_table.REPORT_INTERVAL_US)
+            self.has_changed = False
+            self.report()
+            suspected = any(suspicion for _, _, suspicion in (self.last_reported or {}).values())
+            self.has_changed = self.has_changed or suspected  # a suspicion fades with time
+
+    def take(self, report: message.LoadReport) -> None:
+        """Take the sums of the other nodes' load."""
+        for pool, placement in self.node.gateway.forwarder.placements.items():
+            if report.complete or pool in report.rows:
+                placement.take(report.rows.get(pool, []), report.complete)
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -9,13 +9,13 @@
 import loguru
 import twisted.internet.defer as defer
 
-import iriswheel.control.load_exchange as load_exchange
 import iriswheel.dataplane.dispatch as dispatch
 import iriswheel.dataplane.edge_protocol as edge_protocol
 import iriswheel.dataplane.gateway as gateway
 import iriswheel.dataplane.health as health
 import iriswheel.errors as errors
 import iriswheel.node.follower as follower
+import iriswheel.node.load_reporter as load_reporter
 import iriswheel.pools.pool_owner as pool_owner
 import iriswheel.pools.session_replicas as session_replicas
 import iriswheel.runtime.scheduler as scheduler
@@ -50,7 +50,7 @@
         self.sender = dispatch.Dispatcher(runtime, self.reach.hear)
         self.follower = follower.Follower(self, options)
         self.gateway = gateway.Gateway(self)
-        self.loads = load_exchange.LoadReporter(self)
+        self.loads = load_reporter.LoadReporter(self)
         self.pool_owners: dict[str, pool_owner.PoolOwner] = {}  # pool -> Pool owner, where the role is here
         # pool -> SessionReplica, copies of others' records
         self.session_replicas: dict[str, session_replicas.SessionReplica] = {}
--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -26,7 +26,7 @@
     import twisted.internet.interfaces as interfaces
     import twisted.python.failure as failure
 
-    import iriswheel.control.core as core
+    import iriswheel.control.node_session as node_session
 
 
 PING_US = 300 * units.MILLISECOND_US
@@ -84,7 +84,8 @@
         self.writable = scheduler.Signal()
         self.version = 0  # of the far side, once it said
         self.refused = False  # whether it speaks a version that this process does not
-        self.node_session: core.NodeSession | None = None  # the node's session, where a core serves one on this link
+        # the node's session, where a core machine serves one on this connection
+        self.node_session: node_session.NodeSession | None = None
 
     def connectionMade(self) -> None:
         self.up = True
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -18,7 +18,7 @@
 import msgspec
 
 import iriswheel.consensus.decisions as decisions
-import iriswheel.control.core as core
+import iriswheel.control.tail_contact as tail_contact
 import iriswheel.dataplane.dispatch as dispatch
 import iriswheel.dataplane.edge_protocol as edge_protocol
 import iriswheel.dataplane.gateway as gateway
@@ -38,7 +38,7 @@
 import simulation.fault_scenarios as fault_scenarios
 
 
-async def _acknowledge_at_once(self: typing.Any, version: typing.Any, until: typing.Any) -> None:
+async def _acknowledge_at_once(self: typing.Any, index: typing.Any, until: typing.Any) -> None:
     return None
 
 
@@ -152,7 +152,10 @@
     ),
     "worker_states": ([(follower.Follower, "apply_workers", _first_list)], "worker_leaves", 1, "leaving"),
     "forced": (
-        [(core.Core, "show", _acknowledge_at_once), (follower.Follower, "cut_off", lambda self: False)],
+        [
+            (tail_contact.TailContact, "wait_until_applied", _acknowledge_at_once),
+            (follower.Follower, "cut_off", lambda self: False),
+        ],
         "cut_core_off",
         1,
         "in_force",
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -40,7 +40,7 @@
             stopping=False,
             left=False,
             renewed_at=None,
-            loads=types.SimpleNamespace(soon=scheduler.Signal(), touch=lambda: None),
+            loads=types.SimpleNamespace(report_now=scheduler.Signal(), touch=lambda: None),
             gateway=types.SimpleNamespace(retry_budgets=types.SimpleNamespace(budget=lambda request: self.tally)),
         )
         self.forwarder = forwarding.Forwarder(self.node)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -6,7 +6,7 @@
 import twisted.internet.task as task
 
 import iriswheel.configuration.configuration as configuration
-import iriswheel.control.core as core
+import iriswheel.control.slices as slices
 import iriswheel.dataplane.request_router as request_router
 import iriswheel.node.follower as follower
 import iriswheel.replication.replicated_state as replicated_state
@@ -77,7 +77,7 @@
                 ("marks/operator", {"number": 4}),
             ]
         )
-        cut = core.Slices().slice(snapshot_format.decode(snapshot_format.encode(ledger)), "north", ())
+        cut = slices.Slices().slice(snapshot_format.decode(snapshot_format.encode(ledger)), "north", ())
         assert set(cut) == {"routes/r", "pools/p", "pools/q", "terms/default", "limits/door"}
         assert "label" not in str(cut)
         assert ledger.items["routes/r"]["label"] == {"a": 1}
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -23,7 +23,10 @@
 import twisted.internet.testing as testing
 
 import iriswheel.configuration.configuration as configuration
+import iriswheel.control.change_orders as change_orders
 import iriswheel.control.core as core
+import iriswheel.control.counters as counters
+import iriswheel.control.operator_api as operator_api
 import iriswheel.dataplane.worker_connections as worker_connections
 import iriswheel.runtime.options as options
 import iriswheel.runtime.scheduler as scheduler
@@ -167,17 +170,21 @@
 
     def __init__(self):
         self.items = {}
+        self.operator_api = operator_api.OperatorApi(self, None, self, None, None, counters.Counters())
 
     async def read(self):
         return self.items
 
     async def change(self, order):
-        new = self.renumber(order, self.items)
+        new = change_orders.translate(order, self.items)
         msgspec.msgpack.decode(msgspec.msgpack.encode([order.identifier, configuration.difference(self.items, new)]))
         configuration.slice_for_node(new, "a")
         json.dumps(configuration_api.show(new))
         return 1
 
+    async def bring_into_force(self, order):
+        return await self.change(order)
+
 
 ODD_JSON = [
     None,
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -3,6 +3,7 @@
 import pytest
 
 import iriswheel.configuration.configuration as configuration
+import iriswheel.control.tail_contact as tail_contact
 import iriswheel.errors as errors
 import iriswheel.membership.lease as lease
 import iriswheel.node.core_session as core_session
@@ -17,12 +18,12 @@
     got = []
 
     async def go():
-        seen = await core.look("")
+        seen = await core.client.look("")
         document = {"blueprint": configuration.unflatten(dict(seen.items))}
         document["blueprint"]["routes"]["new"] = {"path": "/new", "pool": next(iter(document["blueprint"]["pools"]))}
-        plan = await core.plan(document)
+        plan = await core.operator_api.plan(document)
         try:
-            got.append(await core.confirm(plan["id"]))
+            got.append(await core.operator_api.confirm(plan["id"]))
         except errors.ServiceError as d:
             got.append(d)
 
@@ -132,7 +133,7 @@
         core = next(c for c in t.cores.values() if c is not tail)
         n.follower.session.reset()
         n.follower.session.addresses[:] = [(core.options.host, core.options.port)]
-        core.answered_report = (0, 0)
+        core.tail_contact.answered_report = tail_contact.AnsweredReport()
         place = n.follower.applied_index
         got = confirm(t, tail)
         assert t.until(lambda: got and n.follower.applied_index > place, 5)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 import twisted.web.client as client
 
 import iriswheel.cli.command as command
-import iriswheel.control.core as core
+import iriswheel.control.change_orders as change_orders
 import iriswheel.replication.tail as tail
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.verification.history as history
@@ -126,8 +126,12 @@
         assert "read number" in "".join(history.complaints(t.tape.rows))
 
     def test_without_a_read_at_the_tail_wrong_refusals_are_found(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        known_here = core.Core.known_here
-        monkeypatch.setattr(core.Core, "known_here", lambda self, order: known_here(self, order)._replace(sure=True))
+        known_here = change_orders.ChangeOrders.known_here
+        monkeypatch.setattr(
+            change_orders.ChangeOrders,
+            "known_here",
+            lambda self, order: known_here(self, order)._replace(read_at_tail=True),
+        )
         t, _, _ = self.play(40, 2, True, True)
         assert "refused" in "".join(history.complaints(t.tape.rows))
 
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -18,7 +18,7 @@
 import testtools
 
 import iriswheel.consensus.decisions as decisions
-import iriswheel.control.core as core
+import iriswheel.control.replica_store as replica_store
 import iriswheel.replication.replicated_log as replicated_log
 import iriswheel.replication.snapshot_format as snapshot_format
 import iriswheel.runtime.storage as storage
@@ -53,7 +53,7 @@
         return snapshot_format.encode(snapshot_format.decode(raw))
     if key.startswith(b"shelf/"):
         written_at = msgspec.msgpack.decode(raw)[0]
-        return core.encode_session_replica(core.decode_session_replica(raw, written_at), written_at)
+        return replica_store.encode_session_replica(replica_store.decode_session_replica(raw, written_at), written_at)
     if key.startswith(b"e"):
         return replicated_log.encode_entry(replicated_log.decode_entry(raw))
     return raw
@@ -244,7 +244,7 @@
             self.options[name] = (host, zone)
             return
         super().start_core(name, host, zone)
-        replicas = self.cores[name].session_replicas
+        replicas = self.cores[name].session_replicas.by_pool
         self.sessions_at_start[name] = {identifier for replica in replicas.values() for identifier in replica.sessions}
 
     def with_probe(self, k: int, more: dict[str, typing.Any] | None = None) -> dict[str, typing.Any]:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -3,6 +3,7 @@
 import random
 
 import benchmarks.capacity as capacity
+import iriswheel.membership.assignments as assignments
 import iriswheel.membership.membership_manager as membership_manager
 
 
@@ -16,12 +17,12 @@
         for _ in range(60):
             live = rng.sample(everybody, rng.randrange(1, 20))
             now = iss.runtime.now()
-            iss.seen = {m.id: (now, m, "c0") for m in live}
+            iss.seen = {m.id: membership_manager.SeenMember(now, m, "c0") for m in live}
             iss.issue()
             latest = iss.latest
             assert sorted(m.id for m in live) == sorted(m.id for m in latest.members)
             for d in latest.assignments:
-                assert membership_manager.group(d.key, latest.members, d) == (d.holder, d.copies)
+                assert assignments.group(d.key, latest.members, d) == (d.holder, d.copies)
                 seen += 1
             iss.issue()
             assert iss.latest is latest
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -275,7 +275,8 @@
         core = t.tail()
 
         def had_an_owner(term):
-            asked = core.runtime.spawn(core.gathered(message.RecordsRequest("new", term, "n1")), simulated_cluster.log)
+            request = message.RecordsRequest("new", term, "n1")
+            asked = core.runtime.spawn(core.session_replicas.collect(request), simulated_cluster.log)
             t.go(0.1)
             assert asked.result.ok
             return asked.result.copy
