--- /dev/null
+++ b/simulation/clients/client.py
@@ -0,0 +1,434 @@
+"""Clients: they draw requests, try them again as their kind allows, and log each try as one row `tried`."""
+
+from __future__ import annotations
+
+import math
+import random
+import typing
+import zlib
+
+import loguru
+import twisted.internet.defer as defer
+
+import iriswheel.runtime.units as units
+import simulation.clients.connection as connection
+import simulation.clients.request_kinds as request_kinds
+import simulation.platform_names as platform_names
+import simulation.serving as serving
+
+if typing.TYPE_CHECKING:
+    import iriswheel.runtime.scheduler as scheduler
+    import simulation.clients.virtual_address as virtual_address
+    import simulation.simulated_cluster as simulated_cluster
+
+NOT_RUN = (408, 421, 429, 503)  # the request has not run and never will
+FINAL = (400, 401, 404, 413, 431)
+HASTY_ATTEMPTS = 3  # times as many attempts of a hasty client
+RETRY_WAIT_US = 50 * units.MILLISECOND_US
+HASTY_WAIT_US = 1
+DEADLINE_SLACK_US = 50 * units.MILLISECOND_US
+IDLE_MARGIN_US = 200 * units.MILLISECOND_US
+MOST_BODY_BYTES = 200_000
+LOGGED_BYTES = 80
+LOGGED_TEXT = 120
+NEVER_US = 10**12
+
+Headers = list[tuple[str, str]]
+Row = dict[str, typing.Any]
+
+log = loguru.logger.bind(part="users")
+
+
+class HotKey(typing.NamedTuple):
+    """Makes the first variants of a kind's parts popular: the share of requests that have them."""
+
+    kind: str
+    share: float
+
+
+class Request(typing.NamedTuple):
+    """A request that a client sends, perhaps several times.
+
+    Attributes:
+        identifier: Its name in the event log.
+        path: What it asks for.
+        headers: Its headers, without those that differ from try to try.
+        body: Its body.
+        until: The deadline, in microseconds.
+    """
+
+    identifier: str
+    path: str
+    headers: Headers
+    body: bytes
+    until: int
+
+
+class Try(typing.NamedTuple):
+    """One try of a request.
+
+    Attributes:
+        kind: The kind of the request.
+        request: The request.
+        attempt: The random name of this try.
+        number: How many tries came before.
+        after: The last event that is already there, for a stream that is taken up.
+        started_at: When it began.
+    """
+
+    kind: request_kinds.RequestKind
+    request: Request
+    attempt: str
+    number: int
+    after: int
+    started_at: int
+
+    def silence_limit_us(self) -> int:
+        """After how long without a byte the client gives up."""
+        if not self.kind.is_stream:
+            return NEVER_US
+        aim_us, pause_us = self.kind.aim_ms * units.MILLISECOND_US, self.kind.pause_ms * units.MILLISECOND_US
+        return max(2 * units.SECOND_US, 4 * aim_us, 8 * pause_us)
+
+    def read_limit_us(self) -> int:
+        """Within how long the other side must have read the request."""
+        return min(units.SECOND_US, (self.request.until - self.started_at) // 3)
+
+
+class Client:
+    """One client, with its own connections.
+
+    Attributes:
+        keeps: Whether it keeps connections.
+        chunked: Whether it sends bodies in chunks.
+        hasty: Whether it tries again at once, and more often.
+    """
+
+    def __init__(
+        self,
+        runtime: scheduler.Runtime,
+        event_log: simulated_cluster.EventLog,
+        address: virtual_address.VirtualAddress,
+        name: str,
+        zone: str,
+        keeps: bool = True,
+        chunked: bool = False,
+        hasty: bool = False,
+    ) -> None:
+        self.runtime, self.event_log, self.address = runtime, event_log, address
+        self.name, self.zone = name, zone
+        self.keeps, self.chunked, self.hasty = keeps, chunked, hasty
+        self.idle: dict[str, list[connection.ClientConnection]] = {}  # node -> its idle connections
+        self.requests = 0
+
+    # ---- contents -----------------------------------------------------------------------
+
+    def content(self, kind: request_kinds.RequestKind, hot: HotKey | None = None) -> tuple[Headers, bytes]:
+        """Random headers and body of a request."""
+        rng = self.runtime.rng
+        parts = self._parts(kind, hot)
+        tokens_out = kind.event_tokens * (request_kinds.draw(rng, *kind.events) - 1) + 1
+        tokens_in = sum(tokens for _, tokens in parts)
+        names = platform_names.HEADERS
+        headers = [
+            (names["model"], "m"),
+            (names["tokens"], f"{tokens_in},{tokens_out}"),
+            (names["parts"], ",".join(f"{part}:{tokens}" for part, tokens in parts)),
+        ]
+        body = b"%08x" % rng.getrandbits(32)
+        body += b"." * max(0, request_kinds.draw(rng, kind.body_bytes, 0.3, MOST_BODY_BYTES) - len(body))
+        return headers if kind.is_stream else [], body
+
+    def _parts(self, kind: request_kinds.RequestKind, hot: HotKey | None) -> list[tuple[str, int]]:
+        rng, parts = self.runtime.rng, []
+        for level, (mean, spread, variants, skew) in enumerate(kind.parts):
+            is_hot = hot is not None and hot.kind == kind.name and rng.random() < hot.share
+            variant = 0 if is_hot else request_kinds.draw_variant(rng, variants, skew)
+            identifier = zlib.crc32(f"{kind.name} {level} {variant}".encode())
+            sizes = random.Random(identifier)  # the same size for the same part
+            parts.append((f"{identifier:08x}", request_kinds.draw(sizes, mean, spread, 3 * mean)))
+        parts.append((f"{rng.getrandbits(32):08x}", request_kinds.draw(rng, *kind.own)))
+        return parts
+
+    # ---- a request ----------------------------------------------------------------------
+
+    async def ask(self, kind: request_kinds.RequestKind, hot: HotKey | None = None) -> None:
+        """Send a random request through all its tries."""
+        runtime = self.runtime
+        headers, body = self.content(kind, hot)
+        self.requests += 1
+        started_at = runtime.now()
+        request = Request(
+            f"{self.name}-{self.requests}",
+            f"{kind.path}{runtime.rng.getrandbits(8):02x}",
+            headers,
+            body,
+            started_at + kind.deadline_ms * units.MILLISECOND_US,
+        )
+        names = dict(request=request.identifier, sort=kind.name, zone=self.zone)
+        self.event_log.put(started_at, "asked_for", **names)
+        after = attempts = 0
+        while True:
+            row = await self.once(kind, request, attempts, after)
+            attempts += 1
+            if kind.resumable:
+                after = max([after, *(event[0] for event in row["events"])])
+            if not self._may_retry(kind, row, attempts) or runtime.now() >= request.until:
+                break
+            await runtime.sleep(self._retry_wait_us(row, request.until))
+            if runtime.now() >= request.until:
+                break
+        self.event_log.put(
+            runtime.now(),
+            "answered",
+            **names,
+            began=started_at,
+            tries=attempts,
+            ok=row["how"] == "whole" and 200 <= row["code"] < 300,
+            code=row["code"],
+            how=row["how"],
+        )
+
+    def _may_retry(self, kind: request_kinds.RequestKind, row: Row, attempts: int) -> bool:
+        code, is_whole = row["code"], row["how"] == "whole"
+        if is_whole and (200 <= code < 300 or code in FINAL):
+            return False
+        if not (kind.is_repeatable or row["how"] == "unconnected" or is_whole and code in NOT_RUN):
+            return False
+        return attempts <= kind.more_attempts * (HASTY_ATTEMPTS if self.hasty else 1)
+
+    def _retry_wait_us(self, row: Row, until: int) -> int:
+        if self.hasty:
+            return HASTY_WAIT_US
+        if row["retry_after"] is None:
+            return RETRY_WAIT_US
+        return min(int(row["retry_after"] * units.SECOND_US), (until - self.runtime.now()) // 3)
+
+    # ---- one try ------------------------------------------------------------------------
+
+    async def once(
+        self,
+        kind: request_kinds.RequestKind,
+        request: Request,
+        number: int,
+        after: int = 0,
+        node: str | None = None,
+    ) -> Row:
+        """Try a request once: its row of the event log.
+
+        Args:
+            kind: The kind of the request.
+            request: The request.
+            number: How many tries came before.
+            after: The last event that is already there.
+            node: The node to send it to; the virtual address picks one where None.
+        """
+        attempt = f"{self.runtime.rng.getrandbits(64):016x}"
+        if node is None:
+            name, (host, port) = self.address.pick(self.zone, self.name, number)
+        else:
+            name, (host, port) = node, self.address.nodes[node].front
+        trial = Try(kind, request, attempt, number, after, self.runtime.now())
+        raw = self.encode(trial)
+        ended: defer.Deferred[None] = defer.Deferred()
+        answer = connection.PendingAnswer(lambda _: ended.callback(None))
+        opened = self.take_idle(name)
+        row = dict(self._row_of_try(trial), node=name, direct=node is not None)
+        if opened is None:
+            opened = await self._connect(name, host, port, request.until - trial.started_at)
+        if opened is None:
+            answer.end("unconnected")
+        else:
+            row["sent"] = self.runtime.now()
+            opened.start(answer, raw)
+            await self._watch(trial, opened, answer, ended, row["sent"])
+            self._put_away(name, opened, answer)
+        row.update(self._row_of_answer(answer))
+        self.event_log.put(self.runtime.now(), "tried", **row)
+        return row
+
+    def encode(self, trial: Try) -> bytes:
+        """The bytes of a try."""
+        names, request = platform_names.HEADERS, trial.request
+        left_ms = max(1, (request.until - trial.started_at) // units.MILLISECOND_US)
+        headers = [
+            ("Host", trial.kind.host),
+            (names["attempt"], trial.attempt),
+            *request.headers,
+            (names["left"], str(left_ms)),
+        ]
+        if trial.after:
+            headers.append((names["after"], str(trial.after)))
+        body = request.body
+        if self.chunked and body:
+            middle = len(body) // 2
+            chunks = [chunk for chunk in (body[:middle], body[middle:]) if chunk]
+            body = b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks) + b"0\r\n\r\n"
+            headers.append(("Transfer-Encoding", "chunked"))
+        else:
+            headers.append(("Content-Length", str(len(body))))
+        if not self.keeps:
+            headers.append(("Connection", "close"))
+        return connection.encode_head("POST", request.path, headers) + body
+
+    def take_idle(self, node: str) -> connection.ClientConnection | None:
+        """An idle connection to a node that may carry a request, or None."""
+        idle = self.idle.setdefault(node, [])
+        while idle:
+            candidate = idle.pop()
+            if candidate.is_usable(self.runtime.now(), IDLE_MARGIN_US):
+                return candidate
+            candidate.drop("idle")
+        return None
+
+    async def _connect(self, node: str, host: str, port: int, left_us: int) -> connection.ClientConnection | None:
+        timeout_us = min(units.SECOND_US, max(1, left_us))
+        try:
+            return await connection.connect(self.runtime, host, port, timeout_us, self._stray(node))
+        except defer.CancelledError:
+            raise
+        except Exception:  # whatever the network says, there is no connection
+            return None
+
+    def _stray(self, node: str) -> connection.StrayHandler:
+        def note(_: connection.ClientConnection, data: bytes) -> None:
+            text = data[:LOGGED_BYTES].decode("latin-1")
+            self.event_log.put(self.runtime.now(), "stray", node=node, client=self.name, data=text)
+
+        return note
+
+    async def _watch(
+        self,
+        trial: Try,
+        opened: connection.ClientConnection,
+        answer: connection.PendingAnswer,
+        ended: defer.Deferred[None],
+        sent_at: int,
+    ) -> None:
+        """Wait for the answer's end, and give up at the deadline, after a silence, or where nobody reads."""
+        until = trial.request.until + DEADLINE_SLACK_US
+        silence_us, read_us = trial.silence_limit_us(), trial.read_limit_us()
+        while not answer.over:
+            now = self.runtime.now()
+            last_at = answer.last_at or sent_at
+            if now >= until:
+                opened.drop("deadline")
+            elif now - last_at >= silence_us:
+                opened.drop("silent")
+            elif now - sent_at >= read_us and opened.is_unread() and trial.kind.is_repeatable:
+                opened.drop("unread")
+            else:
+                wakes = [until, last_at + silence_us]
+                if now - sent_at < read_us:
+                    wakes.append(sent_at + read_us)
+                await self.either(ended, min(wakes) - now)
+
+    def _put_away(self, node: str, opened: connection.ClientConnection, answer: connection.PendingAnswer) -> None:
+        if opened.up and opened.keep and self.keeps and answer.outcome == "whole":
+            self.idle[node].append(opened)
+        else:
+            opened.drop("used")
+
+    def _row_of_try(self, trial: Try) -> Row:
+        kind, request = trial.kind, trial.request
+        return dict(
+            attempt=trial.attempt,
+            request=request.identifier,
+            tries=trial.number,
+            sort=kind.name,
+            repeat=kind.is_repeatable,
+            stream=kind.is_stream,
+            host=kind.host,
+            url=request.path,
+            method="POST",
+            body=serving.digest(request.body),
+            zone=self.zone,
+            sent=trial.started_at,
+            until=request.until,
+            after=trial.after,
+        )
+
+    def _row_of_answer(self, answer: connection.PendingAnswer) -> Row:
+        names = platform_names.HEADERS
+        retry_after = answer.header("retry-after")
+        return dict(
+            code=answer.code,
+            how=answer.outcome,
+            seal=answer.header(names["seal"]),
+            echo=answer.header(names["attempt"]),
+            retry_after=float(retry_after) if retry_after else None,
+            got=serving.digest(answer.body),
+            events=answer.events,
+            bad_events=answer.bad_events,
+            rest=bool(answer.rest),
+            first=answer.first_at,
+            pause=answer.longest_pause_us,
+            encoding=answer.header("content-encoding"),
+            done=self.runtime.now(),
+            text="" if 200 <= answer.code < 300 else answer.body[:LOGGED_TEXT].decode("latin-1"),
+        )
+
+    def either(self, ended: defer.Deferred[None], wait_us: int) -> defer.Deferred[None]:
+        """A Deferred that fires when `ended` has, or after a time."""
+        fired: defer.Deferred[None] = defer.Deferred()
+        timer = self.runtime.later(max(1, wait_us), lambda: fired.called or fired.callback(None))
+
+        def end(result: None) -> None:
+            if timer.active():
+                timer.cancel()
+            if not fired.called:
+                fired.callback(None)
+            return result
+
+        ended.addCallback(end)
+        return fired
+
+
+class Traffic:
+    """The requests of all clients of a zone.
+
+    Attributes:
+        factor: Kinds that come so many times as often as usual.
+        hot: A key that is popular for now.
+        open: How many requests are under way.
+    """
+
+    def __init__(
+        self,
+        runtime: scheduler.Runtime,
+        clients: list[Client],
+        kinds: tuple[request_kinds.RequestKind, ...],
+        rate: float,
+        phase: float = 0.0,
+    ) -> None:
+        """Prepare traffic.
+
+        Args:
+            runtime: The clock and chance to go by.
+            clients: Who sends.
+            kinds: What they send.
+            rate: Requests a second, on the average.
+            phase: Where in its wave of 11 s the rate begins, from 0 to 1.
+        """
+        self.runtime, self.clients, self.kinds, self.rate, self.phase = runtime, clients, kinds, rate, phase
+        self.factor: dict[str, float] = {}
+        self.hot: HotKey | None = None
+        self.open = 0
+
+    async def run(self, until: int) -> None:
+        """Send random requests until a time."""
+        runtime, rng = self.runtime, self.runtime.rng
+        while runtime.now() < until:
+            weights = [kind.share * self.factor.get(kind.name, 1) for kind in self.kinds]
+            wave = 1 + 0.15 * math.sin(2 * math.pi * (runtime.now() / (11 * units.SECOND_US) + self.phase))
+            rate = self.rate * sum(weights) / sum(kind.share for kind in self.kinds) * wave
+            await runtime.sleep(int(rng.expovariate(rate) * units.SECOND_US))
+            kind = rng.choices(self.kinds, weights)[0]
+            runtime.spawn(self._send(rng.choice(self.clients), kind), log)
+
+    async def _send(self, client: Client, kind: request_kinds.RequestKind) -> None:
+        self.open += 1
+        try:
+            await client.ask(kind, hot=self.hot)
+        finally:
+            self.open -= 1
--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -90,7 +90,7 @@
 
     def leader(self) -> str:
         """The core machine that acknowledged last, or any."""
-        place = self.site.operator.last_place
+        place = self.site.operator.last_address
         names = [name for name in sorted(self.site.cores) if place and self.site.places[name].host == place[0]]
         return names[0] if names else self.any_core()
 
@@ -137,9 +137,9 @@
     def send_to(self, name: str) -> None:
         """Let the next change, or the next two at once, begin at this machine."""
         place = (self.site.places[name].host, settings_files.CONTROL_PORT)
-        self.site.operator.first_place = place
+        self.site.operator.first_address = place
         if self.rng.random() < 0.5:
-            self.site.rival.first_place = place
+            self.site.rival.first_address = place
             self.spawn(self.site.configurations.race())
         else:
             self.spawn(self.change())
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -36,7 +36,7 @@
 if typing.TYPE_CHECKING:
     import iriswheel.control.core as core
     import iriswheel.transport.message as message
-    import simulation.client_model as client_model
+    import simulation.clients.operator as operators
 
 POLL_S = 0.001
 LEAD_S = 3
@@ -160,7 +160,7 @@
 
     # ---- operators ---------------------------------------------------------------------
 
-    async def operate(self, operator: client_model.Operator, wait_us: int, version_gap: int) -> None:
+    async def operate(self, operator: operators.Operator, wait_us: int, version_gap: int) -> None:
         """Send changes one after the other until the run ends."""
         site = self.site
         await site.operator_runtime.sleep(wait_us)
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -9,7 +9,8 @@
 import loguru
 
 import iriswheel.runtime.units as units
-import simulation.client_model as client_model
+import simulation.clients.client as client
+import simulation.clients.request_kinds as request_kinds
 import simulation.platform_names as platform_names
 import simulation.site.shapes as shapes
 
@@ -61,7 +62,7 @@
 
     # ---- documents ----------------------------------------------------------------------
 
-    def route(self, kind: client_model.RequestKind, name: str) -> Document:
+    def route(self, kind: request_kinds.RequestKind, name: str) -> Document:
         """A route of a kind of request, in the platform's words."""
         names = platform_names.ROUTE
         route = {
@@ -248,7 +249,7 @@
         for wait_ms in TRY_WAITS_MS:
             await self.site.client_runtime.sleep(wait_ms * units.MILLISECOND_US)
             for name in sorted(
-                name for name in self.site.virtual_address.nodes if self.site.virtual_address.into(name)
+                name for name in self.site.virtual_address.nodes if self.site.virtual_address.is_in(name)
             ):
                 for path in paths:
                     self._try_route(name, path)
@@ -256,7 +257,7 @@
     def _try_route(self, node: str, path: str) -> None:
         runtime = self.site.client_runtime
         self.direct_requests += 1
-        client = client_model.Client(
+        caller = client.Client(
             runtime,
             self.site.event_log,
             self.site.virtual_address,
@@ -266,4 +267,5 @@
         )
         kind = dataclasses.replace(shapes.DIRECT, host=IDLE_HOST)
         until = runtime.now() + kind.deadline_ms * units.MILLISECOND_US
-        runtime.spawn(client.once(kind, client.name, 0, f"{path}x", [], b"direct", until, 0, node=node), log)
+        request = client.Request(caller.name, f"{path}x", [], b"direct", until)
+        runtime.spawn(caller.once(kind, request, 0, node=node), log)
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -8,6 +8,7 @@
 import loguru
 
 import iriswheel.runtime.units as units
+import simulation.clients.client as client
 
 if typing.TYPE_CHECKING:
     import simulation.site.faults as faults
@@ -361,7 +362,7 @@
     """One key gets much of the traffic."""
     owner.advance(3)
     for traffic in owner.traffics:
-        traffic.hot = (owner.shape.kinds[0].name, 0.35)
+        traffic.hot = client.HotKey(owner.shape.kinds[0].name, 0.35)
 
 
 # ---- several at once -----------------------------------------------------------------------
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -8,6 +8,7 @@
 import loguru
 
 import iriswheel.runtime.units as units
+import simulation.clients.client as client
 import simulation.site.days as days
 
 if typing.TYPE_CHECKING:
@@ -146,7 +147,7 @@
     def heat_keys(self) -> None:
         """Let one key get much of each zone's traffic."""
         for traffic in self.site.traffics:
-            traffic.hot = (self.rng.choice(self.site.shape.kinds).name, 0.3)
+            traffic.hot = client.HotKey(self.rng.choice(self.site.shape.kinds).name, 0.3)
 
     # ---- the day ------------------------------------------------------------------------
 
--- a/simulation/site/shapes.py
+++ b/simulation/site/shapes.py
@@ -5,9 +5,9 @@
 import dataclasses
 import typing
 
-import simulation.client_model as client_model
+import simulation.clients.request_kinds as request_kinds
 
-LONG = client_model.RequestKind(
+LONG = request_kinds.RequestKind(
     "bundle",
     host="long.example",
     path="/lohu/",
@@ -18,13 +18,13 @@
     value=2.0,
     late_value=0.6,
     share=5.9,
-    parts=((13_300, 0.7, 44, 0.3),),
-    own=(3_720, 1.1, 53_000),
-    events=(30, 1.4, 120),
+    parts=(request_kinds.PartKind(13_300, 0.7, 44, 0.3),),
+    own=request_kinds.SizeKind(3_720, 1.1, 53_000),
+    events=request_kinds.SizeKind(30, 1.4, 120),
     body_bytes=34_000,
 )
-SHORT = client_model.RequestKind("phrase", host="short.example", path="/pufi/", resumable=True, share=86.0)
-DIRECT = client_model.RequestKind("direct", sort="may", deadline_ms=3_000, aim_ms=3_000, body_bytes=8)
+SHORT = request_kinds.RequestKind("phrase", host="short.example", path="/pufi/", resumable=True, share=86.0)
+DIRECT = request_kinds.RequestKind("direct", sort="may", deadline_ms=3_000, aim_ms=3_000, body_bytes=8)
 
 
 @dataclasses.dataclass
@@ -51,7 +51,7 @@
     cores: list[str]
     workers: list[str]
     rate: float
-    kinds: tuple[client_model.RequestKind, ...]
+    kinds: tuple[request_kinds.RequestKind, ...]
     retry_slack: int
     bounds: dict[str, int] = dataclasses.field(default_factory=dict)
     tolerated_losses: int = 1
@@ -97,8 +97,8 @@
                 pause_ms=250,
                 event_tokens=6,
                 deadline_ms=8_634,
-                parts=((13_300, 0.7, 323, 0.62),),
-                events=(20, 1.4, 80),
+                parts=(request_kinds.PartKind(13_300, 0.7, 323, 0.62),),
+                events=request_kinds.SizeKind(20, 1.4, 80),
                 body_bytes=17_000,
             ),
             dataclasses.replace(
@@ -109,8 +109,8 @@
                 pause_ms=250,
                 event_tokens=6,
                 deadline_ms=4_235,
-                parts=((55, 0.4, 40, 0.0), (37, 0.7, 6_000, 0.62)),
-                events=(8, 1.4, 30),
+                parts=(request_kinds.PartKind(55, 0.4, 40, 0.0), request_kinds.PartKind(37, 0.7, 6_000, 0.62)),
+                events=request_kinds.SizeKind(8, 1.4, 30),
                 body_bytes=380,
             ),
         ),
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -2,7 +2,7 @@
 
 The fleet's processes run on the machines of simulation/world.py with the options that platform/settings.py makes of
 a settings file, and speak through platform/formats.py and platform/configuration_api.py. Workers and the platform's
-list of them are the stand-ins of simulation/serving.py; clients and operators those of simulation/client_model.py.
+list of them are the stand-ins of simulation/serving.py; clients and operators those of simulation/clients/.
 Processor time is not modelled: code takes no time here.
 """
 
@@ -19,7 +19,9 @@
 import iriswheel.runtime.units as units
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.wire as wire
-import simulation.client_model as client_model
+import simulation.clients.client as client
+import simulation.clients.operator as operator
+import simulation.clients.virtual_address as virtual_address
 import simulation.disk_model as disk_model
 import simulation.host_model as host_model
 import simulation.inference_engine as inference_engine
@@ -98,7 +100,7 @@
         self.core_movements: list[Movement] = []
         self.parts_read: set[str] = set()  # parts of requests that some worker has read
         self.seed_names: list[str] | None = None  # the core machines that the settings name, where not all
-        self.traffics: list[client_model.Traffic] = []
+        self.traffics: list[client.Traffic] = []
         self.traffic_until = 0
         self.configurations = configurations.Configurations(self)
         self.faults = faults.Faults(self)
@@ -186,7 +188,7 @@
         started.start(options.port, settings_files.FRONT_PORT)
         host, zone = self.places[name]
         addresses = (host, settings_files.FRONT_PORT), (host, settings_files.READY_PORT)
-        self.virtual_address.nodes[name] = (zone, *addresses)
+        self.virtual_address.nodes[name] = virtual_address.NodeAddresses(zone, *addresses)
 
     def restart(self, name: str) -> None:
         """Start a node or core machine again where it was."""
@@ -236,7 +238,7 @@
         self.listing = serving.Listing(provider.runtime(), self.event_log, page=page)
         provider.reactor.listenTCP(settings_files.LIST_PORT, self.listing)
         self.client_runtime = self._outside_process("outside", "10.9.0.1").runtime()
-        self.virtual_address = client_model.VirtualAddress(self.client_runtime, self.event_log)
+        self.virtual_address = virtual_address.VirtualAddress(self.client_runtime, self.event_log)
         self.operator_runtime = self._outside_process("office", "10.9.0.2").runtime()
 
     def _outside_process(self, name: str, host: str) -> process_model.SimulatedProcess:
@@ -256,8 +258,8 @@
         self.client_runtime.spawn(self.virtual_address.run(), log)
 
     def _send_first_configuration(self) -> None:
-        self.operator = client_model.Operator(self.operator_runtime, self.event_log, self.control_addresses, "boss")
-        self.rival = client_model.Operator(self.operator_runtime, self.event_log, self.control_addresses, "rival")
+        self.operator = operator.Operator(self.operator_runtime, self.event_log, self.control_addresses, "boss")
+        self.rival = operator.Operator(self.operator_runtime, self.event_log, self.control_addresses, "rival")
         first = self.operator_runtime.spawn(self.configurations.put_first(FIRST_CONFIGURATION_S), log)
         self.advance_until(lambda: first.called, FIRST_CONFIGURATION_S)
 
@@ -276,12 +278,12 @@
             clients = [self._client(zone, number) for number in range(CLIENTS_PER_ZONE)]
             rate = self.shape.rate * self.load / len(zones) * (0.9 + 0.2 * self.rng.random())
             phase = self.rng.random()
-            traffic = client_model.Traffic(self.client_runtime, clients, self.shape.kinds, rate, phase=phase)
+            traffic = client.Traffic(self.client_runtime, clients, self.shape.kinds, rate, phase=phase)
             self.traffics.append(traffic)
             self.client_runtime.spawn(traffic.run(self.traffic_until), log)
 
-    def _client(self, zone: str, number: int) -> client_model.Client:
-        return client_model.Client(
+    def _client(self, zone: str, number: int) -> client.Client:
+        return client.Client(
             self.client_runtime,
             self.event_log,
             self.virtual_address,
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -2,7 +2,7 @@
 
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
-import simulation.client_model as client_model
+import simulation.clients.connection as client_connection
 import simulation.host_model as host_model
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
@@ -30,8 +30,8 @@
 
     def query(self, events=40, read=True):
         """Send a request for a stream; the client's connection and what comes of it."""
-        call, got = client_model.PendingAnswer(lambda call: None), []
-        client_model.connect(self.near.runtime(), "10.0.2.1", 80, S).addCallback(got.append)
+        call, got = client_connection.PendingAnswer(lambda call: None), []
+        client_connection.connect(self.near.runtime(), "10.0.2.1", 80, S).addCallback(got.append)
         self.go(10)
         head = {
             "Host": "h.example",
@@ -59,7 +59,7 @@
         self.go(60)
         self.elected().process.kill()
         self.go(1000)
-        assert ("whole", list(range(1, 42))) == (call.how, [e[0] for e in call.events])
+        assert ("whole", list(range(1, 42))) == (call.outcome, [e[0] for e in call.events])
         assert self.forwarder.counts["resumed"] == 1
 
     def test_a_stream_that_nobody_can_take_up_is_broken_off(self) -> None:
@@ -70,7 +70,7 @@
         for w in self.workers:  # and their ports reset
             w.process.kill()
         self.go(1000)
-        assert (call.how, 0 < len(call.events) < 41) == ("closed", True)
+        assert (call.outcome, 0 < len(call.events) < 41) == ("closed", True)
 
     def test_a_silent_worker_keeps_a_stream_that_nobody_can_take_up(self) -> None:
         w = self.worker()
@@ -80,7 +80,7 @@
         self.go(1500)
         w.process.wake()
         self.go(1000)
-        assert (self.forwarder.counts["mute"], call.how, len(call.events)) == (0, "whole", 41)
+        assert (self.forwarder.counts["mute"], call.outcome, len(call.events)) == (0, "whole", 41)
 
     def test_a_requester_that_reads_slowly_speaks_against_no_worker(self) -> None:
         for _ in range(2):
@@ -91,5 +91,5 @@
         self.go(2500)
         line.transport.resumeProducing()
         self.go(2000)
-        assert (self.forwarder.counts["mute"], len(self.runs()), call.how) == (0, 1, "whole")
+        assert (self.forwarder.counts["mute"], len(self.runs()), call.outcome) == (0, 1, "whole")
         assert self.forwarder.placement_of("desk").own_suspicion(self.elected().id, self.world.time) == 0
