--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -14,7 +14,7 @@
 import simulation.clients.connection as connection
 import simulation.clients.request_kinds as request_kinds
 import simulation.platform_names as platform_names
-import simulation.serving as serving
+import simulation.workers.served_http as served_http
 
 if typing.TYPE_CHECKING:
     import iriswheel.runtime.scheduler as scheduler
@@ -341,7 +341,7 @@
             host=kind.host,
             url=request.path,
             method="POST",
-            body=serving.digest(request.body),
+            body=served_http.digest(request.body),
             zone=self.zone,
             sent=trial.started_at,
             until=request.until,
@@ -357,7 +357,7 @@
             seal=answer.header(names["seal"]),
             echo=answer.header(names["attempt"]),
             retry_after=float(retry_after) if retry_after else None,
-            got=serving.digest(answer.body),
+            got=served_http.digest(answer.body),
             events=answer.events,
             bad_events=answer.bad_events,
             rest=bool(answer.rest),
--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -12,7 +12,10 @@
 
 import bisect
 import collections
+import collections.abc
 import dataclasses
+import functools
+import itertools
 import typing
 
 if typing.TYPE_CHECKING:
@@ -49,33 +52,80 @@
     model: str = "m"
 
 
+JobState = typing.Literal["new", "entering", "waiting", "running", "ended"]
+
+
+@dataclasses.dataclass
+class UnreadPart:
+    """A part of a prompt that is being read: its tokens, and how many of them are still to be read."""
+
+    name: str
+    tokens: int
+    left: int
+
+
+@dataclasses.dataclass
+class KeptPart:
+    """A part that is kept: its tokens, and how many requests of the batch use it."""
+
+    tokens: int
+    holders: int
+
+
+class Load(typing.NamedTuple):
+    """How an engine stands."""
+
+    waiting: int
+    running: int
+    used_tokens: int  # that can't give way
+
+
+class TimedLoad(typing.NamedTuple):
+    """How an engine stood from a time on, in microseconds."""
+
+    at: int
+    load: Load
+
+
+class Reading(typing.NamedTuple):
+    """What a step reads of a request's prompt."""
+
+    job: Job
+    tokens: int
+
+
 @dataclasses.dataclass(eq=False)
 class Job:
-    """One request as an engine has it. `event(k, last)` tells of event k, from 1; `began()` of the first token.
+    """One request as an engine has it.
+
+    Attributes:
+        on_event: Called with the number of an event, from 1, and whether it is the last.
+        on_first_token: Called when the first token is put out.
+
 
     >>> Job("x", [("a", 10), ("b", 5)], 8).prompt
     15
     """
 
     identifier: str
-    parts: list  # of (part, tokens), in order
+    parts: list[tuple[str, int]]  # (part, tokens), in order
     tokens: int  # to put out
     urgency: int = URGENCY
-    event: object = lambda k, last: None
-    started_at: object = lambda: None
+    on_event: collections.abc.Callable[[int, bool], object] = lambda number, last: None
+    on_first_token: collections.abc.Callable[[], object] = lambda: None
     done: int = 0  # tokens put out so far; above 0 at the start for one that is taken up
     number: int = 0
     left: int = 0  # tokens still to read before the next token
     owned: int = 0  # tokens held by this one alone
-    state: str = "new"  # new, entering, waiting, running, ended
+    state: JobState = "new"
     put_back: int = 0
 
     def __post_init__(self) -> None:
         """Derive the size of the prompt and start the counts of its parts."""
-        self.prompt = sum(n for _, n in self.parts)
+        self.prompt = sum(tokens for _, tokens in self.parts)
         self.taken_up = self.done
-        self.used = []  # kept parts that this one holds
-        self.unread = []  # [part, tokens, tokens left] of those that it reads itself
+        self.used: list[str] = []  # kept parts that this one holds
+        self.unread: list[UnreadPart] = []  # those that it reads itself
 
     def rank(self) -> tuple[int, int]:
         """The place in the queue: the most urgent first, then the oldest.
@@ -91,12 +141,12 @@
 
     >>> import iriswheel.runtime.units as units
     >>> import iriswheel.runtime.scheduler as scheduler
-    >>> import iriswheel.runtime.scheduler as machine
     >>> import twisted.internet.task as task
     >>> clock = task.Clock()
-    >>> e = Engine(scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US)), Figures(enter_us=0))
+    >>> runtime = scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US))
+    >>> engine = Engine(runtime, Figures(enter_us=0))
     >>> out = []
-    >>> e.offer(Job("x", [("a", 100)], 6, event=lambda k, last: out.append((k, last))))
+    >>> engine.offer(Job("x", [("a", 100)], 6, on_event=lambda number, last: out.append((number, last))))
     True
     >>> clock.pump([0.001] * 60); out  # the first event has the first token alone
     [(1, False), (2, False), (3, True)]
@@ -108,33 +158,32 @@
         self.waiting: list[Job] = []  # by rank
         self.running: list[Job] = []  # in the order let in
         self.entering = 0
-        self.kept = collections.OrderedDict()  # part -> [tokens, holders], the longest unused first
+        self.kept: collections.OrderedDict[str, KeptPart] = collections.OrderedDict()  # the longest unused first
         self.kept_tokens = 0
         self.idle_tokens = 0  # of kept parts without a holder
         self.owned = 0
         self.context = 0
         self.offered = 0
         self.tick: base.DelayedCall | virtual_timer.Timer | None = None
-        self.slower = 1.0  # a trouble's factor on each step
         self.stopped = False
-        self.past: collections.deque[tuple[int, int, int, int]] = collections.deque([(0, 0, 0, 0)])
+        self.past: collections.deque[TimedLoad] = collections.deque([TimedLoad(0, Load(0, 0, 0))])
         self.read = self.read_again = self.steps = self.put_backs = 0
-        self.ever: set[str] = set()
+        self.parts_read: set[str] = set()  # by any engine of the site
 
     # ---- in and out -------------------------------------------------------------------
 
     def offer(self, job: Job) -> bool:
         """Take a request, or say that there is no room for it now or ever."""
-        f = self.figures
-        if job.prompt + job.tokens > f.kv_capacity:
+        figures = self.figures
+        if job.prompt + job.tokens > figures.kv_capacity:
             return False
-        if len(self.running) + len(self.waiting) + self.entering >= f.capacity + f.waiting_limit:
+        if len(self.running) + len(self.waiting) + self.entering >= figures.capacity + figures.waiting_limit:
             return False
         self.offered += 1
         job.number, job.state = self.offered, "entering"
         self.entering += 1
-        if f.enter_us:
-            self.runtime.later(f.enter_us, self.enter, job)
+        if figures.enter_us:
+            self.runtime.later(figures.enter_us, self.enter, job)
         else:
             self.enter(job)
         return True
@@ -181,57 +230,56 @@
         """Let kept parts go until so many tokens are free; whether they are."""
         if self.free() < tokens:
             return False
-        waiting_limit = self.figures.kv_capacity - self.owned - self.kept_tokens
-        for part in list(self.kept) if waiting_limit < tokens else ():
-            n, holders = self.kept[part]
-            if not holders:
-                del self.kept[part]
-                self.kept_tokens -= n
-                self.idle_tokens -= n
-                waiting_limit += n
-                if waiting_limit >= tokens:
-                    break
+        unused = self.figures.kv_capacity - self.owned - self.kept_tokens
+        if unused >= tokens:
+            return True
+        for name, part in list(self.kept.items()):
+            if part.holders:
+                continue
+            del self.kept[name]
+            self.kept_tokens -= part.tokens
+            self.idle_tokens -= part.tokens
+            unused += part.tokens
+            if unused >= tokens:
+                break
         return True
 
     def hold(self, part: str) -> None:
         """Let one more request use a kept part."""
-        row = self.kept[part]
-        self.idle_tokens -= 0 if row[1] else row[0]
-        row[1] += 1
+        kept = self.kept[part]
+        self.idle_tokens -= 0 if kept.holders else kept.tokens
+        kept.holders += 1
 
     def known(self, job: Job) -> list[str]:
         """The kept parts that a request would not read again."""
-        out = []
-        for part, _ in job.parts:
-            if part not in self.kept:
-                break
-            out.append(part)
-        return out
+        parts = (part for part, _ in job.parts)
+        return list(itertools.takewhile(self.kept.__contains__, parts))
 
     def let_in(self, job: Job) -> bool:
         """Give a request its place and memory; whether there was memory."""
         known = self.known(job)
         for part in known:
             self.hold(part)
-        need = sum(n for _, n in job.parts[len(known) :]) + job.done
+        unknown = job.parts[len(known) :]
+        need = sum(tokens for _, tokens in unknown) + job.done
         if not self.give_way(need + 1):
             self.release(known)
             return False
         job.used, job.owned, job.left = known, need, need
-        job.unread = [[p, n, n] for p, n in job.parts[len(known) :]]
+        job.unread = [UnreadPart(part, tokens, tokens) for part, tokens in unknown]
         self.owned += need
         job.state = "running"
         self.running.append(job)
         self.context += job.prompt + job.done
-        self.read_again += sum(n for p, n in job.parts[len(known) :] if p in self.ever)
+        self.read_again += sum(tokens for part, tokens in unknown if part in self.parts_read)
         return True
 
     def release(self, parts: list[str]) -> None:
         """Let go of kept parts, the last first, so that the first is kept the longest."""
         for part in reversed(parts):
-            row = self.kept[part]
-            row[1] -= 1
-            self.idle_tokens += 0 if row[1] else row[0]
+            kept = self.kept[part]
+            kept.holders -= 1
+            self.idle_tokens += 0 if kept.holders else kept.tokens
             self.kept.move_to_end(part)
 
     def leave(self, job: Job) -> None:
@@ -259,103 +307,122 @@
         """Begin a step, unless one is under way or there is nothing to do."""
         if self.stopped or (self.tick is not None and self.tick.active()):
             return
-        f = self.figures
+        self._let_in_waiting()
+        self.note()
+        if not self.running:
+            return
+        readings = self._plan_readings()
+        cost_us = self._step_cost_us(readings)
+        self.tick = self.runtime.later(round(cost_us / self.figures.speed), self.step, readings)
+
+    def _let_in_waiting(self) -> None:
+        """Fill the batch from the queue; a more urgent request takes the place of a less urgent one."""
         while self.waiting:
             job = self.waiting[0]
-            if len(self.running) < f.capacity and self.let_in(job):
+            if len(self.running) < self.figures.capacity and self.let_in(job):
                 self.waiting.pop(0)
                 continue
             if not self.running or self.least().urgency <= job.urgency:
                 break
             self.put_off(self.least())
-        self.note()
-        if not self.running:
-            return
-        waiting_limit, cost = f.piece, f.step_us + f.step_us_per_request * len(self.running)
-        cost += f.step_us_per_kilotoken * self.context / 1000
-        plan = []
-        for job in sorted((j for j in self.running if j.left), key=Job.rank):
-            n = min(waiting_limit, job.left)
-            if not n:
+
+    def _plan_readings(self) -> list[Reading]:
+        """What the next step reads: a piece of the prompts, by rank."""
+        left, readings = self.figures.piece, []
+        for job in sorted((job for job in self.running if job.left), key=Job.rank):
+            tokens = min(left, job.left)
+            if not tokens:
                 break
-            waiting_limit -= n
-            plan.append((job, n))
+            left -= tokens
+            readings.append(Reading(job, tokens))
+        return readings
+
+    def _step_cost_us(self, readings: list[Reading]) -> float:
+        """How long a step takes at speed 1."""
+        figures = self.figures
+        cost = figures.step_us + figures.step_us_per_request * len(self.running)
+        cost += figures.step_us_per_kilotoken * self.context / 1000
+        for job, tokens in readings:
             before = job.prompt + job.done - job.left
-            cost += n / f.read_tokens_per_ms * 1000 + n * (before + n / 2) / 1e6 * f.read_us_per_megapair
-        self.tick = self.runtime.later(round(cost * self.slower / f.speed), self.step, plan)
+            pairs = tokens * (before + tokens / 2)
+            cost += tokens / figures.read_tokens_per_ms * 1000 + pairs / 1e6 * figures.read_us_per_megapair
+        return cost
 
-    def step(self, plan: list[tuple[Job, int]]) -> None:
-        """A step is over: pieces are read, and who has read all has a token more."""
-        f = self.figures
+    def step(self, readings: list[Reading]) -> None:
+        """End a step: pieces are read, and who has read all has a token more."""
         self.steps += 1
-        for job, n in plan:
+        for job, tokens in readings:
             if job.state == "running":
-                job.left -= n
-                self.read += n
-                self.take_in(job, n)
-        told = []
+                job.left -= tokens
+                self.read += tokens
+                self.take_in(job, tokens)
+        notices: list[collections.abc.Callable[[], object]] = []
         for job in list(self.running):
-            if job.state != "running" or job.left:
-                continue
-            while job.state == "running" and not self.give_way(1):
-                self.put_off(self.least())
-            if job.state != "running":
-                continue
-            job.done += 1
-            job.owned += 1
-            self.owned += 1
-            self.context += 1
-            whole = job.done >= job.tokens
-            if job.done == job.taken_up + 1:
-                told.append((job.started_at,))
-            if whole or (job.done - 1) % f.event_tokens == 0:
-                told.append((job.event, -(-(job.done - 1) // f.event_tokens) + 1, whole))
-            if whole:
-                self.leave(job)
-                job.state = "ended"
-        for call, *args in told:
-            call(*args)
+            if job.state == "running" and not job.left and self._make_room(job):
+                notices += self._put_out(job)
+        for notice in notices:
+            notice()
         self.tick = None
         self.go_on()
 
-    def take_in(self, job: Job, n: int) -> None:
-        """Count n tokens as read; parts read through are kept."""
-        while n and job.unread:
-            part, size, left = job.unread[0]
-            took = min(n, left)
-            n -= took
-            job.unread[0][2] = left - took
-            if left > took:
+    def _make_room(self, job: Job) -> bool:
+        """Put requests back until there is memory for a token; whether this one still runs."""
+        while job.state == "running" and not self.give_way(1):
+            self.put_off(self.least())
+        return job.state == "running"
+
+    def _put_out(self, job: Job) -> list[collections.abc.Callable[[], object]]:
+        """Let a request have a token more: what is to be called at the end of the step."""
+        notices: list[collections.abc.Callable[[], object]] = []
+        job.done += 1
+        job.owned += 1
+        self.owned += 1
+        self.context += 1
+        whole = job.done >= job.tokens
+        if job.done == job.taken_up + 1:
+            notices.append(job.on_first_token)
+        if whole or (job.done - 1) % self.figures.event_tokens == 0:
+            number = -(-(job.done - 1) // self.figures.event_tokens) + 1
+            notices.append(functools.partial(job.on_event, number, whole))
+        if whole:
+            self.leave(job)
+            job.state = "ended"
+        return notices
+
+    def take_in(self, job: Job, tokens: int) -> None:
+        """Count tokens as read; parts read through are kept."""
+        while tokens and job.unread:
+            part = job.unread[0]
+            read = min(tokens, part.left)
+            tokens -= read
+            part.left -= read
+            if part.left:
                 return
             job.unread.pop(0)
-            self.ever.add(part)
-            self.owned -= size
-            job.owned -= size
-            job.used.append(part)
-            if part in self.kept:  # another has read it meanwhile: one copy stays
-                self.hold(part)
+            self.parts_read.add(part.name)
+            self.owned -= part.tokens
+            job.owned -= part.tokens
+            job.used.append(part.name)
+            if part.name in self.kept:  # another has read it meanwhile: one copy stays
+                self.hold(part.name)
             else:
-                self.kept[part] = [size, 1]
-                self.kept_tokens += size
+                self.kept[part.name] = KeptPart(part.tokens, 1)
+                self.kept_tokens += part.tokens
 
-    # ---- what it says --------------------------------------------------------------------
+    # ---- reports ------------------------------------------------------------------------
 
     def note(self) -> None:
         """Keep how things stand, for reports."""
         now = self.runtime.now()
-        row = (
-            now,
-            len(self.waiting) + self.entering,
-            len(self.running),
-            self.owned + self.kept_tokens - self.idle_tokens,
-        )
-        if self.past[-1][0] == now:
+        used = self.owned + self.kept_tokens - self.idle_tokens
+        load = Load(len(self.waiting) + self.entering, len(self.running), used)
+        if self.past[-1].at == now:
             self.past.pop()
-        self.past.append(row)
-        while len(self.past) > 1 and self.past[1][0] <= now - self.figures.report_lag_us:
+        self.past.append(TimedLoad(now, load))
+        while len(self.past) > 1 and self.past[1].at <= now - self.figures.report_lag_us:
             self.past.popleft()
 
-    def report(self) -> tuple[int, int, int]:
-        """How things stood a while ago: (waiting, running, tokens that can't give way)."""
+    def report(self) -> Load:
+        """How things stood a while ago."""
         then = self.runtime.now() - self.figures.report_lag_us
-        return next((row for row in reversed(self.past) if row[0] <= then), self.past[0])[1:]
+        return next((past.load for past in reversed(self.past) if past.at <= then), self.past[0].load)
--- a/simulation/platform_rules.py
+++ b/simulation/platform_rules.py
@@ -4,7 +4,7 @@
 
 Only what clients, workers, operators and the platform saw is looked at. Each rule is a function that yields
 complaints; `examine` runs them all.
-Rows are those that simulation/clients/, simulation/serving.py and simulation/site/ write.
+Rows are those that simulation/clients/, simulation/workers/ and simulation/site/ write.
 """
 
 from __future__ import annotations
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -285,7 +285,7 @@
             names: The workers.
             seconds: How long.
             health: What they answer to health checks: "good", "bad", or the truth where empty.
-            faults: How often requests go wrong in each way that `serving.Worker` knows.
+            faults: How often requests go wrong in each way that `workers.worker.Worker` knows.
         """
         for name in names:
             worker = self.site.workers[name]
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -2,7 +2,7 @@
 
 The fleet's processes run on the machines of simulation/world.py with the options that platform/settings.py makes of
 a settings file, and speak through platform/formats.py and platform/configuration_api.py. Workers and the platform's
-list of them are the stand-ins of simulation/serving.py; clients and operators those of simulation/clients/.
+list of them are the stand-ins of simulation/workers/; clients and operators those of simulation/clients/.
 Processor time is not modelled: code takes no time here.
 """
 
@@ -27,12 +27,13 @@
 import simulation.inference_engine as inference_engine
 import simulation.platform_programs as platform_programs
 import simulation.process_model as process_model
-import simulation.serving as serving
 import simulation.simulated_cluster as simulated_cluster
 import simulation.site.configurations as configurations
 import simulation.site.faults as faults
 import simulation.site.settings_files as settings_files
 import simulation.site.shapes as shapes
+import simulation.workers.listing as listing
+import simulation.workers.worker as workers
 import simulation.world as world
 
 SEED_LIST_LAG_US = 3 * units.SECOND_US  # after which operators see which core machines came or went
@@ -93,7 +94,7 @@
         self.engine_figures = engine_figures or inference_engine.Figures(**self.shape.engine_figures)
         self.cores: dict[str, core.Core] = {}
         self.nodes: dict[str, node.Node] = {}
-        self.workers: dict[str, serving.Worker] = {}
+        self.workers: dict[str, workers.Worker] = {}
         self.places: dict[str, Place] = {}
         self.pool = f"p{self.rng.getrandbits(16):04x}"
         self.started = False  # whether the first start is over
@@ -195,20 +196,20 @@
         (self.start_node if name in self.nodes else self.start_core)(name)
         self.faults.note_repair(name)
 
-    def start_worker(self, name: str, host: str, zone: str, pool: str | None = None) -> serving.Worker:
+    def start_worker(self, name: str, host: str, zone: str, pool: str | None = None) -> workers.Worker:
         """Start a worker as a new instance, and list it."""
         process = self.new_process(name, Place(host, zone))
         speed = 0.93 + 0.14 * self.rng.random()
-        worker = serving.Worker(
+        worker = workers.Worker(
             process.runtime(),
             name,
             pool or self.pool,
             self.event_log,
             dataclasses.replace(self.engine_figures, speed=speed),
-            conns=self.shape.connections,
+            connection_limit=self.shape.connections,
         )
         worker.process, worker.host, worker.zone = process, host, zone
-        worker.engine.ever = self.parts_read
+        worker.engine.parts_read = self.parts_read
         self.workers[name] = worker
         process.reactor.listenTCP(settings_files.SERVE_PORT, worker)
         self.listing.show(
@@ -235,7 +236,7 @@
         place = Place(settings_files.PROVIDER_HOST, self.shape.cores[0])
         provider = self.new_process("provider", place)
         page = 3 if len(self.shape.workers) < 10 else 25
-        self.listing = serving.Listing(provider.runtime(), self.event_log, page=page)
+        self.listing = listing.Listing(provider.runtime(), self.event_log, page=page)
         provider.reactor.listenTCP(settings_files.LIST_PORT, self.listing)
         self.client_runtime = self._outside_process("outside", "10.9.0.1").runtime()
         self.virtual_address = virtual_address.VirtualAddress(self.client_runtime, self.event_log)
@@ -355,5 +356,5 @@
         }
 
 
-def _is_live(worker: serving.Worker) -> bool:
+def _is_live(worker: workers.Worker) -> bool:
     return worker.process.alive and not worker.leaving and worker.process.host.power
--- /dev/null
+++ b/simulation/workers/listing.py
@@ -0,0 +1,123 @@
+"""The platform's list of workers: late, in pages, and limited to a rate of calls."""
+
+from __future__ import annotations
+
+import collections
+import typing
+import urllib.parse
+
+import iriswheel.runtime.units as units
+import simulation.platform_names as platform_names
+import simulation.workers.served_http as served_http
+
+if typing.TYPE_CHECKING:
+    import iriswheel.runtime.scheduler as scheduler
+    import simulation.simulated_cluster as simulated_cluster
+
+HISTORY_US = 30 * units.SECOND_US  # for which former lists are kept
+RATE_WINDOW_US = units.SECOND_US
+
+WorkerRow = dict[str, typing.Any]
+Rows = dict[str, WorkerRow]
+
+
+class FormerList(typing.NamedTuple):
+    """The list as it stood from a time on."""
+
+    since: int
+    rows: Rows
+
+
+class Listing(served_http.Server):
+    """The list of workers."""
+
+    def __init__(
+        self,
+        runtime: scheduler.Runtime,
+        event_log: simulated_cluster.EventLog,
+        lag_us: int = 800 * units.MILLISECOND_US,
+        rate: float = 40.0,
+        page: int = 3,
+    ) -> None:
+        """Make an empty list.
+
+        Args:
+            runtime: The clock to go by.
+            event_log: Where changes and calls are noted.
+            lag_us: How late a change is seen.
+            rate: How many calls a second are answered.
+            page: How many workers a page has.
+        """
+        super().__init__(runtime)
+        self.event_log, self.lag_us, self.rate, self.page = event_log, lag_us, rate, page
+        self.rows: Rows = {}
+        self.past: collections.deque[FormerList] = collections.deque([FormerList(0, {})])
+        self.calls: collections.deque[int] = collections.deque()
+        self.down = False
+
+    def show(self, identifier: str, **changed: typing.Any) -> None:
+        """List a worker, or change how it is listed; it is seen when the lag has gone."""
+        new = dict(
+            state=platform_names.TERMS["ready"],
+            version="v1",
+            capacity=64,
+            cold=0,
+            stage=platform_names.TERMS["whole"],
+            models=[],
+        )
+        row = {**self.rows.get(identifier, new), **changed}
+        self.rows = {**self.rows, identifier: row}
+        self._note_change(identifier, row["state"], row["pool"])
+
+    def drop(self, identifier: str) -> None:
+        """List a worker no more."""
+        pool = self.rows[identifier]["pool"]
+        self.rows = {other: row for other, row in self.rows.items() if other != identifier}
+        self._note_change(identifier, "gone", pool)
+
+    def _note_change(self, identifier: str, state: str, pool: str) -> None:
+        now = self.runtime.now()
+        self.past.append(FormerList(now, self.rows))
+        while len(self.past) > 1 and self.past[1].since <= now - HISTORY_US:
+            self.past.popleft()
+        self.event_log.put(now, "listed", worker=identifier, state=state, pool=pool, seen=now + self.lag_us)
+
+    def handle(self, request: served_http.ServedRequest) -> None:
+        """Answer a call, unless the list is down."""
+        now = self.runtime.now()
+        while self.calls and self.calls[0] <= now - RATE_WINDOW_US:
+            self.calls.popleft()
+        self.event_log.put(now, "platform_call", peer=request.connection.peer)
+        if self.down:
+            return
+        if request.method != "GET" or request.path != platform_names.PATHS["workers"]:
+            request.reply(404)
+        elif len(self.calls) >= self.rate:
+            request.reply(429)
+        else:
+            self.calls.append(now)
+            request.reply_json(200, self.page_of(dict(urllib.parse.parse_qsl(request.query))))
+
+    def seen_rows(self) -> Rows:
+        """The list as it stood a lag ago."""
+        then = self.runtime.now() - self.lag_us
+        return next((former.rows for former in reversed(self.past) if former.since <= then), self.past[0].rows)
+
+    def page_of(self, query: dict[str, str]) -> dict[str, typing.Any]:
+        """The page that a call asks for, in the platform's words."""
+        names, rows = platform_names.LISTING, self.seen_rows()
+        chosen = [
+            identifier
+            for identifier in sorted(rows)
+            if rows[identifier]["zone"] == query.get(names["zone"], rows[identifier]["zone"])
+        ]
+        after = query.get(names["page"], "")
+        begin = sum(identifier <= after for identifier in chosen)
+        page = chosen[begin : begin + self.page]
+        return {
+            names["rows"]: [
+                {names["id"]: identifier, **{names[key]: value for key, value in rows[identifier].items()}}
+                for identifier in page
+            ],
+            names["next"]: page[-1] if begin + self.page < len(chosen) else None,
+        }
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -10,8 +10,8 @@
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
 import simulation.process_model as process_model
-import simulation.serving as serving
 import simulation.simulated_cluster as simulated_cluster
+import simulation.workers.worker as workers
 import simulation.world as world
 
 MS, S = units.MILLISECOND_US, units.SECOND_US
@@ -47,10 +47,10 @@
         self.world = world.World(3)
         self.tape = simulated_cluster.EventLog()
         process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
-        self.worker = serving.Worker(
+        self.worker = workers.Worker(
             process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), idle_us=700 * MS
         )
-        self.worker.closes = 0
+        self.worker.close_share = 0
         self.worker.silent_drop = True
         process.reactor.listenTCP(8080, self.worker)
         near = process_model.SimulatedProcess(self.world, "n1", host_model.Host(self.world, "10.0.2.1", "a"))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -37,7 +37,7 @@
             identifier,
             parts,
             tokens,
-            event=lambda k, last: self.told[identifier].append((k, last, self.runtime.now())),
+            on_event=lambda k, last: self.told[identifier].append((k, last, self.runtime.now())),
             **more,
         )
         return job
@@ -189,7 +189,7 @@
         self.go(12_000)
         assert (e.owned, e.running, e.waiting) == (0, [], [])
         assert e.idle_tokens == e.kept_tokens
-        assert sum(n for n, _ in e.kept.values()) == e.kept_tokens
+        assert sum(part.tokens for part in e.kept.values()) == e.kept_tokens
         assert e.put_backs > 0
         for j in jobs:
             got = [t[0] for t in self.told[j.identifier]]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -7,7 +7,7 @@
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
 import simulation.process_model as process_model
-import simulation.serving as serving
+import simulation.workers.worker as workers
 import tests.node_fixture as node_fixture
 
 S = units.SECOND_US
@@ -18,8 +18,8 @@
     def worker(self, **faults):
         k = len(self.workers) + 1
         process = process_model.SimulatedProcess(self.world, f"w{k}", host_model.Host(self.world, f"10.0.3.{k}", "a"))
-        w = serving.Worker(
-            process.runtime(), f"w{k}", "desk", self.tape, inference_engine.Figures(enter_us=0), conns=50
+        w = workers.Worker(
+            process.runtime(), f"w{k}", "desk", self.tape, inference_engine.Figures(enter_us=0), connection_limit=50
         )
         w.process, w.faults, w.closes, w.lingers = process, faults, 0, 0
         process.reactor.listenTCP(80, w)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -11,8 +11,9 @@
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
 import simulation.process_model as process_model
-import simulation.serving as serving
 import simulation.simulated_cluster as simulated_cluster
+import simulation.workers.listing as workers_listing
+import simulation.workers.worker as workers
 import simulation.world as world
 
 MS, S = units.MILLISECOND_US, units.SECOND_US
@@ -65,10 +66,10 @@
         self.world = world.World(5)
         self.tape = simulated_cluster.EventLog()
         self.process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
-        self.worker = serving.Worker(
-            self.process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), conns=5
+        self.worker = workers.Worker(
+            self.process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), connection_limit=5
         )
-        self.worker.closes = self.worker.lingers = 0
+        self.worker.close_share = self.worker.linger_share = 0
         self.process.reactor.listenTCP(8080, self.worker)
         self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.0.2.1", "a"))
 
@@ -234,7 +235,7 @@
 
     def test_the_list_comes_late_in_pages_and_at_a_rate(self) -> None:
         process = process_model.SimulatedProcess(self.world, "list", host_model.Host(self.world, "10.0.4.1", "a"))
-        listing = serving.Listing(process.runtime(), self.tape, page=2, rate=4)
+        listing = workers_listing.Listing(process.runtime(), self.tape, page=2, rate=4)
         process.reactor.listenTCP(9000, listing)
         for k in range(5):
             listing.show(f"i-{k}", pool="desk", address=f"10.0.3.{k}:80", zone="ab"[k % 2])
