--- a/simulation/platform_days.py
+++ b/simulation/platform_days.py
@@ -20,6 +20,7 @@
 
 import simulation.core_days as core_days
 import simulation.platform_rules as platform_rules
+import simulation.rules.earned_value as earned_value
 import simulation.site.days as days_of_one_fault
 import simulation.site.drawn_day as drawn_day
 import simulation.site.shapes as shapes
@@ -87,7 +88,7 @@
 def totals(owner: site.Site) -> Totals:
     """What a day came to: shares of requests, worth, and what it cost."""
     rows = owner.event_log.rows
-    earned = platform_rules.earned_value(rows, owner.request_values())
+    earned = earned_value.earned_value(rows, owner.request_values())
     kinds = collections.Counter(row["kind"] for row in rows)
     every = earned["all"]
     by_kind = {
--- /dev/null
+++ b/simulation/rules/answers.py
@@ -0,0 +1,159 @@
+"""The rules about answers: whose they are, that requests run at most once, and that streams are whole."""
+
+from __future__ import annotations
+
+import collections.abc
+import itertools
+
+import iriswheel.runtime.units as units
+import simulation.rules.log as event_log
+
+Complaints = collections.abc.Iterator[str]
+
+NOT_RUN_CODES = (408, 421, 429, 503)
+BROKEN_RUNS = ("garble", "broke", "lost")  # ends of runs that send broken answers
+RECOVERY_SHARE = 4  # one in so many requests is served, for service to count as there
+
+
+def _is_success(attempt: event_log.Row) -> bool:
+    return 200 <= attempt["code"] < 300
+
+
+def mixed(log: event_log.Log) -> Complaints:
+    """Answers that are another's, are not the worker's, or lack its seal."""
+    for attempt in log.kinds["tried"]:
+        name = attempt["attempt"]
+        is_broken = any(end["how"] in BROKEN_RUNS for end in log.ends[name])
+        if attempt["how"] == "garbage" and not is_broken:
+            yield f"try {name} got bytes that are no answer"
+        if _is_success(attempt):
+            yield from _mixed_success(log, name, attempt)
+    for row in log.kinds["stray"]:
+        yield f"client {row['client']} got bytes that it did not ask for from {row['node']}"
+
+
+def _mixed_success(log: event_log.Log, name: str, attempt: event_log.Row) -> Complaints:
+    own_seals = {run["seal"] for run in log.runs[name]}
+    seal = attempt["seal"]
+    if seal is None or seal not in log.run_of_seal:
+        yield f"try {name} got a success without a worker's seal"
+    elif seal not in own_seals:
+        yield f"try {name} got the seal of another's run"
+    if attempt["echo"] not in (None, name):
+        yield f"try {name} got the answer of {attempt['echo']}"
+    if any(event.attempt != name or event.seal not in own_seals for event in event_log.events_of(attempt)):
+        yield f"try {name} got events of another request"
+    if attempt["bad_events"] or attempt["encoding"]:
+        yield f"try {name} got bytes that are not the worker's body"
+    is_whole_body = attempt["how"] == "whole" and not attempt["stream"]
+    if is_whole_body and seal in log.end_of_seal and log.end_of_seal[seal]["body"] != attempt["got"]:
+        yield f"try {name} got another body than the worker gave"
+
+
+def unasked(log: event_log.Log) -> Complaints:
+    """Runs that nobody asked for, or asked for otherwise."""
+    for row in log.kinds["arrived"]:
+        if row["verdict"]:
+            continue
+        attempt = log.attempts.get(row["attempt"])
+        if attempt is None:
+            if row["at"] < log.ended_at - units.SECOND_US:
+                yield f"worker {row['worker']} got {row['attempt']}, which no client sent"
+        elif any(row[field] != attempt[field] for field in ("method", "url", "body")):
+            yield f"worker {row['worker']} got {row['attempt']} changed"
+    for _ in log.kinds["bad_request"]:
+        yield "a worker got bytes that are no request"
+
+
+def twice(log: event_log.Log) -> Complaints:
+    """Requests that must not be repeated and ran more than once."""
+    for name, attempt in log.attempts.items():
+        if not attempt["repeat"] and len(log.runs[name]) > 1:
+            yield f"try {name} ran {len(log.runs[name])} times"
+
+
+def refused(log: event_log.Log) -> Complaints:
+    """Promises that a request has not run, though it has."""
+    for name, attempt in log.attempts.items():
+        if not attempt["repeat"] and attempt["code"] in NOT_RUN_CODES and log.runs[name]:
+            yield f"try {name} got {attempt['code']}, and ran"
+
+
+def lost(log: event_log.Log) -> Complaints:
+    """Requests read and never answered, round planned work."""
+    for name, attempt in log.attempts.items():
+        if attempt["how"] != "closed" or attempt["done"] >= attempt["until"]:
+            continue
+        went_on = any(not row["verdict"] for row in log.arrived[name])
+        if not went_on and attempt["done"] - attempt["sent"] <= log.bounds["loss_slack"]:
+            continue
+        if any(end["how"] in (*BROKEN_RUNS, "expired") for end in log.ends[name]):
+            continue
+        for row in log.kinds["term"]:
+            if row["name"] == attempt["node"] and _is_lost_by(log, name, attempt, row["at"]):
+                after_ms = (attempt["done"] - row["at"]) // units.MILLISECOND_US
+                yield f"try {name} was cut off {after_ms} ms after {attempt['node']} was told to end"
+
+
+def _is_lost_by(log: event_log.Log, name: str, attempt: event_log.Row, term_at: int) -> bool:
+    """Whether an attempt was lost by a SIGTERM alone, and not by work that outlasts the grace."""
+    grace = log.bounds["grace"]
+    if not term_at <= attempt["done"] <= term_at + grace + units.SECOND_US:
+        return False
+    begin = attempt["sent"] - log.bounds["contact"]
+    has_other_fault = any(
+        fault.what != "term" and fault.touches(begin, attempt["done"]) for fault in log.faults[attempt["node"]]
+    )
+    is_at_work = any(end["at"] > term_at + grace // 2 for end in log.ends[name])
+    return not has_other_fault and not is_at_work
+
+
+def order(log: event_log.Log) -> Complaints:
+    """Streams with a piece missing or doubled, joined from two runs, or ended early."""
+    for name, attempt in log.attempts.items():
+        if attempt["stream"] and _is_success(attempt):
+            yield from _disordered(log, name, attempt)
+
+
+def _disordered(log: event_log.Log, name: str, attempt: event_log.Row) -> Complaints:
+    events = event_log.events_of(attempt)
+    numbers = [event.number for event in events]
+    first = attempt["after"] + 1
+    if numbers != list(range(first, first + len(numbers))):
+        yield f"try {name} got events {numbers}, beginning after {attempt['after']}"
+        return
+    if attempt["how"] == "whole":
+        is_complete = events[-1].is_last if events else _had_last(log, attempt)
+        if not is_complete:
+            yield f"try {name} ended as whole ahead of its last event"
+        if attempt["rest"]:
+            yield f"try {name} ended as whole within an event"
+    for event, following in itertools.pairwise(events):
+        if event.seal != following.seal:
+            run = log.run_of_seal.get(following.seal)
+            if not attempt["repeat"] or run is None or run["after"] != str(event.number):
+                yield f"try {name} joins two runs after event {event.number}"
+
+
+def _had_last(log: event_log.Log, attempt: event_log.Row) -> bool:
+    """Whether the event after which a stream was taken up was its last."""
+    return any(
+        event.number == attempt["after"] and event.is_last
+        for other in log.asked[attempt["request"]]
+        for event in event_log.events_of(other)
+    )
+
+
+def recover(log: event_log.Log) -> Complaints:
+    """Service does not come back after the closing fault."""
+    answered = log.kinds["answered"]
+    for closing in log.kinds["closing"]:
+        before = [row for row in answered if row["at"] < closing["at"]]
+        after = [row for row in answered if row["began"] > closing["back"] + log.bounds["recovery"]]
+        if before and _is_served(before) and after and not _is_served(after):
+            served = sum(row["ok"] for row in after)
+            yield f"{served} of {len(after)} were served after the closing fault"
+
+
+def _is_served(rows: event_log.Rows) -> bool:
+    return RECOVERY_SHARE * sum(row["ok"] for row in rows) >= len(rows)
--- /dev/null
+++ b/simulation/rules/configuration.py
@@ -0,0 +1,152 @@
+"""The rules about configurations: acknowledged in time, in force in time and for good, and read back as sent."""
+
+from __future__ import annotations
+
+import collections
+import collections.abc
+import json
+import typing
+
+import iriswheel.runtime.units as units
+import iriswheel.verification.history as history
+import simulation.platform_names as platform_names
+import simulation.rules.log as event_log
+import simulation.rules.routing as routing
+
+Complaints = collections.abc.Iterator[str]
+Document = dict[str, typing.Any]
+
+ACK_PER_ROUTE_US = 3 * units.MILLISECOND_US
+REVERT_FACTOR_OF_FAULTED = 8
+
+
+class Shown(typing.NamedTuple):
+    """That a machine showed the effect of a version at a time."""
+
+    at: int
+    version: int
+
+
+def config(log: event_log.Log) -> Complaints:
+    """Configurations handled wrongly: late, slipped back, not to be in force, or not read back."""
+    yield from _wrongly_acknowledged(log)
+    yield from _wrongly_applied(log)
+    yield from _wrongly_read_back(log)
+
+
+def _wrongly_acknowledged(log: event_log.Log) -> Complaints:
+    for sent in log.acknowledged:
+        if not sent["valid"]:
+            yield f"version {sent['version']} is invalid, and was acknowledged"
+    for base in {sent["base"] for sent in log.acknowledged}:
+        rivals = {json.dumps(sent["doc"], sort_keys=True) for sent in log.acknowledged if sent["base"] == base}
+        if len(rivals) > 1:
+            yield f"{len(rivals)} changes on top of version {base} were acknowledged"
+
+
+def shown_service(log: event_log.Log, attempt: event_log.Row) -> str | None:
+    """What an attempt shows of the configuration: a service, None for a node's own 404, or "" for nothing."""
+    pools: list[str] = [row["pool"] for row in log.arrived[attempt["attempt"]] if not row["verdict"]]
+    if pools:
+        return pools[0]
+    return None if attempt["code"] == 404 and attempt["how"] == "whole" else ""
+
+
+def _wrongly_applied(log: event_log.Log) -> Complaints:
+    refused = [sent for sent in log.configurations if sent["code"] not in event_log.UNCLEAR_CODES or not sent["valid"]]
+    possible = log.possible()
+    shown: collections.defaultdict[str, list[Shown]] = collections.defaultdict(list)
+    for attempt in sorted(log.attempts.values(), key=lambda row: row["sent"]):
+        service = shown_service(log, attempt)
+        if service == "":
+            continue
+        fitting = _fitting(possible, attempt, service)
+        if not fitting:
+            if _fitting(refused, attempt, service):
+                yield f"try {attempt['attempt']} was handled as only a configuration that was refused allows"
+            continue
+        newest = max(sent["version"] for sent in fitting)
+        yield from _late(log, attempt, newest)
+        yield from _gone_back(log, attempt, newest, shown[attempt["node"]])
+        if service is not None:
+            oldest = min(sent["version"] for sent in fitting)
+            shown[attempt["node"]].append(Shown(attempt["done"], oldest))
+
+
+def _fitting(configurations: event_log.Rows, attempt: event_log.Row, service: str | None) -> event_log.Rows:
+    """Those configurations that let an attempt go to a service."""
+    return [
+        sent
+        for sent in configurations
+        if sent["sent"] <= attempt["done"] and service in routing.services_of(sent, attempt)
+    ]
+
+
+def _late(log: event_log.Log, attempt: event_log.Row, newest: int) -> Complaints:
+    must = max(log.versions_in_force(attempt["sent"]), default=newest)
+    if newest < must and log.is_in_touch(attempt["node"], attempt["done"]):
+        yield (
+            f"try {attempt['attempt']} at {attempt['node']} was handled as only version {newest} or older allows, "
+            f"{must} being in force"
+        )
+
+
+def _gone_back(log: event_log.Log, attempt: event_log.Row, newest: int, shown: list[Shown]) -> Complaints:
+    node, sent_at = attempt["node"], attempt["sent"]
+    repaired_at = max((fault.end for fault in log.faults[node] if fault.end <= sent_at), default=-1)
+    is_faulted = log.is_faulted(node, sent_at - log.bounds["contact"], sent_at)
+    slack = log.bounds["revert"] * (REVERT_FACTOR_OF_FAULTED if is_faulted else 1)
+    versions = (seen.version for seen in shown if repaired_at < seen.at and seen.at + slack < sent_at)
+    floor = max(versions, default=0)
+    if newest < floor:
+        yield f"try {attempt['attempt']}: {node} went back from version {floor} to {newest}"
+
+
+def _wrongly_read_back(log: event_log.Log) -> Complaints:
+    if not log.acknowledged or not log.kinds["ended"]:
+        return
+    newest = max(sent["version"] for sent in log.acknowledged)
+    reads = log.kinds["config_read"]
+    if not reads or reads[-1]["doc"] is None:
+        yield "the configuration did not come when read back"
+        return
+    document = reads[-1]["doc"]
+    version = document.get(platform_names.CONFIGURATION["version"])
+    fitting = [sent for sent in log.configurations if sent["version"] == version and sent["valid"]]
+    if version < newest:
+        yield f"version {version} was read back, though {newest} was acknowledged"
+    elif not any(is_same(document, sent["doc"]) for sent in fitting):
+        yield f"what was read back as version {version} is not what was sent"
+
+
+def is_same(document: Document, other: Document) -> bool:
+    """Whether two configurations say the same, whatever the order of their items.
+
+    >>> is_same({"routes": [{"name": "a"}, {"name": "b"}]}, {"routes": [{"name": "b"}, {"name": "a"}]})
+    True
+    """
+    return _ordered(document) == _ordered(other)
+
+
+def _ordered(document: Document) -> Document:
+    return {
+        key: sorted(value, key=lambda item: json.dumps(item, sort_keys=True)) if isinstance(value, list) else value
+        for key, value in document.items()
+    }
+
+
+def acks(log: event_log.Log) -> Complaints:
+    """Proper configurations that were not acknowledged in time although the core was settled."""
+    for sent in log.possible():
+        routes = len(sent["doc"][platform_names.CONFIGURATION["routes"]])
+        bound = log.bounds["ack"] + ACK_PER_ROUTE_US * routes
+        answered_at = sent["answered"] if sent["answered"] is not None else log.ended_at
+        end = sent.get("acknowledged", answered_at)  # the first acknowledgement was lost on its way to the operator
+        begin = max([sent["sent"], log.started_at, *(change for change in log.core_changes if change < end)])
+        if end - begin > bound and log.is_settled(end):
+            yield f"version {sent['version']} was not acknowledged for {(end - begin) // units.MILLISECOND_US} ms"
+
+
+def linearizable(log: event_log.Log) -> Complaints:
+    """Operators' calls and reads that no order explains."""
+    yield from history.complaints(log.rows)
--- /dev/null
+++ b/simulation/rules/earned_value.py
@@ -0,0 +1,119 @@
+"""What a run earned: shares of requests in aim, late and not served, and the worth of what was served."""
+
+from __future__ import annotations
+
+import collections
+import itertools
+import typing
+
+import iriswheel.runtime.units as units
+import simulation.rules.log as event_log
+
+WINDOW_US = 2 * units.SECOND_US
+WORST_WINDOWS = 2
+
+State = typing.Literal["in_aim", "late", "none"]
+Totals = dict[str, typing.Any]
+
+
+class RequestValue(typing.NamedTuple):
+    """What a kind of request is worth: its aim and longest pause in microseconds, its value, and that of a late one."""
+
+    aim_us: int
+    pause_us: int
+    value: float
+    late_value: float
+
+
+class Earned(typing.NamedTuple):
+    """What one request earned."""
+
+    state: State
+    value: float
+
+
+def first_event(attempts: event_log.Rows) -> int:
+    """When the first event of a served request came, or its whole answer.
+
+    >>> first_event([dict(events=[], done=7)])
+    7
+    """
+    events = (event for attempt in attempts for event in event_log.events_of(attempt))
+    return next((event.at_us for event in events), attempts[-1]["done"])
+
+
+def is_in_time(log: event_log.Log, answered: event_log.Row, attempts: event_log.Rows, kind: RequestValue) -> bool:
+    """Whether a served request was inside its aim, without a long pause, each event passed on at once."""
+    if first_event(attempts) - answered["began"] > kind.aim_us:
+        return False
+    events = [event for attempt in attempts for event in event_log.events_of(attempt)]
+    if any(following.at_us - event.at_us > kind.pause_us for event, following in itertools.pairwise(events)):
+        return False
+    for event in events:
+        sent_times = log.end_of_seal.get(event.seal, {}).get("times")
+        after = log.run_of_seal.get(event.seal, {}).get("after")
+        index = event.number - 1 - (int(after) if after else 0)
+        if sent_times and 0 <= index < len(sent_times) and event.at_us - sent_times[index] > log.bounds["late"]:
+            return False
+    return True
+
+
+def earned_by(log: event_log.Log, answered: event_log.Row, kind: RequestValue) -> Earned:
+    """What a request earned."""
+    attempts = log.asked[answered["request"]]
+    if not answered["ok"] or not attempts:
+        return Earned("none", 0.0)
+    if is_in_time(log, answered, attempts, kind):
+        return Earned("in_aim", kind.value)
+    return Earned("late", kind.late_value)
+
+
+def earned_value(rows: event_log.Rows, kinds: dict[str, RequestValue], window: int = WINDOW_US) -> dict[str, Totals]:
+    """What was earned in all, by kind and by zone.
+
+    Args:
+        rows: The event log.
+        kinds: What each kind of request is worth; others are left out.
+        window: The length in microseconds of the windows of which the worst are told.
+
+    >>> earned_value([], {})["all"]["asked"]
+    0
+    """
+    log = event_log.Log(rows)
+    waits: collections.defaultdict[str, list[int]] = collections.defaultdict(list)
+    totals: collections.defaultdict[str, Totals] = collections.defaultdict(
+        lambda: dict(asked=0, in_aim=0, late=0, none=0, earned=0.0, owed=0.0)
+    )
+    windows: collections.defaultdict[int, Totals] = collections.defaultdict(lambda: dict(earned=0.0, owed=0.0))
+    for answered in log.kinds["answered"]:
+        sort, began = answered["sort"], answered["began"]
+        if sort not in kinds or began < log.started_at:
+            continue
+        earned = earned_by(log, answered, kinds[sort])
+        groups = [totals[name] for name in ("all", sort, f"zone {answered['zone']}")]
+        for group in groups:
+            group["asked"] += 1
+            group[earned.state] += 1
+        for group in [*groups, windows[began // window]]:
+            group["earned"] += earned.value
+            group["owed"] += kinds[sort].value
+        if earned.state != "none":
+            waits[sort].append(first_event(log.asked[answered["request"]]) - began)
+    return _summary(totals, windows, waits)
+
+
+def _summary(
+    totals: collections.defaultdict[str, Totals], windows: dict[int, Totals], waits: dict[str, list[int]]
+) -> dict[str, Totals]:
+    totals["all"]  # stands there also where nothing was asked
+    summary = {
+        name: {**group, "worth": group["earned"] / group["owed"] if group["owed"] else 0.0}
+        for name, group in totals.items()
+    }
+    worths = sorted(group["earned"] / group["owed"] for group in windows.values() if group["owed"])
+    summary["all"]["worst_windows"] = worths[:WORST_WINDOWS]
+    for name, times in waits.items():
+        times.sort()
+        median, high = times[len(times) // 2], times[len(times) * 99 // 100]
+        summary[name].update(p50_ms=median / units.MILLISECOND_US, p99_ms=high / units.MILLISECOND_US)
+    return summary
--- /dev/null
+++ b/simulation/rules/log.py
@@ -0,0 +1,189 @@
+"""An event log of one run, by kind and by attempt, with its configurations and faults."""
+
+from __future__ import annotations
+
+import collections
+import typing
+
+import iriswheel.runtime.units as units
+import simulation.clients.connection as connection
+
+# The bounds of the small sites, in microseconds where they are times; a log's `begun` row may name others.
+BOUNDS: dict[str, int | float] = dict(
+    contact=3_000 * units.MILLISECOND_US,
+    drain=3_000 * units.MILLISECOND_US,
+    grace=8 * units.SECOND_US,
+    loss_slack=200 * units.MILLISECOND_US,
+    apply=2_000 * units.MILLISECOND_US,
+    revert=250 * units.MILLISECOND_US,
+    retry_ratio=0.2,
+    retry_window=10 * units.SECOND_US,
+    retry_slack=52,
+    recovery=12 * units.SECOND_US,
+    late=120 * units.MILLISECOND_US,
+    ack=4 * units.SECOND_US,
+)
+PROCESS_ENDS = ("kill", "power", "term", "closing", "new")  # faults that a process's next start ends
+UNCLEAR_CODES = (200, 0, None)  # of a configuration that is in force, or may be
+
+Row = dict[str, typing.Any]
+Rows = list[Row]
+
+
+class Fault:
+    """A fault of a machine: when it began and ended, and what it was."""
+
+    def __init__(self, begin: int, end: int, what: str) -> None:
+        self.begin, self.end, self.what = begin, end, what
+
+    def touches(self, begin: int, end: int) -> bool:
+        """Whether it lies in a span, at least in part."""
+        return self.begin <= end and self.end >= begin
+
+    def covers(self, begin: int, end: int) -> bool:
+        """Whether it lasts through a span."""
+        return self.begin <= begin and self.end >= end
+
+
+def take_ended(open_faults: list[Fault], what: str | None) -> Fault | None:
+    """Take out the fault that a repair ends: the newest of its kind, or of a process's end where it names none.
+
+    >>> faults = [Fault(1, 99, "kill"), Fault(2, 99, "cut")]
+    >>> take_ended(faults, None).what, take_ended(faults, "cut").what, take_ended(faults, "cut")
+    ('kill', 'cut', None)
+    """
+    fitting = [fault for fault in open_faults if (fault.what == what if what else fault.what in PROCESS_ENDS)]
+    if not fitting and not what:
+        fitting = open_faults
+    if not fitting:
+        return None
+    newest = fitting[-1]
+    open_faults.remove(newest)
+    return newest
+
+
+def events_of(attempt: Row) -> list[connection.ReceivedEvent]:
+    """The events of a stream that an attempt got."""
+    return [connection.ReceivedEvent(*event) for event in attempt["events"]]
+
+
+class Log:
+    """The rows of one run.
+
+    Attributes:
+        kinds: Rows by their kind.
+        attempts: Rows `tried` by the name of the attempt.
+        asked: Rows `tried` by the request.
+        arrived: Rows of workers that got an attempt, by its name; `runs` and `ends` likewise.
+        run_of_seal: Rows `run` by the seal; `end_of_seal` likewise rows `ran`.
+        faults: The faults of each machine.
+        core_changes: When faults of core machines began or ended.
+        configurations: What operators sent, in its order.
+        acknowledged: Those that were acknowledged, the oldest acknowledgement first.
+    """
+
+    def __init__(self, rows: Rows) -> None:
+        self.rows = rows
+        self.kinds: collections.defaultdict[str, Rows] = collections.defaultdict(list)
+        for row in rows:
+            self.kinds[row["kind"]].append(row)
+        begun = (self.kinds["begun"] or [{}])[0]
+        self.bounds = {**BOUNDS, **begun.get("bounds", {})}
+        self.started_at: int = begun.get("at", 0)
+        self.ended_at: int = rows[-1]["at"] if rows else 0
+        self.attempts = {row["attempt"]: row for row in self.kinds["tried"]}
+        self.asked = self._by("tried", "request")
+        self.arrived = self._by("arrived", "attempt")
+        self.runs = self._by("run", "attempt")
+        self.ends = self._by("ran", "attempt")
+        self.run_of_seal = {row["seal"]: row for row in self.kinds["run"]}
+        self.end_of_seal = {row["seal"]: row for row in self.kinds["ran"]}
+        self.core = {name for name, machine in begun.get("machines", {}).items() if machine["role"] == "core"}
+        self.core |= {row["name"] for row in self.kinds["machine"] if row["role"] == "core"}
+        self.faults: collections.defaultdict[str, list[Fault]] = collections.defaultdict(list)
+        self.core_changes: list[int] = []
+        self._read_faults()
+        self.configurations = self._read_configurations()
+        acknowledged = (sent for sent in self.configurations if sent["code"] == 200)
+        self.acknowledged = sorted(acknowledged, key=lambda sent: sent["answered"])
+
+    def _by(self, kind: str, field: str) -> collections.defaultdict[str, Rows]:
+        found: collections.defaultdict[str, Rows] = collections.defaultdict(list)
+        for row in self.kinds[kind]:
+            found[row[field]].append(row)
+        return found
+
+    def _read_faults(self) -> None:
+        open_faults: collections.defaultdict[str, list[Fault]] = collections.defaultdict(list)
+        for row in self.rows:
+            if row["kind"] not in ("trouble", "mend"):
+                continue
+            name = row["name"]
+            if row["kind"] == "trouble":
+                fault = Fault(row["at"], self.ended_at + 1, row["what"])
+                open_faults[name].append(fault)
+                self.faults[name].append(fault)
+            else:
+                ended = take_ended(open_faults[name], row.get("what"))
+                if ended is not None:
+                    ended.end = row["at"]
+            if name in self.core:
+                self.core_changes.append(row["at"])
+
+    def _read_configurations(self) -> Rows:
+        """Each configuration sent: its document, when it was sent, and what was answered."""
+        found = {
+            row["send"]: dict(
+                version=row["version"],
+                base=row["base"],
+                doc=row["doc"],
+                valid=row["valid"],
+                sent=row["at"],
+                code=None,
+                answered=None,
+            )
+            for row in self.kinds["config_sent"]
+        }
+        for row in reversed(self.kinds["acknowledgement_lost"]):
+            found[row["send"]]["acknowledged"] = row["at"]
+        for row in self.kinds["config_answer"]:
+            found[row["send"]].update(code=row["code"], answered=row["at"])
+        return list(found.values())
+
+    # ---- machines -----------------------------------------------------------------------
+
+    def is_faulted(self, name: str, begin: int, end: int) -> bool:
+        """Whether a machine had a fault in a span."""
+        return any(fault.touches(begin, end) for fault in self.faults[name])
+
+    def is_settled(self, at: int) -> bool:
+        """Whether the core was settled through the contact time before a moment."""
+        since = at - self.bounds["contact"]
+        if any(since <= change <= at for change in self.core_changes):
+            return False
+        gone = {name for name in self.core if self._is_gone(name, since, at)}
+        down = sum(self.is_faulted(name, since, at) for name in self.core - gone)
+        members = len(self.core) - len(gone)
+        return not self.core or 2 * (members - down) > members
+
+    def _is_gone(self, name: str, begin: int, end: int) -> bool:
+        return any(fault.what in ("gone", "term") and fault.covers(begin, end) for fault in self.faults[name])
+
+    def is_in_touch(self, name: str, at: int) -> bool:
+        """Whether a machine is bound by rules with a time bound."""
+        return not self.is_faulted(name, at - self.bounds["contact"], at) and self.is_settled(at)
+
+    # ---- configurations -----------------------------------------------------------------
+
+    def versions_in_force(self, at: int) -> list[int]:
+        """The versions that must be applied by a time."""
+        return [sent["version"] for sent in self.acknowledged if sent["answered"] + self.bounds["apply"] < at]
+
+    def possible(self) -> Rows:
+        """The valid configurations that were not refused."""
+        return [sent for sent in self.configurations if sent["valid"] and sent["code"] in UNCLEAR_CODES]
+
+    def in_force(self, attempt: Row) -> Rows:
+        """What may be in force for an attempt: the newest that must be, and all later ones that may be."""
+        floor = max(self.versions_in_force(attempt["sent"]), default=0)
+        return [sent for sent in self.possible() if sent["version"] >= floor and sent["sent"] <= attempt["done"]]
--- /dev/null
+++ b/simulation/rules/routing.py
@@ -0,0 +1,142 @@
+"""Which services a configuration lets a request go to, and the rules about routes, leaving workers and retries."""
+
+from __future__ import annotations
+
+import bisect
+import collections
+import collections.abc
+import typing
+
+import iriswheel.runtime.units as units
+import simulation.platform_names as platform_names
+
+if typing.TYPE_CHECKING:
+    import simulation.rules.log as event_log
+
+Complaints = collections.abc.Iterator[str]
+
+TEMPORARY_CODES = (408, 421, 429)
+TOLERATED_DENIALS, ATTEMPTS_PER_DENIAL = 5, 500
+
+
+def covers(prefix: str, path: str) -> bool:
+    """Whether a route's prefix begins a path.
+
+    >>> covers("/a/", "/a/b"), covers("/a/", "/ab")
+    (True, False)
+    """
+    return path.startswith(prefix)
+
+
+def services(document: dict[str, typing.Any], host: str, path: str) -> set[str | None]:
+    """The services that a configuration lets a request go to; None stands for no route.
+
+    >>> names = platform_names.ROUTE
+    >>> route = {names["host"]: "h", names["path"]: "/a/", names["pool"]: "p"}
+    >>> document = {platform_names.CONFIGURATION["routes"]: [route]}
+    >>> services(document, "h", "/a/x"), services(document, "h", "/b")
+    ({'p'}, {None})
+    """
+    names = platform_names.ROUTE
+    routes = document[platform_names.CONFIGURATION["routes"]]
+    fitting = [route for route in routes if route[names["host"]] == host and covers(route[names["path"]], path)]
+    if not fitting:
+        return {None}
+    route = max(fitting, key=lambda candidate: len(candidate[names["path"]]))
+    if route.get(names["split"]):
+        return {part[names["pool"]] for part in route[names["split"]] if part[names["weight"]]}
+    return {route[names["pool"]]}
+
+
+def services_of(sent: event_log.Row, attempt: event_log.Row) -> set[str | None]:
+    """The services that a configuration that was sent lets an attempt go to."""
+    return services(sent["doc"], attempt["host"], attempt["url"])
+
+
+def denied(log: event_log.Log) -> Complaints:
+    """Proper requests that machines in touch refused for good."""
+    names = [name for name, attempt in log.attempts.items() if _is_denied(log, name, attempt)]
+    if len(names) > TOLERATED_DENIALS + len(log.attempts) / ATTEMPTS_PER_DENIAL:
+        yield f"{len(names)} proper requests were denied, as {names[0]} with {log.attempts[names[0]]['code']}"
+
+
+def _is_denied(log: event_log.Log, name: str, attempt: event_log.Row) -> bool:
+    is_refused = 300 <= attempt["code"] < 500 and attempt["code"] not in TEMPORARY_CODES and not log.arrived[name]
+    return (
+        is_refused
+        and not attempt["direct"]
+        and log.is_in_touch(attempt["node"], attempt["done"])
+        and all(services_of(sent, attempt) != {None} for sent in log.in_force(attempt))
+    )
+
+
+def route(log: event_log.Log) -> Complaints:
+    """Runs at a service that no configuration ever sent allows."""
+    for row in log.kinds["run"]:
+        attempt = log.attempts.get(row["attempt"])
+        if attempt is None:
+            continue
+        earlier = (sent for sent in log.configurations if sent["sent"] <= row["at"])
+        if not any(row["pool"] in services_of(sent, attempt) for sent in earlier):
+            yield f"service {row['pool']} ran {row['attempt']}, which no configuration lets go there"
+
+
+def drain(log: event_log.Log) -> Complaints:
+    """Requests that reached a leaving worker too late."""
+    shown: dict[str, int] = {}  # worker -> when it was seen as leaving
+    for row in log.kinds["listed"]:
+        if row["state"] in (platform_names.TERMS["draining"], "gone"):
+            shown.setdefault(row["worker"], row["seen"])
+    for row in log.kinds["arrived"]:
+        seen_at = shown.get(row["worker"])
+        attempt = log.attempts.get(row["attempt"])
+        if row["verdict"] == 421 or seen_at is None or attempt is None or row["at"] <= seen_at + log.bounds["drain"]:
+            continue
+        node = attempt["node"]
+        if log.is_in_touch(node, row["at"]) and not log.is_faulted(node, seen_at, row["at"]):
+            after_ms = (row["at"] - seen_at) // units.MILLISECOND_US
+            yield f"{row['attempt']} reached worker {row['worker']} {after_ms} ms after it was shown as leaving"
+
+
+class _Arrivals:
+    """When requests came for a service, and when they came to it again."""
+
+    def __init__(self) -> None:
+        self.firsts: list[int] = []
+        self.repeats: list[int] = []
+
+    def count_firsts(self, begin: int, end: int) -> int:
+        """How many requests came in a span."""
+        return bisect.bisect_right(self.firsts, end) - bisect.bisect_left(self.firsts, begin)
+
+
+def budget(log: event_log.Log) -> Complaints:
+    """More arrivals past the first than the retry budget of a service allows in a window."""
+    window = log.bounds["retry_window"]
+    for pool, arrivals in sorted(_arrivals(log).items()):
+        arrivals.firsts.sort()
+        arrivals.repeats.sort()
+        for index, at in enumerate(arrivals.repeats):
+            repeats = index + 1 - bisect.bisect_left(arrivals.repeats, at - window)
+            asked = max(arrivals.count_firsts(at - window - back, at - back) for back in (0, window // 2, window))
+            if repeats > log.bounds["retry_ratio"] * asked + log.bounds["retry_slack"]:
+                yield (
+                    f"service {pool} got {repeats} repeats of {asked} requests in the window that ends at "
+                    f"{at / units.SECOND_US:.1f} s"
+                )
+                break
+
+
+def _arrivals(log: event_log.Log) -> dict[str, _Arrivals]:
+    found: collections.defaultdict[str, _Arrivals] = collections.defaultdict(_Arrivals)
+    for name, attempt in log.attempts.items():
+        rows = sorted(log.arrived[name], key=lambda row: row["at"])
+        if not rows:  # a request that did not arrive is one for its route's services
+            newest = log.in_force(attempt)[-1:]
+            for pool in {pool for sent in newest for pool in services_of(sent, attempt) if pool}:
+                found[pool].firsts.append(attempt["sent"])
+            continue
+        found[rows[0]["pool"]].firsts.append(attempt["sent"])
+        for row in rows[1:]:
+            found[row["pool"]].repeats.append(row["at"])
+    return found
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -27,6 +27,7 @@
 import simulation.inference_engine as inference_engine
 import simulation.platform_programs as platform_programs
 import simulation.process_model as process_model
+import simulation.rules.earned_value as earned_value
 import simulation.simulated_cluster as simulated_cluster
 import simulation.site.configurations as configurations
 import simulation.site.faults as faults
@@ -343,10 +344,10 @@
         read = self.operator_runtime.spawn(self.operator.read(), log)
         self.advance_until(lambda: read.called, seconds)
 
-    def request_values(self) -> dict[str, tuple[int, int, float, float]]:
-        """What each kind of request is worth, for the rules: (aim in us, pause in us, value, late value)."""
+    def request_values(self) -> dict[str, earned_value.RequestValue]:
+        """What each kind of request is worth."""
         return {
-            kind.name: (
+            kind.name: earned_value.RequestValue(
                 kind.aim_ms * units.MILLISECOND_US,
                 kind.pause_ms * units.MILLISECOND_US,
                 kind.value,
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -2,10 +2,12 @@
 
 import copy
 
+import iriswheel.runtime.units as units
 import simulation.platform_names as platform_names
 import simulation.platform_rules as platform_rules
+import simulation.rules.earned_value as earned_value
 
-MS, S = platform_rules.MS, platform_rules.S
+MS, S = units.MILLISECOND_US, units.SECOND_US
 ROUTE, CONFIGURATION = platform_names.ROUTE, platform_names.CONFIGURATION
 
 
@@ -358,7 +360,7 @@
         self.complains("recover", day(False))
 
     def test_worth(self) -> None:
-        kinds = {"phrase": (400 * MS, 200 * MS, 3.0, 1.0)}
+        kinds = {"phrase": earned_value.RequestValue(400 * MS, 200 * MS, 3.0, 1.0)}
         rows = one("a1") + one("a2", at=24 * S)
         slow = one("a3", at=24 * S + 1)
         slow[3]["events"] = [[k, s, at + S, last, n] for k, s, at, last, n in slow[3]["events"]]
@@ -366,6 +368,6 @@
         held[3]["events"] = [[k, s, at + 130 * MS, last, n] for k, s, at, last, n in held[3]["events"]]
         none = one("a5", at=24 * S + 3)
         none[4]["ok"] = False
-        got = platform_rules.earned_value(sorted(BASE + rows + slow + held + none, key=lambda r: r["at"]), kinds)["all"]
+        got = earned_value.earned_value(sorted(BASE + rows + slow + held + none, key=lambda r: r["at"]), kinds)["all"]
         assert tuple(got[k] for k in ("asked", "in_aim", "late", "none", "earned", "owed")) == (5, 2, 2, 1, 8.0, 15.0)
         assert got["worst_windows"] == [5 / 12, 1.0]
