--- /dev/null
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -0,0 +1,172 @@
+"""A simulated fleet of hollow nodes and workers, metered by role."""
+
+from __future__ import annotations
+
+import gc
+import statistics
+import typing
+
+import benchmarks.capacity.measuring as measuring
+import benchmarks.capacity.samples as samples
+import benchmarks.stand_ins as stand_ins
+import iriswheel.configuration.configuration as configuration
+import iriswheel.dataplane.health as health
+import iriswheel.node.node as node
+import iriswheel.runtime.units as units
+import iriswheel.transport.http_server as http_server
+import simulation.process_model as process_model
+import simulation.processor_meter as processor_meter
+import simulation.simulated_cluster as simulated_cluster
+
+
+class Fleet(simulated_cluster.SimulatedCluster):
+    """Real cores and nodes without traffic, before workers that one process stands in for."""
+
+    def __init__(
+        self,
+        seed: int,
+        nodes: int = 8,
+        listed: int = 36,
+        pools: int = 1,
+        routes: int = 0,
+        walking: bool = True,
+        election: str = "warden",
+    ) -> None:
+        document = configuration.unflatten(samples.items(max(routes, pools), pools=pools, election=election))
+        super().__init__(
+            seed, "small", 0, 0, 0, configuration=document, halls=[f"zone{k % samples.ZONES}" for k in range(nodes)]
+        )
+        self.worker_count, self.pool, self.pools, self.walking = listed, "model-0", pools, walking
+        self.probing = False
+        self.standing: process_model.SimulatedProcess | None = None  # the process of all workers
+        self.meter = processor_meter.Meter()
+
+    def start_worker(self, name: str, host: str) -> None:
+        if self.standing is None:
+            self.standing = process_model.SimulatedProcess(self.world, "workers", self.machine("10.0.3.1", "zone0"))
+            self.stand_in_runtime = self.standing.runtime()
+        k = len(self.workers)
+        w = self.workers[name] = stand_ins.Worker(self.stand_in_runtime, name, self.tape)
+        self.listen(self.standing, 9001 + k, http_server.Server(self.stand_in_runtime, w.handle))
+        self.platform.put(name, host="10.0.3.1", port=9001 + k, pool=f"model-{k % self.pools}", state="ready")
+
+    def start_node(self, name: str, host: str, zone: str) -> None:
+        was = health.WALK_US
+        if not self.walking:  # with many nodes and workers the knocks drown the rest
+            health.WALK_US = samples.NEVER_US
+        try:
+            super().start_node(name, host, zone)
+        finally:
+            health.WALK_US = was
+
+    def load_up(self, rate: float, lasts: int) -> None:
+        """Let every node have so many sends a second under way, each for so many seconds; none of them is sent."""
+        for n in self.nodes.values():
+            for _ in range(int(rate * lasts)):
+                n.runtime.spawn(self.stream(n, lasts * n.runtime.rng.random()), simulated_cluster.log)
+            n.runtime.spawn(self.arrivals(n, rate, lasts), simulated_cluster.log)
+
+    async def arrivals(self, n: node.Node, rate: float, lasts: int) -> None:
+        """One node's hollow sends."""
+        while True:
+            await n.runtime.sleep(int(n.runtime.rng.expovariate(rate) * units.SECOND_US))
+            n.runtime.spawn(self.stream(n, lasts), simulated_cluster.log)
+
+    async def stream(self, n: node.Node, lasts: float) -> None:
+        """One hollow send: counted where a real one would be."""
+        pool = f"model-{n.runtime.rng.randrange(self.pools)}"
+        place, names = n.gateway.forwarder.placement_of(pool), n.gateway.forwarder.ready(pool)
+        name = names[n.runtime.rng.randrange(len(names))]
+        tokens = place.begin(name, [], [], samples.LONG if n.runtime.rng.random() < samples.LONG_SHARE else 400)
+        await n.runtime.sleep(100 * units.MILLISECOND_US)
+        place.first(name, tokens)
+        await n.runtime.sleep(int(lasts * units.SECOND_US))
+        place.end(name, 0)
+
+    def roles(self) -> dict[str, str]:
+        """Each process's role now: tail, other core, lister, pool owner, node."""
+        r = max((n.follower.membership for n in self.nodes.values()), key=lambda r: r.version)
+        by_key = {d.key: d for d in r.assignments}
+        out = {name: "tail" if c.consensus.tail() else "core" for name, c in self.cores.items()}
+        names = {m.id: m.name for m in r.members}
+        out.update({m.name: "node" for m in r.members})
+        for d in r.assignments:
+            for i in [*d.copies, d.holder]:
+                if d.key.startswith("pool/"):
+                    out[names[i]] = "warden" if i == d.holder or out[names[i]] == "warden" else "copy"
+        out[names[by_key["list"].holder]] = "lister"
+        return out
+
+    def metered(self, seconds: int) -> dict[str, dict[str, float]]:
+        """Let time pass with the meter on; what each process took, sent, got and spent a second."""
+        self.meter = processor_meter.Meter()
+        gc.collect()
+        gc.disable()
+        one = statistics.median(measuring.spent(measuring.loop) for _ in range(5))
+        self.world.meter = self.meter
+        self.go(seconds)
+        self.world.meter = None
+        gc.enable()
+        ours = {*self.cores, *self.nodes}
+        out = {
+            name: {
+                "loops": self.meter.spent[name] / one / seconds,
+                "step": self.meter.longest[name] / one,
+                "out": 0,
+                "out_bytes": 0,
+                "in": 0,
+                "in_bytes": 0,
+                "outer": 0,
+            }
+            for name in ours
+        }
+        for (a, b), (n, size) in self.meter.sent.items():
+            for name, way, other in ((a, "out", b), (b, "in", a)):
+                if name in ours and other in ours:
+                    out[name][way] += n / seconds
+                    out[name][f"{way}_bytes"] += size / seconds
+                elif name in ours:
+                    out[name]["outer"] += n / seconds
+        return out
+
+    def between(self, seconds: int) -> dict[str, float]:
+        """Bytes that the meter counted between cores and nodes, a second."""
+        kind = {**dict.fromkeys(self.cores, "core"), **dict.fromkeys(self.nodes, "node")}
+        out = {f"{a} {b}": 0 for a in ("core", "node") for b in ("core", "node")}
+        for (a, b), (_, size) in self.meter.sent.items():
+            if a in kind and b in kind:
+                out[f"{kind[a]} {kind[b]}"] += size / seconds
+        return out
+
+    def by_role(self, got: dict[str, dict[str, float]]) -> dict[str, dict[str, float]]:
+        """The middle of what the processes of each role took."""
+        groups = {}
+        for name, role in self.roles().items():
+            if name in got:
+                groups.setdefault(role, []).append(got[name])
+        return {
+            role: {what: statistics.median(r[what] for r in rows) for what in rows[0]}
+            for role, rows in sorted(groups.items())
+        }
+
+
+UNITS = {
+    "loops": "loops/s",
+    "step": "loops",
+    "out": "/s",
+    "out_bytes": "B/s",
+    "in": "/s",
+    "in_bytes": "B/s",
+    "outer": "/s",
+}
+
+
+def show(what: str, rows: dict[typing.Any, typing.Any]) -> None:
+    """Print what each role took.
+
+    >>> show("quiet", {})
+    """
+    columns = ("loops", "step", "in", "in_bytes", "out", "out_bytes", "outer")
+    for role, row in rows.items():
+        cells = [measuring.short(row[column]) for column in columns]
+        print("| " + " | ".join([what, role, *cells]) + " |", flush=True)
--- /dev/null
+++ b/benchmarks/capacity/measuring.py
@@ -0,0 +1,146 @@
+"""How the slopes are measured: processor time as a ratio to a stated loop, memory, and fits over sizes."""
+
+from __future__ import annotations
+
+import collections.abc
+import gc
+import json
+import statistics
+import time
+import tracemalloc
+import typing
+
+LEAST_NS = 20_000_000  # a timing goes on for at least so long
+
+
+def loop(rounds: int = 1000) -> int:
+    """The stated loop: what processor time is a ratio to.
+
+    >>> loop()
+    2139444377
+    """
+    table, x = {}, 1
+    for _ in range(rounds):
+        x = x * 69069 + 1 & 0xFFFFFFFF
+        table[x & 255] = x
+    return x
+
+
+def spent(f: collections.abc.Callable[..., object], least: int = LEAST_NS) -> float:
+    """Nanoseconds of this thread's time that one call of f takes, over as many as fill the least time.
+
+    >>> spent(loop, 1000) > 0
+    True
+    """
+    f()
+    calls, total = 0, 0
+    while total < least:
+        started_at = time.thread_time_ns()
+        f()
+        total += time.thread_time_ns() - started_at
+        calls += 1
+    return total / calls
+
+
+def ratio(f: collections.abc.Callable[..., object], least: int = LEAST_NS) -> float:
+    """Processor time of f in loops.
+
+    >>> ratio(loop, 1000) > 0
+    True
+    """
+    gc.collect()
+    gc.disable()
+    try:
+        one = spent(loop, least)
+        return spent(f, least) / one
+    finally:
+        gc.enable()
+
+
+def held(make: collections.abc.Callable[..., object]) -> int:
+    """Bytes that stay allocated for what make() returns.
+
+    >>> held(lambda: bytes(100_000)) > 100_000
+    True
+    """
+    gc.collect()
+    tracemalloc.start()
+    try:
+        before = tracemalloc.get_traced_memory()[0]
+        kept = make()
+        gc.collect()
+        return tracemalloc.get_traced_memory()[0] - before + 0 * bool(kept)
+    finally:
+        tracemalloc.stop()
+
+
+class Measurements:
+    """Measured values by line and size, and the straight lines through them.
+
+    >>> ls = Measurements(); ls.put("roster", "members", "B", 8, 816); ls.put("roster", "members", "B", 16, 1616)
+    >>> ls.fit("roster", "members")
+    (100.0, 100.0, 100.0, 16.0, 1.0)
+    """
+
+    def __init__(self) -> None:
+        # (line, by) -> (unit, {size: [value of each repeat]})
+        self.rows: dict[tuple[str, str], tuple[str, dict[int, list[typing.Any]]]] = {}
+
+    def put(self, line: str, by: str, unit: str, size: int, value: float) -> None:
+        """Keep one value.
+
+        >>> Measurements().put("roster", "members", "B", 8, 816)
+        """
+        self.rows.setdefault((line, by), (unit, {}))[1].setdefault(size, []).append(value)
+
+    def fit(self, line: str, by: str) -> tuple[float, ...]:
+        """Slope of the medians, least and greatest slope of a repeat, base, and R squared."""
+        sizes = self.rows[line, by][1]
+        xs = sorted(sizes)
+        ys = [statistics.median(sizes[x]) for x in xs]
+        slope, base = statistics.linear_regression(xs, ys)
+        each = [
+            statistics.linear_regression(xs, [sizes[x][k] for x in xs]).slope
+            for k in range(min(len(v) for v in sizes.values()))
+        ]
+        flat = max(ys) - min(ys) <= 1e-9 * max(map(abs, ys))
+        return slope, min(each), max(each), base, 1.0 if flat else statistics.correlation(xs, ys) ** 2
+
+    def table(self) -> str:
+        """A table of all lines."""
+        out = [
+            "| line | grows with | slope | repeats | at none | R² | sizes (value) |",
+            "|---|---|---|---|---|---|---|",
+        ]
+        for (line, by), (unit, sizes) in self.rows.items():
+            if len(sizes) < 2:
+                continue
+            slope, least, most, base, good = self.fit(line, by)
+            seen = ", ".join(f"{x} ({short(statistics.median(v))})" for x, v in sorted(sizes.items()))
+            out.append(
+                f"| {line} | {by} | {short(slope)} {unit} | {short(least)} to {short(most)} "
+                f"| {short(base)} | {good:.3f} | {seen} |"
+            )
+        return "\n".join(out)
+
+
+def short(x: float) -> str:
+    """A figure with three digits that count.
+
+    >>> short(0.0123456), short(1234567), short(42)
+    ('0.0123', '1,230,000', '42')
+    """
+    if abs(x) >= 100:
+        digits = len(str(int(abs(x)))) - 3
+        return f"{round(x, -digits):,.0f}"
+    return f"{x:.3g}"
+
+
+def end(lines: Measurements, out: str) -> None:
+    """Print the table; with a file's name, keep the values there too."""
+    print(lines.table(), flush=True)
+    one = statistics.median(spent(loop) for _ in range(5))
+    print(f"\nOne loop (1000 rounds) took {one / 1000:.1f} us here.")
+    if out:
+        with open(out, "w") as f:
+            json.dump([[*key, unit, sizes] for key, (unit, sizes) in lines.rows.items()], f, indent=1)
--- /dev/null
+++ b/benchmarks/capacity/samples.py
@@ -0,0 +1,165 @@
+"""Members, workers, assignments, sessions and configurations of any size, made up for the measurements."""
+
+from __future__ import annotations
+
+import types
+import typing
+
+import twisted.internet.task as task
+
+import iriswheel.dataplane.sessions as sessions
+import iriswheel.membership.assignments as role_assignments
+import iriswheel.membership.membership_manager as membership_manager
+import iriswheel.node.node as node
+import iriswheel.runtime.options as options
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+ZONES = 10
+
+
+POOLS = 29
+
+
+NEVER_US = 10**13
+
+
+LONG, LONG_SHARE = 3_720, 0.064  # prompt tokens of a long one, and how many are: as the users' present mix has it
+
+
+def members(n: int) -> list[message.Member]:
+    """Members as long in their names as those of a real site.
+
+    >>> len(members(3))
+    3
+    """
+    return [
+        message.Member(
+            f"edge-zone{k % ZONES}-{k}-{k:012x}",
+            f"edge-zone{k % ZONES}-{k}",
+            f"zone{k % ZONES}",
+            f"10.1.{k // 250}.{k % 250}",
+            7300,
+            8263,
+        )
+        for k in range(n)
+    ]
+
+
+def workers(n: int, pools: int = POOLS) -> list[message.Worker]:
+    """Workers as the platform lists them.
+
+    >>> workers(1)[0].pool
+    'model-0'
+    """
+    return [
+        message.Worker(
+            f"i-{k:08x}", f"10.128.{k // 250}.{k % 250}", 8080, f"model-{k % pools}", "ready", 3 * units.SECOND_US
+        )
+        for k in range(n)
+    ]
+
+
+def assignments(keys: list[str], ms: list[message.Member]) -> list[message.RoleAssignment]:
+    """Seated role assignments over members.
+
+    >>> [d.key for d in assignments(["list"], members(3))]
+    ['list']
+    """
+    out = []
+    for key in keys:
+        holder, copies = role_assignments.group(key, ms, None)
+        out.append(message.RoleAssignment(key, (3, 17), holder, copies, [holder, *copies], True))
+    return out
+
+
+def pool_keys(pools: int) -> list[str]:
+    """The role assignments of a fleet with so many pools.
+
+    >>> pool_keys(1)
+    ['list', 'pool/model-0']
+    """
+    return ["list", *(f"pool/model-{k}" for k in range(pools))]
+
+
+def memberships(n: int, w: int, p: int) -> message.Membership:
+    """A membership of n members, w workers and p pools.
+
+    >>> len(memberships(8, 20, 2).assignments)
+    3
+    """
+    ms = members(n)
+    voters = [message.Voter(f"{k:016x}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(5)]
+    return message.Membership((3, 17), ms, workers(w, max(1, p)), assignments(pool_keys(p), ms), voters, (3, 1, 40))
+
+
+def session_messages(n: int, w: int = 90) -> sessions.SessionTable:
+    """Session records over w workers.
+
+    >>> len(session_messages(10).records)
+    10
+    """
+    book = sessions.SessionTable()
+    # As in a pool that has served for a while: a record's size must not depend on how often a timing opened sessions.
+    book.version = 1 << 20
+    for k in range(n):
+        book.open(f"{k:024x}", f"i-{k % w:08x}", 0, 600 * units.SECOND_US, 100)
+    return book
+
+
+def hollow(zone: str = "zone0") -> node.Node:
+    """A node of its own, none of whose tasks runs; its clock stands at `node.clock`.
+
+    >>> hollow().follower.applied_index
+    0
+    """
+    clock = task.Clock()
+    runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * units.SECOND_US), seed=1)
+    clock.advance(1000)
+    o = options.Options(
+        "node", name="edge-zone0-0", host="10.1.0.0", zone=zone, seeds=["10.2.0.0:7300"], platform="10.3.0.1:80"
+    )
+    n = node.Node(runtime, o)
+    n.me = members(1)[0]
+    n.clock = clock
+    return n
+
+
+def issuer(n: int, p: int, cores: int = 5) -> membership_manager.MembershipManager:
+    """A tail's issuer with n members and p pools, its first membership issued.
+
+    >>> len(issuer(8, 2).latest.members)
+    8
+    """
+    clock = [1000 * units.SECOND_US]
+    runtime = types.SimpleNamespace(now=lambda: clock[0])
+    view = message.View(3, [message.Voter(f"c{k}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(cores)], [])
+    consensus = types.SimpleNamespace(view=view, tail=lambda: True, leased=lambda: True)
+    out = membership_manager.MembershipManager(runtime, consensus, lambda: [f"model-{k}" for k in range(p)])
+    out.restart()
+    for m in members(n):
+        out.seen[m.id] = membership_manager.SeenMember(clock[0], m, "c0")
+    out.issue()
+    clock[0] += units.SECOND_US // 2
+    out.issue()
+    return out
+
+
+def items(r: int, tenants: int = 470, pools: int = POOLS, election: str = "warden") -> dict[str, dict[str, typing.Any]]:
+    """A configuration of r routes.
+
+    >>> sorted(items(1, 1, 1))
+    ['pools/model-0', 'routes/r0', 'terms/default', 'terms/t0']
+    """
+    out = {f"pools/model-{k}": {"cap": 0, "slots": 64, "long_slots": 16, "election": election} for k in range(pools)}
+    out["terms/default"] = {}
+    out.update({f"terms/t{k}": {"lifetime_us": 600 * units.SECOND_US} for k in range(min(r, tenants))})
+    for k in range(r):
+        out[f"routes/r{k}"] = {
+            "path": f"/{k:06x}/{k % 97:02x}/",
+            "pool": f"model-{k % pools}",
+            "terms": f"t{k % tenants}",
+            "zones": [] if k % 4 else [f"zone{k % ZONES}"],
+        }
+    return out
--- /dev/null
+++ b/benchmarks/capacity/target_costs.py
@@ -0,0 +1,264 @@
+"""The users' target worked out from the values that the other measurements left in files."""
+
+from __future__ import annotations
+
+import collections.abc
+import json
+import pathlib
+import statistics
+import typing
+
+import benchmarks.capacity.measuring as measuring
+import benchmarks.capacity.node_costs as node_costs
+import iriswheel.dataplane.placement as placement
+
+SECONDS_A_DAY = 86_400
+FIRST_TURN_S = 600  # how long a node remembers a first turn
+STEP_BUDGET = "15 loops a step"
+ALL_AT_ONCE = "all at once"
+
+
+class Target(typing.NamedTuple):
+    """What the users want to operate in two years."""
+
+    nodes: int = 370
+    workers: int = 2600
+    pools: int = 29
+    routes: int = 2000
+    requests_per_s: int = 3000
+    sessions: int = 1_000_000
+    changes_per_day: int = 5600
+    restarts_per_day: int = 235
+    memberships_per_restart: int = 3
+
+
+class Values(typing.Protocol):
+    """Measured values by the name of their run."""
+
+    def slope(self, name: str, line: str, by: str) -> float:
+        """The slope of a line."""
+
+    def at(self, name: str, line: str, by: str, size: int) -> float:
+        """A line's value at a size."""
+
+    def all_at_once(self, name: str) -> dict[str, float] | None:
+        """Each line's value at the largest size of a run of the whole fleet, or None where there was none."""
+
+
+class Known:
+    """Values of earlier runs, read from their files.
+
+    Args:
+        folder: Where the files are that `--out` of the measurements wrote, as NAME.json.
+    """
+
+    def __init__(self, folder: str) -> None:
+        self.files: dict[str, measuring.Measurements] = {}
+        for path in sorted(pathlib.Path(folder).glob("*.json")):
+            measurements = self.files[path.stem] = measuring.Measurements()
+            for line, by, unit, sizes in json.loads(path.read_text()):
+                measurements.rows[line, by] = (unit, {int(size): values for size, values in sizes.items()})
+
+    def slope(self, name: str, line: str, by: str) -> float:
+        """The slope of a line."""
+        return self.files[name].fit(line, by)[0]
+
+    def at(self, name: str, line: str, by: str, size: int) -> float:
+        """A line's value at a size: measured, or between two measured ones, or beyond them along the slope."""
+        sizes = self.files[name].rows[line, by][1]
+        if size in sizes:
+            return statistics.median(sizes[size])
+        below = max((measured for measured in sizes if measured < size), default=None)
+        above = min((measured for measured in sizes if measured > size), default=None)
+        if below is not None and above is not None:
+            low, high = statistics.median(sizes[below]), statistics.median(sizes[above])
+            return low + (high - low) * (size - below) / (above - below)
+        slope, _, _, base, _ = self.files[name].fit(line, by)
+        return base + slope * size
+
+    def all_at_once(self, name: str) -> dict[str, float] | None:
+        """Each line's value at the largest size of a run of the whole fleet, or None where there was none."""
+        if name not in self.files:
+            return None
+        rows = self.files[name].rows.items()
+        by_line = {line: sizes for (line, by), (_, sizes) in rows if by == ALL_AT_ONCE}
+        return {line: statistics.median(sizes[max(sizes)]) for line, sizes in by_line.items()}
+
+
+class TargetTable:
+    """The rows of the table that works the target out.
+
+    Args:
+        values: What was measured.
+        target: What is wanted.
+        fresh_process_bytes: Gives the memory of a fresh process with a node.
+    """
+
+    def __init__(
+        self,
+        values: Values,
+        target: Target = Target(),  # noqa: B008 -- immutable
+        fresh_process_bytes: collections.abc.Callable[[], float] = node_costs.bare,
+    ) -> None:
+        self.values = values
+        self.target = target
+        self.fresh_process_bytes = fresh_process_bytes
+        self.rows: list[str] = []
+        self.socket_loops = values.at("sockets", "a message sent and taken over a connection", "bytes", 27) / 2
+        self.membership_bytes = self.membership_value("a membership on the wire")
+
+    def put(self, role: str, what: str, how: str, value: float, unit: str, budget: str = "") -> None:
+        """Add a row."""
+        self.rows.append(f"| {role} | {what} | {how} | {measuring.short(value)} {unit} | {budget} |")
+
+    def build(self) -> list[str]:
+        """All rows, in the order of the page."""
+        self.put_memberships()
+        for name, path in (("fleetwarden", "wardens"), ("fleetnode", "node election")):
+            costs = self.values.all_at_once(name)
+            if costs is not None:
+                self.put_fleet(path, costs)
+        self.put_memory()
+        self.put_changes()
+        self.put_losses()
+        self.put_sessions()
+        self.put_selections()
+        return self.rows
+
+    def membership_value(self, line: str) -> float:
+        """A line of memberships at the target's members, workers and pools, along the slopes."""
+        target, values = self.target, self.values
+        measured = (("members", target.nodes, 8), ("workers", target.workers, 36), ("pools", target.pools, 1))
+        grown = sum(values.slope("lists", line, by) * (size - least) for by, size, least in measured)
+        return grown + values.at("lists", line, "members", 8)
+
+    def put_memberships(self) -> None:
+        """The size of a membership, and what its changes of a day cost."""
+        target = self.target
+        how = "2.4 KB + members, workers, pools by their slopes (X)"
+        self.put("all", "a whole membership", how, self.membership_bytes / 1000, "KB")
+        loops = self.membership_value("a membership read")
+        self.put("all", "read at a node, one step", "as its bytes (X)", loops, "loops", STEP_BUDGET)
+        daily = target.restarts_per_day * target.memberships_per_restart
+        how = f"{target.restarts_per_day} failures and restarts x {target.memberships_per_restart} words each (R)"
+        self.put("all", "memberships a day", how, daily, "")
+        bytes_per_s = daily * self.membership_bytes / SECONDS_A_DAY
+        self.put("node", "memberships in, mean", "memberships a day x membership (X)", bytes_per_s, "B/s", "16 KB/s")
+        out = bytes_per_s * target.nodes / 1000
+        self.put("cores", "memberships out, mean, all nodes", "x nodes (X)", out, "KB/s")
+
+    def put_fleet(self, path: str, costs: dict[str, float]) -> None:
+        """What each role costs in a quiet fleet, by one way of electing workers."""
+        for role in ("node", "lister", "warden", "core", "tail"):
+            if f"{role}: loops" not in costs:
+                continue
+            edge = role in ("node", "lister", "warden")
+            loops_limit = "48 loops/s" if edge else "3,000 loops/s: a machine"
+            bytes_limit = "16 KB/s" if edge else ""
+            messages = costs[f"{role}: in"] + costs[f"{role}: out"]
+            loops = costs[f"{role}: loops"] + messages * self.socket_loops
+            how = "own steps (M) + messages x half a socket's (M)"
+            self.put(role, f"{path}: processor, quiet", how, loops, "loops/s", loops_limit)
+            self.put(role, f"{path}: longest step", "M", costs[f"{role}: step"], "loops", STEP_BUDGET)
+            for way in ("in", "out"):
+                unit = f"KB/s in {measuring.short(costs[f'{role}: {way}'])} messages"
+                self.put(role, f"{path}: {way}", "M", costs[f"{role}: {way}_bytes"] / 1000, unit, bytes_limit)
+
+    def memory(self) -> list[tuple[str, str, float]]:
+        """What a node holds: what it is, how it is worked out, bytes."""
+        target, values = self.target, self.values
+        workers_a_pool = target.workers // target.pools
+        slice_bytes = values.at("routes", "a slice held at a node", "routes", target.routes)
+        rank_bytes = values.at("places", "ranks held, 90 workers", "parts ranked", placement.RANKS)
+        part_bytes = values.slope("places", "parts held of the workers at a node", "parts")
+        turn_bytes = values.slope("places", "first turns held at a node", "first turns")
+        session_bytes = values.slope("places", "sessions held at a node", "sessions")
+        membership_bytes = self.membership_value("a membership held at a node")
+        return [
+            ("a fresh process with a node", "M", self.fresh_process_bytes()),
+            ("membership and worker states", "along the slopes (X)", membership_bytes),
+            ("slice of the configuration", f"{target.routes} routes", slice_bytes),
+            ("others' loads", "workers", values.at("places", "others' loads held", "workers", target.workers)),
+            ("ranks", f"{placement.RANKS} a pool x pools, {workers_a_pool} workers", target.pools * rank_bytes),
+            (
+                "parts known of workers",
+                f"{placement.KEPT} a worker, full (X)",
+                part_bytes * placement.KEPT * target.workers,
+            ),
+            (
+                "first turns",
+                f"requests a node x {FIRST_TURN_S} s (X)",
+                turn_bytes * target.requests_per_s / target.nodes * FIRST_TURN_S,
+            ),
+            ("sessions", "sessions / nodes", session_bytes * target.sessions / target.nodes),
+        ]
+
+    def put_memory(self) -> None:
+        """A node's memory, part by part and together."""
+        parts = self.memory()
+        for what, how, size in parts:
+            self.put("node", f"memory: {what}", how, size / 1e6, "MB", "64 MB in all")
+        self.put("node", "memory: all of them", "", sum(size for _, _, size in parts) / 1e6, "MB", "64 MB")
+
+    def put_changes(self) -> None:
+        """A tail's repeated look, and changes of the configuration."""
+        target, values = self.target, self.values
+        look = values.at("tail", f"a look for news at the tail, {target.pools} pools", "members", target.nodes)
+        how = f"{target.pools} pools, {target.nodes} members (M)"
+        self.put("tail", "a look for news", how, look, "loops, ten and more a second", STEP_BUDGET)
+        change = values.at("losses", "change: busiest core", "nodes", target.nodes)
+        self.put("tail", "a change of the configuration", "nodes (X)", change, "loops", "12,000 loops in 4 s")
+        size = values.at("losses", "change: between cores", "nodes", target.nodes) / 1000
+        self.put("cores", "a change, between cores", "nodes (X)", size, "KB")
+        mean = change * target.changes_per_day / SECONDS_A_DAY
+        how = f"x {target.changes_per_day} (X)"
+        self.put("tail", "changes a day, in the mean", how, mean, "loops/s", "3,000 loops/s")
+
+    def put_losses(self) -> None:
+        """What the loss of the tail, a partition, a zone and a node send."""
+        target, values = self.target, self.values
+        pairs = target.nodes * (target.nodes - 1)
+        named = (
+            ("tail", "tail lost, between nodes"),
+            ("cut", "a third cut off for 10 s, between nodes"),
+        )
+        for what, label in named:
+            size = values.slope("losses", f"{what}: between nodes", "pairs of nodes") * pairs / 1e6
+            self.put("nodes", label, "pairs (X)", size, "MB")
+        for what, label in (("zone", "a zone lost, to nodes"), ("restart", "a node restarted, to nodes")):
+            slope = values.slope("losses", f"{what}: from cores to nodes", "nodes x membership bytes")
+            size = slope * target.nodes * self.membership_bytes / 1e6
+            self.put("cores", label, "nodes x membership (X)", size, "MB")
+
+    def put_sessions(self) -> None:
+        """Session records at the owner of the largest pool, and cut over the nodes."""
+        target, values = self.target, self.values
+        half = target.sessions // 2
+        sweep = values.at("records", "a sweep that finds nothing", "sessions", half)
+        what = "all sessions of the largest pool, half of all: sweep, one step"
+        self.put("warden", what, "X", sweep, "loops", STEP_BUDGET)
+        size = values.at("records", "a whole copy on the wire", "sessions", half) / 1e6
+        self.put("warden", "the same: a whole copy", "X", size, "MB", "33.6 MB a message")
+        sweep = values.slope("records", "a sweep that finds nothing", "sessions") * target.sessions / target.nodes
+        self.put(
+            "node", "sessions cut over nodes: sweep, one step", "sessions / nodes (X)", sweep, "loops", STEP_BUDGET
+        )
+
+    def put_selections(self) -> None:
+        """A node's own selection of a worker, by the size of the pool."""
+        line = "a worker chosen at a node, its parts ranked before"
+        half = self.target.workers // 2
+        loops = self.values.at("places", line, "workers of the pool", 90)
+        self.put("node", "an election at a node", "90 workers of the pool (M)", loops, "loops", STEP_BUDGET)
+        loops = self.values.at("places", line, "workers of the pool", half)
+        what = "the same, half of the workers in one pool"
+        self.put("node", what, "between two sizes", loops, "loops", STEP_BUDGET)
+
+
+def target(folder: str) -> None:
+    """What the target needs, by the values that the runs left in a folder (their `--out` files).
+
+    :param folder: where lists.json, tail.json and the others are
+    """
+    print("| role | what | how | at the target | budget |\n|---|---|---|---|---|")
+    print("\n".join(TargetTable(Known(folder)).build()))
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -20,7 +20,7 @@
 import defopt
 import loguru
 
-import benchmarks.capacity as capacity
+import benchmarks.capacity.hollow_fleet as hollow_fleet
 import iriswheel.transport.message as message
 import iriswheel.transport.wire as wire
 
@@ -115,7 +115,7 @@
 
 
 @contextlib.contextmanager
-def counting(cluster: capacity.Fleet) -> collections.abc.Iterator[Traffic]:
+def counting(cluster: hollow_fleet.Fleet) -> collections.abc.Iterator[Traffic]:
     """Count what the processes of a cluster send each other."""
     traffic = Traffic()
     cores = {core.runtime for core in cluster.cores.values()}
@@ -137,14 +137,14 @@
         yield traffic
 
 
-def _with_core(connection: wire.Connection, cluster: capacity.Fleet) -> bool:
+def _with_core(connection: wire.Connection, cluster: hollow_fleet.Fleet) -> bool:
     core_hosts = {cluster.options[name][0] for name in cluster.cores}
     return connection.transport.getPeer().host in core_hosts
 
 
-def quiet_cluster(nodes: int, cores: int, seed: int) -> capacity.Fleet:
+def quiet_cluster(nodes: int, cores: int, seed: int) -> hollow_fleet.Fleet:
     """A settled cluster without load, whose chain holds all core machines."""
-    cluster = capacity.Fleet(seed, nodes, LISTED, POOLS, ROUTES, walking=False, election="node")
+    cluster = hollow_fleet.Fleet(seed, nodes, LISTED, POOLS, ROUTES, walking=False, election="node")
     cluster.core_count = cores
     cluster.more = {"seats": cores}
     cluster.begin()
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -366,11 +366,11 @@
 
 
 def capacity(*, small: bool = False) -> None:
-    """The slopes of docs/CAPACITY.md, one after the other; benchmarks/capacity.py has them singly.
+    """The slopes of docs/CAPACITY.md, one after the other; benchmarks/capacity has them singly.
 
     :param small: a few sizes only
     """
-    import benchmarks.capacity as slopes
+    import benchmarks.capacity.__main__ as slopes
 
     slopes.everything(small=small)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,7 +7,13 @@
 
 import pytest
 
-import benchmarks.capacity as capacity
+import benchmarks.capacity.fleet_costs as fleet_costs
+import benchmarks.capacity.hollow_fleet as hollow_fleet
+import benchmarks.capacity.loss_costs as loss_costs
+import benchmarks.capacity.membership_costs as membership_costs
+import benchmarks.capacity.node_costs as node_costs
+import benchmarks.capacity.pool_owner_costs as pool_owner_costs
+import benchmarks.capacity.target_costs as target_costs
 import iriswheel.transport.wire as wire
 
 PAGE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "docs", "CAPACITY.md")
@@ -23,6 +29,29 @@
     return {(line, by): (float(slope.replace(",", "")), unit) for line, by, slope, unit in found}
 
 
+class StubValues:
+    """Every line has the same slope and the same value at any size."""
+
+    def slope(self, name: str, line: str, by: str) -> float:
+        return 2.0
+
+    def at(self, name: str, line: str, by: str, size: int) -> float:
+        return 1000.0
+
+    def all_at_once(self, name: str) -> dict[str, float] | None:
+        parts = ("loops", "step", "in", "out", "in_bytes", "out_bytes")
+        return {f"node: {part}": 3.0 for part in parts} if name == "fleetnode" else None
+
+
+def test_the_target_is_worked_out_from_any_values() -> None:
+    table = target_costs.TargetTable(StubValues(), fresh_process_bytes=lambda: 50e6)
+    rows = table.build()
+    assert len(rows) == 31
+    sessions = next(row for row in rows if "memory: sessions " in row)
+    assert "0.00541 MB" in sessions  # 2 bytes x 1,000,000 sessions / 370 nodes
+    assert any("3.0 messages" in row or "3 messages" in row for row in rows)
+
+
 class TestSlopes:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
@@ -44,25 +73,25 @@
                 assert abs(slope - self.page[key][0]) <= rel * abs(slope), f"{key}: {slope}, {self.page[key]}"
 
     def test_rosters_and_lists_are_as_long_as_the_page_says(self) -> None:
-        self.hold(self.ran(capacity.lists, sizes=[8, 32], listed=[36, 260], pools=[1, 8], repeats=1), 0.05)
+        self.hold(self.ran(membership_costs.lists, sizes=[8, 32], listed=[36, 260], pools=[1, 8], repeats=1), 0.05)
 
     def test_a_core_s_word_is_as_long_as_the_page_says(self) -> None:
-        self.hold(self.ran(capacity.tail, sizes=[8, 32], pools=[1], repeats=1), 0.05)
+        self.hold(self.ran(membership_costs.tail, sizes=[8, 32], pools=[1], repeats=1), 0.05)
 
     def test_session_records_are_as_long_as_the_page_says(self) -> None:
-        self.hold(self.ran(capacity.records, sizes=[1000, 2000], repeats=1), 0.05)
+        self.hold(self.ran(pool_owner_costs.records, sizes=[1000, 2000], repeats=1), 0.05)
 
     def test_elections_and_parts_run(self) -> None:
-        self.hold(self.ran(capacity.selections, listed=[9, 18], sizes=[100, 1000], repeats=1), 0.05)
-        self.hold(self.ran(capacity.prefixes, sizes=[2600, 26_000], repeats=1), 0.05)
+        self.hold(self.ran(pool_owner_costs.selections, listed=[9, 18], sizes=[100, 1000], repeats=1), 0.05)
+        self.hold(self.ran(pool_owner_costs.prefixes, sizes=[2600, 26_000], repeats=1), 0.05)
 
     def test_blueprints_are_as_long_as_the_page_says(self) -> None:
-        self.hold(self.ran(capacity.routes, sizes=[500, 2000], repeats=1), 0.1)
+        self.hold(self.ran(node_costs.routes, sizes=[500, 2000], repeats=1), 0.1)
 
 
 class TestHollow:
     def made(self, **more):
-        f = capacity.Fleet(1, routes=10, **more)
+        f = hollow_fleet.Fleet(1, routes=10, **more)
         f.begin()
         f.go(2)
         return f
@@ -86,17 +115,17 @@
         assert 4.95 * size < lister < 6.05 * size, lister / size
 
     def test_a_new_life_of_a_node_is_told_to_each_node_once(self) -> None:
-        got = capacity.lost(capacity.Fleet(1, 6, 36, 1, 10, False), "restart")
+        got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, False), "restart")
         assert 0 < got["ms"] < 1000, got
         assert 6 * got["roster"] <= got["core node"] < 7.5 * got["roster"], got
 
     def test_without_the_tail_no_node_sends_another_the_roster_that_it_has(self) -> None:
-        got = capacity.lost(capacity.Fleet(1, 6, 36, 1, 10, False), "tail")
+        got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, False), "tail")
         assert 0 < got["ms"] < 5000, got
         assert got["node node"] < 6 * 5 * got["roster"] / 4, got
 
     def test_the_load_exchange_is_told_and_counted(self) -> None:
-        f = capacity.Fleet(1, 4, 9, 2, 10, False, "node")
+        f = hollow_fleet.Fleet(1, 4, 9, 2, 10, False, "node")
         f.begin()
         f.go(2)
         quiet = f.by_role(f.metered(2))
@@ -113,10 +142,10 @@
     def test_elections_at_a_node_and_the_exchange_run(self) -> None:
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
-            capacity.placements(
+            node_costs.placements(
                 listed=[9, 18], keys=[16, 32], parts=[2600, 5200], sizes=[100, 200], pools=[1, 2], repeats=1
             )
-            capacity.exchange(listed=26, rate=30, seconds=3, spans=[0.5], steps=[1, 3])
+            fleet_costs.exchange(listed=26, rate=30, seconds=3, spans=[0.5], steps=[1, 3])
         got = rows(out.getvalue())
         assert got["a worker chosen at a node, its parts ranked before", "workers of the pool"][0] > 0
         told = [float(x) for x in re.findall(r"^\| 0.5 s \| [13] \| ([0-9.]+) ", out.getvalue(), re.M)]
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -2,7 +2,7 @@
 
 import random
 
-import benchmarks.capacity as capacity
+import benchmarks.capacity.samples as samples
 import iriswheel.membership.assignments as assignments
 import iriswheel.membership.membership_manager as membership_manager
 
@@ -11,8 +11,8 @@
     def test_a_group_stays_what_it_is_while_its_members_stay(self) -> None:
         """So an issuer need not weigh again: as members come and go, weighing once more changes nothing."""
         rng = random.Random(5)
-        iss = capacity.issuer(12, 4)
-        everybody = capacity.members(40)
+        iss = samples.issuer(12, 4)
+        everybody = samples.members(40)
         seen = 0
         for _ in range(60):
             live = rng.sample(everybody, rng.randrange(1, 20))
