--- a/iriswheel/control/replica_store.py
+++ b/iriswheel/control/replica_store.py
@@ -101,7 +101,7 @@
             except storage.DiskError:
                 return message.RecordsResponse(False)
         sessions, _ = session_replica.export(self.parts.runtime.now())
-        return message.RecordsResponse(True, sessions, copy=had_owner)
+        return message.RecordsResponse(True, sessions, has_replica=had_owner)
 
     async def write_regularly(self) -> None:
         """Write the replicas that changed to the disk, every WRITE_INTERVAL_US; one task."""
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -58,7 +58,7 @@
     async def _cut_hanging(self, worker_id: str) -> None:
         """End the attempts that hang at a worker, if no connection to it can be had from here."""
         worker, reach = self.node.follower.states.get(worker_id), self.node.reach
-        if worker is not None and worker_id not in reach.lost and (await reach.probe(worker)).sort != "none":
+        if worker is not None and worker_id not in reach.lost and (await reach.probe(worker)).outcome != "none":
             return
         for attempt in [a for a in self.attempts.values() if a.worker == worker_id and not a.via]:
             if self._hangs(attempt):
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -89,7 +89,7 @@
     async def probe(self, w: message.Worker) -> message.ProbeResponse:
         """Ask a worker for its load: it answers anything, takes the connection but is mute, or neither."""
         responses = await self.ask_witness(w)
-        if responses.sort == "none":
+        if responses.outcome == "none":
             self.miss(w.id)
         else:
             self.lost.pop(w.id, None)
@@ -151,7 +151,7 @@
 
     def take(self, worker: str, member: str, responses: message.ProbeResponse) -> None:
         """Take what a member's probe found."""
-        if responses is not None and responses.sort == "answer":
+        if responses is not None and responses.outcome == "answer":
             self.spoke.add(worker)
             if responses.load is not None:
                 self.reports[worker] = responses.load
@@ -192,7 +192,7 @@
             responses = await self.node.call_members(members, message.ProbeRequest(w), CHECK_US)
             for i, a in responses.items():
                 self.take(w.id, i, a)
-            answers = [a.sort for i, a in responses.items() if a is not None]
+            answers = [a.outcome for i, a in responses.items() if a is not None]
             witnessed = any(a is not None and i != self.node.me.id for i, a in responses.items()) or len(members) < 2
             mute = "mute" in answers
             if "answer" in answers or not witnessed or mute and (w.id not in self.spoke or self.silent(w.id) < MUTE_US):
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -146,7 +146,7 @@
             request.work,
             request.long,
         )
-        return SelectedWorker(worker, grant.via)
+        return SelectedWorker(worker, grant.relay)
 
     def _denial(self, request: routed_request.RoutedRequest, denial: message.SelectionDenied) -> errors.ServiceError:
         """Return the error for a denial after which the owner may be asked again; raises that of a final one."""
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -197,7 +197,7 @@
             for member in old.members:
                 self.seen.setdefault(member.id, SeenMember(now, member, NO_CORE))
             if self.listing is None:
-                self.listing = message.WorkerListing(old.workers, old.listed)
+                self.listing = message.WorkerListing(old.workers, old.listing_version)
         return True
 
     def _renew_graces(self, now: int) -> None:
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -252,19 +252,19 @@
         After a loss of everything the core takes some seconds to agree; what it acknowledged
         stands on its disks all the time. The first frame of a serving core takes its place.
         """
-        if self.items is not None and not (self.early and self.early < m.at):
+        if self.items is not None and not (self.early and self.early < m.position):
             return
         self.apply_items(0, m.items, True)
-        self.early = m.at
-        log.info("Going by what a core's disk holds, up to {}.", m.at)
+        self.early = m.position
+        log.info("Going by what a core's disk holds, up to {}.", m.position)
 
     def apply_membership(self, r: message.Membership | None) -> None:
         """Take a membership, unless a newer one is here."""
         if r is None or r.version <= self.membership.version:
             return
         self.membership = r
-        if r.listed > (0, 0, 0):
-            self.apply_listing(message.WorkerListing(r.workers, r.listed))
+        if r.listing_version > (0, 0, 0):
+            self.apply_listing(message.WorkerListing(r.workers, r.listing_version))
         self.node.on_update()
 
     def apply_listing(self, m: message.WorkerListing) -> None:
@@ -276,8 +276,8 @@
 
     def apply_listing_unchanged(self, m: message.ListingUnchanged) -> bool:
         """The platform's list is as it was when it was last told whole; False where that is not known here."""
-        if m.of != self.of:
-            return self.of > m.of
+        if m.unchanged_since != self.of:
+            return self.of > m.unchanged_since
         self.listed = max(self.listed, m.version)
         self.updated_at = self.runtime.now()
         return True
@@ -378,8 +378,8 @@
             return
         self.goes[m.id] = (self.runtime.now(), a)
         self.apply_membership(a.membership)
-        if a.at is not None:
-            self.session.hint = a.at
+        if a.core_address is not None:
+            self.session.hint = a.core_address
 
     def believe(self, workers: builtins.list[message.Worker]) -> builtins.list[message.Worker]:
         """The platform's answer, less what it must say more than once to be believed.
--- a/iriswheel/pools/claims.py
+++ b/iriswheel/pools/claims.py
@@ -93,4 +93,4 @@
     9
     """
     state = ClaimState.RAN if record.state == ClaimState.RAN else ClaimState.CLAIMED
-    return Claim(record.request_id, record.send, record.node, record.attempt_id, now + record.left_us, state)
+    return Claim(record.request_id, record.attempt, record.node, record.attempt_id, now + record.left_us, state)
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -137,22 +137,22 @@
             self.end()  # a newer term is about
             return False
         now = self.runtime.now()
-        base = [i for i in self.assignment.base if i in got and got[i].copy]
+        base = [i for i in self.assignment.base if i in got and got[i].has_replica]
         absent = [m.id for m in members if m.id not in got]
         if not base and [i for i in self.assignment.base if i in absent] and now - self.since < 3 * units.SECOND_US:
             return False
         if base:  # what an earlier pool owner had lost is lost to this one too
-            self.broken_until = max(now + got[i].broken_us for i in base)
+            self.broken_until = max(now + got[i].claims_missing_us for i in base)
         session_records, claim_records = {}, {}
         for i in sorted(got):
-            self.budget.add(now, got[i].firsts, got[i].repeats)
+            self.budget.add(now, got[i].first_attempts, got[i].retries)
             for s in got[i].sessions:
                 old = session_records.get(s.id)
                 if old is None or (s.version, s.left_us) > (old.version, old.left_us):
                     session_records[s.id] = s
             for c in got[i].claims:
                 old = claim_records.get(c.request_id)
-                if old is None or (c.send, c.state == "ran") > (old.send, old.state == "ran"):
+                if old is None or (c.attempt, c.state == "ran") > (old.attempt, old.state == "ran"):
                     claim_records[c.request_id] = c
             for s in [] if base else got[i].affinities:
                 session_records.setdefault(s.id, s)
@@ -165,7 +165,7 @@
         by_attempt = {}
         for c in claim_records.values():
             by_attempt[c.attempt_id] = self.claims[c.request_id] = claims.from_message(c, now)
-        for g in [g for a in got.values() for g in a.held]:
+        for g in [g for a in got.values() for g in a.grants]:
             self.hold(g, by_attempt.get(g.attempt_id))
             r = self.session_table.affinity(g.session)
             if r is not None and r.worker == g.worker:
@@ -205,7 +205,7 @@
         ds = [defer.ensureDeferred(self.node.peers.call(s.host, s.port, msg, GATHER_US)) for s in voters]
         out = {}
         got = [a for ok, a in await defer.DeferredList(ds, consumeErrors=True) if ok and a.ok]
-        known = 2 * len(got) <= len(voters) or any(a.copy for a in got)
+        known = 2 * len(got) <= len(voters) or any(a.has_replica for a in got)
         self.broken_until = self.runtime.now() + claims.RETENTION_US if known else 0
         for a in got:
             for s in a.sessions:
@@ -284,7 +284,7 @@
         now = self.runtime.now()
         for w in m.reachable_workers:
             self.watch.hear(w, m.node)
-        for attempt_id in m.voids:
+        for attempt_id in m.abandoned_attempts:
             if attempt_id not in self.voids:
                 self.release(attempt_id, errors.ExecutionOutcome.NOT_RUN)
                 self.voids[attempt_id] = now + VOID_US
@@ -414,7 +414,7 @@
             return r.worker if not r.pending and self.has_slot(r.worker, m.long, pool) else None
         if not ready:
             return self.deny("no_worker", f"No worker of pool {self.pool} is ready.")
-        ready = [w for w in ready if w not in m.shun] or ready
+        ready = [w for w in ready if w not in m.excluded_workers] or ready
         ready = [w for w in ready if not self.watch.suspect(w)] or ready
         if m.session and pool.cap:
             free = [w for w in ready if self.session_table.count(w) < pool.cap]
@@ -435,10 +435,10 @@
         same = (
             c is not None and c.attempt_id.rpartition("/")[0] == m.attempt_id.rpartition("/")[0]
         )  # this very try asks anew
-        if c is not None and not same and not (c.attempt_id.startswith(claims.REVOKED_PREFIX) and m.send != 1):
+        if c is not None and not same and not (c.attempt_id.startswith(claims.REVOKED_PREFIX) and m.attempt != 1):
             ran = errors.ExecutionOutcome.RAN if c.state == "ran" else errors.ExecutionOutcome.MAY_HAVE_RUN
             return self.deny("already_sent", "This exchange was sent before and may not be repeated.", ran)
-        if c is None and m.send != 1 and self.broken():
+        if c is None and m.attempt != 1 and self.broken():
             return self.deny(
                 "already_sent",
                 "Whether this exchange ran before is no longer known.",
@@ -470,7 +470,7 @@
         if not self.active():
             return message.RevokeResponse("later")
         c = self.claims.get(m.request_id)
-        mine = f"{claims.REVOKED_PREFIX}{m.by}"
+        mine = f"{claims.REVOKED_PREFIX}{m.requesting_pool}"
         if c is not None and not c.attempt_id.startswith(claims.REVOKED_PREFIX):
             return message.RevokeResponse(c.state.value)
         if c is None and self.broken():
@@ -485,13 +485,13 @@
     async def select_worker(self, m: message.SelectWorker) -> message.SelectionDenied | message.SelectionGranted:
         """Elect a worker for a request, open its session, claim it: one step."""
         self.counts["elects"] += 1
-        if not m.again:
+        if not m.is_retry:
             self.budget.first(self.runtime.now(), m.request_id or m.attempt_id.rpartition("/")[0])
         until = self.runtime.now() + m.wait_us
         self.waiting += 1
-        cleared = m.idempotent or not m.request_id or m.send == 1  # whether other pools need not be asked
+        cleared = m.idempotent or not m.request_id or m.attempt == 1  # whether other pools need not be asked
         try:
-            for name in m.shun:  # the asking node does not reach it: does anybody?
+            for name in m.excluded_workers:  # the asking node does not reach it: does anybody?
                 w = self.node.follower.states.get(name)
                 if w is not None and w.state == "ready" and name not in self.watch.dark:
                     await self.watch.check(w)
@@ -521,7 +521,7 @@
                             await self.runtime.sleep(50 * units.MILLISECOND_US)
                         if until > self.runtime.now():
                             continue
-                    if m.again and not self.budget.has_capacity(self.runtime.now()):
+                    if m.is_retry and not self.budget.has_capacity(self.runtime.now()):
                         return self.deny(
                             "retry_budget",
                             "Too many retries for now.",
@@ -575,15 +575,15 @@
             r.turns += 1
         if not m.idempotent and m.request_id:
             claim = self.claims[m.request_id] = claims.Claim(
-                m.request_id, m.send, m.node, m.attempt_id, now + claims.RETENTION_US
+                m.request_id, m.attempt, m.node, m.attempt_id, now + claims.RETENTION_US
             )
             self.counts["claims"] += 1
-        if m.again:
+        if m.is_retry:
             self.budget.spend(now)
         self.hold(
             message.WorkerGrant(self.pool, m.attempt_id, m.node, worker, m.session, m.work, m.long),
             claim,
-            now if m.again else None,
+            now if m.is_retry else None,
         )
         known = self.prefixes.setdefault(worker, {})
         for part in m.prefix:
--- a/iriswheel/pools/session_replicas.py
+++ b/iriswheel/pools/session_replicas.py
@@ -58,7 +58,7 @@
             return False
         if update.complete:
             self.sessions, self.claims, self.held = {}, {}, True
-            self.broken_until = now + update.broken_us
+            self.broken_until = now + update.claims_missing_us
         for session in update.sessions:
             stored = self.sessions.get(session.id)
             if stored is None or stored[0].version <= session.version:
@@ -128,7 +128,7 @@
 def _age_claim(record: message.Claim, age_us: int) -> message.Claim:
     return message.Claim(
         record.request_id,
-        record.send,
+        record.attempt,
         record.node,
         record.attempt_id,
         record.state,
--- a/iriswheel/replication/sender.py
+++ b/iriswheel/replication/sender.py
@@ -70,7 +70,7 @@
         place = await self._call(successor, message.PositionRequest(number, self.position.consensus.me.id))
         if not isinstance(place, message.PositionResponse) or not place.ok:
             return None
-        if not place.pieces:
+        if not place.accepts_chunks:
             return await self._deliver(successor, self._whole_catch_up(number, place))
         at = message.LogPosition(place.index, place.view)
         if self.log.continues(at):
--- /dev/null
+++ b/iriswheel/transport/messages/consensus.py
@@ -0,0 +1,85 @@
+"""Messages by which the voting cores agree on the view: heartbeats and the ballots of the consensus."""
+
+import iriswheel.transport.messages.base as message_base
+
+
+class Voter(message_base.Message, tag="Seat", frozen=True):
+    """A core that votes: its identity, address and zone."""
+
+    id: str
+    host: str
+    port: int
+    zone: str
+
+
+class ChainReplica(message_base.Message, tag="ChainLink", frozen=True):
+    """A replica of the chain: a voter in one of its incarnations."""
+
+    id: str
+    incarnation: str
+
+
+class View(message_base.Message, tag="View", frozen=True):
+    """The agreed view: its number, who votes, and the chain from head to tail."""
+
+    number: int
+    voters: list[Voter]
+    chain: list[ChainReplica]
+
+
+class Heartbeat(message_base.Message, tag="Pulse", frozen=True):
+    """The heartbeat between cores, and the answer to one."""
+
+    id: str
+    incarnation: str
+    zone: str
+    host: str
+    port: int
+    view: View | None  # the newest view that the sender knows
+    synced_view: int  # number of the newest view in which the sender's replica was in sync
+    disk_ok: bool
+    leaving: bool = False
+    sealed: bool = False  # whether a promise closed the view there, so that nothing is acknowledged in it
+
+
+class Prepare(message_base.Message, tag="Prepare", frozen=True):
+    """Ask a voter to promise that it takes part in no older ballot for view `number`."""
+
+    number: int
+    ballot: message_base.Ballot
+    sender: str
+
+
+class Promise(message_base.Message, tag="Promise", frozen=True):
+    """The answer to `Prepare`: what the voter has accepted, and how far its replica has come."""
+
+    ok: bool
+    ballot: message_base.Ballot
+    accepted: tuple[message_base.Ballot, View] | None
+    newer: View | None  # a newer view that the voter knows
+    id: str
+    incarnation: str
+    synced_view: int
+    disk_ok: bool
+    last_entry: tuple[int, int] = (0, 0)  # of its newest log entry: the view that made it, its index
+
+
+class Accept(message_base.Message, tag="Accept", frozen=True):
+    """Ask a voter to accept a view under a ballot."""
+
+    ballot: message_base.Ballot
+    view: View
+    sender: str
+
+
+class Accepted(message_base.Message, tag="Accepted", frozen=True):
+    """The answer to `Accept`."""
+
+    ok: bool
+    newer: View | None  # a newer view that the voter knows
+
+
+class Decided(message_base.Message, tag="Decided", frozen=True):
+    """A majority has accepted this view."""
+
+    view: View
--- /dev/null
+++ b/iriswheel/transport/messages/health.py
@@ -0,0 +1,35 @@
+"""Messages between nodes about workers that one of them does not reach: probes and relays."""
+
+import iriswheel.transport.messages.base as message_base
+import iriswheel.transport.messages.membership as membership_messages
+
+
+class ProbeRequest(message_base.Message, tag="Probe", frozen=True):
+    """A pool owner asks another node: does this worker answer you?"""
+
+    worker: membership_messages.Worker
+
+
+class ProbeResponse(message_base.Message, tag="Probed", frozen=True):
+    """The answer to `ProbeRequest`."""
+
+    outcome: str  # "answer", "mute" (takes the connection, says nothing) or "none"
+    load: tuple[int, int] | None  # requests running and queued, where the worker told them
+
+
+class WorkerUnreachable(message_base.Message, tag="Dark", frozen=True):
+    """Nobody reaches this worker: who waits for a first byte from it waits in vain."""
+
+    worker: str
+
+
+class RelayRequest(message_base.Message, tag="Pass", frozen=True):
+    """Ask a member to relay one request to a worker that this node does not reach."""
+
+    worker: str
+
+
+class RelayResponse(message_base.Message, tag="Passed", frozen=True):
+    """The answer to `RelayRequest`."""
+
+    token: str  # admits one request at the member's HTTP port; "" where it can't relay
--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -41,7 +41,7 @@
 
     kind: int
     seq: int
-    msg: message.Any
+    msg: message.AnyMessage
 
 
 encoder = msgspec.msgpack.Encoder()
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -279,7 +279,7 @@
             asked = core.runtime.spawn(core.session_replicas.collect(request), simulated_cluster.log)
             t.go(0.1)
             assert asked.result.ok
-            return asked.result.copy
+            return asked.result.has_replica
 
         assert [had_an_owner((9, k)) for k in (1, 1, 2, 3)] == [False, False, True, True]
 
