--- a/iriswheel/runtime/__init__.py
+++ b/iriswheel/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Clock, timers, tasks and options of a process; nothing here knows the product's own protocol."""
+"""Clock, timers, tasks and options of a process; nothing here knows the messages of the product."""
--- a/iriswheel/runtime/options.py
+++ b/iriswheel/runtime/options.py
@@ -1,4 +1,4 @@
-"""What a process learns of its place: an options file, flags over it, all checked at once."""
+"""The options of a process: an options file with flags over it, all checked at once."""
 
 import collections.abc
 import dataclasses
@@ -15,6 +15,20 @@
 
 
 WATCH_US = 2_000_000
+MAX_PORT = 65535
+LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
+PORT_OPTIONS = ("port", "http_port")
+POSITIVE_OPTIONS = (
+    "grace_us",
+    "lease_us",
+    "connections",
+    "copies",
+    "seats",
+    "call_rate",
+    "retry_window_us",
+    "list_us",
+)
+NON_NEGATIVE_OPTIONS = ("drain_us", "hold_us", "retry_ratio", "retry_slack", "notice_us")
 
 log = loguru.logger.bind(part="options")
 
@@ -39,9 +53,9 @@
     >>> address("127.0.0.1:7001")
     ('127.0.0.1', 7001)
     """
-    host, sep, port = text.rpartition(":")
+    host, separator, port = text.rpartition(":")
     ipaddress.ip_address(host)
-    if not sep or not port.isdigit() or not 0 < int(port) < 65536:
+    if not separator or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(text)
     return host, int(port)
 
@@ -50,33 +64,34 @@
 class Options:
     """The options of a process.
 
-    `front` is where HTTP is served where that isn't host:http_port, `ready` a further place
-    at which a node tells only whether it is ready. `grace_us` is the time from a signal to
-    the process's end. `copies` synced copies are kept of a change before it is answered, on
-    `voters` core machines once so many are there; only with `found` may a blank core make a
-    new fleet. With `serve_on` a node that lost the core goes on by what it has. The
-    platform takes `call_rate` calls a second from all nodes together.
-
-    >>> o = Options(role="node", name="n1", host="127.0.0.1", zone="north",
-    ...             seeds=["127.0.0.1:7001"], platform="127.0.0.1:9000")
-    >>> o.check() or o.seed_list()
+    The names of the fields are those of the options file. `front` is where HTTP is served where
+    that isn't host:http_port, `ready` a further address at which a node answers only whether it
+    is ready. `grace_us` is the time from a signal to the process's end. `copies` synced replicas
+    keep a change before it is answered, on `seats` voting cores once so many are there; only with
+    `found` may a blank core start a new fleet. With `serve_on` a node that lost the core goes on
+    by the configuration that it has. The platform takes `call_rate` calls a second from all nodes
+    together.
+
+    >>> options = Options(role="node", name="n1", host="127.0.0.1", zone="north",
+    ...                   seeds=["127.0.0.1:7001"], platform="127.0.0.1:9000")
+    >>> options.check() or options.seed_list()
     [('127.0.0.1', 7001)]
     """
 
-    role: str
+    role: str  # "core" or "node"
     name: str = ""
     host: str = ""
     port: int = 0
     http_port: int = 0
     zone: str = ""
-    seeds: list = dataclasses.field(default_factory=list)
+    seeds: list[str] = dataclasses.field(default_factory=list)
     platform: str = ""
     data: str = ""
     log_level: str = "INFO"
     front: str = ""
     ready: str = ""
     grace_us: int = 30_000_000
-    lease_us: int = 3_000_000  # of nodes, granted by core machines; the same on all of these
+    lease_us: int = 3_000_000  # of nodes, granted by cores; the same on all of these
     notice_us: int = 700_000  # after the platform first heard that a node is not ready, joining members still come
     connections: int = 2048
     copies: int = 2
@@ -105,7 +120,7 @@
         >>> Options("core", seeds=["127.0.0.1:1"]).seed_list()
         [('127.0.0.1', 1)]
         """
-        return [address(s) for s in self.seeds]
+        return [address(seed) for seed in self.seeds]
 
     def platform_address(self) -> tuple[str, int]:
         """The platform's address as a pair.
@@ -123,124 +138,146 @@
         ...
         iriswheel.runtime.options.OptionsError: name: missing; zone: missing; host: '' is no IP number; ...
         """
-        bad = []
-        for f in dataclasses.fields(self):
-            value, want = getattr(self, f.name), f.type
-            if want is float and type(value) is int:
+        mistakes = list(self._type_mistakes())
+        if mistakes:  # values of other types can't be checked further
+            raise OptionsError(mistakes)
+        mistakes += self._place_mistakes()
+        mistakes += self._address_mistakes()
+        mistakes += self._range_mistakes()
+        if mistakes:
+            raise OptionsError(mistakes)
+
+    def _type_mistakes(self) -> collections.abc.Iterator[str]:
+        """Make whole numbers floats where these are expected, and name the values of other types."""
+        for field in dataclasses.fields(self):
+            expected: typing.Any = typing.get_origin(field.type) or field.type
+            value = getattr(self, field.name)
+            if expected is float and type(value) is int:
                 value = float(value)
-                setattr(self, f.name, value)
-            if type(value) is not want:
-                bad.append(f"{f.name}: wants {want.__name__}, not {type(value).__name__}")
-            elif want is float and not math.isfinite(value):
-                bad.append(f"{f.name}: {value} is no finite number")
-        if bad:
-            raise OptionsError(bad)
-        need = ["name", "zone"] + (["data"] if self.role == "core" else [])
-        bad += [f"{n}: missing" for n in need if not getattr(self, n)]
+                setattr(self, field.name, value)
+            if type(value) is not expected:
+                yield f"{field.name}: wants {expected.__name__}, not {type(value).__name__}"
+            elif isinstance(value, float) and not math.isfinite(value):
+                yield f"{field.name}: {value} is no finite number"
+
+    def _place_mistakes(self) -> collections.abc.Iterator[str]:
+        required = ["name", "zone"] + (["data"] if self.role == "core" else [])
+        yield from (f"{name}: missing" for name in required if not getattr(self, name))
         try:
             ipaddress.ip_address(self.host)
         except ValueError:
-            bad.append(f"host: {self.host!r} is no IP number")
-        for n in ("port", "http_port"):
-            if not 0 <= getattr(self, n) < 65536:
-                bad.append(f"{n}: {getattr(self, n)} is no port")
+            yield f"host: {self.host!r} is no IP number"
+        for name in PORT_OPTIONS:
+            if not 0 <= getattr(self, name) <= MAX_PORT:
+                yield f"{name}: {getattr(self, name)} is no port"
         if self.role == "core" and self.port == 0:
-            bad.append("port: a core's port must be fixed, since the seeds name it")
+            yield "port: a core's port must be fixed, since the seeds name it"
+
+    def _address_mistakes(self) -> collections.abc.Iterator[str]:
         if not self.seeds:
-            bad.append("seeds: missing")
+            yield "seeds: missing"
         if len(set(map(str, self.seeds))) != len(self.seeds):
-            bad.append("seeds: one is named twice")
-        for s in self.seeds:
-            self._address("seeds", s, bad)
+            yield "seeds: one is named twice"
+        addresses = [("seeds", seed) for seed in self.seeds]
         if self.role == "node":
-            self._address("platform", self.platform, bad)
-        for n in ("front", "ready"):
-            if getattr(self, n):
-                self._address(n, getattr(self, n), bad)
-        for n in ("grace_us", "lease_us", "connections", "copies", "seats", "call_rate", "retry_window_us", "list_us"):
-            if getattr(self, n) <= 0:
-                bad.append(f"{n}: must be above 0")
-        for n in ("drain_us", "hold_us", "retry_ratio", "retry_slack", "notice_us"):
-            if getattr(self, n) < 0:
-                bad.append(f"{n}: must not be below 0")
+            addresses.append(("platform", self.platform))
+        addresses += [(name, getattr(self, name)) for name in ("front", "ready") if getattr(self, name)]
+        for name, text in addresses:
+            try:
+                address(text)
+            except (ValueError, AttributeError):  # AttributeError: an element of the seeds that is no string
+                yield f"{name}: {text!r} is no IP:port"
+
+    def _range_mistakes(self) -> collections.abc.Iterator[str]:
+        yield from (f"{name}: must be above 0" for name in POSITIVE_OPTIONS if getattr(self, name) <= 0)
+        yield from (f"{name}: must not be below 0" for name in NON_NEGATIVE_OPTIONS if getattr(self, name) < 0)
         if self.copies > self.seats:
-            bad.append("copies: is above seats")
-        if self.log_level not in ("DEBUG", "INFO", "WARNING", "ERROR"):
-            bad.append(f"log_level: {self.log_level!r} is none of DEBUG, INFO, WARNING, ERROR")
-        if bad:
-            raise OptionsError(bad)
-
-    @staticmethod
-    def _address(name: str, text: str, bad: list[str]) -> None:
-        try:
-            address(text)
-        except (ValueError, AttributeError):
-            bad.append(f"{name}: {text!r} is no IP:port")
+            yield "copies: is above seats"
+        if self.log_level not in LOG_LEVELS:
+            yield f"log_level: {self.log_level!r} is none of {', '.join(LOG_LEVELS)}"
 
 
-def read(role: str, path: str, flags: dict[str, typing.Any]) -> "Options":
-    """The options of a file with flags over them, checked."""
-    values = {}
-    if path:
-        try:
-            with open(path, "rb") as f:
-                values = tomllib.load(f)
-        except OSError as e:
-            raise OptionsError([f"options: {path}: {e.strerror}"]) from e
-        except (ValueError, RecursionError) as e:
-            raise OptionsError([f"options: {path}: {e}"]) from e
-    known = {f.name for f in dataclasses.fields(Options)} - {"role"}
-    unknown = [f"{k}: unknown option" for k in sorted(set(values) - known)]
-    values = {k: v for k, v in values.items() if k in known}
-    values.update({k: v for k, v in flags.items() if v is not None})
-    out = Options(role=role, **values)
+def _read_file(path: str) -> dict[str, typing.Any]:
+    try:
+        with open(path, "rb") as file:
+            return tomllib.load(file)
+    except OSError as error:
+        raise OptionsError([f"options: {path}: {error.strerror}"]) from error
+    except (ValueError, RecursionError) as error:
+        raise OptionsError([f"options: {path}: {error}"]) from error
+
+
+def read(role: str, path: str, flags: collections.abc.Mapping[str, typing.Any]) -> Options:
+    """The options of a file with flags over them, checked.
+
+    Args:
+        role: "core" or "node".
+        path: of the file (TOML); "" for none.
+        flags: values that go over those of the file; None stands for a flag that is not given.
+
+    Raises:
+        OptionsError: with all mistakes, those of unknown names first.
+    """
+    values = _read_file(path) if path else {}
+    known = {field.name for field in dataclasses.fields(Options)} - {"role"}
+    mistakes = [f"{name}: unknown option" for name in sorted(set(values) - known)]
+    values = {name: value for name, value in values.items() if name in known}
+    values.update({name: value for name, value in flags.items() if value is not None})
+    options = Options(role=role, **values)
     try:
-        out.check()
-    except OptionsError as e:
-        unknown += e.errors
-    if unknown:
-        raise OptionsError(unknown)
-    return out
+        options.check()
+    except OptionsError as error:
+        mistakes += error.errors
+    if mistakes:
+        raise OptionsError(mistakes)
+    return options
 
 
 class Watch:
-    """Reads a process's options again when their file has changed, or when told to."""
+    """Reads a process's options again when their file has changed, or when told to.
+
+    Args:
+        runtime: for the time between two looks at the file.
+        path: of the file.
+        reread: reads and checks the options; raises OptionsError.
+        renew: takes the new options over.
+    """
 
     def __init__(
         self,
         runtime: "scheduler.Runtime",
         path: str,
-        reread: collections.abc.Callable[..., object],
-        renew: collections.abc.Callable[..., object],
+        reread: collections.abc.Callable[[], Options],
+        renew: collections.abc.Callable[[Options], object],
     ) -> None:
         self.runtime = runtime
         self.path = path
         self.reread = reread
         self.renew = renew
-        self.seen = self.version()
+        self.last_version = self.version()
 
     def version(self) -> tuple[int, int, int] | None:
-        """What tells one state of the file from another."""
+        """What tells one state of the file from another; None where there is no file."""
         try:
-            s = os.stat(self.path)
-            return s.st_mtime_ns, s.st_size, s.st_ino
+            status = os.stat(self.path)
         except OSError:
             return None
+        return status.st_mtime_ns, status.st_size, status.st_ino
 
     def again(self) -> None:
-        """Read the options now; what can't be read leaves the old ones."""
-        self.seen = self.version()
+        """Read the options now; where they can't be read the old ones stay."""
+        self.last_version = self.version()
         try:
-            o = self.reread()
-        except OptionsError as e:
-            log.warning("The options can't be read again: {}", e)
+            options = self.reread()
+        except OptionsError as error:
+            log.warning("The options can't be read again: {}", error)
             return
-        self.renew(o)
+        self.renew(options)
 
     async def run(self) -> None:
-        """Look at the file now and then."""
+        """Look at the file every WATCH_US, for as long as the process runs."""
         while True:
             await self.runtime.sleep(WATCH_US)
-            now = self.version()
-            if now is not None and now != self.seen:
+            version = self.version()
+            if version is not None and version != self.last_version:
                 self.again()
--- a/iriswheel/runtime/queues.py
+++ b/iriswheel/runtime/queues.py
@@ -7,10 +7,10 @@
 
 
 class BoundedQueue(typing.Generic[Item]):
-    """A bounded holding between two stages; put says whether there was room.
+    """A first-in, first-out queue that refuses items once it is full.
 
-    >>> h = BoundedQueue(1)
-    >>> h.put("a"), h.put("b"), h.take(), len(h)
+    >>> queue = BoundedQueue(1)
+    >>> queue.put("a"), queue.put("b"), queue.take(), len(queue)
     (True, False, 'a', 0)
     """
 
@@ -23,7 +23,7 @@
         return len(self.items)
 
     def put(self, item: Item) -> bool:
-        """Add an item unless the holding is full.
+        """Add an item; returns False, and drops it, where the queue is full.
 
         >>> BoundedQueue(0).put("a")
         False
@@ -34,9 +34,9 @@
         return True
 
     def take(self) -> Item:
-        """Remove and return the item that came first.
+        """Remove and return the item that came first; raises IndexError where there is none.
 
-        >>> h = BoundedQueue(2); _ = h.put("one"), h.put("two"); h.take()
+        >>> queue = BoundedQueue(2); _ = queue.put("one"), queue.put("two"); queue.take()
         'one'
         """
         return self.items.popleft()
--- a/iriswheel/runtime/scheduler.py
+++ b/iriswheel/runtime/scheduler.py
@@ -1,7 +1,7 @@
-"""What a process gets from its machine: reactor, clock, randomness.
+"""Timers, tasks and deadlines of a process, over the reactor, the clock and the randomness that it is given.
 
-Everything else in the package asks a Machine for the time, for a tick and for
-chance, so that the simulator can hand in its own. Times are whole microseconds.
+Everything else in the package asks a `Runtime` for the time, for timers and for random numbers,
+so that the simulator can pass in its own. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 import loguru
 import twisted.internet.defer as defer
 
+import iriswheel.runtime.protocol as protocol
 import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.base as base
     import twisted.python.failure as failure
 
+Result = typing.TypeVar("Result")
+
 
 class DeadlineError(Exception):
     """An answer did not come within its time."""
@@ -28,8 +29,18 @@
     code = "late"
 
 
+class Timer(typing.Protocol):
+    """A call that the reactor will make, as of `twisted.internet.interfaces.IDelayedCall`."""
+
+    def cancel(self) -> None:
+        """Have the call not made; it must still be pending."""
+
+    def active(self) -> bool:
+        """Whether the call is still pending."""
+
+
 def boottime() -> int:
-    """The time since boot, sleep included; a jump of the wall clock leaves it alone.
+    """Microseconds since boot, sleep included; a jump of the wall clock does not change them.
 
     >>> boottime() <= boottime()
     True
@@ -40,148 +51,161 @@
 class Runtime:
     """Reactor, clock and randomness of one process.
 
+    Args:
+        reactor: Twisted's reactor, or what stands in for it in tests and simulations.
+        now: gives the time in microseconds; it never goes back.
+        seed: of the random numbers; None for one that differs at every start.
+
     >>> import twisted.internet.task as task
     >>> clock = task.Clock()
-    >>> m = Runtime(clock, now=lambda: int(clock.seconds() * units.SECOND_US), seed=1)
-    >>> rung = []
-    >>> _ = m.later(5 * units.MILLISECOND_US, rung.append, "tick")
+    >>> runtime = Runtime(clock, now=lambda: int(clock.seconds() * units.SECOND_US), seed=1)
+    >>> called = []
+    >>> _ = runtime.later(5 * units.MILLISECOND_US, called.append, "timer")
     >>> clock.advance(0.005)
-    >>> rung, m.now()
-    (['tick'], 5000)
+    >>> called, runtime.now()
+    (['timer'], 5000)
     """
 
     def __init__(
-        self, reactor: typing.Any, now: collections.abc.Callable[[], int] = boottime, seed: int | str | None = None
+        self,
+        # Any: Twisted describes reactors by zope interfaces, which stand-ins do not inherit from.
+        reactor: typing.Any,
+        now: collections.abc.Callable[[], int] = boottime,
+        seed: int | str | None = None,
     ) -> None:
         self.reactor = reactor
         self.now = now
         self.rng = random.Random(seed)
-        self.version = message.VERSION  # of the messages that this process speaks
+        self.protocol_version = protocol.PROTOCOL_VERSION  # that this process speaks; simulations set others
         self.incarnation = f"{self.rng.getrandbits(48):012x}"
 
-    def later(self, us: int, f: collections.abc.Callable[..., object], *args: typing.Any) -> base.DelayedCall:
-        """Ring f(*args) after us microseconds."""
-        return self.reactor.callLater(max(0, us) / units.SECOND_US, f, *args)
+    def later(self, delay_us: int, function: collections.abc.Callable[..., object], *arguments: typing.Any) -> Timer:
+        """Call function(*arguments) after delay_us microseconds, at once where that is negative."""
+        timer: Timer = self.reactor.callLater(max(0, delay_us) / units.SECOND_US, function, *arguments)
+        return timer
 
-    def sleep(self, us: int) -> defer.Deferred[typing.Any]:
-        """A Deferred that fires after us microseconds, and may be cancelled.
+    def sleep(self, duration_us: int) -> defer.Deferred[None]:
+        """A Deferred that fires after duration_us microseconds, and may be cancelled.
 
         >>> import twisted.internet.task as task
         >>> clock = task.Clock()
-        >>> d = Runtime(clock, now=lambda: 0).sleep(units.SECOND_US)
-        >>> clock.advance(1); d.called
+        >>> sleeping = Runtime(clock, now=lambda: 0).sleep(units.SECOND_US)
+        >>> clock.advance(1); sleeping.called
         True
         """
-        d = defer.Deferred(lambda _: tick.cancel())
-        tick = self.later(us, d.callback, None)
-        return d
+        sleeping: defer.Deferred[None] = defer.Deferred(lambda _: timer.cancel())
+        timer = self.later(duration_us, sleeping.callback, None)
+        return sleeping
 
-    def pause(self, signal: Signal, us: int) -> defer.Deferred[typing.Any]:
-        """A Deferred that fires at the signal's next wake, or after us microseconds.
+    def pause(self, signal: Signal, timeout_us: int) -> defer.Deferred[None]:
+        """A Deferred that fires at the signal's next wake, or after timeout_us microseconds.
 
         >>> import twisted.internet.task as task
         >>> clock = task.Clock()
-        >>> s = Signal(); d = Runtime(clock, now=lambda: 0).pause(s, units.SECOND_US)
-        >>> clock.advance(1); d.called, s.waiting
+        >>> signal = Signal(); paused = Runtime(clock, now=lambda: 0).pause(signal, units.SECOND_US)
+        >>> clock.advance(1); paused.called, signal.waiting
         (True, [])
         """
-        d = signal.wait()
-        tick = self.later(us, signal.drop, d)
+        paused = signal.wait()
+        timer = self.later(timeout_us, signal.drop, paused)
 
-        def done(response: None) -> None:
-            if tick.active():
-                tick.cancel()
-            return response
+        def stop_timer(result: Result) -> Result:
+            if timer.active():
+                timer.cancel()
+            return result
 
-        return d.addBoth(done)
+        return paused.addBoth(stop_timer)
 
-    def within(self, d: defer.Deferred[typing.Any], us: int) -> defer.Deferred[typing.Any]:
-        """Pass d on, but cancel it and raise Late when us microseconds have gone.
+    def within(self, deferred: defer.Deferred[Result], timeout_us: int) -> defer.Deferred[Result]:
+        """Pass a result on, but cancel what it comes from and fail with DeadlineError after timeout_us microseconds.
 
         >>> import twisted.internet.task as task
         >>> clock = task.Clock()
-        >>> d = Runtime(clock, now=lambda: 0).within(defer.Deferred(), units.SECOND_US)
+        >>> limited = Runtime(clock, now=lambda: 0).within(defer.Deferred(), units.SECOND_US)
         >>> clock.advance(1)
-        >>> d.addErrback(lambda f: f.type.code).result
+        >>> limited.addErrback(lambda error: error.type.code).result
         'late'
         """
-        out = defer.Deferred(lambda _: d.cancel())
-        tick = self.later(us, self._expire, out, d)
+        limited: defer.Deferred[Result] = defer.Deferred(lambda _: deferred.cancel())
+        timer = self.later(timeout_us, self._expire, limited, deferred)
 
-        def done(response: typing.Any) -> None:
-            if tick.active():
-                tick.cancel()
-            if not out.called:
-                out.callback(response)
+        def pass_on(result: Result | failure.Failure) -> None:
+            if timer.active():
+                timer.cancel()
+            if not limited.called:
+                limited.callback(result)
 
-        d.addBoth(done)
-        return out
+        deferred.addBoth(pass_on)
+        return limited
 
     @staticmethod
-    def _expire(out: defer.Deferred[typing.Any], d: defer.Deferred[typing.Any]) -> None:
-        if not out.called:
-            out.errback(DeadlineError())
-            d.cancel()
+    def _expire(limited: defer.Deferred[Result], deferred: defer.Deferred[Result]) -> None:
+        if not limited.called:
+            limited.errback(DeadlineError())
+            deferred.cancel()
 
     def spawn(
-        self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any], log: loguru.Logger | None = None
-    ) -> defer.Deferred[typing.Any]:
-        """Run a coroutine as a task of its own; an error in it is logged, not lost.
+        self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, Result], log: loguru.Logger | None = None
+    ) -> defer.Deferred[Result | None]:
+        """Run a coroutine as a task of its own; an error in it is logged, and the result is then None.
 
         >>> async def answer():
         ...     return 42
         >>> Runtime(None, now=lambda: 0).spawn(answer()).result
         42
         """
-        d = defer.ensureDeferred(coroutine)
-        d.addErrback(self._spilt, log or loguru.logger.bind(part="task"))
-        return d
+        task = defer.ensureDeferred(coroutine)
+        return task.addErrback(self._log_failure, log or loguru.logger.bind(part="task"))
 
     @staticmethod
-    def _spilt(error: failure.Failure, log: loguru.Logger) -> None:
-        if error.check(defer.CancelledError):
+    def _log_failure(error: failure.Failure, log: loguru.Logger) -> None:
+        if isinstance(error.value, defer.CancelledError):
             return
-        log.error("A task broke off: {}", error.getTraceback())
+        log.error("A task failed: {}", error.getTraceback())
 
 
 class Signal:
-    """A condition that tasks wait for: every change wakes all who wait.
+    """A condition that tasks wait for: every wake resumes all that wait.
 
-    >>> s = Signal()
-    >>> d = s.wait()
-    >>> s.wake(); d.called
+    >>> signal = Signal()
+    >>> waiting = signal.wait()
+    >>> signal.wake(); waiting.called
     True
     """
 
     def __init__(self) -> None:
-        self.waiting: list[defer.Deferred[typing.Any]] = []
+        self.waiting: list[defer.Deferred[None]] = []
 
-    def wait(self) -> defer.Deferred[typing.Any]:
+    def wait(self) -> defer.Deferred[None]:
         """A Deferred that fires at the next wake.
 
-        >>> Signal().wait().called
-        False
+        >>> signal = Signal(); signal.wait().cancel(); signal.waiting
+        []
         """
-        d = defer.Deferred(lambda d: self.waiting.remove(d) if d in self.waiting else None)
-        self.waiting.append(d)
-        return d
+        deferred: defer.Deferred[None] = defer.Deferred(self._forget)
+        self.waiting.append(deferred)
+        return deferred
+
+    def _forget(self, deferred: defer.Deferred[None]) -> None:
+        if deferred in self.waiting:
+            self.waiting.remove(deferred)
 
-    def drop(self, d: defer.Deferred[typing.Any]) -> None:
-        """Wake just one who waits.
+    def drop(self, deferred: defer.Deferred[None]) -> None:
+        """Resume just one that waits.
 
-        >>> s = Signal(); d = s.wait(); s.drop(d); d.called, s.waiting
+        >>> signal = Signal(); waiting = signal.wait(); signal.drop(waiting); waiting.called, signal.waiting
         (True, [])
         """
-        if d in self.waiting:
-            self.waiting.remove(d)
-            d.callback(None)
+        if deferred in self.waiting:
+            self.waiting.remove(deferred)
+            deferred.callback(None)
 
     def wake(self) -> None:
-        """Wake all who wait now.
+        """Resume all that wait now; those that begin to wait meanwhile wait for the next wake.
 
         >>> Signal().wake()
         """
         woken, self.waiting = self.waiting, []
-        for d in woken:
-            if not d.called:
-                d.callback(None)
+        for deferred in woken:
+            if not deferred.called:
+                deferred.callback(None)
--- a/iriswheel/transport/message.py
+++ b/iriswheel/transport/message.py
@@ -2,7 +2,6 @@
 
 import typing
 
-from iriswheel.transport.messages.base import VERSION as VERSION
 from iriswheel.transport.messages.base import Ballot as Ballot
 from iriswheel.transport.messages.base import ItemChanges as ItemChanges
 from iriswheel.transport.messages.base import Items as Items
--- a/iriswheel/transport/messages/base.py
+++ b/iriswheel/transport/messages/base.py
@@ -1,11 +1,9 @@
-"""The base of all messages, the version of the protocol, and the types that several messages share."""
+"""The base of all messages, and the types that several messages share."""
 
 import typing
 
 import msgspec
 
-VERSION = 3  # of the protocol; a process talks to those of its own version and of the two beside it
-
 # What several messages carry as plain tuples. Tuples compare in order, the newest last.
 Ballot: typing.TypeAlias = tuple[int, str]  # round, id of the proposing core
 Term: typing.TypeAlias = tuple[int, int]  # view of the tail that issued it, count within that view
--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -93,7 +93,7 @@
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.heartbeat_timer = self.runtime.later(PING_US, self._ping)
-        self._send(TELL, 0, message.VersionHandshake(self.runtime.version))
+        self._send(TELL, 0, message.VersionHandshake(self.runtime.protocol_version))
 
     def pauseProducing(self) -> None:
         self.full = True
@@ -141,7 +141,7 @@
         try:
             parcel = decoder.decode(raw)
         except msgspec.MsgspecError as e:
-            if self.version > self.runtime.version:
+            if self.version > self.runtime.protocol_version:
                 return  # a newer peer may say what is not known here; a call of it ends by its own time
             self.log.warning("A message can't be read: {}", e)
             self.transport.abortConnection()
@@ -151,11 +151,11 @@
                 pass
             case Envelope(kind=0, msg=message.VersionHandshake(version=version)):
                 self.version = version
-                if abs(version - self.runtime.version) > 1:
+                if abs(version - self.runtime.protocol_version) > 1:
                     self.log.error(
                         "A peer speaks version {} of our messages, this process {}: refused.",
                         version,
-                        self.runtime.version,
+                        self.runtime.protocol_version,
                     )
                     self.refused = True
                     self.transport.abortConnection()
--- a/simulation/fault_scenarios.py
+++ b/simulation/fault_scenarios.py
@@ -181,7 +181,7 @@
 def upgrade(t: simulated_cluster.SimulatedCluster) -> None:
     """Half of the fleet is brought to the next version of our messages, all of it, and half back again."""
     changes(t, 16, 3)
-    next_one = t.nodes["n1"].runtime.version + 1
+    next_one = t.nodes["n1"].runtime.protocol_version + 1
     names = [*sorted(t.nodes), *sorted(t.cores)]
     half = names[::2]
     for name, version in [(n, next_one) for n in half] + [(n, next_one - 1) for n in half[::2]]:
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -190,7 +190,7 @@
             **{**self.more, **more},
         )
         runtime = process.runtime()
-        runtime.version = self.versions.get(name, runtime.version)
+        runtime.protocol_version = self.versions.get(name, runtime.protocol_version)
         return process, runtime, o
 
     def start_core(self, name: str, host: str, zone: str) -> None:
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -320,7 +320,7 @@
 
     def test_versions_that_are_two_steps_apart_do_not_talk(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
-        ours = t.nodes["n1"].runtime.version
+        ours = t.nodes["n1"].runtime.protocol_version
         for name, version in (("n8", ours + 1), ("n9", ours + 2)):
             t.versions[name] = version
             t.start_node(name, f"10.0.2.{name[1]}", "a")
