--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -169,7 +169,7 @@
         formats=process.outer,
         limits=lambda: process.follower.limits,
     )
-    runtime.spawn(server.look(), log)
+    runtime.spawn(server.close_late_heads(), log)
     front = bind(
         reactor,
         o,
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -405,8 +405,7 @@
         >>> EdgeProtocol().refusal(errors.ServiceError("busy", "Full."))[:2]
         (503, [('Retry-After', '1')])
         """
-        headers = [] if error.retry_after is None else [("Retry-After", str(error.retry_after))]
-        return error.status, headers, error.body()
+        return error.status, error.headers(), error.body()
 
     def list_path(self, token: str) -> str:
         """Where the platform's worker list is asked for, or its page of this token.
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -1,9 +1,9 @@
-"""HTTP as iriswheel's processes serve it: twisted.web, bounded, one task per request."""
+"""The HTTP server of iriswheel's processes: Twisted's, with bounds, and one task per request."""
 
 from __future__ import annotations
 
 import collections.abc
-import http as status
+import http as http_status
 import io
 import json
 import typing
@@ -11,10 +11,10 @@
 import loguru
 import msgspec
 import twisted.internet.defer as defer
+import twisted.internet.protocol as twisted_protocol
 import twisted.web.http as http
 
 import iriswheel.configuration.configuration as configuration
-import iriswheel.dataplane.edge_protocol as edge_protocol
 import iriswheel.errors as errors
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
@@ -24,16 +24,35 @@
     import twisted.python.failure as failure
 
 
-LAG_US = 2 * units.SECOND_US  # beyond what a client may take: its clock is not ours
-JSON_DEPTH = 100  # of lists and objects in each other: what reads them later has less of the stack left
+CLOCK_ALLOWANCE_US = 2 * units.SECOND_US  # beyond what a client may take: its clock is not ours
+MAX_JSON_DEPTH = 100  # of lists and objects in each other: what reads them later has less of the stack left
+CONNECTION_LIMIT = 2048
 
 log = loguru.logger.bind(part="web")
 
+Answering: typing.TypeAlias = "collections.abc.Coroutine[typing.Any, typing.Any, object]"
+Handler: typing.TypeAlias = "collections.abc.Callable[[Request], Answering]"
 
-def parse_json(raw: bytes) -> dict[str, typing.Any]:
+
+class ErrorFormat(typing.Protocol):
+    """How errors are answered."""
+
+    def refusal(self, error: errors.ServiceError, /) -> tuple[int, list[tuple[str, str]], bytes]:
+        """The answer to an error: HTTP status, headers, body."""
+
+
+class JsonErrorFormat:
+    """Errors as they are answered where the server is given no other format."""
+
+    def refusal(self, error: errors.ServiceError, /) -> tuple[int, list[tuple[str, str]], bytes]:
+        """The answer to an error: HTTP status, headers, body."""
+        return error.status, error.headers(), error.body()
+
+
+def parse_json(raw: bytes) -> typing.Any:
     """JSON as it can be kept and passed on; raises ValueError for all other bytes.
 
-    Refused are also numbers beyond 64 bits, infinite or no numbers, lone surrogates, and more than JSON_DEPTH
+    Refused are also numbers beyond 64 bits, infinite or no numbers, lone surrogates, and more than MAX_JSON_DEPTH
     containers in each other.
 
     >>> parse_json(b'{"a": [1.5]}')
@@ -46,35 +65,53 @@
     try:
         document = msgspec.json.decode(raw)
         msgspec.msgpack.encode(document)
-    except (msgspec.MsgspecError, RecursionError, OverflowError) as e:
-        raise ValueError(str(e)) from e
+    except (msgspec.MsgspecError, RecursionError, OverflowError) as error:
+        raise ValueError(str(error)) from error
     level = [document]
-    for _ in range(JSON_DEPTH + 1):
-        level = [value for value in level if isinstance(value, dict | list)]
-        if not level:
+    for _ in range(MAX_JSON_DEPTH + 1):
+        containers = [value for value in level if isinstance(value, dict | list)]
+        if not containers:
             return document
         level = [
-            value for outer_val in level for value in (outer_val.values() if type(outer_val) is dict else outer_val)
+            value
+            for container in containers
+            for value in (container.values() if isinstance(container, dict) else container)
         ]
-    raise ValueError(f"nested more than {JSON_DEPTH} deep")
+    raise ValueError(f"nested more than {MAX_JSON_DEPTH} deep")
+
+
+def final_answer(error: errors.ServiceError) -> bytes:
+    """An answer as bytes for the connection, which ends after it."""
+    body = error.body()
+    head = (
+        f"HTTP/1.1 {error.status} {http_status.HTTPStatus(error.status).phrase}\r\n"
+        "Content-Type: application/json\r\n"
+        f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
+    )
+    return head.encode() + body
 
 
 class Request(http.Request):
     """One request, on the side that answers."""
 
-    refused = None
-    gone = False
-    taken = 0
+    channel: Channel
+    content: io.BytesIO
+    refused: errors.ServiceError | None = None  # what it was answered with before its body came in
+    gone = False  # whether the client went away
+    received_bytes = 0  # of the body
+    lost: scheduler.Signal  # woken when the client goes away
 
     def gotLength(self, length: int | None) -> None:
+        """Refuse a body that is announced as too large; None stands for a chunked one."""
         super().gotLength(length)
         self.content = io.BytesIO()  # bounded by body_bytes; never a file
         if length is not None and length > self.channel.factory.limits().body_bytes:
             self.refuse_early("too_large", "The body is too large.")
 
     def handleContentChunk(self, data: bytes) -> None:
-        self.taken += len(data)
-        if self.taken > self.channel.factory.limits().body_bytes:
+        """Take a part of the body, and refuse the request once that becomes too large."""
+        self.received_bytes += len(data)
+        if self.received_bytes > self.channel.factory.limits().body_bytes:
             if self.refused is None:
                 self.refuse_early("too_large", "The body is too large.")
             return
@@ -83,16 +120,11 @@
     def refuse_early(self, code: str, text: str) -> None:
         """Answer before the body came in, and close."""
         self.refused = errors.ServiceError(code, text)
-        body = self.refused.body()
-        head = (
-            f"HTTP/1.1 {self.refused.status} {status.HTTPStatus(self.refused.status).phrase}\r\n"
-            "Content-Type: application/json\r\n"
-            f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
-        )
-        self.channel.transport.write(head.encode() + body)
+        self.channel.transport.write(final_answer(self.refused))
         self.channel.loseConnection()
 
     def process(self) -> None:
+        """Have the server's handler answer a request that has come in whole."""
         if self.refused is not None:
             return
         self.lost = scheduler.Signal()
@@ -103,42 +135,42 @@
         self.gone = True
         self.lost.wake()
 
-    async def _serve(self, handle: collections.abc.Callable[..., object]) -> None:
+    async def _serve(self, handle: Handler) -> None:
         try:
             await handle(self)
-        except errors.ServiceError as d:
-            self.answer_error(d)
+        except errors.ServiceError as error:
+            self.answer_error(error)
         except defer.CancelledError:
             raise
-        except Exception:
-            log.exception("a request broke off.")
+        except Exception:  # whatever a handler raises, the client is answered
+            log.exception("A request handler failed.")
             self.answer_error(
                 errors.ServiceError("worker_broke", "A defect of ours.", errors.ExecutionOutcome.MAY_HAVE_RUN)
             )
 
-    def answer_error(self, d: errors.ServiceError) -> None:
+    def answer_error(self, error: errors.ServiceError) -> None:
         """Give the final answer that an error asks for; an answer that has begun is broken off."""
         if self.gone:
             return
         if self.startedWriting:
             self.break_off()
             return
-        status, headers, body = self.channel.factory.outer.refusal(d)
+        status, headers, body = self.channel.factory.error_format.refusal(error)
         self.answer(status, body, dict(headers))
 
-    def answer_json(self, code: int, value: dict[str, typing.Any]) -> None:
+    def answer_json(self, status: int, document: object) -> None:
         """Give a JSON answer."""
-        self.answer(code, json.dumps(value).encode() + b"\n")
+        self.answer(status, json.dumps(document).encode() + b"\n")
 
-    def answer(self, code: int, body: bytes, headers: dict[str, str] | None = None) -> None:
+    def answer(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
         """Give a whole answer at once; a client that has gone away gets none."""
         if self.gone or self.finished or self.startedWriting:
             return
-        self.setResponseCode(code, status.HTTPStatus(code).phrase.encode())
+        self.setResponseCode(status, http_status.HTTPStatus(status).phrase.encode())
         self.setHeader("Content-Type", "application/json")
         self.setHeader("Content-Length", str(len(body)))
-        for k, v in (headers or {}).items():
-            self.setHeader(k, v)
+        for name, value in (headers or {}).items():
+            self.setHeader(name, value)
         self.write(body)
         self.finish()
 
@@ -147,8 +179,8 @@
         if not self.gone and not self.finished:
             self.channel.transport.abortConnection()
 
-    def json(self) -> dict[str, typing.Any]:
-        """The body as JSON; raises Defect where it is none."""
+    def json(self) -> typing.Any:
+        """The body as JSON; raises ServiceError where it is none."""
         try:
             return parse_json(self.content.read())
         except ValueError:
@@ -158,35 +190,45 @@
 class Channel(http.HTTPChannel):
     """One HTTP connection, counted by its server."""
 
+    factory: Server
+    transport: typing.Any  # Any: Twisted describes transports by zope interfaces, which mypy can't check
     requestFactory = Request
+    head_since: int | None  # when the head that is coming began to, in µs
+    idle_since: int  # when something last came or was answered, in µs
 
     def connectionMade(self) -> None:
-        self.factory.open += 1
+        """Count the connection and set its bounds by the limits that hold now."""
+        self.factory.open_count += 1
         self.factory.channels[self] = None
         limits = self.factory.limits()
         self.totalHeadersSize = limits.head_bytes
-        self.timeOut = (limits.idle_us + LAG_US) / units.SECOND_US
-        self.head_since = None  # when the head that is coming began to
-        self.idle_since = self.factory.runtime.now()  # when something last came or was answered
+        # ignored: declared as int, but used as the seconds of a delayed call
+        self.timeOut = (limits.idle_us + CLOCK_ALLOWANCE_US) / units.SECOND_US  # type: ignore[assignment]
+        self.head_since = None
+        self.idle_since = self.factory.runtime.now()
         super().connectionMade()
 
     def dataReceived(self, data: bytes) -> None:
+        """Note since when a head is coming."""
         if self.head_since is None and not self.requests:
             self.head_since = self.factory.runtime.now()
         self.idle_since = self.factory.runtime.now()
         super().dataReceived(data)
 
     def allHeadersReceived(self) -> None:
+        """Note that the head is complete."""
         self.head_since = None
         super().allHeadersReceived()
 
-    def requestDone(self, request: Request) -> None:
+    def requestDone(self, request: http.Request) -> None:
+        """Note that the connection is idle from now on."""
         self.idle_since = self.factory.runtime.now()
         super().requestDone(request)
 
     def timeoutConnection(self) -> None:
-        # the timer was set by the limits of its time, and longer idle times may be allowed since
-        left_us = self.idle_since + self.factory.limits().idle_us + LAG_US - self.factory.runtime.now()
+        """End an idle connection, unless longer idle times are allowed since its timer was set."""
+        idle_end = self.idle_since + self.factory.limits().idle_us + CLOCK_ALLOWANCE_US
+        left_us = idle_end - self.factory.runtime.now()
         if left_us > 0:
             self.setTimeout(left_us / units.SECOND_US)
         else:
@@ -196,76 +238,83 @@
         if self.requests[-1].refused is None:  # after a final answer nothing may follow
             super()._send100Continue()
 
-    def late(self, now: int) -> bool:
+    def is_head_late(self, now: int) -> bool:
         """Whether a head has been coming for longer than it may."""
-        return self.head_since is not None and now - self.head_since > self.factory.limits().head_us + LAG_US
+        limit_us = self.factory.limits().head_us + CLOCK_ALLOWANCE_US
+        return self.head_since is not None and now - self.head_since > limit_us
 
-    def connectionLost(self, reason: failure.Failure | None) -> None:
-        self.factory.open -= 1
+    def connectionLost(self, reason: failure.Failure = twisted_protocol.connectionDone) -> None:
+        """Count the connection as ended."""
+        self.factory.open_count -= 1
         self.factory.channels.pop(self, None)
         self.factory.ended.wake()
         super().connectionLost(reason)
 
     def _respondToBadRequestAndDisconnect(self) -> None:
-        # twisted's answer has no body; ours names the verdict
-        body = errors.ServiceError("bad_request", "The head of the exchange is malformed.", field="head").body()
-        head = (
-            f"HTTP/1.1 400 Bad Request\r\nContent-Type: application/json\r\n"
-            f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
-        )
-        self.transport.write(head.encode() + body)
+        # Twisted's answer has no body; this one tells the code
+        error = errors.ServiceError("bad_request", "The head of the exchange is malformed.", field="head")
+        self.transport.write(final_answer(error))
         self.loseConnection()
 
 
 class Server(http.HTTPFactory):
-    """Takes HTTP connections, up to a bound."""
+    """Takes HTTP connections, up to a bound.
+
+    Args:
+        runtime: clock and reactor of this process.
+        handle: answers one request.
+        connection_limit: how many connections may be open at a time.
+        formats: how errors are answered; JsonErrorFormat by default.
+        limits: gives the limits that hold now.
+    """
 
     noisy = False
-    protocol = Channel
+    protocol = Channel  # type: ignore[assignment]  # as in Twisted: declared there as a factory of wrapped channels
 
     def __init__(
         self,
         runtime: scheduler.Runtime,
-        handle: collections.abc.Callable[..., object],
-        connection_limit: int = 2048,
-        formats: edge_protocol.EdgeProtocol | None = None,
-        limits: collections.abc.Callable[..., object] | type[configuration.Limits] = configuration.Limits,
+        handle: Handler,
+        connection_limit: int = CONNECTION_LIMIT,
+        formats: ErrorFormat | None = None,
+        limits: collections.abc.Callable[[], configuration.Limits] = configuration.Limits,
     ) -> None:
         super().__init__(timeout=limits().idle_us / units.SECOND_US, reactor=runtime.reactor)
         self.runtime = runtime
         self.handle = handle
-        self.outer = formats or edge_protocol.EdgeProtocol()
-        self.limits = limits  # gives the configuration.Limits that hold now
+        self.error_format = formats or JsonErrorFormat()
+        self.limits = limits
         self.connection_limit = connection_limit
-        self.open = 0
+        self.open_count = 0
         self.channels: dict[Channel, None] = {}  # those that are open, in the order in which they came
-        self.ended = scheduler.Signal()
+        self.ended = scheduler.Signal()  # woken when a connection has ended
 
     def startFactory(self) -> None:
-        """No access log: the load generator and the counters tell more."""
+        """Open no access log: the counters tell more."""
 
     def stopFactory(self) -> None:
-        pass
+        """Close no access log."""
 
-    def log(self, request: Request) -> None:
-        pass
+    def log(self, request: http.Request) -> None:
+        """Write no access log."""
 
-    def buildProtocol(self, address: interfaces.IAddress | None) -> Channel | None:
-        return super().buildProtocol(address) if self.open < self.connection_limit else None
+    def buildProtocol(self, addr: interfaces.IAddress | None) -> typing.Any:
+        """A channel for a connection; None, which closes it, where too many are open."""
+        return super().buildProtocol(addr) if self.open_count < self.connection_limit else None
 
-    async def look(self) -> None:
-        """Close connections whose head takes too long; one task."""
+    async def close_late_heads(self) -> None:
+        """Close connections whose head takes too long, for as long as the process runs."""
         while True:
             await self.runtime.sleep(units.SECOND_US)
             now = self.runtime.now()
-            for channel in [c for c in self.channels if c.late(now)]:
+            for channel in [channel for channel in self.channels if channel.is_head_late(now)]:
                 channel.loseConnection()
 
-    async def finish(self, us: int) -> None:
+    async def finish(self, timeout_us: int) -> None:
         """Close all connections, each once what was written to it has gone out; at most so long."""
         self.connection_limit = 0
-        until = self.runtime.now() + us
+        deadline = self.runtime.now() + timeout_us
         for channel in list(self.channels):
             channel.loseConnection()
-        while self.open and self.runtime.now() < until:
-            await self.runtime.pause(self.ended, until - self.runtime.now())
+        while self.open_count and self.runtime.now() < deadline:
+            await self.runtime.pause(self.ended, deadline - self.runtime.now())
