--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -1,7 +1,8 @@
-"""The command line: one program, and the role is a subcommand."""
+"""The command line: one program, with a subcommand for each role and each tool."""
 
 from __future__ import annotations
 
+import collections.abc
 import contextlib
 import json
 import signal
@@ -11,7 +12,7 @@
 import defopt
 import loguru
 import twisted.internet.defer as defer
-import twisted.internet.error as error
+import twisted.internet.error as connection_error
 import twisted.web.http_headers as http_headers
 
 import iriswheel.cli.load_generator as load_generator
@@ -24,17 +25,30 @@
 import iriswheel.verification.history as operators_history
 import iriswheel.verification.replay as judge
 
-REFUSED, UNKNOWN = 4, 5
+if typing.TYPE_CHECKING:
+    import twisted.internet.epollreactor as epollreactor
+
+REFUSED, UNKNOWN = 4, 5  # exit codes: the request did not run, or may have run
+INTERRUPTED = 130
+
+Document: typing.TypeAlias = dict[str, typing.Any]  # a JSON object
 
 log = loguru.logger.bind(part="main")
 
 
-def settle(role: str, path: str, flags: dict[str, typing.Any]) -> options_reader.Options:
+class Answer(typing.NamedTuple):
+    """The answer of a core to an operator."""
+
+    status: int  # of HTTP
+    document: Document
+
+
+def settle(role: str, path: str, flags: collections.abc.Mapping[str, typing.Any]) -> options_reader.Options:
     """The checked options, or an exit with every mistake."""
     try:
         return options_reader.read(role, path, flags)
-    except options_reader.OptionsError as e:
-        service.fail(service.BAD_INPUT, e.errors)
+    except options_reader.OptionsError as error:
+        service.fail(service.BAD_INPUT, error.errors)
 
 
 def core(
@@ -49,15 +63,15 @@
     data: str | None = None,
     log_level: str | None = None,
 ) -> None:
-    """Run a core machine: a link of the chain, with a data folder.
+    """Run a core, which keeps the configuration, with a data folder.
 
     :param options: options file (TOML); flags go over it
     :param name: this machine's name
     :param host: IP number to listen on and to be reached at
     :param port: port for iriswheel's own processes
     :param http_port: port for operators
-    :param zone: zone or zone of this machine
-    :param seeds: IP:port of the three core machines; the first founds the fleet
+    :param zone: zone of this machine
+    :param seeds: IP:port of the three core machines; the first starts a new fleet
     :param data: data folder
     :param log_level: DEBUG, INFO, WARNING or ERROR
     """
@@ -79,14 +93,14 @@
     platform: str | None = None,
     log_level: str | None = None,
 ) -> None:
-    """Run a light node: the clients' door.
+    """Run a node, which takes the requests of clients.
 
     :param options: options file (TOML); flags go over it
-    :param name: this node's name; a node's new life drives out the one before
+    :param name: this node's name; a newer process of that name replaces the one before
     :param host: IP number to listen on and to be reached at
     :param port: port for iriswheel's own processes; 0 lets the system pick
     :param http_port: port for clients; 0 lets the system pick
-    :param zone: zone or zone of this node
+    :param zone: zone of this node
     :param seeds: IP:port of core machines
     :param platform: IP:port at which the platform lists the workers
     :param log_level: DEBUG, INFO, WARNING or ERROR
@@ -105,9 +119,20 @@
 
 
 async def send_request(
-    runtime: scheduler.Runtime, cores: list[str], method: str, path: str, document: dict[str, typing.Any] | None = None
-) -> tuple[int, dict[str, typing.Any]]:
-    """Ask the first core that answers; a core that can't be reached is passed over."""
+    runtime: scheduler.Runtime, cores: list[str], method: str, path: str, document: object = None
+) -> Answer:
+    """Ask the first core that answers; a core that can't be reached is passed over.
+
+    Args:
+        runtime: for the connections.
+        cores: IP:port of the cores' HTTP ports, tried in turn.
+        method: of HTTP.
+        path: of the request.
+        document: the body, as JSON values; None for no body.
+
+    Raises:
+        ValueError: where the answer broke off or is no JSON.
+    """
     agent = dispatch.Dispatcher(runtime).fresh
     for text in cores:
         host, port = options_reader.address(text)
@@ -115,52 +140,53 @@
         headers = http_headers.Headers({"Content-Type": ["application/json"]})
         try:
             response = await agent.request(method.encode(), f"http://{host}:{port}{path}".encode(), headers, body)
-        except (error.ConnectError, error.TimeoutError):
+        except (connection_error.ConnectError, connection_error.TimeoutError):
             continue
-        got = defer.Deferred()
-        response.deliverBody(dispatch.Collect(got.callback))
-        raw = await got
+        collected: defer.Deferred[bytes | None] = defer.Deferred()
+        response.deliverBody(dispatch.Collect(collected.callback))
+        raw = await collected
         if raw is None:
             raise ValueError("the answer broke off")
-        return response.code, json.loads(raw)
-    return 503, {"code": "no_chain", "verdict": "not_run", "text": "No core machine can be reached."}
+        return Answer(response.code, json.loads(raw))
+    return Answer(503, {"code": "no_chain", "verdict": "not_run", "text": "No core machine can be reached."})
 
 
-def operate(cores: list[str], method: str, path: str, document: dict[str, typing.Any] | None = None) -> None:
-    """Ask, print the answer as JSON, and exit by its verdict."""
+def operate(cores: list[str], method: str, path: str, document: object = None) -> None:
+    """Ask, print the answer as JSON, and exit by whether the request ran."""
     service.set_logs("ERROR")
-    for c in cores:
+    for core_address in cores:
         try:
-            options_reader.address(c)
+            options_reader.address(core_address)
         except ValueError:
-            service.fail(service.BAD_INPUT, [f"--core: {c!r} is no IP:port"])
+            service.fail(service.BAD_INPUT, [f"--core: {core_address!r} is no IP:port"])
     reactor = service.the_reactor()
-    out = []
+    answers: list[Answer] = []
 
-    async def go() -> None:
+    async def ask() -> None:
         try:
-            out.append(await send_request(scheduler.Runtime(reactor), cores, method, path, document))
-        except Exception as e:
-            out.append((504, {"code": "unknown_outcome", "verdict": "may_have_run", "text": f"No answer: {e}"}))
+            answers.append(await send_request(scheduler.Runtime(reactor), cores, method, path, document))
+        except Exception as error:  # whatever went wrong after sending, the request may have run
+            text = f"No answer: {error}"
+            answers.append(Answer(504, {"code": "unknown_outcome", "verdict": "may_have_run", "text": text}))
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: defer.ensureDeferred(go()))
+    reactor.callWhenRunning(lambda: defer.ensureDeferred(ask()))
     reactor.run()
-    status, response = out[0]
-    print(json.dumps(response, indent=2))
-    if status != 200:
-        sys.exit(UNKNOWN if response.get("verdict") == "may_have_run" else REFUSED)
+    answer = answers[0]
+    print(json.dumps(answer.document, indent=2))
+    if answer.status != 200:
+        sys.exit(UNKNOWN if answer.document.get("verdict") == "may_have_run" else REFUSED)
 
 
-def read_json(path: str) -> dict[str, dict[str, dict[str, typing.Any]]]:
+def read_json(path: str) -> typing.Any:
     """A JSON file, or an exit that says why not."""
     try:
-        with open(path) as f:
-            return json.load(f)
-    except OSError as e:
-        service.fail(service.BAD_INPUT, [f"{path}: {e.strerror}"])
-    except ValueError as e:
-        service.fail(service.BAD_INPUT, [f"{path}: not JSON: {e}"])
+        with open(path) as file:
+            return json.load(file)
+    except OSError as error:
+        service.fail(service.BAD_INPUT, [f"{path}: {error.strerror}"])
+    except ValueError as error:
+        service.fail(service.BAD_INPUT, [f"{path}: not JSON: {error}"])
 
 
 def check(blueprint_file: str) -> None:
@@ -170,8 +196,8 @@
     """
     try:
         items = configuration.flatten(read_json(blueprint_file))
-    except configuration.InvalidConfigurationError as e:
-        service.fail(service.BAD_INPUT, e.errors)
+    except configuration.InvalidConfigurationError as error:
+        service.fail(service.BAD_INPUT, error.errors)
     print(f"{blueprint_file}: {len(items)} items, no mistakes.")
 
 
@@ -179,7 +205,7 @@
     """Send a configuration or a JSON Patch and get a plan of what would change.
 
     :param file: the configuration, or the patch, as JSON
-    :param core: IP:port of core machines' HTTP doors, tried in turn
+    :param core: IP:port of core machines' HTTP ports, tried in turn
     :param patch: the file is a JSON Patch (RFC 6902)
     :param base: the version that the change was made for; refused where it has moved
     """
@@ -195,7 +221,7 @@
     Saying it again gives the same answer and changes nothing more.
 
     :param plan_id: the id that the plan came with
-    :param core: IP:port of core machines' HTTP doors, tried in turn
+    :param core: IP:port of core machines' HTTP ports, tried in turn
     """
     operate(core, "POST", f"/plans/{plan_id}/confirm", {})
 
@@ -209,7 +235,7 @@
     :param file: the change, as JSON
     :param number: your number for what stands after it, above the one in place
     :param built_on: the number in place that it is made for; 0 before the first
-    :param core: IP:port of core machines' HTTP doors, tried in turn
+    :param core: IP:port of core machines' HTTP ports, tried in turn
     """
     document = read_json(file)
     part = isinstance(document, dict) and document and set(document) <= {"upsert", "remove"}
@@ -225,7 +251,7 @@
     """Read the configuration back, or a plan by its id, or the state of a process.
 
     :param what: configuration, state, or a plan's id
-    :param core: IP:port of core machines' HTTP doors (for state: of any process)
+    :param core: IP:port of core machines' HTTP ports (for state: of any process)
     """
     operate(core, "GET", f"/{what}" if what in ("blueprint", "state") else f"/plans/{what}")
 
@@ -242,9 +268,9 @@
     events: str = "",
     seed: int = 1,
 ) -> None:
-    """Send the brief's mix of requests to nodes and report what came of them; SIGINT ends it early.
+    """Send a mix of requests to nodes and report what came of them; SIGINT ends it early.
 
-    :param nodes: IP:port of nodes' HTTP doors
+    :param nodes: IP:port of nodes' HTTP ports
     :param platform: IP:port of a platform that names the ready nodes (the stand-in does)
     :param seconds: how long to go on
     :param long_rate: long prompts per second
@@ -256,73 +282,84 @@
     """
     service.set_logs("ERROR")
     try:
-        places = load_generator.NodeAddresses([options_reader.address(n) for n in nodes])
-        follow = options_reader.address(platform) if platform else None
-    except ValueError as e:
-        service.fail(service.BAD_INPUT, [f"nodes, platform: {e}"])
+        places = load_generator.NodeAddresses([options_reader.address(node_address) for node_address in nodes])
+        platform_address = options_reader.address(platform) if platform else None
+    except ValueError as error:
+        service.fail(service.BAD_INPUT, [f"nodes, platform: {error}"])
     reactor = service.the_reactor()
     runtime = scheduler.Runtime(reactor, seed=seed)
-    if follow:
-        runtime.spawn(places.follow(runtime, *follow), log)
+    if platform_address:
+        runtime.spawn(places.follow(runtime, *platform_address), log)
     with contextlib.ExitStack() as files:
         out = files.enter_context(open(events, "w")) if events else None
-        gen = load_generator.LoadGenerator(
+        generator = load_generator.LoadGenerator(
             runtime, places, path, seconds * units.SECOND_US, long_rate, short_rate, talks, load_generator.Events(out)
         )
-        reactor.callWhenRunning(
-            lambda: [signal.signal(s, lambda *_: gen.end()) for s in (signal.SIGTERM, signal.SIGINT)]
-        )
-        reactor.callWhenRunning(lambda: defer.ensureDeferred(gen.run()).addBoth(lambda r: reactor.stop() or r))
+        reactor.callWhenRunning(_end_on_signals, generator)
+        reactor.callWhenRunning(lambda: defer.ensureDeferred(generator.run()).addBoth(_stop, reactor))
         reactor.run()
-    print(json.dumps(gen.report(), indent=2))
+    print(json.dumps(generator.report(), indent=2))
+
+
+def _end_on_signals(generator: load_generator.LoadGenerator) -> None:
+    for number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(number, lambda *_: generator.end())
+
+
+def _stop(result: object, reactor: epollreactor.EPollReactor) -> object:
+    """Stop the reactor, and pass a failure on, which is then logged."""
+    reactor.stop()
+    return result
 
 
-def read_logs(paths: tuple[str]) -> typing.Any:
+def read_logs(paths: collections.abc.Sequence[str]) -> list[Document]:
     """The events of some logs by their times, or an exit that says what is damaged."""
-    lines, cuts = [], []
+    lines: list[Document] = []
+    cut_paths = []
     for path in paths:
         try:
-            with open(path) as f:
-                rows, cut = judge.read(f)
-        except OSError as e:
-            service.fail(service.BAD_INPUT, [f"{path}: {e.strerror}"])
-        except (judge.DamagedLogError, UnicodeDecodeError) as e:
-            service.fail(service.BAD_INPUT, [f"{path}: damaged: {e}"])
+            with open(path) as file:
+                rows, cut = judge.read(file)
+        except OSError as error:
+            service.fail(service.BAD_INPUT, [f"{path}: {error.strerror}"])
+        except (judge.DamagedLogError, UnicodeDecodeError) as error:
+            service.fail(service.BAD_INPUT, [f"{path}: damaged: {error}"])
         lines += rows
-        cuts += [path] if cut else []
-    lines.sort(key=lambda r: r["at"])
-    for path in cuts:
+        if cut:
+            cut_paths.append(path)
+    lines.sort(key=lambda row: row["at"])
+    for path in cut_paths:
         print(f"{path}: cut short; judged up to there")
     return lines
 
 
 def replay(*files: str) -> typing.NoReturn:
-    """Judge event logs by the brief's twelve points; exit 1 where there is a complaint.
+    """Check event logs by all checkers; exit 1 where there is a complaint.
 
     :param files: event logs of one run, merged by their times
     """
     lines = read_logs(files)
-    found = judge.judge(lines)
-    for name, texts in found.items():
+    complaints = judge.judge(lines)
+    for name, texts in complaints.items():
         for text in texts:
             print(f"{name}: {text}")
     for line in judge.recovery_lines(lines):
         print(line)
-    print(f"{len(lines)} events, {len(judge.CHECKERS)} checkers, {sum(map(len, found.values()))} complaints")
-    sys.exit(1 if found else 0)
+    print(f"{len(lines)} events, {len(judge.CHECKERS)} checkers, {sum(map(len, complaints.values()))} complaints")
+    sys.exit(1 if complaints else 0)
 
 
 def history(*files: str) -> typing.NoReturn:
-    """Judge operators' calls in event logs: whether one order explains every answer; exit 1 where none does.
+    """Check operators' calls in event logs: whether one order explains every answer; exit 1 where none does.
 
     :param files: event logs of one run, merged by their times
     """
     rows = read_logs(files)
-    found = operators_history.complaints(rows)
-    for text in found:
+    complaints = operators_history.complaints(rows)
+    for text in complaints:
         print(text)
-    print(f"{operators_history.count(rows)} calls, {len(found)} complaints")
-    sys.exit(1 if found else 0)
+    print(f"{operators_history.count(rows)} calls, {len(complaints)} complaints")
+    sys.exit(1 if complaints else 0)
 
 
 def main() -> None:
@@ -330,4 +367,4 @@
     try:
         defopt.run([core, node, load, check, plan, confirm, change, show, replay, history])
     except KeyboardInterrupt:
-        sys.exit(130)
+        sys.exit(INTERRUPTED)
--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -1,7 +1,7 @@
 """How a process is set up, run and ended: logs, ports, signals, options read again.
 
 A role loads only what it needs, here and not while this module loads: a process often starts
-in the middle of things, and what it loads is time in which it does not serve.
+while requests wait for it, and the time that it spends on loading is time in which it does not serve.
 """
 
 from __future__ import annotations
@@ -25,23 +25,32 @@
     import twisted.internet.epollreactor as epollreactor
     import twisted.internet.tcp as tcp
 
+    import iriswheel.control.core as core
+    import iriswheel.node.node as node
+
 
 FINISH_US = 500 * units.MILLISECOND_US  # for the last bytes of a node's answers
-BAD_INPUT, NO_START = 2, 3
+BAD_INPUT, NO_START = 2, 3  # exit codes
+PEER_BACKLOG = 512  # connections that wait to be accepted, by port
+HTTP_BACKLOG = 1024
+READY_BACKLOG = 128
+READY_CONNECTION_LIMIT = 64
+
+Reread: typing.TypeAlias = collections.abc.Callable[[], options.Options]
 
 log = loguru.logger.bind(part="main")
 
 
 def set_logs(level: str) -> None:
-    """Logs go to standard error: a time, the part's prefix, a short sentence."""
+    """Logs go to standard error: time, level, part of the program, message."""
     loguru.logger.remove()
     loguru.logger.configure(extra={"part": "main"})
-    form = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level:<7} {extra[part]}: {message}"
-    loguru.logger.add(sys.stderr, level=level, format=form)
+    line_format = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level:<7} {extra[part]}: {message}"
+    loguru.logger.add(sys.stderr, level=level, format=line_format)
 
 
-def fail(code: int, lines: list[str]) -> typing.NoReturn:
-    """Say why on standard error, one line each, and exit."""
+def fail(code: int, lines: collections.abc.Iterable[str]) -> typing.NoReturn:
+    """Print the reasons to standard error, one line each, and exit with a code."""
     for line in lines:
         print(f"iriswheel: {line}", file=sys.stderr)
     sys.exit(code)
@@ -52,7 +61,7 @@
 
     Twisted's reactors time their calls by the time of day, so that a clock set back by some
     seconds would hold up every timer of the process for as long. This one goes by the clock
-    since boot, as `machine.Machine` does.
+    since boot, as `scheduler.Runtime` does.
     """
     import twisted.internet.epollreactor as epollreactor
     import twisted.internet.main as main
@@ -68,116 +77,153 @@
 
 
 def run(
-    reactor: typing.Any,
-    o: options.Options,
-    stop: collections.abc.Callable[..., object],
-    again: collections.abc.Callable[..., object] = lambda: None,
+    reactor: epollreactor.EPollReactor,
+    process_options: options.Options,
+    stop: collections.abc.Callable[[], collections.abc.Coroutine[typing.Any, typing.Any, object]],
+    again: collections.abc.Callable[[], object] = lambda: None,
 ) -> None:
-    """Run the reactor until a signal; SIGTERM and SIGINT stop it in good order, SIGHUP has the options read again."""
-    stopping = []
+    """Run the reactor until a signal; SIGTERM and SIGINT stop it in good order, SIGHUP has the options read again.
 
-    def on_signal(*_: int) -> None:
+    Args:
+        reactor: of the process.
+        process_options: for the log.
+        stop: ends the work of the process; the reactor stops once that is done, or has failed.
+        again: reads the options again.
+    """
+    stopping = False
+
+    def on_termination(*_: object) -> None:
+        nonlocal stopping
         if not stopping:
-            stopping.append(True)
+            stopping = True
             reactor.callFromThread(lambda: defer.ensureDeferred(stop()).addBoth(lambda _: reactor.stop()))
 
-    def on_hangup(*_: typing.Any) -> None:
+    def on_hangup(*_: object) -> None:
         reactor.callFromThread(again)
 
-    reactor.callWhenRunning(lambda: [signal.signal(s, on_signal) for s in (signal.SIGTERM, signal.SIGINT)])
-    reactor.callWhenRunning(lambda: signal.signal(signal.SIGHUP, on_hangup))
-    log.info("{} {} listens on {}:{}, HTTP on {}:{}.", o.role, o.name, o.host, o.port, *o.front_address())
+    def install_handlers() -> None:
+        for number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(number, on_termination)
+        signal.signal(signal.SIGHUP, on_hangup)
+
+    reactor.callWhenRunning(install_handlers)
+    log.info(
+        "{} {} listens on {}:{}, HTTP on {}:{}.",
+        process_options.role,
+        process_options.name,
+        process_options.host,
+        process_options.port,
+        *process_options.front_address(),
+    )
     reactor.run(installSignalHandlers=False)
 
 
 def bind(
-    reactor: typing.Any,
-    o: options.Options,
+    reactor: epollreactor.EPollReactor,
+    process_options: options.Options,
     peers: wire.Listener,
     http: http_server.Server,
     ready: http_server.Server | None = None,
 ) -> tcp.Port:
-    """Bind the ports; the options then hold the real ones. Returns the port where HTTP is served."""
+    """Bind the ports, or exit where one can't be bound; the options then hold the real ones.
+
+    Returns:
+        The port where HTTP is served.
+    """
+    host = process_options.host
     try:
-        o.port = reactor.listenTCP(o.port, peers, interface=o.host, backlog=512).getHost().port
-        host, port = o.front_address()
-        front = reactor.listenTCP(port, http, interface=host, backlog=1024)
-        if not o.front:
-            o.http_port = front.getHost().port
-        if o.ready and ready is not None:
-            host, port = options.address(o.ready)
-            reactor.listenTCP(port, ready, interface=host, backlog=128)
-        return front
-    except error.CannotListenError as e:
-        fail(NO_START, [f"The port can't be had: {e}"])
+        peer_port = reactor.listenTCP(process_options.port, peers, interface=host, backlog=PEER_BACKLOG)
+        process_options.port = peer_port.getHost().port
+        front_host, front_port = process_options.front_address()
+        front: tcp.Port = reactor.listenTCP(front_port, http, interface=front_host, backlog=HTTP_BACKLOG)
+        if not process_options.front:
+            process_options.http_port = front.getHost().port
+        if process_options.ready and ready is not None:
+            ready_host, ready_port = options.address(process_options.ready)
+            reactor.listenTCP(ready_port, ready, interface=ready_host, backlog=READY_BACKLOG)
+    except error.CannotListenError as cause:
+        fail(NO_START, [f"The port can't be had: {cause}"])
+    return front
+
+
+def _core_handler(process: core.Core) -> http_server.Handler:
+    return process.handle
 
 
 def run_core(
-    o: options.Options,
+    process_options: options.Options,
     path: str,
-    reread: collections.abc.Callable[..., object],
-    make_handler: collections.abc.Callable[..., object] = lambda process: process.handle,
+    reread: Reread,
+    make_handler: collections.abc.Callable[[core.Core], http_server.Handler] = _core_handler,
 ) -> None:
-    """Run a core machine with these options; reread() reads them again from the file at path."""
+    """Run a core with these options.
+
+    Args:
+        process_options: checked.
+        path: of the options file, which is watched for changes.
+        reread: reads the options again.
+        make_handler: gives what answers HTTP.
+    """
     import iriswheel.control.core as core
     import iriswheel.runtime.storage as storage
 
-    set_logs(o.log_level)
+    set_logs(process_options.log_level)
     reactor = the_reactor()
-    disk = storage.Disk(o.data, reactor)
+    disk = storage.Disk(process_options.data, reactor)
     try:
         disk.open()
         runtime = scheduler.Runtime(reactor)
-        process = core.Core(runtime, disk, o)
-    except storage.DiskError as e:
-        fail(NO_START, [str(e)])
-    bind(
-        reactor,
-        o,
-        wire.Listener(runtime, process.serve, log),
-        http_server.Server(runtime, make_handler(process), connection_limit=o.connections),
-    )
+        process = core.Core(runtime, disk, process_options)
+    except storage.DiskError as cause:
+        fail(NO_START, [str(cause)])
+    http = http_server.Server(runtime, make_handler(process), connection_limit=process_options.connections)
+    bind(reactor, process_options, wire.Listener(runtime, process.serve, log), http)
     process.start()
     watch = options.Watch(runtime, path, reread, process.renew)
     runtime.spawn(watch.run(), log)
-    run(reactor, o, process.stop, watch.again)
+    run(reactor, process_options, process.stop, watch.again)
     disk.close()
 
 
 def run_node(
-    o: options.Options,
+    process_options: options.Options,
     path: str,
-    reread: collections.abc.Callable[..., object],
-    ready: None = None,
+    reread: Reread,
+    ready: collections.abc.Callable[[node.Node], http_server.Handler] | None = None,
     **parts: typing.Any,
 ) -> None:
-    """Run a light node with these options; reread() reads them again from the file at path.
-
-    `ready(proc)` makes the handler of the address at which only readiness is told.
+    """Run a node with these options.
+
+    Args:
+        process_options: checked.
+        path: of the options file, which is watched for changes.
+        reread: reads the options again.
+        ready: gives what answers at the address at which only readiness is served; by default as at the front.
+        parts: further arguments of `node.Node`.
     """
     import iriswheel.node.node as node
 
-    set_logs(o.log_level)
+    set_logs(process_options.log_level)
     reactor = the_reactor()
     runtime = scheduler.Runtime(reactor)
-    process = node.Node(runtime, o, **parts)
-    handle = process.gateway.handle if ready is None else ready(process)
+    process = node.Node(runtime, process_options, **parts)
     server = http_server.Server(
         runtime,
         process.gateway.handle,
-        connection_limit=o.connections,
+        connection_limit=process_options.connections,
         formats=process.outer,
         limits=lambda: process.follower.limits,
     )
     runtime.spawn(server.close_late_heads(), log)
+    handle_ready = process.gateway.handle if ready is None else ready(process)
     front = bind(
         reactor,
-        o,
+        process_options,
         wire.Listener(runtime, process.serve, log),
         server,
-        http_server.Server(runtime, handle, connection_limit=64),
+        http_server.Server(runtime, handle_ready, connection_limit=READY_CONNECTION_LIMIT),
     )
-    process.start(o.port, o.front_address()[1])
+    process.start(process_options.port, process_options.front_address()[1])
     watch = options.Watch(runtime, path, reread, process.renew)
     runtime.spawn(watch.run(), log)
 
@@ -186,4 +232,4 @@
         front.stopListening()
         await server.finish(FINISH_US)
 
-    run(reactor, o, stop, watch.again)
+    run(reactor, process_options, stop, watch.again)
