--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -106,9 +106,7 @@
         self.writable = scheduler.Signal()
         self.version = 0  # of the other side's protocol, once it said
         self.refused = False  # whether that is a version that this process does not speak
-        self.node_session: node_session.NodeSession | None = (
-            None  # of the node, where a core serves one on this connection
-        )
+        self.node_session: node_session.NodeSession | None = None  # where a core serves a node on it
 
     def connectionMade(self) -> None:
         """Begin with the handshake, and keep the connection alive from now on."""
