--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -11,6 +11,7 @@
 import iriswheel.control.replica_store as replica_store
 import iriswheel.dataplane.sessions as sessions
 import iriswheel.pools.pool_owner as pool_owner
+import iriswheel.pools.selection as selection
 import iriswheel.pools.session_replicas as session_replicas
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
@@ -124,12 +125,23 @@
     ws = samples.workers(w, 1)
     n.follower.apply_listing(message.WorkerListing(ws, (3, 1, 40)))
     out = pool_owner.PoolOwner(n, "model-0", samples.assignments(["pool/model-0"], samples.members(3))[0])
-    out.session_table = samples.session_messages(s, w)
+    out.records.session_table = samples.session_messages(s, w)
     for x in ws:
-        out.prefixes[x.id] = {f"{x.id}-{k}": None for k in range(parts)}
+        out.selector.prefixes.parts[x.id] = {f"{x.id}-{k}": None for k in range(parts)}
     return out
 
 
+def choice(
+    owner: pool_owner.PoolOwner, request: message.SelectWorker, pool: configuration.Pool
+) -> str | selection.NoChoice | None:
+    """What a pool owner chooses for a request.
+
+    >>> choice(chief(3, 10), query(1), configuration.Pool(cap=0))
+    'i-00000001'
+    """
+    return owner.selector.pick(request, pool, owner.node.follower.workers, owner.runtime.now())
+
+
 def query(k: int, prefix: collections.abc.Sequence[str] = ("system", "bundle")) -> message.SelectWorker:
     """A question for a worker.
 
@@ -178,7 +190,7 @@
                 "workers of the pool",
                 "loops",
                 w,
-                measuring.ratio(lambda: c.pick(query(1), pool)),
+                measuring.ratio(lambda: choice(c, query(1), pool)),
             )
         for s in sizes:
             c = chief(90, s)
@@ -187,7 +199,7 @@
                 "sessions of the pool",
                 "loops",
                 s,
-                measuring.ratio(lambda: c.pick(query(1), pool)),
+                measuring.ratio(lambda: choice(c, query(1), pool)),
             )
     measuring.end(lines, out)
 
@@ -216,6 +228,6 @@
             c = chief(90, 0, x // 90)
             q = query(1, [f"i-{7:08x}-{k}" for k in range(4)])
             lines.put(
-                "a worker chosen by parts, 90 workers", "parts", "loops", x, measuring.ratio(lambda: c.pick(q, pool))
+                "a worker chosen by parts, 90 workers", "parts", "loops", x, measuring.ratio(lambda: choice(c, q, pool))
             )
     measuring.end(lines, out)
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -337,12 +337,12 @@
     ws = [w for n in nodes for w in n.pool_owners.values()]
     most = lambda xs: max(xs, default=0)  # noqa: E731
     return {
-        "claims": most(len(w.claims) for w in ws),
-        "grants": most(len(w.grants) for w in ws),
-        "sessions": most(len(w.session_table.records) for w in ws),
-        "voids": most(len(w.voids) for w in ws),
-        "budget": most(len(w.budget.firsts) + len(w.budget.repeats) for w in ws),
-        "gone": most(len(w.gone) for w in ws),
+        "claims": most(len(w.records.claims) for w in ws),
+        "grants": most(len(w.records.grants) for w in ws),
+        "sessions": most(len(w.records.session_table.records) for w in ws),
+        "voids": most(len(w.records.abandoned) for w in ws),
+        "budget": most(len(w.records.budget.firsts) + len(w.records.budget.repeats) for w in ws),
+        "gone": most(len(w.records.closed_ids) for w in ws),
         "heard": most(len(h) for w in ws for h in w.watch.last_contact.values()),
         "copies": most(len(s.sessions) + len(s.claims) for n in nodes for s in n.session_replicas.values()),
         "pins": most(len(n.gateway.selector.affinities) for n in nodes),
--- a/iriswheel/dataplane/sessions.py
+++ b/iriswheel/dataplane/sessions.py
@@ -9,7 +9,6 @@
 from __future__ import annotations
 
 import hashlib
-import typing
 
 import iriswheel.transport.message as message
 
@@ -26,7 +25,7 @@
     __slots__ = ("id", "worker", "expires", "lifetime_us", "cost", "version", "turns", "pending", "opened_by")
 
     def __init__(
-        self, identifier: bytes | str, worker: str, expires: int, lifetime_us: int, cost: int, version: int = 1
+        self, identifier: str, worker: str, expires: int, lifetime_us: int, cost: int, version: int = 1
     ) -> None:
         self.id = identifier
         self.worker = worker
@@ -76,11 +75,11 @@
     """
 
     def __init__(self) -> None:
-        self.records: dict[typing.Any, Session] = {}
-        self.at: dict[str, dict[typing.Any, Session]] = {}  # worker -> {id: Record}
+        self.records: dict[str, Session] = {}
+        self.at: dict[str, dict[str, Session]] = {}  # worker -> {id: Record}
         self.version = 0  # the newest of all records, so that a session opened anew beats its old copies
 
-    def open(self, identifier: bytes | str, worker: str, now: int, lifetime_us: int, cost: int) -> Session:
+    def open(self, identifier: str, worker: str, now: int, lifetime_us: int, cost: int) -> Session:
         """Open a session on a worker.
 
         >>> b = SessionTable(); one = b.open("s", "w1", 0, 60, 100).version
@@ -93,7 +92,7 @@
         self.at.setdefault(worker, {})[identifier] = r
         return r
 
-    def close(self, identifier: str) -> Session:
+    def close(self, identifier: str) -> Session | None:
         """Close a session; its cost no longer counts.
 
         >>> b = SessionTable(); _ = b.open("s", "w", 0, 60, 100); _ = b.close("s"); b.load("w")
@@ -104,7 +103,7 @@
             del self.at[r.worker][identifier]
         return r
 
-    def affinity(self, identifier: bytes | str) -> Session | None:
+    def affinity(self, identifier: str) -> Session | None:
         """The open session of this id, or None: an unknown id is closed.
 
         >>> SessionTable().affinity("s") is None
@@ -154,7 +153,7 @@
         """
         return sum(r.cost for r in self.at.get(worker, {}).values())
 
-    def earliest(self, workers: list[str]) -> int:
+    def earliest(self, workers: list[str]) -> int | None:
         """When the first session on these workers may end, or None.
 
         >>> b = SessionTable(); _ = b.open("s", "w", 0, 60, 100); b.earliest(["w"])
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -102,7 +102,7 @@
         """A member from the membership, or None."""
         return next((m for m in self.membership.members if m.id == identifier), None)
 
-    def pool(self, name: str) -> configuration.Pool:
+    def pool(self, name: str) -> configuration.Pool | None:
         """A pool of the slice, or None."""
         return self.pools.get(name)
 
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -195,7 +195,7 @@
 
     # ---- messages -----------------------------------------------------------------------
 
-    def tell_member(self, identifier: str, msg: message.GrantReleased | message.GrantReport) -> None:
+    def tell_member(self, identifier: str, msg: message.Message) -> None:
         """Tell a member something; this node itself is told straight away."""
         if identifier == self.me.id:
             self.serve(None, msg)
@@ -204,12 +204,32 @@
         if m is not None:
             self.runtime.spawn(self.peers.tell(m.host, m.port, msg), log)
 
+    @typing.overload
     async def call_members(
-        self, members: list[message.Member], msg: message.ReplicateRecords | message.RecordsRequest, us: int
-    ) -> dict[str, message.ReplicateResponse | message.RecordsResponse | None]:
+        self, members: list[message.Member], msg: message.ReplicateRecords, us: int
+    ) -> dict[str, message.ReplicateResponse | None]: ...
+
+    @typing.overload
+    async def call_members(
+        self, members: list[message.Member], msg: message.RecordsRequest, us: int
+    ) -> dict[str, message.RecordsResponse | None]: ...
+
+    @typing.overload
+    async def call_members(
+        self, members: list[message.Member], msg: message.RevokeRequest, us: int
+    ) -> dict[str, message.RevokeResponse | None]: ...
+
+    @typing.overload
+    async def call_members(
+        self, members: list[message.Member], msg: message.ProbeRequest, us: int
+    ) -> dict[str, message.ProbeResponse | None]: ...
+
+    async def call_members(
+        self, members: list[message.Member], msg: message.Message, us: int
+    ) -> collections.abc.Mapping[str, message.Message | None]:
         """Put a call to members, this one included; None where no answer came."""
 
-        async def query(m: message.Member) -> message.ReplicateResponse | message.RecordsResponse:
+        async def query(m: message.Member) -> message.Message:
             if m.id == self.me.id:
                 response = self.serve(None, msg)
                 return await response if inspect.iscoroutine(response) else response
@@ -231,7 +251,7 @@
                 return w.select_worker(msg)
             case message.RevokeRequest(pool=pool):
                 w = self.pool_owners.get(pool)
-                return message.RevokeResponse("later") if w is None else w.forbid(msg)
+                return message.RevokeResponse("later") if w is None else w.revoke(msg)
             case message.GrantReleased(pool=pool, attempt_id=query, execution=v):
                 w = self.pool_owners.get(pool)
                 if w is not None:
@@ -239,7 +259,7 @@
             case message.GrantReport(pool=pool):
                 w = self.pool_owners.get(pool)
                 if w is not None:
-                    w.listed(msg)
+                    w.take_report(msg)
             case message.RecordsRequest(pool=pool, term=term):
                 return self.gathered(pool, term)
             case message.ReplicateRecords(pool=pool):
--- /dev/null
+++ b/iriswheel/pools/pool_records.py
@@ -0,0 +1,215 @@
+"""The records of one pool at its owner: sessions, claims, grants, and what changed since the last copy.
+
+No input or output happens here; `replication` sends the changes to the copies.
+"""
+
+from __future__ import annotations
+
+import collections.abc
+
+import iriswheel.dataplane.retry_budget as retry_budget
+import iriswheel.dataplane.sessions as sessions
+import iriswheel.errors as errors
+import iriswheel.pools.claims as claims
+import iriswheel.pools.in_flight as in_flight
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+ABANDONED_RETENTION_US = 60 * units.SECOND_US
+"""How long an attempt that was given up before its request came here gets no grant."""
+
+LOST_GRANT_US = 3 * units.SECOND_US
+"""A grant that its node has not listed for so long is taken for lost."""
+
+_NO_LOAD = in_flight.InFlightLoad()
+
+
+class PoolRecords:
+    """What a pool owner knows of its pool.
+
+    Args:
+        slot_freed: Woken whenever a grant ends, so that waiting requests look again.
+    """
+
+    def __init__(self, slot_freed: scheduler.Signal) -> None:
+        self.slot_freed = slot_freed
+        self.session_table = sessions.SessionTable()
+        self.claims: dict[str, claims.Claim] = {}  # by request id
+        self.grants: dict[str, in_flight.HeldGrant] = {}  # by attempt id
+        self.load_by_worker: dict[str, in_flight.InFlightLoad] = {}
+        self.abandoned: dict[str, int] = {}  # attempt id -> until when it gets no grant
+        self.budget = retry_budget.Budget()  # of the whole fleet's sends to this pool
+        # what the copies do not know yet
+        self.changed_sessions_and_claims: dict[str, claims.Claim | sessions.Session] = {}
+        self.closed_ids: dict[str, None] = {}
+
+    # ---- grants ------------------------------------------------------------------
+
+    def load(self, worker: str) -> in_flight.InFlightLoad:
+        """Return what a worker has in flight; the result is for reading only."""
+        return self.load_by_worker.get(worker, _NO_LOAD)
+
+    def hold(
+        self, grant: message.WorkerGrant, now: int, claim: claims.Claim | None = None, charged_at: int | None = None
+    ) -> None:
+        """Count a grant as load in flight.
+
+        Args:
+            grant: The grant, whose attempt id is new here.
+            now: The present time, in µs.
+            claim: The claim made with it, if any.
+            charged_at: When the retry budget was charged for it, in µs; None where it was not.
+        """
+        self.grants[grant.attempt_id] = in_flight.HeldGrant(grant, now, claim, charged_at)
+        self.load_by_worker.setdefault(grant.worker, in_flight.InFlightLoad()).add(grant)
+
+    def release(self, attempt_id: str, outcome: errors.ExecutionOutcome, now: int) -> None:
+        """End a grant; the requests that wait for a slot look again.
+
+        Args:
+            attempt_id: The attempt whose grant ends.
+            outcome: Whether the attempt ran. One that did not gives back its claim, its part of
+                the retry budget, and the session that it opened.
+            now: The present time, in µs.
+        """
+        held = self.grants.pop(attempt_id, None)
+        if held is None:
+            if outcome == errors.ExecutionOutcome.NOT_RUN:
+                self._abandon(attempt_id, now)
+            return
+        if outcome == errors.ExecutionOutcome.NOT_RUN:
+            self.budget.refund(held.charged_at)
+        self.load_by_worker[held.grant.worker].drop(attempt_id)
+        self._end_turn(held.grant, outcome, now)
+        self._settle_claim(held.claim, outcome, now)
+        self.slot_freed.wake()
+
+    def _abandon(self, attempt_id: str, now: int) -> None:
+        """Refuse an attempt from now on, and undo what an earlier owner granted too late."""
+        self.abandoned[attempt_id] = now + ABANDONED_RETENTION_US
+        for claim in [claim for claim in self.claims.values() if claim.attempt_id == attempt_id]:
+            self.unclaim(claim)
+        opened = [
+            session
+            for session in self.session_table.records.values()
+            if session.opened_by == attempt_id and not session.turns
+        ]
+        for session in opened:
+            self.close_session(session)
+
+    def _end_turn(self, grant: message.WorkerGrant, outcome: errors.ExecutionOutcome, now: int) -> None:
+        session = self.session_table.affinity(grant.session)
+        if session is None or session.worker != grant.worker:
+            return
+        session.turns = max(0, session.turns - 1)
+        not_run = outcome == errors.ExecutionOutcome.NOT_RUN
+        if not_run and session.opened_by == grant.attempt_id and not session.turns:
+            self.close_session(session)  # its first turn never reached the worker
+        else:
+            self.session_table.extend(session, now)
+            self.changed_sessions_and_claims[session.id] = session
+        if not not_run:
+            session.opened_by = ""
+
+    def _settle_claim(self, claim: claims.Claim | None, outcome: errors.ExecutionOutcome, now: int) -> None:
+        if claim is None or self.claims.get(claim.request_id) is not claim:
+            return
+        if outcome == errors.ExecutionOutcome.NOT_RUN:
+            self.unclaim(claim)
+        else:
+            claim.state = claims.ClaimState.RAN
+            claim.until = now + claims.RETENTION_US
+            self.changed_sessions_and_claims[claim.request_id] = claim
+
+    def take_report(self, report: message.GrantReport, now: int) -> None:
+        """Take a node's list of the grants it holds; those it no longer lists are released."""
+        for attempt_id in report.voids:
+            if attempt_id not in self.abandoned:
+                self.release(attempt_id, errors.ExecutionOutcome.NOT_RUN, now)
+                self.abandoned[attempt_id] = now + ABANDONED_RETENTION_US
+        listed = set(report.attempt_ids)
+        for attempt_id, held in list(self.grants.items()):
+            if held.grant.node != report.node:
+                continue
+            if attempt_id in listed:
+                held.listed_at = now
+            elif now - held.listed_at > LOST_GRANT_US:
+                self.release(attempt_id, errors.ExecutionOutcome.MAY_HAVE_RUN, now)
+
+    def release_lost_nodes(self, live_nodes: collections.abc.Container[str], now: int) -> None:
+        """Release the grants of nodes that are no members any more."""
+        for attempt_id, held in list(self.grants.items()):
+            if held.grant.node not in live_nodes and now - held.listed_at > LOST_GRANT_US:
+                self.release(attempt_id, errors.ExecutionOutcome.MAY_HAVE_RUN, now)
+
+    # ---- sessions and claims -----------------------------------------------------
+
+    def close_session(self, session: sessions.Session) -> None:
+        """Close a session, here and with the next update on every copy."""
+        self.session_table.close(session.id)
+        self.closed_ids[session.id] = None
+
+    def evict(self, worker: str) -> int:
+        """Close all sessions of a worker; how many there were."""
+        evicted = self.session_table.evict(worker)
+        for session in evicted:
+            self.closed_ids[session.id] = None
+        return len(evicted)
+
+    def unclaim(self, claim: claims.Claim) -> None:
+        """Forget a claim: its time is over, or its node says that it was never used."""
+        del self.claims[claim.request_id]
+        self.closed_ids[claim.request_id] = None
+
+    def sweep(self, now: int) -> int:
+        """Forget what has expired; how many sessions were closed."""
+        expired = self.session_table.sweep(now)
+        for session in expired:
+            self.closed_ids[session.id] = None
+        for claim in [claim for claim in self.claims.values() if claim.until < now]:
+            self.unclaim(claim)
+        for attempt_id in [attempt_id for attempt_id, until in self.abandoned.items() if until < now]:
+            del self.abandoned[attempt_id]
+        return len(expired)
+
+    # ---- as messages -------------------------------------------------------------
+
+    def export(self, now: int) -> tuple[list[message.SessionRecord], list[message.Claim]]:
+        """Return all sessions and claims, with the time that is left of them at `now`."""
+        return (
+            [sessions.to_message(session, now) for session in self.session_table.records.values()],
+            [claim.export(now) for claim in self.claims.values()],
+        )
+
+    def load_merged(
+        self,
+        session_records: collections.abc.Collection[message.SessionRecord],
+        claim_records: collections.abc.Iterable[message.Claim],
+        grants: collections.abc.Iterable[message.WorkerGrant],
+        answered_at: int,
+        now: int,
+    ) -> None:
+        """Take over the records that were merged from what the members hold.
+
+        Args:
+            session_records: One record a session.
+            claim_records: One record a request.
+            grants: All grants that the members hold.
+            answered_at: When the members answered, in µs; the records' remaining times count from then.
+            now: The present time, in µs.
+        """
+        table = self.session_table
+        table.version = max((record.version for record in session_records), default=0)
+        for record in session_records:
+            session = table.open(record.id, record.worker, answered_at, record.lifetime_us, record.cost)
+            session.expires, session.opened_by = answered_at + record.left_us, record.attempt_id
+        claim_by_attempt: dict[str, claims.Claim] = {}
+        for claim_record in claim_records:
+            claim = claims.from_message(claim_record, answered_at)
+            claim_by_attempt[claim.attempt_id] = self.claims[claim.request_id] = claim
+        for grant in grants:
+            self.hold(grant, now, claim_by_attempt.get(grant.attempt_id))
+            held_session = table.affinity(grant.session)
+            if held_session is not None and held_session.worker == grant.worker:
+                held_session.turns += 1
--- /dev/null
+++ b/iriswheel/pools/selection.py
@@ -0,0 +1,136 @@
+"""Which worker a request should go to: scores, free slots, and the choice among the ready workers."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import iriswheel.runtime.units as units
+
+if typing.TYPE_CHECKING:
+    import iriswheel.configuration.configuration as configuration
+    import iriswheel.dataplane.health as health
+    import iriswheel.pools.pool_records as pool_records
+    import iriswheel.transport.message as message
+
+PREFIX_PARTS_PER_WORKER = 256
+REPORTED_REQUEST_COST = 100
+"""What a request counts that a worker reports beyond those granted here."""
+
+PREFIX_DISCOUNT = 0.8
+"""The part of a request's work that a wholly known prefix saves."""
+
+
+class PrefixTable:
+    """The prefix parts that each worker served last, the newest last.
+
+    >>> table = PrefixTable(); table.remember("w1", ["system", "tools"])
+    >>> table.matching_parts("w1", ["system", "other"]), table.matching_parts("w2", ["system"])
+    (1, 0)
+    """
+
+    def __init__(self) -> None:
+        self.parts: dict[str, dict[str, None]] = {}  # worker -> parts, newest last
+
+    def remember(self, worker: str, prefix: collections.abc.Iterable[str]) -> None:
+        """Note the parts of a request that a worker serves; the oldest are forgotten.
+
+        >>> PrefixTable().remember("w1", ["system"])
+        """
+        known = self.parts.setdefault(worker, {})
+        for part in prefix:
+            known.pop(part, None)
+            known[part] = None
+        while len(known) > PREFIX_PARTS_PER_WORKER:
+            del known[next(iter(known))]
+
+    def matching_parts(self, worker: str, prefix: collections.abc.Iterable[str]) -> int:
+        """Return how many leading parts of a prefix a worker has served.
+
+        >>> PrefixTable().matching_parts("w1", ["system"])
+        0
+        """
+        known = self.parts.get(worker, {})
+        matching = 0
+        for part in prefix:
+            if part not in known:
+                break
+            matching += 1
+        return matching
+
+
+class NoChoice(typing.NamedTuple):
+    """Why no worker can be chosen, however long the request waits."""
+
+    code: str
+    text: str
+    retry_us: int = units.SECOND_US
+
+
+class WorkerSelector:
+    """Chooses workers by the pool's records and by what is heard of the workers."""
+
+    def __init__(self, pool: str, records: pool_records.PoolRecords, watch: health.WorkerWatch) -> None:
+        self.pool = pool
+        self.records = records
+        self.watch = watch
+        self.prefixes = PrefixTable()
+
+    def score(self, worker: str, request: message.SelectWorker) -> float:
+        """Return the load that a request would meet on a worker: the lower, the better.
+
+        Real work in flight, the reserved cost of open sessions, what the worker itself
+        reports beyond that, and the request's own work less the prefix held there.
+        """
+        in_flight = self.records.load(worker)
+        load = in_flight.work + self.records.session_table.load(worker)
+        running, queued = self.watch.reports.get(worker, (0, 0))
+        load += max(0, running + queued - len(in_flight.held)) * REPORTED_REQUEST_COST
+        matching = self.prefixes.matching_parts(worker, request.prefix)
+        return load + request.work * (1 - PREFIX_DISCOUNT * matching / max(1, len(request.prefix)))
+
+    def has_slot(self, worker: str, long: bool, pool: configuration.Pool) -> bool:
+        """Whether a worker has a free slot; long prompts have fewer of them."""
+        in_flight = self.records.load(worker)
+        return len(in_flight.held) < pool.slots and (not long or in_flight.long < pool.long_slots)
+
+    def pick(
+        self,
+        request: message.SelectWorker,
+        pool: configuration.Pool,
+        workers: collections.abc.Iterable[message.Worker],
+        now: int,
+    ) -> str | NoChoice | None:
+        """Choose the worker for a request.
+
+        Args:
+            request: The request.
+            pool: The pool's configuration.
+            workers: All workers that are listed now.
+            now: The present time, in µs.
+
+        Returns:
+            The worker's id, None where the request should wait for a slot, or why it need not wait.
+        """
+        ready = [
+            worker.id
+            for worker in workers
+            if worker.pool == self.pool and worker.state == "ready" and worker.id not in self.watch.dark
+        ]
+        session = self.records.session_table.affinity(request.session)
+        if session is not None and session.worker in ready:
+            free = not session.pending and self.has_slot(session.worker, request.long, pool)
+            return session.worker if free else None
+        if not ready:
+            return NoChoice("no_worker", f"No worker of pool {self.pool} is ready.")
+        ready = [worker for worker in ready if worker not in request.shun] or ready
+        ready = [worker for worker in ready if not self.watch.suspect(worker)] or ready
+        if request.session and pool.cap:
+            table = self.records.session_table
+            below_cap = [worker for worker in ready if table.count(worker) < pool.cap]
+            if not below_cap:
+                wait_us = max(units.SECOND_US, (table.earliest(ready) or now) - now)
+                return NoChoice("sessions_full", "Every worker has all the sessions it may have.", wait_us)
+            ready = below_cap
+        with_slot = [worker for worker in ready if self.has_slot(worker, request.long, pool)]
+        return min(with_slot, key=lambda worker: (self.score(worker, request), worker), default=None)
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -32,6 +32,7 @@
 import iriswheel.membership.membership_manager as membership_manager
 import iriswheel.node.follower as follower
 import iriswheel.pools.pool_owner as pool_owner
+import iriswheel.pools.selection as selection
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.message as message
 import iriswheel.verification.replay as replay
@@ -166,7 +167,7 @@
     "pins": ([(sessions.SessionTable, "affinity", lambda self, identifier: None)], "calm", 1, "pinned"),
     "cap": ([(sessions.SessionTable, "count", lambda self, worker: 0)], "many_talks", 1, "capped"),
     "retry_budget": ([(retry_budget.Budget, "spend", lambda self, now: True)], "worker_breaks", 1, "budget"),
-    "seats": ([(pool_owner.PoolOwner, "has_slot", lambda self, w, long, pool: False)], "calm", 1, "served"),
+    "seats": ([(selection.WorkerSelector, "has_slot", lambda self, w, long, pool: False)], "calm", 1, "served"),
     "second_witness": ([(health.WorkerWatch, "check", _alone)], "blind_owner", 2, "pinned"),
     "via": ([(gateway.Gateway, "send", _no_token)], "blind_node", 1, "served"),
     "one_budget": ([(retry_budget.Budget, "has_capacity", _local_budgets)], "worker_breaks", 1, "served"),
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -56,7 +56,7 @@
         return code, headers, b"".join(receiver.raw)
 
     def open_sessions(self, t):
-        return sum(len(rs) for rs in t.owner().pool_owners[t.pool].session_table.at.values())
+        return sum(len(rs) for rs in t.owner().pool_owners[t.pool].records.session_table.at.values())
 
     def test_a_conversation_is_released_after_a_minute_of_silence(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
@@ -98,7 +98,7 @@
         t.go(0.1)
         assert [r["kind"] for r in t.tape.rows if r["kind"] in ("ran", "cut")] == ["cut"]
         t.go(1)
-        assert t.owner().pool_owners[t.pool].grants == {}
+        assert t.owner().pool_owners[t.pool].records.grants == {}
 
     def test_a_slow_requester_slows_the_worker(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
@@ -243,13 +243,13 @@
         d = n.runtime.spawn(w.select_worker(msg), simulated_cluster.log)
         t.go(1)
         assert d.result.code == "no_warden"
-        assert w.claims == {}
+        assert w.records.claims == {}
 
     def test_a_claim_of_a_grant_that_came_too_late_is_given_back(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         n = t.owner()
         w = n.pool_owners[t.pool]
-        w.claims["e1"] = claims.Claim("e1", 1, "n1", "old-ask", t.world.time + 600 * S)  # as gathered
+        w.records.claims["e1"] = claims.Claim("e1", 1, "n1", "old-ask", t.world.time + 600 * S)  # as gathered
         w.release("old-ask", simulated_cluster.node.errors.ExecutionOutcome.NOT_RUN)
         assert self.answer(t, identifier="e1", repeat=False)[0] == 200
         code, _, body = self.answer(t, identifier="e1", repeat=False, send=2, node="n2")
@@ -262,7 +262,9 @@
         holder = next(m for m in t.nodes.values() if m.me.id == old.assignment.copies[0])
         holder.session_replica(t.pool).fence((old.assignment.term[0], old.assignment.term[1] + 1))
         d = n.runtime.spawn(
-            old.copy(simulated_cluster.node.message.ReplicateRecords(t.pool, old.assignment.term, n.me.id, [], [], [])),
+            old.replicator.copy(
+                simulated_cluster.node.message.ReplicateRecords(t.pool, old.assignment.term, n.me.id, [], [], [])
+            ),
             simulated_cluster.log,
         )
         t.go(1)
