--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -102,7 +102,7 @@
                 "workers",
                 "loops",
                 w,
-                measuring.ratio(lambda: n.follower.believe(edge_protocol.workers(page))),
+                measuring.ratio(lambda: n.follower.platform.believe(edge_protocol.workers(page))),
             )
     measuring.end(lines, out)
 
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -23,37 +23,51 @@
     import iriswheel.node.follower as follower
 
 
-HEDGE_US = (
-    600 * units.MILLISECOND_US
-)  # without a lease renewed for so long, other core machines are tried; it comes every 250 ms
-ATTEMPT_US = 1_500 * units.MILLISECOND_US  # an attempt that brought no lease by then ends
-ATTEMPTS = 3  # at a time
-STEP_US = 200 * units.MILLISECOND_US  # between the starts of attempts
-JITTER_US = 50 * units.MILLISECOND_US  # many nodes lose one core machine at the same time
-OVERLAP_US = 1 * units.SECOND_US  # the old session ends so long after the new one stands
-NEARER_US = 10 * units.SECOND_US  # between looks for a core machine of the node's own zone
-SILENT_US = 800 * units.MILLISECOND_US  # leases come four times a second
+HEDGE_US = 600 * units.MILLISECOND_US
+"""Without a lease renewed for so long, other core machines are tried; one comes every 250 ms."""
+
+ATTEMPT_US = 1_500 * units.MILLISECOND_US
+"""An attempt that brought no lease by then ends."""
+
+MAX_ATTEMPTS = 3
+"""Attempts at a time."""
+
+ATTEMPT_INTERVAL_US = 200 * units.MILLISECOND_US
+MAX_JITTER_US = 50 * units.MILLISECOND_US
+"""Many nodes lose one core machine at the same time; they wait differently long."""
+
+OVERLAP_US = 1 * units.SECOND_US
+"""The old session ends so long after the new one stands."""
+
+NEARER_INTERVAL_US = 10 * units.SECOND_US
+"""The time between looks for a core machine of the node's own zone."""
+
+RECENT_CONTACT_US = 800 * units.MILLISECOND_US
+"""A lease renewed within this time counts as contact; leases come four times a second."""
 
 log = loguru.logger.bind(part="follow")
 
+Address = tuple[str, int]
+"""The host and port of a core machine."""
+
 
 class CoreSession:
     """Keeps one node's session with a core machine."""
 
-    def __init__(self, follower: follower.Follower, seeds: list[tuple[str, int]]) -> None:
+    def __init__(self, follower: follower.Follower, seeds: list[Address]) -> None:
         self.follower = follower
         self.runtime = follower.runtime
         self.addresses = list(seeds)
         self.connection: wire.Connection | None = None
-        self.address: tuple[str, int] | None = None
+        self.address: Address | None = None
         self.lease = lease.NodeLease()
         self.leased_at: int | None = None  # when a lease last came on the session that stands
         # connection -> address, of attempts that have brought no lease yet
-        self.candidates: dict[wire.Connection, tuple[str, int]] = {}
-        self.attempts: set[tuple[str, int]] = set()  # the addresses of all attempts under way
-        self.tried: dict[tuple[str, int], int] = {}  # address -> when it was last tried, since a session last stood
-        self.hint: tuple[str, int] | None = None  # where a peer has its session
-        self.nearer_at = -NEARER_US
+        self.candidates: dict[wire.Connection, Address] = {}
+        self.attempts: set[Address] = set()  # the addresses of all attempts under way
+        self.tried: dict[Address, int] = {}  # address -> when it was last tried, since a session last stood
+        self.hint: Address | None = None  # where a peer has its session
+        self.nearer_at = -NEARER_INTERVAL_US
         self.moves = 0
 
     # ---- what is known ---------------------------------------------------------
@@ -64,7 +78,7 @@
 
     def has_recent_contact(self) -> bool:
         """Whether the lease was renewed just now, for peers that ask."""
-        return self._leased_within(SILENT_US)
+        return self._leased_within(RECENT_CONTACT_US)
 
     def _leased_within(self, us: int) -> bool:
         return (
@@ -86,15 +100,13 @@
             "attempts": sorted("{}:{}".format(*address) for address in self.attempts),
         }
 
-    def learn(
-        self, addresses: collections.abc.Iterator[typing.Any] | dict[tuple[str, int], str] | list[tuple[str, int]]
-    ) -> None:
+    def learn(self, addresses: collections.abc.Iterable[Address]) -> None:
         """Remember further addresses of core machines; they may have been replaced."""
         for address in addresses:
             if address not in self.addresses:
                 self.addresses.append(address)
 
-    def order(self) -> list[tuple[str, int]]:
+    def order(self) -> list[Address]:
         """Where to look for a core machine, the best first.
 
         Those of the membership go before older addresses, those of this node's own zone first,
@@ -166,7 +178,8 @@
         for connection in [self.connection, *self.candidates]:
             if connection is not None:
                 connection.close()
-        self.connection = self.leased_at = None
+        self.connection = None
+        self.leased_at = None
         self.candidates.clear()
 
     async def run(self) -> None:
@@ -179,20 +192,20 @@
             elif (nearer := self._nearer()) is not None:
                 self._try(nearer)
             if self.connection is not None:
-                await self.runtime.pause(self.connection.lost, STEP_US)
+                await self.runtime.pause(self.connection.lost, ATTEMPT_INTERVAL_US)
             else:
-                await self.runtime.sleep(STEP_US)
+                await self.runtime.sleep(ATTEMPT_INTERVAL_US)
             if self.connection is not None and not self.connection.up:
-                await self.runtime.sleep(self.runtime.rng.randrange(JITTER_US))
+                await self.runtime.sleep(self.runtime.rng.randrange(MAX_JITTER_US))
 
     def _drop_lost(self) -> None:
-        if self.connection is not None and not self.connection.up:
+        if self.connection is not None and self.address is not None and not self.connection.up:
             log.info("The session with {}:{} ended, at {}.", *self.address, self.follower.applied_index)
             self.tried[self.address] = self.runtime.now()
             self.connection = None
 
     def _try_next(self) -> None:
-        if len(self.attempts) >= ATTEMPTS:
+        if len(self.attempts) >= MAX_ATTEMPTS:
             return
         here = self.address if self.connection is not None else None
         hint, self.hint = self.hint, None
@@ -201,12 +214,17 @@
                 self._try(address)
                 return
 
-    def _nearer(self) -> tuple[str, int] | None:
+    def _nearer(self) -> Address | None:
         """A core machine of this node's own zone, where the session is with one of another zone."""
         zones = self.follower.core_zones()
         own = self.follower.options.zone
         now = self.runtime.now()
-        if zones.get(self.address, own) == own or now - self.nearer_at < NEARER_US or self.attempts:
+        if (
+            self.address is None
+            or zones.get(self.address, own) == own
+            or now - self.nearer_at < NEARER_INTERVAL_US
+            or self.attempts
+        ):
             return None
         nearer = [address for address, zone in zones.items() if zone == own]
         if not nearer:
@@ -214,12 +232,12 @@
         self.nearer_at = now
         return nearer[0]
 
-    def _try(self, address: tuple[str, int]) -> None:
+    def _try(self, address: Address) -> None:
         self.attempts.add(address)
         self.tried[address] = self.runtime.now()
         self.runtime.spawn(self._attempt(address), log)
 
-    async def _attempt(self, address: tuple[str, int]) -> None:
+    async def _attempt(self, address: Address) -> None:
         """Open a session beside the one that stands, and give it some time to bring a lease."""
         try:
             connection = await wire.connect(self.runtime, *address, self.serve, log)
@@ -227,7 +245,7 @@
             connection.tell(self.follower.join())
             until = self.runtime.now() + ATTEMPT_US
             while connection in self.candidates and connection.up and self.runtime.now() < until:
-                await self.runtime.pause(connection.lost, STEP_US)
+                await self.runtime.pause(connection.lost, ATTEMPT_INTERVAL_US)
             if self.candidates.pop(connection, None) is not None:
                 connection.close()
         except wire.ConnectionBrokenError:
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -69,7 +69,7 @@
         for coroutine in (
             self.follower.session.run(),
             self.follower.watch(),
-            self.follower.list(),
+            self.follower.platform.run(),
             self.tell_running(),
             self.gateway.attempts.watch_hangs(),
             self.reach.walk(),
@@ -86,6 +86,13 @@
         self.follower.session.learn(options.seed_list())
         log.info("The options were read again.")
 
+    @property
+    def member(self) -> message.Member:
+        """This node as a member; it has no record before it has started."""
+        if self.me is None:
+            raise RuntimeError("The node has not started.")
+        return self.me
+
     # ---- state ---------------------------------------------------------------------
 
     def ready(self) -> tuple[bool, str]:
@@ -278,8 +285,8 @@
                 if not self.follower.apply_listing_unchanged(msg) and connection is not None:
                     connection.tell(message.ListingRequest())
             case message.ListingRequest():
-                if self.follower.full_listing is not None and connection is not None:
-                    connection.tell(message.ForwardedListing(self.follower.full_listing))
+                if self.follower.platform.full_listing is not None and connection is not None:
+                    connection.tell(message.ForwardedListing(self.follower.platform.full_listing))
             case message.PolledWorkers(workers=workers):
                 self.follower.apply_polled_workers(workers)
             case message.CoreStatusQuery(version=version):
--- /dev/null
+++ b/iriswheel/node/peer_status.py
@@ -0,0 +1,83 @@
+"""What the peers of a node say of the core, while the node itself has lost it."""
+
+from __future__ import annotations
+
+import typing
+
+import loguru
+import twisted.internet.defer as defer
+
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+import iriswheel.transport.wire as wire
+
+if typing.TYPE_CHECKING:
+    import iriswheel.node.follower as follower
+
+QUERY_DEADLINE_US = 700 * units.MILLISECOND_US
+STATUS_VALIDITY_US = 1_200 * units.MILLISECOND_US
+"""How long a peer's answer counts; peers are asked twice a second."""
+
+PEERS_ASKED_WHILE_SERVING_ON = 3
+"""How many peers a node asks that serves on without the core."""
+
+log = loguru.logger.bind(part="follow")
+
+
+class PeerStatus:
+    """The newest answers of a node's peers to the question whether the core stands with them."""
+
+    def __init__(self, follower: follower.Follower) -> None:
+        self.follower = follower
+        self.runtime = follower.runtime
+        self.responses: dict[str, tuple[int, message.CoreStatusResponse]] = {}  # member -> (when it came, answer)
+
+    def clear(self) -> None:
+        """Forget all answers: the node hears the core itself, or was frozen."""
+        self.responses = {}
+
+    def any_ahead(self, applied_index: int) -> bool:
+        """Whether a peer that is in touch with the core has a newer configuration than `applied_index`."""
+        now = self.runtime.now()
+        return any(
+            now - came_at < STATUS_VALIDITY_US and response.core and response.applied_index > applied_index
+            for came_at, response in self.responses.values()
+        )
+
+    def without_core(self, applied_index: int) -> set[str]:
+        """Return the peers that have lost the core too, and have no newer configuration than `applied_index`."""
+        now = self.runtime.now()
+        return {
+            member
+            for member, (came_at, response) in self.responses.items()
+            if now - came_at < STATUS_VALIDITY_US and not response.core and response.applied_index <= applied_index
+        }
+
+    def query(self) -> None:
+        """Ask the peers whether the core stands with them.
+
+        All of them, since one that may be with a core that takes changes must be heard; but a
+        node that serves on in any case only wants to know where the core is, and asks a few.
+        """
+        peers = self.follower.peers()
+        if self.follower.options.serve_on:
+            peers = self.runtime.rng.sample(peers, min(PEERS_ASKED_WHILE_SERVING_ON, len(peers)))
+        for peer in peers:
+            self.runtime.spawn(self._query_peer(peer), log)
+
+    async def _query_peer(self, peer: message.Member) -> None:
+        query = message.CoreStatusQuery(self.follower.membership.version)
+        call = self.follower.node.peers.call(peer.host, peer.port, query, QUERY_DEADLINE_US)
+        try:
+            response = await self.runtime.within(defer.ensureDeferred(call), QUERY_DEADLINE_US)
+        except wire.ConnectionBrokenError as error:
+            if not error.refused:
+                return
+            response = message.CoreStatusResponse(False, None)  # its process is dead
+        except scheduler.DeadlineError:
+            return
+        self.responses[peer.id] = (self.runtime.now(), response)
+        self.follower.apply_membership(response.membership)
+        if response.at is not None:
+            self.follower.session.hint = response.at
--- /dev/null
+++ b/iriswheel/node/platform_listing.py
@@ -0,0 +1,160 @@
+"""Asking the platform for its workers, and telling the other nodes.
+
+One node has the role to ask. Others do so only while they have had no news for a while.
+"""
+
+from __future__ import annotations
+
+import typing
+
+import loguru
+import twisted.internet.defer as defer
+
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.node.follower as follower
+    import iriswheel.transport.wire as wire
+
+ROLE_KEY = "list"
+"""The key of the role assignment."""
+
+RETRY_US = 500 * units.MILLISECOND_US
+"""The base of the time that a node waits after a failure, unless the role is its own."""
+
+MAX_RETRY_DOUBLINGS = 3
+MAX_SPREAD_US = 4 * units.SECOND_US
+"""Nodes without news spread their questions over at most so long."""
+
+PAGE_DEADLINE_US = 1 * units.SECOND_US
+MAX_PAGES = 200
+
+ANSWERS_TO_REMOVE_WORKER = 2
+ANSWERS_TO_REMOVE_ALL = 4
+
+log = loguru.logger.bind(part="follow")
+
+
+class PlatformListing:
+    """One node's questions to the platform."""
+
+    def __init__(self, follower: follower.Follower) -> None:
+        self.follower = follower
+        self.node = follower.node
+        self.runtime = follower.runtime
+        self.options = follower.options
+        self.list_now = scheduler.Signal()  # woken once this node has a configuration
+        self.full_listing: message.WorkerListing | None = None  # the last list that the others were told whole
+        self._sent_on: wire.Connection | None = None  # the session on which the core was told it whole
+        self._missed: dict[str, int] = {}  # worker -> how many answers in a row did not list it
+        self._count = 0  # of the listings made here
+        self._failures = 0  # in a row
+
+    def believe(self, workers: list[message.Worker]) -> list[message.Worker]:
+        """Return the platform's answer, less what it must say more than once to be believed.
+
+        A worker that it lists no more counts as gone from the second answer in a row on, and
+        a list of nobody from the fourth: one bad answer must not empty the fleet.
+        """
+        listed = {worker.id for worker in workers}
+        missing = [worker for worker in self.follower.workers if worker.id not in listed and worker.state != "gone"]
+        self._missed = {worker.id: self._missed.get(worker.id, 0) + 1 for worker in missing}
+        needed = ANSWERS_TO_REMOVE_WORKER if workers else ANSWERS_TO_REMOVE_ALL
+        kept = [worker for worker in missing if self._missed[worker.id] < needed]
+        return sorted(workers + kept, key=lambda worker: worker.id)
+
+    async def run(self) -> None:
+        """Ask the platform for its workers, where that is this node's role or no news of workers comes.
+
+        Many nodes ask at once when the role's holder is lost: each first waits a while by
+        chance, as long as all members together need at half of the platform's rate, and the
+        first one that has the list tells it to the others.
+        """
+        address = self.options.platform_address()
+        while not self.node.left:
+            assignment = self._own_assignment()
+            if assignment is None and self.follower.orphan() and self.follower.membership.members:
+                await self._wait_by_chance()
+            if assignment is not None or self.follower.orphan():
+                workers = await self._ask(address, has_role=assignment is not None)
+                if workers is None:
+                    continue
+                if assignment is not None:
+                    self._publish(assignment, workers)
+                else:
+                    self._share(workers)
+            await self.runtime.pause(self.list_now, self.options.list_us)
+
+    def _own_assignment(self) -> message.RoleAssignment | None:
+        """Return the role's assignment where it is this node's and this node may rely on that."""
+        assignment = self.follower.assignment(ROLE_KEY)
+        mine = assignment is not None and assignment.holder == self.node.member.id and self.follower.settled()
+        return assignment if mine else None
+
+    async def _wait_by_chance(self) -> None:
+        members = len(self.follower.membership.members)
+        spread_us = members * units.SECOND_US / (self.options.call_rate / 2)
+        wait_us = self.runtime.rng.randrange(1 + int(min(spread_us, MAX_SPREAD_US)))
+        await self.runtime.pause(self.list_now, wait_us)
+
+    async def _ask(self, address: tuple[str, int], has_role: bool) -> list[message.Worker] | None:
+        """Return the list to go by; None, after a wait, where a node without the role gets none."""
+        try:
+            workers = self.believe(await self._fetch_all(*address))
+        except defer.CancelledError:
+            raise
+        except Exception as error:  # whatever the platform does wrong, the last list stands
+            log.warning("The platform gives no worker list: {}", error)
+            workers = self.follower.workers
+            if not has_role:
+                self._failures += 1
+                doublings = min(self._failures, MAX_RETRY_DOUBLINGS)
+                await self.runtime.sleep(RETRY_US // 4 + self.runtime.rng.randrange(RETRY_US << doublings))
+                return None
+        self._failures = 0
+        return workers
+
+    async def _fetch_all(self, host: str, port: int) -> list[message.Worker]:
+        """Return the platform's whole list, page by page; raises ValueError and what fetch raises."""
+        workers: list[message.Worker] = []
+        token = ""
+        for _ in range(MAX_PAGES):
+            raw = await self.node.sender.fetch(host, port, self.node.outer.list_path(token), PAGE_DEADLINE_US)
+            page, token = self.node.outer.page(raw)
+            workers += page
+            if not token:
+                return sorted(workers, key=lambda worker: worker.id)
+        raise ValueError("The platform's list has no end.")
+
+    def _publish(self, assignment: message.RoleAssignment, workers: list[message.Worker]) -> None:
+        """Tell the core and the other nodes: the whole list where it changed, else that it stands."""
+        self._count += 1
+        listing = message.WorkerListing(workers, (assignment.term[0], assignment.term[1], self._count))
+        last = self.full_listing
+        changed = last is None or last.workers != workers or last.version[:2] != listing.version[:2]
+        whole = listing if last is None or changed else last
+        unchanged = message.ListingUnchanged(listing.version, whole.version)
+        if changed:
+            self.follower.apply_listing(listing)
+        else:
+            self.follower.apply_listing_unchanged(unchanged)
+        self.full_listing = whole
+        session = self.follower.session
+        if changed or self._sent_on is not session.connection:
+            self._sent_on = session.connection
+            session.tell(whole)
+        session.tell(unchanged)
+        if changed:
+            self._tell_peers(message.ForwardedListing(listing))
+        elif not session.stands():  # else the core tells the others that the list stands
+            self._tell_peers(unchanged)
+
+    def _share(self, workers: list[message.Worker]) -> None:
+        self.follower.apply_workers(workers)
+        self._tell_peers(message.PolledWorkers(workers))
+
+    def _tell_peers(self, update: message.Message) -> None:
+        for peer in self.follower.peers():
+            self.runtime.spawn(self.node.peers.tell(peer.host, peer.port, update), log)
--- /dev/null
+++ b/iriswheel/node/worker_list.py
@@ -0,0 +1,63 @@
+"""The workers as the platform last listed them, and which listing that was."""
+
+from __future__ import annotations
+
+import typing
+
+if typing.TYPE_CHECKING:
+    import iriswheel.transport.message as message
+
+ListingVersion = tuple[int, int, int]
+"""The term of the role that lists workers, and a count."""
+
+
+class WorkerList:
+    """A node's worker list, with the time until which streams may go on at workers that leave."""
+
+    def __init__(self) -> None:
+        self.workers: list[message.Worker] = []
+        self.states: dict[str, message.Worker] = {}  # by id
+        self.updated_at: int | None = None  # when news of workers last came, in µs
+        self._drain_deadlines: dict[str, int] = {}  # worker that is not ready -> when its streams must have ended
+        self._version: ListingVersion = (0, 0, 0)  # of the newest listing, whole or unchanged
+        self._whole_version: ListingVersion = (0, 0, 0)  # under which the list that is known here came whole
+
+    def state(self, worker: str) -> str:
+        """Return a worker's state: "ready", "leaving" or "gone"."""
+        listed = self.states.get(worker)
+        return listed.state if listed is not None else "gone"
+
+    def drained(self, worker: str, now: int) -> bool:
+        """Whether a worker that leaves or is gone has had its time for streams under way."""
+        return now > self._drain_deadlines.get(worker, now)
+
+    def accept_listing(self, listing: message.WorkerListing) -> bool:
+        """Note the version of a whole listing; False where a newer one came before."""
+        if listing.version < self._version:
+            return False
+        self._version = self._whole_version = listing.version
+        return True
+
+    def accept_unchanged(self, unchanged: message.ListingUnchanged, now: int) -> bool:
+        """Note that the list stands as it was told whole; False where that whole list never came here."""
+        if unchanged.of != self._whole_version:
+            return self._whole_version > unchanged.of
+        self._version = max(self._version, unchanged.version)
+        self.updated_at = now
+        return True
+
+    def replace(self, workers: list[message.Worker], now: int) -> bool:
+        """Take a list of all workers; whether it differs from the one before."""
+        self.updated_at = now
+        if workers == self.workers:
+            return False
+        before = self.states
+        self.workers = workers
+        self.states = {worker.id: worker for worker in workers}
+        for identifier in sorted({*before, *self.states}):
+            if self.state(identifier) == "ready":
+                self._drain_deadlines.pop(identifier, None)
+            else:
+                worker = self.states.get(identifier) or before[identifier]
+                self._drain_deadlines.setdefault(identifier, now + worker.drain_us)
+        return True
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -31,6 +31,8 @@
 import iriswheel.membership.lease as lease
 import iriswheel.membership.membership_manager as membership_manager
 import iriswheel.node.follower as follower
+import iriswheel.node.peer_status as peer_status
+import iriswheel.node.platform_listing as platform_listing
 import iriswheel.pools.pool_owner as pool_owner
 import iriswheel.pools.selection as selection
 import iriswheel.transport.http_server as http_server
@@ -38,6 +40,8 @@
 import iriswheel.verification.replay as replay
 import simulation.fault_scenarios as fault_scenarios
 
+VALID_US = peer_status.STATUS_VALIDITY_US
+
 
 async def _acknowledge_at_once(self: typing.Any, index: typing.Any, until: typing.Any) -> None:
     return None
@@ -84,12 +88,14 @@
 def _half(self: typing.Any) -> typing.Any:
     if self.session.stands():
         return False
-    fresh = [g for at, g in self.goes.values() if self.runtime.now() - at < follower.GOES_US]
+    fresh = [g for at, g in self.peer_status.responses.values() if self.runtime.now() - at < VALID_US]
     return any(g.core for g in fresh) or 2 * (len(fresh) + 1) <= len(self.membership.members)
 
 
 def _any_place(self: typing.Any) -> typing.Any:
-    without = {i for i, (at, g) in self.goes.items() if self.runtime.now() - at < follower.GOES_US and not g.core}
+    without = {
+        i for i, (at, g) in self.peer_status.responses.items() if self.runtime.now() - at < VALID_US and not g.core
+    }
     return not self.session.stands() and any(
         m.id != self.node.me.id and m.id not in without for m in self.membership.members
     )
@@ -175,7 +181,7 @@
     "places": ([(follower.Follower, "cut_off", _any_place)], "wake_without_core", 1, "in_force"),
     "all_neighbours": ([(follower.Follower, "cut_off", _half)], "cut_sides", 1, "in_force"),
     "rerouted": ([(request_router.RequestRouter, "reroute", lambda self, request: None)], "crowd", 1, "served"),
-    "twice_said": ([(follower.Follower, "believe", _believe_all)], "platform_bad", 1, "pinned"),
+    "twice_said": ([(platform_listing.PlatformListing, "believe", _believe_all)], "platform_bad", 1, "pinned"),
     "sweep": ([(sessions.SessionTable, "sweep", _keep_all)], "release", 1, "served"),
     "early_answers": (
         [(http_server.Request, "refuse_early", lambda self, code, text: None)],
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -146,7 +146,7 @@
         for core in t.cores.values():
             core.process.freeze()
         t.go(1.5)
-        assert 2 <= len(n.follower.session.attempts) <= core_session.ATTEMPTS
+        assert 2 <= len(n.follower.session.attempts) <= core_session.MAX_ATTEMPTS
 
 
 class TestServeOn:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -223,7 +223,7 @@
         t = quiet_cluster(halls=["a"] * 12, serve_on=serve_on)
         n, asked = t.nodes["n1"], []
         n.follower.runtime.spawn = lambda coroutine, log=None: asked.append(coroutine) or coroutine.close()
-        n.follower.query_peers()
+        n.follower.peer_status.query()
         assert len(asked) == most
 
     def test_nodes_without_news_of_workers_do_not_storm_the_platform(
