--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -344,7 +344,7 @@
         "budget": most(len(w.records.budget.firsts) + len(w.records.budget.repeats) for w in ws),
         "gone": most(len(w.records.closed_ids) for w in ws),
         "heard": most(len(h) for w in ws for h in w.watch.last_contact.values()),
-        "copies": most(len(s.sessions) + len(s.claims) for n in nodes for s in n.session_replicas.values()),
+        "copies": most(len(s.sessions) + len(s.claims) for n in nodes for s in n.pool_roles.replicas.values()),
         "pins": most(len(n.gateway.selector.affinities) for n in nodes),
         "given up": most(len(n.given_up) for n in nodes),
         "tallies": most(
--- /dev/null
+++ b/iriswheel/node/pool_roles.py
@@ -0,0 +1,144 @@
+"""The pools that a node owns, and the copies that it keeps of the records of others."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import loguru
+
+import iriswheel.errors as errors
+import iriswheel.pools.pool_owner as pool_owner
+import iriswheel.pools.session_replicas as session_replicas
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.node.node as node
+
+log = loguru.logger.bind(part="node")
+
+Selection = collections.abc.Coroutine[typing.Any, typing.Any, pool_owner.SelectionResponse]
+Revocation = collections.abc.Coroutine[typing.Any, typing.Any, message.RevokeResponse]
+
+
+def pool_of(assignment: message.RoleAssignment) -> str | None:
+    """Return the pool whose owner an assignment names; None where the role is another.
+
+    >>> pool_of(message.RoleAssignment("pool/desk", (1, 1), "n", [], []))
+    'desk'
+    """
+    prefix = pool_owner.ROLE_KEY_PREFIX
+    return assignment.key.removeprefix(prefix) if assignment.key.startswith(prefix) else None
+
+
+class PoolRoles:
+    """Starts and ends pool owners as the membership says, and passes them the messages for their pools."""
+
+    def __init__(self, local_node: node.Node) -> None:
+        self.node = local_node
+        self.runtime = local_node.runtime
+        self.owners: dict[str, pool_owner.PoolOwner] = {}  # by pool, where the role is here
+        self.replicas: dict[str, session_replicas.SessionReplica] = {}  # by pool
+
+    def replica(self, pool: str) -> session_replicas.SessionReplica:
+        """Return the copies that are kept here of a pool's records."""
+        if pool not in self.replicas:
+            self.replicas[pool] = session_replicas.SessionReplica()
+        return self.replicas[pool]
+
+    def update(self, member_id: str) -> None:
+        """End the owners whose role has gone elsewhere, and start those whose role came here."""
+        assigned: dict[str, message.RoleAssignment] = {}
+        for assignment in self.node.follower.membership.assignments:
+            pool = pool_of(assignment)
+            if pool is not None and assignment.holder == member_id:
+                assigned[pool] = assignment
+        for pool, owner in list(self.owners.items()):
+            if pool not in assigned or assigned[pool].term != owner.assignment.term:
+                self._end(owner)
+        for pool, assignment in sorted(assigned.items()):
+            replica = self.replica(pool)
+            if pool not in self.owners and replica.fence(assignment.term):
+                owner = self.owners[pool] = pool_owner.PoolOwner(self.node, pool, assignment)
+                self.runtime.spawn(owner.run(), log)
+        for owner in list(self.owners.values()):
+            owner.check_workers()
+
+    def _end(self, owner: pool_owner.PoolOwner) -> None:
+        del self.owners[owner.pool]
+        owner.end()
+        owner.leave_to(self.replica(owner.pool))
+
+    def is_contested(self, assignment: message.RoleAssignment) -> bool:
+        """Whether this node could not take up a pool's role, since a newer term was seen."""
+        owner = self.owners.get(pool_of(assignment) or "")
+        return owner is None or owner.over
+
+    def sweep(self, now: int) -> None:
+        """Forget the copies that expired long ago."""
+        for replica in self.replicas.values():
+            replica.sweep(now)
+
+    def state(self) -> list[dict[str, object]]:
+        """Return what a node shows of its pools."""
+        return [owner.state() for _, owner in sorted(self.owners.items())]
+
+    # ---- messages ------------------------------------------------------------------
+
+    def select_worker(self, request: message.SelectWorker) -> Selection | message.SelectionDenied:
+        """Have a pool's owner choose a worker."""
+        owner = self.owners.get(request.pool)
+        if owner is None:
+            outcome = errors.ExecutionOutcome.NOT_RUN.value
+            return message.SelectionDenied(request.term, "no_warden", "The duty is not here.", outcome, 0)
+        return owner.select_worker(request)
+
+    def revoke(self, request: message.RevokeRequest) -> Revocation | message.RevokeResponse:
+        """Have a pool's owner say whether a request was sent there."""
+        owner = self.owners.get(request.pool)
+        if owner is None:
+            return message.RevokeResponse(pool_owner.RevocationState.LATER.value)
+        return owner.revoke(request)
+
+    def release(self, released: message.GrantReleased) -> None:
+        """Tell a pool's owner that a grant is over."""
+        owner = self.owners.get(released.pool)
+        if owner is not None:
+            owner.release(released.attempt_id, errors.ExecutionOutcome(released.execution))
+
+    def take_report(self, report: message.GrantReport) -> None:
+        """Tell a pool's owner which grants a node holds."""
+        owner = self.owners.get(report.pool)
+        if owner is not None:
+            owner.take_report(report)
+
+    def replicate(self, update: message.ReplicateRecords) -> message.ReplicateResponse:
+        """Keep a copy of an owner's records."""
+        return message.ReplicateResponse(self.replica(update.pool).take(update, self.runtime.now()))
+
+    def export_records(self, request: message.RecordsRequest) -> message.RecordsResponse:
+        """Return what this node holds of a pool, for its new owner; older terms are refused from then on."""
+        pool = request.pool
+        replica = self.replica(pool)
+        now = self.runtime.now()
+        if not replica.fence(request.term):
+            return message.RecordsResponse(False)
+        gateway = self.node.gateway
+        held = [grant for _, grant in sorted(self.node.grants.items()) if grant.pool == pool]
+        affinities = gateway.selector.export_sessions(pool, now)
+        owner = self.owners.get(pool)
+        if owner is not None and owner.assignment.term < request.term:
+            self._end(owner)
+        sessions, claims = replica.export(now)
+        firsts, repeats = gateway.retry_budgets.export(pool, now)
+        return message.RecordsResponse(
+            True,
+            sessions,
+            claims,
+            held,
+            affinities,
+            replica.held,
+            max(0, replica.broken_until - now),
+            firsts,
+            repeats,
+        )
--- /dev/null
+++ b/iriswheel/node/shutdown.py
@@ -0,0 +1,71 @@
+"""The graceful stop of a node: leave the membership, let streams end, and go within the grace."""
+
+from __future__ import annotations
+
+import typing
+
+import loguru
+
+import iriswheel.runtime.units as units
+import iriswheel.transport.message as message
+
+if typing.TYPE_CHECKING:
+    import iriswheel.node.node as node
+
+IDLE_US = 300 * units.MILLISECOND_US
+"""A node goes once no request was open for so long."""
+
+LAST_BYTES_US = 200 * units.MILLISECOND_US
+"""For the last bytes of what was answered."""
+
+MAX_NOTICE_US = 3 * units.SECOND_US
+"""The longest wait for the platform's question whether this node is ready."""
+
+CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
+
+log = loguru.logger.bind(part="node")
+
+
+async def stop_gracefully(stopping_node: node.Node) -> None:
+    """Say not ready, hand the roles over, let streams end, leave; all of it within the grace.
+
+    Newcomers are served until the platform has heard that this node is not ready and
+    has had a moment to hand clients elsewhere, and while requests are open up to
+    half of the grace; a last eighth of it is kept back.
+    """
+    gateway = stopping_node.gateway
+    stopping_node.stopping = True
+    log.info("Stopping; {} requests are open.", gateway.open)
+    stopping_node.follower.session.tell(message.MemberLeaving(stopping_node.member.id))
+    await _wait_for_requests(stopping_node)
+    stopping_node.closing = True
+    await stopping_node.runtime.sleep(LAST_BYTES_US)
+    stopping_node.left = True
+    log.info("Left with {} requests open.", gateway.open)
+
+
+async def _wait_for_requests(stopping_node: node.Node) -> None:
+    """Wait until no request was open for a moment, or most of the grace is over."""
+    gateway, runtime = stopping_node.gateway, stopping_node.runtime
+    started_at, grace_us = runtime.now(), stopping_node.options.grace_us
+    notice_at = started_at + min(MAX_NOTICE_US, grace_us // 2)
+    ends_at = started_at + grace_us - min(grace_us // 8, units.SECOND_US)
+    idle_since: int | None = None
+    while (now := runtime.now()) < ends_at:
+        noticed = now >= notice_at or _platform_has_noticed(stopping_node, now)
+        if gateway.open:
+            idle_since = None
+        elif idle_since is None:
+            idle_since = now
+        elif noticed and now - idle_since > IDLE_US:
+            break  # and what was written last has gone out
+        stopping_node.closing = noticed and now >= started_at + grace_us // 2
+        await runtime.pause(gateway.closed, CHECK_INTERVAL_US)
+
+
+def _platform_has_noticed(stopping_node: node.Node, now: int) -> bool:
+    """Whether the platform heard a while ago that this node is not ready."""
+    asked_at = stopping_node.asked_at
+    if not asked_at:
+        return False
+    return now - asked_at > stopping_node.options.notice_us
--- a/iriswheel/transport/message.py
+++ b/iriswheel/transport/message.py
@@ -15,7 +15,7 @@
     """The base of all messages."""
 
 
-def plain(value):
+def plain(value: typing.Any) -> typing.Any:
     """A message as plain data, under the names that its fields have outside.
 
     A field that is renamed in the code keeps its name outside by `rename=` of its class.
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -9,6 +9,7 @@
 import iriswheel.cli.load_generator as load_generator
 import iriswheel.consensus.acceptor as acceptor
 import iriswheel.dataplane.dispatch as dispatch
+import iriswheel.errors as errors
 import iriswheel.pools.claims as claims
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.message as message
@@ -223,7 +224,7 @@
         t = quiet_cluster()
         n = t.owner()
         w = n.pool_owners[t.pool]
-        w.release("late-ask", simulated_cluster.node.errors.ExecutionOutcome.NOT_RUN)
+        w.release("late-ask", errors.ExecutionOutcome.NOT_RUN)
         msg = simulated_cluster.node.message.SelectWorker(
             t.pool,
             w.assignment.term,
@@ -250,7 +251,7 @@
         n = t.owner()
         w = n.pool_owners[t.pool]
         w.records.claims["e1"] = claims.Claim("e1", 1, "n1", "old-ask", t.world.time + 600 * S)  # as gathered
-        w.release("old-ask", simulated_cluster.node.errors.ExecutionOutcome.NOT_RUN)
+        w.release("old-ask", errors.ExecutionOutcome.NOT_RUN)
         assert self.answer(t, identifier="e1", repeat=False)[0] == 200
         code, _, body = self.answer(t, identifier="e1", repeat=False, send=2, node="n2")
         assert (code, b'"ran"' in body) == (409, True)
@@ -260,7 +261,7 @@
         n = t.owner()
         old = n.pool_owners[t.pool]
         holder = next(m for m in t.nodes.values() if m.me.id == old.assignment.copies[0])
-        holder.session_replica(t.pool).fence((old.assignment.term[0], old.assignment.term[1] + 1))
+        holder.pool_roles.replica(t.pool).fence((old.assignment.term[0], old.assignment.term[1] + 1))
         d = n.runtime.spawn(
             old.replicator.copy(
                 simulated_cluster.node.message.ReplicateRecords(t.pool, old.assignment.term, n.me.id, [], [], [])
