--- a/iriswheel/dataplane/sessions.py
+++ b/iriswheel/dataplane/sessions.py
@@ -1,9 +1,8 @@
 """Worker sessions: a conversation stays on the worker that holds its prefix.
 
-The design of the session paper, over the pool owner's records: the first turn is placed
-by normal balancing, later turns are pinned while the worker is ready, each turn puts
-the expiry one lifetime ahead, a sweep closes what is past it, an open session's cost
-counts in its worker's load, and a worker takes no more sessions than its cap.
+The first turn is placed by normal balancing, later turns are pinned while the worker is ready,
+each turn puts the expiry one lifetime ahead, a sweep closes what is past it, an open session's
+cost counts in its worker's load, and a worker takes no more sessions than its cap.
 """
 
 from __future__ import annotations
@@ -14,19 +13,22 @@
 import iriswheel.transport.message as message
 
 SWEEP_US = 5_000_000
+ID_DIGITS = 24
 
+Key = typing.TypeVar("Key", bound=bytes | str)
 
-class Session:
+
+class Session(typing.Generic[Key]):
     """One open session.
 
     >>> Session("s", "w1", expires=60, lifetime_us=60, cost=100).turns
     0
     """
 
-    __slots__ = ("id", "worker", "expires", "lifetime_us", "cost", "version", "turns", "pending", "opened_by")
+    __slots__ = ("cost", "expires", "id", "lifetime_us", "opened_by", "pending", "turns", "version", "worker")
 
     def __init__(
-        self, identifier: bytes | str, worker: str, expires: int, lifetime_us: int, cost: int, version: int = 1
+        self, identifier: Key, worker: str, expires: int, lifetime_us: int, cost: int, version: int = 1
     ) -> None:
         self.id = identifier
         self.worker = worker
@@ -35,12 +37,12 @@
         self.cost = cost
         self.version = version
         self.turns = 0  # turns in flight
-        self.opened_by = ""  # the ask of its first turn, until that reached the worker
+        self.opened_by = ""  # the attempt id of its first turn, until that reached the worker
         self.pending = False  # until copies of its opening stand
 
 
 def derive(parts: list[str], session_part: int) -> str:
-    """The id of a conversation, from the session's part of the prompt's prefix.
+    """Return the id of a conversation, from the session's part of the prompt's prefix; "" where it has none.
 
     With session_part -1 the last part names the conversation, and a list of fewer than
     two parts names none: a prefix that everybody shares must not become one session.
@@ -59,87 +61,94 @@
         session_part = len(parts) - 1
     if session_part >= len(parts):
         return ""
-    return hashlib.sha256("\n".join(parts[: session_part + 1]).encode()).hexdigest()[:24]
+    return hashlib.sha256("\n".join(parts[: session_part + 1]).encode()).hexdigest()[:ID_DIGITS]
 
 
-class SessionTable:
+class SessionTable(typing.Generic[Key]):
     """The open sessions of one pool.
 
-    >>> b = SessionTable()
-    >>> r = b.open("s1", "w1", now=0, lifetime_us=60, cost=100)
-    >>> b.affinity("s1").worker, b.load("w1"), b.count("w1")
+    >>> table = SessionTable()
+    >>> session = table.open("s1", "w1", now=0, lifetime_us=60, cost=100)
+    >>> table.affinity("s1").worker, table.load("w1"), table.count("w1")
     ('w1', 100, 1)
-    >>> b.extend(r, now=50); b.sweep(now=100)
+    >>> table.extend(session, now=50); table.sweep(now=100)
     []
-    >>> [x.id for x in b.sweep(now=111)], b.affinity("s1")
+    >>> [closed.id for closed in table.sweep(now=111)], table.affinity("s1")
     (['s1'], None)
     """
 
     def __init__(self) -> None:
-        self.records: dict[typing.Any, Session] = {}
-        self.at: dict[str, dict[typing.Any, Session]] = {}  # worker -> {id: Record}
+        self.records: dict[Key, Session[Key]] = {}  # by id
+        self.at: dict[str, dict[Key, Session[Key]]] = {}  # by worker, then by id
         self.version = 0  # the newest of all records, so that a session opened anew beats its old copies
 
-    def open(self, identifier: bytes | str, worker: str, now: int, lifetime_us: int, cost: int) -> Session:
+    def open(self, identifier: Key, worker: str, now: int, lifetime_us: int, cost: int) -> Session[Key]:
         """Open a session on a worker.
 
-        >>> b = SessionTable(); one = b.open("s", "w1", 0, 60, 100).version
-        >>> _ = b.close("s"); b.open("s", "w2", 0, 60, 100).version > one
+        >>> table = SessionTable(); first = table.open("s", "w1", 0, 60, 100).version
+        >>> _ = table.close("s"); table.open("s", "w2", 0, 60, 100).version > first
         True
         """
         self.version += 1
-        r = Session(identifier, worker, now + lifetime_us, lifetime_us, cost, self.version)
-        self.records[identifier] = r
-        self.at.setdefault(worker, {})[identifier] = r
-        return r
+        session = Session(identifier, worker, now + lifetime_us, lifetime_us, cost, self.version)
+        self.records[identifier] = session
+        self.at.setdefault(worker, {})[identifier] = session
+        return session
 
-    def close(self, identifier: str) -> Session:
-        """Close a session; its cost no longer counts.
+    def close(self, identifier: Key) -> Session[Key] | None:
+        """Close a session, whose cost no longer counts; None where it was not open.
 
-        >>> b = SessionTable(); _ = b.open("s", "w", 0, 60, 100); _ = b.close("s"); b.load("w")
+        >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); _ = table.close("s"); table.load("w")
         0
         """
-        r = self.records.pop(identifier, None)
-        if r is not None:
-            del self.at[r.worker][identifier]
-        return r
+        session = self.records.pop(identifier, None)
+        if session is not None:
+            del self.at[session.worker][identifier]
+        return session
 
-    def affinity(self, identifier: bytes | str) -> Session | None:
-        """The open session of this id, or None: an unknown id is closed.
+    def affinity(self, identifier: Key) -> Session[Key] | None:
+        """Return the open session of this id, or None: an unknown id is closed.
 
         >>> SessionTable().affinity("s") is None
         True
         """
         return self.records.get(identifier)
 
-    def extend(self, r: Session, now: int) -> None:
-        """A turn or its end: silence begins anew, one lifetime is left from now.
+    def extend(self, session: Session[Key], now: int) -> None:
+        """Note a turn or its end: one lifetime is left from now.
 
-        >>> b = SessionTable(); r = b.open("s", "w", 0, 60, 100); b.extend(r, 30); r.expires
+        >>> table = SessionTable(); session = table.open("s", "w", 0, 60, 100); table.extend(session, 30)
+        >>> session.expires
         90
         """
-        r.expires = now + r.lifetime_us
+        session.expires = now + session.lifetime_us
         self.version += 1
-        r.version = self.version
+        session.version = self.version
 
-    def sweep(self, now: int) -> list[Session]:
+    def sweep(self, now: int) -> list[Session[Key]]:
         """Close every session past its expiry that has no turn in flight.
 
-        >>> b = SessionTable(); _ = b.open("s", "w", 0, 60, 100); len(b.sweep(61))
+        >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); len(table.sweep(61))
         1
         """
-        return [self.close(r.id) for r in list(self.records.values()) if r.expires < now and not r.turns]
+        expired = [session for session in self.records.values() if session.expires < now and not session.turns]
+        for session in expired:
+            self.close(session.id)
+        return expired
 
-    def evict(self, worker: str) -> list[Session]:
+    def evict(self, worker: str) -> list[Session[Key]]:
         """Close every session of a worker that is no longer ready.
 
-        >>> b = SessionTable(); _ = b.open("s", "w", 0, 60, 100); len(b.evict("w"))
+        >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); len(table.evict("w"))
         1
         """
-        return [self.close(i) for i in list(self.at.get(worker, {}))]
+        evicted = list(self.at.get(worker, {}).values())
+        for session in evicted:
+            self.close(session.id)
+        return evicted
 
     def count(self, worker: str) -> int:
-        """How many sessions are open on a worker.
+        """Return how many sessions are open on a worker.
 
         >>> SessionTable().count("w")
         0
@@ -147,26 +156,36 @@
         return len(self.at.get(worker, {}))
 
     def load(self, worker: str) -> int:
-        """The cost that a worker's open sessions hold.
+        """Return the cost that a worker's open sessions hold.
 
         >>> SessionTable().load("w")
         0
         """
-        return sum(r.cost for r in self.at.get(worker, {}).values())
+        return sum(session.cost for session in self.at.get(worker, {}).values())
 
-    def earliest(self, workers: list[str]) -> int:
-        """When the first session on these workers may end, or None.
+    def earliest(self, workers: list[str]) -> int | None:
+        """Return when the first session on these workers may end, or None.
 
-        >>> b = SessionTable(); _ = b.open("s", "w", 0, 60, 100); b.earliest(["w"])
+        >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); table.earliest(["w"])
         60
         """
-        return min((r.expires for w in workers for r in self.at.get(w, {}).values()), default=None)
+        return min(
+            (session.expires for worker in workers for session in self.at.get(worker, {}).values()), default=None
+        )
 
 
-def to_message(r: Session, now: int) -> message.SessionRecord:
-    """A record as it travels.
+def to_message(session: Session[str], now: int) -> message.SessionRecord:
+    """Return a session as it travels.
 
     >>> to_message(Session("s", "w", 100, 60, 5), now=40).left_us
     60
     """
-    return message.SessionRecord(r.id, r.worker, max(0, r.expires - now), r.lifetime_us, r.cost, r.version, r.opened_by)
+    return message.SessionRecord(
+        session.id,
+        session.worker,
+        max(0, session.expires - now),
+        session.lifetime_us,
+        session.cost,
+        session.version,
+        session.opened_by,
+    )
