--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -79,7 +79,7 @@
         name = names[n.runtime.rng.randrange(len(names))]
         tokens = place.begin(name, [], [], samples.LONG if n.runtime.rng.random() < samples.LONG_SHARE else 400)
         await n.runtime.sleep(100 * units.MILLISECOND_US)
-        place.first(name, tokens)
+        place.first_event(name, tokens)
         await n.runtime.sleep(int(lasts * units.SECOND_US))
         place.end(name, 0)
 
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -225,7 +225,7 @@
     """
     place = samples.hollow().gateway.forwarder.placement_of("model-0")
     for k in range(x):
-        place.turn(k.to_bytes(8, "big"), f"i-{k % 2600:08x}", configuration.Terms(), 0)
+        place.note_turn(k.to_bytes(8, "big"), f"i-{k % 2600:08x}", configuration.Terms(), 0)
     return place
 
 
@@ -258,14 +258,14 @@
     """
     place = samples.hollow().gateway.forwarder.placement_of("model-0")
     for k in range(x):
-        place.at(f"i-{k % 2600:08x}").note([k.to_bytes(8, "big")], [800 + k % 64])
+        place.estimate(f"i-{k % 2600:08x}").note_parts([k.to_bytes(8, "big")], [800 + k % 64])
     return place
 
 
 def swept(n: node.Node) -> None:
     """What a node's forwarder does once a second."""
     follower = n.follower
-    n.gateway.forwarder.lines.sweep({w.id for w in follower.workers if w.state != "gone"})
+    n.gateway.forwarder.connections.sweep({w.id for w in follower.workers if w.state != "gone"})
     for pool, p in n.gateway.forwarder.placements.items():
         p.sweep({w.id for w in follower.workers if w.pool == pool and w.state == "ready"})
 
--- a/benchmarks/capacity/target_costs.py
+++ b/benchmarks/capacity/target_costs.py
@@ -169,7 +169,7 @@
         target, values = self.target, self.values
         workers_a_pool = target.workers // target.pools
         slice_bytes = values.at("routes", "a slice held at a node", "routes", target.routes)
-        rank_bytes = values.at("places", "ranks held, 90 workers", "parts ranked", placement.RANKS)
+        rank_bytes = values.at("places", "ranks held, 90 workers", "parts ranked", placement.MAX_RANKINGS)
         part_bytes = values.slope("places", "parts held of the workers at a node", "parts")
         turn_bytes = values.slope("places", "first turns held at a node", "first turns")
         session_bytes = values.slope("places", "sessions held at a node", "sessions")
@@ -179,11 +179,11 @@
             ("membership and worker states", "along the slopes (X)", membership_bytes),
             ("slice of the configuration", f"{target.routes} routes", slice_bytes),
             ("others' loads", "workers", values.at("places", "others' loads held", "workers", target.workers)),
-            ("ranks", f"{placement.RANKS} a pool x pools, {workers_a_pool} workers", target.pools * rank_bytes),
+            ("ranks", f"{placement.MAX_RANKINGS} a pool x pools, {workers_a_pool} workers", target.pools * rank_bytes),
             (
                 "parts known of workers",
-                f"{placement.KEPT} a worker, full (X)",
-                part_bytes * placement.KEPT * target.workers,
+                f"{placement.MAX_PARTS} a worker, full (X)",
+                part_bytes * placement.MAX_PARTS * target.workers,
             ),
             (
                 "first turns",
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import collections.abc
-import enum
 import typing
 
 import loguru
@@ -12,10 +11,14 @@
 import twisted.internet.error as error
 import twisted.internet.protocol as protocol
 import twisted.web.client as client
+import twisted.web.http as http
+import twisted.web.http_headers as http_headers
 import twisted.web.iweb as iweb
 import zope.interface as interface
 
+import iriswheel.dataplane.attempt_outcome as attempt_outcome
 import iriswheel.dataplane.edge_protocol as edge_protocol
+import iriswheel.dataplane.tcp_client as tcp_client
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 
@@ -28,25 +31,69 @@
 
 
 CONNECT_US = 700 * units.MILLISECOND_US
-FIRST_US = 10 * units.SECOND_US  # until the answer's head
-PAUSE_US = 10 * units.SECOND_US  # between two pieces of an answer
+HEAD_US = 10 * units.SECOND_US  # until the answer's head
+SILENCE_US = 10 * units.SECOND_US  # between two pieces of an answer
 IDLE_S = 4  # pooled connections are dropped well before a worker would drop them
-POOLED = 32
+POOLED_PER_HOST = 32
+MAX_COLLECTED_BYTES = 1 << 20
 
 log = loguru.logger.bind(part="send")
 
 
-class AttemptOutcome(enum.Enum):
-    """How a send ended.
+# ---- what of Twisted's client is used here; its own interfaces carry no types -----------
 
-    >>> AttemptOutcome.COMPLETE.name
-    'COMPLETE'
-    """
 
-    COMPLETE = 1  # the worker's whole answer went to the client
-    UNSENT = 2  # no worker was reached
-    BROKE = 3  # sent, but no byte of an answer came to the client
-    INTERRUPTED = 4  # the answer broke off after bytes had gone to the client
+class Producer(typing.Protocol):
+    """A transport that is read from, for a body as it comes."""
+
+    def pauseProducing(self) -> None:
+        """Read no further for now."""
+
+    def resumeProducing(self) -> None:
+        """Go on reading."""
+
+    def stopProducing(self) -> None:
+        """Read no more at all."""
+
+
+class AbortableTransport(typing.Protocol):
+    """A connection's transport."""
+
+    def abortConnection(self) -> None:
+        """Break the connection off."""
+
+
+class Response(typing.Protocol):
+    """An answer whose head has come."""
+
+    code: int
+    phrase: bytes
+    headers: http_headers.Headers
+    length: object  # an int, or iweb.UNKNOWN_LENGTH
+    _transport: Producer | None
+
+    def deliverBody(self, receiver: protocol.Protocol, /) -> None:  # noqa: N802 - Twisted's name
+        """Have the body given to a protocol as it comes."""
+
+
+class HttpAgent(typing.Protocol):
+    """Sends requests."""
+
+    def request(
+        self,
+        method: bytes,
+        uri: bytes,
+        headers: http_headers.Headers | None = None,
+        bodyProducer: Body | None = None,  # noqa: N803 - Twisted's name
+    ) -> defer.Deferred[Response]:
+        """Send a request; the Deferred fires when its answer's head has come."""
+
+
+class Consumer(typing.Protocol):
+    """What a body is written to."""
+
+    def write(self, data: bytes, /) -> None:
+        """Take bytes."""
 
 
 @interface.implementer(iweb.IBodyProducer)
@@ -61,28 +108,30 @@
         self.raw = raw
         self.length = len(raw)
 
-    def startProducing(self, consumer: typing.Any) -> defer.Deferred[typing.Any]:
+    def startProducing(self, consumer: Consumer) -> defer.Deferred[None]:
+        """Write the whole body."""
         consumer.write(self.raw)
         return defer.succeed(None)
 
     def pauseProducing(self) -> None:
-        pass
+        """Do nothing: the body is written at once."""
 
     def resumeProducing(self) -> None:
-        pass
+        """Do nothing: the body is written at once."""
 
     def stopProducing(self) -> None:
-        pass
+        """Do nothing: the body is written at once."""
 
 
 @interface.implementer(iweb.IAgentEndpointFactory)
-class Addresses:
-    """Connects by IP number, on the reactor that it was given."""
+class AddressEndpoints:
+    """Connects by IP address, on the reactor that it was given."""
 
     def __init__(self, reactor: typing.Any) -> None:
         self.reactor = reactor
 
     def endpointForURI(self, uri: client.URI) -> endpoints.TCP4ClientEndpoint:
+        """Return the endpoint of a URI whose host is an address."""
         return endpoints.TCP4ClientEndpoint(
             self.reactor, uri.host.decode("ascii"), uri.port, timeout=CONNECT_US / units.SECOND_US
         )
@@ -91,74 +140,93 @@
 class AnswerRelay(protocol.Protocol):
     """Passes the pieces of an answer on as they come, no faster than they are taken."""
 
+    # Set by `makeConnection`, before anything else is called.
+    transport: Producer  # type: ignore[assignment]
+
     def __init__(
         self,
         runtime: scheduler.Runtime,
-        take: collections.abc.Callable[..., object],
-        done: collections.abc.Callable[..., object],
+        take: collections.abc.Callable[[bytes], None],
+        done: collections.abc.Callable[[bool], object],
     ) -> None:
         self.runtime = runtime
         self.take = take
-        self.done = done
+        self.done = done  # called with whether the answer is complete
         self.last = runtime.now()
-        self.held = False
+        self.paused = False
         self.tick: base.DelayedCall | None = None
 
     def connectionMade(self) -> None:
-        self.tick = self.runtime.later(PAUSE_US, self._look)
+        """Begin to watch for silence."""
+        self.tick = self.runtime.later(SILENCE_US, self._check_silence)
 
-    def _look(self) -> None:
-        left = self.last + PAUSE_US - self.runtime.now()
-        if self.held or left > 0:
-            self.tick = self.runtime.later(PAUSE_US if self.held else left, self._look)
+    def _check_silence(self) -> None:
+        left_us = self.last + SILENCE_US - self.runtime.now()
+        if self.paused or left_us > 0:
+            self.tick = self.runtime.later(SILENCE_US if self.paused else left_us, self._check_silence)
         else:
             self.stopProducing()
 
     def pauseProducing(self) -> None:
-        self.held = True
+        """Read no further while the client does not keep up."""
+        self.paused = True
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
-        self.held = False
+        """Go on reading; the time while it was paused is not the worker's silence."""
+        self.paused = False
         self.last = self.runtime.now()
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:
+        """Break the answer off."""
         self.transport.stopProducing()
 
     def dataReceived(self, data: bytes) -> None:
+        """Pass a piece on."""
         self.last = self.runtime.now()
         self.take(data)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
+        """Tell whether the answer is complete."""
         if self.tick is not None and self.tick.active():
             self.tick.cancel()
         self.done(reason.check(client.ResponseDone) is not None)
 
 
 class Collect(protocol.Protocol):
-    """Gathers a small body."""
+    """Gathers a small body, and hands it over when it is complete; None where it broke off."""
 
-    def __init__(self, done: collections.abc.Callable[..., object]) -> None:
+    # Set by `makeConnection`, before anything else is called.
+    transport: Producer  # type: ignore[assignment]
+
+    def __init__(self, done: collections.abc.Callable[[bytes | None], object]) -> None:
         self.done = done
         self.parts: list[bytes] = []
         self.size = 0
 
     def dataReceived(self, data: bytes) -> None:
+        """Gather a piece; a body that is too large is broken off."""
         self.parts.append(data)
         self.size += len(data)
-        if self.size > 1 << 20:
+        if self.size > MAX_COLLECTED_BYTES:
             self.transport.stopProducing()
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
-        complete = reason.check(client.ResponseDone, client.PotentialDataLoss) is not None
+        """Hand the body over."""
+        complete = reason.check(client.ResponseDone, http.PotentialDataLoss) is not None
         self.done(b"".join(self.parts) if complete else None)
 
 
-def forget_head(request: http_server.Request) -> None:
-    """Take a head back that was to go out with the first bytes of an answer which never came."""
-    for name, _ in list(request.responseHeaders.getAllRawHeaders()):
-        request.responseHeaders.removeHeader(name)
+class BareConnection(protocol.Protocol):
+    """A connection that is made to see whether it can be."""
+
+    # Set by `makeConnection`, before anything else is called.
+    transport: AbortableTransport  # type: ignore[assignment]
+
+    def abort(self) -> None:
+        """Break the connection off."""
+        self.transport.abortConnection()
 
 
 class NoAnswerError(ValueError):
@@ -172,20 +240,22 @@
 
 
 class Attempt:
-    """One send under way, which can be cut short."""
+    """One attempt under way, which can be cut short."""
+
+    __slots__ = ("begun", "last", "via", "waiting", "was_cut", "worker")
 
     def __init__(self, worker: str, now: int) -> None:
         self.worker = worker
         self.last = now  # when something last came
         self.via = False  # whether it goes by way of another node
-        self.waiting: typing.Any = None  # the Deferred that the send waits on
+        self.waiting: defer.Deferred[typing.Any] | None = None  # what the attempt waits on: its head, then its end
         self.was_cut = False
         self.begun = False  # whether the answer's head has come
 
     def cut(self) -> None:
         """End it now: the worker has had its time.
 
-        >>> s = Attempt("w1", 0); s.cut(); s.was_cut
+        >>> attempt = Attempt("w1", 0); attempt.cut(); attempt.was_cut
         True
         """
         self.was_cut = True
@@ -194,46 +264,62 @@
 
 
 class Dispatcher:
-    """This process's connections to workers and platform."""
+    """This process's HTTP client towards workers, peers and the platform."""
 
     def __init__(
-        self, runtime: scheduler.Runtime, on_answer: collections.abc.Callable[..., object] = lambda worker: None
+        self, runtime: scheduler.Runtime, on_answer: collections.abc.Callable[[str], None] = lambda worker: None
     ) -> None:
         self.runtime = runtime
-        self.on_answer = on_answer  # called with a worker's name whenever it says something
+        self.on_answer = on_answer  # called with a worker's id whenever it says something
         self.pool = client.HTTPConnectionPool(runtime.reactor, persistent=True)
-        self.pool.maxPersistentPerHost = POOLED
+        self.pool.maxPersistentPerHost = POOLED_PER_HOST
         self.pool.cachedConnectionTimeout = IDLE_S
-        self.pool.retryAutomatically = False  # a repeat is ours to decide
-        single = client.HTTPConnectionPool(runtime.reactor, persistent=False)
-        single.retryAutomatically = False
-        addresses = Addresses(runtime.reactor)
-        self.agent = client.Agent.usingEndpointFactory(runtime.reactor, addresses, self.pool)
-        self.fresh = client.Agent.usingEndpointFactory(runtime.reactor, addresses, single)
+        self.agent = self._agent(self.pool)
+        self.fresh = self._agent(client.HTTPConnectionPool(runtime.reactor, persistent=False))
+
+    def _agent(self, pool: client.HTTPConnectionPool) -> HttpAgent:
+        pool.retryAutomatically = False  # a repeat is ours to decide
+        reactor = self.runtime.reactor
+        agent = client.Agent.usingEndpointFactory(reactor, AddressEndpoints(reactor), pool)
+        return typing.cast("HttpAgent", agent)  # Twisted's interfaces carry no types
 
-    async def fetch(self, host: str, port: int, path: str, us: int) -> bytes:
-        """A small GET; raises where no whole answer with 200 comes in time."""
-        return await self.runtime.within(defer.ensureDeferred(self._fetch(host, port, path)), us)
+    async def fetch(self, host: str, port: int, path: str, timeout_us: int) -> bytes:
+        """Return the body of a small GET.
+
+        Raises:
+            NoAnswerError: The answer's status is not 200, or it broke off.
+            scheduler.DeadlineError: No whole answer came in time.
+        """
+        body: bytes = await self.runtime.within(defer.ensureDeferred(self._fetch(host, port, path)), timeout_us)
+        return body
 
     async def _fetch(self, host: str, port: int, path: str) -> bytes:
         response = await self.agent.request(b"GET", f"http://{host}:{port}{path}".encode())
-        got = defer.Deferred(lambda _: response._transport and response._transport.stopProducing())
-        response.deliverBody(Collect(lambda raw: got.called or got.callback(raw)))
-        raw = await got
+
+        def cancel(_: defer.Deferred[bytes | None]) -> None:
+            if response._transport is not None:
+                response._transport.stopProducing()
+
+        def collect(raw: bytes | None) -> None:
+            if not collected.called:
+                collected.callback(raw)
+
+        collected: defer.Deferred[bytes | None] = defer.Deferred(cancel)
+        response.deliverBody(Collect(collect))
+        raw = await collected
         if response.code != 200 or raw is None:
             raise NoAnswerError(f"answer {response.code}")
         return raw
 
-    async def knock(self, host: str, port: int, us: int) -> bool:
-        """Whether a bare connection can be had."""
-        point = endpoints.TCP4ClientEndpoint(self.runtime.reactor, host, port, timeout=us / units.SECOND_US)
+    async def can_connect(self, host: str, port: int, timeout_us: int) -> bool:
+        """Whether a bare connection can be had in time."""
         try:
-            peer_protocol = await point.connect(protocol.Factory.forProtocol(protocol.Protocol))
+            connection = await tcp_client.connect(self.runtime.reactor, host, port, timeout_us, BareConnection)
         except defer.CancelledError:
             raise
-        except Exception:
+        except Exception:  # refused, timed out, no route: whatever it is, none could be had
             return False
-        peer_protocol.transport.abortConnection()
+        connection.abort()
         return True
 
     async def send(
@@ -242,74 +328,113 @@
         raw: bytes,
         worker: message.Worker,
         idempotent: bool,
-        send: Attempt,
+        attempt: Attempt,
         token: str = "",
         relay_address: tuple[str, int] | None = None,
-    ) -> AttemptOutcome:
-        """Send a request to a worker and stream the answer back; an Outcome.
-
-        With a token, the request goes to the door of another node, (host, port), which passes it on.
+    ) -> attempt_outcome.AttemptOutcome:
+        """Send a request to a worker and stream the answer back.
 
-        a request that may not be repeated goes out on a fresh connection: on a pooled
+        A request that may not be repeated goes out on a fresh connection: on a pooled
         one that the worker just closed, nobody could say whether it had run.
+
+        Args:
+            request: The client's request; the answer is written to it.
+            raw: The request's body.
+            worker: The worker.
+            idempotent: Whether the request may run more than once.
+            attempt: The attempt, which others may cut short.
+            token: A relay token, where the request goes by way of another node.
+            relay_address: That node's host and HTTP port.
+
+        Raises:
+            defer.CancelledError: The client disconnected.
         """
         agent = self.agent if idempotent and not token else self.fresh
         host, port = relay_address or (worker.host, worker.port)
         uri = b"http://%s:%d%s" % (host.encode(), port, request.uri)
-        asked = agent.request(
-            request.method, uri, edge_protocol.onward(request.requestHeaders, worker.id, token), Body(raw)
-        )
-        send.waiting = self.runtime.within(asked, FIRST_US)
+        headers = edge_protocol.onward(request.requestHeaders, worker.id, token)
+        attempt.waiting = self.runtime.within(agent.request(request.method, uri, headers, Body(raw)), HEAD_US)
         try:
-            response = await send.waiting
-        except (error.ConnectError, error.TimeoutError, client.RequestNotSent):
-            return AttemptOutcome.UNSENT
+            response: Response = await attempt.waiting
+        except (error.ConnectError, error.TimeoutError, client.RequestNotSent):  # type: ignore[attr-defined] # left out of its __all__
+            return attempt_outcome.AttemptOutcome.UNSENT
         except defer.CancelledError:
-            if not send.was_cut:
+            if not attempt.was_cut:
                 raise
-            return AttemptOutcome.BROKE
-        except Exception as e:
+            return attempt_outcome.AttemptOutcome.BROKE
+        except Exception as reason:  # whatever broke after the request went out: it may have run
             if request.gone:
-                raise defer.CancelledError() from e  # the client left while the connection was made
-            log.warning("Worker {} gave no answer: {}", worker.id, type(e).__name__)
-            return AttemptOutcome.BROKE
-        send.begun, send.last = True, self.runtime.now()
+                raise defer.CancelledError() from reason  # the client left while the connection was made
+            log.warning("Worker {} gave no answer: {}", worker.id, type(reason).__name__)
+            return attempt_outcome.AttemptOutcome.BROKE
+        attempt.begun, attempt.last = True, self.runtime.now()
         if token and response.headers.hasHeader(edge_protocol.PASS):
-            unsent = response.headers.getRawHeaders(edge_protocol.PASS) == ["unsent"]
-            response.deliverBody(Collect(lambda raw: None))
-            return AttemptOutcome.UNSENT if unsent else AttemptOutcome.BROKE
-        if not token:
-            self.on_answer(worker.id)
-        done = send.waiting = defer.Deferred(lambda _: relay.stopProducing())
-        request.setResponseCode(response.code, response.phrase)
-        for name, values in edge_protocol.back(response.headers, worker.id):
-            request.responseHeaders.setRawHeaders(name, values)
-        if response.length is not client.UNKNOWN_LENGTH:
-            request.setHeader("Content-Length", str(response.length))
+            return self._relay_failure(response)
+        return await self._stream_answer(request, response, worker.id, attempt, relayed=bool(token))
+
+    def _relay_failure(self, response: Response) -> attempt_outcome.AttemptOutcome:
+        """Return how an attempt ended of which the relaying node says that it got no answer."""
+        unsent = response.headers.getRawHeaders(edge_protocol.PASS) == [attempt_outcome.AttemptOutcome.UNSENT.value]
+        response.deliverBody(Collect(lambda raw: None))
+        return attempt_outcome.AttemptOutcome.UNSENT if unsent else attempt_outcome.AttemptOutcome.BROKE
+
+    async def _stream_answer(
+        self, request: http_server.Request, response: Response, worker: str, attempt: Attempt, relayed: bool
+    ) -> attempt_outcome.AttemptOutcome:
+        """Write an answer to the client as it comes."""
+        if not relayed:
+            self.on_answer(worker)
+        done: defer.Deferred[bool] = defer.Deferred(lambda _: relay.stopProducing())
+        attempt.waiting = done
+        set_head(request, response, worker)
 
         def take(data: bytes) -> None:
-            send.last = self.runtime.now()
-            if not token:
-                self.on_answer(worker.id)
+            attempt.last = self.runtime.now()
+            if not relayed:
+                self.on_answer(worker)
             request.write(data)
 
-        relay = AnswerRelay(self.runtime, take, lambda complete: done.called or done.callback(complete))
+        def finish(complete: bool) -> None:
+            if not done.called:
+                done.callback(complete)
+
+        relay = AnswerRelay(self.runtime, take, finish)
         request.registerProducer(relay, True)
         response.deliverBody(relay)
         try:
             complete = await done
         except defer.CancelledError:
-            if not send.was_cut:
+            if not attempt.was_cut:
                 raise
             complete = False
         finally:
             if not request.gone and not request.finished:
                 request.unregisterProducer()
-        if complete:
-            if not request.gone:
-                request.finish()
-            return AttemptOutcome.COMPLETE
-        if request.startedWriting:
-            return AttemptOutcome.INTERRUPTED
-        forget_head(request)
-        return AttemptOutcome.BROKE
+        return end_answer(request, complete)
+
+
+def set_head(request: http_server.Request, response: Response, worker: str) -> None:
+    """Prepare the head of an answer; it goes out with the first bytes of the body."""
+    request.setResponseCode(response.code, response.phrase)
+    for name, values in edge_protocol.back(response.headers, worker):
+        request.responseHeaders.setRawHeaders(name, values)
+    if response.length is not iweb.UNKNOWN_LENGTH:
+        request.setHeader("Content-Length", str(response.length))
+
+
+def end_answer(request: http_server.Request, complete: bool) -> attempt_outcome.AttemptOutcome:
+    """End an answer towards the client as far as it is complete, and say how the attempt ended."""
+    if complete:
+        if not request.gone:
+            request.finish()
+        return attempt_outcome.AttemptOutcome.COMPLETE
+    if request.startedWriting:
+        return attempt_outcome.AttemptOutcome.INTERRUPTED
+    forget_head(request)
+    return attempt_outcome.AttemptOutcome.BROKE
+
+
+def forget_head(request: http_server.Request) -> None:
+    """Take a head back that was to go out with the first bytes of an answer which never came."""
+    for name, _ in list(request.responseHeaders.getAllRawHeaders()):
+        request.responseHeaders.removeHeader(name)
--- /dev/null
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -0,0 +1,39 @@
+"""What is kept of a request over its attempts, where the node itself selects the workers."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.dataplane.placement as placement
+import iriswheel.errors as errors
+
+if typing.TYPE_CHECKING:
+    import iriswheel.dataplane.routed_request as routed_request
+
+
+class ForwardedRequest:
+    """One request that the forwarder sends, with what was learned of it so far."""
+
+    def __init__(self, routed: routed_request.RoutedRequest, pool_placement: placement.Placement) -> None:
+        self.request = routed.request
+        self.parsed = routed.parsed
+        self.raw = routed.raw
+        self.route, self.pool, self.terms = routed.route, routed.pool, routed.terms
+        self.pool_name = routed.pool_name
+        self.placement = pool_placement
+        self.idempotent = routed.idempotent
+        self.resume = routed.route.resume
+        self.until = routed.until
+        sizes = self.parsed.sizes
+        self.keys = placement.chain(self.parsed.parts)
+        self.unnamed_tokens = max(0, self.parsed.tokens_in - sum(sizes))  # of the prompt, that no part names
+        self.own_tokens = self.unnamed_tokens + (sizes[-1] if sizes else 0)  # that no other request shares
+        self.last_event_id = self.parsed.after
+        self.answer_begun = False  # whether a byte went to the client
+        self.may_have_run = False  # whether a worker may have run it
+        self.sends = 0
+        self.shun: set[str] = set()  # workers that it is not sent to any more
+
+    def known_outcome(self) -> errors.ExecutionOutcome:
+        """Return what may be said of the request if it is given up now."""
+        return errors.ExecutionOutcome.MAY_HAVE_RUN if self.may_have_run else errors.ExecutionOutcome.NOT_RUN
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -6,6 +6,7 @@
 
 import twisted.internet.defer as defer
 
+import iriswheel.dataplane.attempt_outcome as attempt_outcome
 import iriswheel.dataplane.attempt_registry as attempt_registry
 import iriswheel.dataplane.client_disconnect as client_disconnect
 import iriswheel.dataplane.dispatch as dispatch
@@ -126,17 +127,17 @@
                 execution = errors.ExecutionOutcome.MAY_HAVE_RUN
                 attempt = self.attempts.begin(request.attempt_id, worker.id)
                 match await self.send(request, worker, attempt, via):
-                    case dispatch.AttemptOutcome.COMPLETE:
+                    case attempt_outcome.AttemptOutcome.COMPLETE:
                         execution = errors.ExecutionOutcome.RAN
                         self.counts["whole"] += 1
                         return
-                    case dispatch.AttemptOutcome.INTERRUPTED:
+                    case attempt_outcome.AttemptOutcome.INTERRUPTED:
                         self.counts["torn"] += 1
                         request.request.break_off()
                         return
-                    case dispatch.AttemptOutcome.UNSENT:
+                    case attempt_outcome.AttemptOutcome.UNSENT:
                         execution = errors.ExecutionOutcome.NOT_RUN
-                    case dispatch.AttemptOutcome.BROKE:
+                    case attempt_outcome.AttemptOutcome.BROKE:
                         request.may_have_run = True
                         broke += 1
                         request.until = max(request.until, self.runtime.now() + worker_selection.REJOIN_US)
@@ -152,19 +153,19 @@
 
     async def send(
         self, request: routed_request.RoutedRequest, worker: message.Worker, attempt: dispatch.Attempt, via: str
-    ) -> dispatch.AttemptOutcome:
+    ) -> attempt_outcome.AttemptOutcome:
         """Send to a worker; by way of the member `via` where this node does not reach it."""
         sender = self.node.sender
         peer = self.node.follower.member(via) if worker.id in self.node.reach.lost else None
         attempt.via = peer is not None
         if peer is None:
             outcome = await sender.send(request.request, request.raw, worker, request.idempotent, attempt)
-            if outcome is dispatch.AttemptOutcome.UNSENT:
+            if outcome is attempt_outcome.AttemptOutcome.UNSENT:
                 self.node.reach.miss(worker.id)
             return outcome
         token = await relay.request_token(self.node, peer, worker.id)
         if not token:
-            return dispatch.AttemptOutcome.UNSENT
+            return attempt_outcome.AttemptOutcome.UNSENT
         self.counts["passed"] += 1
         return await sender.send(
             request.request, request.raw, worker, request.idempotent, attempt, token, (peer.host, peer.http)
@@ -172,7 +173,7 @@
 
     async def relay_for_peer(self, request: http_server.Request) -> None:
         """Pass a request of a peer on to its worker; the peer answers to the client."""
-        outcome = dispatch.AttemptOutcome.UNSENT
+        outcome = attempt_outcome.AttemptOutcome.UNSENT
         worker = self.relays.redeem_token(request)
         if worker is not None:
             attempt_id = self._next_id()
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -1,7 +1,7 @@
-"""Who reaches which worker: what a node hears of workers, and how a pool owner tells that one is dark.
+"""Who reaches which worker: what a node hears of workers, and how a pool owner finds one unreachable.
 
 A worker that answers anything to anybody is alive. One node's bad link makes no worker
-dark: that takes the pool owner and a witness on another node, and neither may reach it.
+unreachable: that takes the pool owner and a witness on another node, and neither may reach it.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 import loguru
 import twisted.internet.defer as defer
 
+import iriswheel.dataplane.local_member as local_member
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
@@ -21,12 +22,16 @@
 
 
 PROBE_US = 500 * units.MILLISECOND_US
-KNOCK_US = 300 * units.MILLISECOND_US  # for a bare connection
-CHECK_US = 1 * units.SECOND_US
-FRESH_US = 1 * units.SECOND_US  # heard this lately, a worker needs no check
-MUTE_US = 2 * units.SECOND_US  # connects but says nothing for this long: dark, if it ever spoke
+CONNECT_US = 300 * units.MILLISECOND_US  # for a bare connection
+CHECK_US = 1 * units.SECOND_US  # for the witnesses' answers
+RECENT_US = 1 * units.SECOND_US  # heard this lately, a worker needs no check
+MUTE_US = 2 * units.SECOND_US  # connects but says nothing for this long: unreachable, if it ever spoke
 WALK_US = 2 * units.SECOND_US
-AGAIN_US = 2 * units.SECOND_US  # a dark worker is checked again
+RECHECK_US = 2 * units.SECOND_US  # an unreachable worker is checked again
+NEVER_HEARD_US = 3600 * units.SECOND_US  # the silence of a worker that nobody ever heard
+
+# What a probe finds (`message.ProbeResponse.sort`).
+ANSWERED, MUTE, NOT_REACHED = "answer", "mute", "none"
 
 log = loguru.logger.bind(part="reach")
 
@@ -38,171 +43,206 @@
         self.node = node
         self.runtime = node.runtime
         self.last_contact: dict[str, int] = {}  # worker -> when it last said anything here
-        self.lost: dict[typing.Any, typing.Any] = {}  # worker -> since when no connection to it can be had from here
+        self.lost: dict[str, int] = {}  # worker -> since when no connection to it can be had from here
 
     def hear(self, worker: str) -> None:
-        """A worker said something."""
+        """Note that a worker said something."""
         self.last_contact[worker] = self.runtime.now()
         self.lost.pop(worker, None)
 
-    def miss(self, worker: typing.Any) -> None:
-        """No connection to a worker could be had; look for it until one can."""
-        if worker not in self.lost:
-            self.lost[worker] = self.runtime.now()
-            self.runtime.spawn(self.seek(worker), log)
-            for w in self.node.follower.workers:
-                if w.id not in self.lost and w.state != "gone":
-                    self.runtime.spawn(self.knock(w), log)  # the rest may be out of reach as well
-
-    async def knock(self, w: message.Worker) -> None:
-        """See whether a bare connection to a worker can be had."""
-        if not await self.node.sender.knock(w.host, w.port, KNOCK_US):
-            self.miss(w.id)
+    def miss(self, worker: str) -> None:
+        """Note that no connection to a worker could be had; it is tried again until one can."""
+        if worker in self.lost:
+            return
+        self.lost[worker] = self.runtime.now()
+        self.runtime.spawn(self._seek(worker), log)
+        for other in self.node.follower.workers:
+            if other.id not in self.lost and other.state != "gone":
+                self.runtime.spawn(self._try_connect(other), log)  # the rest may be out of reach as well
 
     async def walk(self) -> None:
-        """Now and then, knock at the workers that were not heard here for a while."""
+        """Now and then, try to connect to the workers that were not heard here for a while."""
         while not self.node.left:
             await self.runtime.sleep(WALK_US)
-            for w in self.node.follower.workers:
-                if not self.node.follower.selected_by_owner(w.pool):
-                    continue  # it is heard of from what is sent there
-                if w.state == "ready" and w.id not in self.lost and w.id not in self.last_contact:
-                    self.runtime.spawn(self.knock(w), log)
-
-    async def seek(self, worker: typing.Any) -> None:
-        """Try a lost worker again, until it is reached or listed no more."""
-        while worker in self.lost and not self.node.left:
-            await self.runtime.sleep(PROBE_US)
-            w = self.node.follower.states.get(worker)
-            if w is None:
-                self.lost.pop(worker, None)
-            else:
-                await self.probe(w)
+            for worker in self.node.follower.workers:
+                if not self.node.follower.selected_by_owner(worker.pool):
+                    continue  # what is sent there tells of it
+                if worker.state == "ready" and worker.id not in self.lost and worker.id not in self.last_contact:
+                    self.runtime.spawn(self._try_connect(worker), log)
 
     def lately(self) -> list[str]:
-        """The workers heard here in the last second."""
+        """Return the workers heard here in the last second; forgets the others."""
         now = self.runtime.now()
-        for w in [w for w, at in self.last_contact.items() if now - at > FRESH_US]:
-            del self.last_contact[w]
+        for worker in [worker for worker, at in self.last_contact.items() if now - at > RECENT_US]:
+            del self.last_contact[worker]
         return sorted(self.last_contact)
 
-    async def probe(self, w: message.Worker) -> message.ProbeResponse:
+    async def probe(self, worker: message.Worker) -> message.ProbeResponse:
         """Ask a worker for its load: it answers anything, takes the connection but is mute, or neither."""
-        responses = await self.ask_witness(w)
-        if responses.sort == "none":
-            self.miss(w.id)
+        response = await self._ask_load(worker)
+        if response.sort == NOT_REACHED:
+            self.miss(worker.id)
         else:
-            self.lost.pop(w.id, None)
-        return responses
+            self.lost.pop(worker.id, None)
+        return response
 
-    async def ask_witness(self, w: message.Worker) -> message.ProbeResponse:
-        """The question itself."""
+    async def _ask_load(self, worker: message.Worker) -> message.ProbeResponse:
+        sender, protocol = self.node.sender, self.node.outer
         try:
-            raw = await self.node.sender.fetch(w.host, w.port, self.node.outer.load_path, PROBE_US)
+            raw = await sender.fetch(worker.host, worker.port, protocol.load_path, PROBE_US)
         except defer.CancelledError:
             raise
-        except Exception as e:
-            if getattr(e, "answered", False):
-                return message.ProbeResponse("answer", None)
-            got = await self.node.sender.knock(w.host, w.port, KNOCK_US)
-            return message.ProbeResponse("mute" if got else "none", None)
+        except Exception as reason:  # whatever went wrong: what counts is whether anything answered
+            if getattr(reason, "answered", False):
+                return message.ProbeResponse(ANSWERED, None)
+            connects = await sender.can_connect(worker.host, worker.port, CONNECT_US)
+            return message.ProbeResponse(MUTE if connects else NOT_REACHED, None)
         try:
-            return message.ProbeResponse("answer", self.node.outer.load(raw))
-        except ValueError:
-            return message.ProbeResponse("answer", None)
+            return message.ProbeResponse(ANSWERED, protocol.load(raw))
+        except ValueError:  # an answer in another format is an answer
+            return message.ProbeResponse(ANSWERED, None)
+
+    async def _try_connect(self, worker: message.Worker) -> None:
+        """Note a worker as lost if no bare connection to it can be had."""
+        if not await self.node.sender.can_connect(worker.host, worker.port, CONNECT_US):
+            self.miss(worker.id)
+
+    async def _seek(self, worker_id: str) -> None:
+        """Try a lost worker again, until it is reached or listed no more."""
+        while worker_id in self.lost and not self.node.left:
+            await self.runtime.sleep(PROBE_US)
+            worker = self.node.follower.states.get(worker_id)
+            if worker is None:
+                self.lost.pop(worker_id, None)
+            else:
+                await self.probe(worker)
 
 
 class WorkerWatch:
     """A pool owner's watch over its pool's workers."""
 
     def __init__(self, owner: pool_owner.PoolOwner) -> None:
-        self.owner = owner  # pool owner.Pool owner
+        self.owner = owner
         self.node = owner.node
         self.runtime = owner.runtime
         self.reports: dict[str, tuple[int, int]] = {}  # worker -> (running, queued), the newest that could be read
-        self.last_contact: dict[str, dict[str, int]] = {}  # worker -> {member: when it last heard it}
+        self.last_contact: dict[str, dict[str, int]] = {}  # worker -> member -> when it last heard it
         self.spoke: set[str] = set()  # workers that ever answered the question for their load
-        self.dark: dict[typing.Any, typing.Any] = {}  # worker -> since when
-        self.checks: dict[typing.Any, typing.Any] = {}  # worker -> machine.Signal, while a check is under way
+        self.dark: dict[str, int] = {}  # unreachable worker -> when that was last found
+        self.checks: dict[str, scheduler.Signal] = {}  # worker -> wakes when the check under way is done
 
     def hear(self, worker: str, member: str) -> None:
-        """A member heard a worker just now."""
+        """Note that a member heard a worker just now."""
         self.last_contact.setdefault(worker, {})[member] = self.runtime.now()
         if self.dark.pop(worker, None) is not None:
             log.info("Worker {} is back.", worker)
             self.owner.freed.wake()
 
     def silent(self, worker: str) -> int:
-        """How long nobody has heard a worker."""
-        return self.runtime.now() - max(self.last_contact.get(worker, {}).values(), default=-units.SECOND_US * 3600)
+        """Return how long nobody has heard a worker, in microseconds."""
+        return self.runtime.now() - max(self.last_contact.get(worker, {}).values(), default=-NEVER_HEARD_US)
 
     def suspect(self, worker: str) -> bool:
         """Whether a worker that used to answer was not heard lately: no place for new work."""
-        return worker in self.spoke and self.silent(worker) > FRESH_US + PROBE_US // 2
+        return worker in self.spoke and self.silent(worker) > RECENT_US + PROBE_US // 2
 
     def via(self, worker: str, member: str) -> str:
-        """A member other than this one that heard a worker lately, the latest first, or ""."""
+        """Return a member other than this one that heard a worker lately, the latest first, or ""."""
         now = self.runtime.now()
-        live = {m.id for m in self.node.follower.membership.members}
+        live = {known.id for known in self.node.follower.membership.members}
         by_age = sorted(
-            (now - at, i) for i, at in self.last_contact.get(worker, {}).items() if i != member and i in live
+            (now - at, other)
+            for other, at in self.last_contact.get(worker, {}).items()
+            if other != member and other in live
         )
         return by_age[0][1] if by_age and by_age[0][0] < MUTE_US else ""
 
-    def take(self, worker: str, member: str, responses: message.ProbeResponse) -> None:
-        """Take what a member's probe found."""
-        if responses is not None and responses.sort == "answer":
-            self.spoke.add(worker)
-            if responses.load is not None:
-                self.reports[worker] = responses.load
-            self.hear(worker, member)
-
     async def run(self) -> None:
         """Every half second: ask all workers for their load, and check those that nobody hears."""
         while self.owner.live():
-            ws = [w for w in self.node.follower.workers if w.pool == self.owner.pool and w.state != "gone"]
-            await defer.DeferredList([defer.ensureDeferred(self.poll(w)) for w in ws], consumeErrors=True)
-            names = {w.id for w in ws}
-            for kept in (self.reports, self.last_contact, self.dark):
-                for name in [n for n in kept if n not in names]:
-                    del kept[name]
+            workers = [
+                worker
+                for worker in self.node.follower.workers
+                if worker.pool == self.owner.pool and worker.state != "gone"
+            ]
+            await defer.DeferredList(
+                [defer.ensureDeferred(self._poll(worker)) for worker in workers], consumeErrors=True
+            )
+            self._forget_unlisted({worker.id for worker in workers})
             self.owner.check_workers()
             await self.runtime.sleep(PROBE_US)
 
-    async def poll(self, w: message.Worker) -> None:
-        """Ask one worker; where it does not answer and nobody else hears it, check."""
-        me = self.node.me.id
-        self.take(w.id, me, await self.node.reach.probe(w))
-        wait = AGAIN_US if w.id in self.dark else FRESH_US
-        if self.silent(w.id) > FRESH_US and self.runtime.now() - self.dark.get(w.id, 0) > wait:
-            await self.check(w)
-
-    async def check(self, w: typing.Any) -> None:
-        """Have this node and the copies' nodes probe a worker; decide whether it is dark."""
-        if w.id in self.checks:
-            await self.checks[w.id].wait()
+    async def check(self, worker: message.Worker) -> None:
+        """Have this node and the copies' nodes probe a worker; decide whether it is unreachable."""
+        if worker.id in self.checks:
+            await self.checks[worker.id].wait()
             return
-        done = self.checks[w.id] = scheduler.Signal()
+        done = self.checks[worker.id] = scheduler.Signal()
         try:
-            members = [
-                m
-                for m in self.node.follower.membership.members
-                if m.id == self.node.me.id or m.id in self.owner.assignment.copies
-            ]
-            responses = await self.node.call_members(members, message.ProbeRequest(w), CHECK_US)
-            for i, a in responses.items():
-                self.take(w.id, i, a)
-            answers = [a.sort for i, a in responses.items() if a is not None]
-            witnessed = any(a is not None and i != self.node.me.id for i, a in responses.items()) or len(members) < 2
-            mute = "mute" in answers
-            if "answer" in answers or not witnessed or mute and (w.id not in self.spoke or self.silent(w.id) < MUTE_US):
+            witnesses = self._witnesses()
+            responses = await self._ask(witnesses, worker)
+            for member, response in responses.items():
+                self._take(worker.id, member, response)
+            if not self._proves_unreachable(worker.id, responses, alone=len(witnesses) < 2):
                 return
-            if w.id not in self.dark:
-                log.warning("Worker {} is dark: {}.", w.id, "mute" if mute else "nobody reaches it")
-            self.dark[w.id] = self.runtime.now()
+            if worker.id not in self.dark:
+                mute = any(response.sort == MUTE for response in responses.values())
+                log.warning("Worker {} is dark: {}.", worker.id, "mute" if mute else "nobody reaches it")
+            self.dark[worker.id] = self.runtime.now()
             self.owner.check_workers()
-            for m in self.node.follower.membership.members:
-                self.node.tell_member(m.id, message.WorkerUnreachable(w.id))
+            for known in self.node.follower.membership.members:
+                self.node.tell_member(known.id, message.WorkerUnreachable(worker.id))
         finally:
-            del self.checks[w.id]
+            del self.checks[worker.id]
             done.wake()
+
+    def _witnesses(self) -> list[message.Member]:
+        """Return this node and those that hold copies of the pool's records."""
+        me, copies = local_member.member_id(self.node), self.owner.assignment.copies
+        return [member for member in self.node.follower.membership.members if member.id == me or member.id in copies]
+
+    async def _ask(self, witnesses: list[message.Member], worker: message.Worker) -> dict[str, message.ProbeResponse]:
+        """Return what the witnesses found, by member, as far as they answer."""
+        responses = await self.node.call_members(witnesses, message.ProbeRequest(worker), CHECK_US)
+        return {
+            member: response for member, response in responses.items() if isinstance(response, message.ProbeResponse)
+        }
+
+    def _proves_unreachable(self, worker: str, responses: dict[str, message.ProbeResponse], alone: bool) -> bool:
+        """Whether what was found proves a worker unreachable.
+
+        Args:
+            worker: The worker.
+            responses: What this node and the witnesses found, by member.
+            alone: Whether there is no other member that could witness.
+        """
+        me, found = local_member.member_id(self.node), {response.sort for response in responses.values()}
+        witnessed = alone or any(member != me for member in responses)
+        if ANSWERED in found or not witnessed:
+            return False
+        return MUTE not in found or (worker in self.spoke and self.silent(worker) >= MUTE_US)
+
+    async def _poll(self, worker: message.Worker) -> None:
+        """Ask one worker; where it does not answer and nobody else hears it, check."""
+        response = await self.node.reach.probe(worker)
+        self._take(worker.id, local_member.member_id(self.node), response)
+        wait_us = RECHECK_US if worker.id in self.dark else RECENT_US
+        found_at = self.dark.get(worker.id, 0)
+        if self.silent(worker.id) > RECENT_US and self.runtime.now() - found_at > wait_us:
+            await self.check(worker)
+
+    def _take(self, worker: str, member: str, response: message.ProbeResponse) -> None:
+        """Take what a member's probe found."""
+        if response.sort != ANSWERED:
+            return
+        self.spoke.add(worker)
+        if response.load is not None:
+            self.reports[worker] = response.load
+        self.hear(worker, member)
+
+    def _forget_unlisted(self, listed: set[str]) -> None:
+        """Forget the workers that are listed no more."""
+        tables: tuple[dict[str, typing.Any], ...] = (self.reports, self.last_contact, self.dark)
+        for table in tables:
+            for worker in [worker for worker in table if worker not in listed]:
+                del table[worker]
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -1,102 +1,104 @@
-"""Placement: a node elects the worker itself, for pools whose election is "node".
+"""Placement: a node selects the worker itself, for pools whose election is "node".
 
 What decides is the time to the first event: the tokens that wait to be read at a worker, the
 batch that runs there, and how much of the prompt its cache is likely to hold. A node knows its
-own sends at once, those of the others from the load request; which worker keeps a shared part
+own attempts at once, those of the others from the load exchange; which worker keeps a shared part
 needs no message: all nodes rank the workers alike for it (rendezvous hashing).
 """
 
 from __future__ import annotations
 
 import collections
+import collections.abc
 import hashlib
-import types
 import typing
 
-import loguru
-
 import iriswheel.dataplane.sessions as sessions
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 
 if typing.TYPE_CHECKING:
     import iriswheel.configuration.configuration as configuration
-    import iriswheel.dataplane.edge_protocol as edge_protocol
-
-
-READ_RATE = 50  # tokens that a worker reads in a millisecond, until measured
-BATCH = 64  # requests that a worker runs at once, where the configuration does not say
-STEP_US = 6_000  # a step of a worker's batch
-SLOT_US = 60  # what one more running request costs a new one, in time to its first event
-TURN_US = 700 * units.MILLISECOND_US  # how long a request holds its place in a full batch
-TRIALS = 16_384  # first turns remembered
-RANKS = 1_024  # rankings remembered
-KEPT = 512  # parts remembered per worker
-LONG = 4_000  # tokens of a prompt, shared parts and all, from which on it is long
-SPARED = 0.34  # of the workers read no long prompts
-HEAVY = 2_000  # tokens to read from which on all other nodes are told at once
-AGAIN = 15  # reading a shared part anew counts so many times its time: others wait, and parts give way
+
+
+READ_TOKENS_PER_MS = 50  # that a worker reads of a prompt
+BATCH_REQUESTS = 64  # that a worker runs at once, where the configuration does not say
+RUNNING_REQUEST_US = 60  # what one more running request costs a new one, in time to its first event
+FULL_BATCH_US = 700 * units.MILLISECOND_US  # how long a request holds its place in a full batch
+MAX_TRIALS = 16_384  # first turns remembered
+MAX_RANKINGS = 1_024  # rankings remembered
+MAX_PARTS = 512  # parts remembered per worker
+LONG_TOKENS = 4_000  # of a prompt, shared parts and all, from which on it is long
+SPARED_RATIO = 0.34  # of the workers that read no long prompts
+HEAVY_TOKENS = 2_000  # to read, from which on all other nodes are told at once
+REREAD_FACTOR = 15  # reading a shared part anew counts so many times its time: others wait, and parts give way
 JITTER_US = 3_000  # workers nearer than this are alike
-OLD_US = 1_500 * units.MILLISECOND_US  # others' sums older than this count for nothing
-SUSPICION_HALF_LIFE_US = 2 * units.SECOND_US  # suspicion of a worker halves in so long
+OTHERS_VALID_US = 1_500 * units.MILLISECOND_US  # others' sums older than this count for nothing
+SUSPICION_HALF_LIFE_US = 2 * units.SECOND_US
 SUSPICION_US = 1 * units.SECOND_US  # what full suspicion counts for in time
 SUSPICION_EJECT = 0.45  # from here on a worker gets nothing, as long as others are well
+SUSPICION_AFTER_ANSWER = 0.7  # the part of it that is left after a complete answer
 OTHERS_SUSPICION = 0.4  # how much another node's suspicion counts beside one's own
-PATIENCE_US = 200 * units.MILLISECOND_US  # no first event is waited for less than this
-MUTE_US = 700 * units.MILLISECOND_US  # a worker with sends under way that says nothing for so long
-COST = 100  # an open session's cost that counts like one request
+MIN_PATIENCE_US = 200 * units.MILLISECOND_US  # no first event is waited for less than this
+MUTE_US = 700 * units.MILLISECOND_US  # a worker with attempts under way that says nothing for so long
+REQUEST_COST = 100  # an open session's cost that counts like one request
+SMOOTHING = 16  # the weight of what was measured before, against one more first event
 
-NONE = (0, 0, 0)
+LoadRow: typing.TypeAlias = tuple[str, int, int, int]  # worker, running, unread tokens, suspicion in percent
+OthersLoad: typing.TypeAlias = tuple[int, int, int]  # the same without the worker, of all other nodes together
 
-log = loguru.logger.bind(part="place")
+NO_LOAD: OthersLoad = (0, 0, 0)
+NO_TRIAL = ("", 0)
 
 
-class Worker:
+class WorkerEstimate:
     """What this node knows of one worker.
 
-    >>> w = Worker(); w.running, w.unread
+    >>> estimate = WorkerEstimate(); estimate.running, estimate.unread
     (0, 0)
     """
 
-    __slots__ = ("running", "unread", "kept", "last_contact", "asked", "suspicion", "suspected_at")
+    __slots__ = ("busy_since", "last_contact", "parts", "running", "suspected_at", "suspicion", "unread")
 
     def __init__(self) -> None:
         self.running = 0  # own requests there
         self.unread = 0  # own prompt tokens that it has still to read
-        self.kept = collections.OrderedDict()  # chain key of a part -> tokens, the latest used last
+        # chain key of a part that it is likely to hold -> tokens, the latest used last
+        self.parts: collections.OrderedDict[bytes, int] = collections.OrderedDict()
         self.last_contact = 0  # when it last said anything to this node
-        self.asked = 0  # when the first of the sends now under way went out
-        self.suspicion = 0.0  # suspicion, 0 to 1, as it was at ill_at
+        self.busy_since = 0  # when the first of the attempts now under way went out
+        self.suspicion = 0.0  # 0 to 1, as it was at suspected_at
         self.suspected_at = 0
 
-    def note(self, keys: list[typing.Any], sizes: list[int]) -> None:
+    def note_parts(self, keys: list[bytes], sizes: list[int]) -> None:
         """Note the parts that a prompt brings there.
 
-        >>> w = Worker(); w.note([7], [100]); list(w.kept.items())
-        [(7, 100)]
+        >>> estimate = WorkerEstimate(); estimate.note_parts([b"k"], [100]); list(estimate.parts.items())
+        [(b'k', 100)]
         """
+        parts = self.parts
         for key, size in zip(keys, sizes, strict=False):
-            self.kept.pop(key, None)
-            self.kept[key] = size
-        while len(self.kept) > KEPT:
-            self.kept.popitem(last=False)
+            parts.pop(key, None)
+            parts[key] = size
+        while len(parts) > MAX_PARTS:
+            parts.popitem(last=False)
 
 
 def chain(parts: list[str]) -> list[bytes]:
-    """A key for each part that stands for all parts up to it.
+    """Return a key for each part that stands for all parts up to it.
 
     >>> a, b = chain(["x", "y"]), chain(["z", "y"]); a[1] == b[1], chain(["x"])[0] == a[0]
     (False, True)
     """
-    out, key = [], b""
+    keys, key = [], b""
     for part in parts:
         key = hashlib.blake2b(key + part.encode(), digest_size=8).digest()
-        out.append(key)
-    return out
+        keys.append(key)
+    return keys
 
 
 def weigh(key: bytes, worker: str) -> bytes:
-    """The weight of a worker for a key; the same on every node.
+    """Return the weight of a worker for a key; the same on every node.
 
     >>> weigh(b"k", "w1") == weigh(b"k", "w1"), weigh(b"k", "w1") == weigh(b"k", "w2")
     (True, False)
@@ -104,247 +106,305 @@
     return hashlib.blake2b(worker.encode(), digest_size=8, key=key).digest()
 
 
+def read_time_us(tokens: int) -> int:
+    """Return how long a worker reads at so many tokens of a prompt.
+
+    >>> read_time_us(100)
+    2000
+    """
+    return tokens * 1000 // READ_TOKENS_PER_MS
+
+
+class SizedPrompt(typing.Protocol):
+    """A request as far as placement concerns it."""
+
+    sizes: list[int]  # the tokens of its parts
+
+
 class Placement:
     """One node's placement over one pool."""
 
     def __init__(self, runtime: scheduler.Runtime, pool: str) -> None:
         self.runtime = runtime
         self.pool = pool
-        self.workers: dict[str, Worker] = {}  # id -> Worker
-        # id -> (running, unread, suspicion in percent) of all other nodes together
-        self.others: dict[str, tuple[int, int, int]] = {}
-        self.base_us, self.dev_us = 60_000.0, 30_000.0  # of first events of short prompts, beyond what was expected
-        self.others_at = 0
-        self.reported_heavy = lambda: None  # called when a send changes a worker's load by much
-        self.reported_some = lambda: None  # called when anything changes
-        self.session_table = sessions.SessionTable()
-        self.trials = collections.OrderedDict()  # last part's key -> (worker, until): may yet be a session
-        self.ranks = collections.OrderedDict()  # key -> workers by weight
-
-    def at(self, name: str) -> Worker:
-        """What is known of a worker.
-
-        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").at("w1").running
+        self.workers: dict[str, WorkerEstimate] = {}
+        self.others: dict[str, OthersLoad] = {}  # by worker
+        self.others_at = 0  # when the others' load last came
+        # mean and deviation of the first events of short prompts, beyond what was expected
+        self.base_us, self.dev_us = 60_000.0, 30_000.0
+        # called when an attempt changes a worker's load by much, and when anything changes
+        self.reported_heavy: collections.abc.Callable[[], object] = lambda: None
+        self.reported_some: collections.abc.Callable[[], object] = lambda: None
+        self.session_table: sessions.SessionTable[bytes] = sessions.SessionTable()
+        # last part's key -> (worker, until): may yet be a session
+        self.trials: collections.OrderedDict[bytes, tuple[str, int]] = collections.OrderedDict()
+        # (key, workers) -> the workers by weight
+        self.ranks: collections.OrderedDict[tuple[bytes, tuple[str, ...]], list[str]] = collections.OrderedDict()
+
+    def estimate(self, worker: str) -> WorkerEstimate:
+        """Return what is known of a worker.
+
+        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").estimate("w1").running
         0
         """
-        w = self.workers.get(name)
-        if w is None:
-            w = self.workers[name] = Worker()
-        return w
+        estimate = self.workers.get(worker)
+        if estimate is None:
+            estimate = self.workers[worker] = WorkerEstimate()
+        return estimate
 
-    def rank(self, key: bytes, names: tuple[str, ...]) -> list[str]:
-        """The workers by weight for a key, the heaviest first.
+    def rank(self, key: bytes, workers: tuple[str, ...]) -> list[str]:
+        """Return the workers by weight for a key, the heaviest first.
 
-        >>> p = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
-        >>> sorted(p.rank(b"k", ("w1", "w2")))
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
+        >>> sorted(placement.rank(b"k", ("w1", "w2")))
         ['w1', 'w2']
         """
-        out = self.ranks.get((key, names))
-        if out is None:
-            out = self.ranks[key, names] = sorted(names, key=lambda n: weigh(key, n), reverse=True)
-            if len(self.ranks) > RANKS:
+        ranking = self.ranks.get((key, workers))
+        if ranking is None:
+            ranking = sorted(workers, key=lambda worker: weigh(key, worker), reverse=True)
+            self.ranks[key, workers] = ranking
+            if len(self.ranks) > MAX_RANKINGS:
                 self.ranks.popitem(last=False)
-        return out
+        return ranking
 
-    def of_others(self, name: str, now: int) -> tuple[int, int, int]:
-        """What all other nodes together say of a worker, unless that is old.
+    def of_others(self, worker: str, now: int) -> OthersLoad:
+        """Return what all other nodes together say of a worker, unless that is old.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").of_others("w1", 0)
         (0, 0, 0)
         """
-        return self.others.get(name, NONE) if now - self.others_at < OLD_US else NONE
+        return self.others.get(worker, NO_LOAD) if now - self.others_at < OTHERS_VALID_US else NO_LOAD
+
+    # ---- health -------------------------------------------------------------------------
 
-    def suspicion(self, name: str, now: int) -> float:
-        """The suspicion of a worker, 0 to 1: one's own, and a part of the others'.
+    def suspicion(self, worker: str, now: int) -> float:
+        """Return the suspicion of a worker, 0 to 1: one's own, and a part of the others'.
 
-        >>> p = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); p.blame("w1", 0.5); p.suspicion("w1", 0)
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.blame("w1", 0.5)
+        >>> placement.suspicion("w1", 0)
         0.5
         """
-        return min(1.0, self.own_suspicion(name, now) + OTHERS_SUSPICION * self.of_others(name, now)[2] / 100)
+        return min(1.0, self.own_suspicion(worker, now) + OTHERS_SUSPICION * self.of_others(worker, now)[2] / 100)
 
-    def own_suspicion(self, name: str, now: int) -> float:
-        """This node's own suspicion of a worker, fading.
+    def own_suspicion(self, worker: str, now: int) -> float:
+        """Return this node's own suspicion of a worker, which fades.
 
-        >>> p = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); p.blame("w1", 0.5)
-        >>> p.own_suspicion("w1", 2 * units.SECOND_US)
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.blame("w1", 0.5)
+        >>> placement.own_suspicion("w1", 2 * units.SECOND_US)
         0.25
         """
-        w = self.workers.get(name)
-        return (
-            w.suspicion * 0.5 ** ((now - w.suspected_at) / SUSPICION_HALF_LIFE_US)
-            if w is not None and w.suspicion
-            else 0.0
-        )
+        estimate = self.workers.get(worker)
+        if estimate is None or not estimate.suspicion:
+            return 0.0
+        fading: float = 0.5 ** ((now - estimate.suspected_at) / SUSPICION_HALF_LIFE_US)
+        return estimate.suspicion * fading
 
-    def blame(self, name: str, much: float) -> None:
-        """A worker failed, or fell silent: trust it less, and let the other nodes know.
+    def blame(self, worker: str, suspicion: float) -> None:
+        """Trust a worker less that failed or fell silent, and let the other nodes know.
 
-        >>> p = Placement(scheduler.Runtime(None, now=lambda: 5), "p"); p.blame("w1", 0.5); p.is_unhealthy("w1", 5)
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 5), "p")
+        >>> placement.blame("w1", 0.5); placement.is_unhealthy("w1", 5)
         True
         """
         now = self.runtime.now()
-        w = self.at(name)
-        w.suspicion, w.suspected_at = min(1.0, self.own_suspicion(name, now) + much), now
+        estimate = self.estimate(worker)
+        estimate.suspicion, estimate.suspected_at = min(1.0, self.own_suspicion(worker, now) + suspicion), now
         self.reported_some()
         self.reported_heavy()
 
-    def forgive(self, name: str) -> None:
-        """A worker gave a whole answer.
+    def forgive(self, worker: str) -> None:
+        """Trust a worker more that gave a complete answer.
 
-        >>> p = Placement(scheduler.Runtime(None, now=lambda: 5), "p")
-        >>> p.blame("w1", 0.5); p.forgive("w1"); p.is_unhealthy("w1", 5)
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 5), "p")
+        >>> placement.blame("w1", 0.5); placement.forgive("w1"); placement.is_unhealthy("w1", 5)
         False
         """
-        w = self.at(name)
-        w.suspicion *= 0.7
+        self.estimate(worker).suspicion *= SUSPICION_AFTER_ANSWER
 
-    def wait_us(self, name: str, pool: configuration.Pool, now: int) -> int:
-        """How long a new request would wait at a worker before its own prompt is read.
+    def is_unhealthy(self, worker: str, now: int) -> bool:
+        """Whether a worker is to get nothing as long as others are well."""
+        return self.suspicion(worker, now) > SUSPICION_EJECT or self.is_mute(worker, now)
+
+    def is_mute(self, worker: str, now: int) -> bool:
+        """Whether a worker that has attempts of this node says nothing to any of them.
+
+        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").is_mute("w1", 0)
+        False
+        """
+        estimate = self.workers.get(worker)
+        if estimate is None or not estimate.running:
+            return False
+        return now - max(estimate.busy_since, estimate.last_contact) > MUTE_US
+
+    def patience_us(self, expected_us: int) -> int:
+        """Return how long a first event is waited for that was expected after so long.
+
+        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").patience_us(10_000)
+        200000
+        """
+        return max(MIN_PATIENCE_US, int(expected_us * 1.5 + self.base_us + 4 * self.dev_us))
+
+    # ---- selection ----------------------------------------------------------------------
+
+    def wait_us(self, worker: str, pool: configuration.Pool, now: int) -> int:
+        """Return how long a new request would wait at a worker before its own prompt is read.
 
         Only real requests in flight count here: this is what admission looks at.
         """
-        w = self.at(name)
-        running, unread, _ = self.of_others(name, now)
-        running += w.running
-        unread += w.unread
-        batch = pool.batch or BATCH
-        us = unread * 1000 // READ_RATE + running * SLOT_US
+        estimate = self.estimate(worker)
+        running, unread, _ = self.of_others(worker, now)
+        running += estimate.running
+        unread += estimate.unread
+        batch = pool.batch or BATCH_REQUESTS
+        wait_us = unread * 1000 // READ_TOKENS_PER_MS + running * RUNNING_REQUEST_US
         if running >= batch:
-            us += TURN_US * (running - batch + 1) // batch
-        return us
+            wait_us += FULL_BATCH_US * (running - batch + 1) // batch
+        return wait_us
 
-    def spared(self, names: tuple[str, ...]) -> set[str]:
-        """The workers that read no long prompts; the same on every node.
+    def spared(self, workers: tuple[str, ...]) -> set[str]:
+        """Return the workers that read no long prompts; the same on every node.
 
         While many shared parts are read for the first time, long prompts would fill every worker,
         and all short ones, which are many more, would wait behind them.
 
-        >>> p = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); len(p.spared(tuple("abcdef")))
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
+        >>> len(placement.spared(tuple("abcdef")))
         2
         """
-        return set(self.rank(b"spared", names)[: round(len(names) * SPARED)] if len(names) > 2 else ())
+        if len(workers) <= 2:
+            return set()
+        return set(self.rank(b"spared", workers)[: round(len(workers) * SPARED_RATIO)])
 
-    def read_us(self, name: str, keys: list[bytes], sizes: list[int], own: int, names: tuple[str, ...]) -> int:
-        """How long a worker would read at a prompt, less what its cache is likely to hold.
+    def read_us(
+        self, worker: str, keys: list[bytes], sizes: list[int], own_tokens: int, workers: tuple[str, ...]
+    ) -> int:
+        """Return how long a worker would read at a prompt, less what its cache is likely to hold.
 
         The shared parts are kept at their home, the worker that ranks first for the last of them,
         and where this node sent them lately.
         """
-        kept = self.at(name).kept
-        home = not keys or bool(names) and self.rank(keys[-1], names)[0] == name
-        us = own * 1000 // READ_RATE
-        if home:
-            return us
+        parts = self.estimate(worker).parts
+        read_us = own_tokens * 1000 // READ_TOKENS_PER_MS
+        if not keys or (workers and self.rank(keys[-1], workers)[0] == worker):
+            return read_us
         missing = False
         for key, size in zip(keys, sizes, strict=False):
-            missing = missing or key not in kept
+            missing = missing or key not in parts
             if missing:
-                us += size * 1000 * AGAIN // READ_RATE
-        return us
-
-    def is_unhealthy(self, name: str, now: int) -> bool:
-        """Whether a worker is to get nothing as long as others are well."""
-        return self.suspicion(name, now) > SUSPICION_EJECT or self.mute(name, now)
-
-    def patience_us(self, expected: int) -> int:
-        """How long a first event is waited for that was expected after so long.
-
-        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").patience_us(10_000)
-        200000
-        """
-        return max(PATIENCE_US, int(expected * 1.5 + self.base_us + 4 * self.dev_us))
-
-    def mute(self, name: str, now: int) -> bool:
-        """Whether a worker that has sends of this node says nothing to any of them.
-
-        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").mute("w1", 0)
-        False
-        """
-        w = self.workers.get(name)
-        return w is not None and bool(w.running) and now - max(w.asked, w.last_contact) > MUTE_US
+                read_us += size * 1000 * REREAD_FACTOR // READ_TOKENS_PER_MS
+        return read_us
 
     def pick(
         self,
-        ask: edge_protocol.ParsedRequest | types.SimpleNamespace,
+        prompt: SizedPrompt,
         keys: list[bytes],
-        own: int,
+        own_tokens: int,
         ready: list[str],
         pool: configuration.Pool,
         shun: set[str],
     ) -> tuple[str, int]:
-        """The worker for a request, or "" where there is none; (name, time it waits there)."""
+        """Select the worker for a request.
+
+        Args:
+            prompt: The request's parts' sizes.
+            keys: The parts' chain keys.
+            own_tokens: Its tokens that no other request shares.
+            ready: The workers that may be sent to.
+            pool: The pool's configuration.
+            shun: The workers that earlier attempts went to.
+
+        Returns:
+            The worker, "" where there is none, and how long the request waits there in microseconds.
+        """
         now = self.runtime.now()
-        names = tuple(ready)
-        r = self.session_table.affinity(keys[-1]) if keys else None
-        if r is not None and r.worker in ready and r.worker not in shun:
-            return r.worker, self.wait_us(r.worker, pool, now)
-        fit = [n for n in names if n not in shun]
-        well = [n for n in fit if not self.is_unhealthy(n, now)]
-        fit = well if 2 * len(well) >= len(fit) else fit  # where most look ill, it is not they
-        if not fit:
+        session = self.session_table.affinity(keys[-1]) if keys else None
+        if session is not None and session.worker in ready and session.worker not in shun:
+            return session.worker, self.wait_us(session.worker, pool, now)
+        candidates = self._candidates(ready, shun, now)
+        if not candidates:
             return "", 0
         if keys:
-            worker, until = self.trials.get(keys[-1], ("", 0))
-            if worker in fit and until > now:
+            worker, until = self.trials.get(keys[-1], NO_TRIAL)
+            if worker in candidates and until > now:
                 return worker, self.wait_us(worker, pool, now)  # a second turn: its prefix is held there
-        best, least = "", None
-        spared = self.spared(names)
-        long = own + sum(size for key, size in zip(keys[:-1], ask.sizes, strict=False)) >= LONG
-        if long:
-            names = tuple(n for n in names if n not in spared)
-            fit = [n for n in fit if n not in spared] or fit
-        for n in fit:
-            wait = self.wait_us(n, pool, now)
-            us = wait + self.read_us(n, keys[:-1], ask.sizes[:-1], own, names)
-            us += self.session_table.load(n) * SLOT_US // COST  # reserved cost of open sessions
-            us += int(self.suspicion(n, now) * SUSPICION_US)
-            us += self.runtime.rng.randrange(JITTER_US)
-            if least is None or us < least:
-                best, least, its_wait = n, us, wait
-        return best, its_wait
-
-    # ---- sends ------------------------------------------------------------------------
-
-    def begin(self, name: str, keys: list[bytes], sizes: list[int], own: int) -> int:
-        """A send goes out; the tokens that the worker will likely read for it."""
-        w = self.at(name)
-        tokens = own
+        workers = tuple(ready)
+        shared_keys = keys[:-1]
+        spared = self.spared(workers)
+        if own_tokens + sum(size for _, size in zip(shared_keys, prompt.sizes, strict=False)) >= LONG_TOKENS:
+            workers = tuple(worker for worker in workers if worker not in spared)
+            candidates = [worker for worker in candidates if worker not in spared] or candidates
+        return self._nearest(candidates, shared_keys, prompt.sizes[:-1], own_tokens, workers, pool)
+
+    def _candidates(self, ready: list[str], shun: set[str], now: int) -> list[str]:
+        """Return the healthy workers not yet tried; all not yet tried where most look ill: then it is not they."""
+        untried = [worker for worker in ready if worker not in shun]
+        healthy = [worker for worker in untried if not self.is_unhealthy(worker, now)]
+        return healthy if 2 * len(healthy) >= len(untried) else untried
+
+    def _nearest(
+        self,
+        candidates: list[str],
+        keys: list[bytes],
+        sizes: list[int],
+        own_tokens: int,
+        workers: tuple[str, ...],
+        pool: configuration.Pool,
+    ) -> tuple[str, int]:
+        """Return the candidate with the least time to the first event, and how long the request waits there."""
+        now = self.runtime.now()
+        best, best_wait_us, least_us = "", 0, None
+        for worker in candidates:
+            wait_us = self.wait_us(worker, pool, now)
+            total_us = wait_us + self.read_us(worker, keys, sizes, own_tokens, workers)
+            total_us += self.session_table.load(worker) * RUNNING_REQUEST_US // REQUEST_COST  # reserved by sessions
+            total_us += int(self.suspicion(worker, now) * SUSPICION_US)
+            total_us += self.runtime.rng.randrange(JITTER_US)
+            if least_us is None or total_us < least_us:
+                best, best_wait_us, least_us = worker, wait_us, total_us
+        return best, best_wait_us
+
+    # ---- attempts -----------------------------------------------------------------------
+
+    def begin(self, worker: str, keys: list[bytes], sizes: list[int], own_tokens: int) -> int:
+        """Note that an attempt goes out; returns the tokens that the worker will likely read for it."""
+        estimate = self.estimate(worker)
+        tokens = own_tokens
         for key, size in zip(keys, sizes, strict=False):
-            if key not in w.kept:
+            if key not in estimate.parts:
                 tokens += size
-        w.note(keys, sizes)
-        if not w.running:
-            w.asked = self.runtime.now()
-        w.running += 1
-        w.unread += tokens
+        estimate.note_parts(keys, sizes)
+        if not estimate.running:
+            estimate.busy_since = self.runtime.now()
+        estimate.running += 1
+        estimate.unread += tokens
         self.reported_some()
-        if tokens >= HEAVY:
+        if tokens >= HEAVY_TOKENS:
             self.reported_heavy()
         return tokens
 
-    def first(self, name: str, tokens: int, took: int, expected: int) -> None:
-        """The first event came after `took` microseconds: the prompt is read."""
-        self.at(name).unread -= tokens
+    def first_event(self, worker: str, tokens: int, took_us: int, expected_us: int) -> None:
+        """Note that an attempt's first event came after so long: its prompt's tokens are read."""
+        self.estimate(worker).unread -= tokens
         self.reported_some()
-        if tokens < HEAVY:
-            off = took - expected - self.base_us
-            self.base_us = max(0.0, self.base_us + off / 16)
-            self.dev_us += (abs(off) - self.dev_us) / 16
-
-    def hear(self, name: str) -> None:
-        """A worker said something."""
-        self.at(name).last_contact = self.runtime.now()
-
-    def end(self, name: str, tokens: int) -> None:
-        """A send is over; `tokens` are those that were never read."""
-        w = self.at(name)
-        w.running -= 1
+        if tokens < HEAVY_TOKENS:
+            off_us = took_us - expected_us - self.base_us
+            self.base_us = max(0.0, self.base_us + off_us / SMOOTHING)
+            self.dev_us += (abs(off_us) - self.dev_us) / SMOOTHING
+
+    def note_contact(self, worker: str) -> None:
+        """Note that a worker said something."""
+        self.estimate(worker).last_contact = self.runtime.now()
+
+    def end(self, worker: str, tokens: int) -> None:
+        """Note that an attempt is over; `tokens` are those that were never read."""
+        estimate = self.estimate(worker)
+        estimate.running -= 1
         self.reported_some()
-        w.unread -= tokens
+        estimate.unread -= tokens
 
-    # ---- sessions ---------------------------------------------------------------------
+    # ---- sessions -----------------------------------------------------------------------
 
-    def turn(self, key: bytes, name: str, terms: configuration.Terms, cap: int) -> None:
+    def note_turn(self, key: bytes, worker: str, terms: configuration.Terms, cap: int) -> None:
         """Note a turn: the second one with the same last part opens a session, if the cap allows.
 
         Nobody says whether a prompt's last part is a conversation's or one request's own, and a
@@ -352,75 +412,79 @@
         counts for nothing but placement.
         """
         now = self.runtime.now()
-        r = self.session_table.affinity(key)
-        if r is not None and r.worker != name:
+        session = self.session_table.affinity(key)
+        if session is not None and session.worker != worker:
             self.session_table.close(key)
-            r = None
-        if r is not None:
-            r.lifetime_us, r.cost = terms.lifetime_us, terms.cost
-            self.session_table.extend(r, now)
+            session = None
+        if session is not None:
+            session.lifetime_us, session.cost = terms.lifetime_us, terms.cost
+            self.session_table.extend(session, now)
             return
-        worker, until = self.trials.pop(key, ("", 0))
-        if until > now and (not cap or self.session_table.count(name) < cap):
-            self.session_table.open(key, name, now, terms.lifetime_us, terms.cost)
+        _, until = self.trials.pop(key, NO_TRIAL)
+        if until > now and (not cap or self.session_table.count(worker) < cap):
+            self.session_table.open(key, worker, now, terms.lifetime_us, terms.cost)
             return
-        self.trials[key] = (name, now + terms.lifetime_us)
-        if len(self.trials) > TRIALS:
+        self.trials[key] = (worker, now + terms.lifetime_us)
+        if len(self.trials) > MAX_TRIALS:
             self.trials.popitem(last=False)
 
     def sweep(self, ready: set[str]) -> None:
-        """Close sessions past their lease, and those of workers that are ready no more.
+        """Close sessions past their lifetime, and those of workers that are ready no more.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").sweep({"w1"})
         """
         now = self.runtime.now()
         self.session_table.sweep(now)
-        for name in [n for n in self.session_table.at if n not in ready]:
-            self.session_table.evict(name)
+        for worker in [worker for worker in self.session_table.at if worker not in ready]:
+            self.session_table.evict(worker)
         while self.trials and next(iter(self.trials.values()))[1] < now:
             self.trials.popitem(last=False)
-        for name in [n for n, w in self.workers.items() if n not in ready and not w.running]:
-            del self.workers[name]
+        for worker in [name for name, known in self.workers.items() if name not in ready and not known.running]:
+            del self.workers[worker]
+
+    # ---- load exchange ------------------------------------------------------------------
 
-    def export(self) -> list[tuple[str, int, int, int]]:
-        """This node's own load, for the load request: rows of worker, running, unread tokens, suspicion.
+    def export(self) -> list[LoadRow]:
+        """Return this node's own load, for the load exchange.
 
         Suspicion travels in steps of ten percent, so that its fading is not news all the time.
 
-        >>> p = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); p.blame("w1", 0.5); p.export()
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.blame("w1", 0.5)
+        >>> placement.export()
         [('w1', 0, 0, 50)]
         """
         now = self.runtime.now()
         rows = [
-            (n, w.running, max(0, w.unread), int(self.own_suspicion(n, now) * 10) * 10)
-            for n, w in sorted(self.workers.items())
+            (worker, known.running, max(0, known.unread), int(self.own_suspicion(worker, now) * 10) * 10)
+            for worker, known in sorted(self.workers.items())
         ]
-        return [r for r in rows if r[1] or r[3]]
+        return [row for row in rows if row[1] or row[3]]
 
-    def take(self, rows: list[tuple[str, int, int, int]], complete: bool) -> None:
+    def take(self, rows: list[LoadRow], complete: bool) -> None:
         """Take the other nodes' sums: all of them, or what changed.
 
-        >>> p = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); p.take([("w1", 3, 900, 0)], True)
-        >>> p.others["w1"]
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
+        >>> placement.take([("w1", 3, 900, 0)], True); placement.others["w1"]
         (3, 900, 0)
         """
         if complete:
             self.others = {}
-        for name, *values in rows:
-            self.others[name] = tuple(values)
-            if not any(values):
-                del self.others[name]
+        for worker, running, unread, suspicion in rows:
+            if running or unread or suspicion:
+                self.others[worker] = (running, unread, suspicion)
+            else:
+                self.others.pop(worker, None)
         self.others_at = self.runtime.now()
 
     def state(self) -> dict[str, typing.Any]:
-        """What this placement shows of itself.
+        """Return what this placement shows of itself in the node's state.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").state()["sessions"]
         {}
         """
         return {
             "pool": self.pool,
-            "sessions": {w: len(rs) for w, rs in sorted(self.session_table.at.items()) if rs},
+            "sessions": {worker: len(records) for worker, records in sorted(self.session_table.at.items()) if records},
             "trials": len(self.trials),
-            "running": {n: w.running for n, w in sorted(self.workers.items())},
+            "running": {worker: known.running for worker, known in sorted(self.workers.items())},
         }
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -4,6 +4,7 @@
 
 import typing
 
+import iriswheel.dataplane.attempt_outcome as attempt_outcome
 import iriswheel.dataplane.client_disconnect as client_disconnect
 import iriswheel.dataplane.dispatch as dispatch
 import iriswheel.dataplane.edge_protocol as edge_protocol
@@ -76,18 +77,18 @@
 
     async def send(
         self, request: http_server.Request, worker: message.Worker, attempt: dispatch.Attempt
-    ) -> dispatch.AttemptOutcome:
+    ) -> attempt_outcome.AttemptOutcome:
         """Send a peer's request to its worker; cancelled when the peer disconnects."""
         assert request.content is not None, "the body is read before the request is handled"
         return await client_disconnect.run_until_disconnect(
             request, self.node.sender.send(request, request.content.read(), worker, False, attempt)
         )
 
-    def answer(self, request: http_server.Request, outcome: dispatch.AttemptOutcome) -> None:
+    def answer(self, request: http_server.Request, outcome: attempt_outcome.AttemptOutcome) -> None:
         """Tell the peer how the send ended, where the worker's own answer has not done so."""
         match outcome:
-            case dispatch.AttemptOutcome.INTERRUPTED:
+            case attempt_outcome.AttemptOutcome.INTERRUPTED:
                 request.break_off()
-            case dispatch.AttemptOutcome.UNSENT | dispatch.AttemptOutcome.BROKE:
+            case attempt_outcome.AttemptOutcome.UNSENT | attempt_outcome.AttemptOutcome.BROKE:
                 error = errors.ServiceError("no_worker", "The worker was not reached.")
-                request.answer(error.status, error.body(), {edge_protocol.PASS: outcome.name.lower()})
+                request.answer(error.status, error.body(), {edge_protocol.PASS: outcome.value})
--- a/iriswheel/dataplane/worker_connections.py
+++ b/iriswheel/dataplane/worker_connections.py
@@ -7,36 +7,34 @@
 
 from __future__ import annotations
 
+import collections.abc
 import socket
 import typing
 
 import httptools
-import loguru
 import twisted.internet.defer as defer
-import twisted.internet.endpoints as endpoints
 import twisted.internet.error as error
 import twisted.internet.protocol as protocol
 
+import iriswheel.dataplane.tcp_client as tcp_client
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 
 if typing.TYPE_CHECKING:
     import twisted.python.failure as failure
 
-    import iriswheel.dataplane.forwarding as forwarding
     import iriswheel.transport.message as message
 
 
 CONNECT_US = 350 * units.MILLISECOND_US
 KEEP_US = 4 * units.SECOND_US  # an idle connection, where the worker does not say how long it keeps one
-KEEP_MOST_US = 60 * units.SECOND_US  # and where it does, at most
-MARGIN_US = 400 * units.MILLISECOND_US  # dropped so long before the worker would
-STALE_MS = 2_000  # sent bytes that nobody acknowledged: the connection is dead
+MAX_KEEP_US = 60 * units.SECOND_US  # and where it does, at most
+KEEP_MARGIN_US = 400 * units.MILLISECOND_US  # dropped so long before the worker would
+UNACKNOWLEDGED_MS = 2_000  # after which sent bytes that nobody acknowledged end the connection
 LEARNED_US = 30 * units.SECOND_US  # how long it counts that a worker had dropped an idle connection
-LEAST_IDLE_US = 100 * units.MILLISECOND_US  # idle connections this young are used whatever was learned
-SKIPS = 3  # answers of others that are passed over on one connection
-
-log = loguru.logger.bind(part="client")
+MIN_TRUSTED_IDLE_US = 100 * units.MILLISECOND_US  # idle connections this young are used whatever was learned
+UNLIMITED_US = 10**12
+MAX_FOREIGN_ANSWERS = 3  # answers to other requests that are passed over during one request
 
 
 class UnreachableError(Exception):
@@ -45,45 +43,96 @@
     code = "unreached"
 
 
+class AnswerReceiver(typing.Protocol):
+    """What takes an answer from a connection: all of it, and then one of the two ends."""
+
+    bodyless: bool  # whether the answer is a head alone
+
+    def owns(self, status: int, headers: dict[str, str], uses: int) -> bool | None:
+        """Whether an answer belongs to the request; None where that can't be told."""
+
+    def head_received(self, status: int, headers: list[tuple[bytes, bytes]], lowercase: dict[str, str]) -> None:
+        """Take the answer's status and headers, the latter as they came and by lower-case name."""
+
+    def data_received(self, data: bytes) -> None:
+        """Take a piece of the answer's body."""
+
+    def answer_complete(self) -> None:
+        """Note that the whole answer has come."""
+
+    def answer_lost(self) -> None:
+        """Note that the connection broke off, or brought what is no answer."""
+
+
+class TcpTransport(typing.Protocol):
+    """What a connection uses of its TCP transport."""
+
+    def write(self, data: bytes, /) -> None:
+        """Send bytes."""
+
+    def abortConnection(self) -> None:
+        """Break the connection off."""
+
+    def setTcpNoDelay(self, enabled: bool, /) -> None:
+        """Send small pieces at once."""
+
+    def pauseProducing(self) -> None:
+        """Read no further for now."""
+
+    def resumeProducing(self) -> None:
+        """Go on reading."""
+
+
+ConnectionCallback: typing.TypeAlias = "collections.abc.Callable[[WorkerConnection], None]"
+
+
+def _ignore(connection: WorkerConnection) -> None:
+    """Stand in for a callback before the pool has set its own."""
+
+
 class WorkerConnection(protocol.Protocol):
     """One connection to a worker."""
 
+    # Set by `makeConnection`, before anything else is called.
+    transport: TcpTransport  # type: ignore[assignment]
+
     def __init__(self, runtime: scheduler.Runtime, worker: str) -> None:
         self.runtime = runtime
-        self.worker = worker  # the worker's id
-        self.flow: forwarding.AnswerStream | None = None
+        self.worker = worker
+        self.receiver: AnswerReceiver | None = None  # while a request is under way
         self.parser = httptools.HttpResponseParser(self)
         self.headers: list[tuple[bytes, bytes]] = []
         self.up = False
-        self.used = 0  # requests that went over it
-        self.skips = 0
-        self.skipping = False
+        self.uses = 0  # requests that went over it
+        self.foreign_answers = 0  # that were passed over during this request
+        self.skipping = False  # whether the answer that comes now is passed over
         self.spoiled = False  # it is not to be used again
         self.keep_us = KEEP_US
         self.until = 0  # when an idle one is dropped
         self.idle_since = 0
-        self.rested = 0  # how long it was idle before the request under way
+        self.idle_us = 0  # how long it was idle before the request under way
         self.received_any = False  # whether anything came back in this request
         self.paused = False  # while the client reads too slowly
-        self.on_stale = lambda line: None
-        self.on_free = lambda line: None
-        self.on_gone = lambda line: None
+        self.on_stale: ConnectionCallback = _ignore
+        self.on_free: ConnectionCallback = _ignore
+        self.on_gone: ConnectionCallback = _ignore
 
     def connectionMade(self) -> None:
+        """Set the socket's options."""
         self.up = True
         self.transport.setTcpNoDelay(True)
-        sock = getattr(self.transport, "getHandle", lambda: None)()
-        if sock is not None:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, STALE_MS)
-
-    def start(self, raw: bytes, flow: forwarding.AnswerStream) -> None:
-        """Send a request; its answer goes to the flow."""
-        self.flow = flow
-        self.rested = self.runtime.now() - self.idle_since if self.used else 0
+        handle: socket.socket | None = getattr(self.transport, "getHandle", lambda: None)()
+        if handle is not None:  # a simulated transport has none
+            handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+            handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+
+    def start(self, raw: bytes, receiver: AnswerReceiver) -> None:
+        """Send a request; its answer goes to the receiver."""
+        self.receiver = receiver
+        self.idle_us = self.runtime.now() - self.idle_since if self.uses else 0
         self.received_any = False
-        self.used += 1
-        self.skips = 0
+        self.uses += 1
+        self.foreign_answers = 0
         self.skipping = False
         self.transport.write(raw)
 
@@ -98,108 +147,115 @@
         self.transport.resumeProducing()
 
     def drop(self) -> None:
-        """Break the connection off; its flow, if any, hears no more."""
+        """Break the connection off; its receiver, if any, is told nothing."""
         self.spoiled = True
-        self.flow = None
+        self.receiver = None
         if self.up:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        if self.flow is None:
-            self.drop()  # nobody asked
+        """Feed the parser; bytes that nobody asked for, or that are no HTTP, end the connection."""
+        if self.receiver is None:
+            self.drop()
             return
         self.received_any = True
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserError:
-            self.fail("garbled")
-        except httptools.HttpParserUpgrade:
-            self.fail("garbled")
-
-    def fail(self, why: str) -> None:
-        """What came is no answer: end the flow and the connection."""
-        flow, self.flow = self.flow, None
-        self.drop()
-        if flow is not None:
-            flow.lost(why)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self._fail()
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
+        """End the request under way, if any."""
         self.up = False
         self.spoiled = True
-        flow, self.flow = self.flow, None
+        receiver, self.receiver = self.receiver, None
         self.on_gone(self)
-        if flow is not None:
-            if self.rested and not self.received_any:
+        if receiver is not None:
+            if self.idle_us and not self.received_any:
                 self.on_stale(self)
-            flow.lost("closed")
+            receiver.answer_lost()
 
-    # ---- what the parser calls -------------------------------------------------------
+    # ---- what the parser calls; an exception here ends its `feed_data` with an HttpParserError -----
 
     def on_message_begin(self) -> None:
+        """Begin an answer; one more after a whole answer ends the connection."""
         self.headers = []
-        if self.flow is None:
-            self.drop()  # more after a whole answer
+        if self.receiver is None:
+            self.drop()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Take one header."""
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        if self.flow is None:
+        """Decide whose answer it is; one to another request, come late, is passed over."""
+        receiver = self.receiver
+        if receiver is None:
             return
-        status = self.parser.get_status_code()
+        status: int = self.parser.get_status_code()
         if 100 <= status < 200:
             self.skipping = True
             return
-        low = {k.decode("latin-1").lower(): v.decode("latin-1") for k, v in self.headers}
-        match self.flow.owns(status, low, self.used):
+        lowercase = {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in self.headers}
+        match receiver.owns(status, lowercase, self.uses):
             case True:
                 self.skipping = False
-                self.keep(low)
-                self.flow.head(status, self.headers, low)
-                if self.flow.bodyless:
-                    self.end_without_body()
+                self._note_keep_alive(lowercase)
+                receiver.head_received(status, self.headers, lowercase)
+                if receiver.bodyless:
+                    self._end_without_body()
             case False:
-                self.skipping = True  # another's answer, come late
-                self.skips += 1
+                self.skipping = True
+                self.foreign_answers += 1
             case None:
                 raise ValueError("whose answer it is can't be told")
 
-    def end_without_body(self) -> None:
-        """End a request whose answer is its head alone; the parser would wait for the length that is told."""
-        flow, self.flow = self.flow, None
-        self.drop()
-        flow.end()
-
-    def keep(self, low: dict[str, str]) -> None:
-        """Note how long the worker keeps the connection."""
-        self.keep_us = KEEP_US
-        if "close" in low.get("connection", "").lower():
-            self.spoiled = True
-        for token in low.get("keep-alive", "").split(","):
-            name, _, value = token.strip().partition("=")
-            if name.lower() == "timeout" and value.strip().isdigit():
-                self.keep_us = min(KEEP_MOST_US, int(value) * units.SECOND_US - MARGIN_US)
-
     def on_body(self, body: bytes) -> None:
-        if self.flow is not None and not self.skipping:
-            self.flow.data(body)
+        """Pass a piece of the body on."""
+        if self.receiver is not None and not self.skipping:
+            self.receiver.data_received(body)
 
     def on_message_complete(self) -> None:
-        if self.flow is None:
+        """End the request, unless it was another's answer."""
+        if self.receiver is None:
             return
         if self.skipping:
             self.skipping = False
-            if self.skips > SKIPS:
+            if self.foreign_answers > MAX_FOREIGN_ANSWERS:
                 raise ValueError("too many answers of others")
             return
-        flow, self.flow = self.flow, None
+        receiver, self.receiver = self.receiver, None
         if not self.parser.should_keep_alive():
             self.spoiled = True
-        flow.end()
-        self.free()
+        receiver.answer_complete()
+        self._release()
+
+    def _fail(self) -> None:
+        """End the request and the connection: what came is no answer."""
+        receiver = self.receiver
+        self.drop()
+        if receiver is not None:
+            receiver.answer_lost()
+
+    def _end_without_body(self) -> None:
+        """End a request whose answer is its head alone; the parser would wait for the length that is told."""
+        receiver = self.receiver
+        self.drop()
+        if receiver is not None:
+            receiver.answer_complete()
+
+    def _note_keep_alive(self, headers: dict[str, str]) -> None:
+        """Note how long the worker keeps the connection."""
+        self.keep_us = KEEP_US
+        if "close" in headers.get("connection", "").lower():
+            self.spoiled = True
+        for parameter in headers.get("keep-alive", "").split(","):
+            name, _, value = parameter.strip().partition("=")
+            if name.lower() == "timeout" and value.strip().isdigit():
+                self.keep_us = min(MAX_KEEP_US, int(value) * units.SECOND_US - KEEP_MARGIN_US)
 
-    def free(self) -> None:
-        """The request is over; the connection is kept for the next, if it is sound."""
+    def _release(self) -> None:
+        """Offer the connection for the next request, if it is sound."""
         if self.spoiled or self.keep_us <= 0 or not self.up:
             self.drop()
             return
@@ -209,103 +265,99 @@
         self.until = self.idle_since + self.keep_us
         self.on_free(self)
 
+    def is_usable(self, now: int) -> bool:
+        """Whether an idle connection may still be used, or kept."""
+        return self.up and not self.spoiled and now < self.until
+
+
+class LearnedIdle(typing.NamedTuple):
+    """For how long idle connections to a worker may be trusted, as was learned at a time."""
+
+    learned_at: int
+    trusted_us: int
+
 
 class ConnectionPool:
     """All connections of this process to workers.
 
-    >>> ConnectionPool(None).count("w1")
+    >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).count("w1")
     0
     """
 
-    def __init__(self, runtime: scheduler.Runtime | None) -> None:
+    def __init__(self, runtime: scheduler.Runtime) -> None:
         self.runtime = runtime
-        self.idle: dict[str, list[WorkerConnection]] = {}  # worker -> [Line], the latest used last
+        self.idle: dict[str, list[WorkerConnection]] = {}  # by worker, the latest used last
         self.open: dict[str, int] = {}  # worker -> how many there are
-        self.learned: dict[str, tuple[int, int]] = {}  # worker -> (when, how long an idle connection may be trusted)
+        self.learned: dict[str, LearnedIdle] = {}  # by worker
 
     def count(self, worker: str) -> int:
-        """How many connections to a worker are open.
+        """Return how many connections to a worker are open.
 
-        >>> ConnectionPool(None).count("w1")
+        >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).count("w1")
         0
         """
         return self.open.get(worker, 0)
 
-    def take(self, worker: str, fresh_us: int) -> WorkerConnection | None:
-        """An idle connection that was used within fresh_us, or None.
+    def take(self, worker: str, max_idle_us: int) -> WorkerConnection | None:
+        """Return an idle connection that was used within max_idle_us, or None.
 
         >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).take("w1", 1) is None
         True
         """
         now = self.runtime.now()
         kept = self.idle.get(worker, [])
-        fresh_us = min(fresh_us, self.trust(worker))
+        max_idle_us = min(max_idle_us, self.trust(worker))
         while kept:
-            line = kept[-1]
-            if now >= line.until or not line.up or line.spoiled:
+            connection = kept[-1]
+            if not connection.is_usable(now):
                 kept.pop()
-                line.drop()
-            elif now - line.idle_since > fresh_us:
+                connection.drop()
+            elif now - connection.idle_since > max_idle_us:
                 return None
             else:
                 return kept.pop()
         return None
 
     def trust(self, worker: str) -> int:
-        """How long a connection to a worker may have been idle and still be used.
+        """Return how long a connection to a worker may have been idle and still be used, in microseconds.
 
-        >>> lines = ConnectionPool(scheduler.Runtime(None, now=lambda: 0)); lines.learned["w1"] = (0, 700_000)
-        >>> lines.trust("w1"), lines.trust("w2") > 60 * units.SECOND_US
+        >>> pool = ConnectionPool(scheduler.Runtime(None, now=lambda: 0))
+        >>> pool.learned["w1"] = LearnedIdle(0, 700_000)
+        >>> pool.trust("w1"), pool.trust("w2") > 60 * units.SECOND_US
         (700000, True)
         """
-        when, us = self.learned.get(worker, (0, 10**12))
-        return us if self.runtime.now() - when < LEARNED_US else 10**12
+        learned = self.learned.get(worker)
+        if learned is None or self.runtime.now() - learned.learned_at >= LEARNED_US:
+            return UNLIMITED_US
+        return learned.trusted_us
 
-    def stale(self, line: WorkerConnection) -> None:
-        """A connection that had been idle was gone when it was used: younger ones are not trusted either."""
-        if line.rested > LEAST_IDLE_US:
-            us = max(LEAST_IDLE_US, min(line.rested // 2, self.trust(line.worker)))
-            self.learned[line.worker] = (self.runtime.now(), us)
-
-    async def get(self, w: message.Worker, fresh_us: int, left_us: int = CONNECT_US) -> WorkerConnection:
-        """A connection to a worker, an idle one if it was used within fresh_us; raises Unreached.
+    async def get(self, worker: message.Worker, max_idle_us: int, left_us: int = CONNECT_US) -> WorkerConnection:
+        """Return a connection to a worker, an idle one if it was used within max_idle_us.
 
         A new one is waited for up to CONNECT_US, and no longer than left_us.
+
+        Raises:
+            UnreachableError: No connection could be had.
         """
-        line = self.take(w.id, fresh_us)
-        if line is not None:
-            return line
-        wait_s = max(0, min(CONNECT_US, left_us)) / units.SECOND_US
-        point = endpoints.TCP4ClientEndpoint(self.runtime.reactor, w.host, w.port, timeout=wait_s)
-        factory = protocol.Factory()
-        factory.noisy = False
-        factory.buildProtocol = lambda address: WorkerConnection(self.runtime, w.id)
-        self.open[w.id] = self.open.get(w.id, 0) + 1
+        connection = self.take(worker.id, max_idle_us)
+        if connection is not None:
+            return connection
+        self.open[worker.id] = self.open.get(worker.id, 0) + 1
         try:
-            line = await point.connect(factory)
-        except (defer.CancelledError, error.ConnectingCancelledError) as e:
-            self.gone(w.id)
-            raise defer.CancelledError() from e  # an endpoint says it by an error of its own
-        except Exception as e:
-            self.gone(w.id)
-            raise UnreachableError(type(e).__name__) from e
-        line.on_free = self.free
-        line.on_stale = self.stale
-        line.on_gone = lambda line: self.gone(line.worker)
-        if not line.up:
-            self.gone(w.id)
+            connection = await self._connect(worker, max(0, min(CONNECT_US, left_us)))
+        except (defer.CancelledError, error.ConnectingCancelledError) as cancelled:
+            self._count_gone(worker.id)
+            raise defer.CancelledError() from cancelled  # an endpoint says it by an error of its own
+        except Exception as reason:  # refused, timed out, no route: all mean that nothing was sent
+            self._count_gone(worker.id)
+            raise UnreachableError(type(reason).__name__) from reason
+        connection.on_free = self._keep
+        connection.on_stale = self._learn
+        connection.on_gone = self._forget
+        if not connection.up:
+            self._count_gone(worker.id)
             raise UnreachableError("closed")
-        return line
-
-    def gone(self, worker: str) -> None:
-        """A connection is no more."""
-        self.open[worker] -= 1
-        if not self.open[worker]:
-            del self.open[worker]
-
-    def free(self, line: WorkerConnection) -> None:
-        """Keep a connection that has come free."""
-        self.idle.setdefault(line.worker, []).append(line)
+        return connection
 
     def sweep(self, listed: set[str]) -> None:
         """Drop idle connections past their time, and those to workers that are listed no more.
@@ -313,13 +365,41 @@
         >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).sweep({"w1"})
         """
         now = self.runtime.now()
-        self.learned = {w: row for w, row in self.learned.items() if w in listed}
+        self.learned = {worker: learned for worker, learned in self.learned.items() if worker in listed}
         for worker, kept in list(self.idle.items()):
-            good = [x for x in kept if x.up and not x.spoiled and now < x.until and worker in listed]
-            for x in kept:
-                if x not in good:
-                    x.drop()
-            if good:
-                self.idle[worker] = good
+            usable = [connection for connection in kept if connection.is_usable(now) and worker in listed]
+            for connection in kept:
+                if connection not in usable:
+                    connection.drop()
+            if usable:
+                self.idle[worker] = usable
             else:
                 del self.idle[worker]
+
+    def _connect(self, worker: message.Worker, timeout_us: int) -> defer.Deferred[WorkerConnection]:
+        return tcp_client.connect(
+            self.runtime.reactor,
+            worker.host,
+            worker.port,
+            timeout_us,
+            lambda: WorkerConnection(self.runtime, worker.id),
+        )
+
+    def _keep(self, connection: WorkerConnection) -> None:
+        """Keep a connection that is idle now."""
+        self.idle.setdefault(connection.worker, []).append(connection)
+
+    def _learn(self, connection: WorkerConnection) -> None:
+        """Trust younger connections only: one that had been idle was gone when it was used."""
+        if connection.idle_us > MIN_TRUSTED_IDLE_US:
+            worker = connection.worker
+            trusted_us = max(MIN_TRUSTED_IDLE_US, min(connection.idle_us // 2, self.trust(worker)))
+            self.learned[worker] = LearnedIdle(self.runtime.now(), trusted_us)
+
+    def _forget(self, connection: WorkerConnection) -> None:
+        self._count_gone(connection.worker)
+
+    def _count_gone(self, worker: str) -> None:
+        self.open[worker] -= 1
+        if not self.open[worker]:
+            del self.open[worker]
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -73,7 +73,7 @@
             self.tell_running(),
             self.gateway.attempts.watch_hangs(),
             self.reach.walk(),
-            self.gateway.forwarder.look(),
+            self.gateway.forwarder.watch(),
             self.loads.run(),
         ):
             self.runtime.spawn(coroutine, log)
@@ -195,7 +195,7 @@
 
     # ---- messages -----------------------------------------------------------------------
 
-    def tell_member(self, identifier: str, msg: message.GrantReleased | message.GrantReport) -> None:
+    def tell_member(self, identifier: str, msg: message.Message) -> None:
         """Tell a member something; this node itself is told straight away."""
         if identifier == self.me.id:
             self.serve(None, msg)
@@ -204,12 +204,10 @@
         if m is not None:
             self.runtime.spawn(self.peers.tell(m.host, m.port, msg), log)
 
-    async def call_members(
-        self, members: list[message.Member], msg: message.ReplicateRecords | message.RecordsRequest, us: int
-    ) -> dict[str, message.ReplicateResponse | message.RecordsResponse | None]:
+    async def call_members(self, members: list[message.Member], msg: message.Message, us: int) -> dict[str, typing.Any]:
         """Put a call to members, this one included; None where no answer came."""
 
-        async def query(m: message.Member) -> message.ReplicateResponse | message.RecordsResponse:
+        async def query(m: message.Member) -> typing.Any:
             if m.id == self.me.id:
                 response = self.serve(None, msg)
                 return await response if inspect.iscoroutine(response) else response
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -19,6 +19,7 @@
 
 import iriswheel.consensus.decisions as decisions
 import iriswheel.control.tail_contact as tail_contact
+import iriswheel.dataplane.attempt_outcome as attempt_outcome
 import iriswheel.dataplane.dispatch as dispatch
 import iriswheel.dataplane.edge_protocol as edge_protocol
 import iriswheel.dataplane.gateway as gateway
@@ -44,7 +45,7 @@
 
 async def _unsent(self: typing.Any, *args: typing.Any, send: typing.Any = dispatch.Dispatcher.send) -> typing.Any:
     out = await send(self, *args)
-    return dispatch.AttemptOutcome.UNSENT if out is dispatch.AttemptOutcome.BROKE else out
+    return attempt_outcome.AttemptOutcome.UNSENT if out is attempt_outcome.AttemptOutcome.BROKE else out
 
 
 async def _elect_once(
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -45,7 +45,7 @@
         )
         self.forwarder = forwarding.Forwarder(self.node)
         process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.outer))
-        self.runtime.spawn(self.forwarder.look(), None)
+        self.runtime.spawn(self.forwarder.watch(), None)
         self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.9.0.1", "a"))
         self.workers = []
         self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * S)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -28,16 +28,16 @@
     def owns(self, status, low, used):
         return True
 
-    def head(self, status, headers, low):
+    def head_received(self, status, headers, low):
         pass
 
-    def data(self, data):
+    def data_received(self, data):
         pass
 
-    def end(self):
+    def answer_complete(self):
         self.how = "whole"
 
-    def lost(self, why):
+    def answer_lost(self):
         self.how = "lost"
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -11,6 +11,8 @@
 
 import pytest
 
+import iriswheel.dataplane.answer_stream as answer_stream
+import iriswheel.dataplane.forwarded_request as forwarded_request
 import iriswheel.dataplane.forwarding as forwarding
 import iriswheel.dataplane.retry_budget as retry_budget
 import iriswheel.errors as errors
@@ -43,7 +45,7 @@
 ]
 
 
-def _always_repeat(self, request_id, place, init=forwarding.ForwardedRequest.__init__):
+def _always_repeat(self, request_id, place, init=forwarded_request.ForwardedRequest.__init__):
     init(self, request_id, place)
     self.idempotent = True
 
@@ -100,7 +102,7 @@
     "target": ([(platform_programs.formats.Formats, "head", _no_target)], "other_service", 1, "route"),
     "once": (
         [
-            (forwarding.ForwardedRequest, "__init__", _always_repeat),
+            (forwarded_request.ForwardedRequest, "__init__", _always_repeat),
             (forwarding.Forwarder, "may_repeat", lambda self, x: x.sends < 3),
         ],
         "some_fail",
@@ -108,7 +110,7 @@
         "twice",
     ),
     "promises": ([(forwarding.Forwarder, "give_up", _promise)], "some_fail", 1, "refused"),
-    "complete_events": ([(forwarding, "complete_events", lambda raw: (raw, b""))], "broken_off", 1, "order"),
+    "complete_events": ([(answer_stream, "complete_events", lambda raw: (raw, b""))], "broken_off", 1, "order"),
     "worker_states": ([(follower.Follower, "apply_workers", _first_list)], "release", 1, "drain"),
     "drain": ([(node.Node, "stop", _leave_at_once)], "roll", 1, "lost"),
     "last_bytes": ([(node.Node, "stop", _leave_with_the_last_request)], "roll", 4, "lost"),
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -495,17 +495,17 @@
         got = low.get(H["attempt"].lower())
         return None if got is None else got == self.attempt
 
-    def head(self, status, headers, low):
+    def head_received(self, status, headers, low):
         assert self.low is None, "two answers to one request"
         self.low = low
 
-    def data(self, data):
+    def data_received(self, data):
         self.body += data
 
-    def end(self):
+    def answer_complete(self):
         self.ends.append("whole")
 
-    def lost(self, why):
+    def answer_lost(self):
         self.ends.append("lost")
 
 
@@ -523,7 +523,7 @@
         line.makeConnection(transport)
         flows = []
         for attempt, pieces in zip(ATTEMPTS, turns, strict=False):
-            if line.spoiled or line.flow is not None:
+            if line.spoiled or line.receiver is not None:
                 break
             flows.append(RecordingFlow(attempt))
             line.start(b"", flows[-1])
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -11,6 +11,7 @@
 import twisted.internet.protocol as protocol
 
 import iriswheel.configuration.configuration as configuration
+import iriswheel.dataplane.attempt_outcome as attempt_outcome
 import iriswheel.dataplane.attempt_registry as attempt_registry
 import iriswheel.dataplane.dispatch as dispatch
 import iriswheel.dataplane.gateway as gateway
@@ -331,7 +332,7 @@
         self.go(2000)
         assert (self.seen(), logged_errors) == ([], [])
         assert (self.forwarder.counts["gone"], self.forwarder.counts["unreached"]) == (1, 0)
-        assert self.forwarder.lines.open == {}
+        assert self.forwarder.connections.open == {}
 
     def test_a_connection_that_a_slow_client_paused_is_read_again(self) -> None:
         size = 4 * network_model.WINDOW_BYTES
@@ -467,7 +468,7 @@
         for worker in self.follower.workers:
             out = await send(request, raw, worker, True, dispatch.Attempt(worker.id, self.runtime.now()))
             self.outcomes.append(out.name)
-            if out is dispatch.AttemptOutcome.COMPLETE:
+            if out is attempt_outcome.AttemptOutcome.COMPLETE:
                 return
         request.answer(502, b"no")
 
@@ -514,7 +515,7 @@
 
             async def send(x, worker, under_way, via, seen=seen):
                 seen.append(worker.id)
-                return dispatch.AttemptOutcome.BROKE
+                return attempt_outcome.AttemptOutcome.BROKE
 
             runtime = types.SimpleNamespace(now=lambda: 0)
             node_gateway = types.SimpleNamespace(
