--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -19,7 +19,7 @@
 
 if typing.TYPE_CHECKING:
     import twisted.python.failure as failure
-    import twisted.web.iweb as iweb
+    import twisted.web.client as client
 
 
 LONG_BYTES = 48_000
@@ -298,7 +298,7 @@
         )
 
     def _take_answer(
-        self, attempt: Attempt, started_at: int, response: iweb.IResponse, collector: AnswerCollector, whole: bool
+        self, attempt: Attempt, started_at: int, response: client.Response, collector: AnswerCollector, whole: bool
     ) -> AttemptResult:
         now = self.runtime.now()
         worker = (response.headers.getRawHeaders(edge_protocol.TARGET) or [None])[0]
@@ -318,7 +318,7 @@
         )
         return AttemptResult(end, worker, RETRY_WAIT_US)
 
-    def _take_refusal(self, attempt: Attempt, started_at: int, response: iweb.IResponse, raw: bytes) -> AttemptResult:
+    def _take_refusal(self, attempt: Attempt, started_at: int, response: client.Response, raw: bytes) -> AttemptResult:
         now = self.runtime.now()
         try:
             document = json.loads(raw)
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -72,7 +72,7 @@
             self._report_grants(),
             self.gateway.attempts.watch_hangs(),
             self.reach.walk(),
-            self.gateway.forwarder.look(),
+            self.gateway.forwarder.watch(),
             self.loads.run(),
         ):
             self.runtime.spawn(coroutine, log)
