--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -3,7 +3,7 @@
 A view (who votes, and the order of the chain) is agreed by single-decree Paxos among the voters of the view
 before it. Each function here takes the state of one acceptor and a typed message, and returns the new state
 with the typed answer. Disk, clock and network belong to the caller: `acceptor.Acceptor` syncs a changed state before
-it sends the answer, and `simulation.explore` searches the interleavings of the same functions.
+it sends the answer, and `simulation.state_search.explore` searches the interleavings of the same functions.
 """
 
 from __future__ import annotations
--- a/simulation/cluster_model.py
+++ b/simulation/state_search/cluster_model.py
@@ -14,6 +14,8 @@
 
 replace = msgspec.structs.replace
 
+Item = typing.TypeVar("Item")
+
 
 class ViolationError(Exception):
     """A state that breaks an invariant."""
@@ -46,6 +48,17 @@
     ballot: int = 0
     proposal: Proposal | None = None
 
+    @property
+    def view(self) -> message.View:
+        """The newest view that the machine knows.
+
+        Raises:
+            ValueError: it knows none, as after the loss of its disk.
+        """
+        if self.record.view is None:
+            raise ValueError(f"{self.identifier} knows no view")
+        return self.record.view
+
     @property
     def reachable(self) -> bool:
         """Whether the machine runs and is not cut off."""
@@ -122,7 +135,7 @@
     >>> len(start(3, Limits()).cores)
     3
     """
-    machines = [Core("abcdefg"[k], k) for k in range(cores)]
+    machines = [Core("abcdefg"[place], place) for place in range(cores)]
     voters = [core.voter for core in machines]
     view = message.View(1, voters, [message.ChainReplica(core.identifier, core.incarnation) for core in machines])
     record = decisions.Record(view, synced_view=1)
@@ -130,7 +143,7 @@
 
 
 def spend(world: World, name: str) -> World | None:
-    """The state with one event of a sort used up, or None where none is left.
+    """The state with one event of a kind used up, or None where none is left.
 
     >>> spend(start(3, Limits(crashes=0)), "crashes") is None
     True
@@ -146,29 +159,32 @@
     return replace(world, cores=tuple(cores))
 
 
-def add(items: tuple[typing.Any, ...], item: typing.Any) -> tuple[typing.Any, ...]:
+def add(items: tuple[Item, ...], item: Item) -> tuple[Item, ...]:
     """A sorted tuple with one more item, kept once."""
     if item in items:
         return items
     return tuple(sorted((*items, item), key=msgspec.msgpack.encode))
 
 
-def by_identifier(world: World, identifier: str) -> Core:
+def by_identifier(world: World, identifier: str) -> Core | None:
     """The core with an identity, or None."""
     return next((core for core in world.cores if core.identifier == identifier), None)
 
 
 def wanted_voters(world: World, proposer: Core) -> list[message.Voter]:
     """The voters that a proposer wants: machines that are down, cut off or leaving may be replaced."""
-    view = proposer.record.view
+    view = proposer.view
     known = {voter.id for voter in view.voters}
-    joining_members = [c.voter for c in world.cores if c.reachable and not c.leaving and c.identifier not in known]
+    staying = [core for core in world.cores if core.reachable and not core.leaving]
+    joining_members = [core.voter for core in staying if core.identifier not in known]
     joining_members.sort(key=lambda voter: voter.id)
     states = {}
     for identifier in known:
         core = by_identifier(world, identifier)
-        silent = core is None or not core.reachable
-        states[identifier] = decisions.VoterState(silent or core.leaving, silent)
+        if core is None or not core.reachable:
+            states[identifier] = decisions.VoterState(True, True)
+        else:
+            states[identifier] = decisions.VoterState(core.leaving, False)
     return decisions.next_voters(view, proposer.identifier, proposer.leaving, joining_members, states, len(world.cores))
 
 
@@ -191,7 +207,7 @@
     """Whether a core has a reason to propose a view."""
     if not core.reachable or not decisions.is_voter(core.record, core.identifier):
         return False
-    view = core.record.view
+    view = core.view
     alive, voters = live(world), wanted_voters(world, core)
     if decisions.is_handing_over(view, alive, departing(world), synced_in(world, view.number)):
         alive, voters = alive | departing(world), view.voters
@@ -203,15 +219,17 @@
     return wanted != present or voters != view.voters or decisions.is_sealed(core.record)
 
 
-def names(view: message.View) -> str:
-    """A view's chain and voters, for people."""
-    return f"chain {' '.join(m.id for m in view.chain)}, seats {' '.join(s.id for s in view.voters)}"
+def describe(view: message.View) -> str:
+    """A view's chain and voters in words."""
+    chain = " ".join(member.id for member in view.chain)
+    voters = " ".join(voter.id for voter in view.voters)
+    return f"chain {chain}, seats {voters}"
 
 
 def has_lease(core: Core) -> bool:
     """Whether a core serves reads."""
     leading = core.up and decisions.may_lead_reads(core.record, core.identifier, core.incarnation)
-    return leading and len(core.supporters) >= decisions.majority(len(core.record.view.voters))
+    return leading and len(core.supporters) >= decisions.majority(len(core.view.voters))
 
 
 def serves(core: Core) -> bool:
--- a/simulation/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -1,8 +1,7 @@
 """All steps that a few core machines may take: messages, leases, the chain, and faults within the tolerance.
 
 The steps call `iriswheel.consensus.decisions`, the functions that the core itself runs; only disk, network and clock
-are
-abstract. A message stays in flight until its view is over, so each may arrive late, twice, in any order or never.
+are abstract. A message stays in flight until its view is over, so each may arrive late, twice, in any order or never.
 Time passes only where the leases allow it: a voter's grant ends after the lease that counts on it.
 """
 
@@ -10,16 +9,17 @@
 
 import collections.abc
 import itertools
-import typing
 
 import msgspec
 
 import iriswheel.consensus.decisions as decisions
 import iriswheel.transport.message as message
-import simulation.cluster_model as cluster_model
+import simulation.state_search.cluster_model as cluster_model
 
 replace = msgspec.structs.replace
 
+Transitions = collections.abc.Iterator[tuple[str, cluster_model.World]]  # what happens, and the state after it
+
 
 def receive_prepare(
     world: cluster_model.World, core: cluster_model.Core, request: message.Prepare
@@ -44,7 +44,7 @@
     world = replace(
         world, accepted=cluster_model.add(world.accepted, (request.ballot, request.view.number, core.identifier))
     )
-    check_chosen(world, core.record.view, request)
+    check_chosen(world, core.view, request)
     return world
 
 
@@ -53,11 +53,12 @@
     number = request.view.number
     if not is_chosen(world, old, request.ballot):
         return
-    rivals = [r.view for r in world.requests if isinstance(r, message.Accept) and is_chosen(world, old, r.ballot)]
+    accepts = [other for other in world.requests if isinstance(other, message.Accept)]
+    rivals = [other.view for other in accepts if is_chosen(world, old, other.ballot)]
     for other in (*rivals, *world.views):
         if other.number == number and other != request.view:
             raise cluster_model.ViolationError(
-                f"two views {number}: {cluster_model.names(other)} and {cluster_model.names(request.view)}"
+                f"two views {number}: {cluster_model.describe(other)} and {cluster_model.describe(request.view)}"
             )
 
 
@@ -72,7 +73,7 @@
     for other in world.views:
         if other.number == view.number and other != view:
             raise cluster_model.ViolationError(
-                f"two views {view.number}: {cluster_model.names(other)} and {cluster_model.names(view)}"
+                f"two views {view.number}: {cluster_model.describe(other)} and {cluster_model.describe(view)}"
             )
     record = decisions.adopt(core.record, core.identifier, view)
     if record is core.record:
@@ -81,7 +82,7 @@
     return replace(world, views=cluster_model.add(world.views, view))
 
 
-def proposing(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
+def proposing(world: cluster_model.World) -> Transitions:
     """Start proposals: the proposer answers its own Prepare at once."""
     for core in world.cores:
         used = cluster_model.spend(world, "proposals")
@@ -90,12 +91,12 @@
         ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
         proposal = cluster_model.Proposal(ballot, cluster_model.wanted_voters(world, core))
         core = replace(core, ballot=ballot[0], proposal=proposal)
-        request = message.Prepare(core.record.view.number + 1, ballot, core.identifier)
+        request = message.Prepare(core.view.number + 1, ballot, core.identifier)
         after = replace(cluster_model.put(used, core), requests=cluster_model.add(used.requests, request))
         yield f"{core.identifier} proposes {ballot}", receive_prepare(after, core, request)
 
 
-def suspecting(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
+def suspecting(world: cluster_model.World) -> Transitions:
     """A voter proposes without a reason that others see: it hears nobody but those who promise."""
     for core in world.cores:
         used = cluster_model.spend(world, "proposals")
@@ -104,13 +105,13 @@
         if cluster_model.is_due(world, core):
             continue
         ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
-        core = replace(core, ballot=ballot[0], proposal=cluster_model.Proposal(ballot, core.record.view.voters))
-        request = message.Prepare(core.record.view.number + 1, ballot, core.identifier)
+        core = replace(core, ballot=ballot[0], proposal=cluster_model.Proposal(ballot, core.view.voters))
+        request = message.Prepare(core.view.number + 1, ballot, core.identifier)
         after = replace(cluster_model.put(used, core), requests=cluster_model.add(used.requests, request))
         yield f"{core.identifier} suspects the others and proposes {ballot}", receive_prepare(after, core, request)
 
 
-def delivering(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
+def delivering(world: cluster_model.World) -> Transitions:
     """Deliver any request in flight to any core."""
     for request, core in itertools.product(world.requests, world.cores):
         if not core.reachable:
@@ -121,34 +122,38 @@
                 label = f"{core.identifier} promises {request.ballot}"
             case message.Accept():
                 after = receive_accept(world, core, request)
-                label = f"{core.identifier} accepts {request.ballot}: {cluster_model.names(request.view)}"
+                label = f"{core.identifier} accepts {request.ballot}: {cluster_model.describe(request.view)}"
         if after is not world:
             yield label, after
 
 
-def choosing(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World] | None]:
+def choosing(world: cluster_model.World) -> Transitions:
     """A proposer ends its first phase with any majority of the promises that were given."""
     for core in world.cores:
         proposal = core.proposal
         if not core.up or proposal is None or proposal.view is not None:
             continue
-        old = core.record.view
-        answers = [a for n, a in world.promises if n == old.number + 1 and a.ballot == proposal.ballot]
+        old = core.view
+        answers = [
+            answer for number, answer in world.promises if number == old.number + 1 and answer.ballot == proposal.ballot
+        ]
         for count in range(decisions.majority(len(old.voters)), len(answers) + 1):
             for chosen in itertools.combinations(answers, count):
-                yield from choices(world, core, {answer.id: answer for answer in chosen})
+                yield from choices(world, core, proposal, {answer.id: answer for answer in chosen})
 
 
 def choices(
-    world: cluster_model.World, core: cluster_model.Core, promises: dict[str, message.Promise]
-) -> collections.abc.Iterator[tuple[str, cluster_model.World] | None]:
+    world: cluster_model.World,
+    core: cluster_model.Core,
+    proposal: cluster_model.Proposal,
+    promises: dict[str, message.Promise],
+) -> Transitions:
     """The views that a proposer may ask for: with all live machines, or with those that promised."""
-    proposal, seen = core.proposal, []
-    for alive in (
-        cluster_model.live(world),
-        {i: a.incarnation for i, a in promises.items() if i in cluster_model.live(world)},
-    ):
-        view = decisions.next_view(core.record.view, promises, proposal.voters, alive, cluster_model.departing(world))
+    seen: list[message.View] = []
+    live = cluster_model.live(world)
+    promised = {identifier: promise.incarnation for identifier, promise in promises.items() if identifier in live}
+    for alive in (live, promised):
+        view = decisions.next_view(core.view, promises, proposal.voters, alive, cluster_model.departing(world))
         if view is None or view in seen:
             continue
         seen.append(view)
@@ -158,37 +163,41 @@
         after = receive_accept(after, proposer, request)
         yield (
             f"{core.identifier} asks to accept {proposal.ballot} after {'+'.join(promises)}: "
-            f"{cluster_model.names(view)}",
+            f"{cluster_model.describe(view)}",
             after,
         )
 
 
-def deciding(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
+def deciding(world: cluster_model.World) -> Transitions:
     """A proposer adopts its view once a majority accepted it."""
     for core in world.cores:
         proposal = core.proposal
         if not core.up or proposal is None or proposal.view is None:
             continue
-        if is_chosen(world, core.record.view, proposal.ballot):
+        if is_chosen(world, core.view, proposal.ballot):
             yield f"{core.identifier} adopts view {proposal.view.number}", adopt(world, core, proposal.view)
 
 
-def learning(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
+def learning(world: cluster_model.World) -> Transitions:
     """A core hears of a view that another adopted, then or later."""
     for core, view in itertools.product(world.cores, world.views):
         if core.reachable and decisions.newer_view(core.record, view.number) is None:
             yield f"{core.identifier} learns view {view.number}", adopt(world, core, view)
 
 
-def leasing(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
+def leasing(world: cluster_model.World) -> Transitions:
     """A voter grants the tail its lease; leases and grants run out, the grant after the lease."""
-    tails = [c for c in world.cores if c.reachable and decisions.may_lead_reads(c.record, c.identifier, c.incarnation)]
+    tails = [
+        core
+        for core in world.cores
+        if core.reachable and decisions.may_lead_reads(core.record, core.identifier, core.incarnation)
+    ]
     for tail, core in itertools.product(tails, world.cores):
         used = cluster_model.spend(world, "leases")
         if used is None or not core.reachable or core.identifier in tail.supporters:
             continue
         answer = decisions.give_lease(
-            core.record, core.identifier, message.LeaseRequest(tail.record.view.number, tail.identifier)
+            core.record, core.identifier, message.LeaseRequest(tail.view.number, tail.identifier)
         )
         if answer.ok:
             after = cluster_model.put(used, replace(core, holder=tail.identifier))
@@ -205,15 +214,13 @@
             yield f"the grant of {core.identifier} runs out", cluster_model.put(world, replace(core, holder=None))
 
 
-def writing(
-    world: cluster_model.World, setting: cluster_model.Setting
-) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
+def writing(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
     """The head syncs a change."""
     for core in world.cores:
         used = cluster_model.spend(world, "changes")
         if used is None or not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
             continue
-        view = core.record.view
+        view = core.view
         if view.chain[0].id == core.identifier and len(view.chain) >= setting.copies:
             entry = (view.number, core.last_entry[1] + 1)
             yield (
@@ -222,36 +229,36 @@
             )
 
 
-def replicating(world: cluster_model.World) -> collections.abc.Iterator[tuple[str, cluster_model.World] | None]:
+def replicating(world: cluster_model.World) -> Transitions:
     """A member brings the next one up to date; that one is then synced."""
     for core in world.cores:
         if not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
             continue
-        members = [member.id for member in core.record.view.chain]
+        members = [member.id for member in core.view.chain]
         place = members.index(core.identifier) + 1
         following = cluster_model.by_identifier(world, members[place]) if place < len(members) else None
         if following is None or not following.reachable or not cluster_model.serves(following):
             continue
-        if following.record.view.number != core.record.view.number:
+        if following.view.number != core.view.number:
             continue
-        record = decisions.become_synced(following.record, core.record.view.number)
+        record = decisions.become_synced(following.record, core.view.number)
         if record is following.record and following.log == core.log:
             continue
         after = cluster_model.put(world, replace(following, record=record, log=core.log, stale_disk=core.stale_disk))
         if record is not following.record and world.limits.late_refills:
-            refill = cluster_model.Refill(record.view.number, following.identifier, core.log)
+            refill = cluster_model.Refill(following.view.number, following.identifier, core.log)
             after = replace(after, refills=cluster_model.add(after.refills, refill))
         yield f"{core.identifier} brings {following.identifier} up to date", after
 
 
-def refilling(world: cluster_model.World) -> collections.abc.Iterator[typing.Any]:
+def refilling(world: cluster_model.World) -> Transitions:
     """A snapshot that was held up arrives once more."""
     for refill in world.refills:
         used, core = cluster_model.spend(world, "late_refills"), cluster_model.by_identifier(world, refill.receiver)
         if used is None or core is None or not core.reachable or not cluster_model.serves(core):
             continue
         last = refill.log[-1][1] if refill.log else 0
-        if core.record.view.number == refill.view and decisions.may_restore(core.record, core.last_entry[1], last):
+        if core.view.number == refill.view and decisions.may_restore(core.record, core.last_entry[1], last):
             after = replace(core, log=refill.log, record=decisions.become_synced(core.record, refill.view))
             yield f"a late snapshot {refill.log} reaches {core.identifier}", cluster_model.put(used, after)
 
@@ -265,16 +272,17 @@
                 if entry not in known:
                     if core.record.promised != decisions.NO_BALLOT:
                         raise cluster_model.ViolationError(
-                            f"{core.identifier} acknowledges {entry} in the sealed view {core.record.view.number}"
+                            f"{core.identifier} acknowledges {entry} in the sealed view {core.view.number}"
                         )
-                    marked = cluster_model.add(world.acknowledged, (core.record.view.number, entry))
+                    marked = cluster_model.add(world.acknowledged, (core.view.number, entry))
                     world = replace(world, acknowledged=marked)
     return world
 
 
 def tolerated(world: cluster_model.World, core: cluster_model.Core, setting: cluster_model.Setting) -> bool:
     """Whether one more machine may be lost."""
-    return len([c for c in world.cores if c.lost and c.place != core.place]) < setting.tolerance
+    lost = [other for other in world.cores if other.lost and other.place != core.place]
+    return len(lost) < setting.tolerance
 
 
 def stopped(core: cluster_model.Core) -> cluster_model.Core:
@@ -303,9 +311,7 @@
     )
 
 
-def failing(
-    world: cluster_model.World, setting: cluster_model.Setting
-) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
+def failing(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
     """Faults within the tolerance, and what ends them."""
     for core in world.cores:
         may_fail = tolerated(world, core, setting)
@@ -329,11 +335,9 @@
     yield from power_cycling(world, setting)
 
 
-def fault(
-    world: cluster_model.World, sort: str, label: str, core: cluster_model.Core
-) -> collections.abc.Iterator[typing.Any]:
-    """One fault, where one of its sort is left."""
-    used = cluster_model.spend(world, sort)
+def fault(world: cluster_model.World, kind: str, label: str, core: cluster_model.Core) -> Transitions:
+    """One fault, where one of its kind is left within the limits."""
+    used = cluster_model.spend(world, kind)
     if used is not None:
         yield label, cluster_model.put(used, core)
 
@@ -343,26 +347,24 @@
     newest = max(view.number for view in world.views)
     return (
         core.record.view is not None
-        and core.record.view.number == newest
+        and core.view.number == newest
         and (cluster_model.serves(core) and decisions.is_synced(core.record))
     )
 
 
-def power_cycling(
-    world: cluster_model.World, setting: cluster_model.Setting
-) -> collections.abc.Iterator[tuple[str, cluster_model.World]]:
+def power_cycling(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
     """All machines restart at once, and as many as the tolerance allows lose their disks."""
     used = cluster_model.spend(world, "power_cycles")
     if used is None or any(core.lost for core in world.cores):
         return
     for empty in range(min(setting.tolerance, world.limits.wipes) + 1):
         for places in itertools.combinations(range(len(world.cores)), empty):
-            cores = tuple(wiped(c, setting) if c.place in places else restarted(c) for c in world.cores)
+            cores = tuple(wiped(core, setting) if core.place in places else restarted(core) for core in world.cores)
             limits = replace(used.limits, wipes=used.limits.wipes - empty)
             yield f"all restart, {list(places)} empty", replace(used, cores=cores, limits=limits)
 
 
-def steps(world: cluster_model.World, setting: cluster_model.Setting) -> collections.abc.Iterator[typing.Any]:
+def steps(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
     """All transitions out of a state, as (label, next state).
 
     >>> first = cluster_model.start(3, cluster_model.Limits(proposals=0))
@@ -387,10 +389,11 @@
 
 def tidy(world: cluster_model.World) -> cluster_model.World:
     """The state without messages that no core would take any more."""
-    oldest = min((c.record.view.number for c in world.cores if c.record.view is not None), default=0)
-    requests = tuple(r for r in world.requests if number_of(r) > oldest)
-    promises = tuple(p for p in world.promises if p[0] > oldest)
-    accepted = tuple(a for a in world.accepted if a[1] > oldest)
+    views = [core.record.view for core in world.cores if core.record.view is not None]
+    oldest = min((view.number for view in views), default=0)
+    requests = tuple(request for request in world.requests if number_of(request) > oldest)
+    promises = tuple((number, answer) for number, answer in world.promises if number > oldest)
+    accepted = tuple(vote for vote in world.accepted if vote[1] > oldest)
     return replace(world, requests=requests, promises=promises, accepted=accepted)
 
 
--- a/simulation/explore.py
+++ b/simulation/state_search/explore.py
@@ -1,11 +1,11 @@
 """Search every interleaving of the view agreement, the chain and its leases, up to a stated depth.
 
-python -m simulation.explore --cores 3 --depth 7
-python -m simulation.explore --scenario replacement --depth 12
+python -m simulation.state_search.explore --cores 3 --depth 7
+python -m simulation.state_search.explore --scenario replacement --depth 12
 
-The steps are those of `simulation.cluster_steps`. States are told apart by a hash of their encoding, and each is
-searched once, in order of depth. Each is checked against the invariants, and for whether the machines that are
-reachable in it recover.
+The steps are those of `simulation.state_search.cluster_steps`. States are told apart by a hash of their encoding, and
+each is searched once, in order of depth. Each is checked against the invariants, and for whether the machines that
+are reachable in it recover.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 import iriswheel.consensus.decisions as decisions
 import iriswheel.transport.message as message
-import simulation.cluster_model as cluster_model
-import simulation.cluster_steps as cluster_steps
+import simulation.state_search.cluster_model as cluster_model
+import simulation.state_search.cluster_steps as cluster_steps
 
 replace = msgspec.structs.replace
 
@@ -100,7 +100,7 @@
 
 def spread(world: cluster_model.World) -> cluster_model.World:
     """All reachable cores learn the newest view that one of them knows, and the chain is brought up to date."""
-    known = [c.record.view for c in world.cores if c.reachable and c.record.view is not None]
+    known = [core.record.view for core in world.cores if core.reachable and core.record.view is not None]
     newest = max(known, key=lambda view: view.number)
     for place in range(len(world.cores)):
         if world.cores[place].reachable:
@@ -117,10 +117,8 @@
 
 def is_recovered(world: cluster_model.World) -> bool:
     """Whether all reachable cores that stay are synced members of one chain of nobody else."""
-    view = next(core.record.view for core in world.cores if core.reachable and core.record.view is not None)
-    view = max(
-        (c.record.view for c in world.cores if c.reachable and c.record.view), key=lambda v: v.number, default=view
-    )
+    known = [core.record.view for core in world.cores if core.reachable and core.record.view is not None]
+    view = max(known, key=lambda view: view.number)
     members = {(member.id, member.incarnation) for member in view.chain}
     if members != set(cluster_model.live(world).items()):
         return False
@@ -133,11 +131,11 @@
 
 def agree(world: cluster_model.World) -> cluster_model.World:
     """One undisturbed proposal by the first reachable voter of the newest view."""
-    known = [c for c in world.cores if c.reachable and decisions.is_voter(c.record, c.identifier)]
+    known = [core for core in world.cores if core.reachable and decisions.is_voter(core.record, core.identifier)]
     if not known:
         raise cluster_model.ViolationError("no voter is left")
-    proposer = max(known, key=lambda core: core.record.view.number)
-    old, voters = proposer.record.view, cluster_model.wanted_voters(world, proposer)
+    proposer = max(known, key=lambda core: core.view.number)
+    old, voters = proposer.view, cluster_model.wanted_voters(world, proposer)
     ballot = (max(core.record.promised[0] for core in known) + 1, proposer.identifier)
     before = world
     request = message.Prepare(old.number + 1, ballot, proposer.identifier)
@@ -147,25 +145,25 @@
     given = [answer for number, answer in world.promises if answer.ballot == ballot and number == request.number]
     given = [answer for answer in given if (request.number, answer) not in before.promises]
     if len(given) < decisions.majority(len(old.voters)):
-        raise cluster_model.ViolationError(f"no majority is left of view {old.number}: {cluster_model.names(old)}")
+        raise cluster_model.ViolationError(f"no majority is left of view {old.number}: {cluster_model.describe(old)}")
     view = decisions.next_view(
         old, {answer.id: answer for answer in given}, voters, cluster_model.live(world), cluster_model.departing(world)
     )
     if view is None:
         raise cluster_model.ViolationError(
-            f"no synced copy is left that could lead after view {old.number}: {cluster_model.names(old)}"
+            f"no synced copy is left that could lead after view {old.number}: {cluster_model.describe(old)}"
         )
-    return cluster_steps.adopt(world, cluster_model.by_identifier(world, proposer.identifier), view)
+    return cluster_steps.adopt(world, world.cores[proposer.place], view)
 
 
-def key(world: cluster_model.World) -> bytes:
+def state_key(world: cluster_model.World) -> bytes:
     """A hash that tells states apart."""
     return hashlib.blake2b(msgspec.msgpack.encode(world), digest_size=12).digest()
 
 
 def recovery_key(world: cluster_model.World) -> bytes:
     """A hash of what a recovery depends on."""
-    kept = [replace(c, holder=None, supporters=(), ballot=0, proposal=None, settled=True) for c in world.cores]
+    kept = [replace(core, holder=None, supporters=(), ballot=0, proposal=None, settled=True) for core in world.cores]
     return hashlib.blake2b(msgspec.msgpack.encode([kept, world.views, world.acknowledged]), digest_size=12).digest()
 
 
@@ -181,7 +179,17 @@
 ) -> Found:
     """Search all states within the limits up to a depth, the shallowest first.
 
-    `recovery` says whether each state is also checked for a way on; `first` is where to begin, if not at view 1.
+    Args:
+        cores: How many cores.
+        limits: How often each event may happen.
+        depth: How many steps to search.
+        most_states: The search ends after so many states.
+        keep_identity: Whether a wiped disk goes on under its old identity: the guard on identities taken out.
+        recovery: Whether each state is also checked for a way to recover from it.
+        first: Where to begin, if not at view 1.
+
+    Returns:
+        What was found; a broken invariant ends the search.
 
     >>> search(3, cluster_model.Limits(proposals=0, changes=1), 9).complete
     True
@@ -189,8 +197,8 @@
     tolerance = (cores - 1) // 2
     setting = cluster_model.Setting(tolerance, tolerance + 1, keep_identity)
     first = first or cluster_model.start(cores, limits)
-    origin = {key(first): (b"", "")}
-    recovered = set()
+    origin = {state_key(first): (b"", "")}
+    recovered: set[bytes] = set()
     queue = collections.deque([(first, 0)])
     level = 0
     complete = True
@@ -199,12 +207,12 @@
         if level == depth or len(origin) >= most_states:
             complete = False
             break
-        here = key(world)
+        here = state_key(world)
         label = ""
         try:
             for label, after in cluster_steps.steps(world, setting):
                 after = cluster_steps.tidy(cluster_steps.acknowledge(after, setting))
-                mark = key(after)
+                mark = state_key(after)
                 if mark in origin:
                     continue
                 origin[mark] = (here, label)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -7,8 +7,8 @@
 
 import iriswheel.consensus.decisions as decisions
 import iriswheel.transport.message as message
-import simulation.cluster_model as cluster_model
-import simulation.explore as explore
+import simulation.state_search.cluster_model as cluster_model
+import simulation.state_search.explore as explore
 
 STATES = 4_000  # of each search without a fault, so that the whole file stays quick
 GUARD_STATES = 60_000
