--- a/benchmarks/change_recovery.py
+++ b/benchmarks/change_recovery.py
@@ -25,6 +25,7 @@
 
 import iriswheel.cli.command as command
 import iriswheel.runtime.units as units
+import simulation.addresses as addresses
 import simulation.simulated_cluster as simulated_cluster
 
 FAULTS = ("cut", "kill", "kill for good", "freeze", "wipe")
@@ -97,7 +98,7 @@
     def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         self.cluster = cluster
         self.runtime = cluster.operator_runtime
-        self.places = [f"{cluster.options[name][0]}:{simulated_cluster.HTTP}" for name in sorted(cluster.cores)]
+        self.places = [f"{cluster.options[name][0]}:{addresses.HTTP_PORT}" for name in sorted(cluster.cores)]
         self.current = 0  # the number that new orders build on
         self.under_way = 0
         self.acknowledged: list[Acknowledgement] = []
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -25,7 +25,8 @@
 import iriswheel.transport.message as message
 import iriswheel.transport.wire as wire
 import iriswheel.verification.replay as replay
-import simulation.fault_scenarios as fault_scenarios
+import simulation.scenarios.actions as actions
+import simulation.scenarios.registry as registry
 import simulation.simulated_cluster as simulated_cluster
 
 
@@ -195,7 +196,7 @@
                     wait(t.with_probe(t.probe))
                 else:
                     wait(t.with_probe(t.probe + 1))
-            took = (t.world.time - started_at) / simulated_cluster.S
+            took = (t.world.time - started_at) / units.SECOND_US
             per = {name: (published()[name] - b - rest[name] * took) / changes for name, b in before.items()}
             print(
                 f"{n} routes of hall d, a change to {what}: n1 (hall a) {per['n1']:.0f} bytes, "
@@ -221,7 +222,7 @@
         out = {}
         for seed in range(1, seeds + 1):
             with contextlib.suppress(TimeoutError):
-                t = fault_scenarios.play(name, seed, shape)
+                t = registry.play(name, seed, shape)
                 for fault, ms, bad, n in replay.recovery(t.tape.rows):
                     out.setdefault(fault.split()[0], []).append((ms, bad, n))
         for what, rows in out.items():
@@ -298,24 +299,24 @@
     loguru.logger.remove()
     t = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0.2, short_rate=2, talks=4)
     t.begin()
-    t.load.us = minutes * 60 * simulated_cluster.S
+    t.load.us = minutes * 60 * units.SECOND_US
     kinds = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_owner")
 
     async def change() -> None:
         while True:
             await t.operator.change(t.with_probe(t.probe + 1))
-            await t.operator_runtime.sleep(3 * simulated_cluster.S)
+            await t.operator_runtime.sleep(3 * units.SECOND_US)
 
     t.operator_runtime.spawn(change(), simulated_cluster.log)
     for k in range(minutes):
-        end = t.world.time + 60 * simulated_cluster.S
+        end = t.world.time + 60 * units.SECOND_US
         if k % 3 == 1:
             name = kinds[(k // 3) % len(kinds)]
             x = {
-                "kill_node": lambda: fault_scenarios.some_node(t, owner=False),
-                "kill_core": lambda: fault_scenarios.some_core(t),
-                "kill_owner": lambda: fault_scenarios.some_node(t, owner=True),
-                "freeze": lambda: fault_scenarios.some_node(t),
+                "kill_node": lambda: actions.some_node(t, owner=False),
+                "kill_core": lambda: actions.some_core(t),
+                "kill_owner": lambda: actions.some_node(t, owner=True),
+                "freeze": lambda: actions.some_node(t),
                 "worker_crash": lambda: t.workers[sorted(t.workers)[0]],
             }[name]()
             if name == "freeze":
@@ -323,8 +324,8 @@
                 t.go(4)
                 x.process.wake()
             else:
-                fault_scenarios.kill(t, x, getattr(x, "identifier", None) or x.options.name, back=4)
-        t.go((end - t.world.time) / simulated_cluster.S)
+                actions.kill(t, getattr(x, "identifier", None) or x.options.name, restart_after=4)
+        t.go((end - t.world.time) / units.SECOND_US)
         t.tape.rows.clear()
         if (k + 1) % 5 == 0:
             print(f"{k + 1} min: " + ", ".join(f"{n} {v}" for n, v in held(t).items()), flush=True)
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -24,7 +24,7 @@
 import iriswheel.transport.http_server as http_server
 
 if typing.TYPE_CHECKING:
-    import simulation.simulated_cluster as simulated_cluster
+    import simulation.event_log as event_log
 
 
 PREFILL_BYTES_PER_S = 400_000  # prompt bytes read per second, alone
@@ -43,7 +43,7 @@
     """One stand-in worker."""
 
     def __init__(
-        self, runtime: scheduler.Runtime, identifier: str, events: load_generator.Events | simulated_cluster.EventLog
+        self, runtime: scheduler.Runtime, identifier: str, events: load_generator.Events | event_log.EventLog
     ) -> None:
         self.runtime = runtime
         self.identifier = identifier
@@ -178,7 +178,7 @@
 class Platform:
     """A stand-in platform: it lists the workers, marks leaving ones, asks nodes for readiness."""
 
-    def __init__(self, runtime: scheduler.Runtime, events: load_generator.Events | simulated_cluster.EventLog) -> None:
+    def __init__(self, runtime: scheduler.Runtime, events: load_generator.Events | event_log.EventLog) -> None:
         self.runtime = runtime
         self.events = events
         self.workers: dict[str, dict[str, typing.Any]] = {}  # id -> its row
--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -13,13 +13,13 @@
 import iriswheel.runtime.units as units
 import simulation.clients.connection as connection
 import simulation.clients.request_kinds as request_kinds
+import simulation.event_log as event_log
 import simulation.platform_names as platform_names
 import simulation.workers.served_http as served_http
 
 if typing.TYPE_CHECKING:
     import iriswheel.runtime.scheduler as scheduler
     import simulation.clients.virtual_address as virtual_address
-    import simulation.simulated_cluster as simulated_cluster
 
 NOT_RUN = (408, 421, 429, 503)  # the request has not run and never will
 FINAL = (400, 401, 404, 413, 431)
@@ -107,7 +107,7 @@
     def __init__(
         self,
         runtime: scheduler.Runtime,
-        event_log: simulated_cluster.EventLog,
+        event_log: event_log.EventLog,
         address: virtual_address.VirtualAddress,
         name: str,
         zone: str,
--- a/simulation/clients/operator.py
+++ b/simulation/clients/operator.py
@@ -11,11 +11,11 @@
 
 import iriswheel.runtime.units as units
 import simulation.clients.connection as connection
+import simulation.event_log as event_log
 import simulation.platform_names as platform_names
 
 if typing.TYPE_CHECKING:
     import iriswheel.runtime.scheduler as scheduler
-    import simulation.simulated_cluster as simulated_cluster
 
 MOST_PLACES = 3  # that one call is passed on to
 CONNECT_TIMEOUT_US = units.SECOND_US
@@ -78,7 +78,7 @@
     def __init__(
         self,
         runtime: scheduler.Runtime,
-        event_log: simulated_cluster.EventLog,
+        event_log: event_log.EventLog,
         addresses: collections.abc.Callable[[], list[Address]],
         name: str,
     ) -> None:
--- a/simulation/clients/virtual_address.py
+++ b/simulation/clients/virtual_address.py
@@ -10,11 +10,11 @@
 
 import iriswheel.runtime.units as units
 import simulation.clients.connection as connection
+import simulation.event_log as event_log
 import simulation.platform_names as platform_names
 
 if typing.TYPE_CHECKING:
     import iriswheel.runtime.scheduler as scheduler
-    import simulation.simulated_cluster as simulated_cluster
 
 CHECK_INTERVAL_US = units.SECOND_US
 CHECK_TIMEOUT_US = 900 * units.MILLISECOND_US
@@ -36,7 +36,7 @@
 class VirtualAddress:
     """The virtual address of all nodes."""
 
-    def __init__(self, runtime: scheduler.Runtime, event_log: simulated_cluster.EventLog) -> None:
+    def __init__(self, runtime: scheduler.Runtime, event_log: event_log.EventLog) -> None:
         self.runtime, self.event_log = runtime, event_log
         self.nodes: dict[str, NodeAddresses] = {}
         self.misses: dict[str, int] = {}  # name -> failed checks in a row
--- a/simulation/fingerprint.py
+++ b/simulation/fingerprint.py
@@ -3,7 +3,7 @@
     python -m simulation.fingerprint record tests/data/behaviour.json
     python -m simulation.fingerprint check tests/data/behaviour.json --jobs 8
     python -m simulation.fingerprint check tests/data/behaviour.json --only day
-    python -m simulation.fingerprint show tests/data/behaviour.json "scenario calm magnolia 1"
+    python -m simulation.fingerprint show tests/data/behaviour.json "scene calm magnolia 1"
 
 A run has a key of words: its part, its name, and what else it is played with. Its fingerprint holds a digest of
 its event log, and how many writes of how many bytes went to the simulated network. The order of those writes is left
@@ -216,7 +216,7 @@
     """Play the recorded runs again; print what differs, and exit with 1 if anything does.
 
     :param file: the recorded fingerprints
-    :param only: the one part to check: scenario, day or second_loss; or the beginning of a key
+    :param only: the one part to check: scene, day or second_loss; or the beginning of a key
     :param jobs: processes to use; half of the cores where 0
     """
     recorded, started_at, failed = read(file), time.monotonic(), 0
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -1,4 +1,4 @@
-"""Guards taken out, one at a time: the checker of the point that a guard keeps must complain.
+"""Mutation checks: guards of the product are taken out one at a time, and the checker of each must complain.
 
 python -m simulation.mutation_checks --seeds 5
 python -m simulation.mutation_checks --names claims via --seeds 10 --shapes swan
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import collections
 import contextlib
 import multiprocessing
 import os
@@ -36,14 +37,18 @@
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.message as message
 import iriswheel.verification.replay as replay
-import simulation.fault_scenarios as fault_scenarios
+import simulation.scenarios.actions as actions
+import simulation.scenarios.registry as registry
+import simulation.seed_runs as seed_runs
 
 
 async def _acknowledge_at_once(self: typing.Any, index: typing.Any, until: typing.Any) -> None:
+    """In place of `TailContact.wait_until_applied`: no change waits until all nodes apply it."""
     return None
 
 
 async def _unsent(self: typing.Any, *args: typing.Any, send: typing.Any = dispatch.Dispatcher.send) -> typing.Any:
+    """In place of `Dispatcher.send`: an attempt that broke off counts as never sent."""
     out = await send(self, *args)
     return attempt_outcome.AttemptOutcome.UNSENT if out is attempt_outcome.AttemptOutcome.BROKE else out
 
@@ -51,12 +56,14 @@
 async def _elect_once(
     self: typing.Any, x: typing.Any, shun: typing.Any, elect: typing.Any = worker_selection.WorkerSelector.select_worker
 ) -> typing.Any:
+    """In place of `select_worker`: no second worker is selected after the first could not be reached."""
     if shun:
         raise errors.ServiceError("no_worker", "No worker could be reached.", x.known_outcome())
     return await elect(self, x, shun)
 
 
 async def _alone(self: typing.Any, w: typing.Any) -> None:
+    """In place of `WorkerWatch.check`: a node's own failure to reach a worker is enough, without a second witness."""
     self.dark[w.id] = self.runtime.now()
     self.owner.check_workers()
 
@@ -69,19 +76,23 @@
     via: typing.Any,
     plain: typing.Any = gateway.Gateway.send,
 ) -> typing.Any:
+    """In place of `Gateway.send`: a worker that only another node reaches is sent to without its token."""
     return await plain(self, x, worker, send, "")
 
 
 def _believe_all(self: typing.Any, workers: typing.Any) -> typing.Any:
+    """In place of `Follower.believe`: every list of workers is believed at once, also one that lost many."""
     return workers
 
 
 def _local_budgets(self: typing.Any, now: typing.Any, capacity: typing.Any = retry_budget.Budget.has_capacity) -> bool:
+    """In place of `Budget.has_capacity`: each node takes a sixth of the retry budget, whatever its traffic."""
     self._trim(now)
     return (len(self.repeats) + 1) * 6 / self.ratio <= len(self.firsts)
 
 
 def _half(self: typing.Any) -> typing.Any:
+    """In place of `Follower.cut_off`: half of the members, not all, must say that they lost the core."""
     if self.session.stands():
         return False
     fresh = [g for at, g in self.goes.values() if self.runtime.now() - at < follower.GOES_US]
@@ -89,6 +100,7 @@
 
 
 def _any_place(self: typing.Any) -> typing.Any:
+    """In place of `Follower.cut_off`: a member that lost the core counts even where its configuration is ahead."""
     without = {i for i, (at, g) in self.goes.items() if self.runtime.now() - at < follower.GOES_US and not g.core}
     return not self.session.stands() and any(
         m.id != self.node.me.id and m.id not in without for m in self.membership.members
@@ -96,34 +108,41 @@
 
 
 def _keep_all(self: typing.Any, now: typing.Any) -> list[typing.Any]:
+    """In place of `SessionTable.sweep`: silent sessions are never removed."""
     return []
 
 
 def _first_list(self: typing.Any, workers: typing.Any, take: typing.Any = follower.Follower.apply_workers) -> None:
+    """In place of `Follower.apply_workers`: only the first list of workers is applied."""
     take(self, self.workers or workers)
 
 
 def _one_pool(self: typing.Any, workers: typing.Any, take: typing.Any = follower.Follower.apply_workers) -> None:
+    """In place of `Follower.apply_workers`: all workers are taken to be of the first pool."""
     pool = next(iter(self.pools), "")
     take(self, [message.Worker(w.id, w.host, w.port, pool, w.state, w.drain_us) for w in workers])
 
 
 def _blank_leads(v: typing.Any, promises: typing.Any, alive: typing.Any) -> list[typing.Any]:
+    """In place of `decisions.order`: replicas that lack records come first in the chain."""
     blank_first = sorted(alive, key=lambda i: (i in promises and promises[i].complete == v.number, i))
     return [message.ChainReplica(i, alive[i]) for i in blank_first]
 
 
 def _no_tips(v: typing.Any, promises: typing.Any, alive: typing.Any, order: typing.Any = decisions.order) -> typing.Any:
+    """In place of `decisions.order`: how far each replica's log reaches is left out."""
     return order(v, {i: msgspec.structs.replace(p, last_entry=(0, 0)) for i, p in promises.items()}, alive)
 
 
 async def _nobody_has_it(self: typing.Any, m: typing.Any) -> str:
+    """In place of `PoolOwner.query_pools`: other pools' owners are not asked whether they hold a request."""
     return ""
 
 
 def _interrupted_is_complete(
     self: typing.Any, reason: typing.Any = None, lost: typing.Any = dispatch.AnswerRelay.connectionLost
 ) -> None:
+    """In place of `AnswerRelay.connectionLost`: an answer that broke off counts as complete."""
     if self.tick is not None and self.tick.active():
         self.tick.cancel()
     self.done(True)
@@ -135,77 +154,118 @@
 def _stale_headers(
     headers: typing.Any, worker: typing.Any, token: typing.Any, onward: typing.Any = edge_protocol.onward
 ) -> typing.Any:
+    """In place of `edge_protocol.onward`: a request gets the headers of the one before it."""
     _sent_headers.append(onward(headers, worker))
     return _sent_headers[-2] if len(_sent_headers) > 50 else _sent_headers[-1]
 
 
-# guard -> what is put in its place, the scenario, its seed, the checker that must complain
-GUARDS = {
-    "claims": ([(pool_owner.PoolOwner, "claimed", lambda self, m: None)], "worker_storm", 1, "once"),
-    "other_pools": ([(pool_owner.PoolOwner, "query_pools", _nobody_has_it)], "route_moves", 3, "once"),
-    "torn_answers": ([(dispatch.AnswerRelay, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"),
-    "own_headers": ([(edge_protocol, "onward", _stale_headers)], "calm", 1, "own"),
-    "unsent_or_broke": (
-        [(dispatch.Dispatcher, "send", _unsent), (worker_selection.WorkerSelector, "select_worker", _elect_once)],
+class Patch(typing.NamedTuple):
+    """What stands in place of a guard: an attribute of a class or module, and its replacement."""
+
+    owner: typing.Any
+    attribute: str
+    replacement: typing.Any
+
+
+class Guard(typing.NamedTuple):
+    """A guard of the product, how it is taken out, and the run in which its checker must complain then."""
+
+    patches: list[Patch]
+    scenario: str
+    seed: int
+    checker: str
+
+
+GUARDS: dict[str, Guard] = {
+    "claims": Guard([Patch(pool_owner.PoolOwner, "claimed", lambda self, m: None)], "worker_storm", 1, "once"),
+    "other_pools": Guard([Patch(pool_owner.PoolOwner, "query_pools", _nobody_has_it)], "route_moves", 3, "once"),
+    "torn_answers": Guard(
+        [Patch(dispatch.AnswerRelay, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"
+    ),
+    "own_headers": Guard([Patch(edge_protocol, "onward", _stale_headers)], "calm", 1, "own"),
+    "unsent_or_broke": Guard(
+        [
+            Patch(dispatch.Dispatcher, "send", _unsent),
+            Patch(worker_selection.WorkerSelector, "select_worker", _elect_once),
+        ],
         "worker_freeze",
         1,
         "not_run",
     ),
-    "worker_states": ([(follower.Follower, "apply_workers", _first_list)], "worker_leaves", 1, "leaving"),
-    "forced": (
+    "worker_states": Guard([Patch(follower.Follower, "apply_workers", _first_list)], "worker_leaves", 1, "leaving"),
+    "forced": Guard(
         [
-            (tail_contact.TailContact, "wait_until_applied", _acknowledge_at_once),
-            (follower.Follower, "cut_off", lambda self: False),
+            Patch(tail_contact.TailContact, "wait_until_applied", _acknowledge_at_once),
+            Patch(follower.Follower, "cut_off", lambda self: False),
         ],
         "cut_core_off",
         1,
         "in_force",
     ),
-    "whole_copies": ([(decisions, "order", _blank_leads)], "replace_all", 2, "kept"),
-    "tips": ([(decisions, "order", _no_tips)], "disk_old", 1, "kept"),
-    "pools": ([(follower.Follower, "apply_workers", _one_pool)], "other_pool", 1, "allowed"),
-    "pins": ([(sessions.SessionTable, "affinity", lambda self, identifier: None)], "calm", 1, "pinned"),
-    "cap": ([(sessions.SessionTable, "count", lambda self, worker: 0)], "many_talks", 1, "capped"),
-    "retry_budget": ([(retry_budget.Budget, "spend", lambda self, now: True)], "worker_breaks", 1, "budget"),
-    "seats": ([(pool_owner.PoolOwner, "has_slot", lambda self, w, long, pool: False)], "calm", 1, "served"),
-    "second_witness": ([(health.WorkerWatch, "check", _alone)], "blind_owner", 2, "pinned"),
-    "via": ([(gateway.Gateway, "send", _no_token)], "blind_node", 1, "served"),
-    "one_budget": ([(retry_budget.Budget, "has_capacity", _local_budgets)], "worker_breaks", 1, "served"),
-    "stale": ([(follower.Follower, "stale", lambda self: False)], "cut_node", 3, "in_force"),
-    "places": ([(follower.Follower, "cut_off", _any_place)], "wake_without_core", 1, "in_force"),
-    "all_neighbours": ([(follower.Follower, "cut_off", _half)], "cut_sides", 1, "in_force"),
-    "rerouted": ([(request_router.RequestRouter, "reroute", lambda self, request: None)], "crowd", 1, "served"),
-    "twice_said": ([(follower.Follower, "believe", _believe_all)], "platform_bad", 1, "pinned"),
-    "sweep": ([(sessions.SessionTable, "sweep", _keep_all)], "release", 1, "served"),
-    "early_answers": (
-        [(http_server.Request, "refuse_early", lambda self, code, text: None)],
+    "whole_copies": Guard([Patch(decisions, "order", _blank_leads)], "replace_all", 2, "kept"),
+    "tips": Guard([Patch(decisions, "order", _no_tips)], "disk_old", 1, "kept"),
+    "pools": Guard([Patch(follower.Follower, "apply_workers", _one_pool)], "other_pool", 1, "allowed"),
+    "pins": Guard([Patch(sessions.SessionTable, "affinity", lambda self, identifier: None)], "calm", 1, "pinned"),
+    "cap": Guard([Patch(sessions.SessionTable, "count", lambda self, worker: 0)], "many_talks", 1, "capped"),
+    "retry_budget": Guard([Patch(retry_budget.Budget, "spend", lambda self, now: True)], "worker_breaks", 1, "budget"),
+    "seats": Guard([Patch(pool_owner.PoolOwner, "has_slot", lambda self, w, long, pool: False)], "calm", 1, "served"),
+    "second_witness": Guard([Patch(health.WorkerWatch, "check", _alone)], "blind_owner", 2, "pinned"),
+    "via": Guard([Patch(gateway.Gateway, "send", _no_token)], "blind_node", 1, "served"),
+    "one_budget": Guard([Patch(retry_budget.Budget, "has_capacity", _local_budgets)], "worker_breaks", 1, "served"),
+    "stale": Guard([Patch(follower.Follower, "stale", lambda self: False)], "cut_node", 3, "in_force"),
+    "places": Guard([Patch(follower.Follower, "cut_off", _any_place)], "wake_without_core", 1, "in_force"),
+    "all_neighbours": Guard([Patch(follower.Follower, "cut_off", _half)], "cut_sides", 1, "in_force"),
+    "rerouted": Guard(
+        [Patch(request_router.RequestRouter, "reroute", lambda self, request: None)], "crowd", 1, "served"
+    ),
+    "twice_said": Guard([Patch(follower.Follower, "believe", _believe_all)], "platform_bad", 1, "pinned"),
+    "sweep": Guard([Patch(sessions.SessionTable, "sweep", _keep_all)], "release", 1, "served"),
+    "early_answers": Guard(
+        [Patch(http_server.Request, "refuse_early", lambda self, code, text: None)],
         "bad_requesters",
         1,
         "answered",
     ),
-    "failover": (
+    "failover": Guard(
         [
-            (membership_manager, "GRACE_US", 10**12),
-            (membership_manager, "SILENT_US", 10**12),
-            (fault_scenarios, "restart", lambda t, name: None),
+            Patch(membership_manager, "GRACE_US", 10**12),
+            Patch(membership_manager, "SILENT_US", 10**12),
+            Patch(actions, "restart", lambda cluster, name: None),
         ],
         "kill_owner",
         1,
         "served",
     ),
-    "leases_end": ([(lease, "DRIFT_US", 10**12)], "kill_owner", 1, "back"),
+    "leases_end": Guard([Patch(lease, "DRIFT_US", 10**12)], "kill_owner", 1, "back"),
 }
 
 
-def play(job: typing.Any) -> tuple[typing.Any, ...]:
-    """Play a scenario with a guard out: the job, complaints, rows judged."""
+class Job(typing.NamedTuple):
+    """One run to play, with a guard out."""
+
+    scenario: str
+    seed: int
+    shape: str
+    guard: str
+
+
+class Count(typing.NamedTuple):
+    """Of one run: whether the guard's checker complained, how many rows it judged, and the seed."""
+
+    complained: bool
+    rows: int
+    seed: int
+
+
+def play(job: Job) -> tuple[Job, dict[str, list[str]], dict[str, int]]:
+    """Play a scenario with a guard out: the job, complaints by checker, rows judged by each checker."""
     scenario, seed, shape, guard = job
     loguru.logger.remove()
     with contextlib.ExitStack() as stack:
-        for owner, name, instead in GUARDS[guard][0]:
-            stack.enter_context(mock.patch.object(owner, name, instead))
-        t = fault_scenarios.play(scenario, seed, shape)
-    return job, *replay.examine(t.tape.rows)
+        for patch in GUARDS[guard].patches:
+            stack.enter_context(mock.patch.object(patch.owner, patch.attribute, patch.replacement))
+        cluster = registry.play(scenario, seed, shape)
+    return job, *replay.examine(cluster.tape.rows)
 
 
 def run(
@@ -220,26 +280,32 @@
     """
     loguru.logger.remove()
     jobs = [
-        (GUARDS[g][1], s, shape, g)
-        for g in list(names) or list(GUARDS)
+        Job(GUARDS[name].scenario, seed, shape, name)
+        for name in list(names) or list(GUARDS)
         for shape in shapes
-        for s in range(first, first + seeds)
+        for seed in range(first, first + seeds)
     ]
-    got = {}
-    with multiprocessing.Pool(os.cpu_count(), maxtasksperchild=8) as pool:
-        for (_, seed, shape, guard), found, looked in pool.imap_unordered(play, jobs):
-            got.setdefault((guard, shape), []).append((GUARDS[guard][3] in found, looked[GUARDS[guard][3]], seed))
+    counts: collections.defaultdict[tuple[str, str], list[Count]] = collections.defaultdict(list)
+    with multiprocessing.Pool(os.cpu_count(), maxtasksperchild=seed_runs.RUNS_PER_PROCESS) as pool:
+        for job, complaints, rows_judged in pool.imap_unordered(play, jobs):
+            checker = GUARDS[job.guard].checker
+            counts[job.guard, job.shape].append(Count(checker in complaints, rows_judged[checker], job.seed))
     silent = 0
-    for (guard, shape), rows in sorted(got.items()):
-        hits = sorted(seed for hit, _, seed in rows if hit)
-        silent += not hits
-        print(
-            f"{guard} out, {GUARDS[guard][1]}, {shape}: {GUARDS[guard][3]} complained in {len(hits)} of {len(rows)} "
-            f"runs (seeds {' '.join(map(str, hits)) or 'none'}), {sum(n for _, n, _ in rows)} rows judged",
-            flush=True,
-        )
+    for (name, shape), found in sorted(counts.items()):
+        seeds_found = sorted(count.seed for count in found if count.complained)
+        silent += not seeds_found
+        _print_counts(name, shape, found, seeds_found)
     sys.exit(1 if silent else 0)
 
 
+def _print_counts(name: str, shape: str, found: list[Count], seeds_found: list[int]) -> None:
+    guard = GUARDS[name]
+    print(
+        f"{name} out, {guard.scenario}, {shape}: {guard.checker} complained in {len(seeds_found)} of {len(found)} "
+        f"runs (seeds {' '.join(map(str, seeds_found)) or 'none'}), {sum(count.rows for count in found)} rows judged",
+        flush=True,
+    )
+
+
 if __name__ == "__main__":
     defopt.run(run)
--- a/simulation/observed_runs.py
+++ b/simulation/observed_runs.py
@@ -1,6 +1,6 @@
 """Every simulated run by a key, with its event log and the traffic of its network.
 
-A run has a key of words: its part (scenario, day or second_loss), its name, and what else it is played with.
+A run has a key of words: its part (scene, day or second_loss), its name, and what else it is played with.
 """
 
 import collections.abc
@@ -11,8 +11,8 @@
 import msgspec
 
 import benchmarks.fleet as fleet
-import simulation.fault_scenarios as fault_scenarios
 import simulation.platform_days as platform_days
+import simulation.scenarios.registry as registry
 import simulation.second_loss as second_loss
 import simulation.world as world
 
@@ -38,7 +38,7 @@
 
 
 class Traffic:
-    """Stands in for a `sim.Meter`: counts all writes to the network, and takes no processor time.
+    """Stands in for a `processor_meter.Meter`: counts all writes to the network, and takes no processor time.
 
     >>> traffic = Traffic(); traffic.count("n1", "c1", 70); traffic.writes, traffic.size
     (1, 70)
@@ -88,9 +88,7 @@
     found += [
         f"day {name} {shape} {DAY_SEEDS[shape]} {DAY_LOAD}" for shape in DAY_SHAPES for name in platform_days.DAYS
     ]
-    found += [
-        f"scene {name} {shape} {SCENE_SEEDS[shape]}" for shape in fleet.SHAPES for name in fault_scenarios.SCENARIOS
-    ]
+    found += [f"scene {name} {shape} {SCENE_SEEDS[shape]}" for shape in fleet.SHAPES for name in registry.SCENARIOS]
     for case in (case for cores in CORE_COUNTS for case in second_loss.cases(cores, [1])):
         losses = f"{case.first.name} {case.step.name} {case.target.name} {case.second.name}"
         found.append(f"second_loss {case.cores} {losses} {case.seed}")
@@ -109,7 +107,7 @@
 
 def play_scene(name: str, shape: str, seed: str) -> list[Row]:
     """Play a scenario; the rows of its event log."""
-    return fault_scenarios.play(name, int(seed), shape).tape.rows
+    return registry.play(name, int(seed), shape).tape.rows
 
 
 def play_day(name: str, shape: str, seed: str, load: str) -> list[Row]:
--- /dev/null
+++ b/simulation/prober.py
@@ -0,0 +1,69 @@
+"""Probes: requests for the newest routes at every ready node, which show what configuration it serves."""
+
+from __future__ import annotations
+
+import json
+import typing
+
+import loguru
+
+import iriswheel.cli.load_generator as load_generator
+import iriswheel.dataplane.dispatch as dispatch
+import iriswheel.dataplane.edge_protocol as edge_protocol
+import iriswheel.runtime.units as units
+
+if typing.TYPE_CHECKING:
+    import twisted.web.client as client
+
+    import iriswheel.runtime.scheduler as scheduler
+    import simulation.simulated_cluster as simulated_cluster
+
+INTERVAL_US = units.SECOND_US
+TIMEOUT_US = 8 * units.SECOND_US
+HTTP_OK = 200
+
+log = loguru.logger.bind(part="cluster")
+
+
+class Prober:
+    """Sends probes to the nodes of a cluster and logs their answers."""
+
+    def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
+        self.cluster = cluster
+        self.sent = 0
+
+    async def run(self, runtime: scheduler.Runtime) -> None:
+        """Every second, try the newest probe route, the one before, and the cluster's `paths` at every ready node."""
+        cluster = self.cluster
+        agent = dispatch.Dispatcher(runtime).fresh
+        while cluster.probing:
+            await runtime.sleep(INTERVAL_US)
+            for name in [name for name in sorted(cluster.nodes) if cluster.is_ready(name)]:
+                newest = [f"/p/{probe}" for probe in (cluster.probe, cluster.probe - 1) if probe >= 0]
+                for path in newest + cluster.paths:
+                    runtime.spawn(self.probe(runtime, agent, name, path), log)
+
+    async def probe(self, runtime: scheduler.Runtime, agent: client.Agent, name: str, path: str) -> None:
+        """Try one path at one node, and log the answer."""
+        started_at = runtime.now()
+        self.sent += 1
+        identifier = f"p{self.sent}"
+        host, port = self.cluster.platform.nodes[name]
+        row = dict(node=f"{host}:{port}", zone=self.cluster.options[name].zone, path=path, exchange=identifier)
+        headers = load_generator.http_headers.Headers(
+            {edge_protocol.REPEAT: ["yes"], edge_protocol.REQUEST_ID: [identifier]}
+        )
+        url = f"http://{host}:{port}{path}".encode()
+        try:
+            response = await runtime.within(agent.request(b"POST", url, headers, dispatch.Body(b"probe")), TIMEOUT_US)
+        except Exception:  # whatever became of it, the probe has no answer
+            self.cluster.tape.put(started_at, "probe", **row, status=0, worker=None, done=runtime.now(), code="lost")
+            return
+        worker = (response.headers.getRawHeaders(edge_protocol.TARGET) or [None])[0]
+        answer = dict(**row, status=response.code, worker=worker, done=runtime.now())
+
+        def log_answer(raw: bytes) -> None:
+            code = json.loads(raw)["code"] if raw and response.code != HTTP_OK else ""
+            self.cluster.tape.put(started_at, "probe", code=code, **answer)
+
+        response.deliverBody(dispatch.Collect(log_answer))
--- /dev/null
+++ b/simulation/rude_clients.py
@@ -0,0 +1,83 @@
+"""Clients that misbehave: they leave, read slowly, or send bad HTTP."""
+
+from __future__ import annotations
+
+import typing
+
+import twisted.internet.endpoints as endpoints
+import twisted.internet.protocol as protocol
+
+import iriswheel.runtime.units as units
+
+if typing.TYPE_CHECKING:
+    import iriswheel.runtime.scheduler as scheduler
+    import simulation.event_log as event_log
+
+CONNECT_TIMEOUT_SECONDS = 2
+LEAVE_AFTER_US = 40 * units.MILLISECOND_US
+PAUSE_US = 3 * units.SECOND_US
+ANSWER_US = 2 * units.SECOND_US  # how long a client waits for what comes back
+STATUS = slice(9, 12)  # of an answer's first line
+LOGGED_LENGTH = 300
+
+_HEAD = b"POST /v1/complete HTTP/1.1\r\nHost: x\r\nX-May-Repeat: yes\r\n"
+
+REQUESTS = {
+    "leaves": _HEAD + b"Content-Length: 5\r\n\r\nhello",
+    "reads slowly": _HEAD + b"Content-Length: 5\r\n\r\nhello",
+    "bad head": b"\x00\x01 nonsense\r\n\r\n",
+    "no length": _HEAD + b"\r\n",
+    "bad field": _HEAD + b"X-Send-Number: minus\r\nContent-Length: 0\r\n\r\n",
+    "too large": _HEAD + b"Content-Length: 99999999\r\n\r\n",
+}
+BEHAVIOURS = tuple(REQUESTS)
+
+
+class RudeConnection(protocol.Protocol):
+    """Keeps what comes back to a rude client.
+
+    >>> RudeConnection().received
+    []
+    """
+
+    def __init__(self) -> None:
+        self.received: list[bytes] = []
+
+    def dataReceived(self, data: bytes) -> None:
+        """Keep a part of the answer."""
+        self.received.append(data)
+
+
+async def misbehave(
+    runtime: scheduler.Runtime, events: event_log.EventLog, host: str, port: int, behaviour: str
+) -> None:
+    """Send one bad request to a node, and log what comes back; a client that leaves logs nothing.
+
+    Args:
+        runtime: The client's runtime.
+        events: Where the answer is logged.
+        host: The node's host.
+        port: The node's HTTP port.
+        behaviour: One of `BEHAVIOURS`.
+    """
+    endpoint = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=CONNECT_TIMEOUT_SECONDS)
+    try:
+        connection = await endpoint.connect(protocol.Factory.forProtocol(RudeConnection))
+    except Exception:  # however the node can't be reached, there is nobody to be rude to
+        return
+    connection.transport.write(REQUESTS[behaviour])
+    match behaviour:
+        case "leaves":
+            await runtime.sleep(LEAVE_AFTER_US)
+            connection.transport.abortConnection()
+            return
+        case "reads slowly":
+            connection.transport.pauseProducing()
+            await runtime.sleep(PAUSE_US)
+            connection.transport.resumeProducing()
+    await runtime.sleep(ANSWER_US)
+    text = b"".join(connection.received).decode("latin-1")
+    events.put(
+        runtime.now(), "rude", how=behaviour, host=f"{host}:{port}", status=text[STATUS], text=text[-LOGGED_LENGTH:]
+    )
+    connection.transport.abortConnection()
--- /dev/null
+++ b/simulation/scenarios/actions.py
@@ -0,0 +1,228 @@
+"""What scenarios do to a cluster: faults and repairs, changes of its configuration, and requests."""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+import iriswheel.runtime.units as units
+import simulation.simulated_cluster as simulated_cluster
+
+if typing.TYPE_CHECKING:
+    import twisted.internet.defer as defer
+
+    import iriswheel.control.core as core
+    import iriswheel.node.node as node
+
+CONFIRM_TIMEOUT_SECONDS = 40  # for an operator's change
+
+Document = dict[str, typing.Any]  # a configuration as JSON
+
+
+# ---- targets ---------------------------------------------------------------------------------
+
+
+def some_node(cluster: simulated_cluster.SimulatedCluster, owner: bool | None = None) -> node.Node:
+    """A live node, drawn at random.
+
+    Args:
+        cluster: The cluster.
+        owner: True for the pool owner where there is one, False for any other node, None for any node.
+
+    Returns:
+        The node.
+    """
+    pool_owner_node = cluster.owner()
+    names = [name for name in sorted(cluster.nodes) if cluster.nodes[name].process.alive]
+    if owner is True and pool_owner_node is not None:
+        return pool_owner_node
+    if owner is False and pool_owner_node is not None:
+        names.remove(pool_owner_node.me.name)
+    return cluster.nodes[cluster.rng.choice(names)]
+
+
+def some_core(cluster: simulated_cluster.SimulatedCluster) -> core.Core:
+    """A live core, drawn at random."""
+    return cluster.cores[
+        cluster.rng.choice([name for name in sorted(cluster.cores) if cluster.cores[name].process.alive])
+    ]
+
+
+def some_worker(cluster: simulated_cluster.SimulatedCluster) -> str:
+    """The name of a worker, drawn at random."""
+    return cluster.rng.choice(sorted(cluster.workers))
+
+
+# ---- faults and repairs ------------------------------------------------------------------------
+
+
+def kill(
+    cluster: simulated_cluster.SimulatedCluster, name: str, restart_after: float | None = None, large: bool = False
+) -> None:
+    """Kill the process of a core, node or worker.
+
+    Args:
+        cluster: The cluster.
+        name: Whose process.
+        restart_after: After how many seconds it starts again; never where None.
+        large: Whether the fault is one of many at once, which the checkers judge by other bounds.
+    """
+    cluster.fault("kill", name, large)
+    {**cluster.servers(), **cluster.workers}[name].process.kill()
+    if restart_after is not None:
+        cluster.world.push(cluster.world.time + int(restart_after * units.SECOND_US), lambda: restart(cluster, name))
+
+
+def restart(cluster: simulated_cluster.SimulatedCluster, name: str) -> None:
+    """Start a core, node or worker again where it was."""
+    cluster.repair("start", name)
+    if name in cluster.cores:
+        cluster.start_core(name, *cluster.options[name])
+    elif name in cluster.nodes:
+        cluster.start_node(name, *cluster.options[name])
+    else:
+        cluster.start_worker(name, cluster.workers[name].host)
+
+
+def stop(cluster: simulated_cluster.SimulatedCluster, name: str, timeout_seconds: float) -> None:
+    """Stop a core or node as its service manager does: ask it to stop, and end it after a while."""
+    server = cluster.servers()[name]
+    stopped = server.runtime.spawn(server.stop(), simulated_cluster.log)
+    cluster.until_called(stopped, timeout_seconds)
+    server.process.kill()
+
+
+def lose_power(
+    cluster: simulated_cluster.SimulatedCluster, name: str, wiped: bool = False, large: bool = False
+) -> None:
+    """Cut the power of a core's host; `wiped` clears its disk as well."""
+    cluster.fault("disk lost" if wiped else "power", name, large)
+    host = cluster.cores[name].process.host
+    host.fail()
+    if wiped:
+        host.synced.clear()
+
+
+def blackout(cluster: simulated_cluster.SimulatedCluster, wiped: collections.abc.Collection[str]) -> None:
+    """Cut the power of all cores at once, clear the disks of some, and start all again within a second or so."""
+    names = sorted(cluster.cores)
+    for name in names:
+        lose_power(cluster, name, wiped=name in wiped, large=True)
+    cluster.go(0.3 + cluster.rng.random())
+    for name in names:
+        restart(cluster, name)
+
+
+def replace_core(cluster: simulated_cluster.SimulatedCluster, name: str, new_name: str, new_host: str) -> None:
+    """Lose a core for good; an empty one starts at a new address."""
+    lost = cluster.cores[name]
+    cluster.fault("gone for good", name)
+    lost.process.host.fail()
+    del cluster.cores[name]
+    cluster.go(1 + cluster.rng.random() * 2)
+    cluster.repair("start", new_name)
+    cluster.start_core(new_name, new_host, lost.options.zone)
+
+
+def freeze(cluster: simulated_cluster.SimulatedCluster, name: str, large: bool = False) -> None:
+    """Freeze the process of a core or node."""
+    cluster.fault("freeze", name, large)
+    cluster.servers()[name].process.freeze()
+
+
+def cut_off(cluster: simulated_cluster.SimulatedCluster, name: str) -> None:
+    """Cut a core or node off from all cores and nodes."""
+    cluster.fault("cut", name)
+    cluster.world.cut([cluster.servers()[name].options.host], cluster.hosts("cores", "nodes"))
+
+
+def heal(cluster: simulated_cluster.SimulatedCluster, target: str) -> None:
+    """Remove all cuts of the network, and log that the target's is over."""
+    cluster.world.heal()
+    cluster.repair("heal", target)
+
+
+def repair_later(
+    cluster: simulated_cluster.SimulatedCluster,
+    seconds: float,
+    what: str,
+    target: str,
+    function: collections.abc.Callable[[], object],
+) -> None:
+    """Call a function that ends a fault after some seconds, and log it then."""
+
+    def repair() -> None:
+        function()
+        cluster.repair(what, target)
+
+    cluster.world.push(cluster.world.time + int(seconds * units.SECOND_US), repair)
+
+
+# ---- changes of the configuration ----------------------------------------------------------------
+
+
+def confirm_changes(
+    cluster: simulated_cluster.SimulatedCluster, count: int = 8, gap_seconds: float = 4.0
+) -> defer.Deferred[None]:
+    """Let the operator confirm changes one after the other, with a pause after each."""
+
+    async def change_all() -> None:
+        for probe in range(cluster.probe + 1, cluster.probe + 1 + count):
+            await cluster.operator.change(cluster.with_probe(probe))
+            await cluster.operator_runtime.sleep(int(gap_seconds * units.SECOND_US))
+
+    return cluster.operator_runtime.spawn(change_all(), simulated_cluster.log)
+
+
+def begin_change(cluster: simulated_cluster.SimulatedCluster, patch: bool = False) -> defer.Deferred[int]:
+    """Let the operator confirm the configuration with the next probe route, whole or as a JSON Patch."""
+    return cluster.operator_runtime.spawn(
+        cluster.operator.change(cluster.with_probe(cluster.probe + 1), patch=patch), simulated_cluster.log
+    )
+
+
+def confirm_edit(
+    cluster: simulated_cluster.SimulatedCluster, edit: collections.abc.Callable[[Document], object], patch: bool = False
+) -> None:
+    """Edit the configuration in place, and wait until the operator has had it confirmed."""
+    edit(cluster.configuration)
+    cluster.until_called(begin_change(cluster, patch), CONFIRM_TIMEOUT_SECONDS)
+
+
+def confirm_next(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """Wait until the operator has had one more change confirmed."""
+    cluster.until_called(begin_change(cluster), CONFIRM_TIMEOUT_SECONDS)
+
+
+# ---- requests ------------------------------------------------------------------------------------
+
+
+def begin_exchange(cluster: simulated_cluster.SimulatedCluster, kind: str, *parts: str) -> None:
+    """Let a client begin an exchange, with its retries."""
+    cluster.load.open.append(
+        cluster.load.runtime.spawn(cluster.load.exchange(kind, list(parts)), simulated_cluster.log)
+    )
+
+
+def begin_attempt(
+    cluster: simulated_cluster.SimulatedCluster,
+    identifier: str,
+    attempt: int,
+    *,
+    may_repeat: bool = False,
+    parts: collections.abc.Sequence[str] = ("phrases",),
+) -> None:
+    """Let a client send one attempt of a short request."""
+    sending = cluster.load.send("short", identifier, attempt, may_repeat, list(parts), b"x" * 600)
+    cluster.load.open.append(cluster.load.runtime.spawn(sending, simulated_cluster.log))
+
+
+def probe_repeatedly(cluster: simulated_cluster.SimulatedCluster, name: str, rounds: int) -> None:
+    """Let clients that hold on to a node's address try the newest two probe routes there, every 0.3 seconds."""
+    for _ in range(rounds):
+        for probe in (cluster.probe, cluster.probe - 1):
+            cluster.load.runtime.spawn(
+                cluster.prober.probe(cluster.load.runtime, cluster.load.agent, name, f"/p/{max(0, probe)}"),
+                simulated_cluster.log,
+            )
+        cluster.go(0.3)
--- /dev/null
+++ b/simulation/scenarios/configuration.py
@@ -0,0 +1,216 @@
+"""Scenarios of configuration changes: bursts, races between operators, and changes to what carries traffic."""
+
+from __future__ import annotations
+
+import typing
+
+import iriswheel.runtime.units as units
+import simulation.operator_model as operator_model
+import simulation.scenarios.actions as actions
+import simulation.simulated_cluster as simulated_cluster
+
+LOAD_PATH = "/v1/complete"
+
+
+def burst(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """Changes arrive in quick bursts, while a core is killed."""
+    changes = actions.confirm_changes(cluster, 25, 0.05)
+    cluster.go(3)
+    actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=3)
+    cluster.until_called(changes, 60)
+    cluster.go(14)
+
+
+def race(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """Two operators race each other, while the head is killed."""
+    other = operator_model.Operator(cluster, cluster.operator_runtime, "other")
+
+    async def change_all(operator: operator_model.Operator, probes: range) -> None:
+        for probe in probes:
+            await operator.change(cluster.with_probe(probe), attempts=60)
+
+    both = [
+        cluster.operator_runtime.spawn(change_all(cluster.operator, range(1, 20, 2)), simulated_cluster.log),
+        cluster.operator_runtime.spawn(change_all(other, range(2, 21, 2)), simulated_cluster.log),
+    ]
+    cluster.go(0.5 + cluster.rng.random())
+    head = cluster.head()
+    if head is not None:
+        actions.kill(cluster, head.options.name, restart_after=3)
+    cluster.until(lambda: all(changes.called for changes in both), 60)
+    cluster.go(14)
+
+
+def operators(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """Two operators patch the same field; plans are confirmed twice, late, and on another core."""
+    other = operator_model.Operator(cluster, cluster.operator_runtime, "other")
+
+    async def patch_cap(operator: operator_model.Operator, caps: tuple[int, int, int], first_probe: int) -> None:
+        for turn, cap in enumerate(caps):
+            document = cluster.with_probe(first_probe + 2 * turn)
+            document["pools"][cluster.pool]["cap"] = cap
+            await operator.change(document, patch=True)
+
+    both = [
+        cluster.operator_runtime.spawn(patch_cap(cluster.operator, (11, 13, 15), 1), simulated_cluster.log),
+        cluster.operator_runtime.spawn(patch_cap(other, (12, 14, 16), 2), simulated_cluster.log),
+    ]
+    cluster.go(0.3 + cluster.rng.random())
+    head = cluster.head()
+    if head is not None and cluster.rng.random() < 0.5:
+        actions.kill(cluster, head.options.name, restart_after=3)
+    cluster.until(lambda: all(changes.called for changes in both), 60)
+    stale_plans = cluster.operator.stale_plans(cluster.with_probe(cluster.probe + 1))
+    cluster.until_called(cluster.operator_runtime.spawn(stale_plans, simulated_cluster.log), 60)
+    cluster.go(5)
+
+
+def many_routes(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """The configuration grows by many routes."""
+    routes = {f"r{number}": {"path": f"/r/{number}", "pool": cluster.pool} for number in range(400)}
+
+    async def add_routes() -> None:
+        for turn in range(1, 5):
+            part = dict(list(routes.items())[: turn * 100])
+            await cluster.operator.change(cluster.with_probe(turn, part))
+            await cluster.operator_runtime.sleep(3 * units.SECOND_US)
+
+    cluster.operator_runtime.spawn(add_routes(), simulated_cluster.log)
+    cluster.go(8)
+    actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=3)
+    cluster.go(16)
+
+
+def _start_spare_pool(cluster: simulated_cluster.SimulatedCluster, workers: int = 2) -> None:
+    """Start more workers, in a second pool that the configuration knows."""
+    for number in range(workers):
+        cluster.start_worker(f"s{number + 1}", f"10.0.3.{90 + number}")
+        cluster.platform.put(f"s{number + 1}", pool="spare")
+    cluster.configuration["pools"]["spare"] = dict(cluster.configuration["pools"][cluster.pool])
+
+
+def _route_of_load(cluster: simulated_cluster.SimulatedCluster) -> str:
+    """The name of the route that carries the load."""
+    return next(name for name, route in cluster.configuration["routes"].items() if route["path"] == LOAD_PATH)
+
+
+def _move_load(cluster: simulated_cluster.SimulatedCluster, pool: str, patch: bool) -> None:
+    def move(document: actions.Document) -> None:
+        document["routes"][_route_of_load(cluster)].update(pool=pool)
+
+    actions.confirm_edit(cluster, move, patch)
+
+
+def route_moves(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """The route that carries the load moves between two pools that both serve; its pool owners die meanwhile."""
+    _start_spare_pool(cluster, 3)
+    cluster.paths = [LOAD_PATH]
+    for turn in range(5):
+        cluster.go(4 + cluster.rng.random() * 2)
+        identifiers = [f"twin{turn}-{number}" for number in range(10)]
+        for identifier in identifiers:
+            actions.begin_attempt(cluster, identifier, 1)
+        _move_load(cluster, ("spare", cluster.pool)[turn % 2], patch=turn % 2 == 0)
+        for identifier in identifiers:  # their clients never saw the answer, and try again
+            actions.begin_attempt(cluster, identifier, 2)
+        if turn in (1, 3):
+            target = actions.some_node(cluster, owner=True)
+            cluster.go(cluster.rng.random() * 2)
+            actions.kill(cluster, target.me.name, restart_after=3)
+            cluster.go(8)
+    cluster.go(6)
+
+
+def pool_comes_and_goes(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """A pool and its route are added, removed, and added again, while others serve; a core dies meanwhile."""
+
+    def add(document: actions.Document) -> None:
+        document["routes"].update(spare={"path": "/spare", "pool": "spare"})
+
+    def remove(document: actions.Document) -> None:
+        del document["routes"]["spare"], document["pools"]["spare"]
+
+    cluster.paths = ["/spare/x"]
+    for turn in range(4):
+        cluster.go(4)
+        if turn % 2 == 0:
+            _start_spare_pool(cluster)
+            actions.confirm_edit(cluster, add)
+        else:
+            actions.confirm_edit(cluster, remove, patch=True)
+        if turn == 1:
+            actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=3)
+    cluster.go(8)
+
+
+def _restrict_zones(cluster: simulated_cluster.SimulatedCluster, zones: list[str], patch: bool) -> None:
+    def restrict(document: actions.Document) -> None:
+        document["routes"].update(zone={"path": "/hall", "pool": cluster.pool, "zones": zones})
+
+    actions.confirm_edit(cluster, restrict, patch)
+
+
+def zones_move(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """A route's zones change again and again, while nodes die."""
+    zones = sorted(set(cluster.zones))
+    cluster.paths = ["/hall/x"]
+    for turn in range(5):
+        cluster.go(3)
+        some = sorted(cluster.rng.sample(zones, 1 + cluster.rng.randrange(len(zones) - 1)))
+        _restrict_zones(cluster, some, patch=turn % 2 == 1)
+        if turn in (1, 3):
+            target = actions.some_node(cluster, owner=False)
+            actions.kill(cluster, target.me.name, restart_after=3)
+    cluster.go(8)
+
+
+def _set_cap(cluster: simulated_cluster.SimulatedCluster, cap: int) -> None:
+    def edit(document: actions.Document) -> None:
+        document["pools"][cluster.pool].update(cap=cap)
+
+    actions.confirm_edit(cluster, edit)
+
+
+def _open_conversations(cluster: simulated_cluster.SimulatedCluster, count: int, prefix: str) -> None:
+    for number in range(count):
+        actions.begin_exchange(cluster, "short", "phrases", f"{prefix}-{number}")
+        cluster.go(0.1)
+
+
+def cap_moves(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """The cap is lowered below what is open, and raised again, while conversations open."""
+    actions.confirm_changes(cluster, 2, 2)
+    cluster.go(6)
+    cluster.load.attempts = 1
+    _set_cap(cluster, 4)
+    _open_conversations(cluster, 30, "low")
+    _set_cap(cluster, 2)
+    _open_conversations(cluster, 15, "lower")
+    target = actions.some_node(cluster, owner=True)
+    actions.kill(cluster, target.me.name, restart_after=3)
+    cluster.go(6)
+    _open_conversations(cluster, 10, "after")
+    _set_cap(cluster, 10)
+    cluster.go(2.5)
+    _open_conversations(cluster, 30, "high")
+    cluster.go(6)
+
+
+def release(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """The cap is full; silent conversations must make room, after a change of pool owner too."""
+    cluster.load.talks = 0
+
+    def shorten(document: dict[str, dict[str, dict[str, typing.Any]]]) -> None:
+        document["pools"][cluster.pool].update(cap=3)
+        for terms in document["terms"].values():
+            terms.update(lifetime_us=8 * units.SECOND_US)
+
+    actions.confirm_edit(cluster, shorten)
+    cluster.load.attempts = 1
+    cluster.go(2.5)
+    for turn in range(3):
+        _open_conversations(cluster, 3 * cluster.worker_count + 4, f"rel-{turn}")
+        if turn == 1:
+            target = actions.some_node(cluster, owner=True)
+            actions.kill(cluster, target.me.name, restart_after=3)
+        cluster.go(17)
--- /dev/null
+++ b/simulation/scenarios/disks.py
@@ -0,0 +1,106 @@
+"""Scenarios of the cores' disks: lost, full, slow, stalled and outdated ones, and power lost within a write."""
+
+from __future__ import annotations
+
+import typing
+
+import simulation.scenarios.actions as actions
+import simulation.simulated_cluster as simulated_cluster
+
+if typing.TYPE_CHECKING:
+    import iriswheel.control.core as core
+    import simulation.host_model as host_model
+
+
+def disk_lost(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """Cores lose their disks, one after the other."""
+    actions.confirm_changes(cluster, 10)
+    for _ in range(2):
+        cluster.go(6 + cluster.rng.random())
+        name = actions.some_core(cluster).options.name
+        actions.lose_power(cluster, name, wiped=True)
+        cluster.go(1 + cluster.rng.random() * 3)
+        actions.restart(cluster, name)
+        cluster.go(15)
+
+
+def disk_unhealthy(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """A core's disk is full, slow or stalled for a while."""
+    actions.confirm_changes(cluster, 10, 2)
+    for condition in ("full", "slow", "stalled"):
+        cluster.go(4 + cluster.rng.random())
+        target = actions.some_core(cluster)
+        cluster.fault(f"disk {condition}", target.options.name)
+        target.process.host.disk = condition
+        cluster.go(4 + cluster.rng.random() * 5)
+        target.process.host.repair()
+        cluster.repair("disk mended", target.options.name)
+        cluster.go(6)
+
+
+def power_steps(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """A core loses power between two steps of a write: head, middle and tail, with the disk or without."""
+    for position in cluster.rng.sample(range(3), 3):
+        cluster.go(4)
+        target = _core_at(cluster, position) or actions.some_core(cluster)
+        host = target.process.host
+        host.trap = cluster.rng.choice(["before sync", "after sync", "after answer"])
+        change = actions.begin_change(cluster)
+        if _loses_power(cluster, host, 5):
+            cluster.fault(f"power {host.trap_sprung}", target.options.name)
+            if cluster.rng.random() < 0.4:
+                host.synced.clear()
+        host.trap = None
+        cluster.go(2 + cluster.rng.random() * 4)
+        if not host.power:
+            actions.restart(cluster, target.options.name)
+        cluster.until_called(change, 30)
+        cluster.go(14)
+
+
+def _loses_power(cluster: simulated_cluster.SimulatedCluster, host: host_model.Host, seconds: float) -> bool:
+    return cluster.until(lambda: not host.power, seconds)
+
+
+def _core_at(cluster: simulated_cluster.SimulatedCluster, position: int) -> core.Core | None:
+    """The core at a position of its own view's chain, or at the chain's end where that is shorter."""
+    for candidate in cluster.cores.values():
+        view = candidate.consensus.view
+        if view is None:
+            continue
+        if candidate.chain.position.index_in(view.number) == min(position, len(view.chain) - 1):
+            return candidate
+    return None
+
+
+def empty_while_down(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """One core is down; another comes back with an empty disk."""
+    actions.confirm_changes(cluster, 8, 3)
+    cluster.go(6)
+    down, wiped = cluster.rng.sample(sorted(cluster.cores), 2)
+    actions.lose_power(cluster, down)
+    cluster.go(5 + cluster.rng.random() * 3)
+    actions.lose_power(cluster, wiped, wiped=True)
+    cluster.go(1 + cluster.rng.random() * 3)
+    actions.restart(cluster, wiped)
+    cluster.go(4 + cluster.rng.random() * 6)
+    actions.restart(cluster, down)
+    cluster.go(20)
+
+
+def disk_old(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """The head comes back with its disk as it was some changes ago: alone, then after all lost power."""
+    cluster.go(2)
+    for together in (False, True):
+        target = cluster.head() or actions.some_core(cluster)
+        outdated = dict(target.process.host.synced)
+        for _ in range(2):
+            actions.confirm_next(cluster)
+        down = sorted(cluster.cores) if together else [target.options.name]
+        for name in down:
+            actions.lose_power(cluster, name)
+        target.process.host.synced = outdated
+        cluster.go(cluster.rng.choice([0.1, 0.5, 3]))
+        for name in down:
+            actions.restart(cluster, name)
+        cluster.go(14)
--- /dev/null
+++ b/simulation/scenarios/mixed_faults.py
@@ -0,0 +1,138 @@
+"""Scenarios of faults of several kinds: one on the other, and one at the very end of a run."""
+
+from __future__ import annotations
+
+import simulation.scenarios.actions as actions
+import simulation.simulated_cluster as simulated_cluster
+
+LAST_FAULTS = (
+    "kill node",
+    "kill warden",
+    "kill core",
+    "kill all",
+    "freeze core",
+    "freeze node",
+    "cut core",
+    "cut node",
+    "disk lost",
+    "disk full",
+    "worker dies",
+    "new address",
+)
+
+
+def last_fault(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """A core loses power, perhaps with its disk, right after the last change."""
+    actions.confirm_changes(cluster, 6, 3)
+    cluster.go(22)
+    cluster.until_called(cluster.load_done, 60)
+    cluster.until_called(actions.begin_change(cluster), 20)
+    target = actions.some_core(cluster)
+    actions.lose_power(cluster, target.options.name)
+    if cluster.rng.random() < 0.5:
+        target.process.host.synced.clear()
+        actions.restart(cluster, target.options.name)
+
+
+def last_faults(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """The run ends with one last fault, of a kind that the seed chooses, right after the last change."""
+    actions.confirm_changes(cluster, 3, 3)
+    cluster.go(12)
+    cluster.load.end()
+    cluster.until_called(cluster.load_done, 60)
+    actions.confirm_next(cluster)
+    fault = LAST_FAULTS[cluster.seed % len(LAST_FAULTS)]
+    core_name = actions.some_core(cluster).options.name
+    node_name = actions.some_node(cluster, owner="warden" in fault).me.name
+    name = core_name if fault.endswith("core") else node_name
+    match fault:
+        case "kill node" | "kill warden" | "kill core":
+            actions.kill(cluster, name, restart_after=2)
+        case "kill all":
+            for server in sorted(cluster.servers()):
+                actions.kill(cluster, server, restart_after=1 + cluster.rng.random(), large=True)
+        case "freeze core" | "freeze node":
+            actions.freeze(cluster, name)
+            actions.repair_later(cluster, 4, "wake", name, cluster.servers()[name].process.wake)
+        case "cut core" | "cut node":
+            actions.cut_off(cluster, name)
+            actions.repair_later(cluster, 4, "heal", name, cluster.world.heal)
+        case "worker dies":
+            actions.kill(cluster, actions.some_worker(cluster))
+        case _:
+            _fail_core_at_end(cluster, fault, core_name)
+    cluster.go(14)
+
+
+def _fail_core_at_end(cluster: simulated_cluster.SimulatedCluster, fault: str, name: str) -> None:
+    match fault:
+        case "disk lost":
+            actions.lose_power(cluster, name, wiped=True)
+            cluster.go(1)
+            actions.restart(cluster, name)
+        case "disk full":
+            cluster.fault("disk full", name)
+            cluster.cores[name].process.host.disk = "full"
+        case "new address":
+            actions.replace_core(cluster, name, "c4", "10.0.1.4")
+
+
+def mixed(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """Faults of several kinds, one on the other."""
+    actions.confirm_changes(cluster, 20, 2)
+    for _ in range(6):
+        cluster.go(2 + cluster.rng.random() * 3)
+        MIXED_FAULTS[cluster.rng.randrange(len(MIXED_FAULTS))](cluster)
+    cluster.go(6)
+    actions.heal(cluster, "all")
+    cluster.go(20)
+
+
+def _kill_some_core(cluster: simulated_cluster.SimulatedCluster) -> None:
+    name = actions.some_core(cluster).options.name
+    actions.kill(cluster, name, restart_after=2 + cluster.rng.random() * 3)
+
+
+def _kill_some_node(cluster: simulated_cluster.SimulatedCluster) -> None:
+    name = actions.some_node(cluster).me.name
+    actions.kill(cluster, name, restart_after=2 + cluster.rng.random() * 3)
+
+
+def _some_server(cluster: simulated_cluster.SimulatedCluster) -> str:
+    candidates = [actions.some_core(cluster), actions.some_node(cluster)]
+    return cluster.rng.choice(candidates).options.name
+
+
+def _freeze_some_server(cluster: simulated_cluster.SimulatedCluster) -> None:
+    name = _some_server(cluster)
+    actions.freeze(cluster, name)
+    wake = cluster.servers()[name].process.wake
+    actions.repair_later(cluster, 1 + cluster.rng.random() * 4, "wake", name, wake)
+
+
+def _cut_some_server(cluster: simulated_cluster.SimulatedCluster) -> None:
+    actions.cut_off(cluster, _some_server(cluster))
+    actions.repair_later(cluster, 1 + cluster.rng.random() * 4, "heal", "all", cluster.world.heal)
+
+
+def _kill_some_worker(cluster: simulated_cluster.SimulatedCluster) -> None:
+    name = actions.some_worker(cluster)
+    if cluster.workers[name].process.alive:
+        actions.kill(cluster, name, restart_after=1 + cluster.rng.random() * 4)
+
+
+def _stall_some_disk(cluster: simulated_cluster.SimulatedCluster) -> None:
+    target = actions.some_core(cluster)
+    cluster.fault("disk stalled", target.options.name)
+    target.process.host.disk = "stalled"
+    actions.repair_later(cluster, 3, "disk mended", target.options.name, target.process.host.repair)
+
+
+MIXED_FAULTS = (
+    _kill_some_core,
+    _kill_some_node,
+    _freeze_some_server,
+    _cut_some_server,
+    _kill_some_worker,
+    _stall_some_disk,
+)
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -23,12 +23,12 @@
 import simulation.clients.operator as operator
 import simulation.clients.virtual_address as virtual_address
 import simulation.disk_model as disk_model
+import simulation.event_log as event_log
 import simulation.host_model as host_model
 import simulation.inference_engine as inference_engine
 import simulation.platform_programs as platform_programs
 import simulation.process_model as process_model
 import simulation.rules.earned_value as earned_value
-import simulation.simulated_cluster as simulated_cluster
 import simulation.site.configurations as configurations
 import simulation.site.faults as faults
 import simulation.site.settings_files as settings_files
@@ -90,7 +90,7 @@
         self.world = world.World(seed)
         self.world.held_writes = True
         self.rng = self.world.rng
-        self.event_log = simulated_cluster.EventLog()
+        self.event_log = event_log.EventLog()
         self.seconds, self.load = seconds, load
         self.engine_figures = engine_figures or inference_engine.Figures(**self.shape.engine_figures)
         self.cores: dict[str, core.Core] = {}
--- a/simulation/sweep.py
+++ b/simulation/sweep.py
@@ -1,15 +1,13 @@
 """Play scenarios over many seeds, judge each run, and say how to repeat what failed.
 
 python -m simulation.sweep --seeds 100
-python -m simulation.sweep --scenarios kill_warden freeze --seeds 20 --first 7 --shape swan
-python -m simulation.sweep --scenarios kill_warden --first 7 --seeds 1 --log run.events
+python -m simulation.sweep --scenarios kill_owner freeze --seeds 20 --first 7 --shape swan
+python -m simulation.sweep --scenarios kill_owner --first 7 --seeds 1 --log run.events
 """
 
 from __future__ import annotations
 
 import collections
-import multiprocessing
-import os
 import sys
 import time
 import typing
@@ -19,23 +17,44 @@
 
 import benchmarks.fleet as fleet
 import iriswheel.verification.replay as replay
-import simulation.fault_scenarios as plays
+import simulation.scenarios.registry as registry
+import simulation.seed_runs as seed_runs
 
 
-def one(
-    job: tuple[str, int, str, str],
-) -> tuple[tuple[str, int, str, str], dict[typing.Any, typing.Any], dict[str, int], float]:
-    """Play and judge one run: the job, complaints, rows judged by each checker, seconds of computing."""
-    scenario, seed, shape, path = job
+class Job(typing.NamedTuple):
+    """One run to play; `log` is the file that its event log is written to, if any."""
+
+    scenario: str
+    seed: int
+    shape: str
+    log: str
+
+
+def play(job: Job) -> seed_runs.Outcome[Job]:
+    """Play and judge one run; what is measured are the rows that each checker judged."""
     started_at = time.process_time()
     try:
-        t = plays.play(scenario, seed, shape)
-    except Exception as e:  # a scenario that can't go on is a finding too
-        return job, {"crash": [repr(e)]}, {}, time.process_time() - started_at
-    if path:
-        with open(path, "w") as f:
-            f.write(t.tape.text())
-    return job, *replay.examine(t.tape.rows), time.process_time() - started_at
+        cluster = registry.play(job.scenario, job.seed, job.shape)
+    except Exception as error:  # a scenario that can't go on is a finding too
+        return seed_runs.Outcome(job, {"crash": [repr(error)]}, {}, time.process_time() - started_at)
+    if job.log:
+        with open(job.log, "w") as file:
+            file.write(cluster.tape.text())
+    complaints, rows_judged = replay.examine(cluster.tape.rows)
+    return seed_runs.Outcome(job, complaints, rows_judged, time.process_time() - started_at)
+
+
+def _title(job: Job) -> str:
+    return f"{job.scenario} seed {job.seed}"
+
+
+def _command(job: Job) -> str:
+    return f"python -m simulation.sweep --scenarios {job.scenario} --first {job.seed} --seeds 1 --shape {job.shape}"
+
+
+def _fail(message: str) -> typing.NoReturn:
+    print(f"sweep: {message}", file=sys.stderr)
+    sys.exit(2)
 
 
 def sweep(
@@ -54,43 +73,29 @@
     :param first: the first seed
     :param shape: magnolia, swan or small
     :param log: write the event log of the one run here
-    :param procs: processes to use; all cores where 0
+    :param processes: processes to use; one for each processor core where 0
     """
     loguru.logger.remove()
-    names = list(scenarios) or list(plays.SCENARIOS)
-    bad = [n for n in names if n not in plays.SCENARIOS]
-    if bad or shape not in fleet.SHAPES or seeds < 1 or first < 0:
-        print(f"sweep: there is no such scene, shape or seed: {' '.join(bad) or shape}", file=sys.stderr)
-        sys.exit(2)
-    jobs = [(n, s, shape, log) for s in range(first, first + seeds) for n in names]
+    names = list(scenarios) or list(registry.SCENARIOS)
+    unknown = [name for name in names if name not in registry.SCENARIOS]
+    if unknown or shape not in fleet.SHAPES or seeds < 1 or first < 0:
+        _fail(f"there is no such scene, shape or seed: {' '.join(unknown) or shape}")
+    jobs = [Job(name, seed, shape, log) for seed in range(first, first + seeds) for name in names]
     if log and len(jobs) > 1:
-        print("sweep: --log wants one scene and one seed", file=sys.stderr)
-        sys.exit(2)
+        _fail("--log wants one scene and one seed")
     started_at = time.monotonic()
-    failed, total, looked = [], 0.0, collections.Counter()
-    with multiprocessing.Pool(processes or os.cpu_count(), maxtasksperchild=8) as pool:
-        for (scenario, seed, shape, _), found, rows, cost in pool.imap_unordered(one, jobs):
-            total += cost
-            looked.update(rows)
-            if found:
-                failed.append((scenario, seed))
-                print(
-                    f"FAILED {scenario} seed {seed}: python -m simulation.sweep --scenarios {scenario} "
-                    f"--first {seed} --seeds 1 "
-                    f"--shape {shape}",
-                    flush=True,
-                )
-                for name, lines in found.items():
-                    for line in lines[:3]:
-                        print(f"    {name}: {line}")
-                    if len(lines) > 3:
-                        print(f"    {name}: and {len(lines) - 3} more")
+    failed, processor_seconds = 0, 0.0
+    rows_judged: collections.Counter[str] = collections.Counter()
+    for outcome in seed_runs.play_all(play, jobs, _title, _command, processes):
+        failed += bool(outcome.complaints)
+        processor_seconds += outcome.processor_seconds
+        rows_judged.update(outcome.measured)
     print(
         f"{len(jobs)} runs of {len(names)} scenes, shape {shape}, seeds {first} to {first + seeds - 1}: "
-        f"{len(jobs) - len(failed)} clean, {len(failed)} failed; {total:.0f} s of computing, "
+        f"{len(jobs) - failed} clean, {failed} failed; {processor_seconds:.0f} s of computing, "
         f"{time.monotonic() - started_at:.0f} s on the clock"
     )
-    print("rows judged: " + ", ".join(f"{name} {n}" for name, n in looked.items()))
+    print("rows judged: " + ", ".join(f"{checker} {rows}" for checker, rows in rows_judged.items()))
     sys.exit(1 if failed else 0)
 
 
--- a/simulation/workers/listing.py
+++ b/simulation/workers/listing.py
@@ -7,12 +7,12 @@
 import urllib.parse
 
 import iriswheel.runtime.units as units
+import simulation.event_log as event_log
 import simulation.platform_names as platform_names
 import simulation.workers.served_http as served_http
 
 if typing.TYPE_CHECKING:
     import iriswheel.runtime.scheduler as scheduler
-    import simulation.simulated_cluster as simulated_cluster
 
 HISTORY_US = 30 * units.SECOND_US  # for which former lists are kept
 RATE_WINDOW_US = units.SECOND_US
@@ -34,7 +34,7 @@
     def __init__(
         self,
         runtime: scheduler.Runtime,
-        event_log: simulated_cluster.EventLog,
+        event_log: event_log.EventLog,
         lag_us: int = 800 * units.MILLISECOND_US,
         rate: float = 40.0,
         page: int = 3,
--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -5,6 +5,7 @@
 import typing
 
 import iriswheel.runtime.units as units
+import simulation.event_log as event_log
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
 import simulation.virtual_timer as virtual_timer
@@ -12,7 +13,6 @@
 
 if typing.TYPE_CHECKING:
     import iriswheel.runtime.scheduler as scheduler
-    import simulation.simulated_cluster as simulated_cluster
 
 DEFAULT_LEFT_MS = "60000"
 RETRY_AFTER_S = "0.2"
@@ -84,7 +84,7 @@
         runtime: scheduler.Runtime,
         name: str,
         pool: str,
-        event_log: simulated_cluster.EventLog,
+        event_log: event_log.EventLog,
         figures: inference_engine.Figures | None = None,
         connection_limit: int = 360,
         idle_us: int = IDLE_US,
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -11,10 +11,10 @@
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.runtime.units as units
 import iriswheel.transport.http_server as http_server
+import simulation.event_log as event_log
 import simulation.host_model as host_model
 import simulation.platform_programs as platform_programs
 import simulation.process_model as process_model
-import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
 
 S = units.SECOND_US
@@ -26,7 +26,7 @@
     @pytest.fixture(autouse=True)
     def start_node(self) -> None:
         self.world = world.World(5)
-        self.tape = simulated_cluster.EventLog()
+        self.tape = event_log.EventLog()
         process = self.process = process_model.SimulatedProcess(
             self.world, "n1", host_model.Host(self.world, "10.0.2.1", "a")
         )
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -23,7 +23,9 @@
 import iriswheel.errors as errors
 import iriswheel.runtime.options as options
 import iriswheel.verification.replay as replay
-import simulation.fault_scenarios as fault_scenarios
+import simulation.addresses as addresses
+import simulation.operator_model as operator_model
+import simulation.scenarios.actions as actions
 import simulation.simulated_cluster as simulated_cluster
 import tests.recorded as recorded
 
@@ -153,7 +155,7 @@
         for method, path, document in CORE_CALLS:
             body = "" if document is None else json.dumps(document)
             text = f"{method} {path.format(plan=plan)} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}"
-            raw = self.query("10.0.1.1", simulated_cluster.HTTP, text)
+            raw = self.query("10.0.1.1", addresses.HTTP_PORT, text)
             if path == "/plans" and not plan:
                 plan = json.loads(raw.partition(b"\r\n\r\n")[2])["id"]
             out.append([f"{method} {path}", answer(raw)])
@@ -165,7 +167,7 @@
         for place, (method, path, headers, body) in enumerate(NODE_CALLS):
             length = "" if body is None else f"Content-Length: {len(body)}\r\n"
             head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{headers.format(place, place)}{length}\r\n"
-            raw = self.query("10.0.2.1", simulated_cluster.HTTP, head + (body or ""))
+            raw = self.query("10.0.2.1", addresses.HTTP_PORT, head + (body or ""))
             out.append([f"{method} {path} {place}", answer(raw)])
         return out
 
@@ -236,12 +238,12 @@
     """The event log of a short simulated run with changes and faults."""
     cluster = simulated_cluster.SimulatedCluster(4, "small", long_rate=0.5, short_rate=3, talks=2, seconds=24)
     cluster.begin()
-    fault_scenarios.changes(cluster, 3, 3)
+    actions.confirm_changes(cluster, 3, 3)
     cluster.go(6)
-    fault_scenarios.kill(cluster, cluster.nodes["n1"], "n1", back=2)
+    actions.kill(cluster, "n1", restart_after=2)
     cluster.go(6)
-    fault_scenarios.kill(cluster, cluster.cores["c1"], "c1", back=2)
-    operator = simulated_cluster.Operator(cluster, cluster.operator_runtime, "numbers")
+    actions.kill(cluster, "c1", restart_after=2)
+    operator = operator_model.Operator(cluster, cluster.operator_runtime, "numbers")
     numbered = {"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": cluster.pool}}}}
     cluster.operator_runtime.spawn(operator.number(6, 5, numbered), simulated_cluster.log)
     cluster.go(6)
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -22,7 +22,7 @@
 import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
 
-S = simulated_cluster.S
+S = units.SECOND_US
 ROUTES = 1_400
 
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -7,11 +7,13 @@
 import iriswheel.replication.replicated_log as replicated_log
 import iriswheel.replication.replicated_state as replicated_state
 import iriswheel.replication.snapshot_format as snapshot_format
+import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
+import simulation.operator_model as operator_model
 import simulation.simulated_cluster as simulated_cluster
 import tests.conftest as conftest
 
-S = simulated_cluster.S
+S = units.SECOND_US
 
 
 def route(k):
@@ -22,7 +24,7 @@
 class TestChanges:
     def start(self, t, number, built_on, what, who="boss"):
         return t.operator_runtime.spawn(
-            simulated_cluster.Operator(t, t.operator_runtime, who).number(number, built_on, what), simulated_cluster.log
+            operator_model.Operator(t, t.operator_runtime, who).number(number, built_on, what), simulated_cluster.log
         )
 
     def wait(self, t, *ds):
@@ -116,7 +118,7 @@
             self.wait(
                 t,
                 t.operator_runtime.spawn(
-                    simulated_cluster.Operator(t, t.operator_runtime, "boss").number(*order, attempts=3)
+                    operator_model.Operator(t, t.operator_runtime, "boss").number(*order, attempts=3)
                 ),
             )[0]
             for order in (orders[0], orders[-2], (8, 6, route(9)))
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -6,11 +6,11 @@
 import iriswheel.dataplane.worker_connections as worker_connections
 import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
+import simulation.event_log as event_log
 import simulation.host_model as host_model
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
 import simulation.process_model as process_model
-import simulation.simulated_cluster as simulated_cluster
 import simulation.workers.worker as workers
 import simulation.world as world
 
@@ -45,7 +45,7 @@
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.world = world.World(3)
-        self.tape = simulated_cluster.EventLog()
+        self.tape = event_log.EventLog()
         process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
         self.worker = workers.Worker(
             process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), idle_us=700 * MS
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -10,15 +10,16 @@
 import iriswheel.consensus.decisions as decisions
 import iriswheel.consensus.view_consensus as view_consensus
 import iriswheel.runtime.storage as storage
+import iriswheel.runtime.units as units
 import iriswheel.transport.message as message
+import simulation.addresses as addresses
 import simulation.disk_model as disk_model
 import simulation.host_model as host_model
 import simulation.process_model as process_model
-import simulation.simulated_cluster as simulated_cluster
 import simulation.world as world
 
-S = simulated_cluster.S
-SEATS = [message.Voter(i, f"10.0.1.{k}", simulated_cluster.PEER, "a") for k, i in enumerate("abc", 1)]
+S = units.SECOND_US
+SEATS = [message.Voter(i, f"10.0.1.{k}", addresses.PEER_PORT, "a") for k, i in enumerate("abc", 1)]
 
 
 class TestMembership:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,10 +7,11 @@
 import iriswheel.errors as errors
 import iriswheel.membership.lease as lease
 import iriswheel.node.core_session as core_session
+import iriswheel.runtime.units as units
 import simulation.simulated_cluster as simulated_cluster
 import tests.conftest as conftest
 
-S = simulated_cluster.S
+S = units.SECOND_US
 
 
 def confirm(t, core):
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -15,7 +15,7 @@
 
 import iriswheel.transport.wire as wire
 import iriswheel.verification.replay as replay
-import simulation.fault_scenarios as fault_scenarios
+import simulation.scenarios.actions as actions
 import simulation.simulated_cluster as simulated_cluster
 import tests.frozen_codec as frozen_codec
 import tests.recorded as recorded
@@ -65,13 +65,13 @@
     def play(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         """Changes, a core machine and a node that end and come back, the pool's pool owner too."""
         cluster.begin()
-        fault_scenarios.changes(cluster, 6, 3)
+        actions.confirm_changes(cluster, 6, 3)
         cluster.go(6)
         for name in ("c1", "c2"):
-            fault_scenarios.kill(cluster, cluster.cores[name], name, back=2)
+            actions.kill(cluster, name, restart_after=2)
             cluster.go(8)
         owner = cluster.owner()
-        fault_scenarios.kill(cluster, owner, owner.options.name, back=2)
+        actions.kill(cluster, owner.options.name, restart_after=2)
         cluster.go(10)
         cluster.end()
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -11,10 +11,12 @@
 import iriswheel.control.change_orders as change_orders
 import iriswheel.replication.tail as tail
 import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
 import iriswheel.verification.history as history
+import simulation.addresses as addresses
 import simulation.simulated_cluster as simulated_cluster
 
-S = simulated_cluster.S
+S = units.SECOND_US
 CUT_SECONDS = 20
 HEAD, MIDDLE, TAIL = 0, 1, 2  # places in the chain
 
@@ -25,7 +27,7 @@
     def __init__(self, simulated, core):
         self.cluster = simulated
         self.runtime = simulated.operator_runtime
-        self.place = f"{simulated.options[core][0]}:{simulated_cluster.HTTP}"
+        self.place = f"{simulated.options[core][0]}:{addresses.HTTP_PORT}"
         self.name = f"at-{core}"
         self.slowest = 0
 
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -6,10 +6,10 @@
 import pytest
 
 import iriswheel.verification.replay as replay
-import simulation.fault_scenarios as fault_scenarios
 import simulation.mutation_checks as mutation_checks
 import simulation.platform_days as platform_days
 import simulation.platform_rules as platform_rules
+import simulation.scenarios.registry as registry
 
 PAGE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "docs", "proof.md")
 
@@ -31,13 +31,13 @@
         assert len(self.points) == 12
         for _, plays, checkers, outs, _ in self.points:
             assert checkers and outs
-            assert set() == plays - set(fault_scenarios.SCENARIOS)
+            assert set() == plays - set(registry.SCENARIOS)
             assert set() == checkers - {c.__name__ for c in replay.CHECKERS}
             assert set() == outs - set(mutation_checks.GUARDS)
 
     def test_nothing_is_missing(self) -> None:
         named = set().union(*(row[1] for row in self.points)) | self.fails
-        assert set() == set(fault_scenarios.SCENARIOS) - named
+        assert set() == set(registry.SCENARIOS) - named
         assert set() == set(mutation_checks.GUARDS) - set().union(*(row[3] for row in self.points))
         assert set() == {c.__name__ for c in replay.CHECKERS} - set().union(*(row[2] for row in self.points))
 
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -23,6 +23,7 @@
 import iriswheel.replication.snapshot_format as snapshot_format
 import iriswheel.runtime.storage as storage
 import iriswheel.transport.message as message
+import simulation.operator_model as operator_model
 import simulation.simulated_cluster as simulated_cluster
 import tests.recorded as recorded
 
@@ -153,7 +154,7 @@
         return cluster
 
     def query(self, cluster: simulated_cluster.SimulatedCluster, *call: typing.Any) -> typing.Any:
-        operator = simulated_cluster.Operator(cluster, cluster.operator_runtime, "boss")
+        operator = operator_model.Operator(cluster, cluster.operator_runtime, "boss")
         done = cluster.operator_runtime.spawn(operator.query(*call), simulated_cluster.log)
         self.assertTrue(cluster.until(lambda: done.called, 20))
         return done.result
@@ -250,7 +251,7 @@
     def with_probe(self, k: int, more: dict[str, typing.Any] | None = None) -> dict[str, typing.Any]:
         """The configuration that stands with a probe route, in place of the example's."""
         if self.first_read is None:
-            operator = simulated_cluster.Operator(self, self.operator_runtime, "reader")
+            operator = operator_model.Operator(self, self.operator_runtime, "reader")
             for _ in range(60):
                 done = self.operator_runtime.spawn(operator.query("GET", "/blueprint"), simulated_cluster.log)
                 self.until(lambda done=done: done.called, 10)
--- a/tests/test_scenes.py
+++ b/tests/test_scenes.py
@@ -9,10 +9,10 @@
 import pytest
 
 import iriswheel.verification.replay as replay
-import simulation.fault_scenarios as fault_scenarios
 import simulation.mutation_checks as mutation_checks
+import simulation.scenarios.registry as registry
 
-SEEDS = {name: 1 for name in fault_scenarios.SCENARIOS}
+SEEDS = {name: 1 for name in registry.SCENARIOS}
 # runs that a sweep once found failing
 FOUND = [
     ("cut_core_two", 2, "magnolia"),
@@ -33,7 +33,7 @@
     scenario, seed, shape, guard = job
     if guard:
         return job, mutation_checks.play(job)[1], ""
-    t = fault_scenarios.play(scenario, seed, shape)
+    t = registry.play(scenario, seed, shape)
     return job, replay.judge(t.tape.rows), t.tape.text() if scenario == "calm" else ""
 
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -7,11 +7,11 @@
 import twisted.internet.protocol as protocol
 
 import iriswheel.runtime.units as units
+import simulation.event_log as event_log
 import simulation.host_model as host_model
 import simulation.inference_engine as inference_engine
 import simulation.platform_names as platform_names
 import simulation.process_model as process_model
-import simulation.simulated_cluster as simulated_cluster
 import simulation.workers.listing as workers_listing
 import simulation.workers.worker as workers
 import simulation.world as world
@@ -64,7 +64,7 @@
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.world = world.World(5)
-        self.tape = simulated_cluster.EventLog()
+        self.tape = event_log.EventLog()
         self.process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
         self.worker = workers.Worker(
             self.process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), connection_limit=5
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -10,13 +10,14 @@
 import iriswheel.consensus.acceptor as acceptor
 import iriswheel.dataplane.dispatch as dispatch
 import iriswheel.pools.claims as claims
+import iriswheel.runtime.units as units
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.message as message
 import simulation.network_model as network_model
 import simulation.simulated_cluster as simulated_cluster
 import tests.conftest as conftest
 
-S = simulated_cluster.S
+S = units.SECOND_US
 
 
 class TestTowns:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -12,12 +12,13 @@
 
 import iriswheel.runtime.options as options
 import iriswheel.runtime.scheduler as scheduler
+import iriswheel.runtime.units as units
 import iriswheel.transport.http_server as http_server
 import iriswheel.transport.message as message
 import simulation.simulated_cluster as simulated_cluster
 import tests.conftest as conftest
 
-S = simulated_cluster.S
+S = units.SECOND_US
 
 
 class TestConnections:
