--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -367,7 +367,7 @@
 
     def _use_session(
         self, request: message.SelectWorker, worker: str, now: int
-    ) -> tuple[sessions.Session | None, bool]:
+    ) -> tuple[sessions.Session[str] | None, bool]:
         """Return the request's session on a worker, extended or opened, and whether it was opened."""
         table = self.records.session_table
         session = table.affinity(request.session)
@@ -403,7 +403,7 @@
         self,
         request: message.SelectWorker,
         worker: str,
-        opened: sessions.Session | None,
+        opened: sessions.Session[str] | None,
         claim: claims.Claim | None,
         affinity: bool,
     ) -> SelectionResponse:
--- a/iriswheel/pools/pool_records.py
+++ b/iriswheel/pools/pool_records.py
@@ -34,14 +34,14 @@
 
     def __init__(self, slot_freed: scheduler.Signal) -> None:
         self.slot_freed = slot_freed
-        self.session_table = sessions.SessionTable()
+        self.session_table: sessions.SessionTable[str] = sessions.SessionTable()
         self.claims: dict[str, claims.Claim] = {}  # by request id
         self.grants: dict[str, in_flight.HeldGrant] = {}  # by attempt id
         self.load_by_worker: dict[str, in_flight.InFlightLoad] = {}
         self.abandoned: dict[str, int] = {}  # attempt id -> until when it gets no grant
         self.budget = retry_budget.Budget()  # of the whole fleet's sends to this pool
         # what the copies do not know yet
-        self.changed_sessions_and_claims: dict[str, claims.Claim | sessions.Session] = {}
+        self.changed_sessions_and_claims: dict[str, claims.Claim | sessions.Session[str]] = {}
         self.closed_ids: dict[str, None] = {}
 
     # ---- grants ------------------------------------------------------------------
@@ -145,7 +145,7 @@
 
     # ---- sessions and claims -----------------------------------------------------
 
-    def close_session(self, session: sessions.Session) -> None:
+    def close_session(self, session: sessions.Session[str]) -> None:
         """Close a session, here and with the next update on every copy."""
         self.session_table.close(session.id)
         self.closed_ids[session.id] = None
