--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -19,7 +19,6 @@
 
 if typing.TYPE_CHECKING:
     import twisted.python.failure as failure
-    import twisted.web.client as client
 
 
 LONG_BYTES = 48_000
@@ -301,7 +300,8 @@
         self, attempt: Attempt, started_at: int, response: dispatch.Response, collector: AnswerCollector, whole: bool
     ) -> AttemptResult:
         now = self.runtime.now()
-        worker = (response.headers.getRawHeaders(edge_protocol.TARGET) or [None])[0]
+        workers = response.headers.getRawHeaders(edge_protocol.TARGET)
+        worker = workers[0] if workers else None
         end = "whole" if whole else "torn"
         self.ends[end] += 1
         if whole and collector.first is not None:
--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -65,10 +65,10 @@
             headers: The answer's headers, with their names in lower case.
             uses: How many requests have gone over the connection, this one included.
         """
-        mine = self.protocol.mine(self.request.parsed.tag, status, headers)
+        mine = self.protocol.is_answer_to(self.request.parsed.tag, status, headers)
         if mine is not None:
             return mine
-        return (uses <= 1 and self.protocol.unrun(status, headers)) or None
+        return (uses <= 1 and self.protocol.reports_not_run(status, headers)) or None
 
     def head_received(self, status: int, headers: list[tuple[bytes, bytes]], lowercase: dict[str, str]) -> None:
         """Take the answer's status and headers, the latter as they came and by lower-case name."""
@@ -78,7 +78,7 @@
     def data_received(self, data: bytes) -> None:
         """Take a piece of the answer's body."""
         self._note_contact()
-        if not 200 <= self.status < 300 or not self.protocol.sound(self.status, self.lowercase_headers):
+        if not 200 <= self.status < 300 or not self.protocol.is_from_worker(self.status, self.lowercase_headers):
             self.held_back.append(data)
             return
         if not self.received_any:
@@ -99,9 +99,9 @@
     def answer_complete(self) -> None:
         """Note that the whole answer has come."""
         if not 200 <= self.status < 300:
-            refused = self.protocol.unrun(self.status, self.lowercase_headers)
+            refused = self.protocol.reports_not_run(self.status, self.lowercase_headers)
             self._finish(attempt_outcome.AttemptOutcome.REFUSED if refused else attempt_outcome.AttemptOutcome.FAILED)
-        elif not self.protocol.sound(self.status, self.lowercase_headers):
+        elif not self.protocol.is_from_worker(self.status, self.lowercase_headers):
             self._finish(attempt_outcome.AttemptOutcome.BROKE)
         else:
             if self.partial_event:
@@ -175,7 +175,7 @@
     def _set_head(self) -> None:
         client_request = self.request.request
         client_request.setResponseCode(self.status)
-        for name, value in self.protocol.home(self.headers, self.worker):
+        for name, value in self.protocol.client_headers(self.headers, self.worker):
             client_request.responseHeaders.addRawHeader(name, value)
 
     # ---- what the client's connection calls -----------------------------------------------
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -351,7 +351,7 @@
         agent = self.agent if idempotent and not token else self.fresh
         host, port = relay_address or (worker.host, worker.port)
         uri = b"http://%s:%d%s" % (host.encode(), port, request.uri)
-        headers = edge_protocol.onward(request.requestHeaders, worker.id, token)
+        headers = edge_protocol.worker_request_headers(request.requestHeaders, worker.id, token)
         attempt.waiting = self.runtime.within(agent.request(request.method, uri, headers, Body(raw)), HEAD_US)
         try:
             response: Response = await attempt.waiting
@@ -415,7 +415,7 @@
 def set_head(request: http_server.Request, response: Response, worker: str) -> None:
     """Prepare the head of an answer; it goes out with the first bytes of the body."""
     request.setResponseCode(response.code, response.phrase)
-    for name, values in edge_protocol.back(response.headers, worker):
+    for name, values in edge_protocol.client_response_headers(response.headers, worker):
         request.responseHeaders.setRawHeaders(name, values)
     if response.length is not iweb.UNKNOWN_LENGTH:
         request.setHeader("Content-Length", str(response.length))
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -153,12 +153,12 @@
     raise errors.ServiceError("bad_request", f"{REPEAT} is neither yes nor no.", field=REPEAT)
 
 
-def onward(headers: http_headers.Headers, worker: str, token: str = "") -> http_headers.Headers:
+def worker_request_headers(headers: http_headers.Headers, worker: str, token: str = "") -> http_headers.Headers:
     """The headers of the request to a worker, or with a token to the node that relays it.
 
     >>> import twisted.web.http_headers as hh
-    >>> h = onward(hh.Headers({"X-A": ["b"], TARGET: ["w9"], "Connection": ["X-C"], "X-C": ["d"]}), "w1")
-    >>> sorted(h.getAllRawHeaders())
+    >>> received = hh.Headers({"X-A": ["b"], TARGET: ["w9"], "Connection": ["X-C"], "X-C": ["d"]})
+    >>> sorted(worker_request_headers(received, "w1").getAllRawHeaders())
     [(b'X-A', [b'b']), (b'X-Target-Worker', [b'w1'])]
     """
     kept = _end_to_end(headers)
@@ -168,11 +168,13 @@
     return kept
 
 
-def back(headers: http_headers.Headers, worker: str) -> list[tuple[bytes, collections.abc.Sequence[bytes]]]:
+def client_response_headers(
+    headers: http_headers.Headers, worker: str
+) -> list[tuple[bytes, collections.abc.Sequence[bytes]]]:
     """The headers of the answer to the client, each name with its values.
 
     >>> import twisted.web.http_headers as hh
-    >>> back(hh.Headers({"Keep-Alive": ["5"]}), "w1")
+    >>> client_response_headers(hh.Headers({"Keep-Alive": ["5"]}), "w1")
     [(b'X-Target-Worker', [b'w1'])]
     """
     kept = _end_to_end(headers)
@@ -367,34 +369,34 @@
         head.append(b"Content-Length: %d" % size)
         return b"\r\n".join(head) + b"\r\n\r\n"
 
-    def mine(self, tag: str, status: int, headers: LowerCaseHeaders) -> bool | None:
+    def is_answer_to(self, tag: str, status: int, headers: LowerCaseHeaders) -> bool | None:
         """Whether an answer belongs to the attempt with this tag; None where the answer does not say.
 
-        >>> EdgeProtocol().mine("x1", 200, {})
+        >>> EdgeProtocol().is_answer_to("x1", 200, {})
         True
         """
         return True
 
-    def unrun(self, status: int, headers: LowerCaseHeaders) -> bool:
+    def reports_not_run(self, status: int, headers: LowerCaseHeaders) -> bool:
         """Whether the worker says that it did not run the request.
 
-        >>> EdgeProtocol().unrun(503, {}), EdgeProtocol().unrun(200, {})
+        >>> EdgeProtocol().reports_not_run(503, {}), EdgeProtocol().reports_not_run(200, {})
         (True, False)
         """
         return status in NOT_RUN_STATUSES
 
-    def sound(self, status: int, headers: LowerCaseHeaders) -> bool:
+    def is_from_worker(self, status: int, headers: LowerCaseHeaders) -> bool:
         """Whether the head of a successful answer can be a worker's.
 
-        >>> EdgeProtocol().sound(200, {})
+        >>> EdgeProtocol().is_from_worker(200, {})
         True
         """
         return True
 
-    def home(self, headers: HeaderPairs, worker: str) -> HeaderPairs:
+    def client_headers(self, headers: HeaderPairs, worker: str) -> HeaderPairs:
         """The headers of a worker's answer that go to the client.
 
-        >>> EdgeProtocol().home([(b"Keep-Alive", b"5"), (b"X-A", b"b")], "w1")
+        >>> EdgeProtocol().client_headers([(b"Keep-Alive", b"5"), (b"X-A", b"b")], "w1")
         [(b'X-A', b'b'), (b'X-Target-Worker', b'w1')]
         """
         return [*end_to_end_pairs(headers, HOP_BY_HOP | GENERATED), (TARGET.encode(), worker.encode())]
