--- a/simulation/clients/connection.py
+++ b/simulation/clients/connection.py
@@ -139,7 +139,7 @@
 
     def is_unread(self) -> bool:
         """Whether the other side has not read all that was sent."""
-        return getattr(self.transport, "flying", 0) > 0
+        return self.transport.bytes_in_flight > 0
 
     def is_usable(self, now: int, margin_us: int) -> bool:
         """Whether it may carry another request: it stands, and the other side won't end it within the margin."""
