--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -51,7 +51,8 @@
         self.protocol = node.outer
         self.connections = worker_connections.ConnectionPool(node.runtime)
         self.placements: dict[str, placement.Placement] = {}  # by pool name
-        self.streams: set[answer_stream.AnswerStream] = set()  # attempts that were sent and are under way
+        # Attempts that were sent and are under way, in the order of sending: a set would go by memory addresses.
+        self.streams: dict[answer_stream.AnswerStream, None] = {}
         self.started = scheduler.Signal()  # wakes when there is a stream again
         self.counts = {
             "sends": 0,
@@ -315,7 +316,7 @@
                 return attempt_outcome.AttemptOutcome.UNSENT
             return await self._exchange(request, worker, stream, connection)
         finally:
-            self.streams.discard(stream)
+            self.streams.pop(stream, None)
             pool_placement.end(worker.id, stream.unread_tokens)
             if stream.connection is not None and not request.request.gone and not request.request.finished:
                 request.request.unregisterProducer()
@@ -339,7 +340,7 @@
         self.counts["sends"] += 1
         stream.connection = connection
         stream.started_at = stream.last = self.runtime.now()
-        self.streams.add(stream)
+        self.streams[stream] = None
         if len(self.streams) == 1:
             self.started.wake()
         if request.keys:
