--- a/iriswheel/node/peer_status.py
+++ b/iriswheel/node/peer_status.py
@@ -79,5 +79,5 @@
             return
         self.responses[peer.id] = (self.runtime.now(), response)
         self.follower.apply_membership(response.membership)
-        if response.at is not None:
-            self.follower.session.hint = response.at
+        if response.core_address is not None:
+            self.follower.session.hint = response.core_address
--- /dev/null
+++ b/tests/test_peer_status.py
@@ -0,0 +1,43 @@
+"""What a node that lost the core learns from its peers."""
+
+import types
+import typing
+
+import twisted.internet.task as task
+
+import iriswheel.node.peer_status as peer_status
+import iriswheel.runtime.scheduler as scheduler
+import iriswheel.transport.message as message
+
+CORE = ("10.1.0.2", 7300)
+
+
+def follower_whose_peer_answers(response: message.CoreStatusResponse) -> typing.Any:
+    """A stand-in for the follower of a node with one peer."""
+
+    async def call(host: str, port: int, query: message.Message, timeout_us: int) -> message.CoreStatusResponse:
+        return response
+
+    return types.SimpleNamespace(
+        runtime=scheduler.Runtime(task.Clock(), now=lambda: 5),
+        options=types.SimpleNamespace(serve_on=False),
+        membership=message.Membership((1, 1), [], [], [], []),
+        node=types.SimpleNamespace(peers=types.SimpleNamespace(call=call)),
+        session=types.SimpleNamespace(hint=None),
+        peers=lambda: [message.Member("n2-1", "n2", "a", "10.2.0.2", 7301, 8263)],
+        apply_membership=lambda membership: None,
+    )
+
+
+def test_the_core_machine_of_a_peer_s_session_is_tried_first() -> None:
+    follower = follower_whose_peer_answers(message.CoreStatusResponse(True, None, CORE, 3))
+    peer_status.PeerStatus(follower).query()
+    assert follower.session.hint == CORE
+
+
+def test_a_peer_without_the_core_gives_no_hint() -> None:
+    follower = follower_whose_peer_answers(message.CoreStatusResponse(False, None, None, 3))
+    status = peer_status.PeerStatus(follower)
+    status.query()
+    assert follower.session.hint is None
+    assert status.without_core(3) == {"n2-1"}
