--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -275,7 +275,9 @@
             if worker is not None and worker.state == "ready" and name not in self.watch.dark:
                 await self.watch.check(worker)
 
-    async def _select_until(self, request: message.SelectWorker, until: int) -> SelectionResponse:
+    async def _select_until(  # noqa: C901 - one loop over all that may refuse or delay a selection, in its order
+        self, request: message.SelectWorker, until: int
+    ) -> SelectionResponse:
         # whether other pools need not be asked for an earlier attempt
         cleared = request.idempotent or not request.request_id or request.attempt == 1
         while True:
