--- a/iriswheel/control/change_orders.py
+++ b/iriswheel/control/change_orders.py
@@ -1,7 +1,7 @@
-"""Numbered changes of operators: how they are judged, and brought into force just once.
+"""Numbered changes of operators: checked against the committed state and applied at most once.
 
-An operator gives each change a number, and the number that it is built on. The same change
-may come again, after a lost answer, at any core machine.
+An operator gives each change a number, and the number that it is built on. After a lost answer
+the same change may be sent again, to any core machine, and is recognized by its identifier.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class KnownState(typing.NamedTuple):
-    """The state that an order is judged by."""
+    """What was read of the committed state, to decide about an order."""
 
     version: int
     items: configuration.Items
@@ -52,7 +52,7 @@
 
 
 class InForce(typing.NamedTuple):
-    """The order stands, under a version."""
+    """The order is committed, under a version."""
 
     version: int
 
@@ -95,7 +95,7 @@
 
 
 def judge(known: KnownState, order: ChangeOrder) -> Judgement:
-    """What a state says of an order.
+    """Decide from a state whether an order is committed, can be proposed, or must be refused.
 
     An order stands where it is among those taken, or where a complete one would make just the state that
     is there. Numbers rise, so an order on a number that was passed can't be taken any more.
@@ -137,7 +137,7 @@
 
 
 class ChangeOrders:
-    """Brings orders into force."""
+    """Proposes operators' orders and waits until every node has applied them."""
 
     def __init__(
         self,
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -44,7 +44,7 @@
 
 
 class Core:
-    """The whole process, but for sockets and command line."""
+    """Composes a core process; the sockets and the command line are in `cli`."""
 
     def __init__(self, runtime: scheduler.Runtime, disk: storage.Disk, options: options.Options) -> None:
         self.runtime = runtime
@@ -210,7 +210,7 @@
         self.peers.keep(self.consensus.addresses())
 
     def _announce(self) -> None:
-        """There is news: wake the sessions of nodes and the heartbeats to the other core machines."""
+        """Wake the sessions of nodes and the heartbeats to other core machines, to send new state."""
         self.node_sessions.wake_all()
         self.tail_service.heartbeat_now.wake()
 
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -1,4 +1,4 @@
-"""The sessions of nodes at a core machine: what each node is sent, and how far each has come."""
+"""The sessions of nodes at a core machine: what each node is sent, and which version it has applied."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
         self._send_heartbeat()
 
     def receive_heartbeat(self, heartbeat: message.SessionHeartbeat) -> None:
-        """Take the node's heartbeat: its time, and how far it has come."""
+        """Record the node's heartbeat: its time, and the log index that it has applied."""
         self.node_time = max(self.node_time, heartbeat.sent_at)
         self.parts.lease.record_heartbeat(self.member.id, heartbeat.index, self.parts.runtime.now())
         if heartbeat.index > self.applied_index:
@@ -147,7 +147,7 @@
         return [self.by_node[node] for node in sorted(self.by_node)]
 
     def wake_all(self) -> None:
-        """Let every session look for what is new to its node."""
+        """Wake every session, to send its node what is new."""
         for session in list(self.by_node.values()):
             session.changed.wake()
 
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -27,7 +27,7 @@
 
 
 def read_change(document: typing.Any) -> change_orders.ChangeOrder:
-    """A numbered change out of a request's body: a whole configuration, or items to put in and to remove.
+    """Parse a numbered change: a complete configuration, or items to put in and to remove.
 
     Raises:
         errors.ServiceError: `bad_request`, where the body is something else.
@@ -125,7 +125,7 @@
         self.counters = counters
 
     async def handle(self, request: http_server.Request) -> None:
-        """Answer one request."""
+        """Dispatch one request by method and path, and answer it."""
         path = request.path.decode("latin-1").split("?")[0].strip("/").split("/")
         match (request.method, path):
             case (b"GET", ["blueprint"]):
@@ -153,7 +153,7 @@
                 raise errors.ServiceError("not_found", "There is no such path.")
 
     async def plan(self, document: typing.Any) -> dict[str, typing.Any]:
-        """Make a plan of an operator's intent: a whole configuration, or a JSON Patch (RFC 6902)."""
+        """Compute and store a plan: a complete configuration or a JSON Patch (RFC 6902) against the committed one."""
         self.counters.plans += 1
         check_plan(document)
         read = await self.client.look("")
--- a/iriswheel/control/reports.py
+++ b/iriswheel/control/reports.py
@@ -39,7 +39,7 @@
             self.report_now.wake()
 
     def take_listing_unchanged(self, unchanged: message.ListingUnchanged | None) -> None:
-        """Take the word that the worker list has not changed, if it is the newest."""
+        """Record that the worker list is unchanged, if this is the newest such message."""
         if unchanged is not None and (
             self.listing_unchanged is None or unchanged.version > self.listing_unchanged.version
         ):
@@ -65,7 +65,7 @@
 
 
 class SessionReporter:
-    """Sends the reports."""
+    """Sends this core machine's reports to the tail of the present view."""
 
     def __init__(
         self,
--- a/iriswheel/control/tail_contact.py
+++ b/iriswheel/control/tail_contact.py
@@ -1,4 +1,4 @@
-"""What a core machine knows from the tail's heartbeats: whether it is in touch, and how far all nodes have come."""
+"""What a core machine knows from the tail's heartbeats: whether it may serve, and what all nodes have applied."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class TailContact:
-    """Takes the tail's heartbeats."""
+    """Receives the tail's heartbeats; wakes operators' calls that wait for a version to be applied."""
 
     def __init__(self, parts: core_parts.CoreParts, announce: collections.abc.Callable[[], None]) -> None:
-        """`announce` wakes those who pass on what a heartbeat brought."""
+        """Start without contact; `announce` wakes the node sessions and heartbeats that pass on new state."""
         self.parts = parts
         self.announce = announce
         self.answered_report = AnsweredReport()
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -43,7 +43,7 @@
 
 
 class TailService:
-    """On every core machine, since each may become the tail."""
+    """The tail's service; it exists on every core machine, since each may become the tail."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         sessions: node_session.NodeSessions,
         announce: collections.abc.Callable[[], None],
     ) -> None:
-        """`announce` wakes those who pass on a new membership."""
+        """Count every node as a lease holder at first; `announce` wakes what passes on a new membership."""
         self.parts = parts
         self.options = options
         self.contact = contact
@@ -92,7 +92,7 @@
         return self.holders.applied(self.parts.chain.committed_state.index, self.parts.runtime.now())
 
     async def take_leaving(self, leaving: message.MemberLeaving) -> None:
-        """Take the word of a node that leaves; where another machine is the tail, pass it on."""
+        """Remove a node that says it leaves; where another machine is the tail, pass the message on."""
         if self.parts.consensus.tail():
             self.parts.issuer.leave(leaving.member)
             self._announce_membership()
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -1,4 +1,4 @@
-"""The attempts under way at this node, and when one is cut short."""
+"""The attempts under way at this node, and the reasons to cancel one."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     import iriswheel.node.node as node
 
 CHECK_INTERVAL_US = 500 * units.MILLISECOND_US
-HANG_US = 1 * units.SECOND_US  # an attempt that nothing came on for so long hangs
+HANG_US = 1 * units.SECOND_US  # an attempt that received nothing for so long hangs
 
 log = loguru.logger.bind(part="door")
 
@@ -36,7 +36,7 @@
         self.attempts.pop(attempt_id, None)
 
     def cut_unreachable(self, worker: str) -> None:
-        """Wait no longer for a first byte of a worker that nobody reaches."""
+        """Cancel the attempts that wait for a first byte of a worker that no node reaches."""
         for attempt in [a for a in self.attempts.values() if a.worker == worker and not a.begun]:
             attempt.cut()
 
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -252,7 +252,7 @@
         self.begun = False  # whether the answer's head has come
 
     def cut(self) -> None:
-        """End it now: the worker has had its time.
+        """Cancel the attempt: its worker hangs, is unreachable, or its drain time is over.
 
         >>> attempt = Attempt("w1", 0); attempt.cut(); attempt.was_cut
         True
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -1,7 +1,7 @@
 """Forwarding of requests whose workers the node itself selects: place, send, stream, resume elsewhere.
 
-Nothing waits here. A request goes to a worker at once, or is refused at once; what is known of
-it decides which: a promise that it did not run, or none.
+No request is queued here: it is sent to a worker or refused at once. A refusal says whether the
+request may have run, by what is known of its attempts.
 """
 
 from __future__ import annotations
@@ -158,7 +158,7 @@
     # ---- attempts ---------------------------------------------------------------------
 
     async def forward(self, routed: routed_request.RoutedRequest) -> None:
-        """Carry one request to its end; it ends at once when its client disconnects.
+        """Forward one request until it is answered; cancelled when its client disconnects.
 
         Raises:
             errors.ServiceError: The request is refused or given up before any byte of an answer.
@@ -224,7 +224,7 @@
         outcome: attempt_outcome.AttemptOutcome,
         stream: answer_stream.AnswerStream,
     ) -> None:
-        """Draw the conclusions from an attempt that was refused, failed or broke off."""
+        """Record a refused, failed or broken attempt: exclude its worker, and note whether it may have run."""
         request.shun.add(stream.worker)
         match outcome:
             case attempt_outcome.AttemptOutcome.REFUSED:
@@ -282,8 +282,8 @@
         Args:
             request: The request.
             code: The error's code, where the request did not run.
-            text: What to say of it.
-            retry_us: When it is worth to come back.
+            text: The error's text.
+            retry_us: After how long the client should retry.
         """
         if request.may_have_run:
             return errors.ServiceError("worker_broke", text, errors.ExecutionOutcome.MAY_HAVE_RUN)
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -1,4 +1,4 @@
-"""A node's side towards clients: serves each request from its arrival to its end."""
+"""A node's entry point for clients: admission, worker selection, attempts and the answer of each request."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     import iriswheel.transport.http_server as http_server
     import iriswheel.transport.message as message
 
-MAX_ATTEMPTS = 4  # that broke, for a request whose route has no lower bound
+MAX_ATTEMPTS = 4  # attempts that may break per request, where the route sets no lower bound
 SHORT_BACKLOG, SHORT_CONCURRENCY = 512, 256
 LONG_BACKLOG, LONG_CONCURRENCY = 64, 48
 
@@ -55,7 +55,11 @@
         self.closed = scheduler.Signal()  # wakes when a request has ended
 
     async def handle(self, request: http_server.Request) -> None:
-        """Serve one request from its arrival to its end."""
+        """Serve a status call, a peer's relayed request, or a client's request.
+
+        Raises:
+            errors.ServiceError: The request is refused; the HTTP server answers with this error.
+        """
         match (request.method, request.path.decode("latin-1")):
             case (b"GET", edge_protocol.READY_PATH):
                 if self.node.stopping:
@@ -80,7 +84,10 @@
             self.closed.wake()
 
     async def serve(self, http_request: http_server.Request) -> None:
-        """Admit a request, and forward it by the way that its pool's workers are selected."""
+        """Admit a request; forward it at once where this node selects the worker, else through a work queue.
+
+        Only requests that wait for a pool owner are queued: a node that selects by itself sends or refuses at once.
+        """
         attempt_id = f"{self._next_id()}/0"
         request = routed_request.RoutedRequest(http_request, attempt_id, self.runtime.now())
         self.router.admit(request)
@@ -94,7 +101,7 @@
         await request.done
 
     async def forward(self, request: routed_request.RoutedRequest) -> None:
-        """Forward one request from a work queue; it ends at once when its client disconnects."""
+        """Run one request of a work queue and fire its `done`; the work is cancelled when its client disconnects."""
         if request.request.gone:
             self.counts["gone"] += 1
             request.done.callback(None)
@@ -154,7 +161,7 @@
     async def send(
         self, request: routed_request.RoutedRequest, worker: message.Worker, attempt: dispatch.Attempt, via: str
     ) -> attempt_outcome.AttemptOutcome:
-        """Send to a worker; by way of the member `via` where this node does not reach it."""
+        """Send to a worker; relayed by the member `via` where this node has no connection to the worker."""
         sender = self.node.sender
         peer = self.node.follower.member(via) if worker.id in self.node.reach.lost else None
         attempt.via = peer is not None
@@ -172,7 +179,7 @@
         )
 
     async def relay_for_peer(self, request: http_server.Request) -> None:
-        """Pass a request of a peer on to its worker; the peer answers to the client."""
+        """Send a peer's request to a worker that the peer can't reach; the peer answers to the client."""
         outcome = attempt_outcome.AttemptOutcome.UNSENT
         worker = self.relays.redeem_token(request)
         if worker is not None:
@@ -195,5 +202,5 @@
 
 
 def max_attempts(request: routed_request.RoutedRequest) -> int:
-    """Return to how many workers a request may go that breaks at each of them."""
+    """Return how many attempts of a request may break before it is given up."""
     return min(MAX_ATTEMPTS, request.route.sends or MAX_ATTEMPTS)
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -1,4 +1,4 @@
-"""Who reaches which worker: what a node hears of workers, and how a pool owner finds one unreachable.
+"""Reachability of workers: contact and lost connections of a node, and a pool owner's verdict of unreachable.
 
 A worker that answers anything to anybody is alive. One node's bad link makes no worker
 unreachable: that takes the pool owner and a witness on another node, and neither may reach it.
@@ -23,7 +23,7 @@
 
 PROBE_US = 500 * units.MILLISECOND_US
 CONNECT_US = 300 * units.MILLISECOND_US  # for a bare connection
-CHECK_US = 1 * units.SECOND_US  # for the witnesses' answers
+CHECK_US = 1 * units.SECOND_US  # for the answers of the members that probe as well
 RECENT_US = 1 * units.SECOND_US  # heard this lately, a worker needs no check
 MUTE_US = 2 * units.SECOND_US  # connects but says nothing for this long: unreachable, if it ever spoke
 WALK_US = 2 * units.SECOND_US
@@ -37,7 +37,7 @@
 
 
 class Reachability:
-    """What one node hears of the workers itself."""
+    """One node's own contact with the workers: when each last answered, and to which it has no connection."""
 
     def __init__(self, node: node.Node) -> None:
         self.node = node
@@ -58,7 +58,7 @@
         self.runtime.spawn(self._seek(worker), log)
         for other in self.node.follower.workers:
             if other.id not in self.lost and other.state != "gone":
-                self.runtime.spawn(self._try_connect(other), log)  # the rest may be out of reach as well
+                self.runtime.spawn(self._try_connect(other), log)  # a cut network may hide the other workers too
 
     async def walk(self) -> None:
         """Now and then, try to connect to the workers that were not heard here for a while."""
@@ -66,7 +66,7 @@
             await self.runtime.sleep(WALK_US)
             for worker in self.node.follower.workers:
                 if not self.node.follower.selected_by_owner(worker.pool):
-                    continue  # what is sent there tells of it
+                    continue  # the node's own attempts show whether these are reachable
                 if worker.state == "ready" and worker.id not in self.lost and worker.id not in self.last_contact:
                     self.runtime.spawn(self._try_connect(worker), log)
 
@@ -173,7 +173,7 @@
             await self.runtime.sleep(PROBE_US)
 
     async def check(self, worker: message.Worker) -> None:
-        """Have this node and the copies' nodes probe a worker; decide whether it is unreachable."""
+        """Probe a worker from this node and from the nodes that keep copies; decide whether it is unreachable."""
         if worker.id in self.checks:
             await self.checks[worker.id].wait()
             return
--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -1,4 +1,4 @@
-"""Asking a pool's owner for a worker, and telling it that a grant is over."""
+"""A node's calls to pool owners: select a worker, release a grant."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 SILENT_US = 600 * units.MILLISECOND_US  # a pool owner not heard for this long is silent
 CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
 ANSWER_MARGIN_US = 500 * units.MILLISECOND_US  # how long an answer is waited for beyond the request's own time
-GIVEN_UP_US = 10 * units.SECOND_US  # how long pool owners are told of an attempt that was given up
+GIVEN_UP_US = 10 * units.SECOND_US  # how long grant reports list an attempt that was given up
 
 Selection: typing.TypeAlias = message.SelectionDenied | message.SelectionGranted
 
@@ -67,7 +67,10 @@
         return await self._ask_peer(owner, query, left_us)
 
     def release(self, request: routed_request.RoutedRequest, outcome: errors.ExecutionOutcome) -> None:
-        """Tell the pool owner that a grant is over, or was never used."""
+        """Release a request's grant at the pool owner, with the outcome of its attempt.
+
+        The notice may be lost; NOT_RUN is therefore repeated in grant reports for GIVEN_UP_US.
+        """
         if not request.grant_requested:
             return
         request.grant_requested = False
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -30,7 +30,7 @@
 MAX_PARTS = 512  # parts remembered per worker
 LONG_TOKENS = 4_000  # of a prompt, shared parts and all, from which on it is long
 SPARED_RATIO = 0.34  # of the workers that read no long prompts
-HEAVY_TOKENS = 2_000  # to read, from which on all other nodes are told at once
+HEAVY_TOKENS = 2_000  # to read, from which on the load is reported to other nodes at once
 REREAD_FACTOR = 15  # reading a shared part anew counts so many times its time: others wait, and parts give way
 JITTER_US = 3_000  # workers nearer than this are alike
 OTHERS_VALID_US = 1_500 * units.MILLISECOND_US  # others' sums older than this count for nothing
@@ -447,7 +447,7 @@
     def export(self) -> list[LoadRow]:
         """Return this node's own load, for the load exchange.
 
-        Suspicion travels in steps of ten percent, so that its fading is not news all the time.
+        Suspicion travels in steps of ten percent, so that its decay does not cause a report each time.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.blame("w1", 0.5)
         >>> placement.export()
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -1,4 +1,4 @@
-"""Admission of a request: what the client says of it, its route and pool, its terms, this node's tally."""
+"""Admission of a request: parsing, route and pool, session terms, and its count in the retry budget."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class RequestRouter:
-    """Fills in a request by this node's copy of the configuration."""
+    """Sets the fields of a request that follow from this node's copy of the configuration."""
 
     def __init__(self, node: node.Node, budgets: node_budgets.NodeBudgets) -> None:
         self.node = node
@@ -47,7 +47,7 @@
             self._set_terms(request)
 
     def _parse(self, request: routed_request.RoutedRequest) -> None:
-        """Read what the client says about the request."""
+        """Check method and length, and parse the request's id, attempt number, idempotence and body."""
         http_request, headers = request.request, request.request.requestHeaders
         if http_request.method != b"POST" and not self.node.outer.any_method:
             raise errors.ServiceError("bad_method", "Exchanges are sent with POST.")
@@ -64,7 +64,10 @@
         request.raw = http_request.content.read()
 
     def _route(self, request: routed_request.RoutedRequest) -> None:
-        """Find the route: the longest path that fits; then its pool."""
+        """Find the route by host and longest matching path, then its pool.
+
+        Without a route, a node that may have missed a change answers `not_ready`: the route may exist by now.
+        """
         follower = self.node.follower
         if follower.items is None:
             raise errors.ServiceError("not_ready", "This node has no blueprint yet.")
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -1,4 +1,4 @@
-"""Getting a worker for a request from its pool's owner, and the bypass for sessions while that owner is silent."""
+"""Worker selection by a pool's owner, and the bypass to a session's known worker while that owner is silent."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class WorkerSelector:
-    """Selects workers by asking the pools' owners; remembers where sessions are pinned."""
+    """Selects workers by asking the pools' owners; remembers each session's worker for when an owner is silent."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
         return not follower.settled() or not follower.has_worker_update() or follower.stale()
 
     def _accept(self, request: routed_request.RoutedRequest, grant: message.SelectionGranted) -> SelectedWorker | None:
-        """Take a grant; returns None, and gives it back, where it holds no longer."""
+        """Accept a grant; returns None and releases it where it came too late or the worker may no longer be used."""
         pool_name = request.pool_name
         assignment = self.owners.assignment(pool_name)
         worker = self.node.follower.states.get(grant.worker)
@@ -158,7 +158,10 @@
         raise errors.ServiceError(denial.code, denial.text, outcome, denial.retry_us)
 
     def _bypass(self, request: routed_request.RoutedRequest, shun: list[str]) -> SelectedWorker | None:
-        """While the pool owner is silent: return the worker of a session known to be pinned, or None."""
+        """While the pool owner is silent, return the worker that this node last used for the session, or None.
+
+        Only a first attempt of an idempotent request may go without the owner, who keeps claims and retry budget.
+        """
         if not request.idempotent or not request.session or request.is_repeat:
             return None  # repeats go by the pool owner's budget
         key = (request.pool_name, request.session)
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -94,7 +94,7 @@
             self.listing = listing
 
     def take(self, report: message.NodeSessionsReport) -> None:
-        """Take a core machine's report of its nodes, and issue a membership if there is news."""
+        """Take a core machine's report of its nodes, and issue a membership if it changed."""
         view = self.consensus.view
         if not self.consensus.tail() or view is None or report.view != view.number:
             return
@@ -132,7 +132,7 @@
         return self.latest is not None and self.latest.version[0] == self.view == self._view_number()
 
     def issue(self) -> None:
-        """Issue a membership if there is news; only ever under the lease."""
+        """Issue a membership if it changed; only under the tail's lease, so that just one machine issues."""
         if not self.consensus.leased() or self.view != self._view_number():
             return
         now = self.runtime.now()
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -3,8 +3,8 @@
 The session that stands is the one on which a core machine last renewed the node's lease.
 When heartbeats with a lease stop coming, the node opens sessions with further core
 machines beside it, a few at a time and without waiting for any one of them, and moves to
-the first that renews the lease. News of the configuration is taken from all of them, since
-a committed change stays whoever tells it.
+the first that renews the lease. Configuration updates are accepted from all of them, since
+a change that any core machine sends is committed.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 """The old session ends so long after the new one stands."""
 
 NEARER_INTERVAL_US = 10 * units.SECOND_US
-"""The time between looks for a core machine of the node's own zone."""
+"""The time between attempts to move to a core machine of the node's own zone."""
 
 RECENT_CONTACT_US = 800 * units.MILLISECOND_US
 """A lease renewed within this time counts as contact; leases come four times a second."""
@@ -107,7 +107,7 @@
                 self.addresses.append(address)
 
     def order(self) -> list[Address]:
-        """Where to look for a core machine, the best first.
+        """The addresses of core machines in the order in which to try them.
 
         Those of the membership go before older addresses, those of this node's own zone first,
         and what was tried a moment ago last.
@@ -128,17 +128,17 @@
     # ---- messages ---------------------------------------------------------------
 
     def tell(self, msg: message.Message) -> None:
-        """Tell the core something, if the session stands."""
+        """Send the core machine of this session a message; dropped where there is no connection."""
         if self.connection is not None:
             self.connection.tell(msg)
 
     def heartbeat(self) -> message.SessionHeartbeat:
-        """This node's heartbeat: how far it has come, and its time."""
+        """This node's heartbeat: the configuration and membership versions that it has, and its time."""
         follower = self.follower
         return message.SessionHeartbeat(follower.applied(), follower.membership.version, None, self.runtime.now())
 
     def serve(self, connection: wire.Connection, msg: message.Message) -> None:
-        """Take what a core machine sends."""
+        """Handle a message of a core machine: redirect, lease renewal, or an update for the follower."""
         if connection is not self.connection and connection not in self.candidates:
             return
         match msg:
@@ -174,7 +174,7 @@
     # ---- tasks --------------------------------------------------------------------
 
     def reset(self) -> None:
-        """After a freeze: what the connections still hold is old."""
+        """Close all connections after a freeze: what is still buffered on them is out of date."""
         for connection in [self.connection, *self.candidates]:
             if connection is not None:
                 connection.close()
@@ -238,7 +238,7 @@
         self.runtime.spawn(self._attempt(address), log)
 
     async def _attempt(self, address: Address) -> None:
-        """Open a session beside the one that stands, and give it some time to bring a lease."""
+        """Open a candidate session beside the present one; closed where it brings no lease within ATTEMPT_US."""
         try:
             connection = await wire.connect(self.runtime, *address, self.serve, log)
             self.candidates[connection] = address
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -1,7 +1,7 @@
 """A node's view of the fleet: its slice of the configuration, the membership, the workers.
 
-The node keeps one session with a core machine. It follows the numbered feed from its
-place on; what it has never goes back.
+The node keeps one session with a core machine and applies its snapshots and updates in the
+order of log indexes; an older one never replaces a newer one.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 """How long a thawed node waits for its session."""
 
 STALE_US = 2_500 * units.MILLISECOND_US
-"""Worker news older than this is not relied on."""
+"""A worker list confirmed longer ago than this is not relied on."""
 
 ORPHAN_US = 1_500 * units.MILLISECOND_US
-"""Without news of workers for this long, a node asks for itself."""
+"""Without an update of the worker list for this long, a node asks the platform itself."""
 
 PEER_QUERY_INTERVAL_US = 500 * units.MILLISECOND_US
 TICK_US = 400 * units.MILLISECOND_US
@@ -92,7 +92,7 @@
 
     @property
     def updated_at(self) -> int | None:
-        """When news of workers last came, in µs; None before the first."""
+        """When the worker list was last sent or confirmed, in µs; None before the first."""
         return self.worker_list.updated_at
 
     def assignment(self, key: str) -> message.RoleAssignment | None:
@@ -154,7 +154,7 @@
         self.ticked_at = now
 
     def stale(self) -> bool:
-        """Whether a change may be in force elsewhere that this node has not heard of.
+        """Whether this node may have missed a change that is in force on other nodes.
 
         While its lease runs, no change is acknowledged that this node has not applied. Without
         a lease a node goes on only where cut_off() does not speak against it. A node that
@@ -170,7 +170,7 @@
         return self.peer_status.any_ahead(self.applied_index)
 
     def has_worker_update(self) -> bool:
-        """Whether the news of workers is fresh enough to send by."""
+        """Whether the worker list is recent enough to send requests by."""
         updated_at = self.updated_at
         if self.options.serve_on:
             return updated_at is not None
@@ -192,14 +192,14 @@
         return any(peer.id not in without_core for peer in self.peers())
 
     def orphan(self) -> bool:
-        """Whether this node has a configuration, but has had no news of workers for a while."""
+        """Whether this node has a configuration, but no update of the worker list for ORPHAN_US."""
         return self.items is not None and self._without_worker_news_for(ORPHAN_US)
 
     def _without_worker_news_for(self, duration_us: int) -> bool:
         updated_at = self.updated_at
         return updated_at is None or self.runtime.now() - updated_at > duration_us
 
-    # ---- taking news -----------------------------------------------------------------
+    # ---- applying updates ------------------------------------------------------------
 
     def apply_items(self, index: int, items: ItemUpdate, whole: bool) -> None:
         """Apply a snapshot or an update of the slice; one older than what is here is dropped.
@@ -267,11 +267,11 @@
             self.apply_workers(listing.workers)
 
     def apply_listing_unchanged(self, unchanged: message.ListingUnchanged) -> bool:
-        """The platform's list is as it was when it was last told whole; False where that is not known here."""
+        """Record that the platform's list is unchanged since a full listing; False where that is not known here."""
         return self.worker_list.accept_unchanged(unchanged, self.runtime.now())
 
     def apply_polled_workers(self, workers: list[message.Worker]) -> None:
-        """Take a list that another node had to ask for itself, where this one lacks news too."""
+        """Take a list that another node polled from the platform, where this one has no recent list either."""
         if self._without_worker_news_for(ORPHAN_US // 2):
             self.apply_workers(workers)
 
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -25,7 +25,7 @@
 
     def __init__(self, node: node.Node) -> None:
         self.node = node
-        # what the core machine of this session was told; None: nothing yet
+        # the load last reported on this session; None: nothing yet
         self.last_reported: load_table.LoadTable | None = None
         self.connection: wire.Connection | None = None
         self.report_now = scheduler.Signal()
@@ -47,7 +47,7 @@
         }
 
     def report(self) -> None:
-        """Tell the core machine what changed; a new session is told all."""
+        """Report the changed load to the core machine; on a new session, all of it."""
         session = self.node.follower.session
         if session.connection is not self.connection:
             self.connection, self.last_reported = session.connection, None
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -35,7 +35,7 @@
 
 
 class Node:
-    """The whole process, but for sockets and command line."""
+    """Composes a node process; the sockets and the command line are in `cli`."""
 
     def __init__(
         self, runtime: scheduler.Runtime, options: options.Options, formats: edge_protocol.EdgeProtocol | None = None
@@ -182,7 +182,7 @@
     # ---- messages -----------------------------------------------------------------------
 
     def tell_member(self, identifier: str, notice: message.Message) -> None:
-        """Tell a member something; this node itself is told straight away."""
+        """Send a member a notice without an answer; one to this node itself is handled at once."""
         if identifier == self.member.id:
             self.serve(None, notice)
             return
--- a/iriswheel/node/peer_requests.py
+++ b/iriswheel/node/peer_requests.py
@@ -1,4 +1,4 @@
-"""What a node answers to the messages of other nodes."""
+"""Dispatch of the messages of other nodes to the part of the node that handles each."""
 
 from __future__ import annotations
 
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -1,6 +1,6 @@
 """Asking the platform for its workers, and telling the other nodes.
 
-One node has the role to ask. Others do so only while they have had no news for a while.
+One node has the role to ask. Others do so only while they have had no worker list for a while.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 MAX_RETRY_DOUBLINGS = 3
 MAX_SPREAD_US = 4 * units.SECOND_US
-"""Nodes without news spread their questions over at most so long."""
+"""Nodes without a recent worker list spread their polls of the platform over at most so long."""
 
 PAGE_DEADLINE_US = 1 * units.SECOND_US
 MAX_PAGES = 200
@@ -46,8 +46,8 @@
         self.runtime = follower.runtime
         self.options = follower.options
         self.list_now = scheduler.Signal()  # woken once this node has a configuration
-        self.full_listing: message.WorkerListing | None = None  # the last list that the others were told whole
-        self._sent_on: wire.Connection | None = None  # the session on which the core was told it whole
+        self.full_listing: message.WorkerListing | None = None  # the last listing that was sent in full
+        self._sent_on: wire.Connection | None = None  # the session on which the core got it in full
         self._missed: dict[str, int] = {}  # worker -> how many answers in a row did not list it
         self._count = 0  # of the listings made here
         self._failures = 0  # in a row
@@ -66,7 +66,7 @@
         return sorted(workers + kept, key=lambda worker: worker.id)
 
     async def run(self) -> None:
-        """Ask the platform for its workers, where that is this node's role or no news of workers comes.
+        """Ask the platform for its workers, where that is this node's role or no worker list comes.
 
         Many nodes ask at once when the role's holder is lost: each first waits a while by
         chance, as long as all members together need at half of the platform's rate, and the
@@ -129,7 +129,7 @@
         raise ValueError("The platform's list has no end.")
 
     def _publish(self, assignment: message.RoleAssignment, workers: list[message.Worker]) -> None:
-        """Tell the core and the other nodes: the whole list where it changed, else that it stands."""
+        """Send the core and the other nodes the full list where it changed, else that it is unchanged."""
         self._count += 1
         listing = message.WorkerListing(workers, (assignment.term[0], assignment.term[1], self._count))
         last = self.full_listing
--- a/iriswheel/node/shutdown.py
+++ b/iriswheel/node/shutdown.py
@@ -16,7 +16,7 @@
 """A node goes once no request was open for so long."""
 
 LAST_BYTES_US = 200 * units.MILLISECOND_US
-"""For the last bytes of what was answered."""
+"""How long the process stays after its last request, for the last bytes to go out."""
 
 MAX_NOTICE_US = 3 * units.SECOND_US
 """The longest wait for the platform's question whether this node is ready."""
@@ -29,8 +29,8 @@
 async def stop_gracefully(stopping_node: node.Node) -> None:
     """Say not ready, hand the roles over, let streams end, leave; all of it within the grace.
 
-    Newcomers are served until the platform has heard that this node is not ready and
-    has had a moment to hand clients elsewhere, and while requests are open up to
+    New requests are served until the platform has heard that this node is not ready and
+    has had a moment to send clients elsewhere, and while requests are open up to
     half of the grace; a last eighth of it is kept back.
     """
     gateway = stopping_node.gateway
--- a/iriswheel/node/worker_list.py
+++ b/iriswheel/node/worker_list.py
@@ -17,10 +17,10 @@
     def __init__(self) -> None:
         self.workers: list[message.Worker] = []
         self.states: dict[str, message.Worker] = {}  # by id
-        self.updated_at: int | None = None  # when news of workers last came, in µs
+        self.updated_at: int | None = None  # when the list was last sent or confirmed, in µs
         self._drain_deadlines: dict[str, int] = {}  # worker that is not ready -> when its streams must have ended
-        self._version: ListingVersion = (0, 0, 0)  # of the newest listing, whole or unchanged
-        self._whole_version: ListingVersion = (0, 0, 0)  # under which the list that is known here came whole
+        self._version: ListingVersion = (0, 0, 0)  # of the newest listing, full or unchanged
+        self._whole_version: ListingVersion = (0, 0, 0)  # of the full listing that is known here
 
     def state(self, worker: str) -> str:
         """Return a worker's state: "ready", "leaving" or "gone"."""
@@ -32,14 +32,14 @@
         return now > self._drain_deadlines.get(worker, now)
 
     def accept_listing(self, listing: message.WorkerListing) -> bool:
-        """Note the version of a whole listing; False where a newer one came before."""
+        """Note the version of a full listing; False where a newer one came before."""
         if listing.version < self._version:
             return False
         self._version = self._whole_version = listing.version
         return True
 
     def accept_unchanged(self, unchanged: message.ListingUnchanged, now: int) -> bool:
-        """Note that the list stands as it was told whole; False where that whole list never came here."""
+        """Note that the list is unchanged since a full listing; False where that listing never came here."""
         if unchanged.unchanged_since != self._whole_version:
             return self._whole_version > unchanged.unchanged_since
         self._version = max(self._version, unchanged.version)
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -1,8 +1,8 @@
-"""The pool owner: the one node that answers for a pool, under a term.
+"""The pool owner: the node whose role is to select a pool's workers, under a term.
 
 It owns the pool's session records, the slots of its workers, the load in flight and
-the claims on requests that may not be repeated. Copies of records and claims stand on
-other nodes before it answers; a new pool owner gathers them before it answers anything.
+the claims on requests that may not be repeated. New sessions and claims
+are replicated to other nodes before their grant is answered; a new pool owner gathers them before it answers anything.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     import iriswheel.pools.session_replicas as session_replicas
 
 GRANT_USE_US = 2 * units.SECOND_US
-"""How long a grant may lie unused at its node."""
+"""Sent with each grant as the time for which it may be used; nodes go by the request's own time limit instead."""
 
 GATHER_RETRY_US = 200 * units.MILLISECOND_US
 ACTIVATION_RETRY_US = 100 * units.MILLISECOND_US
@@ -70,7 +70,7 @@
         self.waiting = 0  # requests that wait for a worker
         self.gathered = False
         self.since = self.runtime.now()
-        self.broken_until = self.since + claims.RETENTION_US  # until when claims of earlier owners may be missing
+        self.broken_until = self.since + claims.RETENTION_US  # until when claims of earlier owners may be missing here
         self.watch = health.WorkerWatch(self)
         self.selector = selection.WorkerSelector(pool, self.records, self.watch)
         self.replicator = replication.RecordReplicator(self)
@@ -78,7 +78,7 @@
         self.over = False
         self.counts = {"elects": 0, "pinned": 0, "opened": 0, "closed": 0, "claims": 0, "denied": 0}
 
-    # ---- life --------------------------------------------------------------------
+    # ---- role --------------------------------------------------------------------
 
     def live(self) -> bool:
         """Whether this term still is the newest that this node knows."""
@@ -119,18 +119,18 @@
         )
 
     def end(self) -> None:
-        """Answer no more: the role has gone elsewhere."""
+        """Stop answering: another member holds the role, under a newer term."""
         self.over = True
         self.freed.wake()
 
     def leave_to(self, replica: session_replicas.SessionReplica) -> None:
-        """Leave the records, if they are whole, to this node's own replica for the next owner."""
+        """Put the records, if all were gathered, into this node's own replica for the next owner."""
         if self.gathered:
             now = self.runtime.now()
             replica.replace(*self.records.export(now), self.broken_until, now)
 
     async def sweep(self) -> None:
-        """Forget expired records every few seconds; now and then send all records to the copies."""
+        """Drop expired records every few seconds; every SWEEPS_PER_SNAPSHOT sweeps replicate all records."""
         sweeps = 0
         while self.live():
             await self.runtime.sleep(sessions.SWEEP_US)
@@ -145,7 +145,7 @@
         """Close the sessions of workers that are no longer ready, release the grants of lost nodes."""
         follower = self.node.follower
         if follower.updated_at is None:
-            return  # no list yet: nobody is known to have gone
+            return  # no worker list yet: a missing worker may only be unlisted
         unavailable = [
             worker
             for worker in self.records.session_table.at
@@ -160,7 +160,7 @@
     # ---- grants ------------------------------------------------------------------
 
     def release(self, attempt_id: str, outcome: errors.ExecutionOutcome) -> None:
-        """End a grant, by its node's word."""
+        """End a grant with the outcome that its node reports."""
         self.records.release(attempt_id, outcome, self.runtime.now())
 
     def take_report(self, report: message.GrantReport) -> None:
@@ -269,7 +269,7 @@
             self.waiting -= 1
 
     async def _check_unreached(self, workers: list[str]) -> None:
-        """Check the workers that the asking node does not reach: perhaps nobody does."""
+        """Check the workers that the requesting node could not reach: perhaps no node reaches them."""
         for name in workers:
             worker = self.node.follower.states.get(name)
             if worker is not None and worker.state == "ready" and name not in self.watch.dark:
@@ -346,7 +346,10 @@
         return None
 
     async def grant(self, request: message.SelectWorker, worker: str) -> SelectionResponse:
-        """Write the records of a grant; answer once copies stand where they must."""
+        """Record a grant; answer once what it opened or claimed is replicated.
+
+        Without the copies, an owner after this one could grant a request again that may not be repeated.
+        """
         now = self.runtime.now()
         session, opened = self._use_session(request, worker, now)
         if session is not None:
@@ -407,7 +410,7 @@
         claim: claims.Claim | None,
         affinity: bool,
     ) -> SelectionResponse:
-        """Answer a grant once all copies have its records; take it back where they don't in time."""
+        """Answer a grant once all copies have its records; release it where they don't confirm in time."""
         now = self.runtime.now()
         update = self.replicator.update(
             [sessions.to_message(opened, now)] if opened is not None else [],
--- a/iriswheel/pools/pool_records.py
+++ b/iriswheel/pools/pool_records.py
@@ -17,7 +17,7 @@
 import iriswheel.transport.message as message
 
 ABANDONED_RETENTION_US = 60 * units.SECOND_US
-"""How long an attempt that was given up before its request came here gets no grant."""
+"""How long an attempt is refused whose node gave it up before its query arrived here."""
 
 LOST_GRANT_US = 3 * units.SECOND_US
 """A grant that its node has not listed for so long is taken for lost."""
@@ -40,7 +40,7 @@
         self.load_by_worker: dict[str, in_flight.InFlightLoad] = {}
         self.abandoned: dict[str, int] = {}  # attempt id -> until when it gets no grant
         self.budget = retry_budget.Budget()  # of the whole fleet's sends to this pool
-        # what the copies do not know yet
+        # changed since the last update to the copies
         self.changed_sessions_and_claims: dict[str, claims.Claim | sessions.Session[str]] = {}
         self.closed_ids: dict[str, None] = {}
 
--- a/iriswheel/pools/replication.py
+++ b/iriswheel/pools/replication.py
@@ -60,9 +60,9 @@
         )
 
     async def copy(self, update: message.ReplicateRecords) -> bool:
-        """Put an update on every node that keeps copies; False unless all of them took it.
+        """Send an update to every node that keeps copies; False unless all of them confirmed it.
 
-        Where one of them has seen a newer term, this owner ends.
+        A copy that has seen a newer term refuses; this owner then ends, as another holds the role.
         """
         owner = self.owner
         members = [member for member in self.node.follower.membership.members if member.id in owner.assignment.copies]
--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -92,7 +92,7 @@
 
 
 class Takeover:
-    """One pool owner's way to its records."""
+    """Gathers the records of one new pool owner and replicates them."""
 
     def __init__(self, owner: pool_owner.PoolOwner) -> None:
         self.owner = owner
--- a/iriswheel/replication/chain.py
+++ b/iriswheel/replication/chain.py
@@ -118,7 +118,7 @@
         self.runtime.spawn(self._start(view), log)
 
     async def _start(self, view: message.View) -> None:
-        """In a new view: commit what the whole chain holds, and feed the next replica."""
+        """In a new view: at the tail, commit what all replicas hold; elsewhere, feed the next replica."""
         async with self.log.lock:
             pass  # a write that an earlier view began ends first
         if self.position.is_tail_of(view.number):
--- a/iriswheel/replication/proposals.py
+++ b/iriswheel/replication/proposals.py
@@ -51,7 +51,7 @@
 
 
 class Proposals:
-    """Takes operators' changes at the head."""
+    """Admits operators' changes at the head, one at a time, against the newest state of the log."""
 
     def __init__(
         self,
--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -18,7 +18,7 @@
 
 
 class Receiver:
-    """Answers the replica before this one in the chain."""
+    """Handles the calls of the replica before this one in the chain."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self.incoming = snapshot_transfer.IncomingSnapshot()
 
     async def answer_position(self, request: message.PositionRequest) -> message.PositionResponse:
-        """How far this replica has come, once no write is under way that would change it."""
+        """Answer with the newest synced position, once no write is under way that would change it."""
         async with self.log.lock:
             if not self.position.follows_in(request.view):
                 return message.PositionResponse(False)
--- a/iriswheel/replication/sender.py
+++ b/iriswheel/replication/sender.py
@@ -21,7 +21,7 @@
 
 
 class Sender:
-    """Feeds the next replica, first by catching it up, then entry by entry."""
+    """Sends the log to the next replica: first what it lacks (catch-up), then new entries in batches."""
 
     def __init__(
         self,
--- a/iriswheel/replication/tail.py
+++ b/iriswheel/replication/tail.py
@@ -12,7 +12,7 @@
 
 
 class Tail:
-    """Commits and reads at the tail."""
+    """Commits entries and answers reads while this machine is the tail."""
 
     def __init__(self, position: chain_position.ChainPosition, log: replicated_log.ReplicatedLog) -> None:
         self.position = position
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -124,7 +124,7 @@
         self.channel.loseConnection()
 
     def process(self) -> None:
-        """Have the server's handler answer a request that has come in whole."""
+        """Start the server's handler for a request whose body is complete."""
         if self.refused is not None:
             return
         self.lost = scheduler.Signal()
@@ -163,7 +163,7 @@
         self.answer(status, json.dumps(document).encode() + b"\n")
 
     def answer(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
-        """Give a whole answer at once; a client that has gone away gets none."""
+        """Send a complete answer; nothing is sent to a client that has disconnected."""
         if self.gone or self.finished or self.startedWriting:
             return
         self.setResponseCode(status, http_status.HTTPStatus(status).phrase.encode())
@@ -175,7 +175,7 @@
         self.finish()
 
     def break_off(self) -> None:
-        """Break an answer that has begun, so that nobody takes it for whole."""
+        """Abort an answer that has begun, so that the client does not take it for complete."""
         if not self.gone and not self.finished:
             self.channel.transport.abortConnection()
 
--- a/iriswheel/transport/messages/membership.py
+++ b/iriswheel/transport/messages/membership.py
@@ -65,7 +65,7 @@
 
 
 class ListingUnchanged(message_base.Message, tag="Same", frozen=True):
-    """The worker list of `version` is the one that was sent whole under `unchanged_since`."""
+    """The worker list of `version` is the one that was sent in full under `unchanged_since`."""
 
     version: message_base.ListingVersion
     unchanged_since: message_base.ListingVersion
@@ -102,11 +102,11 @@
 
 
 class TailHeartbeat(message_base.Message, tag="Beat", frozen=True):
-    """The heartbeat from the tail to the cores, and from a core to its nodes."""
+    """The heartbeat from the tail to the cores; a core sends its nodes a `SessionHeartbeat`."""
 
     view: int
     index: int
-    applied_by_all: int  # every member has applied the log at least up to this index
+    applied_by_all: int  # every node that may hold a lease has applied the log up to here
     sessions: int  # members that have a session
     membership: Membership | None
     listing_unchanged: ListingUnchanged | None = None
--- a/iriswheel/transport/messages/node_peers.py
+++ b/iriswheel/transport/messages/node_peers.py
@@ -11,7 +11,7 @@
 
 
 class ListingRequest(message_base.Message, tag="Relist", frozen=True):
-    """The list that a `ListingUnchanged` names is not known here: send it whole."""
+    """The list that a `ListingUnchanged` names is not known here: send it in full."""
 
 
 class CoreStatusQuery(message_base.Message, tag="HowGoes", frozen=True):
--- a/iriswheel/transport/messages/pools.py
+++ b/iriswheel/transport/messages/pools.py
@@ -22,7 +22,7 @@
     attempt: int  # number of the client's attempt, from 1
     node: str
     attempt_id: str
-    state: str  # "claimed", "void" or "ran"
+    state: str  # a `pools.claims.ClaimState`: "claimed" or "ran"
     left_us: int  # until it expires, counted from when the message was sent
 
 
@@ -59,7 +59,7 @@
 
 
 class SelectionGranted(message_base.Message, tag="Granted", frozen=True):
-    """The answer to `SelectWorker`: the worker, and for how long the grant may be used."""
+    """The answer to `SelectWorker`: the worker that was selected, under the term of the pool owner."""
 
     term: message_base.Term
     worker: str
@@ -94,7 +94,7 @@
 
 
 class GrantReleased(message_base.Message, tag="Done", frozen=True):
-    """A grant is over: used, or given back."""
+    """A grant has ended; `execution` says whether its attempt ran."""
 
     pool: str
     attempt_id: str
