--- a/iriswheel/control/change_orders.py
+++ b/iriswheel/control/change_orders.py
@@ -131,7 +131,7 @@
     Where the id of an order may have been forgotten, nobody knows whether it was taken.
     """
     if order.number <= known.forgotten:
-        text = "list[configuration.ItemChange] of that age are no longer remembered."
+        text = "Changes of that age are no longer remembered."
         return errors.ServiceError("unknown_outcome", text, errors.ExecutionOutcome.MAY_HAVE_RUN)
     return errors.ServiceError("base_moved", f"The blueprint is at number {current}.")
 
--- /dev/null
+++ b/tests/test_change_orders.py
@@ -0,0 +1,14 @@
+"""What operators are told of an order that cannot be judged any more."""
+
+import iriswheel.control.change_orders as change_orders
+import iriswheel.errors as errors
+
+FORGOTTEN = change_orders.KnownState(version=9, items={}, taken=0, forgotten=5, read_at_tail=True)
+
+
+def test_an_order_that_may_have_been_forgotten_is_unknown_and_says_why() -> None:
+    order = change_orders.ChangeOrder("c4-3-0a", number=4, built_on=3, make=dict)
+    judged = change_orders.judge(FORGOTTEN, order)
+    assert isinstance(judged, change_orders.Refused)
+    assert judged.error.execution is errors.ExecutionOutcome.MAY_HAVE_RUN
+    assert judged.error.text == "Changes of that age are no longer remembered."
