--- a/iriswheel/node/shutdown.py
+++ b/iriswheel/node/shutdown.py
@@ -30,8 +30,8 @@
     """Say not ready, hand the roles over, let streams end, leave; all of it within the grace.
 
     New requests are served until the platform has heard that this node is not ready and
-    has had a moment to send clients elsewhere, and while requests are open up to
-    half of the grace; a last eighth of it is kept back.
+    has had a moment to send clients elsewhere, at most 3 s or half of the grace;
+    a last eighth of it is kept back.
     """
     gateway = stopping_node.gateway
     stopping_node.stopping = True
@@ -49,7 +49,7 @@
     gateway, runtime = stopping_node.gateway, stopping_node.runtime
     started_at, grace_us = runtime.now(), stopping_node.options.grace_us
     notice_at = started_at + min(MAX_NOTICE_US, grace_us // 2)
-    closes_at = started_at + grace_us // 2
+    closes_at = notice_at  # what comes later may not end within the grace, and its client had time to move
     ends_at = started_at + grace_us - min(grace_us // 8, units.SECOND_US)
     idle_since: int | None = None
     while (now := runtime.now()) < ends_at:
