--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -5,12 +5,7 @@
 import defopt
 import loguru
 
-import benchmarks.capacity.fleet_costs as fleet_costs
-import benchmarks.capacity.loss_costs as loss_costs
-import benchmarks.capacity.membership_costs as membership_costs
-import benchmarks.capacity.node_costs as node_costs
-import benchmarks.capacity.pool_owner_costs as pool_owner_costs
-import benchmarks.capacity.target_costs as target_costs
+from benchmarks.capacity import fleet_costs, loss_costs, membership_costs, node_costs, pool_owner_costs, target_costs
 
 
 def everything(*, small: bool = False) -> None:
--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -4,12 +4,9 @@
 
 import random
 
-import benchmarks.capacity.hollow_fleet as hollow_fleet
-import benchmarks.capacity.measuring as measuring
-import benchmarks.capacity.samples as samples
-import benchmarks.stand_ins as stand_ins
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from benchmarks import stand_ins
+from benchmarks.capacity import hollow_fleet, measuring, samples
+from iriswheel.transport import message, wire
 
 
 def fleet(
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -6,17 +6,14 @@
 import statistics
 import typing
 
-import benchmarks.capacity.measuring as measuring
-import benchmarks.capacity.samples as samples
-import benchmarks.stand_ins as stand_ins
-import iriswheel.configuration.configuration as configuration
-import iriswheel.dataplane.health as health
-import iriswheel.node.node as node
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
-import simulation.process_model as process_model
-import simulation.processor_meter as processor_meter
-import simulation.simulated_cluster as simulated_cluster
+from benchmarks import stand_ins
+from benchmarks.capacity import measuring, samples
+from iriswheel.configuration import configuration
+from iriswheel.dataplane import health
+from iriswheel.node import node
+from iriswheel.runtime import units
+from iriswheel.transport import http_server
+from simulation import process_model, processor_meter, simulated_cluster
 
 
 class Fleet(simulated_cluster.SimulatedCluster):
--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -5,13 +5,10 @@
 import gc
 import statistics
 
-import benchmarks.capacity.hollow_fleet as hollow_fleet
-import benchmarks.capacity.measuring as measuring
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
-import simulation.processor_meter as processor_meter
-import simulation.simulated_cluster as simulated_cluster
+from benchmarks.capacity import hollow_fleet, measuring
+from iriswheel.runtime import units
+from iriswheel.transport import message, wire
+from simulation import processor_meter, simulated_cluster
 
 WHATS = ("change", "restart", "worker", "zone", "tail", "cut")
 
--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -4,12 +4,10 @@
 
 import json
 
-import benchmarks.capacity.measuring as measuring
-import benchmarks.capacity.samples as samples
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.node.node as node
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from benchmarks.capacity import measuring, samples
+from iriswheel.dataplane import edge_protocol
+from iriswheel.node import node
+from iriswheel.transport import message, wire
 
 
 def lists(
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -10,21 +10,16 @@
 import typing
 
 import msgspec
-import twisted.internet.defer as defer
-
-import benchmarks.capacity.measuring as measuring
-import benchmarks.capacity.samples as samples
-import iriswheel.configuration.configuration as configuration
-import iriswheel.dataplane.placement as placement
-import iriswheel.dataplane.sessions as sessions
-import iriswheel.node.node as node
-import iriswheel.replication.replicated_state as replicated_state
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
-import simulation.simulated_cluster as simulated_cluster
+from twisted.internet import defer
+
+from benchmarks.capacity import measuring, samples
+from iriswheel.configuration import configuration
+from iriswheel.dataplane import placement, sessions
+from iriswheel.node import node
+from iriswheel.replication import replicated_state, snapshot_format
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message, wire
+from simulation import simulated_cluster
 
 
 def routes(*, sizes: list[int] = (100, 500, 2000, 5000), repeats: int = 5, out: str = "") -> None:
@@ -278,7 +273,7 @@
     :param repeats: how often each is measured
     :param out: file for the values
     """
-    import twisted.internet.reactor as reactor
+    from twisted.internet import reactor
 
     lines, runtime = measuring.Measurements(), scheduler.Runtime(reactor)
     port = reactor.listenTCP(
--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -5,17 +5,13 @@
 import collections.abc
 import typing
 
-import benchmarks.capacity.measuring as measuring
-import benchmarks.capacity.samples as samples
-import iriswheel.configuration.configuration as configuration
-import iriswheel.control.replica_store as replica_store
-import iriswheel.dataplane.sessions as sessions
-import iriswheel.pools.pool_owner as pool_owner
-import iriswheel.pools.selection as selection
-import iriswheel.pools.session_replicas as session_replicas
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from benchmarks.capacity import measuring, samples
+from iriswheel.configuration import configuration
+from iriswheel.control import replica_store
+from iriswheel.dataplane import sessions
+from iriswheel.pools import pool_owner, selection, session_replicas
+from iriswheel.runtime import units
+from iriswheel.transport import message, wire
 
 
 def records(*, sizes: list[int] = (10_000, 100_000, 1_000_000), repeats: int = 3, out: str = "") -> None:
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -5,16 +5,14 @@
 import types
 import typing
 
-import twisted.internet.task as task
+from twisted.internet import task
 
-import iriswheel.dataplane.sessions as sessions
 import iriswheel.membership.assignments as role_assignments
-import iriswheel.membership.membership_manager as membership_manager
-import iriswheel.node.node as node
-import iriswheel.runtime.options as options
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.dataplane import sessions
+from iriswheel.membership import membership_manager
+from iriswheel.node import node
+from iriswheel.runtime import options, scheduler, units
+from iriswheel.transport import message
 
 ZONES = 10
 
--- a/benchmarks/capacity/target_costs.py
+++ b/benchmarks/capacity/target_costs.py
@@ -8,9 +8,8 @@
 import statistics
 import typing
 
-import benchmarks.capacity.measuring as measuring
-import benchmarks.capacity.node_costs as node_costs
-import iriswheel.dataplane.placement as placement
+from benchmarks.capacity import measuring, node_costs
+from iriswheel.dataplane import placement
 
 SECONDS_A_DAY = 86_400
 FIRST_TURN_S = 600  # how long a node remembers a first turn
--- a/benchmarks/change_recovery.py
+++ b/benchmarks/change_recovery.py
@@ -21,12 +21,11 @@
 
 import defopt
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.cli.command as command
-import iriswheel.runtime.units as units
-import simulation.addresses as addresses
-import simulation.simulated_cluster as simulated_cluster
+from iriswheel.cli import command
+from iriswheel.runtime import units
+from simulation import addresses, simulated_cluster
 
 FAULTS = ("cut", "kill", "kill for good", "freeze", "wipe")
 POSITIONS = ("head", "middle", "tail")
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -20,9 +20,8 @@
 import defopt
 import loguru
 
-import benchmarks.capacity.hollow_fleet as hollow_fleet
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from benchmarks.capacity import hollow_fleet
+from iriswheel.transport import message, wire
 
 LISTED, POOLS, ROUTES = 6, 1, 100
 SETTLE_S = 3
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -17,17 +17,14 @@
 
 import defopt
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import benchmarks.fleet as fleet
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
-import iriswheel.verification.replay as replay
-import simulation.scenarios.actions as actions
-import simulation.scenarios.registry as registry
-import simulation.simulated_cluster as simulated_cluster
+from benchmarks import fleet
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message, wire
+from iriswheel.verification import replay
+from simulation import simulated_cluster
+from simulation.scenarios import actions, registry
 
 
 def spans(f: typing.Any) -> typing.Any:
@@ -100,7 +97,7 @@
     :param seconds: how long to ask
     :param depth: questions under way at a time
     """
-    import twisted.internet.reactor as reactor
+    from twisted.internet import reactor
 
     loguru.logger.remove()
     with fleet.Fleet(shape) as f:
--- a/benchmarks/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -17,10 +17,10 @@
 
 import defopt
 
-import benchmarks.fleet as fleet
-import iriswheel.cli.load_generator as load_generator
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.verification.replay as replay
+from benchmarks import fleet
+from iriswheel.cli import load_generator
+from iriswheel.runtime import scheduler
+from iriswheel.verification import replay
 
 
 class Trial:
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -14,17 +14,15 @@
 
 import defopt
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.cli.load_generator as load_generator
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
+from iriswheel.cli import load_generator
+from iriswheel.dataplane import dispatch, edge_protocol
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import http_server
 
 if typing.TYPE_CHECKING:
-    import simulation.event_log as event_log
+    from simulation import event_log
 
 
 PREFILL_BYTES_PER_S = 400_000  # prompt bytes read per second, alone
@@ -258,7 +256,7 @@
 
 def serve(make: collections.abc.Callable[..., object], port: int, events: str) -> None:
     """Run a stand-in until it is killed; its port is the first line that it prints."""
-    import twisted.internet.reactor as reactor
+    from twisted.internet import reactor
 
     loguru.logger.remove()
     loguru.logger.add(sys.stderr, level="WARNING")
--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -11,22 +11,20 @@
 
 import defopt
 import loguru
-import twisted.internet.defer as defer
 import twisted.internet.error as connection_error
-import twisted.web.http_headers as http_headers
+from twisted.internet import defer
+from twisted.web import http_headers
 
-import iriswheel.cli.load_generator as load_generator
-import iriswheel.cli.service as service
-import iriswheel.configuration.configuration as configuration
-import iriswheel.dataplane.dispatch as dispatch
 import iriswheel.runtime.options as options_reader
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
 import iriswheel.verification.history as operators_history
 import iriswheel.verification.replay as judge
+from iriswheel.cli import load_generator, service
+from iriswheel.configuration import configuration
+from iriswheel.dataplane import dispatch
+from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.epollreactor as epollreactor
+    from twisted.internet import epollreactor
 
 REFUSED, UNKNOWN = 4, 5  # exit codes: the request did not run, or may have run
 INTERRUPTED = 130
--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -7,18 +7,14 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
-import twisted.internet.protocol as protocol
-import twisted.web.client as client
-import twisted.web.http_headers as http_headers
+from twisted.internet import defer, protocol
+from twisted.web import client, http_headers
 
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from iriswheel.dataplane import dispatch, edge_protocol
+from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
-    import twisted.python.failure as failure
+    from twisted.python import failure
 
 
 LONG_BYTES = 48_000
--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -12,21 +12,16 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
-import twisted.internet.error as error
+from twisted.internet import defer, error
 
-import iriswheel.runtime.options as options
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
-import iriswheel.transport.wire as wire
+from iriswheel.runtime import options, scheduler, units
+from iriswheel.transport import http_server, wire
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.epollreactor as epollreactor
-    import twisted.internet.tcp as tcp
+    from twisted.internet import epollreactor, tcp
 
-    import iriswheel.control.core as core
-    import iriswheel.node.node as node
+    from iriswheel.control import core
+    from iriswheel.node import node
 
 
 FINISH_US = 500 * units.MILLISECOND_US  # for the last bytes of a node's answers
@@ -63,8 +58,7 @@
     seconds would hold up every timer of the process for as long. This one goes by the clock
     since boot, as `scheduler.Runtime` does.
     """
-    import twisted.internet.epollreactor as epollreactor
-    import twisted.internet.main as main
+    from twisted.internet import epollreactor, main
 
     class SteadyReactor(epollreactor.EPollReactor):
         """An epoll reactor whose timers follow the clock since boot."""
@@ -164,8 +158,8 @@
         reread: reads the options again.
         make_handler: gives what answers HTTP.
     """
-    import iriswheel.control.core as core
-    import iriswheel.runtime.storage as storage
+    from iriswheel.control import core
+    from iriswheel.runtime import storage
 
     set_logs(process_options.log_level)
     reactor = the_reactor()
@@ -201,7 +195,7 @@
         ready: gives what answers at the address at which only readiness is served; by default as at the front.
         parts: further arguments of `node.Node`.
     """
-    import iriswheel.node.node as node
+    from iriswheel.node import node
 
     set_logs(process_options.log_level)
     reactor = the_reactor()
--- a/iriswheel/configuration/differences.py
+++ b/iriswheel/configuration/differences.py
@@ -9,8 +9,7 @@
 
 import jsonpatch
 
-import iriswheel.configuration.schema as schema
-import iriswheel.configuration.validation as validation
+from iriswheel.configuration import schema, validation
 
 CHANGE_PREFIX = "c"  # begins the id of a change, and never that of a plan
 CHANGE_DIGEST_CHARACTERS = 16
--- a/iriswheel/configuration/items.py
+++ b/iriswheel/configuration/items.py
@@ -7,8 +7,7 @@
 
 import typing
 
-import iriswheel.configuration.schema as schema
-import iriswheel.configuration.validation as validation
+from iriswheel.configuration import schema, validation
 
 OPERATOR_MARK = "marks/operator"
 
--- a/iriswheel/configuration/slices.py
+++ b/iriswheel/configuration/slices.py
@@ -6,7 +6,7 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    import iriswheel.configuration.schema as schema
+    from iriswheel.configuration import schema
 
 LIMITS = "limits/door"
 
--- a/iriswheel/configuration/validation.py
+++ b/iriswheel/configuration/validation.py
@@ -7,7 +7,7 @@
 
 import mashumaro.exceptions
 
-import iriswheel.configuration.schema as schema
+from iriswheel.configuration import schema
 
 POSITIVE_POOL_FIELDS = ("slots", "long_slots", "waiting", "event_tokens")
 POSITIVE_LIMITS_FIELDS = ("head_bytes", "head_us", "idle_us")
--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -10,17 +10,16 @@
 
 import loguru
 import msgspec
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.consensus.timing as timing
-import iriswheel.runtime.storage as storage
-import iriswheel.transport.message as message
+from iriswheel.consensus import decisions, timing
+from iriswheel.runtime import storage
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
-    import iriswheel.runtime.scheduler as scheduler
+    from iriswheel.runtime import scheduler
 
 RECORD_KEY = b"council"
 
--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-import iriswheel.transport.message as message
+from iriswheel.transport import message
 
 Ballot: typing.TypeAlias = tuple[int, str]  # a round, and the machine that proposes in it
 Incarnations: typing.TypeAlias = dict[str, str]  # of machines, by id
--- a/iriswheel/consensus/departure.py
+++ b/iriswheel/consensus/departure.py
@@ -4,12 +4,11 @@
 
 import typing
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.transport.message as message
+from iriswheel.consensus import decisions
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.consensus.acceptor as acceptor
-    import iriswheel.consensus.peer_heartbeats as peer_heartbeats
+    from iriswheel.consensus import acceptor, peer_heartbeats
 
 
 def is_still_needed(view_acceptor: acceptor.Acceptor, heartbeats: peer_heartbeats.PeerHeartbeats) -> bool:
--- a/iriswheel/consensus/peer_heartbeats.py
+++ b/iriswheel/consensus/peer_heartbeats.py
@@ -6,19 +6,17 @@
 
 import loguru
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.consensus.timing as timing
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from iriswheel.consensus import decisions, timing
+from iriswheel.runtime import scheduler
+from iriswheel.transport import message, wire
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
-    import twisted.internet.defer as defer
+    from twisted.internet import defer
 
-    import iriswheel.consensus.acceptor as acceptor
-    import iriswheel.transport.peer_calls as peer_calls
+    from iriswheel.consensus import acceptor
+    from iriswheel.transport import peer_calls
 
 Address: typing.TypeAlias = tuple[str, int]
 
--- a/iriswheel/consensus/tail_lease.py
+++ b/iriswheel/consensus/tail_lease.py
@@ -8,14 +8,12 @@
 
 import typing
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.consensus.timing as timing
-import iriswheel.transport.message as message
+from iriswheel.consensus import decisions, timing
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.consensus.acceptor as acceptor
-    import iriswheel.consensus.voter_calls as voter_calls
-    import iriswheel.runtime.scheduler as scheduler
+    from iriswheel.consensus import acceptor, voter_calls
+    from iriswheel.runtime import scheduler
 
 
 class TailLease:
--- a/iriswheel/consensus/timing.py
+++ b/iriswheel/consensus/timing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-import iriswheel.runtime.units as units
+from iriswheel.runtime import units
 
 LEASE_US = 1_500 * units.MILLISECOND_US
 """How long a voter's grant of the read lease binds it, counted on its own clock."""
--- a/iriswheel/consensus/view_change.py
+++ b/iriswheel/consensus/view_change.py
@@ -6,17 +6,14 @@
 
 import loguru
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.consensus.timing as timing
-import iriswheel.transport.message as message
+from iriswheel.consensus import decisions, timing
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
-    import iriswheel.consensus.acceptor as acceptor
-    import iriswheel.consensus.peer_heartbeats as peer_heartbeats
-    import iriswheel.consensus.voter_calls as voter_calls
-    import iriswheel.runtime.scheduler as scheduler
+    from iriswheel.consensus import acceptor, peer_heartbeats, voter_calls
+    from iriswheel.runtime import scheduler
 
 log = loguru.logger.bind(part="view")
 
--- a/iriswheel/consensus/view_consensus.py
+++ b/iriswheel/consensus/view_consensus.py
@@ -13,19 +13,13 @@
 import collections.abc
 import typing
 
-import iriswheel.consensus.acceptor as acceptor
-import iriswheel.consensus.departure as departure
-import iriswheel.consensus.peer_heartbeats as peer_heartbeats
-import iriswheel.consensus.tail_lease as tail_lease
-import iriswheel.consensus.view_change as view_change
-import iriswheel.consensus.voter_calls as voter_calls
-import iriswheel.transport.message as message
+from iriswheel.consensus import acceptor, departure, peer_heartbeats, tail_lease, view_change, voter_calls
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.consensus.decisions as decisions
-    import iriswheel.runtime.scheduler as scheduler
-    import iriswheel.runtime.storage as storage
-    import iriswheel.transport.peer_calls as peer_calls
+    from iriswheel.consensus import decisions
+    from iriswheel.runtime import scheduler, storage
+    from iriswheel.transport import peer_calls
 
 DEFAULT_VOTER_COUNT = 3
 DEFAULT_COPIES = 2
--- a/iriswheel/consensus/voter_calls.py
+++ b/iriswheel/consensus/voter_calls.py
@@ -4,19 +4,17 @@
 
 import typing
 
-import twisted.internet.defer as defer
-import twisted.python.failure as failure
+from twisted.internet import defer
+from twisted.python import failure
 
-import iriswheel.consensus.timing as timing
+from iriswheel.consensus import timing
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
-    import iriswheel.consensus.acceptor as acceptor
-    import iriswheel.consensus.peer_heartbeats as peer_heartbeats
-    import iriswheel.runtime.scheduler as scheduler
-    import iriswheel.transport.message as message
-    import iriswheel.transport.peer_calls as peer_calls
+    from iriswheel.consensus import acceptor, peer_heartbeats
+    from iriswheel.runtime import scheduler
+    from iriswheel.transport import message, peer_calls
 
 
 class VoterCalls:
--- a/iriswheel/control/chain_client.py
+++ b/iriswheel/control/chain_client.py
@@ -9,19 +9,16 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
-import twisted.python.failure as failure
+from twisted.internet import defer
+from twisted.python import failure
 
-import iriswheel.errors as errors
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from iriswheel import errors
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message, wire
 
 if typing.TYPE_CHECKING:
-    import iriswheel.configuration.configuration as configuration
-    import iriswheel.control.core_parts as core_parts
-    import iriswheel.control.counters as counters
+    from iriswheel.configuration import configuration
+    from iriswheel.control import core_parts, counters
 
 HEAD, TAIL = 0, -1  # positions in the chain
 TIMEOUT_US = 3 * units.SECOND_US  # of one call
--- a/iriswheel/control/change_orders.py
+++ b/iriswheel/control/change_orders.py
@@ -9,15 +9,12 @@
 import collections.abc
 import typing
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.errors as errors
-import iriswheel.runtime.units as units
+from iriswheel import errors
+from iriswheel.configuration import configuration
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.chain_client as chain_client
-    import iriswheel.control.core_parts as core_parts
-    import iriswheel.control.counters as counters
-    import iriswheel.control.tail_contact as tail_contact
+    from iriswheel.control import chain_client, core_parts, counters, tail_contact
 
 TIMEOUT_US = 900 * units.MILLISECOND_US  # a change is answered within this, known or not
 RETRY_DELAY_US = 30 * units.MILLISECOND_US
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -7,33 +7,30 @@
 
 import loguru
 
-import iriswheel.consensus.view_consensus as view_consensus
-import iriswheel.control.chain_client as chain_client
-import iriswheel.control.change_orders as change_orders
-import iriswheel.control.core_parts as core_parts
-import iriswheel.control.counters as counters
-import iriswheel.control.load_exchange as load_exchange
-import iriswheel.control.node_session as node_session
-import iriswheel.control.operator_api as operator_api
-import iriswheel.control.owned_pools as owned_pools
-import iriswheel.control.persistent_state as persistent_state
-import iriswheel.control.replica_store as replica_store
-import iriswheel.control.reports as reports
-import iriswheel.control.tail_contact as tail_contact
-import iriswheel.control.tail_service as tail_service
-import iriswheel.membership.lease as lease
-import iriswheel.membership.membership_manager as membership_manager
-import iriswheel.replication.chain as chain
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.storage as storage
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.peers as peers
-import iriswheel.transport.wire as wire
+from iriswheel.consensus import view_consensus
+from iriswheel.control import (
+    chain_client,
+    change_orders,
+    core_parts,
+    counters,
+    load_exchange,
+    node_session,
+    operator_api,
+    owned_pools,
+    persistent_state,
+    replica_store,
+    reports,
+    tail_contact,
+    tail_service,
+)
+from iriswheel.membership import lease, membership_manager
+from iriswheel.replication import chain
+from iriswheel.runtime import scheduler, storage, units
+from iriswheel.transport import message, peers, wire
 
 if typing.TYPE_CHECKING:
-    import iriswheel.runtime.options as options
-    import iriswheel.transport.http_server as http_server
+    from iriswheel.runtime import options
+    from iriswheel.transport import http_server
 
 STOP_NOTICE_US = 100 * units.MILLISECOND_US  # for the redirects to go out
 STOP_CHECK_INTERVAL_US = 50 * units.MILLISECOND_US
--- a/iriswheel/control/core_parts.py
+++ b/iriswheel/control/core_parts.py
@@ -5,14 +5,13 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    import iriswheel.consensus.view_consensus as view_consensus
-    import iriswheel.control.reports as reports
-    import iriswheel.membership.lease as lease
-    import iriswheel.membership.membership_manager as membership_manager
-    import iriswheel.replication.chain as chain
-    import iriswheel.runtime.scheduler as scheduler
-    import iriswheel.transport.message as message
     import iriswheel.transport.peers as peers_module
+    from iriswheel.consensus import view_consensus
+    from iriswheel.control import reports
+    from iriswheel.membership import lease, membership_manager
+    from iriswheel.replication import chain
+    from iriswheel.runtime import scheduler
+    from iriswheel.transport import message
 
 
 class CoreParts(typing.NamedTuple):
--- a/iriswheel/control/load_exchange.py
+++ b/iriswheel/control/load_exchange.py
@@ -13,13 +13,12 @@
 
 import loguru
 
-import iriswheel.membership.load_table as load_table
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.membership import load_table
+from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.core_parts as core_parts
-    import iriswheel.control.node_session as node_session
+    from iriswheel.control import core_parts, node_session
 
 CORE_EXPIRY_US = 2 * units.SECOND_US  # another core machine's sums count no longer without a report for so long
 FULL_REPORT_INTERVAL = 6  # every so many rounds, core machines get everything: a report may have been lost
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -7,16 +7,15 @@
 
 import loguru
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.control.slices as slices
-import iriswheel.membership.assignments as assignments
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.configuration import configuration
+from iriswheel.control import slices
+from iriswheel.membership import assignments
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.core_parts as core_parts
-    import iriswheel.transport.wire as wire
+    from iriswheel.control import core_parts
+    from iriswheel.transport import wire
 
 HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
 # A core machine that has run for longer and does not serve is cut off: its state may be out of date.
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -7,19 +7,15 @@
 
 import msgspec
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.control.change_orders as change_orders
-import iriswheel.errors as errors
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel import errors
+from iriswheel.configuration import configuration
+from iriswheel.control import change_orders
+from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.chain_client as chain_client
-    import iriswheel.control.core as core
-    import iriswheel.control.counters as counters
-    import iriswheel.control.replica_store as replica_store
-    import iriswheel.control.tail_contact as tail_contact
-    import iriswheel.transport.http_server as http_server
+    from iriswheel.control import chain_client, core, counters, replica_store, tail_contact
+    from iriswheel.transport import http_server
 
 CONFIRM_GRACE_US = 1 * units.SECOND_US  # beyond a lease, a confirmation waits so long for nodes
 CHANGE_FIELDS = ("number", "built_on", "blueprint", "upsert", "remove")
--- a/iriswheel/control/owned_pools.py
+++ b/iriswheel/control/owned_pools.py
@@ -5,7 +5,7 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    import iriswheel.replication.chain as chain
+    from iriswheel.replication import chain
 
 POOL_PREFIX = "pools/"
 SELECTED_BY_OWNER = "warden"  # the value of `election` in the configuration; also its default
--- a/iriswheel/control/persistent_state.py
+++ b/iriswheel/control/persistent_state.py
@@ -4,9 +4,8 @@
 
 import msgspec
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.storage as storage
+from iriswheel.consensus import decisions
+from iriswheel.runtime import scheduler, storage
 
 FORMAT = 3  # of the data folder
 
--- a/iriswheel/control/replica_store.py
+++ b/iriswheel/control/replica_store.py
@@ -12,13 +12,12 @@
 import loguru
 import msgspec
 
-import iriswheel.pools.session_replicas as session_replicas
-import iriswheel.runtime.storage as storage
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.pools import session_replicas
+from iriswheel.runtime import storage, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.core_parts as core_parts
+    from iriswheel.control import core_parts
 
 WRITE_INTERVAL_US = 500 * units.MILLISECOND_US
 KEY_PREFIX = b"shelf/"
--- a/iriswheel/control/reports.py
+++ b/iriswheel/control/reports.py
@@ -7,13 +7,11 @@
 
 import loguru
 
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.core_parts as core_parts
-    import iriswheel.control.node_session as node_session
+    from iriswheel.control import core_parts, node_session
 
 REPORT_INTERVAL_US = 250 * units.MILLISECOND_US
 BATCH_DELAY_US = 5 * units.MILLISECOND_US  # what else the nodes say within this goes in the same report
--- a/iriswheel/control/slices.py
+++ b/iriswheel/control/slices.py
@@ -7,10 +7,10 @@
 
 import typing
 
-import iriswheel.configuration.configuration as configuration
+from iriswheel.configuration import configuration
 
 if typing.TYPE_CHECKING:
-    import iriswheel.replication.replicated_state as replicated_state
+    from iriswheel.replication import replicated_state
 
 CAPACITY = 256  # of each cache
 
--- a/iriswheel/control/tail_contact.py
+++ b/iriswheel/control/tail_contact.py
@@ -5,13 +5,12 @@
 import collections.abc
 import typing
 
-import iriswheel.errors as errors
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from iriswheel import errors
+from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.core_parts as core_parts
-    import iriswheel.transport.message as message
+    from iriswheel.control import core_parts
+    from iriswheel.transport import message
 
 FRESH_US = 1_100 * units.MILLISECOND_US  # without an answer of the tail for so long, a core machine does not serve
 
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -7,16 +7,13 @@
 
 import loguru
 
-import iriswheel.membership.lease as lease
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.membership import lease
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.core_parts as core_parts
-    import iriswheel.control.node_session as node_session
-    import iriswheel.control.tail_contact as tail_contact
-    import iriswheel.runtime.options as options
+    from iriswheel.control import core_parts, node_session, tail_contact
+    from iriswheel.runtime import options
 
 HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
 ISSUE_INTERVAL_US = 100 * units.MILLISECOND_US
--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -5,14 +5,13 @@
 import re
 import typing
 
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.dataplane.attempt_outcome as attempt_outcome
+from iriswheel.dataplane import attempt_outcome
 
 if typing.TYPE_CHECKING:
-    import iriswheel.dataplane.forwarded_request as forwarded_request
-    import iriswheel.dataplane.worker_connections as worker_connections
-    import iriswheel.node.node as node
+    from iriswheel.dataplane import forwarded_request, worker_connections
+    from iriswheel.node import node
 
 BROKEN_SUSPICION = 0.5  # how much a broken connection counts against its worker
 
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -6,11 +6,11 @@
 
 import loguru
 
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.runtime.units as units
+from iriswheel.dataplane import dispatch
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
+    from iriswheel.node import node
 
 CHECK_INTERVAL_US = 500 * units.MILLISECOND_US
 HANG_US = 1 * units.SECOND_US  # an attempt that received nothing for so long hangs
--- a/iriswheel/dataplane/client_disconnect.py
+++ b/iriswheel/dataplane/client_disconnect.py
@@ -5,10 +5,10 @@
 import collections.abc
 import typing
 
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
 if typing.TYPE_CHECKING:
-    import iriswheel.transport.http_server as http_server
+    from iriswheel.transport import http_server
 
 Result = typing.TypeVar("Result")
 
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -6,27 +6,17 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
-import twisted.internet.endpoints as endpoints
-import twisted.internet.error as error
-import twisted.internet.protocol as protocol
-import twisted.web.client as client
-import twisted.web.http as http
-import twisted.web.http_headers as http_headers
-import twisted.web.iweb as iweb
-import zope.interface as interface
-
-import iriswheel.dataplane.attempt_outcome as attempt_outcome
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.dataplane.tcp_client as tcp_client
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from twisted.internet import defer, endpoints, error, protocol
+from twisted.web import client, http, http_headers, iweb
+from zope import interface
+
+from iriswheel.dataplane import attempt_outcome, edge_protocol, tcp_client
+from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
-    import twisted.python.failure as failure
+    from twisted.python import failure
 
-    import iriswheel.transport.http_server as http_server
-    import iriswheel.transport.message as message
+    from iriswheel.transport import http_server, message
 
 
 CONNECT_US = 700 * units.MILLISECOND_US
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -12,13 +12,13 @@
 import re
 import typing
 
-import iriswheel.errors as errors
-import iriswheel.transport.message as message
+from iriswheel import errors
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import twisted.web.http_headers as http_headers
+    from twisted.web import http_headers
 
-    import iriswheel.transport.http_server as http_server
+    from iriswheel.transport import http_server
 
     HeaderPairs = list[tuple[bytes, bytes]]  # (name, value), in the order on the connection
     LowerCaseHeaders = collections.abc.Mapping[str, str]  # by lower-case name
--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -4,11 +4,11 @@
 
 import typing
 
-import iriswheel.dataplane.placement as placement
-import iriswheel.errors as errors
+from iriswheel import errors
+from iriswheel.dataplane import placement
 
 if typing.TYPE_CHECKING:
-    import iriswheel.dataplane.routed_request as routed_request
+    from iriswheel.dataplane import routed_request
 
 
 class ForwardedRequest:
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -8,22 +8,23 @@
 
 import typing
 
-import twisted.internet.defer as defer
-
-import iriswheel.dataplane.answer_stream as answer_stream
-import iriswheel.dataplane.attempt_outcome as attempt_outcome
-import iriswheel.dataplane.client_disconnect as client_disconnect
-import iriswheel.dataplane.forwarded_request as forwarded_request
-import iriswheel.dataplane.placement as placement
-import iriswheel.dataplane.worker_connections as worker_connections
-import iriswheel.errors as errors
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from twisted.internet import defer
+
+from iriswheel import errors
+from iriswheel.dataplane import (
+    answer_stream,
+    attempt_outcome,
+    client_disconnect,
+    forwarded_request,
+    placement,
+    worker_connections,
+)
+from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
-    import iriswheel.dataplane.routed_request as routed_request
-    import iriswheel.node.node as node
-    import iriswheel.transport.message as message
+    from iriswheel.dataplane import routed_request
+    from iriswheel.node import node
+    from iriswheel.transport import message
 
 
 IDLE_USE_US = 2 * units.SECOND_US  # a connection idle for longer carries nothing that may not be repeated
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -4,29 +4,30 @@
 
 import typing
 
-import twisted.internet.defer as defer
-
-import iriswheel.dataplane.attempt_outcome as attempt_outcome
-import iriswheel.dataplane.attempt_registry as attempt_registry
-import iriswheel.dataplane.client_disconnect as client_disconnect
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.dataplane.forwarding as forwarding
-import iriswheel.dataplane.local_member as local_member
-import iriswheel.dataplane.node_budgets as node_budgets
-import iriswheel.dataplane.owner_client as owner_client
-import iriswheel.dataplane.relay as relay
-import iriswheel.dataplane.request_router as request_router
-import iriswheel.dataplane.routed_request as routed_request
-import iriswheel.dataplane.work_queue as work_queue
-import iriswheel.dataplane.worker_selection as worker_selection
-import iriswheel.errors as errors
-import iriswheel.runtime.scheduler as scheduler
+from twisted.internet import defer
+
+from iriswheel import errors
+from iriswheel.dataplane import (
+    attempt_outcome,
+    attempt_registry,
+    client_disconnect,
+    dispatch,
+    edge_protocol,
+    forwarding,
+    local_member,
+    node_budgets,
+    owner_client,
+    relay,
+    request_router,
+    routed_request,
+    work_queue,
+    worker_selection,
+)
+from iriswheel.runtime import scheduler
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
-    import iriswheel.transport.http_server as http_server
-    import iriswheel.transport.message as message
+    from iriswheel.node import node
+    from iriswheel.transport import http_server, message
 
 MAX_ATTEMPTS = 4  # attempts that may break per request, where the route sets no lower bound
 SHORT_BACKLOG, SHORT_CONCURRENCY = 512, 256
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -9,16 +9,15 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.dataplane.local_member as local_member
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.dataplane import local_member
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
-    import iriswheel.pools.pool_owner as pool_owner
+    from iriswheel.node import node
+    from iriswheel.pools import pool_owner
 
 
 PROBE_US = 500 * units.MILLISECOND_US
--- a/iriswheel/dataplane/local_member.py
+++ b/iriswheel/dataplane/local_member.py
@@ -5,7 +5,7 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
+    from iriswheel.node import node
 
 
 def member_id(local_node: node.Node) -> str:
--- a/iriswheel/dataplane/node_budgets.py
+++ b/iriswheel/dataplane/node_budgets.py
@@ -4,11 +4,11 @@
 
 import typing
 
-import iriswheel.dataplane.retry_budget as retry_budget
+from iriswheel.dataplane import retry_budget
 
 if typing.TYPE_CHECKING:
-    import iriswheel.configuration.configuration as configuration
-    import iriswheel.node.node as node
+    from iriswheel.configuration import configuration
+    from iriswheel.node import node
 
 
 class PoolRequest(typing.Protocol):
--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -5,18 +5,16 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.dataplane.local_member as local_member
-import iriswheel.errors as errors
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from iriswheel import errors
+from iriswheel.dataplane import local_member
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message, wire
 
 if typing.TYPE_CHECKING:
-    import iriswheel.dataplane.routed_request as routed_request
-    import iriswheel.node.node as node
+    from iriswheel.dataplane import routed_request
+    from iriswheel.node import node
 
 SILENT_US = 600 * units.MILLISECOND_US  # a pool owner not heard for this long is silent
 CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -13,12 +13,11 @@
 import hashlib
 import typing
 
-import iriswheel.dataplane.sessions as sessions
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from iriswheel.dataplane import sessions
+from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
-    import iriswheel.configuration.configuration as configuration
+    from iriswheel.configuration import configuration
 
 
 READ_TOKENS_PER_MS = 50  # that a worker reads of a prompt
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -4,19 +4,14 @@
 
 import typing
 
-import iriswheel.dataplane.attempt_outcome as attempt_outcome
-import iriswheel.dataplane.client_disconnect as client_disconnect
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.errors as errors
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from iriswheel import errors
+from iriswheel.dataplane import attempt_outcome, client_disconnect, dispatch, edge_protocol
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message, wire
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
-    import iriswheel.transport.http_server as http_server
+    from iriswheel.node import node
+    from iriswheel.transport import http_server
 
 TOKEN_US = 700 * units.MILLISECOND_US  # how long a token is valid, and how long a peer may take to give one
 TOKEN_BITS = 96
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -4,14 +4,13 @@
 
 import typing
 
-import iriswheel.dataplane.sessions as sessions
-import iriswheel.errors as errors
+from iriswheel import errors
+from iriswheel.dataplane import sessions
 
 if typing.TYPE_CHECKING:
-    import iriswheel.configuration.configuration as configuration
-    import iriswheel.dataplane.node_budgets as node_budgets
-    import iriswheel.dataplane.routed_request as routed_request
-    import iriswheel.node.node as node
+    from iriswheel.configuration import configuration
+    from iriswheel.dataplane import node_budgets, routed_request
+    from iriswheel.node import node
 
 
 BYTES_PER_WORK_UNIT = 16
--- a/iriswheel/dataplane/routed_request.py
+++ b/iriswheel/dataplane/routed_request.py
@@ -4,14 +4,14 @@
 
 import typing
 
-import iriswheel.errors as errors
+from iriswheel import errors
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.defer as defer
+    from twisted.internet import defer
 
-    import iriswheel.configuration.configuration as configuration
-    import iriswheel.dataplane.edge_protocol as edge_protocol
-    import iriswheel.transport.http_server as http_server
+    from iriswheel.configuration import configuration
+    from iriswheel.dataplane import edge_protocol
+    from iriswheel.transport import http_server
 
 
 class RoutedRequest:
--- a/iriswheel/dataplane/sessions.py
+++ b/iriswheel/dataplane/sessions.py
@@ -10,7 +10,7 @@
 import hashlib
 import typing
 
-import iriswheel.transport.message as message
+from iriswheel.transport import message
 
 SWEEP_US = 5_000_000
 ID_DIGITS = 24
--- a/iriswheel/dataplane/tcp_client.py
+++ b/iriswheel/dataplane/tcp_client.py
@@ -5,14 +5,12 @@
 import collections.abc
 import typing
 
-import twisted.internet.endpoints as endpoints
-import twisted.internet.protocol as protocol
+from twisted.internet import endpoints, protocol
 
-import iriswheel.runtime.units as units
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.defer as defer
-    import twisted.internet.interfaces as interfaces
+    from twisted.internet import defer, interfaces
 
 ConnectedProtocol = typing.TypeVar("ConnectedProtocol", bound=protocol.Protocol)
 
--- a/iriswheel/dataplane/work_queue.py
+++ b/iriswheel/dataplane/work_queue.py
@@ -7,8 +7,7 @@
 
 import loguru
 
-import iriswheel.runtime.queues as queues
-import iriswheel.runtime.scheduler as scheduler
+from iriswheel.runtime import queues, scheduler
 
 log = loguru.logger.bind(part="door")
 
--- a/iriswheel/dataplane/worker_connections.py
+++ b/iriswheel/dataplane/worker_connections.py
@@ -12,18 +12,15 @@
 import typing
 
 import httptools
-import twisted.internet.defer as defer
-import twisted.internet.error as error
-import twisted.internet.protocol as protocol
+from twisted.internet import defer, error, protocol
 
-import iriswheel.dataplane.tcp_client as tcp_client
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from iriswheel.dataplane import tcp_client
+from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
-    import twisted.python.failure as failure
+    from twisted.python import failure
 
-    import iriswheel.transport.message as message
+    from iriswheel.transport import message
 
 
 CONNECT_US = 350 * units.MILLISECOND_US
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -4,16 +4,14 @@
 
 import typing
 
-import iriswheel.dataplane.local_member as local_member
-import iriswheel.dataplane.request_router as request_router
-import iriswheel.errors as errors
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel import errors
+from iriswheel.dataplane import local_member, request_router
+from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.dataplane.owner_client as owner_client
-    import iriswheel.dataplane.routed_request as routed_request
-    import iriswheel.node.node as node
+    from iriswheel.dataplane import owner_client, routed_request
+    from iriswheel.node import node
 
 RETRY_INTERVAL_US = 50 * units.MILLISECOND_US
 REJOIN_US = 1 * units.SECOND_US  # how long a request waits for this node to rejoin, or for a worker after one broke
--- a/iriswheel/membership/assignments.py
+++ b/iriswheel/membership/assignments.py
@@ -9,7 +9,7 @@
 import hashlib
 import typing
 
-import iriswheel.transport.message as message
+from iriswheel.transport import message
 
 COPIES = 2  # members beside the holder that keep a role's records
 LISTING_ROLE = "list"
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -25,7 +25,7 @@
 
 import msgspec
 
-import iriswheel.runtime.units as units
+from iriswheel.runtime import units
 
 DRIFT_US = 50 * units.MILLISECOND_US
 SILENT_US = 700 * units.MILLISECOND_US  # a node that was not heard for so long gets no lease before it is listed again
--- a/iriswheel/membership/load_table.py
+++ b/iriswheel/membership/load_table.py
@@ -5,10 +5,10 @@
 import collections.abc
 import typing
 
-import iriswheel.runtime.units as units
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import iriswheel.transport.message as message
+    from iriswheel.transport import message
 
 REPORT_INTERVAL_US = 150 * units.MILLISECOND_US  # between two reports of what changed
 HEAVY_PROMPT_TOKENS = 2_000  # a rise by so much is reported at once
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -11,10 +11,9 @@
 
 import loguru
 
-import iriswheel.membership.assignments as assignments
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.membership import assignments
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 SETTLE_US = 1 * units.SECOND_US  # a new tail listens this long before it issues
 GRACE_US = 500 * units.MILLISECOND_US  # for a node whose session ended
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -14,13 +14,12 @@
 
 import loguru
 
-import iriswheel.membership.lease as lease
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from iriswheel.membership import lease
+from iriswheel.runtime import units
+from iriswheel.transport import message, wire
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.follower as follower
+    from iriswheel.node import follower
 
 
 HEDGE_US = 600 * units.MILLISECOND_US
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -11,18 +11,14 @@
 
 import loguru
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.node.core_session as core_session
-import iriswheel.node.peer_status as peer_status
-import iriswheel.node.platform_listing as platform_listing
-import iriswheel.node.route_index as route_index
-import iriswheel.node.worker_list as worker_list
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.configuration import configuration
+from iriswheel.node import core_session, peer_status, platform_listing, route_index, worker_list
+from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
-    import iriswheel.runtime.options as options
+    from iriswheel.node import node
+    from iriswheel.runtime import options
 
 
 FROZEN_US = 1 * units.SECOND_US
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -8,14 +8,13 @@
 
 import typing
 
-import iriswheel.membership.load_table as load_table
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.membership import load_table
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
-    import iriswheel.transport.wire as wire
+    from iriswheel.node import node
+    from iriswheel.transport import wire
 
 IDLE_US = 500 * units.MILLISECOND_US  # a new session is noticed at the latest after so long
 
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -6,26 +6,16 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
-
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.dataplane.gateway as gateway
-import iriswheel.dataplane.health as health
-import iriswheel.node.follower as follower
-import iriswheel.node.load_reporter as load_reporter
-import iriswheel.node.peer_requests as peer_requests
-import iriswheel.node.pool_roles as pool_roles
-import iriswheel.node.shutdown as shutdown
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.peers as peers
-import iriswheel.transport.wire as wire
+from twisted.internet import defer
+
+from iriswheel.dataplane import dispatch, edge_protocol, gateway, health
+from iriswheel.node import follower, load_reporter, peer_requests, pool_roles, shutdown
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message, peers, wire
 
 if typing.TYPE_CHECKING:
-    import iriswheel.pools.pool_owner as pool_owner
-    import iriswheel.runtime.options as options
+    from iriswheel.pools import pool_owner
+    from iriswheel.runtime import options
 
 
 REPORT_INTERVAL_US = 1 * units.SECOND_US
--- a/iriswheel/node/peer_requests.py
+++ b/iriswheel/node/peer_requests.py
@@ -7,11 +7,11 @@
 
 import loguru
 
-import iriswheel.transport.message as message
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
-    import iriswheel.transport.wire as wire
+    from iriswheel.node import node
+    from iriswheel.transport import wire
 
 Response = collections.abc.Coroutine[typing.Any, typing.Any, message.Message] | message.Message | None
 """An answer, one that is still to come, or none at all."""
--- a/iriswheel/node/peer_status.py
+++ b/iriswheel/node/peer_status.py
@@ -5,15 +5,13 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message, wire
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.follower as follower
+    from iriswheel.node import follower
 
 QUERY_DEADLINE_US = 700 * units.MILLISECOND_US
 STATUS_VALIDITY_US = 1_200 * units.MILLISECOND_US
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -8,15 +8,14 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.follower as follower
-    import iriswheel.transport.wire as wire
+    from iriswheel.node import follower
+    from iriswheel.transport import wire
 
 ROLE_KEY = "list"
 """The key of the role assignment."""
--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -7,13 +7,12 @@
 
 import loguru
 
-import iriswheel.errors as errors
-import iriswheel.pools.pool_owner as pool_owner
-import iriswheel.pools.session_replicas as session_replicas
-import iriswheel.transport.message as message
+from iriswheel import errors
+from iriswheel.pools import pool_owner, session_replicas
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
+    from iriswheel.node import node
 
 log = loguru.logger.bind(part="node")
 
--- a/iriswheel/node/route_index.py
+++ b/iriswheel/node/route_index.py
@@ -6,7 +6,7 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    import iriswheel.configuration.configuration as configuration
+    from iriswheel.configuration import configuration
 
 
 def covering_paths(path: str, longest: int) -> collections.abc.Iterator[str]:
--- a/iriswheel/node/shutdown.py
+++ b/iriswheel/node/shutdown.py
@@ -6,11 +6,11 @@
 
 import loguru
 
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
+    from iriswheel.node import node
 
 IDLE_US = 300 * units.MILLISECOND_US
 """A node goes once no request was open for so long."""
--- a/iriswheel/node/worker_list.py
+++ b/iriswheel/node/worker_list.py
@@ -5,7 +5,7 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    import iriswheel.transport.message as message
+    from iriswheel.transport import message
 
 ListingVersion = tuple[int, int, int]
 """The term of the role that lists workers, and a count."""
--- a/iriswheel/pools/claims.py
+++ b/iriswheel/pools/claims.py
@@ -8,8 +8,8 @@
 
 import enum
 
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.runtime import units
+from iriswheel.transport import message
 
 RETENTION_US = 600 * units.SECOND_US
 """How long a claim is remembered after its grant was made or released."""
--- a/iriswheel/pools/in_flight.py
+++ b/iriswheel/pools/in_flight.py
@@ -6,8 +6,8 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    import iriswheel.pools.claims as claims
-    import iriswheel.transport.message as message
+    from iriswheel.pools import claims
+    from iriswheel.transport import message
 
 
 @dataclasses.dataclass(slots=True)
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -12,23 +12,16 @@
 
 import loguru
 
-import iriswheel.dataplane.health as health
-import iriswheel.dataplane.local_member as local_member
-import iriswheel.dataplane.sessions as sessions
-import iriswheel.errors as errors
-import iriswheel.pools.claims as claims
-import iriswheel.pools.pool_records as pool_records
-import iriswheel.pools.replication as replication
-import iriswheel.pools.selection as selection
-import iriswheel.pools.takeover as takeover
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel import errors
+from iriswheel.dataplane import health, local_member, sessions
+from iriswheel.pools import claims, pool_records, replication, selection, takeover
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.configuration.configuration as configuration
-    import iriswheel.node.node as node
-    import iriswheel.pools.session_replicas as session_replicas
+    from iriswheel.configuration import configuration
+    from iriswheel.node import node
+    from iriswheel.pools import session_replicas
 
 GRANT_USE_US = 2 * units.SECOND_US
 """Sent with each grant as the time for which it may be used; nodes go by the request's own time limit instead."""
--- a/iriswheel/pools/pool_records.py
+++ b/iriswheel/pools/pool_records.py
@@ -7,14 +7,11 @@
 
 import collections.abc
 
-import iriswheel.dataplane.retry_budget as retry_budget
-import iriswheel.dataplane.sessions as sessions
-import iriswheel.errors as errors
-import iriswheel.pools.claims as claims
-import iriswheel.pools.in_flight as in_flight
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel import errors
+from iriswheel.dataplane import retry_budget, sessions
+from iriswheel.pools import claims, in_flight
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 ABANDONED_RETENTION_US = 60 * units.SECOND_US
 """How long an attempt is refused whose node gave it up before its query arrived here."""
--- a/iriswheel/pools/replication.py
+++ b/iriswheel/pools/replication.py
@@ -8,13 +8,13 @@
 
 import typing
 
-import iriswheel.dataplane.sessions as sessions
-import iriswheel.pools.claims as claims
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.dataplane import sessions
+from iriswheel.pools import claims
+from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.pools.pool_owner as pool_owner
+    from iriswheel.pools import pool_owner
 
 COPY_DEADLINE_US = 500 * units.MILLISECOND_US
 """How long the nodes that keep copies have for their answer."""
--- a/iriswheel/pools/selection.py
+++ b/iriswheel/pools/selection.py
@@ -5,13 +5,13 @@
 import collections.abc
 import typing
 
-import iriswheel.runtime.units as units
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import iriswheel.configuration.configuration as configuration
-    import iriswheel.dataplane.health as health
-    import iriswheel.pools.pool_records as pool_records
-    import iriswheel.transport.message as message
+    from iriswheel.configuration import configuration
+    from iriswheel.dataplane import health
+    from iriswheel.pools import pool_records
+    from iriswheel.transport import message
 
 PREFIX_PARTS_PER_WORKER = 256
 REPORTED_REQUEST_COST = 100
--- a/iriswheel/pools/session_replicas.py
+++ b/iriswheel/pools/session_replicas.py
@@ -5,8 +5,8 @@
 import collections.abc
 import typing
 
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.runtime import units
+from iriswheel.transport import message
 
 EXPIRED_RETENTION_US = 60 * units.SECOND_US
 """How long a copy is kept after the record itself has expired."""
--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -6,14 +6,14 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.pools.claims as claims
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.pools import claims
+from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.pools.pool_owner as pool_owner
+    from iriswheel.pools import pool_owner
 
 GATHER_DEADLINE_US = 600 * units.MILLISECOND_US
 """How long members and core machines have for their answer."""
--- a/iriswheel/replication/chain.py
+++ b/iriswheel/replication/chain.py
@@ -9,22 +9,16 @@
 
 import loguru
 
-import iriswheel.replication.chain_position as chain_position
-import iriswheel.replication.proposals as proposals
-import iriswheel.replication.receiver as receiver
-import iriswheel.replication.replicated_log as replicated_log
-import iriswheel.replication.sender as sender
-import iriswheel.replication.tail as tail
-import iriswheel.transport.message as message
+from iriswheel.replication import chain_position, proposals, receiver, replicated_log, sender, tail
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
-    import iriswheel.consensus.view_consensus as view_consensus
-    import iriswheel.replication.replicated_state as replicated_state
-    import iriswheel.runtime.scheduler as scheduler
-    import iriswheel.runtime.storage as storage
-    import iriswheel.transport.peer_calls as peer_calls
+    from iriswheel.consensus import view_consensus
+    from iriswheel.replication import replicated_state
+    from iriswheel.runtime import scheduler, storage
+    from iriswheel.transport import peer_calls
 
 ChainRequest: typing.TypeAlias = (
     message.PositionRequest
--- a/iriswheel/replication/chain_position.py
+++ b/iriswheel/replication/chain_position.py
@@ -4,11 +4,11 @@
 
 import typing
 
-import iriswheel.consensus.decisions as decisions
+from iriswheel.consensus import decisions
 
 if typing.TYPE_CHECKING:
-    import iriswheel.consensus.view_consensus as view_consensus
-    import iriswheel.transport.message as message
+    from iriswheel.consensus import view_consensus
+    from iriswheel.transport import message
 
 
 class ChainPosition:
--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -4,17 +4,13 @@
 
 import typing
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.replication.snapshot_transfer as snapshot_transfer
-import iriswheel.runtime.storage as storage
-import iriswheel.transport.message as message
+from iriswheel.consensus import decisions
+from iriswheel.replication import snapshot_format, snapshot_transfer
+from iriswheel.runtime import storage
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.replication.chain_position as chain_position
-    import iriswheel.replication.replicated_log as replicated_log
-    import iriswheel.replication.replicated_state as replicated_state
-    import iriswheel.replication.tail as tail
+    from iriswheel.replication import chain_position, replicated_log, replicated_state, tail
 
 
 class Receiver:
--- a/iriswheel/replication/replicated_log.py
+++ b/iriswheel/replication/replicated_log.py
@@ -6,14 +6,11 @@
 
 import loguru
 import msgspec
-import twisted.internet.defer as defer
-
-import iriswheel.replication.replicated_state as replicated_state
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.replication.snapshot_transfer as snapshot_transfer
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.storage as storage
-import iriswheel.transport.message as message
+from twisted.internet import defer
+
+from iriswheel.replication import replicated_state, snapshot_format, snapshot_transfer
+from iriswheel.runtime import scheduler, storage
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
     import collections.abc
--- a/iriswheel/replication/replicated_state.py
+++ b/iriswheel/replication/replicated_state.py
@@ -10,9 +10,8 @@
 import immutables
 import msgspec
 
-import iriswheel.configuration.differences as differences
-import iriswheel.configuration.slices as slices
-import iriswheel.transport.message as message
+from iriswheel.configuration import differences, slices
+from iriswheel.transport import message
 
 MAX_PLANS = 512  # remembered, of each sort: open, confirmed
 MAX_OPEN_PLAN_BYTES = 16 << 20  # of all open plans together
--- a/iriswheel/replication/sender.py
+++ b/iriswheel/replication/sender.py
@@ -4,17 +4,13 @@
 
 import typing
 
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from iriswheel.replication import snapshot_format
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message, wire
 
 if typing.TYPE_CHECKING:
-    import iriswheel.replication.chain_position as chain_position
-    import iriswheel.replication.replicated_log as replicated_log
-    import iriswheel.replication.snapshot_transfer as snapshot_transfer
-    import iriswheel.transport.peer_calls as peer_calls
+    from iriswheel.replication import chain_position, replicated_log, snapshot_transfer
+    from iriswheel.transport import peer_calls
 
 CALL_TIMEOUT_US = 2 * units.SECOND_US
 RETRY_INTERVAL_US = 50 * units.MILLISECOND_US
--- a/iriswheel/replication/snapshot_format.py
+++ b/iriswheel/replication/snapshot_format.py
@@ -7,9 +7,8 @@
 import immutables
 import msgspec
 
-import iriswheel.configuration.differences as differences
-import iriswheel.configuration.slices as slices
-import iriswheel.replication.replicated_state as replicated_state
+from iriswheel.configuration import differences, slices
+from iriswheel.replication import replicated_state
 
 if typing.TYPE_CHECKING:
     import collections.abc
--- a/iriswheel/replication/snapshot_transfer.py
+++ b/iriswheel/replication/snapshot_transfer.py
@@ -10,10 +10,10 @@
 import hashlib
 import typing
 
-import iriswheel.transport.message as message
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.replication.replicated_state as replicated_state
+    from iriswheel.replication import replicated_state
 
 CHUNK_BYTES = 256 << 10
 BATCH_BYTES = 1 << 20  # of entries in one message; a single larger entry goes alone
--- a/iriswheel/replication/tail.py
+++ b/iriswheel/replication/tail.py
@@ -4,11 +4,10 @@
 
 import typing
 
-import iriswheel.transport.message as message
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    import iriswheel.replication.chain_position as chain_position
-    import iriswheel.replication.replicated_log as replicated_log
+    from iriswheel.replication import chain_position, replicated_log
 
 
 class Tail:
--- a/iriswheel/runtime/options.py
+++ b/iriswheel/runtime/options.py
@@ -11,7 +11,7 @@
 import loguru
 
 if typing.TYPE_CHECKING:
-    import iriswheel.runtime.scheduler as scheduler
+    from iriswheel.runtime import scheduler
 
 
 WATCH_US = 2_000_000
--- a/iriswheel/runtime/scheduler.py
+++ b/iriswheel/runtime/scheduler.py
@@ -12,13 +12,12 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.runtime.protocol as protocol
-import iriswheel.runtime.units as units
+from iriswheel.runtime import protocol, units
 
 if typing.TYPE_CHECKING:
-    import twisted.python.failure as failure
+    from twisted.python import failure
 
 Result = typing.TypeVar("Result")
 
--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -13,16 +13,15 @@
 
 import lmdb
 import loguru
-import twisted.internet.threads as threads
-import twisted.python.threadpool as threadpool
+from twisted.internet import threads
+from twisted.python import threadpool
 
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
-    import twisted.internet.defer as defer
+    from twisted.internet import defer
 
 Write: typing.TypeAlias = tuple[bytes, bytes | None]  # a key and its value; None removes the key
 
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -10,18 +10,17 @@
 
 import loguru
 import msgspec
-import twisted.internet.defer as defer
 import twisted.internet.protocol as twisted_protocol
-import twisted.web.http as http
+from twisted.internet import defer
+from twisted.web import http
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.errors as errors
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from iriswheel import errors
+from iriswheel.configuration import configuration
+from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.interfaces as interfaces
-    import twisted.python.failure as failure
+    from twisted.internet import interfaces
+    from twisted.python import failure
 
 
 CLOCK_ALLOWANCE_US = 2 * units.SECOND_US  # beyond what a client may take: its clock is not ours
--- a/iriswheel/transport/peers.py
+++ b/iriswheel/transport/peers.py
@@ -4,15 +4,15 @@
 
 import typing
 
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.transport.wire as wire
+from iriswheel.runtime import scheduler
+from iriswheel.transport import wire
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
     import loguru
 
-    import iriswheel.transport.message as message
+    from iriswheel.transport import message
 
 Address: typing.TypeAlias = tuple[str, int]  # host, port
 
--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -11,22 +11,18 @@
 import typing
 
 import msgspec
-import twisted.internet.defer as defer
-import twisted.internet.endpoints as endpoints
-import twisted.internet.error as error
-import twisted.internet.protocol as protocol
-import twisted.protocols.basic as basic
+from twisted.internet import defer, endpoints, error, protocol
+from twisted.protocols import basic
 
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
     import loguru
-    import twisted.internet.interfaces as interfaces
-    import twisted.python.failure as failure
+    from twisted.internet import interfaces
+    from twisted.python import failure
 
-    import iriswheel.control.node_session as node_session
+    from iriswheel.control import node_session
 
 
 PING_US = 300 * units.MILLISECOND_US
--- a/iriswheel/verification/availability.py
+++ b/iriswheel/verification/availability.py
@@ -4,8 +4,7 @@
 
 import typing
 
-import iriswheel.verification.event_log as event_log
-import iriswheel.verification.refusals as refusals
+from iriswheel.verification import event_log, refusals
 
 if typing.TYPE_CHECKING:
     import collections.abc
--- a/iriswheel/verification/configuration_checks.py
+++ b/iriswheel/verification/configuration_checks.py
@@ -5,8 +5,7 @@
 import collections
 import typing
 
-import iriswheel.verification.event_log as event_log
-import iriswheel.verification.history as history
+from iriswheel.verification import event_log, history
 
 if typing.TYPE_CHECKING:
     import collections.abc
--- a/iriswheel/verification/exactly_once.py
+++ b/iriswheel/verification/exactly_once.py
@@ -6,7 +6,7 @@
 import json
 import typing
 
-import iriswheel.verification.event_log as event_log
+from iriswheel.verification import event_log
 
 if typing.TYPE_CHECKING:
     import collections.abc
--- a/iriswheel/verification/history.py
+++ b/iriswheel/verification/history.py
@@ -13,7 +13,7 @@
 import json
 import typing
 
-import iriswheel.verification.linearizability as linearizability
+from iriswheel.verification import linearizability
 
 STALE_NUMBER = -1  # of a plan that was never taken
 
--- a/iriswheel/verification/refusals.py
+++ b/iriswheel/verification/refusals.py
@@ -4,10 +4,7 @@
 
 import typing
 
-import iriswheel.verification.event_log as event_log
-import iriswheel.verification.retry_checks as retry_checks
-import iriswheel.verification.routing_checks as routing_checks
-import iriswheel.verification.session_checks as session_checks
+from iriswheel.verification import event_log, retry_checks, routing_checks, session_checks
 
 CERTAIN_RETRY_SHARE = 0.15  # so few repeats exceed no node's budget
 
--- a/iriswheel/verification/replay.py
+++ b/iriswheel/verification/replay.py
@@ -7,14 +7,16 @@
 
 import collections.abc
 
-import iriswheel.verification.availability as availability
-import iriswheel.verification.configuration_checks as configuration_checks
-import iriswheel.verification.event_log as event_log
-import iriswheel.verification.exactly_once as exactly_once
-import iriswheel.verification.recovery_times as recovery_times
-import iriswheel.verification.retry_checks as retry_checks
-import iriswheel.verification.routing_checks as routing_checks
-import iriswheel.verification.session_checks as session_checks
+from iriswheel.verification import (
+    availability,
+    configuration_checks,
+    event_log,
+    exactly_once,
+    recovery_times,
+    retry_checks,
+    routing_checks,
+    session_checks,
+)
 
 SECOND_US = event_log.SECOND_US
 DamagedLogError = event_log.DamagedLogError
--- a/iriswheel/verification/routing_checks.py
+++ b/iriswheel/verification/routing_checks.py
@@ -4,7 +4,7 @@
 
 import typing
 
-import iriswheel.verification.event_log as event_log
+from iriswheel.verification import event_log
 
 if typing.TYPE_CHECKING:
     import collections.abc
--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -8,18 +8,16 @@
 import zlib
 
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.runtime.units as units
-import simulation.clients.connection as connection
-import simulation.clients.request_kinds as request_kinds
-import simulation.event_log as event_log
-import simulation.platform_names as platform_names
-import simulation.workers.served_http as served_http
+from iriswheel.runtime import units
+from simulation import event_log, platform_names
+from simulation.clients import connection, request_kinds
+from simulation.workers import served_http
 
 if typing.TYPE_CHECKING:
-    import iriswheel.runtime.scheduler as scheduler
-    import simulation.clients.virtual_address as virtual_address
+    from iriswheel.runtime import scheduler
+    from simulation.clients import virtual_address
 
 NOT_RUN = (408, 421, 429, 503)  # the request has not run and never will
 FINAL = (400, 401, 404, 413, 431)
--- a/simulation/clients/connection.py
+++ b/simulation/clients/connection.py
@@ -6,17 +6,16 @@
 import typing
 
 import httptools
-import twisted.internet.defer as defer
-import twisted.internet.protocol as protocol
+from twisted.internet import defer, protocol
 
-import iriswheel.runtime.units as units
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.interfaces as interfaces
-    import twisted.python.failure as failure
+    from twisted.internet import interfaces
+    from twisted.python import failure
 
-    import iriswheel.runtime.scheduler as scheduler
-    import simulation.network_model as network_model
+    from iriswheel.runtime import scheduler
+    from simulation import network_model
 
 StrayHandler = collections.abc.Callable[["ClientConnection", bytes], object]
 
--- a/simulation/clients/operator.py
+++ b/simulation/clients/operator.py
@@ -7,15 +7,14 @@
 import typing
 
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.runtime.units as units
-import simulation.clients.connection as connection
-import simulation.event_log as event_log
-import simulation.platform_names as platform_names
+from iriswheel.runtime import units
+from simulation import event_log, platform_names
+from simulation.clients import connection
 
 if typing.TYPE_CHECKING:
-    import iriswheel.runtime.scheduler as scheduler
+    from iriswheel.runtime import scheduler
 
 MOST_PLACES = 3  # that one call is passed on to
 CONNECT_TIMEOUT_US = units.SECOND_US
--- a/simulation/clients/virtual_address.py
+++ b/simulation/clients/virtual_address.py
@@ -6,15 +6,14 @@
 import zlib
 
 import loguru
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.runtime.units as units
-import simulation.clients.connection as connection
-import simulation.event_log as event_log
-import simulation.platform_names as platform_names
+from iriswheel.runtime import units
+from simulation import event_log, platform_names
+from simulation.clients import connection
 
 if typing.TYPE_CHECKING:
-    import iriswheel.runtime.scheduler as scheduler
+    from iriswheel.runtime import scheduler
 
 CHECK_INTERVAL_US = units.SECOND_US
 CHECK_TIMEOUT_US = 900 * units.MILLISECOND_US
--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -12,14 +12,13 @@
 
 import loguru
 
-import iriswheel.runtime.units as units
-import simulation.site.days as days
-import simulation.site.settings_files as settings_files
+from iriswheel.runtime import units
+from simulation.site import days, settings_files
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.defer as defer
+    from twisted.internet import defer
 
-    import simulation.site.site as site
+    from simulation.site import site
 
 STORM_GAPS_S = (0.15, 0.4, 0.9)
 FAULT_GAPS_S = (0.5, 2, 4, 6)
--- a/simulation/disk_model.py
+++ b/simulation/disk_model.py
@@ -4,13 +4,12 @@
 
 import typing
 
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.runtime.storage as storage
+from iriswheel.runtime import storage
 
 if typing.TYPE_CHECKING:
-    import simulation.process_model as process_model
-    import simulation.world as world
+    from simulation import process_model, world
 
 SYNC_US = 2_000  # the least time of a sync, and how much it varies
 TRAP_DELAY_US = 3_000  # within what time after a write's answer power is lost
--- a/simulation/fingerprint.py
+++ b/simulation/fingerprint.py
@@ -29,7 +29,7 @@
 import defopt
 import msgspec
 
-import simulation.observed_runs as observed_runs
+from simulation import observed_runs
 
 DIGEST_LENGTH = 16
 MARK_LENGTH = 4
--- a/simulation/host_model.py
+++ b/simulation/host_model.py
@@ -5,8 +5,7 @@
 import collections
 import typing
 
-import simulation.virtual_timer as virtual_timer
-import simulation.world as world
+from simulation import virtual_timer, world
 
 DiskCondition = typing.Literal["ok", "full", "slow", "stalled"]
 WriteStep = typing.Literal["before sync", "after sync", "after answer"]
--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -19,10 +19,10 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.base as base
+    from twisted.internet import base
 
-    import iriswheel.runtime.scheduler as scheduler
-    import simulation.virtual_timer as virtual_timer
+    from iriswheel.runtime import scheduler
+    from simulation import virtual_timer
 
 
 URGENCY = 5  # of a request that names none; 0 comes first
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -12,37 +12,33 @@
 import os
 import sys
 import typing
-import unittest.mock as mock
+from unittest import mock
 
 import defopt
 import loguru
 import msgspec
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.control.tail_contact as tail_contact
-import iriswheel.dataplane.attempt_outcome as attempt_outcome
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.dataplane.gateway as gateway
-import iriswheel.dataplane.health as health
-import iriswheel.dataplane.request_router as request_router
-import iriswheel.dataplane.retry_budget as retry_budget
-import iriswheel.dataplane.sessions as sessions
-import iriswheel.dataplane.worker_selection as worker_selection
-import iriswheel.errors as errors
-import iriswheel.membership.lease as lease
-import iriswheel.membership.membership_manager as membership_manager
-import iriswheel.node.follower as follower
-import iriswheel.node.peer_status as peer_status
-import iriswheel.node.platform_listing as platform_listing
-import iriswheel.pools.pool_owner as pool_owner
-import iriswheel.pools.selection as selection
-import iriswheel.transport.http_server as http_server
-import iriswheel.transport.message as message
-import iriswheel.verification.replay as replay
-import simulation.scenarios.actions as actions
-import simulation.scenarios.registry as registry
-import simulation.seed_runs as seed_runs
+from iriswheel import errors
+from iriswheel.consensus import decisions
+from iriswheel.control import tail_contact
+from iriswheel.dataplane import (
+    attempt_outcome,
+    dispatch,
+    edge_protocol,
+    gateway,
+    health,
+    request_router,
+    retry_budget,
+    sessions,
+    worker_selection,
+)
+from iriswheel.membership import lease, membership_manager
+from iriswheel.node import follower, peer_status, platform_listing
+from iriswheel.pools import pool_owner, selection
+from iriswheel.transport import http_server, message
+from iriswheel.verification import replay
+from simulation import seed_runs
+from simulation.scenarios import actions, registry
 
 VALID_US = peer_status.STATUS_VALIDITY_US
 
--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -8,18 +8,16 @@
 import types
 import typing
 
-import twisted.internet.address as address
-import twisted.internet.error as error
-import twisted.internet.interfaces as interfaces
-import twisted.python.failure as failure
-import zope.interface as interface
+from twisted.internet import address, error, interfaces
+from twisted.python import failure
+from zope import interface
 
-import simulation.world as world
+from simulation import world
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.protocol as protocol
+    from twisted.internet import protocol
 
-    import simulation.process_model as process_model
+    from simulation import process_model
 
 WINDOW_BYTES = 65_536  # how far a producer may be ahead of its reader
 DEFAULT_TIMEOUT_SECONDS = 30  # of opening a connection
--- a/simulation/observed_runs.py
+++ b/simulation/observed_runs.py
@@ -5,16 +5,14 @@
 
 import collections.abc
 import typing
-import unittest.mock as mock
+from unittest import mock
 
 import loguru
 import msgspec
 
-import benchmarks.fleet as fleet
-import simulation.platform_days as platform_days
-import simulation.scenarios.registry as registry
-import simulation.second_loss as second_loss
-import simulation.world as world
+from benchmarks import fleet
+from simulation import platform_days, second_loss, world
+from simulation.scenarios import registry
 
 DAY_LOAD = 0.3  # of the usual traffic: a day costs less, and its troubles are the same
 DAY_SHAPES = ("magnolia", "swan")
--- a/simulation/operator_model.py
+++ b/simulation/operator_model.py
@@ -5,16 +5,16 @@
 import json
 import typing
 
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.cli.command as command
-import iriswheel.runtime.units as units
-import iriswheel.verification.linearizability as linearizability
-import simulation.addresses as addresses
+from iriswheel.cli import command
+from iriswheel.runtime import units
+from iriswheel.verification import linearizability
+from simulation import addresses
 
 if typing.TYPE_CHECKING:
-    import iriswheel.runtime.scheduler as scheduler
-    import simulation.simulated_cluster as simulated_cluster
+    from iriswheel.runtime import scheduler
+    from simulation import simulated_cluster
 
 HTTP_OK = 200
 HTTP_SERVER_ERROR = 500
--- a/simulation/platform_days.py
+++ b/simulation/platform_days.py
@@ -18,13 +18,10 @@
 import defopt
 import loguru
 
-import simulation.core_days as core_days
-import simulation.platform_rules as platform_rules
-import simulation.rules.earned_value as earned_value
 import simulation.site.days as days_of_one_fault
-import simulation.site.drawn_day as drawn_day
-import simulation.site.shapes as shapes
-import simulation.site.site as site
+from simulation import core_days, platform_rules
+from simulation.rules import earned_value
+from simulation.site import drawn_day, shapes, site
 
 Totals = dict[str, float]
 Complaints = dict[str, list[str]]
--- a/simulation/platform_programs.py
+++ b/simulation/platform_programs.py
@@ -5,7 +5,7 @@
 
 import sys
 
-import simulation.platform_names as platform_names
+from simulation import platform_names
 
 if platform_names.PLATFORM not in sys.path:
     sys.path.append(platform_names.PLATFORM)
--- a/simulation/platform_rules.py
+++ b/simulation/platform_rules.py
@@ -16,10 +16,8 @@
 
 import defopt
 
-import simulation.rules.answers as answers
-import simulation.rules.configuration as configuration
 import simulation.rules.log as event_log
-import simulation.rules.routing as routing
+from simulation.rules import answers, configuration, routing
 
 Rule = collections.abc.Callable[[event_log.Log], collections.abc.Iterator[str]]
 
--- a/simulation/prober.py
+++ b/simulation/prober.py
@@ -7,16 +7,15 @@
 
 import loguru
 
-import iriswheel.cli.load_generator as load_generator
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.runtime.units as units
+from iriswheel.cli import load_generator
+from iriswheel.dataplane import dispatch, edge_protocol
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import twisted.web.client as client
+    from twisted.web import client
 
-    import iriswheel.runtime.scheduler as scheduler
-    import simulation.simulated_cluster as simulated_cluster
+    from iriswheel.runtime import scheduler
+    from simulation import simulated_cluster
 
 INTERVAL_US = units.SECOND_US
 TIMEOUT_US = 8 * units.SECOND_US
--- a/simulation/process_model.py
+++ b/simulation/process_model.py
@@ -5,14 +5,13 @@
 import functools
 import typing
 
-import iriswheel.runtime.scheduler as scheduler
-import simulation.reactor_model as reactor_model
+from iriswheel.runtime import scheduler
+from simulation import reactor_model
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.protocol as protocol
+    from twisted.internet import protocol
 
-    import simulation.host_model as host_model
-    import simulation.world as world
+    from simulation import host_model, world
 
 
 class SimulatedProcess:
--- a/simulation/reactor_model.py
+++ b/simulation/reactor_model.py
@@ -5,17 +5,15 @@
 import functools
 import typing
 
-import twisted.internet.address as address
+from twisted.internet import address
 
-import iriswheel.runtime.units as units
-import simulation.network_model as network_model
-import simulation.virtual_timer as virtual_timer
+from iriswheel.runtime import units
+from simulation import network_model, virtual_timer
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.protocol as protocol
+    from twisted.internet import protocol
 
-    import simulation.process_model as process_model
-    import simulation.world as world
+    from simulation import process_model, world
 
 FIRST_EPHEMERAL_PORT = 40_000
 
--- a/simulation/rude_clients.py
+++ b/simulation/rude_clients.py
@@ -4,14 +4,13 @@
 
 import typing
 
-import twisted.internet.endpoints as endpoints
-import twisted.internet.protocol as protocol
+from twisted.internet import endpoints, protocol
 
-import iriswheel.runtime.units as units
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import iriswheel.runtime.scheduler as scheduler
-    import simulation.event_log as event_log
+    from iriswheel.runtime import scheduler
+    from simulation import event_log
 
 CONNECT_TIMEOUT_SECONDS = 2
 LEAVE_AFTER_US = 40 * units.MILLISECOND_US
--- a/simulation/rules/answers.py
+++ b/simulation/rules/answers.py
@@ -5,8 +5,8 @@
 import collections.abc
 import itertools
 
-import iriswheel.runtime.units as units
 import simulation.rules.log as event_log
+from iriswheel.runtime import units
 
 Complaints = collections.abc.Iterator[str]
 
--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -7,11 +7,11 @@
 import json
 import typing
 
-import iriswheel.runtime.units as units
-import iriswheel.verification.history as history
-import simulation.platform_names as platform_names
 import simulation.rules.log as event_log
-import simulation.rules.routing as routing
+from iriswheel.runtime import units
+from iriswheel.verification import history
+from simulation import platform_names
+from simulation.rules import routing
 
 Complaints = collections.abc.Iterator[str]
 Document = dict[str, typing.Any]
--- a/simulation/rules/earned_value.py
+++ b/simulation/rules/earned_value.py
@@ -6,8 +6,8 @@
 import itertools
 import typing
 
-import iriswheel.runtime.units as units
 import simulation.rules.log as event_log
+from iriswheel.runtime import units
 
 WINDOW_US = 2 * units.SECOND_US
 WORST_WINDOWS = 2
--- a/simulation/rules/log.py
+++ b/simulation/rules/log.py
@@ -5,8 +5,8 @@
 import collections
 import typing
 
-import iriswheel.runtime.units as units
-import simulation.clients.connection as connection
+from iriswheel.runtime import units
+from simulation.clients import connection
 
 # The bounds of the small sites, in microseconds where they are times; a log's `begun` row may name others.
 BOUNDS: dict[str, int | float] = dict(
--- a/simulation/rules/routing.py
+++ b/simulation/rules/routing.py
@@ -7,8 +7,8 @@
 import collections.abc
 import typing
 
-import iriswheel.runtime.units as units
-import simulation.platform_names as platform_names
+from iriswheel.runtime import units
+from simulation import platform_names
 
 if typing.TYPE_CHECKING:
     import simulation.rules.log as event_log
--- a/simulation/scenarios/actions.py
+++ b/simulation/scenarios/actions.py
@@ -5,14 +5,14 @@
 import collections.abc
 import typing
 
-import iriswheel.runtime.units as units
-import simulation.simulated_cluster as simulated_cluster
+from iriswheel.runtime import units
+from simulation import simulated_cluster
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.defer as defer
+    from twisted.internet import defer
 
-    import iriswheel.control.core as core
-    import iriswheel.node.node as node
+    from iriswheel.control import core
+    from iriswheel.node import node
 
 CONFIRM_TIMEOUT_SECONDS = 40  # for an operator's change
 
--- a/simulation/scenarios/configuration.py
+++ b/simulation/scenarios/configuration.py
@@ -4,10 +4,9 @@
 
 import typing
 
-import iriswheel.runtime.units as units
-import simulation.operator_model as operator_model
-import simulation.scenarios.actions as actions
-import simulation.simulated_cluster as simulated_cluster
+from iriswheel.runtime import units
+from simulation import operator_model, simulated_cluster
+from simulation.scenarios import actions
 
 LOAD_PATH = "/v1/complete"
 
--- a/simulation/scenarios/cores.py
+++ b/simulation/scenarios/cores.py
@@ -4,9 +4,8 @@
 
 import functools
 
-import simulation.addresses as addresses
-import simulation.scenarios.actions as actions
-import simulation.simulated_cluster as simulated_cluster
+from simulation import addresses, simulated_cluster
+from simulation.scenarios import actions
 
 
 def kill_core(cluster: simulated_cluster.SimulatedCluster) -> None:
--- a/simulation/scenarios/disks.py
+++ b/simulation/scenarios/disks.py
@@ -4,12 +4,12 @@
 
 import typing
 
-import simulation.scenarios.actions as actions
-import simulation.simulated_cluster as simulated_cluster
+from simulation import simulated_cluster
+from simulation.scenarios import actions
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.core as core
-    import simulation.host_model as host_model
+    from iriswheel.control import core
+    from simulation import host_model
 
 
 def disk_lost(cluster: simulated_cluster.SimulatedCluster) -> None:
--- a/simulation/scenarios/load.py
+++ b/simulation/scenarios/load.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-import simulation.addresses as addresses
-import simulation.rude_clients as rude_clients
-import simulation.scenarios.actions as actions
-import simulation.simulated_cluster as simulated_cluster
+from simulation import addresses, rude_clients, simulated_cluster
+from simulation.scenarios import actions
 
 RUSH_FACTOR = 10  # times the usual rate of short requests
 RUSH_SECONDS = 4
--- a/simulation/scenarios/mixed_faults.py
+++ b/simulation/scenarios/mixed_faults.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-import simulation.scenarios.actions as actions
-import simulation.simulated_cluster as simulated_cluster
+from simulation import simulated_cluster
+from simulation.scenarios import actions
 
 LAST_FAULTS = (
     "kill node",
--- a/simulation/scenarios/network.py
+++ b/simulation/scenarios/network.py
@@ -5,12 +5,11 @@
 import collections.abc
 import typing
 
-import simulation.addresses as addresses
-import simulation.scenarios.actions as actions
-import simulation.simulated_cluster as simulated_cluster
+from simulation import addresses, simulated_cluster
+from simulation.scenarios import actions
 
 if typing.TYPE_CHECKING:
-    import iriswheel.node.node as node
+    from iriswheel.node import node
 
 
 def cut_core_one(cluster: simulated_cluster.SimulatedCluster) -> None:
--- a/simulation/scenarios/registry.py
+++ b/simulation/scenarios/registry.py
@@ -5,15 +5,8 @@
 import collections.abc
 import typing
 
-import simulation.scenarios.configuration as configuration
-import simulation.scenarios.cores as cores
-import simulation.scenarios.disks as disks
-import simulation.scenarios.load as load
-import simulation.scenarios.mixed_faults as mixed_faults
-import simulation.scenarios.network as network
-import simulation.scenarios.processes as processes
-import simulation.scenarios.workers as workers
-import simulation.simulated_cluster as simulated_cluster
+from simulation import simulated_cluster
+from simulation.scenarios import configuration, cores, disks, load, mixed_faults, network, processes, workers
 
 Scenario = collections.abc.Callable[[simulated_cluster.SimulatedCluster], None]
 
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -24,19 +24,16 @@
 import loguru
 import msgspec
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.runtime.units as units
-import simulation.host_model as host_model
-import simulation.platform_names as platform_names
-import simulation.platform_rules as platform_rules
-import simulation.process_model as process_model
-import simulation.site.shapes as shapes
 import simulation.site.site as simulated_site
+from iriswheel.consensus import decisions
+from iriswheel.runtime import units
+from simulation import host_model, platform_names, platform_rules, process_model
+from simulation.site import shapes
 
 if typing.TYPE_CHECKING:
-    import iriswheel.control.core as core
-    import iriswheel.transport.message as message
     import simulation.clients.operator as operators
+    from iriswheel.control import core
+    from iriswheel.transport import message
 
 POLL_S = 0.001
 LEAD_S = 3
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -9,28 +9,18 @@
 
 import loguru
 
-import benchmarks.fleet as fleet
-import benchmarks.stand_ins as stand_ins
-import iriswheel.cli.load_generator as load_generator
-import iriswheel.control.core as core
-import iriswheel.node.node as node
-import iriswheel.runtime.options as options
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
-import iriswheel.transport.wire as wire
-import simulation.addresses as addresses
-import simulation.disk_model as disk_model
-import simulation.event_log as event_log
-import simulation.host_model as host_model
-import simulation.operator_model as operator_model
-import simulation.prober as prober
-import simulation.process_model as process_model
-import simulation.world as world
+from benchmarks import fleet, stand_ins
+from iriswheel.cli import load_generator
+from iriswheel.control import core
+from iriswheel.node import node
+from iriswheel.runtime import options, units
+from iriswheel.transport import http_server, wire
+from simulation import addresses, disk_model, event_log, host_model, operator_model, prober, process_model, world
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.defer as defer
+    from twisted.internet import defer
 
-    import iriswheel.runtime.scheduler as scheduler
+    from iriswheel.runtime import scheduler
 
 SEED_COUNT = 3  # cores that the seeds name, however many there are
 STEP_SECONDS = 0.05  # how often a condition is checked
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -8,16 +8,15 @@
 
 import loguru
 
-import iriswheel.runtime.units as units
-import simulation.clients.client as client
-import simulation.clients.request_kinds as request_kinds
-import simulation.platform_names as platform_names
-import simulation.site.shapes as shapes
+from iriswheel.runtime import units
+from simulation import platform_names
+from simulation.clients import client, request_kinds
+from simulation.site import shapes
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.defer as defer
+    from twisted.internet import defer
 
-    import simulation.site.site as site
+    from simulation.site import site
 
 FIRST_IDLE_ROUTES = 3
 IDLE_HOST = "idle.example"
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -7,12 +7,11 @@
 
 import loguru
 
-import iriswheel.runtime.units as units
-import simulation.clients.client as client
+from iriswheel.runtime import units
+from simulation.clients import client
 
 if typing.TYPE_CHECKING:
-    import simulation.site.faults as faults
-    import simulation.site.site as site
+    from simulation.site import faults, site
 
 Day = collections.abc.Callable[["site.Site"], None]
 
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -7,12 +7,12 @@
 
 import loguru
 
-import iriswheel.runtime.units as units
-import simulation.clients.client as client
-import simulation.site.days as days
+from iriswheel.runtime import units
+from simulation.clients import client
+from simulation.site import days
 
 if typing.TYPE_CHECKING:
-    import simulation.site.site as site
+    from simulation.site import site
 
 DAY_S = 24
 FIRST_FAULT_S, FAULTS_S = 1.5, 14  # faults begin within this time
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -9,15 +9,15 @@
 
 import loguru
 
-import iriswheel.runtime.units as units
-import simulation.platform_names as platform_names
-import simulation.site.settings_files as settings_files
+from iriswheel.runtime import units
+from simulation import platform_names
+from simulation.site import settings_files
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
-    import simulation.site.site as site
-    import simulation.world as world
+    from simulation import world
+    from simulation.site import site
 
 FAR_ZONE = "far"  # of clients and operators
 TERMINATION_GRACE_S = 8.0  # from SIGTERM to SIGKILL
--- a/simulation/site/settings_files.py
+++ b/simulation/site/settings_files.py
@@ -4,10 +4,10 @@
 
 import typing
 
-import iriswheel.runtime.units as units
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import simulation.site.shapes as shapes
+    from simulation.site import shapes
 
 FRONT_PORT = 8263  # of a node, for requests
 READY_PORT = 8268  # of a node, for readiness checks
--- a/simulation/site/shapes.py
+++ b/simulation/site/shapes.py
@@ -5,7 +5,7 @@
 import dataclasses
 import typing
 
-import simulation.clients.request_kinds as request_kinds
+from simulation.clients import request_kinds
 
 LONG = request_kinds.RequestKind(
     "bundle",
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -14,28 +14,16 @@
 
 import loguru
 
-import iriswheel.control.core as core
-import iriswheel.node.node as node
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
-import iriswheel.transport.wire as wire
-import simulation.clients.client as client
-import simulation.clients.operator as operator
-import simulation.clients.virtual_address as virtual_address
-import simulation.disk_model as disk_model
-import simulation.event_log as event_log
-import simulation.host_model as host_model
-import simulation.inference_engine as inference_engine
-import simulation.platform_programs as platform_programs
-import simulation.process_model as process_model
-import simulation.rules.earned_value as earned_value
-import simulation.site.configurations as configurations
-import simulation.site.faults as faults
-import simulation.site.settings_files as settings_files
-import simulation.site.shapes as shapes
-import simulation.workers.listing as listing
 import simulation.workers.worker as workers
-import simulation.world as world
+from iriswheel.control import core
+from iriswheel.node import node
+from iriswheel.runtime import units
+from iriswheel.transport import http_server, wire
+from simulation import disk_model, event_log, host_model, inference_engine, platform_programs, process_model, world
+from simulation.clients import client, operator, virtual_address
+from simulation.rules import earned_value
+from simulation.site import configurations, faults, settings_files, shapes
+from simulation.workers import listing
 
 SEED_LIST_LAG_US = 3 * units.SECOND_US  # after which operators see which core machines came or went
 FAR_ZONE = "far"  # of clients and operators
--- a/simulation/state_search/cluster_model.py
+++ b/simulation/state_search/cluster_model.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.transport.message as message
+from iriswheel.consensus import decisions
+from iriswheel.transport import message
 
 replace = msgspec.structs.replace
 
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.transport.message as message
-import simulation.state_search.cluster_model as cluster_model
+from iriswheel.consensus import decisions
+from iriswheel.transport import message
+from simulation.state_search import cluster_model
 
 replace = msgspec.structs.replace
 
--- a/simulation/state_search/explore.py
+++ b/simulation/state_search/explore.py
@@ -19,10 +19,9 @@
 import defopt
 import msgspec
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.transport.message as message
-import simulation.state_search.cluster_model as cluster_model
-import simulation.state_search.cluster_steps as cluster_steps
+from iriswheel.consensus import decisions
+from iriswheel.transport import message
+from simulation.state_search import cluster_model, cluster_steps
 
 replace = msgspec.structs.replace
 
--- a/simulation/sweep.py
+++ b/simulation/sweep.py
@@ -15,10 +15,10 @@
 import defopt
 import loguru
 
-import benchmarks.fleet as fleet
-import iriswheel.verification.replay as replay
-import simulation.scenarios.registry as registry
-import simulation.seed_runs as seed_runs
+from benchmarks import fleet
+from iriswheel.verification import replay
+from simulation import seed_runs
+from simulation.scenarios import registry
 
 
 class Job(typing.NamedTuple):
--- a/simulation/virtual_timer.py
+++ b/simulation/virtual_timer.py
@@ -4,13 +4,12 @@
 
 import typing
 
-import twisted.internet.error as error
+from twisted.internet import error
 
-import iriswheel.runtime.units as units
+from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    import simulation.process_model as process_model
-    import simulation.world as world
+    from simulation import process_model, world
 
 TimerState = typing.Literal["due", "done", "cancelled"]
 
--- a/simulation/workers/listing.py
+++ b/simulation/workers/listing.py
@@ -6,13 +6,12 @@
 import typing
 import urllib.parse
 
-import iriswheel.runtime.units as units
-import simulation.event_log as event_log
-import simulation.platform_names as platform_names
-import simulation.workers.served_http as served_http
+from iriswheel.runtime import units
+from simulation import event_log, platform_names
+from simulation.workers import served_http
 
 if typing.TYPE_CHECKING:
-    import iriswheel.runtime.scheduler as scheduler
+    from iriswheel.runtime import scheduler
 
 HISTORY_US = 30 * units.SECOND_US  # for which former lists are kept
 RATE_WINDOW_US = units.SECOND_US
--- a/simulation/workers/served_http.py
+++ b/simulation/workers/served_http.py
@@ -9,14 +9,14 @@
 import zlib
 
 import httptools
-import twisted.internet.protocol as protocol
+from twisted.internet import protocol
 
 if typing.TYPE_CHECKING:
-    import twisted.internet.interfaces as interfaces
-    import twisted.python.failure as failure
+    from twisted.internet import interfaces
+    from twisted.python import failure
 
-    import iriswheel.runtime.scheduler as scheduler
-    import simulation.virtual_timer as virtual_timer
+    from iriswheel.runtime import scheduler
+    from simulation import virtual_timer
 
 PHRASES = {
     200: "OK",
--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -4,15 +4,12 @@
 
 import typing
 
-import iriswheel.runtime.units as units
-import simulation.event_log as event_log
-import simulation.inference_engine as inference_engine
-import simulation.platform_names as platform_names
-import simulation.virtual_timer as virtual_timer
-import simulation.workers.served_http as served_http
+from iriswheel.runtime import units
+from simulation import event_log, inference_engine, platform_names, virtual_timer
+from simulation.workers import served_http
 
 if typing.TYPE_CHECKING:
-    import iriswheel.runtime.scheduler as scheduler
+    from iriswheel.runtime import scheduler
 
 DEFAULT_LEFT_MS = "60000"
 RETRY_AFTER_S = "0.2"
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -12,9 +12,7 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    import simulation.host_model as host_model
-    import simulation.network_model as network_model
-    import simulation.process_model as process_model
+    from simulation import host_model, network_model, process_model
 
 
 LOOPBACK_US = 30  # within a host
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 import loguru
 import pytest
 
-import simulation.simulated_cluster as simulated_cluster
+from simulation import simulated_cluster
 
 
 class QuietCluster(Protocol):
--- a/tests/frozen_codec.py
+++ b/tests/frozen_codec.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-import tests.recorded as recorded
+from tests import recorded
 
 SCALARS = {"int": int, "str": str, "bool": bool, "bytes": bytes, "any": typing.Any, "none": None}
 
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -4,18 +4,11 @@
 
 import pytest
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.dataplane.forwarding as forwarding
-import iriswheel.dataplane.retry_budget as retry_budget
-import iriswheel.dataplane.routed_request as routed_request
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
-import simulation.event_log as event_log
-import simulation.host_model as host_model
-import simulation.platform_programs as platform_programs
-import simulation.process_model as process_model
-import simulation.world as world
+from iriswheel.configuration import configuration
+from iriswheel.dataplane import forwarding, retry_budget, routed_request
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import http_server
+from simulation import event_log, host_model, platform_programs, process_model, world
 
 S = units.SECOND_US
 
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -12,22 +12,19 @@
 import tempfile
 import tomllib
 import typing
-import unittest.mock as mock
+from unittest import mock
 
 import loguru
-import twisted.internet.endpoints as endpoints
-import twisted.internet.protocol as protocol
-
-import benchmarks.stand_ins as stand_ins
-import iriswheel.configuration.configuration as configuration
-import iriswheel.errors as errors
-import iriswheel.runtime.options as options
-import iriswheel.verification.replay as replay
-import simulation.addresses as addresses
-import simulation.operator_model as operator_model
-import simulation.scenarios.actions as actions
-import simulation.simulated_cluster as simulated_cluster
-import tests.recorded as recorded
+from twisted.internet import endpoints, protocol
+
+from benchmarks import stand_ins
+from iriswheel import errors
+from iriswheel.configuration import configuration
+from iriswheel.runtime import options
+from iriswheel.verification import replay
+from simulation import addresses, operator_model, simulated_cluster
+from simulation.scenarios import actions
+from tests import recorded
 
 ROOT = pathlib.Path(__file__).parent.parent
 COMMANDS = ("core", "node", "load", "check", "plan", "confirm", "change", "show", "replay", "history")
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,17 +1,12 @@
 """The decisions of the view agreement, one by one."""
 
 import pytest
-import twisted.internet.defer as defer
-import twisted.internet.task as task
-
-import iriswheel.consensus.decisions as decisions
-import iriswheel.consensus.timing as timing
-import iriswheel.consensus.view_consensus as view_consensus
-import iriswheel.replication.chain as chain
-import iriswheel.replication.replicated_state as replicated_state
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.transport.message as message
+from twisted.internet import defer, task
+
+from iriswheel.consensus import decisions, timing, view_consensus
+from iriswheel.replication import chain, replicated_state, snapshot_format
+from iriswheel.runtime import scheduler
+from iriswheel.transport import message
 
 SECOND = 1_000_000
 
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -4,12 +4,9 @@
 
 import pytest
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.dataplane.edge_protocol as edge_protocol
-import iriswheel.dataplane.node_budgets as node_budgets
-import iriswheel.runtime.options as options
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from iriswheel.configuration import configuration
+from iriswheel.dataplane import edge_protocol, node_budgets
+from iriswheel.runtime import options, scheduler, units
 
 S = units.SECOND_US
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -7,14 +7,16 @@
 
 import pytest
 
-import benchmarks.capacity.fleet_costs as fleet_costs
-import benchmarks.capacity.hollow_fleet as hollow_fleet
-import benchmarks.capacity.loss_costs as loss_costs
-import benchmarks.capacity.membership_costs as membership_costs
-import benchmarks.capacity.node_costs as node_costs
-import benchmarks.capacity.pool_owner_costs as pool_owner_costs
-import benchmarks.capacity.target_costs as target_costs
-import iriswheel.transport.wire as wire
+from benchmarks.capacity import (
+    fleet_costs,
+    hollow_fleet,
+    loss_costs,
+    membership_costs,
+    node_costs,
+    pool_owner_costs,
+    target_costs,
+)
+from iriswheel.transport import wire
 
 PAGE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "docs", "CAPACITY.md")
 
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -4,23 +4,13 @@
 
 import msgspec
 import pytest
-import twisted.internet.defer as defer
-
-import iriswheel.consensus.decisions as decisions
-import iriswheel.consensus.view_consensus as view_consensus
-import iriswheel.replication.chain as chain
-import iriswheel.replication.replicated_log as replicated_log
-import iriswheel.replication.replicated_state as replicated_state
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.runtime.storage as storage
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
-import simulation.disk_model as disk_model
-import simulation.host_model as host_model
-import simulation.process_model as process_model
-import simulation.simulated_cluster as simulated_cluster
-import simulation.world as world
+from twisted.internet import defer
+
+from iriswheel.consensus import decisions, view_consensus
+from iriswheel.replication import chain, replicated_log, replicated_state, snapshot_format
+from iriswheel.runtime import storage, units
+from iriswheel.transport import message, wire
+from simulation import disk_model, host_model, process_model, simulated_cluster, world
 
 S = units.SECOND_US
 ROUTES = 1_400
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -3,14 +3,11 @@
 import types
 
 import pytest
-import twisted.internet.defer as defer
-
-import iriswheel.replication.chain as chain
-import iriswheel.replication.replicated_log as replicated_log
-import iriswheel.replication.replicated_state as replicated_state
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.transport.message as message
+from twisted.internet import defer
+
+from iriswheel.replication import chain, replicated_log, replicated_state, snapshot_format
+from iriswheel.runtime import scheduler
+from iriswheel.transport import message
 
 
 class Disk:
--- a/tests/test_change_orders.py
+++ b/tests/test_change_orders.py
@@ -1,7 +1,7 @@
 """What operators are told of an order that cannot be judged any more."""
 
-import iriswheel.control.change_orders as change_orders
-import iriswheel.errors as errors
+from iriswheel import errors
+from iriswheel.control import change_orders
 
 FORGOTTEN = change_orders.KnownState(version=9, items={}, taken=0, forgotten=5, read_at_tail=True)
 
--- a/tests/test_change_recovery.py
+++ b/tests/test_change_recovery.py
@@ -1,7 +1,7 @@
 """The command that measures how long changes are held up by a fault of a core machine."""
 
-import benchmarks.change_recovery as change_recovery
-import iriswheel.runtime.units as units
+from benchmarks import change_recovery
+from iriswheel.runtime import units
 
 
 class TestOneSeed:
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -3,15 +3,12 @@
 import msgspec
 import pytest
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.replication.replicated_log as replicated_log
-import iriswheel.replication.replicated_state as replicated_state
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import simulation.operator_model as operator_model
-import simulation.simulated_cluster as simulated_cluster
-import tests.conftest as conftest
+from iriswheel.configuration import configuration
+from iriswheel.replication import replicated_log, replicated_state, snapshot_format
+from iriswheel.runtime import units
+from iriswheel.transport import message
+from simulation import operator_model, simulated_cluster
+from tests import conftest
 
 S = units.SECOND_US
 
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import iriswheel.verification.replay as replay
+from iriswheel.verification import replay
 
 S = replay.SECOND_US
 DOC = {
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,18 +1,13 @@
 """Connections to workers learn how long a worker really keeps them."""
 
 import pytest
-import twisted.internet.defer as defer
-
-import iriswheel.dataplane.worker_connections as worker_connections
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import simulation.event_log as event_log
-import simulation.host_model as host_model
-import simulation.inference_engine as inference_engine
-import simulation.platform_names as platform_names
-import simulation.process_model as process_model
+from twisted.internet import defer
+
 import simulation.workers.worker as workers
-import simulation.world as world
+from iriswheel.dataplane import worker_connections
+from iriswheel.runtime import units
+from iriswheel.transport import message
+from simulation import event_log, host_model, inference_engine, platform_names, process_model, world
 
 MS, S = units.MILLISECOND_US, units.SECOND_US
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -3,16 +3,14 @@
 import random
 import types
 
-import twisted.internet.task as task
+from twisted.internet import task
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.control.slices as slices
-import iriswheel.dataplane.request_router as request_router
-import iriswheel.node.follower as follower
-import iriswheel.replication.replicated_state as replicated_state
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.runtime.options as options
-import iriswheel.runtime.scheduler as scheduler
+from iriswheel.configuration import configuration
+from iriswheel.control import slices
+from iriswheel.dataplane import request_router
+from iriswheel.node import follower
+from iriswheel.replication import replicated_state, snapshot_format
+from iriswheel.runtime import options, scheduler
 
 
 def a_follower():
--- a/tests/test_core_days.py
+++ b/tests/test_core_days.py
@@ -11,18 +11,12 @@
 """
 
 import contextlib
-import unittest.mock as mock
+from unittest import mock
 
 import pytest
 
-import iriswheel.runtime.units as units
-import simulation.core_days as core_days
-import simulation.host_model as host_model
-import simulation.platform_days as platform_days
-import simulation.platform_rules as platform_rules
-import simulation.process_model as process_model
-import simulation.reactor_model as reactor_model
-import simulation.world as world
+from iriswheel.runtime import units
+from simulation import core_days, host_model, platform_days, platform_rules, process_model, reactor_model, world
 
 
 def _time_of_day(self):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,22 +7,15 @@
 import contextlib
 import functools
 import multiprocessing
-import unittest.mock as mock
+from unittest import mock
 
 import pytest
 
-import iriswheel.dataplane.answer_stream as answer_stream
-import iriswheel.dataplane.forwarded_request as forwarded_request
-import iriswheel.dataplane.forwarding as forwarding
-import iriswheel.dataplane.retry_budget as retry_budget
-import iriswheel.errors as errors
-import iriswheel.node.follower as follower
-import iriswheel.node.node as node
-import iriswheel.runtime.units as units
-import simulation.disk_model as disk_model
-import simulation.platform_days as platform_days
-import simulation.platform_programs as platform_programs
-import simulation.platform_rules as platform_rules
+from iriswheel import errors
+from iriswheel.dataplane import answer_stream, forwarded_request, forwarding, retry_budget
+from iriswheel.node import follower, node
+from iriswheel.runtime import units
+from simulation import disk_model, platform_days, platform_programs, platform_rules
 
 CLEAN = [
     ("calm", 1, "magnolia"),
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -5,18 +5,12 @@
 
 import msgspec
 import pytest
-import twisted.internet.defer as defer
-
-import iriswheel.consensus.decisions as decisions
-import iriswheel.consensus.view_consensus as view_consensus
-import iriswheel.runtime.storage as storage
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import simulation.addresses as addresses
-import simulation.disk_model as disk_model
-import simulation.host_model as host_model
-import simulation.process_model as process_model
-import simulation.world as world
+from twisted.internet import defer
+
+from iriswheel.consensus import decisions, view_consensus
+from iriswheel.runtime import storage, units
+from iriswheel.transport import message
+from simulation import addresses, disk_model, host_model, process_model, world
 
 S = units.SECOND_US
 SEATS = [message.Voter(i, f"10.0.1.{k}", addresses.PEER_PORT, "a") for k, i in enumerate("abc", 1)]
--- a/tests/test_encoding.py
+++ b/tests/test_encoding.py
@@ -2,9 +2,8 @@
 
 import msgspec
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
+from iriswheel.consensus import decisions
+from iriswheel.transport import message, wire
 
 
 class TestEncoding:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -2,11 +2,10 @@
 
 import itertools
 
-import twisted.internet.task as task
+from twisted.internet import task
 
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import simulation.inference_engine as inference_engine
+from iriswheel.runtime import scheduler, units
+from simulation import inference_engine
 
 MS = units.MILLISECOND_US
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,14 +1,13 @@
 """The view agreement searched state by state: nothing breaks as it stands, and each guard taken out is noticed."""
 
-import unittest.mock as mock
+from unittest import mock
 
 import msgspec
 import pytest
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.transport.message as message
-import simulation.state_search.cluster_model as cluster_model
-import simulation.state_search.explore as explore
+from iriswheel.consensus import decisions
+from iriswheel.transport import message
+from simulation.state_search import cluster_model, explore
 
 STATES = 4_000  # of each search without a fault, so that the whole file stays quick
 GUARD_STATES = 60_000
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -15,8 +15,7 @@
 import msgspec
 import testtools
 
-import simulation.fingerprint as fingerprint
-import simulation.observed_runs as observed_runs
+from simulation import fingerprint, observed_runs
 
 RECORDED = os.path.join(os.path.dirname(os.path.abspath(__file__)), "data", "behaviour.json")
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,14 +1,11 @@
 """One node's forwarder between a client and stand-in workers: what it makes of each trouble."""
 
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
 import simulation.clients.connection as client_connection
-import simulation.host_model as host_model
-import simulation.inference_engine as inference_engine
-import simulation.platform_names as platform_names
-import simulation.process_model as process_model
 import simulation.workers.worker as workers
-import tests.node_fixture as node_fixture
+from iriswheel.runtime import units
+from iriswheel.transport import message
+from simulation import host_model, inference_engine, platform_names, process_model
+from tests import node_fixture
 
 S = units.SECOND_US
 H = platform_names.HEADERS
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -14,27 +14,19 @@
 
 import configuration_api
 import hypothesis
-import hypothesis.strategies as strategies
 import loguru
 import msgspec
 import pytest
 import settings
-import twisted.internet.task as task
-import twisted.internet.testing as testing
-
-import iriswheel.configuration.configuration as configuration
-import iriswheel.control.change_orders as change_orders
-import iriswheel.control.core as core
-import iriswheel.control.counters as counters
-import iriswheel.control.operator_api as operator_api
-import iriswheel.dataplane.worker_connections as worker_connections
-import iriswheel.runtime.options as options
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
-import iriswheel.transport.message as message
-import iriswheel.transport.wire as wire
-import simulation.platform_names as platform_names
+from hypothesis import strategies
+from twisted.internet import task, testing
+
+from iriswheel.configuration import configuration
+from iriswheel.control import change_orders, core, counters, operator_api
+from iriswheel.dataplane import worker_connections
+from iriswheel.runtime import options, scheduler, units
+from iriswheel.transport import http_server, message, wire
+from simulation import platform_names
 
 H = platform_names.HEADERS
 QUICK = hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=150)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -2,10 +2,9 @@
 
 import copy
 
-import iriswheel.runtime.units as units
-import simulation.platform_names as platform_names
-import simulation.platform_rules as platform_rules
-import simulation.rules.earned_value as earned_value
+from iriswheel.runtime import units
+from simulation import platform_names, platform_rules
+from simulation.rules import earned_value
 
 MS, S = units.MILLISECOND_US, units.SECOND_US
 ROUTE, CONFIGURATION = platform_names.ROUTE, platform_names.CONFIGURATION
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-import tests.known_red as known_red
+from tests import known_red
 
 HERE = "test_sample.py::Sample::"
 SAMPLE = """
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.control.tail_contact as tail_contact
-import iriswheel.errors as errors
-import iriswheel.membership.lease as lease
-import iriswheel.node.core_session as core_session
-import iriswheel.runtime.units as units
-import simulation.simulated_cluster as simulated_cluster
-import tests.conftest as conftest
+from iriswheel import errors
+from iriswheel.configuration import configuration
+from iriswheel.control import tail_contact
+from iriswheel.membership import lease
+from iriswheel.node import core_session
+from iriswheel.runtime import units
+from simulation import simulated_cluster
+from tests import conftest
 
 S = units.SECOND_US
 
--- a/tests/test_lease_cost.py
+++ b/tests/test_lease_cost.py
@@ -1,6 +1,6 @@
 """The command that measures what leases, heartbeats and reports cost."""
 
-import benchmarks.lease_cost as lease_cost
+from benchmarks import lease_cost
 
 
 class TestQuiet:
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -1,13 +1,11 @@
 """The checker of operators' histories: correct ones pass, each kind of wrong answer fails."""
 
 import hypothesis
-import hypothesis.strategies as strategies
 import pytest
+from hypothesis import strategies
 
-import iriswheel.verification.history as history
-import iriswheel.verification.linearizability as linearizability
-import iriswheel.verification.replay as replay
-import simulation.platform_rules as platform_rules
+from iriswheel.verification import history, linearizability, replay
+from simulation import platform_rules
 
 Change = linearizability.Change
 Outcome = linearizability.Outcome
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -8,17 +8,16 @@
 import collections.abc
 import contextlib
 import typing
-import unittest.mock as mock
+from unittest import mock
 
 import loguru
 import testtools
 
-import iriswheel.transport.wire as wire
-import iriswheel.verification.replay as replay
-import simulation.scenarios.actions as actions
-import simulation.simulated_cluster as simulated_cluster
-import tests.frozen_codec as frozen_codec
-import tests.recorded as recorded
+from iriswheel.transport import wire
+from iriswheel.verification import replay
+from simulation import simulated_cluster
+from simulation.scenarios import actions
+from tests import frozen_codec, recorded
 
 
 def filtered(name: str, old: set[str], codec: frozen_codec.FrozenCodec) -> typing.Callable[..., None]:
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -7,24 +7,15 @@
 
 import httptools
 import pytest
-import twisted.internet.defer as defer
-import twisted.internet.protocol as protocol
-
-import iriswheel.configuration.configuration as configuration
-import iriswheel.dataplane.attempt_outcome as attempt_outcome
-import iriswheel.dataplane.attempt_registry as attempt_registry
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.dataplane.gateway as gateway
-import iriswheel.dataplane.retry_budget as retry_budget
-import iriswheel.dataplane.routed_request as routed_request
-import iriswheel.errors as errors
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import simulation.host_model as host_model
-import simulation.network_model as network_model
-import simulation.platform_names as platform_names
-import simulation.process_model as process_model
-import tests.node_fixture as node_fixture
+from twisted.internet import defer, protocol
+
+from iriswheel import errors
+from iriswheel.configuration import configuration
+from iriswheel.dataplane import attempt_outcome, attempt_registry, dispatch, gateway, retry_budget, routed_request
+from iriswheel.runtime import units
+from iriswheel.transport import message
+from simulation import host_model, network_model, platform_names, process_model
+from tests import node_fixture
 
 S = units.SECOND_US
 H = platform_names.HEADERS
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -3,18 +3,15 @@
 import unittest.mock
 
 import pytest
-import twisted.internet.defer as defer
-import twisted.internet.error as error
-import twisted.web.client as client
-
-import iriswheel.cli.command as command
-import iriswheel.control.change_orders as change_orders
-import iriswheel.replication.tail as tail
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.verification.history as history
-import simulation.addresses as addresses
-import simulation.simulated_cluster as simulated_cluster
+from twisted.internet import defer, error
+from twisted.web import client
+
+from iriswheel.cli import command
+from iriswheel.control import change_orders
+from iriswheel.replication import tail
+from iriswheel.runtime import scheduler, units
+from iriswheel.verification import history
+from simulation import addresses, simulated_cluster
 
 S = units.SECOND_US
 CUT_SECONDS = 20
--- a/tests/test_peer_status.py
+++ b/tests/test_peer_status.py
@@ -3,11 +3,11 @@
 import types
 import typing
 
-import twisted.internet.task as task
+from twisted.internet import task
 
-import iriswheel.node.peer_status as peer_status
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.transport.message as message
+from iriswheel.node import peer_status
+from iriswheel.runtime import scheduler
+from iriswheel.transport import message
 
 CORE = ("10.1.0.2", 7300)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -6,10 +6,10 @@
 
 import configuration_api
 import pytest
-import twisted.internet.defer as defer
+from twisted.internet import defer
 
-import iriswheel.configuration.configuration as configuration
-import iriswheel.errors as errors
+from iriswheel import errors
+from iriswheel.configuration import configuration
 
 CHANNEL = {
     "name": "r-a",
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -11,8 +11,7 @@
 
 import pytest
 
-import benchmarks.fleet as fleet
-import benchmarks.process_trial as process_trial
+from benchmarks import fleet, process_trial
 
 
 def program(*args):
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -5,11 +5,9 @@
 
 import pytest
 
-import iriswheel.verification.replay as replay
-import simulation.mutation_checks as mutation_checks
-import simulation.platform_days as platform_days
-import simulation.platform_rules as platform_rules
-import simulation.scenarios.registry as registry
+from iriswheel.verification import replay
+from simulation import mutation_checks, platform_days, platform_rules
+from simulation.scenarios import registry
 
 PAGE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "docs", "proof.md")
 
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -17,15 +17,13 @@
 import msgspec
 import testtools
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.control.replica_store as replica_store
-import iriswheel.replication.replicated_log as replicated_log
-import iriswheel.replication.snapshot_format as snapshot_format
-import iriswheel.runtime.storage as storage
-import iriswheel.transport.message as message
-import simulation.operator_model as operator_model
-import simulation.simulated_cluster as simulated_cluster
-import tests.recorded as recorded
+from iriswheel.consensus import decisions
+from iriswheel.control import replica_store
+from iriswheel.replication import replicated_log, snapshot_format
+from iriswheel.runtime import storage
+from iriswheel.transport import message
+from simulation import operator_model, simulated_cluster
+from tests import recorded
 
 RECORDS = recorded.load("disk.json")["records"]
 TYPES = {"entry": message.LogEntry, "frame": snapshot_format.Snapshot, "council": decisions.Record}
--- a/tests/test_recorded_outside.py
+++ b/tests/test_recorded_outside.py
@@ -8,8 +8,7 @@
 import loguru
 import testtools
 
-import tests.outside as outside
-import tests.recorded as recorded
+from tests import outside, recorded
 
 RECORDING = recorded.load("outside.json")
 
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -6,13 +6,11 @@
 import loguru
 import msgspec
 import testtools
-import twisted.internet.testing as testing
+from twisted.internet import testing
 
-import iriswheel.transport.wire as wire
-import simulation.host_model as host_model
-import simulation.process_model as process_model
-import simulation.world as world
-import tests.recorded as recorded
+from iriswheel.transport import wire
+from simulation import host_model, process_model, world
+from tests import recorded
 
 RECORDING = recorded.load("wire.json")
 CALL = 1
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -2,9 +2,8 @@
 
 import random
 
-import benchmarks.capacity.samples as samples
-import iriswheel.membership.assignments as assignments
-import iriswheel.membership.membership_manager as membership_manager
+from benchmarks.capacity import samples
+from iriswheel.membership import assignments, membership_manager
 
 
 class TestDuties:
--- a/tests/test_scenes.py
+++ b/tests/test_scenes.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-import iriswheel.verification.replay as replay
-import simulation.mutation_checks as mutation_checks
-import simulation.scenarios.registry as registry
+from iriswheel.verification import replay
+from simulation import mutation_checks
+from simulation.scenarios import registry
 
 SEEDS = {name: 1 for name in registry.SCENARIOS}
 # runs that a sweep once found failing
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-import iriswheel.consensus.decisions as decisions
-import iriswheel.runtime.units as units
-import iriswheel.transport.message as message
-import simulation.second_loss as second_loss
+from iriswheel.consensus import decisions
+from iriswheel.runtime import units
+from iriswheel.transport import message
+from simulation import second_loss
 
 Case, Loss, Step, Target = second_loss.Case, second_loss.Loss, second_loss.Step, second_loss.Target
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -4,17 +4,12 @@
 
 import httptools
 import pytest
-import twisted.internet.protocol as protocol
-
-import iriswheel.runtime.units as units
-import simulation.event_log as event_log
-import simulation.host_model as host_model
-import simulation.inference_engine as inference_engine
-import simulation.platform_names as platform_names
-import simulation.process_model as process_model
+from twisted.internet import protocol
+
 import simulation.workers.listing as workers_listing
 import simulation.workers.worker as workers
-import simulation.world as world
+from iriswheel.runtime import units
+from simulation import event_log, host_model, inference_engine, platform_names, process_model, world
 
 MS, S = units.MILLISECOND_US, units.SECOND_US
 H = platform_names.HEADERS
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -3,11 +3,10 @@
 import types
 import typing
 
-import twisted.internet.task as task
+from twisted.internet import task
 
-import iriswheel.node.shutdown as shutdown
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
+from iriswheel.node import shutdown
+from iriswheel.runtime import scheduler, units
 
 GRACE_US = 8_100 * units.MILLISECOND_US
 
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -1,22 +1,20 @@
 """Small simulated towns, one matter each."""
 
 import time
-import unittest.mock as mock
+from unittest import mock
 
 import pytest
-import twisted.web.http_headers as http_headers
-
-import iriswheel.cli.load_generator as load_generator
-import iriswheel.consensus.acceptor as acceptor
-import iriswheel.dataplane.dispatch as dispatch
-import iriswheel.errors as errors
-import iriswheel.pools.claims as claims
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
-import iriswheel.transport.message as message
-import simulation.network_model as network_model
-import simulation.simulated_cluster as simulated_cluster
-import tests.conftest as conftest
+from twisted.web import http_headers
+
+from iriswheel import errors
+from iriswheel.cli import load_generator
+from iriswheel.consensus import acceptor
+from iriswheel.dataplane import dispatch
+from iriswheel.pools import claims
+from iriswheel.runtime import units
+from iriswheel.transport import http_server, message
+from simulation import network_model, simulated_cluster
+from tests import conftest
 
 S = units.SECOND_US
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -5,18 +5,12 @@
 import tempfile
 
 import pytest
-import twisted.internet.address as address
-import twisted.internet.defer as defer
-import twisted.internet.task as task
-import twisted.internet.testing as testing
-
-import iriswheel.runtime.options as options
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
-import iriswheel.transport.message as message
-import simulation.simulated_cluster as simulated_cluster
-import tests.conftest as conftest
+from twisted.internet import address, defer, task, testing
+
+from iriswheel.runtime import options, scheduler, units
+from iriswheel.transport import http_server, message
+from simulation import simulated_cluster
+from tests import conftest
 
 S = units.SECOND_US
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,7 +5,7 @@
 import lmdb
 import pytest
 
-import iriswheel.runtime.storage as storage
+from iriswheel.runtime import storage
 
 
 class PanickedEnvironment:
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -3,17 +3,13 @@
 from collections.abc import Iterator
 
 import pytest
-import twisted.internet.defer as defer
-import twisted.internet.error as error
-import twisted.internet.task as task
-import twisted.internet.testing as testing
-import twisted.python.failure as failure
-
-import iriswheel.configuration.configuration as configuration
-import iriswheel.errors as errors
-import iriswheel.runtime.scheduler as scheduler
-import iriswheel.runtime.units as units
-import iriswheel.transport.http_server as http_server
+from twisted.internet import defer, error, task, testing
+from twisted.python import failure
+
+from iriswheel import errors
+from iriswheel.configuration import configuration
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import http_server
 
 
 class TestLimits:
