--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -10,8 +10,7 @@
 import typing
 from unittest import mock
 
-import loguru
-import testtools
+import pytest
 
 from iriswheel.transport import wire
 from iriswheel.verification import replay
@@ -42,52 +41,55 @@
         yield codec
 
 
-class FrozenMessages(testtools.TestCase):
-    def test_each_recorded_frame_comes_out_unchanged(self) -> None:
-        codec = frozen_codec.FrozenCodec()
-        for record in recorded.load("wire.json")["messages"].values():
-            for sample in record.values():
-                frame = bytes.fromhex(sample["frame"])[4:]
-                self.assertEqual(frame, codec.repeat(frame))
-
-    def test_a_frame_with_a_further_field_or_an_unknown_tag_is_refused(self) -> None:
-        codec = frozen_codec.FrozenCodec()
-        for text in ("93000093a548656c6c6f0304", "93000092a548656c6c7003"):
-            self.assertRaises(frozen_codec.MismatchError, codec.repeat, bytes.fromhex(text))
-
-
-class MixedVersions(testtools.TestCase):
-    def setUp(self) -> None:
-        super().setUp()
-        loguru.logger.remove()
-
-    def play(self, cluster: simulated_cluster.SimulatedCluster) -> None:
-        """Changes, a core machine and a node that end and come back, the pool's pool owner too."""
-        cluster.begin()
-        actions.confirm_changes(cluster, 6, 3)
-        cluster.go(6)
-        for name in ("c1", "c2"):
-            actions.kill(cluster, name, restart_after=2)
-            cluster.go(8)
-        owner = cluster.owner()
-        actions.kill(cluster, owner.options.name, restart_after=2)
-        cluster.go(10)
-        cluster.end()
-
-    def check(self, old: set[str], seed: int) -> None:
-        cluster = simulated_cluster.SimulatedCluster(seed, "magnolia", seconds=50)
-        with mixed_fleet(old) as codec:
-            self.play(cluster)
-        self.assertEqual([], codec.failures)
-        self.assertEqual({}, replay.judge(cluster.tape.rows))
-        kinds = collections.Counter(row["kind"] for row in cluster.tape.rows)
-        self.assertGreater(kinds["whole"], 200)
-        self.assertGreater(kinds["confirmed"], 5)
-        missing = {"Pulse", "Prepare", "Promise", "Append", "Sessions", "Beat", "Join", "Elect", "Granted", "Copy"}
-        self.assertEqual(set(), missing - set(codec.seen))
-
-    def test_half_of_the_fleet_speaks_by_the_messages_of_e746a15(self) -> None:
-        self.check({"c1", "n1", "n2", "n3"}, 5)
-
-    def test_the_other_half_of_the_fleet_does(self) -> None:
-        self.check({"c2", "c3", "n4", "n5", "n6"}, 6)
+def test_each_recorded_frame_comes_out_unchanged() -> None:
+    codec = frozen_codec.FrozenCodec()
+    for record in recorded.load("wire.json")["messages"].values():
+        for sample in record.values():
+            frame = bytes.fromhex(sample["frame"])[4:]
+            assert codec.repeat(frame) == frame
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        pytest.param("93000093a548656c6c6f0304", id="further field"),
+        pytest.param("93000092a548656c6c7003", id="unknown tag"),
+    ],
+)
+def test_a_frame_with_a_further_field_or_an_unknown_tag_is_refused(text: str) -> None:
+    with pytest.raises(frozen_codec.MismatchError):
+        frozen_codec.FrozenCodec().repeat(bytes.fromhex(text))
+
+
+def play(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """Changes, and a core machine, a node and the pool's owner that end and come back."""
+    cluster.begin()
+    actions.confirm_changes(cluster, 6, 3)
+    cluster.go(6)
+    for name in ("c1", "c2"):
+        actions.kill(cluster, name, restart_after=2)
+        cluster.go(8)
+    owner = cluster.owner()
+    actions.kill(cluster, owner.options.name, restart_after=2)
+    cluster.go(10)
+    cluster.end()
+
+
+@pytest.mark.parametrize(
+    ("old", "seed"),
+    [
+        pytest.param({"c1", "n1", "n2", "n3"}, 5, id="one half"),
+        pytest.param({"c2", "c3", "n4", "n5", "n6"}, 6, id="the other half"),
+    ],
+)
+def test_half_of_the_fleet_speaks_by_the_messages_of_e746a15(old: set[str], seed: int) -> None:
+    cluster = simulated_cluster.SimulatedCluster(seed, "magnolia", seconds=50)
+    with mixed_fleet(old) as codec:
+        play(cluster)
+    assert codec.failures == []
+    assert replay.judge(cluster.tape.rows) == {}
+    kinds = collections.Counter(row["kind"] for row in cluster.tape.rows)
+    assert kinds["whole"] > 200
+    assert kinds["confirmed"] > 5
+    expected = {"Pulse", "Prepare", "Promise", "Append", "Sessions", "Beat", "Join", "Elect", "Granted", "Copy"}
+    assert expected - set(codec.seen) == set()
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -10,12 +10,10 @@
 import pathlib
 import re
 import shutil
-import tempfile
 import typing
 
-import loguru
 import msgspec
-import testtools
+import pytest
 
 from iriswheel.consensus import decisions
 from iriswheel.control import replica_store
@@ -58,65 +56,69 @@
     return raw
 
 
-class RecordedRecords(testtools.TestCase):
-    def test_recorded_bytes_are_read_and_written_unchanged(self) -> None:
-        for name, cls in TYPES.items():
-            for sample in RECORDS[name].values():
-                raw = bytes.fromhex(sample["hex"])
-                self.assertEqual(raw, msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=cls)), name)
-
-    def test_recorded_values_make_the_recorded_bytes(self) -> None:
-        for name, cls in TYPES.items():
-            for sample in RECORDS[name].values():
-                made = recorded.build(cls, recorded.from_plain(sample["values"]))
-                self.assertEqual(sample["hex"], msgspec.msgpack.encode(made).hex(), name)
-
-    def test_all_fields_are_recorded_and_those_with_defaults_may_be_missing(self) -> None:
-        for name, cls in TYPES.items():
-            fields = msgspec.inspect.type_info(cls).fields
-            full, short = (RECORDS[name][sample]["values"] for sample in ("full", "defaults"))
-            self.assertEqual((len(fields), sum(f.required for f in fields)), (len(full), len(short)), name)
-
-    def test_records_pass_unchanged_through_the_code_that_reads_and_writes_them(self) -> None:
-        for name, key in (("entry", b"e0000000000000007"), ("frame", b"frame"), ("shelf", b"shelf/desk")):
-            raw = bytes.fromhex(RECORDS[name]["full"]["hex"])
-            self.assertEqual(raw, rewrite(key, raw), name)
-
-    def test_entries_are_kept_under_keys_that_sort_by_number(self) -> None:
-        self.assertEqual(
-            [b"e0000000000000009", b"e0000000000012345"], [replicated_log.entry_key(n) for n in (9, 12_345)]
-        )
-
-
-class RecordedFolders(testtools.TestCase):
-    def setUp(self) -> None:
-        super().setUp()
-        loguru.logger.remove()
-
-    def test_the_database_files_are_read(self) -> None:
-        for folder in FOLDERS:
-            for name, expected in disks(folder).items():
-                with tempfile.TemporaryDirectory() as scratch:
-                    copy = pathlib.Path(scratch) / name
-                    shutil.copytree(recorded.DATA / folder / name, copy)
-                    disk = storage.Disk(str(copy))
-                    disk.open()
-                    self.assertEqual(expected, disk.read())
-                    disk.close()
-
-    def test_every_sort_of_record_is_there(self) -> None:
-        for folder in FOLDERS:
-            sorts = {key.split(b"/")[0] if not key.startswith(b"e") else b"e" for key in disks(folder)["c1"]}
-            self.assertEqual({b"identity", b"format", b"council", b"frame", b"e", b"shelf"}, sorts)
+@pytest.mark.parametrize(("name", "cls"), TYPES.items())
+class TestRecords:
+    """Records on the disk are read and written byte for byte as recorded."""
+
+    def test_recorded_bytes_are_read_and_written_unchanged(self, name: str, cls: type) -> None:
+        for sample in RECORDS[name].values():
+            raw = bytes.fromhex(sample["hex"])
+            assert msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=cls)) == raw
+
+    def test_recorded_values_make_the_recorded_bytes(self, name: str, cls: type) -> None:
+        for sample in RECORDS[name].values():
+            made = recorded.build(cls, recorded.from_plain(sample["values"]))
+            assert msgspec.msgpack.encode(made).hex() == sample["hex"]
+
+    def test_all_fields_are_recorded_and_those_with_defaults_may_be_missing(self, name: str, cls: type) -> None:
+        fields = msgspec.inspect.type_info(cls).fields
+        full, short = (RECORDS[name][sample]["values"] for sample in ("full", "defaults"))
+        assert len(full) == len(fields)
+        assert len(short) == sum(field.required for field in fields)
+
+
+@pytest.mark.parametrize(
+    ("name", "key"), [("entry", b"e0000000000000007"), ("frame", b"frame"), ("shelf", b"shelf/desk")]
+)
+def test_records_pass_unchanged_through_the_code_that_reads_and_writes_them(name: str, key: bytes) -> None:
+    raw = bytes.fromhex(RECORDS[name]["full"]["hex"])
+    assert rewrite(key, raw) == raw
+
+
+def test_entries_are_kept_under_keys_that_sort_by_number() -> None:
+    assert [replicated_log.entry_key(n) for n in (9, 12_345)] == [b"e0000000000000009", b"e0000000000012345"]
+
+
+class TestFolders:
+    """The recorded data folders hold what they were recorded to hold, and the program reads all of it."""
+
+    @pytest.mark.parametrize("name", NAMES)
+    @pytest.mark.parametrize("folder", FOLDERS)
+    def test_the_database_files_are_read(self, folder: str, name: str, tmp_path: pathlib.Path) -> None:
+        copy = tmp_path / name
+        shutil.copytree(recorded.DATA / folder / name, copy)
+        disk = storage.Disk(str(copy))
+        disk.open()
+        assert disk.read() == disks(folder)[name]
+        disk.close()
+
+    @pytest.mark.parametrize("folder", FOLDERS)
+    def test_each_core_machine_has_a_recorded_disk(self, folder: str) -> None:
+        assert set(disks(folder)) == set(NAMES)
+
+    @pytest.mark.parametrize("folder", FOLDERS)
+    def test_every_sort_of_record_is_there(self, folder: str) -> None:
+        sorts = {key.split(b"/")[0] if not key.startswith(b"e") else b"e" for key in disks(folder)["c1"]}
+        assert sorts == {b"identity", b"format", b"council", b"frame", b"e", b"shelf"}
 
     def test_every_record_is_written_again_unchanged(self) -> None:
         for disk in disks("folder-e746a15").values():
             for key, raw in disk.items():
-                self.assertEqual(raw, rewrite(key, raw), key)
+                assert rewrite(key, raw) == raw, key
         for disk in disks("folder-format-2").values():
             for key, raw in disk.items():
                 if key != b"frame":
-                    self.assertEqual(raw, rewrite(key, raw), key)
+                    assert rewrite(key, raw) == raw, key
 
     def test_the_folder_is_one_of_a_half_done_transfer_and_a_change_that_one_machine_has(self) -> None:
         was = content("folder-e746a15")
@@ -125,120 +127,33 @@
         }
         behind, head = was["left_behind"], was["head"]
         other = next(name for name in NAMES if name not in (behind, head))
-        self.assertNotIn(b"frame", disks("folder-e746a15")[behind])
-        self.assertTrue(newest[behind] < newest[other] < newest[head])
+        assert b"frame" not in disks("folder-e746a15")[behind]
+        assert newest[behind] < newest[other] < newest[head]
 
     def test_a_snapshot_of_format_2_says_which_changes_were_taken(self) -> None:
         was, raw = content("folder-format-2"), disks("folder-format-2")["c1"][b"frame"]
-        self.assertEqual(5, len(msgspec.msgpack.decode(raw)))
+        assert len(msgspec.msgpack.decode(raw)) == 5
         rewritten = msgspec.msgpack.decode(rewrite(b"frame", raw))
-        self.assertEqual(msgspec.msgpack.decode(raw), rewritten[:5])
+        assert rewritten[:5] == msgspec.msgpack.decode(raw)
         confirmed = [plan[3] for _, plan in rewritten[4] if plan[3]]
-        self.assertEqual(sorted(confirmed), sorted(rewritten[5].values()))
-        self.assertEqual(0, rewritten[6])
-        self.assertGreater(len(was["changes"]), 10)
-
-
-class RecordedFleet(testtools.TestCase):
-    def setUp(self) -> None:
-        super().setUp()
-        loguru.logger.remove()
-
-    def begin(self, folder: str, missing: str | None = None) -> simulated_cluster.SimulatedCluster:
-        """Start a fleet on recorded disks; `missing` stays down."""
-        cluster = OldCluster(disks(folder), missing)
-        cluster.probing = False
-        cluster.begin()
-        return cluster
-
-    def query(self, cluster: simulated_cluster.SimulatedCluster, *call: typing.Any) -> typing.Any:
-        operator = operator_model.Operator(cluster, cluster.operator_runtime, "boss")
-        done = cluster.operator_runtime.spawn(operator.query(*call), simulated_cluster.log)
-        self.assertTrue(cluster.until(lambda: done.called, 20))
-        return done.result
-
-    def take(
-        self, cluster: simulated_cluster.SimulatedCluster, number: int, built_on: int, what: typing.Any
-    ) -> typing.Any:
-        """Have a numbered change taken: the status and the answer."""
-        return self.query(cluster, "POST", "/changes", {"number": number, "built_on": built_on, **what})
-
-    def check_what_was_answered(self, cluster: simulated_cluster.SimulatedCluster, was: dict[str, typing.Any]) -> None:
-        """All that was answered before still stands: items, taken changes, plans."""
-        for number, built_on, what in was["changes"]:
-            status, answer = self.take(cluster, number, built_on, what)
-            self.assertEqual((200, number), (status, answer["number"]))
-            self.assertLessEqual(answer["stamp"], was["stamp"])
-        status, answer = self.query(cluster, "POST", f"/plans/{was['confirmed']['id']}/confirm", {})
-        self.assertEqual((200, was["confirmed"]["stamp"]), (status, answer["stamp"]))
-        self.assertEqual(200, self.query(cluster, "GET", f"/plans/{was['open_plan']['id']}")[0])
-
-    def check_a_further_change(self, cluster: simulated_cluster.SimulatedCluster, folder: str) -> None:
-        """A further change is taken, and a started core machine's folder says the present format."""
-        status, now = self.query(cluster, "GET", "/blueprint")
-        number = now["blueprint"]["marks"]["operator"]["number"]
-        what = {"upsert": {"routes": {"further": {"path": "/further", "pool": cluster.pool}}}}
-        self.assertEqual(200, self.take(cluster, number + 1, number, what)[0])
-        status, after = self.query(cluster, "GET", "/blueprint")
-        now["blueprint"]["routes"].update(what["upsert"]["routes"])
-        now["blueprint"]["marks"]["operator"]["number"] = number + 1
-        self.assertEqual((200, now["blueprint"]), (status, after["blueprint"]))
-        for machine in cluster.cores.values():
-            keys = {re.sub(rb"^e[0-9]{16}$|^shelf/desk$", b"", key) for key in machine.process.host.synced}
-            self.assertEqual(set(), keys - {b"", b"identity", b"format", b"council", b"frame"})
-            self.assertEqual(b"3", machine.process.host.synced[b"format"])
-            self.assertIn(
-                machine.process.host.synced[b"identity"], [disk[b"identity"] for disk in disks(folder).values()]
-            )
-
-    def go_on(self, folder: str, missing: str | None = None) -> None:
-        was, cluster = content(folder), self.begin(folder, missing)
-        standing = cluster.first_read["blueprint"]
-        late = was.get("late", (0, 0, {"upsert": {"routes": {}}}))
-        with_late = {**was["blueprint"]["routes"], **late[2]["upsert"]["routes"]}
-        self.assertIn(standing["routes"], (was["blueprint"]["routes"], with_late))
-        self.assertEqual(was["blueprint"]["pools"], standing["pools"])
-        self.check_what_was_answered(cluster, was)
-        self.check_a_further_change(cluster, folder)
+        assert sorted(rewritten[5].values()) == sorted(confirmed)
+        assert rewritten[6] == 0
+        assert len(was["changes"]) > 10
 
-    def test_a_fleet_goes_on_from_the_folders_of_e746a15(self) -> None:
-        self.go_on("folder-e746a15")
 
-    def test_a_fleet_goes_on_from_two_folders_of_e746a15(self) -> None:
-        for missing in NAMES:
-            self.go_on("folder-e746a15", missing)
-
-    def test_a_fleet_goes_on_from_the_folders_of_format_2(self) -> None:
-        self.go_on("folder-format-2")
-
-    def test_the_sessions_are_there_after_the_start(self) -> None:
-        for folder in FOLDERS:
-            cluster = self.begin(folder)
-            for name, disk in disks(folder).items():
-                kept = {session[1] for session in msgspec.msgpack.decode(disk[b"shelf/desk"])[2]}
-                self.assertTrue(kept)
-                self.assertEqual(kept, cluster.sessions_at_start[name])
-
-    def test_a_folder_of_a_newer_format_is_refused(self) -> None:
-        old = disks("folder-e746a15")
-        for disk in old.values():
-            disk[b"format"] = b"4"
-        self.assertRaises(storage.DiskError, OldCluster(old).begin)
-
-
-class OldCluster(simulated_cluster.SimulatedCluster):
+class ClusterOnRecordedDisks(simulated_cluster.SimulatedCluster):
     """A simulated fleet whose core machines find recorded data on their disks."""
 
-    def __init__(self, old: dict[str, dict[bytes, bytes]], missing: str | None = None) -> None:
+    def __init__(self, disks_by_name: dict[str, dict[bytes, bytes]], missing: str | None = None) -> None:
         super().__init__(11, "small", long_rate=0, short_rate=0, talks=0)
-        self.old, self.missing = old, missing
+        self.disks_by_name, self.missing = disks_by_name, missing
         self.first_read: typing.Any = None  # the configuration that stood before the first change
         self.sessions_at_start: dict[str, set[str]] = {}
 
     def start_core(self, name: str, host: str, zone: str) -> None:
         """Start a core machine on the recorded disk."""
         place = self.machine(host, zone)
-        place.synced.update(self.old[name])
+        place.synced.update(self.disks_by_name[name])
         if name == self.missing:
             self.options[name] = (host, zone)
             return
@@ -261,3 +176,90 @@
         document["routes"]["probe"] = {"path": f"/p/{k}", "pool": self.pool}
         self.configuration = self.first_read["blueprint"]
         return document
+
+
+def start_on_recorded_disks(folder: str, missing: str | None = None) -> ClusterOnRecordedDisks:
+    """Start a fleet on recorded disks; `missing` stays down."""
+    cluster = ClusterOnRecordedDisks(disks(folder), missing)
+    cluster.probing = False
+    cluster.begin()
+    return cluster
+
+
+def query(cluster: simulated_cluster.SimulatedCluster, *call: typing.Any) -> typing.Any:
+    """Send one request of an operator: the status and the answer."""
+    operator = operator_model.Operator(cluster, cluster.operator_runtime, "boss")
+    done = cluster.operator_runtime.spawn(operator.query(*call), simulated_cluster.log)
+    assert cluster.until(lambda: done.called, 20)
+    return done.result
+
+
+def take(cluster: simulated_cluster.SimulatedCluster, number: int, built_on: int, what: typing.Any) -> typing.Any:
+    """Have a numbered change taken: the status and the answer."""
+    return query(cluster, "POST", "/changes", {"number": number, "built_on": built_on, **what})
+
+
+def check_what_was_answered(cluster: simulated_cluster.SimulatedCluster, was: dict[str, typing.Any]) -> None:
+    """All that was answered before still stands: items, taken changes, plans."""
+    for number, built_on, what in was["changes"]:
+        status, answer = take(cluster, number, built_on, what)
+        assert (status, answer["number"]) == (200, number)
+        assert answer["stamp"] <= was["stamp"]
+    status, answer = query(cluster, "POST", f"/plans/{was['confirmed']['id']}/confirm", {})
+    assert (status, answer["stamp"]) == (200, was["confirmed"]["stamp"])
+    assert query(cluster, "GET", f"/plans/{was['open_plan']['id']}")[0] == 200
+
+
+def check_a_further_change(cluster: simulated_cluster.SimulatedCluster, folder: str) -> None:
+    """A further change is taken, and a started core machine's folder says the present format."""
+    status, now = query(cluster, "GET", "/blueprint")
+    number = now["blueprint"]["marks"]["operator"]["number"]
+    what = {"upsert": {"routes": {"further": {"path": "/further", "pool": cluster.pool}}}}
+    assert take(cluster, number + 1, number, what)[0] == 200
+    status, after = query(cluster, "GET", "/blueprint")
+    now["blueprint"]["routes"].update(what["upsert"]["routes"])
+    now["blueprint"]["marks"]["operator"]["number"] = number + 1
+    assert (status, after["blueprint"]) == (200, now["blueprint"])
+    for machine in cluster.cores.values():
+        synced = machine.process.host.synced
+        keys = {re.sub(rb"^e[0-9]{16}$|^shelf/desk$", b"", key) for key in synced}
+        assert keys - {b"", b"identity", b"format", b"council", b"frame"} == set()
+        assert synced[b"format"] == b"3"
+        assert synced[b"identity"] in [disk[b"identity"] for disk in disks(folder).values()]
+
+
+class TestFleetOnRecordedFolders:
+    """A fleet that starts on recorded folders keeps to all that was answered, and goes on."""
+
+    @pytest.mark.parametrize(
+        ("folder", "missing"),
+        [
+            ("folder-e746a15", None),
+            *(("folder-e746a15", name) for name in NAMES),
+            ("folder-format-2", None),
+        ],
+    )
+    def test_a_fleet_goes_on_from_all_folders_and_from_two_of_three(self, folder: str, missing: str | None) -> None:
+        was, cluster = content(folder), start_on_recorded_disks(folder, missing)
+        standing = cluster.first_read["blueprint"]
+        late = was.get("late", (0, 0, {"upsert": {"routes": {}}}))
+        with_late = {**was["blueprint"]["routes"], **late[2]["upsert"]["routes"]}
+        assert standing["routes"] in (was["blueprint"]["routes"], with_late)
+        assert standing["pools"] == was["blueprint"]["pools"]
+        check_what_was_answered(cluster, was)
+        check_a_further_change(cluster, folder)
+
+    @pytest.mark.parametrize("folder", FOLDERS)
+    def test_the_sessions_are_there_after_the_start(self, folder: str) -> None:
+        cluster = start_on_recorded_disks(folder)
+        for name, disk in disks(folder).items():
+            kept = {session[1] for session in msgspec.msgpack.decode(disk[b"shelf/desk"])[2]}
+            assert kept
+            assert cluster.sessions_at_start[name] == kept
+
+    def test_a_folder_of_a_newer_format_is_refused(self) -> None:
+        newer = disks("folder-e746a15")
+        for disk in newer.values():
+            disk[b"format"] = b"4"
+        with pytest.raises(storage.DiskError):
+            ClusterOnRecordedDisks(newer).begin()
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -5,7 +5,7 @@
 
 import loguru
 import msgspec
-import testtools
+import pytest
 from twisted.internet import testing
 
 from iriswheel.transport import wire
@@ -50,95 +50,108 @@
     ]
 
 
-class RecordedMessages(testtools.TestCase):
-    def setUp(self) -> None:
-        super().setUp()
-        loguru.logger.remove()
-        self.types = recorded.struct_types(wire.Envelope)
-
-    def samples(self) -> typing.Iterator[tuple[str, type, dict[str, typing.Any]]]:
-        for section in RECORDING.values():
-            for tag, record in section.items():
-                for sample in record.values():
-                    yield tag, self.types[tag].cls, sample
-
-    def test_the_tags_are_those_recorded(self) -> None:
-        sendable = {info.tag for info in msgspec.inspect.type_info(wire.Envelope).fields[2].type.types}
-        self.assertEqual(sorted(RECORDING["messages"]), sorted(sendable))
-        self.assertEqual(sorted(RECORDING["parts"]), sorted(set(self.types) - sendable))
-
-    def test_recorded_bytes_are_read_and_written_unchanged(self) -> None:
-        for tag, cls, sample in self.samples():
-            raw = bytes.fromhex(sample["hex"])
-            self.assertEqual(raw, msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=cls)), tag)
-
-    def test_recorded_values_make_the_recorded_bytes(self) -> None:
-        for tag, cls, sample in self.samples():
-            made = recorded.build(cls, recorded.from_plain(sample["values"]))
-            self.assertEqual(sample["hex"], msgspec.msgpack.encode(made).hex(), tag)
-
-    def test_all_fields_are_recorded_and_those_with_defaults_may_be_missing(self) -> None:
-        for section in RECORDING.values():
-            for tag, record in section.items():
-                fields = self.types[tag].fields
-                self.assertEqual(len(fields), len(record["full"]["values"]), tag)
-                self.assertEqual(sum(field.required for field in fields), len(record["defaults"]["values"]), tag)
-                short = msgspec.msgpack.encode([tag, *recorded.from_plain(record["defaults"]["values"])])
-                made = msgspec.msgpack.decode(short, type=self.types[tag].cls)
-                self.assertEqual(record["defaults"]["hex"], msgspec.msgpack.encode(made).hex(), tag)
-
-    def test_further_fields_of_a_newer_peer_are_passed_over(self) -> None:
-        for tag, cls, sample in self.samples():
-            longer = msgspec.msgpack.encode([*msgspec.msgpack.decode(bytes.fromhex(sample["hex"])), "further"])
-            made = msgspec.msgpack.decode(longer, type=cls)
-            self.assertEqual(sample["hex"], msgspec.msgpack.encode(made).hex(), tag)
-
-    def test_frames_are_read_and_written_unchanged(self) -> None:
-        for text, frame in frames():
-            parcel = wire.decoder.decode(frame[4:])
-            self.assertEqual(frame[4:], wire.encoder.encode(parcel))
-            self.assertEqual(CALL, msgspec.msgpack.decode(frame[4:])[0])
-            self.assertIn(text, frame.hex())
-
-
-class RecordedStream(testtools.TestCase):
-    def setUp(self) -> None:
-        super().setUp()
-        loguru.logger.remove()
-
-    def test_a_connection_begins_with_the_version(self) -> None:
-        self.assertEqual(HELLO, Receiver().transport.value().hex())
-
-    def test_a_frame_split_at_any_place_arrives(self) -> None:
-        for text, frame in frames():
+@pytest.fixture(scope="module")
+def types() -> dict[str, msgspec.inspect.StructType]:
+    """The present program's messages and parts of messages, by tag."""
+    return recorded.struct_types(wire.Envelope)
+
+
+@pytest.fixture
+def samples(types: dict[str, msgspec.inspect.StructType]) -> list[tuple[str, type, dict[str, typing.Any]]]:
+    """Each recorded message, with its tag and its present class."""
+    return [
+        (tag, types[tag].cls, sample)
+        for section in RECORDING.values()
+        for tag, record in section.items()
+        for sample in record.values()
+    ]
+
+
+def test_the_tags_are_those_recorded(types: dict[str, msgspec.inspect.StructType]) -> None:
+    sendable = {info.tag for info in msgspec.inspect.type_info(wire.Envelope).fields[2].type.types}
+    assert sorted(sendable) == sorted(RECORDING["messages"])
+    assert sorted(set(types) - sendable) == sorted(RECORDING["parts"])
+
+
+def test_recorded_bytes_are_read_and_written_unchanged(
+    samples: list[tuple[str, type, dict[str, typing.Any]]],
+) -> None:
+    for tag, cls, sample in samples:
+        raw = bytes.fromhex(sample["hex"])
+        assert msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=cls)) == raw, tag
+
+
+def test_recorded_values_make_the_recorded_bytes(samples: list[tuple[str, type, dict[str, typing.Any]]]) -> None:
+    for tag, cls, sample in samples:
+        made = recorded.build(cls, recorded.from_plain(sample["values"]))
+        assert msgspec.msgpack.encode(made).hex() == sample["hex"], tag
+
+
+def test_all_fields_are_recorded_and_those_with_defaults_may_be_missing(
+    types: dict[str, msgspec.inspect.StructType],
+) -> None:
+    for section in RECORDING.values():
+        for tag, record in section.items():
+            fields = types[tag].fields
+            assert len(record["full"]["values"]) == len(fields), tag
+            assert len(record["defaults"]["values"]) == sum(field.required for field in fields), tag
+            short = msgspec.msgpack.encode([tag, *recorded.from_plain(record["defaults"]["values"])])
+            made = msgspec.msgpack.decode(short, type=types[tag].cls)
+            assert msgspec.msgpack.encode(made).hex() == record["defaults"]["hex"], tag
+
+
+def test_further_fields_of_a_newer_peer_are_passed_over(
+    samples: list[tuple[str, type, dict[str, typing.Any]]],
+) -> None:
+    for tag, cls, sample in samples:
+        longer = msgspec.msgpack.encode([*msgspec.msgpack.decode(bytes.fromhex(sample["hex"])), "further"])
+        made = msgspec.msgpack.decode(longer, type=cls)
+        assert msgspec.msgpack.encode(made).hex() == sample["hex"], tag
+
+
+def test_frames_are_read_and_written_unchanged() -> None:
+    for text, frame in frames():
+        parcel = wire.decoder.decode(frame[4:])
+        assert wire.encoder.encode(parcel) == frame[4:]
+        assert msgspec.msgpack.decode(frame[4:])[0] == CALL
+        assert text in frame.hex()
+
+
+def test_a_connection_begins_with_the_version() -> None:
+    assert Receiver().transport.value().hex() == HELLO
+
+
+def test_a_frame_split_at_any_place_arrives() -> None:
+    for text, frame in frames():
+        receiver = Receiver()
+        for place in range(1, len(frame)):
+            receiver.connection.dataReceived(frame[:place])
+            receiver.connection.dataReceived(frame[place:])
+        assert receiver.received == [text] * (len(frame) - 1)
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_a_stream_in_pieces_of_any_size_arrives(seed: int) -> None:
+    stream = b"".join(frame for _, frame in frames())
+    generator, receiver, place = random.Random(seed), Receiver(), 0
+    while place < len(stream):
+        size = generator.choice((1, 3, 17, 400, 9_000))
+        receiver.connection.dataReceived(stream[place : place + size])
+        place += size
+    assert receiver.received == [text for text, _ in frames()]
+
+
+def test_what_a_connection_sends_is_what_was_recorded(types: dict[str, msgspec.inspect.StructType]) -> None:
+    for tag, record in RECORDING["messages"].items():
+        for sample in record.values():
             receiver = Receiver()
-            for place in range(1, len(frame)):
-                receiver.connection.dataReceived(frame[:place])
-                receiver.connection.dataReceived(frame[place:])
-            self.assertEqual([text] * (len(frame) - 1), receiver.received)
-
-    def test_a_stream_in_pieces_of_any_size_arrives(self) -> None:
-        stream = b"".join(frame for _, frame in frames())
-        for seed in range(20):
-            generator, receiver, place = random.Random(seed), Receiver(), 0
-            while place < len(stream):
-                size = generator.choice((1, 3, 17, 400, 9_000))
-                receiver.connection.dataReceived(stream[place : place + size])
-                place += size
-            self.assertEqual([text for text, _ in frames()], receiver.received)
-
-    def test_what_a_connection_sends_is_what_was_recorded(self) -> None:
-        types = recorded.struct_types(wire.Envelope)
-        for tag, record in RECORDING["messages"].items():
-            for sample in record.values():
-                receiver = Receiver()
-                receiver.transport.clear()
-                made = recorded.build(types[tag].cls, recorded.from_plain(sample["values"]))
-                receiver.connection.tell(made)
-                receiver.connection.call(made, 1_000_000)
-                content = bytes.fromhex(sample["hex"])
-                expected = b"".join(
-                    (len(head) + len(content)).to_bytes(4, "big") + head + content
-                    for head in (b"\x93\x00\x00", b"\x93\x01\x01")
-                )
-                self.assertEqual(expected, receiver.transport.value(), tag)
+            receiver.transport.clear()
+            made = recorded.build(types[tag].cls, recorded.from_plain(sample["values"]))
+            receiver.connection.tell(made)
+            receiver.connection.call(made, 1_000_000)
+            content = bytes.fromhex(sample["hex"])
+            expected = b"".join(
+                (len(head) + len(content)).to_bytes(4, "big") + head + content
+                for head in (b"\x93\x00\x00", b"\x93\x01\x01")
+            )
+            assert receiver.transport.value() == expected, tag
