--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -15,6 +15,8 @@
 from iriswheel.transport import http_server
 from simulation import process_model, processor_meter, simulated_cluster
 
+FIRST_EVENT_US = 100 * units.MILLISECOND_US  # from a hollow send to its first event
+
 
 class Fleet(simulated_cluster.SimulatedCluster):
     """Real cores and nodes without traffic, before workers that one process stands in for."""
@@ -75,8 +77,8 @@
         place, names = n.gateway.forwarder.placement_of(pool), n.gateway.forwarder.ready(pool)
         name = names[n.runtime.rng.randrange(len(names))]
         tokens = place.begin(name, [], [], samples.LONG if n.runtime.rng.random() < samples.LONG_SHARE else 400)
-        await n.runtime.sleep(100 * units.MILLISECOND_US)
-        place.first_event(name, tokens)
+        await n.runtime.sleep(FIRST_EVENT_US)
+        place.first_event(name, tokens, FIRST_EVENT_US, FIRST_EVENT_US)  # as expected, so that estimates stay
         await n.runtime.sleep(int(lasts * units.SECOND_US))
         place.end(name, 0)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,6 +17,7 @@
     target_costs,
 )
 from iriswheel.transport import wire
+from simulation import simulated_cluster
 
 PAGE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "docs", "CAPACITY.md")
 
@@ -139,6 +140,22 @@
         assert others
         assert set(others) <= set(f.workers), others
 
+    def test_a_hollow_send_is_counted_until_its_first_event_and_its_end(self) -> None:
+        f = self.made(nodes=4, listed=9, election="node")
+        node = f.nodes["n1"]
+        estimates = node.gateway.forwarder.placement_of("model-0").workers
+        node.runtime.spawn(f.stream(node, 0.5), simulated_cluster.log)
+
+        def counted() -> tuple[int, bool]:
+            return sum(e.running for e in estimates.values()), any(e.unread for e in estimates.values())
+
+        f.go(0.05)
+        assert counted() == (1, True)
+        f.go(0.1)
+        assert counted() == (1, False)
+        f.go(0.5)
+        assert counted() == (0, False)
+
 
 class TestPlaces:
     def test_elections_at_a_node_and_the_exchange_run(self) -> None:
