--- a/benchmarks/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -144,7 +144,7 @@
 
 def warden(t: typing.Any) -> None:
     """The pool owner is killed and started again."""
-    spread(t, [t.fleet.warden()], 4)
+    spread(t, [t.fleet.owner()], 4)
 
 
 def core(t: typing.Any) -> None:
@@ -168,7 +168,7 @@
 
 def freeze(t: typing.Any) -> None:
     """The pool owner freezes for four seconds, then a core machine."""
-    for name in (t.fleet.warden(), sorted(t.fleet.cores)[-1]):
+    for name in (t.fleet.owner(), sorted(t.fleet.cores)[-1]):
         t.fault("freeze", name)
         t.fleet.signal(name, signal.SIGSTOP)
         time.sleep(4)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -7,7 +7,9 @@
 import subprocess
 import sys
 import tempfile
-from collections.abc import Iterator
+import time
+import unittest.mock
+from collections.abc import Callable, Iterator
 
 import pytest
 
@@ -230,3 +232,17 @@
             lines = [line for ls in found.values() for line in ls if " waited " not in line and " paused " not in line]
             assert lines == []
             assert report["ends"]["whole"] > 30
+
+
+class TestCases:
+    @pytest.mark.parametrize("case", [process_trial.warden, process_trial.freeze])
+    def test_a_fault_of_the_pool_owner_strikes_the_node_that_is_it(
+        self, case: Callable[[process_trial.Trial], None], monkeypatch: pytest.MonkeyPatch
+    ) -> None:
+        monkeypatch.setattr(time, "sleep", lambda seconds: None)
+        trial = unittest.mock.create_autospec(process_trial.Trial, instance=True)
+        trial.fleet = unittest.mock.create_autospec(fleet.Fleet, instance=True)
+        trial.fleet.owner.return_value = "n3"
+        trial.fleet.cores = {"c1": (1, 2)}
+        case(trial)
+        assert trial.fault.call_args_list[0].args[1] == "n3"
