--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -127,15 +127,21 @@
     for _ in range(repeats):
         for p in pools:
             for n in sizes:
-                iss = samples.issuer(n, p)
-                lines.put(f"a look for news at the tail, {p} pools", "members", "loops", n, measuring.ratio(iss.issue))
+                manager = samples.membership_manager_at_tail(n, p)
+                lines.put(
+                    f"a look for news at the tail, {p} pools",
+                    "members",
+                    "loops",
+                    n,
+                    measuring.ratio(manager.issue_if_changed),
+                )
                 table = message.NodeSessionsReport("c0", 3, samples.members(n), [0] * n, None, [], None)
                 lines.put(
                     f"a core's word taken at the tail, {p} pools",
                     "members",
                     "loops",
                     n,
-                    measuring.ratio(lambda: iss.take(table)),
+                    measuring.ratio(lambda: manager.apply_report(table)),
                 )
         for n in sizes:
             table = message.NodeSessionsReport("c0", 3, samples.members(n), [0] * n, None, [], None)
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -124,10 +124,10 @@
     return n
 
 
-def issuer(n: int, p: int, cores: int = 5) -> membership_manager.MembershipManager:
-    """A tail's issuer with n members and p pools, its first membership issued.
+def membership_manager_at_tail(n: int, p: int, cores: int = 5) -> membership_manager.MembershipManager:
+    """A tail's membership manager with n members and p pools, its first membership issued.
 
-    >>> len(issuer(8, 2).latest.members)
+    >>> len(membership_manager_at_tail(8, 2).latest.members)
     8
     """
     clock = [1000 * units.SECOND_US]
@@ -135,12 +135,12 @@
     view = message.View(3, [message.Voter(f"c{k}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(cores)], [])
     consensus = types.SimpleNamespace(view=view, tail=lambda: True, leased=lambda: True)
     out = membership_manager.MembershipManager(runtime, consensus, lambda: [f"model-{k}" for k in range(p)])
-    out.restart()
+    out.begin_view()
     for m in members(n):
         out.seen[m.id] = membership_manager.SeenMember(clock[0], m, "c0")
-    out.issue()
+    out.issue_if_changed()
     clock[0] += units.SECOND_US // 2
-    out.issue()
+    out.issue_if_changed()
     return out
 
 
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -275,7 +275,7 @@
             done = t.operator_runtime.spawn(t.operator.change(t.with_probe(t.probe + 1)), simulated_cluster.log)
             t.until(lambda: done.called, 40)
             membership = len(
-                wire.encoder.encode(max((c.issuer.latest for c in t.cores.values()), key=lambda x: x.version))
+                wire.encoder.encode(max((c.membership.latest for c in t.cores.values()), key=lambda x: x.version))
             )
             print(
                 f"{n} nodes, {r} routes: plan and confirm {sorted(took)[2]:.0f} ms "
@@ -356,9 +356,9 @@
         "bytes on disk": most(sum(len(v) for v in c.process.host.synced.values()) for c in cores),
         "pulses": most(len(c.consensus.heartbeats) for c in cores),
         "posts": most(len(c.node_sessions.by_node) for c in cores),
-        "seated": most(len(c.findings.active) for c in cores),
-        "left": most(len(c.issuer.left) for c in cores),
-        "places": most(len(c.issuer.seen) for c in cores),
+        "seated": most(len(c.node_reports.active) for c in cores),
+        "left": most(len(c.membership.left) for c in cores),
+        "places": most(len(c.membership.seen) for c in cores),
         "connections": len(t.world.connections),
     }
 
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -54,13 +54,13 @@
         self.consensus = self._make_consensus(state)
         self.chain.consensus = self.consensus
         self.chain.on_commit = self._announce
-        self.issuer = membership_manager.MembershipManager(
+        self.membership = membership_manager.MembershipManager(
             runtime, self.consensus, owned_pools.OwnedPools(self.chain).names
         )
         self.lease = lease.CoreLease(options.lease_us)
-        self.findings = reports.NodeFindings()
+        self.node_reports = reports.NodeReports()
         parts = core_parts.CoreParts(
-            runtime, self.peers, self.chain, self.consensus, self.issuer, self.lease, self.findings
+            runtime, self.peers, self.chain, self.consensus, self.membership, self.lease, self.node_reports
         )
         self.tail_contact = tail_contact.TailContact(parts, self._announce)
         self.node_sessions = node_session.NodeSessions(parts, self.serving)
@@ -175,20 +175,20 @@
             case message.LoadReport():
                 self.loads.take(received, from_node=session is not None)
             case message.WorkerListing():
-                self.findings.take_listing(received)
+                self.node_reports.record_listing(received)
             case message.ListingUnchanged():
-                self.findings.take_listing_unchanged(received)
+                self.node_reports.record_listing_unchanged(received)
             case message.RoleActivated(key=key, term=term):
-                self.findings.role_activated(key, term)
+                self.node_reports.record_role_activated(key, term)
             case message.RoleContested(key=key, term=term):
-                self.findings.role_contested(key, term)
+                self.node_reports.record_role_contested(key, term)
             case message.ReplicateRecords():
                 self.session_replicas.take(received, from_node=session is not None)
             case _:
                 log.warning("A core has no answer to {}.", type(received).__name__)
 
     def _join(self, connection: wire.Connection, join: message.JoinRequest) -> None:
-        self.issuer.learn(join.membership)
+        self.membership.keep_newest(join.membership)
         if self.stopping:
             self.node_sessions.redirect(connection)
             return
@@ -202,7 +202,7 @@
         self.counters.views += 1
         self.tail_service.installed(view)
         self.chain.install(view)
-        self.findings.report_now.wake()
+        self.node_reports.report_now.wake()
         self.tail_service.heartbeat_now.wake()
         self.peers.keep(self.consensus.addresses())
 
--- a/iriswheel/control/core_parts.py
+++ b/iriswheel/control/core_parts.py
@@ -21,9 +21,9 @@
     peers: peers_module.Peers
     chain: chain.Chain
     consensus: view_consensus.ViewConsensus
-    issuer: membership_manager.MembershipManager
+    membership: membership_manager.MembershipManager
     lease: lease.CoreLease  # from the tail; what it passes on to nodes
-    findings: reports.NodeFindings
+    node_reports: reports.NodeReports
 
     def voters(self) -> list[message.Voter]:
         """The core machines as far as they are known."""
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -72,7 +72,7 @@
         self.parts.lease.record_heartbeat(self.member.id, heartbeat.index, self.parts.runtime.now())
         if heartbeat.index > self.applied_index:
             self.applied_index = heartbeat.index
-            self.parts.findings.report_now.wake()
+            self.parts.node_reports.report_now.wake()
 
     async def run(self, is_stopping: collections.abc.Callable[[], bool]) -> None:
         """Flush at every change, and every HEARTBEAT_INTERVAL_US, while the connection stands; one task a node.
@@ -92,12 +92,12 @@
 
     def _slice(self) -> slices.Slice:
         """The items that this node needs now."""
-        latest = self.parts.issuer.latest
+        latest = self.parts.membership.latest
         pools = assignments.owned_pools(latest.assignments, self.member.id) if latest is not None else ()
         return self.slices.slice(self.parts.chain.committed_state, self.member.zone, pools)
 
     def _send_configuration(self) -> None:
-        base, latest = self.parts.chain.committed_state, self.parts.issuer.latest
+        base, latest = self.parts.chain.committed_state, self.parts.membership.latest
         source = SliceSource(base.index, latest.version if latest is not None else None)
         if base.index < self.sent_index or source == self.sliced_from:
             return
@@ -114,7 +114,7 @@
         self.sent_slice, self.sent_index = current, base.index
 
     def _send_membership(self) -> None:
-        latest = self.parts.issuer.latest
+        latest = self.parts.membership.latest
         if latest is not None and latest.version > self.sent_membership:
             self.connection.tell(message.MembershipUpdate(latest))
             self.sent_membership = latest.version
@@ -125,7 +125,7 @@
             return
         self.heartbeat_sent_at = parts.runtime.now()
         lease_left = parts.lease.grant(self.member.id, self.heartbeat_sent_at)
-        unchanged = parts.findings.listing_unchanged
+        unchanged = parts.node_reports.listing_unchanged
         self.connection.tell(
             message.SessionHeartbeat(self.sent_index, self.sent_membership, unchanged, self.node_time, lease_left)
         )
@@ -167,7 +167,7 @@
         self.parts.lease.close(node)
         self.parts.lease.record_heartbeat(node, join.applied_index, self.parts.runtime.now())
         self.parts.runtime.spawn(self._run(session), log)
-        self.parts.findings.report_now.wake()
+        self.parts.node_reports.report_now.wake()
 
     def offer_unconfirmed(self, connection: wire.Connection, join: message.JoinRequest) -> None:
         """Send what this disk holds to a node that knows nothing, while no tail is heard soon after the start."""
@@ -191,4 +191,4 @@
         if self.by_node.get(node) is session:
             del self.by_node[node]
             self.parts.lease.close(node)
-            self.parts.findings.report_now.wake()
+            self.parts.node_reports.report_now.wake()
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -212,6 +212,6 @@
             "disk_ok": core.disk.ok,
             "sessions": sorted(session.member.name for session in sessions),
             "fed_bytes": {session.member.name: session.connection.sent_bytes for session in sessions},
-            "roster": message.plain(core.issuer.latest),
+            "roster": message.plain(core.membership.latest),
             "counts": msgspec.structs.asdict(self.counters),
         }
--- a/iriswheel/control/reports.py
+++ b/iriswheel/control/reports.py
@@ -1,4 +1,4 @@
-"""What a core machine reports to the tail: the sessions of its nodes, their leases, and what the nodes found."""
+"""What a core machine reports to the tail: the sessions of its nodes, their leases, and what the nodes reported."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     from iriswheel.control import core_parts, node_session
 
 REPORT_INTERVAL_US = 250 * units.MILLISECOND_US
-BATCH_DELAY_US = 5 * units.MILLISECOND_US  # what else the nodes say within this goes in the same report
+BATCH_DELAY_US = 5 * units.MILLISECOND_US  # what else the nodes report within this goes in the same report
 LISTING_REPEAT_US = 2 * units.SECOND_US  # an unchanged worker list is sent again: a report may be lost
 
 log = loguru.logger.bind(part="core")
 
 
-class NodeFindings:
-    """What the nodes of this core machine found: the worker list, and which roles are active or contested."""
+class NodeReports:
+    """What the nodes of this core machine have reported: the worker list, and roles that are active or contested."""
 
     def __init__(self) -> None:
         self.report_now = scheduler.Signal()
@@ -30,26 +30,26 @@
         self.active: dict[str, tuple[int, int]] = {}  # role -> the newest term in which its holder was active
         self.contested: dict[str, tuple[int, int]] = {}  # role -> the term that its holder can't use
 
-    def take_listing(self, listing: message.WorkerListing) -> None:
-        """Take a worker list, if it is the newest."""
+    def record_listing(self, listing: message.WorkerListing) -> None:
+        """Keep a worker list unless a newer one is here."""
         if self.listing is None or listing.version > self.listing.version:
             self.listing = listing
             self.report_now.wake()
 
-    def take_listing_unchanged(self, unchanged: message.ListingUnchanged | None) -> None:
-        """Record that the worker list is unchanged, if this is the newest such message."""
+    def record_listing_unchanged(self, unchanged: message.ListingUnchanged | None) -> None:
+        """Keep the newest message that the worker list is unchanged."""
         if unchanged is not None and (
             self.listing_unchanged is None or unchanged.version > self.listing_unchanged.version
         ):
             self.listing_unchanged = unchanged
 
-    def role_activated(self, key: str, term: tuple[int, int]) -> None:
-        """The holder of a role is active in a term."""
+    def record_role_activated(self, key: str, term: tuple[int, int]) -> None:
+        """Record the newest term in which the holder of a role has taken it up."""
         self.active[key] = max(term, self.active.get(key, (0, 0)))
         self.report_now.wake()
 
-    def role_contested(self, key: str, term: tuple[int, int]) -> None:
-        """The holder of a role met a newer term than its own."""
+    def record_role_contested(self, key: str, term: tuple[int, int]) -> None:
+        """Record a role whose holder met a newer term than its own: the tail has to give it a new one."""
         self.contested[key] = term
         self.report_now.wake()
 
@@ -84,7 +84,7 @@
             if view is not None and self.parts.consensus.serving():
                 self.sessions.drop_broken()
                 self._send(view)
-            await self.parts.runtime.pause(self.parts.findings.report_now, REPORT_INTERVAL_US)
+            await self.parts.runtime.pause(self.parts.node_reports.report_now, REPORT_INTERVAL_US)
             await self.parts.runtime.sleep(BATCH_DELAY_US)
 
     def _send(self, view: message.View) -> None:
@@ -98,7 +98,7 @@
 
     def _report(self, view: message.View) -> message.NodeSessionsReport:
         sessions = self.sessions.in_order()
-        latest = self.parts.issuer.latest
+        latest = self.parts.membership.latest
         now = self.parts.runtime.now()
         return message.NodeSessionsReport(
             self.parts.consensus.me.id,
@@ -106,17 +106,17 @@
             [session.member for session in sessions],
             [session.applied_index for session in sessions],
             self._listing_to_send(view.number, now),
-            sorted(self.parts.findings.active.items()),
+            sorted(self.parts.node_reports.active.items()),
             latest if latest is not None and latest.version[0] < view.number else None,
-            sorted(self.parts.findings.contested.items()),
-            self.parts.findings.listing_unchanged,
+            sorted(self.parts.node_reports.contested.items()),
+            self.parts.node_reports.listing_unchanged,
             now,
             self.parts.lease.report(now),
         )
 
     def _listing_to_send(self, view: int, now: int) -> message.WorkerListing | None:
         """The worker list, where it is new to the tail of a view, and again every LISTING_REPEAT_US."""
-        listing, sent = self.parts.findings.listing, self.sent_listing
+        listing, sent = self.parts.node_reports.listing, self.sent_listing
         if listing is None:
             return None
         is_known = sent is not None and (sent.view, sent.version) == (view, listing.version)
--- a/iriswheel/control/tail_contact.py
+++ b/iriswheel/control/tail_contact.py
@@ -45,7 +45,7 @@
 
     def no_node_reachable(self) -> bool:
         """Whether there are nodes, and none has a session: they may all be cut off, and keep their configuration."""
-        latest = self.parts.issuer.latest
+        latest = self.parts.membership.latest
         return latest is not None and bool(latest.members) and not self.session_count
 
     def receive(self, heartbeat: message.TailHeartbeat) -> None:
@@ -57,12 +57,12 @@
             sent_at = max(heartbeat.echo, self.answered_report.sent_at)
             self.answered_report = AnsweredReport(sent_at, heartbeat.view)
         else:
-            self.parts.findings.report_now.wake()
-        self.parts.issuer.learn(heartbeat.membership)
+            self.parts.node_reports.report_now.wake()
+        self.parts.membership.keep_newest(heartbeat.membership)
         if self.parts.chain.is_synced():
             self.parts.chain.commit(heartbeat.index)
         self._advance(heartbeat.applied_by_all)
-        self.parts.findings.take_listing_unchanged(heartbeat.listing_unchanged)
+        self.parts.node_reports.record_listing_unchanged(heartbeat.listing_unchanged)
         self.session_count = heartbeat.sessions
         self.announce()
 
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -72,8 +72,8 @@
     def take_report(self, report: message.NodeSessionsReport) -> None:
         """Take a core machine's report."""
         before = self.applied()
-        self.parts.findings.take_listing_unchanged(report.listing_unchanged)
-        self.parts.issuer.take(report)
+        self.parts.node_reports.record_listing_unchanged(report.listing_unchanged)
+        self.parts.membership.apply_report(report)
         self._announce_membership()
         view = self.parts.consensus.view
         if self.parts.consensus.tail() and view is not None and report.view == view.number:
@@ -91,7 +91,7 @@
     async def take_leaving(self, leaving: message.MemberLeaving) -> None:
         """Remove a node that says it leaves; where another machine is the tail, pass the message on."""
         if self.parts.consensus.tail():
-            self.parts.issuer.leave(leaving.member)
+            self.parts.membership.remove_member(leaving.member)
             self._announce_membership()
         elif self.parts.consensus.view is not None:
             tail = self.parts.voter_of(self.parts.consensus.view.chain[-1])
@@ -103,7 +103,7 @@
         while True:
             await self.parts.runtime.sleep(ISSUE_INTERVAL_US)
             if self.parts.consensus.tail():
-                self.parts.issuer.issue()
+                self.parts.membership.issue_if_changed()
                 self._announce_membership()
 
     async def send_heartbeats(self) -> None:
@@ -120,15 +120,15 @@
 
     def _send_round(self, view: message.View) -> None:
         index = self.parts.chain.committed_state.index
-        latest = self.parts.issuer.latest if self.parts.issuer.issuing() else None
+        latest = self.parts.membership.latest if self.parts.membership.has_issued() else None
         for replica in view.chain:
             heartbeat = message.TailHeartbeat(
                 view.number,
                 index,
                 self.applied(),
-                self.parts.issuer.sessions(),
+                self.parts.membership.session_count(),
                 self._membership_for(replica, view.number, latest),
-                self.parts.findings.listing_unchanged,
+                self.parts.node_reports.listing_unchanged,
                 self.received_reports.get(replica.id, 0),
             )
             if replica.id == self.parts.consensus.me.id:
@@ -154,6 +154,6 @@
 
     def _announce_membership(self) -> None:
         """Have the membership passed on where it has changed."""
-        if self.parts.issuer.latest is not None and self.parts.issuer.latest.version != self._announced_version:
-            self._announced_version = self.parts.issuer.latest.version
+        if self.parts.membership.latest is not None and self.parts.membership.latest.version != self._announced_version:
+            self._announced_version = self.parts.membership.latest.version
             self.announce()
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -15,17 +15,18 @@
 from iriswheel.runtime import scheduler, units
 from iriswheel.transport import message
 
-SETTLE_US = 1 * units.SECOND_US  # a new tail listens this long before it issues
-GRACE_US = 500 * units.MILLISECOND_US  # for a node whose session ended
-SILENT_US = 3_500 * units.MILLISECOND_US  # for a node whose core machine fell silent
-LINGER_US = 600 * units.SECOND_US  # a removed pool keeps its pool owner as long as claims are kept
+TAKEOVER_WAIT_US = 1 * units.SECOND_US  # a new tail collects reports for so long before it issues
+REPORT_VALIDITY_US = 1 * units.SECOND_US  # a core machine without a newer report has lost its nodes
+ENDED_SESSION_GRACE_US = 500 * units.MILLISECOND_US  # a node whose session ended stays a member for so long
+LOST_SESSION_GRACE_US = 3_500 * units.MILLISECOND_US  # likewise, one whose core machine is silent
+REMOVED_POOL_RETENTION_US = 600 * units.SECOND_US  # a removed pool keeps its pool owner as long as claims are kept
 NO_CORE = ""
 
-log = loguru.logger.bind(part="roster")
+log = loguru.logger.bind(part="membership")
 
 
 class Clock(typing.Protocol):
-    """What tells the time."""
+    """A clock that never goes back."""
 
     @property
     def now(self) -> collections.abc.Callable[[], int]:
@@ -33,7 +34,7 @@
 
 
 class Consensus(typing.Protocol):
-    """What the membership asks of the view agreement."""
+    """What the membership manager needs of view consensus."""
 
     @property
     def view(self) -> message.View | None:
@@ -62,12 +63,17 @@
 
 
 class MembershipManager:
-    """Makes memberships while this core machine is the leased tail."""
+    """Issues memberships while this core machine is the tail and holds the read lease.
+
+    Args:
+        runtime: The clock.
+        consensus: The view, and whether this machine is its tail.
+        pools: Gives the names of the pools that have a pool owner.
+    """
 
     def __init__(
         self, runtime: Clock, consensus: Consensus, pools: collections.abc.Callable[[], collections.abc.Sequence[str]]
     ) -> None:
-        """`pools` gives the names of the pools that have a pool owner."""
         self.runtime = runtime
         self.consensus = consensus
         self.pools = pools
@@ -81,80 +87,80 @@
         self.removed_since: dict[str, int] = {}  # role of a pool that was removed -> since when
         self.updated = scheduler.Signal()
 
-    def learn(self, membership: message.Membership | None) -> None:
+    def keep_newest(self, membership: message.Membership | None) -> None:
         """Keep the newest membership."""
         if membership is not None and (self.latest is None or membership.version > self.latest.version):
             self.latest = membership
             self.updated.wake()
 
-    def learn_listing(self, listing: message.WorkerListing | None) -> None:
+    def keep_newest_listing(self, listing: message.WorkerListing | None) -> None:
         """Keep the newest worker list."""
         if listing is not None and (self.listing is None or listing.version > self.listing.version):
             self.listing = listing
 
-    def take(self, report: message.NodeSessionsReport) -> None:
-        """Take a core machine's report of its nodes, and issue a membership if it changed."""
+    def apply_report(self, report: message.NodeSessionsReport) -> None:
+        """Record which nodes a core machine has sessions with, and issue a membership if it changed."""
         view = self.consensus.view
         if not self.consensus.tail() or view is None or report.view != view.number:
             return
         now = self.runtime.now()
         if self.view != report.view:
-            self.restart()
-        if not self.issuing():
-            self.learn(report.membership)
-        self.learn_listing(report.listing)
-        self._see_reported(report, now)
-        self._see_missing(report, now)
+            self.begin_view()
+        if not self.has_issued():
+            self.keep_newest(report.membership)
+        self.keep_newest_listing(report.listing)
+        self._record_reported_members(report, now)
+        self._record_missing_members(report, now)
         self._end_sessions_of_silent_cores(now)
         self.reports[report.core] = ReceivedReport(now, report)
-        self.issue()
+        self.issue_if_changed()
 
-    def leave(self, identifier: str) -> None:
-        """A node leaves of its own will."""
+    def remove_member(self, identifier: str) -> None:
+        """Drop a node that said it leaves, without the grace of one that was lost."""
         self.left.add(identifier)
         self.seen.pop(identifier, None)
-        self.issue()
+        self.issue_if_changed()
 
-    def restart(self) -> None:
-        """Begin anew as tail of a view."""
+    def begin_view(self) -> None:
+        """Forget what was reported in an earlier view; this machine is the tail of the newest one."""
         self.view = self._view_number()
         self.leased_since = None
         self.reports = {}
         self.seen = {}
 
-    def sessions(self) -> int:
+    def session_count(self) -> int:
         """How many members have a session now."""
         return sum(1 for seen in self.seen.values() if seen.core)
 
-    def issuing(self) -> bool:
+    def has_issued(self) -> bool:
         """Whether this tail has issued a membership in its view."""
         return self.latest is not None and self.latest.version[0] == self.view == self._view_number()
 
-    def issue(self) -> None:
+    def issue_if_changed(self) -> None:
         """Issue a membership if it changed; only under the tail's lease, so that just one machine issues."""
         if not self.consensus.leased() or self.view != self._view_number():
             return
         now = self.runtime.now()
-        if not self.issuing() and not self._begin(now):
+        if not self.has_issued() and not self._adopt_last_membership(now):
             return
-        if self.seen and not self.sessions():
+        if self.seen and not self.session_count():
             self._renew_graces(now)
-        for node in [node for node, seen in self.seen.items() if now - seen.seen_at > SILENT_US]:
+        for node in [node for node, seen in self.seen.items() if now - seen.seen_at > LOST_SESSION_GRACE_US]:
             del self.seen[node]
         membership = self._next_membership()
-        if not self.issuing() or not _same_content(membership, self.latest):
-            self.learn(membership)
+        if not self.has_issued() or not _same_content(membership, self.latest):
+            self.keep_newest(membership)
 
     def _view_number(self) -> int:
         return self.consensus.view.number if self.consensus.view is not None else 0
 
-    def _see_reported(self, report: message.NodeSessionsReport, now: int) -> None:
+    def _record_reported_members(self, report: message.NodeSessionsReport, now: int) -> None:
         """Members that have a session with the reporting core machine."""
         for member in report.members:
             if member.id not in self.left:
                 self.seen[member.id] = SeenMember(now, member, report.core)
 
-    def _see_missing(self, report: message.NodeSessionsReport, now: int) -> None:
+    def _record_missing_members(self, report: message.NodeSessionsReport, now: int) -> None:
         """Members that had their session with the reporting core machine and have it no longer.
 
         One that another core machine has reported has moved there; else its grace begins.
@@ -164,12 +170,12 @@
             if seen.core != report.core or node in reported:
                 continue
             core = self._other_core_of(node, report.core, now)
-            seen_at = seen.seen_at if core else min(seen.seen_at, now - SILENT_US + GRACE_US)
+            seen_at = seen.seen_at if core else min(seen.seen_at, now - LOST_SESSION_GRACE_US + ENDED_SESSION_GRACE_US)
             self.seen[node] = SeenMember(seen_at, seen.member, core)
 
     def _other_core_of(self, node: str, excluded: str, now: int) -> str:
         for core, (received_at, report) in self.reports.items():
-            is_recent = core != excluded and now - received_at < SETTLE_US
+            is_recent = core != excluded and now - received_at < REPORT_VALIDITY_US
             if is_recent and any(member.id == node for member in report.members):
                 return core
         return NO_CORE
@@ -177,19 +183,19 @@
     def _end_sessions_of_silent_cores(self, now: int) -> None:
         for node, seen in self.seen.items():
             report = self.reports.get(seen.core)
-            if report is not None and now - report.received_at > SETTLE_US:
+            if report is not None and now - report.received_at > REPORT_VALIDITY_US:
                 self.seen[node] = seen._replace(core=NO_CORE)
 
-    def _begin(self, now: int) -> bool:
+    def _adopt_last_membership(self, now: int) -> bool:
         """Start from the newest membership known; False as long as others may still report a newer one."""
         if self.leased_since is None:
             self.leased_since = now
         waited = now - self.leased_since
         view = self.consensus.view
         cores = {replica.id for replica in view.chain} if view is not None else set()
-        if waited < SETTLE_US and not cores <= set(self.reports):
+        if waited < TAKEOVER_WAIT_US and not cores <= set(self.reports):
             return False
-        if waited < SETTLE_US // 2:
+        if waited < TAKEOVER_WAIT_US // 2:
             return False  # nodes need a moment to come back
         old = self.latest
         if old is not None:
@@ -206,11 +212,11 @@
         reach nobody.
         """
         for node, seen in self.seen.items():
-            self.seen[node] = seen._replace(seen_at=now - SILENT_US + GRACE_US)
+            self.seen[node] = seen._replace(seen_at=now - LOST_SESSION_GRACE_US + ENDED_SESSION_GRACE_US)
 
     def _next_membership(self) -> message.Membership:
         old = self.latest
-        version = (self.view, old.version[1] + 1 if old is not None and self.issuing() else 1)
+        version = (self.view, old.version[1] + 1 if old is not None and self.has_issued() else 1)
         members = self._live_members()
         listing = self.listing or message.WorkerListing([], (0, 0, 0))
         roles = self._assign(version, members)
@@ -233,7 +239,7 @@
         reports = [received.report for received in self.reports.values()]
         active = {(key, term) for report in reports for key, term in report.active}
         contested = {(key, term) for report in reports for key, term in report.contested}
-        same_members = old is not None and self.issuing() and members == old.members
+        same_members = old is not None and self.has_issued() and members == old.members
         assigned = []
         for key in self._roles(previous):
             assignment = assignments.assign(key, version, members, previous.get(key), active, contested, same_members)
@@ -246,7 +252,9 @@
         needed = [assignments.LISTING_ROLE, *map(assignments.pool_role, self.pools())]
         now = self.runtime.now()
         removed = [key for key in previous if key not in needed]
-        lingering = [key for key in removed if now - self.removed_since.setdefault(key, now) < LINGER_US]
+        lingering = [
+            key for key in removed if now - self.removed_since.setdefault(key, now) < REMOVED_POOL_RETENTION_US
+        ]
         self.removed_since = {key: since for key, since in self.removed_since.items() if key in lingering}
         return needed + lingering
 
@@ -270,6 +278,6 @@
         return
     key, term = assignment.key, assignment.term
     if (key, previous.term) in contested:
-        log.warning("Role {} gets a new term in place of {}: a newer one was lost.", key, previous.term)
+        log.warning("Role {} gets a new term in place of {}: its holder has met a newer one.", key, previous.term)
     if (previous.holder, previous.copies) != (assignment.holder, assignment.copies):
-        log.info("Role {} goes to {} under term {}.", key, assignment.holder, term)
+        log.info("Role {} is assigned to node {} under term {}.", key, assignment.holder, term)
--- a/iriswheel/transport/messages/membership.py
+++ b/iriswheel/transport/messages/membership.py
@@ -86,7 +86,7 @@
 
 
 class NodeSessionsReport(message_base.Message, tag="Sessions", frozen=True):
-    """What a core reports to the tail: its nodes' sessions and what these nodes found."""
+    """What a core reports to the tail: its nodes' sessions and what these nodes reported."""
 
     core: str
     view: int
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -236,8 +236,8 @@
     ),
     "failover": Guard(
         [
-            Patch(membership_manager, "GRACE_US", 10**12),
-            Patch(membership_manager, "SILENT_US", 10**12),
+            Patch(membership_manager, "ENDED_SESSION_GRACE_US", 10**12),
+            Patch(membership_manager, "LOST_SESSION_GRACE_US", 10**12),
             Patch(actions, "restart", lambda cluster, name: None),
         ],
         "kill_owner",
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""The membership's issuer: who does which role."""
+"""The membership as the tail issues it: who has which role."""
 
 import random
 
@@ -8,21 +8,21 @@
 
 class TestDuties:
     def test_a_group_stays_what_it_is_while_its_members_stay(self) -> None:
-        """So an issuer need not weigh again: as members come and go, weighing once more changes nothing."""
+        """So a tail need not weigh again: as members come and go, weighing once more changes nothing."""
         rng = random.Random(5)
-        iss = samples.issuer(12, 4)
+        manager = samples.membership_manager_at_tail(12, 4)
         everybody = samples.members(40)
         seen = 0
         for _ in range(60):
             live = rng.sample(everybody, rng.randrange(1, 20))
-            now = iss.runtime.now()
-            iss.seen = {m.id: membership_manager.SeenMember(now, m, "c0") for m in live}
-            iss.issue()
-            latest = iss.latest
+            now = manager.runtime.now()
+            manager.seen = {m.id: membership_manager.SeenMember(now, m, "c0") for m in live}
+            manager.issue_if_changed()
+            latest = manager.latest
             assert sorted(m.id for m in live) == sorted(m.id for m in latest.members)
             for d in latest.assignments:
                 assert assignments.group(d.key, latest.members, d) == (d.holder, d.copies)
                 seen += 1
-            iss.issue()
-            assert iss.latest is latest
+            manager.issue_if_changed()
+            assert manager.latest is latest
         assert seen == 60 * 5
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -306,7 +306,7 @@
             assignment = t.owner().pool_owners[t.pool].assignment
             name = assignment.holder if who == "holder" else assignment.copies[0]
             n = next(m for m in t.nodes.values() if m.me.id == name)
-            newer = (assignment.term[0], t.tail().issuer.latest.version[1] + 1)  # of a membership that nobody kept
+            newer = (assignment.term[0], t.tail().membership.latest.version[1] + 1)  # of a membership that nobody kept
             n.serve(None, simulated_cluster.node.message.RecordsRequest(t.pool, newer, "somebody"))
             assert self.answer(t, identifier=who, repeat=False, node="n1")[0] == 200
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -206,7 +206,7 @@
 
         assert t.until(at_home_with_all, 15)
         t.go(3)
-        assert members | {len(t.tail().issuer.latest.members)} == {5}
+        assert members | {len(t.tail().membership.latest.members)} == {5}
         moves = [n.follower.session.moves for n in t.nodes.values()]
         t.go(30)
         assert [n.follower.session.moves for n in t.nodes.values()] == moves
