--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -205,7 +205,7 @@
         runtime,
         process.gateway.handle,
         connection_limit=process_options.connections,
-        formats=process.outer,
+        formats=process.edge_protocol,
         limits=lambda: process.follower.limits,
     )
     runtime.spawn(server.close_late_heads(), log)
--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -38,7 +38,7 @@
         self.request = request
         self.worker = worker
         self.runtime = node.runtime
-        self.protocol = node.outer
+        self.protocol = node.edge_protocol
         self.bodyless = request.request.method == b"HEAD"  # its answer is a head alone
         self.connection: worker_connections.WorkerConnection | None = None
         self.done: defer.Deferred[attempt_outcome.AttemptOutcome] = defer.Deferred(lambda _: self.stop())
@@ -166,7 +166,7 @@
             length = self.lowercase_headers.get("content-length")
             if length is not None and not request.resume:  # what another worker adds may be longer or shorter
                 client_request.setHeader("Content-Length", length)
-            if self.node.stopping:
+            if self.node.draining:
                 client_request.setHeader("Connection", "close")
         if data:
             client_request.write(data)
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -50,14 +50,14 @@
 
         Attempts at a worker that can't be reached are ended: a connection that was cut reports no error.
         """
-        while not self.node.left:
+        while not self.node.stopped:
             await self.runtime.sleep(CHECK_INTERVAL_US)
             for worker in sorted({a.worker for a in self.attempts.values() if self._hangs(a)}):
                 self.runtime.spawn(self._cut_hanging(worker), log)
 
     async def _cut_hanging(self, worker_id: str) -> None:
         """End the attempts that hang at a worker, if no connection to it can be had from here."""
-        worker, reach = self.node.follower.states.get(worker_id), self.node.reach
+        worker, reach = self.node.follower.states.get(worker_id), self.node.reachability
         if worker is not None and worker_id not in reach.lost and (await reach.probe(worker)).outcome != "none":
             return
         for attempt in [a for a in self.attempts.values() if a.worker == worker_id and not a.via]:
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -38,7 +38,9 @@
 SILENCE_SUSPICION = 0.3  # how much a silence counts against a worker
 MAX_UNREACHED = 3  # workers tried that give no connection
 MIN_RETRY_US = 150 * units.MILLISECOND_US  # a refused client may come back after so long
-RENEWED_US = 12 * units.SECOND_US  # what runs when options are read again, or comes soon after, has ended by then
+OPTIONS_REREAD_US = (
+    12 * units.SECOND_US
+)  # what runs when options are read again, or comes soon after, has ended by then
 MISDIRECTED = 421  # the status of a worker that does not serve what it was sent
 NOT_RUN_STATUSES = frozenset((408, MISDIRECTED, 429, 503))  # by which a node promises that a request never ran
 
@@ -49,7 +51,7 @@
     def __init__(self, node: node.Node) -> None:
         self.node = node
         self.runtime = node.runtime
-        self.protocol = node.outer
+        self.protocol = node.edge_protocol
         self.connections = worker_connections.ConnectionPool(node.runtime)
         self.placements: dict[str, placement.Placement] = {}  # by pool name
         # Attempts that were sent and are under way, in the order of sending: a set would go by memory addresses.
@@ -94,7 +96,7 @@
     async def watch(self) -> None:
         """Look after streams that fell silent, idle connections and sessions; one task."""
         swept = 0
-        while not self.node.left:
+        while not self.node.stopped:
             if not self.streams:
                 await self.runtime.pause(self.started, SWEEP_INTERVAL_US)
             await self.runtime.sleep(CHECK_INTERVAL_US)
@@ -147,8 +149,10 @@
 
     def _planned_work(self, now: int) -> bool:
         """Whether this node stops, or has read its options again not long ago."""
-        renewed_at = self.node.renewed_at
-        return self.node.stopping or (renewed_at is not None and now - renewed_at < RENEWED_US)
+        options_reread_at_us = self.node.options_reread_at_us
+        return self.node.draining or (
+            options_reread_at_us is not None and now - options_reread_at_us < OPTIONS_REREAD_US
+        )
 
     def _sweep(self) -> None:
         workers = self.node.follower.workers
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -63,9 +63,9 @@
         """
         match (request.method, request.path.decode("latin-1")):
             case (b"GET", edge_protocol.READY_PATH):
-                if self.node.stopping:
-                    self.node.asked_at = self.node.asked_at or self.runtime.now()
-                request.answer_json(*self.node.outer.ready(*self.node.ready()))
+                if self.node.draining:
+                    self.node.drain_noticed_at_us = self.node.drain_noticed_at_us or self.runtime.now()
+                request.answer_json(*self.node.edge_protocol.ready(*self.node.ready()))
                 return
             case (b"GET", "/state"):
                 request.answer_json(200, self.node.state())
@@ -163,19 +163,19 @@
         self, request: routed_request.RoutedRequest, worker: message.Worker, attempt: dispatch.Attempt, via: str
     ) -> attempt_outcome.AttemptOutcome:
         """Send to a worker; relayed by the member `via` where this node has no connection to the worker."""
-        sender = self.node.sender
-        peer = self.node.follower.member(via) if worker.id in self.node.reach.lost else None
+        dispatcher = self.node.dispatcher
+        peer = self.node.follower.member(via) if worker.id in self.node.reachability.lost else None
         attempt.via = peer is not None
         if peer is None:
-            outcome = await sender.send(request.request, request.raw, worker, request.idempotent, attempt)
+            outcome = await dispatcher.send(request.request, request.raw, worker, request.idempotent, attempt)
             if outcome is attempt_outcome.AttemptOutcome.UNSENT:
-                self.node.reach.miss(worker.id)
+                self.node.reachability.miss(worker.id)
             return outcome
         token = await relay.request_token(self.node, peer, worker.id)
         if not token:
             return attempt_outcome.AttemptOutcome.UNSENT
         self.counts["passed"] += 1
-        return await sender.send(
+        return await dispatcher.send(
             request.request, request.raw, worker, request.idempotent, attempt, token, (peer.host, peer.http)
         )
 
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -61,7 +61,7 @@
 
     async def walk(self) -> None:
         """Now and then, try to connect to the workers that were not heard here for a while."""
-        while not self.node.left:
+        while not self.node.stopped:
             await self.runtime.sleep(WALK_US)
             for worker in self.node.follower.workers:
                 if not self.node.follower.selected_by_owner(worker.pool):
@@ -86,15 +86,15 @@
         return response
 
     async def _ask_load(self, worker: message.Worker) -> message.ProbeResponse:
-        sender, protocol = self.node.sender, self.node.outer
+        dispatcher, protocol = self.node.dispatcher, self.node.edge_protocol
         try:
-            raw = await sender.fetch(worker.host, worker.port, protocol.load_path, PROBE_US)
+            raw = await dispatcher.fetch(worker.host, worker.port, protocol.load_path, PROBE_US)
         except defer.CancelledError:
             raise
         except Exception as reason:  # whatever went wrong: what counts is whether anything answered
             if getattr(reason, "answered", False):
                 return message.ProbeResponse(ANSWERED, None)
-            connects = await sender.can_connect(worker.host, worker.port, CONNECT_US)
+            connects = await dispatcher.can_connect(worker.host, worker.port, CONNECT_US)
             return message.ProbeResponse(MUTE if connects else NOT_REACHED, None)
         try:
             return message.ProbeResponse(ANSWERED, protocol.load(raw))
@@ -103,12 +103,12 @@
 
     async def _try_connect(self, worker: message.Worker) -> None:
         """Note a worker as lost if no bare connection to it can be had."""
-        if not await self.node.sender.can_connect(worker.host, worker.port, CONNECT_US):
+        if not await self.node.dispatcher.can_connect(worker.host, worker.port, CONNECT_US):
             self.miss(worker.id)
 
     async def _seek(self, worker_id: str) -> None:
         """Try a lost worker again, until it is reached or listed no more."""
-        while worker_id in self.lost and not self.node.left:
+        while worker_id in self.lost and not self.node.stopped:
             await self.runtime.sleep(PROBE_US)
             worker = self.node.follower.states.get(worker_id)
             if worker is None:
@@ -223,7 +223,7 @@
 
     async def _poll(self, worker: message.Worker) -> None:
         """Ask one worker; where it does not answer and nobody else hears it, check."""
-        response = await self.node.reach.probe(worker)
+        response = await self.node.reachability.probe(worker)
         self._take(worker.id, local_member.member_id(self.node), response)
         wait_us = RECHECK_US if worker.id in self.dark else RECENT_US
         found_at = self.dark.get(worker.id, 0)
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -52,8 +52,8 @@
             del self.tokens[expired]
         if (
             follower.state(worker) != "ready"
-            or worker in self.node.reach.lost
-            or not follower.settled()
+            or worker in self.node.reachability.lost
+            or follower.needs_rejoin()
             or not follower.has_worker_update()
         ):
             return ""
@@ -76,7 +76,7 @@
         """Send a peer's request to its worker; cancelled when the peer disconnects."""
         assert request.content is not None, "the body is read before the request is handled"
         return await client_disconnect.run_until_disconnect(
-            request, self.node.sender.send(request, request.content.read(), worker, False, attempt)
+            request, self.node.dispatcher.send(request, request.content.read(), worker, False, attempt)
         )
 
     def answer(self, request: http_server.Request, outcome: attempt_outcome.AttemptOutcome) -> None:
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -34,7 +34,7 @@
         self._parse(request)
         self._route(request)
         self._set_terms(request)
-        if self.node.closing:
+        if self.node.refusing_requests:
             raise errors.ServiceError("stopping", "This node is stopping.")
         if request.send <= 1:
             self.budgets.budget(request).first(self.runtime.now(), request.request_id or request.attempt_id)
@@ -48,7 +48,7 @@
     def _parse(self, request: routed_request.RoutedRequest) -> None:
         """Check method and length, and parse the request's id, attempt number, idempotence and body."""
         http_request, headers = request.request, request.request.requestHeaders
-        if http_request.method != b"POST" and not self.node.outer.any_method:
+        if http_request.method != b"POST" and not self.node.edge_protocol.any_method:
             raise errors.ServiceError("bad_method", "Exchanges are sent with POST.")
         if (
             http_request.method == b"POST"
@@ -56,7 +56,7 @@
             and not headers.hasHeader("transfer-encoding")
         ):
             raise errors.ServiceError("length_required", "The body's length is not said.", field="Content-Length")
-        parsed = request.parsed = self.node.outer.parse_request(http_request)
+        parsed = request.parsed = self.node.edge_protocol.parse_request(http_request)
         request.parts, request.request_id, request.send = parsed.parts, parsed.request_id, parsed.send
         request.idempotent = parsed.idempotent
         assert http_request.content is not None, "the body is read before the request is handled"
@@ -71,7 +71,7 @@
         if follower.items is None:
             raise errors.ServiceError("not_ready", "This node has no blueprint yet.")
         route = follower.find(request.parsed.host, request_path(request))
-        if route is None and (follower.stale() or not follower.settled()):
+        if route is None and (follower.configuration_may_be_stale() or follower.needs_rejoin()):
             raise errors.ServiceError("not_ready", "This node is cut off for now.", request.known_outcome())
         if route is None:
             raise errors.ServiceError("no_route", "No route fits this path.", request.known_outcome(), field="path")
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -88,8 +88,8 @@
         return (
             worker.state == "ready"
             and worker.pool == request.pool_name
-            and follower.settled()
-            and not follower.stale()
+            and not follower.needs_rejoin()
+            and not follower.configuration_may_be_stale()
             and any(
                 route.pool == request.pool_name and request_router.covers(route.path, path)
                 for route in follower.routes.values()
@@ -116,7 +116,7 @@
 
     def _is_cut_off(self) -> bool:
         follower = self.node.follower
-        return not follower.settled() or not follower.has_worker_update() or follower.stale()
+        return follower.needs_rejoin() or not follower.has_worker_update() or follower.configuration_may_be_stale()
 
     def _accept(self, request: routed_request.RoutedRequest, grant: message.SelectionGranted) -> SelectedWorker | None:
         """Accept a grant; returns None and releases it where it came too late or the worker may no longer be used."""
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -183,7 +183,7 @@
 
     async def run(self) -> None:
         """Keep a session with some core machine; one task."""
-        while not self.follower.node.left:
+        while not self.follower.node.stopped:
             self.learn(self.follower.core_zones())
             self._drop_lost()
             if not self._leased_within(HEDGE_US):
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -27,10 +27,10 @@
 REJOIN_US = 1 * units.SECOND_US
 """How long a thawed node waits for its session."""
 
-STALE_US = 2_500 * units.MILLISECOND_US
+WORKER_LIST_VALIDITY_US = 2_500 * units.MILLISECOND_US
 """A worker list confirmed longer ago than this is not relied on."""
 
-ORPHAN_US = 1_500 * units.MILLISECOND_US
+WORKER_UPDATE_TIMEOUT_US = 1_500 * units.MILLISECOND_US
 """Without an update of the worker list for this long, a node asks the platform itself."""
 
 PEER_QUERY_INTERVAL_US = 500 * units.MILLISECOND_US
@@ -134,10 +134,10 @@
 
     # ---- whether it may rely on that -----------------------------------------------
 
-    def settled(self) -> bool:
-        """Whether this node may rely on what it knows: it was not frozen, or has rejoined."""
+    def needs_rejoin(self) -> bool:
+        """Whether this process did not run for a while and has not rejoined yet; what it knows may be out of date."""
         self.look_for_freeze()
-        return self.thawed_at is None
+        return self.thawed_at is not None
 
     def look_for_freeze(self) -> None:
         """Notice that this process did not run for a while."""
@@ -149,19 +149,19 @@
             self.session.reset()
         self.ticked_at = now
 
-    def stale(self) -> bool:
+    def configuration_may_be_stale(self) -> bool:
         """Whether this node may have missed a change that is in force on other nodes.
 
         While its lease runs, no change is acknowledged that this node has not applied. Without
-        a lease a node goes on only where cut_off() does not speak against it. A node that
+        a lease a node goes on only where is_partitioned() does not speak against it. A node that
         serves on in any case (option `serve_on`) stops only where a peer that has its session
         with the core shows that it missed a change.
         """
         if self.session.lease.valid(self.runtime.now()):
             return False
-        return self.behind() if self.options.serve_on else self.cut_off()
+        return self.peer_has_newer_configuration() if self.options.serve_on else self.is_partitioned()
 
-    def behind(self) -> bool:
+    def peer_has_newer_configuration(self) -> bool:
         """Whether a peer that is in touch with the core has a newer configuration than this node."""
         return self.peer_status.any_ahead(self.applied_index)
 
@@ -170,9 +170,9 @@
         updated_at = self.updated_at
         if self.options.serve_on:
             return updated_at is not None
-        return updated_at is not None and self.runtime.now() - updated_at < STALE_US
+        return updated_at is not None and self.runtime.now() - updated_at < WORKER_LIST_VALIDITY_US
 
-    def cut_off(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Whether this node has lost the core while some member may still have it.
 
         Without the core, a node goes on only if every member says that it has lost the core
@@ -187,9 +187,9 @@
         without_core = self.peer_status.without_core(self.applied_index)
         return any(peer.id not in without_core for peer in self.peers())
 
-    def orphan(self) -> bool:
-        """Whether this node has a configuration, but no update of the worker list for ORPHAN_US."""
-        return self.items is not None and self._without_worker_news_for(ORPHAN_US)
+    def lacks_worker_updates(self) -> bool:
+        """Whether this node has a configuration, but no update of the worker list for WORKER_UPDATE_TIMEOUT_US."""
+        return self.items is not None and self._without_worker_news_for(WORKER_UPDATE_TIMEOUT_US)
 
     def _without_worker_news_for(self, duration_us: int) -> bool:
         updated_at = self.updated_at
@@ -268,7 +268,7 @@
 
     def apply_polled_workers(self, workers: list[message.Worker]) -> None:
         """Take a list that another node polled from the platform, where this one has no recent list either."""
-        if self._without_worker_news_for(ORPHAN_US // 2):
+        if self._without_worker_news_for(WORKER_UPDATE_TIMEOUT_US // 2):
             self.apply_workers(workers)
 
     def apply_workers(self, workers: list[message.Worker]) -> None:
@@ -306,7 +306,7 @@
     async def watch(self) -> None:
         """Tick, so that a freeze is noticed; while cut off, ask the peers."""
         asked_at = 0
-        while not self.node.left:
+        while not self.node.stopped:
             await self.runtime.sleep(TICK_US if self.session.stands() else TICK_WITHOUT_CORE_US)
             self.look_for_freeze()
             now = self.runtime.now()
@@ -316,7 +316,7 @@
             if now - asked_at > PEER_QUERY_INTERVAL_US:
                 asked_at = now
                 self.peer_status.query()
-            if self.thawed_at is not None and now - self.thawed_at > REJOIN_US and not self.cut_off():
+            if self.thawed_at is not None and now - self.thawed_at > REJOIN_US and not self.is_partitioned():
                 self.thawed_at = None  # the whole core is gone; peers are there
                 self.node.on_update()
 
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -62,7 +62,7 @@
 
     async def run(self) -> None:
         """Report until the node has left; one task."""
-        while not self.node.left:
+        while not self.node.stopped:
             if not self.has_changed and self.connection is self.node.follower.session.connection:
                 await self.node.runtime.pause(self.changed, IDLE_US)
                 continue
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -32,11 +32,11 @@
     ) -> None:
         self.runtime = runtime
         self.options = options
-        self.outer = formats or edge_protocol.EdgeProtocol()
+        self.edge_protocol = formats or edge_protocol.EdgeProtocol()
         self.me: message.Member | None = None
         self.peers = peers.Peers(runtime, self.serve, log)
-        self.reach = health.Reachability(self)
-        self.sender = dispatch.Dispatcher(runtime, self.reach.hear)
+        self.reachability = health.Reachability(self)
+        self.dispatcher = dispatch.Dispatcher(runtime, self.reachability.hear)
         self.follower = follower.Follower(self, options)
         self.gateway = gateway.Gateway(self)
         self.loads = load_reporter.LoadReporter(self)
@@ -44,11 +44,11 @@
         self.peer_requests = peer_requests.PeerRequests(self)
         self.grants: dict[str, message.WorkerGrant] = {}  # by attempt id, of attempts under way here
         self.given_up: dict[str, tuple[str, int]] = {}  # attempt id -> (pool, until), given up here without a send
-        self.stopping = False  # no longer ready, but still serving whoever comes
-        self.closing = False  # joining members are refused
-        self.asked_at: int | None = None  # when the platform first heard that this node stops
-        self.left = False
-        self.renewed_at: int | None = None  # when the options were last read again
+        self.draining = False  # not ready any more, but still serving whoever comes
+        self.refusing_requests = False  # late in the drain: new requests get an error
+        self.drain_noticed_at_us: int | None = None  # when the platform first heard that this node drains
+        self.stopped = False  # ends the tasks
+        self.options_reread_at_us: int | None = None  # when the options were last read again
 
     def start(self, port: int, http: int) -> None:
         """Start all tasks; the ports are those really bound."""
@@ -61,7 +61,7 @@
             self.follower.platform.run(),
             self._report_grants(),
             self.gateway.attempts.watch_hangs(),
-            self.reach.walk(),
+            self.reachability.walk(),
             self.gateway.forwarder.watch(),
             self.loads.run(),
         ):
@@ -70,7 +70,7 @@
 
     def renew(self, options: options.Options) -> None:
         """Take in options that were read again: seeds, and where the platform is."""
-        self.renewed_at = self.runtime.now()
+        self.options_reread_at_us = self.runtime.now()
         self.options.platform = options.platform
         self.follower.session.learn(options.seed_list())
         log.info("The options were read again.")
@@ -92,13 +92,13 @@
     def ready(self) -> tuple[bool, str]:
         """Whether clients should be sent here, and why not."""
         follower = self.follower
-        if self.stopping:
+        if self.draining:
             return False, "stopping"
         if follower.items is None:
             return False, "no blueprint yet"
-        if not follower.settled():
+        if follower.needs_rejoin():
             return False, "rejoining"
-        if follower.cut_off():
+        if follower.is_partitioned():
             return False, "cut off"
         if not follower.has_worker_update():
             return False, "no news of workers"
@@ -142,7 +142,7 @@
 
     async def _report_grants(self) -> None:
         """Every second, list to each pool's owner the grants held here, and forget what has expired."""
-        while not self.left:
+        while not self.stopped:
             await self.runtime.sleep(REPORT_INTERVAL_US)
             self._report_contested_roles()
             now = self.runtime.now()
@@ -167,7 +167,7 @@
     def _grant_report(self, pool: str) -> message.GrantReport:
         attempt_ids = [attempt_id for attempt_id, grant in sorted(self.grants.items()) if grant.pool == pool]
         given_up = [attempt_id for attempt_id, (pool_name, _) in self.given_up.items() if pool_name == pool]
-        return message.GrantReport(pool, self.member.id, attempt_ids, self.reach.lately(), given_up)
+        return message.GrantReport(pool, self.member.id, attempt_ids, self.reachability.lately(), given_up)
 
     # ---- messages -----------------------------------------------------------------------
 
--- a/iriswheel/node/peer_requests.py
+++ b/iriswheel/node/peer_requests.py
@@ -35,7 +35,7 @@
             message.RecordsRequest: pool_roles.export_records,
             message.ReplicateRecords: pool_roles.replicate,
             message.SessionsClosed: lambda closed: gateway.selector.forget_sessions(closed.pool, closed.sessions),
-            message.ProbeRequest: lambda request: local_node.reach.probe(request.worker),
+            message.ProbeRequest: lambda request: local_node.reachability.probe(request.worker),
             message.WorkerUnreachable: lambda notice: gateway.attempts.cut_unreachable(notice.worker),
             message.RelayRequest: lambda request: message.RelayResponse(gateway.relays.issue_token(request.worker)),
             message.ForwardedListing: lambda forwarded: self.follower.apply_listing(forwarded.listing),
@@ -68,7 +68,7 @@
 
     def _core_status(self, query: message.CoreStatusQuery) -> message.CoreStatusResponse:
         follower = self.follower
-        in_touch = follower.session.has_recent_contact() and follower.settled()
+        in_touch = follower.session.has_recent_contact() and not follower.needs_rejoin()
         return message.CoreStatusResponse(
             in_touch,
             follower.membership if follower.membership.version > query.version else None,
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -72,11 +72,11 @@
         first one that has the list tells it to the others.
         """
         address = self.options.platform_address()
-        while not self.node.left:
+        while not self.node.stopped:
             assignment = self._own_assignment()
-            if assignment is None and self.follower.orphan() and self.follower.membership.members:
+            if assignment is None and self.follower.lacks_worker_updates() and self.follower.membership.members:
                 await self._wait_by_chance()
-            if assignment is not None or self.follower.orphan():
+            if assignment is not None or self.follower.lacks_worker_updates():
                 workers = await self._ask(address, has_role=assignment is not None)
                 if workers is None:
                     continue
@@ -89,7 +89,7 @@
     def _own_assignment(self) -> message.RoleAssignment | None:
         """Return the role's assignment where it is this node's and this node may rely on that."""
         assignment = self.follower.assignment(ROLE_KEY)
-        mine = assignment is not None and assignment.holder == self.node.member.id and self.follower.settled()
+        mine = assignment is not None and assignment.holder == self.node.member.id and not self.follower.needs_rejoin()
         return assignment if mine else None
 
     async def _wait_by_chance(self) -> None:
@@ -120,8 +120,10 @@
         workers: list[message.Worker] = []
         token = ""
         for _ in range(MAX_PAGES):
-            raw = await self.node.sender.fetch(host, port, self.node.outer.list_path(token), PAGE_DEADLINE_US)
-            page, token = self.node.outer.page(raw)
+            raw = await self.node.dispatcher.fetch(
+                host, port, self.node.edge_protocol.list_path(token), PAGE_DEADLINE_US
+            )
+            page, token = self.node.edge_protocol.page(raw)
             workers += page
             if not token:
                 return sorted(workers, key=lambda worker: worker.id)
--- a/iriswheel/node/shutdown.py
+++ b/iriswheel/node/shutdown.py
@@ -34,13 +34,13 @@
     a last eighth of it is kept back.
     """
     gateway = stopping_node.gateway
-    stopping_node.stopping = True
+    stopping_node.draining = True
     log.info("Stopping; {} requests are open.", gateway.open)
     stopping_node.follower.session.tell(message.MemberLeaving(stopping_node.member.id))
     await _wait_for_requests(stopping_node)
-    stopping_node.closing = True
+    stopping_node.refusing_requests = True
     await stopping_node.runtime.sleep(LAST_BYTES_US)
-    stopping_node.left = True
+    stopping_node.stopped = True
     log.info("Left with {} requests open.", gateway.open)
 
 
@@ -60,7 +60,7 @@
             idle_since = now
         elif noticed and now - idle_since > IDLE_US:
             break  # and what was written last has gone out
-        stopping_node.closing = noticed and now >= closes_at
+        stopping_node.refusing_requests = noticed and now >= closes_at
         # A request that slips in between closes_at and the next check may not end within the grace.
         wait_us = min(CHECK_INTERVAL_US, closes_at - now) if now < closes_at else CHECK_INTERVAL_US
         await runtime.pause(gateway.closed, wait_us)
@@ -68,7 +68,7 @@
 
 def _platform_has_noticed(stopping_node: node.Node, now: int) -> bool:
     """Whether the platform heard a while ago that this node is not ready."""
-    asked_at = stopping_node.asked_at
-    if not asked_at:
+    noticed_at_us = stopping_node.drain_noticed_at_us
+    if not noticed_at_us:
         return False
-    return now - asked_at > stopping_node.options.notice_us
+    return now - noticed_at_us > stopping_node.options.notice_us
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -86,7 +86,7 @@
             and assignment is not None
             and assignment.term == self.assignment.term
             and assignment.active
-            and self.node.follower.settled()
+            and not self.node.follower.needs_rejoin()
             and self.node.follower.updated_at is not None
         )
 
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -93,7 +93,7 @@
 
 
 def _half(self: typing.Any) -> typing.Any:
-    """In place of `Follower.cut_off`: half of the members, not all, must say that they lost the core."""
+    """In place of `Follower.is_partitioned`: half of the members, not all, must say that they lost the core."""
     if self.session.stands():
         return False
     fresh = [g for at, g in self.peer_status.responses.values() if self.runtime.now() - at < VALID_US]
@@ -101,7 +101,7 @@
 
 
 def _any_place(self: typing.Any) -> typing.Any:
-    """In place of `Follower.cut_off`: a member that lost the core counts even where its configuration is ahead."""
+    """In place of `Follower.is_partitioned`: a member without the core counts even where its configuration is ahead."""
     without = {
         i for i, (at, g) in self.peer_status.responses.items() if self.runtime.now() - at < VALID_US and not g.core
     }
@@ -202,7 +202,7 @@
     "forced": Guard(
         [
             Patch(tail_contact.TailContact, "wait_until_applied", _acknowledge_at_once),
-            Patch(follower.Follower, "cut_off", lambda self: False),
+            Patch(follower.Follower, "is_partitioned", lambda self: False),
         ],
         "cut_core_off",
         1,
@@ -218,9 +218,11 @@
     "second_witness": Guard([Patch(health.WorkerWatch, "check", _alone)], "blind_owner", 2, "pinned"),
     "via": Guard([Patch(gateway.Gateway, "send", _no_token)], "blind_node", 1, "served"),
     "one_budget": Guard([Patch(retry_budget.Budget, "has_capacity", _local_budgets)], "worker_breaks", 1, "served"),
-    "stale": Guard([Patch(follower.Follower, "stale", lambda self: False)], "cut_node", 3, "in_force"),
-    "places": Guard([Patch(follower.Follower, "cut_off", _any_place)], "wake_without_core", 1, "in_force"),
-    "all_neighbours": Guard([Patch(follower.Follower, "cut_off", _half)], "cut_sides", 1, "in_force"),
+    "stale": Guard(
+        [Patch(follower.Follower, "configuration_may_be_stale", lambda self: False)], "cut_node", 3, "in_force"
+    ),
+    "places": Guard([Patch(follower.Follower, "is_partitioned", _any_place)], "wake_without_core", 1, "in_force"),
+    "all_neighbours": Guard([Patch(follower.Follower, "is_partitioned", _half)], "cut_sides", 1, "in_force"),
     "rerouted": Guard(
         [Patch(request_router.RequestRouter, "reroute", lambda self, request: None)], "crowd", 1, "served"
     ),
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -28,16 +28,16 @@
         self.tally = retry_budget.Budget(slack=9)
         self.node = types.SimpleNamespace(
             runtime=self.runtime,
-            outer=platform_programs.formats.Formats(),
+            edge_protocol=platform_programs.formats.Formats(),
             follower=self.follower,
-            stopping=False,
-            left=False,
-            renewed_at=None,
+            draining=False,
+            stopped=False,
+            options_reread_at_us=None,
             loads=types.SimpleNamespace(report_now=scheduler.Signal(), touch=lambda: None),
             gateway=types.SimpleNamespace(retry_budgets=types.SimpleNamespace(budget=lambda request: self.tally)),
         )
         self.forwarder = forwarding.Forwarder(self.node)
-        process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.outer))
+        process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.edge_protocol))
         self.runtime.spawn(self.forwarder.watch(), None)
         self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.9.0.1", "a"))
         self.workers = []
@@ -46,7 +46,7 @@
     async def handle(self, request):
         x = routed_request.RoutedRequest(request, "n1/0", self.runtime.now())
         x.parsed, x.raw, x.idempotent = (
-            self.node.outer.parse_request(request),
+            self.node.edge_protocol.parse_request(request),
             request.content.read(),
             self.route.repeat == "may",
         )
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -22,7 +22,7 @@
         """The budgets of a node whose process starts now."""
         node = types.SimpleNamespace(
             runtime=scheduler.Runtime(None, now=lambda: self.now),
-            outer=edge_protocol.EdgeProtocol(),
+            edge_protocol=edge_protocol.EdgeProtocol(),
             options=options.Options("node", **more),
             follower=types.SimpleNamespace(membership=types.SimpleNamespace(members=self.members)),
         )
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -60,14 +60,18 @@
 
 
 async def _leave_at_once(self):
-    self.left = True
+    self.stopped = True
 
 
 async def _leave_with_the_last_request(self):
-    self.stopping = True
-    while not self.asked_at or self.runtime.now() < self.asked_at + self.options.notice_us or self.gateway.open:
+    self.draining = True
+    while (
+        not self.drain_noticed_at_us
+        or self.runtime.now() < self.drain_noticed_at_us + self.options.notice_us
+        or self.gateway.open
+    ):
         await self.runtime.pause(self.gateway.closed, 100 * units.MILLISECOND_US)
-    self.left = True
+    self.stopped = True
 
 
 _sent_headers = []
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -158,10 +158,10 @@
         cut, peer = t.nodes["n1"], t.nodes["n2"]
         t.world.cut(t.hosts("cores"), [cut.options.host])
         t.go(4)
-        assert not cut.follower.stale()
+        assert not cut.follower.configuration_may_be_stale()
         got = confirm(t, t.tail())
         assert t.until(lambda: got, 10)
-        assert t.until(cut.follower.stale, 2)
+        assert t.until(cut.follower.configuration_may_be_stale, 2)
         assert peer.follower.applied_index > cut.follower.applied_index
         t.world.heal()
-        assert t.until(lambda: not cut.follower.stale() and cut.ready()[0], 5)
+        assert t.until(lambda: not cut.follower.configuration_may_be_stale() and cut.ready()[0], 5)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -19,10 +19,10 @@
         options=types.SimpleNamespace(grace_us=GRACE_US, notice_us=units.SECOND_US),
         follower=types.SimpleNamespace(session=types.SimpleNamespace(tell=lambda notice: None)),
         member=types.SimpleNamespace(id="n1-1"),
-        asked_at=None,
-        stopping=False,
-        closing=False,
-        left=False,
+        drain_noticed_at_us=None,
+        draining=False,
+        refusing_requests=False,
+        stopped=False,
     )
 
 
@@ -31,6 +31,6 @@
     node = busy_node(clock)
     node.runtime.spawn(shutdown.stop_gracefully(node))
     clock.pump([0.07] * 42)
-    assert not node.closing
+    assert not node.refusing_requests
     clock.pump([0.035] * 2)
-    assert node.closing
+    assert node.refusing_requests
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -363,5 +363,5 @@
         n.process.freeze()
         t.go(4)
         n.process.frozen = False
-        assert not n.follower.settled()
+        assert n.follower.needs_rejoin()
         assert n.ready() == (False, "rejoining")
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -75,9 +75,9 @@
         done = n.runtime.spawn(n.stop(), simulated_cluster.log)
         assert not n.ready()[0]
         t.go(2.9)
-        assert not n.closing
+        assert not n.refusing_requests
         t.go(0.5)
-        assert n.closing
+        assert n.refusing_requests
         assert t.until(lambda: done.called, 10)
         assert 6.5 * S < t.world.time - started_at < 7.5 * S
 
