--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -5,6 +5,7 @@
 import collections.abc
 import contextlib
 import json
+import pathlib
 import signal
 import sys
 import typing
@@ -176,15 +177,16 @@
         sys.exit(UNKNOWN if answer.document.get("verdict") == "may_have_run" else REFUSED)
 
 
-def read_json(path: str) -> typing.Any:
+def read_json(path: str) -> object:
     """A JSON file, or an exit that says why not."""
     try:
-        with open(path) as file:
-            return json.load(file)
+        with open(path) as file:  # noqa: PTH123 - Path("") would be the current folder
+            content: object = json.load(file)
     except OSError as error:
         service.fail(service.BAD_INPUT, [f"{path}: {error.strerror}"])
     except ValueError as error:
         service.fail(service.BAD_INPUT, [f"{path}: not JSON: {error}"])
+    return content
 
 
 def check(blueprint_file: str) -> None:
@@ -236,13 +238,11 @@
     :param core: IP:port of core machines' HTTP ports, tried in turn
     """
     document = read_json(file)
-    part = isinstance(document, dict) and document and set(document) <= {"upsert", "remove"}
-    operate(
-        core,
-        "POST",
-        "/changes",
-        {"number": number, "built_on": built_on, **(document if part else {"blueprint": document})},
-    )
+    if isinstance(document, dict) and document and set(document) <= {"upsert", "remove"}:
+        content = document
+    else:
+        content = {"blueprint": document}
+    operate(core, "POST", "/changes", {"number": number, "built_on": built_on, **content})
 
 
 def show(what: str = "blueprint", *, core: list[str]) -> None:
@@ -280,19 +280,18 @@
     """
     service.set_logs("ERROR")
     try:
-        places = load_generator.NodeAddresses([options_reader.address(node_address) for node_address in nodes])
+        node_addresses = load_generator.NodeAddresses([options_reader.address(text) for text in nodes])
         platform_address = options_reader.address(platform) if platform else None
     except ValueError as error:
         service.fail(service.BAD_INPUT, [f"nodes, platform: {error}"])
     reactor = service.the_reactor()
     runtime = scheduler.Runtime(reactor, seed=seed)
     if platform_address:
-        runtime.spawn(places.follow(runtime, *platform_address), log)
+        runtime.spawn(node_addresses.follow(runtime, *platform_address), log)
     with contextlib.ExitStack() as files:
-        out = files.enter_context(open(events, "w")) if events else None
-        generator = load_generator.LoadGenerator(
-            runtime, places, path, seconds * units.SECOND_US, long_rate, short_rate, talks, load_generator.Events(out)
-        )
+        out = files.enter_context(pathlib.Path(events).open("w")) if events else None
+        mix = load_generator.LoadMix(path, seconds * units.SECOND_US, long_rate, short_rate, conversations=talks)
+        generator = load_generator.LoadGenerator(runtime, node_addresses, mix, load_generator.Events(out))
         reactor.callWhenRunning(_end_on_signals, generator)
         reactor.callWhenRunning(lambda: defer.ensureDeferred(generator.run()).addBoth(_stop, reactor))
         reactor.run()
@@ -316,7 +315,7 @@
     cut_paths = []
     for path in paths:
         try:
-            with open(path) as file:
+            with open(path) as file:  # noqa: PTH123 - Path("") would be the current folder
                 rows, cut = judge.read(file)
         except OSError as error:
             service.fail(service.BAD_INPUT, [f"{path}: {error.strerror}"])
--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -1,4 +1,7 @@
-"""The load generator: a mix of requests as clients would send them, with their retries."""
+"""The load generator: a mix of requests as clients would send them, with their retries.
+
+Event logs call a request `exchange`, its attempt `send`, its kind `sort`, and a complete answer `whole`.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +22,8 @@
 
 LONG_BYTES = 48_000
 SHORT_BYTES = 600
-ATTEMPTS = 4
-GIVE_UP_US = 20 * units.SECOND_US
+MAX_ATTEMPTS = 4
+GIVE_UP_US = 20 * units.SECOND_US  # until the head of an answer
 RETRY_WAIT_US = 500 * units.MILLISECOND_US  # where the answer names no time
 QUICK_WAIT_US = 50 * units.MILLISECOND_US
 QUICK_SHARE = 0.2  # of clients that retry at once
@@ -28,6 +31,8 @@
 FOLLOW_US = 200 * units.MILLISECOND_US  # between two questions for the ready nodes
 
 Address: typing.TypeAlias = tuple[str, int]  # host, port
+RequestKind: typing.TypeAlias = typing.Literal["long", "short", "talk"]  # as in event logs
+AttemptEnd: typing.TypeAlias = typing.Literal["whole", "torn", "lost", "refused", "final"]  # "final": not to be retried
 
 log = loguru.logger.bind(part="load")
 
@@ -35,8 +40,8 @@
 class EventSink(typing.Protocol):
     """Where the events of a run go."""
 
-    def put(self, at: int, kind: str, **more: typing.Any) -> None:
-        """Write one event at a time in µs, with its fields."""
+    def put(self, at: int, kind: str, **more: object) -> None:
+        """Write one event: its time in µs, its kind and the fields of that kind."""
 
 
 class Events:
@@ -50,8 +55,8 @@
     def __init__(self, out: typing.TextIO | None = None) -> None:
         self.out = out
 
-    def put(self, at: int, kind: str, **more: typing.Any) -> None:
-        """Write one event.
+    def put(self, at: int, kind: str, **more: object) -> None:
+        """Write one event, or nothing where there is no file.
 
         >>> Events().put(1, "sent")
         """
@@ -64,26 +69,26 @@
 
     Args:
         runtime: gives the time.
-        done: fires at the end, with whether the answer is whole.
+        done: fires at the end, with whether the answer is complete.
     """
 
     def __init__(self, runtime: scheduler.Runtime, done: defer.Deferred[bool]) -> None:
         self.runtime = runtime
         self.done = done
-        self.raw: list[bytes] = []
-        self.first: int | None = None  # when the first part came, in µs
-        self.last = 0  # when the newest part came, in µs
-        self.pause = 0  # the longest time between two parts, in µs
+        self.parts: list[bytes] = []
+        self.first_at: int | None = None  # when the first part came, in µs
+        self.last_at = 0  # when the newest part came, in µs
+        self.longest_pause_us = 0  # between two parts
 
     def dataReceived(self, data: bytes) -> None:
         """Take a part of the answer."""
         now = self.runtime.now()
-        if self.first is None:
-            self.first = now
+        if self.first_at is None:
+            self.first_at = now
         else:
-            self.pause = max(self.pause, now - self.last)
-        self.last = now
-        self.raw.append(data)
+            self.longest_pause_us = max(self.longest_pause_us, now - self.last_at)
+        self.last_at = now
+        self.parts.append(data)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         """Report the end of the answer."""
@@ -122,7 +127,7 @@
 class Attempt(typing.NamedTuple):
     """One attempt of a request."""
 
-    kind: str  # "long", "short" or "talk"
+    kind: RequestKind
     request_id: str
     number: int  # from 1
     idempotent: bool
@@ -133,118 +138,123 @@
 class AttemptResult(typing.NamedTuple):
     """How an attempt ended, at which worker, and when to come back."""
 
-    end: str  # "whole", "torn", "lost", "refused", or "final": refused, and not to be retried
+    end: AttemptEnd
     worker: str | None
     wait_us: int
 
 
-class WholeAnswer(typing.NamedTuple):
-    """What is kept of an answer that came whole."""
+class CompleteAnswer(typing.NamedTuple):
+    """The times of an answer that came in full."""
 
-    kind: str
+    kind: RequestKind
     first_byte_us: int
     longest_pause_us: int
 
 
+class LoadMix(typing.NamedTuple):
+    """What the load consists of: long prompts that share a prefix, short ones, and conversations."""
+
+    path: str  # of the requests
+    duration_us: int
+    long_rate: float  # per second
+    short_rate: float  # per second
+    conversations: int  # kept going
+
+
 class LoadGenerator:
-    """The mix: long prompts that share a prefix, short ones, conversations, clients that retry at once.
+    """Sends a mix of requests as clients would, some of which retry at once.
 
     Args:
         runtime: clock, reactor and randomness.
-        places: gives the nodes that clients are handed to now.
-        path: of the requests.
-        us: how long to go on, in µs.
-        long_rate: long prompts per second.
-        short_rate: short prompts per second.
-        talks: conversations kept going.
+        node_addresses: gives the nodes that clients are handed to now.
+        mix: what to send, and for how long.
         events: takes what happens.
     """
 
     def __init__(
         self,
         runtime: scheduler.Runtime,
-        places: collections.abc.Callable[[], collections.abc.Sequence[Address]],
-        path: str,
-        us: int,
-        long_rate: float,
-        short_rate: float,
-        talks: int,
+        node_addresses: collections.abc.Callable[[], collections.abc.Sequence[Address]],
+        mix: LoadMix,
         events: EventSink,
     ) -> None:
         self.runtime = runtime
-        self.places = places
-        self.path = path
-        self.us = us
-        self.long_rate, self.short_rate, self.talks = long_rate, short_rate, talks
+        self.node_addresses = node_addresses
+        self.path = mix.path
+        self.duration_us = mix.duration_us
+        self.long_rate = mix.long_rate
+        self.short_rate = mix.short_rate
+        self.conversations = mix.conversations
         self.events = events
         self.agent = dispatch.Dispatcher(runtime).fresh  # clients come on fresh connections
         self.started_at = runtime.now()
-        self.attempts = ATTEMPTS
-        self.quick = QUICK_SHARE
-        self.count = 0
-        self.answers: list[WholeAnswer] = []
-        self.codes: dict[str, int] = {}  # error code -> answers with it
+        self.max_attempts = MAX_ATTEMPTS
+        self.quick_share = QUICK_SHARE
+        self.request_count = 0
+        self.answers: list[CompleteAnswer] = []
+        self.refusals_by_code: dict[str, int] = {}
         self.ends = {"whole": 0, "torn": 0, "refused": 0, "lost": 0, "gave_up": 0}
-        self.turns: dict[str, str] = {}  # conversation -> worker of the last turn
+        self.last_workers: dict[str, str] = {}  # conversation -> worker of its last turn
         self.kept_turns = 0  # later turns that went to the worker of the turn before
         self.later_turns = 0
-        self.open: list[defer.Deferred[typing.Any]] = []
+        self.under_way: list[defer.Deferred[str | None]] = []
 
     async def run(self) -> None:
-        """Go on until the time is over, then wait for what is open."""
-        loops = [self.stream("long", self.long_rate), self.stream("short", self.short_rate)]
-        loops += [self.talk(number) for number in range(self.talks)]
+        """Go on until the time is over, then wait for the requests under way."""
+        loops = [self.send_at_rate("long", self.long_rate), self.send_at_rate("short", self.short_rate)]
+        loops += [self.converse(number) for number in range(self.conversations)]
         await defer.DeferredList([defer.ensureDeferred(loop) for loop in loops], consumeErrors=False)
-        await defer.DeferredList(self.open)
+        await defer.DeferredList(self.under_way)
 
     def end(self) -> None:
         """Send nothing new from now on."""
-        self.us = 0
+        self.duration_us = 0
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether the time is over."""
-        return self.runtime.now() - self.started_at >= self.us
+        return self.runtime.now() - self.started_at >= self.duration_us
 
-    async def stream(self, kind: str, rate: float) -> None:
+    async def send_at_rate(self, kind: RequestKind, rate: float) -> None:
         """Send requests of one kind at a rate per second, whatever becomes of them."""
         due = self.runtime.now()
-        while rate > 0 and not self.over():
+        while rate > 0 and not self.is_over():
             due += int(self.runtime.rng.expovariate(rate) * units.SECOND_US)
             await self.runtime.sleep(due - self.runtime.now())
             parts = ["phrases"] if kind == "short" else ["bundle"]
-            self.open.append(self.runtime.spawn(self.exchange(kind, parts), log))
+            sending = self.runtime.spawn(self.send_request(kind, parts), log)
+            self.under_way.append(sending)
 
-    async def talk(self, number: int) -> None:
+    async def converse(self, number: int) -> None:
         """One conversation after the other, each of several turns."""
         turn = 0
-        while not self.over():
+        while not self.is_over():
             await self.runtime.sleep(self.runtime.rng.randrange(300, 2500) * units.MILLISECOND_US)
-            if number >= self.talks:
+            if number >= self.conversations:  # fewer are wanted now
                 break
             if turn == 0:
-                name = f"talk-{number}-{self.count}"
+                name = f"talk-{number}-{self.request_count}"
                 turns = self.runtime.rng.randrange(5, 25)
-            worker = await self.exchange("talk", ["system", name])
+            worker = await self.send_request("talk", ["system", name])
             if worker is not None:
                 self._count_turn(name, worker)
             turn = (turn + 1) % turns
 
     def _count_turn(self, name: str, worker: str) -> None:
-        if name in self.turns:
+        if name in self.last_workers:
             self.later_turns += 1
-            self.kept_turns += worker == self.turns[name]
-        self.turns[name] = worker
+            self.kept_turns += worker == self.last_workers[name]
+        self.last_workers[name] = worker
 
-    async def exchange(self, kind: str, parts: list[str]) -> str | None:
+    async def send_request(self, kind: RequestKind, parts: list[str]) -> str | None:
         """One request with its client's retries; the worker's name where it came through."""
-        self.count += 1
-        request_id = f"x{self.count}"
+        self.request_count += 1
+        request_id = f"x{self.request_count}"
         idempotent = self.runtime.rng.random() < IDEMPOTENT_SHARE
-        quick = self.runtime.rng.random() < self.quick
+        quick = self.runtime.rng.random() < self.quick_share
         size = LONG_BYTES if kind == "long" else SHORT_BYTES
         body = (f"{request_id} ".encode() * (size // (len(request_id) + 1) + 1))[:size]
-        for number in range(1, self.attempts + 1):
-            result = await self.send(kind, request_id, number, idempotent, parts, body)
+        for number in range(1, self.max_attempts + 1):
+            result = await self.send_attempt(Attempt(kind, request_id, number, idempotent, parts, body))
             if result.end == "whole":
                 return result.worker
             if result.end == "final":
@@ -253,31 +263,28 @@
         self.ends["gave_up"] += 1
         return None
 
-    async def send(
-        self, kind: str, request_id: str, number: int, idempotent: bool, parts: list[str], body: bytes
-    ) -> AttemptResult:
-        """One attempt on a fresh connection."""
-        attempt = Attempt(kind, request_id, number, idempotent, parts, body)
-        host, port = self.runtime.rng.choice(self.places())
+    async def send_attempt(self, attempt: Attempt) -> AttemptResult:
+        """Send one attempt on a fresh connection, and wait for the end of its answer."""
+        host, port = self.runtime.rng.choice(self.node_addresses())
         started_at = self.runtime.now()
         self._log_sent(attempt, started_at, f"{host}:{port}")
         url = f"http://{host}:{port}{self.path}".encode()
         try:
             response = await self.runtime.within(
-                self.agent.request(b"POST", url, _headers(attempt), dispatch.Body(body)), GIVE_UP_US
+                self.agent.request(b"POST", url, _headers(attempt), dispatch.Body(attempt.body)), GIVE_UP_US
             )
         except Exception as error:  # for a client all errors of the connection are alike
             self.ends["lost"] += 1
             name = type(error).__name__
-            self.events.put(self.runtime.now(), "lost", exchange=request_id, send=number, why=name)
+            self.events.put(self.runtime.now(), "lost", exchange=attempt.request_id, send=attempt.number, why=name)
             return AttemptResult("lost", None, RETRY_WAIT_US)
         done: defer.Deferred[bool] = defer.Deferred()
         collector = AnswerCollector(self.runtime, done)
         response.deliverBody(collector)
-        whole = await done
+        complete = await done
         if response.code == 200:
-            return self._take_answer(attempt, started_at, response, collector, whole)
-        return self._take_refusal(attempt, started_at, response, b"".join(collector.raw))
+            return self._take_answer(attempt, started_at, response, collector, complete)
+        return self._take_refusal(attempt, started_at, response, b"".join(collector.parts))
 
     def _log_sent(self, attempt: Attempt, started_at: int, node: str) -> None:
         self.events.put(
@@ -293,24 +300,26 @@
         )
 
     def _take_answer(
-        self, attempt: Attempt, started_at: int, response: dispatch.Response, collector: AnswerCollector, whole: bool
+        self, attempt: Attempt, started_at: int, response: dispatch.Response, collector: AnswerCollector, complete: bool
     ) -> AttemptResult:
         now = self.runtime.now()
         workers = response.headers.getRawHeaders(edge_protocol.TARGET)
         worker = workers[0] if workers else None
-        end = "whole" if whole else "torn"
+        end: AttemptEnd = "whole" if complete else "torn"
         self.ends[end] += 1
-        if whole and collector.first is not None:
-            self.answers.append(WholeAnswer(attempt.kind, collector.first - started_at, collector.pause))
+        if complete and collector.first_at is not None:
+            self.answers.append(
+                CompleteAnswer(attempt.kind, collector.first_at - started_at, collector.longest_pause_us)
+            )
         self.events.put(
             now,
             end,
             exchange=attempt.request_id,
             send=attempt.number,
             worker=worker,
-            first=(collector.first or now) - started_at,
-            pause=collector.pause,
-            text=b"".join(collector.raw).decode("latin-1"),
+            first=(collector.first_at or now) - started_at,
+            pause=collector.longest_pause_us,
+            text=b"".join(collector.parts).decode("latin-1"),
         )
         return AttemptResult(end, worker, RETRY_WAIT_US)
 
@@ -323,7 +332,7 @@
         except ValueError:
             document = {"code": f"status {response.code}", "verdict": "may_have_run"}
         code, execution = document["code"], document["verdict"]
-        self.codes[code] = self.codes.get(code, 0) + 1
+        self.refusals_by_code[code] = self.refusals_by_code.get(code, 0) + 1
         self.ends["refused"] += 1
         self.events.put(
             now,
@@ -340,13 +349,13 @@
         return AttemptResult("refused", None, int(after_s[0]) * units.SECOND_US if after_s else RETRY_WAIT_US)
 
     def report(self) -> dict[str, typing.Any]:
-        """What came of it all, as JSON values, times in milliseconds."""
+        """Counts, and times in milliseconds, as JSON values."""
         report: dict[str, typing.Any] = {
-            "exchanges": self.count,
+            "exchanges": self.request_count,
             "ends": self.ends,
-            "refused_by_code": dict(sorted(self.codes.items())),
+            "refused_by_code": dict(sorted(self.refusals_by_code.items())),
         }
-        for kind in ("long", "short", "talk"):
+        for kind in typing.get_args(RequestKind):
             answers = [answer for answer in self.answers if answer.kind == kind]
             if answers:
                 report[kind] = _summary(answers)
@@ -366,21 +375,21 @@
     )
 
 
-def _summary(answers: list[WholeAnswer]) -> dict[str, float]:
+def _summary(answers: list[CompleteAnswer]) -> dict[str, float]:
     first_bytes_us = sorted(answer.first_byte_us for answer in answers)
     return {
         "whole": len(answers),
-        "first_ms_median": share(first_bytes_us, 0.5),
-        "first_ms_p99": share(first_bytes_us, 0.99),
-        "first_ms_max": first_bytes_us[-1] // 1000,
-        "longest_pause_ms": max(answer.longest_pause_us for answer in answers) // 1000,
+        "first_ms_median": quantile_ms(first_bytes_us, 0.5),
+        "first_ms_p99": quantile_ms(first_bytes_us, 0.99),
+        "first_ms_max": first_bytes_us[-1] // units.MILLISECOND_US,
+        "longest_pause_ms": max(answer.longest_pause_us for answer in answers) // units.MILLISECOND_US,
     }
 
 
-def share(values: list[int], part: float) -> float:
-    """The value in µs below which a part of the sorted values lies, in milliseconds.
+def quantile_ms(sorted_us: list[int], share: float) -> float:
+    """The duration below which a share of the durations lies, in milliseconds.
 
-    >>> share([1000, 2000, 3000], 0.5)
+    >>> quantile_ms([1000, 2000, 3000], 0.5)
     2.0
     """
-    return values[min(len(values) - 1, int(len(values) * part))] / 1000
+    return sorted_us[min(len(sorted_us) - 1, int(len(sorted_us) * share))] / units.MILLISECOND_US
--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -21,6 +21,7 @@
     from twisted.internet import epollreactor, tcp
 
     from iriswheel.control import core
+    from iriswheel.dataplane import edge_protocol
     from iriswheel.node import node
 
 
@@ -184,7 +185,7 @@
     path: str,
     reread: Reread,
     ready: collections.abc.Callable[[node.Node], http_server.Handler] | None = None,
-    **parts: typing.Any,
+    formats: edge_protocol.EdgeProtocol | None = None,
 ) -> None:
     """Run a node with these options.
 
@@ -193,14 +194,14 @@
         path: of the options file, which is watched for changes.
         reread: reads the options again.
         ready: gives what answers at the address at which only readiness is served; by default as at the front.
-        parts: further arguments of `node.Node`.
+        formats: of clients, workers and the platform; by default iriswheel's own.
     """
     from iriswheel.node import node
 
     set_logs(process_options.log_level)
     reactor = the_reactor()
     runtime = scheduler.Runtime(reactor)
-    process = node.Node(runtime, process_options, **parts)
+    process = node.Node(runtime, process_options, formats)
     server = http_server.Server(
         runtime,
         process.gateway.handle,
--- a/iriswheel/configuration/differences.py
+++ b/iriswheel/configuration/differences.py
@@ -27,7 +27,7 @@
     return [(key, new.get(key)) for key in sorted(set(old) | set(new)) if old.get(key) != new.get(key)]
 
 
-def apply_patch(document: schema.Document, operations: typing.Any) -> schema.Document:
+def apply_patch(document: schema.Document, operations: object) -> schema.Document:
     """Apply a JSON Patch (RFC 6902) to a document.
 
     Raises:
@@ -36,8 +36,9 @@
     >>> apply_patch({"pools": {}}, [{"op": "add", "path": "/pools/desk", "value": {}}])
     {'pools': {'desk': {}}}
     """
+    unchecked = typing.cast("collections.abc.Iterable[collections.abc.Mapping[str, typing.Any]]", operations)
     try:
-        patched: schema.Document = jsonpatch.JsonPatch(operations).apply(document)
+        patched: schema.Document = jsonpatch.JsonPatch(unchecked).apply(document)
     except (jsonpatch.JsonPatchException, jsonpatch.JsonPointerException, TypeError, KeyError) as error:
         raise validation.InvalidConfigurationError([f"The patch does not apply: {error}"]) from error
     return patched
--- a/iriswheel/configuration/schema.py
+++ b/iriswheel/configuration/schema.py
@@ -56,7 +56,7 @@
             ValueError: the text names the field.
         """
         if not isinstance(d, dict):
-            raise ValueError("not an object")
+            raise ValueError("not an object")  # noqa: TRY004 - a mistake in the configuration, as those below
         for name, expected in field_types(typing.cast("collections.abc.Hashable", cls)):  # mypy: classes are hashable
             if name not in d:
                 continue
--- a/iriswheel/errors.py
+++ b/iriswheel/errors.py
@@ -13,7 +13,7 @@
 DEFAULT_RETRY_US = 1_000_000
 
 
-class ExecutionOutcome(str, enum.Enum):
+class ExecutionOutcome(str, enum.Enum):  # noqa: UP042 - a StrEnum formats otherwise, and formatted values are answered
     """What is known of whether a request has run at a worker.
 
     >>> ExecutionOutcome.NOT_RUN.value
--- a/iriswheel/runtime/options.py
+++ b/iriswheel/runtime/options.py
@@ -5,6 +5,7 @@
 import ipaddress
 import math
 import os
+import pathlib
 import tomllib
 import typing
 
@@ -199,7 +200,7 @@
 
 def _read_file(path: str) -> dict[str, typing.Any]:
     try:
-        with open(path, "rb") as file:
+        with pathlib.Path(path).open("rb") as file:
             return tomllib.load(file)
     except OSError as error:
         raise OptionsError([f"options: {path}: {error.strerror}"]) from error
@@ -259,7 +260,7 @@
     def version(self) -> tuple[int, int, int] | None:
         """What tells one state of the file from another; None where there is no file."""
         try:
-            status = os.stat(self.path)
+            status = os.stat(self.path)  # noqa: PTH116 - Path("") would be the current folder
         except OSError:
             return None
         return status.st_mtime_ns, status.st_size, status.st_ino
--- a/iriswheel/runtime/scheduler.py
+++ b/iriswheel/runtime/scheduler.py
@@ -67,8 +67,7 @@
 
     def __init__(
         self,
-        # Any: Twisted describes reactors by zope interfaces, which stand-ins do not inherit from.
-        reactor: typing.Any,
+        reactor: typing.Any,  # noqa: ANN401 - zope interfaces describe reactors; stand-ins don't inherit from these
         now: collections.abc.Callable[[], int] = boottime,
         seed: int | str | None = None,
     ) -> None:
@@ -78,7 +77,7 @@
         self.protocol_version = protocol.PROTOCOL_VERSION  # that this process speaks; simulations set others
         self.incarnation = f"{self.rng.getrandbits(48):012x}"
 
-    def later(self, delay_us: int, function: collections.abc.Callable[..., object], *arguments: typing.Any) -> Timer:
+    def later(self, delay_us: int, function: collections.abc.Callable[..., object], *arguments: object) -> Timer:
         """Call function(*arguments) after delay_us microseconds, at once where that is negative."""
         timer: Timer = self.reactor.callLater(max(0, delay_us) / units.SECOND_US, function, *arguments)
         return timer
--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -9,6 +9,7 @@
 import contextlib
 import fcntl
 import os
+import pathlib
 import typing
 
 import lmdb
@@ -47,28 +48,36 @@
         """Write pairs in order; done once they are synced, fails with DiskError where they are not."""
 
 
-def sync_folders(path: str, top: str) -> None:
+def absolute(path: pathlib.Path) -> pathlib.Path:
+    """The path from the root, without `..`.
+
+    >>> absolute(pathlib.Path("/srv/../data"))
+    PosixPath('/data')
+    """
+    return pathlib.Path(os.path.abspath(path))  # noqa: PTH100 - Path.resolve would follow symbolic links
+
+
+def sync_folders(path: pathlib.Path, top: pathlib.Path) -> None:
     """Sync a folder and those above it up to `top`: files made in them then outlive a loss of power."""
-    while True:
-        descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
+    for folder in (path, *path.parents):
+        descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
         finally:
             os.close(descriptor)
-        if path == top or path == os.path.dirname(path):
+        if folder == top:
             return
-        path = os.path.dirname(path)
 
 
-def nearest_folder(path: str) -> str:
-    """The folder next above a path that is there.
+def nearest_folder(path: pathlib.Path) -> pathlib.Path:
+    """The folder next above an absolute path that is there.
 
-    >>> nearest_folder("/proc/none/at/all")
-    '/proc'
+    >>> nearest_folder(pathlib.Path("/proc/none/at/all"))
+    PosixPath('/proc')
     """
-    path = os.path.dirname(path)
-    while not os.path.isdir(path):
-        path = os.path.dirname(path)
+    path = path.parent
+    while not os.path.isdir(path):  # noqa: PTH112 - Path.is_dir raises for a folder that may not be read
+        path = path.parent
     return path
 
 
@@ -89,8 +98,14 @@
     {b'b': b'2'}
     """
 
-    def __init__(self, folder: str, reactor: typing.Any = None, size: int = INITIAL_MAP_BYTES) -> None:
-        self.folder = folder
+    def __init__(
+        self,
+        folder: str,
+        reactor: typing.Any = None,  # noqa: ANN401 - zope interfaces describe reactors; stand-ins don't inherit from these
+        size: int = INITIAL_MAP_BYTES,
+    ) -> None:
+        self.folder = pathlib.Path(folder)
+        self.database = self.folder / "state"
         self.reactor = reactor
         self.size = size
         self.pool = threadpool.ThreadPool(0, 1, name="disk")
@@ -111,26 +126,22 @@
         iriswheel.runtime.storage.DiskError: The data folder can't be used: ...
         """
         try:
-            top = nearest_folder(os.path.abspath(self.folder))
-            os.makedirs(self.folder, exist_ok=True)
-            self.lock = open(os.path.join(self.folder, "lock"), "w")  # noqa: SIM115 - stays open as long as the process
+            top = nearest_folder(absolute(self.folder))
+            self.folder.mkdir(parents=True, exist_ok=True)
+            self.lock = (self.folder / "lock").open("w")  # noqa: SIM115 - stays open as long as the process
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            path = self._path()
-            with contextlib.suppress(FileNotFoundError):  # it may have grown in an earlier life
-                self.size = max(self.size, 2 * os.path.getsize(os.path.join(path, "data.mdb")))
+            with contextlib.suppress(FileNotFoundError):  # it may have grown in an earlier incarnation
+                self.size = max(self.size, 2 * (self.database / "data.mdb").stat().st_size)
             self._environment()
-            sync_folders(os.path.abspath(path), top)
+            sync_folders(absolute(self.database), top)
         except (OSError, lmdb.Error) as error:
             raise DiskError(f"The data folder can't be used: {error}") from error
         if self.reactor is not None:
             self.pool.start()
 
-    def _path(self) -> str:
-        return os.path.join(self.folder, "state")
-
     def _environment(self) -> lmdb.Environment:
         if self.env is None:
-            self.env = lmdb.open(self._path(), map_size=self.size, sync=True)
+            self.env = lmdb.open(str(self.database), map_size=self.size, sync=True)
         return self.env
 
     def read(self) -> dict[bytes, bytes]:
@@ -152,11 +163,12 @@
         while True:
             try:
                 self._write(writes)
-                return
             except lmdb.MapFullError:
                 self.size *= 2
                 self._environment().set_mapsize(self.size)
                 log.info("The map grows to {} MiB.", self.size >> 20)
+            else:
+                return
 
     def _write(self, writes: list[Write]) -> None:
         try:
@@ -217,7 +229,7 @@
             await self.disk.commit(writes)
         except DiskError as error:
             if self.ok:
-                log.error("The disk refuses a write: {}", error)
+                log.error("The disk refuses a write: {}", error)  # noqa: TRY400 - the cause says enough
             self.ok = False
             raise
         finally:
--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -60,20 +60,32 @@
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
-        try:
-            row = json.loads(line)
-            if type(row["at"]) is not int or type(row["kind"]) is not str:
-                raise ValueError
-        except (ValueError, KeyError, TypeError):
-            if number == len(lines):
-                truncated = True
-                break
-            raise DamagedLogError(f"line {number} is no event") from None
-        rows.append(row)
+        row = parse_row(line)
+        if row is not None:
+            rows.append(row)
+        elif number == len(lines):
+            truncated = True
+        else:
+            raise DamagedLogError(f"line {number} is no event")
     rows.sort(key=lambda row: row["at"])
     return rows, truncated
 
 
+def parse_row(line: str) -> Row | None:
+    """The event that a line holds, or None.
+
+    >>> parse_row('{"at": 1, "kind": "sent"}'), parse_row('{"at": "soon", "kind": "sent"}')
+    ({'at': 1, 'kind': 'sent'}, None)
+    """
+    try:
+        row = json.loads(line)
+    except ValueError:
+        return None
+    if not isinstance(row, dict) or type(row.get("at")) is not int or type(row.get("kind")) is not str:
+        return None
+    return row
+
+
 class Fault:
     """A fault: from when to when, and whom it touches.
 
--- a/iriswheel/verification/refusals.py
+++ b/iriswheel/verification/refusals.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import collections.abc
 import typing
 
 from iriswheel.verification import event_log, retry_checks, routing_checks, session_checks
@@ -42,6 +43,9 @@
         return event_log.attempt_key(self.row)
 
 
+Check = collections.abc.Callable[[event_log.EventLog, Refusal], str | None]
+
+
 def unfounded(log: event_log.EventLog, row: event_log.Row, sent: event_log.Row) -> str | None:
     """Why a refusal turned a proper request away, or None where the log bears it out.
 
@@ -62,19 +66,8 @@
     worker = log.runs.get(refusal.attempt, {}).get("worker")
     if log.at_fault(refusal.since, refusal.until, sent.get("node"), worker):
         return None
-    match row["code"]:
-        case "retry_budget":
-            return retry_budget(log, refusal)
-        case "sessions_full":
-            return sessions_full(log, refusal)
-        case "no_worker":
-            return no_worker(log, refusal)
-        case "busy":
-            return busy(log, refusal)
-        case "worker_broke":
-            return worker_broke(log, refusal)
-        case _:
-            return "no reason for it stands in the log"
+    check = CHECKS.get(row["code"])
+    return "no reason for it stands in the log" if check is None else check(log, refusal)
 
 
 def already_sent(log: event_log.EventLog, refusal: Refusal) -> str | None:
@@ -140,3 +133,13 @@
         lost = any(fault.role == "worker" and fault.during(since, until) for fault in log.faults)
         return None if lost else f"{worker} was well"
     return None if log.at_fault(since, until, worker=worker) else f"{worker} was well"
+
+
+# What the log must show for a refusal with a code, where neither the node nor the worker was at fault.
+CHECKS: dict[str, Check] = {
+    "retry_budget": retry_budget,
+    "sessions_full": sessions_full,
+    "no_worker": no_worker,
+    "busy": busy,
+    "worker_broke": worker_broke,
+}
--- a/iriswheel/verification/session_checks.py
+++ b/iriswheel/verification/session_checks.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import collections
+import itertools
 import typing
 
 from iriswheel.verification import event_log
@@ -51,7 +52,7 @@
         fault.at for fault in log.faults if fault.what.split()[0] in ("kill", "power") and fault.role != "worker"
     ]
     for name, runs in sorted(log.conversations.items(), key=str):
-        for earlier, later in zip(runs, runs[1:], strict=False):
+        for earlier, later in itertools.pairwise(runs):
             lifetime_us = lifetimes(log, earlier["at"], later["at"])[0]
             if later["at"] - earlier["at"] > lifetime_us - INCARNATION_SLACK_US:
                 continue
--- a/simulation/scenarios/actions.py
+++ b/simulation/scenarios/actions.py
@@ -5,6 +5,7 @@
 import collections.abc
 import typing
 
+from iriswheel.cli import load_generator
 from iriswheel.runtime import units
 from simulation import simulated_cluster
 
@@ -197,11 +198,10 @@
 # ---- requests ------------------------------------------------------------------------------------
 
 
-def begin_exchange(cluster: simulated_cluster.SimulatedCluster, kind: str, *parts: str) -> None:
+def begin_exchange(cluster: simulated_cluster.SimulatedCluster, kind: load_generator.RequestKind, *parts: str) -> None:
     """Let a client begin an exchange, with its retries."""
-    cluster.load.open.append(
-        cluster.load.runtime.spawn(cluster.load.exchange(kind, list(parts)), simulated_cluster.log)
-    )
+    sending = cluster.load.send_request(kind, list(parts))
+    cluster.load.under_way.append(cluster.load.runtime.spawn(sending, simulated_cluster.log))
 
 
 def begin_attempt(
@@ -213,8 +213,9 @@
     parts: collections.abc.Sequence[str] = ("phrases",),
 ) -> None:
     """Let a client send one attempt of a short request."""
-    sending = cluster.load.send("short", identifier, attempt, may_repeat, list(parts), b"x" * 600)
-    cluster.load.open.append(cluster.load.runtime.spawn(sending, simulated_cluster.log))
+    sent = load_generator.Attempt("short", identifier, attempt, may_repeat, list(parts), b"x" * 600)
+    sending = cluster.load.send_attempt(sent)
+    cluster.load.under_way.append(cluster.load.runtime.spawn(sending, simulated_cluster.log))
 
 
 def probe_repeatedly(cluster: simulated_cluster.SimulatedCluster, name: str, rounds: int) -> None:
--- a/simulation/scenarios/configuration.py
+++ b/simulation/scenarios/configuration.py
@@ -180,7 +180,7 @@
     """The cap is lowered below what is open, and raised again, while conversations open."""
     actions.confirm_changes(cluster, 2, 2)
     cluster.go(6)
-    cluster.load.attempts = 1
+    cluster.load.max_attempts = 1
     _set_cap(cluster, 4)
     _open_conversations(cluster, 30, "low")
     _set_cap(cluster, 2)
@@ -197,7 +197,7 @@
 
 def release(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The cap is full; silent conversations must make room, after a change of pool owner too."""
-    cluster.load.talks = 0
+    cluster.load.conversations = 0
 
     def shorten(document: dict[str, dict[str, dict[str, typing.Any]]]) -> None:
         document["pools"][cluster.pool].update(cap=3)
@@ -205,7 +205,7 @@
             terms.update(lifetime_us=8 * units.SECOND_US)
 
     actions.confirm_edit(cluster, shorten)
-    cluster.load.attempts = 1
+    cluster.load.max_attempts = 1
     cluster.go(2.5)
     for turn in range(3):
         _open_conversations(cluster, 3 * cluster.worker_count + 4, f"rel-{turn}")
--- a/simulation/scenarios/load.py
+++ b/simulation/scenarios/load.py
@@ -68,7 +68,7 @@
 def retriers(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A node dies while clients retry at once and without end."""
     actions.confirm_changes(cluster, 4, 5)
-    cluster.load.attempts, cluster.load.quick = 40, 0.8
+    cluster.load.max_attempts, cluster.load.quick_share = 40, 0.8
     cluster.go(5)
     target = actions.some_node(cluster, owner=False)
     actions.kill(cluster, target.me.name, restart_after=5)
@@ -95,7 +95,7 @@
 def claim_then_death(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The pool owner is killed between a claim and its send, a node before its send, a grant is lost on the link."""
     actions.confirm_changes(cluster, 6, 5)
-    cluster.load.attempts = 6
+    cluster.load.max_attempts = 6
     for turn in range(4):
         cluster.go(5 + cluster.rng.random())
         target = actions.some_node(cluster, owner=turn % 2 == 0)
--- a/simulation/scenarios/workers.py
+++ b/simulation/scenarios/workers.py
@@ -50,7 +50,7 @@
 def worker_storm(cluster: simulated_cluster.SimulatedCluster) -> None:
     """All workers crash at once, and their clients retry, on and on."""
     actions.confirm_changes(cluster, 4, 5)
-    cluster.load.attempts = 30
+    cluster.load.max_attempts = 30
     for _ in range(2):
         cluster.go(8)
         for name in sorted(cluster.workers):
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -148,14 +148,8 @@
         )
 
     def _start_load(self, runtime: scheduler.Runtime) -> None:
-        self.load = load_generator.LoadGenerator(
-            runtime,
-            self.platform.places,
-            "/v1/complete",
-            self.seconds * units.SECOND_US,
-            *self.rates,
-            self.tape,
-        )
+        mix = load_generator.LoadMix("/v1/complete", self.seconds * units.SECOND_US, *self.rates)
+        self.load = load_generator.LoadGenerator(runtime, self.platform.places, mix, self.tape)
         self.load_done = runtime.spawn(self.load.run(), log)
         runtime.spawn(self.prober.run(runtime), log)
 
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -53,7 +53,7 @@
         box = self.query(t, **more)
         assert t.until(lambda: len(box) > 1 and box[1][3].called, 30)
         code, headers, receiver, _ = box[1]
-        return code, headers, b"".join(receiver.raw)
+        return code, headers, b"".join(receiver.parts)
 
     def open_sessions(self, t):
         return sum(len(rs) for rs in t.owner().pool_owners[t.pool].records.session_table.at.values())
@@ -93,7 +93,7 @@
     def test_a_requester_that_goes_away_ends_the_run_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         box = self.query(t)
-        assert t.until(lambda: len(box) > 1 and box[1][2].first, 5)
+        assert t.until(lambda: len(box) > 1 and box[1][2].first_at, 5)
         box[1][2].transport.stopProducing()
         t.go(0.1)
         assert [r["kind"] for r in t.tape.rows if r["kind"] in ("ran", "cut")] == ["cut"]
@@ -124,13 +124,13 @@
         monkeypatch.setattr(network_model.ConnectionSide, "producer_held", held, raising=False)
         assert held is not None
         box = self.query(t)
-        assert t.until(lambda: len(box) > 1 and box[1][2].first, 5)
+        assert t.until(lambda: len(box) > 1 and box[1][2].first_at, 5)
         box[1][2].transport.pauseProducing()
         t.go(5)
         assert sum(sent) < 12 * network_model.WINDOW_BYTES
         box[1][2].transport.resumeProducing()
         assert t.until(lambda: box[1][3].called, 30)
-        assert sum(map(len, box[1][2].raw)) == 200 * 16_384
+        assert sum(map(len, box[1][2].parts)) == 200 * 16_384
 
     def test_jumps_of_the_wall_clock_change_nothing(self) -> None:
         tapes = []
