--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -22,7 +22,7 @@
     return message.View(number, voters, [message.ChainReplica(identifier, "1") for identifier in members])
 
 
-class TestOrder:
+class TestChainOrder:
     def test_of_copies_synced_one_view_before_the_newest_leads(self) -> None:
         answers = {"b": promised("b", 3, (3, 6)), "c": promised("c", 3, (3, 7))}
         members = decisions.order(make_view(4, "abc"), answers, {"b": "1", "c": "1"})
@@ -53,7 +53,7 @@
         """Write at once."""
 
 
-class TestSnapshots:
+class TestLateSnapshots:
     def test_a_snapshot_that_was_held_up_takes_nothing_back(self) -> None:
         clock = task.Clock()
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
@@ -96,8 +96,8 @@
         return self.answers[host]
 
 
-class TestQuorum:
-    def make_council(self, answers):
+class TestCallsToAMajority:
+    def make_consensus(self, answers):
         clock = task.Clock()
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
         agreed = make_view(4, "bca")
@@ -111,12 +111,12 @@
         return clock, consensus
 
     def test_the_tail_holds_its_lease_as_soon_as_a_majority_gave_it(self) -> None:
-        _, consensus = self.make_council({"b": message.LeaseResponse(True, None)})
+        _, consensus = self.make_consensus({"b": message.LeaseResponse(True, None)})
         consensus.runtime.spawn(consensus.renew())
         assert consensus.leased()
 
     def test_a_proposal_waits_but_shortly_for_machines_that_are_silent(self) -> None:
-        clock, consensus = self.make_council({"b": promised("b", 4)})
+        clock, consensus = self.make_consensus({"b": promised("b", 4)})
         clock.advance(2)  # the grants of before the start have run out, and so have the heartbeats
         consensus.hear(message.Heartbeat("b", "1", "zone", "b", 1, consensus.view, 4, True))
         prepare = message.Prepare(5, (1, "a"), "a")
@@ -128,7 +128,7 @@
         assert {identifier for identifier, answer in answers[0].items() if answer is not None} == {"a", "b"}
 
 
-class TestLeaving:
+class TestLeavingMember:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.clock = task.Clock()
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -11,7 +11,7 @@
 S = units.SECOND_US
 
 
-class TestParts:
+class TestNodeBudgets:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.now = 100 * S
@@ -39,21 +39,21 @@
             count += 1
         return count
 
-    def test_ratio_and_window_are_the_deployment_s(self) -> None:
+    def test_ratio_and_window_are_those_of_the_options(self) -> None:
         for more, granted in (({}, 20), ({"retry_ratio": 0.1}, 10)):
             d = self.budgets(retry_window_us=4 * S, **more)
             assert (self.spent(d, 100), self.spent(d)) == (granted, 0)
             self.now += 5 * S
             assert self.spent(d, 100) == granted
 
-    def test_a_new_process_takes_none_of_what_its_former_life_may_have_spent(self) -> None:
+    def test_a_new_process_takes_none_of_what_its_former_incarnation_may_have_spent(self) -> None:
         self.now += 11 * S
         d = self.budgets(retry_slack=50)
         assert self.spent(d) == 1  # the one that is always free
         self.now += 11 * S
         assert self.spent(d) == 5
 
-    def test_those_that_left_within_the_window_may_have_spent_their_parts(self) -> None:
+    def test_nodes_that_left_within_the_window_may_have_spent_their_shares(self) -> None:
         d = self.budgets(retry_slack=50)
         self.now += 11 * S
         assert d.slack() == 5
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -75,31 +75,31 @@
             if unit == "B" and "held" not in key[0] and "memory" not in key[0]:
                 assert abs(slope - self.page[key][0]) <= rel * abs(slope), f"{key}: {slope}, {self.page[key]}"
 
-    def test_rosters_and_lists_are_as_long_as_the_page_says(self) -> None:
+    def test_memberships_and_worker_lists_are_as_long_as_the_page_says(self) -> None:
         self.hold(self.ran(membership_costs.lists, sizes=[8, 32], listed=[36, 260], pools=[1, 8], repeats=1), 0.05)
 
-    def test_a_core_s_word_is_as_long_as_the_page_says(self) -> None:
+    def test_a_tail_heartbeat_is_as_long_as_the_page_says(self) -> None:
         self.hold(self.ran(membership_costs.tail, sizes=[8, 32], pools=[1], repeats=1), 0.05)
 
     def test_session_records_are_as_long_as_the_page_says(self) -> None:
         self.hold(self.ran(pool_owner_costs.records, sizes=[1000, 2000], repeats=1), 0.05)
 
-    def test_elections_and_parts_run(self) -> None:
+    def test_selections_and_prefixes_run(self) -> None:
         self.hold(self.ran(pool_owner_costs.selections, listed=[9, 18], sizes=[100, 1000], repeats=1), 0.05)
         self.hold(self.ran(pool_owner_costs.prefixes, sizes=[2600, 26_000], repeats=1), 0.05)
 
-    def test_blueprints_are_as_long_as_the_page_says(self) -> None:
+    def test_configurations_are_as_long_as_the_page_says(self) -> None:
         self.hold(self.ran(node_costs.routes, sizes=[500, 2000], repeats=1), 0.1)
 
 
-class TestHollow:
+class TestHollowFleet:
     def made(self, **more):
         f = hollow_fleet.Fleet(1, routes=10, **more)
         f.begin()
         f.go(2)
         return f
 
-    def test_a_worker_list_goes_whole_to_every_node_when_it_changes_only(self) -> None:
+    def test_a_complete_worker_list_goes_to_every_node_only_when_it_changes(self) -> None:
         appended = {}
         for listed in (9, 90):
             f = self.made(nodes=6, listed=listed)
@@ -117,17 +117,17 @@
         # to five other nodes; the core is told twice a second anyway, and may be once more in the second span
         assert 4.95 * size < lister < 6.05 * size, lister / size
 
-    def test_a_new_life_of_a_node_is_told_to_each_node_once(self) -> None:
+    def test_a_restarted_node_is_announced_to_each_node_once(self) -> None:
         got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, False), "restart")
         assert 0 < got["ms"] < 1000, got
         assert 6 * got["roster"] <= got["core node"] < 7.5 * got["roster"], got
 
-    def test_without_the_tail_no_node_sends_another_the_roster_that_it_has(self) -> None:
+    def test_without_the_tail_no_node_sends_another_the_membership_that_it_has(self) -> None:
         got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, False), "tail")
         assert 0 < got["ms"] < 5000, got
         assert got["node node"] < 6 * 5 * got["roster"] / 4, got
 
-    def test_the_load_exchange_is_told_and_counted(self) -> None:
+    def test_load_reports_are_sent_and_counted(self) -> None:
         f = hollow_fleet.Fleet(1, 4, 9, 2, 10, False, "node")
         f.begin()
         f.go(2)
@@ -157,8 +157,8 @@
         assert counted() == (0, False)
 
 
-class TestPlaces:
-    def test_elections_at_a_node_and_the_exchange_run(self) -> None:
+class TestPlacements:
+    def test_selections_at_a_node_and_load_reports_run(self) -> None:
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
             node_costs.placements(
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -93,7 +93,7 @@
         self.chain.install(self.consensus.view)
 
 
-class TestChains:
+class TestChainOfTwo:
     """Two links of a chain."""
 
     @pytest.fixture(autouse=True)
@@ -147,7 +147,7 @@
             self.until(tail.chain.is_synced, 5)
             self.assert_same(head, tail)
 
-    def test_a_write_that_an_older_view_began_does_not_hide_entries_of_the_newer_one(self) -> None:
+    def test_a_write_started_in_an_older_view_does_not_hide_entries_of_the_newer_one(self) -> None:
         shared = [entry(1, 1)]
         head, tail = self.pair(shared, shared)
         self.install(2, head, tail)
@@ -167,7 +167,7 @@
         self.assert_same(head, tail)
         assert "routes/new" in tail.chain.committed_state.items
 
-    def test_a_late_snapshot_takes_nothing_back_from_a_whole_copy(self) -> None:
+    def test_a_late_snapshot_takes_nothing_back_from_a_synced_copy(self) -> None:
         head, tail = self.pair([entry(k, 1) for k in range(1, 9)], [])
         self.install(2, head, tail)
         self.until(tail.chain.is_synced, 5)
@@ -219,7 +219,7 @@
         self.assert_same(head, tail)
         assert max(self.size(m) for m in self.network.sent) < 1_200_000
 
-    def test_a_snapshot_goes_on_where_it_was_when_pieces_and_answers_are_lost(self) -> None:
+    def test_a_snapshot_goes_on_where_it_was_when_chunks_and_answers_are_lost(self) -> None:
         head, tail = self.large_pair()
         calls = []
 
@@ -281,7 +281,7 @@
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
 
-    def test_a_piece_that_was_spoilt_is_sent_again(self) -> None:
+    def test_a_corrupted_chunk_is_sent_again(self) -> None:
         head, tail = self.large_pair()
         spoilt = []
 
@@ -298,7 +298,7 @@
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
 
-    def test_a_member_whose_program_takes_no_pieces_gets_all_in_one(self) -> None:
+    def test_a_member_whose_program_takes_no_chunks_gets_a_single_message(self) -> None:
         head, tail = self.large_pair()
         answer = tail.chain.answer
 
@@ -316,7 +316,7 @@
         self.assert_same(head, tail)
 
 
-class TestTowns:
+class TestFleetUnderChanges:
     """A whole small fleet, with steady changes."""
 
     AWAY_CHANGES = 1_000
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -120,7 +120,7 @@
         assert refilled.result.ok
         assert dict(replica.committed_state.taken) == {"c0-1-0b": 1}
 
-    def test_a_change_taken_again_after_a_refill_by_snapshot_is_told_apart(self) -> None:
+    def test_a_change_taken_again_after_a_catch_up_by_snapshot_is_distinguished(self) -> None:
         replica = self.replica(Membership(4, "a", "b"))
         proposed = self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, []))
         self.disk.finish()
--- a/tests/test_change_recovery.py
+++ b/tests/test_change_recovery.py
@@ -17,7 +17,7 @@
 
 
 class TestTables:
-    def test_a_time_beyond_the_limit_counts_as_the_limit_and_is_said(self) -> None:
+    def test_a_time_beyond_the_limit_counts_as_the_limit_and_is_shown(self) -> None:
         cut = change_recovery.Case("cut", "head")
         rows = [change_recovery.Recovery(cut, 2_000_000, None), change_recovery.Recovery(cut, 3_000_000, 4_000_000)]
         assert change_recovery.table(3, [cut], rows) == ["| 3 | cut | head | 2 | 2.50, 3.00 | 17.00, over 30 |"]
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -18,7 +18,7 @@
     return {"upsert": {"routes": {f"r{k}": {"path": f"/r/{k}", "pool": "desk"}}}}
 
 
-class TestChanges:
+class TestNumberedChanges:
     def start(self, t, number, built_on, what, who="boss"):
         return t.operator_runtime.spawn(
             operator_model.Operator(t, t.operator_runtime, who).number(number, built_on, what), simulated_cluster.log
@@ -44,7 +44,7 @@
             assert configuration.operator_number(items) == number
             assert tuple(f"routes/r{10 * k + j}" in items for j in (won, lost)) == (True, False)
 
-    def test_said_again_it_gives_the_same_answer_when_later_ones_were_taken(
+    def test_a_change_sent_again_gets_the_same_answer_after_later_ones_were_taken(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster()
@@ -86,7 +86,7 @@
             assert self.wait(t, self.start(t, *order)) == [200]
         return orders
 
-    def test_a_taken_change_is_acknowledged_again_after_many_later_ones_and_a_fall_of_the_whole_core(
+    def test_a_taken_change_is_acknowledged_again_after_many_later_ones_and_a_crash_of_all_core_machines(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(replicated_state, "MAX_PLANS", 4)
@@ -104,7 +104,7 @@
         assert self.wait(t, self.start(t, 1, 0, route(9))) == [409]
         assert configuration.operator_number(self.items(t)) == 24
 
-    def test_a_change_older_than_the_memory_gets_no_clear_answer(
+    def test_a_change_that_is_no_longer_remembered_gets_no_clear_answer(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(replicated_state, "MIN_TAKEN_CHANGES", 4)
@@ -121,14 +121,16 @@
             for order in (orders[0], orders[-2], (8, 6, route(9)))
         ] == [0, 200, 409]
 
-    def test_eight_at_once_with_equal_ones_among_them(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_of_eight_concurrent_changes_equal_ones_are_acknowledged_alike(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         t = quiet_cluster()
         orders = [(5, 0, route(k // 2)) for k in range(8)]
         results = self.wait(t, *(self.start(t, *order) for order in orders))
         assert sorted(results) == [200] * 2 + [409] * 6
         assert {tuple(results[k : k + 2]) for k in (0, 2, 4, 6)} == {(200, 200), (409, 409)}
 
-    def test_a_whole_configuration_that_stands_is_acknowledged_on_another_base(
+    def test_a_complete_configuration_in_force_is_acknowledged_on_another_base(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster()
@@ -140,7 +142,7 @@
         assert self.wait(t, self.start(t, 5, 3, {"blueprint": document})) == [409]
         assert t.tail().chain.committed_state.index == n
 
-    def test_it_is_taken_where_no_node_is_there_once_their_leases_ran_out(
+    def test_a_change_is_taken_without_nodes_once_their_leases_ran_out(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster()
@@ -168,7 +170,7 @@
         assert "routes/r1" in self.items(t)
 
 
-class TestTaken:
+class TestTakenChanges:
     """The memory of changes that were taken."""
 
     def apply(self, count):
@@ -178,14 +180,14 @@
             ledger = ledger.apply(message.LogEntry(n, 1, "apply", f"c{n - 1}-{n}-0a", n - 1, changes))
         return ledger
 
-    def test_it_outlives_the_plans_and_is_in_the_snapshot(self) -> None:
+    def test_they_outlive_the_plans_and_are_in_the_snapshot(self) -> None:
         ledger = self.apply(1_100)
         assert "c0-1-0a" not in ledger.plans
         again = snapshot_format.decode(snapshot_format.encode(ledger))
         assert (*(again.taken[f"c{n - 1}-{n}-0a"] for n in (1, 100, 1_100)), again.forgotten) == (1, 100, 1_100, 0)
         assert again == ledger
 
-    def test_it_is_bounded(self) -> None:
+    def test_their_number_is_bounded(self) -> None:
         ledger = self.apply(replicated_state.MIN_TAKEN_CHANGES + replicated_state.TAKEN_CHANGES_SLACK + 2)
         assert (len(ledger.taken), ledger.forgotten) == (
             replicated_state.MIN_TAKEN_CHANGES + 1,
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -36,7 +36,7 @@
         self.how = "lost"
 
 
-class TestIdleLines:
+class TestIdleConnections:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.world = world.World(3)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -28,7 +28,7 @@
     return None
 
 
-class TestItems:
+class TestConfigurationItems:
     def errors(self, routes, pools=("p", "q"), **more):
         document = {"routes": routes, "pools": {p: {} for p in pools}, "terms": {"default": {}}, **more}
         try:
@@ -81,7 +81,7 @@
         assert ledger.items["routes/r"]["label"] == {"a": 1}
 
 
-class TestLookup:
+class TestRouteLookup:
     def test_find_agrees_with_a_look_at_all_routes(self) -> None:
         rng = random.Random(7)
         part = lambda: "/" + "/".join(rng.choices(["a", "b", "ab"], k=rng.randrange(4))) + rng.choice(["", "/"])  # noqa: E731
--- a/tests/test_core_days.py
+++ b/tests/test_core_days.py
@@ -63,7 +63,7 @@
     assert "config" in complaints
 
 
-class TestJumps:
+class TestJumpsOfTheTimeOfDay:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.world = world.World(1)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -170,7 +170,7 @@
     ("name", "shape", "unhealthy"),
     [("garble", "swan", "garble"), ("answers_lost", "swan", "lost"), ("broken_off", "magnolia", "broke")],
 )
-def test_the_ills_of_a_day_happen(name: str, shape: str, unhealthy: str) -> None:
+def test_the_faults_of_a_day_happen(name: str, shape: str, unhealthy: str) -> None:
     _, _, _, ran, _ = played(name, 1, shape)
     assert unhealthy in ran
 
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -13,10 +13,10 @@
 from simulation import addresses, disk_model, host_model, process_model, world
 
 S = units.SECOND_US
-SEATS = [message.Voter(i, f"10.0.1.{k}", addresses.PEER_PORT, "a") for k, i in enumerate("abc", 1)]
+VOTERS = [message.Voter(i, f"10.0.1.{k}", addresses.PEER_PORT, "a") for k, i in enumerate("abc", 1)]
 
 
-class TestMembership:
+class TestVoterWithAFailingDisk:
     """One machine's part, without the others."""
 
     @pytest.fixture(autouse=True)
@@ -35,11 +35,13 @@
         record = msgspec.msgpack.decode(state[b"council"], type=decisions.Record) if state else decisions.Record()
         self.installed = []
         guard = storage.MonitoredDisk(runtime, self.disk)
-        self.consensus = view_consensus.ViewConsensus(runtime, guard, record, SEATS[1], [], None, self.installed.append)
+        self.consensus = view_consensus.ViewConsensus(
+            runtime, guard, record, VOTERS[1], [], None, self.installed.append
+        )
 
     def epoch(self, number, order="abc"):
         boots = {"b": self.consensus.runtime.incarnation}
-        return message.View(number, SEATS, [message.ChainReplica(i, boots.get(i, "x")) for i in order])
+        return message.View(number, VOTERS, [message.ChainReplica(i, boots.get(i, "x")) for i in order])
 
     def wait(self, coroutine):
         done = defer.ensureDeferred(coroutine)
@@ -55,7 +57,7 @@
         self.host.disk = "ok"
         assert self.wait(self.consensus.answer(message.Prepare(2, (4, "c"), "c"))).ok
 
-    def test_an_acceptance_that_the_disk_refuses_is_told_to_nobody(self) -> None:
+    def test_an_acceptance_that_the_disk_refuses_is_not_acknowledged(self) -> None:
         assert self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a"))).ok
         self.host.disk = "full"
         answer = self.wait(self.consensus.answer(message.Accept((5, "a"), self.epoch(2, "ab"), "a")))
@@ -76,7 +78,7 @@
         promise = self.wait(self.consensus.answer(message.Prepare(2, (6, "c"), "c")))
         assert (promise.accepted[0], "".join(x.id for x in promise.accepted[1].chain)) == ((5, "a"), "ab")
 
-    def test_a_copy_counts_as_whole_only_once_that_is_on_the_disk(self) -> None:
+    def test_a_copy_counts_as_synced_only_once_that_is_on_the_disk(self) -> None:
         self.host.disk = "full"
         done = defer.ensureDeferred(self.consensus.mark_synced(1))
         done.addErrback(lambda f: f.trap(storage.DiskError))
@@ -94,7 +96,7 @@
         assert len(self.installed) == installed + 1  # so that the chain starts
 
 
-class TestFolder:
+class TestDataFolder:
     def test_a_new_data_folder_is_synced_up_to_the_one_that_was_there(self, monkeypatch: pytest.MonkeyPatch) -> None:
         synced, real = [], os.fsync
         monkeypatch.setattr(os, "fsync", lambda fd: (synced.append(os.readlink(f"/proc/self/fd/{fd}")), real(fd)))
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -10,7 +10,7 @@
 MS = units.MILLISECOND_US
 
 
-class TestEngines:
+class TestEngine:
     def make(self, **figures):
         self.clock = task.Clock()
         base = dict(
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -23,7 +23,7 @@
     return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
 
 
-def order_without_tips(view, promises, alive, order=decisions.order):
+def order_without_last_entries(view, promises, alive, order=decisions.order):
     """Order the chain without a look at the last log entries."""
     promises = {
         identifier: msgspec.structs.replace(answer, last_entry=(0, 0)) for identifier, answer in promises.items()
@@ -106,7 +106,7 @@
 
     def test_without_the_order_by_last_entry_an_older_disk_leads(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, crashes=1, stale_disks=1)
-        self.breaks(("order", order_without_tips), limits, "without acknowledged")
+        self.breaks(("order", order_without_last_entries), limits, "without acknowledged")
 
     def test_without_the_look_at_its_place_an_old_snapshot_takes_back_acknowledged_changes(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, late_refills=1)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -11,7 +11,7 @@
 H = platform_names.HEADERS
 
 
-class TestCarrying(node_fixture.NodeFixture):
+class TestForwarding(node_fixture.NodeFixture):
     def worker(self, **faults):
         k = len(self.workers) + 1
         process = process_model.SimulatedProcess(self.world, f"w{k}", host_model.Host(self.world, f"10.0.3.{k}", "a"))
@@ -79,7 +79,7 @@
         self.go(1000)
         assert (self.forwarder.counts["mute"], call.outcome, len(call.events)) == (0, "whole", 41)
 
-    def test_a_requester_that_reads_slowly_speaks_against_no_worker(self) -> None:
+    def test_a_client_that_reads_slowly_counts_against_no_worker(self) -> None:
         for _ in range(2):
             self.worker().figures.step_us = 100
         call, line = self.query(events=4000)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -64,13 +64,13 @@
         self.aborted = self.disconnecting = True
 
 
-def new_machine():
+def new_runtime():
     """A clock and the machine on it."""
     clock = task.Clock()
     return clock, scheduler.Runtime(clock, now=lambda: int(clock.seconds() * units.SECOND_US), seed=1)
 
 
-class Quiet:
+class LoggedErrors:
     """Tests whose expected complaints are not printed; what breaks a task is kept."""
 
     @pytest.fixture(autouse=True)
@@ -78,11 +78,11 @@
         self.broken = logged_errors
 
 
-class TestFrames(Quiet):
+class TestFrames(LoggedErrors):
     """Frames between processes."""
 
     def connection(self):
-        self.clock, runtime = new_machine()
+        self.clock, runtime = new_runtime()
         self.got = []
         connection = wire.Connection(runtime, lambda connection, msg: self.got.append(msg), loguru.logger)
         transport = Transport()
@@ -276,11 +276,11 @@
 )
 
 
-class TestDocuments(Quiet):
+class TestDocuments(LoggedErrors):
     """Operators' documents are taken or refused."""
 
     def call(self, method, path, body):
-        _, runtime = new_machine()
+        _, runtime = new_runtime()
         server = http_server.Server(runtime, configuration_api.ConfigurationApi(Memory()).handle)
         channel = server.buildProtocol(None)
         transport = Transport()
@@ -396,7 +396,7 @@
 ]
 
 
-class TestSettingsFiles(Quiet):
+class TestSettingsFiles(LoggedErrors):
     """A settings file gives options, or says what is wrong."""
 
     def read(self, raw):
@@ -501,7 +501,7 @@
         self.ends.append("lost")
 
 
-class TestWorkerBytes(Quiet):
+class TestWorkerBytes(LoggedErrors):
     """Whatever a worker's connection brings, a request gets its own answer or none."""
 
     @QUICK
@@ -509,7 +509,7 @@
         strategies.lists(strategies.lists(PIECES, max_size=4), min_size=1, max_size=4), strategies.integers(1, 400)
     )
     def test_answers_of_others(self, turns: list[list[bytes]], step: int) -> None:
-        _, runtime = new_machine()
+        _, runtime = new_runtime()
         line = worker_connections.WorkerConnection(runtime, "w1")
         transport = Transport()
         line.makeConnection(transport)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -214,7 +214,7 @@
         self.content(denials(6, direct=True))
         self.content(denials(6) + inject_fault("n1", "kill", 18 * S, 19 * S))
 
-    def test_a_trouble_goes_on_when_another_one_of_the_same_machine_ends(self) -> None:
+    def test_a_fault_goes_on_when_another_one_of_the_same_machine_ends(self) -> None:
         denials = [r for k in range(6) for r in one(f"a{k}", at=20 * S + k, code=400) if r["kind"] == "tried"]
         cut = [{**r, "what": "cut"} for r in inject_fault("n1", "cut", 10 * S, 40 * S)]
         reset = [{**r, "what": "reset"} for r in inject_fault("n1", "reset", 12 * S, 12 * S)]
@@ -358,7 +358,7 @@
         self.content(day(True))
         self.complains("recover", day(False))
 
-    def test_worth(self) -> None:
+    def test_earned_value(self) -> None:
         kinds = {"phrase": earned_value.RequestValue(400 * MS, 200 * MS, 3.0, 1.0)}
         rows = one("a1") + one("a2", at=24 * S)
         slow = one("a3", at=24 * S + 1)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -32,7 +32,7 @@
     return got
 
 
-class TestHolders:
+class TestLeaseHolders:
     def test_a_change_waits_for_a_holder_that_does_not_apply_it_until_its_lease_ran_out(self) -> None:
         holders = lease.LeaseHolders(2 * S, now=0)
         holders.installed([], [("a", "1")], now=0)
@@ -78,7 +78,7 @@
         assert holders.applied(5, now=12 * S) == 0
 
 
-class TestClusters:
+class TestLeasesInACluster:
     def test_a_change_is_acknowledged_when_a_cut_off_nodes_lease_ran_out_and_not_before(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
@@ -151,7 +151,7 @@
 
 
 class TestServeOn:
-    def test_a_node_told_to_serve_on_stops_where_a_peer_shows_that_it_missed_a_change(
+    def test_a_node_with_serve_on_stops_where_a_peer_shows_that_it_missed_a_change(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster(seconds=2, serve_on=True)
--- a/tests/test_lease_cost.py
+++ b/tests/test_lease_cost.py
@@ -3,7 +3,7 @@
 from benchmarks import lease_cost
 
 
-class TestQuiet:
+class TestQuietCluster:
     def test_a_quiet_node_stays_far_below_its_budget_and_all_core_machines_report(self) -> None:
         cost = lease_cost.measure(nodes=6, cores=3, seconds=2, seed=1)
         for rate in (cost.into_node, cost.out_of_node):
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -136,7 +136,7 @@
             linearizability.check(first, bound=0)
 
 
-class TestLogs:
+class TestEventLogs:
     """Rows of event logs."""
 
     def config(self, at, version, base, code, document=None, valid=True):
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -230,7 +230,7 @@
         for attempt in ("a1", "a2"):
             self.assert_own(self.query(attempt), attempt)
 
-    def test_a_body_shorter_than_its_length_is_not_given_as_whole(self) -> None:
+    def test_a_body_shorter_than_its_length_is_not_given_as_complete(self) -> None:
         def script(connection, attempt):
             connection.transport.write(answer(attempt, b"body", length=9))
             connection.transport.loseConnection()
@@ -361,7 +361,7 @@
         self.two(lambda connection, attempt: connection.transport.abortConnection())
         self.assert_once(self.query("a1"), 502)
 
-    def test_after_a_close_without_a_word(self) -> None:
+    def test_after_a_close_without_an_answer(self) -> None:
         self.two(lambda connection, attempt: connection.transport.loseConnection())
         self.assert_once(self.query("a1"), 502)
 
@@ -369,7 +369,7 @@
         self.two(lambda connection, attempt: connection.transport.write(b"\x16\x03\x01 HTTP/9\r\n\r\n"))
         self.assert_once(self.query("a1"), 502)
 
-    def test_after_a_silence(self) -> None:
+    def test_after_no_answer_in_time(self) -> None:
         self.two(lambda connection, attempt: None)
         self.assert_once(self.query("a1"), 504)
 
@@ -379,7 +379,7 @@
         self.assert_once(client, 500)
         assert H["seal"].lower().encode() in client.raw.lower()
 
-    def test_after_a_success_without_a_stamp(self) -> None:
+    def test_after_a_success_without_a_seal(self) -> None:
         self.two(lambda connection, attempt: connection.transport.write(answer(attempt, b"what", seal=None)))
         self.assert_once(self.query("a1"), 502)
 
@@ -442,7 +442,7 @@
         self.assert_once(self.query("a1"), 502)
 
 
-class TestByElection(RequestPath):
+class TestDispatchToASelectedWorker(RequestPath):
     """The way of a request whose worker is elected by the owner of its pool."""
 
     async def handle(self, request):
@@ -489,15 +489,15 @@
         assert b"content-length" not in head.lower()
         assert b"body of a1" in body
 
-    def test_nor_with_a_failure_of_our_own(self) -> None:
+    def test_the_head_of_an_answer_that_never_came_is_not_given_with_a_failure_of_our_own(self) -> None:
         self.worker(self.head_alone)
         client = self.query("a1", ms=200)
         assert client.status == 502
         assert H["seal"].lower().encode() not in client.raw.lower()
 
 
-class TestSendsOfARoute:
-    def test_an_elected_way_goes_to_no_more_workers_than_its_route_allows(self) -> None:
+class TestAttemptsOfARoute:
+    def test_a_request_with_selected_workers_goes_to_no_more_than_its_route_allows(self) -> None:
         for sends, expected in ((0, gateway.MAX_ATTEMPTS), (1, 1), (2, 2), (9, gateway.MAX_ATTEMPTS)):
             seen = []
 
@@ -527,10 +527,10 @@
             assert len(seen) == expected
 
 
-class TestBounds(RequestPath):
+class TestBoundsOfARequest(RequestPath):
     @pytest.mark.parametrize("status", [500, 503])
     @pytest.mark.parametrize("sends", [1, 2, 3])
-    def test_a_try_goes_to_no_more_workers_than_its_route_allows(self, status: int, sends: int) -> None:
+    def test_a_request_goes_to_no_more_workers_than_its_route_allows(self, status: int, sends: int) -> None:
         self.idempotent(sends)
         self.tally.slack = 99
         headers = {H["not_run"]: "1"} if status == 503 else {}
@@ -540,7 +540,7 @@
         assert len(self.seen()) == sends
         assert max(len(worker.seen) for worker in self.workers) <= 1
 
-    def test_a_stream_that_goes_on_elsewhere_does_not_tell_the_first_length(self) -> None:
+    def test_a_stream_that_goes_on_elsewhere_does_not_announce_the_first_length(self) -> None:
         def script(connection, attempt):
             if len(self.seen()) == 1:
                 connection.transport.write(answer(attempt, b"id: 1\ndata: a\n\nid: 2\nda", length=32))
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -71,7 +71,7 @@
             await self.runtime.sleep(self.runtime.rng.randrange(S // 2, 2 * S))
 
 
-class TestCutOff:
+class TestCoreMachineCutOff:
     def play(self, seed, place, inward, outward, cores=3):
         """A day on which the chain's machine at a place is cut from the others for twenty seconds."""
         t = simulated_cluster.SimulatedCluster(
@@ -103,7 +103,7 @@
         ("place", "inward", "outward"),
         [(HEAD, True, True), (MIDDLE, True, False), (TAIL, False, True), (TAIL, True, True)],
     )
-    def test_a_core_machine_cut_off_tells_its_operators_nothing_wrong(
+    def test_a_core_machine_cut_off_gives_its_operators_no_wrong_answer(
         self, place: int, inward: bool, outward: bool
     ) -> None:
         case = (place, inward, outward)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -68,7 +68,7 @@
         return self.items
 
 
-class TestConfiguration:
+class TestPlatformConfiguration:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.core = Memory()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -78,7 +78,7 @@
         assert (code, len(err.splitlines())) == (2, 1)
         assert program("replay", "/nowhere/at/all")[0] == 2
 
-    def test_sweep_of_an_unknown_scene(self) -> None:
+    def test_sweep_of_an_unknown_scenario(self) -> None:
         p = subprocess.run(
             [sys.executable, "-m", "simulation.sweep", "--scenarios", "nonsense"], capture_output=True, text=True
         )
@@ -101,7 +101,7 @@
             assert one.returncode == 0
 
 
-class TestSurface:
+class TestOutsideInterfaces:
     @pytest.fixture(autouse=True)
     def use_fleet(self, small_fleet: fleet.Fleet) -> None:
         self.fleet = small_fleet
@@ -201,7 +201,7 @@
         assert "odd: unknown section" in document["text"]
 
 
-class TestFaults:
+class TestFaultTrial:
     def test_a_short_trial_is_clean(self) -> None:
         with fleet.Fleet("small") as f:
             t = process_trial.Trial(f, 16, ["--short-rate", "15", "--long-rate", "1", "--talks", "3"])
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -12,7 +12,7 @@
 PAGE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "docs", "proof.md")
 
 
-class TestProof:
+class TestPointsOfTheProof:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         with open(PAGE) as f:
@@ -25,7 +25,7 @@
         ][2:]
         self.fails = set(re.findall(r"`(\w+)`", fails))
 
-    def test_twelve_points_each_with_a_scene_a_checker_and_a_guard(self) -> None:
+    def test_twelve_points_each_with_a_scenario_a_checker_and_a_guard(self) -> None:
         assert len(self.points) == 12
         for _, plays, checkers, outs, _ in self.points:
             assert checkers and outs
@@ -40,7 +40,7 @@
         assert set() == {c.__name__ for c in replay.CHECKERS} - set().union(*(row[2] for row in self.points))
 
 
-class TestPlatform:
+class TestRulesOfThePlatform:
     def test_each_rule_has_days_and_a_checker_and_none_is_missing(self) -> None:
         with open(PAGE) as f:
             text = f.read().split("# The users' platform")[1]
--- a/tests/test_recorded_outside.py
+++ b/tests/test_recorded_outside.py
@@ -39,7 +39,7 @@
     check("refusals", outside.refusals())
 
 
-def test_what_the_platform_is_told() -> None:
+def test_what_is_sent_to_the_platform() -> None:
     check("deployment", outside.deployment())
 
 
@@ -48,7 +48,7 @@
     check("events", outside.event_fields(outside.recorded_rows()))
 
 
-def test_the_judge_says_of_a_recorded_log_what_it_said() -> None:
+def test_the_judgement_of_a_recorded_log_is_unchanged() -> None:
     rows = outside.recorded_rows()
     found = {"as it was": outside.judged(rows), "with faults": outside.judged(outside.damaged(rows))}
     check("verdicts", found)
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -6,7 +6,7 @@
 from iriswheel.membership import assignments, membership_manager
 
 
-class TestDuties:
+class TestAssignments:
     def test_a_group_stays_what_it_is_while_its_members_stay(self) -> None:
         """So a tail need not weigh again: as members come and go, weighing once more changes nothing."""
         rng = random.Random(5)
--- a/tests/test_scenes.py
+++ b/tests/test_scenes.py
@@ -57,13 +57,13 @@
 
 
 @pytest.mark.parametrize(("scenario", "seed", "shape"), runs_to_keep())
-def test_no_checker_complains_of_a_scene(scenario: str, seed: int, shape: str) -> None:
+def test_no_checker_complains_of_a_scenario(scenario: str, seed: int, shape: str) -> None:
     _, complaints, _ = play((scenario, seed, shape, ""))
     assert complaints == {}
 
 
 @pytest.mark.parametrize("guard", mutation_checks.GUARDS)
-def test_a_scene_without_its_guard_is_complained_of(guard: str) -> None:
+def test_a_scenario_without_its_guard_is_complained_of(guard: str) -> None:
     _, scenario, seed, checker = mutation_checks.GUARDS[guard]
     _, complaints, _ = play((scenario, seed, "magnolia", guard))
     assert checker in complaints
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -55,7 +55,7 @@
         self.answers[-1].complete = True
 
 
-class TestServing:
+class TestWorkerAndListing:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.world = world.World(5)
@@ -129,7 +129,7 @@
         assert all(H["not_run"].lower() in a.headers for a in c.answers)
         assert self.kinds("run") == []
 
-    def test_a_deadline_that_passes_in_the_queue_is_told_as_not_run(self) -> None:
+    def test_a_deadline_that_passes_in_the_queue_is_answered_as_not_run(self) -> None:
         self.worker.engine.figures.capacity = 1
         c, d = self.dial(), self.dial()
         self.request(c, attempt="a1", tokens="10,400")
@@ -184,7 +184,7 @@
         self.go(50)
         assert (c.closed, c.answers) == ("ConnectionLost", [])
 
-    def test_ills_show(self) -> None:
+    def test_each_fault_shows(self) -> None:
         want = {
             "garble": lambda c: c.garbage and not any(a.complete for a in c.answers),
             "errors": lambda c: [a.code for a in c.answers] == [500],
@@ -205,7 +205,7 @@
             self.go(50)
         assert sorted(want) == sorted({r["attempt"] for r in self.kinds("run")}), "all of these have run"
 
-    def test_health_is_told_truly_or_falsely(self) -> None:
+    def test_health_is_reported_truly_or_falsely(self) -> None:
         c = self.dial()
         for health, faults, code in (
             ("", {}, 200),
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -19,7 +19,7 @@
 S = units.SECOND_US
 
 
-class TestTowns:
+class TestSimulatedCluster:
     def query(
         self, t, parts=("system",), node="n1", path="/v1/complete", body=b"hello", send=1, repeat=True, identifier="x"
     ):
@@ -58,7 +58,7 @@
     def open_sessions(self, t):
         return sum(len(rs) for rs in t.owner().pool_owners[t.pool].records.session_table.at.values())
 
-    def test_a_conversation_is_released_after_a_minute_of_silence(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_session_is_released_after_a_minute_without_requests(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         self.answer(t, parts=("system", "talk"))
         t.go(57)
@@ -90,7 +90,7 @@
         assert b"sessions_full" in body
         assert 25 <= int(headers.getRawHeaders("Retry-After")[0]) <= 31
 
-    def test_a_requester_that_goes_away_ends_the_run_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_client_that_goes_away_ends_the_run_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         box = self.query(t)
         assert t.until(lambda: len(box) > 1 and box[1][2].first_at, 5)
@@ -100,7 +100,7 @@
         t.go(1)
         assert t.owner().pool_owners[t.pool].records.grants == {}
 
-    def test_a_slow_requester_slows_the_worker(
+    def test_a_slow_client_slows_the_worker(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         t = quiet_cluster()
@@ -145,7 +145,7 @@
         differ = tapes != [tapes[0]] * 3  # not compared within the assertion: a report of the difference takes minutes
         assert not differ
 
-    def test_new_terms_hold_for_an_open_conversation(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_new_terms_hold_for_an_open_session(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         self.answer(t, parts=("system", "talk"))
         document = t.with_probe(1)
@@ -156,7 +156,7 @@
         t.go(17)
         assert self.open_sessions(t) == 0
 
-    def test_a_route_of_another_hall_is_not_known_here(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_route_of_another_zone_is_not_known_here(self, quiet_cluster: conftest.QuietCluster) -> None:
         document = {
             "pools": {"desk": {}},
             "terms": {"default": {}},
@@ -167,7 +167,7 @@
         assert self.answer(t, path="/far", node="n6")[0] == 200
         assert "routes/far" not in t.nodes["n1"].follower.items
 
-    def test_a_node_without_a_blueprint_is_not_ready_and_says_not_run(
+    def test_a_node_without_a_configuration_is_not_ready_and_answers_not_run(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster()
@@ -219,7 +219,7 @@
         assert t.until(lambda: d.called, 10)
         return got
 
-    def test_a_late_ask_that_was_given_up_gets_no_grant(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_late_selection_that_was_given_up_gets_no_grant(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         n = t.owner()
         w = n.pool_owners[t.pool]
@@ -255,7 +255,7 @@
         code, _, body = self.answer(t, identifier="e1", repeat=False, send=2, node="n2")
         assert (code, b'"ran"' in body) == (409, True)
 
-    def test_an_old_warden_gets_no_copy_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_former_pool_owner_gets_no_copy_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster(shape="magnolia")
         n = t.owner()
         old = n.pool_owners[t.pool]
@@ -270,7 +270,7 @@
         t.go(1)
         assert (d.result, old.live()) == (False, False)
 
-    def test_a_pool_is_new_to_its_first_warden_however_often_that_one_asks(
+    def test_a_pool_is_new_to_its_first_owner_however_often_it_queries(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster()
@@ -285,9 +285,7 @@
 
         assert [had_an_owner((9, k)) for k in (1, 1, 2, 3)] == [False, False, True, True]
 
-    def test_news_does_not_break_off_a_question_to_the_core_machines(
-        self, quiet_cluster: conftest.QuietCluster
-    ) -> None:
+    def test_an_update_does_not_interrupt_a_call_to_a_core_machine(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         n, core = t.nodes["n1"], t.tail()
         asked = n.runtime.spawn(
@@ -300,7 +298,7 @@
         n.on_update()
         assert n.peers.connections[(core.options.host, core.options.port)].up
 
-    def test_a_term_that_a_lost_roster_had_passed_is_replaced(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_term_that_a_lost_membership_had_passed_is_replaced(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster(shape="magnolia")
         for who in ("copy", "holder"):
             assignment = t.owner().pool_owners[t.pool].assignment
@@ -357,7 +355,7 @@
         assert sum(p.size for p in chain.latest_state.plans.values()) <= 16 << 20
         assert sum(map(len, t.head().process.host.synced.values())) < 120 << 20
 
-    def test_a_thawed_node_elects_nothing_before_it_has_rejoined(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_thawed_node_selects_nothing_before_it_has_rejoined(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
         n = t.nodes["n1"]
         n.process.freeze()
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -15,7 +15,7 @@
 S = units.SECOND_US
 
 
-class TestConnections:
+class TestClosingServer:
     def test_what_was_answered_goes_out_before_the_connection_ends(self) -> None:
         clock = task.Clock()
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * S), seed=1)
@@ -37,7 +37,7 @@
         assert done.called
 
 
-class TestOptions:
+class TestOptionsReadAgain:
     def test_a_changed_file_is_read_again_and_a_bad_one_is_not(self) -> None:
         clock, got = task.Clock(), []
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * S), seed=1)
@@ -66,7 +66,7 @@
             assert got == [["127.0.0.1:2"], ["127.0.0.1:3"]]
 
 
-class TestTowns:
+class TestStoppingInACluster:
     def test_a_node_leaves_within_its_grace_whatever_is_open(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster(grace_us=8 * S)
         n = t.nodes["n1"]
@@ -82,7 +82,7 @@
         assert 6.5 * S < t.world.time - started_at < 7.5 * S
 
     @pytest.mark.parametrize("serve_on", [True, False])
-    def test_nodes_cut_off_from_the_core_serve_on_where_told_to(
+    def test_nodes_cut_off_from_the_core_serve_on_where_configured(
         self, quiet_cluster: conftest.QuietCluster, serve_on: bool
     ) -> None:
         t = quiet_cluster(serve_on=serve_on)
@@ -111,7 +111,7 @@
     def stop(self, t, c):
         return c.runtime.spawn(c.stop(), simulated_cluster.log)
 
-    def test_a_core_machine_that_holds_the_only_whole_copy_stays_until_another_has_it(
+    def test_a_core_machine_that_holds_the_only_synced_copy_stays_until_another_has_it(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster(grace_us=8 * S)
@@ -128,7 +128,7 @@
         t.go(3)
         assert not done.called  # two blank machines can't take it over: of the voters it is the only one
 
-    def test_a_core_machine_hands_over_to_newcomers_that_are_still_catching_up(
+    def test_a_core_machine_hands_over_to_joining_members_that_are_still_catching_up(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster(grace_us=30 * S)
@@ -212,7 +212,7 @@
         assert [n.follower.session.moves for n in t.nodes.values()] == moves
 
     @pytest.mark.parametrize(("serve_on", "most"), [(True, 3), (False, 11)])
-    def test_a_node_that_serves_on_asks_few_neighbours_for_the_core(
+    def test_a_node_that_serves_on_queries_few_peers_for_the_core(
         self, quiet_cluster: conftest.QuietCluster, serve_on: bool, most: int
     ) -> None:
         t = quiet_cluster(halls=["a"] * 12, serve_on=serve_on)
@@ -221,7 +221,7 @@
         n.follower.peer_status.query()
         assert len(asked) == most
 
-    def test_nodes_without_news_of_workers_do_not_storm_the_platform(
+    def test_nodes_without_updates_of_workers_do_not_storm_the_platform(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         t = quiet_cluster(halls=["a", "b", "c", "d"] * 6, serve_on=True)
