--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -2,18 +2,37 @@
 
 from __future__ import annotations
 
+import collections.abc
+import dataclasses
 import random
+import typing
 
 from benchmarks import stand_ins
 from benchmarks.capacity import hollow_fleet, measuring, samples
 from iriswheel.transport import message, wire
 
+SHORT_PROMPT_TOKENS = 400
+READ_SECONDS = 0.1  # from an attempt's start until its prompt is read
+TOKENS_A_STEP = 1000  # a change of the tokens to read that counts as much as one running request
+PACKED_ROW_BYTES = 5
+
+
+@dataclasses.dataclass(frozen=True)
+class Shape:
+    """The size of a hollow fleet, and which of its sizes is varied."""
+
+    by: str
+    size: int
+    nodes: int
+    workers: int
+    pools: int
+
 
 def fleet(
     *,
-    sizes: list[int] = (8, 32, 128, 370),
-    listed: list[int] = (36, 260, 1300, 2600),
-    pools: list[int] = (1, 8, 29),
+    sizes: measuring.Sizes = (8, 32, 128, 370),
+    listed: measuring.Sizes = (36, 260, 1300, 2600),
+    pools: measuring.Sizes = (1, 8, 29),
     routes: int = 100,
     seconds: float = 4,
     seed: int = 1,
@@ -46,28 +65,35 @@
         "| writes to others/s |"
     )
     print("|---|---|---|---|---|---|---|---|---|")
-    runs = [("nodes", n, (n, listed[0], pools[0])) for n in sizes]
-    runs += [("workers", w, (sizes[0], w, pools[0])) for w in listed]
-    runs += [("pools", p, (sizes[-2], listed[0], p)) for p in pools]  # enough nodes that some have no role
-    runs += [("all at once", sizes[-1], (sizes[-1], listed[-1], pools[-1]))]
-    for by, size, (n, w, p) in runs:
-        f = hollow_fleet.Fleet(seed, n, w, p, routes, walking, election)
+    for shape in _shapes(sizes, listed, pools):
+        f = hollow_fleet.Fleet(
+            seed, shape.nodes, shape.workers, shape.pools, routes, walking=walking, election=election
+        )
         f.begin()
         if rate:
             f.load_up(rate, lasts)
         f.go(3)
         rows = f.by_role(f.metered(seconds))
-        hollow_fleet.show(f"{n} nodes, {w} workers, {p} pools", rows)
-        for role, r in rows.items():
-            for what, value in r.items():
-                lines.put(f"{role}: {what}", by, hollow_fleet.UNITS[what], size, value)
+        hollow_fleet.show(f"{shape.nodes} nodes, {shape.workers} workers, {shape.pools} pools", rows)
+        for role, figures in rows.items():
+            for what, value in figures.items():
+                lines.put(f"{role}: {what}", shape.by, hollow_fleet.UNITS[what], shape.size, value)
     measuring.end(lines, out)
 
 
+def _shapes(nodes: measuring.Sizes, workers: measuring.Sizes, pools: measuring.Sizes) -> list[Shape]:
+    return [
+        *(Shape("nodes", size, size, workers[0], pools[0]) for size in nodes),
+        *(Shape("workers", size, nodes[0], size, pools[0]) for size in workers),
+        *(Shape("pools", size, nodes[-2], workers[0], size) for size in pools),  # so many nodes that some have no role
+        Shape("all at once", nodes[-1], nodes[-1], workers[-1], pools[-1]),
+    ]
+
+
 def streams(
     *,
-    rates: list[int] = (10, 20, 40),
-    events: list[int] = (12, 48, 96),
+    rates: measuring.Sizes = (10, 20, 40),
+    events: measuring.Sizes = (12, 48, 96),
     listed: int = 36,
     seconds: float = 6,
     repeats: int = 3,
@@ -88,33 +114,60 @@
     was = stand_ins.SHORT_TOKENS
     try:
         for seed in range(1, repeats + 1):
-            for by, rate, n in [
-                *(("requests/s", r, events[0]) for r in rates),
-                *(("events/s", rates[0], e) for e in events),
-            ]:
-                stand_ins.SHORT_TOKENS = n
-                f = hollow_fleet.Fleet(seed, 4, listed, 1, 10, False, election)
-                f.configuration["routes"]["all"] = {"path": "/v1", "pool": "model-0", "terms": "t0"}
-                f.rates = (0, rate, 0)
-                f.begin()
-                f.go(8)
-                before = sum(n.gateway.counts["exchanges"] for n in f.nodes.values())
-                got = f.metered(seconds)
-                done = (sum(n.gateway.counts["exchanges"] for n in f.nodes.values()) - before) / seconds
-                loops = sum(got[x]["loops"] for x in f.nodes)
-                lines.put(
-                    "requests through nodes" if by == "requests/s" else "events through nodes",
-                    by,
-                    "loops",
-                    rate if by == "requests/s" else rate * n,
-                    loops,
-                )
-                lines.put("requests seen", by, "/s", rate if by == "requests/s" else rate * n, done)
+            for rate in rates:
+                stand_ins.SHORT_TOKENS = events[0]
+                f = _serving_fleet(seed, listed, election, rate)
+                _measure_streams(f, lines, "requests through nodes", "requests/s", size=rate, seconds=seconds)
+            for count in events:
+                stand_ins.SHORT_TOKENS = count
+                f = _serving_fleet(seed, listed, election, rates[0])
+                _measure_streams(f, lines, "events through nodes", "events/s", size=rates[0] * count, seconds=seconds)
     finally:
         stand_ins.SHORT_TOKENS = was
     measuring.end(lines, out)
 
 
+def _serving_fleet(seed: int, workers: int, election: str, rate: int) -> hollow_fleet.Fleet:
+    """Four nodes that serve so many short requests a second, and have done so for a while."""
+    f = hollow_fleet.Fleet(seed, 4, workers, 1, 10, walking=False, election=election)
+    f.configuration["routes"]["all"] = {"path": "/v1", "pool": "model-0", "terms": "t0"}
+    f.rates = (0, rate, 0)
+    f.begin()
+    f.go(8)
+    return f
+
+
+def _measure_streams(
+    f: hollow_fleet.Fleet, lines: measuring.Measurements, line: str, by: str, *, size: int, seconds: float
+) -> None:
+    before = _requests_seen(f)
+    figures = f.metered(seconds)
+    seen = (_requests_seen(f) - before) / seconds
+    lines.put(line, by, "loops", size, sum(figures[name]["loops"] for name in f.nodes))
+    lines.put("requests seen", by, "/s", size, seen)
+
+
+def _requests_seen(f: hollow_fleet.Fleet) -> int:
+    return sum(node.gateway.counts["exchanges"] for node in f.nodes.values())
+
+
+class LoadChange(typing.NamedTuple):
+    """A change of a worker's load; tuples, as some hundred thousand are sorted."""
+
+    at: float  # seconds
+    worker: int
+    running: int
+    tokens: int
+
+
+@dataclasses.dataclass(frozen=True)
+class Told:
+    """What one node was told in all: rows, and bytes as the rows travel today."""
+
+    rows: int
+    size: int
+
+
 def exchange(
     *,
     listed: int = 2600,
@@ -122,8 +175,8 @@
     lasts: float = 19,
     seconds: int = 12,
     seed: int = 1,
-    spans: list[float] = (0.15, 0.5, 1, 2),
-    steps: list[int] = (1, 3, 6),
+    spans: collections.abc.Sequence[float] = (0.15, 0.5, 1, 2),
+    steps: measuring.Sizes = (1, 3, 6),
 ) -> None:
     """Rows that a load request by change has to tell one node, by how often it tells and from which change on.
 
@@ -138,51 +191,62 @@
     :param spans: seconds between two tellings
     :param steps: the least change that is told
     """
-    rng = random.Random(seed)
-    names = [x.id for x in samples.workers(listed)]
+    changes = _load_changes(random.Random(seed), listed, rate, lasts, seconds)
+    names = [worker.id for worker in samples.workers(listed)]
     print(
         "| a telling every | told from a change of | rows a second | B/s into a node, as rows travel today "
         "| packed, 5 B a row |"
     )
     print("|---|---|---|---|---|")
-    events = []  # (when, worker, running, tokens)
-    for _ in range(int(rate * (lasts + seconds))):
-        at, w = rng.random() * (lasts + seconds) - lasts, rng.randrange(listed)
-        tokens = samples.LONG if rng.random() < samples.LONG_SHARE else 400
-        events += [(at, w, 1, tokens), (at + 0.1, w, 0, -tokens), (at + lasts, w, -1, 0)]
-    events.sort()
     for span in spans:
         for step in steps:
-            now, table = [[0, 0] for _ in names], [[0, 0] for _ in names]
-            count = size = k = 0
-            for heartbeat_timer in range(int(seconds / span)):
-                while k < len(events) and events[k][0] < heartbeat_timer * span:
-                    _, w, running, tokens = events[k]
-                    now[w][0] += running
-                    now[w][1] += tokens
-                    k += 1
-                some = [
-                    w
-                    for w in range(listed)
-                    if abs(now[w][0] - table[w][0]) >= step or abs(now[w][1] - table[w][1]) >= 1000 * step
-                ]
-                for w in some:
-                    table[w] = list(now[w])
-                if heartbeat_timer:
-                    count += len(some)
-                    size += len(
-                        wire.encoder.encode(
-                            wire.Envelope(
-                                0,
-                                0,
-                                message.LoadReport(
-                                    "c0ffee", False, {"model-0": [(names[w], *now[w], 0) for w in some]}
-                                ),
-                            )
-                        )
-                    )
+            told = _play_reports(changes, names, seconds, span, step)
             print(
-                f"| {span:g} s | {step} | {measuring.short(count / seconds)} | {measuring.short(size / seconds)} "
-                f"| {measuring.short(5 * count / seconds)} |",
+                f"| {span:g} s | {step} | {measuring.short(told.rows / seconds)} "
+                f"| {measuring.short(told.size / seconds)} "
+                f"| {measuring.short(PACKED_ROW_BYTES * told.rows / seconds)} |",
                 flush=True,
             )
+
+
+def _load_changes(rng: random.Random, workers: int, rate: float, lasts: float, seconds: int) -> list[LoadChange]:
+    """What attempts change at the workers, in order; those under way at the start began before it."""
+    changes = []
+    for _ in range(int(rate * (lasts + seconds))):
+        at, worker = rng.random() * (lasts + seconds) - lasts, rng.randrange(workers)
+        tokens = samples.LONG if rng.random() < samples.LONG_SHARE else SHORT_PROMPT_TOKENS
+        changes += [
+            LoadChange(at, worker, 1, tokens),
+            LoadChange(at + READ_SECONDS, worker, 0, -tokens),
+            LoadChange(at + lasts, worker, -1, 0),
+        ]
+    return sorted(changes)
+
+
+def _play_reports(changes: list[LoadChange], names: list[str], seconds: int, span: float, step: int) -> Told:
+    """Let changes happen, and one node be told of them every `span` seconds; the first report is not counted."""
+    now, reported = [(0, 0)] * len(names), [(0, 0)] * len(names)
+    rows = size = done = 0
+    for report in range(int(seconds / span)):
+        while done < len(changes) and changes[done].at < report * span:
+            change = changes[done]
+            running, tokens = now[change.worker]
+            now[change.worker] = (running + change.running, tokens + change.tokens)
+            done += 1
+        changed = [k for k in range(len(names)) if _is_reported(now[k], reported[k], step)]
+        for k in changed:
+            reported[k] = now[k]
+        if report:
+            rows += len(changed)
+            size += _report_bytes([(names[k], *now[k], 0) for k in changed])
+    return Told(rows, size)
+
+
+def _is_reported(now: tuple[int, int], reported: tuple[int, int], step: int) -> bool:
+    """Whether a load, of running requests and tokens to read, differs enough from the one last reported."""
+    return abs(now[0] - reported[0]) >= step or abs(now[1] - reported[1]) >= TOKENS_A_STEP * step
+
+
+def _report_bytes(rows: list[tuple[str, int, int, int]]) -> int:
+    report = message.LoadReport("c0ffee", False, {"model-0": rows})
+    return len(wire.encoder.encode(wire.Envelope(0, 0, report)))
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -4,7 +4,6 @@
 
 import gc
 import statistics
-import typing
 
 from benchmarks import stand_ins
 from benchmarks.capacity import measuring, samples
@@ -17,9 +16,31 @@
 
 FIRST_EVENT_US = 100 * units.MILLISECOND_US  # from a hollow send to its first event
 
+Figures = dict[str, float]  # of one process or role: a key of UNITS -> value
+
+UNITS = {
+    "loops": "loops/s",
+    "step": "loops",
+    "out": "/s",
+    "out_bytes": "B/s",
+    "in": "/s",
+    "in_bytes": "B/s",
+    "outer": "/s",
+}
+
 
 class Fleet(simulated_cluster.SimulatedCluster):
-    """Real cores and nodes without traffic, before workers that one process stands in for."""
+    """Real cores and nodes without traffic, before workers that one process stands in for.
+
+    Args:
+        seed: What all draws of randomness follow from.
+        nodes: How many nodes.
+        listed: How many workers.
+        pools: How many pools they are in.
+        routes: How many routes the configuration has.
+        walking: Whether nodes probe workers that they do not hear from.
+        election: Where a worker is selected: "warden" at the pool owner, or "node".
+    """
 
     def __init__(
         self,
@@ -28,6 +49,7 @@
         listed: int = 36,
         pools: int = 1,
         routes: int = 0,
+        *,
         walking: bool = True,
         election: str = "warden",
     ) -> None:
@@ -40,7 +62,8 @@
         self.standing: process_model.SimulatedProcess | None = None  # the process of all workers
         self.meter = processor_meter.Meter()
 
-    def start_worker(self, name: str, host: str) -> None:
+    def start_worker(self, name: str, host: str) -> None:  # noqa: ARG002 - all are at one host
+        """Start a worker in the process that all of them share."""
         if self.standing is None:
             self.standing = process_model.SimulatedProcess(self.world, "workers", self.machine("10.0.3.1", "zone0"))
             self.stand_in_runtime = self.standing.runtime()
@@ -50,6 +73,7 @@
         self.platform.put(name, host="10.0.3.1", port=9001 + k, pool=f"model-{k % self.pools}", state="ready")
 
     def start_node(self, name: str, host: str, zone: str) -> None:
+        """Start a node, without its probes of workers unless the fleet has them."""
         was = health.WALK_US
         if not self.walking:  # with many nodes and workers the knocks drown the rest
             health.WALK_US = samples.NEVER_US
@@ -58,14 +82,14 @@
         finally:
             health.WALK_US = was
 
-    def load_up(self, rate: float, lasts: int) -> None:
+    def load_up(self, rate: float, lasts: float) -> None:
         """Let every node have so many sends a second under way, each for so many seconds; none of them is sent."""
         for n in self.nodes.values():
             for _ in range(int(rate * lasts)):
                 n.runtime.spawn(self.stream(n, lasts * n.runtime.rng.random()), simulated_cluster.log)
             n.runtime.spawn(self.arrivals(n, rate, lasts), simulated_cluster.log)
 
-    async def arrivals(self, n: node.Node, rate: float, lasts: int) -> None:
+    async def arrivals(self, n: node.Node, rate: float, lasts: float) -> None:
         """One node's hollow sends."""
         while True:
             await n.runtime.sleep(int(n.runtime.rng.expovariate(rate) * units.SECOND_US))
@@ -96,7 +120,7 @@
         out[names[by_key["list"].holder]] = "lister"
         return out
 
-    def metered(self, seconds: int) -> dict[str, dict[str, float]]:
+    def metered(self, seconds: float) -> dict[str, Figures]:
         """Let time pass with the meter on; what each process took, sent, got and spent a second."""
         self.meter = processor_meter.Meter()
         gc.collect()
@@ -106,40 +130,39 @@
         self.go(seconds)
         self.world.meter = None
         gc.enable()
-        ours = {*self.cores, *self.nodes}
-        out = {
+        figures: dict[str, Figures] = {
             name: {
+                **dict.fromkeys(UNITS, 0.0),
                 "loops": self.meter.spent[name] / one / seconds,
                 "step": self.meter.longest[name] / one,
-                "out": 0,
-                "out_bytes": 0,
-                "in": 0,
-                "in_bytes": 0,
-                "outer": 0,
             }
-            for name in ours
+            for name in {*self.cores, *self.nodes}
         }
-        for (a, b), (n, size) in self.meter.sent.items():
-            for name, way, other in ((a, "out", b), (b, "in", a)):
-                if name in ours and other in ours:
-                    out[name][way] += n / seconds
-                    out[name][f"{way}_bytes"] += size / seconds
-                elif name in ours:
-                    out[name]["outer"] += n / seconds
-        return out
-
-    def between(self, seconds: int) -> dict[str, float]:
+        self._add_traffic(figures, seconds)
+        return figures
+
+    def _add_traffic(self, figures: dict[str, Figures], seconds: float) -> None:
+        """Add what the meter counted between cores and nodes, and between them and others."""
+        for (sender, receiver), (writes, size) in self.meter.sent.items():
+            for name, way, other in ((sender, "out", receiver), (receiver, "in", sender)):
+                if name in figures and other in figures:
+                    figures[name][way] += writes / seconds
+                    figures[name][f"{way}_bytes"] += size / seconds
+                elif name in figures:
+                    figures[name]["outer"] += writes / seconds
+
+    def between(self, seconds: float) -> dict[str, float]:
         """Bytes that the meter counted between cores and nodes, a second."""
         kind = {**dict.fromkeys(self.cores, "core"), **dict.fromkeys(self.nodes, "node")}
-        out = {f"{a} {b}": 0 for a in ("core", "node") for b in ("core", "node")}
-        for (a, b), (_, size) in self.meter.sent.items():
-            if a in kind and b in kind:
-                out[f"{kind[a]} {kind[b]}"] += size / seconds
-        return out
+        rates = {f"{sender} {receiver}": 0.0 for sender in ("core", "node") for receiver in ("core", "node")}
+        for (sender, receiver), (_, size) in self.meter.sent.items():
+            if sender in kind and receiver in kind:
+                rates[f"{kind[sender]} {kind[receiver]}"] += size / seconds
+        return rates
 
-    def by_role(self, got: dict[str, dict[str, float]]) -> dict[str, dict[str, float]]:
+    def by_role(self, got: dict[str, Figures]) -> dict[str, Figures]:
         """The middle of what the processes of each role took."""
-        groups = {}
+        groups: dict[str, list[Figures]] = {}
         for name, role in self.roles().items():
             if name in got:
                 groups.setdefault(role, []).append(got[name])
@@ -149,18 +172,7 @@
         }
 
 
-UNITS = {
-    "loops": "loops/s",
-    "step": "loops",
-    "out": "/s",
-    "out_bytes": "B/s",
-    "in": "/s",
-    "in_bytes": "B/s",
-    "outer": "/s",
-}
-
-
-def show(what: str, rows: dict[typing.Any, typing.Any]) -> None:
+def show(what: str, rows: dict[str, Figures]) -> None:
     """Print what each role took.
 
     >>> show("quiet", {})
--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -2,26 +2,147 @@
 
 from __future__ import annotations
 
+import collections.abc
+import dataclasses
 import gc
 import statistics
+import typing
 
 from benchmarks.capacity import hollow_fleet, measuring
 from iriswheel.runtime import units
 from iriswheel.transport import message, wire
 from simulation import processor_meter, simulated_cluster
 
-WHATS = ("change", "restart", "worker", "zone", "tail", "cut")
+if typing.TYPE_CHECKING:
+    from simulation import server_model
+
+SETTLE_S = 4
+QUIET_S = 4  # how long the quiet fleet is metered
+LIMIT_S = 30  # until when all must know
+LONG_LIMIT_S = 60
+CUT_S = 10
+LOST_ZONE = "zone5"
+
+
+@dataclasses.dataclass(frozen=True)
+class Cost:
+    """What a fault or change cost beyond the quiet: bytes, and processor time in loops."""
+
+    membership_bytes: int  # the size of a membership
+    ms: float  # until all know
+    core_to_core: float
+    core_to_node: float
+    node_to_node: float
+    into_node: float  # the median of all nodes
+    busiest_core: float
+    node: float  # the median of all nodes
+    longest_step: float  # of any node
+
+
+COLUMNS = (
+    "core_to_core",
+    "core_to_node",
+    "node_to_node",
+    "into_node",
+    "busiest_core",
+    "node",
+    "longest_step",
+)  # of Cost, as the table shows them
+
+
+def _change(f: hollow_fleet.Fleet) -> None:
+    """A route is changed."""
+    done = f.operator_runtime.spawn(f.operator.change(f.with_probe(f.probe + 1)), simulated_cluster.log)
+    f.until(lambda: done.called, LIMIT_S)
+
+
+def _restart(f: hollow_fleet.Fleet) -> None:
+    """A node that has no role ends, and another incarnation of it starts."""
+    ordinary = [node for name, node in f.nodes.items() if f.roles()[name] == "node"] or list(f.nodes.values())
+    name = ordinary[0].options.name
+    host, zone = f.options[name]
+    ordinary[0].process.kill()
+    f.go(0.1)
+    f.start_node(name, host, zone)
+    f.until(lambda: all(f.nodes[name].member.id in _members(node) for node in _live(f)), LIMIT_S)
+
+
+def _worker(f: hollow_fleet.Fleet) -> None:
+    """A worker leaves."""
+    f.platform.put("w1", state="leaving")
+    f.until(
+        lambda: all(
+            node.follower.state("w1") == "leaving" and node.follower.membership.workers[0].state == "leaving"
+            for node in _live(f)
+        ),
+        LIMIT_S,
+    )
+
+
+def _zone(f: hollow_fleet.Fleet) -> None:
+    """The nodes of a zone lose power."""
+    lost = [node for node in f.nodes.values() if node.member.zone == LOST_ZONE]
+    gone = {node.member.id for node in lost}
+    for node in lost:
+        node.process.host.fail()
+    f.until(lambda: all(not gone & _members(node) for node in _live(f)), LIMIT_S)
+
+
+def _tail(f: hollow_fleet.Fleet) -> None:
+    """The tail ends."""
+    tail = f.tail()
+    assert tail is not None
+    assert tail.consensus.view is not None
+    was = tail.consensus.view.number
+    tail.process.kill()
+    f.until(
+        lambda: all(node.follower.membership.version[0] > was and node.follower.session.stands() for node in _live(f)),
+        LONG_LIMIT_S,
+    )
+
+
+def _cut(f: hollow_fleet.Fleet) -> None:
+    """A third of the nodes is cut off from the core and from the rest for ten seconds."""
+    some = [node.process.host.host for node in f.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
+    rest = [host for host in f.world.machines if host not in some]
+    f.world.cut(some, rest)
+    f.go(CUT_S)
+    f.world.heal()
+    f.until(
+        lambda: all(len(_members(node)) == len(f.nodes) and node.follower.session.stands() for node in _live(f)),
+        LONG_LIMIT_S,
+    )
+
+
+# What happens to the fleet; each function goes on until all know.
+EVENTS: dict[str, collections.abc.Callable[[hollow_fleet.Fleet], None]] = {
+    "change": _change,
+    "restart": _restart,
+    "worker": _worker,
+    "zone": _zone,
+    "tail": _tail,
+    "cut": _cut,
+}
+
+
+def _live(f: hollow_fleet.Fleet) -> list[server_model.SimulatedNode]:
+    return [node for node in f.nodes.values() if node.process.alive]
+
+
+def _members(node: server_model.SimulatedNode) -> set[str]:
+    """The ids of all members that a node knows of."""
+    return {member.id for member in node.follower.membership.members}
 
 
 def losses(
     *,
-    sizes: list[int] = (8, 32, 128),
+    sizes: measuring.Sizes = (8, 32, 128),
     listed: int = 36,
     pools: int = 1,
     routes: int = 100,
     repeats: int = 3,
     election: str = "warden",
-    only: list[str] = WHATS,
+    only: collections.abc.Sequence[str] = tuple(EVENTS),
     out: str = "",
 ) -> None:
     """Hollow fleets while something happens: until when all know, and what it costs beyond the quiet.
@@ -47,116 +168,88 @@
     )
     print("|---|---|---|---|---|---|---|---|---|---|")
     for what in only:
-        for n in sizes:
-            rows = [
-                lost(hollow_fleet.Fleet(seed, n, listed, pools, routes, False, election), what)
+        for size in sizes:
+            costs = [
+                lost(hollow_fleet.Fleet(seed, size, listed, pools, routes, walking=False, election=election), what)
                 for seed in range(1, repeats + 1)
             ]
-            for r in rows:
-                size = r.pop("roster")
-                if what in ("tail", "cut"):
-                    lines.put(f"{what}: between nodes", "pairs of nodes", "B", n * (n - 1), r["node node"])
-                elif what == "change":
-                    lines.put(f"{what}: between cores", "nodes", "B", n, r["core core"])
-                    lines.put(f"{what}: busiest core", "nodes", "loops", n, r["busiest"])
-                else:
-                    lines.put(f"{what}: from cores to nodes", "nodes x membership bytes", "B", n * size, r["core node"])
-                lines.put(f"{what}: all know after", "nodes", "ms", n, r["ms"])
-                lines.put(f"{what}: into a node", "nodes", "B", n, r["into"])
-            mid = {k: statistics.median(r[k] for r in rows) for k in rows[0]}
-            print(
-                f"| {what} | {n} | {mid['ms']:.0f} ({min(r['ms'] for r in rows):.0f} to "
-                f"{max(r['ms'] for r in rows):.0f}) | "
-                + " | ".join(
-                    measuring.short(mid[k])
-                    for k in ("core core", "core node", "node node", "into", "busiest", "node", "step")
-                )
-                + " |",
-                flush=True,
-            )
+            for cost in costs:
+                _keep(lines, what, size, cost)
+            print(_row(what, size, costs), flush=True)
     print()
     measuring.end(lines, out)
 
 
-def lost(f: hollow_fleet.Fleet, what: str) -> dict[str, float]:
-    """What it costs a fleet that something happens, beyond its quiet; "membership" is the size of its membership."""
+def _keep(lines: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
+    """Keep what grows with the size of the fleet."""
+    if what in ("tail", "cut"):
+        lines.put(f"{what}: between nodes", "pairs of nodes", "B", nodes * (nodes - 1), cost.node_to_node)
+    elif what == "change":
+        lines.put(f"{what}: between cores", "nodes", "B", nodes, cost.core_to_core)
+        lines.put(f"{what}: busiest core", "nodes", "loops", nodes, cost.busiest_core)
+    else:
+        size = nodes * cost.membership_bytes
+        lines.put(f"{what}: from cores to nodes", "nodes x membership bytes", "B", size, cost.core_to_node)
+    lines.put(f"{what}: all know after", "nodes", "ms", nodes, cost.ms)
+    lines.put(f"{what}: into a node", "nodes", "B", nodes, cost.into_node)
+
+
+def _row(what: str, nodes: int, costs: list[Cost]) -> str:
+    """The row of the table: medians over the seeds."""
+    times = [cost.ms for cost in costs]
+    medians = [measuring.short(statistics.median(getattr(cost, column) for cost in costs)) for column in COLUMNS]
+    spread = f"{statistics.median(times):.0f} ({min(times):.0f} to {max(times):.0f})"
+    return f"| {what} | {nodes} | {spread} | " + " | ".join(medians) + " |"
+
+
+def lost(f: hollow_fleet.Fleet, what: str) -> Cost:
+    """What it costs a fleet that something happens, beyond its quiet."""
     f.begin()
-    f.go(4)
-    size = len(
-        wire.encoder.encode(
-            wire.Envelope(0, 0, message.MembershipUpdate(next(iter(f.nodes.values())).follower.membership))
-        )
-    )
-    quiet, still = f.metered(4), f.between(4)
+    f.go(SETTLE_S)
+    membership_bytes = _membership_bytes(f)
+    quiet, quiet_between = f.metered(QUIET_S), f.between(QUIET_S)
     one = statistics.median(measuring.spent(measuring.loop) for _ in range(5))
+    took = _play(f, EVENTS[what])
+    live = [name for name in quiet if f.world.processes[name].alive]
+    nodes = [name for name in live if name in f.nodes]
+    into = _bytes_into(f, set(quiet))
+    loops = {name: f.meter.spent[name] / one - quiet[name]["loops"] * took for name in live}
+    between = f.between(1)
+    beyond = {way: between[way] - quiet_between[way] * took for way in between}
+    return Cost(
+        membership_bytes,
+        ms=took * 1000,
+        core_to_core=beyond["core core"],
+        core_to_node=beyond["core node"],
+        node_to_node=beyond["node node"],
+        into_node=statistics.median(into.get(name, 0) - quiet[name]["in_bytes"] * took for name in nodes),
+        busiest_core=max(loops[name] for name in live if name in f.cores),
+        node=statistics.median(loops[name] for name in nodes),
+        longest_step=max(f.meter.longest[name] for name in nodes) / one,
+    )
+
+
+def _membership_bytes(f: hollow_fleet.Fleet) -> int:
+    update = message.MembershipUpdate(next(iter(f.nodes.values())).follower.membership)
+    return len(wire.encoder.encode(wire.Envelope(0, 0, update)))
+
+
+def _play(f: hollow_fleet.Fleet, event: collections.abc.Callable[[hollow_fleet.Fleet], None]) -> float:
+    """Let something happen with the meter on; how many seconds it took until all know."""
     started_at = f.world.time
     f.world.meter = f.meter = processor_meter.Meter()
     gc.collect()
     gc.disable()
-    happen(f, what)
+    event(f)
     f.world.meter = None
     gc.enable()
-    took = (f.world.time - started_at) / units.SECOND_US
-    live = [x for x in quiet if f.world.processes[x].alive]
-    into = dict.fromkeys(live, 0)
-    for (a, b), (_, size_) in f.meter.sent.items():
-        if b in into and a in quiet:
-            into[b] += size_
-    loops = {x: f.meter.spent[x] / one - quiet[x]["loops"] * took for x in live}
-    nodes = [x for x in live if x in f.nodes]
-    out = {
-        "roster": size,
-        "ms": took * 1000,
-        "busiest": max(loops[x] for x in live if x in f.cores),
-        "node": statistics.median(loops[x] for x in nodes),
-        "into": statistics.median(into[x] - quiet[x]["in_bytes"] * took for x in nodes),
-        "step": max(f.meter.longest[x] for x in nodes) / one,
-    }
-    now = f.between(1)
-    return out | {k: now[k] - still[k] * took for k in now}
-
-
-def happen(f: hollow_fleet.Fleet, what: str) -> None:
-    """Let something happen to a fleet, and go on until all know."""
-    live = lambda: [x for x in f.nodes.values() if x.process.alive]  # noqa: E731
-    names = lambda x: {m.id for m in x.follower.membership.members}  # noqa: E731
-    mine = [x for name, x in f.nodes.items() if f.roles()[name] == "node"] or list(f.nodes.values())
-    match what:
-        case "change":
-            done = f.operator_runtime.spawn(f.operator.change(f.with_probe(f.probe + 1)), simulated_cluster.log)
-            f.until(lambda: done.called, 30)
-        case "restart":
-            x = mine[0]
-            name, (host, zone) = x.me.name, f.options[x.me.name]
-            x.process.kill()
-            f.go(0.1)
-            f.start_node(name, host, zone)
-            f.until(lambda: all(f.nodes[name].me.id in names(y) for y in live()), 30)
-        case "worker":
-            f.platform.put("w1", state="leaving")
-            f.until(
-                lambda: all(
-                    y.follower.state("w1") == "leaving" and y.follower.membership.workers[0].state == "leaving"
-                    for y in live()
-                ),
-                30,
-            )
-        case "zone":
-            gone = {x.me.id for x in f.nodes.values() if x.me.zone == "zone5"}
-            for x in f.nodes.values():
-                if x.me.zone == "zone5":
-                    x.process.host.fail()
-            f.until(lambda: all(not gone & names(y) for y in live()), 30)
-        case "tail":
-            was = f.tail().consensus.view.number
-            f.tail().process.kill()
-            f.until(
-                lambda: all(y.follower.membership.version[0] > was and y.follower.session.stands() for y in live()), 60
-            )
-        case "cut":
-            some = [x.process.host.host for x in f.nodes.values() if int(x.me.zone[4:]) % 3 == 1]
-            rest = [h for h in f.world.machines if h not in some]
-            f.world.cut(some, rest)
-            f.go(10)
-            f.world.heal()
-            f.until(lambda: all(len(names(y)) == len(f.nodes) and y.follower.session.stands() for y in live()), 60)
+    return (f.world.time - started_at) / units.SECOND_US
+
+
+def _bytes_into(f: hollow_fleet.Fleet, servers: set[str]) -> dict[str, int]:
+    """Bytes that the meter counted from cores and nodes to each process."""
+    into: dict[str, int] = {}
+    for (sender, receiver), (_, size) in f.meter.sent.items():
+        if sender in servers:
+            into[receiver] = into.get(receiver, 0) + size
+    return into
--- a/benchmarks/capacity/measuring.py
+++ b/benchmarks/capacity/measuring.py
@@ -3,12 +3,16 @@
 from __future__ import annotations
 
 import collections.abc
+import dataclasses
 import gc
 import json
+import pathlib
 import statistics
 import time
 import tracemalloc
-import typing
+
+Sizes = collections.abc.Sequence[int]
+"""The sizes at which something is measured, or the seeds."""
 
 LEAST_NS = 20_000_000  # a timing goes on for at least so long
 
@@ -26,7 +30,7 @@
     return x
 
 
-def spent(f: collections.abc.Callable[..., object], least: int = LEAST_NS) -> float:
+def spent(f: collections.abc.Callable[[], object], least: int = LEAST_NS) -> float:
     """Nanoseconds of this thread's time that one call of f takes, over as many as fill the least time.
 
     >>> spent(loop, 1000) > 0
@@ -42,7 +46,7 @@
     return total / calls
 
 
-def ratio(f: collections.abc.Callable[..., object], least: int = LEAST_NS) -> float:
+def ratio(f: collections.abc.Callable[[], object], least: int = LEAST_NS) -> float:
     """Processor time of f in loops.
 
     >>> ratio(loop, 1000) > 0
@@ -57,7 +61,7 @@
         gc.enable()
 
 
-def held(make: collections.abc.Callable[..., object]) -> int:
+def held(make: collections.abc.Callable[[], object]) -> int:
     """Bytes that stay allocated for what make() returns.
 
     >>> held(lambda: bytes(100_000)) > 100_000
@@ -84,7 +88,16 @@
 
     def __init__(self) -> None:
         # (line, by) -> (unit, {size: [value of each repeat]})
-        self.rows: dict[tuple[str, str], tuple[str, dict[int, list[typing.Any]]]] = {}
+        self.rows: dict[tuple[str, str], tuple[str, dict[int, list[float]]]] = {}
+
+    def point(self, by: str, size: int) -> Point:
+        """Where the values of one size are kept.
+
+        >>> measurements = Measurements(); measurements.point("members", 8).put_bytes("roster", 816)
+        >>> measurements.rows["roster", "members"]
+        ('B', {8: [816]})
+        """
+        return Point(self, by, size)
 
     def put(self, line: str, by: str, unit: str, size: int, value: float) -> None:
         """Keep one value.
@@ -124,6 +137,26 @@
         return "\n".join(out)
 
 
+@dataclasses.dataclass(frozen=True)
+class Point:
+    """The measurements at one size of what the lines grow with.
+
+    >>> Point(Measurements(), "members", 8).put_loops("a membership read", 0.5)
+    """
+
+    measurements: Measurements
+    by: str
+    size: int
+
+    def put_bytes(self, line: str, value: int) -> None:
+        """Keep a number of bytes."""
+        self.measurements.put(line, self.by, "B", self.size, value)
+
+    def put_loops(self, line: str, value: float) -> None:
+        """Keep processor time in loops."""
+        self.measurements.put(line, self.by, "loops", self.size, value)
+
+
 def short(x: float) -> str:
     """A figure with three digits that count.
 
@@ -142,5 +175,5 @@
     one = statistics.median(spent(loop) for _ in range(5))
     print(f"\nOne loop (1000 rounds) took {one / 1000:.1f} us here.")
     if out:
-        with open(out, "w") as f:
-            json.dump([[*key, unit, sizes] for key, (unit, sizes) in lines.rows.items()], f, indent=1)
+        rows = [[*key, unit, sizes] for key, (unit, sizes) in lines.rows.items()]
+        pathlib.Path(out).write_text(json.dumps(rows, indent=1))
--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -2,19 +2,23 @@
 
 from __future__ import annotations
 
+import collections.abc
 import json
 
 from benchmarks.capacity import measuring, samples
 from iriswheel.dataplane import edge_protocol
+from iriswheel.membership import membership_manager
 from iriswheel.node import node
 from iriswheel.transport import message, wire
 
+LIST_VERSION = (3, 1, 40)
+
 
 def lists(
     *,
-    sizes: list[int] = (8, 32, 128, 370),
-    listed: list[int] = (36, 260, 1300, 2600),
-    pools: list[int] = (1, 8, 29),
+    sizes: measuring.Sizes = (8, 32, 128, 370),
+    listed: measuring.Sizes = (36, 260, 1300, 2600),
+    pools: measuring.Sizes = (1, 8, 29),
     repeats: int = 5,
     out: str = "",
 ) -> None:
@@ -27,94 +31,108 @@
     :param out: file for the values
     """
     lines = measuring.Measurements()
+    for _ in range(repeats):
+        for members in sizes:
+            _measure_membership(lines.point("members", members), samples.memberships(members, 36, 1))
+        for workers in listed:
+            _measure_membership(lines.point("workers", workers), samples.memberships(8, workers, 1))
+        for pool_count in pools:
+            _measure_membership(lines.point("pools", pool_count), samples.memberships(8, 36, pool_count))
+        for workers in listed:
+            _measure_listing(lines.point("workers", workers), samples.workers(workers))
+    measuring.end(lines, out)
 
-    def look(by: str, size: int, r: message.Membership) -> None:
-        raw = wire.encoder.encode(wire.Envelope(wire.FrameKind.TELL, 0, message.MembershipUpdate(r)))
-        lines.put("a membership on the wire", by, "B", size, len(raw))
-        lines.put("a membership read", by, "loops", size, measuring.ratio(lambda: wire.decoder.decode(raw)))
-        lines.put(
-            "a membership written",
-            by,
-            "loops",
-            size,
-            measuring.ratio(lambda: wire.encoder.encode(wire.Envelope(0, 0, message.MembershipUpdate(r)))),
-        )
-        other = wire.decoder.decode(raw).content.membership
-        n, version = samples.hollow(), [17]
-
-        def take() -> None:
-            version[0] += 1
-            n.follower.apply_membership(
-                message.Membership(
-                    (3, version[0]), other.members, other.workers, other.assignments, other.cores, (3, 1, version[0])
-                )
-            )
 
-        lines.put("a membership taken at a node, nothing changed", by, "loops", size, measuring.ratio(take))
-        lines.put("a membership held at a node", by, "B", size, measuring.held(lambda: _taken(raw)))
+def _measure_membership(point: measuring.Point, membership: message.Membership) -> None:
+    raw = wire.encoder.encode(wire.Envelope(wire.FrameKind.TELL, 0, message.MembershipUpdate(membership)))
+    point.put_bytes("a membership on the wire", len(raw))
+    point.put_loops("a membership read", measuring.ratio(lambda: wire.decoder.decode(raw)))
+    point.put_loops(
+        "a membership written",
+        measuring.ratio(lambda: wire.encoder.encode(wire.Envelope(0, 0, message.MembershipUpdate(membership)))),
+    )
+    point.put_loops("a membership taken at a node, nothing changed", measuring.ratio(_repeated_update(raw)))
+    point.put_bytes("a membership held at a node", measuring.held(lambda: _node_with_membership(raw)))
 
-    for _ in range(repeats):
-        for n in sizes:
-            look("members", n, samples.memberships(n, 36, 1))
-        for w in listed:
-            look("workers", w, samples.memberships(8, w, 1))
-        for p in pools:
-            look("pools", p, samples.memberships(8, 36, p))
-        for w in listed:
-            ws = samples.workers(w)
-            parcel = wire.Envelope(
-                wire.FrameKind.TELL, 0, message.ForwardedListing(message.WorkerListing(ws, (3, 1, 40)))
-            )
-            raw = wire.encoder.encode(parcel)
-            lines.put("a worker list on the wire", "workers", "B", w, len(raw))
-            lines.put(
-                "a worker list written", "workers", "loops", w, measuring.ratio(lambda: wire.encoder.encode(parcel))
-            )
-            lines.put("a worker list read", "workers", "loops", w, measuring.ratio(lambda: wire.decoder.decode(raw)))
-            n = samples.hollow()
-            n.follower.apply_listing(message.WorkerListing(ws, (3, 1, 40)))
-            same = wire.decoder.decode(raw).content.listing
-            lines.put(
-                "a worker list taken at a node, nothing changed",
-                "workers",
-                "loops",
-                w,
-                measuring.ratio(lambda: n.follower.apply_listing(same)),
-            )
-            page = json.dumps(
-                {
-                    "workers": [
-                        {
-                            "id": x.id,
-                            "host": x.host,
-                            "port": x.port,
-                            "pool": x.pool,
-                            "state": x.state,
-                            "drain_deadline_ms": 3000,
-                        }
-                        for x in ws
-                    ]
-                }
-            ).encode()
-            lines.put("the platform's list", "workers", "B", w, len(page))
-            lines.put(
-                "the platform's list read",
-                "workers",
-                "loops",
-                w,
-                measuring.ratio(lambda: n.follower.platform.believe(edge_protocol.workers(page))),
+
+def _decode_membership(raw: bytes) -> message.Membership:
+    update = wire.decoder.decode(raw).content
+    assert isinstance(update, message.MembershipUpdate)
+    return update.membership
+
+
+def _repeated_update(raw: bytes) -> collections.abc.Callable[[], None]:
+    """What applies a membership at a node, at each call under a newer version."""
+    other = _decode_membership(raw)
+    n, version = samples.hollow(), [17]
+
+    def take() -> None:
+        version[0] += 1
+        n.follower.apply_membership(
+            message.Membership(
+                (3, version[0]), other.members, other.workers, other.assignments, other.cores, (3, 1, version[0])
             )
-    measuring.end(lines, out)
+        )
+
+    return take
+
 
+def _node_with_membership(raw: bytes) -> node.Node:
+    made = samples.hollow()
+    made.follower.apply_membership(_decode_membership(raw))
+    return made
 
-def _taken(raw: bytes) -> node.Node:
+
+def _measure_listing(point: measuring.Point, workers: list[message.Worker]) -> None:
+    """The worker list, between our own processes and as the platform gives it."""
+    listing = message.ForwardedListing(message.WorkerListing(workers, LIST_VERSION))
+    envelope = wire.Envelope(wire.FrameKind.TELL, 0, listing)
+    raw = wire.encoder.encode(envelope)
+    point.put_bytes("a worker list on the wire", len(raw))
+    point.put_loops("a worker list written", measuring.ratio(lambda: wire.encoder.encode(envelope)))
+    point.put_loops("a worker list read", measuring.ratio(lambda: wire.decoder.decode(raw)))
     n = samples.hollow()
-    n.follower.apply_membership(wire.decoder.decode(raw).content.membership)
-    return n
+    n.follower.apply_listing(message.WorkerListing(workers, LIST_VERSION))
+    same = _decode_listing(raw)
+    point.put_loops(
+        "a worker list taken at a node, nothing changed", measuring.ratio(lambda: n.follower.apply_listing(same))
+    )
+    page = _platform_page(workers)
+    point.put_bytes("the platform's list", len(page))
+    point.put_loops(
+        "the platform's list read",
+        measuring.ratio(lambda: n.follower.platform.believe(edge_protocol.workers(page))),
+    )
+
+
+def _decode_listing(raw: bytes) -> message.WorkerListing:
+    forwarded = wire.decoder.decode(raw).content
+    assert isinstance(forwarded, message.ForwardedListing)
+    return forwarded.listing
+
+
+def _platform_page(workers: list[message.Worker]) -> bytes:
+    """The platform's answer that lists these workers."""
+    rows = [
+        {
+            "id": worker.id,
+            "host": worker.host,
+            "port": worker.port,
+            "pool": worker.pool,
+            "state": worker.state,
+            "drain_deadline_ms": 3000,
+        }
+        for worker in workers
+    ]
+    return json.dumps({"workers": rows}).encode()
 
 
 def tail(
-    *, sizes: list[int] = (8, 32, 128, 370), pools: list[int] = (1, 8, 29), repeats: int = 5, out: str = ""
+    *,
+    sizes: measuring.Sizes = (8, 32, 128, 370),
+    pools: measuring.Sizes = (1, 8, 29),
+    repeats: int = 5,
+    out: str = "",
 ) -> None:
     """What a tail does ten times a second and at each word of a core: look whether a membership is due.
 
@@ -125,33 +143,35 @@
     """
     lines = measuring.Measurements()
     for _ in range(repeats):
-        for p in pools:
-            for n in sizes:
-                manager = samples.membership_manager_at_tail(n, p)
-                lines.put(
-                    f"a look for news at the tail, {p} pools",
-                    "members",
-                    "loops",
-                    n,
-                    measuring.ratio(manager.issue_if_changed),
-                )
-                table = message.NodeSessionsReport("c0", 3, samples.members(n), [0] * n, None, [], None)
-                lines.put(
-                    f"a core's word taken at the tail, {p} pools",
-                    "members",
-                    "loops",
-                    n,
-                    measuring.ratio(lambda: manager.apply_report(table)),
-                )
-        for n in sizes:
-            table = message.NodeSessionsReport("c0", 3, samples.members(n), [0] * n, None, [], None)
-            raw = wire.encoder.encode(wire.Envelope(wire.FrameKind.TELL, 0, table))
-            lines.put("a core's word on the wire", "members", "B", n, len(raw))
-            lines.put(
-                "a core's word written and read",
-                "members",
-                "loops",
-                n,
-                measuring.ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(0, 0, table)))),
-            )
+        for pool_count in pools:
+            for members in sizes:
+                manager = samples.membership_manager_at_tail(members, pool_count)
+                _measure_manager(lines.point("members", members), manager, _report(members), pool_count)
+        for members in sizes:
+            _measure_report(lines.point("members", members), _report(members))
     measuring.end(lines, out)
+
+
+def _report(members: int) -> message.NodeSessionsReport:
+    return message.NodeSessionsReport("c0", 3, samples.members(members), [0] * members, None, [], None)
+
+
+def _measure_manager(
+    point: measuring.Point,
+    manager: membership_manager.MembershipManager,
+    report: message.NodeSessionsReport,
+    pools: int,
+) -> None:
+    point.put_loops(f"a look for news at the tail, {pools} pools", measuring.ratio(manager.issue_if_changed))
+    point.put_loops(
+        f"a core's word taken at the tail, {pools} pools", measuring.ratio(lambda: manager.apply_report(report))
+    )
+
+
+def _measure_report(point: measuring.Point, report: message.NodeSessionsReport) -> None:
+    raw = wire.encoder.encode(wire.Envelope(wire.FrameKind.TELL, 0, report))
+    point.put_bytes("a core's word on the wire", len(raw))
+    point.put_loops(
+        "a core's word written and read",
+        measuring.ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(0, 0, report)))),
+    )
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
+import collections.abc
 import json
 import subprocess
 import sys
 import time
 import types
-import typing
 
 import msgspec
-from twisted.internet import defer
 
+from benchmarks import default_reactor
 from benchmarks.capacity import measuring, samples
 from iriswheel.configuration import configuration
 from iriswheel.dataplane import placement, sessions
@@ -21,8 +21,14 @@
 from iriswheel.transport import message, wire
 from simulation import simulated_cluster
 
+LARGEST_POOL = 2_600  # workers
+FIRST_TURNS = (1_000, 4_000, 16_000)
+LOOPBACK = "127.0.0.1"
 
-def routes(*, sizes: list[int] = (100, 500, 2000, 5000), repeats: int = 5, out: str = "") -> None:
+Items = samples.Items
+
+
+def routes(*, sizes: measuring.Sizes = (100, 500, 2000, 5000), repeats: int = 5, out: str = "") -> None:
     """Routes: a plan and its check, the chain, the cut for one node, the taking there, a request's way.
 
     :param sizes: routes
@@ -31,87 +37,87 @@
     """
     lines = measuring.Measurements()
     for _ in range(repeats):
-        for r in sizes:
-            had = samples.items(r)
-            now = {**had, "routes/r1": {**had["routes/r1"], "path": "/moved/"}}
-            document = configuration.unflatten(now)
-            raw = json.dumps(document).encode()
-            change = configuration.difference(had, now)
-            lines.put("a whole configuration as the operator sends it", "routes", "B", r, len(raw))
-            lines.put(
-                "a plan of a whole configuration: read, checked, compared, named",
-                "routes",
-                "loops",
-                r,
-                measuring.ratio(
-                    lambda: configuration.describe(
-                        had, configuration.difference(had, configuration.flatten(json.loads(raw)))
-                    )
-                ),
-            )
-            ledger = (
-                replicated_state.ReplicatedState()
-                .apply(message.LogEntry(1, 1, "plan", "0-a", 0, list(had.items())))
-                .apply(message.LogEntry(2, 1, "confirm", "0-a"))
-            )
-            two = ledger.apply(message.LogEntry(3, 1, "plan", "2-b", 2, change))
-            lines.put(
-                "a confirm applied, one route changed",
-                "routes",
-                "loops",
-                r,
-                measuring.ratio(lambda: two.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
-            )
-            lines.put("a frame on a core's disk", "routes", "B", r, len(snapshot_format.encode(ledger)))
-            lines.put("a frame written", "routes", "loops", r, measuring.ratio(lambda: snapshot_format.encode(ledger)))
-            lines.put(
-                "a slice cut and compared for one node",
-                "routes",
-                "loops",
-                r,
-                measuring.ratio(
-                    lambda: configuration.difference(
-                        configuration.slice_for_node(ledger.items, "zone0"),
-                        configuration.slice_for_node(two.items, "zone0"),
-                    )
-                )
-                / 2,
-            )
-            n = samples.hollow()
-            slice = configuration.slice_for_node(had, "zone0")
-            n.follower.apply_items(1, slice, True)
-            place = [1]
-
-            def take() -> None:
-                place[0] += 1
-                n.follower.apply_items(place[0], dict(change), False)
-
-            lines.put("a change of one route taken at a node", "routes", "loops", r, measuring.ratio(take))
-            lines.put("a slice held at a node", "routes", "B", r, measuring.held(lambda: _sliced(slice)))
-            path = f"/{r - 1:06x}/{(r - 1) % 97:02x}/x"
-            lines.put(
-                "a request's route found",
-                "routes",
-                "loops",
-                r,
-                measuring.ratio(lambda: n.follower.find("host.example", path)),
-            )
+        for size in sizes:
+            _measure_routes(lines.point("routes", size))
     measuring.end(lines, out)
 
 
-def _sliced(slice: dict[str, dict[str, typing.Any]]) -> node.Node:
+def _measure_routes(point: measuring.Point) -> None:
+    """A configuration and the change of one of its routes, from the operator to a node."""
+    before = samples.items(point.size)
+    after = {**before, "routes/r1": {**before["routes/r1"], "path": "/moved/"}}
+    change = configuration.difference(before, after)
+    _measure_plan(point, before, after)
+    state = (
+        replicated_state.ReplicatedState()
+        .apply(message.LogEntry(1, 1, "plan", "0-a", 0, list(before.items())))
+        .apply(message.LogEntry(2, 1, "confirm", "0-a"))
+    )
+    planned = state.apply(message.LogEntry(3, 1, "plan", "2-b", 2, change))
+    _measure_replicated_state(point, state, planned)
+    _measure_slice_at_node(point, configuration.slice_for_node(before, "zone0"), change)
+
+
+def _measure_plan(point: measuring.Point, had: Items, now: Items) -> None:
+    """What a core machine does with a configuration that an operator sends."""
+    raw = json.dumps(configuration.unflatten(now)).encode()
+    point.put_bytes("a whole configuration as the operator sends it", len(raw))
+    point.put_loops(
+        "a plan of a whole configuration: read, checked, compared, named",
+        measuring.ratio(
+            lambda: configuration.describe(had, configuration.difference(had, configuration.flatten(json.loads(raw))))
+        ),
+    )
+
+
+def _measure_replicated_state(
+    point: measuring.Point, ledger: replicated_state.ReplicatedState, two: replicated_state.ReplicatedState
+) -> None:
+    """What a core machine does with the state before and after the plan of a change."""
+    point.put_loops(
+        "a confirm applied, one route changed",
+        measuring.ratio(lambda: two.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
+    )
+    point.put_bytes("a frame on a core's disk", len(snapshot_format.encode(ledger)))
+    point.put_loops("a frame written", measuring.ratio(lambda: snapshot_format.encode(ledger)))
+    two_slices = measuring.ratio(
+        lambda: configuration.difference(
+            configuration.slice_for_node(ledger.items, "zone0"),
+            configuration.slice_for_node(two.items, "zone0"),
+        )
+    )
+    point.put_loops("a slice cut and compared for one node", two_slices / 2)
+
+
+def _measure_slice_at_node(point: measuring.Point, node_slice: Items, change: list[configuration.ItemChange]) -> None:
     n = samples.hollow()
-    n.follower.apply_items(1, msgspec.msgpack.decode(msgspec.msgpack.encode(slice)), True)
-    return n
+    n.follower.apply_items(1, node_slice, True)
+    place = [1]
+
+    def take() -> None:
+        place[0] += 1
+        n.follower.apply_items(place[0], dict(change), False)
+
+    point.put_loops("a change of one route taken at a node", measuring.ratio(take))
+    point.put_bytes("a slice held at a node", measuring.held(lambda: _node_with_slice(node_slice)))
+    last = point.size - 1
+    path = f"/{last:06x}/{last % 97:02x}/x"
+    point.put_loops("a request's route found", measuring.ratio(lambda: n.follower.find("host.example", path)))
+
+
+def _node_with_slice(node_slice: Items) -> node.Node:
+    made = samples.hollow()
+    made.follower.apply_items(1, msgspec.msgpack.decode(msgspec.msgpack.encode(node_slice)), True)
+    return made
 
 
 def placements(
     *,
-    listed: list[int] = (9, 90, 900, 2600),
-    keys: list[int] = (128, 512, 1024),
-    parts: list[int] = (2_600, 26_000, 260_000),
-    sizes: list[int] = (1_000, 10_000, 100_000),
-    pools: list[int] = (1, 8, 29),
+    listed: measuring.Sizes = (9, 90, 900, 2600),
+    keys: measuring.Sizes = (128, 512, 1024),
+    parts: measuring.Sizes = (2_600, 26_000, 260_000),
+    sizes: measuring.Sizes = (1_000, 10_000, 100_000),
+    pools: measuring.Sizes = (1, 8, 29),
     repeats: int = 5,
     out: str = "",
 ) -> None:
@@ -126,69 +132,61 @@
     :param out: file for the values
     """
     lines = measuring.Measurements()
-    pool = configuration.Pool(cap=0, election="node", batch=64)
-    shared = types.SimpleNamespace(sizes=[13_300, 800, 92, 291])
     for _ in range(repeats):
-        for w in listed:
-            n = active(w)
-            place, names = n.gateway.forwarder.placement_of("model-0"), n.gateway.forwarder.ready("model-0")
-            place.take([(name, 22, 900, 0) for name in names], True)
-            cut = placement.chain([f"{k:08x}" for k in range(4)])
-            place.pick(shared, cut, 291, names, pool, set())
-            lines.put(
-                "a worker chosen at a node, its parts ranked before",
-                "workers of the pool",
-                "loops",
-                w,
-                measuring.ratio(lambda: place.pick(shared, cut, 291, names, pool, set())),
-            )
-            count = [0]
-
-            def fresh() -> None:
-                count[0] += 1
-                place.pick(shared, placement.chain([f"{count[0]:08x}", "b", "c", "d"]), 291, names, pool, set())
-
-            lines.put(
-                "a worker chosen at a node, a part never ranked",
-                "workers of the pool",
-                "loops",
-                w,
-                measuring.ratio(fresh),
-            )
-            lines.put(
-                "the ready workers listed for an election",
-                "workers",
-                "loops",
-                w,
-                measuring.ratio(lambda: n.gateway.forwarder.ready("model-0")),
-            )
-            lines.put(
-                "others' loads held",
-                "workers",
-                "B",
-                w,
-                measuring.held(lambda: {k: (22, 900, 0) for k in map(str.upper, names)}),
-            )
-        for k in keys:
-            lines.put("ranks held, 90 workers", "parts ranked", "B", k, measuring.held(lambda: ranked(k, 90)))
-        for x in parts:
-            lines.put("parts held of the workers at a node", "parts", "B", x, measuring.held(lambda: kept(x)))
-        for x in (1_000, 4_000, 16_000):
-            lines.put("first turns held at a node", "first turns", "B", x, measuring.held(lambda: tried(x)))
-        for x in sizes:
-            lines.put(
-                "sessions held at a node", "sessions", "B", x, measuring.held(lambda: samples.session_messages(x))
-            )
-        for p in pools:
-            n = active(2600, p)
-            for k in range(p):
-                n.gateway.forwarder.placement_of(f"model-{k}")
-            lines.put(
-                "the sweep of a node's placements, 2600 workers", "pools", "loops", p, measuring.ratio(lambda: swept(n))
-            )
+        for size in listed:
+            _measure_picks(lines, size)
+        for size in keys:
+            _measure_held(lines.point("parts ranked", size), "ranks held, 90 workers", lambda k: ranked(k, 90))
+        for size in parts:
+            _measure_held(lines.point("parts", size), "parts held of the workers at a node", kept)
+        for size in FIRST_TURNS:
+            _measure_held(lines.point("first turns", size), "first turns held at a node", tried)
+        for size in sizes:
+            _measure_held(lines.point("sessions", size), "sessions held at a node", samples.session_messages)
+        for size in pools:
+            _measure_sweep(lines.point("pools", size))
     measuring.end(lines, out)
 
 
+def _measure_held(point: measuring.Point, line: str, make: collections.abc.Callable[[int], object]) -> None:
+    point.put_bytes(line, measuring.held(lambda: make(point.size)))
+
+
+def _measure_picks(lines: measuring.Measurements, workers: int) -> None:
+    """The choice of a worker at a node, and what it knows of the workers for that."""
+    pool = configuration.Pool(cap=0, election="node", batch=64)
+    shared = types.SimpleNamespace(sizes=[13_300, 800, 92, 291])
+    n = active(workers)
+    place, names = n.gateway.forwarder.placement_of("model-0"), n.gateway.forwarder.ready("model-0")
+    place.take([(name, 22, 900, 0) for name in names], True)
+    cut = placement.chain([f"{k:08x}" for k in range(4)])
+    place.pick(shared, cut, 291, names, pool, set())
+    count = [0]
+
+    def fresh() -> None:
+        count[0] += 1
+        place.pick(shared, placement.chain([f"{count[0]:08x}", "b", "c", "d"]), 291, names, pool, set())
+
+    point = lines.point("workers of the pool", workers)
+    point.put_loops(
+        "a worker chosen at a node, its parts ranked before",
+        measuring.ratio(lambda: place.pick(shared, cut, 291, names, pool, set())),
+    )
+    point.put_loops("a worker chosen at a node, a part never ranked", measuring.ratio(fresh))
+    point = lines.point("workers", workers)
+    point.put_loops(
+        "the ready workers listed for an election", measuring.ratio(lambda: n.gateway.forwarder.ready("model-0"))
+    )
+    point.put_bytes("others' loads held", measuring.held(lambda: {k: (22, 900, 0) for k in map(str.upper, names)}))
+
+
+def _measure_sweep(point: measuring.Point) -> None:
+    n = active(LARGEST_POOL, point.size)
+    for k in range(point.size):
+        n.gateway.forwarder.placement_of(f"model-{k}")
+    point.put_loops("the sweep of a node's placements, 2600 workers", measuring.ratio(lambda: swept(n)))
+
+
 def active(w: int, p: int = 1) -> node.Node:
     """A hollow node that knows w workers of p pools.
 
@@ -224,7 +222,7 @@
     return place
 
 
-def bare() -> typing.Any:
+def fresh_process_bytes() -> int:
     """Memory of a fresh process that has imported the program and made a node, in bytes."""
     raw = subprocess.run(
         [
@@ -265,7 +263,7 @@
         p.sweep({w.id for w in follower.workers if w.pool == pool and w.state == "ready"})
 
 
-def sockets(*, sizes: list[int] = (0, 100, 1000), calls: int = 2000, repeats: int = 5, out: str = "") -> None:
+def sockets(*, sizes: measuring.Sizes = (0, 100, 1000), calls: int = 2000, repeats: int = 5, out: str = "") -> None:
     """What a message costs over a real connection, both sides of it in this process: calls, one after the other.
 
     :param sizes: session records in each question
@@ -273,47 +271,35 @@
     :param repeats: how often each is measured
     :param out: file for the values
     """
-    from twisted.internet import reactor
-
+    reactor = default_reactor.load()
     lines, runtime = measuring.Measurements(), scheduler.Runtime(reactor)
     port = reactor.listenTCP(
         0,
-        wire.Listener(runtime, lambda connection, m: message.ReplicateResponse(True), simulated_cluster.log),
-        interface="127.0.0.1",
+        wire.Listener(runtime, lambda _connection, _message: message.ReplicateResponse(True), simulated_cluster.log),
+        interface=LOOPBACK,
     )
 
-    async def go() -> None:
-        connection = await wire.connect(
-            runtime, "127.0.0.1", port.getHost().port, lambda *_: None, simulated_cluster.log
-        )
+    async def measure() -> None:
+        connection = await wire.connect(runtime, LOOPBACK, port.getHost().port, lambda *_: None, simulated_cluster.log)
         for _ in range(repeats):
-            for n in sizes:
-                copy = message.ReplicateRecords(
-                    "model-0",
-                    (3, 17),
-                    "n",
-                    [sessions.to_message(r, 0) for r in samples.session_messages(n).records.values()],
-                    [],
-                    [],
-                )
-                raw = wire.encoder.encode(wire.Envelope(1, 1, copy))
-                one = measuring.spent(measuring.loop)
-                started_at = time.thread_time_ns()
-                for _ in range(calls):
-                    await connection.call(copy, 5 * units.SECOND_US)
-                took = (time.thread_time_ns() - started_at) / calls / 2 / one
-                bare = measuring.ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(1, 1, copy)))) / 2
-                lines.put("a message sent and taken over a connection", "bytes", "loops", len(raw), took)
-                lines.put("of it, writing and reading its form", "bytes", "loops", len(raw), bare)
-        reactor.stop()
-
-    failed = []
-
-    def start() -> None:
-        defer.ensureDeferred(go()).addErrback(lambda f: (failed.append(f), reactor.stop()))
-
-    reactor.callWhenRunning(start)
-    reactor.run()
-    if failed:
-        failed[0].raiseException()
+            for size in sizes:
+                await _measure_calls(lines, connection, size, calls)
+
+    default_reactor.run(measure)
     measuring.end(lines, out)
+
+
+async def _measure_calls(lines: measuring.Measurements, connection: wire.Connection, records: int, calls: int) -> None:
+    table = samples.session_messages(records)
+    copy = message.ReplicateRecords(
+        "model-0", (3, 17), "n", [sessions.to_message(record, 0) for record in table.records.values()], [], []
+    )
+    one = measuring.spent(measuring.loop)
+    started_at = time.thread_time_ns()
+    for _ in range(calls):
+        await connection.call(copy, 5 * units.SECOND_US)
+    took = (time.thread_time_ns() - started_at) / calls / 2 / one
+    codec = measuring.ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(1, 1, copy)))) / 2
+    point = lines.point("bytes", len(wire.encoder.encode(wire.Envelope(1, 1, copy))))
+    point.put_loops("a message sent and taken over a connection", took)
+    point.put_loops("of it, writing and reading its form", codec)
--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import collections.abc
-import typing
 
 from benchmarks.capacity import measuring, samples
 from iriswheel.configuration import configuration
@@ -13,8 +12,15 @@
 from iriswheel.runtime import units
 from iriswheel.transport import message, wire
 
+LARGEST_POOL = 2_600  # workers
+SINGLE_STEPS = 2_000  # measured as one
 
-def records(*, sizes: list[int] = (10_000, 100_000, 1_000_000), repeats: int = 3, out: str = "") -> None:
+# The name and the term of the records' owner do not matter to what is measured.
+OWNER = samples.members(1)[0].id
+TERM = (3, 17)
+
+
+def records(*, sizes: measuring.Sizes = (10_000, 100_000, 1_000_000), repeats: int = 3, out: str = "") -> None:
     """Session records in one holder: single steps, the sweep, whole copies, memory.
 
     :param sizes: sessions
@@ -22,93 +28,97 @@
     :param out: file for the values
     """
     lines = measuring.Measurements()
-    few = 2_000  # of the single steps, measured as one
-
     for _ in range(repeats):
-        for n in sizes:
-            lines.put(
-                "session records held at their pool owner",
-                "sessions",
-                "B",
-                n,
-                measuring.held(lambda: samples.session_messages(n)),
-            )
-            book = samples.session_messages(n)
-            names = [f"{k * 7919 % n:024x}" for k in range(few)]
-
-            def turns() -> None:
-                for name in names:
-                    book.extend(book.affinity(name), 5)
-
-            def openings() -> None:
-                for k in range(few):
-                    book.open(f"new-{k}", f"i-{k % 90:08x}", 0, 600 * units.SECOND_US, 100)
-                for k in range(few):
-                    book.close(f"new-{k}")
-
-            lines.put("a turn noted", "sessions", "loops", n, measuring.ratio(turns) / few)
-            lines.put("a session opened and closed", "sessions", "loops", n, measuring.ratio(openings) / few)
-            lines.put("a sweep that finds nothing", "sessions", "loops", n, measuring.ratio(lambda: book.sweep(0)))
-            table = [sessions.to_message(r, 0) for r in book.records.values()]
-            copy = message.ReplicateRecords("model-0", (3, 17), samples.members(1)[0].id, table, [], [], True, 0)
-            raw = wire.encoder.encode(wire.Envelope(wire.FrameKind.CALL, 7, copy))
-            lines.put("a whole copy on the wire", "sessions", "B", n, len(raw))
-            lines.put(
-                "a whole copy made and written",
-                "sessions",
-                "loops",
-                n,
-                measuring.ratio(
-                    lambda: wire.encoder.encode(
-                        wire.Envelope(
-                            1,
-                            7,
-                            message.ReplicateRecords(
-                                "model-0",
-                                (3, 17),
-                                "",
-                                [sessions.to_message(r, 0) for r in book.records.values()],
-                                [],
-                                [],
-                                True,
-                                0,
-                            ),
-                        )
-                    )
-                ),
-            )
-            lines.put(
-                "a whole copy read and shelved",
-                "sessions",
-                "loops",
-                n,
-                measuring.ratio(lambda: session_replicas.SessionReplica().take(wire.decoder.decode(raw).content, 0)),
-            )
-            session_replica = session_replicas.SessionReplica()
-            session_replica.take(copy, 0)
-            lines.put(
-                "a shelf frozen at a core",
-                "sessions",
-                "loops",
-                n,
-                measuring.ratio(lambda: replica_store.encode_session_replica(session_replica, 5)),
-            )
-            lines.put(
-                "a shelf's bytes on a core's disk",
-                "sessions",
-                "B",
-                n,
-                len(replica_store.encode_session_replica(session_replica, 5)),
-            )
-            lines.put("a shelf's memory", "sessions", "B", n, measuring.held(lambda: _shelved(raw)))
-            del book, table, copy, raw, session_replica
+        for size in sizes:
+            _measure_records(lines.point("sessions", size))
     measuring.end(lines, out)
 
 
-def _shelved(raw: typing.Any) -> typing.Any:
-    session_replica = session_replicas.SessionReplica()
-    session_replica.take(wire.decoder.decode(raw).content, 0)
-    return session_replica
+def _measure_records(point: measuring.Point) -> None:
+    size = point.size
+    point.put_bytes("session records held at their pool owner", measuring.held(lambda: samples.session_messages(size)))
+    table = samples.session_messages(size)
+    _measure_steps(point, table)
+    copy = message.ReplicateRecords("model-0", TERM, OWNER, _messages(table), [], [], True, 0)
+    raw = wire.encoder.encode(wire.Envelope(wire.FrameKind.CALL, 7, copy))
+    _measure_copy(point, table, raw)
+    _measure_replica(point, copy, raw)
+
+
+def _messages(table: sessions.SessionTable[str]) -> list[message.SessionRecord]:
+    return [sessions.to_message(record, 0) for record in table.records.values()]
+
+
+def _measure_steps(point: measuring.Point, book: sessions.SessionTable[str]) -> None:
+    """What is done to one session at a time, and the sweep of all."""
+    names = [f"{k * 7919 % point.size:024x}" for k in range(SINGLE_STEPS)]
+    few = SINGLE_STEPS
+
+    def turns() -> None:
+        for name in names:
+            book.extend(book.affinity(name), 5)  # type: ignore[arg-type]  # all are open; a check would be timed too
+
+    def openings() -> None:
+        for k in range(few):
+            book.open(f"new-{k}", f"i-{k % 90:08x}", 0, 600 * units.SECOND_US, 100)
+        for k in range(few):
+            book.close(f"new-{k}")
+
+    point.put_loops("a turn noted", measuring.ratio(turns) / few)
+    point.put_loops("a session opened and closed", measuring.ratio(openings) / few)
+    point.put_loops("a sweep that finds nothing", measuring.ratio(lambda: book.sweep(0)))
+
+
+def _measure_copy(point: measuring.Point, book: sessions.SessionTable[str], raw: bytes) -> None:
+    """All records of an owner, as it sends them to the next holder of a copy."""
+    point.put_bytes("a whole copy on the wire", len(raw))
+    point.put_loops(
+        "a whole copy made and written",
+        measuring.ratio(
+            lambda: wire.encoder.encode(
+                wire.Envelope(
+                    1,
+                    7,
+                    message.ReplicateRecords(
+                        "model-0",
+                        (3, 17),
+                        "",
+                        [sessions.to_message(r, 0) for r in book.records.values()],
+                        [],
+                        [],
+                        True,
+                        0,
+                    ),
+                )
+            )
+        ),
+    )
+    point.put_loops(
+        "a whole copy read and shelved",
+        measuring.ratio(
+            # No cast to its type: that would be one more call that is timed.
+            lambda: session_replicas.SessionReplica().take(wire.decoder.decode(raw).content, 0)  # type: ignore[arg-type]
+        ),
+    )
+
+
+def _measure_replica(point: measuring.Point, copy: message.ReplicateRecords, raw: bytes) -> None:
+    """A copy as a core machine keeps it, in memory and on its disk."""
+    replica = session_replicas.SessionReplica()
+    replica.take(copy, 0)
+    point.put_loops(
+        "a shelf frozen at a core", measuring.ratio(lambda: replica_store.encode_session_replica(replica, 5))
+    )
+    point.put_bytes("a shelf's bytes on a core's disk", len(replica_store.encode_session_replica(replica, 5)))
+    point.put_bytes("a shelf's memory", measuring.held(lambda: _decoded_replica(raw)))
+
+
+def _decoded_replica(raw: bytes) -> session_replicas.SessionReplica:
+    copy = wire.decoder.decode(raw).content
+    assert isinstance(copy, message.ReplicateRecords)
+    replica = session_replicas.SessionReplica()
+    replica.take(copy, 0)
+    return replica
 
 
 def chief(w: int, s: int, parts: int = 0) -> pool_owner.PoolOwner:
@@ -164,8 +174,8 @@
 
 def selections(
     *,
-    listed: list[int] = (9, 90, 900, 2600),
-    sizes: list[int] = (1_000, 10_000, 100_000),
+    listed: measuring.Sizes = (9, 90, 900, 2600),
+    sizes: measuring.Sizes = (1_000, 10_000, 100_000),
     repeats: int = 5,
     out: str = "",
 ) -> None:
@@ -177,30 +187,22 @@
     :param out: file for the values
     """
     lines = measuring.Measurements()
-    pool = configuration.Pool(cap=0)
     for _ in range(repeats):
-        for w in listed:
-            c = chief(w, 0)
-            lines.put(
-                "a worker chosen, no sessions",
-                "workers of the pool",
-                "loops",
-                w,
-                measuring.ratio(lambda: choice(c, query(1), pool)),
-            )
-        for s in sizes:
-            c = chief(90, s)
-            lines.put(
-                "a worker chosen, 90 workers",
-                "sessions of the pool",
-                "loops",
-                s,
-                measuring.ratio(lambda: choice(c, query(1), pool)),
-            )
+        for workers in listed:
+            point = lines.point("workers of the pool", workers)
+            point.put_loops("a worker chosen, no sessions", _choice_loops(chief(workers, 0)))
+        for session_count in sizes:
+            point = lines.point("sessions of the pool", session_count)
+            point.put_loops("a worker chosen, 90 workers", _choice_loops(chief(90, session_count)))
     measuring.end(lines, out)
 
 
-def prefixes(*, sizes: list[int] = (15_000, 150_000, 1_500_000), repeats: int = 3, out: str = "") -> None:
+def _choice_loops(owner: pool_owner.PoolOwner) -> float:
+    pool = configuration.Pool(cap=0)
+    return measuring.ratio(lambda: choice(owner, query(1), pool))
+
+
+def prefixes(*, sizes: measuring.Sizes = (15_000, 150_000, 1_500_000), repeats: int = 3, out: str = "") -> None:
     """Shared prefix parts in one pool owner's tables, without their bound of 256 a worker.
 
     :param sizes: parts in all
@@ -208,22 +210,20 @@
     :param out: file for the values
     """
     lines = measuring.Measurements()
-    pool = configuration.Pool(cap=0)
     for _ in range(repeats):
-        for x in sizes:
-            per = x // 2600
-            lines.put(
-                "prefix parts held",
-                "parts",
-                "B",
-                x,
-                measuring.held(
-                    lambda: {f"i-{w:08x}": {f"{w * per + k:08x}": None for k in range(per)} for w in range(2600)}
-                ),
-            )
-            c = chief(90, 0, x // 90)
-            q = query(1, [f"i-{7:08x}-{k}" for k in range(4)])
-            lines.put(
-                "a worker chosen by parts, 90 workers", "parts", "loops", x, measuring.ratio(lambda: choice(c, q, pool))
-            )
+        for size in sizes:
+            _measure_prefixes(lines.point("parts", size))
     measuring.end(lines, out)
+
+
+def _measure_prefixes(point: measuring.Point) -> None:
+    per_worker = point.size // LARGEST_POOL
+    point.put_bytes("prefix parts held", measuring.held(lambda: _prefix_table(per_worker)))
+    owner = chief(90, 0, point.size // 90)
+    pool = configuration.Pool(cap=0)
+    request = query(1, [f"i-{7:08x}-{k}" for k in range(4)])
+    point.put_loops("a worker chosen by parts, 90 workers", measuring.ratio(lambda: choice(owner, request, pool)))
+
+
+def _prefix_table(per_worker: int) -> dict[str, dict[str, None]]:
+    return {f"i-{w:08x}": {f"{w * per_worker + k:08x}": None for k in range(per_worker)} for w in range(LARGEST_POOL)}
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -15,16 +15,12 @@
 from iriswheel.transport import message
 
 ZONES = 10
-
-
 POOLS = 29
-
-
 NEVER_US = 10**13
-
-
 LONG, LONG_SHARE = 3_720, 0.064  # prompt tokens of a long one, and how many are: as the users' present mix has it
 
+Items = dict[str, dict[str, typing.Any]]  # a configuration's items by section and name
+
 
 def members(n: int) -> list[message.Member]:
     """Members as long in their names as those of a real site.
@@ -92,13 +88,13 @@
     return message.Membership((3, 17), ms, workers(w, max(1, p)), assignments(pool_keys(p), ms), voters, (3, 1, 40))
 
 
-def session_messages(n: int, w: int = 90) -> sessions.SessionTable:
+def session_messages(n: int, w: int = 90) -> sessions.SessionTable[str]:
     """Session records over w workers.
 
     >>> len(session_messages(10).records)
     10
     """
-    book = sessions.SessionTable()
+    book: sessions.SessionTable[str] = sessions.SessionTable()
     # As in a pool that has served for a while: a record's size must not depend on how often a timing opened sessions.
     book.version = 1 << 20
     for k in range(n):
@@ -107,7 +103,7 @@
 
 
 def hollow(zone: str = "zone0") -> node.Node:
-    """A node of its own, none of whose tasks runs; its clock stands at `node.clock`.
+    """A node of its own, none of whose tasks runs.
 
     >>> hollow().follower.applied_index
     0
@@ -120,7 +116,6 @@
     )
     n = node.Node(runtime, o)
     n.me = members(1)[0]
-    n.clock = clock
     return n
 
 
@@ -144,13 +139,15 @@
     return out
 
 
-def items(r: int, tenants: int = 470, pools: int = POOLS, election: str = "warden") -> dict[str, dict[str, typing.Any]]:
+def items(r: int, tenants: int = 470, pools: int = POOLS, election: str = "warden") -> Items:
     """A configuration of r routes.
 
     >>> sorted(items(1, 1, 1))
     ['pools/model-0', 'routes/r0', 'terms/default', 'terms/t0']
     """
-    out = {f"pools/model-{k}": {"cap": 0, "slots": 64, "long_slots": 16, "election": election} for k in range(pools)}
+    out: Items = {
+        f"pools/model-{k}": {"cap": 0, "slots": 64, "long_slots": 16, "election": election} for k in range(pools)
+    }
     out["terms/default"] = {}
     out.update({f"terms/t{k}": {"lifetime_us": 600 * units.SECOND_US} for k in range(min(r, tenants))})
     for k in range(r):
--- a/benchmarks/capacity/target_costs.py
+++ b/benchmarks/capacity/target_costs.py
@@ -31,6 +31,9 @@
     memberships_per_restart: int = 3
 
 
+TARGET = Target()
+
+
 class Values(typing.Protocol):
     """Measured values by the name of their run."""
 
@@ -96,8 +99,8 @@
     def __init__(
         self,
         values: Values,
-        target: Target = Target(),  # noqa: B008 -- immutable
-        fresh_process_bytes: collections.abc.Callable[[], float] = node_costs.bare,
+        target: Target = TARGET,
+        fresh_process_bytes: collections.abc.Callable[[], float] = node_costs.fresh_process_bytes,
     ) -> None:
         self.values = values
         self.target = target
@@ -106,7 +109,7 @@
         self.socket_loops = values.at("sockets", "a message sent and taken over a connection", "bytes", 27) / 2
         self.membership_bytes = self.membership_value("a membership on the wire")
 
-    def put(self, role: str, what: str, how: str, value: float, unit: str, budget: str = "") -> None:
+    def put(self, role: str, what: str, how: str, value: float, unit: str, *, budget: str = "") -> None:
         """Add a row."""
         self.rows.append(f"| {role} | {what} | {how} | {measuring.short(value)} {unit} | {budget} |")
 
@@ -137,12 +140,14 @@
         how = "2.4 KB + members, workers, pools by their slopes (X)"
         self.put("all", "a whole membership", how, self.membership_bytes / 1000, "KB")
         loops = self.membership_value("a membership read")
-        self.put("all", "read at a node, one step", "as its bytes (X)", loops, "loops", STEP_BUDGET)
+        self.put("all", "read at a node, one step", "as its bytes (X)", loops, "loops", budget=STEP_BUDGET)
         daily = target.restarts_per_day * target.memberships_per_restart
         how = f"{target.restarts_per_day} failures and restarts x {target.memberships_per_restart} words each (R)"
         self.put("all", "memberships a day", how, daily, "")
         bytes_per_s = daily * self.membership_bytes / SECONDS_A_DAY
-        self.put("node", "memberships in, mean", "memberships a day x membership (X)", bytes_per_s, "B/s", "16 KB/s")
+        self.put(
+            "node", "memberships in, mean", "memberships a day x membership (X)", bytes_per_s, "B/s", budget="16 KB/s"
+        )
         out = bytes_per_s * target.nodes / 1000
         self.put("cores", "memberships out, mean, all nodes", "x nodes (X)", out, "KB/s")
 
@@ -157,11 +162,11 @@
             messages = costs[f"{role}: in"] + costs[f"{role}: out"]
             loops = costs[f"{role}: loops"] + messages * self.socket_loops
             how = "own steps (M) + messages x half a socket's (M)"
-            self.put(role, f"{path}: processor, quiet", how, loops, "loops/s", loops_limit)
-            self.put(role, f"{path}: longest step", "M", costs[f"{role}: step"], "loops", STEP_BUDGET)
+            self.put(role, f"{path}: processor, quiet", how, loops, "loops/s", budget=loops_limit)
+            self.put(role, f"{path}: longest step", "M", costs[f"{role}: step"], "loops", budget=STEP_BUDGET)
             for way in ("in", "out"):
                 unit = f"KB/s in {measuring.short(costs[f'{role}: {way}'])} messages"
-                self.put(role, f"{path}: {way}", "M", costs[f"{role}: {way}_bytes"] / 1000, unit, bytes_limit)
+                self.put(role, f"{path}: {way}", "M", costs[f"{role}: {way}_bytes"] / 1000, unit, budget=bytes_limit)
 
     def memory(self) -> list[tuple[str, str, float]]:
         """What a node holds: what it is, how it is worked out, bytes."""
@@ -196,22 +201,22 @@
         """A node's memory, part by part and together."""
         parts = self.memory()
         for what, how, size in parts:
-            self.put("node", f"memory: {what}", how, size / 1e6, "MB", "64 MB in all")
-        self.put("node", "memory: all of them", "", sum(size for _, _, size in parts) / 1e6, "MB", "64 MB")
+            self.put("node", f"memory: {what}", how, size / 1e6, "MB", budget="64 MB in all")
+        self.put("node", "memory: all of them", "", sum(size for _, _, size in parts) / 1e6, "MB", budget="64 MB")
 
     def put_changes(self) -> None:
         """A tail's repeated look, and changes of the configuration."""
         target, values = self.target, self.values
         look = values.at("tail", f"a look for news at the tail, {target.pools} pools", "members", target.nodes)
         how = f"{target.pools} pools, {target.nodes} members (M)"
-        self.put("tail", "a look for news", how, look, "loops, ten and more a second", STEP_BUDGET)
+        self.put("tail", "a look for news", how, look, "loops, ten and more a second", budget=STEP_BUDGET)
         change = values.at("losses", "change: busiest core", "nodes", target.nodes)
-        self.put("tail", "a change of the configuration", "nodes (X)", change, "loops", "12,000 loops in 4 s")
+        self.put("tail", "a change of the configuration", "nodes (X)", change, "loops", budget="12,000 loops in 4 s")
         size = values.at("losses", "change: between cores", "nodes", target.nodes) / 1000
         self.put("cores", "a change, between cores", "nodes (X)", size, "KB")
         mean = change * target.changes_per_day / SECONDS_A_DAY
         how = f"x {target.changes_per_day} (X)"
-        self.put("tail", "changes a day, in the mean", how, mean, "loops/s", "3,000 loops/s")
+        self.put("tail", "changes a day, in the mean", how, mean, "loops/s", budget="3,000 loops/s")
 
     def put_losses(self) -> None:
         """What the loss of the tail, a partition, a zone and a node send."""
@@ -235,12 +240,17 @@
         half = target.sessions // 2
         sweep = values.at("records", "a sweep that finds nothing", "sessions", half)
         what = "all sessions of the largest pool, half of all: sweep, one step"
-        self.put("warden", what, "X", sweep, "loops", STEP_BUDGET)
+        self.put("warden", what, "X", sweep, "loops", budget=STEP_BUDGET)
         size = values.at("records", "a whole copy on the wire", "sessions", half) / 1e6
-        self.put("warden", "the same: a whole copy", "X", size, "MB", "33.6 MB a message")
+        self.put("warden", "the same: a whole copy", "X", size, "MB", budget="33.6 MB a message")
         sweep = values.slope("records", "a sweep that finds nothing", "sessions") * target.sessions / target.nodes
         self.put(
-            "node", "sessions cut over nodes: sweep, one step", "sessions / nodes (X)", sweep, "loops", STEP_BUDGET
+            "node",
+            "sessions cut over nodes: sweep, one step",
+            "sessions / nodes (X)",
+            sweep,
+            "loops",
+            budget=STEP_BUDGET,
         )
 
     def put_selections(self) -> None:
@@ -248,10 +258,10 @@
         line = "a worker chosen at a node, its parts ranked before"
         half = self.target.workers // 2
         loops = self.values.at("places", line, "workers of the pool", 90)
-        self.put("node", "an election at a node", "90 workers of the pool (M)", loops, "loops", STEP_BUDGET)
+        self.put("node", "an election at a node", "90 workers of the pool (M)", loops, "loops", budget=STEP_BUDGET)
         loops = self.values.at("places", line, "workers of the pool", half)
         what = "the same, half of the workers in one pool"
-        self.put("node", what, "between two sizes", loops, "loops", STEP_BUDGET)
+        self.put("node", what, "between two sizes", loops, "loops", budget=STEP_BUDGET)
 
 
 def target(folder: str) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -118,17 +118,17 @@
         assert 4.95 * size < lister < 6.05 * size, lister / size
 
     def test_a_restarted_node_is_announced_to_each_node_once(self) -> None:
-        got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, False), "restart")
-        assert 0 < got["ms"] < 1000, got
-        assert 6 * got["roster"] <= got["core node"] < 7.5 * got["roster"], got
+        got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "restart")
+        assert 0 < got.ms < 1000, got
+        assert 6 * got.membership_bytes <= got.core_to_node < 7.5 * got.membership_bytes, got
 
     def test_without_the_tail_no_node_sends_another_the_membership_that_it_has(self) -> None:
-        got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, False), "tail")
-        assert 0 < got["ms"] < 5000, got
-        assert got["node node"] < 6 * 5 * got["roster"] / 4, got
+        got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "tail")
+        assert 0 < got.ms < 5000, got
+        assert got.node_to_node < 6 * 5 * got.membership_bytes / 4, got
 
     def test_load_reports_are_sent_and_counted(self) -> None:
-        f = hollow_fleet.Fleet(1, 4, 9, 2, 10, False, "node")
+        f = hollow_fleet.Fleet(1, 4, 9, 2, 10, walking=False, election="node")
         f.begin()
         f.go(2)
         quiet = f.by_role(f.metered(2))
