--- a/iriswheel/control/chain_client.py
+++ b/iriswheel/control/chain_client.py
@@ -104,7 +104,8 @@
         proposed = typing.cast(message.ProposeChangeResponse, response)  # the only answer to a ProposeChange
         if proposed.code:
             self.counters.refused += 1
-            raise errors.ServiceError(proposed.code, proposed.text, errors.ExecutionOutcome(proposed.execution))
+            code = typing.cast("errors.ErrorCode", proposed.code)  # the head's, of the same codes
+            raise errors.ServiceError(code, proposed.text, errors.ExecutionOutcome(proposed.execution))
         return proposed
 
     async def _call(
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -280,7 +280,7 @@
         return self.node.gateway.retry_budgets.budget(request).has_capacity(self.runtime.now())
 
     def give_up(
-        self, request: forwarded_request.ForwardedRequest, code: str, text: str, retry_us: int = 0
+        self, request: forwarded_request.ForwardedRequest, code: errors.ErrorCode, text: str, retry_us: int = 0
     ) -> errors.ServiceError:
         """Return the final answer to a request that is given up.
 
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -153,7 +153,8 @@
         outcome = errors.ExecutionOutcome(denial.execution)
         if outcome is errors.ExecutionOutcome.NOT_RUN:
             outcome = request.known_outcome()  # the owner knows of this attempt alone
-        raise errors.ServiceError(denial.code, denial.text, outcome, denial.retry_us)
+        code = typing.cast("errors.ErrorCode", denial.code)  # the owner's, of the same codes
+        raise errors.ServiceError(code, denial.text, outcome, denial.retry_us)
 
     def _bypass(self, request: routed_request.RoutedRequest, shun: list[str]) -> SelectedWorker | None:
         """While the pool owner is silent, return the worker that this node last used for the session, or None.
--- a/iriswheel/errors.py
+++ b/iriswheel/errors.py
@@ -1,7 +1,7 @@
 """The errors that stop a request or a change, and whether it may have run.
 
-One type goes through every layer, from a refused connection up to the answer
-that the client reads.
+One type goes through every layer, from a refused connection up to the answer that the client reads. The codes and
+the field `verdict` are part of the interface: docs/interface.md lists them.
 """
 
 from __future__ import annotations
@@ -25,36 +25,62 @@
     RAN = "ran"
 
 
-class CodeRow(typing.NamedTuple):
-    """What an error code stands for."""
+ErrorCode: typing.TypeAlias = typing.Literal[
+    "bad_request",
+    "no_route",
+    "not_found",
+    "bad_method",
+    "length_required",
+    "too_large",
+    "bad_blueprint",
+    "base_moved",
+    "already_sent",
+    "retry_budget",
+    "sessions_full",
+    "busy",
+    "no_worker",
+    "no_warden",
+    "not_ready",
+    "no_chain",
+    "too_few_copies",
+    "no_nodes",
+    "unknown_outcome",
+    "worker_broke",
+    "too_late",
+    "stopping",
+]
+
+
+class CodeMeaning(typing.NamedTuple):
+    """What an error code tells a client."""
 
     status: int  # of HTTP
     retryable: bool  # whether the same may be answered otherwise after a wait
 
 
-CODES = {
-    "bad_request": CodeRow(400, False),
-    "no_route": CodeRow(404, False),
-    "not_found": CodeRow(404, False),
-    "bad_method": CodeRow(405, False),
-    "length_required": CodeRow(411, False),
-    "too_large": CodeRow(413, False),
-    "bad_blueprint": CodeRow(422, False),
-    "base_moved": CodeRow(409, False),
-    "already_sent": CodeRow(409, False),
-    "retry_budget": CodeRow(429, True),
-    "sessions_full": CodeRow(503, True),
-    "busy": CodeRow(503, True),
-    "no_worker": CodeRow(503, True),
-    "no_warden": CodeRow(503, True),
-    "not_ready": CodeRow(503, True),
-    "no_chain": CodeRow(503, True),
-    "too_few_copies": CodeRow(503, True),
-    "no_nodes": CodeRow(503, True),
-    "unknown_outcome": CodeRow(504, True),
-    "worker_broke": CodeRow(502, True),
-    "too_late": CodeRow(504, False),
-    "stopping": CodeRow(503, True),
+CODES: dict[ErrorCode, CodeMeaning] = {
+    "bad_request": CodeMeaning(400, False),
+    "no_route": CodeMeaning(404, False),
+    "not_found": CodeMeaning(404, False),
+    "bad_method": CodeMeaning(405, False),
+    "length_required": CodeMeaning(411, False),
+    "too_large": CodeMeaning(413, False),
+    "bad_blueprint": CodeMeaning(422, False),
+    "base_moved": CodeMeaning(409, False),
+    "already_sent": CodeMeaning(409, False),
+    "retry_budget": CodeMeaning(429, True),
+    "sessions_full": CodeMeaning(503, True),
+    "busy": CodeMeaning(503, True),
+    "no_worker": CodeMeaning(503, True),
+    "no_warden": CodeMeaning(503, True),
+    "not_ready": CodeMeaning(503, True),
+    "no_chain": CodeMeaning(503, True),
+    "too_few_copies": CodeMeaning(503, True),
+    "no_nodes": CodeMeaning(503, True),
+    "unknown_outcome": CodeMeaning(504, True),
+    "worker_broke": CodeMeaning(502, True),
+    "too_late": CodeMeaning(504, False),
+    "stopping": CodeMeaning(503, True),
 }
 
 
@@ -62,11 +88,16 @@
     """Something that stops a request or a change.
 
     Args:
-        code: a key of CODES.
-        text: one sentence for people.
+        code: what went wrong, as programs read it.
+        text: what went wrong, in one sentence for people.
         execution: whether the request or the change may have run.
-        retry_us: when to come back, where the code is retryable.
-        field: what of the request is wrong, where it is just one thing.
+        retry_us: how long to wait before the next attempt; without effect where the code is not retryable.
+        field: the header or field of the request that is wrong, where it is just one.
+
+    Attributes:
+        status: the HTTP status of the answer.
+        retry_us: as above; None where the code is not retryable.
+        retry_after: the same in whole seconds, rounded up, for the header Retry-After.
 
     >>> error = ServiceError("busy", "All slots are taken.", retry_us=1_500_000)
     >>> error.status, error.execution.value, error.retry_after
@@ -75,7 +106,7 @@
 
     def __init__(
         self,
-        code: str,
+        code: ErrorCode,
         text: str,
         execution: ExecutionOutcome = ExecutionOutcome.NOT_RUN,
         retry_us: int = DEFAULT_RETRY_US,
@@ -88,10 +119,10 @@
         self.field = field
         self.status, retryable = CODES[code]
         self.retry_us = retry_us if retryable else None
-        self.retry_after = max(1, -(-retry_us // 1_000_000)) if retryable else None  # in whole seconds, rounded up
+        self.retry_after = max(1, -(-retry_us // 1_000_000)) if retryable else None
 
     def headers(self) -> list[tuple[str, str]]:
-        """The HTTP headers of this error's answer, besides those of its body.
+        """The HTTP headers of the answer, besides those that describe its body.
 
         >>> ServiceError("busy", "All slots are taken.").headers()
         [('Retry-After', '1')]
@@ -99,7 +130,7 @@
         return [] if self.retry_after is None else [("Retry-After", str(self.retry_after))]
 
     def body(self) -> bytes:
-        r"""The JSON answer of this error.
+        r"""The body of the answer, as JSON.
 
         >>> ServiceError("no_route", "No route fits.").body()
         b'{"code": "no_route", "verdict": "not_run", "text": "No route fits."}\n'
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -116,7 +116,7 @@
             return
         super().handleContentChunk(data)
 
-    def refuse_early(self, code: str, text: str) -> None:
+    def refuse_early(self, code: errors.ErrorCode, text: str) -> None:
         """Answer before the body came in, and close."""
         self.refused = errors.ServiceError(code, text)
         self.channel.transport.write(final_answer(self.refused))
