--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -27,9 +27,6 @@
 if typing.TYPE_CHECKING:
     from twisted.internet import epollreactor
 
-REFUSED, UNKNOWN = 4, 5  # exit codes: the request did not run, or may have run
-INTERRUPTED = 130
-
 Document: typing.TypeAlias = dict[str, typing.Any]  # a JSON object
 
 log = loguru.logger.bind(part="main")
@@ -42,12 +39,12 @@
     document: Document
 
 
-def settle(role: str, path: str, flags: collections.abc.Mapping[str, typing.Any]) -> options_reader.Options:
-    """The checked options, or an exit with every mistake."""
+def read_options(role: str, path: str, flags: collections.abc.Mapping[str, typing.Any]) -> options_reader.Options:
+    """The checked options of a process; with mistakes in them, print these and exit."""
     try:
         return options_reader.read(role, path, flags)
     except options_reader.OptionsError as error:
-        service.fail(service.BAD_INPUT, error.errors)
+        service.fail(service.ExitCode.BAD_INPUT, error.errors)
 
 
 def core(
@@ -77,7 +74,7 @@
     flags = dict(
         name=name, host=host, port=port, http_port=http_port, zone=zone, seeds=seeds, data=data, log_level=log_level
     )
-    service.run_core(settle("core", options, flags), options, lambda: options_reader.read("core", options, flags))
+    service.run_core(read_options("core", options, flags), options, lambda: options_reader.read("core", options, flags))
 
 
 def node(
@@ -114,13 +111,13 @@
         platform=platform,
         log_level=log_level,
     )
-    service.run_node(settle("node", options, flags), options, lambda: options_reader.read("node", options, flags))
+    service.run_node(read_options("node", options, flags), options, lambda: options_reader.read("node", options, flags))
 
 
 async def send_request(
     runtime: scheduler.Runtime, cores: list[str], method: str, path: str, document: object = None
 ) -> Answer:
-    """Ask the first core that answers; a core that can't be reached is passed over.
+    """Send a call to the first core that can be reached.
 
     Args:
         runtime: for the connections.
@@ -134,7 +131,7 @@
     """
     agent = dispatch.Dispatcher(runtime).fresh
     for text in cores:
-        host, port = options_reader.address(text)
+        host, port = options_reader.parse_address(text)
         body = None if document is None else dispatch.Body(json.dumps(document).encode())
         headers = http_headers.Headers({"Content-Type": ["application/json"]})
         try:
@@ -150,18 +147,18 @@
     return Answer(503, {"code": "no_chain", "verdict": "not_run", "text": "No core machine can be reached."})
 
 
-def operate(cores: list[str], method: str, path: str, document: object = None) -> None:
-    """Ask, print the answer as JSON, and exit by whether the request ran."""
+def call_core(cores: list[str], method: str, path: str, document: object = None) -> None:
+    """Call a core, print its answer as JSON, and exit by whether the call ran."""
     service.set_logs("ERROR")
     for core_address in cores:
         try:
-            options_reader.address(core_address)
+            options_reader.parse_address(core_address)
         except ValueError:
-            service.fail(service.BAD_INPUT, [f"--core: {core_address!r} is no IP:port"])
-    reactor = service.the_reactor()
+            service.fail(service.ExitCode.BAD_INPUT, [f"--core: {core_address!r} is no IP:port"])
+    reactor = service.install_reactor()
     answers: list[Answer] = []
 
-    async def ask() -> None:
+    async def call() -> None:
         try:
             answers.append(await send_request(scheduler.Runtime(reactor), cores, method, path, document))
         except Exception as error:  # whatever went wrong after sending, the request may have run
@@ -169,23 +166,24 @@
             answers.append(Answer(504, {"code": "unknown_outcome", "verdict": "may_have_run", "text": text}))
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: defer.ensureDeferred(ask()))
+    reactor.callWhenRunning(lambda: defer.ensureDeferred(call()))
     reactor.run()
     answer = answers[0]
     print(json.dumps(answer.document, indent=2))
     if answer.status != 200:
-        sys.exit(UNKNOWN if answer.document.get("verdict") == "may_have_run" else REFUSED)
+        may_have_run = answer.document.get("verdict") == "may_have_run"
+        sys.exit(service.ExitCode.UNKNOWN if may_have_run else service.ExitCode.REFUSED)
 
 
 def read_json(path: str) -> object:
-    """A JSON file, or an exit that says why not."""
+    """Read a JSON file; where that fails, say why and exit."""
     try:
         with open(path) as file:  # noqa: PTH123 - Path("") would be the current folder
             content: object = json.load(file)
     except OSError as error:
-        service.fail(service.BAD_INPUT, [f"{path}: {error.strerror}"])
+        service.fail(service.ExitCode.BAD_INPUT, [f"{path}: {error.strerror}"])
     except ValueError as error:
-        service.fail(service.BAD_INPUT, [f"{path}: not JSON: {error}"])
+        service.fail(service.ExitCode.BAD_INPUT, [f"{path}: not JSON: {error}"])
     return content
 
 
@@ -197,7 +195,7 @@
     try:
         items = configuration.flatten(read_json(blueprint_file))
     except configuration.InvalidConfigurationError as error:
-        service.fail(service.BAD_INPUT, error.errors)
+        service.fail(service.ExitCode.BAD_INPUT, error.errors)
     print(f"{blueprint_file}: {len(items)} items, no mistakes.")
 
 
@@ -212,7 +210,7 @@
     document = {"patch" if patch else "blueprint": read_json(file)}
     if base is not None:
         document["base"] = base
-    operate(core, "POST", "/plans", document)
+    call_core(core, "POST", "/plans", document)
 
 
 def confirm(plan_id: str, *, core: list[str]) -> None:
@@ -223,7 +221,7 @@
     :param plan_id: the id that the plan came with
     :param core: IP:port of core machines' HTTP ports, tried in turn
     """
-    operate(core, "POST", f"/plans/{plan_id}/confirm", {})
+    call_core(core, "POST", f"/plans/{plan_id}/confirm", {})
 
 
 def change(file: str, *, number: int, built_on: int, core: list[str]) -> None:
@@ -242,7 +240,7 @@
         content = document
     else:
         content = {"blueprint": document}
-    operate(core, "POST", "/changes", {"number": number, "built_on": built_on, **content})
+    call_core(core, "POST", "/changes", {"number": number, "built_on": built_on, **content})
 
 
 def show(what: str = "blueprint", *, core: list[str]) -> None:
@@ -251,7 +249,7 @@
     :param what: configuration, state, or a plan's id
     :param core: IP:port of core machines' HTTP ports (for state: of any process)
     """
-    operate(core, "GET", f"/{what}" if what in ("blueprint", "state") else f"/plans/{what}")
+    call_core(core, "GET", f"/{what}" if what in ("blueprint", "state") else f"/plans/{what}")
 
 
 def load(
@@ -280,11 +278,11 @@
     """
     service.set_logs("ERROR")
     try:
-        node_addresses = load_generator.NodeAddresses([options_reader.address(text) for text in nodes])
-        platform_address = options_reader.address(platform) if platform else None
+        node_addresses = load_generator.NodeAddresses([options_reader.parse_address(text) for text in nodes])
+        platform_address = options_reader.parse_address(platform) if platform else None
     except ValueError as error:
-        service.fail(service.BAD_INPUT, [f"nodes, platform: {error}"])
-    reactor = service.the_reactor()
+        service.fail(service.ExitCode.BAD_INPUT, [f"nodes, platform: {error}"])
+    reactor = service.install_reactor()
     runtime = scheduler.Runtime(reactor, seed=seed)
     if platform_address:
         runtime.spawn(node_addresses.follow(runtime, *platform_address), log)
@@ -310,24 +308,24 @@
 
 
 def read_logs(paths: collections.abc.Sequence[str]) -> list[Document]:
-    """The events of some logs by their times, or an exit that says what is damaged."""
-    lines: list[Document] = []
-    cut_paths = []
+    """Merge the rows of event logs by time; where one can't be read, say why and exit."""
+    rows: list[Document] = []
+    truncated_paths = []
     for path in paths:
         try:
             with open(path) as file:  # noqa: PTH123 - Path("") would be the current folder
-                rows, cut = judge.read(file)
+                file_rows, truncated = judge.read(file)
         except OSError as error:
-            service.fail(service.BAD_INPUT, [f"{path}: {error.strerror}"])
+            service.fail(service.ExitCode.BAD_INPUT, [f"{path}: {error.strerror}"])
         except (judge.DamagedLogError, UnicodeDecodeError) as error:
-            service.fail(service.BAD_INPUT, [f"{path}: damaged: {error}"])
-        lines += rows
-        if cut:
-            cut_paths.append(path)
-    lines.sort(key=lambda row: row["at"])
-    for path in cut_paths:
+            service.fail(service.ExitCode.BAD_INPUT, [f"{path}: damaged: {error}"])
+        rows += file_rows
+        if truncated:
+            truncated_paths.append(path)
+    rows.sort(key=lambda row: row["at"])
+    for path in truncated_paths:
         print(f"{path}: cut short; judged up to there")
-    return lines
+    return rows
 
 
 def replay(*files: str) -> typing.NoReturn:
@@ -335,15 +333,15 @@
 
     :param files: event logs of one run, merged by their times
     """
-    lines = read_logs(files)
-    complaints = judge.judge(lines)
+    rows = read_logs(files)
+    complaints = judge.judge(rows)
     for name, texts in complaints.items():
         for text in texts:
             print(f"{name}: {text}")
-    for line in judge.recovery_lines(lines):
+    for line in judge.recovery_lines(rows):
         print(line)
-    print(f"{len(lines)} events, {len(judge.CHECKERS)} checkers, {sum(map(len, complaints.values()))} complaints")
-    sys.exit(1 if complaints else 0)
+    print(f"{len(rows)} events, {len(judge.CHECKERS)} checkers, {sum(map(len, complaints.values()))} complaints")
+    sys.exit(service.ExitCode.COMPLAINTS if complaints else 0)
 
 
 def history(*files: str) -> typing.NoReturn:
@@ -356,12 +354,12 @@
     for text in complaints:
         print(text)
     print(f"{operators_history.count(rows)} calls, {len(complaints)} complaints")
-    sys.exit(1 if complaints else 0)
+    sys.exit(service.ExitCode.COMPLAINTS if complaints else 0)
 
 
 def main() -> None:
-    """The program."""
+    """Run the subcommand that the command line names."""
     try:
         defopt.run([core, node, load, check, plan, confirm, change, show, replay, history])
     except KeyboardInterrupt:
-        sys.exit(INTERRUPTED)
+        sys.exit(service.ExitCode.INTERRUPTED)
--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import collections.abc
+import enum
 import signal
 import sys
 import typing
@@ -25,18 +26,28 @@
     from iriswheel.node import node
 
 
-FINISH_US = 500 * units.MILLISECOND_US  # for the last bytes of a node's answers
-BAD_INPUT, NO_START = 2, 3  # exit codes
+LAST_BYTES_TIMEOUT_US = 500 * units.MILLISECOND_US  # for the last bytes of a node's answers
 PEER_BACKLOG = 512  # connections that wait to be accepted, by port
 HTTP_BACKLOG = 1024
 READY_BACKLOG = 128
 READY_CONNECTION_LIMIT = 64
 
-Reread: typing.TypeAlias = collections.abc.Callable[[], options.Options]
+ReadOptions: typing.TypeAlias = collections.abc.Callable[[], options.Options]
 
 log = loguru.logger.bind(part="main")
 
 
+class ExitCode(enum.IntEnum):
+    """With what a process ends, where it does not end well."""
+
+    COMPLAINTS = 1  # a checker found a fault in a log
+    BAD_INPUT = 2
+    NO_START = 3
+    REFUSED = 4  # the call did not run
+    UNKNOWN = 5  # the call may have run
+    INTERRUPTED = 130
+
+
 def set_logs(level: str) -> None:
     """Logs go to standard error: time, level, part of the program, message."""
     loguru.logger.remove()
@@ -45,15 +56,15 @@
     loguru.logger.add(sys.stderr, level=level, format=line_format)
 
 
-def fail(code: int, lines: collections.abc.Iterable[str]) -> typing.NoReturn:
-    """Print the reasons to standard error, one line each, and exit with a code."""
+def fail(code: ExitCode, lines: collections.abc.Iterable[str]) -> typing.NoReturn:
+    """Print the reasons to standard error, one line each, and exit."""
     for line in lines:
         print(f"iriswheel: {line}", file=sys.stderr)
     sys.exit(code)
 
 
-def the_reactor() -> epollreactor.EPollReactor:
-    """The process's reactor, first loaded here and not while this module loads.
+def install_reactor() -> epollreactor.EPollReactor:
+    """Make and install the process's reactor, which is loaded here and not while this module loads.
 
     Twisted's reactors time their calls by the time of day, so that a clock set back by some
     seconds would hold up every timer of the process for as long. This one goes by the clock
@@ -75,7 +86,7 @@
     reactor: epollreactor.EPollReactor,
     process_options: options.Options,
     stop: collections.abc.Callable[[], collections.abc.Coroutine[typing.Any, typing.Any, object]],
-    again: collections.abc.Callable[[], object] = lambda: None,
+    reload_options: collections.abc.Callable[[], object],
 ) -> None:
     """Run the reactor until a signal; SIGTERM and SIGINT stop it in good order, SIGHUP has the options read again.
 
@@ -83,7 +94,7 @@
         reactor: of the process.
         process_options: for the log.
         stop: ends the work of the process; the reactor stops once that is done, or has failed.
-        again: reads the options again.
+        reload_options: called on SIGHUP.
     """
     stopping = False
 
@@ -94,7 +105,7 @@
             reactor.callFromThread(lambda: defer.ensureDeferred(stop()).addBoth(lambda _: reactor.stop()))
 
     def on_hangup(*_: object) -> None:
-        reactor.callFromThread(again)
+        reactor.callFromThread(reload_options)
 
     def install_handlers() -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -134,56 +145,56 @@
         if not process_options.front:
             process_options.http_port = front.getHost().port
         if process_options.ready and ready is not None:
-            ready_host, ready_port = options.address(process_options.ready)
+            ready_host, ready_port = options.parse_address(process_options.ready)
             reactor.listenTCP(ready_port, ready, interface=ready_host, backlog=READY_BACKLOG)
     except error.CannotListenError as cause:
-        fail(NO_START, [f"The port can't be had: {cause}"])
+        fail(ExitCode.NO_START, [f"The port can't be had: {cause}"])
     return front
 
 
-def _core_handler(process: core.Core) -> http_server.Handler:
+def _own_handler(process: core.Core) -> http_server.Handler:
     return process.handle
 
 
 def run_core(
     process_options: options.Options,
     path: str,
-    reread: Reread,
-    make_handler: collections.abc.Callable[[core.Core], http_server.Handler] = _core_handler,
+    read_options: ReadOptions,
+    make_handler: collections.abc.Callable[[core.Core], http_server.Handler] = _own_handler,
 ) -> None:
     """Run a core with these options.
 
     Args:
         process_options: checked.
         path: of the options file, which is watched for changes.
-        reread: reads the options again.
+        read_options: reads the options again.
         make_handler: gives what answers HTTP.
     """
     from iriswheel.control import core
     from iriswheel.runtime import storage
 
     set_logs(process_options.log_level)
-    reactor = the_reactor()
+    reactor = install_reactor()
     disk = storage.Disk(process_options.data, reactor)
     try:
         disk.open()
         runtime = scheduler.Runtime(reactor)
         process = core.Core(runtime, disk, process_options)
     except storage.DiskError as cause:
-        fail(NO_START, [str(cause)])
+        fail(ExitCode.NO_START, [str(cause)])
     http = http_server.Server(runtime, make_handler(process), connection_limit=process_options.connections)
     bind(reactor, process_options, wire.Listener(runtime, process.serve, log), http)
     process.start()
-    watch = options.Watch(runtime, path, reread, process.renew)
+    watch = options.OptionsWatch(runtime, path, read_options, process.renew)
     runtime.spawn(watch.run(), log)
-    run(reactor, process_options, process.stop, watch.again)
+    run(reactor, process_options, process.stop, watch.reload)
     disk.close()
 
 
 def run_node(
     process_options: options.Options,
     path: str,
-    reread: Reread,
+    read_options: ReadOptions,
     ready: collections.abc.Callable[[node.Node], http_server.Handler] | None = None,
     formats: edge_protocol.EdgeProtocol | None = None,
 ) -> None:
@@ -192,14 +203,14 @@
     Args:
         process_options: checked.
         path: of the options file, which is watched for changes.
-        reread: reads the options again.
+        read_options: reads the options again.
         ready: gives what answers at the address at which only readiness is served; by default as at the front.
         formats: of clients, workers and the platform; by default iriswheel's own.
     """
     from iriswheel.node import node
 
     set_logs(process_options.log_level)
-    reactor = the_reactor()
+    reactor = install_reactor()
     runtime = scheduler.Runtime(reactor)
     process = node.Node(runtime, process_options, formats)
     server = http_server.Server(
@@ -219,12 +230,12 @@
         http_server.Server(runtime, handle_ready, connection_limit=READY_CONNECTION_LIMIT),
     )
     process.start(process_options.port, process_options.front_address()[1])
-    watch = options.Watch(runtime, path, reread, process.renew)
+    watch = options.OptionsWatch(runtime, path, read_options, process.renew)
     runtime.spawn(watch.run(), log)
 
     async def stop() -> None:
         await process.stop()
         front.stopListening()
-        await server.finish(FINISH_US)
+        await server.finish(LAST_BYTES_TIMEOUT_US)
 
-    run(reactor, process_options, stop, watch.again)
+    run(reactor, process_options, stop, watch.reload)
--- a/iriswheel/configuration/schema.py
+++ b/iriswheel/configuration/schema.py
@@ -49,22 +49,22 @@
         forbid_extra_keys = True
 
     @classmethod
-    def __pre_deserialize__(cls, d: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
+    def __pre_deserialize__(cls, document: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
         """Refuse a value of another type than its field's, or out of range.
 
         Raises:
             ValueError: the text names the field.
         """
-        if not isinstance(d, dict):
+        if not isinstance(document, dict):
             raise ValueError("not an object")  # noqa: TRY004 - a mistake in the configuration, as those below
         for name, expected in field_types(typing.cast("collections.abc.Hashable", cls)):  # mypy: classes are hashable
-            if name not in d:
+            if name not in document:
                 continue
-            if type(d[name]) is not expected:
-                raise ValueError(f"{name}: wants {expected.__name__}, not {type(d[name]).__name__}")
-            if expected is int and not 0 <= d[name] < INTEGER_BOUND:
+            if type(document[name]) is not expected:
+                raise ValueError(f"{name}: wants {expected.__name__}, not {type(document[name]).__name__}")
+            if expected is int and not 0 <= document[name] < INTEGER_BOUND:
                 raise ValueError(f"{name}: out of range")
-        return d
+        return document
 
 
 @functools.cache
@@ -138,11 +138,11 @@
     session_part: int = -1
 
     @classmethod
-    def __pre_deserialize__(cls, d: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
+    def __pre_deserialize__(cls, document: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
         """Drop a session part of -1, which is the default, before negative numbers are refused."""
-        if isinstance(d, dict) and d.get("session_part", -1) == -1:
-            d = {name: value for name, value in d.items() if name != "session_part"}
-        return super().__pre_deserialize__(d)
+        if isinstance(document, dict) and document.get("session_part", -1) == -1:
+            document = {name: value for name, value in document.items() if name != "session_part"}
+        return super().__pre_deserialize__(document)
 
 
 @dataclasses.dataclass
--- a/iriswheel/runtime/options.py
+++ b/iriswheel/runtime/options.py
@@ -15,7 +15,7 @@
     from iriswheel.runtime import scheduler
 
 
-WATCH_US = 2_000_000
+POLL_INTERVAL_US = 2_000_000
 MAX_PORT = 65535
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 PORT_OPTIONS = ("port", "http_port")
@@ -48,10 +48,13 @@
         self.errors = errors
 
 
-def address(text: str) -> tuple[str, int]:
-    """An address "IP:port" as a pair; raises ValueError.
+def parse_address(text: str) -> tuple[str, int]:
+    """Split an address "IP:port" into host and port.
 
-    >>> address("127.0.0.1:7001")
+    Raises:
+        ValueError: the text is no such address.
+
+    >>> parse_address("127.0.0.1:7001")
     ('127.0.0.1', 7001)
     """
     host, separator, port = text.rpartition(":")
@@ -63,15 +66,36 @@
 
 @dataclasses.dataclass
 class Options:
-    """The options of a process.
+    """The options of a process; the names of the fields are those of the options file.
 
-    The names of the fields are those of the options file. `front` is where HTTP is served where
-    that isn't host:http_port, `ready` a further address at which a node answers only whether it
-    is ready. `grace_us` is the time from a signal to the process's end. `copies` synced replicas
-    keep a change before it is answered, on `seats` voting cores once so many are there; only with
-    `found` may a blank core start a new fleet. With `serve_on` a node that lost the core goes on
-    by the configuration that it has. The platform takes `call_rate` calls a second from all nodes
-    together.
+    Attributes:
+        role: "core" or "node".
+        name: Of the machine; a newer process of that name replaces the one before.
+        host: IP number to listen on and to be reached at.
+        port: For messages between processes; 0 lets the system pick.
+        http_port: For clients, or on a core for operators; 0 lets the system pick.
+        zone: The failure domain that the machine is in.
+        seeds: IP:port of core machines.
+        platform: IP:port at which the platform lists the workers; for nodes.
+        data: Path of the data folder; for cores.
+        log_level: One of `LOG_LEVELS`.
+        front: IP:port at which HTTP is served, where that is not host:http_port.
+        ready: IP:port of a further port at which a node answers only whether it is ready.
+        grace_us: The time from a signal to the process's end.
+        lease_us: The length of a node's lease, which cores grant; the same on all of these.
+        notice_us: How long clients may still be sent to a node after the platform first learnt that it is not ready.
+        connections: The most connections from clients at once.
+        copies: Synced replicas that keep a change before it is answered.
+        seats: Voting cores, once so many are there.
+        found: Whether a blank core may start a new fleet.
+        serve_on: Whether a node that lost the core goes on by the configuration that it has.
+        call_rate: Calls a second that the platform takes from all nodes together.
+        drain_us: How long a worker drains, where the platform's list doesn't say.
+        hold_us: How long the address of a worker that is gone is kept from another pool's use.
+        retry_ratio: Retries by requests, of the retry budget.
+        retry_window_us: The time over which the retry budget counts.
+        retry_slack: Retries that the budget allows beyond its ratio.
+        list_us: The time between two requests for the platform's list.
 
     >>> options = Options(role="node", name="n1", host="127.0.0.1", zone="north",
     ...                   seeds=["127.0.0.1:7001"], platform="127.0.0.1:9000")
@@ -79,7 +103,7 @@
     [('127.0.0.1', 7001)]
     """
 
-    role: str  # "core" or "node"
+    role: str
     name: str = ""
     host: str = ""
     port: int = 0
@@ -92,20 +116,20 @@
     front: str = ""
     ready: str = ""
     grace_us: int = 30_000_000
-    lease_us: int = 3_000_000  # of nodes, granted by cores; the same on all of these
-    notice_us: int = 700_000  # after the platform first heard that a node is not ready, joining members still come
+    lease_us: int = 3_000_000
+    notice_us: int = 700_000
     connections: int = 2048
     copies: int = 2
     seats: int = 3
     found: bool = True
     serve_on: bool = False
     call_rate: float = 40.0
-    drain_us: int = 0  # of a worker, where the platform's list doesn't say
-    hold_us: int = 0  # how long a gone worker's address is kept from another pool's use
+    drain_us: int = 0
+    hold_us: int = 0
     retry_ratio: float = 0.2
     retry_window_us: int = 10_000_000
     retry_slack: int = 0
-    list_us: int = 500_000  # between two questions for the platform's list
+    list_us: int = 500_000
 
     def front_address(self) -> tuple[str, int]:
         """Where HTTP is served, as a pair.
@@ -113,7 +137,7 @@
         >>> Options("node", host="127.0.0.1", http_port=8101).front_address()
         ('127.0.0.1', 8101)
         """
-        return address(self.front) if self.front else (self.host, self.http_port)
+        return parse_address(self.front) if self.front else (self.host, self.http_port)
 
     def seed_list(self) -> list[tuple[str, int]]:
         """The seeds as pairs.
@@ -121,7 +145,7 @@
         >>> Options("core", seeds=["127.0.0.1:1"]).seed_list()
         [('127.0.0.1', 1)]
         """
-        return [address(seed) for seed in self.seeds]
+        return [parse_address(seed) for seed in self.seeds]
 
     def platform_address(self) -> tuple[str, int]:
         """The platform's address as a pair.
@@ -129,7 +153,7 @@
         >>> Options("node", platform="127.0.0.1:9000").platform_address()
         ('127.0.0.1', 9000)
         """
-        return address(self.platform)
+        return parse_address(self.platform)
 
     def check(self) -> None:
         """Raise OptionsError with every mistake.
@@ -142,7 +166,7 @@
         mistakes = list(self._type_mistakes())
         if mistakes:  # values of other types can't be checked further
             raise OptionsError(mistakes)
-        mistakes += self._place_mistakes()
+        mistakes += self._identity_mistakes()
         mistakes += self._address_mistakes()
         mistakes += self._range_mistakes()
         if mistakes:
@@ -161,7 +185,7 @@
             elif isinstance(value, float) and not math.isfinite(value):
                 yield f"{field.name}: {value} is no finite number"
 
-    def _place_mistakes(self) -> collections.abc.Iterator[str]:
+    def _identity_mistakes(self) -> collections.abc.Iterator[str]:
         required = ["name", "zone"] + (["data"] if self.role == "core" else [])
         yield from (f"{name}: missing" for name in required if not getattr(self, name))
         try:
@@ -185,7 +209,7 @@
         addresses += [(name, getattr(self, name)) for name in ("front", "ready") if getattr(self, name)]
         for name, text in addresses:
             try:
-                address(text)
+                parse_address(text)
             except (ValueError, AttributeError):  # AttributeError: an element of the seeds that is no string
                 yield f"{name}: {text!r} is no IP:port"
 
@@ -234,51 +258,51 @@
     return options
 
 
-class Watch:
+class OptionsWatch:
     """Reads a process's options again when their file has changed, or when told to.
 
     Args:
         runtime: for the time between two looks at the file.
         path: of the file.
-        reread: reads and checks the options; raises OptionsError.
-        renew: takes the new options over.
+        read_options: reads and checks the options; raises OptionsError.
+        apply_options: takes the new options over.
     """
 
     def __init__(
         self,
         runtime: "scheduler.Runtime",
         path: str,
-        reread: collections.abc.Callable[[], Options],
-        renew: collections.abc.Callable[[Options], object],
+        read_options: collections.abc.Callable[[], Options],
+        apply_options: collections.abc.Callable[[Options], object],
     ) -> None:
         self.runtime = runtime
         self.path = path
-        self.reread = reread
-        self.renew = renew
-        self.last_version = self.version()
+        self.read_options = read_options
+        self.apply_options = apply_options
+        self.last_version = self.file_version()
 
-    def version(self) -> tuple[int, int, int] | None:
-        """What tells one state of the file from another; None where there is no file."""
+    def file_version(self) -> tuple[int, int, int] | None:
+        """Modification time, length and inode of the file, which a change alters; None where there is no file."""
         try:
             status = os.stat(self.path)  # noqa: PTH116 - Path("") would be the current folder
         except OSError:
             return None
         return status.st_mtime_ns, status.st_size, status.st_ino
 
-    def again(self) -> None:
+    def reload(self) -> None:
         """Read the options now; where they can't be read the old ones stay."""
-        self.last_version = self.version()
+        self.last_version = self.file_version()
         try:
-            options = self.reread()
+            options = self.read_options()
         except OptionsError as error:
             log.warning("The options can't be read again: {}", error)
             return
-        self.renew(options)
+        self.apply_options(options)
 
     async def run(self) -> None:
-        """Look at the file every WATCH_US, for as long as the process runs."""
+        """Look at the file every POLL_INTERVAL_US, for as long as the process runs."""
         while True:
-            await self.runtime.sleep(WATCH_US)
-            version = self.version()
+            await self.runtime.sleep(POLL_INTERVAL_US)
+            version = self.file_version()
             if version is not None and version != self.last_version:
-                self.again()
+                self.reload()
--- a/iriswheel/runtime/scheduler.py
+++ b/iriswheel/runtime/scheduler.py
@@ -105,7 +105,7 @@
         (True, [])
         """
         paused = signal.wait()
-        timer = self.later(timeout_us, signal.drop, paused)
+        timer = self.later(timeout_us, signal.resume_one, paused)
 
         def stop_timer(result: Result) -> Result:
             if timer.active():
@@ -188,10 +188,10 @@
         if deferred in self.waiting:
             self.waiting.remove(deferred)
 
-    def drop(self, deferred: defer.Deferred[None]) -> None:
-        """Resume just one that waits.
+    def resume_one(self, deferred: defer.Deferred[None]) -> None:
+        """Resume one task that waits, by the Deferred that `wait` gave it.
 
-        >>> signal = Signal(); waiting = signal.wait(); signal.drop(waiting); waiting.called, signal.waiting
+        >>> signal = Signal(); waiting = signal.wait(); signal.resume_one(waiting); waiting.called, signal.waiting
         (True, [])
         """
         if deferred in self.waiting:
--- a/simulation/reactor_model.py
+++ b/simulation/reactor_model.py
@@ -36,7 +36,7 @@
         self.next_port = FIRST_EPHEMERAL_PORT
 
     def clock(self) -> int:
-        """The time that timers go by, in microseconds: since boot, as in `service.the_reactor`.
+        """The time that timers go by, in microseconds: since boot, as in `service.install_reactor`.
 
         A guard test puts the time of day in its place.
         """
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -9,7 +9,7 @@
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.cli.service as service
 import iriswheel.runtime.units as units
-reactor = service.the_reactor()
+reactor = service.install_reactor()
 late = reactor.callLater(5, print).getTime() - scheduler.boottime() / units.SECOND_US
 print(round(late, 1))
 """
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -50,7 +50,9 @@
                 return os.utime(path, ns=(len(got), hash(seeds) % 10**9))
 
             write('["127.0.0.1:1"]')
-            watch = options.Watch(runtime, path, lambda: options.read("node", path, {}), lambda o: got.append(o.seeds))
+            watch = options.OptionsWatch(
+                runtime, path, lambda: options.read("node", path, {}), lambda o: got.append(o.seeds)
+            )
             runtime.spawn(watch.run())
             clock.advance(2)
             assert got == []
@@ -61,7 +63,7 @@
             clock.advance(2)
             assert got == [["127.0.0.1:2"]]
             write('["127.0.0.1:3"]')
-            watch.again()
+            watch.reload()
             clock.advance(2)
             assert got == [["127.0.0.1:2"], ["127.0.0.1:3"]]
 
