--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -7,16 +7,19 @@
 from __future__ import annotations
 
 import collections
+import collections.abc
 import contextlib
 import multiprocessing
 import os
 import sys
+import types
 import typing
 from unittest import mock
 
 import defopt
 import loguru
 import msgspec
+from twisted.web import http_headers
 
 from iriswheel import errors
 from iriswheel.consensus import decisions
@@ -29,6 +32,7 @@
     health,
     request_router,
     retry_budget,
+    routed_request,
     sessions,
     worker_selection,
 )
@@ -40,137 +44,159 @@
 from simulation import seed_runs
 from simulation.scenarios import actions, registry
 
-VALID_US = peer_status.STATUS_VALIDITY_US
+if typing.TYPE_CHECKING:
+    from twisted.python import failure
 
+SHARE_OF_LOCAL_BUDGET = 6  # each node takes this part of the retry budget, where budgets are local
+HEADERS_BEFORE_STALE = 50  # so many requests get their own headers before they get another's
 
-async def _acknowledge_at_once(self: typing.Any, index: typing.Any, until: typing.Any) -> None:
+Arguments = typing.ParamSpec("Arguments")
+Sending = collections.abc.Coroutine[typing.Any, typing.Any, attempt_outcome.AttemptOutcome]
+
+_order = decisions.order
+_apply_workers = follower.Follower.apply_workers
+_gateway_send = gateway.Gateway.send
+_select_worker = worker_selection.WorkerSelector.select_worker
+_worker_request_headers = edge_protocol.worker_request_headers
+
+
+async def _acknowledge_at_once(_self: tail_contact.TailContact, _index: int, _until: int) -> None:
     """In place of `TailContact.wait_until_applied`: no change waits until all nodes apply it."""
-    return None
 
 
-async def _unsent(self: typing.Any, *args: typing.Any, send: typing.Any = dispatch.Dispatcher.send) -> typing.Any:
-    """In place of `Dispatcher.send`: an attempt that broke off counts as never sent."""
-    out = await send(self, *args)
-    return attempt_outcome.AttemptOutcome.UNSENT if out is attempt_outcome.AttemptOutcome.BROKE else out
+def _broken_counts_as_unsent(
+    send: collections.abc.Callable[Arguments, Sending],
+) -> collections.abc.Callable[Arguments, Sending]:
+    """Around `Dispatcher.send`: an attempt that broke off counts as never sent."""
 
+    async def send_and_forget(
+        *arguments: Arguments.args, **keywords: Arguments.kwargs
+    ) -> attempt_outcome.AttemptOutcome:
+        outcome = await send(*arguments, **keywords)
+        return attempt_outcome.AttemptOutcome.UNSENT if outcome is attempt_outcome.AttemptOutcome.BROKE else outcome
 
-async def _elect_once(
-    self: typing.Any, x: typing.Any, shun: typing.Any, elect: typing.Any = worker_selection.WorkerSelector.select_worker
-) -> typing.Any:
+    return send_and_forget
+
+
+async def _select_once(
+    self: worker_selection.WorkerSelector, request: routed_request.RoutedRequest, shun: list[str]
+) -> worker_selection.SelectedWorker:
     """In place of `select_worker`: no second worker is selected after the first could not be reached."""
     if shun:
-        raise errors.ServiceError("no_worker", "No worker could be reached.", x.known_outcome())
-    return await elect(self, x, shun)
+        raise errors.ServiceError("no_worker", "No worker could be reached.", request.known_outcome())
+    return await _select_worker(self, request, shun)
 
 
-async def _alone(self: typing.Any, w: typing.Any) -> None:
+async def _check_alone(self: health.WorkerWatch, worker: message.Worker) -> None:
     """In place of `WorkerWatch.check`: a node's own failure to reach a worker is enough, without a second witness."""
-    self.dark[w.id] = self.runtime.now()
+    self.dark[worker.id] = self.runtime.now()
     self.owner.check_workers()
 
 
-async def _no_token(
-    self: typing.Any,
-    x: typing.Any,
-    worker: typing.Any,
-    send: typing.Any,
-    via: typing.Any,
-    plain: typing.Any = gateway.Gateway.send,
-) -> typing.Any:
+async def _send_without_relay(
+    self: gateway.Gateway,
+    request: routed_request.RoutedRequest,
+    worker: message.Worker,
+    attempt: dispatch.Attempt,
+    _via: str,
+) -> attempt_outcome.AttemptOutcome:
     """In place of `Gateway.send`: a worker that only another node reaches is sent to without its token."""
-    return await plain(self, x, worker, send, "")
+    return await _gateway_send(self, request, worker, attempt, "")
 
 
-def _believe_all(self: typing.Any, workers: typing.Any) -> typing.Any:
-    """In place of `Follower.believe`: every list of workers is believed at once, also one that lost many."""
+def _believe_all(_self: platform_listing.PlatformListing, workers: list[message.Worker]) -> list[message.Worker]:
+    """In place of `PlatformListing.believe`: every list of workers is believed at once, also one that lost many."""
     return workers
 
 
-def _local_budgets(self: typing.Any, now: typing.Any, capacity: typing.Any = retry_budget.Budget.has_capacity) -> bool:
+def _has_local_capacity(self: retry_budget.Budget, now: int) -> bool:
     """In place of `Budget.has_capacity`: each node takes a sixth of the retry budget, whatever its traffic."""
     self._trim(now)
-    return (len(self.repeats) + 1) * 6 / self.ratio <= len(self.firsts)
+    return (len(self.repeats) + 1) * SHARE_OF_LOCAL_BUDGET / self.ratio <= len(self.firsts)
+
 
+def _is_fresh(self: follower.Follower, answered_at: int) -> bool:
+    return self.runtime.now() - answered_at < peer_status.STATUS_VALIDITY_US
 
-def _half(self: typing.Any) -> typing.Any:
+
+def _partitioned_by_half(self: follower.Follower) -> bool:
     """In place of `Follower.is_partitioned`: half of the members, not all, must say that they lost the core."""
     if self.session.stands():
         return False
-    fresh = [g for at, g in self.peer_status.responses.values() if self.runtime.now() - at < VALID_US]
-    return any(g.core for g in fresh) or 2 * (len(fresh) + 1) <= len(self.membership.members)
+    fresh = [status for at, status in self.peer_status.responses.values() if _is_fresh(self, at)]
+    return any(status.core for status in fresh) or 2 * (len(fresh) + 1) <= len(self.membership.members)
 
 
-def _any_place(self: typing.Any) -> typing.Any:
+def _partitioned_at_any_index(self: follower.Follower) -> bool:
     """In place of `Follower.is_partitioned`: a member without the core counts even where its configuration is ahead."""
-    without = {
-        i for i, (at, g) in self.peer_status.responses.items() if self.runtime.now() - at < VALID_US and not g.core
+    without_core = {
+        member for member, (at, status) in self.peer_status.responses.items() if _is_fresh(self, at) and not status.core
     }
+    own_id = "" if self.node.me is None else self.node.me.id
     return not self.session.stands() and any(
-        m.id != self.node.me.id and m.id not in without for m in self.membership.members
+        member.id not in (own_id, *without_core) for member in self.membership.members
     )
 
 
-def _keep_all(self: typing.Any, now: typing.Any) -> list[typing.Any]:
+def _keep_all(_self: sessions.SessionTable[typing.Any], _now: int) -> list[sessions.Session[typing.Any]]:
     """In place of `SessionTable.sweep`: silent sessions are never removed."""
     return []
 
 
-def _first_list(self: typing.Any, workers: typing.Any, take: typing.Any = follower.Follower.apply_workers) -> None:
+def _apply_first_list(self: follower.Follower, workers: list[message.Worker]) -> None:
     """In place of `Follower.apply_workers`: only the first list of workers is applied."""
-    take(self, self.workers or workers)
+    _apply_workers(self, self.workers or workers)
 
 
-def _one_pool(self: typing.Any, workers: typing.Any, take: typing.Any = follower.Follower.apply_workers) -> None:
+def _apply_as_one_pool(self: follower.Follower, workers: list[message.Worker]) -> None:
     """In place of `Follower.apply_workers`: all workers are taken to be of the first pool."""
     pool = next(iter(self.pools), "")
-    take(self, [message.Worker(w.id, w.host, w.port, pool, w.state, w.drain_us) for w in workers])
+    _apply_workers(self, [message.Worker(w.id, w.host, w.port, pool, w.state, w.drain_us) for w in workers])
 
 
-def _blank_leads(v: typing.Any, promises: typing.Any, alive: typing.Any) -> list[typing.Any]:
+def _order_blank_first(
+    view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
+) -> list[message.ChainReplica]:
     """In place of `decisions.order`: replicas that lack records come first in the chain."""
-    blank_first = sorted(alive, key=lambda i: (i in promises and promises[i].complete == v.number, i))
-    return [message.ChainReplica(i, alive[i]) for i in blank_first]
+    blank_first = sorted(alive, key=lambda i: (i in promises and promises[i].synced_view == view.number, i))
+    return [message.ChainReplica(identifier, alive[identifier]) for identifier in blank_first]
 
 
-def _no_tips(v: typing.Any, promises: typing.Any, alive: typing.Any, order: typing.Any = decisions.order) -> typing.Any:
+def _order_without_last_entries(
+    view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
+) -> list[message.ChainReplica] | None:
     """In place of `decisions.order`: how far each replica's log reaches is left out."""
-    return order(v, {i: msgspec.structs.replace(p, last_entry=(0, 0)) for i, p in promises.items()}, alive)
+    blind = {i: msgspec.structs.replace(promise, last_entry=(0, 0)) for i, promise in promises.items()}
+    return _order(view, blind, alive)
 
 
-async def _nobody_has_it(self: typing.Any, m: typing.Any) -> str:
+async def _nobody_has_it(_self: pool_owner.PoolOwner, _request: message.SelectWorker) -> str:
     """In place of `PoolOwner.query_pools`: other pools' owners are not asked whether they hold a request."""
     return ""
 
 
-def _interrupted_is_complete(
-    self: typing.Any, reason: typing.Any = None, lost: typing.Any = dispatch.AnswerRelay.connectionLost
-) -> None:
+def _interrupted_is_complete(self: dispatch.AnswerRelay, _reason: failure.Failure | None = None) -> None:
     """In place of `AnswerRelay.connectionLost`: an answer that broke off counts as complete."""
     if self.tick is not None and self.tick.active():
         self.tick.cancel()
     self.done(True)
 
 
-_sent_headers = []
+_sent_headers: list[http_headers.Headers] = []
 
 
-def _stale_headers(
-    headers: typing.Any,
-    worker: typing.Any,
-    token: typing.Any,
-    onward: typing.Any = edge_protocol.worker_request_headers,
-) -> typing.Any:
+def _stale_headers(headers: http_headers.Headers, worker: str, _token: str = "") -> http_headers.Headers:
     """In place of `edge_protocol.worker_request_headers`: a request gets the headers of the one before it."""
-    _sent_headers.append(onward(headers, worker))
-    return _sent_headers[-2] if len(_sent_headers) > 50 else _sent_headers[-1]
+    _sent_headers.append(_worker_request_headers(headers, worker))
+    return _sent_headers[-2] if len(_sent_headers) > HEADERS_BEFORE_STALE else _sent_headers[-1]
 
 
 class Patch(typing.NamedTuple):
     """What stands in place of a guard: an attribute of a class or module, and its replacement."""
 
-    owner: typing.Any
+    owner: type | types.ModuleType
     attribute: str
-    replacement: typing.Any
+    replacement: collections.abc.Callable[..., object] | int
 
 
 class Guard(typing.NamedTuple):
@@ -183,7 +209,7 @@
 
 
 GUARDS: dict[str, Guard] = {
-    "claims": Guard([Patch(pool_owner.PoolOwner, "claimed", lambda self, m: None)], "worker_storm", 1, "once"),
+    "claims": Guard([Patch(pool_owner.PoolOwner, "claimed", lambda _self, _request: None)], "worker_storm", 1, "once"),
     "other_pools": Guard([Patch(pool_owner.PoolOwner, "query_pools", _nobody_has_it)], "route_moves", 3, "once"),
     "torn_answers": Guard(
         [Patch(dispatch.AnswerRelay, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"
@@ -191,47 +217,57 @@
     "own_headers": Guard([Patch(edge_protocol, "worker_request_headers", _stale_headers)], "calm", 1, "own"),
     "unsent_or_broke": Guard(
         [
-            Patch(dispatch.Dispatcher, "send", _unsent),
-            Patch(worker_selection.WorkerSelector, "select_worker", _elect_once),
+            Patch(dispatch.Dispatcher, "send", _broken_counts_as_unsent(dispatch.Dispatcher.send)),
+            Patch(worker_selection.WorkerSelector, "select_worker", _select_once),
         ],
         "worker_freeze",
         1,
         "not_run",
     ),
-    "worker_states": Guard([Patch(follower.Follower, "apply_workers", _first_list)], "worker_leaves", 1, "leaving"),
+    "worker_states": Guard(
+        [Patch(follower.Follower, "apply_workers", _apply_first_list)], "worker_leaves", 1, "leaving"
+    ),
     "forced": Guard(
         [
             Patch(tail_contact.TailContact, "wait_until_applied", _acknowledge_at_once),
-            Patch(follower.Follower, "is_partitioned", lambda self: False),
+            Patch(follower.Follower, "is_partitioned", lambda _self: False),
         ],
         "cut_core_off",
         1,
         "in_force",
     ),
-    "whole_copies": Guard([Patch(decisions, "order", _blank_leads)], "replace_all", 2, "kept"),
-    "tips": Guard([Patch(decisions, "order", _no_tips)], "disk_old", 1, "kept"),
-    "pools": Guard([Patch(follower.Follower, "apply_workers", _one_pool)], "other_pool", 1, "allowed"),
-    "pins": Guard([Patch(sessions.SessionTable, "affinity", lambda self, identifier: None)], "calm", 1, "pinned"),
-    "cap": Guard([Patch(sessions.SessionTable, "count", lambda self, worker: 0)], "many_talks", 1, "capped"),
-    "retry_budget": Guard([Patch(retry_budget.Budget, "spend", lambda self, now: True)], "worker_breaks", 1, "budget"),
-    "seats": Guard([Patch(selection.WorkerSelector, "has_slot", lambda self, *more: False)], "calm", 1, "served"),
-    "second_witness": Guard([Patch(health.WorkerWatch, "check", _alone)], "blind_owner", 2, "pinned"),
-    "via": Guard([Patch(gateway.Gateway, "send", _no_token)], "blind_node", 1, "served"),
-    "one_budget": Guard([Patch(retry_budget.Budget, "has_capacity", _local_budgets)], "worker_breaks", 1, "served"),
+    "whole_copies": Guard([Patch(decisions, "order", _order_blank_first)], "replace_all", 2, "kept"),
+    "tips": Guard([Patch(decisions, "order", _order_without_last_entries)], "disk_old", 1, "kept"),
+    "pools": Guard([Patch(follower.Follower, "apply_workers", _apply_as_one_pool)], "other_pool", 1, "allowed"),
+    "pins": Guard([Patch(sessions.SessionTable, "affinity", lambda _self, _identifier: None)], "calm", 1, "pinned"),
+    "cap": Guard([Patch(sessions.SessionTable, "count", lambda _self, _worker: 0)], "many_talks", 1, "capped"),
+    "retry_budget": Guard(
+        [Patch(retry_budget.Budget, "spend", lambda _self, _now: True)], "worker_breaks", 1, "budget"
+    ),
+    "seats": Guard([Patch(selection.WorkerSelector, "has_slot", lambda _self, *_more: False)], "calm", 1, "served"),
+    "second_witness": Guard([Patch(health.WorkerWatch, "check", _check_alone)], "blind_owner", 2, "pinned"),
+    "via": Guard([Patch(gateway.Gateway, "send", _send_without_relay)], "blind_node", 1, "served"),
+    "one_budget": Guard(
+        [Patch(retry_budget.Budget, "has_capacity", _has_local_capacity)], "worker_breaks", 1, "served"
+    ),
     "stale": Guard(
-        [Patch(follower.Follower, "configuration_may_be_stale", lambda self: False)], "cut_node", 3, "in_force"
+        [Patch(follower.Follower, "configuration_may_be_stale", lambda _self: False)], "cut_node", 3, "in_force"
+    ),
+    "places": Guard(
+        [Patch(follower.Follower, "is_partitioned", _partitioned_at_any_index)], "wake_without_core", 1, "in_force"
+    ),
+    "all_neighbours": Guard(
+        [Patch(follower.Follower, "is_partitioned", _partitioned_by_half)], "cut_sides", 1, "in_force"
     ),
-    "places": Guard([Patch(follower.Follower, "is_partitioned", _any_place)], "wake_without_core", 1, "in_force"),
-    "all_neighbours": Guard([Patch(follower.Follower, "is_partitioned", _half)], "cut_sides", 1, "in_force"),
     "rerouted": Guard(
-        [Patch(request_router.RequestRouter, "reroute", lambda self, request: None)], "crowd", 1, "served"
+        [Patch(request_router.RequestRouter, "reroute", lambda _self, _request: None)], "crowd", 1, "served"
     ),
     "twice_said": Guard(
         [Patch(platform_listing.PlatformListing, "believe", _believe_all)], "platform_bad", 1, "pinned"
     ),
     "sweep": Guard([Patch(sessions.SessionTable, "sweep", _keep_all)], "release", 1, "served"),
     "early_answers": Guard(
-        [Patch(http_server.Request, "refuse_early", lambda self, code, text: None)],
+        [Patch(http_server.Request, "refuse_early", lambda _self, _code, _text: None)],
         "bad_requesters",
         1,
         "answered",
@@ -240,7 +276,7 @@
         [
             Patch(membership_manager, "ENDED_SESSION_GRACE_US", 10**12),
             Patch(membership_manager, "LOST_SESSION_GRACE_US", 10**12),
-            Patch(actions, "restart", lambda cluster, name: None),
+            Patch(actions, "restart", lambda _cluster, _name: None),
         ],
         "kill_owner",
         1,
@@ -279,7 +315,11 @@
 
 
 def run(
-    *, names: list[str] = (), seeds: int = 5, first: int = 1, shapes: list[str] = ("magnolia", "swan")
+    *,
+    names: collections.abc.Sequence[str] = (),
+    seeds: int = 5,
+    first: int = 1,
+    shapes: collections.abc.Sequence[str] = ("magnolia", "swan"),
 ) -> typing.NoReturn:
     """Play each guard's scenario without it, over seeds and shapes; say how often its checker complained.
 
