--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -197,7 +197,7 @@
         self.last_workers: dict[str, str] = {}  # conversation -> worker of its last turn
         self.kept_turns = 0  # later turns that went to the worker of the turn before
         self.later_turns = 0
-        self.under_way: list[defer.Deferred[str | None]] = []
+        self.under_way: list[defer.Deferred[typing.Any]] = []  # of requests, and in simulations of single attempts
 
     async def run(self) -> None:
         """Go on until the time is over, then wait for the requests under way."""
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -43,7 +43,7 @@
 class Core:
     """Composes a core process; the sockets and the command line are in `cli`."""
 
-    def __init__(self, runtime: scheduler.Runtime, disk: storage.Disk, options: options.Options) -> None:
+    def __init__(self, runtime: scheduler.Runtime, disk: storage.DataFolder, options: options.Options) -> None:
         self.runtime = runtime
         self.options = options
         self.counters = counters.Counters()
--- a/iriswheel/control/persistent_state.py
+++ b/iriswheel/control/persistent_state.py
@@ -14,7 +14,7 @@
 RECORD_KEY = b"council"
 
 
-def load(runtime: scheduler.Runtime, disk: storage.Disk) -> dict[bytes, bytes]:
+def load(runtime: scheduler.Runtime, disk: storage.DataFolder) -> dict[bytes, bytes]:
     """Read all keys of the data folder; a new folder gets an identity, an older one the present format.
 
     Raises:
--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -48,6 +48,16 @@
         """Write pairs in order; done once they are synced, fails with DiskError where they are not."""
 
 
+class DataFolder(SyncedWrites, typing.Protocol):
+    """A data folder as a process reads and writes it while it starts."""
+
+    def read(self) -> dict[bytes, bytes]:
+        """All keys and their values."""
+
+    def write(self, writes: list[Write], /) -> None:
+        """Write pairs at once; they are synced when this returns."""
+
+
 def absolute(path: pathlib.Path) -> pathlib.Path:
     """The path from the root, without `..`.
 
--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -369,7 +369,12 @@
     def either(self, ended: defer.Deferred[None], wait_us: int) -> defer.Deferred[None]:
         """A Deferred that fires when `ended` has, or after a time."""
         fired: defer.Deferred[None] = defer.Deferred()
-        timer = self.runtime.later(max(1, wait_us), lambda: fired.called or fired.callback(None))
+
+        def expire() -> None:
+            if not fired.called:
+                fired.callback(None)
+
+        timer = self.runtime.later(max(1, wait_us), expire)
 
         def end(result: None) -> None:
             if timer.active():
--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -19,10 +19,7 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    from twisted.internet import base
-
     from iriswheel.runtime import scheduler
-    from simulation import virtual_timer
 
 
 URGENCY = 5  # of a request that names none; 0 comes first
@@ -164,7 +161,7 @@
         self.owned = 0
         self.context = 0
         self.offered = 0
-        self.tick: base.DelayedCall | virtual_timer.Timer | None = None
+        self.tick: scheduler.Timer | None = None
         self.stopped = False
         self.past: collections.deque[TimedLoad] = collections.deque([TimedLoad(0, Load(0, 0, 0))])
         self.read = self.read_again = self.steps = self.put_backs = 0
--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -37,6 +37,28 @@
         """Write nothing more: the connection is lost."""
 
 
+class ListeningFactory(typing.Protocol):
+    """What a listening port asks of Twisted's factories."""
+
+    def doStart(self) -> None:
+        """Begin to be used."""
+
+    # Any: Twisted describes addresses by a zope interface, which mypy can't check.
+    def buildProtocol(self, addr: typing.Any, /) -> protocol.Protocol | None:
+        """The protocol of a new connection, or None where the connection is refused."""
+
+
+class ConnectingFactory(ListeningFactory, typing.Protocol):
+    """What opening a connection asks of Twisted's client factories."""
+
+    # Any: Twisted describes connectors by a zope interface, which mypy can't check.
+    def startedConnecting(self, connector: typing.Any, /) -> None:
+        """The connection is being opened."""
+
+    def clientConnectionFailed(self, connector: typing.Any, reason: failure.Failure, /) -> None:
+        """The connection could not be opened."""
+
+
 class Segment(typing.NamedTuple):
     """A numbered part of a stream; data of None is its end."""
 
@@ -52,7 +74,7 @@
         process: process_model.SimulatedProcess,
         host: str,
         port: int,
-        factory: protocol.ClientFactory,
+        factory: ConnectingFactory,
         timeout: float,
     ) -> None:
         self.process, self.host, self.port, self.factory = process, host, port, factory
--- a/simulation/operator_model.py
+++ b/simulation/operator_model.py
@@ -83,7 +83,8 @@
             if status == HTTP_OK:
                 self._log_confirmed(plan, response, probe)
                 self.cluster.probe = max(self.cluster.probe, probe)
-                return response["stamp"]
+                version: int = response["stamp"]
+                return version
             self.cluster.tape.put(
                 self.runtime.now(),
                 "confirm_refused",
--- a/simulation/platform_days.py
+++ b/simulation/platform_days.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import collections
+import collections.abc
 import multiprocessing
 import os
 import sys
@@ -177,7 +178,7 @@
 
 def run(
     *,
-    days: list[str] = (),
+    days: collections.abc.Sequence[str] = (),
     seeds: int = 5,
     first: int = 1,
     shape: str = "magnolia",
--- a/simulation/process_model.py
+++ b/simulation/process_model.py
@@ -9,9 +9,7 @@
 from simulation import reactor_model
 
 if typing.TYPE_CHECKING:
-    from twisted.internet import protocol
-
-    from simulation import host_model, world
+    from simulation import host_model, network_model, world
 
 
 class SimulatedProcess:
@@ -28,7 +26,7 @@
         self.world, self.name, self.host = simulated_world, name, host
         self.alive, self.frozen = True, False
         self.backlog: list[world.Callback] = []  # what became due while frozen
-        self.ports: dict[int, protocol.Factory] = {}
+        self.ports: dict[int, network_model.ListeningFactory] = {}
         self.reactor = reactor_model.Reactor(self)
         self.incarnations: int = getattr(simulated_world.processes.get(name), "incarnations", 0) + 1
         simulated_world.processes[name] = self
--- a/simulation/reactor_model.py
+++ b/simulation/reactor_model.py
@@ -11,8 +11,6 @@
 from simulation import network_model, virtual_timer
 
 if typing.TYPE_CHECKING:
-    from twisted.internet import protocol
-
     from simulation import process_model, world
 
 FIRST_EPHEMERAL_PORT = 40_000
@@ -21,7 +19,7 @@
 class Port:
     """A listening port, as a reactor's `listenTCP` returns it."""
 
-    def __init__(self, reactor: Reactor, port: int, factory: protocol.Factory) -> None:
+    def __init__(self, reactor: Reactor, port: int, factory: network_model.ListeningFactory) -> None:
         self.reactor, self.port, self.factory = reactor, port, factory
 
     def getHost(self) -> address.IPv4Address:
@@ -56,7 +54,9 @@
         timer.schedule()
         return timer
 
-    def listenTCP(self, port: int, factory: protocol.Factory, backlog: int = 50, interface: str = "") -> Port:
+    def listenTCP(
+        self, port: int, factory: network_model.ListeningFactory, backlog: int = 50, interface: str = ""
+    ) -> Port:
         if port == 0:
             self.next_port += 1
             port = self.next_port
@@ -65,6 +65,11 @@
         return Port(self, port, factory)
 
     def connectTCP(
-        self, host: str, port: int, factory: protocol.ClientFactory, timeout: float = 30, bindAddress: None = None
+        self,
+        host: str,
+        port: int,
+        factory: network_model.ConnectingFactory,
+        timeout: float = 30,
+        bindAddress: None = None,
     ) -> network_model.Connector:
         return network_model.Connector(self.process, host, port, factory, timeout)
--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -140,8 +140,10 @@
     for sent in log.possible():
         routes = len(sent["doc"][platform_names.CONFIGURATION["routes"]])
         bound = log.bounds["ack"] + ACK_PER_ROUTE_US * routes
-        answered_at = sent["answered"] if sent["answered"] is not None else log.ended_at
-        end = sent.get("acknowledged", answered_at)  # the first acknowledgement was lost on its way to the operator
+        answered_at: int = sent["answered"] if sent["answered"] is not None else log.ended_at
+        end: int = sent.get(
+            "acknowledged", answered_at
+        )  # the first acknowledgement was lost on its way to the operator
         begin = max([sent["sent"], log.started_at, *(change for change in log.core_changes if change < end)])
         if end - begin > bound and log.is_settled(end):
             yield f"version {sent['version']} was not acknowledged for {(end - begin) // units.MILLISECOND_US} ms"
--- a/simulation/scenarios/actions.py
+++ b/simulation/scenarios/actions.py
@@ -12,8 +12,7 @@
 if typing.TYPE_CHECKING:
     from twisted.internet import defer
 
-    from iriswheel.control import core
-    from iriswheel.node import node
+    from simulation import server_model
 
 CONFIRM_TIMEOUT_SECONDS = 40  # for an operator's change
 
@@ -23,7 +22,7 @@
 # ---- targets ---------------------------------------------------------------------------------
 
 
-def some_node(cluster: simulated_cluster.SimulatedCluster, owner: bool | None = None) -> node.Node:
+def some_node(cluster: simulated_cluster.SimulatedCluster, owner: bool | None = None) -> server_model.SimulatedNode:
     """A live node, drawn at random.
 
     Args:
@@ -38,11 +37,11 @@
     if owner is True and pool_owner_node is not None:
         return pool_owner_node
     if owner is False and pool_owner_node is not None:
-        names.remove(pool_owner_node.me.name)
+        names.remove(pool_owner_node.options.name)
     return cluster.nodes[cluster.rng.choice(names)]
 
 
-def some_core(cluster: simulated_cluster.SimulatedCluster) -> core.Core:
+def some_core(cluster: simulated_cluster.SimulatedCluster) -> server_model.SimulatedCore:
     """A live core, drawn at random."""
     return cluster.cores[
         cluster.rng.choice([name for name in sorted(cluster.cores) if cluster.cores[name].process.alive])
@@ -175,7 +174,7 @@
     return cluster.operator_runtime.spawn(change_all(), simulated_cluster.log)
 
 
-def begin_change(cluster: simulated_cluster.SimulatedCluster, patch: bool = False) -> defer.Deferred[int]:
+def begin_change(cluster: simulated_cluster.SimulatedCluster, patch: bool = False) -> defer.Deferred[int | None]:
     """Let the operator confirm the configuration with the next probe route, whole or as a JSON Patch."""
     return cluster.operator_runtime.spawn(
         cluster.operator.change(cluster.with_probe(cluster.probe + 1), patch=patch), simulated_cluster.log
--- a/simulation/scenarios/cores.py
+++ b/simulation/scenarios/cores.py
@@ -134,4 +134,5 @@
 
 def _chain_length(cluster: simulated_cluster.SimulatedCluster) -> int:
     tail = cluster.tail()
-    return 0 if tail is None else len(tail.consensus.view.chain)
+    view = None if tail is None else tail.consensus.view
+    return 0 if view is None else len(view.chain)
--- a/simulation/scenarios/disks.py
+++ b/simulation/scenarios/disks.py
@@ -8,8 +8,7 @@
 from simulation.scenarios import actions
 
 if typing.TYPE_CHECKING:
-    from iriswheel.control import core
-    from simulation import host_model
+    from simulation import host_model, server_model
 
 
 def disk_lost(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -62,7 +61,7 @@
     return cluster.until(lambda: not host.power, seconds)
 
 
-def _core_at(cluster: simulated_cluster.SimulatedCluster, position: int) -> core.Core | None:
+def _core_at(cluster: simulated_cluster.SimulatedCluster, position: int) -> server_model.SimulatedCore | None:
     """The core at a position of its own view's chain, or at the chain's end where that is shorter."""
     for candidate in cluster.cores.values():
         view = candidate.consensus.view
--- a/simulation/scenarios/load.py
+++ b/simulation/scenarios/load.py
@@ -71,7 +71,7 @@
     cluster.load.max_attempts, cluster.load.quick_share = 40, 0.8
     cluster.go(5)
     target = actions.some_node(cluster, owner=False)
-    actions.kill(cluster, target.me.name, restart_after=5)
+    actions.kill(cluster, target.options.name, restart_after=5)
     cluster.go(8)
     for name in sorted(cluster.workers)[:-1]:
         actions.kill(cluster, name, restart_after=4)
@@ -99,7 +99,7 @@
     for turn in range(4):
         cluster.go(5 + cluster.rng.random())
         target = actions.some_node(cluster, owner=turn % 2 == 0)
-        name = target.me.name
+        name = target.options.name
         for number in range(12):
             actions.begin_exchange(cluster, "short", "phrases", f"ctd-{turn}-{number}")
         cluster.go(0.004 + cluster.rng.random() * 0.012)
--- a/simulation/scenarios/mixed_faults.py
+++ b/simulation/scenarios/mixed_faults.py
@@ -2,9 +2,14 @@
 
 from __future__ import annotations
 
+import typing
+
 from simulation import simulated_cluster
 from simulation.scenarios import actions
 
+if typing.TYPE_CHECKING:
+    from simulation import server_model
+
 LAST_FAULTS = (
     "kill node",
     "kill warden",
@@ -43,7 +48,7 @@
     actions.confirm_next(cluster)
     fault = LAST_FAULTS[cluster.seed % len(LAST_FAULTS)]
     core_name = actions.some_core(cluster).options.name
-    node_name = actions.some_node(cluster, owner="warden" in fault).me.name
+    node_name = actions.some_node(cluster, owner="warden" in fault).options.name
     name = core_name if fault.endswith("core") else node_name
     match fault:
         case "kill node" | "kill warden" | "kill core":
@@ -94,12 +99,15 @@
 
 
 def _kill_some_node(cluster: simulated_cluster.SimulatedCluster) -> None:
-    name = actions.some_node(cluster).me.name
+    name = actions.some_node(cluster).options.name
     actions.kill(cluster, name, restart_after=2 + cluster.rng.random() * 3)
 
 
 def _some_server(cluster: simulated_cluster.SimulatedCluster) -> str:
-    candidates = [actions.some_core(cluster), actions.some_node(cluster)]
+    candidates: list[server_model.SimulatedCore | server_model.SimulatedNode] = [
+        actions.some_core(cluster),
+        actions.some_node(cluster),
+    ]
     return cluster.rng.choice(candidates).options.name
 
 
--- a/simulation/scenarios/network.py
+++ b/simulation/scenarios/network.py
@@ -9,7 +9,7 @@
 from simulation.scenarios import actions
 
 if typing.TYPE_CHECKING:
-    from iriswheel.node import node
+    from simulation import server_model
 
 
 def cut_core_one(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -57,7 +57,7 @@
     actions.confirm_changes(cluster, 12, 3)
     for owner in (False, True):
         cluster.go(5 + cluster.rng.random())
-        name = actions.some_node(cluster, owner).me.name
+        name = actions.some_node(cluster, owner).options.name
         actions.cut_off(cluster, name)
         actions.probe_repeatedly(cluster, name, 10 + cluster.rng.randrange(30))
         actions.heal(cluster, name)
@@ -154,15 +154,15 @@
 
 def _cut_from_workers(
     cluster: simulated_cluster.SimulatedCluster,
-    target: node.Node,
+    target: server_model.SimulatedNode,
     workers: collections.abc.Iterable[str],
     seconds: float,
 ) -> None:
     """Cut the links between one node and some workers for a while; all else goes on."""
-    cluster.fault("link", target.me.name, role="link")
+    cluster.fault("link", target.options.name, role="link")
     cluster.world.cut([target.options.host], [cluster.workers[name].host for name in workers])
     cluster.go(seconds)
-    actions.heal(cluster, target.me.name)
+    actions.heal(cluster, target.options.name)
 
 
 def _cut_from_one_then_all_workers(cluster: simulated_cluster.SimulatedCluster, owner: bool) -> None:
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -146,7 +146,7 @@
 
 def _unhealthy(owner: site.Site, **faults: float) -> None:
     owner.advance(3)
-    owner.faults.make_unhealthy(some(owner, owner.live_workers(), 0.6), 5, **faults)
+    owner.faults.make_unhealthy(some(owner, owner.live_workers(), 0.6), 5, "", **faults)
 
 
 def garble(owner: site.Site) -> None:
--- a/simulation/sweep.py
+++ b/simulation/sweep.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import collections
+import collections.abc
 import sys
 import time
 import typing
@@ -59,7 +60,7 @@
 
 def sweep(
     *,
-    scenarios: list[str] = (),
+    scenarios: collections.abc.Sequence[str] = (),
     seeds: int = 10,
     first: int = 1,
     shape: str = "magnolia",
--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -5,7 +5,7 @@
 import typing
 
 from iriswheel.runtime import units
-from simulation import event_log, inference_engine, platform_names, virtual_timer
+from simulation import event_log, inference_engine, platform_names
 from simulation.workers import served_http
 
 if typing.TYPE_CHECKING:
@@ -44,8 +44,8 @@
         self.started = False
         self.over = False
         self.close = False  # whether the connection ends with the answer
-        self.timer: virtual_timer.Timer | None = None  # of its deadline
-        self.job: inference_engine.Job | None = None
+        self.timer: scheduler.Timer | None = None  # of its deadline
+        self.job: inference_engine.Job  # what the engine runs, set by the worker before it offers the job
         self.events = 0
         self.sent: list[bytes] = []
         self.times: list[int] = []
@@ -125,7 +125,7 @@
     def lost(self, connection: served_http.ServedConnection) -> None:
         """Drop the request of a lost connection, now or after a while."""
         super().lost(connection)
-        run = self.runs.get(connection.current)
+        run = None if connection.current is None else self.runs.get(connection.current)
         if run is None or run.over:
             return
         if self.runtime.rng.random() < self.linger_share:
