--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -110,7 +110,7 @@
         """Each process's role now: tail, other core, lister, pool owner, node."""
         r = max((n.follower.membership for n in self.nodes.values()), key=lambda r: r.version)
         by_key = {d.key: d for d in r.assignments}
-        out = {name: "tail" if c.consensus.tail() else "core" for name, c in self.cores.items()}
+        out = {name: "tail" if c.consensus.is_tail() else "core" for name, c in self.cores.items()}
         names = {m.id: m.name for m in r.members}
         out.update({m.name: "node" for m in r.members})
         for d in r.assignments:
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -128,7 +128,7 @@
     clock = [1000 * units.SECOND_US]
     runtime = types.SimpleNamespace(now=lambda: clock[0])
     view = message.View(3, [message.Voter(f"c{k}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(cores)], [])
-    consensus = types.SimpleNamespace(view=view, tail=lambda: True, leased=lambda: True)
+    consensus = types.SimpleNamespace(view=view, is_tail=lambda: True, holds_lease=lambda: True)
     out = membership_manager.MembershipManager(runtime, consensus, lambda: [f"model-{k}" for k in range(p)])
     out.begin_view()
     for m in members(n):
--- a/benchmarks/change_recovery.py
+++ b/benchmarks/change_recovery.py
@@ -150,7 +150,7 @@
     """The names of the core machines in the order of the newest view's chain."""
     views = [core.consensus.view for core in cluster.cores.values() if core.consensus.view is not None]
     newest = max(views, key=lambda view: view.number)
-    names = {core.consensus.me.id: name for name, core in cluster.cores.items()}
+    names = {core.consensus.own_voter.id: name for name, core in cluster.cores.items()}
     return [names[connection.id] for connection in newest.chain]
 
 
--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -54,6 +54,7 @@
         disk: storage.MonitoredDisk,
         record: decisions.Record,
         own_voter: message.Voter,
+        *,
         on_view: collections.abc.Callable[[message.View], object],
         last_entry: collections.abc.Callable[[], tuple[int, int]],
     ) -> None:
--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -291,6 +291,7 @@
 def next_voters(
     view: message.View,
     identifier: str,
+    *,
     leaving: bool,
     joining_members: list[message.Voter],
     states: dict[str, VoterState],
@@ -304,7 +305,9 @@
 
     >>> a, b, c = [message.Voter(i, i, 1, "zone") for i in "abc"]
     >>> states = {"b": VoterState(True, True)}
-    >>> [voter.id for voter in next_voters(message.View(1, [a, b], []), "a", False, [c], states, 2)]
+    >>> view = message.View(1, [a, b], [])
+    >>> voters = next_voters(view, "a", leaving=False, joining_members=[c], states=states, size=2)
+    >>> [voter.id for voter in voters]
     ['a', 'c']
     """
     known = {voter.id for voter in view.voters}
--- a/iriswheel/consensus/peer_heartbeats.py
+++ b/iriswheel/consensus/peer_heartbeats.py
@@ -165,13 +165,13 @@
 
     # ---- exchange ------------------------------------------------------------
 
-    def leave(self) -> None:
+    def announce_departure(self) -> None:
         """Tell the others that this machine leaves: the next chain goes on without it."""
         self.leaving = True
         self.send_now.wake()
 
     def learn_seeds(self, seeds: collections.abc.Iterable[Address]) -> None:
-        """Look for core machines at further addresses; nobody founds a fleet by them."""
+        """Look for core machines at further addresses; they are no initial members."""
         self._seeds += [seed for seed in seeds if seed not in self._seeds]
 
     def addresses(self) -> set[Address]:
--- a/iriswheel/consensus/view_change.py
+++ b/iriswheel/consensus/view_change.py
@@ -1,4 +1,4 @@
-"""The proposer of view consensus: founds the first view, and proposes the next one where the chain should change."""
+"""The proposer of view consensus: makes the first view, and proposes the next one where the chain should change."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         view_acceptor: This machine's record of views.
         heartbeats: What is known of the other machines.
         calls: Requests to the voters.
-        founders: Addresses of the machines that make view 1; the first of them does it.
+        initial_addresses: Addresses of the machines of view 1; the first of them makes it.
         voter_count: How many machines vote once so many are there.
     """
 
@@ -36,7 +36,8 @@
         view_acceptor: acceptor.Acceptor,
         heartbeats: peer_heartbeats.PeerHeartbeats,
         calls: voter_calls.VoterCalls,
-        founders: collections.abc.Iterable[peer_heartbeats.Address],
+        *,
+        initial_addresses: collections.abc.Iterable[peer_heartbeats.Address],
         voter_count: int,
     ) -> None:
         self.runtime = runtime
@@ -45,8 +46,8 @@
         self.calls = calls
         self.own_voter = view_acceptor.own_voter
         self.started_at_us = runtime.now()
-        self._founders = list(founders)
-        self._voter_count = max(voter_count, len(self._founders))
+        self._initial_addresses = list(initial_addresses)
+        self._voter_count = max(voter_count, len(self._initial_addresses))
         self._wanted_since_us: int | None = None  # since when the chain differs from the one that it should be
         self._highest_ballot_round = 0
 
@@ -61,7 +62,7 @@
             await self.runtime.sleep(timing.VIEW_CHECK_INTERVAL_US + jitter_us)
             view = self.acceptor.view
             if view is None:
-                await self._found()
+                await self._bootstrap()
             elif self.acceptor.is_voter() and self.is_due(view):
                 await self._propose_after(view)
 
@@ -110,22 +111,27 @@
         ]
         states = {identifier: self.heartbeats.voter_state(identifier, self.started_at_us) for identifier in known}
         return decisions.next_voters(
-            view, self.own_voter.id, self.heartbeats.leaving, newcomers, states, self._voter_count
+            view,
+            self.own_voter.id,
+            leaving=self.heartbeats.leaving,
+            joining_members=newcomers,
+            states=states,
+            size=self._voter_count,
         )
 
     # ---- how -------------------------------------------------------------------
 
-    async def _found(self) -> None:
-        """Make view 1: the first of the founders does it, once all of them are there and know no view."""
+    async def _bootstrap(self) -> None:
+        """Make view 1: the first of its machines does it, once all of them are there and know no view."""
         own_address = (self.own_voter.host, self.own_voter.port)
         blank = self.heartbeats.recent_blank() | {own_address}
-        if not self._founders or self._founders[0] != own_address or not set(self._founders) <= blank:
+        if self._initial_addresses[:1] != [own_address] or not set(self._initial_addresses) <= blank:
             return
         by_address = {(heartbeat.host, heartbeat.port): heartbeat for heartbeat in self.heartbeats.recent()}
         by_address[own_address] = self.heartbeats.own_heartbeat()
-        founders = [by_address[address] for address in self._founders]
-        voters = [message.Voter(founder.id, founder.host, founder.port, founder.zone) for founder in founders]
-        chain = [message.ChainReplica(founder.id, founder.incarnation) for founder in founders]
+        members = [by_address[address] for address in self._initial_addresses]
+        voters = [message.Voter(member.id, member.host, member.port, member.zone) for member in members]
+        chain = [message.ChainReplica(member.id, member.incarnation) for member in members]
         await self.acceptor.adopt(message.View(1, voters, chain))
 
     async def _propose_after(self, old: message.View) -> None:
--- a/iriswheel/consensus/view_consensus.py
+++ b/iriswheel/consensus/view_consensus.py
@@ -5,7 +5,7 @@
 seals the old chain on the machine that gave it: from then on nothing of view v is
 acknowledged there. A read lease of the tail holds promises to others back until it expires.
 
-This module puts the parts together: acceptor, heartbeats, the tail's lease and the proposer.
+This module composes the parts: acceptor, heartbeats, the tail's lease and the proposer.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
         disk: Where the acceptor's record is synced.
         record: What the disk held of it at the start.
         own_voter: Identity and address of this machine.
-        seeds: Addresses of the machines that found the fleet; the first of them makes view 1.
+        seeds: Addresses of the machines of view 1, the first of which makes it; none where another fleet is joined.
         peers: Calls to other core machines.
         on_view: Called with each view that is adopted here.
         voter_count: How many machines vote once so many are there.
@@ -49,6 +49,7 @@
         disk: storage.MonitoredDisk,
         record: decisions.Record,
         own_voter: message.Voter,
+        *,
         seeds: collections.abc.Sequence[peer_heartbeats.Address],
         peers: peer_calls.PeerCalls,
         on_view: collections.abc.Callable[[message.View], object],
@@ -56,21 +57,26 @@
         copies: int = DEFAULT_COPIES,
     ) -> None:
         self.runtime = runtime
-        self.me = own_voter
-        self.copies = copies
+        self.own_voter = own_voter
+        self.required_copies = copies
         self.last_entry: collections.abc.Callable[[], tuple[int, int]] = lambda: (0, 0)
         """The newest log entry here, as (view, index); set by the owner of the log."""
         self.started_at = runtime.now()
-        self.acceptor = acceptor.Acceptor(runtime, disk, record, own_voter, on_view, lambda: self.last_entry())
+        self.acceptor = acceptor.Acceptor(
+            runtime, disk, record, own_voter, on_view=on_view, last_entry=self._last_entry
+        )
         self.peer_heartbeats = peer_heartbeats.PeerHeartbeats(runtime, peers, self.acceptor, seeds)
         self.calls = voter_calls.VoterCalls(runtime, peers, self.acceptor, self.peer_heartbeats)
         self.tail_lease = tail_lease.TailLease(runtime, self.acceptor, self.calls)
         self.view_change = view_change.ViewChange(
-            runtime, self.acceptor, self.peer_heartbeats, self.calls, seeds, voter_count
+            runtime, self.acceptor, self.peer_heartbeats, self.calls, initial_addresses=seeds, voter_count=voter_count
         )
         self.acceptor.on_seal = self.tail_lease.revoke
         self.acceptor.on_adopt = self.view_change.reset
 
+    def _last_entry(self) -> tuple[int, int]:
+        return self.last_entry()
+
     # ---- the view ------------------------------------------------------------
 
     @property
@@ -88,7 +94,7 @@
         """The chain before the newest view's; None where it is not known here."""
         return self.acceptor.predecessors
 
-    def sealed(self) -> bool:
+    def is_sealed(self) -> bool:
         """Whether a promise here has closed the newest view."""
         return self.acceptor.is_sealed()
 
@@ -96,7 +102,7 @@
         """Whether this machine votes in the newest view."""
         return self.acceptor.is_voter()
 
-    def serving(self, number: int | None = None) -> bool:
+    def is_serving(self, number: int | None = None) -> bool:
         """Whether this incarnation is a replica of the newest view's chain, and the view is not sealed here.
 
         Args:
@@ -106,11 +112,11 @@
             return False
         return self.acceptor.is_serving()
 
-    def tail(self) -> bool:
+    def is_tail(self) -> bool:
         """Whether this machine is the tail of the newest view."""
         return self.acceptor.is_tail()
 
-    def leased(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether this machine is the synced tail and holds the read lease at this very moment."""
         return self.tail_lease.is_held()
 
@@ -128,8 +134,8 @@
             return self.peer_heartbeats.own_heartbeat()
         return await self.acceptor.answer(request)
 
-    def hear(self, heartbeat: message.Heartbeat) -> None:
-        """Take in a heartbeat."""
+    def receive_heartbeat(self, heartbeat: message.Heartbeat) -> None:
+        """Keep another machine's heartbeat, and adopt a newer view that it tells."""
         self.peer_heartbeats.receive(heartbeat)
 
     async def adopt(self, view: message.View) -> None:
@@ -137,7 +143,11 @@
         await self.acceptor.adopt(view)
 
     async def mark_synced(self, number: int) -> None:
-        """Note on disk that this machine's copy is synced in a view; raises storage.DiskError."""
+        """Note on disk that this machine's copy is synced in a view.
+
+        Raises:
+            storage.DiskError: The disk refused the note, and the copy does not count as synced.
+        """
         await self.acceptor.mark_synced(number)
 
     # ---- peers and departure ---------------------------------------------------
@@ -157,14 +167,14 @@
         return self.peer_heartbeats.addresses()
 
     def learn_seeds(self, seeds: collections.abc.Iterable[peer_heartbeats.Address]) -> None:
-        """Look for core machines at further addresses; nobody founds a fleet by them."""
+        """Look for core machines at further addresses; they are no initial members."""
         self.peer_heartbeats.learn_seeds(seeds)
 
-    def leave(self) -> None:
+    def announce_departure(self) -> None:
         """Tell the others that this machine leaves: the next chain goes on without it."""
-        self.peer_heartbeats.leave()
+        self.peer_heartbeats.announce_departure()
 
-    def needed(self) -> bool:
+    def is_still_needed(self) -> bool:
         """Whether this machine should stay while it leaves, since the others can't go on without it yet."""
         return departure.is_still_needed(self.acceptor, self.peer_heartbeats)
 
@@ -178,10 +188,10 @@
         """Send heartbeats to all core machines, for ever."""
         await self.peer_heartbeats.exchange()
 
-    async def renew(self) -> None:
+    async def renew_lease(self) -> None:
         """Keep the read lease while this machine is the tail, for ever."""
         await self.tail_lease.keep_renewed()
 
-    async def repair_view(self) -> None:
+    async def keep_view_current(self) -> None:
         """Propose a better view whenever one is due, for ever."""
         await self.view_change.keep_view_current()
--- a/iriswheel/control/chain_client.py
+++ b/iriswheel/control/chain_client.py
@@ -122,7 +122,7 @@
         request = make(view.number)
         try:
             answer: defer.Deferred[message.Message]
-            if voter.id == self.parts.consensus.me.id:
+            if voter.id == self.parts.consensus.own_voter.id:
                 answer = shield(defer.ensureDeferred(self.parts.chain.answer(request)))
             else:
                 answer = defer.ensureDeferred(self.parts.peers.call(voter.host, voter.port, request, timeout_us))
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -63,7 +63,7 @@
             runtime, self.peers, self.chain, self.consensus, self.membership, self.lease, self.node_reports
         )
         self.tail_contact = tail_contact.TailContact(parts, self._announce)
-        self.node_sessions = node_session.NodeSessions(parts, self.serving)
+        self.node_sessions = node_session.NodeSessions(parts, self.is_serving)
         self.tail_service = tail_service.TailService(
             parts, options, self.tail_contact, self.node_sessions, self._announce
         )
@@ -73,7 +73,12 @@
         self.client = chain_client.ChainClient(parts, self.counters)
         self.orders = change_orders.ChangeOrders(parts, self.client, self.tail_contact, self.counters)
         self.operator_api = operator_api.OperatorApi(
-            self, self.client, self.orders, self.tail_contact, self.session_replicas, self.counters
+            self,
+            self.client,
+            self.orders,
+            self.tail_contact,
+            replicas=self.session_replicas,
+            counters=self.counters,
         )
 
     def _make_consensus(self, state: dict[bytes, bytes]) -> view_consensus.ViewConsensus:
@@ -84,11 +89,11 @@
             self.disk,
             persistent_state.consensus_record(state),
             voter,
-            options.seed_list() if options.found else [],
-            self.peers,
-            self._installed,
-            options.seats,
-            options.copies,
+            seeds=options.seed_list() if options.found else [],
+            peers=self.peers,
+            on_view=self._on_view,
+            voter_count=options.seats,
+            copies=options.copies,
         )
         consensus.learn_seeds(options.seed_list())
         consensus.last_entry = lambda: (self.chain.latest_state.view, self.chain.latest_state.index)
@@ -99,8 +104,8 @@
         for coroutine in (
             self.disk.watch(),
             self.consensus.exchange_heartbeats(),
-            self.consensus.renew(),
-            self.consensus.repair_view(),
+            self.consensus.renew_lease(),
+            self.consensus.keep_view_current(),
             self.reporter.run(),
             self.tail_service.send_heartbeats(),
             self.tail_service.issue_regularly(),
@@ -108,7 +113,7 @@
             self.loads.run(),
         ):
             self.runtime.spawn(coroutine, log)
-        identifier, view = self.consensus.me.id, self.consensus.view
+        identifier, view = self.consensus.own_voter.id, self.consensus.view
         if view is not None:
             log.info("Core {} starts with view {} at {}.", identifier, view.number, self.chain.latest_state.index)
         else:
@@ -124,9 +129,9 @@
         """Whether this core machine has begun to stop."""
         return self.node_sessions.stopping
 
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether nodes may rely on this core machine: the tail was heard just now."""
-        return not self.stopping and self.consensus.serving() and self.tail_contact.is_fresh()
+        return not self.stopping and self.consensus.is_serving() and self.tail_contact.is_fresh()
 
     async def handle(self, request: http_server.Request) -> None:
         """Answer one operator's request."""
@@ -197,10 +202,10 @@
         self.counters.joins += 1
         self.node_sessions.open(connection, join)
 
-    def _installed(self, view: message.View) -> None:
-        """A new view was agreed."""
+    def _on_view(self, view: message.View) -> None:
+        """Let all parts start on a view that was agreed."""
         self.counters.views += 1
-        self.tail_service.installed(view)
+        self.tail_service.on_view(view)
         self.chain.install(view)
         self.node_reports.report_now.wake()
         self.tail_service.heartbeat_now.wake()
@@ -219,9 +224,9 @@
         """
         self.node_sessions.stop()
         self._announce()
-        self.consensus.leave()
+        self.consensus.announce_departure()
         until = self.runtime.now() + self.options.grace_us
         await self.runtime.sleep(STOP_NOTICE_US)
-        while self.consensus.holds_only_copy() or (self.consensus.needed() and self.runtime.now() < until):
+        while self.consensus.holds_only_copy() or (self.consensus.is_still_needed() and self.runtime.now() < until):
             self.consensus.heartbeat_now.wake()
             await self.runtime.sleep(STOP_CHECK_INTERVAL_US)
--- a/iriswheel/control/load_exchange.py
+++ b/iriswheel/control/load_exchange.py
@@ -74,7 +74,7 @@
 
     def _receivers(self) -> list[str]:
         """The nodes with a session here, and the other core machines."""
-        cores = [voter.id for voter in self.parts.voters() if voter.id != self.parts.consensus.me.id]
+        cores = [voter.id for voter in self.parts.voters() if voter.id != self.parts.consensus.own_voter.id]
         return [*self.node_sessions, *cores]
 
     def _update(self, report: message.LoadReport, from_node: bool) -> None:
@@ -139,7 +139,7 @@
             for key in keys
         }
         rows = load_table.rows(table, keys)
-        session.connection.tell(message.LoadReport(self.parts.consensus.me.id, complete, rows))
+        session.connection.tell(message.LoadReport(self.parts.consensus.own_voter.id, complete, rows))
         return True
 
     def _send_to_core(self, receiver: str, keys: set[load_table.WorkerKey], complete: bool) -> bool:
@@ -147,6 +147,6 @@
         voter = self.parts.consensus.voter(receiver)
         if voter is None:
             return False
-        report = message.LoadReport(self.parts.consensus.me.id, complete, load_table.rows(self.node_sums, keys))
+        report = message.LoadReport(self.parts.consensus.own_voter.id, complete, load_table.rows(self.node_sums, keys))
         self.parts.runtime.spawn(self.parts.peers.tell(voter.host, voter.port, report), log)
         return True
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -110,6 +110,7 @@
         client: chain_client.ChainClient,
         orders: change_orders.ChangeOrders,
         contact: tail_contact.TailContact,
+        *,
         replicas: replica_store.SessionReplicaStore,
         counters: counters.Counters,
     ) -> None:
@@ -141,7 +142,7 @@
             case (b"GET", ["state"]):
                 request.answer_json(200, self.state())
             case (b"GET", ["ready"]):
-                ready = self.core.serving()
+                ready = self.core.is_serving()
                 request.answer_json(200 if ready else 503, {"ready": ready})
             case (_, ["blueprint" | "plans" | "changes" | "state" | "ready", *_]):
                 raise errors.ServiceError("bad_method", "This path does not take that method.")
@@ -195,15 +196,15 @@
         view = consensus.view
         return {
             "role": "core",
-            "id": consensus.me.id,
+            "id": consensus.own_voter.id,
             "boot": core.runtime.incarnation,
-            "zone": consensus.me.zone,
+            "zone": consensus.own_voter.zone,
             "view": view.number if view is not None else 0,
             "chain": [replica.id for replica in view.chain] if view is not None else [],
             "seats": message.plain(view.voters) if view is not None else [],
-            "tail": consensus.tail(),
-            "leased": consensus.leased(),
-            "serving": core.serving(),
+            "tail": consensus.is_tail(),
+            "leased": consensus.holds_lease(),
+            "serving": core.is_serving(),
             "whole": core.chain.is_synced(),
             "stamp": core.chain.committed_state.version,
             "n": core.chain.committed_state.index,
--- a/iriswheel/control/replica_store.py
+++ b/iriswheel/control/replica_store.py
@@ -82,7 +82,7 @@
 
     def _forward(self, records: message.ReplicateRecords) -> None:
         for voter in self.parts.voters():
-            if voter.id != self.parts.consensus.me.id:
+            if voter.id != self.parts.consensus.own_voter.id:
                 self.parts.runtime.spawn(self.parts.peers.tell(voter.host, voter.port, records), log)
 
     async def collect(self, request: message.RecordsRequest) -> message.RecordsResponse:
--- a/iriswheel/control/reports.py
+++ b/iriswheel/control/reports.py
@@ -81,7 +81,7 @@
         """Report at every change, and every REPORT_INTERVAL_US; one task."""
         while True:
             view = self.parts.consensus.view
-            if view is not None and self.parts.consensus.serving():
+            if view is not None and self.parts.consensus.is_serving():
                 self.sessions.drop_broken()
                 self._send(view)
             await self.parts.runtime.pause(self.parts.node_reports.report_now, REPORT_INTERVAL_US)
@@ -90,7 +90,7 @@
     def _send(self, view: message.View) -> None:
         report = self._report(view)
         tail = view.chain[-1]
-        if tail.id == self.parts.consensus.me.id:
+        if tail.id == self.parts.consensus.own_voter.id:
             self.take_own(report)
             return
         voter = self.parts.voter_of(tail)
@@ -101,7 +101,7 @@
         latest = self.parts.membership.latest
         now = self.parts.runtime.now()
         return message.NodeSessionsReport(
-            self.parts.consensus.me.id,
+            self.parts.consensus.own_voter.id,
             view.number,
             [session.member for session in sessions],
             [session.applied_index for session in sessions],
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -62,21 +62,23 @@
         self._announced_version: tuple[int, int] | None = None  # of the membership that was last announced
         self._sent_memberships: dict[message.ChainReplica, SentMembership] = {}
 
-    def installed(self, view: message.View) -> None:
-        """A new view was agreed."""
+    def on_view(self, view: message.View) -> None:
+        """Forget the reports of the view before, and count who may hold leases from it."""
         self.received_reports = {}
         before = self.parts.consensus.predecessors
-        was_tail = before is not None and before[-1:] == [(self.parts.consensus.me.id, self.parts.runtime.incarnation)]
+        was_tail = before is not None and before[-1:] == [
+            (self.parts.consensus.own_voter.id, self.parts.runtime.incarnation)
+        ]
         self.holders.installed(before, chain_members(view), self.parts.runtime.now(), was_tail)
 
     def take_report(self, report: message.NodeSessionsReport) -> None:
-        """Take a core machine's report."""
+        """Record a core machine's report; the membership and the lease holders follow from it."""
         before = self.applied()
         self.parts.node_reports.record_listing_unchanged(report.listing_unchanged)
         self.parts.membership.apply_report(report)
         self._announce_membership()
         view = self.parts.consensus.view
-        if self.parts.consensus.tail() and view is not None and report.view == view.number:
+        if self.parts.consensus.is_tail() and view is not None and report.view == view.number:
             self.received_reports[report.core] = max(report.sent_at, self.received_reports.get(report.core, 0))
             self.holders.record_heartbeat(report.core, report.leases, self.parts.runtime.now())
         if self.applied() != before:
@@ -84,13 +86,13 @@
 
     def applied(self) -> int:
         """The index up to which every node that may hold a lease has applied the log; 0 where it is not known."""
-        if not self.parts.consensus.leased():
+        if not self.parts.consensus.holds_lease():
             return 0
         return self.holders.applied(self.parts.chain.committed_state.index, self.parts.runtime.now())
 
     async def take_leaving(self, leaving: message.MemberLeaving) -> None:
         """Remove a node that says it leaves; where another machine is the tail, pass the message on."""
-        if self.parts.consensus.tail():
+        if self.parts.consensus.is_tail():
             self.parts.membership.remove_member(leaving.member)
             self._announce_membership()
         elif self.parts.consensus.view is not None:
@@ -102,7 +104,7 @@
         """Issue the membership where a member's time has run out; one task."""
         while True:
             await self.parts.runtime.sleep(ISSUE_INTERVAL_US)
-            if self.parts.consensus.tail():
+            if self.parts.consensus.is_tail():
                 self.parts.membership.issue_if_changed()
                 self._announce_membership()
 
@@ -111,7 +113,7 @@
         rounds = 0
         while True:
             view = self.parts.consensus.view
-            if view is not None and self.parts.consensus.leased():
+            if view is not None and self.parts.consensus.holds_lease():
                 rounds += 1
                 if rounds % FULL_ROUND_INTERVAL == 0:
                     self._sent_memberships.clear()
@@ -131,7 +133,7 @@
                 self.parts.node_reports.listing_unchanged,
                 self.received_reports.get(replica.id, 0),
             )
-            if replica.id == self.parts.consensus.me.id:
+            if replica.id == self.parts.consensus.own_voter.id:
                 self.contact.record_own_heartbeat(
                     view.number, heartbeat.echo, heartbeat.applied_by_all, heartbeat.sessions
                 )
--- a/iriswheel/membership/assignments.py
+++ b/iriswheel/membership/assignments.py
@@ -103,6 +103,7 @@
     version: tuple[int, int],
     members: collections.abc.Sequence[message.Member],
     previous: message.RoleAssignment | None,
+    *,
     active: collections.abc.Set[RoleTerm],
     contested: collections.abc.Set[RoleTerm],
     same_members: bool = False,
@@ -119,10 +120,11 @@
         same_members: Whether the members are those of the previous assignment; then its group stays.
 
     >>> members = [message.Member(i, i, "z", "h", 1, 2) for i in "abc"]
-    >>> first = assign("pool/desk", (1, 1), members, None, set(), set())
-    >>> assign("pool/desk", (1, 2), members, first, {("pool/desk", (1, 1))}, set()).active
+    >>> first = assign("pool/desk", (1, 1), members, None, active=set(), contested=set())
+    >>> first_term = (first.key, first.term)
+    >>> assign("pool/desk", (1, 2), members, first, active={first_term}, contested=set()).active
     True
-    >>> assign("pool/desk", (1, 2), members, first, set(), {("pool/desk", (1, 1))}).term
+    >>> assign("pool/desk", (1, 2), members, first, active=set(), contested={first_term}).term
     (1, 2)
     """
     if previous is None:
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -40,10 +40,10 @@
     def view(self) -> message.View | None:
         """The newest view known here."""
 
-    def tail(self) -> bool:
+    def is_tail(self) -> bool:
         """Whether this machine is the tail of the newest view."""
 
-    def leased(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether this machine is the tail and holds the lease."""
 
 
@@ -101,7 +101,7 @@
     def apply_report(self, report: message.NodeSessionsReport) -> None:
         """Record which nodes a core machine has sessions with, and issue a membership if it changed."""
         view = self.consensus.view
-        if not self.consensus.tail() or view is None or report.view != view.number:
+        if not self.consensus.is_tail() or view is None or report.view != view.number:
             return
         now = self.runtime.now()
         if self.view != report.view:
@@ -138,7 +138,7 @@
 
     def issue_if_changed(self) -> None:
         """Issue a membership if it changed; only under the tail's lease, so that just one machine issues."""
-        if not self.consensus.leased() or self.view != self._view_number():
+        if not self.consensus.holds_lease() or self.view != self._view_number():
             return
         now = self.runtime.now()
         if not self.has_issued() and not self._adopt_last_membership(now):
@@ -242,7 +242,15 @@
         same_members = old is not None and self.has_issued() and members == old.members
         assigned = []
         for key in self._roles(previous):
-            assignment = assignments.assign(key, version, members, previous.get(key), active, contested, same_members)
+            assignment = assignments.assign(
+                key,
+                version,
+                members,
+                previous.get(key),
+                active=active,
+                contested=contested,
+                same_members=same_members,
+            )
             _log_change(previous.get(key), assignment, contested)
             assigned.append(assignment)
         return assigned
--- a/iriswheel/replication/chain_position.py
+++ b/iriswheel/replication/chain_position.py
@@ -23,9 +23,9 @@
     def index_in(self, number: int) -> int | None:
         """This replica's place in the numbered view's chain, 0 at the head; None where it does not serve in it."""
         view = self.consensus.view
-        if view is None or not self.consensus.serving(number):
+        if view is None or not self.consensus.is_serving(number):
             return None
-        return [replica.id for replica in view.chain].index(self.consensus.me.id)
+        return [replica.id for replica in view.chain].index(self.consensus.own_voter.id)
 
     def follows_in(self, number: int) -> bool:
         """Whether this replica serves in the numbered view, and not at the head."""
@@ -49,4 +49,4 @@
 
     def has_enough_copies(self, view: message.View) -> bool:
         """Whether a chain is long enough to acknowledge changes."""
-        return len(view.chain) >= self.consensus.copies
+        return len(view.chain) >= self.consensus.required_copies
--- a/iriswheel/replication/proposals.py
+++ b/iriswheel/replication/proposals.py
@@ -83,7 +83,7 @@
         if view is None or self.position.index_in(number) != 0 or not self.position.is_synced():
             return refuse("no_chain", "This machine is not the head of the chain now.")
         if not self.position.has_enough_copies(view):
-            copies = self.position.consensus.copies
+            copies = self.position.consensus.required_copies
             text = f"Machines with a disk: {len(view.chain)} are there, {copies} must keep a change."
             return refuse("too_few_copies", text)
         if not self.log.disk.ok:
--- a/iriswheel/replication/sender.py
+++ b/iriswheel/replication/sender.py
@@ -63,7 +63,7 @@
 
     async def _catch_up(self, number: int, successor: message.Voter) -> int | None:
         """Bring the next replica up to date; returns how far, or None where it has to be tried again."""
-        place = await self._call(successor, message.PositionRequest(number, self.position.consensus.me.id))
+        place = await self._call(successor, message.PositionRequest(number, self.position.consensus.own_voter.id))
         if not isinstance(place, message.PositionResponse) or not place.ok:
             return None
         if not place.accepts_chunks:
--- a/iriswheel/replication/tail.py
+++ b/iriswheel/replication/tail.py
@@ -38,7 +38,7 @@
         until these are committed here, it answers none.
         """
         consensus = self.position.consensus
-        if not consensus.leased() or consensus.view is None or self._committed_view != consensus.view.number:
+        if not consensus.holds_lease() or consensus.view is None or self._committed_view != consensus.view.number:
             return message.ReadResponse(False)
         state = self.log.committed_state
         plan = state.plans.get(request.plan)
--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -100,7 +100,9 @@
         live = [core for core in self.site.cores.values() if core.process.alive]
         views = [core.consensus.view for core in live if core.consensus.view is not None]
         newest = max(views, key=lambda view: view.number)
-        return next(name for name, core in self.site.cores.items() if core.consensus.me.id == newest.chain[-1].id)
+        return next(
+            name for name, core in self.site.cores.items() if core.consensus.own_voter.id == newest.chain[-1].id
+        )
 
     def any_core(self) -> str:
         """A core machine by lot."""
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -252,7 +252,7 @@
         core, view = self.arrived(), self.newest_view()
         if core is None or view is None:
             return False
-        identifier, incarnation = core.consensus.me.id, core.runtime.incarnation
+        identifier, incarnation = core.consensus.own_voter.id, core.runtime.incarnation
         chained = any(member.id == identifier and member.incarnation == incarnation for member in view.chain)
         match step:
             case Step.SEEN:
@@ -274,12 +274,12 @@
 
     def tail_is_leased(self, view: message.View) -> bool:
         """Whether the tail of a view holds the read lease."""
-        return any(core.consensus.view == view and core.consensus.leased() for core in self.live())
+        return any(core.consensus.view == view and core.consensus.holds_lease() for core in self.live())
 
     def complete(self) -> bool:
         """Whether all core machines are in the chain, each synced, with a leased tail."""
         view, cores = self.newest_view(), self.site.cores.values()
-        members = {(core.consensus.me.id, core.runtime.incarnation) for core in cores if core.process.alive}
+        members = {(core.consensus.own_voter.id, core.runtime.incarnation) for core in cores if core.process.alive}
         if view is None or members != {(member.id, member.incarnation) for member in view.chain}:
             return False
         synced = all(core.consensus.view == view and decisions.is_synced(core.consensus.record) for core in cores)
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -275,7 +275,7 @@
 
     def tail(self) -> server_model.SimulatedCore | None:
         """The core that is the leased tail, or None."""
-        return next((each for each in self.cores.values() if each.process.alive and each.consensus.leased()), None)
+        return next((each for each in self.cores.values() if each.process.alive and each.consensus.holds_lease()), None)
 
     def head(self) -> server_model.SimulatedCore | None:
         """The core that is the head of the newest view, or None."""
@@ -288,7 +288,7 @@
         if newest is None:
             return None
         return next(
-            (self.cores[name] for name in views if self.cores[name].consensus.me.id == newest.chain[0].id), None
+            (self.cores[name] for name in views if self.cores[name].consensus.own_voter.id == newest.chain[0].id), None
         )
 
     def owner(self) -> server_model.SimulatedNode | None:
--- a/simulation/state_search/cluster_model.py
+++ b/simulation/state_search/cluster_model.py
@@ -185,7 +185,14 @@
             states[identifier] = decisions.VoterState(True, True)
         else:
             states[identifier] = decisions.VoterState(core.leaving, False)
-    return decisions.next_voters(view, proposer.identifier, proposer.leaving, joining_members, states, len(world.cores))
+    return decisions.next_voters(
+        view,
+        proposer.identifier,
+        leaving=proposer.leaving,
+        joining_members=joining_members,
+        states=states,
+        size=len(world.cores),
+    )
 
 
 def live(world: World) -> dict[str, str]:
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -61,7 +61,13 @@
         agreed = message.View(4, make_view(4, "ab").voters, members)
         replica = chain.Chain(runtime, Disk(), {}, None)
         replica.consensus = view_consensus.ViewConsensus(
-            runtime, Disk(), decisions.Record(agreed), agreed.voters[1], [], None, lambda agreed: None
+            runtime,
+            Disk(),
+            decisions.Record(agreed),
+            agreed.voters[1],
+            seeds=[],
+            peers=None,
+            on_view=lambda agreed: None,
         )
         snapshot = snapshot_format.encode(replicated_state.ReplicatedState())
 
@@ -104,21 +110,21 @@
         agreed = message.View(4, agreed.voters, [*agreed.chain[:2], message.ChainReplica("a", runtime.incarnation)])
         record = decisions.Record(agreed, synced_view=4)
         consensus = view_consensus.ViewConsensus(
-            runtime, Disk(), record, agreed.voters[2], [], Peers(answers), lambda agreed: None
+            runtime, Disk(), record, agreed.voters[2], seeds=[], peers=Peers(answers), on_view=lambda agreed: None
         )
         for identifier in "bc":
-            consensus.hear(message.Heartbeat(identifier, "1", "zone", identifier, 1, agreed, 4, True))
+            consensus.receive_heartbeat(message.Heartbeat(identifier, "1", "zone", identifier, 1, agreed, 4, True))
         return clock, consensus
 
     def test_the_tail_holds_its_lease_as_soon_as_a_majority_gave_it(self) -> None:
         _, consensus = self.make_consensus({"b": message.LeaseResponse(True, None)})
-        consensus.runtime.spawn(consensus.renew())
-        assert consensus.leased()
+        consensus.runtime.spawn(consensus.renew_lease())
+        assert consensus.holds_lease()
 
     def test_a_proposal_waits_but_shortly_for_machines_that_are_silent(self) -> None:
         clock, consensus = self.make_consensus({"b": promised("b", 4)})
         clock.advance(2)  # the grants of before the start have run out, and so have the heartbeats
-        consensus.hear(message.Heartbeat("b", "1", "zone", "b", 1, consensus.view, 4, True))
+        consensus.receive_heartbeat(message.Heartbeat("b", "1", "zone", "b", 1, consensus.view, 4, True))
         prepare = message.Prepare(5, (1, "a"), "a")
         answers = []
         defer.ensureDeferred(
@@ -137,14 +143,14 @@
         agreed = message.View(4, agreed.voters, [message.ChainReplica("a", runtime.incarnation), *agreed.chain[1:]])
         record = decisions.Record(agreed, synced_view=4)
         self.consensus = view_consensus.ViewConsensus(
-            runtime, Disk(), record, agreed.voters[0], [], None, lambda agreed: None
+            runtime, Disk(), record, agreed.voters[0], seeds=[], peers=None, on_view=lambda agreed: None
         )
-        self.consensus.leave()
+        self.consensus.announce_departure()
 
     def hear(self, whole):
         """Take in a heartbeat of each other member."""
         for identifier in "bc":
-            self.consensus.hear(
+            self.consensus.receive_heartbeat(
                 message.Heartbeat(identifier, "1", "zone", identifier, 1, self.consensus.view, whole, True)
             )
 
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -77,7 +77,7 @@
         self.chain = chain.Chain(self.runtime, guard, state, self.network)
         voter = message.Voter(self.name, self.name, 1, "a")
         self.consensus = view_consensus.ViewConsensus(
-            self.runtime, guard, record, voter, [], None, lambda v: None, copies=self.copies
+            self.runtime, guard, record, voter, seeds=[], peers=None, on_view=lambda v: None, copies=self.copies
         )
         self.chain.consensus = self.consensus
         self.network.members[self.name] = self
@@ -364,7 +364,7 @@
             proposed += [d] if d is not None else []
             for _ in range(15):
                 t.go(0.01)
-                assert not (back.consensus.leased() and not back.chain.is_synced())
+                assert not (back.consensus.holds_lease() and not back.chain.is_synced())
                 if caught_up is None and back.chain.is_synced():
                     caught_up = t.world.time - started_at
             done = [d for d in proposed if d.called and d.result.code == ""]
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -30,24 +30,24 @@
             done.callback(None)
 
 
-class Membership:
-    """A view that the test sets; its tail holds the lease. The replica is whole in it, unless said otherwise."""
+class FixedConsensus:
+    """A view that the test sets; its tail holds the lease. The replica is synced in it, unless said otherwise."""
 
-    copies = 2
+    required_copies = 2
 
     def __init__(self, number, *ids):
-        self.me = types.SimpleNamespace(id="a")
+        self.own_voter = types.SimpleNamespace(id="a")
         self.agree(number, *ids)
 
-    def agree(self, number, *ids, whole=True):
+    def agree(self, number, *ids, synced=True):
         self.view = message.View(number, [], [message.ChainReplica(i, "1") for i in ids])
-        self.record = types.SimpleNamespace(view=self.view, synced_view=number if whole else number - 1)
+        self.record = types.SimpleNamespace(view=self.view, synced_view=number if synced else number - 1)
 
-    def serving(self, number):
+    def is_serving(self, number):
         return number == self.view.number
 
-    def leased(self):
-        return self.view.chain[-1].id == self.me.id
+    def holds_lease(self):
+        return self.view.chain[-1].id == self.own_voter.id
 
     async def mark_synced(self, number):
         self.record.synced_view = number
@@ -72,7 +72,7 @@
         return defer.ensureDeferred(replica.answer(msg))
 
     def test_a_new_tail_answers_no_read_before_what_it_holds_is_committed(self) -> None:
-        replica = self.replica(Membership(4, "b", "a"), [entry(1, 3, "c0-1-0a")])
+        replica = self.replica(FixedConsensus(4, "b", "a"), [entry(1, 3, "c0-1-0a")])
         assert not self.put(replica, message.ReadRequest(4)).result.ok
         replica.tail.commit_synced(4)
         seen = self.put(replica, message.ReadRequest(4, "c0-1-0a")).result
@@ -81,34 +81,34 @@
         assert not self.put(replica, message.ReadRequest(5)).result.ok
 
     def test_a_read_that_comes_after_the_lease_has_ended_fails(self) -> None:
-        replica = self.replica(Membership(4, "b", "a"))
+        replica = self.replica(FixedConsensus(4, "b", "a"))
         replica.tail.commit_synced(4)
         assert self.put(replica, message.ReadRequest(4)).result.ok
-        replica.consensus.leased = lambda: False
+        replica.consensus.holds_lease = lambda: False
         assert not self.put(replica, message.ReadRequest(4)).result.ok
 
     def test_a_tail_that_may_not_commit_alone_answers_no_read_by_less_than_it_holds(self) -> None:
-        replica = self.replica(Membership(4, "a", "b"))
+        replica = self.replica(FixedConsensus(4, "a", "b"))
         self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})]))
         self.disk.finish()
         replica.consensus.agree(5, "a")
         replica.tail.commit_synced(5)
         assert not self.put(replica, message.ReadRequest(5)).result.ok
-        restarted = self.replica(Membership(4, "a"), [entry(1, 3, "c0-1-0a")])
+        restarted = self.replica(FixedConsensus(4, "a"), [entry(1, 3, "c0-1-0a")])
         assert not self.put(restarted, message.ReadRequest(4)).result.ok
         restarted.tail.commit_synced(4)
         seen = self.put(restarted, message.ReadRequest(4, "c0-1-0a")).result
         assert (seen.ok, seen.version, seen.taken) == (True, 1, 1)
-        blank = self.replica(Membership(4, "a"))
+        blank = self.replica(FixedConsensus(4, "a"))
         blank.tail.commit_synced(4)
         assert self.put(blank, message.ReadRequest(4)).result.ok
 
     def test_a_change_synced_after_its_view_ended_is_not_acknowledged_by_another_entry(self) -> None:
-        replica = self.replica(Membership(4, "a", "b"))
+        replica = self.replica(FixedConsensus(4, "a", "b"))
         proposed = self.put(
             replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})])
         )
-        replica.consensus.agree(5, "b", "a", whole=False)
+        replica.consensus.agree(5, "b", "a", synced=False)
         placed = self.put(replica, message.PositionRequest(5, "b"))
         assert not placed.called
         self.disk.finish()
@@ -121,11 +121,11 @@
         assert dict(replica.committed_state.taken) == {"c0-1-0b": 1}
 
     def test_a_change_taken_again_after_a_catch_up_by_snapshot_is_distinguished(self) -> None:
-        replica = self.replica(Membership(4, "a", "b"))
+        replica = self.replica(FixedConsensus(4, "a", "b"))
         proposed = self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, []))
         self.disk.finish()
         assert not proposed.called
-        replica.consensus.agree(5, "b", "a", whole=False)
+        replica.consensus.agree(5, "b", "a", synced=False)
         other = replicated_state.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
         self.put(replica, message.CatchUp(5, snapshot_format.encode(other), []))
         self.disk.finish()
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -36,7 +36,7 @@
         self.installed = []
         guard = storage.MonitoredDisk(runtime, self.disk)
         self.consensus = view_consensus.ViewConsensus(
-            runtime, guard, record, VOTERS[1], [], None, self.installed.append
+            runtime, guard, record, VOTERS[1], seeds=[], peers=None, on_view=self.installed.append
         )
 
     def epoch(self, number, order="abc"):
@@ -53,7 +53,7 @@
         self.host.disk = "full"
         answer = self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a")))
         assert (answer.ok, answer.ballot) == (False, (0, ""))
-        assert not self.consensus.sealed()
+        assert not self.consensus.is_sealed()
         self.host.disk = "ok"
         assert self.wait(self.consensus.answer(message.Prepare(2, (4, "c"), "c"))).ok
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -162,7 +162,9 @@
 
     def __init__(self):
         self.items = {}
-        self.operator_api = operator_api.OperatorApi(self, None, self, None, None, counters.Counters())
+        self.operator_api = operator_api.OperatorApi(
+            self, None, self, None, replicas=None, counters=counters.Counters()
+        )
 
     async def read(self):
         return self.items
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -82,7 +82,7 @@
         t.newest = 0
         t.go(2)
         chain = t.head().consensus.view.chain
-        cut = next(c for c in t.cores.values() if c.consensus.me.id == chain[place].id)
+        cut = next(c for c in t.cores.values() if c.consensus.own_voter.id == chain[place].id)
         others = [c.options.host for c in t.cores.values() if c is not cut]
         callers = [Caller(t, name) for name in t.cores]
         until = t.world.time + (CUT_SECONDS + 10) * S
@@ -117,7 +117,7 @@
         lookup = tail.Tail.answer_read
 
         def look(self, msg):
-            with unittest.mock.patch.object(self.position.consensus, "leased", lambda: True):
+            with unittest.mock.patch.object(self.position.consensus, "holds_lease", lambda: True):
                 return lookup(self, msg)
 
         monkeypatch.setattr(tail.Tail, "answer_read", look)
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -200,9 +200,10 @@
         number = head.consensus.view.number + 1
         c = head.consensus
         c.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a short cut, in which its grant ran out
-        t.operator_runtime.spawn(c.answer(message.Prepare(number, (1, c.me.id), c.me.id)), simulated_cluster.log)
+        prepare = message.Prepare(number, (1, c.own_voter.id), c.own_voter.id)
+        t.operator_runtime.spawn(c.answer(prepare), simulated_cluster.log)
         t.go(0.1)
-        assert c.sealed()
+        assert c.is_sealed()
         done = t.operator_runtime.spawn(t.operator.change(t.with_probe(1)), simulated_cluster.log)
         assert t.until(lambda: done.called, 5)
         assert done.result > 0
@@ -312,9 +313,9 @@
         tail.process.freeze()
         t.go(4)
         tail.process.frozen = False  # it runs again, before it has heard anything
-        assert not tail.consensus.leased()
+        assert not tail.consensus.holds_lease()
         assert not tail.chain.tail.answer_read(message.ReadRequest(1)).ok
-        assert not tail.serving()
+        assert not tail.is_serving()
 
     def test_versions_that_are_two_steps_apart_do_not_talk(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -147,7 +147,7 @@
             t.start_core(c.options.name, *t.options[c.options.name])
             joining_members.append(t.cores[c.options.name])
             joining_members[-1].chain.answer = functools.partial(answer, real=joining_members[-1].chain.answer)
-            identifier = joining_members[-1].consensus.me.id
+            identifier = joining_members[-1].consensus.own_voter.id
             assert t.until(lambda identifier=identifier: identifier in [x.id for x in head.consensus.view.chain], 10)
         assert len(head.consensus.view.chain) == 3
         done = self.stop(t, head)
