--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -74,13 +74,13 @@
 
     def start_node(self, name: str, host: str, zone: str) -> None:
         """Start a node, without its probes of workers unless the fleet has them."""
-        was = health.WALK_US
+        was = health.QUIET_PROBE_INTERVAL_US
         if not self.walking:  # with many nodes and workers the knocks drown the rest
-            health.WALK_US = samples.NEVER_US
+            health.QUIET_PROBE_INTERVAL_US = samples.NEVER_US
         try:
             super().start_node(name, host, zone)
         finally:
-            health.WALK_US = was
+            health.QUIET_PROBE_INTERVAL_US = was
 
     def load_up(self, rate: float, lasts: float) -> None:
         """Let every node have so many sends a second under way, each for so many seconds; none of them is sent."""
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -6,7 +6,7 @@
 
 import loguru
 
-from iriswheel.dataplane import dispatch
+from iriswheel.dataplane import dispatch, health
 from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
@@ -57,9 +57,11 @@
 
     async def _cut_hanging(self, worker_id: str) -> None:
         """End the attempts that hang at a worker, if no connection to it can be had from here."""
-        worker, reach = self.node.follower.states.get(worker_id), self.node.reachability
-        if worker is not None and worker_id not in reach.lost and (await reach.probe(worker)).outcome != "none":
-            return
+        worker = self.node.follower.states.get(worker_id)
+        if worker is not None and worker_id not in self.node.reachability.unreachable_since:
+            response = await self.node.reachability.probe(worker)
+            if response.outcome != health.ProbeOutcome.NOT_REACHED:
+                return
         for attempt in [a for a in self.attempts.values() if a.worker == worker_id and not a.via]:
             if self._hangs(attempt):
                 attempt.cut()
--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -32,7 +32,7 @@
         self.answer_begun = False  # whether a byte went to the client
         self.may_have_run = False  # whether a worker may have run it
         self.sends = 0
-        self.shun: set[str] = set()  # workers that it is not sent to any more
+        self.excluded_workers: set[str] = set()  # workers that it is not sent to any more
 
     def known_outcome(self) -> errors.ExecutionOutcome:
         """Return what may be said of the request if it is given up now."""
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -170,11 +170,11 @@
         """
         request = forwarded_request.ForwardedRequest(routed, self.placement_of(routed.pool_name))
         try:
-            await client_disconnect.run_until_disconnect(request.request, self.run(request))
+            await client_disconnect.run_until_disconnect(request.request, self.send_with_retries(request))
         except defer.CancelledError:
             self.counts["gone"] += 1
 
-    async def run(self, request: forwarded_request.ForwardedRequest) -> None:
+    async def send_with_retries(self, request: forwarded_request.ForwardedRequest) -> None:
         """Send a request to workers until one has answered or the request must be given up."""
         unreached = 0
         while True:
@@ -184,7 +184,7 @@
             match outcome:
                 case attempt_outcome.AttemptOutcome.UNSENT:
                     unreached += 1
-                    request.shun.add(worker.id)
+                    request.excluded_workers.add(worker.id)
                     if unreached >= MAX_UNREACHED:
                         raise self.give_up(request, "no_worker", "No worker can be reached now.")
                     continue
@@ -212,7 +212,7 @@
             request.own_tokens,
             self.ready(request.pool_name),
             request.pool,
-            request.shun,
+            request.excluded_workers,
         )
         now = self.runtime.now()
         if not worker_id:
@@ -230,7 +230,7 @@
         stream: answer_stream.AnswerStream,
     ) -> None:
         """Record a refused, failed or broken attempt: exclude its worker, and note whether it may have run."""
-        request.shun.add(stream.worker)
+        request.excluded_workers.add(stream.worker)
         match outcome:
             case attempt_outcome.AttemptOutcome.REFUSED:
                 self.counts["unrun"] += 1
@@ -296,7 +296,11 @@
 
     def _other_workers(self, request: forwarded_request.ForwardedRequest, current: str = "") -> list[str]:
         """Return the workers that a request may still be sent to, without the current one."""
-        return [worker for worker in self.ready(request.pool_name) if worker not in request.shun and worker != current]
+        return [
+            worker
+            for worker in self.ready(request.pool_name)
+            if worker not in request.excluded_workers and worker != current
+        ]
 
     async def send(
         self,
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -49,8 +49,8 @@
         self.attempts = attempt_registry.AttemptRegistry(node)
         self.relays = relay.RelayServer(node)
         self.forwarder = forwarding.Forwarder(node)
-        self.short_requests = work_queue.WorkQueue(self.runtime, SHORT_BACKLOG, SHORT_CONCURRENCY, self.forward)
-        self.long_requests = work_queue.WorkQueue(self.runtime, LONG_BACKLOG, LONG_CONCURRENCY, self.forward)
+        self.short_requests = work_queue.WorkQueue(self.runtime, SHORT_BACKLOG, SHORT_CONCURRENCY, self.run_queued)
+        self.long_requests = work_queue.WorkQueue(self.runtime, LONG_BACKLOG, LONG_CONCURRENCY, self.run_queued)
         self.received = 0  # requests so far, also those relayed for peers; numbers the attempt ids
         self.open = 0  # requests under way
         self.closed = scheduler.Signal()  # wakes when a request has ended
@@ -101,14 +101,14 @@
             raise errors.ServiceError("busy", "This node holds as many exchanges as it can.")
         await request.done
 
-    async def forward(self, request: routed_request.RoutedRequest) -> None:
+    async def run_queued(self, request: routed_request.RoutedRequest) -> None:
         """Run one request of a work queue and fire its `done`; the work is cancelled when its client disconnects."""
         if request.request.gone:
             self.counts["gone"] += 1
             request.done.callback(None)
             return
         try:
-            await client_disconnect.run_until_disconnect(request.request, self.run(request))
+            await client_disconnect.run_until_disconnect(request.request, self.send_with_grants(request))
         except defer.CancelledError:
             self.counts["gone"] += 1
             request.done.callback(None)
@@ -117,18 +117,18 @@
         else:
             request.done.callback(None)
 
-    async def run(self, request: routed_request.RoutedRequest) -> None:
+    async def send_with_grants(self, request: routed_request.RoutedRequest) -> None:
         """Send a request to workers until one has answered or the request must be given up.
 
         Raises:
             errors.ServiceError: It is given up before any byte of an answer.
         """
-        shun: list[str] = []
+        excluded_workers: list[str] = []
         broke = 0
         while True:
             execution = errors.ExecutionOutcome.NOT_RUN
             try:
-                worker, via = await self.selector.select_worker(request, shun)
+                worker, via = await self.selector.select_worker(request, excluded_workers)
                 if request.is_repeat:
                     self.retry_budgets.budget(request).repeats.append(self.runtime.now())
                     self.counts["repeats"] += 1
@@ -152,7 +152,7 @@
             finally:
                 self.attempts.end(request.attempt_id)
                 self.owners.release(request, execution)
-            shun.append(worker.id)
+            excluded_workers.append(worker.id)
             request.renew_attempt_id()
             if broke and (not request.idempotent or broke >= max_attempts(request)):
                 raise errors.ServiceError(
@@ -164,12 +164,12 @@
     ) -> attempt_outcome.AttemptOutcome:
         """Send to a worker; relayed by the member `via` where this node has no connection to the worker."""
         dispatcher = self.node.dispatcher
-        peer = self.node.follower.member(via) if worker.id in self.node.reachability.lost else None
+        peer = self.node.follower.member(via) if worker.id in self.node.reachability.unreachable_since else None
         attempt.via = peer is not None
         if peer is None:
             outcome = await dispatcher.send(request.request, request.raw, worker, request.idempotent, attempt)
             if outcome is attempt_outcome.AttemptOutcome.UNSENT:
-                self.node.reachability.miss(worker.id)
+                self.node.reachability.note_unreachable(worker.id)
             return outcome
         token = await relay.request_token(self.node, peer, worker.id)
         if not token:
--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -41,7 +41,7 @@
         self,
         request: routed_request.RoutedRequest,
         assignment: message.RoleAssignment,
-        shun: list[str],
+        excluded_workers: list[str],
         left_us: int,
     ) -> Selection | None:
         """Ask the owner of a request's pool for a worker.
@@ -49,13 +49,13 @@
         Args:
             request: The request to be sent.
             assignment: The owner's role assignment.
-            shun: Ids of workers that an earlier attempt did not reach.
+            excluded_workers: Ids of workers that an earlier attempt did not reach.
             left_us: How long the request may still wait.
 
         Returns:
             The owner's decision, or None where it is silent.
         """
-        query = self._query(request, assignment, shun, left_us)
+        query = self._query(request, assignment, excluded_workers, left_us)
         request.grant_requested = True
         if assignment.holder == local_member.member_id(self.node):
             return await self._ask_local_owner(query)
@@ -84,7 +84,7 @@
         self,
         request: routed_request.RoutedRequest,
         assignment: message.RoleAssignment,
-        shun: list[str],
+        excluded_workers: list[str],
         left_us: int,
     ) -> message.SelectWorker:
         return message.SelectWorker(
@@ -99,7 +99,7 @@
             request.parts,
             request.work,
             request.long,
-            shun,
+            excluded_workers,
             {"lifetime_us": request.terms.lifetime_us, "cost": request.terms.cost},
             left_us,
             request.is_repeat,
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -300,7 +300,7 @@
         own_tokens: int,
         ready: list[str],
         pool: configuration.Pool,
-        shun: set[str],
+        excluded_workers: set[str],
     ) -> tuple[str, int]:
         """Select the worker for a request.
 
@@ -310,16 +310,16 @@
             own_tokens: Its tokens that no other request shares.
             ready: The workers that may be sent to.
             pool: The pool's configuration.
-            shun: The workers that earlier attempts went to.
+            excluded_workers: The workers that earlier attempts went to.
 
         Returns:
             The worker, "" where there is none, and how long the request waits there in microseconds.
         """
         now = self.runtime.now()
         session = self.session_table.affinity(keys[-1]) if keys else None
-        if session is not None and session.worker in ready and session.worker not in shun:
+        if session is not None and session.worker in ready and session.worker not in excluded_workers:
             return session.worker, self.wait_us(session.worker, pool, now)
-        candidates = self._candidates(ready, shun, now)
+        candidates = self._candidates(ready, excluded_workers, now)
         if not candidates:
             return "", 0
         if keys:
@@ -334,9 +334,9 @@
             candidates = [worker for worker in candidates if worker not in spared] or candidates
         return self._nearest(candidates, shared_keys, prompt.sizes[:-1], own_tokens, workers, pool)
 
-    def _candidates(self, ready: list[str], shun: set[str], now: int) -> list[str]:
+    def _candidates(self, ready: list[str], excluded_workers: set[str], now: int) -> list[str]:
         """Return the healthy workers not yet tried; all not yet tried where most look ill: then it is not they."""
-        untried = [worker for worker in ready if worker not in shun]
+        untried = [worker for worker in ready if worker not in excluded_workers]
         healthy = [worker for worker in untried if not self.is_unhealthy(worker, now)]
         return healthy if 2 * len(healthy) >= len(untried) else untried
 
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -52,7 +52,7 @@
             del self.tokens[expired]
         if (
             follower.state(worker) != "ready"
-            or worker in self.node.reachability.lost
+            or worker in self.node.reachability.unreachable_since
             or follower.needs_rejoin()
             or not follower.has_worker_update()
         ):
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -42,12 +42,12 @@
         self.counts = counts  # "bypass" is counted here
         self.affinities: dict[tuple[str, str], tuple[str, int]] = {}  # (pool, session) -> (worker, until)
 
-    async def select_worker(self, request: routed_request.RoutedRequest, shun: list[str]) -> SelectedWorker:
+    async def select_worker(self, request: routed_request.RoutedRequest, excluded_workers: list[str]) -> SelectedWorker:
         """Get a worker for a request, waiting for one as long as the request may.
 
         Args:
             request: The request; its route is found anew where the configuration changed meanwhile.
-            shun: Ids of the workers of earlier attempts.
+            excluded_workers: Ids of the workers of earlier attempts.
 
         Raises:
             errors.ServiceError: None is to be had: the owner refuses, or the time is over.
@@ -68,7 +68,7 @@
             assignment = self.owners.assignment(request.pool_name)
             selection = None
             if assignment is not None:
-                selection = await self.owners.select_worker(request, assignment, shun, left_us)
+                selection = await self.owners.select_worker(request, assignment, excluded_workers, left_us)
             selected = None
             match selection:
                 case message.SelectionGranted():
@@ -76,7 +76,7 @@
                 case message.SelectionDenied():
                     last_error = self._denial(request, selection)
                 case None:
-                    selected = self._bypass(request, shun)
+                    selected = self._bypass(request, excluded_workers)
             if selected is not None:
                 return selected
             await self.runtime.sleep(RETRY_INTERVAL_US)
@@ -156,7 +156,7 @@
         code = typing.cast("errors.ErrorCode", denial.code)  # the owner's, of the same codes
         raise errors.ServiceError(code, denial.text, outcome, denial.retry_us)
 
-    def _bypass(self, request: routed_request.RoutedRequest, shun: list[str]) -> SelectedWorker | None:
+    def _bypass(self, request: routed_request.RoutedRequest, excluded_workers: list[str]) -> SelectedWorker | None:
         """While the pool owner is silent, return the worker that this node last used for the session, or None.
 
         Only a first attempt of an idempotent request may go without the owner, who keeps claims and retry budget.
@@ -170,7 +170,7 @@
         if (
             worker is None
             or until <= now
-            or worker_id in shun
+            or worker_id in excluded_workers
             or not self.may_send(request, worker)
             or not self.node.follower.has_worker_update()
         ):
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -36,7 +36,7 @@
         self.me: message.Member | None = None
         self.peers = peers.Peers(runtime, self.serve, log)
         self.reachability = health.Reachability(self)
-        self.dispatcher = dispatch.Dispatcher(runtime, self.reachability.hear)
+        self.dispatcher = dispatch.Dispatcher(runtime, self.reachability.note_contact)
         self.follower = follower.Follower(self, options)
         self.gateway = gateway.Gateway(self)
         self.loads = load_reporter.LoadReporter(self)
@@ -61,7 +61,7 @@
             self.follower.platform.run(),
             self._report_grants(),
             self.gateway.attempts.watch_hangs(),
-            self.reachability.walk(),
+            self.reachability.probe_quiet_workers(),
             self.gateway.forwarder.watch(),
             self.loads.run(),
         ):
@@ -167,7 +167,7 @@
     def _grant_report(self, pool: str) -> message.GrantReport:
         attempt_ids = [attempt_id for attempt_id, grant in sorted(self.grants.items()) if grant.pool == pool]
         given_up = [attempt_id for attempt_id, (pool_name, _) in self.given_up.items() if pool_name == pool]
-        return message.GrantReport(pool, self.member.id, attempt_ids, self.reachability.lately(), given_up)
+        return message.GrantReport(pool, self.member.id, attempt_ids, self.reachability.recent_contacts(), given_up)
 
     # ---- messages -----------------------------------------------------------------------
 
--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -66,12 +66,12 @@
     def _end(self, owner: pool_owner.PoolOwner) -> None:
         del self.owners[owner.pool]
         owner.end()
-        owner.leave_to(self.replica(owner.pool))
+        owner.hand_over_to(self.replica(owner.pool))
 
     def is_contested(self, assignment: message.RoleAssignment) -> bool:
         """Whether this node could not take up a pool's role, since a newer term was seen."""
         owner = self.owners.get(pool_of(assignment) or "")
-        return owner is None or owner.over
+        return owner is None or owner.ended
 
     def sweep(self, now: int) -> None:
         """Forget the copies that expired long ago."""
@@ -137,7 +137,7 @@
             held,
             affinities,
             replica.held,
-            max(0, replica.broken_until - now),
+            max(0, replica.claims_missing_until_us - now),
             firsts,
             repeats,
         )
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -13,8 +13,8 @@
 import loguru
 
 from iriswheel import errors
-from iriswheel.dataplane import health, local_member, sessions
-from iriswheel.pools import claims, pool_records, replication, selection, takeover
+from iriswheel.dataplane import local_member, sessions
+from iriswheel.pools import claims, pool_records, replication, selection, takeover, worker_watch
 from iriswheel.runtime import scheduler, units
 from iriswheel.transport import message
 
@@ -58,30 +58,31 @@
         self.member_id = local_member.member_id(node)
         self.pool = pool
         self.assignment = assignment
-        self.freed = scheduler.Signal()  # woken when a waiting request should look again
-        self.records = pool_records.PoolRecords(self.freed)
+        self.slot_freed = scheduler.Signal()  # woken when a waiting request should look again
+        self.records = pool_records.PoolRecords(self.slot_freed)
         self.waiting = 0  # requests that wait for a worker
         self.gathered = False
-        self.since = self.runtime.now()
-        self.broken_until = self.since + claims.RETENTION_US  # until when claims of earlier owners may be missing here
-        self.watch = health.WorkerWatch(self)
+        self.started_at_us = self.runtime.now()
+        # until when claims of earlier owners may be missing here
+        self.claims_missing_until_us = self.started_at_us + claims.RETENTION_US
+        self.watch = worker_watch.WorkerWatch(self)
         self.selector = selection.WorkerSelector(pool, self.records, self.watch)
         self.replicator = replication.RecordReplicator(self)
         self.takeover = takeover.Takeover(self)
-        self.over = False
+        self.ended = False
         self.counts = {"elects": 0, "pinned": 0, "opened": 0, "closed": 0, "claims": 0, "denied": 0}
 
     # ---- role --------------------------------------------------------------------
 
-    def live(self) -> bool:
+    def is_live(self) -> bool:
         """Whether this term still is the newest that this node knows."""
-        return not self.over and self.node.pool_owners.get(self.pool) is self
+        return not self.ended and self.node.pool_owners.get(self.pool) is self
 
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Whether this owner may answer: it has its records, and the membership lists it as active."""
         assignment = self.node.follower.assignment(f"{ROLE_KEY_PREFIX}{self.pool}")
         return (
-            self.live()
+            self.is_live()
             and self.gathered
             and assignment is not None
             and assignment.term == self.assignment.term
@@ -90,20 +91,20 @@
             and self.node.follower.updated_at is not None
         )
 
-    def broken(self) -> bool:
+    def claims_may_be_missing(self) -> bool:
         """Whether claims made under earlier owners may have been lost."""
-        return self.runtime.now() < self.broken_until
+        return self.runtime.now() < self.claims_missing_until_us
 
     async def run(self) -> None:
         """Gather the records, take up the role, then look after the records."""
-        while self.live() and not await self.takeover.gather():
+        while self.is_live() and not await self.takeover.gather():
             await self.runtime.sleep(GATHER_RETRY_US)
         for coroutine in (self.sweep(), self.replicator.run(), self.watch.run()):
             self.runtime.spawn(coroutine, log)
-        while self.live() and not self.active():
+        while self.is_live() and not self.is_active():
             self.node.follower.session.tell(message.RoleActivated(self.assignment.key, self.assignment.term))
             await self.runtime.sleep(ACTIVATION_RETRY_US)
-            self.freed.wake()
+            self.slot_freed.wake()
         log.info(
             "Owner of pool {} is active: term {}, sessions {}.",
             self.pool,
@@ -113,22 +114,22 @@
 
     def end(self) -> None:
         """Stop answering: another member holds the role, under a newer term."""
-        self.over = True
-        self.freed.wake()
+        self.ended = True
+        self.slot_freed.wake()
 
-    def leave_to(self, replica: session_replicas.SessionReplica) -> None:
+    def hand_over_to(self, replica: session_replicas.SessionReplica) -> None:
         """Put the records, if all were gathered, into this node's own replica for the next owner."""
         if self.gathered:
             now = self.runtime.now()
-            replica.replace(*self.records.export(now), self.broken_until, now)
+            replica.replace(*self.records.export(now), self.claims_missing_until_us, now)
 
     async def sweep(self) -> None:
         """Drop expired records every few seconds; every SWEEPS_PER_SNAPSHOT sweeps replicate all records."""
         sweeps = 0
-        while self.live():
+        while self.is_live():
             await self.runtime.sleep(sessions.SWEEP_US)
             sweeps += 1
-            if sweeps % SWEEPS_PER_SNAPSHOT == 0 and self.active():
+            if sweeps % SWEEPS_PER_SNAPSHOT == 0 and self.is_active():
                 self.replicator.tell_cores(self.replicator.snapshot())
                 await self.replicator.copy(self.replicator.snapshot())
             self.counts["closed"] += self.records.sweep(self.runtime.now())
@@ -142,13 +143,13 @@
         unavailable = [
             worker
             for worker in self.records.session_table.at
-            if follower.state(worker) != "ready" or worker in self.watch.dark
+            if follower.state(worker) != "ready" or worker in self.watch.ejected
         ]
         for worker in unavailable:
             self.counts["closed"] += self.records.evict(worker)
         live_nodes = {member.id for member in follower.membership.members}
         self.records.release_lost_nodes(live_nodes, self.runtime.now())
-        self.freed.wake()
+        self.slot_freed.wake()
 
     # ---- grants ------------------------------------------------------------------
 
@@ -157,9 +158,9 @@
         self.records.release(attempt_id, outcome, self.runtime.now())
 
     def take_report(self, report: message.GrantReport) -> None:
-        """Take a node's report: the grants it holds, and the workers it hears."""
+        """Take a node's report: the grants it holds, and the workers it heard from."""
         for worker in report.reachable_workers:
-            self.watch.hear(worker, report.node)
+            self.watch.note_contact(worker, report.node)
         self.records.take_report(report, self.runtime.now())
 
     def deny(
@@ -177,18 +178,18 @@
         session = self.records.session_table.affinity(request.session)
         left_us = session.expires - self.runtime.now() if session is not None else 0
         return message.SelectionGranted(
-            self.assignment.term, worker, GRANT_USE_US, affinity, left_us, self.watch.via(worker, request.node)
+            self.assignment.term, worker, GRANT_USE_US, affinity, left_us, self.watch.relay_for(worker, request.node)
         )
 
     # ---- requests that may not be repeated ----------------------------------------
 
-    def claimed(self, request: message.SelectWorker) -> message.SelectionDenied | None:
+    def refuse_if_claimed(self, request: message.SelectWorker) -> message.SelectionDenied | None:
         """Return why a request that may not be repeated can't be sent, or None where it can."""
         if request.idempotent or not request.request_id:
             return None
         claim = self.records.claims.get(request.request_id)
         if claim is None:
-            if request.attempt != 1 and self.broken():
+            if request.attempt != 1 and self.claims_may_be_missing():
                 return self.deny(
                     "already_sent",
                     "Whether this exchange ran before is no longer known.",
@@ -225,12 +226,12 @@
 
     async def revoke(self, revocation: message.RevokeRequest) -> message.RevokeResponse:
         """Answer another pool's owner that asks for a retry; what was never sent here never will be."""
-        if not self.active():
+        if not self.is_active():
             return message.RevokeResponse(RevocationState.LATER.value)
         known = self.records.claims.get(revocation.request_id)
         if known is not None and not known.was_revoked():
             return message.RevokeResponse(known.state.value)
-        if known is None and self.broken():
+        if known is None and self.claims_may_be_missing():
             return message.RevokeResponse(RevocationState.UNKNOWN.value)
         now = self.runtime.now()
         claim = claims.Claim(
@@ -265,7 +266,7 @@
         """Check the workers that the requesting node could not reach: perhaps no node reaches them."""
         for name in workers:
             worker = self.node.follower.states.get(name)
-            if worker is not None and worker.state == "ready" and name not in self.watch.dark:
+            if worker is not None and worker.state == "ready" and name not in self.watch.ejected:
                 await self.watch.check(worker)
 
     async def _select_until(  # noqa: C901 - one loop over all that may refuse or delay a selection, in its order
@@ -278,7 +279,7 @@
             if refusal is not None:
                 return refusal
             pool = self.node.follower.pool(self.pool)
-            if self.active():
+            if self.is_active():
                 if pool is None:
                     return self.deny("no_route", f"The blueprint has no pool {self.pool}.")
                 response = self._known_response(request)
@@ -295,11 +296,11 @@
                     return response
             left_us = until - self.runtime.now()
             if left_us <= 0:
-                return self.deny("busy" if self.active() else "no_warden", "No seat came free in time.")
-            await self.runtime.pause(self.freed, left_us)
+                return self.deny("busy" if self.is_active() else "no_warden", "No seat came free in time.")
+            await self.runtime.pause(self.slot_freed, left_us)
 
     def _refuse_outdated(self, request: message.SelectWorker) -> message.SelectionDenied | None:
-        if not self.live() or request.term != self.assignment.term:
+        if not self.is_live() or request.term != self.assignment.term:
             return self.deny("no_warden", "The duty has gone elsewhere.")
         if request.attempt_id in self.records.abandoned:
             return self.deny("no_warden", "This send was given up.")
@@ -323,7 +324,7 @@
         held = self.records.grants.get(request.attempt_id)
         if held is not None:
             return self._granted(request, held.grant.worker, True)
-        return self.claimed(request)
+        return self.refuse_if_claimed(request)
 
     async def _choose(self, request: message.SelectWorker, pool: configuration.Pool) -> SelectionResponse | None:
         """Grant a worker or refuse the request; None where it should wait."""
@@ -414,7 +415,7 @@
         )
         until = now + max(request.wait_us, replication.COPY_DEADLINE_US)
         while not await self.replicator.copy(update):
-            if not self.live() or self.runtime.now() > until:
+            if not self.is_live() or self.runtime.now() > until:
                 if opened is not None and self.records.session_table.affinity(opened.id) is opened:
                     self.records.close_session(opened)
                 self.release(request.attempt_id, errors.ExecutionOutcome.NOT_RUN)
@@ -423,7 +424,7 @@
         if opened is not None:
             opened.pending = False
             self.records.changed_sessions_and_claims[opened.id] = opened
-            self.freed.wake()
+            self.slot_freed.wake()
         if request.attempt_id not in self.records.grants:
             return self.deny("no_warden", "This send was given up.")
         return self._granted(request, worker, affinity)
@@ -436,8 +437,8 @@
         return {
             "pool": self.pool,
             "term": list(self.assignment.term),
-            "seated": self.active(),
-            "broken": self.broken(),
+            "seated": self.is_active(),
+            "broken": self.claims_may_be_missing(),
             "sessions": {worker: len(opened) for worker, opened in sorted(records.session_table.at.items()) if opened},
             "in_flight": {
                 worker: len(load.held) for worker, load in sorted(records.load_by_worker.items()) if load.held
--- a/iriswheel/pools/replication.py
+++ b/iriswheel/pools/replication.py
@@ -56,7 +56,7 @@
             claim_records,
             [],
             True,
-            max(0, owner.broken_until - now),
+            max(0, owner.claims_missing_until_us - now),
         )
 
     async def copy(self, update: message.ReplicateRecords) -> bool:
@@ -71,7 +71,7 @@
         responses = (await self.node.call_members(members, update, COPY_DEADLINE_US)).values()
         if any(response is not None and not response.ok for response in responses):
             owner.end()
-        return owner.live() and all(response is not None and response.ok for response in responses)
+        return owner.is_live() and all(response is not None and response.ok for response in responses)
 
     def tell_cores(self, update: message.ReplicateRecords) -> None:
         """Send the sessions of an update to the core machines; nothing waits for it."""
@@ -83,7 +83,7 @@
 
     async def run(self) -> None:
         """Copy what changed a few times a second, for as long as the owner lives."""
-        while self.owner.live():
+        while self.owner.is_live():
             await self.runtime.sleep(LAZY_COPY_INTERVAL_US)
             if self.records.changed_sessions_and_claims or self.records.closed_ids:
                 await self._copy_changes()
--- a/iriswheel/pools/selection.py
+++ b/iriswheel/pools/selection.py
@@ -9,8 +9,7 @@
 
 if typing.TYPE_CHECKING:
     from iriswheel.configuration import configuration
-    from iriswheel.dataplane import health
-    from iriswheel.pools import pool_records
+    from iriswheel.pools import pool_records, worker_watch
     from iriswheel.transport import message
 
 PREFIX_PARTS_PER_WORKER = 256
@@ -70,7 +69,7 @@
 class WorkerSelector:
     """Chooses workers by the pool's records and by what is heard of the workers."""
 
-    def __init__(self, pool: str, records: pool_records.PoolRecords, watch: health.WorkerWatch) -> None:
+    def __init__(self, pool: str, records: pool_records.PoolRecords, watch: worker_watch.WorkerWatch) -> None:
         self.pool = pool
         self.records = records
         self.watch = watch
@@ -115,7 +114,7 @@
         ready = [
             worker.id
             for worker in workers
-            if worker.pool == self.pool and worker.state == "ready" and worker.id not in self.watch.dark
+            if worker.pool == self.pool and worker.state == "ready" and worker.id not in self.watch.ejected
         ]
         session = self.records.session_table.affinity(request.session)
         if session is not None and session.worker in ready:
@@ -124,7 +123,7 @@
         if not ready:
             return NoChoice("no_worker", f"No worker of pool {self.pool} is ready.")
         ready = [worker for worker in ready if worker not in request.excluded_workers] or ready
-        ready = [worker for worker in ready if not self.watch.suspect(worker)] or ready
+        ready = [worker for worker in ready if not self.watch.is_suspect(worker)] or ready
         if request.session and pool.cap:
             table = self.records.session_table
             below_cap = [worker for worker in ready if table.count(worker) < pool.cap]
--- a/iriswheel/pools/session_replicas.py
+++ b/iriswheel/pools/session_replicas.py
@@ -32,7 +32,7 @@
         self.sessions: dict[str, tuple[message.SessionRecord, int]] = {}  # id -> (record, when it came)
         self.claims: dict[str, tuple[message.Claim, int]] = {}  # request id -> (record, when it came)
         self.held = False  # whether all records of an owner ever came here
-        self.broken_until = 0  # until when claims made under earlier owners may be missing
+        self.claims_missing_until_us = 0  # until when claims made under earlier owners may be missing
 
     def fence(self, term: Term) -> bool:
         """Refuse older terms from now on; False where a newer one was seen already.
@@ -58,7 +58,7 @@
             return False
         if update.complete:
             self.sessions, self.claims, self.held = {}, {}, True
-            self.broken_until = now + update.claims_missing_us
+            self.claims_missing_until_us = now + update.claims_missing_us
         for session in update.sessions:
             stored = self.sessions.get(session.id)
             if stored is None or stored[0].version <= session.version:
@@ -74,17 +74,17 @@
         self,
         sessions: collections.abc.Iterable[message.SessionRecord],
         claims: collections.abc.Iterable[message.Claim],
-        broken_until: int,
+        claims_missing_until_us: int,
         now: int,
     ) -> None:
         """Take over all records of an owner that ran in this process.
 
-        >>> replica = SessionReplica(); replica.replace([], [], broken_until=0, now=0); replica.held
+        >>> replica = SessionReplica(); replica.replace([], [], claims_missing_until_us=0, now=0); replica.held
         True
         """
         self.sessions = {session.id: (session, now) for session in sessions}
         self.claims = {claim.request_id: (claim, now) for claim in claims}
-        self.held, self.broken_until = True, broken_until
+        self.held, self.claims_missing_until_us = True, claims_missing_until_us
 
     def sweep(self, now: int) -> None:
         """Forget the records that expired long ago.
--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -108,7 +108,7 @@
         owner = self.owner
         members = list(self.node.follower.membership.members)
         responses = await self.node.call_members(members, self._request(), GATHER_DEADLINE_US)
-        if not owner.live():
+        if not owner.is_live():
             return False
         answers = {member: answer for member, answer in responses.items() if answer is not None}
         if any(not answer.ok for answer in answers.values()):
@@ -119,7 +119,7 @@
         if not base and self._may_wait_for_copies(members, answers, now):
             return False
         if base:  # what an earlier owner had lost is lost to this one too
-            owner.broken_until = max(now + answers[member].claims_missing_us for member in base)
+            owner.claims_missing_until_us = max(now + answers[member].claims_missing_us for member in base)
         merged = merge_answers(answers, use_affinities=not base)
         for member in sorted(answers):
             owner.records.budget.add(now, answers[member].first_attempts, answers[member].retries)
@@ -139,7 +139,7 @@
         """Whether a member of the last group is live but did not answer, and there is time to ask again."""
         absent = [member.id for member in members if member.id not in answers]
         return any(member in absent for member in self.owner.assignment.base) and (
-            now - self.owner.since < ABSENT_COPIES_WAIT_US
+            now - self.owner.started_at_us < ABSENT_COPIES_WAIT_US
         )
 
     async def _copy_all(self, from_copies: bool) -> bool:
@@ -150,7 +150,7 @@
             return False
         owner.replicator.tell_cores(snapshot)
         owner.gathered = True
-        if owner.broken() and not from_copies:
+        if owner.claims_may_be_missing() and not from_copies:
             log.warning("No copy of pool {}'s records answers: claims may be lost.", owner.pool)
         return True
 
@@ -168,5 +168,5 @@
         results = await defer.DeferredList(calls, consumeErrors=True)
         answers = [answer for _, answer in results if isinstance(answer, message.RecordsResponse) and answer.ok]
         may_be_known = 2 * len(answers) <= len(cores) or any(answer.has_replica for answer in answers)
-        self.owner.broken_until = self.runtime.now() + claims.RETENTION_US if may_be_known else 0
+        self.owner.claims_missing_until_us = self.runtime.now() + claims.RETENTION_US if may_be_known else 0
         return list(merge_core_sessions(answers).values())
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -29,7 +29,6 @@
     dispatch,
     edge_protocol,
     gateway,
-    health,
     request_router,
     retry_budget,
     routed_request,
@@ -38,7 +37,7 @@
 )
 from iriswheel.membership import lease, membership_manager
 from iriswheel.node import follower, peer_status, platform_listing
-from iriswheel.pools import pool_owner, selection
+from iriswheel.pools import pool_owner, selection, worker_watch
 from iriswheel.transport import http_server, message
 from iriswheel.verification import replay
 from simulation import seed_runs
@@ -79,17 +78,17 @@
 
 
 async def _select_once(
-    self: worker_selection.WorkerSelector, request: routed_request.RoutedRequest, shun: list[str]
+    self: worker_selection.WorkerSelector, request: routed_request.RoutedRequest, excluded_workers: list[str]
 ) -> worker_selection.SelectedWorker:
     """In place of `select_worker`: no second worker is selected after the first could not be reached."""
-    if shun:
+    if excluded_workers:
         raise errors.ServiceError("no_worker", "No worker could be reached.", request.known_outcome())
-    return await _select_worker(self, request, shun)
+    return await _select_worker(self, request, excluded_workers)
 
 
-async def _check_alone(self: health.WorkerWatch, worker: message.Worker) -> None:
+async def _check_alone(self: worker_watch.WorkerWatch, worker: message.Worker) -> None:
     """In place of `WorkerWatch.check`: a node's own failure to reach a worker is enough, without a second witness."""
-    self.dark[worker.id] = self.runtime.now()
+    self.ejected[worker.id] = self.runtime.now()
     self.owner.check_workers()
 
 
@@ -209,7 +208,9 @@
 
 
 GUARDS: dict[str, Guard] = {
-    "claims": Guard([Patch(pool_owner.PoolOwner, "claimed", lambda _self, _request: None)], "worker_storm", 1, "once"),
+    "claims": Guard(
+        [Patch(pool_owner.PoolOwner, "refuse_if_claimed", lambda _self, _request: None)], "worker_storm", 1, "once"
+    ),
     "other_pools": Guard([Patch(pool_owner.PoolOwner, "query_pools", _nobody_has_it)], "route_moves", 3, "once"),
     "torn_answers": Guard(
         [Patch(dispatch.AnswerRelay, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"
@@ -245,7 +246,7 @@
         [Patch(retry_budget.Budget, "spend", lambda _self, _now: True)], "worker_breaks", 1, "budget"
     ),
     "seats": Guard([Patch(selection.WorkerSelector, "has_slot", lambda _self, *_more: False)], "calm", 1, "served"),
-    "second_witness": Guard([Patch(health.WorkerWatch, "check", _check_alone)], "blind_owner", 2, "pinned"),
+    "second_witness": Guard([Patch(worker_watch.WorkerWatch, "check", _check_alone)], "blind_owner", 2, "pinned"),
     "via": Guard([Patch(gateway.Gateway, "send", _send_without_relay)], "blind_node", 1, "served"),
     "one_budget": Guard(
         [Patch(retry_budget.Budget, "has_capacity", _has_local_capacity)], "worker_breaks", 1, "served"
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -295,7 +295,7 @@
         """The node that is the active pool owner, or None."""
         for candidate in self.nodes.values():
             pool_owner = candidate.pool_owners.get(self.pool)
-            if candidate.process.alive and pool_owner is not None and pool_owner.active():
+            if candidate.process.alive and pool_owner is not None and pool_owner.is_active():
                 return candidate
         return None
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -501,8 +501,8 @@
         for sends, expected in ((0, gateway.MAX_ATTEMPTS), (1, 1), (2, 2), (9, gateway.MAX_ATTEMPTS)):
             seen = []
 
-            async def select_worker(x, shun):
-                return types.SimpleNamespace(id=f"w{len(shun)}"), ""
+            async def select_worker(x, excluded_workers):
+                return types.SimpleNamespace(id=f"w{len(excluded_workers)}"), ""
 
             async def send(x, worker, under_way, via, seen=seen):
                 seen.append(worker.id)
@@ -521,7 +521,7 @@
             request = routed_request.RoutedRequest(None, "n1-1/0", 0)
             request.route = configuration.Route("/x/", "desk", sends=sends)
             request.idempotent = True
-            done = defer.ensureDeferred(gateway.Gateway.run(node_gateway, request))
+            done = defer.ensureDeferred(gateway.Gateway.send_with_grants(node_gateway, request))
             done.addErrback(lambda failure: failure.value.execution)
             assert done.result == errors.ExecutionOutcome.MAY_HAVE_RUN
             assert len(seen) == expected
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -267,7 +267,7 @@
             simulated_cluster.log,
         )
         t.go(1)
-        assert (d.result, old.live()) == (False, False)
+        assert (d.result, old.is_live()) == (False, False)
 
     def test_a_pool_is_new_to_its_first_owner_however_often_it_queries(
         self, quiet_cluster: conftest.QuietCluster
