--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -353,7 +353,7 @@
     complaints = operators_history.complaints(rows)
     for text in complaints:
         print(text)
-    print(f"{operators_history.count(rows)} calls, {len(complaints)} complaints")
+    print(f"{operators_history.call_count(rows)} calls, {len(complaints)} complaints")
     sys.exit(service.ExitCode.COMPLAINTS if complaints else 0)
 
 
--- a/iriswheel/verification/availability.py
+++ b/iriswheel/verification/availability.py
@@ -4,6 +4,7 @@
 
 import typing
 
+from iriswheel.runtime import units
 from iriswheel.verification import event_log, refusals
 
 if typing.TYPE_CHECKING:
@@ -13,7 +14,7 @@
 SHORT_FIRST_US = 500_000  # to the first byte of a short one
 PAUSE_US = 1_000_000  # between two events of a stream
 CHANGE_US = 5_000_000  # an operator's change, from its wish to its acknowledgement
-HELD_US = 500_000  # a refusal may come this long after the pool's wait is over
+REFUSAL_SLACK_US = 500_000  # a refusal may come this long after the pool's wait is over
 DEFAULT_LONG_WAIT_US = 10_000_000
 DEFAULT_SHORT_WAIT_US = 5_000_000
 RECOVERED_US = 5_000_000  # requests within this, once service must be back, tell whether it is
@@ -21,7 +22,7 @@
 
 
 def served(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """11: proper requests are not turned away by the kit itself; refusals come at once.
+    """11: proper requests are not turned away by the fleet itself; refusals come at once.
 
     Who is at a fault may suffer: clients of a dead, frozen or cut node, streams of a lost
     worker. After a large failure, everybody may for 12 s. Where a pool's pool owner or a replica is
@@ -35,20 +36,20 @@
 
 def refused_requests(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """Refusals that come late, or without a reason."""
-    for row in log.of("refused"):
+    for row in log.rows_of("refused"):
         attempt = event_log.attempt_key(row)
         sent = log.sent.get(attempt)
         if sent is None:
             continue
-        log.looked["served"] += 1
-        bound_us = longest_wait_us(log, sent, row["at"]) + HELD_US
+        log.rows_judged["served"] += 1
+        bound_us = longest_wait_us(log, sent, row["at"]) + REFUSAL_SLACK_US
         worker = log.runs.get(attempt, {}).get("worker")
-        if row.get("took", 0) > bound_us and not log.at_fault(sent["at"], row["at"], sent.get("node"), worker):
-            took_s = row["took"] / event_log.SECOND_US
+        if row.get("took", 0) > bound_us and not log.met_fault(sent["at"], row["at"], sent.get("node"), worker):
+            took_s = row["took"] / units.SECOND_US
             yield f"{row['exchange']} was refused only after {took_s:.1f} s ({row['code']})"
         why = refusals.unfounded(log, row, sent)
         if why is not None:
-            at_s = sent["at"] / event_log.SECOND_US
+            at_s = sent["at"] / units.SECOND_US
             yield f"{row['exchange']} send {row['send']} was turned away ({row['code']}) at {at_s:.1f} s: {why}"
 
 
@@ -59,7 +60,7 @@
         field, default = ("long_wait_us", DEFAULT_LONG_WAIT_US)
     waits: list[int] = [
         pool.get(field, default)
-        for document in log.applied_by_all(sent["at"], until)
+        for document in log.configurations_between(sent["at"], until)
         for pool in document["pools"].values()
     ]
     return max(waits, default=DEFAULT_LONG_WAIT_US)
@@ -67,56 +68,56 @@
 
 def broken_requests(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """Requests that were lost or torn although neither their node nor their worker was at fault."""
-    for row in log.of("lost") + log.of("torn"):
+    for row in log.rows_of("lost") + log.rows_of("torn"):
         attempt = event_log.attempt_key(row)
         sent = log.sent.get(attempt)
         if sent is None:
             continue
-        log.looked["served"] += 1
+        log.rows_judged["served"] += 1
         worker = log.runs.get(attempt, {}).get("worker")
-        if not log.at_fault(sent["at"], row["at"], sent.get("node"), worker):
-            at_s = row["at"] / event_log.SECOND_US
+        if not log.met_fault(sent["at"], row["at"], sent.get("node"), worker):
+            at_s = row["at"] / units.SECOND_US
             yield f"{row['exchange']} was {row['kind']} at {at_s:.1f} s, neither its node nor its worker at fault"
 
 
 def refused_probes(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """Probes that were refused without a reason."""
-    for row in log.of("probe"):
-        log.looked["served"] += 1
+    for row in log.rows_of("probe"):
+        log.rows_judged["served"] += 1
         if row["status"] in (200, 404):
             continue
         why = refusals.unfounded(log, {**row, "at": row["done"], "send": 0}, {**row, "sort": "short"})
         if why is not None:
-            at_s = row["at"] / event_log.SECOND_US
+            at_s = row["at"] / units.SECOND_US
             yield f"a probe at {row['node']} was turned away ({row['code']}) at {at_s:.1f} s: {why}"
 
 
 def slow_answers(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """Answers whose first byte came late, or that paused."""
-    for row in log.of("whole"):
+    for row in log.rows_of("whole"):
         sent = log.sent[event_log.attempt_key(row)]
-        log.looked["served"] += 1
+        log.rows_judged["served"] += 1
         bound_us = LONG_FIRST_US if sent["sort"] == "long" else SHORT_FIRST_US
         if row["first"] > bound_us:
             yield from late_first_byte(log, row, sent)
-        at_fault = log.at_fault(sent["at"], row["at"], sent.get("node"), row["worker"])
+        at_fault = log.met_fault(sent["at"], row["at"], sent.get("node"), row["worker"])
         if row["pause"] > PAUSE_US and not at_fault:
-            yield f"{row['exchange']} paused for {row['pause'] / event_log.SECOND_US:.2f} s"
+            yield f"{row['exchange']} paused for {row['pause'] / units.SECOND_US:.2f} s"
 
 
 def late_first_byte(log: event_log.EventLog, row: event_log.Row, sent: event_log.Row) -> collections.abc.Iterator[str]:
     """A first byte that came late although nothing was at fault and slots were free."""
     since, first_at = sent["at"], sent["at"] + row["first"]
-    if log.at_fault(since, first_at, sent.get("node"), row["worker"]) or log.delayed(since, first_at):
+    if log.met_fault(since, first_at, sent.get("node"), row["worker"]) or log.may_be_delayed(since, first_at):
         return
     run_at = log.runs.get(event_log.attempt_key(row), {"at": first_at})["at"]
-    documents = log.applied_by_all(since, first_at)
-    if log.crowded(log.pool.get(row["worker"]), since, run_at, sent["sort"] == "long", documents):
+    documents = log.configurations_between(since, first_at)
+    if log.is_crowded(log.worker_pools.get(row["worker"]), since, run_at, sent["sort"] == "long", documents):
         return
-    first_s, worker_s = row["first"] / event_log.SECOND_US, (run_at - since) / event_log.SECOND_US
+    first_s, worker_s = row["first"] / units.SECOND_US, (run_at - since) / units.SECOND_US
     yield (
         f"{row['exchange']} ({sent['sort']}) waited {first_s:.2f} s for its first byte "
-        f"at {since / event_log.SECOND_US:.1f} s ({worker_s:.2f} s of it for a worker)"
+        f"at {since / units.SECOND_US:.1f} s ({worker_s:.2f} s of it for a worker)"
     )
 
 
@@ -131,35 +132,35 @@
 
 def late_changes(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """Changes that were not acknowledged in time although no core machine was at fault."""
-    acknowledged = {(row["who"], row["probe"]): row["at"] for row in reversed(log.of("confirmed"))}
+    acknowledged = {(row["who"], row["probe"]): row["at"] for row in reversed(log.rows_of("confirmed"))}
     core_faults = [fault for fault in log.faults if fault.role in ("core", "all", "") or fault.large]
-    for row in log.of("wanted"):
+    for row in log.rows_of("wanted"):
         until = row["at"] + CHANGE_US
         since = row["at"] - event_log.LARGE_FAULT_US
-        if until >= log.end or any(fault.during(since, until) for fault in core_faults):
+        if until >= log.end or any(fault.overlaps(since, until) for fault in core_faults):
             continue
-        log.looked["back"] += 1
+        log.rows_judged["back"] += 1
         at = acknowledged.get((row["who"], row["probe"]))
         if at is None or at > until:
-            at_s = row["at"] / event_log.SECOND_US
+            at_s = row["at"] / units.SECOND_US
             yield f"change {row['probe']}, wanted at {at_s:.1f} s, was not acknowledged in time"
 
 
 def lasting_failures(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """Large faults after which too few requests came through."""
-    whole = {event_log.attempt_key(row) for row in log.of("whole")}
+    whole = {event_log.attempt_key(row) for row in log.rows_of("whole")}
     for fault in log.faults:
         first = fault.at + event_log.LARGE_FAULT_US
         until = first + RECOVERED_US
         if not fault.large or any(fault.at < other.at <= until for other in log.faults) or until > log.end:
             continue
-        asked = [row for row in log.of("sent") if first <= row["at"] <= until and row["send"] == 1]
+        asked = [row for row in log.rows_of("sent") if first <= row["at"] <= until and row["send"] == 1]
         if not asked:
             continue
-        log.looked["back"] += 1
+        log.rows_judged["back"] += 1
         count = sum((row["exchange"], 1) in whole for row in asked)
         if count < RECOVERED_SHARE * len(asked):
             yield (
-                f"{fault.what} of {fault.target} at {fault.at / event_log.SECOND_US:.1f} s: "
+                f"{fault.what} of {fault.target} at {fault.at / units.SECOND_US:.1f} s: "
                 f"12 s later only {count} of {len(asked)} came through"
             )
--- a/iriswheel/verification/configuration_checks.py
+++ b/iriswheel/verification/configuration_checks.py
@@ -14,7 +14,7 @@
 def kept(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """6: what was acknowledged is there when it is read back."""
     versions: dict[str, int] = {}
-    for row in log.of("confirmed"):
+    for row in log.rows_of("confirmed"):
         if versions.setdefault(row["plan"], row["stamp"]) != row["stamp"]:
             yield f"plan {row['plan']} was acknowledged under two stamps"
     counts: collections.Counter[int] = collections.Counter()
@@ -22,12 +22,12 @@
         counts[version] += 1
         if counts[version] > 1:
             yield f"two plans were acknowledged under stamp {version}"
-    log.looked["kept"] += len(log.of("read"))
-    for row in log.of("read"):
+    log.rows_judged["kept"] += len(log.rows_of("read"))
+    for row in log.rows_of("read"):
         complaint = read_complaint(log, row, versions)
         if complaint is not None:
             yield complaint
-    if log.of("ended") and not log.of("read"):
+    if log.rows_of("ended") and not log.rows_of("read"):
         yield "the blueprint could not be read back at the day's end"
 
 
@@ -39,26 +39,26 @@
         read: The row of the read.
         versions: The version of each acknowledged plan.
     """
-    before = [row for row in log.of("confirmed") if row["at"] < read["at"]]
+    before = [row for row in log.rows_of("confirmed") if row["at"] < read["at"]]
     if not before:
         return None
     last = max(before, key=lambda row: row["stamp"])
-    documents = {row["plan"]: row["blueprint"] for row in log.of("confirm_sent")}
-    unanswered = [row["blueprint"] for row in log.of("confirm_sent") if row["plan"] not in versions]
+    documents = {row["plan"]: row["blueprint"] for row in log.rows_of("confirm_sent")}
+    unanswered = [row["blueprint"] for row in log.rows_of("confirm_sent") if row["plan"] not in versions]
     if read["stamp"] < last["stamp"]:
         return f"read back at {read['stamp']}, though {last['stamp']} was acknowledged"
     if read["stamp"] == last["stamp"]:
-        if not same(read["blueprint"], documents[last["plan"]]):
+        if not same_content(read["blueprint"], documents[last["plan"]]):
             return f"read back at {read['stamp']} something else than was acknowledged"
-    elif not any(same(read["blueprint"], document) for document in [*unanswered, *documents.values()]):
+    elif not any(same_content(read["blueprint"], document) for document in [*unanswered, *documents.values()]):
         return f"read back at {read['stamp']} something that nobody confirmed"
     return None
 
 
-def same(one: event_log.Document, other: event_log.Document) -> bool:
+def same_content(one: event_log.Document, other: event_log.Document) -> bool:
     """Whether two configurations say the same; empty sections don't count.
 
-    >>> same({"pools": {}}, {})
+    >>> same_content({"pools": {}}, {})
     True
     """
     return {key: value for key, value in one.items() if value} == {key: value for key, value in other.items() if value}
@@ -66,5 +66,5 @@
 
 def linearizable(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """6: one order of all operators' calls explains what each was told."""
-    log.looked["linearizable"] += history.count(log.rows)
+    log.rows_judged["linearizable"] += history.call_count(log.rows)
     yield from history.complaints(log.rows)
--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -1,6 +1,9 @@
 """Event logs: reading them, and the indexes over their rows that the checkers share.
 
-A log holds what clients, workers, the platform and operators noted, never the fleet's own counters.
+A log holds what clients, workers, the platform and operators noted, never the fleet's own counters. Times are whole
+microseconds. The kinds of rows and their fields keep the words of the file format: `exchange` is a request, `send` an
+attempt, `stamp` a version, `blueprint` a configuration, `duty` a pool owner's or a replica's role, `mend` a repair,
+`whole` a complete answer and `torn` one that broke off (docs/glossary.md).
 """
 
 from __future__ import annotations
@@ -11,7 +14,8 @@
 import json
 import typing
 
-SECOND_US = 1_000_000
+from iriswheel.runtime import units
+
 NEVER = 1 << 62
 TRAVEL_US = 500_000  # from a node's last look to the arrival at a worker, over a slow link too
 APPLY_US = 2_000_000  # a configuration that was replaced may be in force for so long
@@ -28,7 +32,6 @@
 Row = dict[str, typing.Any]  # one event: "at" (microseconds), "kind", and the kind's own fields
 Document = dict[str, typing.Any]  # a configuration, as sent by an operator
 AttemptKey = tuple[str, int]  # a request's id and the number of the client's attempt
-Conversation = tuple[str | None, ...]  # the pool, and the parts of the prompt's prefix
 
 
 class DamagedLogError(ValueError):
@@ -102,7 +105,7 @@
         large: Whether everybody may suffer from it.
 
     >>> f = Fault({"at": 5, "what": "kill", "target": "n1", "role": "node", "addr": "h:1"}, 9)
-    >>> f.during(8, 12), f.during(10, 12), f.during(10, 12, after=2)
+    >>> f.overlaps(8, 12), f.overlaps(10, 12), f.overlaps(10, 12, after=2)
     (True, False, True)
     """
 
@@ -116,10 +119,10 @@
         self.assignment: bool = row.get("duty", False)
         self.large: bool = row.get("large", False)
 
-    def during(self, since: int, until: int, after: int = 0) -> bool:
+    def overlaps(self, since: int, until: int, after: int = 0) -> bool:
         """Whether a span of time touches this fault, or so many microseconds after it.
 
-        >>> Fault({"at": 5, "what": "kill", "target": "n1"}, 9).during(0, 4)
+        >>> Fault({"at": 5, "what": "kill", "target": "n1"}, 9).overlaps(0, 4)
         False
         """
         return since <= self.end + after and until >= self.at
@@ -130,9 +133,9 @@
             return True
         match self.role:
             case "node":
-                return self.address == node and self.during(since, until, REJOIN_US)
+                return self.address == node and self.overlaps(since, until, REJOIN_US)
             case "worker":
-                return self.target == worker and self.during(since, until, SECOND_US)
+                return self.target == worker and self.overlaps(since, until, units.SECOND_US)
             case "link":
                 return self.address == node and since <= self.at <= until  # it was under way when the link broke
             case _:
@@ -164,6 +167,20 @@
     document: Document
 
 
+class Conversation(typing.NamedTuple):
+    """What names a conversation."""
+
+    pool: str | None  # None where the platform never listed its worker
+    parts: tuple[str, ...]  # of the prompt's prefix, outermost first
+
+
+class Span(typing.NamedTuple):
+    """A span of time."""
+
+    since: int
+    until: int
+
+
 class RetryTimes(typing.NamedTuple):
     """When repeats ran, and when requests were first sent or probes were answered, by time."""
 
@@ -177,66 +194,66 @@
     Attributes:
         rows: All rows, by time.
         end: The time of the last row.
-        looked: How many rows each checker judged, by its name.
+        rows_judged: How many rows each checker judged, by its name.
         sent: The row of each attempt of a client.
-        asked: These, and the probes as attempt 0.
+        attempts_and_probes: These, and the probes as attempt 0.
         idempotent: Whether a request may run more than once, by its id.
         runs: The first run of each attempt.
-        over: When a run ended, by its id.
+        run_ends: When a run ended, by its id.
         listed: The platform's words on each worker.
-        pool: The pool of each worker.
+        worker_pools: The pool of each worker.
         faults: All faults.
-        zones: The zone of each node, by its address.
-        documents: The configurations that may have been in force.
+        node_zones: The zone of each node, by its address.
+        configurations: The configurations that may have been in force.
 
-    >>> EventLog([{"at": 1, "kind": "asked"}]).of("asked")
+    >>> EventLog([{"at": 1, "kind": "asked"}]).rows_of("asked")
     [{'at': 1, 'kind': 'asked'}]
     """
 
     def __init__(self, rows: list[Row]) -> None:
         self.rows = rows
         self.end: int = rows[-1]["at"] if rows else 0
-        self.looked: collections.Counter[str] = collections.Counter()
+        self.rows_judged: collections.Counter[str] = collections.Counter()
         self.kinds: collections.defaultdict[str, list[Row]] = collections.defaultdict(list)
         for row in rows:
             self.kinds[row["kind"]].append(row)
-        self.sent: dict[AttemptKey, Row] = {attempt_key(row): row for row in self.of("sent")}
-        probes: dict[AttemptKey, Row] = {(row["exchange"], 0): row for row in self.of("probe")}
-        self.asked = {**probes, **self.sent}
-        self.idempotent: dict[str, bool] = {row["exchange"]: row["repeat"] for row in self.of("sent")}
+        self.sent: dict[AttemptKey, Row] = {attempt_key(row): row for row in self.rows_of("sent")}
+        probes: dict[AttemptKey, Row] = {(row["exchange"], 0): row for row in self.rows_of("probe")}
+        self.attempts_and_probes = {**probes, **self.sent}
+        self.idempotent: dict[str, bool] = {row["exchange"]: row["repeat"] for row in self.rows_of("sent")}
         self.runs: dict[AttemptKey, Row] = {}
-        for row in self.of("run"):
+        for row in self.rows_of("run"):
             self.runs.setdefault(attempt_key(row), row)
-        self.over: dict[str, int] = {row["run"]: row["at"] for kind in ("ran", "cut") for row in self.of(kind)}
+        self.run_ends: dict[str, int] = {row["run"]: row["at"] for kind in ("ran", "cut") for row in self.rows_of(kind)}
         self.listed: collections.defaultdict[str, list[Row]] = collections.defaultdict(list)
-        self.pool: dict[str, str] = {}
-        for row in self.of("listed"):
+        self.worker_pools: dict[str, str] = {}
+        for row in self.rows_of("listed"):
             self.listed[row["worker"]].append(row)
             if row["pool"]:
-                self.pool[row["worker"]] = row["pool"]
+                self.worker_pools[row["worker"]] = row["pool"]
         self.faults = self._faults()
-        self.zones: dict[str, str] = {}
-        for row in self.of("begun") + self.of("moved"):
-            self.zones.update(row.get("zones", {}))
-        self.documents = self._documents()
+        self.node_zones: dict[str, str] = {}
+        for row in self.rows_of("begun") + self.rows_of("moved"):
+            self.node_zones.update(row.get("zones", {}))
+        self.configurations = self._configurations()
 
     def _faults(self) -> list[Fault]:
         faults = []
-        for row in self.of("fault"):
+        for row in self.rows_of("fault"):
             ends = [
-                mend["at"]
-                for mend in self.of("mend")
-                if mend["at"] > row["at"] and mend["target"] in (row["target"], "all")
+                repair["at"]
+                for repair in self.rows_of("mend")
+                if repair["at"] > row["at"] and repair["target"] in (row["target"], "all")
             ]
             faults.append(Fault(row, ends[0] if ends else NEVER))
         return faults
 
-    def _documents(self) -> list[ActiveConfiguration]:
+    def _configurations(self) -> list[ActiveConfiguration]:
         first_sent: dict[str, Row] = {}
         acknowledged: dict[str, Row] = {}
-        for row in self.of("confirm_sent"):
+        for row in self.rows_of("confirm_sent"):
             first_sent.setdefault(row["plan"], row)
-        for row in self.of("confirmed"):
+        for row in self.rows_of("confirmed"):
             acknowledged.setdefault(row["plan"], row)
         documents = []
         for plan, row in first_sent.items():
@@ -248,27 +265,27 @@
             documents.append(ActiveConfiguration(row["at"], until, row["blueprint"]))
         return documents
 
-    def of(self, kind: str) -> list[Row]:
+    def rows_of(self, kind: str) -> list[Row]:
         """The rows of one kind.
 
-        >>> EventLog([]).of("run")
+        >>> EventLog([]).rows_of("run")
         []
         """
         return self.kinds.get(kind, [])
 
-    def applied_by_all(self, since: int, until: int) -> list[Document]:
-        """The configurations by which a node may go in a span of time.
+    def configurations_between(self, since: int, until: int) -> list[Document]:
+        """The configurations that may be in force at some node in a span of time.
 
-        >>> EventLog([]).applied_by_all(0, 5)
+        >>> EventLog([]).configurations_between(0, 5)
         []
         """
-        return [active.document for active in self.documents if active.since <= until and since <= active.until]
+        return [active.document for active in self.configurations if active.since <= until and since <= active.until]
 
-    def at_fault(self, since: int, until: int, node: str | None = None, worker: str | None = None) -> bool:
+    def met_fault(self, since: int, until: int, node: str | None = None, worker: str | None = None) -> bool:
         """Whether a request at a node, on a worker, met a fault of one of them, or a large one.
 
         >>> log = EventLog([{"at": 5, "kind": "fault", "what": "kill", "target": "w1", "role": "worker"}])
-        >>> log.at_fault(6, 7, worker="w1"), log.at_fault(6, 7, worker="w2")
+        >>> log.met_fault(6, 7, worker="w1"), log.met_fault(6, 7, worker="w2")
         (True, False)
         """
         if any(fault.stops_request(since, until, node, worker) for fault in self.faults):
@@ -276,19 +293,19 @@
         listed = self.listed.get(worker, []) if worker is not None else []
         return any(row["state"] != "ready" and since <= row["at"] <= until for row in listed)
 
-    def delayed(self, since: int, until: int) -> bool:
+    def may_be_delayed(self, since: int, until: int) -> bool:
         """Whether a small fault elsewhere may have made a request start late.
 
         >>> log = EventLog([{"at": 5, "kind": "fault", "what": "kill", "target": "n1", "role": "node", "duty": True}])
-        >>> log.delayed(6, 7), log.delayed(6 * SECOND_US, 7 * SECOND_US)
+        >>> log.may_be_delayed(6, 7), log.may_be_delayed(6 * units.SECOND_US, 7 * units.SECOND_US)
         (True, False)
         """
         return any(fault.delays_others(since, until) for fault in self.faults)
 
-    def state(self, worker: str, at: int) -> ListedState:
+    def listed_state(self, worker: str, at: int) -> ListedState:
         """How the platform listed a worker at a time, and since when.
 
-        >>> EventLog([]).state("w1", 5)
+        >>> EventLog([]).listed_state("w1", 5)
         ListedState(state='gone', since=0)
         """
         state = ListedState("gone", 0)
@@ -299,22 +316,25 @@
                 state = ListedState(row["state"], row["at"])
         return state
 
-    def ready(self, pool: str | None, since: int, until: int) -> list[str]:
+    def ready_workers(self, pool: str | None, since: int, until: int) -> list[str]:
         """The workers of a pool that were listed as ready, and at no fault, in a span of time.
 
-        >>> EventLog([{"at": 1, "kind": "listed", "worker": "w1", "state": "ready", "pool": "p"}]).ready("p", 5, 6)
+        >>> log = EventLog([{"at": 1, "kind": "listed", "worker": "w1", "state": "ready", "pool": "p"}])
+        >>> log.ready_workers("p", 5, 6)
         ['w1']
         """
         return [
             worker
-            for worker, its_pool in sorted(self.pool.items())
+            for worker, its_pool in sorted(self.worker_pools.items())
             if its_pool == pool
-            and self.state(worker, since).state == "ready"
+            and self.listed_state(worker, since).state == "ready"
             and not any(since < row["at"] <= until for row in self.listed[worker])
-            and not any(fault.target == worker and fault.during(since, until, SILENT_FAULT_US) for fault in self.faults)
+            and not any(
+                fault.target == worker and fault.overlaps(since, until, SILENT_FAULT_US) for fault in self.faults
+            )
         ]
 
-    def crowded(self, pool: str | None, since: int, until: int, long: bool, documents: list[Document]) -> bool:
+    def is_crowded(self, pool: str | None, since: int, until: int, long: bool, documents: list[Document]) -> bool:
         """Whether at some time in a span nearly all slots of the pool's ready workers were taken.
 
         Args:
@@ -324,7 +344,7 @@
             long: Whether the slots for long requests are meant.
             documents: The configurations in force.
         """
-        workers = set(self.ready(pool, since, until))
+        workers = set(self.ready_workers(pool, since, until))
         if not workers:
             return True
         field, default = ("long_slots", DEFAULT_LONG_SLOTS) if long else ("slots", DEFAULT_SLOTS)
@@ -332,37 +352,40 @@
             [document["pools"][pool].get(field, default) for document in documents if pool in document["pools"]],
             default=0,
         )
-        spans = []
-        for row in self.of("run"):
+        spans: list[Span] = []
+        for row in self.rows_of("run"):
             sort = self.sent.get(attempt_key(row), {}).get("sort")
-            end = self.over.get(row["run"], NEVER)
+            end = self.run_ends.get(row["run"], NEVER)
             if row["worker"] in workers and (not long or sort == "long") and end >= since and row["at"] <= until:
-                spans.append((max(since, row["at"]), end))
+                spans.append(Span(max(since, row["at"]), end))
         busy: bool = most_at_once(spans, until) >= CROWDED_SHARE * slots * len(workers)
         return busy
 
     @functools.cached_property
     def conversations(self) -> dict[Conversation, list[Row]]:
-        """The runs of conversations, by pool and conversation: a prefix of two parts and more names one.
+        """The runs of each conversation: a prefix of two parts and more names one.
 
         In the order in which they were sent, and each attempt once: a worker that froze may run a request long after
         it was given up there and went elsewhere.
         """
-        found: collections.defaultdict[Conversation, list[tuple[int, int, Row]]] = collections.defaultdict(list)
-        for row in self.of("run"):
+        found: collections.defaultdict[Conversation, list[Row]] = collections.defaultdict(list)
+        for row in self.rows_of("run"):
             if len(row["parts"]) > 1 and self.runs[attempt_key(row)] is row:
-                sent = self.sent.get(attempt_key(row), row)
-                found[(self.pool.get(row["worker"]), *row["parts"])].append((sent["at"], row["at"], row))
-        return {name: [row for _, _, row in sorted(runs, key=lambda run: run[:2])] for name, runs in found.items()}
+                found[Conversation(self.worker_pools.get(row["worker"]), tuple(row["parts"]))].append(row)
+
+        def sending_order(run: Row) -> tuple[int, int]:
+            return self.sent.get(attempt_key(run), run)["at"], run["at"]
+
+        return {name: sorted(runs, key=sending_order) for name, runs in found.items()}
 
     @functools.cached_property
     def retry_times(self) -> RetryTimes:
         """The times of repeats and of requests."""
-        first_sent = {row["exchange"]: row["at"] for row in reversed(self.of("sent"))}
-        probes = [row["at"] for row in self.of("probe") if row["status"] != 404]
+        first_sent = {row["exchange"]: row["at"] for row in reversed(self.rows_of("sent"))}
+        probes = [row["at"] for row in self.rows_of("probe") if row["status"] != 404]
         repeats: list[int] = []
         seen: set[str] = set()
-        for row in self.of("run"):
+        for row in self.rows_of("run"):
             if row["exchange"]:
                 if row["exchange"] in seen or row["send"] > 1:
                     repeats.append(row["at"])
@@ -379,13 +402,13 @@
     return row["exchange"], row["send"]
 
 
-def most_at_once(spans: list[tuple[int, int]], until: int) -> int:
-    """The most spans of time that overlap at any time up to `until`.
+def most_at_once(spans: list[Span], until: int) -> int:
+    """The most spans that overlap at any time up to `until`.
 
-    >>> most_at_once([(1, 5), (2, 6), (5, 9)], 7)
+    >>> most_at_once([Span(1, 5), Span(2, 6), Span(5, 9)], 7)
     2
     """
-    steps = sorted([(begin, 1) for begin, _ in spans] + [(end, -1) for _, end in spans])
+    steps = sorted([(span.since, 1) for span in spans] + [(span.until, -1) for span in spans])
     current = most = 0
     for at, step in steps:
         if at > until:
--- a/iriswheel/verification/exactly_once.py
+++ b/iriswheel/verification/exactly_once.py
@@ -11,17 +11,17 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-RUDE_US = 6_000_000  # a malformed request takes at most so long
+MALFORMED_REQUEST_US = 6_000_000  # a malformed request takes at most so long
 STREAM_END = "data: [DONE]"
 EVENT_PREFIX = "data: "
 
 
-def events(text: str) -> list[dict[str, typing.Any]] | None:
+def answer_events(text: str) -> list[dict[str, typing.Any]] | None:
     r"""The events of an answer, as documents; None where it is not whole and in order.
 
-    >>> events('data: {"k": 0, "of": 1}\n\ndata: [DONE]\n\n')
+    >>> answer_events('data: {"k": 0, "of": 1}\n\ndata: [DONE]\n\n')
     [{'k': 0, 'of': 1}]
-    >>> events('data: {"k": 1, "of": 2}\n\ndata: [DONE]\n\n') is None
+    >>> answer_events('data: {"k": 1, "of": 2}\n\ndata: [DONE]\n\n') is None
     True
     """
     parts = text.split("\n\n")
@@ -38,13 +38,13 @@
 
 def once(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """1: what may not be repeated runs once; no answer has gaps, doubles or splices."""
-    runs = collections.Counter(row["exchange"] for row in log.of("run") if row["exchange"])
-    log.looked["once"] += sum(1 for identifier in runs if log.idempotent.get(identifier) is False)
+    runs = collections.Counter(row["exchange"] for row in log.rows_of("run") if row["exchange"])
+    log.rows_judged["once"] += sum(1 for identifier in runs if log.idempotent.get(identifier) is False)
     for identifier, count in sorted(runs.items()):
         if count > 1 and log.idempotent.get(identifier) is False:
             yield f"{identifier} may not be repeated and ran {count} times"
-    for row in log.of("whole"):
-        documents = events(row["text"])
+    for row in log.rows_of("whole"):
+        documents = answer_events(row["text"])
         if documents is None:
             yield f"{row['exchange']}: the answer has a gap or a double"
             continue
@@ -55,19 +55,19 @@
 
 def not_run(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """2: a refusal that says "not run" is true, then and later."""
-    for row in log.of("refused"):
-        log.looked["not_run"] += row["verdict"] == "not_run"
+    for row in log.rows_of("refused"):
+        log.rows_judged["not_run"] += row["verdict"] == "not_run"
         if row["verdict"] == "not_run" and event_log.attempt_key(row) in log.runs:
             yield f"{row['exchange']} send {row['send']} was refused as not run, and ran"
 
 
 def own(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """3: an answer is the worker's own whole answer to this very request."""
-    runs = {row["run"]: row for row in log.of("run")}
-    finished = {row["run"] for row in log.of("ran")}
-    for row in log.of("whole"):
-        log.looked["own"] += 1
-        for document in (events(row["text"]) or [])[:1]:
+    runs = {row["run"]: row for row in log.rows_of("run")}
+    finished = {row["run"] for row in log.rows_of("ran")}
+    for row in log.rows_of("whole"):
+        log.rows_judged["own"] += 1
+        for document in (answer_events(row["text"]) or [])[:1]:
             run = runs.get(document["run"])
             if document["exchange"] != row["exchange"] or run is None or run["exchange"] != row["exchange"]:
                 yield f"{row['exchange']} got the answer to {document['exchange']}"
@@ -79,9 +79,9 @@
 
 def answered(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """11, for bad input: a named 4xx with its verdict, never a hung connection or a dead process."""
-    for row in log.of("rude"):
-        log.looked["answered"] += 1
-        if log.at_fault(row["at"] - RUDE_US, row["at"], row["host"]):
+    for row in log.rows_of("rude"):
+        log.rows_judged["answered"] += 1
+        if log.met_fault(row["at"] - MALFORMED_REQUEST_US, row["at"], row["host"]):
             continue
         if row["how"] == "reads slowly":
             if row["status"] != "200" or not row["text"].rstrip().endswith("0"):
--- a/iriswheel/verification/history.py
+++ b/iriswheel/verification/history.py
@@ -13,12 +13,10 @@
 import json
 import typing
 
-from iriswheel.verification import linearizability
+from iriswheel.verification import event_log, linearizability
 
 STALE_NUMBER = -1  # of a plan that was never taken
 
-Row = dict[str, typing.Any]  # one event of a log
-
 Change = linearizability.Change
 ChangeResponse = linearizability.ChangeResponse
 Invocation = linearizability.Invocation
@@ -27,10 +25,10 @@
 ReadResponse = linearizability.ReadResponse
 
 
-def outcome(code: int | None) -> linearizability.Outcome:
+def change_outcome(code: int | None) -> linearizability.Outcome:
     """What an answer's status says of a change.
 
-    >>> [outcome(c).value for c in (200, 409, 412, 422, 504, 0, None)]
+    >>> [change_outcome(c).value for c in (200, 409, 412, 422, 504, 0, None)]
     ['acknowledged', 'refused', 'refused', 'invalid', 'unknown', 'unknown', 'unknown']
     """
     match code:
@@ -44,10 +42,10 @@
             return Outcome.UNKNOWN
 
 
-def content(document: dict[str, typing.Any]) -> str:
+def content_digest(document: dict[str, typing.Any]) -> str:
     """A short name for a document, whatever the order of the items in its lists.
 
-    >>> content({"routes": [1, 2]}) == content({"routes": [2, 1]})
+    >>> content_digest({"routes": [1, 2]}) == content_digest({"routes": [2, 1]})
     True
     """
 
@@ -57,15 +55,15 @@
     return linearizability.digest({key: ordered(value) for key, value in document.items()})
 
 
-def configurations(
-    rows: list[Row],
+def platform_configurations(
+    rows: list[event_log.Row],
 ) -> list[linearizability.Event]:
     """The history of the platform's calls.
 
     A valid document that was refused in any way counts as refused for its number.
 
     >>> row = {"send": "boss-1", "version": 1, "base": 0, "doc": {"version": 1}, "valid": True}
-    >>> len(configurations([{"at": 1, "kind": "config_sent", **row}]))
+    >>> len(platform_configurations([{"at": 1, "kind": "config_sent", **row}]))
     1
     """
     events: list[linearizability.Event] = []
@@ -73,14 +71,14 @@
     for row in rows:
         match row:
             case {"kind": "config_sent"}:
-                change = Change(row["version"], row["base"], content(row["doc"]))
+                change = Change(row["version"], row["base"], content_digest(row["doc"]))
                 valid[row["send"]] = row["valid"]
                 events.append(Invocation(row["at"], row["send"], change))
             case {"kind": "config_answer"} if row["send"] in valid:
-                result = judged_outcome(outcome(row["code"]), valid[row["send"]])
+                result = judged_outcome(change_outcome(row["code"]), valid[row["send"]])
                 events.append(ChangeResponse(row["at"], row["send"], result))
             case {"kind": "config_read", "doc": dict(document), "version": int(version)}:
-                events += read(row, version, content(document))
+                events += read_events(row, version, content_digest(document))
     return events
 
 
@@ -95,22 +93,23 @@
     return answered
 
 
-def read(row: Row, number: int, text: str = "") -> list[linearizability.Event]:
+def read_events(row: event_log.Row, number: int, text: str = "") -> list[linearizability.Event]:
     """The two events of a read; one whose beginning is not known may have begun at any time.
 
-    >>> [e.at for e in read({"at": 9, "began": 4}, 7)]
+    >>> [e.at for e in read_events({"at": 9, "began": 4}, 7)]
     [4, 9]
     """
     call = f"read-{row['at']}-{row.get('who', '')}"
     return [Invocation(row.get("began", 0), call, Read()), ReadResponse(row["at"], call, number, text)]
 
 
-def numbered(
-    rows: list[Row],
+def numbered_changes(
+    rows: list[event_log.Row],
 ) -> list[linearizability.Event]:
     """The history of numbered changes; none where plans are confirmed between them, which have no number.
 
-    >>> numbered([{"at": 5, "kind": "number_sent", "call": "a", "number": 1, "built_on": 0, "content": "x"}])[0].at
+    >>> row = {"call": "a", "number": 1, "built_on": 0, "content": "x"}
+    >>> numbered_changes([{"at": 5, "kind": "number_sent", **row}])[0].at
     5
     """
     events: list[linearizability.Event] = []
@@ -124,15 +123,15 @@
                 change = Change(row["number"], row["built_on"], row["content"])
                 events.append(Invocation(row["at"], row["call"], change))
             case {"kind": "numbered", "call": call} if call in sent:
-                events.append(ChangeResponse(row["at"], call, outcome(row["status"])))
+                events.append(ChangeResponse(row["at"], call, change_outcome(row["status"])))
             case {"kind": "read"} if sent:
                 marks = row["blueprint"].get("marks", {})
-                events += read(row, marks.get("operator", {}).get("number", 0))
+                events += read_events(row, marks.get("operator", {}).get("number", 0))
     return events if sent else []
 
 
-def confirmations(
-    rows: list[Row],
+def confirmed_plans(
+    rows: list[event_log.Row],
 ) -> list[linearizability.Event]:
     """The history of confirmed plans, under the versions that the chain gave them.
 
@@ -140,7 +139,7 @@
     that no other plan has. None where numbered changes are among them: their versions are not in logs.
 
     >>> row = {"plan": "0-a", "base": 0, "blueprint": {}}
-    >>> confirmations([{"at": 1, "kind": "confirm_sent", **row}])
+    >>> confirmed_plans([{"at": 1, "kind": "confirm_sent", **row}])
     []
     """
     plans = ConfirmedPlans()
@@ -153,7 +152,7 @@
                 plans.add(row)
             case {"kind": "read"}:
                 plans.seen.add(row["stamp"])
-                events += read(row, row["stamp"])
+                events += read_events(row, row["stamp"])
     return events + plans.events(first_answers(rows))
 
 
@@ -171,12 +170,12 @@
     """
 
     def __init__(self) -> None:
-        self.sent: dict[str, Row] = {}
+        self.sent: dict[str, event_log.Row] = {}
         self.versions: dict[str, int] = {}
         self.refused: collections.defaultdict[str, list[int]] = collections.defaultdict(list)
         self.seen: set[int] = set()
 
-    def add(self, row: Row) -> None:
+    def add(self, row: event_log.Row) -> None:
         """Take in a call for a plan, its acknowledgement, or its refusal; answers to unknown calls are ignored."""
         plan = row["plan"]
         if row["kind"] == "confirm_sent":
@@ -208,7 +207,7 @@
         return events
 
 
-def first_answers(rows: list[Row]) -> dict[str, int]:
+def first_answers(rows: list[event_log.Row]) -> dict[str, int]:
     """When each plan was acknowledged first.
 
     >>> first_answers([{"at": 4, "kind": "confirmed", "plan": "0-a"}])
@@ -221,10 +220,14 @@
     return answered
 
 
-HISTORIES = {"configurations": configurations, "numbered changes": numbered, "confirmed plans": confirmations}
+HISTORIES = {
+    "configurations": platform_configurations,
+    "numbered changes": numbered_changes,
+    "confirmed plans": confirmed_plans,
+}
 
 
-def complaints(rows: list[Row]) -> list[str]:
+def complaints(rows: list[event_log.Row]) -> list[str]:
     """What of a log's operators' calls no order explains, in words.
 
     >>> complaints([{"at": 1, "kind": "ended"}])
@@ -245,10 +248,10 @@
     return found
 
 
-def count(rows: list[Row]) -> int:
+def call_count(rows: list[event_log.Row]) -> int:
     """How many calls of operators a log holds.
 
-    >>> count([{"at": 1, "kind": "ended"}])
+    >>> call_count([{"at": 1, "kind": "ended"}])
     0
     """
     return sum(isinstance(event, Invocation) for find in HISTORIES.values() for event in find(rows))
--- a/iriswheel/verification/linearizability.py
+++ b/iriswheel/verification/linearizability.py
@@ -86,6 +86,13 @@
 Event = Invocation | ChangeResponse | ReadResponse
 
 
+class SeenState(typing.NamedTuple):
+    """What a read gave of the configuration in place."""
+
+    number: int
+    content: str
+
+
 class Operation(msgspec.Struct, frozen=True):
     """A call from its sending to its answer, which never comes for an unknown outcome."""
 
@@ -94,7 +101,7 @@
     call: str
     operation: Change | Read
     outcome: Outcome = Outcome.ACKNOWLEDGED
-    seen: tuple[int, str] | None = None  # of a read: the number and the content
+    seen: SeenState | None = None  # of a read
 
 
 class State(typing.NamedTuple):
@@ -142,7 +149,7 @@
     """
     match response:
         case ReadResponse():
-            seen = (response.number, response.content)
+            seen = SeenState(response.number, response.content)
             return Operation(invocation.at, response.at, invocation.call, invocation.operation, seen=seen)
         case ChangeResponse(outcome=outcome) if outcome is not Outcome.UNKNOWN:
             return Operation(invocation.at, response.at, invocation.call, invocation.operation, outcome)
@@ -150,43 +157,43 @@
             return Operation(invocation.at, NEVER, invocation.call, invocation.operation, Outcome.UNKNOWN)
 
 
-def results(state: State, operation: Operation) -> list[State]:
+def next_states(state: State, operation: Operation) -> list[State]:
     """The states that a call may leave, given its answer; none where the answer doesn't fit.
 
-    >>> results(State(5), Operation(0, 1, "a", Change(7, 5, "x"), Outcome.REFUSED))
+    >>> next_states(State(5), Operation(0, 1, "a", Change(7, 5, "x"), Outcome.REFUSED))
     []
-    >>> [s.number for s in results(State(5), Operation(0, 1, "a", Change(7, 5, "x")))]
+    >>> [s.number for s in next_states(State(5), Operation(0, 1, "a", Change(7, 5, "x")))]
     [7]
     """
     match operation:
-        case Operation(operation=Read(), seen=(number, content)):
+        case Operation(operation=Read(), seen=SeenState(number=number, content=content)):
             fits = number == state.number and content in ("", state.content)
             return [state] if fits else []
         case Operation(operation=Change() as change, outcome=Outcome.ACKNOWLEDGED):
             if change in state.taken or (change.number, change.content) == (state.number, state.content):
                 return [state]
-            return [applied(state, change)] if applies(state, change) else []
+            return [apply(state, change)] if can_apply(state, change) else []
         case Operation(operation=Change() as change, outcome=Outcome.REFUSED):
             return [] if change in state.taken or change.base == state.number else [state]
-        case Operation(operation=Change() as change, outcome=Outcome.UNKNOWN) if applies(state, change):
-            return [applied(state, change)]
+        case Operation(operation=Change() as change, outcome=Outcome.UNKNOWN) if can_apply(state, change):
+            return [apply(state, change)]
         case _:
             return []
 
 
-def applies(state: State, change: Change) -> bool:
+def can_apply(state: State, change: Change) -> bool:
     """Whether a change takes effect on a state.
 
-    >>> applies(State(5), Change(7, 5, "x")), applies(State(6), Change(7, 5, "x"))
+    >>> can_apply(State(5), Change(7, 5, "x")), can_apply(State(6), Change(7, 5, "x"))
     (True, False)
     """
     return change.valid_number and change.base == state.number and change not in state.taken
 
 
-def applied(state: State, change: Change) -> State:
+def apply(state: State, change: Change) -> State:
     """The state after a change.
 
-    >>> applied(State(), Change(7, 0, "x")).number
+    >>> apply(State(), Change(7, 0, "x")).number
     7
     """
     return State(change.number, change.content, state.taken | {change})
@@ -233,10 +240,17 @@
         return Point(state, low, frozenset(beyond))
 
 
+class Window(typing.NamedTuple):
+    """The calls that may be next in an order."""
+
+    indexes: list[int]  # into the answered calls
+    first_answer: int  # before which all of them were sent
+
+
 class Search:
     """The search through one history.
 
-    >>> Search([Operation(1, 2, "a", Read(), seen=(0, ""))], 10).run(State()).linearizable
+    >>> Search([Operation(1, 2, "a", Read(), seen=SeenState(0, ""))], 10).run(State()).linearizable
     True
     """
 
@@ -254,18 +268,18 @@
         best = Point(initial)
         frontier, seen = [best], {best}
         while frontier:
-            point = self.past_fixed(frontier.pop())
+            point = self.after_calls_without_effect(frontier.pop())
             if point.explained > best.explained:
                 best = point
             if point.low == len(self.answered):
                 return CheckResult(True, point.low, [])
-            for after in self.changed(point):
+            for after in self.successors(point):
                 self.count_step()
                 if after not in seen:
                     seen.add(after)
                     frontier.append(after)
-        window, _ = self.window(best)
-        return CheckResult(False, best.explained, [described(self.answered[index]) for index in window])
+        unexplained = [describe(self.answered[index]) for index in self.window(best).indexes]
+        return CheckResult(False, best.explained, unexplained)
 
     def count_step(self) -> None:
         """Count one step; raises SearchLimitError above the bound."""
@@ -273,40 +287,44 @@
         if self.steps > self.bound:
             raise SearchLimitError(f"{len(self.answered)} calls, given up after {self.bound} steps")
 
-    def window(self, point: Point) -> tuple[list[int], int]:
-        """The calls that may be next: those sent before any of them was answered; and that moment."""
+    def window(self, point: Point) -> Window:
+        """The calls that may be next: those sent before any of them was answered."""
         first_answer = NEVER
-        window: list[int] = []
+        sent_before: list[int] = []
         for index in range(point.low, len(self.answered)):
             if self.answered[index].sent > first_answer:
                 break
             if index not in point.beyond:
-                window.append(index)
+                sent_before.append(index)
                 first_answer = min(first_answer, self.answered[index].answered)
-        return [index for index in window if self.answered[index].sent <= first_answer], first_answer
+        indexes = [index for index in sent_before if self.answered[index].sent <= first_answer]
+        return Window(indexes, first_answer)
 
-    def past_fixed(self, point: Point) -> Point:
+    def after_calls_without_effect(self, point: Point) -> Point:
         """The place after all calls that may be next and leave the state as it is.
 
         Taking them at once loses nothing: what follows may follow all the same.
         """
         while True:
-            window, _ = self.window(point)
-            fixed = [index for index in window if results(point.state, self.answered[index]) == [point.state]]
+            fixed = [
+                index
+                for index in self.window(point).indexes
+                if next_states(point.state, self.answered[index]) == [point.state]
+            ]
             if not fixed:
                 return point
             for index in fixed:
                 self.count_step()
                 point = point.after(index, point.state)
 
-    def changed(self, point: Point) -> collections.abc.Iterator[Point]:
+    def successors(self, point: Point) -> collections.abc.Iterator[Point]:
         """The places after one more call that changes the state."""
-        window, first_answer = self.window(point)
+        window = self.window(point)
         for call in self.unknown:
-            if call.sent <= first_answer:
-                yield from (point._replace(state=state) for state in results(point.state, call))
-        for index in window:
-            yield from (point.after(index, state) for state in results(point.state, self.answered[index]))
+            if call.sent <= window.first_answer:
+                yield from (point._replace(state=state) for state in next_states(point.state, call))
+        for index in window.indexes:
+            yield from (point.after(index, state) for state in next_states(point.state, self.answered[index]))
 
 
 def check(
@@ -322,15 +340,15 @@
     return Search(operations(events), bound).run(initial)
 
 
-def described(call: Operation) -> str:
+def describe(call: Operation) -> str:
     """A call in words.
 
-    >>> described(Operation(2, 3, "a", Read(), seen=(4, "x")))
+    >>> describe(Operation(2, 3, "a", Read(), seen=SeenState(4, "x")))
     'call a, sent at 2: read number 4'
     """
     match call.operation:
         case Read():
-            what = f"read number {call.seen[0] if call.seen else None}"
+            what = f"read number {call.seen.number if call.seen else None}"
         case Change(number=number, base=base):
             what = f"change to {number} on {base} {call.outcome.value}"
     return f"call {call.call}, sent at {call.sent}: {what}"
--- a/iriswheel/verification/recovery_times.py
+++ b/iriswheel/verification/recovery_times.py
@@ -4,10 +4,9 @@
 
 import typing
 
+from iriswheel.runtime import units
 from iriswheel.verification import event_log
 
-MILLISECOND_US = 1_000
-
 
 class Recovery(typing.NamedTuple):
     """What came of clients' first attempts after a fault or its mending.
@@ -35,18 +34,18 @@
     ends = [
         (row["at"], log.sent[(row["exchange"], 1)]["at"])
         for kind in ("refused", "torn", "lost")
-        for row in log.of(kind)
+        for row in log.rows_of(kind)
         if row["send"] == 1 and row.get("code") != "sessions_full"
     ]
-    faults = sorted(log.of("fault") + log.of("mend"), key=lambda row: row["at"])
+    faults = sorted(log.rows_of("fault") + log.rows_of("mend"), key=lambda row: row["at"])
     recoveries = []
     for fault, following in zip(faults, [*faults[1:], {"at": log.end + 1}], strict=False):
         until = min(following["at"], fault["at"] + event_log.LARGE_FAULT_US)
-        sent = sum(1 for row in log.of("sent") if row["send"] == 1 and fault["at"] <= row["at"] < until)
+        sent = sum(1 for row in log.rows_of("sent") if row["send"] == 1 and fault["at"] <= row["at"] < until)
         failed = [sent_at for end, sent_at in ends if fault["at"] <= end < following["at"] and sent_at < until]
         last_failed_us = max([0, *(sent_at - fault["at"] for sent_at in failed)])
         name = f"{fault['what']} {fault['target']}"
-        recoveries.append(Recovery(name, last_failed_us // MILLISECOND_US, len(failed), sent))
+        recoveries.append(Recovery(name, last_failed_us // units.MILLISECOND_US, len(failed), sent))
     return recoveries
 
 
--- a/iriswheel/verification/refusals.py
+++ b/iriswheel/verification/refusals.py
@@ -54,9 +54,9 @@
         row: The row of the refusal.
         sent: The row of the attempt.
     """
-    documents = log.applied_by_all(sent["at"], row["at"])
-    zone = log.zones.get(sent.get("node", ""), "")
-    pools = {routing_checks.resolve(document, sent["path"], zone) for document in documents}
+    documents = log.configurations_between(sent["at"], row["at"])
+    zone = log.node_zones.get(sent.get("node", ""), "")
+    pools = {routing_checks.resolve_pool(document, sent["path"], zone) for document in documents}
     refusal = Refusal(row, sent, documents, pools)
     match row["code"]:
         case "no_route":
@@ -64,7 +64,7 @@
         case "already_sent":
             return already_sent(log, refusal)
     worker = log.runs.get(refusal.attempt, {}).get("worker")
-    if log.at_fault(refusal.since, refusal.until, sent.get("node"), worker):
+    if log.met_fault(refusal.since, refusal.until, sent.get("node"), worker):
         return None
     check = CHECKS.get(row["code"])
     return "no reason for it stands in the log" if check is None else check(log, refusal)
@@ -73,14 +73,14 @@
 def already_sent(log: event_log.EventLog, refusal: Refusal) -> str | None:
     """An earlier attempt reached a worker, or may have."""
     request = refusal.row["exchange"]
-    if any(run["exchange"] == request for run in log.of("run")):
+    if any(run["exchange"] == request for run in log.rows_of("run")):
         return None
     earlier = [
         sent
         for (identifier, number), sent in log.sent.items()
         if identifier == request and number < refusal.row["send"]
     ]
-    if any(log.at_fault(sent["at"], refusal.since, sent.get("node")) for sent in earlier):
+    if any(log.met_fault(sent["at"], refusal.since, sent.get("node")) for sent in earlier):
         return None
     return "it reached no worker"
 
@@ -99,20 +99,20 @@
 
 def sessions_full(log: event_log.EventLog, refusal: Refusal) -> str | None:
     """No worker may take one more session."""
-    slack_us = session_checks.SWEEP_US + session_checks.INCARNATION_SLACK_US
+    slack_us = session_checks.SWEEP_US + session_checks.LIFETIME_SLACK_US
     for pool in refusal.pools:
         cap = min(session_checks.session_caps(refusal.documents, pool), default=0)
-        held = session_checks.held(log, refusal.until, slack_us)
-        counts = {worker: len(held.get(worker, ())) for worker in log.ready(pool, refusal.since, refusal.until)}
+        held = session_checks.open_conversations(log, refusal.until, slack_us)
+        counts = {worker: len(held.get(worker, ())) for worker in log.ready_workers(pool, refusal.since, refusal.until)}
         free = [worker for worker, count in counts.items() if count < cap]
-        if sum(cap - counts[worker] for worker in free) > session_checks.unborn(log, refusal.until):
+        if sum(cap - counts[worker] for worker in free) > session_checks.conversations_being_opened(log, refusal.until):
             return f"{free[0]} holds {counts[free[0]]} conversations"
     return None
 
 
 def no_worker(log: event_log.EventLog, refusal: Refusal) -> str | None:
     """No worker of the pool was ready."""
-    ready = [worker for pool in refusal.pools for worker in log.ready(pool, refusal.since, refusal.until)]
+    ready = [worker for pool in refusal.pools for worker in log.ready_workers(pool, refusal.since, refusal.until)]
     return f"{ready[0]} was ready" if ready else None
 
 
@@ -120,7 +120,7 @@
     """All slots of the pool's workers were taken."""
     long = refusal.sent["sort"] == "long"
     full = any(
-        log.crowded(pool, refusal.since, refusal.until, long, refusal.documents) for pool in refusal.pools if pool
+        log.is_crowded(pool, refusal.since, refusal.until, long, refusal.documents) for pool in refusal.pools if pool
     )
     return None if full else "seats were free"
 
@@ -130,9 +130,9 @@
     since, until = refusal.since, refusal.until
     worker = log.runs.get(refusal.attempt, {}).get("worker")
     if worker is None:
-        lost = any(fault.role == "worker" and fault.during(since, until) for fault in log.faults)
+        lost = any(fault.role == "worker" and fault.overlaps(since, until) for fault in log.faults)
         return None if lost else f"{worker} was well"
-    return None if log.at_fault(since, until, worker=worker) else f"{worker} was well"
+    return None if log.met_fault(since, until, worker=worker) else f"{worker} was well"
 
 
 # What the log must show for a refusal with a code, where neither the node nor the worker was at fault.
--- a/iriswheel/verification/replay.py
+++ b/iriswheel/verification/replay.py
@@ -18,7 +18,6 @@
     session_checks,
 )
 
-SECOND_US = event_log.SECOND_US
 DamagedLogError = event_log.DamagedLogError
 read = event_log.read
 recovery = recovery_times.recovery
@@ -53,7 +52,7 @@
     log = event_log.EventLog(rows)
     found = {checker.__name__: list(checker(log)) for checker in CHECKERS}
     complaints = {name: lines for name, lines in found.items() if lines}
-    return complaints, {checker.__name__: log.looked[checker.__name__] for checker in CHECKERS}
+    return complaints, {checker.__name__: log.rows_judged[checker.__name__] for checker in CHECKERS}
 
 
 def judge(rows: list[event_log.Row]) -> dict[str, list[str]]:
--- a/iriswheel/verification/retry_checks.py
+++ b/iriswheel/verification/retry_checks.py
@@ -5,6 +5,7 @@
 import bisect
 import typing
 
+from iriswheel.runtime import units
 from iriswheel.verification import event_log
 
 if typing.TYPE_CHECKING:
@@ -44,7 +45,7 @@
     """10: retries stay within about a fifth of real demand over any ten seconds."""
     for at in log.retry_times.repeats:
         repeats, requests = demand(log, at)
-        log.looked["budget"] += 1
+        log.rows_judged["budget"] += 1
         if repeats > RETRY_SHARE_MAX * requests + 1:
-            at_s = at / event_log.SECOND_US
+            at_s = at / units.SECOND_US
             yield f"{repeats} repeats for {requests} exchanges in the ten seconds up to {at_s:.1f} s"
--- a/iriswheel/verification/routing_checks.py
+++ b/iriswheel/verification/routing_checks.py
@@ -4,12 +4,13 @@
 
 import typing
 
+from iriswheel.runtime import units
 from iriswheel.verification import event_log
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
-LEARN_US = 3_600_000  # 3 s, and the platform's list is asked every half second
+LISTING_DELAY_US = 3_600_000  # 3 s, and the platform's list is asked every half second
 
 
 class Observation(typing.NamedTuple):
@@ -24,12 +25,12 @@
     no_route: bool
 
 
-def resolve(document: event_log.Document, path: str, zone: str) -> str | None:
+def resolve_pool(document: event_log.Document, path: str, zone: str) -> str | None:
     """The pool to which a configuration sends a path in a zone, or None.
 
-    >>> resolve({"routes": {"r": {"path": "/v1", "pool": "p", "zones": ["a"]}}}, "/v1/x", "a")
+    >>> resolve_pool({"routes": {"r": {"path": "/v1", "pool": "p", "zones": ["a"]}}}, "/v1/x", "a")
     'p'
-    >>> resolve({"routes": {"r": {"path": "/v1", "pool": "p", "zones": ["a"]}}}, "/v1/x", "b") is None
+    >>> resolve_pool({"routes": {"r": {"path": "/v1", "pool": "p", "zones": ["a"]}}}, "/v1/x", "b") is None
     True
     """
     matching = [
@@ -47,28 +48,28 @@
 
 def leaving(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """4: nothing reaches a worker more than about 3 s after it was listed as leaving or gone."""
-    for row in log.of("run"):
-        state, since = log.state(row["worker"], row["at"])
-        log.looked["leaving"] += any(listed["state"] != "ready" for listed in log.listed.get(row["worker"], []))
-        if state != "ready" and row["at"] - since > LEARN_US:
-            late_s = (row["at"] - since) / event_log.SECOND_US
+    for row in log.rows_of("run"):
+        state, since = log.listed_state(row["worker"], row["at"])
+        log.rows_judged["leaving"] += any(listed["state"] != "ready" for listed in log.listed.get(row["worker"], []))
+        if state != "ready" and row["at"] - since > LISTING_DELAY_US:
+            late_s = (row["at"] - since) / units.SECOND_US
             yield f"{row['worker']} got {row['exchange']} {late_s:.1f} s after it was {state}"
 
 
 def observations(log: event_log.EventLog) -> collections.abc.Iterator[Observation]:
     """What probes and clients' requests show of routes."""
-    for row in log.of("probe"):
+    for row in log.rows_of("probe"):
         yield Observation(
             row["at"], row["done"], row["node"], row["zone"], row["path"], (row["exchange"], 0), row["status"] == 404
         )
     for kind in ("whole", "torn", "refused"):
-        for row in log.of(kind):
+        for row in log.rows_of(kind):
             attempt = event_log.attempt_key(row)
             sent = log.sent.get(attempt)
-            if sent is not None and sent.get("node") in log.zones:
+            if sent is not None and sent.get("node") in log.node_zones:
                 node = sent["node"]
                 no_route = row.get("code") == "no_route"
-                yield Observation(sent["at"], row["at"], node, log.zones[node], sent["path"], attempt, no_route)
+                yield Observation(sent["at"], row["at"], node, log.node_zones[node], sent["path"], attempt, no_route)
 
 
 def in_force(log: event_log.EventLog) -> collections.abc.Iterator[str]:
@@ -82,34 +83,35 @@
         if seen.no_route:
             pool, until = None, seen.done
         elif run is not None:
-            pool = log.pool.get(run["worker"])
+            pool = log.worker_pools.get(run["worker"])
             routed_at = run["at"] - event_log.TRAVEL_US
             until = routed_at if routed_at > seen.at else run["at"]
         else:
             continue
-        log.looked["in_force"] += 1
-        allowed_pools = {resolve(document, seen.path, seen.zone) for document in log.applied_by_all(seen.at, until)}
+        log.rows_judged["in_force"] += 1
+        allowed_pools = {
+            resolve_pool(document, seen.path, seen.zone) for document in log.configurations_between(seen.at, until)
+        }
         if pool not in allowed_pools:
             yield (
-                f"{seen.node} sent {seen.path} to {pool} at {seen.at / event_log.SECOND_US:.1f} s; "
+                f"{seen.node} sent {seen.path} to {pool} at {seen.at / units.SECOND_US:.1f} s; "
                 f"in force could be {sorted(map(str, allowed_pools))}"
             )
 
 
 def allowed(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """7: nothing goes to a pool that no configuration in force allows for its path."""
-    zones = set(log.zones.values()) or {""}
-    for row in log.of("run"):
-        sent = log.asked.get(event_log.attempt_key(row))
+    zones = set(log.node_zones.values()) or {""}
+    for row in log.rows_of("run"):
+        sent = log.attempts_and_probes.get(event_log.attempt_key(row))
         delayed = any(
-            fault.target == row["worker"]
-            and fault.during(row["at"] - event_log.SECOND_US, row["at"], event_log.SECOND_US)
+            fault.target == row["worker"] and fault.overlaps(row["at"] - units.SECOND_US, row["at"], units.SECOND_US)
             for fault in log.faults
         )
         # A worker at fault may wake and run a request long after it was routed.
         since = sent["at"] if sent is not None and delayed else row["at"] - event_log.TRAVEL_US
-        documents = log.applied_by_all(since, row["at"])
-        log.looked["allowed"] += 1
-        pool = log.pool.get(row["worker"])
-        if pool not in {resolve(document, row["path"], zone) for document in documents for zone in zones}:
-            yield f"{row['exchange']} on {row['path']} went to pool {pool} at {row['at'] / event_log.SECOND_US:.1f} s"
+        documents = log.configurations_between(since, row["at"])
+        log.rows_judged["allowed"] += 1
+        pool = log.worker_pools.get(row["worker"])
+        if pool not in {resolve_pool(document, row["path"], zone) for document in documents for zone in zones}:
+            yield f"{row['exchange']} on {row['path']} went to pool {pool} at {row['at'] / units.SECOND_US:.1f} s"
--- a/iriswheel/verification/session_checks.py
+++ b/iriswheel/verification/session_checks.py
@@ -6,12 +6,13 @@
 import itertools
 import typing
 
+from iriswheel.runtime import units
 from iriswheel.verification import event_log
 
 if typing.TYPE_CHECKING:
     import collections.abc
 
-INCARNATION_SLACK_US = 2_000_000  # clocks and travel, at the end of a session's lifetime
+LIFETIME_SLACK_US = 2_000_000  # clocks and travel, at the end of a session's lifetime
 SWEEP_US = 5_000_000  # an ended session may be counted for so long
 DEFAULT_LIFETIME_US = 60_000_000
 DEFAULT_CAP = 10
@@ -19,15 +20,15 @@
 REPLICAS = 3
 
 
-def spans(log: event_log.EventLog, field: str, default: int, since: int, until: int) -> list[int]:
+def values_of_terms(log: event_log.EventLog, field: str, default: int, since: int, until: int) -> list[int]:
     """The values that a field of any terms may have in a span of time, in rising order.
 
-    >>> spans(event_log.EventLog([]), "lifetime_us", 60, 0, 5)
+    >>> values_of_terms(event_log.EventLog([]), "lifetime_us", 60, 0, 5)
     [60]
     """
     values = {
         terms.get(field, default)
-        for document in log.applied_by_all(since, until)
+        for document in log.configurations_between(since, until)
         for terms in document.get("terms", {}).values()
     }
     return sorted(values) or [default]
@@ -39,7 +40,7 @@
     >>> lifetimes(event_log.EventLog([]), 0, 5)
     [60000000]
     """
-    return spans(log, "lifetime_us", DEFAULT_LIFETIME_US, since, until)
+    return values_of_terms(log, "lifetime_us", DEFAULT_LIFETIME_US, since, until)
 
 
 def pinned(log: event_log.EventLog) -> collections.abc.Iterator[str]:
@@ -54,14 +55,14 @@
     for name, runs in sorted(log.conversations.items(), key=str):
         for earlier, later in itertools.pairwise(runs):
             lifetime_us = lifetimes(log, earlier["at"], later["at"])[0]
-            if later["at"] - earlier["at"] > lifetime_us - INCARNATION_SLACK_US:
+            if later["at"] - earlier["at"] > lifetime_us - LIFETIME_SLACK_US:
                 continue
-            log.looked["pinned"] += 1
+            log.rows_judged["pinned"] += 1
             if earlier["worker"] == later["worker"] or may_move(log, earlier, later["at"], process_ends):
                 continue
             yield (
-                f"conversation {name[-1]} moved from {earlier['worker']} to {later['worker']} "
-                f"at {later['at'] / event_log.SECOND_US:.1f} s"
+                f"conversation {name.parts[-1]} moved from {earlier['worker']} to {later['worker']} "
+                f"at {later['at'] / units.SECOND_US:.1f} s"
             )
 
 
@@ -75,16 +76,16 @@
         process_ends: When processes of the fleet were ended.
     """
     worker, since = run["worker"], run["at"]
-    if any(since - event_log.SECOND_US <= row["at"] <= until for row in log.listed[worker]):
+    if any(since - units.SECOND_US <= row["at"] <= until for row in log.listed[worker]):
         return True
     if sum(since <= end <= since + REPLICATION_US for end in process_ends) >= REPLICAS:
         return True
-    if log.state(worker, since).state != "ready":
+    if log.listed_state(worker, since).state != "ready":
         return True
-    return any(fault.target == worker and fault.during(since, until, event_log.SECOND_US) for fault in log.faults)
+    return any(fault.target == worker and fault.overlaps(since, until, units.SECOND_US) for fault in log.faults)
 
 
-def held(log: event_log.EventLog, at: int, slack_us: int) -> dict[str, set[event_log.Conversation]]:
+def open_conversations(log: event_log.EventLog, at: int, slack_us: int) -> dict[str, set[event_log.Conversation]]:
     """The conversations that may be open at a time, by worker: those not silent for their lifetime and more.
 
     Args:
@@ -92,7 +93,7 @@
         at: The time.
         slack_us: Added to the lifetimes. Below 0, only conversations count that are surely open.
 
-    >>> held(event_log.EventLog([]), 5, 0)
+    >>> open_conversations(event_log.EventLog([]), 5, 0)
     {}
     """
     open_by_worker: collections.defaultdict[str, set[event_log.Conversation]] = collections.defaultdict(set)
@@ -104,28 +105,30 @@
 
 
 def still_open(log: event_log.EventLog, run: event_log.Row, at: int, slack_us: int) -> bool:
-    """Whether the conversation whose last run this is may be open at a time, as `held` counts it."""
+    """Whether the conversation whose last run this is may be open at a time, as `open_conversations` counts it."""
     certain = slack_us < 0
     worker = run["worker"]
     known_lifetimes = lifetimes(log, run["at"], at)
     last_at: int = run["at"]
-    quiet_us = at - min(at, log.over.get(run["run"], last_at))
+    quiet_us = at - min(at, log.run_ends.get(run["run"], last_at))
     if quiet_us > (known_lifetimes[0] if certain else known_lifetimes[-1]) + slack_us:
         return False
     if any(run["at"] < row["at"] <= at and row["state"] != "ready" for row in log.listed[worker]):
         return False
-    return not (certain and any(fault.target == worker and fault.during(run["at"], at) for fault in log.faults))
+    return not (certain and any(fault.target == worker and fault.overlaps(run["at"], at) for fault in log.faults))
 
 
-def unborn(log: event_log.EventLog, at: int) -> int:
+def conversations_being_opened(log: event_log.EventLog, at: int) -> int:
     """Conversations that are being opened at a time, or that a node at fault may have opened, without a run so far.
 
-    >>> unborn(event_log.EventLog([]), 5)
+    >>> conversations_being_opened(event_log.EventLog([]), 5)
     0
     """
-    ran = {event_log.attempt_key(row) for row in log.of("run") if row["at"] <= at}
+    ran = {event_log.attempt_key(row) for row in log.rows_of("run") if row["at"] <= at}
     ends = {
-        event_log.attempt_key(row): row["at"] for kind in ("lost", "torn", "refused", "whole") for row in log.of(kind)
+        event_log.attempt_key(row): row["at"]
+        for kind in ("lost", "torn", "refused", "whole")
+        for row in log.rows_of(kind)
     }
     return len(
         {
@@ -134,7 +137,7 @@
             if len(sent["parts"]) > 1
             and attempt not in ran
             and sent["at"] < at
-            and (ends.get(attempt, event_log.NEVER) > at or log.at_fault(sent["at"], ends[attempt], sent.get("node")))
+            and (ends.get(attempt, event_log.NEVER) > at or log.met_fault(sent["at"], ends[attempt], sent.get("node")))
         }
     )
 
@@ -148,14 +151,14 @@
         for before, run in zip([None, *runs], runs, strict=False):
             if before is not None and not may_open(log, before, run):
                 continue
-            documents = log.applied_by_all(run["at"] - event_log.TRAVEL_US, run["at"])
-            caps = session_caps(documents, name[0])
+            documents = log.configurations_between(run["at"] - event_log.TRAVEL_US, run["at"])
+            caps = session_caps(documents, name.pool)
             if not caps or 0 in caps:
                 continue
-            log.looked["capped"] += 1
-            count = len(held(log, run["at"], -INCARNATION_SLACK_US).get(run["worker"], ()))
+            log.rows_judged["capped"] += 1
+            count = len(open_conversations(log, run["at"], -LIFETIME_SLACK_US).get(run["worker"], ()))
             if count > max(caps):
-                at_s = run["at"] / event_log.SECOND_US
+                at_s = run["at"] / units.SECOND_US
                 yield f"{run['worker']} holds {count} open conversations at {at_s:.1f} s, {max(caps)} are allowed"
 
 
@@ -164,7 +167,7 @@
     if before["worker"] != run["worker"]:
         return True
     quiet_us: int = run["at"] - before["at"]
-    if quiet_us <= event_log.SECOND_US:
+    if quiet_us <= units.SECOND_US:
         return False
     lifetime_us = lifetimes(log, before["at"], run["at"])[-1]
     return quiet_us >= lifetime_us + SWEEP_US
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -4,9 +4,10 @@
 
 import pytest
 
+from iriswheel.runtime import units
 from iriswheel.verification import replay
 
-S = replay.SECOND_US
+S = units.SECOND_US
 DOC = {
     "pools": {"desk": {}},
     "routes": {"probe": {"path": "/p/0", "pool": "desk"}, "v1": {"path": "/v1", "pool": "desk"}},
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -47,8 +47,8 @@
         order = draw(strategies.sampled_from([fresh, fresh, *sent]))
         sent.append(order)
         taken = order in state.taken or (order.number, order.content) == (state.number, state.content)
-        if not taken and linearizability.applies(state, order):
-            state, taken = linearizability.applied(state, order), True
+        if not taken and linearizability.can_apply(state, order):
+            state, taken = linearizability.apply(state, order), True
         outcome = Outcome.ACKNOWLEDGED if taken else Outcome.REFUSED
         if draw(strategies.integers(0, 3)) == 0:
             outcome = Outcome.UNKNOWN
