--- a/iriswheel/control/chain_client.py
+++ b/iriswheel/control/chain_client.py
@@ -87,7 +87,7 @@
 
     async def propose(
         self,
-        kind: str,
+        kind: message.ChangeKind,
         identifier: str,
         base: int = 0,
         changes: collections.abc.Sequence[configuration.ItemChange] = (),
--- a/iriswheel/control/change_orders.py
+++ b/iriswheel/control/change_orders.py
@@ -12,6 +12,7 @@
 from iriswheel import errors
 from iriswheel.configuration import configuration
 from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
     from iriswheel.control import chain_client, core_parts, counters, tail_contact
@@ -211,7 +212,7 @@
     async def _propose(self, base: int, order: ChangeOrder, changes: list[configuration.ItemChange], until: int) -> int:
         left = max(0, until - self.parts.runtime.now())
         try:
-            return (await self.client.propose("apply", order.identifier, base, changes, left)).version
+            return (await self.client.propose(message.ChangeKind.APPLY, order.identifier, base, changes, left)).version
         except errors.ServiceError as error:
             if error.code != "base_moved":
                 raise
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -161,7 +161,7 @@
             raise errors.ServiceError("base_moved", f"The blueprint is at {read.version}, not at {base}.")
         changes = configuration.difference(read.items, planned_items(document, read.items))
         identifier = configuration.plan_id(base, changes)
-        await self.client.propose("plan", identifier, base, changes)
+        await self.client.propose(message.ChangeKind.PLAN, identifier, base, changes)
         described = configuration.describe(read.items, changes)
         counts = {pool: self.replicas.session_count(pool) for pool in described["pools"]}
         open_sessions = {pool: count for pool, count in counts.items() if count is not None}
@@ -172,7 +172,7 @@
         self.counters.confirms += 1
         if self.contact.no_node_reachable():
             raise errors.ServiceError("no_nodes", "No node can be reached; a change would not come into force.")
-        response = await self.client.propose("confirm", identifier)
+        response = await self.client.propose(message.ChangeKind.CONFIRM, identifier)
         until = self.core.runtime.now() + self.core.options.lease_us + CONFIRM_GRACE_US
         await self.contact.wait_until_applied(response.version, until)
         if self.contact.no_node_reachable():
--- a/iriswheel/control/owned_pools.py
+++ b/iriswheel/control/owned_pools.py
@@ -4,11 +4,13 @@
 
 import typing
 
+from iriswheel.configuration import configuration
+
 if typing.TYPE_CHECKING:
     from iriswheel.replication import chain
 
 POOL_PREFIX = "pools/"
-SELECTED_BY_OWNER = "warden"  # the value of `election` in the configuration; also its default
+DEFAULT_ELECTION = configuration.Election.POOL_OWNER  # of a pool that names none
 
 
 class OwnedPools:
@@ -27,6 +29,7 @@
             self._names = sorted(
                 key.removeprefix(POOL_PREFIX)
                 for key, pool in state.items.items()
-                if key.startswith(POOL_PREFIX) and pool.get("election", SELECTED_BY_OWNER) == SELECTED_BY_OWNER
+                if key.startswith(POOL_PREFIX)
+                and pool.get("election", DEFAULT_ELECTION) == configuration.Election.POOL_OWNER
             )
         return self._names
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -110,10 +110,10 @@
 
     def selected_by_owner(self, name: str) -> bool:
         """Whether a pool's workers are chosen by its owner."""
-        return name in self.pools and self.pools[name].election == "warden"
+        return name in self.pools and self.pools[name].election == configuration.Election.POOL_OWNER
 
     def state(self, worker: str) -> str:
-        """Return a worker's state: "ready", "leaving" or "gone"."""
+        """Return a worker's state, a `message.WorkerState`; one that is not listed is gone."""
         return self.worker_list.state(worker)
 
     def drained(self, worker: str) -> bool:
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -58,7 +58,8 @@
         a list of nobody from the fourth: one bad answer must not empty the fleet.
         """
         listed = {worker.id for worker in workers}
-        missing = [worker for worker in self.follower.workers if worker.id not in listed and worker.state != "gone"]
+        expected = [worker for worker in self.follower.workers if worker.state != message.WorkerState.GONE]
+        missing = [worker for worker in expected if worker.id not in listed]
         self._missed = {worker.id: self._missed.get(worker.id, 0) + 1 for worker in missing}
         needed = ANSWERS_TO_REMOVE_WORKER if workers else ANSWERS_TO_REMOVE_ALL
         kept = [worker for worker in missing if self._missed[worker.id] < needed]
--- a/iriswheel/node/worker_list.py
+++ b/iriswheel/node/worker_list.py
@@ -2,13 +2,7 @@
 
 from __future__ import annotations
 
-import typing
-
-if typing.TYPE_CHECKING:
-    from iriswheel.transport import message
-
-ListingVersion = tuple[int, int, int]
-"""The term of the role that lists workers, and a count."""
+from iriswheel.transport import message
 
 
 class WorkerList:
@@ -19,13 +13,13 @@
         self.states: dict[str, message.Worker] = {}  # by id
         self.updated_at: int | None = None  # when the list was last sent or confirmed, in µs
         self._drain_deadlines: dict[str, int] = {}  # worker that is not ready -> when its streams must have ended
-        self._version: ListingVersion = (0, 0, 0)  # of the newest listing, full or unchanged
-        self._whole_version: ListingVersion = (0, 0, 0)  # of the full listing that is known here
+        self._version: message.ListingVersion = (0, 0, 0)  # of the newest listing, full or unchanged
+        self._whole_version: message.ListingVersion = (0, 0, 0)  # of the full listing that is known here
 
     def state(self, worker: str) -> str:
-        """Return a worker's state: "ready", "leaving" or "gone"."""
+        """Return a worker's state, a `message.WorkerState`; one that is not listed is gone."""
         listed = self.states.get(worker)
-        return listed.state if listed is not None else "gone"
+        return listed.state if listed is not None else message.WorkerState.GONE
 
     def drained(self, worker: str, now: int) -> bool:
         """Whether a worker that leaves or is gone has had its time for streams under way."""
@@ -55,7 +49,7 @@
         self.workers = workers
         self.states = {worker.id: worker for worker in workers}
         for identifier in sorted({*before, *self.states}):
-            if self.state(identifier) == "ready":
+            if self.state(identifier) == message.WorkerState.READY:
                 self._drain_deadlines.pop(identifier, None)
             else:
                 worker = self.states.get(identifier) or before[identifier]
--- a/iriswheel/replication/proposals.py
+++ b/iriswheel/replication/proposals.py
@@ -4,6 +4,7 @@
 
 import typing
 
+from iriswheel import errors
 from iriswheel.runtime import storage
 from iriswheel.transport import message
 
@@ -13,12 +14,12 @@
 
 def refuse(code: str, text: str) -> message.ProposeChangeResponse:
     """The answer to a change that was not run, and never will be by this request."""
-    return message.ProposeChangeResponse(code, "not_run", text)
+    return message.ProposeChangeResponse(code, errors.ExecutionOutcome.NOT_RUN.value, text)
 
 
 def known_index(state: replicated_state.ReplicatedState, request: message.ProposeChange) -> int | None:
     """The entry that the same change became before, or None where it is new or no longer remembered."""
-    if request.kind == "plan":
+    if request.kind == message.ChangeKind.PLAN:
         plan = state.plans.get(request.plan)
         return plan.index if plan is not None else None
     return state.taken.get(request.plan)
@@ -28,22 +29,24 @@
     state: replicated_state.ReplicatedState, request: message.ProposeChange
 ) -> message.ProposeChangeResponse | None:
     """Why a new change can't follow the state, or None where it can."""
-    if request.kind == "confirm":
+    base = request.base
+    if request.kind == message.ChangeKind.CONFIRM:
         plan = state.plans.get(request.plan)
         if plan is None:
             return _refuse_unknown_plan(state, request.plan)
-        base, what = plan.base, "plan"
-    else:
-        base, what = request.base, "plan" if request.kind == "plan" else "change"
+        base = plan.base
     if base == state.version:
         return None
-    return refuse("base_moved", f"The blueprint is at {state.version}, the {what}'s base is {base}.")
+    subject = "change" if request.kind == message.ChangeKind.APPLY else "plan"
+    return refuse("base_moved", f"The blueprint is at {state.version}, the {subject}'s base is {base}.")
 
 
 def _refuse_unknown_plan(state: replicated_state.ReplicatedState, identifier: str) -> message.ProposeChangeResponse:
     prefix = identifier.split("-")[0]  # the version that a plan was computed on
     if prefix.isdigit() and int(prefix) < state.version:
-        return message.ProposeChangeResponse("not_found", "may_have_run", "The plan is no longer remembered.")
+        return message.ProposeChangeResponse(
+            "not_found", errors.ExecutionOutcome.MAY_HAVE_RUN.value, "The plan is no longer remembered."
+        )
     return refuse("not_found", "There is no such plan.")
 
 
@@ -74,7 +77,9 @@
                 try:
                     index = await self._append(request)
                 except storage.DiskError:
-                    return message.ProposeChangeResponse("no_chain", "may_have_run", "The head's disk does not work.")
+                    return message.ProposeChangeResponse(
+                        "no_chain", errors.ExecutionOutcome.MAY_HAVE_RUN.value, "The head's disk does not work."
+                    )
         return await self._outcome(request, index)
 
     def _refuse_here(self, number: int) -> message.ProposeChangeResponse | None:
@@ -100,7 +105,9 @@
 
     async def _outcome(self, request: message.ProposeChange, index: int) -> message.ProposeChangeResponse:
         """The answer to a change that became an entry, once that is committed or its view has ended."""
-        unknown = message.ProposeChangeResponse("unknown_outcome", "may_have_run", "The chain changed meanwhile.")
+        unknown = message.ProposeChangeResponse(
+            "unknown_outcome", errors.ExecutionOutcome.MAY_HAVE_RUN.value, "The chain changed meanwhile."
+        )
         while self.log.committed_state.index < index:
             if not self.position.serves_in(request.view):
                 return unknown
@@ -108,4 +115,5 @@
         entry = self.log.entries.get(index)
         if not self.position.serves_in(request.view) and (entry is None or entry.plan != request.plan):
             return unknown  # another view may have made another entry of that number
-        return message.ProposeChangeResponse("", "ran", "", request.base if request.kind == "plan" else index)
+        version = request.base if request.kind == message.ChangeKind.PLAN else index
+        return message.ProposeChangeResponse("", errors.ExecutionOutcome.RAN.value, version=version)
--- a/iriswheel/replication/replicated_state.py
+++ b/iriswheel/replication/replicated_state.py
@@ -81,14 +81,14 @@
         """
         state = self._replace(index=entry.index, view=entry.view)
         match entry.kind:
-            case "plan":
+            case message.ChangeKind.PLAN:
                 size = len(msgspec.msgpack.encode(entry.changes))
                 return state._with_plan(entry.plan, Plan(entry.index, entry.base, entry.changes, 0, size))
-            case "confirm":
+            case message.ChangeKind.CONFIRM:
                 plan = self.plans[entry.plan]
                 confirmed = Plan(entry.index, plan.base, [], entry.index)
                 return state._with_plan(entry.plan, confirmed).with_taken(entry).with_changes(plan.changes)
-            case "apply":
+            case message.ChangeKind.APPLY:
                 applied = Plan(entry.index, entry.base, [], entry.index)
                 return state._with_plan(entry.plan, applied).with_taken(entry).with_changes(entry.changes)
             case _:
--- a/iriswheel/transport/message.py
+++ b/iriswheel/transport/message.py
@@ -21,6 +21,7 @@
 from iriswheel.transport.messages.consensus import Promise as Promise
 from iriswheel.transport.messages.consensus import View as View
 from iriswheel.transport.messages.consensus import Voter as Voter
+from iriswheel.transport.messages.health import ProbeOutcome as ProbeOutcome
 from iriswheel.transport.messages.health import ProbeRequest as ProbeRequest
 from iriswheel.transport.messages.health import ProbeResponse as ProbeResponse
 from iriswheel.transport.messages.health import RelayRequest as RelayRequest
@@ -40,6 +41,7 @@
 from iriswheel.transport.messages.membership import TailHeartbeat as TailHeartbeat
 from iriswheel.transport.messages.membership import Worker as Worker
 from iriswheel.transport.messages.membership import WorkerListing as WorkerListing
+from iriswheel.transport.messages.membership import WorkerState as WorkerState
 from iriswheel.transport.messages.node_peers import CoreStatusQuery as CoreStatusQuery
 from iriswheel.transport.messages.node_peers import CoreStatusResponse as CoreStatusResponse
 from iriswheel.transport.messages.node_peers import ForwardedListing as ForwardedListing
@@ -71,6 +73,7 @@
 from iriswheel.transport.messages.replication import AppendRequest as AppendRequest
 from iriswheel.transport.messages.replication import AppendResponse as AppendResponse
 from iriswheel.transport.messages.replication import CatchUp as CatchUp
+from iriswheel.transport.messages.replication import ChangeKind as ChangeKind
 from iriswheel.transport.messages.replication import LogEntry as LogEntry
 from iriswheel.transport.messages.replication import LogPosition as LogPosition
 from iriswheel.transport.messages.replication import PositionRequest as PositionRequest
--- a/iriswheel/transport/messages/health.py
+++ b/iriswheel/transport/messages/health.py
@@ -1,9 +1,19 @@
 """Messages between nodes about workers that one of them does not reach: probes and relays."""
 
+import enum
+
 import iriswheel.transport.messages.base as message_base
 import iriswheel.transport.messages.membership as membership_messages
 
 
+class ProbeOutcome(enum.StrEnum):
+    """How a worker answered a probe; the field on the wire stays a plain string."""
+
+    ANSWERED = "answer"
+    MUTE = "mute"  # it takes the connection and says nothing
+    NOT_REACHED = "none"
+
+
 class ProbeRequest(message_base.Message, tag="Probe", frozen=True):
     """A pool owner asks another node: does this worker answer you?"""
 
@@ -13,7 +23,7 @@
 class ProbeResponse(message_base.Message, tag="Probed", frozen=True):
     """The answer to `ProbeRequest`."""
 
-    outcome: str  # "answer", "mute" (takes the connection, says nothing) or "none"
+    outcome: str  # a `ProbeOutcome`
     load: tuple[int, int] | None  # requests running and queued, where the worker told them
 
 
--- a/iriswheel/transport/messages/membership.py
+++ b/iriswheel/transport/messages/membership.py
@@ -1,9 +1,19 @@
 """Messages of the membership: nodes, workers, role assignments, the tail's lease, and what cores report to the tail."""
 
+import enum
+
 import iriswheel.transport.messages.base as message_base
 import iriswheel.transport.messages.consensus as consensus_messages
 
 
+class WorkerState(enum.StrEnum):
+    """The state of a worker; the field on the wire stays a plain string."""
+
+    READY = "ready"
+    LEAVING = "leaving"  # it takes no new requests; those under way go on for `Worker.drain_us`
+    GONE = "gone"
+
+
 class Member(message_base.Message, tag="Member", frozen=True):
     """A node in one of its incarnations."""
 
@@ -22,7 +32,7 @@
     host: str
     port: int
     pool: str
-    state: str  # "ready", "leaving" or "gone"
+    state: str  # a `WorkerState`
     drain_us: int = 0  # how long its requests may go on once it leaves
 
 
--- a/iriswheel/transport/messages/replication.py
+++ b/iriswheel/transport/messages/replication.py
@@ -1,16 +1,29 @@
 """Messages along the chain: appended entries, bringing a replica up to date, and the changes and reads of operators."""
 
+import enum
 import typing
 
 import iriswheel.transport.messages.base as message_base
 
 
+class ChangeKind(enum.StrEnum):
+    """What a log entry does, or a proposal would.
+
+    The field on the wire and on disk stays a plain string, so that an entry of a newer program's kind can be
+    decoded, and is refused only where it would be applied.
+    """
+
+    PLAN = "plan"  # store a plan, to be confirmed later
+    CONFIRM = "confirm"  # apply the plan of that id
+    APPLY = "apply"  # store and apply in one entry
+
+
 class LogEntry(message_base.Message, tag="Entry", frozen=True):
     """One entry of the replicated log."""
 
     index: int
     view: int  # number of the view in which the entry was made
-    kind: str  # "plan", "confirm", or "apply": both in one
+    kind: str  # a `ChangeKind`
     plan: str  # id of the plan
     base: int = 0  # configuration version that the change was made for
     changes: message_base.ItemChanges = []
@@ -87,7 +100,7 @@
     """An operator's change, on its way to the head."""
 
     view: int
-    kind: str  # as of a `LogEntry`
+    kind: str  # a `ChangeKind`
     plan: str
     base: int = 0
     changes: message_base.ItemChanges = []
