--- a/iriswheel/configuration/items.py
+++ b/iriswheel/configuration/items.py
@@ -1,6 +1,6 @@
-"""The flat map of items, `pools/desk` or `routes/clerk`, as which a configuration travels and is kept.
+"""The flat map of items, such as `pools/desk` or `routes/clerk`, in which a configuration is sent and stored.
 
-A change so names just the items that it touches.
+A change then names just the items that it changes.
 """
 
 from __future__ import annotations
--- a/iriswheel/runtime/scheduler.py
+++ b/iriswheel/runtime/scheduler.py
@@ -23,7 +23,7 @@
 
 
 class DeadlineError(Exception):
-    """An answer did not come within its time."""
+    """A result did not come within its time limit."""
 
     code = "late"
 
--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -36,7 +36,7 @@
 
 
 class DiskError(Exception):
-    """The disk would not take a write: full, broken or gone."""
+    """The data folder could not be opened or written: the disk is full, broken or gone."""
 
     code = "disk"
 
@@ -155,7 +155,7 @@
         return self.env
 
     def read(self) -> dict[bytes, bytes]:
-        """All that is on the disk."""
+        """All keys with their values."""
         with self._environment().begin() as transaction:
             return {bytes(key): bytes(value) for key, value in transaction.cursor()}
 
@@ -207,7 +207,7 @@
         return threads.deferToThreadPool(self.reactor, self.pool, self.write, writes)
 
     def close(self) -> None:
-        """Finish what is under way and let the folder go."""
+        """Finish the writes under way and release the folder."""
         if self.pool.started:
             self.pool.stop()
         self._close_environment()
@@ -215,10 +215,10 @@
 
 
 class MonitoredDisk:
-    """A disk watched: writes in order, with a note on whether it works.
+    """A data folder, and whether writes to it succeed in time.
 
-    A disk that refuses a write, or holds one for more than STALL_US, is not `ok`
-    until a later write went through.
+    Attributes:
+        ok: False from a write that failed or took longer than STALL_US until a later write succeeded.
     """
 
     def __init__(self, runtime: scheduler.Runtime, disk: SyncedWrites) -> None:
@@ -246,7 +246,7 @@
             self._started_at_us.remove(started_at)
 
     async def watch(self) -> None:
-        """Notice a stall; try a bad disk again every second."""
+        """Note writes that stall, and probe a failed disk every RETRY_INTERVAL_US, for as long as the process runs."""
         while True:
             await self.runtime.sleep(WATCH_INTERVAL_US)
             if self._started_at_us:
--- a/iriswheel/verification/availability.py
+++ b/iriswheel/verification/availability.py
@@ -13,20 +13,20 @@
 LONG_FIRST_US = 1_000_000  # to the first byte of a long request
 SHORT_FIRST_US = 500_000  # to the first byte of a short one
 PAUSE_US = 1_000_000  # between two events of a stream
-CHANGE_US = 5_000_000  # an operator's change, from its wish to its acknowledgement
+CHANGE_US = 5_000_000  # from the operator's wish for a change to its acknowledgement
 REFUSAL_SLACK_US = 500_000  # a refusal may come this long after the pool's wait is over
 DEFAULT_LONG_WAIT_US = 10_000_000
 DEFAULT_SHORT_WAIT_US = 5_000_000
-RECOVERED_US = 5_000_000  # requests within this, once service must be back, tell whether it is
+RECOVERED_US = 5_000_000  # the requests of this span, once service must be back, show whether it is
 RECOVERED_SHARE = 0.9
 
 
 def served(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """11: proper requests are not turned away by the fleet itself; refusals come at once.
+    """11: the fleet refuses no proper request without a reason, and refuses at once.
 
-    Who is at a fault may suffer: clients of a dead, frozen or cut node, streams of a lost
-    worker. After a large failure, everybody may for 12 s. Where a pool's pool owner or a replica is
-    lost, others may start late for ROLE_FAULT_US, but are not turned away.
+    Requests that meet a fault are excused: at a dead, frozen or partitioned node, on a lost worker. After a large
+    fault all are for 12 s. Where a pool owner or its replica is lost, other requests may start late for
+    ROLE_FAULT_US, but may not be refused.
     """
     yield from refused_requests(log)
     yield from broken_requests(log)
@@ -148,7 +148,7 @@
 
 def lasting_failures(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """Large faults after which too few requests came through."""
-    whole = {event_log.attempt_key(row) for row in log.rows_of("whole")}
+    complete = {event_log.attempt_key(row) for row in log.rows_of("whole")}
     for fault in log.faults:
         first = fault.at + event_log.LARGE_FAULT_US
         until = first + RECOVERED_US
@@ -158,7 +158,7 @@
         if not asked:
             continue
         log.rows_judged["back"] += 1
-        count = sum((row["exchange"], 1) in whole for row in asked)
+        count = sum((row["exchange"], 1) in complete for row in asked)
         if count < RECOVERED_SHARE * len(asked):
             yield (
                 f"{fault.what} of {fault.target} at {fault.at / units.SECOND_US:.1f} s: "
--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -17,14 +17,14 @@
 from iriswheel.runtime import units
 
 NEVER = 1 << 62
-TRAVEL_US = 500_000  # from a node's last look to the arrival at a worker, over a slow link too
+TRAVEL_US = 500_000  # from a node's routing decision to the arrival at a worker, also over a slow link
 APPLY_US = 2_000_000  # a configuration that was replaced may be in force for so long
-LARGE_FAULT_US = 12_000_000  # everybody may suffer from a large fault for so long
-# What a small fault may do to others than those who were at it:
-ROLE_FAULT_US = 4_000_000  # a pool's owner or a replica is lost: others may start late for so long
-SILENT_FAULT_US = 3_000_000  # a worker is lost without a word: others may start late for so long
-REJOIN_US = 2_000_000  # a node that was frozen, cut off or started again comes back within this
-CROWDED_SHARE = 0.9  # of all slots in use at once: requests may then have to wait
+LARGE_FAULT_US = 12_000_000  # a large fault excuses all requests for so long
+# How long a small fault may affect requests that did not meet it:
+ROLE_FAULT_US = 4_000_000  # a pool owner or its replica is lost: others may start late
+SILENT_FAULT_US = 3_000_000  # a worker is lost and its connections stay open: others may start late
+REJOIN_US = 2_000_000  # a node that was frozen, partitioned or restarted serves again within this
+CROWDED_SHARE = 0.9  # of a pool's slots; with so many in use, requests may have to wait
 
 DEFAULT_SLOTS = 16
 DEFAULT_LONG_SLOTS = 4
@@ -90,7 +90,7 @@
 
 
 class Fault:
-    """A fault: from when to when, and whom it touches.
+    """A fault: when it began and ended, and what it affects.
 
     A row of kind "fault" begins it, a row of kind "mend" for the same target (or for "all") ends it.
 
@@ -98,11 +98,11 @@
         at: When it began.
         end: When it ended, or NEVER.
         what: The kind of fault.
-        target: The name of what is at fault.
+        target: The name of the machine, process or link.
         role: What the target is: "node", "worker", "link", "core", "all" or "".
         address: Where clients reach the target.
         assignment: Whether the target was a pool's owner or kept its replica.
-        large: Whether everybody may suffer from it.
+        large: Whether it excuses all requests.
 
     >>> f = Fault({"at": 5, "what": "kill", "target": "n1", "role": "node", "addr": "h:1"}, 9)
     >>> f.overlaps(8, 12), f.overlaps(10, 12), f.overlaps(10, 12, after=2)
@@ -120,7 +120,7 @@
         self.large: bool = row.get("large", False)
 
     def overlaps(self, since: int, until: int, after: int = 0) -> bool:
-        """Whether a span of time touches this fault, or so many microseconds after it.
+        """Whether a span of time overlaps this fault, prolonged by `after` microseconds.
 
         >>> Fault({"at": 5, "what": "kill", "target": "n1"}, 9).overlaps(0, 4)
         False
@@ -200,7 +200,7 @@
         idempotent: Whether a request may run more than once, by its id.
         runs: The first run of each attempt.
         run_ends: When a run ended, by its id.
-        listed: The platform's words on each worker.
+        listed: What the platform listed of each worker, by time.
         worker_pools: The pool of each worker.
         faults: All faults.
         node_zones: The zone of each node, by its address.
--- a/iriswheel/verification/linearizability.py
+++ b/iriswheel/verification/linearizability.py
@@ -1,12 +1,12 @@
 """Linearizability of operators' histories: a search for an order of all calls that explains every answer.
 
-The object is a configuration under a number. A change replaces it where the number in place is
-the one that it builds on. The very same change may be sent again, and is acknowledged again. A
-read gives the configuration in place. An answer may be lost; a change without an answer may
-have taken effect at any moment after it was sent, or never.
+The object is a configuration under a number. A change replaces it where the current number is the one that the
+change builds on. The same change may be sent again, and is acknowledged again. A read gives the current
+configuration. An answer may be lost; a change without an answer may have taken effect at any moment after it was
+sent, or never.
 
-The search is that of Wing and Gong, with Lowe's memory of states seen: it takes calls one by
-one, each before the first answer among those left, and goes back where it can't go on.
+The search is that of Wing and Gong, with Lowe's memory of visited states: it takes calls one by one, each sent before
+the first answer among the calls left, and backtracks where no call fits.
 """
 
 from __future__ import annotations
@@ -35,18 +35,15 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A change, with its first sending and its last answer.
+    """A change of the configuration; two changes with the same fields are the same change."""
 
-    Two changes are the same where number, base and content are.
-    """
-
-    number: int
-    base: int
-    content: str
+    number: int  # of the configuration that it makes
+    base: int  # the number that it builds on
+    content: str  # a digest
 
     @property
     def valid_number(self) -> bool:
-        """Whether the number rises.
+        """Whether the change raises the number, without which it is refused.
 
         >>> Change(7, 5, "a").valid_number
         True
@@ -59,7 +56,7 @@
 
 
 class Invocation(msgspec.Struct, frozen=True):
-    """A call, when it was sent."""
+    """The sending of a call."""
 
     at: int
     call: str
@@ -75,7 +72,7 @@
 
 
 class ReadResponse(msgspec.Struct, frozen=True):
-    """The answer to a read: the number and the content in place. Content "" says nothing of it."""
+    """The answer to a read: the current number and content, or content "" where only the number is known."""
 
     at: int
     call: str
@@ -87,7 +84,7 @@
 
 
 class SeenState(typing.NamedTuple):
-    """What a read gave of the configuration in place."""
+    """What a read gave of the current configuration."""
 
     number: int
     content: str
@@ -105,7 +102,7 @@
 
 
 class State(typing.NamedTuple):
-    """The configuration in place, and the changes that made it and those before it."""
+    """The current configuration, and the changes that led to it."""
 
     number: int = 0
     content: str = INITIAL
@@ -200,7 +197,7 @@
 
 
 class CheckResult(msgspec.Struct, frozen=True):
-    """Whether a history is linearizable, and where not, the answers that nothing explains."""
+    """Whether a history is linearizable, and the calls that could not be next where the longest order ended."""
 
     linearizable: bool
     longest: int  # answered calls explained at most
@@ -208,14 +205,11 @@
 
 
 class Point(typing.NamedTuple):
-    """A place in the search: the state, and which answered calls are explained.
-
-    These are all before `low`, and those in `beyond`.
-    """
+    """A place in the search: the state, and which answered calls are explained."""
 
     state: State
-    low: int = 0
-    beyond: frozenset[int] = frozenset()
+    low: int = 0  # all calls of lower indexes are explained
+    beyond: frozenset[int] = frozenset()  # higher indexes of explained calls
 
     @property
     def explained(self) -> int:
@@ -250,6 +244,10 @@
 class Search:
     """The search through one history.
 
+    Args:
+        calls: of the history.
+        bound: the most steps, after which the search is given up.
+
     >>> Search([Operation(1, 2, "a", Read(), seen=SeenState(0, ""))], 10).run(State()).linearizable
     True
     """
--- a/iriswheel/verification/replay.py
+++ b/iriswheel/verification/replay.py
@@ -1,6 +1,6 @@
-"""Judging an event log: the list of all checkers, one or more for each of the twelve points of docs/proof.md.
+"""Runs all checkers over an event log: one or more for each of the twelve points of docs/proof.md.
 
-Each checker reads the log and yields complaints.
+Each checker yields its complaints as texts; its function's name is the name that `iriswheel replay` prints.
 """
 
 from __future__ import annotations
