--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-import builtins
 import collections.abc
 import contextlib
 import json
 import os
+import pathlib
 import random
 import re
 import shutil
@@ -26,25 +26,46 @@
 
 import defopt
 
-if typing.TYPE_CHECKING:
-    import signal as signal_module
+
+class Shape(typing.NamedTuple):
+    """What a deployment has."""
+
+    zones: list[str]  # of the nodes
+    workers: int
+    pool: str
+    configuration: str  # a file of EXAMPLES
 
 
 SHAPES = {
-    # zones of the nodes, workers, pool, configuration
-    "small": (["a", "a"], 2, "desk", "magnolia.json"),
-    "magnolia": (["a", "a", "b", "b", "c", "d"], 5, "desk", "magnolia.json"),
-    "swan": (["yard", "yard", "yard", "mill", "mill", "mill", "office", "office"], 6, "reviews", "swan.json"),
+    "small": Shape(["a", "a"], 2, "desk", "magnolia.json"),
+    "magnolia": Shape(["a", "a", "b", "b", "c", "d"], 5, "desk", "magnolia.json"),
+    "swan": Shape(["yard", "yard", "yard", "mill", "mill", "mill", "office", "office"], 6, "reviews", "swan.json"),
 }
 HOST = "127.0.0.1"
 LISTENS = re.compile(r"listens on [0-9.]+:([0-9]+), HTTP on [0-9.]+:([0-9]+)")
-EXAMPLES = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "examples")
+EXAMPLES = pathlib.Path(__file__).resolve().parent.parent / "examples"
+FREE_PORTS = range(20_000, 32_000)  # below those that the system hands out by itself
+CORE_COUNT = 3
+START_TIMEOUT_S = 30
+LISTEN_TIMEOUT_S = 20
+STEP_S = 0.05  # how often a condition is checked
+OK = 200
+
+# Takes the kind of an event and its fields.
+Note = collections.abc.Callable[..., object]
+
+
+class Ports(typing.NamedTuple):
+    """Where a core or node listens."""
+
+    peer: int
+    http: int
 
 
 def query(
     port: int, method: str, path: str, document: dict[str, typing.Any] | None = None, timeout: int = 5
 ) -> tuple[int, dict[str, typing.Any]]:
-    """One small HTTP request: status and JSON."""
+    """One small HTTP request: status and JSON, or 0 and nothing where there is no answer."""
     raw = None if document is None else json.dumps(document).encode()
     request = urllib.request.Request(f"http://{HOST}:{port}{path}", raw, method=method)
     try:
@@ -66,7 +87,7 @@
     True
     """
     while True:
-        port = random.randrange(20_000, 32_000)
+        port = random.choice(FREE_PORTS)
         with contextlib.suppress(OSError), contextlib.closing(socket.socket()) as s:
             s.bind((HOST, port))
             return port
@@ -75,20 +96,20 @@
 class Fleet:
     """The processes of one fleet."""
 
-    def __init__(self, shape: str, folder: None = None) -> None:
+    def __init__(self, shape: str, folder: str | None = None) -> None:
         self.zone_names, self.worker_count, self.pool, name = SHAPES[shape]
-        with open(os.path.join(EXAMPLES, name)) as f:
-            self.configuration = json.load(f)
-        self.own = folder is None
-        self.folder = folder or tempfile.mkdtemp(prefix="iriswheel-")
-        self.processes: dict[str, subprocess.Popen[typing.Any]] = {}  # name -> Popen
-        self.lines: dict[str, tuple[builtins.list[str], bool]] = {}  # name -> how it was started
-        self.starts: dict[str, int] = {}  # name -> where in its log its present life begins
-        self.cores: dict[str, tuple[int, int]] = {}  # name -> (port, http)
-        self.nodes: dict[str, tuple[int, int]] = {}  # name -> (port, http)
+        self.configuration = json.loads((EXAMPLES / name).read_text())
+        self.own = folder is None  # whether the folder goes with the fleet
+        self.folder = pathlib.Path(folder or tempfile.mkdtemp(prefix="iriswheel-"))
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}  # by name
+        self.commands: dict[str, list[str]] = {}  # name -> the arguments that it was started with
+        self.starts: dict[str, int] = {}  # name -> where in its log its present incarnation begins
+        self.seeds: list[str] = []
+        self.cores: dict[str, Ports] = {}
+        self.nodes: dict[str, Ports] = {}
         self.workers: dict[str, int] = {}  # name -> port
         self.zones: dict[str, str] = {}  # name of a core or node -> its zone
-        self.platform = 0
+        self.platform = 0  # its port
 
     def __enter__(self) -> Fleet:
         """Return the fleet itself, for a `with` statement."""
@@ -98,43 +119,55 @@
         """Stop all processes."""
         self.end()
 
-    def spawn(self, name: str, args: builtins.list[str], inherited: bool = False) -> int | None:
-        """Start one process; with `told`, read the port that it prints."""
-        log = open(os.path.join(self.folder, f"{name}.log"), "a")
-        self.starts[name] = log.tell()
-        p = subprocess.Popen(
-            [sys.executable, *args], stderr=log, stdout=subprocess.PIPE if inherited else log, start_new_session=True
-        )
-        log.close()
-        self.processes[name] = p
-        self.lines[name] = (args, inherited)
-        return int(p.stdout.readline()) if inherited else None
+    def spawn(self, name: str, arguments: list[str], stdout: int | None = None) -> subprocess.Popen[bytes]:
+        """Start one process; what it writes goes to its log, unless its standard output goes elsewhere."""
+        with (self.folder / f"{name}.log").open("a") as log:
+            self.starts[name] = log.tell()
+            process = subprocess.Popen(
+                [sys.executable, *arguments],
+                stderr=log,
+                stdout=log if stdout is None else stdout,
+                start_new_session=True,
+            )
+        self.processes[name] = process
+        self.commands[name] = arguments
+        return process
+
+    def spawn_stand_in(self, name: str, arguments: list[str]) -> int:
+        """Start a stand-in, and return the port that it prints."""
+        process = self.spawn(name, arguments, subprocess.PIPE)
+        assert process.stdout is not None
+        return int(process.stdout.readline())
 
     def events(self, name: str) -> str:
         """The path of a process's event log."""
-        return os.path.join(self.folder, f"{name}.events")
+        return str(self.folder / f"{name}.events")
 
-    def begin(self, note: collections.abc.Callable[..., object] | None = None) -> None:
+    def begin(self, note: Note | None = None) -> None:
         """Start everything, wait until it serves, confirm the configuration."""
-        self.platform = self.spawn(
-            "platform", ["-m", "benchmarks.stand_ins", "platform", "--events", self.events("platform")], True
+        self.platform = self.spawn_stand_in(
+            "platform", ["-m", "benchmarks.stand_ins", "platform", "--events", self.events("platform")]
         )
-        for k in range(1, self.worker_count + 1):
-            self.add_worker(f"w{k}")
-        ports = [free_port() for _ in range(3)]
-        self.seeds = [f"{HOST}:{p}" for p in ports]
-        for k, port in enumerate(ports, 1):
-            self.add_core(f"c{k}", port, sorted(set(self.zone_names))[(k - 1) % len(set(self.zone_names))])
-        for k, zone in enumerate(self.zone_names, 1):
-            self.add_node(f"n{k}", zone)
-        self.until(lambda: self.confirm(self.configuration, note), "the blueprint is confirmed", 30)
-        self.until(lambda: all(self.ready(n) for n in self.nodes), "all nodes are ready", 30)
+        for number in range(1, self.worker_count + 1):
+            self.add_worker(f"w{number}")
+        ports = [free_port() for _ in range(CORE_COUNT)]
+        self.seeds = [f"{HOST}:{port}" for port in ports]
+        zones = sorted(set(self.zone_names))
+        for number, port in enumerate(ports, 1):
+            self.add_core(f"c{number}", port, zones[(number - 1) % len(zones)])
+        for number, zone in enumerate(self.zone_names, 1):
+            self.add_node(f"n{number}", zone)
+        self.until(lambda: self.confirm(self.configuration, note), "the blueprint is confirmed", START_TIMEOUT_S)
+        self.until(lambda: all(self.ready(name) for name in self.nodes), "all nodes are ready", START_TIMEOUT_S)
 
     def add_worker(self, name: str) -> None:
         """Start a worker and list it."""
-        args = ["-m", "benchmarks.stand_ins", "worker", "--ident", name, "--events", self.events(name)]
-        port = self.workers[name] = self.spawn(name, args, True)
-        self.list(id=name, host=HOST, port=port, pool=self.pool, state="ready")
+        arguments = ["-m", "benchmarks.stand_ins", "worker", "--identifier", name, "--events", self.events(name)]
+        self.workers[name] = self.spawn_stand_in(name, arguments)
+        self._list_ready(name)
+
+    def _list_ready(self, name: str) -> None:
+        self.list_worker(id=name, host=HOST, port=self.workers[name], pool=self.pool, state="ready")
 
     def add_core(self, name: str, port: int, zone: str) -> None:
         """Start a core machine."""
@@ -154,7 +187,7 @@
                 "--zone",
                 zone,
                 "--data",
-                os.path.join(self.folder, name),
+                str(self.folder / name),
                 "--seeds",
                 *self.seeds,
             ],
@@ -183,28 +216,37 @@
             ],
         )
         self.nodes[name] = self.learn(name)
-        query(self.platform, "POST", "/nodes", {"name": name, "host": HOST, "port": self.nodes[name][1]})
+        self._register(name)
+
+    def _register(self, name: str) -> None:
+        """Tell the platform where a node takes requests."""
+        query(self.platform, "POST", "/nodes", {"name": name, "host": HOST, "port": self.nodes[name].http})
 
-    def learn(self, name: str) -> tuple[int, int]:
+    def learn(self, name: str) -> Ports:
         """The ports that a process says it listens on, once it says so."""
-        found = []
+        found: list[tuple[str, str]] = []
 
-        def inherited() -> list[tuple[str, str]]:
-            with open(os.path.join(self.folder, f"{name}.log")) as f:
-                f.seek(self.starts[name])
-                found.extend(LISTENS.findall(f.read()))
-            return found
+        def listens() -> bool:
+            with (self.folder / f"{name}.log").open() as log:
+                log.seek(self.starts[name])
+                found.extend(LISTENS.findall(log.read()))
+            return bool(found)
 
-        self.until(inherited, f"{name} listens", 20)
-        return tuple(map(int, found[0]))
+        self.until(listens, f"{name} listens", LISTEN_TIMEOUT_S)
+        peer, http = found[0]
+        return Ports(int(peer), int(http))
 
-    def list(self, **row: int | str) -> tuple[int, dict[typing.Any, typing.Any]]:
+    def list_worker(self, **row: int | str) -> tuple[int, dict[str, typing.Any]]:
         """Change the platform's list."""
         return query(self.platform, "POST", "/workers", row)
 
+    def ports(self, name: str) -> Ports:
+        """Where a core or node listens."""
+        return {**self.cores, **self.nodes}[name]
+
     def ready(self, name: str) -> bool:
         """Whether a node says that it is ready."""
-        return query({**self.cores, **self.nodes}[name][1], "GET", "/ready")[0] == 200
+        return query(self.ports(name).http, "GET", "/ready")[0] == OK
 
     def assigned_owners(self) -> set[str]:
         """The nodes that are a pool's pool owner or keep its copies."""
@@ -219,26 +261,22 @@
 
     def state(self, name: str) -> dict[str, typing.Any]:
         """What a process shows of itself."""
-        return query({**self.cores, **self.nodes}[name][1], "GET", "/state")[1]
+        return query(self.ports(name).http, "GET", "/state")[1]
 
-    def confirm(
-        self,
-        document: dict[str, dict[str, dict[str, typing.Any]]],
-        note: collections.abc.Callable[..., object] | None = None,
-    ) -> int:
+    def confirm(self, document: dict[str, typing.Any], note: Note | None = None) -> int:
         """Plan and confirm a configuration through any core: its version, or 0."""
-        note = note or (lambda kind, **more: None)
+        note = note or _note_nothing
         for _, http in self.cores.values():
             status, plan = query(http, "POST", "/plans", {"blueprint": document})
-            if status == 200:
+            if status == OK:
                 note("confirm_sent", plan=plan["id"], base=plan["base"], probe=0, who="boss", blueprint=document)
                 status, response = query(http, "POST", f"/plans/{plan['id']}/confirm", {})
-                if status == 200:
+                if status == OK:
                     note("confirmed", plan=plan["id"], stamp=response["stamp"], probe=0, who="boss")
-                    return response["stamp"]
+                    return int(response["stamp"])
         return 0
 
-    def until(self, condition: collections.abc.Callable[..., object], what: str, seconds: int) -> float:
+    def until(self, condition: collections.abc.Callable[[], object], what: str, seconds: float) -> float:
         """Wait until a condition holds; how long that took."""
         started_at = time.monotonic()
         while not condition():
@@ -247,21 +285,21 @@
             for name, p in self.processes.items():
                 if p.poll() not in (None, 0, -signal.SIGKILL):
                     raise RuntimeError(f"{name} ended with {p.returncode}; see {self.folder}/{name}.log")
-            time.sleep(0.05)
+            time.sleep(STEP_S)
         return time.monotonic() - started_at
 
-    def cpu(self) -> typing.Any:
+    def cpu(self) -> dict[str, float]:
         """The share of a core that each process used since it started."""
-        out, tick = {}, os.sysconf("SC_CLK_TCK")
-        with open("/proc/uptime") as f:
-            up = float(f.read().split()[0])
-        for name, p in self.processes.items():
-            with open(f"/proc/{p.pid}/stat") as f:
-                rest = f.read().rsplit(")", 1)[1].split()
-            out[name] = (int(rest[11]) + int(rest[12])) / tick / max(0.1, up - int(rest[19]) / tick)
-        return out
-
-    def signal(self, name: str, signal_number: signal_module.Signals) -> None:
+        tick = os.sysconf("SC_CLK_TCK")
+        up = float(pathlib.Path("/proc/uptime").read_text().split()[0])
+        shares = {}
+        for name, process in self.processes.items():
+            fields = pathlib.Path(f"/proc/{process.pid}/stat").read_text().rsplit(")", 1)[1].split()
+            user, system, started_at = int(fields[11]), int(fields[12]), int(fields[19])
+            shares[name] = (user + system) / tick / max(0.1, up - started_at / tick)
+        return shares
+
+    def signal(self, name: str, signal_number: signal.Signals) -> None:
         """Send a signal to one of our own processes."""
         self.processes[name].send_signal(signal_number)
 
@@ -272,16 +310,17 @@
 
     def restart(self, name: str) -> None:
         """Start a process again as it was."""
-        args, inherited = self.lines[name]
-        got = self.spawn(name, args, inherited)
+        arguments = self.commands[name]
         if name in self.cores:
+            self.spawn(name, arguments)
             self.cores[name] = self.learn(name)
         elif name in self.nodes:
+            self.spawn(name, arguments)
             self.nodes[name] = self.learn(name)
-            query(self.platform, "POST", "/nodes", {"name": name, "host": HOST, "port": self.nodes[name][1]})
+            self._register(name)
         else:
-            self.workers[name] = got
-            self.list(id=name, host=HOST, port=got, pool=self.pool, state="ready")
+            self.workers[name] = self.spawn_stand_in(name, arguments)
+            self._list_ready(name)
 
     def owner(self) -> str:
         """The name of the node that is the pool's pool owner now, or ""."""
@@ -304,7 +343,7 @@
         if self.own:
             shutil.rmtree(self.folder, ignore_errors=True)
 
-    def load(self, seconds: int, *more: typing.Any) -> subprocess.Popen[typing.Any]:
+    def load(self, seconds: int, *more: str) -> subprocess.Popen[str]:
         """Start the load generator; its report is what it prints."""
         places = [f"{HOST}:{http}" for _, http in self.nodes.values()]
         return subprocess.Popen(
@@ -328,6 +367,10 @@
         )
 
 
+def _note_nothing(*_kind: str, **_fields: object) -> None:
+    """Stands in for a log where none is kept."""
+
+
 def run(shape: str, *, load: int = 0, folder: str | None = None) -> None:
     """Run a fleet of one shape.
 
@@ -338,7 +381,7 @@
     if shape not in SHAPES:
         sys.exit(f"fleet: no shape {shape!r}; there are {', '.join(SHAPES)}")
     if folder:
-        os.makedirs(folder, exist_ok=True)
+        pathlib.Path(folder).mkdir(parents=True, exist_ok=True)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signal_number, lambda *_: sys.exit(0))  # by way of Fleet.end
     with Fleet(shape, folder) as f:
--- a/benchmarks/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -6,8 +6,9 @@
 
 from __future__ import annotations
 
+import collections.abc
 import json
-import os
+import pathlib
 import resource
 import shutil
 import signal
@@ -22,20 +23,33 @@
 from iriswheel.runtime import scheduler
 from iriswheel.verification import replay
 
+LOAD_S = 3600  # longer than all cases together; `Trial.finish` ends it
+SETTLE_S = 5
+WAIT_S = 30  # until when a process must be ready again, or its data complete
+FREEZE_S = 4
+STOP_S = 40
+LOG_LINES_A_REQUEST = 2  # of a worker's log: its begin and its end
+
 
 class Trial:
-    """A fleet, the load on it, and the log of what was done to it."""
+    """A fleet, the load on it, and the log of what was done to it.
+
+    Args:
+        f: The fleet, not yet begun.
+        seconds: How long the load goes on at most.
+        more: Further options of the load generator.
+    """
 
-    def __init__(self, f: fleet.Fleet, seconds: int, more: list[str] = ()) -> None:
+    def __init__(self, f: fleet.Fleet, seconds: int, more: collections.abc.Sequence[str] = ()) -> None:
         self.fleet = f
-        self.out = open(f.events("trial"), "w")
+        self.out = pathlib.Path(f.events("trial")).open("w")  # noqa: SIM115 - open until the trial ends
         self.tape = load_generator.Events(self.out)
         f.begin(self.note)
         self.note("begun", blueprint=f.configuration, zones=self.zones())
         self.load = f.load(seconds, *more)
         f.until(lambda: self.count("load") > 5, "the load has begun", 20)
 
-    def note(self, kind: str, **more: typing.Any) -> None:
+    def note(self, kind: str, **more: object) -> None:
         """Write a row to the trial's own log."""
         self.tape.put(scheduler.boottime(), kind, **more)
         self.out.flush()
@@ -73,16 +87,18 @@
     def count(self, name: str) -> int:
         """How many lines a log has so far."""
         try:
-            with open(self.fleet.events(name)) as f:
-                return sum(1 for _ in f)
+            with pathlib.Path(self.fleet.events(name)).open() as log:
+                return sum(1 for _ in log)
         except FileNotFoundError:
             return 0
 
     def served(self, n: int) -> None:
         """Wait until the workers have finished n more requests."""
-        done = lambda: sum(self.count(w) for w in self.fleet.workers)  # noqa: E731
-        goal = done() + 2 * n
-        self.fleet.until(lambda: done() >= goal, f"{n} more exchanges are served", 30)
+        goal = self._worker_lines() + LOG_LINES_A_REQUEST * n
+        self.fleet.until(lambda: self._worker_lines() >= goal, f"{n} more exchanges are served", WAIT_S)
+
+    def _worker_lines(self) -> int:
+        return sum(self.count(name) for name in self.fleet.workers)
 
     def finish(self) -> tuple[dict[str, typing.Any], dict[str, list[str]], list[str]]:
         """Wait for the load, read the configuration back, judge: report, complaints, recoveries."""
@@ -90,15 +106,15 @@
         report = json.loads(self.load.communicate()[0])
         for _, http in self.fleet.cores.values():
             status, document = fleet.query(http, "GET", "/blueprint")
-            if status == 200:
+            if status == fleet.OK:
                 self.note("read", stamp=document["stamp"], blueprint=document["blueprint"])
                 break
         self.note("ended")
         self.out.close()
         rows = []
         for name in ["trial", "load", "platform", *self.fleet.workers]:
-            with open(self.fleet.events(name)) as f:
-                rows += replay.read(f)[0]
+            with pathlib.Path(self.fleet.events(name)).open() as log:
+                rows += replay.read(log)[0]
         rows.sort(key=lambda r: r["at"])
         return report, replay.judge(rows), replay.recovery_lines(rows)
 
@@ -106,7 +122,7 @@
 # ---- cases ---------------------------------------------------------------------------------
 
 
-def spread(t: typing.Any, names: typing.Any, seconds: typing.Any) -> None:
+def spread(t: Trial, names: collections.abc.Sequence[str], seconds: float) -> None:
     """Kill processes at once, let the load go on, start them again."""
     for x in names:
         t.fault("kill", x, large=len(names) > 1)
@@ -117,7 +133,7 @@
     time.sleep(9)
 
 
-def change(t: typing.Any) -> None:
+def change(t: Trial) -> None:
     """A change of the configuration is confirmed."""
     document = json.loads(json.dumps(t.fleet.configuration))
     document["routes"]["late"] = {"path": "/v1/late", "pool": t.fleet.pool}
@@ -126,70 +142,70 @@
     print(f"change acknowledged after {1000 * (time.monotonic() - started_at):.0f} ms")
 
 
-def drain(t: typing.Any) -> None:
+def drain(t: Trial) -> None:
     """A worker is listed as leaving, then gone, then ended; another one comes."""
     name = sorted(t.fleet.workers)[0]
     t.fleet.add_worker(f"{name}b")
-    t.fleet.list(id=name, state="leaving")
+    t.fleet.list_worker(id=name, state="leaving")
     time.sleep(7)
-    t.fleet.list(id=name, state="gone")
+    t.fleet.list_worker(id=name, state="gone")
     t.fleet.kill(name)
     time.sleep(3)
 
 
-def node(t: typing.Any) -> None:
+def node(t: Trial) -> None:
     """A node is killed and started again."""
     spread(t, [next(n for n in t.fleet.nodes if n not in t.fleet.assigned_owners())], 4)
 
 
-def warden(t: typing.Any) -> None:
+def warden(t: Trial) -> None:
     """The pool owner is killed and started again."""
     spread(t, [t.fleet.owner()], 4)
 
 
-def core(t: typing.Any) -> None:
+def core(t: Trial) -> None:
     """Each core machine in turn is killed and started again."""
     for c in sorted(t.fleet.cores):
         spread(t, [c], 3)
 
 
-def hall(t: typing.Any) -> None:
+def hall(t: Trial) -> None:
     """All processes of a zone are killed at once."""
     zone = sorted(set(t.fleet.zones.values()))[-1]
     spread(t, [x for x in [*t.fleet.cores, *t.fleet.nodes] if t.fleet.zones[x] == zone], 4)
     time.sleep(6)
 
 
-def everything(t: typing.Any) -> None:
+def everything(t: Trial) -> None:
     """All cores and nodes are killed at once."""
     spread(t, [*t.fleet.cores, *t.fleet.nodes], 0.5)
     time.sleep(6)
 
 
-def freeze(t: typing.Any) -> None:
+def freeze(t: Trial) -> None:
     """The pool owner freezes for four seconds, then a core machine."""
     for name in (t.fleet.owner(), sorted(t.fleet.cores)[-1]):
         t.fault("freeze", name)
         t.fleet.signal(name, signal.SIGSTOP)
-        time.sleep(4)
+        time.sleep(FREEZE_S)
         t.fleet.signal(name, signal.SIGCONT)
         t.repair("wake", name)
         time.sleep(8)
 
 
-def blank(t: typing.Any) -> None:
+def blank(t: Trial) -> None:
     """A core machine comes back with an empty data folder."""
     name = sorted(t.fleet.cores)[0]
     t.fault("disk lost", name)
     t.fleet.kill(name)
-    shutil.rmtree(os.path.join(t.fleet.folder, name))
+    shutil.rmtree(t.fleet.folder / name)
     time.sleep(1)
     t.restart(name)
-    t.fleet.until(lambda: t.fleet.state(name).get("whole"), f"{name} is whole", 30)
+    t.fleet.until(lambda: t.fleet.state(name).get("whole"), f"{name} is whole", WAIT_S)
     time.sleep(4)
 
 
-def moved(t: typing.Any) -> None:
+def moved(t: Trial) -> None:
     """A core machine is gone for good; an empty one comes at a new address."""
     name = sorted(t.fleet.cores)[0]
     t.fault("gone for good", name)
@@ -197,12 +213,12 @@
     del t.fleet.cores[name]
     time.sleep(2)
     t.fleet.add_core("c9", fleet.free_port(), t.fleet.zones[name])
-    t.fleet.until(lambda: t.fleet.state("c9").get("whole"), "c9 is whole", 30)
+    t.fleet.until(lambda: t.fleet.state("c9").get("whole"), "c9 is whole", WAIT_S)
     t.repair("start", name)
     time.sleep(4)
 
 
-def full(t: typing.Any) -> None:
+def full(t: Trial) -> None:
     """A core machine's files may not grow or change for a while: its disk refuses every write."""
     name = sorted(t.fleet.cores)[-1]
     pid = t.fleet.processes[name].pid
@@ -215,28 +231,39 @@
     resource.prlimit(pid, resource.RLIMIT_FSIZE, was)
     t.repair("disk mended", name)
     t.fleet.until(
-        lambda: t.fleet.state(name).get("whole") and t.fleet.state(name).get("disk_ok"), f"{name} is back", 30
+        lambda: t.fleet.state(name).get("whole") and t.fleet.state(name).get("disk_ok"), f"{name} is back", WAIT_S
     )
     time.sleep(3)
 
 
-def roll(t: typing.Any) -> None:
+def roll(t: Trial) -> None:
     """Every node and core is stopped in good order and started again, one after the other."""
     for name in [*t.fleet.nodes, *t.fleet.cores]:
         if name in t.fleet.cores:
             t.fault("stop", name)
         t.fleet.signal(name, signal.SIGTERM)
-        t.fleet.processes[name].wait(40)
+        t.fleet.processes[name].wait(STOP_S)
         t.restart(name)
-        t.fleet.until(lambda: t.fleet.ready(name), f"{name} is ready", 30)
+        _wait_until_ready(t, name)
         time.sleep(1)
 
 
-CASES = {f.__name__: f for f in (change, drain, node, warden, core, hall, everything, freeze, blank, moved, full, roll)}
+def _wait_until_ready(t: Trial, name: str) -> None:
+    t.fleet.until(lambda: t.fleet.ready(name), f"{name} is ready", WAIT_S)
+
+
+CASES: dict[str, collections.abc.Callable[[Trial], None]] = {
+    case.__name__: case
+    for case in (change, drain, node, warden, core, hall, everything, freeze, blank, moved, full, roll)
+}
 
 
 def run(
-    shape: str = "magnolia", *, cases: list[str] = (), long_rate: float = 4.0, short_rate: float = 40.0
+    shape: str = "magnolia",
+    *,
+    cases: collections.abc.Sequence[str] = (),
+    long_rate: float = 4.0,
+    short_rate: float = 40.0,
 ) -> typing.NoReturn:
     """Run a fleet under load through cases of changes and faults, and judge what the outside saw.
 
@@ -252,13 +279,18 @@
             f"there are {', '.join(fleet.SHAPES)}, and {', '.join(CASES)}"
         )
     with fleet.Fleet(shape) as f:
-        t = Trial(f, 3600, ["--long-rate", str(long_rate), "--short-rate", str(short_rate)])
-        time.sleep(5)
+        t = Trial(f, LOAD_S, ["--long-rate", str(long_rate), "--short-rate", str(short_rate)])
+        time.sleep(SETTLE_S)
         for name in list(cases) or list(CASES):
             t.note("case", name=name)
             CASES[name](t)
             time.sleep(2)
         report, found, back = t.finish()
+    _print_findings(report, found, back)
+    sys.exit(1 if found else 0)
+
+
+def _print_findings(report: dict[str, typing.Any], found: dict[str, list[str]], back: list[str]) -> None:
     print(json.dumps(report, indent=2))
     for line in back:
         print(line)
@@ -266,7 +298,6 @@
         for line in lines:
             print(f"{checker}: {line}")
     print(f"{sum(map(len, found.values()))} complaints")
-    sys.exit(1 if found else 0)
 
 
 if __name__ == "__main__":
