--- a/simulation/state_search/explore.py
+++ b/simulation/state_search/explore.py
@@ -61,6 +61,13 @@
     trace: tuple[str, ...] = ()
 
 
+class Broken(typing.NamedTuple):
+    """An invariant that a state breaks, and the steps that lead there."""
+
+    violation: str
+    trace: tuple[str, ...]
+
+
 def check(world: cluster_model.World) -> None:
     """Raise ViolationError where a state breaks an invariant."""
     readers = [core.identifier for core in world.cores if cluster_model.has_lease(core)]
@@ -82,7 +89,7 @@
                 )
 
 
-def recover(world: cluster_model.World, setting: cluster_model.Setting) -> None:
+def recover(world: cluster_model.World) -> None:
     """Raise ViolationError unless the machines that are reachable get to a chain with all that was acknowledged.
 
     Nothing more fails from here on: leases run out, messages arrive, proposals come one after the other.
@@ -166,6 +173,81 @@
     return hashlib.blake2b(msgspec.msgpack.encode([kept, world.views, world.acknowledged]), digest_size=12).digest()
 
 
+class Origin(typing.NamedTuple):
+    """How a state was first reached: from which state, by its key, and by which step."""
+
+    before: bytes
+    step: str
+
+
+class StateSearch:
+    """A breadth-first search under way: the states reached so far, and those whose steps are yet to be taken.
+
+    Args:
+        first: Where to begin.
+        setting: What holds in all states.
+        recovery: Whether each state is also checked for a way to recover from it.
+    """
+
+    def __init__(self, first: cluster_model.World, setting: cluster_model.Setting, recovery: bool) -> None:
+        self.setting, self.recovery = setting, recovery
+        self.origins = {state_key(first): Origin(b"", "")}
+        self.recovered: set[bytes] = set()  # what recoveries depend on, where one has succeeded
+        self.queue = collections.deque([(first, 0)])  # each state with its depth
+
+    def run(self, depth: int, most_states: int) -> Found:
+        """Search up to a depth, or until so many states were reached."""
+        level = 0
+        while self.queue:
+            world, level = self.queue.popleft()
+            if level == depth or len(self.origins) >= most_states:
+                return Found(len(self.origins), level, complete=False)
+            broken = self.expand(world, level)
+            if broken is not None:
+                return Found(len(self.origins), level + 1, False, broken.violation, broken.trace)
+        return Found(len(self.origins), level, complete=True)
+
+    def expand(self, world: cluster_model.World, level: int) -> Broken | None:
+        """Take all steps from a state: the invariant that one of them breaks, if one does."""
+        here = state_key(world)
+        taken: tuple[str, ...] = ()  # the step whose outcome is looked at; none while the next one is made
+        try:
+            for step, after in cluster_steps.steps(world, self.setting):
+                taken = (step,)
+                self.reach(after, Origin(here, step), level + 1)
+                taken = ()
+        except cluster_model.ViolationError as violation:
+            return Broken(str(violation), (*self.path(here), *taken))
+        return None
+
+    def reach(self, world: cluster_model.World, origin: Origin, level: int) -> None:
+        """Check the state that a step leads to, where it is new, and have its own steps taken later."""
+        world = cluster_steps.tidy(cluster_steps.acknowledge(world, self.setting))
+        key = state_key(world)
+        if key in self.origins:
+            return
+        self.origins[key] = origin
+        check(world)
+        if self.recovery:
+            self.check_recovery(world)
+        self.queue.append((world, level))
+
+    def check_recovery(self, world: cluster_model.World) -> None:
+        """Check that the reachable machines recover from a state, where that is not known yet."""
+        key = recovery_key(world)
+        if key not in self.recovered:
+            self.recovered.add(key)
+            recover(world)
+
+    def path(self, key: bytes) -> tuple[str, ...]:
+        """The steps that lead to a state."""
+        steps = []
+        while self.origins[key].step:
+            key, step = self.origins[key]
+            steps.append(step)
+        return tuple(reversed(steps))
+
+
 def search(
     cores: int,
     limits: cluster_model.Limits,
@@ -195,52 +277,7 @@
     """
     tolerance = (cores - 1) // 2
     setting = cluster_model.Setting(tolerance, tolerance + 1, keep_identity)
-    first = first or cluster_model.start(cores, limits)
-    origin = {state_key(first): (b"", "")}
-    recovered: set[bytes] = set()
-    queue = collections.deque([(first, 0)])
-    level = 0
-    complete = True
-    while queue:
-        world, level = queue.popleft()
-        if level == depth or len(origin) >= most_states:
-            complete = False
-            break
-        here = state_key(world)
-        label = ""
-        try:
-            for label, after in cluster_steps.steps(world, setting):
-                after = cluster_steps.tidy(cluster_steps.acknowledge(after, setting))
-                mark = state_key(after)
-                if mark in origin:
-                    continue
-                origin[mark] = (here, label)
-                label = ""
-                check(after)
-                if recovery:
-                    recover_once(after, setting, recovered)
-                queue.append((after, level + 1))
-        except cluster_model.ViolationError as violation:
-            trace = path(origin, here if label else mark)
-            return Found(len(origin), level + 1, False, str(violation), (*trace, *([label] if label else [])))
-    return Found(len(origin), level, complete)
-
-
-def recover_once(world: cluster_model.World, setting: cluster_model.Setting, recovered: set[bytes]) -> None:
-    """Check that the reachable machines recover from a state, where that is not known yet."""
-    mark = recovery_key(world)
-    if mark not in recovered:
-        recovered.add(mark)
-        recover(world, setting)
-
-
-def path(origin: dict[bytes, tuple[bytes, str]], mark: bytes) -> tuple[str, ...]:
-    """The labels of the steps that lead to a state."""
-    labels = []
-    while origin[mark][1]:
-        mark, label = origin[mark]
-        labels.append(label)
-    return tuple(reversed(labels))
+    return StateSearch(first or cluster_model.start(cores, limits), setting, recovery).run(depth, most_states)
 
 
 def main(*, scenario: str = "all", cores: int = 0, depth: int = 7, most_states: int = 10**9) -> None:
