--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -55,7 +55,13 @@
     ) -> None:
         document = configuration.unflatten(samples.items(max(routes, pools), pools=pools, election=election))
         super().__init__(
-            seed, "small", 0, 0, 0, configuration=document, halls=[f"zone{k % samples.ZONES}" for k in range(nodes)]
+            seed,
+            "small",
+            long_rate=0,
+            short_rate=0,
+            conversations=0,
+            configuration=document,
+            zones=[f"zone{k % samples.ZONES}" for k in range(nodes)],
         )
         self.worker_count, self.pool, self.pools, self.walking = listed, "model-0", pools, walking
         self.probing = False
--- a/benchmarks/change_recovery.py
+++ b/benchmarks/change_recovery.py
@@ -193,7 +193,7 @@
         "magnolia",
         long_rate=0,
         short_rate=0,
-        talks=0,
+        conversations=0,
         cores=start.cores,
         seats=start.cores,
         lease_us=start.lease_ms * units.MILLISECOND_US,
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -160,7 +160,7 @@
     """
     loguru.logger.remove()
     for n in routes:
-        t = simulated_cluster.SimulatedCluster(1, "magnolia", long_rate=0, short_rate=0, talks=0)
+        t = simulated_cluster.SimulatedCluster(1, "magnolia", long_rate=0, short_rate=0, conversations=0)
         t.probing = False
         for k in range(n):
             t.configuration["routes"][f"far{k}"] = {"path": f"/far/{k}", "pool": t.pool, "zones": ["d"]}
@@ -254,7 +254,9 @@
     loguru.logger.remove()
     for n in nodes:
         for r in routes:
-            t = simulated_cluster.SimulatedCluster(seed, "magnolia", 0, 0, 0, halls=[f"h{k % 8}" for k in range(n)])
+            t = simulated_cluster.SimulatedCluster(
+                seed, "magnolia", long_rate=0, short_rate=0, conversations=0, zones=[f"h{k % 8}" for k in range(n)]
+            )
             t.probing = False
             for k in range(r):
                 t.configuration["routes"][f"r{k}"] = {"path": f"/r/{k}", "pool": t.pool}
@@ -294,7 +296,7 @@
     :param seed: the run's seed
     """
     loguru.logger.remove()
-    t = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0.2, short_rate=2, talks=4)
+    t = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0.2, short_rate=2, conversations=4)
     t.begin()
     t.load.us = minutes * 60 * units.SECOND_US
     kinds = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_owner")
--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -109,6 +109,7 @@
         address: virtual_address.VirtualAddress,
         name: str,
         zone: str,
+        *,
         keeps: bool = True,
         chunked: bool = False,
         hasty: bool = False,
@@ -191,7 +192,7 @@
         code, is_whole = row["code"], row["how"] == "whole"
         if is_whole and (200 <= code < 300 or code in FINAL):
             return False
-        if not (kind.is_repeatable or row["how"] == "unconnected" or is_whole and code in NOT_RUN):
+        if not (kind.is_repeatable or row["how"] == "unconnected" or (is_whole and code in NOT_RUN)):
             return False
         return attempts <= kind.more_attempts * (HASTY_ATTEMPTS if self.hasty else 1)
 
--- a/simulation/clients/connection.py
+++ b/simulation/clients/connection.py
@@ -174,7 +174,7 @@
             else:
                 self.drop("garbage")
 
-    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
         """End the request that is under way."""
         self.up = self.keep = False
         pending, self.pending = self.pending, None
@@ -238,7 +238,7 @@
     ) -> None:
         self.runtime, self.stray, self.opened = runtime, stray, opened
 
-    def buildProtocol(self, address: interfaces.IAddress | None) -> ClientConnection:
+    def buildProtocol(self, _address: interfaces.IAddress | None) -> ClientConnection:
         connection = ClientConnection(self.runtime, self.stray)
         self.runtime.later(0, self._report, connection)
         return connection
@@ -247,7 +247,7 @@
         if not self.opened.called:
             self.opened.callback(connection)
 
-    def clientConnectionFailed(self, connector: network_model.Connector, reason: failure.Failure) -> None:
+    def clientConnectionFailed(self, _connector: network_model.Connector, reason: failure.Failure) -> None:
         if not self.opened.called:
             self.opened.errback(reason)
 
--- a/simulation/clients/operator.py
+++ b/simulation/clients/operator.py
@@ -178,16 +178,16 @@
 
     async def put(self, document: Document, base: int, valid: bool = True, seconds: float = 60) -> int:
         """Send a whole configuration on top of a version: the status, 0 without a clear answer."""
-        return await self._send("PUT", document, document, base, valid, seconds)
+        return await self._send("PUT", document, document, base, valid=valid, seconds=seconds)
 
     async def patch(
         self, change: Document, document: Document, base: int, valid: bool = True, seconds: float = 60
     ) -> int:
         """Send a change, which makes `document` out of the version `base`: the status, 0 without a clear answer."""
-        return await self._send("PATCH", change, document, base, valid, seconds)
+        return await self._send("PATCH", change, document, base, valid=valid, seconds=seconds)
 
     async def _send(
-        self, method: str, body: Document, document: Document, base: int, valid: bool, seconds: float
+        self, method: str, body: Document, document: Document, base: int, *, valid: bool, seconds: float
     ) -> int:
         version = document[platform_names.CONFIGURATION["version"]]
         self.changes += 1
--- a/simulation/clients/request_kinds.py
+++ b/simulation/clients/request_kinds.py
@@ -32,6 +32,10 @@
     most: int
 
 
+OWN_TOKENS = SizeKind(290, 1.4, 1800)
+EVENT_COUNT = SizeKind(11, 1.4, 45)
+
+
 @dataclasses.dataclass
 class RequestKind:
     """A kind of request.
@@ -76,8 +80,8 @@
     late_value: float = 0.9
     share: float = 1.0
     parts: tuple[PartKind, ...] = (PartKind(55, 0.4, 40, 0.0), PartKind(37, 0.7, 1400, 0.3))
-    own: SizeKind = SizeKind(290, 1.4, 1800)
-    events: SizeKind = SizeKind(11, 1.4, 45)
+    own: SizeKind = OWN_TOKENS
+    events: SizeKind = EVENT_COUNT
     event_tokens: int = 4
     body_bytes: int = 770
 
--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -185,11 +185,11 @@
 
 def cut(day: CoreDay) -> None:
     """A core machine is cut off from the other ones, one way or both; nodes and operators still reach it."""
-    ways = day.rng.choice([(True, False), (False, True), (True, True)])
+    outward, inward = day.rng.choice([(True, False), (False, True), (True, True)])
     seconds = day.rng.choice([3, 6, 20])
 
     def lose(name: str) -> int:
-        _cut(day.site, name, sorted(set(day.site.cores) - {name}), seconds, *ways)
+        _cut(day.site, name, sorted(set(day.site.cores) - {name}), seconds, outward=outward, inward=inward)
         day.met(name, seconds)
         return seconds
 
@@ -199,10 +199,12 @@
 def cut_node(day: CoreDay) -> None:
     """A node is cut off from all core machines."""
     name = day.rng.choice(sorted(day.site.nodes))
-    _cut(day.site, name, sorted(day.site.cores), day.rng.choice([4, 20]), True, True)
+    _cut(day.site, name, sorted(day.site.cores), day.rng.choice([4, 20]))
 
 
-def _cut(owner: site.Site, name: str, others: list[str], seconds: int, outward: bool, inward: bool) -> None:
+def _cut(
+    owner: site.Site, name: str, others: list[str], seconds: int, *, outward: bool = True, inward: bool = True
+) -> None:
     here, there = owner.places[name].host, [owner.places[other].host for other in others]
     pairs = {(here, other) for other in there if outward} | {(other, here) for other in there if inward}
     owner.faults.note_fault(name, "cut")
@@ -220,7 +222,7 @@
     """A machine is cut off that the settings name first; the other processes read them again, some are restarted."""
 
     def lose(name: str) -> int:
-        _cut(day.site, name, sorted(set(day.site.cores) - {name}), 20, True, True)
+        _cut(day.site, name, sorted(set(day.site.cores) - {name}), 20)
         reload_settings(day)
         day.met(name, 20)
         return 20
--- a/simulation/event_log.py
+++ b/simulation/event_log.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.rows: list[dict[str, typing.Any]] = []
 
-    def put(self, at: int, kind: str, **fields: typing.Any) -> None:
+    def put(self, at: int, kind: str, **fields: object) -> None:
         """Keep one event.
 
         >>> EventLog().put(1, "sent")
--- a/simulation/fingerprint.py
+++ b/simulation/fingerprint.py
@@ -22,6 +22,7 @@
 import json
 import multiprocessing
 import os
+import pathlib
 import sys
 import time
 import typing
@@ -59,7 +60,7 @@
     runs: list[Fingerprint]
 
 
-def recorded_value(value: typing.Any, names: Names) -> typing.Any:
+def recorded_value(value: object, names: Names) -> object:
     """A value of an event with each text that was renamed as it was recorded.
 
     >>> recorded_value({"why": ["Late", 1]}, Names(values={"Late": "TooLate"}))
@@ -159,8 +160,7 @@
 
 def read(path: str) -> Record:
     """The fingerprints and names of a file."""
-    with open(path, "rb") as file:
-        return msgspec.json.decode(file.read(), type=Record)
+    return msgspec.json.decode(pathlib.Path(path).read_bytes(), type=Record)
 
 
 def text_of(record: Record) -> str:
@@ -206,8 +206,7 @@
     for result in results:
         if isinstance(result, str):
             print(result)
-    with open(file, "w") as out:
-        out.write(text_of(Record(Names(), runs)))
+    pathlib.Path(file).write_text(text_of(Record(Names(), runs)))
     print(f"{len(runs)} runs recorded")
 
 
--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -108,7 +108,7 @@
     parts: list[tuple[str, int]]  # (part, tokens), in order
     tokens: int  # to put out
     urgency: int = URGENCY
-    on_event: collections.abc.Callable[[int, bool], object] = lambda number, last: None
+    on_event: collections.abc.Callable[[int, bool], object] = lambda _number, _last: None
     on_first_token: collections.abc.Callable[[], object] = lambda: None
     done: int = 0  # tokens put out so far; above 0 at the start for one that is taken up
     number: int = 0
--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -43,19 +43,30 @@
     def doStart(self) -> None:
         """Begin to be used."""
 
-    # Any: Twisted describes addresses by a zope interface, which mypy can't check.
-    def buildProtocol(self, addr: typing.Any, /) -> protocol.Protocol | None:
+    def buildProtocol(
+        self,
+        address: typing.Any,  # noqa: ANN401 - Twisted's type is a zope interface, which mypy can't check
+        /,
+    ) -> protocol.Protocol | None:
         """The protocol of a new connection, or None where the connection is refused."""
 
 
 class ConnectingFactory(ListeningFactory, typing.Protocol):
     """What opening a connection asks of Twisted's client factories."""
 
-    # Any: Twisted describes connectors by a zope interface, which mypy can't check.
-    def startedConnecting(self, connector: typing.Any, /) -> None:
+    def startedConnecting(
+        self,
+        connector: typing.Any,  # noqa: ANN401 - Twisted's type is a zope interface, which mypy can't check
+        /,
+    ) -> None:
         """The connection is being opened."""
 
-    def clientConnectionFailed(self, connector: typing.Any, reason: failure.Failure, /) -> None:
+    def clientConnectionFailed(
+        self,
+        connector: typing.Any,  # noqa: ANN401 - Twisted's type is a zope interface, which mypy can't check
+        reason: failure.Failure,
+        /,
+    ) -> None:
         """The connection could not be opened."""
 
 
@@ -154,9 +165,11 @@
         self.factory.clientConnectionFailed(self, failure.Failure(reason))
 
     def getDestination(self) -> address.IPv4Address:
+        """The address that the connection is opened to."""
         return address.IPv4Address("TCP", self.host, self.port)
 
     def stopConnecting(self) -> None:
+        """Give the attempt up."""
         self.fail(error.UserError())
 
     disconnect = stopConnecting
@@ -222,24 +235,29 @@
         self.drain()
 
     def getPeer(self) -> address.IPv4Address:
+        """The address of the other side."""
         return address.IPv4Address("TCP", self.peer.process.host.host, self.port)
 
     def getHost(self) -> address.IPv4Address:
+        """The address of this side."""
         return address.IPv4Address("TCP", self.process.host.host, self.port)
 
     def setTcpNoDelay(self, on: bool) -> None:
-        pass
+        """Do nothing: segments are sent at once."""
 
     def getTcpNoDelay(self) -> bool:
+        """Whether small segments are sent at once."""
         return True
 
     def setTcpKeepAlive(self, on: bool) -> None:
-        pass
+        """Do nothing: there are no keep-alive probes."""
 
     def getTcpKeepAlive(self) -> bool:
+        """Whether the kernel probes an idle connection."""
         return False
 
     def write(self, data: bytes) -> None:
+        """Send bytes."""
         if self.state != "open" or self.disconnecting or not data:
             return
         if self.world.meter is not None:
@@ -264,9 +282,11 @@
             self.producer.pauseProducing()
 
     def writeSequence(self, pieces: collections.abc.Sequence[bytes]) -> None:
+        """Send several pieces as one."""
         self.write(b"".join(pieces))
 
     def loseConnection(self, _: None = None) -> None:
+        """Close the connection once all that was written is sent and no producer is left."""
         if self.state == "open" and not self.disconnecting:
             self.disconnecting = True
             if self.producer is None:
@@ -274,14 +294,17 @@
                 self.flush()
 
     def loseWriteConnection(self) -> None:
+        """Close the connection: half-closed connections are not modelled."""
         self.loseConnection()
 
     def abortConnection(self) -> None:
+        """Close the connection at once; the peer sees a reset."""
         if self.state == "open":
             self.disconnecting = True
             self.world.push(self.world.time, lambda: self.reset(error.ConnectionAborted()))
 
     def registerProducer(self, producer: Producer, streaming: bool) -> None:
+        """Let a producer write, which is paused while it is far ahead of its reader."""
         if self.state != "open":
             producer.stopProducing()
             return
@@ -290,19 +313,23 @@
             producer.resumeProducing()
 
     def unregisterProducer(self) -> None:
+        """The producer has written all; a close that waited for it is carried out."""
         self.producer = None
         if self.disconnecting and self.state == "open":
             self.enqueue(None)
             self.flush()
 
     def pauseProducing(self) -> None:
+        """Hand nothing more to the protocol until resumed."""
         self.paused = True
 
     def resumeProducing(self) -> None:
+        """Hand to the protocol what has arrived, from the process's next turn on."""
         self.paused = False
         self.world.push(self.world.time, lambda: self.process.call(self.drain))
 
     def stopProducing(self) -> None:
+        """Close the connection: its consumer wants no more."""
         self.loseConnection()
 
     # ---- the network ------------------------------------------------------------
--- a/simulation/observed_runs.py
+++ b/simulation/observed_runs.py
@@ -52,7 +52,7 @@
     def leave(self) -> None:
         """Called where it ends."""
 
-    def count(self, sender: str, receiver: str, size: int) -> None:
+    def count(self, _sender: str, _receiver: str, size: int) -> None:
         """Take in one write."""
         self.writes += 1
         self.size += size
@@ -113,8 +113,9 @@
     return platform_days.play(name, int(seed), shape, float(load)).event_log.rows
 
 
-def play_second_loss(cores: str, first: str, step: str, target: str, second: str, seed: str) -> list[Row]:
+def play_second_loss(cores: str, *words: str) -> list[Row]:
     """Play a second loss; the rows of its event log, and at its end what the run measured."""
+    first, step, target, second, seed = words
     case = second_loss.Case(
         int(cores),
         second_loss.Loss[first],
--- a/simulation/platform_days.py
+++ b/simulation/platform_days.py
@@ -12,6 +12,7 @@
 import collections.abc
 import multiprocessing
 import os
+import pathlib
 import sys
 import time
 import typing
@@ -119,8 +120,7 @@
     except Exception as error:  # a day that can't go on is a finding too
         return Result(job, {"crash": [repr(error)]}, {})
     if job.path:
-        with open(job.path, "w") as file:
-            file.write(owner.event_log.text())
+        pathlib.Path(job.path).write_text(owner.event_log.text())
     return Result(job, platform_rules.examine(owner.event_log.rows), totals(owner))
 
 
@@ -200,7 +200,7 @@
     """
     names = list(days) or list(DAYS)
     unknown = [name for name in names if name not in DAYS]
-    if unknown or shape not in shapes.SHAPES or seeds < 1 or log and (seeds > 1 or len(names) > 1):
+    if unknown or shape not in shapes.SHAPES or seeds < 1 or (log and (seeds > 1 or len(names) > 1)):
         what = " ".join(unknown) or shape
         print(f"days: no such day or shape, or --log with more than one run: {what}", file=sys.stderr)
         sys.exit(2)
--- a/simulation/platform_names.py
+++ b/simulation/platform_names.py
@@ -1,11 +1,10 @@
 """The header, field and path names of the users' platform, read from platform/words.toml."""
 
-import os
+import pathlib
 import tomllib
 
-PLATFORM = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "platform")
-with open(os.path.join(PLATFORM, "words.toml"), "rb") as _file:
-    ALL = tomllib.load(_file)
+PLATFORM = pathlib.Path(__file__).resolve().parent.parent / "platform"
+ALL = tomllib.loads((PLATFORM / "words.toml").read_text(encoding="utf-8"))
 
 HEADERS: dict[str, str] = ALL["head"]
 PATHS: dict[str, str] = ALL["path"]
--- a/simulation/platform_programs.py
+++ b/simulation/platform_programs.py
@@ -7,12 +7,12 @@
 
 from simulation import platform_names
 
-if platform_names.PLATFORM not in sys.path:
-    sys.path.append(platform_names.PLATFORM)
+if str(platform_names.PLATFORM) not in sys.path:
+    sys.path.append(str(platform_names.PLATFORM))
 
-import configuration_api  # noqa: E402
-import formats  # noqa: E402
-import run as entry_points  # noqa: E402
-import settings  # noqa: E402
+import configuration_api
+import formats
+import run as entry_points
+import settings
 
 __all__ = ["configuration_api", "entry_points", "formats", "settings"]
--- a/simulation/platform_rules.py
+++ b/simulation/platform_rules.py
@@ -11,6 +11,7 @@
 
 import collections.abc
 import json
+import pathlib
 import sys
 import typing
 
@@ -55,8 +56,7 @@
 
     :param log: the log's file
     """
-    with open(log) as file:
-        complaints = examine([json.loads(line) for line in file])
+    complaints = examine([json.loads(line) for line in pathlib.Path(log).read_text().splitlines()])
     for name, lines in complaints.items():
         for line in lines:
             print(f"{name}: {line}")
--- a/simulation/reactor_model.py
+++ b/simulation/reactor_model.py
@@ -23,6 +23,7 @@
         self.reactor, self.port, self.factory = reactor, port, factory
 
     def getHost(self) -> address.IPv4Address:
+        """The address that is listened on."""
         return address.IPv4Address("TCP", self.reactor.process.host.host, self.port)
 
 
@@ -41,11 +42,13 @@
         return self.process.world.time
 
     def seconds(self) -> float:
+        """The time that timers go by, in seconds."""
         return self.clock() / units.SECOND_US
 
     def callLater(
-        self, seconds: float, function: world.Callback, *arguments: typing.Any, **keywords: typing.Any
+        self, seconds: float, function: world.Callback, *arguments: object, **keywords: object
     ) -> virtual_timer.Timer:
+        """Call a function after so many seconds, unless the process has ended by then."""
         due_at = self.clock() + int(seconds * units.SECOND_US)
         if keywords:
             function, arguments = functools.partial(function, *arguments, **keywords), ()
@@ -55,8 +58,13 @@
         return timer
 
     def listenTCP(
-        self, port: int, factory: network_model.ListeningFactory, backlog: int = 50, interface: str = ""
+        self,
+        port: int,
+        factory: network_model.ListeningFactory,
+        backlog: int = 50,  # noqa: ARG002 - Twisted's endpoints pass it by name
+        interface: str = "",  # noqa: ARG002 - Twisted's endpoints pass it by name
     ) -> Port:
+        """Take connections at a port; 0 stands for any free one."""
         if port == 0:
             self.next_port += 1
             port = self.next_port
@@ -70,6 +78,7 @@
         port: int,
         factory: network_model.ConnectingFactory,
         timeout: float = 30,
-        bindAddress: None = None,
+        bindAddress: None = None,  # noqa: ARG002 - Twisted's endpoints pass it by name
     ) -> network_model.Connector:
+        """Open a connection to an address; the factory hears how that went."""
         return network_model.Connector(self.process, host, port, factory, timeout)
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -256,21 +256,28 @@
         chained = any(member.id == identifier and member.incarnation == incarnation for member in view.chain)
         match step:
             case Step.SEEN:
-                return any(identifier in other.consensus.heartbeats for other in self.live() if other is not core)
+                others = [other for other in self.live() if other is not core]
+                reached = any(identifier in other.consensus.heartbeats for other in others)
             case Step.SEATED:
-                return any(voter.id == identifier for voter in view.voters)
+                reached = any(voter.id == identifier for voter in view.voters)
             case Step.CHAINED:
-                return chained
+                reached = chained
             case Step.REFILLED:
-                return chained and (core.chain.log.last_index > 0 or len(core.chain.receiver.incoming.content) > 0)
+                received = core.chain.log.last_index > 0 or len(core.chain.receiver.incoming.content) > 0
+                reached = chained and received
             case Step.SYNCED:
-                return chained and decisions.is_synced(core.consensus.record)
+                reached = chained and decisions.is_synced(core.consensus.record)
             case Step.LEASED:
-                return chained and self.tail_is_leased(view)
+                reached = chained and self.tail_is_leased(view)
             case Step.ACKNOWLEDGED:
-                if self.leased_at is None and self.reached(Step.LEASED):
-                    self.leased_at = self.site.world.time
-                return self.leased_at is not None and self.first_change_after(self.leased_at) is not None
+                reached = self.has_acknowledged_after_lease()
+        return reached
+
+    def has_acknowledged_after_lease(self) -> bool:
+        """Whether a change was acknowledged that was sent after the tail of the newcomer's chain had its lease."""
+        if self.leased_at is None and self.reached(Step.LEASED):
+            self.leased_at = self.site.world.time
+        return self.leased_at is not None and self.first_change_after(self.leased_at) is not None
 
     def tail_is_leased(self, view: message.View) -> bool:
         """Whether the tail of a view holds the read lease."""
@@ -365,11 +372,12 @@
 def cases(
     cores: int,
     seeds: collections.abc.Iterable[int],
+    *,
     firsts: collections.abc.Sequence[Loss] = tuple(Loss),
     steps: collections.abc.Sequence[Step] = tuple(Step),
     seconds: collections.abc.Sequence[Loss] = tuple(Loss),
     targets: collections.abc.Sequence[Target] = tuple(Target),
-    slow: bool = False,
+    slow_disk: bool = False,
 ) -> list[Case]:
     """The cases of a deployment; those that strike when all is settled again do not depend on the step.
 
@@ -384,7 +392,7 @@
             continue
         if target is Target.SETTLED and step is not Step.ACKNOWLEDGED:
             continue
-        out.append(Case(cores, first, step, target, second, seed, slow))
+        out.append(Case(cores, first, step, target, second, seed, slow_disk))
     return out
 
 
@@ -473,7 +481,15 @@
     :param slow_disk: whether the newcomer's disk is slow
     :param processes: processes to use
     """
-    chosen = cases(cores, range(first_seed, first_seed + seeds), firsts, steps, seconds, targets, slow_disk)
+    chosen = cases(
+        cores,
+        range(first_seed, first_seed + seeds),
+        firsts=firsts,
+        steps=steps,
+        seconds=seconds,
+        targets=targets,
+        slow_disk=slow_disk,
+    )
     started_at, outcomes = time.monotonic(), []
     with multiprocessing.Pool(processes, maxtasksperchild=16) as pool:
         for outcome in pool.imap_unordered(play, chosen):
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -4,7 +4,7 @@
 
 import collections.abc
 import json
-import os
+import pathlib
 import typing
 
 import loguru
@@ -61,10 +61,10 @@
         shape: The deployment's shape, a key of `benchmarks.fleet.SHAPES`.
         long_rate: Long requests a second.
         short_rate: Short requests a second.
-        talks: Conversations that go on at a time.
+        conversations: How many go on at a time.
         seconds: How long clients send requests.
         configuration: The configuration in place of the shape's example.
-        halls: The zone of each node in place of the shape's.
+        zones: The zone of each node in place of the shape's.
         cores: How many cores.
         more: Further options of all cores and nodes.
     """
@@ -73,24 +73,25 @@
         self,
         seed: int,
         shape: str = "magnolia",
+        *,
         long_rate: float = 1.5,
         short_rate: float = 8.0,
-        talks: int = 6,
+        conversations: int = 6,
         seconds: int = 600,
         configuration: dict[str, typing.Any] | None = None,
-        halls: list[str] | None = None,
+        zones: list[str] | None = None,
         cores: int = 3,
-        **more: typing.Any,
+        **more: typing.Any,  # noqa: ANN401 - each field of options.Options has a type of its own
     ) -> None:
         self.seed = seed
         self.world = world.World(seed)
         self.rng = self.world.rng
         self.tape = event_log.EventLog()
         self.zones, self.worker_count, self.pool, name = fleet.SHAPES[shape]
-        self.zones = halls or self.zones
-        with open(os.path.join(fleet.EXAMPLES, name)) as file:
-            self.configuration: dict[str, typing.Any] = configuration or json.load(file)
-        self.rates = (long_rate, short_rate, talks)
+        self.zones = zones or self.zones
+        example = pathlib.Path(fleet.EXAMPLES, name)
+        self.configuration: dict[str, typing.Any] = configuration or json.loads(example.read_text())
+        self.rates = (long_rate, short_rate, conversations)
         self.seconds = seconds
         self.core_count, self.more = cores, more
         self.cores: dict[str, server_model.SimulatedCore] = {}
@@ -173,7 +174,12 @@
         process.reactor.listenTCP(port, factory)
 
     def place(
-        self, role: str, name: str, host: str, zone: str, **more: typing.Any
+        self,
+        role: str,
+        name: str,
+        host: str,
+        zone: str,
+        **more: typing.Any,  # noqa: ANN401 - each field of options.Options has a type of its own
     ) -> tuple[process_model.SimulatedProcess, scheduler.Runtime, options.Options]:
         """A new process on a machine with power, its runtime and its options."""
         machine = self.machine(host, zone)
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -228,19 +228,19 @@
             spoil(document, document[platform_names.CONFIGURATION["routes"]][0])
             await self.site.operator.put(document, self.version, valid=False, seconds=INVALID_SECONDS)
 
-    def _unknown_pool(self, document: Document, route: Document) -> None:
+    def _unknown_pool(self, _document: Document, route: Document) -> None:
         route[platform_names.ROUTE["pool"]] = "nowhere"
 
     def _double_route(self, document: Document, route: Document) -> None:
         document[platform_names.CONFIGURATION["routes"]].append({**route, platform_names.ROUTE["name"]: "r-double"})
 
-    def _no_time(self, document: Document, route: Document) -> None:
+    def _no_time(self, _document: Document, route: Document) -> None:
         route[platform_names.ROUTE["cutoff_ms"]] = 0
 
-    def _old_version(self, document: Document, route: Document) -> None:
+    def _old_version(self, document: Document, _route: Document) -> None:
         document[platform_names.CONFIGURATION["version"]] = self.version
 
-    def _split_without_weight(self, document: Document, route: Document) -> None:
+    def _split_without_weight(self, _document: Document, route: Document) -> None:
         names = platform_names.ROUTE
         del route[names["pool"]]
         route[names["split"]] = [{names["pool"]: self.site.pool, names["weight"]: 0}]
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -33,7 +33,7 @@
 READ_BACKS, READ_BACK_S, READ_BACK_GAP_S = 3, 30, 1.1
 
 if typing.TYPE_CHECKING:
-    from iriswheel.runtime import options, scheduler
+    from iriswheel.runtime import options
 
 log = loguru.logger.bind(part="site")
 
@@ -58,14 +58,13 @@
     def __init__(
         self,
         process: process_model.SimulatedProcess,
-        runtime: scheduler.Runtime,
-        name: str,
         pool: str,
         event_log: event_log.EventLog,
         figures: inference_engine.Figures,
+        *,
         connection_limit: int,
     ) -> None:
-        super().__init__(runtime, name, pool, event_log, figures, connection_limit=connection_limit)
+        super().__init__(process.runtime(), process.name, pool, event_log, figures, connection_limit=connection_limit)
         self.process = process
         self.host, self.zone = process.host.host, process.host.zone
 
@@ -82,6 +81,7 @@
         shape: str = "magnolia",
         seconds: float = 20.0,
         load: float = 1.0,
+        *,
         engine_figures: inference_engine.Figures | None = None,
     ) -> None:
         """Make a site that has not begun.
@@ -208,8 +208,6 @@
         speed = 0.93 + 0.14 * self.rng.random()
         worker = SimulatedWorker(
             process,
-            process.runtime(),
-            name,
             pool or self.pool,
             self.event_log,
             dataclasses.replace(self.engine_figures, speed=speed),
@@ -331,7 +329,7 @@
             self.advance(POLL_S)
         return True
 
-    def schedule(self, seconds: float, action: collections.abc.Callable[..., object], *arguments: typing.Any) -> None:
+    def schedule(self, seconds: float, action: collections.abc.Callable[..., object], *arguments: object) -> None:
         """Run an action after a while, whatever the scenario does meanwhile."""
         self.world.push(self.world.time + int(seconds * units.SECOND_US), lambda: action(*arguments))
 
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -90,10 +90,7 @@
             continue
         ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
         proposal = cluster_model.Proposal(ballot, cluster_model.wanted_voters(world, core))
-        core = replace(core, ballot=ballot[0], proposal=proposal)
-        request = message.Prepare(core.view.number + 1, ballot, core.identifier)
-        after = replace(cluster_model.put(used, core), requests=cluster_model.add(used.requests, request))
-        yield f"{core.identifier} proposes {ballot}", receive_prepare(after, core, request)
+        yield f"{core.identifier} proposes {ballot}", _propose(used, core, proposal)
 
 
 def suspecting(world: cluster_model.World) -> Transitions:
@@ -105,10 +102,18 @@
         if cluster_model.is_due(world, core):
             continue
         ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
-        core = replace(core, ballot=ballot[0], proposal=cluster_model.Proposal(ballot, core.view.voters))
-        request = message.Prepare(core.view.number + 1, ballot, core.identifier)
-        after = replace(cluster_model.put(used, core), requests=cluster_model.add(used.requests, request))
-        yield f"{core.identifier} suspects the others and proposes {ballot}", receive_prepare(after, core, request)
+        proposal = cluster_model.Proposal(ballot, core.view.voters)
+        yield f"{core.identifier} suspects the others and proposes {ballot}", _propose(used, core, proposal)
+
+
+def _propose(
+    world: cluster_model.World, core: cluster_model.Core, proposal: cluster_model.Proposal
+) -> cluster_model.World:
+    """A core sends a Prepare, and answers it itself."""
+    proposer = replace(core, ballot=proposal.ballot[0], proposal=proposal)
+    request = message.Prepare(core.view.number + 1, proposal.ballot, core.identifier)
+    after = replace(cluster_model.put(world, proposer), requests=cluster_model.add(world.requests, request))
+    return receive_prepare(after, proposer, request)
 
 
 def delivering(world: cluster_model.World) -> Transitions:
--- a/simulation/sweep.py
+++ b/simulation/sweep.py
@@ -9,6 +9,7 @@
 
 import collections
 import collections.abc
+import pathlib
 import sys
 import time
 import typing
@@ -39,8 +40,7 @@
     except Exception as error:  # a scenario that can't go on is a finding too
         return seed_runs.Outcome(job, {"crash": [repr(error)]}, {}, time.process_time() - started_at)
     if job.log:
-        with open(job.log, "w") as file:
-            file.write(cluster.tape.text())
+        pathlib.Path(job.log).write_text(cluster.tape.text())
     complaints, rows_judged = replay.examine(cluster.tape.rows)
     return seed_runs.Outcome(job, complaints, rows_judged, time.process_time() - started_at)
 
--- a/simulation/virtual_timer.py
+++ b/simulation/virtual_timer.py
@@ -23,7 +23,7 @@
     """
 
     def __init__(
-        self, simulated_world: world.World, due_at: int, function: world.Callback, arguments: tuple[typing.Any, ...]
+        self, simulated_world: world.World, due_at: int, function: world.Callback, arguments: tuple[object, ...]
     ) -> None:
         self.world, self.due_at = simulated_world, due_at
         self.function, self.arguments = function, arguments
--- a/simulation/workers/listing.py
+++ b/simulation/workers/listing.py
@@ -54,7 +54,7 @@
         self.calls: collections.deque[int] = collections.deque()
         self.down = False
 
-    def show(self, identifier: str, **changed: typing.Any) -> None:
+    def show(self, identifier: str, **changed: object) -> None:
         """List a worker, or change how it is listed; it is seen when the lag has gone."""
         new = dict(
             state=platform_names.TERMS["ready"],
--- a/simulation/workers/served_http.py
+++ b/simulation/workers/served_http.py
@@ -92,7 +92,7 @@
             return
         self.start_idle()
 
-    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
         """Tell the server."""
         self.up = False
         self.stop_idle()
@@ -235,7 +235,7 @@
         self.runtime = runtime
         self.connections: list[ServedConnection] = []
 
-    def buildProtocol(self, address: interfaces.IAddress | None) -> ServedConnection:
+    def buildProtocol(self, _address: interfaces.IAddress | None) -> ServedConnection:
         """Serve a new connection."""
         return ServedConnection(self)
 
--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -83,6 +83,7 @@
         pool: str,
         event_log: event_log.EventLog,
         figures: inference_engine.Figures | None = None,
+        *,
         connection_limit: int = 360,
         idle_us: int = IDLE_US,
         probe_path: str = platform_names.PATHS["probe"],
@@ -103,7 +104,7 @@
         self.taken = 0
         self.note("born", pool=pool)
 
-    def note(self, kind: str, **fields: typing.Any) -> None:
+    def note(self, kind: str, **fields: object) -> None:
         """Note an event in the log."""
         self.event_log.put(self.runtime.now(), kind, worker=self.id, name=self.name, **fields)
 
@@ -176,7 +177,7 @@
         is_well = not self.leaving and not any(self.faults.values())
         is_well = {"good": True, "bad": False}.get(self.health, is_well)
 
-        def answer(number: int, last: bool) -> None:
+        def answer(_number: int, _last: bool) -> None:
             request.reply(200 if is_well else 503, [(platform_names.HEADERS["worker"], self.id)])
 
         if not self.engine.offer(inference_engine.Job("probe", [], 1, on_event=answer)):
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -39,7 +39,7 @@
     def leave(self) -> None:
         """Record that the code that began last has returned."""
 
-    def count(self, sender: str, receiver: str, size: int) -> None:
+    def count(self, sender: str, receiver: str, size: int, /) -> None:
         """Count one write to the network and its bytes."""
 
 
@@ -98,7 +98,7 @@
         self,
         account: Account | None,
         function: Callback,
-        *arguments: typing.Any,
+        *arguments: object,
     ) -> None:
         """Call a function now, and charge its processor time to an account where a meter is set.
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -40,7 +40,7 @@
     def start(
         *, seed: int = 3, shape: str = "small", seconds: float = 1, **options: Any
     ) -> simulated_cluster.SimulatedCluster:
-        cluster = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0, short_rate=0, talks=0, **options)
+        cluster = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0, short_rate=0, conversations=0, **options)
         cluster.probing = False
         cluster.begin()
         cluster.go(seconds)
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -119,7 +119,7 @@
 
     def __init__(self) -> None:
         self.requests: dict[str, typing.Any] = {}  # of the program to others, by method and path
-        self.cluster = simulated_cluster.SimulatedCluster(5, "small", long_rate=0, short_rate=0, talks=0)
+        self.cluster = simulated_cluster.SimulatedCluster(5, "small", long_rate=0, short_rate=0, conversations=0)
         self.cluster.probing = False
 
     def note(self, label: str, owner: type) -> typing.Any:
@@ -233,7 +233,7 @@
 
 def event_rows() -> list[dict[str, typing.Any]]:
     """The event log of a short simulated run with changes and faults."""
-    cluster = simulated_cluster.SimulatedCluster(4, "small", long_rate=0.5, short_rate=3, talks=2, seconds=24)
+    cluster = simulated_cluster.SimulatedCluster(4, "small", long_rate=0.5, short_rate=3, conversations=2, seconds=24)
     cluster.begin()
     actions.confirm_changes(cluster, 3, 3)
     cluster.go(6)
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -332,7 +332,7 @@
 
     def away_for_many_changes(self):
         """A fleet in which one member is down while many routes and changes come."""
-        t = simulated_cluster.SimulatedCluster(3, "small", long_rate=0, short_rate=0, talks=0)
+        t = simulated_cluster.SimulatedCluster(3, "small", long_rate=0, short_rate=0, conversations=0)
         t.probing = False
         t.begin()
         t.go(1)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -75,7 +75,7 @@
     def play(self, seed, place, inward, outward, cores=3):
         """A day on which the chain's machine at a place is cut from the others for twenty seconds."""
         t = simulated_cluster.SimulatedCluster(
-            seed, "small", long_rate=0, short_rate=0, talks=0, cores=cores, seats=cores
+            seed, "small", long_rate=0, short_rate=0, conversations=0, cores=cores, seats=cores
         )
         t.probing = False
         t.begin()
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -145,7 +145,7 @@
     """A simulated fleet whose core machines find recorded data on their disks."""
 
     def __init__(self, disks_by_name: dict[str, dict[bytes, bytes]], missing: str | None = None) -> None:
-        super().__init__(11, "small", long_rate=0, short_rate=0, talks=0)
+        super().__init__(11, "small", long_rate=0, short_rate=0, conversations=0)
         self.disks_by_name, self.missing = disks_by_name, missing
         self.first_read: typing.Any = None  # the configuration that stood before the first change
         self.sessions_at_start: dict[str, set[str]] = {}
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -183,7 +183,7 @@
     def test_nodes_keep_their_session_in_their_own_zone_where_a_core_machine_serves_there(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(halls=["a", "a", "b", "c", "d"])
+        t = quiet_cluster(zones=["a", "a", "b", "c", "d"])
         zones = {host: zone for host, zone in (t.options[c] for c in t.cores)}
         assert sorted(zones.values()) == ["a", "b", "c"]
 
@@ -217,7 +217,7 @@
     def test_a_node_that_serves_on_queries_few_peers_for_the_core(
         self, quiet_cluster: conftest.QuietCluster, serve_on: bool, most: int
     ) -> None:
-        t = quiet_cluster(halls=["a"] * 12, serve_on=serve_on)
+        t = quiet_cluster(zones=["a"] * 12, serve_on=serve_on)
         n, asked = t.nodes["n1"], []
         n.follower.runtime.spawn = lambda coroutine, log=None: asked.append(coroutine) or coroutine.close()
         n.follower.peer_status.query()
@@ -226,7 +226,7 @@
     def test_nodes_without_updates_of_workers_do_not_storm_the_platform(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(halls=["a", "b", "c", "d"] * 6, serve_on=True)
+        t = quiet_cluster(zones=["a", "b", "c", "d"] * 6, serve_on=True)
         asked = []
         handle = t.platform.handle
 
