--- a/iriswheel/control/chain_client.py
+++ b/iriswheel/control/chain_client.py
@@ -46,7 +46,7 @@
         if not shielded.called:
             shielded.callback(result)
         elif isinstance(result, failure.Failure):
-            log.error("A call that nobody waited for any more failed: {}", result.getTraceback())
+            log.error("A call whose caller had given up failed: {traceback}", traceback=result.getTraceback())
 
     deferred.addBoth(pass_on)
     return shielded
@@ -127,10 +127,10 @@
             else:
                 answer = defer.ensureDeferred(self.parts.peers.call(voter.host, voter.port, request, timeout_us))
             response: message.Message = await self.parts.runtime.within(answer, timeout_us)
-            return response
         except (wire.ConnectionBrokenError, scheduler.DeadlineError) as error:
             if isinstance(error, wire.ConnectionBrokenError) and not error.sent:
                 raise errors.ServiceError("no_chain", "The chain's machine can't be reached.") from error
             raise errors.ServiceError(
                 "unknown_outcome", "No answer came in time.", errors.ExecutionOutcome.MAY_HAVE_RUN
             ) from error
+        return response
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -22,7 +22,7 @@
 PLAN_FIELDS = ("blueprint", "patch", "base")
 
 
-def read_change(document: typing.Any) -> change_orders.ChangeOrder:
+def read_change(document: typing.Any) -> change_orders.ChangeOrder:  # noqa: ANN401 - any JSON value
     """Parse a numbered change: a complete configuration, or items to put in and to remove.
 
     Raises:
@@ -60,7 +60,7 @@
     return change_orders.ChangeOrder(identifier, number, built_on, make, "blueprint" in document)
 
 
-def check_plan(document: typing.Any) -> None:
+def check_plan(document: typing.Any) -> None:  # noqa: ANN401 - any JSON value
     """Refuse a plan's request that is malformed.
 
     >>> check_plan({"patch": []})
@@ -149,7 +149,7 @@
             case _:
                 raise errors.ServiceError("not_found", "There is no such path.")
 
-    async def plan(self, document: typing.Any) -> dict[str, typing.Any]:
+    async def plan(self, document: typing.Any) -> dict[str, typing.Any]:  # noqa: ANN401 - any JSON value
         """Compute and store a plan: a complete configuration or a JSON Patch (RFC 6902) against the committed one."""
         self.counters.plans += 1
         check_plan(document)
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -197,11 +197,9 @@
         """Record a core machine's report in the present view: the leases that it granted."""
         self.awaited.discard(core)
         for node, applied, left in leases:
-            old = self.holders.get(node)
-            until = now + left + DRIFT_US
-            if old is not None:
-                until, applied = max(until, old.until), max(applied, old.applied)
-            self.holders[node] = GrantedLease(until, applied)
+            reported = GrantedLease(now + left + DRIFT_US, applied)
+            known = self.holders.get(node, reported)
+            self.holders[node] = GrantedLease(max(reported.until, known.until), max(reported.applied, known.applied))
 
     def applied(self, version: int, now: int) -> int:
         """How far up to `version` every node with a possible lease at `now` (µs) has come; 0 if unknown."""
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -27,7 +27,7 @@
 MAX_JSON_DEPTH = 100  # of lists and objects in each other: what reads them later has less of the stack left
 CONNECTION_LIMIT = 2048
 
-log = loguru.logger.bind(part="web")
+log = loguru.logger.bind(part="http_server")
 
 Answering: typing.TypeAlias = "collections.abc.Coroutine[typing.Any, typing.Any, object]"
 Handler: typing.TypeAlias = "collections.abc.Callable[[Request], Answering]"
@@ -48,7 +48,7 @@
         return error.status, error.headers(), error.body()
 
 
-def parse_json(raw: bytes) -> typing.Any:
+def parse_json(raw: bytes) -> typing.Any:  # noqa: ANN401 - any JSON value
     """JSON as it can be kept and passed on; raises ValueError for all other bytes.
 
     Refused are also numbers beyond 64 bits, infinite or no numbers, lone surrogates, and more than MAX_JSON_DEPTH
@@ -178,7 +178,7 @@
         if not self.gone and not self.finished:
             self.channel.transport.abortConnection()
 
-    def json(self) -> typing.Any:
+    def json(self) -> typing.Any:  # noqa: ANN401 - any JSON value
         """The body as JSON; raises ServiceError where it is none."""
         try:
             return parse_json(self.content.read())
@@ -297,7 +297,7 @@
     def log(self, request: http.Request) -> None:
         """Write no access log."""
 
-    def buildProtocol(self, addr: interfaces.IAddress | None) -> typing.Any:
+    def buildProtocol(self, addr: interfaces.IAddress | None) -> interfaces.IProtocol | None:
         """A channel for a connection; None, which closes it, where too many are open."""
         return super().buildProtocol(addr) if self.open_count < self.connection_limit else None
 
--- a/iriswheel/transport/messages/base.py
+++ b/iriswheel/transport/messages/base.py
@@ -22,7 +22,7 @@
     """
 
 
-def plain(value: object) -> typing.Any:
+def plain(value: object) -> typing.Any:  # noqa: ANN401 - any JSON value
     """Turn a message into JSON values, under the names that its fields have outside.
 
     A field that is renamed in the code keeps its name outside by `rename=` of its class.
--- a/iriswheel/transport/messages/membership.py
+++ b/iriswheel/transport/messages/membership.py
@@ -2,6 +2,8 @@
 
 import enum
 
+import msgspec
+
 import iriswheel.transport.messages.base as message_base
 import iriswheel.transport.messages.consensus as consensus_messages
 
@@ -105,10 +107,14 @@
     listing: WorkerListing | None
     active: list[tuple[str, message_base.Term]]  # role assignments that their holders have taken up
     membership: Membership | None
-    contested: list[tuple[str, message_base.Term]] = []  # role assignments whose holder met a newer term than its own
+    contested: list[tuple[str, message_base.Term]] = msgspec.field(
+        default_factory=list
+    )  # role assignments whose holder met a newer term than its own
     listing_unchanged: ListingUnchanged | None = None
     sent_at: int = 0  # on the core's clock, in µs; the tail sends it back
-    leases: list[tuple[str, int, int]] = []  # node, version applied, how long it may hold a lease (µs)
+    leases: list[tuple[str, int, int]] = msgspec.field(
+        default_factory=list
+    )  # node, version applied, how long it may hold a lease (µs)
 
 
 class TailHeartbeat(message_base.Message, tag="Beat", frozen=True):
--- a/iriswheel/transport/messages/pools.py
+++ b/iriswheel/transport/messages/pools.py
@@ -1,5 +1,7 @@
 """Messages of the pools: selecting a worker, and the records of a pool owner with their replicas."""
 
+import msgspec
+
 import iriswheel.transport.messages.base as message_base
 
 
@@ -107,8 +109,10 @@
     pool: str
     node: str
     attempt_ids: list[str]
-    reachable_workers: list[str] = []  # workers that it heard in the last second
-    abandoned_attempts: list[str] = []  # attempts that it gave up lately without sending them
+    reachable_workers: list[str] = msgspec.field(default_factory=list)  # workers that it heard in the last second
+    abandoned_attempts: list[str] = msgspec.field(
+        default_factory=list
+    )  # attempts that it gave up lately without sending them
 
 
 class RecordsRequest(message_base.Message, tag="Gather", frozen=True):
@@ -123,14 +127,16 @@
     """The answer to `RecordsRequest`: a core's or a node's records of the pool."""
 
     ok: bool
-    sessions: list[SessionRecord] = []
-    claims: list[Claim] = []
-    grants: list[WorkerGrant] = []
-    affinities: list[SessionRecord] = []
+    sessions: list[SessionRecord] = msgspec.field(default_factory=list)
+    claims: list[Claim] = msgspec.field(default_factory=list)
+    grants: list[WorkerGrant] = msgspec.field(default_factory=list)
+    affinities: list[SessionRecord] = msgspec.field(default_factory=list)
     has_replica: bool = False  # whether a complete replica was ever kept there
     claims_missing_us: int = 0  # for how long earlier claims may still be missing
-    first_attempts: dict[str, int] = {}  # the node's part of the retry budget: requests and their ages in µs
-    retries: list[int] = []  # ages in µs
+    first_attempts: dict[str, int] = msgspec.field(
+        default_factory=dict
+    )  # the node's part of the retry budget: requests and their ages in µs
+    retries: list[int] = msgspec.field(default_factory=list)  # ages in µs
 
 
 class ReplicateRecords(message_base.Message, tag="Copy", frozen=True):
--- a/iriswheel/transport/messages/replication.py
+++ b/iriswheel/transport/messages/replication.py
@@ -3,6 +3,8 @@
 import enum
 import typing
 
+import msgspec
+
 import iriswheel.transport.messages.base as message_base
 
 
@@ -26,7 +28,7 @@
     kind: str  # a `ChangeKind`
     plan: str  # id of the plan
     base: int = 0  # configuration version that the change was made for
-    changes: message_base.ItemChanges = []
+    changes: message_base.ItemChanges = msgspec.field(default_factory=list)
 
 
 class LogPosition(message_base.Message, tag="Position", frozen=True):
@@ -103,7 +105,7 @@
     kind: str  # a `ChangeKind`
     plan: str
     base: int = 0
-    changes: message_base.ItemChanges = []
+    changes: message_base.ItemChanges = msgspec.field(default_factory=list)
 
 
 class ProposeChangeResponse(message_base.Message, tag="Proposed", frozen=True):
@@ -127,7 +129,7 @@
 
     ok: bool
     version: int = 0
-    items: message_base.Items = {}
+    items: message_base.Items = msgspec.field(default_factory=dict)
     plan: dict[str, typing.Any] | None = None
     taken: int = 0  # the version under which the change of that id was taken
     forgotten: int = 0  # the highest number of a change taken whose id is no longer remembered
--- a/iriswheel/transport/peers.py
+++ b/iriswheel/transport/peers.py
@@ -65,8 +65,7 @@
             raise wire.ConnectionBrokenError(sent=False)
         return connection
 
-    # Any: each caller knows the type of the answer to its message.
-    async def call(self, host: str, port: int, content: message.Message, timeout_us: int) -> typing.Any:
+    async def call(self, host: str, port: int, content: message.Message, timeout_us: int) -> typing.Any:  # noqa: ANN401 - each caller knows the type of the answer to its message
         """Send a message to an address and wait for its answer; raises as `connection_to` and `Connection.call`."""
         connection = await self.connection_to(host, port)
         return await connection.call(content, timeout_us)
--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -174,7 +174,7 @@
         except msgspec.MsgspecError as decode_error:
             if self.version > self.runtime.protocol_version:
                 return  # a newer peer may say what is not known here; a call of it ends by its own time
-            self.log.warning("A message can't be read: {}", decode_error)
+            self.log.warning("A peer's message can't be decoded; the connection ends: {error}", error=decode_error)
             self.transport.abortConnection()
             return
         match frame:
@@ -195,9 +195,9 @@
         self.version = version
         if abs(version - self.runtime.protocol_version) > 1:
             self.log.error(
-                "A peer speaks version {} of our messages, this process {}: refused.",
-                version,
-                self.runtime.protocol_version,
+                "A peer speaks protocol version {peer_version}, this process {version}; the connection ends.",
+                peer_version=version,
+                version=self.runtime.protocol_version,
             )
             self.refused = True
             self.transport.abortConnection()
@@ -218,7 +218,7 @@
 
     def lengthLimitExceeded(self, length: int) -> None:
         """End a connection on which a frame above the bound is announced."""
-        self.log.warning("A message of {} bytes is too long.", length)
+        self.log.warning("A peer's message of {length} bytes is too long; the connection ends.", length=length)
         self.transport.abortConnection()
 
     def close(self) -> None:
@@ -226,7 +226,10 @@
         if self.up:
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
+    def connectionLost(
+        self,
+        reason: failure.Failure = protocol.connectionDone,  # noqa: ARG002 - Twisted's name; no reason matters here
+    ) -> None:
         """Fail the calls that wait for answers, and wake all that wait on the connection."""
         self.up = False
         if self.heartbeat_timer.active():
@@ -249,7 +252,7 @@
         self.serve = serve
         self.log = log
 
-    def buildProtocol(self, addr: interfaces.IAddress | None) -> Connection:
+    def buildProtocol(self, addr: interfaces.IAddress | None) -> Connection:  # noqa: ARG002 - Twisted's name
         """Make a connection, whatever the address."""
         return Connection(self.runtime, self.serve, self.log)
 
