--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -161,7 +161,8 @@
                 if view.chain[0].id == self.own_voter.id:
                     self.runtime.spawn(self._lead_once_synced(view), log)
             self._on_view(view)
-        log.info("View {}: {}.", view.number, " ".join(replica.id for replica in view.chain))
+        chain = " ".join(replica.id for replica in view.chain)
+        log.info("View {view} is adopted, with chain {chain}.", view=view.number, chain=chain)
 
     async def mark_synced(self, number: int) -> None:
         """Note on disk that this copy is synced in a view.
--- a/iriswheel/consensus/view_change.py
+++ b/iriswheel/consensus/view_change.py
@@ -144,7 +144,7 @@
             return
         view = decisions.next_view(old, promises, voters, self.heartbeats.alive(), self.heartbeats.departing())
         if view is None:
-            log.warning("No machine that answers holds a synced copy; view {} must wait.", old.number + 1)
+            log.warning("View {view} can't be proposed: no voter that answered has a synced copy.", view=old.number + 1)
             return
         if await self._is_accepted(old, ballot, view):
             await self.acceptor.adopt(view)
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -115,14 +115,19 @@
             self.runtime.spawn(coroutine, log)
         identifier, view = self.consensus.own_voter.id, self.consensus.view
         if view is not None:
-            log.info("Core {} starts with view {} at {}.", identifier, view.number, self.chain.latest_state.index)
+            log.info(
+                "Core {core} starts with view {view} at log index {log_index}.",
+                core=identifier,
+                view=view.number,
+                log_index=self.chain.latest_state.index,
+            )
         else:
-            log.info("Core {} starts blank.", identifier)
+            log.info("Core {core} starts with no view on its disk.", core=identifier)
 
     def renew(self, options: options.Options) -> None:
         """Take in options that were read again: further seeds."""
         self.consensus.learn_seeds(options.seed_list())
-        log.info("The options were read again.")
+        log.info("The options were reloaded.")
 
     @property
     def stopping(self) -> bool:
@@ -190,7 +195,9 @@
             case message.ReplicateRecords():
                 self.session_replicas.take(received, from_node=session is not None)
             case _:
-                log.warning("A core has no answer to {}.", type(received).__name__)
+                log.warning(
+                    "A core does not handle messages of type {message_type}.", message_type=type(received).__name__
+                )
 
     def _join(self, connection: wire.Connection, join: message.JoinRequest) -> None:
         self.membership.keep_newest(join.membership)
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -163,7 +163,12 @@
         node = join.member.id
         session = self.by_node[node] = NodeSession(self.parts, self._slices, self.is_serving, connection, join)
         connection.node_session = session
-        log.info("Node {} joins at {}; serving: {}.", join.member.name, join.applied_index, self.is_serving())
+        log.info(
+            "Node {node} joins; it has applied log index {applied_index}; this core serves: {is_serving}.",
+            node=join.member.name,
+            applied_index=join.applied_index,
+            is_serving=self.is_serving(),
+        )
         self.parts.lease.close(node)
         self.parts.lease.record_heartbeat(node, join.applied_index, self.parts.runtime.now())
         self.parts.runtime.spawn(self._run(session), log)
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -15,7 +15,7 @@
 CHECK_INTERVAL_US = 500 * units.MILLISECOND_US
 HANG_US = 1 * units.SECOND_US  # an attempt that received nothing for so long hangs
 
-log = loguru.logger.bind(part="door")
+log = loguru.logger.bind(part="attempt_registry")
 
 
 class AttemptRegistry:
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -26,7 +26,7 @@
 POOLED_PER_HOST = 32
 MAX_COLLECTED_BYTES = 1 << 20
 
-log = loguru.logger.bind(part="send")
+log = loguru.logger.bind(part="dispatch")
 
 
 # ---- what of Twisted's client is used here; its own interfaces carry no types -----------
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -33,7 +33,7 @@
     NOT_REACHED = "none"
 
 
-log = loguru.logger.bind(part="reach")
+log = loguru.logger.bind(part="health")
 
 
 class Reachability:
--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -23,7 +23,7 @@
 
 Selection: typing.TypeAlias = message.SelectionDenied | message.SelectionGranted
 
-log = loguru.logger.bind(part="door")
+log = loguru.logger.bind(part="owner_client")
 
 
 class OwnerClient:
--- a/iriswheel/dataplane/work_queue.py
+++ b/iriswheel/dataplane/work_queue.py
@@ -9,7 +9,7 @@
 
 from iriswheel.runtime import queues, scheduler
 
-log = loguru.logger.bind(part="door")
+log = loguru.logger.bind(part="work_queue")
 
 Item = typing.TypeVar("Item")
 
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -286,6 +286,12 @@
         return
     key, term = assignment.key, assignment.term
     if (key, previous.term) in contested:
-        log.warning("Role {} gets a new term in place of {}: its holder has met a newer one.", key, previous.term)
+        log.warning(
+            "Role {role} gets a new term in place of {old_term}: its holder has met a newer one.",
+            role=key,
+            old_term=previous.term,
+        )
     if (previous.holder, previous.copies) != (assignment.holder, assignment.copies):
-        log.info("Role {} is assigned to node {} under term {}.", key, assignment.holder, term)
+        log.info(
+            "Role {role} is assigned to node {node} under term {term}.", role=key, node=assignment.holder, term=term
+        )
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -44,7 +44,7 @@
 RECENT_CONTACT_US = 800 * units.MILLISECOND_US
 """A lease renewed within this time counts as contact; leases come four times a second."""
 
-log = loguru.logger.bind(part="follow")
+log = loguru.logger.bind(part="core_session")
 
 Address = tuple[str, int]
 """The host and port of a core machine."""
@@ -164,7 +164,13 @@
         self.connection, self.address = connection, self.candidates.pop(connection)
         self.moves += 1
         self.tried.clear()
-        log.info("The session with the core is now with {}:{}, at {}.", *self.address, self.follower.applied_index)
+        host, port = self.address
+        log.info(
+            "The session with the core is now with {host}:{port}; log index {applied_index} is applied.",
+            host=host,
+            port=port,
+            applied_index=self.follower.applied_index,
+        )
         if old is not None:
             self.runtime.later(OVERLAP_US, old.close)
         for other in list(self.candidates):
@@ -199,7 +205,13 @@
 
     def _drop_lost(self) -> None:
         if self.connection is not None and self.address is not None and not self.connection.up:
-            log.info("The session with {}:{} ended, at {}.", *self.address, self.follower.applied_index)
+            host, port = self.address
+            log.info(
+                "The session with core {host}:{port} ended; log index {applied_index} is applied.",
+                host=host,
+                port=port,
+                applied_index=self.follower.applied_index,
+            )
             self.tried[self.address] = self.runtime.now()
             self.connection = None
 
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -40,11 +40,13 @@
 NO_CONFIGURATION = -1
 """The applied version of a node before its first configuration."""
 
-log = loguru.logger.bind(part="follow")
+log = loguru.logger.bind(part="follower")
 
 ItemUpdate = collections.abc.Mapping[str, configuration.Item | None]
 """Items by key; None removes one."""
 
+ItemClass = typing.TypeVar("ItemClass")
+
 
 class Follower:
     """Keeps the node's session with the core, and what came through it."""
@@ -143,7 +145,10 @@
         """Notice that this process did not run for a while."""
         now = self.runtime.now()
         if now - self.ticked_at > FROZEN_US:
-            log.warning("Frozen for {} ms; rejoining.", (now - self.ticked_at) // units.MILLISECOND_US)
+            log.warning(
+                "The process did not run for {pause_ms} ms; the node rejoins.",
+                pause_ms=(now - self.ticked_at) // units.MILLISECOND_US,
+            )
             self.thawed_at = now
             self.peer_status.clear()
             self.session.reset()
@@ -225,7 +230,12 @@
             self._put_item(kind, name, item)
         self.node.on_update()
 
-    def _put_item(self, kind: str, name: str, item: typing.Any) -> None:
+    def _put_item(
+        self,
+        kind: str,
+        name: str,
+        item: typing.Any,  # noqa: ANN401 - of the class that its kind has
+    ) -> None:
         match kind:
             case "routes":
                 self.route_index.put(name, item)
@@ -246,7 +256,12 @@
             return
         self.apply_items(0, unconfirmed.items, True)
         self.unconfirmed_at = unconfirmed.position
-        log.info("Going by what a core's disk holds, up to {}.", unconfirmed.position)
+        view, log_index = unconfirmed.position
+        log.info(
+            "No core serves; using a core's unconfirmed configuration of view {view}, log index {log_index}.",
+            view=view,
+            log_index=log_index,
+        )
 
     def apply_membership(self, membership: message.Membership | None) -> None:
         """Take a membership, unless a newer one is here."""
@@ -327,7 +342,7 @@
     return kind, name, None if value is None else configuration.KINDS[kind].from_dict(value)
 
 
-def _put(table: dict[str, typing.Any], name: str, item: typing.Any) -> None:
+def _put(table: dict[str, ItemClass], name: str, item: ItemClass | None) -> None:
     if item is None:
         table.pop(name, None)
     else:
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -66,14 +66,14 @@
             self.loads.run(),
         ):
             self.runtime.spawn(coroutine, log)
-        log.info("Node {} starts in zone {}.", identifier, options.zone)
+        log.info("Node {node} starts in zone {zone}.", node=identifier, zone=options.zone)
 
     def renew(self, options: options.Options) -> None:
         """Take in options that were read again: seeds, and where the platform is."""
         self.options_reread_at_us = self.runtime.now()
         self.options.platform = options.platform
         self.follower.session.learn(options.seed_list())
-        log.info("The options were read again.")
+        log.info("The options were reloaded.")
 
     @property
     def pool_owners(self) -> dict[str, pool_owner.PoolOwner]:
--- a/iriswheel/node/peer_requests.py
+++ b/iriswheel/node/peer_requests.py
@@ -62,7 +62,7 @@
                 return None
         handler = self._handlers.get(type(request))
         if handler is None:
-            log.warning("A node has no answer to {}.", type(request).__name__)
+            log.warning("A node does not handle messages of type {message_type}.", message_type=type(request).__name__)
             return None
         return handler(request)
 
--- a/iriswheel/node/peer_status.py
+++ b/iriswheel/node/peer_status.py
@@ -20,7 +20,7 @@
 PEERS_ASKED_WHILE_SERVING_ON = 3
 """How many peers a node asks that serves on without the core."""
 
-log = loguru.logger.bind(part="follow")
+log = loguru.logger.bind(part="peer_status")
 
 
 class PeerStatus:
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -33,7 +33,7 @@
 ANSWERS_TO_REMOVE_WORKER = 2
 ANSWERS_TO_REMOVE_ALL = 4
 
-log = loguru.logger.bind(part="follow")
+log = loguru.logger.bind(part="platform_listing")
 
 
 class PlatformListing:
@@ -106,7 +106,7 @@
         except defer.CancelledError:
             raise
         except Exception as error:  # whatever the platform does wrong, the last list stands
-            log.warning("The platform gives no worker list: {}", error)
+            log.warning("The platform's worker list could not be fetched: {error}", error=error)
             workers = self.follower.workers
             if not has_role:
                 self._failures += 1
--- a/iriswheel/node/shutdown.py
+++ b/iriswheel/node/shutdown.py
@@ -35,13 +35,13 @@
     """
     gateway = stopping_node.gateway
     stopping_node.draining = True
-    log.info("Stopping; {} requests are open.", gateway.open)
+    log.info("The node drains with {open_requests} requests open.", open_requests=gateway.open)
     stopping_node.follower.session.tell(message.MemberLeaving(stopping_node.member.id))
     await _wait_for_requests(stopping_node)
     stopping_node.refusing_requests = True
     await stopping_node.runtime.sleep(LAST_BYTES_US)
     stopping_node.stopped = True
-    log.info("Left with {} requests open.", gateway.open)
+    log.info("The node stops with {open_requests} requests open.", open_requests=gateway.open)
 
 
 async def _wait_for_requests(stopping_node: node.Node) -> None:
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -36,7 +36,7 @@
 
 ROLE_KEY_PREFIX = "pool/"
 
-log = loguru.logger.bind(part="warden")
+log = loguru.logger.bind(part="pool_owner")
 
 SelectionResponse = message.SelectionGranted | message.SelectionDenied
 
--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -21,7 +21,7 @@
 ABSENT_COPIES_WAIT_US = 3 * units.SECOND_US
 """How long a new owner waits for a member of the last group before it goes on without."""
 
-log = loguru.logger.bind(part="warden")
+log = loguru.logger.bind(part="takeover")
 
 Answers = collections.abc.Mapping[str, message.RecordsResponse]
 
--- a/iriswheel/pools/worker_watch.py
+++ b/iriswheel/pools/worker_watch.py
@@ -24,7 +24,7 @@
 RECHECK_INTERVAL_US = 2 * units.SECOND_US  # an unreachable worker is checked again
 NEVER_HEARD_SILENCE_US = 3600 * units.SECOND_US  # the silence of a worker that nobody ever heard
 
-log = loguru.logger.bind(part="reach")
+log = loguru.logger.bind(part="worker_watch")
 
 
 class WorkerWatch:
