--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -213,7 +213,7 @@
 def tried(x: int) -> placement.Placement:
     """A placement with x first turns that may yet become sessions.
 
-    >>> len(tried(3).trials)
+    >>> len(tried(3).first_turns)
     3
     """
     place = samples.hollow().gateway.forwarder.placement_of("model-0")
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -341,14 +341,14 @@
         "grants": most(len(w.records.grants) for w in ws),
         "sessions": most(len(w.records.session_table.records) for w in ws),
         "voids": most(len(w.records.abandoned) for w in ws),
-        "budget": most(len(w.records.budget.firsts) + len(w.records.budget.repeats) for w in ws),
+        "budget": most(len(w.records.budget.first_attempts) + len(w.records.budget.retries) for w in ws),
         "gone": most(len(w.records.closed_ids) for w in ws),
         "heard": most(len(h) for w in ws for h in w.watch.last_contact.values()),
         "copies": most(len(s.sessions) + len(s.claims) for n in nodes for s in n.pool_roles.replicas.values()),
         "pins": most(len(n.gateway.selector.affinities) for n in nodes),
         "given up": most(len(n.given_up) for n in nodes),
         "tallies": most(
-            len(b.firsts) + len(b.repeats) for n in nodes for b in n.gateway.retry_budgets.budgets.values()
+            len(b.first_attempts) + len(b.retries) for n in nodes for b in n.gateway.retry_budgets.budgets.values()
         ),
         "links": most(len(x.peers.connections) for x in nodes + cores),
         "plans": most(len(c.chain.latest_state.plans) for c in cores),
--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -129,7 +129,7 @@
     Raises:
         ValueError: where the answer broke off or is no JSON.
     """
-    agent = dispatch.Dispatcher(runtime).fresh
+    agent = dispatch.Dispatcher(runtime).unpooled_agent
     for text in cores:
         host, port = options_reader.parse_address(text)
         body = None if document is None else dispatch.Body(json.dumps(document).encode())
@@ -139,7 +139,7 @@
         except (connection_error.ConnectError, connection_error.TimeoutError):
             continue
         collected: defer.Deferred[bytes | None] = defer.Deferred()
-        response.deliverBody(dispatch.Collect(collected.callback))
+        response.deliverBody(dispatch.BodyCollector(collected.callback))
         raw = await collected
         if raw is None:
             raise ValueError("the answer broke off")
--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -186,7 +186,7 @@
         self.short_rate = mix.short_rate
         self.conversations = mix.conversations
         self.events = events
-        self.agent = dispatch.Dispatcher(runtime).fresh  # clients come on fresh connections
+        self.agent = dispatch.Dispatcher(runtime).unpooled_agent  # clients come on fresh connections
         self.started_at = runtime.now()
         self.max_attempts = MAX_ATTEMPTS
         self.quick_share = QUICK_SHARE
--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -42,9 +42,9 @@
         self.bodyless = request.request.method == b"HEAD"  # its answer is a head alone
         self.connection: worker_connections.WorkerConnection | None = None
         self.done: defer.Deferred[attempt_outcome.AttemptOutcome] = defer.Deferred(lambda _: self.stop())
-        self.started_at = self.last = self.runtime.now()
+        self.started_at_us = self.last_received_us = self.runtime.now()
         self.expected_us = 0  # how long its first event was expected to take
-        self.blamed = False
+        self.failure_recorded = False
         self.paused = False  # while the client reads too slowly
         self.unread_tokens = 0  # of the prompt, not read by the worker yet as far as is known
         self.status = 0
@@ -83,7 +83,7 @@
         if not self.received_any:
             self.received_any = True
             self.request.placement.first_event(
-                self.worker, self.unread_tokens, self.last - self.started_at, self.expected_us
+                self.worker, self.unread_tokens, self.last_received_us - self.started_at_us, self.expected_us
             )
             self.unread_tokens = 0
         if self.request.resume:
@@ -107,13 +107,13 @@
                 self._write(self.partial_event)
             elif not self.request.answer_begun:
                 self._write(b"")
-            self.request.placement.forgive(self.worker)
+            self.request.placement.record_success(self.worker)
             self._finish(attempt_outcome.AttemptOutcome.COMPLETE)
 
     def answer_lost(self) -> None:
         """Note that the connection broke off, or brought what is no answer."""
         self.counts["broke"] += 1
-        self.request.placement.blame(self.worker, BROKEN_SUSPICION)
+        self.request.placement.record_failure(self.worker, BROKEN_SUSPICION)
         self._finish(self.broken_outcome())
 
     # ---- what the forwarder calls -------------------------------------------------------
@@ -148,7 +148,7 @@
 
     def _note_contact(self) -> None:
         """The worker said something."""
-        self.last = self.runtime.now()
+        self.last_received_us = self.runtime.now()
         self.request.placement.note_contact(self.worker)
 
     def _finish(self, outcome: attempt_outcome.AttemptOutcome) -> None:
@@ -188,7 +188,7 @@
     def resumeProducing(self) -> None:
         """Go on reading; the time while it was paused is not the worker's silence."""
         self.paused = False
-        self.last = self.runtime.now()
+        self.last_received_us = self.runtime.now()
         if self.connection is not None and self.connection.receiver is self:
             self.connection.resume()
 
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -13,7 +13,7 @@
     from iriswheel.node import node
 
 CHECK_INTERVAL_US = 500 * units.MILLISECOND_US
-HANG_US = 1 * units.SECOND_US  # an attempt that received nothing for so long hangs
+HANG_TIMEOUT_US = 1 * units.SECOND_US  # an attempt that received nothing for so long hangs
 
 log = loguru.logger.bind(part="attempt_registry")
 
@@ -35,15 +35,15 @@
         """Forget an attempt that is over; one that never began is ignored."""
         self.attempts.pop(attempt_id, None)
 
-    def cut_unreachable(self, worker: str) -> None:
+    def cancel_unreachable(self, worker: str) -> None:
         """Cancel the attempts that wait for a first byte of a worker that no node reaches."""
-        for attempt in [a for a in self.attempts.values() if a.worker == worker and not a.begun]:
-            attempt.cut()
+        for attempt in [a for a in self.attempts.values() if a.worker == worker and not a.answer_begun]:
+            attempt.cancel()
 
-    def cut_drained(self) -> None:
+    def cancel_drained(self) -> None:
         """End the attempts at workers that left and whose drain time is over."""
         for attempt in [a for a in self.attempts.values() if self.node.follower.drained(a.worker)]:
-            attempt.cut()
+            attempt.cancel()
 
     async def watch_hangs(self) -> None:
         """Twice a second, check the workers of attempts that hang.
@@ -53,18 +53,18 @@
         while not self.node.stopped:
             await self.runtime.sleep(CHECK_INTERVAL_US)
             for worker in sorted({a.worker for a in self.attempts.values() if self._hangs(a)}):
-                self.runtime.spawn(self._cut_hanging(worker), log)
+                self.runtime.spawn(self._cancel_hanging(worker), log)
 
-    async def _cut_hanging(self, worker_id: str) -> None:
+    async def _cancel_hanging(self, worker_id: str) -> None:
         """End the attempts that hang at a worker, if no connection to it can be had from here."""
         worker = self.node.follower.states.get(worker_id)
         if worker is not None and worker_id not in self.node.reachability.unreachable_since:
             response = await self.node.reachability.probe(worker)
             if response.outcome != health.ProbeOutcome.NOT_REACHED:
                 return
-        for attempt in [a for a in self.attempts.values() if a.worker == worker_id and not a.via]:
+        for attempt in [a for a in self.attempts.values() if a.worker == worker_id and not a.is_relayed]:
             if self._hangs(attempt):
-                attempt.cut()
+                attempt.cancel()
 
     def _hangs(self, attempt: dispatch.Attempt) -> bool:
-        return not attempt.via and self.runtime.now() - attempt.last > HANG_US
+        return not attempt.is_relayed and self.runtime.now() - attempt.last_received_us > HANG_TIMEOUT_US
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -19,11 +19,11 @@
     from iriswheel.transport import http_server, message
 
 
-CONNECT_US = 700 * units.MILLISECOND_US
-HEAD_US = 10 * units.SECOND_US  # until the answer's head
-SILENCE_US = 10 * units.SECOND_US  # between two pieces of an answer
-IDLE_S = 4  # pooled connections are dropped well before a worker would drop them
-POOLED_PER_HOST = 32
+CONNECT_TIMEOUT_US = 700 * units.MILLISECOND_US
+HEAD_TIMEOUT_US = 10 * units.SECOND_US  # until the answer's head
+READ_TIMEOUT_US = 10 * units.SECOND_US  # between two pieces of an answer
+IDLE_CONNECTION_S = 4  # pooled connections are dropped well before a worker would drop them
+MAX_POOLED_PER_HOST = 32
 MAX_COLLECTED_BYTES = 1 << 20
 
 log = loguru.logger.bind(part="dispatch")
@@ -122,7 +122,7 @@
     def endpointForURI(self, uri: client.URI) -> endpoints.TCP4ClientEndpoint:
         """Return the endpoint of a URI whose host is an address."""
         return endpoints.TCP4ClientEndpoint(
-            self.reactor, uri.host.decode("ascii"), uri.port, timeout=CONNECT_US / units.SECOND_US
+            self.reactor, uri.host.decode("ascii"), uri.port, timeout=CONNECT_TIMEOUT_US / units.SECOND_US
         )
 
 
@@ -135,24 +135,24 @@
     def __init__(
         self,
         runtime: scheduler.Runtime,
-        take: collections.abc.Callable[[bytes], None],
-        done: collections.abc.Callable[[bool], object],
+        on_data: collections.abc.Callable[[bytes], None],
+        on_end: collections.abc.Callable[[bool], object],
     ) -> None:
         self.runtime = runtime
-        self.take = take
-        self.done = done  # called with whether the answer is complete
-        self.last = runtime.now()
+        self.on_data = on_data
+        self.on_end = on_end  # called with whether the answer is complete
+        self.last_received_us = runtime.now()
         self.paused = False
-        self.tick: scheduler.Timer | None = None
+        self.read_timer: scheduler.Timer | None = None
 
     def connectionMade(self) -> None:
         """Begin to watch for silence."""
-        self.tick = self.runtime.later(SILENCE_US, self._check_silence)
+        self.read_timer = self.runtime.later(READ_TIMEOUT_US, self._check_read_timeout)
 
-    def _check_silence(self) -> None:
-        left_us = self.last + SILENCE_US - self.runtime.now()
+    def _check_read_timeout(self) -> None:
+        left_us = self.last_received_us + READ_TIMEOUT_US - self.runtime.now()
         if self.paused or left_us > 0:
-            self.tick = self.runtime.later(SILENCE_US if self.paused else left_us, self._check_silence)
+            self.read_timer = self.runtime.later(READ_TIMEOUT_US if self.paused else left_us, self._check_read_timeout)
         else:
             self.stopProducing()
 
@@ -164,7 +164,7 @@
     def resumeProducing(self) -> None:
         """Go on reading; the time while it was paused is not the worker's silence."""
         self.paused = False
-        self.last = self.runtime.now()
+        self.last_received_us = self.runtime.now()
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:
@@ -173,24 +173,24 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Pass a piece on."""
-        self.last = self.runtime.now()
-        self.take(data)
+        self.last_received_us = self.runtime.now()
+        self.on_data(data)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         """Tell whether the answer is complete."""
-        if self.tick is not None and self.tick.active():
-            self.tick.cancel()
-        self.done(reason.check(client.ResponseDone) is not None)
+        if self.read_timer is not None and self.read_timer.active():
+            self.read_timer.cancel()
+        self.on_end(reason.check(client.ResponseDone) is not None)
 
 
-class Collect(protocol.Protocol):
+class BodyCollector(protocol.Protocol):
     """Gathers a small body, and hands it over when it is complete; None where it broke off."""
 
     # Set by `makeConnection`, before anything else is called.
     transport: Producer  # type: ignore[assignment]
 
-    def __init__(self, done: collections.abc.Callable[[bytes | None], object]) -> None:
-        self.done = done
+    def __init__(self, on_end: collections.abc.Callable[[bytes | None], object]) -> None:
+        self.on_end = on_end
         self.parts: list[bytes] = []
         self.size = 0
 
@@ -204,7 +204,7 @@
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         """Hand the body over."""
         complete = reason.check(client.ResponseDone, http.PotentialDataLoss) is not None
-        self.done(b"".join(self.parts) if complete else None)
+        self.on_end(b"".join(self.parts) if complete else None)
 
 
 class BareConnection(protocol.Protocol):
@@ -231,23 +231,23 @@
 class Attempt:
     """One attempt under way, which can be cut short."""
 
-    __slots__ = ("begun", "last", "via", "waiting", "was_cut", "worker")
+    __slots__ = ("answer_begun", "last_received_us", "is_relayed", "waiting", "was_cancelled", "worker")
 
     def __init__(self, worker: str, now: int) -> None:
         self.worker = worker
-        self.last = now  # when something last came
-        self.via = False  # whether it goes by way of another node
+        self.last_received_us = now  # when something last came
+        self.is_relayed = False  # whether it goes by way of another node
         self.waiting: defer.Deferred[typing.Any] | None = None  # what the attempt waits on: its head, then its end
-        self.was_cut = False
-        self.begun = False  # whether the answer's head has come
+        self.was_cancelled = False
+        self.answer_begun = False  # whether the answer's head has come
 
-    def cut(self) -> None:
+    def cancel(self) -> None:
         """Cancel the attempt: its worker hangs, is unreachable, or its drain time is over.
 
-        >>> attempt = Attempt("w1", 0); attempt.cut(); attempt.was_cut
+        >>> attempt = Attempt("w1", 0); attempt.cancel(); attempt.was_cancelled
         True
         """
-        self.was_cut = True
+        self.was_cancelled = True
         if self.waiting is not None:
             self.waiting.cancel()
 
@@ -261,10 +261,10 @@
         self.runtime = runtime
         self.on_answer = on_answer  # called with a worker's id whenever it says something
         self.pool = client.HTTPConnectionPool(runtime.reactor, persistent=True)
-        self.pool.maxPersistentPerHost = POOLED_PER_HOST
-        self.pool.cachedConnectionTimeout = IDLE_S
+        self.pool.maxPersistentPerHost = MAX_POOLED_PER_HOST
+        self.pool.cachedConnectionTimeout = IDLE_CONNECTION_S
         self.agent = self._agent(self.pool)
-        self.fresh = self._agent(client.HTTPConnectionPool(runtime.reactor, persistent=False))
+        self.unpooled_agent = self._agent(client.HTTPConnectionPool(runtime.reactor, persistent=False))
 
     def _agent(self, pool: client.HTTPConnectionPool) -> HttpAgent:
         pool.retryAutomatically = False  # a repeat is ours to decide
@@ -294,7 +294,7 @@
                 collected.callback(raw)
 
         collected: defer.Deferred[bytes | None] = defer.Deferred(cancel)
-        response.deliverBody(Collect(collect))
+        response.deliverBody(BodyCollector(collect))
         raw = await collected
         if response.code != 200 or raw is None:
             raise NoAnswerError(f"answer {response.code}")
@@ -338,17 +338,17 @@
         Raises:
             defer.CancelledError: The client disconnected.
         """
-        agent = self.agent if idempotent and not token else self.fresh
+        agent = self.agent if idempotent and not token else self.unpooled_agent
         host, port = relay_address or (worker.host, worker.port)
         uri = b"http://%s:%d%s" % (host.encode(), port, request.uri)
         headers = edge_protocol.worker_request_headers(request.requestHeaders, worker.id, token)
-        attempt.waiting = self.runtime.within(agent.request(request.method, uri, headers, Body(raw)), HEAD_US)
+        attempt.waiting = self.runtime.within(agent.request(request.method, uri, headers, Body(raw)), HEAD_TIMEOUT_US)
         try:
             response: Response = await attempt.waiting
         except (error.ConnectError, error.TimeoutError, client.RequestNotSent):  # type: ignore[attr-defined] # left out of its __all__
             return attempt_outcome.AttemptOutcome.UNSENT
         except defer.CancelledError:
-            if not attempt.was_cut:
+            if not attempt.was_cancelled:
                 raise
             return attempt_outcome.AttemptOutcome.BROKE
         except Exception as reason:  # whatever broke after the request went out: it may have run
@@ -356,7 +356,7 @@
                 raise defer.CancelledError() from reason  # the client left while the connection was made
             log.warning("Worker {} gave no answer: {}", worker.id, type(reason).__name__)
             return attempt_outcome.AttemptOutcome.BROKE
-        attempt.begun, attempt.last = True, self.runtime.now()
+        attempt.answer_begun, attempt.last_received_us = True, self.runtime.now()
         if token and response.headers.hasHeader(edge_protocol.PASS):
             return self._relay_failure(response)
         return await self._stream_answer(request, response, worker.id, attempt, relayed=bool(token))
@@ -364,7 +364,7 @@
     def _relay_failure(self, response: Response) -> attempt_outcome.AttemptOutcome:
         """Return how an attempt ended of which the relaying node says that it got no answer."""
         unsent = response.headers.getRawHeaders(edge_protocol.PASS) == [attempt_outcome.AttemptOutcome.UNSENT.value]
-        response.deliverBody(Collect(lambda raw: None))
+        response.deliverBody(BodyCollector(lambda raw: None))
         return attempt_outcome.AttemptOutcome.UNSENT if unsent else attempt_outcome.AttemptOutcome.BROKE
 
     async def _stream_answer(
@@ -378,7 +378,7 @@
         set_head(request, response, worker)
 
         def take(data: bytes) -> None:
-            attempt.last = self.runtime.now()
+            attempt.last_received_us = self.runtime.now()
             if not relayed:
                 self.on_answer(worker)
             request.write(data)
@@ -393,7 +393,7 @@
         try:
             complete = await done
         except defer.CancelledError:
-            if not attempt.was_cut:
+            if not attempt.was_cancelled:
                 raise
             complete = False
         finally:
@@ -419,11 +419,11 @@
         return attempt_outcome.AttemptOutcome.COMPLETE
     if request.startedWriting:
         return attempt_outcome.AttemptOutcome.INTERRUPTED
-    forget_head(request)
+    discard_head(request)
     return attempt_outcome.AttemptOutcome.BROKE
 
 
-def forget_head(request: http_server.Request) -> None:
+def discard_head(request: http_server.Request) -> None:
     """Take a head back that was to go out with the first bytes of an answer which never came."""
     for name, _ in list(request.responseHeaders.getAllRawHeaders()):
         request.responseHeaders.removeHeader(name)
--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -23,7 +23,7 @@
         self.placement = pool_placement
         self.idempotent = routed.idempotent
         self.resume = routed.route.resume
-        self.until = routed.until
+        self.deadline_us = routed.deadline_us
         sizes = self.parsed.sizes
         self.keys = placement.chain(self.parsed.parts)
         self.unnamed_tokens = max(0, self.parsed.tokens_in - sum(sizes))  # of the prompt, that no part names
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -75,8 +75,8 @@
         pool_placement = self.placements.get(pool)
         if pool_placement is None:
             pool_placement = self.placements[pool] = placement.Placement(self.runtime, pool)
-            pool_placement.reported_heavy = self.node.loads.report_now.wake
-            pool_placement.reported_some = self.node.loads.touch
+            pool_placement.on_heavy_load_change = self.node.loads.report_now.wake
+            pool_placement.on_load_change = self.node.loads.touch
         return pool_placement
 
     def ready(self, pool: str) -> list[str]:
@@ -115,15 +115,15 @@
         overdue = {
             stream
             for stream in waiting
-            if now - stream.started_at > stream.request.placement.patience_us(stream.expected_us)
+            if now - stream.started_at_us > stream.request.placement.first_event_timeout_us(stream.expected_us)
         }
         crowded = len(overdue) > 1 and 3 * len(overdue) > len(waiting)
         for stream in list(self.streams):
             if not is_silent(stream, stream in overdue, now):
                 continue
-            if not stream.blamed:
-                stream.blamed = True
-                stream.request.placement.blame(stream.worker, SILENCE_SUSPICION)
+            if not stream.failure_recorded:
+                stream.failure_recorded = True
+                stream.request.placement.record_failure(stream.worker, SILENCE_SUSPICION)
             if self._should_move(stream, stream in overdue, crowded, now):
                 self.counts["mute"] += 1
                 stream.stop(stream.broken_outcome())
@@ -138,16 +138,18 @@
             and self._other_workers(request, stream.worker)
         ):
             return False
-        if request.answer_begun and self._planned_work(now):
+        if request.answer_begun and self._in_maintenance(now):
             return False  # a refusal elsewhere would end an answer that planned work must not cut
-        silence_us = now - stream.last
+        silence_us = now - stream.last_received_us
         if stream.received_any and silence_us > RESUME_SILENCE_US:
             return True
         if not overdue:
             return False
-        return not crowded or (request.placement.is_mute(stream.worker, now) and silence_us > CROWDED_SILENCE_US)
+        return not crowded or (
+            request.placement.is_unresponsive(stream.worker, now) and silence_us > CROWDED_SILENCE_US
+        )
 
-    def _planned_work(self, now: int) -> bool:
+    def _in_maintenance(self, now: int) -> bool:
         """Whether this node stops, or has read its options again not long ago."""
         options_reread_at_us = self.node.options_reread_at_us
         return self.node.draining or (
@@ -217,9 +219,9 @@
         now = self.runtime.now()
         if not worker_id:
             raise self.give_up(request, "no_worker", "No worker can be reached now.")
-        if now >= request.until:
+        if now >= request.deadline_us:
             raise self.give_up(request, "busy", "The time is over.")
-        if not request.sends and wait_us > request.until - now:
+        if not request.sends and wait_us > request.deadline_us - now:
             raise self.give_up(request, "busy", "No worker would begin in time.", wait_us // 2)
         return self.node.follower.states[worker_id]
 
@@ -235,9 +237,9 @@
             case attempt_outcome.AttemptOutcome.REFUSED:
                 self.counts["unrun"] += 1
                 if stream.status == MISDIRECTED:
-                    request.placement.blame(stream.worker, answer_stream.BROKEN_SUSPICION)
+                    request.placement.record_failure(stream.worker, answer_stream.BROKEN_SUSPICION)
             case attempt_outcome.AttemptOutcome.FAILED:
-                request.placement.blame(stream.worker, SILENCE_SUSPICION)
+                request.placement.record_failure(stream.worker, SILENCE_SUSPICION)
                 request.may_have_run = True
             case _:
                 request.may_have_run = True
@@ -249,7 +251,7 @@
             and (request.resume or not request.answer_begun)
             and self.may_repeat(request)
         )
-        if not allowed or self.runtime.now() >= request.until or not self._other_workers(request):
+        if not allowed or self.runtime.now() >= request.deadline_us or not self._other_workers(request):
             return False
         self.node.gateway.retry_budgets.budget(request).spend(self.runtime.now())
         self.counts["resumed" if request.answer_begun else "again"] += 1
@@ -318,9 +320,9 @@
         try:
             idle_use_us = IDEMPOTENT_IDLE_USE_US if request.idempotent else IDLE_USE_US
             try:
-                connection = await self.connections.get(worker, idle_use_us, request.until - self.runtime.now())
+                connection = await self.connections.get(worker, idle_use_us, request.deadline_us - self.runtime.now())
             except worker_connections.UnreachableError:
-                pool_placement.blame(worker.id, answer_stream.BROKEN_SUSPICION)
+                pool_placement.record_failure(worker.id, answer_stream.BROKEN_SUSPICION)
                 self.counts["unreached"] += 1
                 return attempt_outcome.AttemptOutcome.UNSENT
             return await self._exchange(request, worker, stream, connection)
@@ -338,7 +340,7 @@
         connection: worker_connections.WorkerConnection,
     ) -> attempt_outcome.AttemptOutcome:
         """Send a request over a connection and wait until its answer has ended or its time is over."""
-        left_us = request.until - self.runtime.now()
+        left_us = request.deadline_us - self.runtime.now()
         if left_us <= 0 or self.node.follower.state(worker.id) != "ready":
             connection.drop()
             return attempt_outcome.AttemptOutcome.UNSENT
@@ -348,7 +350,7 @@
         request.sends += 1
         self.counts["sends"] += 1
         stream.connection = connection
-        stream.started_at = stream.last = self.runtime.now()
+        stream.started_at_us = stream.last_received_us = self.runtime.now()
         self.streams[stream] = None
         if len(self.streams) == 1:
             self.started.wake()
@@ -378,7 +380,7 @@
     """
     if stream.done.called or stream.paused or not (overdue or stream.received_any):
         return False
-    silence_us = now - stream.last
+    silence_us = now - stream.last_received_us
     if stream.unread_tokens >= placement.HEAVY_TOKENS:  # how long it is read is not known as well
         return silence_us >= LONG_PROMPT_SILENCE_US
     return not stream.received_any or silence_us >= SILENCE_US
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -7,6 +7,7 @@
 from twisted.internet import defer
 
 from iriswheel import errors
+from iriswheel.configuration import schema
 from iriswheel.dataplane import (
     attempt_outcome,
     attempt_registry,
@@ -92,7 +93,7 @@
         attempt_id = f"{self._next_id()}/0"
         request = routed_request.RoutedRequest(http_request, attempt_id, self.runtime.now())
         self.router.admit(request)
-        if request.pool.election == "node":
+        if request.pool.election == schema.Election.NODE:
             await self.forwarder.forward(request)
             return
         request.done = defer.Deferred()
@@ -124,17 +125,17 @@
             errors.ServiceError: It is given up before any byte of an answer.
         """
         excluded_workers: list[str] = []
-        broke = 0
+        broken_attempts = 0
         while True:
             execution = errors.ExecutionOutcome.NOT_RUN
             try:
-                worker, via = await self.selector.select_worker(request, excluded_workers)
+                worker, relay_member = await self.selector.select_worker(request, excluded_workers)
                 if request.is_repeat:
-                    self.retry_budgets.budget(request).repeats.append(self.runtime.now())
+                    self.retry_budgets.budget(request).retries.append(self.runtime.now())
                     self.counts["repeats"] += 1
                 execution = errors.ExecutionOutcome.MAY_HAVE_RUN
                 attempt = self.attempts.begin(request.attempt_id, worker.id)
-                match await self.send(request, worker, attempt, via):
+                match await self.send(request, worker, attempt, relay_member):
                     case attempt_outcome.AttemptOutcome.COMPLETE:
                         execution = errors.ExecutionOutcome.RAN
                         self.counts["whole"] += 1
@@ -147,25 +148,33 @@
                         execution = errors.ExecutionOutcome.NOT_RUN
                     case attempt_outcome.AttemptOutcome.BROKE:
                         request.may_have_run = True
-                        broke += 1
-                        request.until = max(request.until, self.runtime.now() + worker_selection.REJOIN_US)
+                        broken_attempts += 1
+                        request.deadline_us = max(
+                            request.deadline_us, self.runtime.now() + worker_selection.REJOIN_WAIT_US
+                        )
             finally:
                 self.attempts.end(request.attempt_id)
                 self.owners.release(request, execution)
             excluded_workers.append(worker.id)
             request.renew_attempt_id()
-            if broke and (not request.idempotent or broke >= max_attempts(request)):
+            if broken_attempts and (not request.idempotent or broken_attempts >= max_attempts(request)):
                 raise errors.ServiceError(
                     "worker_broke", f"Worker {worker.id} gave no answer.", errors.ExecutionOutcome.MAY_HAVE_RUN
                 )
 
     async def send(
-        self, request: routed_request.RoutedRequest, worker: message.Worker, attempt: dispatch.Attempt, via: str
+        self,
+        request: routed_request.RoutedRequest,
+        worker: message.Worker,
+        attempt: dispatch.Attempt,
+        relay_member: str,
     ) -> attempt_outcome.AttemptOutcome:
-        """Send to a worker; relayed by the member `via` where this node has no connection to the worker."""
+        """Send to a worker; relayed by the member `relay_member` where this node has no connection to the worker."""
         dispatcher = self.node.dispatcher
-        peer = self.node.follower.member(via) if worker.id in self.node.reachability.unreachable_since else None
-        attempt.via = peer is not None
+        peer = (
+            self.node.follower.member(relay_member) if worker.id in self.node.reachability.unreachable_since else None
+        )
+        attempt.is_relayed = peer is not None
         if peer is None:
             outcome = await dispatcher.send(request.request, request.raw, worker, request.idempotent, attempt)
             if outcome is attempt_outcome.AttemptOutcome.UNSENT:
--- a/iriswheel/dataplane/node_budgets.py
+++ b/iriswheel/dataplane/node_budgets.py
@@ -4,6 +4,7 @@
 
 import typing
 
+from iriswheel.configuration import schema
 from iriswheel.dataplane import retry_budget
 
 if typing.TYPE_CHECKING:
@@ -19,7 +20,7 @@
 
 
 class NodeBudgets:
-    """The first and repeat sends of this node, by pool.
+    """The first attempts and retries of this node, by pool.
 
     Where a pool owner selects the workers it keeps the budget of all nodes, and starts from these parts when it
     is new; else each node keeps to its own part.
@@ -40,12 +41,12 @@
             options = self.node.options
             budget = retry_budget.Budget(ratio=options.retry_ratio, window_us=options.retry_window_us)
             self.budgets[request.pool_name] = budget
-        if request.pool.election == "node":  # no pool owner keeps the fleet's budget
+        if request.pool.election == schema.Election.NODE:  # no pool owner keeps the fleet's budget
             budget.slack = self.slack()
         return budget
 
     def slack(self) -> int:
-        """Return this node's part of the free repeats that the whole fleet has in a retry window.
+        """Return this node's part of the free retries that the whole fleet has in a retry window.
 
         Members that were there within the window may have spent their parts, so the largest
         fleet counts; and this node's former process may have spent this node's.
@@ -59,6 +60,6 @@
         return int(options.retry_slack // (self.fleet_sizes[0][1] + 1))
 
     def export(self, pool_name: str, now: int) -> tuple[dict[str, int], list[int]]:
-        """Return a pool's first and repeat sends with their ages, as `Budget.export` does."""
+        """Return a pool's first attempts and retries with their ages, as `Budget.export` does."""
         budget = self.budgets.get(pool_name)
         return ({}, []) if budget is None else budget.export(now)
--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -16,10 +16,10 @@
     from iriswheel.dataplane import routed_request
     from iriswheel.node import node
 
-SILENT_US = 600 * units.MILLISECOND_US  # a pool owner not heard for this long is silent
+OWNER_SILENCE_US = 600 * units.MILLISECOND_US  # a pool owner not heard for this long is silent
 CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
-ANSWER_MARGIN_US = 500 * units.MILLISECOND_US  # how long an answer is waited for beyond the request's own time
-GIVEN_UP_US = 10 * units.SECOND_US  # how long grant reports list an attempt that was given up
+RESPONSE_MARGIN_US = 500 * units.MILLISECOND_US  # how long an answer is waited for beyond the request's own time
+GIVEN_UP_RETENTION_US = 10 * units.SECOND_US  # how long grant reports list an attempt that was given up
 
 Selection: typing.TypeAlias = message.SelectionDenied | message.SelectionGranted
 
@@ -67,7 +67,7 @@
     def release(self, request: routed_request.RoutedRequest, outcome: errors.ExecutionOutcome) -> None:
         """Release a request's grant at the pool owner, with the outcome of its attempt.
 
-        The notice may be lost; NOT_RUN is therefore repeated in grant reports for GIVEN_UP_US.
+        The notice may be lost; NOT_RUN is therefore repeated in grant reports for GIVEN_UP_RETENTION_US.
         """
         if not request.grant_requested:
             return
@@ -75,7 +75,7 @@
         pool_name, attempt_id = request.pool_name, request.attempt_id
         self.node.grants.pop(attempt_id, None)
         if outcome == errors.ExecutionOutcome.NOT_RUN:
-            self.node.given_up[attempt_id] = (pool_name, self.runtime.now() + GIVEN_UP_US)
+            self.node.given_up[attempt_id] = (pool_name, self.runtime.now() + GIVEN_UP_RETENTION_US)
         assignment = self.assignment(pool_name)
         if assignment is not None:
             self.node.tell_member(assignment.holder, message.GrantReleased(pool_name, attempt_id, outcome.value))
@@ -93,7 +93,7 @@
             local_member.member_id(self.node),
             request.attempt_id,
             request.request_id,
-            request.send,
+            request.attempt_number,
             request.idempotent,
             request.session,
             request.parts,
@@ -125,7 +125,7 @@
             connection = await self.node.peers.connection_to(owner.host, owner.port)
         except wire.ConnectionBrokenError:
             return None
-        call = connection.call(query, left_us + ANSWER_MARGIN_US)
+        call = connection.call(query, left_us + RESPONSE_MARGIN_US)
         answers: list[Selection | None] = []
         answered = scheduler.Signal()
         call.addCallbacks(answers.append, lambda _: answers.append(None))
@@ -133,7 +133,7 @@
         try:
             while not answers:
                 await self.runtime.pause(answered, CHECK_INTERVAL_US)
-                if not answers and self.runtime.now() - connection.last_received > SILENT_US:
+                if not answers and self.runtime.now() - connection.last_received > OWNER_SILENCE_US:
                     return None
             return answers[0]
         finally:
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -24,22 +24,22 @@
 BATCH_REQUESTS = 64  # that a worker runs at once, where the configuration does not say
 RUNNING_REQUEST_US = 60  # what one more running request costs a new one, in time to its first event
 FULL_BATCH_US = 700 * units.MILLISECOND_US  # how long a request holds its place in a full batch
-MAX_TRIALS = 16_384  # first turns remembered
+MAX_FIRST_TURNS = 16_384  # first turns remembered
 MAX_RANKINGS = 1_024  # rankings remembered
 MAX_PARTS = 512  # parts remembered per worker
 LONG_TOKENS = 4_000  # of a prompt, shared parts and all, from which on it is long
-SPARED_RATIO = 0.34  # of the workers that read no long prompts
+RESERVED_RATIO = 0.34  # of the workers that read no long prompts
 HEAVY_TOKENS = 2_000  # to read, from which on the load is reported to other nodes at once
 REREAD_FACTOR = 15  # reading a shared part anew counts so many times its time: others wait, and parts give way
 JITTER_US = 3_000  # workers nearer than this are alike
 OTHERS_VALID_US = 1_500 * units.MILLISECOND_US  # others' sums older than this count for nothing
 SUSPICION_HALF_LIFE_US = 2 * units.SECOND_US
 SUSPICION_US = 1 * units.SECOND_US  # what full suspicion counts for in time
-SUSPICION_EJECT = 0.45  # from here on a worker gets nothing, as long as others are well
+EJECTION_SUSPICION = 0.45  # from here on a worker gets nothing, as long as others are well
 SUSPICION_AFTER_ANSWER = 0.7  # the part of it that is left after a complete answer
 OTHERS_SUSPICION = 0.4  # how much another node's suspicion counts beside one's own
-MIN_PATIENCE_US = 200 * units.MILLISECOND_US  # no first event is waited for less than this
-MUTE_US = 700 * units.MILLISECOND_US  # a worker with attempts under way that says nothing for so long
+MIN_FIRST_EVENT_TIMEOUT_US = 200 * units.MILLISECOND_US  # no first event is waited for less than this
+UNRESPONSIVE_US = 700 * units.MILLISECOND_US  # a worker with attempts under way that says nothing for so long
 REQUEST_COST = 100  # an open session's cost that counts like one request
 SMOOTHING = 16  # the weight of what was measured before, against one more first event
 
@@ -47,7 +47,7 @@
 OthersLoad: typing.TypeAlias = tuple[int, int, int]  # the same without the worker, of all other nodes together
 
 NO_LOAD: OthersLoad = (0, 0, 0)
-NO_TRIAL = ("", 0)
+NO_FIRST_TURN = ("", 0)
 
 
 class WorkerEstimate:
@@ -57,17 +57,17 @@
     (0, 0)
     """
 
-    __slots__ = ("busy_since", "last_contact", "parts", "running", "suspected_at", "suspicion", "unread")
+    __slots__ = ("busy_since_us", "last_contact_us", "parts", "running", "suspected_at_us", "suspicion", "unread")
 
     def __init__(self) -> None:
         self.running = 0  # own requests there
         self.unread = 0  # own prompt tokens that it has still to read
         # chain key of a part that it is likely to hold -> tokens, the latest used last
         self.parts: collections.OrderedDict[bytes, int] = collections.OrderedDict()
-        self.last_contact = 0  # when it last said anything to this node
-        self.busy_since = 0  # when the first of the attempts now under way went out
-        self.suspicion = 0.0  # 0 to 1, as it was at suspected_at
-        self.suspected_at = 0
+        self.last_contact_us = 0  # when it last said anything to this node
+        self.busy_since_us = 0  # when the first of the attempts now under way went out
+        self.suspicion = 0.0  # 0 to 1, as it was at suspected_at_us
+        self.suspected_at_us = 0
 
     def note_parts(self, keys: list[bytes], sizes: list[int]) -> None:
         """Note the parts that a prompt brings there.
@@ -128,15 +128,15 @@
         self.pool = pool
         self.workers: dict[str, WorkerEstimate] = {}
         self.others: dict[str, OthersLoad] = {}  # by worker
-        self.others_at = 0  # when the others' load last came
+        self.others_received_at_us = 0  # when the others' load last came
         # mean and deviation of the first events of short prompts, beyond what was expected
-        self.base_us, self.dev_us = 60_000.0, 30_000.0
+        self.first_event_mean_us, self.first_event_deviation_us = 60_000.0, 30_000.0
         # called when an attempt changes a worker's load by much, and when anything changes
-        self.reported_heavy: collections.abc.Callable[[], object] = lambda: None
-        self.reported_some: collections.abc.Callable[[], object] = lambda: None
+        self.on_heavy_load_change: collections.abc.Callable[[], object] = lambda: None
+        self.on_load_change: collections.abc.Callable[[], object] = lambda: None
         self.session_table: sessions.SessionTable[bytes] = sessions.SessionTable()
         # last part's key -> (worker, until): may yet be a session
-        self.trials: collections.OrderedDict[bytes, tuple[str, int]] = collections.OrderedDict()
+        self.first_turns: collections.OrderedDict[bytes, tuple[str, int]] = collections.OrderedDict()
         # (key, workers) -> the workers by weight
         self.ranks: collections.OrderedDict[tuple[bytes, tuple[str, ...]], list[str]] = collections.OrderedDict()
 
@@ -166,82 +166,85 @@
                 self.ranks.popitem(last=False)
         return ranking
 
-    def of_others(self, worker: str, now: int) -> OthersLoad:
+    def load_of_others(self, worker: str, now: int) -> OthersLoad:
         """Return what all other nodes together say of a worker, unless that is old.
 
-        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").of_others("w1", 0)
+        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").load_of_others("w1", 0)
         (0, 0, 0)
         """
-        return self.others.get(worker, NO_LOAD) if now - self.others_at < OTHERS_VALID_US else NO_LOAD
+        return self.others.get(worker, NO_LOAD) if now - self.others_received_at_us < OTHERS_VALID_US else NO_LOAD
 
     # ---- health -------------------------------------------------------------------------
 
     def suspicion(self, worker: str, now: int) -> float:
         """Return the suspicion of a worker, 0 to 1: one's own, and a part of the others'.
 
-        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.blame("w1", 0.5)
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.record_failure("w1", 0.5)
         >>> placement.suspicion("w1", 0)
         0.5
         """
-        return min(1.0, self.own_suspicion(worker, now) + OTHERS_SUSPICION * self.of_others(worker, now)[2] / 100)
+        return min(1.0, self.own_suspicion(worker, now) + OTHERS_SUSPICION * self.load_of_others(worker, now)[2] / 100)
 
     def own_suspicion(self, worker: str, now: int) -> float:
         """Return this node's own suspicion of a worker, which fades.
 
-        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.blame("w1", 0.5)
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.record_failure("w1", 0.5)
         >>> placement.own_suspicion("w1", 2 * units.SECOND_US)
         0.25
         """
         estimate = self.workers.get(worker)
         if estimate is None or not estimate.suspicion:
             return 0.0
-        fading: float = 0.5 ** ((now - estimate.suspected_at) / SUSPICION_HALF_LIFE_US)
+        fading: float = 0.5 ** ((now - estimate.suspected_at_us) / SUSPICION_HALF_LIFE_US)
         return estimate.suspicion * fading
 
-    def blame(self, worker: str, suspicion: float) -> None:
+    def record_failure(self, worker: str, suspicion: float) -> None:
         """Trust a worker less that failed or fell silent, and let the other nodes know.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 5), "p")
-        >>> placement.blame("w1", 0.5); placement.is_unhealthy("w1", 5)
+        >>> placement.record_failure("w1", 0.5); placement.is_unhealthy("w1", 5)
         True
         """
         now = self.runtime.now()
         estimate = self.estimate(worker)
-        estimate.suspicion, estimate.suspected_at = min(1.0, self.own_suspicion(worker, now) + suspicion), now
-        self.reported_some()
-        self.reported_heavy()
+        estimate.suspicion, estimate.suspected_at_us = min(1.0, self.own_suspicion(worker, now) + suspicion), now
+        self.on_load_change()
+        self.on_heavy_load_change()
 
-    def forgive(self, worker: str) -> None:
+    def record_success(self, worker: str) -> None:
         """Trust a worker more that gave a complete answer.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 5), "p")
-        >>> placement.blame("w1", 0.5); placement.forgive("w1"); placement.is_unhealthy("w1", 5)
+        >>> placement.record_failure("w1", 0.5); placement.record_success("w1"); placement.is_unhealthy("w1", 5)
         False
         """
         self.estimate(worker).suspicion *= SUSPICION_AFTER_ANSWER
 
     def is_unhealthy(self, worker: str, now: int) -> bool:
         """Whether a worker is to get nothing as long as others are well."""
-        return self.suspicion(worker, now) > SUSPICION_EJECT or self.is_mute(worker, now)
+        return self.suspicion(worker, now) > EJECTION_SUSPICION or self.is_unresponsive(worker, now)
 
-    def is_mute(self, worker: str, now: int) -> bool:
+    def is_unresponsive(self, worker: str, now: int) -> bool:
         """Whether a worker that has attempts of this node says nothing to any of them.
 
-        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").is_mute("w1", 0)
+        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").is_unresponsive("w1", 0)
         False
         """
         estimate = self.workers.get(worker)
         if estimate is None or not estimate.running:
             return False
-        return now - max(estimate.busy_since, estimate.last_contact) > MUTE_US
+        return now - max(estimate.busy_since_us, estimate.last_contact_us) > UNRESPONSIVE_US
 
-    def patience_us(self, expected_us: int) -> int:
+    def first_event_timeout_us(self, expected_us: int) -> int:
         """Return how long a first event is waited for that was expected after so long.
 
-        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").patience_us(10_000)
+        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").first_event_timeout_us(10_000)
         200000
         """
-        return max(MIN_PATIENCE_US, int(expected_us * 1.5 + self.base_us + 4 * self.dev_us))
+        return max(
+            MIN_FIRST_EVENT_TIMEOUT_US,
+            int(expected_us * 1.5 + self.first_event_mean_us + 4 * self.first_event_deviation_us),
+        )
 
     # ---- selection ----------------------------------------------------------------------
 
@@ -251,7 +254,7 @@
         Only real requests in flight count here: this is what admission looks at.
         """
         estimate = self.estimate(worker)
-        running, unread, _ = self.of_others(worker, now)
+        running, unread, _ = self.load_of_others(worker, now)
         running += estimate.running
         unread += estimate.unread
         batch = pool.batch or BATCH_REQUESTS
@@ -260,19 +263,19 @@
             wait_us += FULL_BATCH_US * (running - batch + 1) // batch
         return wait_us
 
-    def spared(self, workers: tuple[str, ...]) -> set[str]:
+    def reserved_for_short_prompts(self, workers: tuple[str, ...]) -> set[str]:
         """Return the workers that read no long prompts; the same on every node.
 
         While many shared parts are read for the first time, long prompts would fill every worker,
         and all short ones, which are many more, would wait behind them.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
-        >>> len(placement.spared(tuple("abcdef")))
+        >>> len(placement.reserved_for_short_prompts(tuple("abcdef")))
         2
         """
         if len(workers) <= 2:
             return set()
-        return set(self.rank(b"spared", workers)[: round(len(workers) * SPARED_RATIO)])
+        return set(self.rank(b"spared", workers)[: round(len(workers) * RESERVED_RATIO)])
 
     def read_us(
         self, worker: str, keys: list[bytes], sizes: list[int], own_tokens: int, workers: tuple[str, ...]
@@ -323,15 +326,15 @@
         if not candidates:
             return "", 0
         if keys:
-            worker, until = self.trials.get(keys[-1], NO_TRIAL)
+            worker, until = self.first_turns.get(keys[-1], NO_FIRST_TURN)
             if worker in candidates and until > now:
                 return worker, self.wait_us(worker, pool, now)  # a second turn: its prefix is held there
         workers = tuple(ready)
         shared_keys = keys[:-1]
-        spared = self.spared(workers)
+        reserved = self.reserved_for_short_prompts(workers)
         if own_tokens + sum(size for _, size in zip(shared_keys, prompt.sizes, strict=False)) >= LONG_TOKENS:
-            workers = tuple(worker for worker in workers if worker not in spared)
-            candidates = [worker for worker in candidates if worker not in spared] or candidates
+            workers = tuple(worker for worker in workers if worker not in reserved)
+            candidates = [worker for worker in candidates if worker not in reserved] or candidates
         return self._nearest(candidates, shared_keys, prompt.sizes[:-1], own_tokens, workers, pool)
 
     def _candidates(self, ready: list[str], excluded_workers: set[str], now: int) -> list[str]:
@@ -373,32 +376,32 @@
                 tokens += size
         estimate.note_parts(keys, sizes)
         if not estimate.running:
-            estimate.busy_since = self.runtime.now()
+            estimate.busy_since_us = self.runtime.now()
         estimate.running += 1
         estimate.unread += tokens
-        self.reported_some()
+        self.on_load_change()
         if tokens >= HEAVY_TOKENS:
-            self.reported_heavy()
+            self.on_heavy_load_change()
         return tokens
 
     def first_event(self, worker: str, tokens: int, took_us: int, expected_us: int) -> None:
         """Note that an attempt's first event came after so long: its prompt's tokens are read."""
         self.estimate(worker).unread -= tokens
-        self.reported_some()
+        self.on_load_change()
         if tokens < HEAVY_TOKENS:
-            off_us = took_us - expected_us - self.base_us
-            self.base_us = max(0.0, self.base_us + off_us / SMOOTHING)
-            self.dev_us += (abs(off_us) - self.dev_us) / SMOOTHING
+            error_us = took_us - expected_us - self.first_event_mean_us
+            self.first_event_mean_us = max(0.0, self.first_event_mean_us + error_us / SMOOTHING)
+            self.first_event_deviation_us += (abs(error_us) - self.first_event_deviation_us) / SMOOTHING
 
     def note_contact(self, worker: str) -> None:
         """Note that a worker said something."""
-        self.estimate(worker).last_contact = self.runtime.now()
+        self.estimate(worker).last_contact_us = self.runtime.now()
 
     def end(self, worker: str, tokens: int) -> None:
         """Note that an attempt is over; `tokens` are those that were never read."""
         estimate = self.estimate(worker)
         estimate.running -= 1
-        self.reported_some()
+        self.on_load_change()
         estimate.unread -= tokens
 
     # ---- sessions -----------------------------------------------------------------------
@@ -419,13 +422,13 @@
             session.lifetime_us, session.cost = terms.lifetime_us, terms.cost
             self.session_table.extend(session, now)
             return
-        _, until = self.trials.pop(key, NO_TRIAL)
+        _, until = self.first_turns.pop(key, NO_FIRST_TURN)
         if until > now and (not cap or self.session_table.count(worker) < cap):
             self.session_table.open(key, worker, now, terms.lifetime_us, terms.cost)
             return
-        self.trials[key] = (worker, now + terms.lifetime_us)
-        if len(self.trials) > MAX_TRIALS:
-            self.trials.popitem(last=False)
+        self.first_turns[key] = (worker, now + terms.lifetime_us)
+        if len(self.first_turns) > MAX_FIRST_TURNS:
+            self.first_turns.popitem(last=False)
 
     def sweep(self, ready: set[str]) -> None:
         """Close sessions past their lifetime, and those of workers that are ready no more.
@@ -436,9 +439,9 @@
         self.session_table.sweep(now)
         for worker in [worker for worker in self.session_table.at if worker not in ready]:
             self.session_table.evict(worker)
-        while self.trials and next(iter(self.trials.values()))[1] < now:
-            self.trials.popitem(last=False)
-        for worker in [name for name, known in self.workers.items() if name not in ready and not known.running]:
+        while self.first_turns and next(iter(self.first_turns.values()))[1] < now:
+            self.first_turns.popitem(last=False)
+        for worker in [name for name, estimate in self.workers.items() if name not in ready and not estimate.running]:
             del self.workers[worker]
 
     # ---- load exchange ------------------------------------------------------------------
@@ -448,14 +451,14 @@
 
         Suspicion travels in steps of ten percent, so that its decay does not cause a report each time.
 
-        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.blame("w1", 0.5)
+        >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.record_failure("w1", 0.5)
         >>> placement.export()
         [('w1', 0, 0, 50)]
         """
         now = self.runtime.now()
         rows = [
-            (worker, known.running, max(0, known.unread), int(self.own_suspicion(worker, now) * 10) * 10)
-            for worker, known in sorted(self.workers.items())
+            (worker, estimate.running, max(0, estimate.unread), int(self.own_suspicion(worker, now) * 10) * 10)
+            for worker, estimate in sorted(self.workers.items())
         ]
         return [row for row in rows if row[1] or row[3]]
 
@@ -473,7 +476,7 @@
                 self.others[worker] = (running, unread, suspicion)
             else:
                 self.others.pop(worker, None)
-        self.others_at = self.runtime.now()
+        self.others_received_at_us = self.runtime.now()
 
     def state(self) -> dict[str, typing.Any]:
         """Return what this placement shows of itself in the node's state.
@@ -484,6 +487,6 @@
         return {
             "pool": self.pool,
             "sessions": {worker: len(records) for worker, records in sorted(self.session_table.at.items()) if records},
-            "trials": len(self.trials),
-            "running": {worker: known.running for worker, known in sorted(self.workers.items())},
+            "trials": len(self.first_turns),
+            "running": {worker: estimate.running for worker, estimate in sorted(self.workers.items())},
         }
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -5,6 +5,7 @@
 import typing
 
 from iriswheel import errors
+from iriswheel.configuration import schema
 from iriswheel.dataplane import sessions
 
 if typing.TYPE_CHECKING:
@@ -36,8 +37,10 @@
         self._set_terms(request)
         if self.node.refusing_requests:
             raise errors.ServiceError("stopping", "This node is stopping.")
-        if request.send <= 1:
-            self.budgets.budget(request).first(self.runtime.now(), request.request_id or request.attempt_id)
+        if request.attempt_number <= 1:
+            self.budgets.budget(request).record_first_attempt(
+                self.runtime.now(), request.request_id or request.attempt_id
+            )
 
     def reroute(self, request: routed_request.RoutedRequest) -> None:
         """Find the route anew, where the configuration changed while the request waited."""
@@ -57,7 +60,7 @@
         ):
             raise errors.ServiceError("length_required", "The body's length is not said.", field="Content-Length")
         parsed = request.parsed = self.node.edge_protocol.parse_request(http_request)
-        request.parts, request.request_id, request.send = parsed.parts, parsed.request_id, parsed.send
+        request.parts, request.request_id, request.attempt_number = parsed.parts, parsed.request_id, parsed.send
         request.idempotent = parsed.idempotent
         assert http_request.content is not None, "the body is read before the request is handled"
         request.raw = http_request.content.read()
@@ -77,9 +80,9 @@
             raise errors.ServiceError("no_route", "No route fits this path.", request.known_outcome(), field="path")
         request.route = route
         match route.repeat:
-            case "may":
+            case schema.RepeatPolicy.MAY:
                 request.idempotent = True
-            case "never":
+            case schema.RepeatPolicy.NEVER:
                 request.idempotent = False
         request.pool_name = self._choose_pool(route)
         request.pool = follower.pools[request.pool_name]
@@ -100,15 +103,15 @@
         """Set the conversation's terms, the session's id and the time by which the request must be sent."""
         route, pool, parsed = request.route, request.pool, request.parsed
         terms = request.terms = self.node.follower.terms[route.requesters.get(parsed.client, route.terms)]
-        if pool.election == "node":
+        if pool.election == schema.Election.NODE:
             spans_us = [span_us for span_us in (parsed.left_us, route.cutoff_us or None) if span_us is not None]
-            request.until = request.arrived + min(spans_us, default=pool.long_wait_us)
+            request.deadline_us = request.arrived_at_us + min(spans_us, default=pool.long_wait_us)
             return
         request.session = sessions.derive(request.parts, terms.session_part)
         request.long = len(request.raw) >= pool.long_bytes
         request.work = MIN_WORK_UNITS + len(request.raw) // BYTES_PER_WORK_UNIT
         wait_us = pool.long_wait_us if request.long else pool.short_wait_us
-        request.until = max(request.until, request.arrived + wait_us)
+        request.deadline_us = max(request.deadline_us, request.arrived_at_us + wait_us)
 
 
 def request_path(request: routed_request.RoutedRequest) -> str:
--- a/iriswheel/dataplane/routed_request.py
+++ b/iriswheel/dataplane/routed_request.py
@@ -22,7 +22,7 @@
     """
 
     __slots__ = (
-        "arrived",
+        "arrived_at_us",
         "attempt_id",
         "configuration_index",
         "done",
@@ -38,10 +38,10 @@
         "request",
         "request_id",
         "route",
-        "send",
+        "attempt_number",
         "session",
         "terms",
-        "until",
+        "deadline_us",
         "work",
     )
 
@@ -55,16 +55,16 @@
     def __init__(self, request: http_server.Request, attempt_id: str, now: int) -> None:
         self.request = request
         self.attempt_id = attempt_id
-        self.arrived = now
+        self.arrived_at_us = now
         self.raw = b""
         self.parts: list[str] = []  # ids of the prompt's parts, outermost first
         self.request_id = ""
-        self.send = 0  # the client's number of this send of the request; above 1 it is a repeat
+        self.attempt_number = 0  # the client's number of this send of the request; above 1 it is a repeat
         self.idempotent = False
         self.session = ""
         self.long = False
         self.work = 0
-        self.until = now
+        self.deadline_us = now
         self.configuration_index = 0  # the configuration's log index when it was routed
         self.may_have_run = False  # whether an attempt may have reached a worker
         self.grant_requested = False  # whether a pool owner may hold a grant for it
@@ -72,7 +72,7 @@
     @property
     def is_repeat(self) -> bool:
         """Whether a send now would repeat one that may have run, by this node or by the client's word."""
-        return self.may_have_run or self.send > 1
+        return self.may_have_run or self.attempt_number > 1
 
     def known_outcome(self) -> errors.ExecutionOutcome:
         """Return what may be said of the request if it is given up now."""
--- a/iriswheel/dataplane/worker_connections.py
+++ b/iriswheel/dataplane/worker_connections.py
@@ -23,13 +23,13 @@
     from iriswheel.transport import message
 
 
-CONNECT_US = 350 * units.MILLISECOND_US
-KEEP_US = 4 * units.SECOND_US  # an idle connection, where the worker does not say how long it keeps one
-MAX_KEEP_US = 60 * units.SECOND_US  # and where it does, at most
-KEEP_MARGIN_US = 400 * units.MILLISECOND_US  # dropped so long before the worker would
-UNACKNOWLEDGED_MS = 2_000  # after which sent bytes that nobody acknowledged end the connection
-LEARNED_US = 30 * units.SECOND_US  # how long it counts that a worker had dropped an idle connection
-MIN_TRUSTED_IDLE_US = 100 * units.MILLISECOND_US  # idle connections this young are used whatever was learned
+CONNECT_TIMEOUT_US = 350 * units.MILLISECOND_US
+KEEP_ALIVE_US = 4 * units.SECOND_US  # an idle connection, where the worker does not say how long it keeps one
+MAX_KEEP_ALIVE_US = 60 * units.SECOND_US  # and where it does, at most
+KEEP_ALIVE_MARGIN_US = 400 * units.MILLISECOND_US  # dropped so long before the worker would
+TCP_USER_TIMEOUT_MS = 2_000  # after which sent bytes that nobody acknowledged end the connection
+IDLE_LIMIT_VALIDITY_US = 30 * units.SECOND_US  # how long it counts that a worker had dropped an idle connection
+MIN_IDLE_LIMIT_US = 100 * units.MILLISECOND_US  # idle connections this young are used whatever was learned
 UNLIMITED_US = 10**12
 MAX_FOREIGN_ANSWERS = 3  # answers to other requests that are passed over during one request
 
@@ -99,38 +99,38 @@
         self.receiver: AnswerReceiver | None = None  # while a request is under way
         self.parser = httptools.HttpResponseParser(self)
         self.headers: list[tuple[bytes, bytes]] = []
-        self.up = False
+        self.is_connected = False
         self.uses = 0  # requests that went over it
         self.foreign_answers = 0  # that were passed over during this request
-        self.skipping = False  # whether the answer that comes now is passed over
-        self.spoiled = False  # it is not to be used again
-        self.keep_us = KEEP_US
-        self.until = 0  # when an idle one is dropped
-        self.idle_since = 0
+        self.skipping_answer = False  # whether the answer that comes now is passed over
+        self.must_close = False  # it is not to be used again
+        self.keep_alive_us = KEEP_ALIVE_US
+        self.expires_at_us = 0  # when an idle one is dropped
+        self.idle_since_us = 0
         self.idle_us = 0  # how long it was idle before the request under way
         self.received_any = False  # whether anything came back in this request
         self.paused = False  # while the client reads too slowly
         self.on_stale: ConnectionCallback = _ignore
         self.on_free: ConnectionCallback = _ignore
-        self.on_gone: ConnectionCallback = _ignore
+        self.on_closed: ConnectionCallback = _ignore
 
     def connectionMade(self) -> None:
         """Set the socket's options."""
-        self.up = True
+        self.is_connected = True
         self.transport.setTcpNoDelay(True)
         handle: socket.socket | None = getattr(self.transport, "getHandle", lambda: None)()
         if handle is not None:  # a simulated transport has none
             handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+            handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def start(self, raw: bytes, receiver: AnswerReceiver) -> None:
         """Send a request; its answer goes to the receiver."""
         self.receiver = receiver
-        self.idle_us = self.runtime.now() - self.idle_since if self.uses else 0
+        self.idle_us = self.runtime.now() - self.idle_since_us if self.uses else 0
         self.received_any = False
         self.uses += 1
         self.foreign_answers = 0
-        self.skipping = False
+        self.skipping_answer = False
         self.transport.write(raw)
 
     def pause(self) -> None:
@@ -145,9 +145,9 @@
 
     def drop(self) -> None:
         """Break the connection off; its receiver, if any, is told nothing."""
-        self.spoiled = True
+        self.must_close = True
         self.receiver = None
-        if self.up:
+        if self.is_connected:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
@@ -163,10 +163,10 @@
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         """End the request under way, if any."""
-        self.up = False
-        self.spoiled = True
+        self.is_connected = False
+        self.must_close = True
         receiver, self.receiver = self.receiver, None
-        self.on_gone(self)
+        self.on_closed(self)
         if receiver is not None:
             if self.idle_us and not self.received_any:
                 self.on_stale(self)
@@ -191,39 +191,39 @@
             return
         status: int = self.parser.get_status_code()
         if 100 <= status < 200:
-            self.skipping = True
+            self.skipping_answer = True
             return
         lowercase = {name.decode("latin-1").lower(): value.decode("latin-1") for name, value in self.headers}
         match receiver.owns(status, lowercase, self.uses):
             case True:
-                self.skipping = False
+                self.skipping_answer = False
                 self._note_keep_alive(lowercase)
                 receiver.head_received(status, self.headers, lowercase)
                 if receiver.bodyless:
                     self._end_without_body()
             case False:
-                self.skipping = True
+                self.skipping_answer = True
                 self.foreign_answers += 1
             case None:
                 raise ValueError("whose answer it is can't be told")
 
     def on_body(self, body: bytes) -> None:
         """Pass a piece of the body on."""
-        if self.receiver is not None and not self.skipping:
+        if self.receiver is not None and not self.skipping_answer:
             self.receiver.data_received(body)
 
     def on_message_complete(self) -> None:
         """End the request, unless it was another's answer."""
         if self.receiver is None:
             return
-        if self.skipping:
-            self.skipping = False
+        if self.skipping_answer:
+            self.skipping_answer = False
             if self.foreign_answers > MAX_FOREIGN_ANSWERS:
                 raise ValueError("too many answers of others")
             return
         receiver, self.receiver = self.receiver, None
         if not self.parser.should_keep_alive():
-            self.spoiled = True
+            self.must_close = True
         receiver.answer_complete()
         self._release()
 
@@ -243,35 +243,35 @@
 
     def _note_keep_alive(self, headers: dict[str, str]) -> None:
         """Note how long the worker keeps the connection."""
-        self.keep_us = KEEP_US
+        self.keep_alive_us = KEEP_ALIVE_US
         if "close" in headers.get("connection", "").lower():
-            self.spoiled = True
+            self.must_close = True
         for parameter in headers.get("keep-alive", "").split(","):
             name, _, value = parameter.strip().partition("=")
             if name.lower() == "timeout" and value.strip().isdigit():
-                self.keep_us = min(MAX_KEEP_US, int(value) * units.SECOND_US - KEEP_MARGIN_US)
+                self.keep_alive_us = min(MAX_KEEP_ALIVE_US, int(value) * units.SECOND_US - KEEP_ALIVE_MARGIN_US)
 
     def _release(self) -> None:
         """Offer the connection for the next request, if it is sound."""
-        if self.spoiled or self.keep_us <= 0 or not self.up:
+        if self.must_close or self.keep_alive_us <= 0 or not self.is_connected:
             self.drop()
             return
         if self.paused:
             self.resume()  # else its end would not be noticed, nor the next answer read
-        self.idle_since = self.runtime.now()
-        self.until = self.idle_since + self.keep_us
+        self.idle_since_us = self.runtime.now()
+        self.expires_at_us = self.idle_since_us + self.keep_alive_us
         self.on_free(self)
 
     def is_usable(self, now: int) -> bool:
         """Whether an idle connection may still be used, or kept."""
-        return self.up and not self.spoiled and now < self.until
+        return self.is_connected and not self.must_close and now < self.expires_at_us
 
 
-class LearnedIdle(typing.NamedTuple):
+class IdleLimit(typing.NamedTuple):
     """For how long idle connections to a worker may be trusted, as was learned at a time."""
 
-    learned_at: int
-    trusted_us: int
+    learned_at_us: int
+    limit_us: int
 
 
 class ConnectionPool:
@@ -285,7 +285,7 @@
         self.runtime = runtime
         self.idle: dict[str, list[WorkerConnection]] = {}  # by worker, the latest used last
         self.open: dict[str, int] = {}  # worker -> how many there are
-        self.learned: dict[str, LearnedIdle] = {}  # by worker
+        self.idle_limits: dict[str, IdleLimit] = {}  # by worker
 
     def count(self, worker: str) -> int:
         """Return how many connections to a worker are open.
@@ -303,35 +303,37 @@
         """
         now = self.runtime.now()
         kept = self.idle.get(worker, [])
-        max_idle_us = min(max_idle_us, self.trust(worker))
+        max_idle_us = min(max_idle_us, self.idle_limit_us(worker))
         while kept:
             connection = kept[-1]
             if not connection.is_usable(now):
                 kept.pop()
                 connection.drop()
-            elif now - connection.idle_since > max_idle_us:
+            elif now - connection.idle_since_us > max_idle_us:
                 return None
             else:
                 return kept.pop()
         return None
 
-    def trust(self, worker: str) -> int:
+    def idle_limit_us(self, worker: str) -> int:
         """Return how long a connection to a worker may have been idle and still be used, in microseconds.
 
         >>> pool = ConnectionPool(scheduler.Runtime(None, now=lambda: 0))
-        >>> pool.learned["w1"] = LearnedIdle(0, 700_000)
-        >>> pool.trust("w1"), pool.trust("w2") > 60 * units.SECOND_US
+        >>> pool.idle_limits["w1"] = IdleLimit(0, 700_000)
+        >>> pool.idle_limit_us("w1"), pool.idle_limit_us("w2") > 60 * units.SECOND_US
         (700000, True)
         """
-        learned = self.learned.get(worker)
-        if learned is None or self.runtime.now() - learned.learned_at >= LEARNED_US:
+        limit = self.idle_limits.get(worker)
+        if limit is None or self.runtime.now() - limit.learned_at_us >= IDLE_LIMIT_VALIDITY_US:
             return UNLIMITED_US
-        return learned.trusted_us
+        return limit.limit_us
 
-    async def get(self, worker: message.Worker, max_idle_us: int, left_us: int = CONNECT_US) -> WorkerConnection:
+    async def get(
+        self, worker: message.Worker, max_idle_us: int, left_us: int = CONNECT_TIMEOUT_US
+    ) -> WorkerConnection:
         """Return a connection to a worker, an idle one if it was used within max_idle_us.
 
-        A new one is waited for up to CONNECT_US, and no longer than left_us.
+        A new one is waited for up to CONNECT_TIMEOUT_US, and no longer than left_us.
 
         Raises:
             UnreachableError: No connection could be had.
@@ -341,18 +343,18 @@
             return connection
         self.open[worker.id] = self.open.get(worker.id, 0) + 1
         try:
-            connection = await self._connect(worker, max(0, min(CONNECT_US, left_us)))
+            connection = await self._connect(worker, max(0, min(CONNECT_TIMEOUT_US, left_us)))
         except (defer.CancelledError, error.ConnectingCancelledError) as cancelled:
-            self._count_gone(worker.id)
+            self._count_closed(worker.id)
             raise defer.CancelledError() from cancelled  # an endpoint says it by an error of its own
         except Exception as reason:  # refused, timed out, no route: all mean that nothing was sent
-            self._count_gone(worker.id)
+            self._count_closed(worker.id)
             raise UnreachableError(type(reason).__name__) from reason
         connection.on_free = self._keep
         connection.on_stale = self._learn
-        connection.on_gone = self._forget
-        if not connection.up:
-            self._count_gone(worker.id)
+        connection.on_closed = self._forget
+        if not connection.is_connected:
+            self._count_closed(worker.id)
             raise UnreachableError("closed")
         return connection
 
@@ -362,7 +364,7 @@
         >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).sweep({"w1"})
         """
         now = self.runtime.now()
-        self.learned = {worker: learned for worker, learned in self.learned.items() if worker in listed}
+        self.idle_limits = {worker: limit for worker, limit in self.idle_limits.items() if worker in listed}
         for worker, kept in list(self.idle.items()):
             usable = [connection for connection in kept if connection.is_usable(now) and worker in listed]
             for connection in kept:
@@ -388,15 +390,15 @@
 
     def _learn(self, connection: WorkerConnection) -> None:
         """Trust younger connections only: one that had been idle was gone when it was used."""
-        if connection.idle_us > MIN_TRUSTED_IDLE_US:
+        if connection.idle_us > MIN_IDLE_LIMIT_US:
             worker = connection.worker
-            trusted_us = max(MIN_TRUSTED_IDLE_US, min(connection.idle_us // 2, self.trust(worker)))
-            self.learned[worker] = LearnedIdle(self.runtime.now(), trusted_us)
+            limit_us = max(MIN_IDLE_LIMIT_US, min(connection.idle_us // 2, self.idle_limit_us(worker)))
+            self.idle_limits[worker] = IdleLimit(self.runtime.now(), limit_us)
 
     def _forget(self, connection: WorkerConnection) -> None:
-        self._count_gone(connection.worker)
+        self._count_closed(connection.worker)
 
-    def _count_gone(self, worker: str) -> None:
+    def _count_closed(self, worker: str) -> None:
         self.open[worker] -= 1
         if not self.open[worker]:
             del self.open[worker]
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -14,8 +14,8 @@
     from iriswheel.node import node
 
 RETRY_INTERVAL_US = 50 * units.MILLISECOND_US
-REJOIN_US = 1 * units.SECOND_US  # how long a request waits for this node to rejoin, or for a worker after one broke
-LATE_GRANT_US = 1 * units.SECOND_US  # a grant may come so long after the request's time and still be used
+REJOIN_WAIT_US = 1 * units.SECOND_US  # a request waits so long for this node to rejoin, or for a worker after one broke
+LATE_GRANT_TOLERANCE_US = 1 * units.SECOND_US  # a grant may come so long after the request's time and still be used
 
 
 class SelectedWorker(typing.NamedTuple):
@@ -55,14 +55,14 @@
         last_error: errors.ServiceError | None = None
         while True:
             self.router.reroute(request)
-            left_us = request.until - self.runtime.now()
+            left_us = request.deadline_us - self.runtime.now()
             if left_us <= 0:
                 raise last_error or errors.ServiceError(
                     "no_warden", "The pool's warden does not answer.", request.known_outcome()
                 )
-            if self._is_cut_off():
+            if self._is_disconnected():
                 last_error = errors.ServiceError("not_ready", "This node is cut off for now.", request.known_outcome())
-                request.until = min(request.until, request.arrived + REJOIN_US)
+                request.deadline_us = min(request.deadline_us, request.arrived_at_us + REJOIN_WAIT_US)
                 await self.runtime.sleep(min(left_us, RETRY_INTERVAL_US))
                 continue
             assignment = self.owners.assignment(request.pool_name)
@@ -114,7 +114,7 @@
             if session_pool == pool and until > now
         ]
 
-    def _is_cut_off(self) -> bool:
+    def _is_disconnected(self) -> bool:
         follower = self.node.follower
         return follower.needs_rejoin() or not follower.has_worker_update() or follower.configuration_may_be_stale()
 
@@ -128,7 +128,7 @@
             or grant.term < assignment.term
             or worker is None
             or not self.may_send(request, worker)
-            or self.runtime.now() >= request.until + LATE_GRANT_US
+            or self.runtime.now() >= request.deadline_us + LATE_GRANT_TOLERANCE_US
         ):
             self.owners.release(request, errors.ExecutionOutcome.NOT_RUN)
             request.renew_attempt_id()
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -152,7 +152,7 @@
                 pool = pool_roles.pool_of(assignment)
                 if pool is not None:
                     self.tell_member(assignment.holder, self._grant_report(pool))
-            self.gateway.attempts.cut_drained()
+            self.gateway.attempts.cancel_drained()
             now = self.runtime.now()
             self.pool_roles.sweep(now)
             self.gateway.selector.forget_expired_sessions(now)
--- a/iriswheel/node/peer_requests.py
+++ b/iriswheel/node/peer_requests.py
@@ -36,7 +36,7 @@
             message.ReplicateRecords: pool_roles.replicate,
             message.SessionsClosed: lambda closed: gateway.selector.forget_sessions(closed.pool, closed.sessions),
             message.ProbeRequest: lambda request: local_node.reachability.probe(request.worker),
-            message.WorkerUnreachable: lambda notice: gateway.attempts.cut_unreachable(notice.worker),
+            message.WorkerUnreachable: lambda notice: gateway.attempts.cancel_unreachable(notice.worker),
             message.RelayRequest: lambda request: message.RelayResponse(gateway.relays.issue_token(request.worker)),
             message.ForwardedListing: lambda forwarded: self.follower.apply_listing(forwarded.listing),
             message.PolledWorkers: lambda polled: self.follower.apply_polled_workers(polled.workers),
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -253,7 +253,7 @@
         self.counts["elects"] += 1
         if not request.is_retry:
             first_id = request.request_id or request.attempt_id.rpartition("/")[0]
-            self.records.budget.first(self.runtime.now(), first_id)
+            self.records.budget.record_first_attempt(self.runtime.now(), first_id)
         until = self.runtime.now() + request.wait_us
         self.waiting += 1
         try:
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -111,7 +111,7 @@
 def _has_local_capacity(self: retry_budget.Budget, now: int) -> bool:
     """In place of `Budget.has_capacity`: each node takes a sixth of the retry budget, whatever its traffic."""
     self._trim(now)
-    return (len(self.repeats) + 1) * SHARE_OF_LOCAL_BUDGET / self.ratio <= len(self.firsts)
+    return (len(self.retries) + 1) * SHARE_OF_LOCAL_BUDGET / self.ratio <= len(self.first_attempts)
 
 
 def _is_fresh(self: follower.Follower, answered_at: int) -> bool:
@@ -176,9 +176,9 @@
 
 def _interrupted_is_complete(self: dispatch.AnswerRelay, _reason: failure.Failure | None = None) -> None:
     """In place of `AnswerRelay.connectionLost`: an answer that broke off counts as complete."""
-    if self.tick is not None and self.tick.active():
-        self.tick.cancel()
-    self.done(True)
+    if self.read_timer is not None and self.read_timer.active():
+        self.read_timer.cancel()
+    self.on_end(True)
 
 
 _sent_headers: list[http_headers.Headers] = []
--- a/simulation/prober.py
+++ b/simulation/prober.py
@@ -32,7 +32,7 @@
     async def run(self, runtime: scheduler.Runtime) -> None:
         """Every second, try the newest probe route, the one before, and the cluster's `paths` at every ready node."""
         cluster = self.cluster
-        agent = dispatch.Dispatcher(runtime).fresh
+        agent = dispatch.Dispatcher(runtime).unpooled_agent
         while cluster.probing:
             await runtime.sleep(INTERVAL_US)
             for name in [name for name in sorted(cluster.nodes) if cluster.is_ready(name)]:
@@ -62,4 +62,4 @@
             code = json.loads(raw)["code"] if raw and response.code != HTTP_OK else ""
             self.cluster.tape.put(started_at, "probe", code=code, **answer)
 
-        response.deliverBody(dispatch.Collect(log_answer))
+        response.deliverBody(dispatch.BodyCollector(log_answer))
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -51,7 +51,7 @@
             self.route.repeat == "may",
         )
         x.route, x.pool, x.pool_name = self.route, configuration.Pool(election="node"), "desk"
-        x.terms, x.until = configuration.Terms(), x.arrived + x.parsed.left_us
+        x.terms, x.deadline_us = configuration.Terms(), x.arrived_at_us + x.parsed.left_us
         await self.forwarder.forward(x)
 
     def go(self, ms):
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -33,7 +33,7 @@
         x = types.SimpleNamespace(pool_name="desk", pool=configuration.Pool(election="node"))
         for _ in range(firsts):
             self.attempt_ids += 1
-            d.budget(x).first(self.now, f"x{self.attempt_ids}")
+            d.budget(x).record_first_attempt(self.now, f"x{self.attempt_ids}")
         count = 0
         while d.budget(x).spend(self.now):
             count += 1
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -96,7 +96,7 @@
         self.go(1000)
         self.send()
         self.worker.silent_drop, self.worker.idle_us = False, 0
-        self.go(worker_connections.LEARNED_US // MS + 1000)
+        self.go(worker_connections.IDLE_LIMIT_VALIDITY_US // MS + 1000)
         self.send()
         before = self.opened()
         self.go(1000)
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -517,7 +517,7 @@
         line.makeConnection(transport)
         flows = []
         for attempt, pieces in zip(ATTEMPTS, turns, strict=False):
-            if line.spoiled or line.receiver is not None:
+            if line.must_close or line.receiver is not None:
                 break
             flows.append(RecordingFlow(attempt))
             line.start(b"", flows[-1])
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -25,7 +25,7 @@
     ):
         """Send one request; a box that will hold (status, head of the answer, its Taker)."""
         box = []
-        agent = dispatch.Dispatcher(t.load.runtime).fresh
+        agent = dispatch.Dispatcher(t.load.runtime).unpooled_agent
         headers = http_headers.Headers(
             {
                 "X-Prompt-Prefix": [", ".join(parts)],
