--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -10,8 +10,7 @@
 from iriswheel.dataplane import attempt_outcome
 
 if typing.TYPE_CHECKING:
-    from iriswheel.dataplane import forwarded_request, worker_connections
-    from iriswheel.node import node
+    from iriswheel.dataplane import forwarded_request, interfaces, worker_connections
 
 BROKEN_SUSPICION = 0.5  # how much a broken connection counts against its worker
 
@@ -28,7 +27,7 @@
 
     def __init__(
         self,
-        node: node.Node,
+        node: interfaces.DataPlaneNode,
         counts: dict[str, int],
         request: forwarded_request.ForwardedRequest,
         worker: str,
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -10,7 +10,7 @@
 from iriswheel.runtime import units
 
 if typing.TYPE_CHECKING:
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces
 
 CHECK_INTERVAL_US = 500 * units.MILLISECOND_US
 HANG_TIMEOUT_US = 1 * units.SECOND_US  # an attempt that received nothing for so long hangs
@@ -21,7 +21,7 @@
 class AttemptRegistry:
     """The attempts under way, by attempt id."""
 
-    def __init__(self, node: node.Node) -> None:
+    def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
         self.attempts: dict[str, dispatch.Attempt] = {}
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -22,8 +22,7 @@
 from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
-    from iriswheel.dataplane import routed_request
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces, routed_request
     from iriswheel.transport import message
 
 
@@ -48,7 +47,7 @@
 class Forwarder:
     """A node's forwarder of requests to workers that it selects itself."""
 
-    def __init__(self, node: node.Node) -> None:
+    def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
         self.protocol = node.edge_protocol
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -27,7 +27,7 @@
 from iriswheel.runtime import scheduler
 
 if typing.TYPE_CHECKING:
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces
     from iriswheel.transport import http_server, message
 
 MAX_ATTEMPTS = 4  # attempts that may break per request, where the route sets no lower bound
@@ -38,7 +38,7 @@
 class Gateway:
     """Composes admission, worker selection, sending and relaying."""
 
-    def __init__(self, node: node.Node) -> None:
+    def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
         self.counts = {"exchanges": 0, "whole": 0, "torn": 0, "repeats": 0, "bypass": 0, "passed": 0, "gone": 0}
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -15,7 +15,7 @@
 from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces
 
 
 PROBE_INTERVAL_US = 500 * units.MILLISECOND_US
@@ -39,7 +39,7 @@
 class Reachability:
     """One node's own contact with the workers: when each last answered, and to which it has no connection."""
 
-    def __init__(self, node: node.Node) -> None:
+    def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
         self.last_contact_us: dict[str, int] = {}  # worker -> when it last said anything here
--- /dev/null
+++ b/iriswheel/dataplane/interfaces.py
@@ -0,0 +1,185 @@
+"""What the data plane uses of the node process that it runs in; `node.node.Node` provides it.
+
+The data plane is imported by the node and does not import it.
+"""
+
+from __future__ import annotations
+
+import collections.abc
+import typing
+
+if typing.TYPE_CHECKING:
+    from iriswheel.configuration import configuration
+    from iriswheel.dataplane import dispatch, edge_protocol, gateway, health
+    from iriswheel.runtime import options, scheduler
+    from iriswheel.transport import message, peers
+
+
+class MemberProcess(typing.Protocol):
+    """A process that takes part in the membership."""
+
+    @property
+    def me(self) -> message.Member | None:
+        """This process's own member record; None before it has started."""
+
+
+class FleetView(typing.Protocol):
+    """What a node knows of the fleet: its slice of the configuration, the membership, the workers."""
+
+    @property
+    def applied_index(self) -> int:
+        """The log index of the configuration that is applied here."""
+
+    @property
+    def items(self) -> configuration.Items | None:
+        """The slice of the configuration as it came; None before the first."""
+
+    @property
+    def routes(self) -> dict[str, configuration.Route]:
+        """The routes, by name."""
+
+    @property
+    def pools(self) -> dict[str, configuration.Pool]:
+        """The pools, by name."""
+
+    @property
+    def terms(self) -> dict[str, configuration.Terms]:
+        """The session terms, by name."""
+
+    @property
+    def membership(self) -> message.Membership:
+        """The newest membership."""
+
+    @property
+    def workers(self) -> list[message.Worker]:
+        """The workers as they were last listed."""
+
+    @property
+    def states(self) -> dict[str, message.Worker]:
+        """The listed workers, by id."""
+
+    def find(self, host: str, path: str) -> configuration.Route | None:
+        """Return the route for a host and a path, or None."""
+
+    def assignment(self, key: str) -> message.RoleAssignment | None:
+        """Return a role's assignment, or None."""
+
+    def member(self, identifier: str) -> message.Member | None:
+        """Return a member, or None."""
+
+    def state(self, worker: str) -> str:
+        """Return a worker's state, a `message.WorkerState`."""
+
+    def drained(self, worker: str) -> bool:
+        """Whether the drain time of a worker that leaves or is gone is over."""
+
+    def selected_by_owner(self, name: str) -> bool:
+        """Whether a pool's workers are chosen by its owner."""
+
+    def needs_rejoin(self) -> bool:
+        """Whether this process did not run for a while and has not rejoined yet."""
+
+    def configuration_may_be_stale(self) -> bool:
+        """Whether this node may have missed a change that is in force on other nodes."""
+
+    def has_worker_update(self) -> bool:
+        """Whether the worker list is recent enough to send requests by."""
+
+
+class LoadReporter(typing.Protocol):
+    """Reports this node's load to the other nodes."""
+
+    @property
+    def report_now(self) -> scheduler.Signal:
+        """Woken for a report at once."""
+
+    def touch(self) -> None:
+        """Note that the load changed."""
+
+
+class LocalPoolOwner(typing.Protocol):
+    """A pool owner in this process."""
+
+    async def select_worker(
+        self, request: message.SelectWorker, /
+    ) -> message.SelectionGranted | message.SelectionDenied:
+        """Choose a worker for a request, or deny one."""
+
+
+class DataPlaneNode(MemberProcess, typing.Protocol):
+    """The node process, as far as the path of a request needs it."""
+
+    @property
+    def runtime(self) -> scheduler.Runtime:
+        """Clock, timers, tasks."""
+
+    @property
+    def options(self) -> options.Options:
+        """The options of the process."""
+
+    @property
+    def edge_protocol(self) -> edge_protocol.EdgeProtocol:
+        """The format of clients' and workers' requests and answers."""
+
+    @property
+    def dispatcher(self) -> dispatch.Dispatcher:
+        """Sends requests to workers that pool owners select, to peers and to the platform."""
+
+    @property
+    def reachability(self) -> health.Reachability:
+        """Which workers are reached from here."""
+
+    @property
+    def follower(self) -> FleetView:
+        """What this node knows of the fleet."""
+
+    @property
+    def gateway(self) -> gateway.Gateway:
+        """The entry point for clients, which owns the retry budgets."""
+
+    @property
+    def loads(self) -> LoadReporter:
+        """Reports the load of this node's attempts."""
+
+    @property
+    def peers(self) -> peers.Peers:
+        """Connections to other processes."""
+
+    @property
+    def pool_owners(self) -> collections.abc.Mapping[str, LocalPoolOwner]:
+        """The pool owners whose role is here, by pool."""
+
+    @property
+    def grants(self) -> dict[str, message.WorkerGrant]:
+        """The grants of attempts under way here, by attempt id."""
+
+    @property
+    def given_up(self) -> dict[str, tuple[str, int]]:
+        """Attempts given up without a send: attempt id -> (pool, until when it is reported in µs)."""
+
+    @property
+    def draining(self) -> bool:
+        """Whether the node is not ready any more, but still serves whoever comes."""
+
+    @property
+    def refusing_requests(self) -> bool:
+        """Whether new requests get an error: the drain is nearly over."""
+
+    @property
+    def stopped(self) -> bool:
+        """Whether the tasks of this node are to end."""
+
+    @property
+    def options_reread_at_us(self) -> int | None:
+        """When the options were last read again."""
+
+    drain_noticed_at_us: int | None  # when the platform first heard that this node drains; set by the data plane
+
+    def ready(self) -> tuple[bool, str]:
+        """Whether clients should be sent here, and why not."""
+
+    def state(self) -> dict[str, typing.Any]:
+        """Return what the node shows of itself."""
+
+    def tell_member(self, identifier: str, notice: message.Message) -> None:
+        """Send a member a notice without an answer."""
--- a/iriswheel/dataplane/local_member.py
+++ b/iriswheel/dataplane/local_member.py
@@ -5,10 +5,10 @@
 import typing
 
 if typing.TYPE_CHECKING:
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces
 
 
-def member_id(local_node: node.Node) -> str:
+def member_id(local_node: interfaces.MemberProcess) -> str:
     """Return the member id of a node that has started.
 
     Args:
--- a/iriswheel/dataplane/node_budgets.py
+++ b/iriswheel/dataplane/node_budgets.py
@@ -9,7 +9,7 @@
 
 if typing.TYPE_CHECKING:
     from iriswheel.configuration import configuration
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces
 
 
 class PoolRequest(typing.Protocol):
@@ -26,7 +26,7 @@
     is new; else each node keeps to its own part.
     """
 
-    def __init__(self, node: node.Node) -> None:
+    def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
         self.started_at = self.runtime.now()
--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -13,8 +13,7 @@
 from iriswheel.transport import message, wire
 
 if typing.TYPE_CHECKING:
-    from iriswheel.dataplane import routed_request
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces, routed_request
 
 OWNER_SILENCE_US = 600 * units.MILLISECOND_US  # a pool owner not heard for this long is silent
 CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
@@ -29,7 +28,7 @@
 class OwnerClient:
     """This node's requests to the pools' owners; an owner may be this node itself."""
 
-    def __init__(self, node: node.Node) -> None:
+    def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
 
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -10,7 +10,7 @@
 from iriswheel.transport import message, wire
 
 if typing.TYPE_CHECKING:
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces
     from iriswheel.transport import http_server
 
 TOKEN_US = 700 * units.MILLISECOND_US  # how long a token is valid, and how long a peer may take to give one
@@ -27,7 +27,7 @@
 NO_TOKEN = RelayToken("", 0)
 
 
-async def request_token(local_node: node.Node, peer: message.Member, worker: str) -> str:
+async def request_token(local_node: interfaces.DataPlaneNode, peer: message.Member, worker: str) -> str:
     """Ask a peer for a relay token; returns "" where the peer can't help or does not answer."""
     try:
         response = await local_node.peers.call(peer.host, peer.port, message.RelayRequest(worker), TOKEN_US)
@@ -40,7 +40,7 @@
 class RelayServer:
     """Gives tokens to peers and passes their requests on to workers."""
 
-    def __init__(self, node: node.Node) -> None:
+    def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
         self.tokens: dict[str, RelayToken] = {}
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -10,8 +10,7 @@
 
 if typing.TYPE_CHECKING:
     from iriswheel.configuration import configuration
-    from iriswheel.dataplane import node_budgets, routed_request
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces, node_budgets, routed_request
 
 
 BYTES_PER_WORK_UNIT = 16
@@ -21,7 +20,7 @@
 class RequestRouter:
     """Sets the fields of a request that follow from this node's copy of the configuration."""
 
-    def __init__(self, node: node.Node, budgets: node_budgets.NodeBudgets) -> None:
+    def __init__(self, node: interfaces.DataPlaneNode, budgets: node_budgets.NodeBudgets) -> None:
         self.node = node
         self.runtime = node.runtime
         self.budgets = budgets
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -10,8 +10,7 @@
 from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    from iriswheel.dataplane import owner_client, routed_request
-    from iriswheel.node import node
+    from iriswheel.dataplane import interfaces, owner_client, routed_request
 
 RETRY_INTERVAL_US = 50 * units.MILLISECOND_US
 REJOIN_WAIT_US = 1 * units.SECOND_US  # a request waits so long for this node to rejoin, or for a worker after one broke
@@ -30,7 +29,7 @@
 
     def __init__(
         self,
-        node: node.Node,
+        node: interfaces.DataPlaneNode,
         router: request_router.RequestRouter,
         owners: owner_client.OwnerClient,
         counts: dict[str, int],
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -35,12 +35,12 @@
         self.edge_protocol = formats or edge_protocol.EdgeProtocol()
         self.me: message.Member | None = None
         self.peers = peers.Peers(runtime, self.serve, log)
-        self.reachability = health.Reachability(self)
+        self.reachability: health.Reachability = health.Reachability(self)
         self.dispatcher = dispatch.Dispatcher(runtime, self.reachability.note_contact)
-        self.follower = follower.Follower(self, options)
-        self.gateway = gateway.Gateway(self)
+        self.follower: follower.Follower = follower.Follower(self, options)
+        self.gateway: gateway.Gateway = gateway.Gateway(self)
         self.loads = load_reporter.LoadReporter(self)
-        self.pool_roles = pool_roles.PoolRoles(self)
+        self.pool_roles: pool_roles.PoolRoles = pool_roles.PoolRoles(self)
         self.peer_requests = peer_requests.PeerRequests(self)
         self.grants: dict[str, message.WorkerGrant] = {}  # by attempt id, of attempts under way here
         self.given_up: dict[str, tuple[str, int]] = {}  # attempt id -> (pool, until), given up here without a send
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -20,8 +20,7 @@
 
 if typing.TYPE_CHECKING:
     from iriswheel.configuration import configuration
-    from iriswheel.node import node
-    from iriswheel.pools import session_replicas
+    from iriswheel.pools import interfaces, session_replicas
 
 GRANT_USE_US = 2 * units.SECOND_US
 """Sent with each grant as the time for which it may be used; nodes go by the request's own time limit instead."""
@@ -52,7 +51,7 @@
 class PoolOwner:
     """One pool's owner, for as long as the role is at this node under one term."""
 
-    def __init__(self, node: node.Node, pool: str, assignment: message.RoleAssignment) -> None:
+    def __init__(self, node: interfaces.OwnerNode, pool: str, assignment: message.RoleAssignment) -> None:
         self.node = node
         self.runtime = node.runtime
         self.member_id = local_member.member_id(node)
