--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -1,11 +1,11 @@
-"""A model of an inference engine: continuous batching, prompts read in pieces, kept prefix parts, and memory.
+"""A model of an inference engine: continuous batching, chunked prefill, a prefix cache, and a KV cache of limited size.
 
-All requests of the batch get a token each step. A step also reads a piece of the prompts that are not read yet,
-and all others wait for it. A prompt is made of parts; a part that is kept is not read again as long as all parts
-before it are kept too. Parts that nobody uses give way, the ones unused the longest first. Where memory still runs
-out, the newest request among the least urgent is put back and read anew later, even in the middle of its stream.
+All requests of the batch decode a token each step. A step also prefills a chunk of the prompts that are not read yet,
+and all others wait for it. A prompt is made of parts; a cached part is not read again as long as all parts before it
+are cached too. Parts that no request uses are evicted, the least recently used first. Where memory still runs out, the
+newest request among the least urgent is preempted and prefilled anew later, even in the middle of its stream.
 
-The model does work only while there are requests: one tick of its machine's clock for each step.
+The model does work only while there are requests: one timer of its machine's clock for each step.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
     from iriswheel.runtime import scheduler
 
 
-URGENCY = 5  # of a request that names none; 0 comes first
+DEFAULT_URGENCY = 5  # of a request that names none; 0 comes first
 
 
 @dataclasses.dataclass
-class Figures:
-    """What an engine can do. Times are microseconds, the rest tokens and requests.
+class EngineParameters:
+    """What an engine can do. Times are in microseconds; the rest counts tokens or requests.
 
-    >>> Figures(capacity=8).capacity
+    >>> EngineParameters(capacity=8).capacity
     8
     """
 
@@ -39,9 +39,9 @@
     step_us: int = 5_000
     step_us_per_request: float = 30.0
     step_us_per_kilotoken: float = 3.4  # of all context that the batch holds
-    read_tokens_per_ms: float = 51.0
-    read_us_per_megapair: float = 320.0  # each token read looks at all before it
-    piece: int = 1024  # prompt tokens read in one step
+    prefill_tokens_per_ms: float = 51.0
+    prefill_us_per_megapair: float = 320.0  # each token read looks at all before it
+    prefill_chunk_tokens: int = 1024  # prompt tokens read in one step
     kv_capacity: int = 440_000  # tokens kept, those of running requests included
     event_tokens: int = 4  # in one event of a stream, but for the first one, which goes out with the first token
     report_lag_us: int = 200_000
@@ -53,39 +53,39 @@
 
 
 @dataclasses.dataclass
-class UnreadPart:
-    """A part of a prompt that is being read: its tokens, and how many of them are still to be read."""
+class PendingPart:
+    """A part of a prompt under prefill: its tokens, and how many of them are still to be read."""
 
     name: str
     tokens: int
-    left: int
+    left_tokens: int
 
 
 @dataclasses.dataclass
-class KeptPart:
-    """A part that is kept: its tokens, and how many requests of the batch use it."""
+class CachedPart:
+    """A part in the prefix cache: its tokens, and how many requests of the batch use it."""
 
     tokens: int
-    holders: int
+    references: int
 
 
 class Load(typing.NamedTuple):
-    """How an engine stands."""
+    """The load of an engine."""
 
     waiting: int
     running: int
-    used_tokens: int  # that can't give way
+    used_tokens: int  # that can't be evicted
 
 
 class TimedLoad(typing.NamedTuple):
-    """How an engine stood from a time on, in microseconds."""
+    """The load of an engine from a time on, in microseconds."""
 
     at: int
     load: Load
 
 
-class Reading(typing.NamedTuple):
-    """What a step reads of a request's prompt."""
+class PrefillChunk(typing.NamedTuple):
+    """How many tokens of a request's prompt a step reads."""
 
     job: Job
     tokens: int
@@ -97,32 +97,31 @@
 
     Attributes:
         on_event: Called with the number of an event, from 1, and whether it is the last.
-        on_first_token: Called when the first token is put out.
+        on_first_token: Called when the first token is decoded.
 
-
-    >>> Job("x", [("a", 10), ("b", 5)], 8).prompt
+    >>> Job("x", [("a", 10), ("b", 5)], 8).prompt_tokens
     15
     """
 
     identifier: str
     parts: list[tuple[str, int]]  # (part, tokens), in order
-    tokens: int  # to put out
-    urgency: int = URGENCY
+    output_tokens: int
+    urgency: int = DEFAULT_URGENCY
     on_event: collections.abc.Callable[[int, bool], object] = lambda _number, _last: None
     on_first_token: collections.abc.Callable[[], object] = lambda: None
-    done: int = 0  # tokens put out so far; above 0 at the start for one that is taken up
+    decoded: int = 0  # tokens decoded so far; above 0 at the start for a stream that is resumed
     number: int = 0
-    left: int = 0  # tokens still to read before the next token
-    owned: int = 0  # tokens held by this one alone
+    prefill_left: int = 0  # tokens still to read before the next token
+    private_tokens: int = 0  # of the KV cache, held by this request alone
     state: JobState = "new"
-    put_back: int = 0
+    preemptions: int = 0
 
     def __post_init__(self) -> None:
         """Derive the size of the prompt and start the counts of its parts."""
-        self.prompt = sum(tokens for _, tokens in self.parts)
-        self.taken_up = self.done
-        self.used: list[str] = []  # kept parts that this one holds
-        self.unread: list[UnreadPart] = []  # those that it reads itself
+        self.prompt_tokens = sum(tokens for _, tokens in self.parts)
+        self.resumed_at = self.decoded
+        self.used: list[str] = []  # cached parts that it references
+        self.pending_parts: list[PendingPart] = []  # those that it prefills itself
 
     def rank(self) -> tuple[int, int]:
         """The place in the queue: the most urgent first, then the oldest.
@@ -141,7 +140,7 @@
     >>> import twisted.internet.task as task
     >>> clock = task.Clock()
     >>> runtime = scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US))
-    >>> engine = Engine(runtime, Figures(enter_us=0))
+    >>> engine = Engine(runtime, EngineParameters(enter_us=0))
     >>> out = []
     >>> engine.offer(Job("x", [("a", 100)], 6, on_event=lambda number, last: out.append((number, last))))
     True
@@ -149,38 +148,40 @@
     [(1, False), (2, False), (3, True)]
     """
 
-    def __init__(self, runtime: scheduler.Runtime, figures: Figures | None = None) -> None:
+    def __init__(self, runtime: scheduler.Runtime, parameters: EngineParameters | None = None) -> None:
         self.runtime = runtime
-        self.figures = figures or Figures()
+        self.parameters = parameters or EngineParameters()
         self.waiting: list[Job] = []  # by rank
-        self.running: list[Job] = []  # in the order let in
+        self.running: list[Job] = []  # in the order of admission
         self.entering = 0
-        self.kept: collections.OrderedDict[str, KeptPart] = collections.OrderedDict()  # the longest unused first
-        self.kept_tokens = 0
-        self.idle_tokens = 0  # of kept parts without a holder
-        self.owned = 0
-        self.context = 0
+        self.cached: collections.OrderedDict[str, CachedPart] = (
+            collections.OrderedDict()
+        )  # the least recently used first
+        self.cached_tokens = 0
+        self.evictable_tokens = 0  # of cached parts that no request references
+        self.private_tokens = 0
+        self.context_tokens = 0
         self.offered = 0
-        self.tick: scheduler.Timer | None = None
+        self.step_timer: scheduler.Timer | None = None
         self.stopped = False
-        self.past: collections.deque[TimedLoad] = collections.deque([TimedLoad(0, Load(0, 0, 0))])
-        self.read = self.read_again = self.steps = self.put_backs = 0
-        self.parts_read: set[str] = set()  # by any engine of the site
+        self.load_history: collections.deque[TimedLoad] = collections.deque([TimedLoad(0, Load(0, 0, 0))])
+        self.prefilled = self.prefilled_again = self.steps = self.preemptions = 0
+        self.prefilled_parts: set[str] = set()  # by any engine of the site
 
-    # ---- in and out -------------------------------------------------------------------
+    # ---- admission -------------------------------------------------------------------
 
     def offer(self, job: Job) -> bool:
-        """Take a request, or say that there is no room for it now or ever."""
-        figures = self.figures
-        if job.prompt + job.tokens > figures.kv_capacity:
+        """Take a request; False where there is no room for it now or ever."""
+        parameters = self.parameters
+        if job.prompt_tokens + job.output_tokens > parameters.kv_capacity:
             return False
-        if len(self.running) + len(self.waiting) + self.entering >= figures.capacity + figures.waiting_limit:
+        if len(self.running) + len(self.waiting) + self.entering >= parameters.capacity + parameters.waiting_limit:
             return False
         self.offered += 1
         job.number, job.state = self.offered, "entering"
         self.entering += 1
-        if figures.enter_us:
-            self.runtime.later(figures.enter_us, self.enter, job)
+        if parameters.enter_us:
+            self.runtime.later(parameters.enter_us, self.enter, job)
         else:
             self.enter(job)
         return True
@@ -191,235 +192,235 @@
         if job.state != "entering" or self.stopped:
             return
         self.wait(job)
-        self.go_on()
+        self.start_step()
 
     def wait(self, job: Job) -> None:
         """Put a request in the queue."""
         job.state = "waiting"
         bisect.insort(self.waiting, job, key=Job.rank)
-        self.note()
+        self.record_load()
 
     def cancel(self, job: Job) -> None:
-        """Forget a request; its parts that were read stay."""
+        """Forget a request; its parts that were read stay cached."""
         match job.state:
             case "waiting":
                 self.waiting.remove(job)
             case "running":
-                self.leave(job)
+                self.remove(job)
         job.state = "ended"
-        self.note()
+        self.record_load()
 
     def stop(self) -> None:
         """End for good: nothing more is told."""
         self.stopped = True
-        if self.tick is not None and self.tick.active():
-            self.tick.cancel()
+        if self.step_timer is not None and self.step_timer.active():
+            self.step_timer.cancel()
         for job in [*self.waiting, *self.running]:
             job.state = "ended"
 
     # ---- memory ------------------------------------------------------------------------
 
-    def free(self) -> int:
-        """Tokens of memory that nothing holds, after all that can give way has given way."""
-        return self.figures.kv_capacity - self.owned - self.kept_tokens + self.idle_tokens
+    def available_tokens(self) -> int:
+        """Tokens of the KV cache that are free once all that can be evicted is."""
+        return self.parameters.kv_capacity - self.private_tokens - self.cached_tokens + self.evictable_tokens
 
-    def give_way(self, tokens: int) -> bool:
-        """Let kept parts go until so many tokens are free; whether they are."""
-        if self.free() < tokens:
+    def evict(self, tokens: int) -> bool:
+        """Evict unreferenced parts until so many tokens are free; whether they are."""
+        if self.available_tokens() < tokens:
             return False
-        unused = self.figures.kv_capacity - self.owned - self.kept_tokens
+        unused = self.parameters.kv_capacity - self.private_tokens - self.cached_tokens
         if unused >= tokens:
             return True
-        for name, part in list(self.kept.items()):
-            if part.holders:
+        for name, part in list(self.cached.items()):
+            if part.references:
                 continue
-            del self.kept[name]
-            self.kept_tokens -= part.tokens
-            self.idle_tokens -= part.tokens
+            del self.cached[name]
+            self.cached_tokens -= part.tokens
+            self.evictable_tokens -= part.tokens
             unused += part.tokens
             if unused >= tokens:
                 break
         return True
 
-    def hold(self, part: str) -> None:
-        """Let one more request use a kept part."""
-        kept = self.kept[part]
-        self.idle_tokens -= 0 if kept.holders else kept.tokens
-        kept.holders += 1
+    def acquire(self, part: str) -> None:
+        """Count one more request that uses a cached part."""
+        cached = self.cached[part]
+        self.evictable_tokens -= 0 if cached.references else cached.tokens
+        cached.references += 1
 
-    def known(self, job: Job) -> list[str]:
-        """The kept parts that a request would not read again."""
+    def cached_prefix(self, job: Job) -> list[str]:
+        """The cached parts that a request need not read again."""
         parts = (part for part, _ in job.parts)
-        return list(itertools.takewhile(self.kept.__contains__, parts))
+        return list(itertools.takewhile(self.cached.__contains__, parts))
 
-    def let_in(self, job: Job) -> bool:
-        """Give a request its place and memory; whether there was memory."""
-        known = self.known(job)
+    def admit(self, job: Job) -> bool:
+        """Give a request its place in the batch and its memory; False where there is too little memory."""
+        known = self.cached_prefix(job)
         for part in known:
-            self.hold(part)
+            self.acquire(part)
         unknown = job.parts[len(known) :]
-        need = sum(tokens for _, tokens in unknown) + job.done
-        if not self.give_way(need + 1):
+        need = sum(tokens for _, tokens in unknown) + job.decoded
+        if not self.evict(need + 1):
             self.release(known)
             return False
-        job.used, job.owned, job.left = known, need, need
-        job.unread = [UnreadPart(part, tokens, tokens) for part, tokens in unknown]
-        self.owned += need
+        job.used, job.private_tokens, job.prefill_left = known, need, need
+        job.pending_parts = [PendingPart(part, tokens, tokens) for part, tokens in unknown]
+        self.private_tokens += need
         job.state = "running"
         self.running.append(job)
-        self.context += job.prompt + job.done
-        self.read_again += sum(tokens for part, tokens in unknown if part in self.parts_read)
+        self.context_tokens += job.prompt_tokens + job.decoded
+        self.prefilled_again += sum(tokens for part, tokens in unknown if part in self.prefilled_parts)
         return True
 
     def release(self, parts: list[str]) -> None:
-        """Let go of kept parts, the last first, so that the first is kept the longest."""
+        """Drop references to cached parts, the last first, so that the first is kept the longest."""
         for part in reversed(parts):
-            kept = self.kept[part]
-            kept.holders -= 1
-            self.idle_tokens += 0 if kept.holders else kept.tokens
-            self.kept.move_to_end(part)
+            cached = self.cached[part]
+            cached.references -= 1
+            self.evictable_tokens += 0 if cached.references else cached.tokens
+            self.cached.move_to_end(part)
 
-    def leave(self, job: Job) -> None:
+    def remove(self, job: Job) -> None:
         """Take a request out of the batch."""
         self.running.remove(job)
         self.release(job.used)
-        self.owned -= job.owned
-        self.context -= job.prompt + job.done
-        job.used, job.unread, job.owned = [], [], 0
-
-    def put_off(self, job: Job) -> None:
-        """Put a request back in the queue; it is read anew."""
-        self.leave(job)
-        job.put_back += 1
-        self.put_backs += 1
+        self.private_tokens -= job.private_tokens
+        self.context_tokens -= job.prompt_tokens + job.decoded
+        job.used, job.pending_parts, job.private_tokens = [], [], 0
+
+    def preempt(self, job: Job) -> None:
+        """Put a running request back in the queue; it is prefilled anew."""
+        self.remove(job)
+        job.preemptions += 1
+        self.preemptions += 1
         self.wait(job)
 
-    def least(self) -> Job:
+    def lowest_priority(self) -> Job:
         """The newest request among the least urgent of the batch."""
         return max(self.running, key=Job.rank)
 
     # ---- steps -------------------------------------------------------------------------
 
-    def go_on(self) -> None:
+    def start_step(self) -> None:
         """Begin a step, unless one is under way or there is nothing to do."""
-        if self.stopped or (self.tick is not None and self.tick.active()):
+        if self.stopped or (self.step_timer is not None and self.step_timer.active()):
             return
-        self._let_in_waiting()
-        self.note()
+        self._admit_waiting()
+        self.record_load()
         if not self.running:
             return
-        readings = self._plan_readings()
-        cost_us = self._step_cost_us(readings)
-        self.tick = self.runtime.later(round(cost_us / self.figures.speed), self.step, readings)
+        chunks = self._plan_prefill()
+        cost_us = self._step_cost_us(chunks)
+        self.step_timer = self.runtime.later(round(cost_us / self.parameters.speed), self.step, chunks)
 
-    def _let_in_waiting(self) -> None:
+    def _admit_waiting(self) -> None:
         """Fill the batch from the queue; a more urgent request takes the place of a less urgent one."""
         while self.waiting:
             job = self.waiting[0]
-            if len(self.running) < self.figures.capacity and self.let_in(job):
+            if len(self.running) < self.parameters.capacity and self.admit(job):
                 self.waiting.pop(0)
                 continue
-            if not self.running or self.least().urgency <= job.urgency:
+            if not self.running or self.lowest_priority().urgency <= job.urgency:
                 break
-            self.put_off(self.least())
+            self.preempt(self.lowest_priority())
 
-    def _plan_readings(self) -> list[Reading]:
-        """What the next step reads: a piece of the prompts, by rank."""
-        left, readings = self.figures.piece, []
-        for job in sorted((job for job in self.running if job.left), key=Job.rank):
-            tokens = min(left, job.left)
+    def _plan_prefill(self) -> list[PrefillChunk]:
+        """What the next step reads of the prompts, by rank."""
+        left, chunks = self.parameters.prefill_chunk_tokens, []
+        for job in sorted((job for job in self.running if job.prefill_left), key=Job.rank):
+            tokens = min(left, job.prefill_left)
             if not tokens:
                 break
             left -= tokens
-            readings.append(Reading(job, tokens))
-        return readings
+            chunks.append(PrefillChunk(job, tokens))
+        return chunks
 
-    def _step_cost_us(self, readings: list[Reading]) -> float:
+    def _step_cost_us(self, chunks: list[PrefillChunk]) -> float:
         """How long a step takes at speed 1."""
-        figures = self.figures
-        cost = figures.step_us + figures.step_us_per_request * len(self.running)
-        cost += figures.step_us_per_kilotoken * self.context / 1000
-        for job, tokens in readings:
-            before = job.prompt + job.done - job.left
+        parameters = self.parameters
+        cost = parameters.step_us + parameters.step_us_per_request * len(self.running)
+        cost += parameters.step_us_per_kilotoken * self.context_tokens / 1000
+        for job, tokens in chunks:
+            before = job.prompt_tokens + job.decoded - job.prefill_left
             pairs = tokens * (before + tokens / 2)
-            cost += tokens / figures.read_tokens_per_ms * 1000 + pairs / 1e6 * figures.read_us_per_megapair
+            cost += tokens / parameters.prefill_tokens_per_ms * 1000 + pairs / 1e6 * parameters.prefill_us_per_megapair
         return cost
 
-    def step(self, readings: list[Reading]) -> None:
-        """End a step: pieces are read, and who has read all has a token more."""
+    def step(self, chunks: list[PrefillChunk]) -> None:
+        """End a step: chunks are read, and each request whose prompt is read has a token more."""
         self.steps += 1
-        for job, tokens in readings:
+        for job, tokens in chunks:
             if job.state == "running":
-                job.left -= tokens
-                self.read += tokens
-                self.take_in(job, tokens)
+                job.prefill_left -= tokens
+                self.prefilled += tokens
+                self.finish_prefill(job, tokens)
         notices: list[collections.abc.Callable[[], object]] = []
         for job in list(self.running):
-            if job.state == "running" and not job.left and self._make_room(job):
-                notices += self._put_out(job)
+            if job.state == "running" and not job.prefill_left and self._preempt_until_room(job):
+                notices += self._decode(job)
         for notice in notices:
             notice()
-        self.tick = None
-        self.go_on()
+        self.step_timer = None
+        self.start_step()
 
-    def _make_room(self, job: Job) -> bool:
-        """Put requests back until there is memory for a token; whether this one still runs."""
-        while job.state == "running" and not self.give_way(1):
-            self.put_off(self.least())
+    def _preempt_until_room(self, job: Job) -> bool:
+        """Preempt requests until there is memory for a token; whether this one still runs."""
+        while job.state == "running" and not self.evict(1):
+            self.preempt(self.lowest_priority())
         return job.state == "running"
 
-    def _put_out(self, job: Job) -> list[collections.abc.Callable[[], object]]:
-        """Let a request have a token more: what is to be called at the end of the step."""
+    def _decode(self, job: Job) -> list[collections.abc.Callable[[], object]]:
+        """Decode a token of a request: what is to be called at the end of the step."""
         notices: list[collections.abc.Callable[[], object]] = []
-        job.done += 1
-        job.owned += 1
-        self.owned += 1
-        self.context += 1
-        whole = job.done >= job.tokens
-        if job.done == job.taken_up + 1:
+        job.decoded += 1
+        job.private_tokens += 1
+        self.private_tokens += 1
+        self.context_tokens += 1
+        is_last = job.decoded >= job.output_tokens
+        if job.decoded == job.resumed_at + 1:
             notices.append(job.on_first_token)
-        if whole or (job.done - 1) % self.figures.event_tokens == 0:
-            number = -(-(job.done - 1) // self.figures.event_tokens) + 1
-            notices.append(functools.partial(job.on_event, number, whole))
-        if whole:
-            self.leave(job)
+        if is_last or (job.decoded - 1) % self.parameters.event_tokens == 0:
+            number = -(-(job.decoded - 1) // self.parameters.event_tokens) + 1
+            notices.append(functools.partial(job.on_event, number, is_last))
+        if is_last:
+            self.remove(job)
             job.state = "ended"
         return notices
 
-    def take_in(self, job: Job, tokens: int) -> None:
-        """Count tokens as read; parts read through are kept."""
-        while tokens and job.unread:
-            part = job.unread[0]
-            read = min(tokens, part.left)
+    def finish_prefill(self, job: Job, tokens: int) -> None:
+        """Count tokens as read; parts that are read through are cached."""
+        while tokens and job.pending_parts:
+            part = job.pending_parts[0]
+            read = min(tokens, part.left_tokens)
             tokens -= read
-            part.left -= read
-            if part.left:
+            part.left_tokens -= read
+            if part.left_tokens:
                 return
-            job.unread.pop(0)
-            self.parts_read.add(part.name)
-            self.owned -= part.tokens
-            job.owned -= part.tokens
+            job.pending_parts.pop(0)
+            self.prefilled_parts.add(part.name)
+            self.private_tokens -= part.tokens
+            job.private_tokens -= part.tokens
             job.used.append(part.name)
-            if part.name in self.kept:  # another has read it meanwhile: one copy stays
-                self.hold(part.name)
+            if part.name in self.cached:  # another has read it meanwhile: one copy stays
+                self.acquire(part.name)
             else:
-                self.kept[part.name] = KeptPart(part.tokens, 1)
-                self.kept_tokens += part.tokens
+                self.cached[part.name] = CachedPart(part.tokens, 1)
+                self.cached_tokens += part.tokens
 
     # ---- reports ------------------------------------------------------------------------
 
-    def note(self) -> None:
-        """Keep how things stand, for reports."""
+    def record_load(self) -> None:
+        """Record the load, for reports."""
         now = self.runtime.now()
-        used = self.owned + self.kept_tokens - self.idle_tokens
+        used = self.private_tokens + self.cached_tokens - self.evictable_tokens
         load = Load(len(self.waiting) + self.entering, len(self.running), used)
-        if self.past[-1].at == now:
-            self.past.pop()
-        self.past.append(TimedLoad(now, load))
-        while len(self.past) > 1 and self.past[1].at <= now - self.figures.report_lag_us:
-            self.past.popleft()
+        if self.load_history[-1].at == now:
+            self.load_history.pop()
+        self.load_history.append(TimedLoad(now, load))
+        while len(self.load_history) > 1 and self.load_history[1].at <= now - self.parameters.report_lag_us:
+            self.load_history.popleft()
 
     def report(self) -> Load:
-        """How things stood a while ago."""
-        then = self.runtime.now() - self.figures.report_lag_us
-        return next((past.load for past in reversed(self.past) if past.at <= then), self.past[0].load)
+        """The load as a report gives it: that of a while ago."""
+        then = self.runtime.now() - self.parameters.report_lag_us
+        return next((past.load for past in reversed(self.load_history) if past.at <= then), self.load_history[0].load)
--- a/simulation/platform_days.py
+++ b/simulation/platform_days.py
@@ -107,7 +107,7 @@
         probes=kinds["probed"],
         opened=kinds["opened"],
         ran=kinds["ran"],
-        again=sum(worker.engine.read_again for worker in owner.workers.values()),
+        again=sum(worker.engine.prefilled_again for worker in owner.workers.values()),
         **by_kind,
     )
 
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -88,7 +88,7 @@
 
     def pool_document(self) -> Document:
         """The configuration of the site's pool of workers."""
-        names, figures = platform_names.POOL, self.site.engine_figures
+        names, parameters = platform_names.POOL, self.site.engine_parameters
         return {
             names["name"]: self.site.pool,
             names["probe"]: platform_names.PATHS["probe"],
@@ -96,11 +96,11 @@
             names["protocol"]: "h1",
             names["tls"]: False,
             names["engine"]: {
-                names["capacity"]: figures.capacity,
-                names["memory"]: figures.kv_capacity,
+                names["capacity"]: parameters.capacity,
+                names["memory"]: parameters.kv_capacity,
                 names["token_bytes"]: 163840,
                 names["link_mbps"]: 550000.0,
-                names["event_tokens"]: figures.event_tokens,
+                names["event_tokens"]: parameters.event_tokens,
                 names["models"]: [{"name": "m"}],
             },
         }
--- a/simulation/site/shapes.py
+++ b/simulation/site/shapes.py
@@ -40,7 +40,7 @@
         retry_slack: The `retry_slack` of the settings' bounds.
         bounds: Those bounds of the settings that differ from the small sites'.
         tolerated_losses: How many core machines may be lost at once.
-        engine_figures: Those figures of the workers' engines that differ from the usual ones.
+        engine_parameters: Those parameters of the workers' engines that differ from the defaults.
         connections: How many connections a worker takes.
 
     >>> SHAPES["swan"].rate
@@ -55,7 +55,7 @@
     retry_slack: int
     bounds: dict[str, int] = dataclasses.field(default_factory=dict)
     tolerated_losses: int = 1
-    engine_figures: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
+    engine_parameters: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
     connections: int = 360
 
     def zones(self) -> list[str]:
@@ -126,7 +126,7 @@
             pass_ms=200,
         ),
         tolerated_losses=2,
-        engine_figures=dict(capacity=16, kv_capacity=378_000, event_tokens=6),
+        engine_parameters=dict(capacity=16, kv_capacity=378_000, event_tokens=6),
         connections=510,
     ),
 }
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -60,11 +60,13 @@
         process: process_model.SimulatedProcess,
         pool: str,
         event_log: event_log.EventLog,
-        figures: inference_engine.Figures,
+        parameters: inference_engine.EngineParameters,
         *,
         connection_limit: int,
     ) -> None:
-        super().__init__(process.runtime(), process.name, pool, event_log, figures, connection_limit=connection_limit)
+        super().__init__(
+            process.runtime(), process.name, pool, event_log, parameters, connection_limit=connection_limit
+        )
         self.process = process
         self.host, self.zone = process.host.host, process.host.zone
 
@@ -82,7 +84,7 @@
         seconds: float = 20.0,
         load: float = 1.0,
         *,
-        engine_figures: inference_engine.Figures | None = None,
+        engine_parameters: inference_engine.EngineParameters | None = None,
     ) -> None:
         """Make a site that has not begun.
 
@@ -91,7 +93,7 @@
             shape: The name of a deployment in `shapes.SHAPES`.
             seconds: How long the traffic lasts.
             load: How many times the usual load.
-            engine_figures: The figures of the workers' engines, where they are not the deployment's.
+            engine_parameters: The parameters of the workers' engines, where they are not the deployment's.
         """
         self.shape = shapes.SHAPES[shape]
         self.world = world.World(seed)
@@ -99,7 +101,7 @@
         self.rng = self.world.rng
         self.event_log = event_log.EventLog()
         self.seconds, self.load = seconds, load
-        self.engine_figures = engine_figures or inference_engine.Figures(**self.shape.engine_figures)
+        self.engine_parameters = engine_parameters or inference_engine.EngineParameters(**self.shape.engine_parameters)
         self.cores: dict[str, server_model.SimulatedCore] = {}
         self.nodes: dict[str, server_model.SimulatedNode] = {}
         self.workers: dict[str, SimulatedWorker] = {}
@@ -107,7 +109,7 @@
         self.pool = f"p{self.rng.getrandbits(16):04x}"
         self.started = False  # whether the first start is over
         self.core_movements: list[Movement] = []
-        self.parts_read: set[str] = set()  # parts of requests that some worker has read
+        self.prefilled_parts: set[str] = set()  # parts of prompts that some worker has read
         self.seed_names: list[str] | None = None  # the core machines that the settings name, where not all
         self.traffics: list[client.Traffic] = []
         self.traffic_until = 0
@@ -210,10 +212,10 @@
             process,
             pool or self.pool,
             self.event_log,
-            dataclasses.replace(self.engine_figures, speed=speed),
+            dataclasses.replace(self.engine_parameters, speed=speed),
             connection_limit=self.shape.connections,
         )
-        worker.engine.parts_read = self.parts_read
+        worker.engine.prefilled_parts = self.prefilled_parts
         self.workers[name] = worker
         process.reactor.listenTCP(settings_files.SERVE_PORT, worker)
         self.listing.show(
--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -82,7 +82,7 @@
         name: str,
         pool: str,
         event_log: event_log.EventLog,
-        figures: inference_engine.Figures | None = None,
+        parameters: inference_engine.EngineParameters | None = None,
         *,
         connection_limit: int = 360,
         idle_us: int = IDLE_US,
@@ -91,8 +91,8 @@
         super().__init__(runtime)
         self.name, self.pool, self.event_log = name, pool, event_log
         self.id = f"i-{runtime.rng.getrandbits(32):08x}"
-        self.figures = figures or inference_engine.Figures()
-        self.engine = inference_engine.Engine(runtime, self.figures)
+        self.parameters = parameters or inference_engine.EngineParameters()
+        self.engine = inference_engine.Engine(runtime, self.parameters)
         self.connection_limit, self.idle_us, self.probe_path = connection_limit, idle_us, probe_path
         self.leaving = False
         self.faults: dict[str, float] = {}
@@ -116,7 +116,7 @@
 
     def opened(self, connection: served_http.ServedConnection) -> bool:
         """Take a connection, unless there are too many; half as many are taken while the queue is long."""
-        is_crowded = len(self.engine.waiting) >= self.figures.capacity
+        is_crowded = len(self.engine.waiting) >= self.parameters.capacity
         limit = self.connection_limit // 2 if is_crowded else self.connection_limit
         self.note("opened", peer=connection.peer)
         if len(self.connections) >= limit:
@@ -161,13 +161,13 @@
         names = platform_names.REPORT
         return {
             names["stage"]: platform_names.TERMS["whole"],
-            names["models"]: [{"name": self.figures.model, "version": self.weights, "adapters": []}],
+            names["models"]: [{"name": self.parameters.model, "version": self.weights, "adapters": []}],
             names["ordered"]: False,
             names["orders"]: 0,
             names["waiting"]: load.waiting,
             names["running"]: load.running,
             names["used"]: load.used_tokens,
-            names["memory"]: self.figures.kv_capacity,
+            names["memory"]: self.parameters.kv_capacity,
             names["accepts"]: 0,
         }
 
@@ -202,7 +202,7 @@
             return
         self.note("arrived", verdict=0, **row)
         self.runs[request] = run
-        if run.done_before(self.figures.event_tokens) >= run.tokens(self.figures.event_tokens):
+        if run.done_before(self.parameters.event_tokens) >= run.tokens(self.parameters.event_tokens):
             self._answer_without_event(run)
         else:
             run.timer = self.runtime.later(left_ms * units.MILLISECOND_US, self.expire, run)
@@ -243,13 +243,13 @@
         seal = f"{self.id[2:6]}.{self.taken:02x}.{rng.getrandbits(32):08x}"
         faults = [fault for fault, share in sorted(self.faults.items()) if rng.random() < share]
         run = Run(request, attempt, seal, faults[0] if faults else "")
-        tokens = run.tokens(self.figures.event_tokens)
+        tokens = run.tokens(self.parameters.event_tokens)
         run.job = inference_engine.Job(
             attempt,
             parts,
             tokens,
-            int(request.header(names["urgency"], str(inference_engine.URGENCY))),
-            done=min(run.done_before(self.figures.event_tokens), tokens - 1),
+            int(request.header(names["urgency"], str(inference_engine.DEFAULT_URGENCY))),
+            decoded=min(run.done_before(self.parameters.event_tokens), tokens - 1),
             on_first_token=lambda: self.on_started(run),
             on_event=lambda number, last: self.on_event(run, number, last),
         )
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -43,7 +43,7 @@
         self.tape = event_log.EventLog()
         process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
         self.worker = workers.Worker(
-            process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), idle_us=700 * MS
+            process.runtime(), "w1", "desk", self.tape, inference_engine.EngineParameters(enter_us=0), idle_us=700 * MS
         )
         self.worker.close_share = 0
         self.worker.silent_drop = True
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -18,15 +18,15 @@
             step_us=5_000,
             step_us_per_request=0,
             step_us_per_kilotoken=0,
-            read_tokens_per_ms=50,
-            read_us_per_megapair=0,
-            piece=1000,
+            prefill_tokens_per_ms=50,
+            prefill_us_per_megapair=0,
+            prefill_chunk_tokens=1000,
             kv_capacity=100_000,
             event_tokens=4,
             capacity=8,
         )
         self.runtime = scheduler.Runtime(self.clock, now=lambda: round(self.clock.seconds() * units.SECOND_US), seed=1)
-        self.engine = inference_engine.Engine(self.runtime, inference_engine.Figures(**{**base, **figures}))
+        self.engine = inference_engine.Engine(self.runtime, inference_engine.EngineParameters(**{**base, **figures}))
         self.told = {}
         return self.engine
 
@@ -80,16 +80,16 @@
         e.offer(self.job("x", [("a", 10_000), ("b", 1000)]))
         self.go(500)
         e.offer(self.job("y", [("a", 10_000), ("c", 1000)]))
-        before = e.read
+        before = e.prefilled
         self.go(500)
-        assert (before, e.read - before, e.read_again) == (11_000, 1000, 0)
+        assert (before, e.prefilled - before, e.prefilled_again) == (11_000, 1000, 0)
 
     def test_two_that_read_the_same_part_leave_one_copy(self) -> None:
         e = self.make()
         e.offer(self.job("x", [("a", 5000), ("b", 1000)]))
         e.offer(self.job("y", [("a", 5000), ("c", 1000)]))
         self.go(500)
-        assert (e.read, e.kept_tokens, e.owned) == (12_000, 7000, 0)
+        assert (e.prefilled, e.cached_tokens, e.private_tokens) == (12_000, 7000, 0)
 
     def test_a_kept_part_counts_only_if_all_before_it_are_kept(self) -> None:
         e = self.make()
@@ -97,15 +97,15 @@
         self.go(500)
         e.offer(self.job("y", [("z", 1000), ("b", 5000)]))
         self.go(500)
-        assert (e.read, e.read_again) == (16_000, 5000)
+        assert (e.prefilled, e.prefilled_again) == (16_000, 5000)
 
     def test_parts_unused_the_longest_give_way(self) -> None:
         e = self.make(kv_capacity=10_010)
         for part in ("a", "b", "a", "c"):
             e.offer(self.job(part, [(part, 4000)]))
             self.go(200)
-        assert sorted(e.kept) == ["a", "c"]
-        assert e.kept_tokens == 8000
+        assert sorted(e.cached) == ["a", "c"]
+        assert e.cached_tokens == 8000
 
     def test_a_request_larger_than_the_memory_is_turned_away(self) -> None:
         e = self.make(kv_capacity=1000)
@@ -125,10 +125,10 @@
         self.go(100)
         assert self.told["x2"], "it streams before it is put back"
         self.go(900)
-        assert [jobs[0].put_back, jobs[1].put_back, jobs[2].put_back > 0] == [0, 0, True]
+        assert [jobs[0].preemptions, jobs[1].preemptions, jobs[2].preemptions > 0] == [0, 0, True]
         for j in jobs:
             assert [*range(1, 12)] == [t[0] for t in self.told[j.identifier]]
-        assert e.owned == 0
+        assert e.private_tokens == 0
 
     def test_the_more_urgent_is_let_in_first_and_takes_a_place(self) -> None:
         e = self.make(capacity=1)
@@ -150,11 +150,11 @@
         e.cancel(x)
         self.go(100)
         assert (self.told["x"], self.told["y"][-1][1]) == ([], True)
-        assert (e.owned, e.kept_tokens) == (0, 10)
+        assert (e.private_tokens, e.cached_tokens) == (0, 10)
 
     def test_a_taken_up_stream_goes_on_after_its_last_event(self) -> None:
         e = self.make()
-        e.offer(self.job("x", [("a", 10)], tokens=13, done=5))
+        e.offer(self.job("x", [("a", 10)], tokens=13, decoded=5))
         self.go(200)
         assert [t[0] for t in self.told["x"]] == [3, 4]
 
@@ -182,14 +182,14 @@
         for j in jobs:
             e.offer(j)
             self.go(rng.randrange(30))
-            assert 0 <= e.owned + e.kept_tokens <= 5000
+            assert 0 <= e.private_tokens + e.cached_tokens <= 5000
             if rng.random() < 0.1:
                 e.cancel(j)
         self.go(12_000)
-        assert (e.owned, e.running, e.waiting) == (0, [], [])
-        assert e.idle_tokens == e.kept_tokens
-        assert sum(part.tokens for part in e.kept.values()) == e.kept_tokens
-        assert e.put_backs > 0
+        assert (e.private_tokens, e.running, e.waiting) == (0, [], [])
+        assert e.evictable_tokens == e.cached_tokens
+        assert sum(part.tokens for part in e.cached.values()) == e.cached_tokens
+        assert e.preemptions > 0
         for j in jobs:
             got = [t[0] for t in self.told[j.identifier]]
             assert [*range(1, len(got) + 1)] == got
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -16,7 +16,12 @@
         k = len(self.workers) + 1
         process = process_model.SimulatedProcess(self.world, f"w{k}", host_model.Host(self.world, f"10.0.3.{k}", "a"))
         w = workers.Worker(
-            process.runtime(), f"w{k}", "desk", self.tape, inference_engine.Figures(enter_us=0), connection_limit=50
+            process.runtime(),
+            f"w{k}",
+            "desk",
+            self.tape,
+            inference_engine.EngineParameters(enter_us=0),
+            connection_limit=50,
         )
         w.process, w.faults, w.closes, w.lingers = process, faults, 0, 0
         process.reactor.listenTCP(80, w)
@@ -81,7 +86,7 @@
 
     def test_a_client_that_reads_slowly_counts_against_no_worker(self) -> None:
         for _ in range(2):
-            self.worker().figures.step_us = 100
+            self.worker().parameters.step_us = 100
         call, line = self.query(events=4000)
         self.go(60)
         line.transport.pauseProducing()
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -64,7 +64,12 @@
         self.tape = event_log.EventLog()
         self.process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
         self.worker = workers.Worker(
-            self.process.runtime(), "w1", "desk", self.tape, inference_engine.Figures(enter_us=0), connection_limit=5
+            self.process.runtime(),
+            "w1",
+            "desk",
+            self.tape,
+            inference_engine.EngineParameters(enter_us=0),
+            connection_limit=5,
         )
         self.worker.close_share = self.worker.linger_share = 0
         self.process.reactor.listenTCP(8080, self.worker)
@@ -141,7 +146,7 @@
         assert self.kinds("run") == []
 
     def test_a_deadline_that_passes_in_the_queue_is_answered_as_not_run(self) -> None:
-        self.worker.engine.figures.capacity = 1
+        self.worker.engine.parameters.capacity = 1
         c, d = self.dial(), self.dial()
         self.request(c, attempt="a1", tokens="10,400")
         self.go(20)
