--- a/iriswheel/control/chain_client.py
+++ b/iriswheel/control/chain_client.py
@@ -59,7 +59,7 @@
         self.parts = parts
         self.counters = counters
 
-    async def look(self, identifier: str, timeout_us: int = TIMEOUT_US) -> message.ReadResponse:
+    async def read_at_tail(self, identifier: str, timeout_us: int = TIMEOUT_US) -> message.ReadResponse:
         """Read the committed state at the tail, under its lease, with the plan or change of an id.
 
         Raises:
@@ -79,7 +79,7 @@
         until = self.parts.runtime.now() + READ_RETRY_US
         while True:
             try:
-                return await self.look("", max(1, until - self.parts.runtime.now()))
+                return await self.read_at_tail("", max(1, until - self.parts.runtime.now()))
             except errors.ServiceError:
                 if self.parts.runtime.now() >= until:
                     raise
--- a/iriswheel/control/change_orders.py
+++ b/iriswheel/control/change_orders.py
@@ -22,7 +22,7 @@
 PROBLEMS_SHOWN = 50
 NUMBER_KEY = "marks/operator"  # the item that holds the operator's number
 
-Translate: typing.TypeAlias = collections.abc.Callable[[configuration.Items], dict[str, configuration.Item]]
+MakeItems: typing.TypeAlias = collections.abc.Callable[[configuration.Items], dict[str, configuration.Item]]
 
 
 class ChangeOrder(typing.NamedTuple):
@@ -35,7 +35,7 @@
     identifier: str
     number: int
     built_on: int
-    make: Translate
+    make: MakeItems
     complete: bool = False
 
 
@@ -44,12 +44,12 @@
 
     version: int
     items: configuration.Items
-    taken: int  # the version under which the order was taken; 0: it is not among those remembered
+    taken_as: int  # the version under which the order was taken; 0: it is not among those remembered
     forgotten: int  # the highest number of a change that is no longer remembered
     read_at_tail: bool  # for this order, under the tail's lease; else it may be out of date
 
 
-class InForce(typing.NamedTuple):
+class Committed(typing.NamedTuple):
     """The order is committed, under a version."""
 
     version: int
@@ -67,16 +67,16 @@
     error: errors.ServiceError
 
 
-Judgement: typing.TypeAlias = InForce | Applicable | Refused
+Decision: typing.TypeAlias = Committed | Applicable | Refused
 
 
-def translate(order: ChangeOrder, items: configuration.Items) -> dict[str, configuration.Item]:
+def items_after(order: ChangeOrder, items: configuration.Items) -> dict[str, configuration.Item]:
     """The items that an order makes of others, under its number.
 
     Raises:
         errors.ServiceError: `bad_blueprint`, with what is wrong.
 
-    >>> translate(ChangeOrder("c0-3-x", 3, 0, dict), {"pools/p": {}})
+    >>> items_after(ChangeOrder("c0-3-x", 3, 0, dict), {"pools/p": {}})
     {'pools/p': {}, 'marks/operator': {'number': 3}}
     """
     problems = []
@@ -92,34 +92,34 @@
     return {**made, NUMBER_KEY: {**made.get(NUMBER_KEY, {}), "number": order.number}}
 
 
-def judge(known: KnownState, order: ChangeOrder) -> Judgement:
+def decide(known: KnownState, order: ChangeOrder) -> Decision:
     """Decide from a state whether an order is committed, can be proposed, or must be refused.
 
-    An order stands where it is among those taken, or where a complete one would make just the state that
+    An order is committed where it is among those taken, or where a complete one would make just the state that
     is there. Numbers rise, so an order on a number that was passed can't be taken any more.
 
     >>> order = ChangeOrder("c0-3-x", 3, 0, lambda items: {"pools/p": {}})
-    >>> judge(KnownState(0, {}, 0, 0, True), order)
+    >>> decide(KnownState(0, {}, 0, 0, True), order)
     Applicable(changes=[('marks/operator', {'number': 3}), ('pools/p', {})])
-    >>> judge(KnownState(8, {"marks/operator": {"number": 3}}, 5, 0, True), order)
-    InForce(version=5)
-    >>> judge(KnownState(8, {"marks/operator": {"number": 4}}, 0, 0, True), order).error.code
+    >>> decide(KnownState(8, {"marks/operator": {"number": 3}}, 5, 0, True), order)
+    Committed(version=5)
+    >>> decide(KnownState(8, {"marks/operator": {"number": 4}}, 0, 0, True), order).error.code
     'base_moved'
     """
-    if known.taken:
-        return InForce(known.taken)
+    if known.taken_as:
+        return Committed(known.taken_as)
     current = configuration.operator_number(known.items)
     is_base = current == order.built_on
     may_stand = order.complete and current == order.number
     if not is_base and not may_stand:
         return Refused(_base_passed(known, order, current))
     try:
-        made = translate(order, known.items)
+        made = items_after(order, known.items)
     except errors.ServiceError as error:
         return Refused(error if is_base else _base_passed(known, order, current))
     changes = configuration.difference(known.items, made)
     if may_stand and not changes and known.version:
-        return InForce(known.version)
+        return Committed(known.version)
     return Applicable(changes) if is_base else Refused(_base_passed(known, order, current))
 
 
@@ -149,7 +149,7 @@
         self.contact = contact
         self.counters = counters
 
-    async def bring_into_force(self, order: ChangeOrder) -> int:
+    async def apply_change(self, order: ChangeOrder) -> int:
         """Bring an order into force, and wait until the nodes have applied it.
 
         An order that comes again is found taken, also when later ones were taken since. The head
@@ -157,26 +157,26 @@
         after a read at the tail, under its lease, made for this order.
 
         Returns:
-            The version under which the order stands.
+            The version under which the order is committed.
 
         Raises:
             errors.ServiceError: The order is refused, or after TIMEOUT_US it is not known to be in force.
         """
         until = self.parts.runtime.now() + TIMEOUT_US
         self.counters.changes += 1
-        known: KnownState | None = self.known_here(order)
+        known: KnownState | None = self.local_state_for(order)
         may_have_run, last_error = False, None
         while self.parts.runtime.now() < until:
             try:
                 if known is None:
-                    known = await self.known_at_tail(order, until - self.parts.runtime.now())
-                outcome = await self._try(known, order, until)
+                    known = await self.tail_state_for(order, until - self.parts.runtime.now())
+                outcome = await self._propose_once(known, order, until)
             except errors.ServiceError as error:
                 may_have_run = may_have_run or error.execution is errors.ExecutionOutcome.MAY_HAVE_RUN
                 known, last_error = None, error
                 await self.parts.runtime.sleep(RETRY_DELAY_US)
                 continue
-            if isinstance(outcome, InForce):
+            if isinstance(outcome, Committed):
                 return outcome.version
             if known.read_at_tail:
                 raise outcome.error
@@ -189,25 +189,33 @@
             )
         raise errors.ServiceError("no_chain", f"The change can't be taken now: {last_error.text}")
 
-    def known_here(self, order: ChangeOrder) -> KnownState:
+    def local_state_for(self, order: ChangeOrder) -> KnownState:
         """What this machine's own copy says of an order; it may be out of date."""
         base = self.parts.chain.committed_state
-        return KnownState(base.version, base.items, base.taken.get(order.identifier, 0), base.forgotten, False)
-
-    async def known_at_tail(self, order: ChangeOrder, timeout_us: int) -> KnownState:
+        return KnownState(
+            version=base.version,
+            items=base.items,
+            taken_as=base.taken.get(order.identifier, 0),
+            forgotten=base.forgotten,
+            read_at_tail=False,
+        )
+
+    async def tail_state_for(self, order: ChangeOrder, timeout_us: int) -> KnownState:
         """What the tail says of an order, under its lease."""
-        read = await self.client.look(order.identifier, timeout_us)
-        return KnownState(read.version, read.items, read.taken, read.forgotten, True)
+        read = await self.client.read_at_tail(order.identifier, timeout_us)
+        return KnownState(
+            version=read.version, items=read.items, taken_as=read.taken, forgotten=read.forgotten, read_at_tail=True
+        )
 
-    async def _try(self, known: KnownState, order: ChangeOrder, until: int) -> InForce | Refused:
+    async def _propose_once(self, known: KnownState, order: ChangeOrder, until: int) -> Committed | Refused:
         """Propose an order on a known state, unless it stands already or can't be taken."""
-        judgement = judge(known, order)
-        if isinstance(judgement, Refused):
-            return judgement
-        if isinstance(judgement, Applicable):
-            judgement = InForce(await self._propose(known.version, order, judgement.changes, until))
-        await self.contact.wait_until_applied(judgement.version, until)
-        return judgement
+        decision = decide(known, order)
+        if isinstance(decision, Refused):
+            return decision
+        if isinstance(decision, Applicable):
+            decision = Committed(await self._propose(known.version, order, decision.changes, until))
+        await self.contact.wait_until_applied(decision.version, until)
+        return decision
 
     async def _propose(self, base: int, order: ChangeOrder, changes: list[configuration.ItemChange], until: int) -> int:
         left = max(0, until - self.parts.runtime.now())
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -148,7 +148,7 @@
 
     async def change(self, order: change_orders.ChangeOrder) -> int:
         """Bring a numbered change into force; returns its version."""
-        return await self.orders.bring_into_force(order)
+        return await self.orders.apply_change(order)
 
     def serve(self, connection: wire.Connection | None, received: message.Message) -> Answer | None:
         """Answer one message from another process."""
--- a/iriswheel/control/load_exchange.py
+++ b/iriswheel/control/load_exchange.py
@@ -50,7 +50,7 @@
         keys = [(pool, row[0]) for pool, rows in report.rows.items() for row in rows]
         before = {key: self.sums.get(key, load_table.NO_LOAD) for key in keys}
         self._update(report, from_node)
-        if any(load_table.heavy(load, self.sums.get(key, load_table.NO_LOAD)) for key, load in before.items()):
+        if any(load_table.is_large_rise(load, self.sums.get(key, load_table.NO_LOAD)) for key, load in before.items()):
             for receiver in self._receivers():
                 if receiver != report.sender:
                     self._send_changes(receiver, before.keys())
@@ -83,7 +83,7 @@
         old = dict(table)
         for key in load_table.update(table, report):
             for sums in [self.sums, self.node_sums] if from_node else [self.sums]:
-                sums[key] = load_table.plus(
+                sums[key] = load_table.add_and_subtract(
                     sums.get(key, load_table.NO_LOAD),
                     table.get(key, load_table.NO_LOAD),
                     old.get(key, load_table.NO_LOAD),
@@ -133,7 +133,7 @@
             return False
         own = self.tables.get(session.member.id, {})
         table = {
-            key: load_table.plus(
+            key: load_table.add_and_subtract(
                 self.sums.get(key, load_table.NO_LOAD), load_table.NO_LOAD, own.get(key, load_table.NO_LOAD)
             )
             for key in keys
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -29,7 +29,7 @@
     """The versions of the state and of the membership that a slice was cut from."""
 
     log_index: int
-    membership: tuple[int, int] | None
+    membership: message.MembershipVersion | None
 
 
 class NodeSession:
@@ -169,7 +169,7 @@
             applied_index=join.applied_index,
             is_serving=self.is_serving(),
         )
-        self.parts.lease.close(node)
+        self.parts.lease.end_session(node)
         self.parts.lease.record_heartbeat(node, join.applied_index, self.parts.runtime.now())
         self.parts.runtime.spawn(self._run(session), log)
         self.parts.node_reports.report_now.wake()
@@ -188,12 +188,12 @@
         """Drop the sessions whose connection has broken."""
         for node in [node for node, session in self.by_node.items() if not session.connection.up]:
             del self.by_node[node]
-            self.parts.lease.close(node)
+            self.parts.lease.end_session(node)
 
     async def _run(self, session: NodeSession) -> None:
         await session.run(lambda: self.stopping)
         node = session.member.id
         if self.by_node.get(node) is session:
             del self.by_node[node]
-            self.parts.lease.close(node)
+            self.parts.lease.end_session(node)
             self.parts.node_reports.report_now.wake()
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -137,7 +137,7 @@
                 request.answer_json(200, {"id": identifier, "stamp": response.version, "verdict": "ran"})
             case (b"POST", ["changes"]):
                 order = read_change(request.json())
-                version = await self.orders.bring_into_force(order)
+                version = await self.orders.apply_change(order)
                 request.answer_json(200, {"number": order.number, "stamp": version, "verdict": "ran"})
             case (b"GET", ["state"]):
                 request.answer_json(200, self.state())
@@ -153,7 +153,7 @@
         """Compute and store a plan: a complete configuration or a JSON Patch (RFC 6902) against the committed one."""
         self.counters.plans += 1
         check_plan(document)
-        read = await self.client.look("")
+        read = await self.client.read_at_tail("")
         base = document.get("base", read.version)
         if type(base) is not int:
             raise errors.ServiceError("bad_request", "base is not a stamp.", field="base")
@@ -184,7 +184,7 @@
         return response
 
     async def _planned(self, identifier: str) -> dict[str, typing.Any]:
-        read = await self.client.look(identifier)
+        read = await self.client.read_at_tail(identifier)
         if read.plan is None:
             raise errors.ServiceError("not_found", "No such plan is remembered.")
         return {**read.plan, "now": read.version}
--- a/iriswheel/control/reports.py
+++ b/iriswheel/control/reports.py
@@ -27,8 +27,8 @@
         self.report_now = scheduler.Signal()
         self.listing: message.WorkerListing | None = None
         self.listing_unchanged: message.ListingUnchanged | None = None  # the newest, of any core machine
-        self.active: dict[str, tuple[int, int]] = {}  # role -> the newest term in which its holder was active
-        self.contested: dict[str, tuple[int, int]] = {}  # role -> the term that its holder can't use
+        self.active: dict[str, message.Term] = {}  # role -> the newest term in which its holder was active
+        self.contested: dict[str, message.Term] = {}  # role -> the term that its holder can't use
 
     def record_listing(self, listing: message.WorkerListing) -> None:
         """Keep a worker list unless a newer one is here."""
@@ -43,12 +43,12 @@
         ):
             self.listing_unchanged = unchanged
 
-    def record_role_activated(self, key: str, term: tuple[int, int]) -> None:
+    def record_role_activated(self, key: str, term: message.Term) -> None:
         """Record the newest term in which the holder of a role has taken it up."""
         self.active[key] = max(term, self.active.get(key, (0, 0)))
         self.report_now.wake()
 
-    def record_role_contested(self, key: str, term: tuple[int, int]) -> None:
+    def record_role_contested(self, key: str, term: message.Term) -> None:
         """Record a role whose holder met a newer term than its own: the tail has to give it a new one."""
         self.contested[key] = term
         self.report_now.wake()
@@ -58,7 +58,7 @@
     """Which worker list was sent last, to the tail of which view, and when (µs)."""
 
     view: int
-    version: tuple[int, int, int]
+    version: message.ListingVersion
     at: int
 
 
@@ -111,7 +111,7 @@
             sorted(self.parts.node_reports.contested.items()),
             self.parts.node_reports.listing_unchanged,
             now,
-            self.parts.lease.report(now),
+            self.parts.lease.rows_to_report(now),
         )
 
     def _listing_to_send(self, view: int, now: int) -> message.WorkerListing | None:
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -36,7 +36,7 @@
     """Which membership was sent to a core machine, and in which view."""
 
     view: int
-    version: tuple[int, int]
+    version: message.MembershipVersion
 
 
 class TailService:
@@ -59,7 +59,7 @@
         self.holders = lease.LeaseHolders(options.lease_us, parts.runtime.now())
         self.received_reports: dict[str, int] = {}  # core -> `sent_at` of its newest report in this view
         self.heartbeat_now = scheduler.Signal()
-        self._announced_version: tuple[int, int] | None = None  # of the membership that was last announced
+        self._announced_version: message.MembershipVersion | None = None  # of the membership that was last announced
         self._sent_memberships: dict[message.ChainReplica, SentMembership] = {}
 
     def on_view(self, view: message.View) -> None:
@@ -69,7 +69,7 @@
         was_tail = before is not None and before[-1:] == [
             (self.parts.consensus.own_voter.id, self.parts.runtime.incarnation)
         ]
-        self.holders.installed(before, chain_members(view), self.parts.runtime.now(), was_tail)
+        self.holders.on_view(before, chain_members(view), self.parts.runtime.now(), was_tail)
 
     def take_report(self, report: message.NodeSessionsReport) -> None:
         """Record a core machine's report; the membership and the lease holders follow from it."""
--- a/iriswheel/membership/assignments.py
+++ b/iriswheel/membership/assignments.py
@@ -15,8 +15,7 @@
 LISTING_ROLE = "list"
 POOL_ROLE_PREFIX = "pool/"
 
-Term: typing.TypeAlias = tuple[int, int]
-RoleTerm: typing.TypeAlias = tuple[str, Term]
+RoleTerm: typing.TypeAlias = tuple[str, message.Term]
 
 
 class Group(typing.NamedTuple):
@@ -100,7 +99,7 @@
 
 def assign(
     key: str,
-    version: tuple[int, int],
+    version: message.MembershipVersion,
     members: collections.abc.Sequence[message.Member],
     previous: message.RoleAssignment | None,
     *,
@@ -140,7 +139,7 @@
     return current if members_now == members_before else _under_new_term(current, version, members_now)
 
 
-def _under_new_term(assignment: message.RoleAssignment, term: Term, new_group: Group) -> message.RoleAssignment:
+def _under_new_term(assignment: message.RoleAssignment, term: message.Term, new_group: Group) -> message.RoleAssignment:
     """A role's assignment to a group under a new term, not active yet; its base is the last active group."""
     base = [assignment.holder, *assignment.copies] if assignment.active else assignment.base
     return message.RoleAssignment(assignment.key, term, new_group.holder, new_group.copies, base)
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -82,15 +82,15 @@
     >>> core.record_heartbeat("n1", 7, now=1_000_000)
     >>> core.renew(echo=900_000); core.grant("n1", now=1_010_000)
     0
-    >>> core.report(now=1_020_000)
+    >>> core.rows_to_report(now=1_020_000)
     [('n1', 7, 2000000)]
     >>> core.renew(echo=1_020_000); core.grant("n1", now=1_030_000)
     1990000
-    >>> core.report(now=1_800_000)  # silent for a while: listed with what it may hold, and no longer eligible
+    >>> core.rows_to_report(now=1_800_000)  # silent for a while: listed with what it may hold, and no longer eligible
     [('n1', 7, 1200000)]
     >>> core.renew(echo=1_800_000); core.grant("n1", now=1_810_000)
     0
-    >>> core.close("n1"); core.report(now=2_000_000), core.report(now=3_000_000)
+    >>> core.end_session("n1"); core.rows_to_report(now=2_000_000), core.rows_to_report(now=3_000_000)
     ([('n1', 7, 1000000)], [])
     """
 
@@ -117,7 +117,7 @@
         if node in self.grants:
             self.grants[node].applied = max(applied, self.grants[node].applied)
 
-    def close(self, node: str) -> None:
+    def end_session(self, node: str) -> None:
         """A node's session ended; what was granted to it may still run."""
         self.sessions.pop(node, None)
 
@@ -131,7 +131,7 @@
         self.grants[node] = GrantedLease(max(until, old.until if old is not None else 0), session.applied)
         return self.until - now
 
-    def report(self, now: int) -> list[LeaseRow]:
+    def rows_to_report(self, now: int) -> list[LeaseRow]:
         """The rows of a report sent at `now` (µs).
 
         A node with a session may get one up to a whole lease before the next report is answered.
@@ -155,11 +155,11 @@
 class LeaseHolders:
     """At a core machine that may become the tail: who may hold a lease, and how far each has come.
 
-    `installed` is called for each view; `record_heartbeat` with each report; `applied` says how far up to
+    `on_view` is called for each view; `record_heartbeat` with each report; `applied` says how far up to
     a version all holders have come.
 
     >>> holders = LeaseHolders(2_000_000, now=0)
-    >>> holders.installed([], [("a", "1"), ("b", "1")], now=0)
+    >>> holders.on_view([], [("a", "1"), ("b", "1")], now=0)
     >>> holders.record_heartbeat("a", [("n1", 4, 500_000)], now=10)
     >>> holders.applied(5, now=20), holders.record_heartbeat("b", [], now=30), holders.applied(5, now=40)
     (0, None, 4)
@@ -173,7 +173,7 @@
         self.holders: dict[str, GrantedLease] = {}
         self.awaited: set[str] = set()
 
-    def installed(
+    def on_view(
         self,
         before: collections.abc.Sequence[ChainMember] | None,
         chain: collections.abc.Sequence[ChainMember],
--- a/iriswheel/membership/load_table.py
+++ b/iriswheel/membership/load_table.py
@@ -15,11 +15,20 @@
 SUSPICION_STEP_PERCENT = 20  # likewise
 
 WorkerKey: typing.TypeAlias = tuple[str, str]  # pool, worker
-Load: typing.TypeAlias = tuple[int, int, int]  # requests running, prompt tokens not read yet, suspicion in percent
+
+
+class Load(typing.NamedTuple):
+    """The load in flight at a worker; as rows of a report its fields travel in this order."""
+
+    running_requests: int
+    unread_prompt_tokens: int
+    suspicion_percent: int
+
+
 LoadTable: typing.TypeAlias = dict[WorkerKey, Load]
 LoadRow: typing.TypeAlias = tuple[str, int, int, int]  # worker, and its load
 
-NO_LOAD: Load = (0, 0, 0)
+NO_LOAD = Load(0, 0, 0)
 
 
 def rows(table: LoadTable, keys: collections.abc.Iterable[WorkerKey]) -> dict[str, list[LoadRow]]:
@@ -34,13 +43,17 @@
     return rows_by_pool
 
 
-def plus(load: Load, added: Load, removed: Load) -> Load:
+def add_and_subtract(load: Load, added: Load, removed: Load) -> Load:
     """A load with one added and one taken away.
 
-    >>> plus((3, 60, 0), (1, 0, 50), (2, 60, 0))
-    (2, 0, 50)
+    >>> add_and_subtract(Load(3, 60, 0), Load(1, 0, 50), Load(2, 60, 0))
+    Load(running_requests=2, unread_prompt_tokens=0, suspicion_percent=50)
     """
-    return load[0] + added[0] - removed[0], load[1] + added[1] - removed[1], load[2] + added[2] - removed[2]
+    return Load(
+        load.running_requests + added.running_requests - removed.running_requests,
+        load.unread_prompt_tokens + added.unread_prompt_tokens - removed.unread_prompt_tokens,
+        load.suspicion_percent + added.suspicion_percent - removed.suspicion_percent,
+    )
 
 
 def changes(old: LoadTable, new: LoadTable) -> set[WorkerKey]:
@@ -52,13 +65,16 @@
     return {key for key in old.keys() | new.keys() if old.get(key, NO_LOAD) != new.get(key, NO_LOAD)}
 
 
-def heavy(before: Load, after: Load) -> bool:
+def is_large_rise(before: Load, after: Load) -> bool:
     """Whether the unread prompt tokens of a worker rose by much, or the suspicion of it.
 
-    >>> heavy((1, 0, 0), (2, 13_000, 0)), heavy((2, 13_000, 0), (1, 0, 0)), heavy((1, 0, 0), (1, 0, 30))
+    >>> idle, busy, suspected = Load(1, 0, 0), Load(2, 13_000, 0), Load(1, 0, 30)
+    >>> is_large_rise(idle, busy), is_large_rise(busy, idle), is_large_rise(idle, suspected)
     (True, False, True)
     """
-    return after[1] - before[1] >= HEAVY_PROMPT_TOKENS or after[2] - before[2] >= SUSPICION_STEP_PERCENT
+    rise_tokens = after.unread_prompt_tokens - before.unread_prompt_tokens
+    rise_percent = after.suspicion_percent - before.suspicion_percent
+    return rise_tokens >= HEAVY_PROMPT_TOKENS or rise_percent >= SUSPICION_STEP_PERCENT
 
 
 def update(table: LoadTable, report: message.LoadReport) -> set[WorkerKey]:
@@ -69,10 +85,10 @@
 
     >>> import iriswheel.transport.message as message
     >>> t = {}; update(t, message.LoadReport("n1", True, {"p": [("w1", 1, 60, 0)]})), t
-    ({('p', 'w1')}, {('p', 'w1'): (1, 60, 0)})
+    ({('p', 'w1')}, {('p', 'w1'): Load(running_requests=1, unread_prompt_tokens=60, suspicion_percent=0)})
     """
     reported: LoadTable = {
-        (pool, worker): (requests, tokens, suspicion)
+        (pool, worker): Load(requests, tokens, suspicion)
         for pool, pool_rows in report.rows.items()
         for worker, requests, tokens, suspicion in pool_rows
     }
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -230,7 +230,9 @@
             by_name[seen.member.name] = seen.member
         return sorted(by_name.values(), key=lambda member: member.name)
 
-    def _assign(self, version: tuple[int, int], members: list[message.Member]) -> list[message.RoleAssignment]:
+    def _assign(
+        self, version: message.MembershipVersion, members: list[message.Member]
+    ) -> list[message.RoleAssignment]:
         """The role assignments over the live members; a role that moves gets a new term."""
         old = self.latest
         previous = {assignment.key: assignment for assignment in old.assignments} if old is not None else {}
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -40,7 +40,7 @@
     def own(self) -> load_table.LoadTable:
         """This node's own load."""
         return {
-            (pool, worker): (requests, tokens, suspicion)
+            (pool, worker): load_table.Load(requests, tokens, suspicion)
             for pool, placement in self.node.gateway.forwarder.placements.items()
             for worker, requests, tokens, suspicion in placement.export()
         }
@@ -69,7 +69,7 @@
             await self.node.runtime.pause(self.report_now, load_table.REPORT_INTERVAL_US)
             self.has_changed = False
             self.report()
-            suspected = any(suspicion for _, _, suspicion in (self.last_reported or {}).values())
+            suspected = any(load.suspicion_percent for load in (self.last_reported or {}).values())
             self.has_changed = self.has_changed or suspected  # a suspicion fades with time
 
     def take(self, report: message.LoadReport) -> None:
--- a/iriswheel/replication/chain.py
+++ b/iriswheel/replication/chain.py
@@ -120,7 +120,7 @@
             return
         successor = self.position.successor_in(view)
         if successor is not None:
-            await self.sender.feed(view, successor)
+            await self.sender.replicate_to(view, successor)
 
     async def answer(self, request: ChainRequest) -> ChainResponse:
         """Answer a message of the chain from another core machine, or of an operator's connection."""
--- a/iriswheel/replication/chain_position.py
+++ b/iriswheel/replication/chain_position.py
@@ -27,8 +27,8 @@
             return None
         return [replica.id for replica in view.chain].index(self.consensus.own_voter.id)
 
-    def follows_in(self, number: int) -> bool:
-        """Whether this replica serves in the numbered view, and not at the head."""
+    def has_predecessor_in(self, number: int) -> bool:
+        """Whether this replica serves in the numbered view behind another one: it is not the head."""
         return bool(self.index_in(number))
 
     def serves_in(self, number: int) -> bool:
--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -30,7 +30,7 @@
     async def answer_position(self, request: message.PositionRequest) -> message.PositionResponse:
         """Answer with the newest synced position, once no write is under way that would change it."""
         async with self.log.lock:
-            if not self.position.follows_in(request.view):
+            if not self.position.has_predecessor_in(request.view):
                 return message.PositionResponse(False)
             return message.PositionResponse(
                 True,
@@ -43,7 +43,7 @@
 
     def take_chunk(self, chunk: message.SnapshotChunk) -> message.SnapshotChunkResponse:
         """Keep one chunk of a snapshot in memory."""
-        if not self.position.follows_in(chunk.view) or self.position.is_synced():
+        if not self.position.has_predecessor_in(chunk.view) or self.position.is_synced():
             return message.SnapshotChunkResponse(False)
         return message.SnapshotChunkResponse(True, self.incoming.add_chunk(chunk))
 
@@ -51,7 +51,7 @@
         """Store new entries from the replica before; answer once they are committed."""
         try:
             async with self.log.lock:
-                is_in_place = self.position.follows_in(request.view) and self.position.is_synced()
+                is_in_place = self.position.has_predecessor_in(request.view) and self.position.is_synced()
                 if not is_in_place or not await self.log.extend(request.entries):
                     return message.AppendResponse(False)
         except storage.DiskError:
@@ -62,7 +62,7 @@
         """Store what the replica before sends to catch up; after the last of it, answer once it is committed."""
         try:
             async with self.log.lock:
-                if not self.position.follows_in(request.view) or not await self._store(request):
+                if not self.position.has_predecessor_in(request.view) or not await self._store(request):
                     return message.AppendResponse(False)
                 if request.last:
                     await self.position.consensus.mark_synced(request.view)
@@ -115,7 +115,7 @@
 
     async def _wait_for_commit(self, number: int, entries: list[message.LogEntry]) -> message.AppendResponse:
         """Pass on what was stored, and answer once all replicas down to the tail have it."""
-        if not self.position.follows_in(number) or not self.position.is_synced():
+        if not self.position.has_predecessor_in(number) or not self.position.is_synced():
             return message.AppendResponse(False)
         index = entries[-1].index if entries else self.log.last_index
         self.log.appended.wake()
@@ -123,6 +123,6 @@
         is_tail = self.position.is_tail_of(number)
         while not is_tail and self.log.committed_state.index < index:
             await self.log.committed.wait()
-            if not self.position.follows_in(number):
+            if not self.position.has_predecessor_in(number):
                 return message.AppendResponse(False)
         return message.AppendResponse(True, index)
--- a/iriswheel/replication/sender.py
+++ b/iriswheel/replication/sender.py
@@ -31,7 +31,7 @@
         self.position = position
         self.log = log
 
-    async def feed(self, view: message.View, successor: message.Voter) -> None:
+    async def replicate_to(self, view: message.View, successor: message.Voter) -> None:
         """Keep the next replica up to date, as long as the view lasts."""
         stored: int | None = None  # how far the replicas from the next one to the tail have come
         while self.position.serves_in(view.number):
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -173,13 +173,13 @@
         return self.items
 
     async def change(self, order: change_orders.ChangeOrder) -> int:
-        new = change_orders.translate(order, self.items)
+        new = change_orders.items_after(order, self.items)
         msgspec.msgpack.decode(msgspec.msgpack.encode([order.identifier, configuration.difference(self.items, new)]))
         configuration.slice_for_node(new, "a")
         json.dumps(configuration_api.show(new))
         return 1
 
-    async def bring_into_force(self, order: change_orders.ChangeOrder) -> int:
+    async def apply_change(self, order: change_orders.ChangeOrder) -> int:
         return await self.change(order)
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -19,7 +19,7 @@
     results: list[int | errors.ServiceError] = []
 
     async def go() -> None:
-        seen = await server.client.look("")
+        seen = await server.client.read_at_tail("")
         document = {"blueprint": configuration.unflatten(dict(seen.items))}
         document["blueprint"]["routes"]["new"] = {"path": "/new", "pool": next(iter(document["blueprint"]["pools"]))}
         plan = await server.operator_api.plan(document)
@@ -35,7 +35,7 @@
 class TestLeaseHolders:
     def test_a_change_waits_for_a_holder_that_does_not_apply_it_until_its_lease_ran_out(self) -> None:
         holders = lease.LeaseHolders(2 * S, now=0)
-        holders.installed([], [("a", "1")], now=0)
+        holders.on_view([], [("a", "1")], now=0)
         holders.record_heartbeat("a", [("n1", 4, S), ("n2", 5, S)], now=0)
         assert holders.applied(5, now=S) == 4
         assert holders.applied(5, now=S + lease.DRIFT_US) == 5
@@ -43,7 +43,7 @@
     def test_a_new_tail_waits_one_lease_for_what_a_lost_core_machine_granted(self) -> None:
         for chain, sure in (([("b", "1"), ("c", "1")], False), ([("a", "2"), ("b", "1")], False)):
             holders = lease.LeaseHolders(2 * S, now=0)
-            holders.installed([("a", "1"), ("b", "1")], chain, now=10 * S)
+            holders.on_view([("a", "1"), ("b", "1")], chain, now=10 * S)
             for name, _ in chain:
                 holders.record_heartbeat(name, [], now=10 * S)
             assert holders.applied(5, now=12 * S) == 0
@@ -51,9 +51,9 @@
 
     def test_a_tail_that_stays_waits_only_for_what_it_knows_that_a_lost_core_machine_granted(self) -> None:
         holders = lease.LeaseHolders(2 * S, now=0)
-        holders.installed([], [("a", "1"), ("b", "1")], now=0)
+        holders.on_view([], [("a", "1"), ("b", "1")], now=0)
         holders.record_heartbeat("a", [("n1", 4, 2 * S)], now=9 * S)
-        holders.installed([("a", "1"), ("b", "1")], [("b", "1"), ("c", "1")], now=10 * S, was_tail=True)
+        holders.on_view([("a", "1"), ("b", "1")], [("b", "1"), ("c", "1")], now=10 * S, was_tail=True)
         for name in "bc":
             holders.record_heartbeat(name, [], now=10 * S)
         assert holders.applied(5, now=11 * S) == 4
@@ -61,8 +61,8 @@
 
     def test_a_new_tail_that_hears_all_of_the_chain_before_it_waits_for_none(self) -> None:
         holders = lease.LeaseHolders(2 * S, now=0)
-        holders.installed([], [("a", "1"), ("b", "1")], now=0)
-        holders.installed([("a", "1"), ("b", "1")], [("a", "1"), ("b", "1"), ("c", "1")], now=10 * S)
+        holders.on_view([], [("a", "1"), ("b", "1")], now=0)
+        holders.on_view([("a", "1"), ("b", "1")], [("a", "1"), ("b", "1"), ("c", "1")], now=10 * S)
         for name in "ab":
             holders.record_heartbeat(name, [], now=10 * S)
         assert holders.applied(5, now=10 * S) == 0
@@ -71,8 +71,8 @@
 
     def test_a_doubt_is_passed_on_through_the_next_view(self) -> None:
         holders = lease.LeaseHolders(2 * S, now=0)
-        holders.installed([("a", "1"), ("b", "1")], [("b", "1")], now=10 * S)
-        holders.installed([("b", "1")], [("b", "1"), ("c", "1")], now=11 * S)
+        holders.on_view([("a", "1"), ("b", "1")], [("b", "1")], now=10 * S)
+        holders.on_view([("b", "1")], [("b", "1"), ("c", "1")], now=11 * S)
         for name in "bc":
             holders.record_heartbeat(name, [], now=11 * S)
         assert holders.applied(5, now=12 * S) == 0
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -131,11 +131,11 @@
         assert "read number" in "".join(history.complaints(t.tape.rows))
 
     def test_without_a_read_at_the_tail_wrong_refusals_are_found(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        known_here = change_orders.ChangeOrders.known_here
+        local_state_for = change_orders.ChangeOrders.local_state_for
         monkeypatch.setattr(
             change_orders.ChangeOrders,
-            "known_here",
-            lambda self, order: known_here(self, order)._replace(read_at_tail=True),
+            "local_state_for",
+            lambda self, order: local_state_for(self, order)._replace(read_at_tail=True),
         )
         t, _, _ = self.play(40, 2, True, True)
         assert "refused" in "".join(history.complaints(t.tape.rows))
