--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -1,4 +1,4 @@
-"""Clients: they draw requests, try them again as their kind allows, and log each try as one row `tried`."""
+"""Clients: they draw requests, retry them as their kind allows, and log each attempt as one row `tried`."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 FINAL = (400, 401, 404, 413, 431)
 HASTY_ATTEMPTS = 3  # times as many attempts of a hasty client
 RETRY_WAIT_US = 50 * units.MILLISECOND_US
-HASTY_WAIT_US = 1
+HASTY_RETRY_WAIT_US = 1
 DEADLINE_SLACK_US = 50 * units.MILLISECOND_US
 IDLE_MARGIN_US = 200 * units.MILLISECOND_US
-MOST_BODY_BYTES = 200_000
+MAX_BODY_BYTES = 200_000
 LOGGED_BYTES = 80
 LOGGED_TEXT = 120
 NEVER_US = 10**12
@@ -50,7 +50,7 @@
     Attributes:
         identifier: Its name in the event log.
         path: What it asks for.
-        headers: Its headers, without those that differ from try to try.
+        headers: Its headers, without those that differ from attempt to attempt.
         body: Its body.
         until: The deadline, in microseconds.
     """
@@ -62,33 +62,33 @@
     until: int
 
 
-class Try(typing.NamedTuple):
-    """One try of a request.
+class Attempt(typing.NamedTuple):
+    """One attempt of a request.
 
     Attributes:
         kind: The kind of the request.
         request: The request.
-        attempt: The random name of this try.
-        number: How many tries came before.
-        after: The last event that is already there, for a stream that is taken up.
+        identifier: The random name of this attempt.
+        number: How many attempts came before.
+        after: The last event that is already there, for a stream that is resumed.
         started_at: When it began.
     """
 
     kind: request_kinds.RequestKind
     request: Request
-    attempt: str
+    identifier: str
     number: int
     after: int
     started_at: int
 
-    def silence_limit_us(self) -> int:
+    def idle_timeout_us(self) -> int:
         """After how long without a byte the client gives up."""
         if not self.kind.is_stream:
             return NEVER_US
         aim_us, pause_us = self.kind.aim_ms * units.MILLISECOND_US, self.kind.pause_ms * units.MILLISECOND_US
         return max(2 * units.SECOND_US, 4 * aim_us, 8 * pause_us)
 
-    def read_limit_us(self) -> int:
+    def read_timeout_us(self) -> int:
         """Within how long the other side must have read the request."""
         return min(units.SECOND_US, (self.request.until - self.started_at) // 3)
 
@@ -97,9 +97,9 @@
     """One client, with its own connections.
 
     Attributes:
-        keeps: Whether it keeps connections.
+        keep_alive: Whether it keeps connections for further requests.
         chunked: Whether it sends bodies in chunks.
-        hasty: Whether it tries again at once, and more often.
+        hasty: Whether it retries at once, and more often.
     """
 
     def __init__(
@@ -110,13 +110,13 @@
         name: str,
         zone: str,
         *,
-        keeps: bool = True,
+        keep_alive: bool = True,
         chunked: bool = False,
         hasty: bool = False,
     ) -> None:
-        self.runtime, self.event_log, self.address = runtime, event_log, address
+        self.runtime, self.event_log, self.virtual_address = runtime, event_log, address
         self.name, self.zone = name, zone
-        self.keeps, self.chunked, self.hasty = keeps, chunked, hasty
+        self.keep_alive, self.chunked, self.hasty = keep_alive, chunked, hasty
         self.idle: dict[str, list[connection.ClientConnection]] = {}  # node -> its idle connections
         self.requests = 0
 
@@ -135,7 +135,7 @@
             (names["parts"], ",".join(f"{part}:{tokens}" for part, tokens in parts)),
         ]
         body = b"%08x" % rng.getrandbits(32)
-        body += b"." * max(0, request_kinds.draw(rng, kind.body_bytes, 0.3, MOST_BODY_BYTES) - len(body))
+        body += b"." * max(0, request_kinds.draw(rng, kind.body_bytes, 0.3, MAX_BODY_BYTES) - len(body))
         return headers if kind.is_stream else [], body
 
     def _parts(self, kind: request_kinds.RequestKind, hot: HotKey | None) -> list[tuple[str, int]]:
@@ -151,8 +151,8 @@
 
     # ---- a request ----------------------------------------------------------------------
 
-    async def ask(self, kind: request_kinds.RequestKind, hot: HotKey | None = None) -> None:
-        """Send a random request through all its tries."""
+    async def send(self, kind: request_kinds.RequestKind, hot: HotKey | None = None) -> None:
+        """Send a random request, with its retries."""
         runtime = self.runtime
         headers, body = self.content(kind, hot)
         self.requests += 1
@@ -168,7 +168,7 @@
         self.event_log.put(started_at, "asked_for", **names)
         after = attempts = 0
         while True:
-            row = await self.once(kind, request, attempts, after)
+            row = await self.send_attempt(kind, request, attempts, after)
             attempts += 1
             if kind.resumable:
                 after = max([after, *(event[0] for event in row["events"])])
@@ -189,23 +189,23 @@
         )
 
     def _may_retry(self, kind: request_kinds.RequestKind, row: Row, attempts: int) -> bool:
-        code, is_whole = row["code"], row["how"] == "whole"
-        if is_whole and (200 <= code < 300 or code in FINAL):
+        code, is_complete = row["code"], row["how"] == "whole"
+        if is_complete and (200 <= code < 300 or code in FINAL):
             return False
-        if not (kind.is_repeatable or row["how"] == "unconnected" or (is_whole and code in NOT_RUN)):
+        if not (kind.is_idempotent or row["how"] == "unconnected" or (is_complete and code in NOT_RUN)):
             return False
         return attempts <= kind.more_attempts * (HASTY_ATTEMPTS if self.hasty else 1)
 
     def _retry_wait_us(self, row: Row, until: int) -> int:
         if self.hasty:
-            return HASTY_WAIT_US
+            return HASTY_RETRY_WAIT_US
         if row["retry_after"] is None:
             return RETRY_WAIT_US
         return min(int(row["retry_after"] * units.SECOND_US), (until - self.runtime.now()) // 3)
 
-    # ---- one try ------------------------------------------------------------------------
+    # ---- one attempt ------------------------------------------------------------------------
 
-    async def once(
+    async def send_attempt(
         self,
         kind: request_kinds.RequestKind,
         request: Request,
@@ -213,51 +213,51 @@
         after: int = 0,
         node: str | None = None,
     ) -> Row:
-        """Try a request once: its row of the event log.
+        """Send one attempt of a request: its row of the event log.
 
         Args:
             kind: The kind of the request.
             request: The request.
-            number: How many tries came before.
+            number: How many attempts came before.
             after: The last event that is already there.
             node: The node to send it to; the virtual address picks one where None.
         """
-        attempt = f"{self.runtime.rng.getrandbits(64):016x}"
+        identifier = f"{self.runtime.rng.getrandbits(64):016x}"
         if node is None:
-            name, (host, port) = self.address.pick(self.zone, self.name, number)
+            name, (host, port) = self.virtual_address.pick(self.zone, self.name, number)
         else:
-            name, (host, port) = node, self.address.nodes[node].front
-        trial = Try(kind, request, attempt, number, after, self.runtime.now())
-        raw = self.encode(trial)
+            name, (host, port) = node, self.virtual_address.nodes[node].front
+        attempt = Attempt(kind, request, identifier, number, after, self.runtime.now())
+        raw = self.encode(attempt)
         ended: defer.Deferred[None] = defer.Deferred()
         answer = connection.PendingAnswer(lambda _: ended.callback(None))
-        opened = self.take_idle(name)
-        row = dict(self._row_of_try(trial), node=name, direct=node is not None)
+        opened = self.acquire_idle(name)
+        row = dict(self._row_of_attempt(attempt), node=name, direct=node is not None)
         if opened is None:
-            opened = await self._connect(name, host, port, request.until - trial.started_at)
+            opened = await self._connect(name, host, port, request.until - attempt.started_at)
         if opened is None:
             answer.end("unconnected")
         else:
             row["sent"] = self.runtime.now()
             opened.start(answer, raw)
-            await self._watch(trial, opened, answer, ended, row["sent"])
-            self._put_away(name, opened, answer)
+            await self._watch(attempt, opened, answer, ended, row["sent"])
+            self._release(name, opened, answer)
         row.update(self._row_of_answer(answer))
         self.event_log.put(self.runtime.now(), "tried", **row)
         return row
 
-    def encode(self, trial: Try) -> bytes:
-        """The bytes of a try."""
-        names, request = platform_names.HEADERS, trial.request
-        left_ms = max(1, (request.until - trial.started_at) // units.MILLISECOND_US)
+    def encode(self, attempt: Attempt) -> bytes:
+        """The bytes of an attempt."""
+        names, request = platform_names.HEADERS, attempt.request
+        left_ms = max(1, (request.until - attempt.started_at) // units.MILLISECOND_US)
         headers = [
-            ("Host", trial.kind.host),
-            (names["attempt"], trial.attempt),
+            ("Host", attempt.kind.host),
+            (names["attempt"], attempt.identifier),
             *request.headers,
             (names["left"], str(left_ms)),
         ]
-        if trial.after:
-            headers.append((names["after"], str(trial.after)))
+        if attempt.after:
+            headers.append((names["after"], str(attempt.after)))
         body = request.body
         if self.chunked and body:
             middle = len(body) // 2
@@ -266,11 +266,11 @@
             headers.append(("Transfer-Encoding", "chunked"))
         else:
             headers.append(("Content-Length", str(len(body))))
-        if not self.keeps:
+        if not self.keep_alive:
             headers.append(("Connection", "close"))
         return connection.encode_head("POST", request.path, headers) + body
 
-    def take_idle(self, node: str) -> connection.ClientConnection | None:
+    def acquire_idle(self, node: str) -> connection.ClientConnection | None:
         """An idle connection to a node that may carry a request, or None."""
         idle = self.idle.setdefault(node, [])
         while idle:
@@ -298,53 +298,53 @@
 
     async def _watch(
         self,
-        trial: Try,
+        attempt: Attempt,
         opened: connection.ClientConnection,
         answer: connection.PendingAnswer,
         ended: defer.Deferred[None],
         sent_at: int,
     ) -> None:
-        """Wait for the answer's end, and give up at the deadline, after a silence, or where nobody reads."""
-        until = trial.request.until + DEADLINE_SLACK_US
-        silence_us, read_us = trial.silence_limit_us(), trial.read_limit_us()
+        """Wait for the answer; give up at the deadline, after the idle time-out, or where the request is not read."""
+        until = attempt.request.until + DEADLINE_SLACK_US
+        idle_timeout_us, read_timeout_us = attempt.idle_timeout_us(), attempt.read_timeout_us()
         while not answer.over:
             now = self.runtime.now()
             last_at = answer.last_at or sent_at
             if now >= until:
                 opened.drop("deadline")
-            elif now - last_at >= silence_us:
+            elif now - last_at >= idle_timeout_us:
                 opened.drop("silent")
-            elif now - sent_at >= read_us and opened.is_unread() and trial.kind.is_repeatable:
+            elif now - sent_at >= read_timeout_us and opened.is_unread() and attempt.kind.is_idempotent:
                 opened.drop("unread")
             else:
-                wakes = [until, last_at + silence_us]
-                if now - sent_at < read_us:
-                    wakes.append(sent_at + read_us)
-                await self.either(ended, min(wakes) - now)
+                wakes = [until, last_at + idle_timeout_us]
+                if now - sent_at < read_timeout_us:
+                    wakes.append(sent_at + read_timeout_us)
+                await self.first_of(ended, min(wakes) - now)
 
-    def _put_away(self, node: str, opened: connection.ClientConnection, answer: connection.PendingAnswer) -> None:
-        if opened.up and opened.keep and self.keeps and answer.outcome == "whole":
+    def _release(self, node: str, opened: connection.ClientConnection, answer: connection.PendingAnswer) -> None:
+        if opened.up and opened.keep and self.keep_alive and answer.outcome == "whole":
             self.idle[node].append(opened)
         else:
             opened.drop("used")
 
-    def _row_of_try(self, trial: Try) -> Row:
-        kind, request = trial.kind, trial.request
+    def _row_of_attempt(self, attempt: Attempt) -> Row:
+        kind, request = attempt.kind, attempt.request
         return dict(
-            attempt=trial.attempt,
+            attempt=attempt.identifier,
             request=request.identifier,
-            tries=trial.number,
+            tries=attempt.number,
             sort=kind.name,
-            repeat=kind.is_repeatable,
+            repeat=kind.is_idempotent,
             stream=kind.is_stream,
             host=kind.host,
             url=request.path,
             method="POST",
             body=served_http.digest(request.body),
             zone=self.zone,
-            sent=trial.started_at,
+            sent=attempt.started_at,
             until=request.until,
-            after=trial.after,
+            after=attempt.after,
         )
 
     def _row_of_answer(self, answer: connection.PendingAnswer) -> Row:
@@ -367,8 +367,8 @@
             text="" if 200 <= answer.code < 300 else answer.body[:LOGGED_TEXT].decode("latin-1"),
         )
 
-    def either(self, ended: defer.Deferred[None], wait_us: int) -> defer.Deferred[None]:
-        """A Deferred that fires when `ended` has, or after a time."""
+    def first_of(self, ended: defer.Deferred[None], wait_us: int) -> defer.Deferred[None]:
+        """A Deferred that fires when `ended` has, or after some time."""
         fired: defer.Deferred[None] = defer.Deferred()
 
         def expire() -> None:
@@ -392,9 +392,9 @@
     """The requests of all clients of a zone.
 
     Attributes:
-        factor: Kinds that come so many times as often as usual.
-        hot: A key that is popular for now.
-        open: How many requests are under way.
+        rate_factors: Kinds that come so many times as often as usual.
+        hot_key: A key that is popular for now.
+        in_flight: How many requests are in flight.
     """
 
     def __init__(
@@ -408,22 +408,22 @@
         """Prepare traffic.
 
         Args:
-            runtime: The clock and chance to go by.
+            runtime: The clock, and the source of random numbers.
             clients: Who sends.
             kinds: What they send.
             rate: Requests a second, on the average.
             phase: Where in its wave of 11 s the rate begins, from 0 to 1.
         """
         self.runtime, self.clients, self.kinds, self.rate, self.phase = runtime, clients, kinds, rate, phase
-        self.factor: dict[str, float] = {}
-        self.hot: HotKey | None = None
-        self.open = 0
+        self.rate_factors: dict[str, float] = {}
+        self.hot_key: HotKey | None = None
+        self.in_flight = 0
 
     async def run(self, until: int) -> None:
         """Send random requests until a time."""
         runtime, rng = self.runtime, self.runtime.rng
         while runtime.now() < until:
-            weights = [kind.share * self.factor.get(kind.name, 1) for kind in self.kinds]
+            weights = [kind.share * self.rate_factors.get(kind.name, 1) for kind in self.kinds]
             wave = 1 + 0.15 * math.sin(2 * math.pi * (runtime.now() / (11 * units.SECOND_US) + self.phase))
             rate = self.rate * sum(weights) / sum(kind.share for kind in self.kinds) * wave
             await runtime.sleep(int(rng.expovariate(rate) * units.SECOND_US))
@@ -431,8 +431,8 @@
             runtime.spawn(self._send(rng.choice(self.clients), kind), log)
 
     async def _send(self, client: Client, kind: request_kinds.RequestKind) -> None:
-        self.open += 1
+        self.in_flight += 1
         try:
-            await client.ask(kind, hot=self.hot)
+            await client.send(kind, hot=self.hot_key)
         finally:
-            self.open -= 1
+            self.in_flight -= 1
--- a/simulation/clients/operator.py
+++ b/simulation/clients/operator.py
@@ -16,15 +16,15 @@
 if typing.TYPE_CHECKING:
     from iriswheel.runtime import scheduler
 
-MOST_PLACES = 3  # that one call is passed on to
+MAX_REDIRECTS = 3  # that one call follows
 CONNECT_TIMEOUT_US = units.SECOND_US
 ANSWER_TIMEOUT_US = units.SECOND_US
 ANSWER_TIMEOUT_PER_BYTE_US = 5
-FIRST_PAUSE_US = 100 * units.MILLISECOND_US
-LONGEST_PAUSE_US = units.SECOND_US
+FIRST_RETRY_WAIT_US = 100 * units.MILLISECOND_US
+MAX_RETRY_WAIT_US = units.SECOND_US
 CLEAR_ERRORS = (400, 409, 412, 413, 422)
 TEMPORARY_ERRORS = (408, 429)
-MOST_ODD_ERRORS = 3  # other answers 4xx until an operator gives up
+MAX_UNEXPECTED_ERRORS = 3  # other answers 4xx until an operator gives up
 LOGGED_BYTES = 200
 
 Address = tuple[str, int]
@@ -53,7 +53,7 @@
 
 
 def parse_redirect(location: str) -> Redirect | None:
-    """The place that a Location header names, or None where it names no port.
+    """The address and path that a Location header names, or None where it names no port.
 
     >>> parse_redirect("http://10.1.0.2:8262/config")
     Redirect(address=('10.1.0.2', 8262), path='/config')
@@ -95,7 +95,7 @@
     async def call(self, method: str, headers: Headers, raw: bytes, address: Address) -> Answer:
         """Call one core machine, and those that it passes the call on to."""
         path = platform_names.PATHS["blueprint"]
-        for _ in range(MOST_PLACES):
+        for _ in range(MAX_REDIRECTS):
             answer = await self._call_once(method, path, headers, raw, address)
             if answer is None or answer.outcome != "whole":
                 return UNCLEAR
@@ -144,7 +144,7 @@
             seconds: How long to try.
             send: The name of the change in the event log.
         """
-        until, pause_us, odd_errors = self.runtime.now() + seconds * units.SECOND_US, FIRST_PAUSE_US, 0
+        until, wait_us, unexpected_errors = self.runtime.now() + seconds * units.SECOND_US, FIRST_RETRY_WAIT_US, 0
         turn = self.runtime.rng.randrange(100)
         while self.runtime.now() < until:
             addresses = self.addresses()
@@ -156,12 +156,12 @@
             if status == 200 or status in CLEAR_ERRORS:
                 return Answer(status, body)
             if 400 <= status < 500 and status not in TEMPORARY_ERRORS:
-                odd_errors += 1
-                if odd_errors == MOST_ODD_ERRORS:
+                unexpected_errors += 1
+                if unexpected_errors == MAX_UNEXPECTED_ERRORS:
                     return Answer(status, body)
             turn += 1
-            await self.runtime.sleep(pause_us)
-            pause_us = min(LONGEST_PAUSE_US, pause_us * 3 // 2)
+            await self.runtime.sleep(wait_us)
+            wait_us = min(MAX_RETRY_WAIT_US, wait_us * 3 // 2)
         return UNCLEAR
 
     def _acknowledged(self, status: int, send: str) -> int:
--- a/simulation/clients/request_kinds.py
+++ b/simulation/clients/request_kinds.py
@@ -29,7 +29,7 @@
 
     mean: int
     spread: float
-    most: int
+    maximum: int
 
 
 OWN_TOKENS = SizeKind(290, 1.4, 1800)
@@ -45,7 +45,7 @@
         host: The host that requests name.
         path: The path of the route.
         sort: Whether an answer is a stream; otherwise whether a request may run more than once.
-        resumable: Whether a stream may be taken up after its last event.
+        resumable: Whether a stream may be resumed after its last event.
         urgency: The urgency of the route.
         aim_ms: Within what time the first bytes of an answer are worth the full value.
         pause_ms: The longest pause between events that is worth it.
@@ -91,12 +91,12 @@
         return self.sort == "stream"
 
     @property
-    def is_repeatable(self) -> bool:
+    def is_idempotent(self) -> bool:
         """Whether a client may send it again though it may have run."""
         return self.sort == "may" or self.resumable
 
 
-def draw(rng: random.Random, mean: float, spread: float, most: float = 1e9) -> int:
+def draw(rng: random.Random, mean: float, spread: float, maximum: float = 1e9) -> int:
     """A random size, log-normal round a mean, at least 1.
 
     >>> import random
@@ -105,7 +105,7 @@
     """
     if not spread:
         return max(1, round(mean))
-    return max(1, min(round(most), round(rng.lognormvariate(math.log(mean) - spread**2 / 2, spread))))
+    return max(1, min(round(maximum), round(rng.lognormvariate(math.log(mean) - spread**2 / 2, spread))))
 
 
 def draw_variant(rng: random.Random, variants: int, skew: float) -> int:
--- a/simulation/clients/virtual_address.py
+++ b/simulation/clients/virtual_address.py
@@ -50,7 +50,7 @@
     async def check(self, name: str, host: str, port: int) -> None:
         """Check whether one node is ready."""
         was_in = self.is_in(name)
-        ready = await self._ask(host, port)
+        ready = await self._is_ready(host, port)
         if name not in self.nodes:
             return
         self.misses[name] = 0 if ready else self.misses.get(name, MISSES_TO_LEAVE) + 1
@@ -58,7 +58,7 @@
         if self.is_in(name) != was_in:
             self.event_log.put(self.runtime.now(), "entry", node=name, into=not was_in)
 
-    async def _ask(self, host: str, port: int) -> bool:
+    async def _is_ready(self, host: str, port: int) -> bool:
         try:
             opened = await connection.connect(self.runtime, host, port, CHECK_TIMEOUT_US)
             answered: defer.Deferred[connection.PendingAnswer] = defer.Deferred()
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -264,9 +264,9 @@
             self.site.virtual_address,
             f"direct{self.direct_requests}",
             "far",
-            keeps=False,
+            keep_alive=False,
         )
         kind = dataclasses.replace(shapes.DIRECT, host=IDLE_HOST)
         until = runtime.now() + kind.deadline_ms * units.MILLISECOND_US
         request = client.Request(caller.name, f"{path}x", [], b"direct", until)
-        runtime.spawn(caller.once(kind, request, 0, node=node), log)
+        runtime.spawn(caller.send_attempt(kind, request, 0, node=node), log)
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -348,11 +348,11 @@
     owner.advance(4)
     kind = owner.rng.choice(owner.shape.kinds).name
     for traffic in owner.traffics:
-        traffic.factor[kind] = 1.6
+        traffic.rate_factors[kind] = 1.6
 
     def end() -> None:
         for traffic in owner.traffics:
-            traffic.factor.clear()
+            traffic.rate_factors.clear()
 
     owner.schedule(4, end)
 
@@ -361,7 +361,7 @@
     """One key gets much of the traffic."""
     owner.advance(3)
     for traffic in owner.traffics:
-        traffic.hot = client.HotKey(owner.shape.kinds[0].name, 0.35)
+        traffic.hot_key = client.HotKey(owner.shape.kinds[0].name, 0.35)
 
 
 # ---- several at once -----------------------------------------------------------------------
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -142,17 +142,17 @@
         """Let one kind of request come in a rush."""
         kind, factor = self.rng.choice(self.site.shape.kinds).name, 1.4 + 0.4 * self.rng.random()
         for traffic in self.site.traffics:
-            traffic.factor[kind] = factor
+            traffic.rate_factors[kind] = factor
         self.site.schedule(RUSH_S, self._end_rush)
 
     def _end_rush(self) -> None:
         for traffic in self.site.traffics:
-            traffic.factor.clear()
+            traffic.rate_factors.clear()
 
     def heat_keys(self) -> None:
         """Let one key get much of each zone's traffic."""
         for traffic in self.site.traffics:
-            traffic.hot = client.HotKey(self.rng.choice(self.site.shape.kinds).name, 0.3)
+            traffic.hot_key = client.HotKey(self.rng.choice(self.site.shape.kinds).name, 0.3)
 
     # ---- the day ------------------------------------------------------------------------
 
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -296,7 +296,7 @@
             self.virtual_address,
             f"k{zone}{number}",
             zone,
-            keeps=number % 3 > 0,
+            keep_alive=number % 3 > 0,
             chunked=number % 4 == 1,
             hasty=number % 7 == 6,
         )
@@ -338,7 +338,7 @@
     def end(self) -> None:
         """End the run: open requests end, and the configuration is read back."""
         self.advance(max(0, (self.traffic_until - self.world.time) / units.SECOND_US))
-        self.advance_until(lambda: not any(traffic.open for traffic in self.traffics), DRAIN_S)
+        self.advance_until(lambda: not any(traffic.in_flight for traffic in self.traffics), DRAIN_S)
         for _ in range(READ_BACKS):
             self.read_back(READ_BACK_S)
             self.advance(READ_BACK_GAP_S)
--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in worker: it runs requests on an engine's model, and goes wrong in the ways that it is told to."""
+"""A stand-in worker: it runs requests on a model of an engine, and fails in the ways that it is told to."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 LINGER_SHARE = 0.1
 LINGER_US = 1_500 * units.MILLISECOND_US
 IDLE_US = 5 * units.SECOND_US
-MOST_PADDING = 2000  # of a short answer
-FIRST_LATE_US, LATE_SPAN_US = 5 * units.MILLISECOND_US, 400 * units.MILLISECOND_US
+MAX_PADDING_BYTES = 2000  # of a short answer
+MIN_LATE_US, LATE_SPREAD_US = 5 * units.MILLISECOND_US, 400 * units.MILLISECOND_US
 EVENTS_BEFORE_BREAK = 2
 LAST_CHUNK = b"0\r\n\r\n"
 
@@ -26,7 +26,7 @@
 
 
 class Run:
-    """One request in a worker's hands, from its arrival to its end."""
+    """One request at a worker, from its arrival to its end."""
 
     def __init__(self, request: served_http.ServedRequest, attempt: str, seal: str, fault: str) -> None:
         """Make a run that the engine does not have yet.
@@ -35,7 +35,7 @@
             request: The request.
             attempt: The name of the attempt.
             seal: A random text that marks what this run sends.
-            fault: How it goes wrong; empty where it goes well.
+            fault: How it fails; empty where it does not.
         """
         self.request, self.attempt, self.seal, self.fault = request, attempt, seal, fault
         counts = request.header(platform_names.HEADERS["tokens"])
@@ -59,8 +59,8 @@
         """How many tokens its answer has."""
         return int(self.token_counts.split(",")[1]) if self.token_counts else tokens_per_event
 
-    def done_before(self, tokens_per_event: int) -> int:
-        """How many tokens came before, where a stream is taken up after its last event."""
+    def tokens_before(self, tokens_per_event: int) -> int:
+        """How many tokens came before, where a stream is resumed after its last event."""
         after = self.request.header(platform_names.HEADERS["after"])
         events = int(after) if after and after.isdigit() else 0
         return max(0, events - 1) * tokens_per_event + bool(after)
@@ -70,10 +70,10 @@
     """One instance of a stand-in worker.
 
     Attributes:
-        faults: How it goes wrong, and how often (0 to 1): garble, surplus, late, lost, break, errors, hang, mute.
+        faults: How requests fail, and how often (0 to 1): garble, surplus, late, lost, break, errors, hang, mute.
         health: What it answers to health checks: "good", "bad", or the truth where empty.
         close_share: How often an answer says that the connection ends.
-        linger_share: How often a request goes on for a while though its connection is gone.
+        linger_share: How often a request runs on for a while after its connection is lost.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         self.linger_share = LINGER_SHARE
         self.weights = 1
         self.runs: dict[served_http.ServedRequest, Run] = {}
-        self.taken = 0
+        self.accepted = 0
         self.note("born", pool=pool)
 
     def note(self, kind: str, **fields: object) -> None:
@@ -130,12 +130,12 @@
         if run is None or run.over:
             return
         if self.runtime.rng.random() < self.linger_share:
-            self.runtime.later(LINGER_US, self.cut, run)
+            self.runtime.later(LINGER_US, self.abandon, run)
         else:
-            self.cut(run)
+            self.abandon(run)
 
-    def cut(self, run: Run) -> None:
-        """Drop a request whose connection is gone."""
+    def abandon(self, run: Run) -> None:
+        """Drop a request whose connection is lost."""
         if not run.over:
             self.engine.cancel(run.job)
             self.end(run, "cut")
@@ -151,9 +151,9 @@
         if (request.method, request.path) == ("GET", platform_names.PATHS["report"]):
             request.reply_json(200, self.report())
         elif (request.method, request.path) == ("GET", self.probe_path):
-            self.take_probe(request)
+            self.answer_probe(request)
         else:
-            self.take(request)
+            self.serve(request)
 
     def report(self) -> dict[str, typing.Any]:
         """The report of how things stood some time ago."""
@@ -171,19 +171,19 @@
             names["accepts"]: 0,
         }
 
-    def take_probe(self, request: served_http.ServedRequest) -> None:
-        """Answer a probe, which waits for a place as a request does."""
+    def answer_probe(self, request: served_http.ServedRequest) -> None:
+        """Answer a health check, which waits for a place in the batch as a request does."""
         self.note("probed")
-        is_well = not self.leaving and not any(self.faults.values())
-        is_well = {"good": True, "bad": False}.get(self.health, is_well)
+        is_healthy = not self.leaving and not any(self.faults.values())
+        is_healthy = {"good": True, "bad": False}.get(self.health, is_healthy)
 
         def answer(_number: int, _last: bool) -> None:
-            request.reply(200 if is_well else 503, [(platform_names.HEADERS["worker"], self.id)])
+            request.reply(200 if is_healthy else 503, [(platform_names.HEADERS["worker"], self.id)])
 
         if not self.engine.offer(inference_engine.Job("probe", [], 1, on_event=answer)):
             request.reply(503, [(platform_names.HEADERS["not_run"], "1")])
 
-    def take(self, request: served_http.ServedRequest) -> None:
+    def serve(self, request: served_http.ServedRequest) -> None:
         """Run a request, or refuse it as one that has not run."""
         names = platform_names.HEADERS
         attempt = request.header(names["attempt"], "")
@@ -202,7 +202,7 @@
             return
         self.note("arrived", verdict=0, **row)
         self.runs[request] = run
-        if run.done_before(self.parameters.event_tokens) >= run.tokens(self.parameters.event_tokens):
+        if run.tokens_before(self.parameters.event_tokens) >= run.tokens(self.parameters.event_tokens):
             self._answer_without_event(run)
         else:
             run.timer = self.runtime.later(left_ms * units.MILLISECOND_US, self.expire, run)
@@ -239,8 +239,8 @@
     def _new_run(self, request: served_http.ServedRequest, attempt: str) -> Run:
         names, rng = platform_names.HEADERS, self.runtime.rng
         parts = self.parts(request.header(names["parts"], ""))
-        self.taken += 1
-        seal = f"{self.id[2:6]}.{self.taken:02x}.{rng.getrandbits(32):08x}"
+        self.accepted += 1
+        seal = f"{self.id[2:6]}.{self.accepted:02x}.{rng.getrandbits(32):08x}"
         faults = [fault for fault, share in sorted(self.faults.items()) if rng.random() < share]
         run = Run(request, attempt, seal, faults[0] if faults else "")
         tokens = run.tokens(self.parameters.event_tokens)
@@ -249,7 +249,7 @@
             parts,
             tokens,
             int(request.header(names["urgency"], str(inference_engine.DEFAULT_URGENCY))),
-            decoded=min(run.done_before(self.parameters.event_tokens), tokens - 1),
+            decoded=min(run.tokens_before(self.parameters.event_tokens), tokens - 1),
             on_first_token=lambda: self.on_started(run),
             on_event=lambda number, last: self.on_event(run, number, last),
         )
@@ -323,7 +323,7 @@
         return headers
 
     def on_event(self, run: Run, number: int, last: bool) -> None:
-        """Send one event of a stream, or a whole short answer, unless the run goes wrong here."""
+        """Send one event of a stream, or a whole short answer, unless the run fails here."""
         if run.over or self._is_silent(run, last):
             return
         if run.fault in ("errors", "garble") and not run.events:
@@ -388,7 +388,7 @@
     def finish_short(self, run: Run) -> None:
         """Send a whole short answer."""
         run.close = self._draw_close()
-        body = f"{run.seal} {run.attempt} whole".encode() + b"." * self.runtime.rng.randrange(MOST_PADDING)
+        body = f"{run.seal} {run.attempt} whole".encode() + b"." * self.runtime.rng.randrange(MAX_PADDING_BYTES)
         run.sent.append(body)
         run.events = 1
         if run.fault in ("lost", "break"):
@@ -402,14 +402,14 @@
         self.finish(run)
 
     def finish(self, run: Run) -> None:
-        """End a run whose whole answer is out; one that goes wrong may send more, now or in place of the next one."""
+        """End a run whose whole answer is out; one that fails may send more, now or in place of the next one."""
         self.end(run, "ran")
         again = f"{run.seal} {run.attempt} again".encode()
         extra = served_http.encode_answer(200, self.headers(run, False), again)
         if run.fault == "surplus":
             run.connection.send(extra)
         if run.fault == "late":
-            delay_us = FIRST_LATE_US + self.runtime.rng.randrange(LATE_SPAN_US)
+            delay_us = MIN_LATE_US + self.runtime.rng.randrange(LATE_SPREAD_US)
             self.runtime.later(delay_us, run.connection.send, extra)
         run.request.over = True
         run.connection.finish(run.close)
