--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -160,17 +160,19 @@
     place, names = n.gateway.forwarder.placement_of("model-0"), n.gateway.forwarder.ready("model-0")
     place.take([(name, 22, 900, 0) for name in names], True)
     cut = placement.chain([f"{k:08x}" for k in range(4)])
-    place.pick(shared, cut, 291, names, pool, set())
+    place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())
     count = [0]
 
     def fresh() -> None:
         count[0] += 1
-        place.pick(shared, placement.chain([f"{count[0]:08x}", "b", "c", "d"]), 291, names, pool, set())
+        place.pick(
+            shared, placement.chain([f"{count[0]:08x}", "b", "c", "d"]), 291, names, pool=pool, excluded_workers=set()
+        )
 
     point = lines.point("workers of the pool", workers)
     point.put_loops(
         "a worker chosen at a node, its parts ranked before",
-        measuring.ratio(lambda: place.pick(shared, cut, 291, names, pool, set())),
+        measuring.ratio(lambda: place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())),
     )
     point.put_loops("a worker chosen at a node, a part never ranked", measuring.ratio(fresh))
     point = lines.point("workers", workers)
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -116,7 +116,7 @@
 class AddressEndpoints:
     """Connects by IP address, on the reactor that it was given."""
 
-    def __init__(self, reactor: typing.Any) -> None:
+    def __init__(self, reactor: typing.Any) -> None:  # noqa: ANN401 - real or simulated; Twisted's interfaces carry no types
         self.reactor = reactor
 
     def endpointForURI(self, uri: client.URI) -> endpoints.TCP4ClientEndpoint:
@@ -231,7 +231,7 @@
 class Attempt:
     """One attempt under way, which can be cut short."""
 
-    __slots__ = ("answer_begun", "last_received_us", "is_relayed", "waiting", "was_cancelled", "worker")
+    __slots__ = ("answer_begun", "is_relayed", "last_received_us", "waiting", "was_cancelled", "worker")
 
     def __init__(self, worker: str, now: int) -> None:
         self.worker = worker
@@ -256,7 +256,7 @@
     """This process's HTTP client towards workers, peers and the platform."""
 
     def __init__(
-        self, runtime: scheduler.Runtime, on_answer: collections.abc.Callable[[str], None] = lambda worker: None
+        self, runtime: scheduler.Runtime, on_answer: collections.abc.Callable[[str], None] = lambda _worker: None
     ) -> None:
         self.runtime = runtime
         self.on_answer = on_answer  # called with a worker's id whenever it says something
@@ -318,6 +318,7 @@
         worker: message.Worker,
         idempotent: bool,
         attempt: Attempt,
+        *,
         token: str = "",
         relay_address: tuple[str, int] | None = None,
     ) -> attempt_outcome.AttemptOutcome:
@@ -354,7 +355,7 @@
         except Exception as reason:  # whatever broke after the request went out: it may have run
             if request.gone:
                 raise defer.CancelledError() from reason  # the client left while the connection was made
-            log.warning("Worker {} gave no answer: {}", worker.id, type(reason).__name__)
+            log.warning("Worker {worker} gave no answer: {error}.", worker=worker.id, error=type(reason).__name__)
             return attempt_outcome.AttemptOutcome.BROKE
         attempt.answer_begun, attempt.last_received_us = True, self.runtime.now()
         if token and response.headers.hasHeader(edge_protocol.PASS):
@@ -364,7 +365,7 @@
     def _relay_failure(self, response: Response) -> attempt_outcome.AttemptOutcome:
         """Return how an attempt ended of which the relaying node says that it got no answer."""
         unsent = response.headers.getRawHeaders(edge_protocol.PASS) == [attempt_outcome.AttemptOutcome.UNSENT.value]
-        response.deliverBody(BodyCollector(lambda raw: None))
+        response.deliverBody(BodyCollector(lambda _: None))
         return attempt_outcome.AttemptOutcome.UNSENT if unsent else attempt_outcome.AttemptOutcome.BROKE
 
     async def _stream_answer(
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -231,7 +231,8 @@
 
 
 def _worker(entry: dict[str, typing.Any]) -> message.Worker:
-    state = entry["state"] if entry["state"] in ("ready", "leaving") else "gone"
+    listed_states = (message.WorkerState.READY, message.WorkerState.LEAVING)
+    state = entry["state"] if entry["state"] in listed_states else message.WorkerState.GONE.value
     drain_us = int(entry.get("drain_deadline_ms", 0)) * MILLISECOND_US
     return message.Worker(str(entry["id"]), str(entry["host"]), int(entry["port"]), str(entry["pool"]), state, drain_us)
 
@@ -339,8 +340,8 @@
         request: http_server.Request,
         size: int,
         worker: message.Worker,
-        left_us: int | None,
-        urgency: int,
+        _left_us: int | None,
+        _urgency: int,
         after: str = "",
     ) -> bytes:
         """The head of the request to a worker.
@@ -349,8 +350,8 @@
             request: The client's request.
             size: Length of the body in bytes.
             worker: The worker that gets it.
-            left_us: How long the client will wait; None where not told.
-            urgency: Of the route; 0 goes first.
+            _left_us: How long the client will wait; None where not told. Other formats send it.
+            _urgency: Of the route; 0 goes first. Other formats send it.
             after: Id of the last event that the client has, where a stream is resumed.
         """
         added = [(b"Host", f"{worker.host}:{worker.port}".encode()), (TARGET.encode(), worker.id.encode())]
@@ -369,7 +370,7 @@
         head.append(b"Content-Length: %d" % size)
         return b"\r\n".join(head) + b"\r\n\r\n"
 
-    def is_answer_to(self, tag: str, status: int, headers: LowerCaseHeaders) -> bool | None:
+    def is_answer_to(self, _tag: str, _status: int, _headers: LowerCaseHeaders) -> bool | None:
         """Whether an answer belongs to the attempt with this tag; None where the answer does not say.
 
         >>> EdgeProtocol().is_answer_to("x1", 200, {})
@@ -377,7 +378,7 @@
         """
         return True
 
-    def reports_not_run(self, status: int, headers: LowerCaseHeaders) -> bool:
+    def reports_not_run(self, status: int, _headers: LowerCaseHeaders) -> bool:
         """Whether the worker says that it did not run the request.
 
         >>> EdgeProtocol().reports_not_run(503, {}), EdgeProtocol().reports_not_run(200, {})
@@ -385,7 +386,7 @@
         """
         return status in NOT_RUN_STATUSES
 
-    def is_from_worker(self, status: int, headers: LowerCaseHeaders) -> bool:
+    def is_from_worker(self, _status: int, _headers: LowerCaseHeaders) -> bool:
         """Whether the head of a successful answer can be a worker's.
 
         >>> EdgeProtocol().is_from_worker(200, {})
@@ -409,7 +410,7 @@
         """
         return error.status, error.headers(), error.body()
 
-    def list_path(self, token: str) -> str:
+    def list_path(self, _token: str) -> str:
         """Where the platform's worker list is asked for, or its page of this token.
 
         >>> EdgeProtocol().list_path("")
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -20,10 +20,10 @@
     worker_connections,
 )
 from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
     from iriswheel.dataplane import interfaces, routed_request
-    from iriswheel.transport import message
 
 
 IDLE_USE_US = 2 * units.SECOND_US  # a connection idle for longer carries nothing that may not be repeated
@@ -80,7 +80,11 @@
 
     def ready(self, pool: str) -> list[str]:
         """Return the workers of a pool that may be sent to."""
-        return [worker.id for worker in self.node.follower.workers if worker.pool == pool and worker.state == "ready"]
+        return [
+            worker.id
+            for worker in self.node.follower.workers
+            if worker.pool == pool and worker.state == message.WorkerState.READY
+        ]
 
     def state(self) -> dict[str, typing.Any]:
         """Return what this forwarder shows of itself in the node's state."""
@@ -157,7 +161,7 @@
 
     def _sweep(self) -> None:
         workers = self.node.follower.workers
-        self.connections.sweep({worker.id for worker in workers if worker.state != "gone"})
+        self.connections.sweep({worker.id for worker in workers if worker.state != message.WorkerState.GONE})
         for pool, pool_placement in self.placements.items():
             pool_placement.sweep(set(self.ready(pool)))
 
@@ -212,8 +216,8 @@
             request.keys,
             request.own_tokens,
             self.ready(request.pool_name),
-            request.pool,
-            request.excluded_workers,
+            pool=request.pool,
+            excluded_workers=request.excluded_workers,
         )
         now = self.runtime.now()
         if not worker_id:
@@ -340,7 +344,7 @@
     ) -> attempt_outcome.AttemptOutcome:
         """Send a request over a connection and wait until its answer has ended or its time is over."""
         left_us = request.deadline_us - self.runtime.now()
-        if left_us <= 0 or self.node.follower.state(worker.id) != "ready":
+        if left_us <= 0 or self.node.follower.state(worker.id) != message.WorkerState.READY:
             connection.drop()
             return attempt_outcome.AttemptOutcome.UNSENT
         head = self.protocol.head(
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -185,7 +185,13 @@
             return attempt_outcome.AttemptOutcome.UNSENT
         self.counts["passed"] += 1
         return await dispatcher.send(
-            request.request, request.raw, worker, request.idempotent, attempt, token, (peer.host, peer.http)
+            request.request,
+            request.raw,
+            worker,
+            request.idempotent,
+            attempt,
+            token=token,
+            relay_address=(peer.host, peer.http),
         )
 
     async def relay_for_peer(self, request: http_server.Request) -> None:
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -57,7 +57,7 @@
         self.unreachable_since[worker] = self.runtime.now()
         self.runtime.spawn(self._retry_until_reached(worker), log)
         for other in self.node.follower.workers:
-            if other.id not in self.unreachable_since and other.state != "gone":
+            if other.id not in self.unreachable_since and other.state != message.WorkerState.GONE:
                 self.runtime.spawn(self._try_connect(other), log)  # a cut network may hide the other workers too
 
     async def probe_quiet_workers(self) -> None:
@@ -68,7 +68,7 @@
                 if not self.node.follower.selected_by_owner(worker.pool):
                     continue  # the node's own attempts show whether these are reachable
                 if (
-                    worker.state == "ready"
+                    worker.state == message.WorkerState.READY
                     and worker.id not in self.unreachable_since
                     and worker.id not in self.last_contact_us
                 ):
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -47,7 +47,16 @@
 OthersLoad: typing.TypeAlias = tuple[int, int, int]  # the same without the worker, of all other nodes together
 
 NO_LOAD: OthersLoad = (0, 0, 0)
-NO_FIRST_TURN = ("", 0)
+
+
+class FirstTurn(typing.NamedTuple):
+    """The first request with a prompt's last part: if another comes before it expires, they are a session."""
+
+    worker: str
+    expires_at_us: int
+
+
+NO_FIRST_TURN = FirstTurn("", 0)
 
 
 class WorkerEstimate:
@@ -135,8 +144,8 @@
         self.on_heavy_load_change: collections.abc.Callable[[], object] = lambda: None
         self.on_load_change: collections.abc.Callable[[], object] = lambda: None
         self.session_table: sessions.SessionTable[bytes] = sessions.SessionTable()
-        # last part's key -> (worker, until): may yet be a session
-        self.first_turns: collections.OrderedDict[bytes, tuple[str, int]] = collections.OrderedDict()
+        # by last part's key, the oldest first: each may yet become a session
+        self.first_turns: collections.OrderedDict[bytes, FirstTurn] = collections.OrderedDict()
         # (key, workers) -> the workers by weight
         self.ranks: collections.OrderedDict[tuple[bytes, tuple[str, ...]], list[str]] = collections.OrderedDict()
 
@@ -302,6 +311,7 @@
         keys: list[bytes],
         own_tokens: int,
         ready: list[str],
+        *,
         pool: configuration.Pool,
         excluded_workers: set[str],
     ) -> tuple[str, int]:
@@ -326,8 +336,9 @@
         if not candidates:
             return "", 0
         if keys:
-            worker, until = self.first_turns.get(keys[-1], NO_FIRST_TURN)
-            if worker in candidates and until > now:
+            first_turn = self.first_turns.get(keys[-1], NO_FIRST_TURN)
+            worker = first_turn.worker
+            if worker in candidates and first_turn.expires_at_us > now:
                 return worker, self.wait_us(worker, pool, now)  # a second turn: its prefix is held there
         workers = tuple(ready)
         shared_keys = keys[:-1]
@@ -335,7 +346,7 @@
         if own_tokens + sum(size for _, size in zip(shared_keys, prompt.sizes, strict=False)) >= LONG_TOKENS:
             workers = tuple(worker for worker in workers if worker not in reserved)
             candidates = [worker for worker in candidates if worker not in reserved] or candidates
-        return self._nearest(candidates, shared_keys, prompt.sizes[:-1], own_tokens, workers, pool)
+        return self._nearest(candidates, shared_keys, prompt.sizes[:-1], own_tokens, workers, pool=pool)
 
     def _candidates(self, ready: list[str], excluded_workers: set[str], now: int) -> list[str]:
         """Return the healthy workers not yet tried; all not yet tried where most look ill: then it is not they."""
@@ -350,6 +361,7 @@
         sizes: list[int],
         own_tokens: int,
         workers: tuple[str, ...],
+        *,
         pool: configuration.Pool,
     ) -> tuple[str, int]:
         """Return the candidate with the least time to the first event, and how long the request waits there."""
@@ -410,7 +422,7 @@
         """Note a turn: the second one with the same last part opens a session, if the cap allows.
 
         Nobody says whether a prompt's last part is a conversation's or one request's own, and a
-        record for each of the latter would fill every cap. So the first turn leaves a trial, which
+        record for each of the latter would fill every cap. So the first turn is only remembered, which
         counts for nothing but placement.
         """
         now = self.runtime.now()
@@ -422,11 +434,11 @@
             session.lifetime_us, session.cost = terms.lifetime_us, terms.cost
             self.session_table.extend(session, now)
             return
-        _, until = self.first_turns.pop(key, NO_FIRST_TURN)
-        if until > now and (not cap or self.session_table.count(worker) < cap):
+        first_turn = self.first_turns.pop(key, NO_FIRST_TURN)
+        if first_turn.expires_at_us > now and (not cap or self.session_table.count(worker) < cap):
             self.session_table.open(key, worker, now, terms.lifetime_us, terms.cost)
             return
-        self.first_turns[key] = (worker, now + terms.lifetime_us)
+        self.first_turns[key] = FirstTurn(worker, now + terms.lifetime_us)
         if len(self.first_turns) > MAX_FIRST_TURNS:
             self.first_turns.popitem(last=False)
 
@@ -439,7 +451,7 @@
         self.session_table.sweep(now)
         for worker in [worker for worker in self.session_table.at if worker not in ready]:
             self.session_table.evict(worker)
-        while self.first_turns and next(iter(self.first_turns.values()))[1] < now:
+        while self.first_turns and next(iter(self.first_turns.values())).expires_at_us < now:
             self.first_turns.popitem(last=False)
         for worker in [name for name, estimate in self.workers.items() if name not in ready and not estimate.running]:
             del self.workers[worker]
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -21,7 +21,7 @@
     """The right to one relayed request to a worker, until a time."""
 
     worker: str
-    until: int
+    expires_at_us: int
 
 
 NO_TOKEN = RelayToken("", 0)
@@ -48,10 +48,10 @@
     def issue_token(self, worker: str) -> str:
         """Return a token for one request of a peer to a worker, or "" where this node can't help."""
         follower, now = self.node.follower, self.runtime.now()
-        for expired in [name for name, token in self.tokens.items() if token.until < now]:
+        for expired in [name for name, token in self.tokens.items() if token.expires_at_us < now]:
             del self.tokens[expired]
         if (
-            follower.state(worker) != "ready"
+            follower.state(worker) != message.WorkerState.READY
             or worker in self.node.reachability.unreachable_since
             or follower.needs_rejoin()
             or not follower.has_worker_update()
@@ -66,7 +66,7 @@
         name = edge_protocol.header(request.requestHeaders, edge_protocol.PASS)
         token = self.tokens.pop(name or "", NO_TOKEN)
         worker = self.node.follower.states.get(token.worker)
-        if worker is None or worker.state != "ready" or self.runtime.now() >= token.until:
+        if worker is None or worker.state != message.WorkerState.READY or self.runtime.now() >= token.expires_at_us:
             return None
         return worker
 
--- a/iriswheel/dataplane/routed_request.py
+++ b/iriswheel/dataplane/routed_request.py
@@ -24,7 +24,9 @@
     __slots__ = (
         "arrived_at_us",
         "attempt_id",
+        "attempt_number",
         "configuration_index",
+        "deadline_us",
         "done",
         "grant_requested",
         "idempotent",
@@ -38,10 +40,8 @@
         "request",
         "request_id",
         "route",
-        "attempt_number",
         "session",
         "terms",
-        "deadline_us",
         "work",
     )
 
--- a/iriswheel/dataplane/sessions.py
+++ b/iriswheel/dataplane/sessions.py
@@ -28,7 +28,7 @@
     __slots__ = ("cost", "expires", "id", "lifetime_us", "opened_by", "pending", "turns", "version", "worker")
 
     def __init__(
-        self, identifier: Key, worker: str, expires: int, lifetime_us: int, cost: int, version: int = 1
+        self, identifier: Key, worker: str, expires: int, lifetime_us: int, cost: int, *, version: int = 1
     ) -> None:
         self.id = identifier
         self.worker = worker
@@ -90,7 +90,7 @@
         True
         """
         self.version += 1
-        session = Session(identifier, worker, now + lifetime_us, lifetime_us, cost, self.version)
+        session = Session(identifier, worker, now + lifetime_us, lifetime_us, cost, version=self.version)
         self.records[identifier] = session
         self.at.setdefault(worker, {})[identifier] = session
         return session
--- a/iriswheel/dataplane/tcp_client.py
+++ b/iriswheel/dataplane/tcp_client.py
@@ -16,7 +16,7 @@
 
 
 def connect(
-    reactor: typing.Any,
+    reactor: typing.Any,  # noqa: ANN401 - real or simulated; Twisted's interfaces carry no types
     host: str,
     port: int,
     timeout_us: int,
--- a/iriswheel/dataplane/worker_connections.py
+++ b/iriswheel/dataplane/worker_connections.py
@@ -161,7 +161,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._fail()
 
-    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
         """End the request under way, if any."""
         self.is_connected = False
         self.must_close = True
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -1,4 +1,4 @@
-"""Worker selection by a pool's owner, and the bypass to a session's known worker while that owner is silent."""
+"""Worker selection by a pool's owner, and the bypass to a session's known worker while that owner does not answer."""
 
 from __future__ import annotations
 
@@ -24,6 +24,16 @@
     via: str
 
 
+class SessionAffinity(typing.NamedTuple):
+    """The worker that a session was last granted, until the session's lifetime is over."""
+
+    worker: str
+    expires_at_us: int
+
+
+NO_AFFINITY = SessionAffinity("", 0)
+
+
 class WorkerSelector:
     """Selects workers by asking the pools' owners; remembers each session's worker for when an owner is silent."""
 
@@ -39,7 +49,7 @@
         self.router = router
         self.owners = owners
         self.counts = counts  # "bypass" is counted here
-        self.affinities: dict[tuple[str, str], tuple[str, int]] = {}  # (pool, session) -> (worker, until)
+        self.affinities: dict[tuple[str, str], SessionAffinity] = {}  # by pool and session
 
     async def select_worker(self, request: routed_request.RoutedRequest, excluded_workers: list[str]) -> SelectedWorker:
         """Get a worker for a request, waiting for one as long as the request may.
@@ -85,7 +95,7 @@
         follower = self.node.follower
         path = request_router.request_path(request)
         return (
-            worker.state == "ready"
+            worker.state == message.WorkerState.READY
             and worker.pool == request.pool_name
             and not follower.needs_rejoin()
             and not follower.configuration_may_be_stale()
@@ -102,15 +112,15 @@
 
     def forget_expired_sessions(self, now: int) -> None:
         """Forget the sessions whose lifetime is over."""
-        for key in [key for key, (_, until) in self.affinities.items() if until < now]:
+        for key in [key for key, affinity in self.affinities.items() if affinity.expires_at_us < now]:
             del self.affinities[key]
 
     def export_sessions(self, pool: str, now: int) -> list[message.SessionRecord]:
         """Return where the sessions of a pool are pinned, for the pool's new owner."""
         return [
-            message.SessionRecord(session, worker, until - now, until - now, 0, 0)
-            for (session_pool, session), (worker, until) in sorted(self.affinities.items())
-            if session_pool == pool and until > now
+            message.SessionRecord(session, affinity.worker, left_us, left_us, 0, 0)
+            for (session_pool, session), affinity in sorted(self.affinities.items())
+            if session_pool == pool and (left_us := affinity.expires_at_us - now) > 0
         ]
 
     def _is_disconnected(self) -> bool:
@@ -133,7 +143,8 @@
             request.renew_attempt_id()
             return None
         if request.session:
-            self.affinities[(pool_name, request.session)] = (grant.worker, self.runtime.now() + grant.session_us)
+            expires_at_us = self.runtime.now() + grant.session_us
+            self.affinities[(pool_name, request.session)] = SessionAffinity(grant.worker, expires_at_us)
         self.node.grants[request.attempt_id] = message.WorkerGrant(
             pool_name,
             request.attempt_id,
@@ -163,17 +174,17 @@
         if not request.idempotent or not request.session or request.is_repeat:
             return None  # repeats go by the pool owner's budget
         key = (request.pool_name, request.session)
-        worker_id, until = self.affinities.get(key, ("", 0))
-        worker = self.node.follower.states.get(worker_id)
+        affinity = self.affinities.get(key, NO_AFFINITY)
+        worker = self.node.follower.states.get(affinity.worker)
         now = self.runtime.now()
         if (
             worker is None
-            or until <= now
-            or worker_id in excluded_workers
+            or affinity.expires_at_us <= now
+            or affinity.worker in excluded_workers
             or not self.may_send(request, worker)
             or not self.node.follower.has_worker_update()
         ):
             return None
-        self.affinities[key] = (worker_id, now + request.terms.lifetime_us)
+        self.affinities[key] = SessionAffinity(affinity.worker, now + request.terms.lifetime_us)
         self.counts["bypass"] += 1
         return SelectedWorker(worker, "")
--- a/iriswheel/pools/claims.py
+++ b/iriswheel/pools/claims.py
@@ -30,32 +30,33 @@
 
     Args:
         request_id: The request that may not be repeated.
-        send: The number of the attempt, as the client or its node counts them.
+        attempt_number: The number of the attempt, as the client or its node counts them.
         node: The member that holds the grant.
         attempt_id: The attempt that was granted a worker.
-        until: When the claim may be forgotten, in µs on this process's clock.
+        expires_at_us: When the claim may be forgotten, in µs on this process's clock.
         state: What is known of the request.
 
     >>> Claim("e", 1, "n", "a", 0).state.value
     'claimed'
     """
 
-    __slots__ = ("request_id", "send", "node", "attempt_id", "until", "state")
+    __slots__ = ("attempt_id", "attempt_number", "expires_at_us", "node", "request_id", "state")
 
     def __init__(
         self,
         request_id: str,
-        send: int,
+        attempt_number: int,
         node: str,
         attempt_id: str,
-        until: int,
+        expires_at_us: int,
+        *,
         state: ClaimState = ClaimState.CLAIMED,
     ) -> None:
         self.request_id = request_id
-        self.send = send
+        self.attempt_number = attempt_number
         self.node = node
         self.attempt_id = attempt_id
-        self.until = until
+        self.expires_at_us = expires_at_us
         self.state = state
 
     def export(self, now: int) -> message.Claim:
@@ -65,7 +66,12 @@
         5
         """
         return message.Claim(
-            self.request_id, self.send, self.node, self.attempt_id, self.state.value, max(0, self.until - now)
+            self.request_id,
+            self.attempt_number,
+            self.node,
+            self.attempt_id,
+            self.state.value,
+            max(0, self.expires_at_us - now),
         )
 
     def was_revoked(self) -> bool:
@@ -89,8 +95,8 @@
 def from_message(record: message.Claim, now: int) -> Claim:
     """Return the claim that a message holds.
 
-    >>> from_message(message.Claim("e", 1, "n", "a", "ran", 5), now=4).until
+    >>> from_message(message.Claim("e", 1, "n", "a", "ran", 5), now=4).expires_at_us
     9
     """
     state = ClaimState.RAN if record.state == ClaimState.RAN else ClaimState.CLAIMED
-    return Claim(record.request_id, record.attempt, record.node, record.attempt_id, now + record.left_us, state)
+    return Claim(record.request_id, record.attempt, record.node, record.attempt_id, now + record.left_us, state=state)
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -105,10 +105,10 @@
             await self.runtime.sleep(ACTIVATION_RETRY_US)
             self.slot_freed.wake()
         log.info(
-            "Owner of pool {} is active: term {}, sessions {}.",
-            self.pool,
-            self.assignment.term,
-            len(self.records.session_table.records),
+            "Owner of pool {pool} is active: term {term}, {sessions} sessions.",
+            pool=self.pool,
+            term=self.assignment.term,
+            sessions=len(self.records.session_table.records),
         )
 
     def end(self) -> None:
@@ -142,7 +142,7 @@
         unavailable = [
             worker
             for worker in self.records.session_table.at
-            if follower.state(worker) != "ready" or worker in self.watch.ejected
+            if follower.state(worker) != message.WorkerState.READY or worker in self.watch.ejected
         ]
         for worker in unavailable:
             self.counts["closed"] += self.records.evict(worker)
@@ -253,11 +253,11 @@
         if not request.is_retry:
             first_id = request.request_id or request.attempt_id.rpartition("/")[0]
             self.records.budget.record_first_attempt(self.runtime.now(), first_id)
-        until = self.runtime.now() + request.wait_us
+        deadline_us = self.runtime.now() + request.wait_us
         self.waiting += 1
         try:
             await self._check_unreached(request.excluded_workers)
-            return await self._select_until(request, until)
+            return await self._select_until(request, deadline_us)
         finally:
             self.waiting -= 1
 
@@ -265,39 +265,42 @@
         """Check the workers that the requesting node could not reach: perhaps no node reaches them."""
         for name in workers:
             worker = self.node.follower.states.get(name)
-            if worker is not None and worker.state == "ready" and name not in self.watch.ejected:
+            if worker is not None and worker.state == message.WorkerState.READY and name not in self.watch.ejected:
                 await self.watch.check(worker)
 
-    async def _select_until(  # noqa: C901 - one loop over all that may refuse or delay a selection, in its order
-        self, request: message.SelectWorker, until: int
-    ) -> SelectionResponse:
+    async def _select_until(self, request: message.SelectWorker, deadline_us: int) -> SelectionResponse:
         # whether other pools need not be asked for an earlier attempt
         cleared = request.idempotent or not request.request_id or request.attempt == 1
         while True:
-            refusal = self._refuse_outdated(request)
-            if refusal is not None:
-                return refusal
             pool = self.node.follower.pool(self.pool)
-            if self.is_active():
-                if pool is None:
-                    return self.deny("no_route", f"The blueprint has no pool {self.pool}.")
-                response = self._known_response(request)
-                if response is not None:
-                    return response
+            response = self._response_without_choice(request, pool)
+            if response is not None:
+                return response
+            if pool is not None and self.is_active():
                 if not cleared:
-                    cleared, refusal = await self._clear_with_other_pools(request)
-                    if refusal is not None:
-                        return refusal
-                    if until > self.runtime.now():
+                    cleared, response = await self._clear_with_other_pools(request)
+                    if response is None and deadline_us > self.runtime.now():
                         continue  # all may have changed meanwhile
-                response = await self._choose(request, pool)
+                if response is None:
+                    response = await self._choose(request, pool)
                 if response is not None:
                     return response
-            left_us = until - self.runtime.now()
+            left_us = deadline_us - self.runtime.now()
             if left_us <= 0:
                 return self.deny("busy" if self.is_active() else "no_warden", "No seat came free in time.")
             await self.runtime.pause(self.slot_freed, left_us)
 
+    def _response_without_choice(
+        self, request: message.SelectWorker, pool: configuration.Pool | None
+    ) -> SelectionResponse | None:
+        """Return the answer to a request for which no worker is chosen now; None where one is, or it waits."""
+        refusal = self._refuse_outdated(request)
+        if refusal is not None or not self.is_active():
+            return refusal
+        if pool is None:
+            return self.deny("no_route", f"The blueprint has no pool {self.pool}.")
+        return self._known_response(request)
+
     def _refuse_outdated(self, request: message.SelectWorker) -> message.SelectionDenied | None:
         if not self.is_live() or request.term != self.assignment.term:
             return self.deny("no_warden", "The duty has gone elsewhere.")
@@ -412,9 +415,9 @@
             [claim.export(now)] if claim is not None else [],
             [],
         )
-        until = now + max(request.wait_us, replication.COPY_DEADLINE_US)
+        deadline_us = now + max(request.wait_us, replication.COPY_DEADLINE_US)
         while not await self.replicator.copy(update):
-            if not self.is_live() or self.runtime.now() > until:
+            if not self.is_live() or self.runtime.now() > deadline_us:
                 if opened is not None and self.records.session_table.affinity(opened.id) is opened:
                     self.records.close_session(opened)
                 self.release(request.attempt_id, errors.ExecutionOutcome.NOT_RUN)
--- a/iriswheel/pools/pool_records.py
+++ b/iriswheel/pools/pool_records.py
@@ -116,7 +116,7 @@
             self.unclaim(claim)
         else:
             claim.state = claims.ClaimState.RAN
-            claim.until = now + claims.RETENTION_US
+            claim.expires_at_us = now + claims.RETENTION_US
             self.changed_sessions_and_claims[claim.request_id] = claim
 
     def take_report(self, report: message.GrantReport, now: int) -> None:
@@ -164,7 +164,7 @@
         expired = self.session_table.sweep(now)
         for session in expired:
             self.closed_ids[session.id] = None
-        for claim in [claim for claim in self.claims.values() if claim.until < now]:
+        for claim in [claim for claim in self.claims.values() if claim.expires_at_us < now]:
             self.unclaim(claim)
         for attempt_id in [attempt_id for attempt_id, until in self.abandoned.items() if until < now]:
             del self.abandoned[attempt_id]
--- a/iriswheel/pools/selection.py
+++ b/iriswheel/pools/selection.py
@@ -6,11 +6,11 @@
 import typing
 
 from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
     from iriswheel.configuration import configuration
     from iriswheel.pools import pool_records, worker_watch
-    from iriswheel.transport import message
 
 PREFIX_PARTS_PER_WORKER = 256
 REPORTED_REQUEST_COST = 100
@@ -114,7 +114,9 @@
         ready = [
             worker.id
             for worker in workers
-            if worker.pool == self.pool and worker.state == "ready" and worker.id not in self.watch.ejected
+            if worker.pool == self.pool
+            and worker.state == message.WorkerState.READY
+            and worker.id not in self.watch.ejected
         ]
         session = self.records.session_table.affinity(request.session)
         if session is not None and session.worker in ready:
--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -151,7 +151,7 @@
         owner.replicator.tell_cores(snapshot)
         owner.gathered = True
         if owner.claims_may_be_missing() and not from_copies:
-            log.warning("No copy of pool {}'s records answers: claims may be lost.", owner.pool)
+            log.warning("No copy of pool {pool}'s records answers: claims may be lost.", pool=owner.pool)
         return True
 
     async def _gather_from_cores(self) -> list[message.SessionRecord]:
--- a/iriswheel/pools/worker_watch.py
+++ b/iriswheel/pools/worker_watch.py
@@ -75,7 +75,7 @@
             workers = [
                 worker
                 for worker in self.node.follower.workers
-                if worker.pool == self.owner.pool and worker.state != "gone"
+                if worker.pool == self.owner.pool and worker.state != message.WorkerState.GONE
             ]
             await defer.DeferredList(
                 [defer.ensureDeferred(self._poll(worker)) for worker in workers], consumeErrors=True
