--- a/iriswheel/configuration/configuration.py
+++ b/iriswheel/configuration/configuration.py
@@ -13,7 +13,9 @@
 from iriswheel.configuration.items import flatten, operator_number, unflatten
 from iriswheel.configuration.schema import (
     KINDS,
+    LIMITS_KEY,
     NAME,
+    OPERATOR_KEY,
     Document,
     Election,
     Item,
@@ -31,7 +33,9 @@
 
 __all__ = [
     "KINDS",
+    "LIMITS_KEY",
     "NAME",
+    "OPERATOR_KEY",
     "Document",
     "Election",
     "InvalidConfigurationError",
--- a/iriswheel/configuration/items.py
+++ b/iriswheel/configuration/items.py
@@ -9,8 +9,6 @@
 
 from iriswheel.configuration import schema, validation
 
-OPERATOR_MARK = "marks/operator"
-
 
 def flatten(document: object) -> dict[str, schema.Item]:
     """Turn a configuration document into items, after checking all of it.
@@ -63,4 +61,4 @@
     >>> operator_number({"marks/operator": {"number": 7}}), operator_number({})
     (7, 0)
     """
-    return typing.cast("int", items.get(OPERATOR_MARK, {}).get("number", 0))  # validated as an int
+    return typing.cast("int", items.get(schema.OPERATOR_KEY, {}).get("number", 0))  # validated as an int
--- a/iriswheel/configuration/schema.py
+++ b/iriswheel/configuration/schema.py
@@ -231,3 +231,5 @@
 
 KINDS: dict[str, type[StrictItem]] = {"pools": Pool, "routes": Route, "terms": Terms, "limits": Limits, "marks": Marks}
 SINGLETONS = {"limits": "door", "marks": "operator"}  # the kinds that have a single item, and its name
+LIMITS_KEY = "limits/door"
+OPERATOR_KEY = "marks/operator"
--- a/iriswheel/configuration/slices.py
+++ b/iriswheel/configuration/slices.py
@@ -3,12 +3,8 @@
 from __future__ import annotations
 
 import collections.abc
-import typing
 
-if typing.TYPE_CHECKING:
-    from iriswheel.configuration import schema
-
-LIMITS = "limits/door"
+from iriswheel.configuration import schema
 
 
 def without_label(item: schema.Item) -> schema.Item:
@@ -34,7 +30,7 @@
     {'limits/door': {}, 'pools/p': {}}
     """
     node_slice: dict[str, schema.Item] = {}
-    needed = {f"pools/{pool}" for pool in pools} | {LIMITS}
+    needed = {f"pools/{pool}" for pool in pools} | {schema.LIMITS_KEY}
     for key, item in items.items():
         if not key.startswith("routes/"):
             continue
--- a/iriswheel/control/change_orders.py
+++ b/iriswheel/control/change_orders.py
@@ -20,7 +20,6 @@
 TIMEOUT_US = 900 * units.MILLISECOND_US  # a change is answered within this, known or not
 RETRY_DELAY_US = 30 * units.MILLISECOND_US
 PROBLEMS_SHOWN = 50
-NUMBER_KEY = "marks/operator"  # the item that holds the operator's number
 
 MakeItems: typing.TypeAlias = collections.abc.Callable[[configuration.Items], dict[str, configuration.Item]]
 
@@ -81,7 +80,7 @@
     """
     problems = []
     if order.number <= order.built_on:
-        problems.append(f"{NUMBER_KEY}: number {order.number} is not above {order.built_on}")
+        problems.append(f"{configuration.OPERATOR_KEY}: number {order.number} is not above {order.built_on}")
     made: dict[str, configuration.Item] = {}
     try:
         made = order.make(items)
@@ -89,7 +88,7 @@
         problems += error.errors
     if problems:
         raise errors.ServiceError("bad_blueprint", "; ".join(problems[:PROBLEMS_SHOWN]), field="blueprint")
-    return {**made, NUMBER_KEY: {**made.get(NUMBER_KEY, {}), "number": order.number}}
+    return {**made, configuration.OPERATOR_KEY: {**made.get(configuration.OPERATOR_KEY, {}), "number": order.number}}
 
 
 def decide(known: KnownState, order: ChangeOrder) -> Decision:
--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -138,7 +138,7 @@
         try:
             top = nearest_folder(absolute(self.folder))
             self.folder.mkdir(parents=True, exist_ok=True)
-            self.lock = (self.folder / "lock").open("w")  # noqa: SIM115 - stays open as long as the process
+            self.lock = (self.folder / "lock").open("w")  # stays open as long as the process
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
             with contextlib.suppress(FileNotFoundError):  # it may have grown in an earlier incarnation
                 self.size = max(self.size, 2 * (self.database / "data.mdb").stat().st_size)
