--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -5,7 +5,6 @@
 import gc
 import statistics
 
-from benchmarks import stand_ins
 from benchmarks.capacity import measuring, samples
 from iriswheel.configuration import configuration
 from iriswheel.dataplane import health
@@ -74,7 +73,9 @@
             self.standing = process_model.SimulatedProcess(self.world, "workers", self.machine("10.0.3.1", "zone0"))
             self.stand_in_runtime = self.standing.runtime()
         k = len(self.workers)
-        w = self.workers[name] = stand_ins.Worker(self.stand_in_runtime, name, self.tape)
+        w = self.workers[name] = simulated_cluster.SimulatedWorker(
+            self.standing, self.stand_in_runtime, name, self.tape
+        )
         self.listen(self.standing, 9001 + k, http_server.Server(self.stand_in_runtime, w.handle))
         self.platform.put(name, host="10.0.3.1", port=9001 + k, pool=f"model-{k % self.pools}", state="ready")
 
--- a/benchmarks/change_recovery.py
+++ b/benchmarks/change_recovery.py
@@ -164,7 +164,7 @@
     """Let a fault strike a core machine, and end by itself where it does."""
     core = cluster.cores[name]
 
-    def later(seconds: int, function: collections.abc.Callable[..., object], *arguments: typing.Any) -> None:
+    def later(seconds: int, function: collections.abc.Callable[..., object], *arguments: object) -> None:
         at = cluster.world.time + seconds * units.SECOND_US
         cluster.world.push(at, functools.partial(function, *arguments))
 
@@ -218,7 +218,7 @@
         first = first or next((done for done in operators.acknowledged if done.sent >= started_at), None)
         if first is not None and all(node.follower.applied_index >= first.version for node in cluster.nodes.values()):
             return Recovery(case, first.answered - started_at, cluster.world.time - started_at)
-    return Recovery(case, first and first.answered - started_at, None)
+    return Recovery(case, None if first is None else first.answered - started_at, None)
 
 
 def measure_seed(start: Start, cases: list[Case]) -> list[Recovery]:
@@ -267,9 +267,9 @@
 def run(
     *,
     seeds: int = 50,
-    cores: list[int] = (3, 5),
-    faults: list[str] = FAULTS,
-    positions: list[str] = POSITIONS,
+    cores: collections.abc.Sequence[int] = (3, 5),
+    faults: collections.abc.Sequence[str] = FAULTS,
+    positions: collections.abc.Sequence[str] = POSITIONS,
     lease_ms: int = LEASE_MS,
     jobs: int = 1,
 ) -> None:
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -14,18 +14,16 @@
 import contextlib
 import dataclasses
 import statistics
-import typing
 import unittest.mock
 
 import defopt
 import loguru
 
-from benchmarks.capacity import hollow_fleet
+from benchmarks.capacity import hollow_fleet, measuring
 from iriswheel.transport import message, wire
 
 LISTED, POOLS, ROUTES = 6, 1, 100
 SETTLE_S = 3
-FRAME_BYTES = 4  # the length before each message
 COLUMNS = (
     "nodes",
     "core machines",
@@ -71,10 +69,10 @@
     tail_loops: float
     core_loops: float
 
-    def line(self) -> typing.Any:
+    def line(self) -> str:
         """The row of a table, in the order of COLUMNS."""
         loops = [f"{value:.1f} loops/s" for value in (self.node_loops, self.tail_loops, self.core_loops)]
-        cells = [
+        cells: list[object] = [
             self.nodes,
             self.cores,
             self.into_node,
@@ -107,7 +105,7 @@
         if way == "core to core" and isinstance(msg, message.NodeSessionsReport):
             self.listed += len(msg.members)
 
-    def total(self, way: str, *types: type[typing.Any]) -> tuple[int, int]:
+    def total(self, way: str, *types: type[message.Message]) -> tuple[int, int]:
         """How many messages, and how many bytes, went one way: of some types, or of all."""
         keys = [key for key in self.messages if key[0] == way and (not types or key[1] in types)]
         return sum(self.messages[key] for key in keys), sum(self.bytes[key] for key in keys)
@@ -120,7 +118,7 @@
     cores = {core.runtime for core in cluster.cores.values()}
     send = wire.Connection._send
 
-    def counted(connection: wire.Connection, kind: int, seq: int, msg: message.Message) -> None:
+    def counted(connection: wire.Connection, kind: int, sequence: int, content: message.Message) -> None:
         if connection.node_session is not None:
             way = "core to node"
         elif connection.runtime in cores:
@@ -129,8 +127,10 @@
             way = "node to core"
         else:
             way = "node to node"
-        traffic.count(way, msg, len(wire.encoder.encode(wire.Envelope(kind, seq, msg))) + FRAME_BYTES)
-        send(connection, kind, seq, msg)
+        # As in Connection._send, the type of the content matters only where an envelope is decoded.
+        raw = wire.encoder.encode(wire.Envelope(kind, sequence, content))  # type: ignore[arg-type]
+        traffic.count(way, content, len(raw) + wire.LENGTH_BYTES)
+        send(connection, kind, sequence, content)
 
     with unittest.mock.patch.object(wire.Connection, "_send", counted):
         yield traffic
@@ -160,7 +160,8 @@
     with counting(cluster) as traffic:
         cluster.go(seconds)
     spent = {name: used["loops"] for name, used in cluster.metered(seconds).items()}
-    tail = cluster.tail().options.name
+    tail = cluster.tail()
+    assert tail is not None
 
     def rate(total: tuple[int, int], processes: int) -> Rate:
         messages, size = total
@@ -176,12 +177,14 @@
         reports=rate(reports, cores - 1),
         listed_bytes=reports[1] / max(1, traffic.listed),
         tail_heartbeats=rate(traffic.total("core to core", message.TailHeartbeat), cores - 1),
-        tail_loops=spent[tail],
-        core_loops=statistics.median(spent[name] for name in cluster.cores if name != tail),
+        tail_loops=spent[tail.options.name],
+        core_loops=statistics.median(spent[name] for name in cluster.cores if name != tail.options.name),
     )
 
 
-def run(*, sizes: list[int] = (6, 73, 370), cores: list[int] = (3, 5, 7), seconds: int = 4, seed: int = 1) -> None:
+def run(
+    *, sizes: measuring.Sizes = (6, 73, 370), cores: measuring.Sizes = (3, 5, 7), seconds: int = 4, seed: int = 1
+) -> None:
     """Print a table row for each size and number of core machines.
 
     :param sizes: nodes
--- /dev/null
+++ b/benchmarks/process_costs.py
@@ -0,0 +1,180 @@
+"""Measurements on fleets of real processes: the way through a node, the rate, a pool owner's selections."""
+
+from __future__ import annotations
+
+import collections.abc
+import json
+import pathlib
+import statistics
+
+import loguru
+from twisted.internet import defer
+
+from benchmarks import default_reactor, fleet
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import message, wire
+from iriswheel.verification import replay
+
+SELECT_TIMEOUT_US = 5 * units.SECOND_US
+UNBOUNDED_SLOTS = 100_000
+KINDS = ("placed", "claimed", "opened")  # of selections: free, at most once, opening a session
+
+
+def first_attempt_ms(f: fleet.Fleet) -> dict[str, list[float]]:
+    """From the sending of a first attempt to its arrival at a worker, by node, in ms; long prompts apart."""
+    rows = []
+    for name in ["load", *f.workers]:
+        with pathlib.Path(f.events(name)).open() as log:
+            rows += replay.read(log)[0]
+    arrived_at = {(row["exchange"], row["send"]): row["at"] for row in rows if row["kind"] == "run"}
+    names = {f"{fleet.HOST}:{ports.http}": name for name, ports in f.nodes.items()}
+    by_node: dict[str, list[float]] = {}
+    for row in rows:
+        key = (row.get("exchange"), row.get("send"))
+        if row["kind"] == "sent" and row["send"] == 1 and row["sort"] != "long" and key in arrived_at:
+            by_node.setdefault(names[row["node"]], []).append((arrived_at[key] - row["at"]) / 1000)
+    return by_node
+
+
+def _wait_for_owner(f: fleet.Fleet) -> str:
+    """The node of the pool's owner, which may become active a moment after the fleet is ready."""
+    f.until(f.owner, "the pool has an owner", fleet.START_TIMEOUT_S)
+    return f.owner()
+
+
+def hop(*, shape: str = "magnolia", seconds: int = 20, runs: int = 3) -> None:
+    """What the way through a node costs, at the pool owner's own node and at the others.
+
+    :param shape: magnolia, swan or small
+    :param seconds: how long each run lasts
+    :param runs: how many runs
+    """
+    own: list[float] = []
+    others: list[float] = []
+    for k in range(runs):
+        with fleet.Fleet(shape) as f:
+            f.begin()
+            at = _wait_for_owner(f)
+            f.load(seconds, "--seed", str(k + 1)).communicate()
+            for name, values in first_attempt_ms(f).items():
+                (own if name == at else others).extend(values)
+    for what, values in (("warden's own node", own), ("other nodes", others)):
+        values.sort()
+        print(
+            f"{what}: {len(values)} exchanges, median {statistics.median(values):.2f} ms, "
+            f"90 % {values[int(len(values) * 0.9)]:.2f} ms"
+        )
+
+
+def saturate(
+    *, shape: str = "magnolia", seconds: int = 8, rates: collections.abc.Sequence[int] = (50, 100, 200, 300, 400)
+) -> None:
+    """Raise the rate of short requests until first bytes come late.
+
+    :param shape: magnolia, swan or small
+    :param seconds: how long each rate lasts
+    :param rates: short requests per second
+    """
+    for rate in rates:
+        with fleet.Fleet(shape) as f:
+            f.begin()
+            load = f.load(seconds, "--short-rate", str(rate), "--long-rate", "1", "--talks", "0")
+            report = json.loads(load.communicate()[0])
+            values = sorted(value for of_node in first_attempt_ms(f).values() for value in of_node)
+            cpu, owner = f.cpu(), f.owner()
+            busiest = max(share for name, share in cpu.items() if name in f.nodes and name != owner)
+            print(
+                f"{rate}/s: {report['ends']['whole']} whole, {report['ends']['refused']} refused; way to the worker "
+                f"median {statistics.median(values):.1f} ms, 99 % {values[int(len(values) * 0.99)]:.1f} ms; "
+                f"CPU of the warden's node {cpu[owner]:.0%}, of the busiest other node {busiest:.0%}",
+                flush=True,
+            )
+
+
+class SelectionLoad:
+    """Selections asked of one pool owner, many at a time.
+
+    Args:
+        runtime: Of this process.
+        connection: To the owner's node.
+        pool: The pool's name.
+        term: The owner's term.
+    """
+
+    def __init__(
+        self, runtime: scheduler.Runtime, connection: wire.Connection, pool: str, term: tuple[int, int]
+    ) -> None:
+        self.runtime = runtime
+        self.connection = connection
+        self.pool = pool
+        self.term = term
+        self.granted = 0
+
+    async def run(self, kind: str, depth: int, seconds: int) -> int:
+        """Ask for selections of one kind; how many were granted."""
+        self.granted = 0
+        until = self.runtime.now() + seconds * units.SECOND_US
+        loops = [self._ask_one_after_the_other(kind, number, until) for number in range(depth)]
+        await defer.DeferredList([defer.ensureDeferred(loop) for loop in loops])
+        return self.granted
+
+    async def _ask_one_after_the_other(self, kind: str, number: int, until: int) -> None:
+        count = 0
+        while self.runtime.now() < until:
+            count += 1
+            await self._ask(kind, f"{kind}-{number}-{count}")
+
+    async def _ask(self, kind: str, identifier: str) -> None:
+        response = await self.connection.call(
+            message.SelectWorker(
+                self.pool,
+                self.term,
+                "bench",
+                identifier,
+                identifier,
+                1,
+                kind != "claimed",
+                identifier if kind == "opened" else "",
+                ["system"],
+                20,
+                False,
+                [],
+                {"lifetime_us": 60 * units.SECOND_US, "cost": 1},
+                units.SECOND_US,
+            ),
+            SELECT_TIMEOUT_US,
+        )
+        if isinstance(response, message.SelectionGranted):
+            self.granted += 1
+        self.connection.tell(message.GrantReleased(self.pool, identifier, "ran"))
+
+
+def selections(*, shape: str = "magnolia", seconds: int = 5, depth: int = 64) -> None:
+    """Elections that one pool owner answers per second, asked over one link, many at a time.
+
+    :param shape: magnolia, swan or small
+    :param seconds: how long to ask
+    :param depth: questions under way at a time
+    """
+    loguru.logger.remove()
+    with fleet.Fleet(shape) as f:
+        f.configuration["pools"][f.pool].update(slots=UNBOUNDED_SLOTS, long_slots=UNBOUNDED_SLOTS, cap=0)
+        f.begin()
+        owner = _wait_for_owner(f)
+        assignment = next(each for each in f.state(owner)["duties"] if each["key"] == f"pool/{f.pool}")
+        epoch, number = assignment["term"]
+        runtime = scheduler.Runtime(default_reactor.load())
+
+        async def measure() -> None:
+            port = f.nodes[owner].peer
+            connection = await wire.connect(runtime, fleet.HOST, port, _ignore, loguru.logger)
+            load = SelectionLoad(runtime, connection, f.pool, (epoch, number))
+            for kind in KINDS:
+                granted = await load.run(kind, depth, seconds)
+                print(f"{kind}: {granted / seconds:.0f} elections a second", flush=True)
+
+        default_reactor.run(measure)
+
+
+def _ignore(_connection: wire.Connection, _message: object) -> None:
+    """What the owner's node sends unasked."""
