--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -52,9 +52,9 @@
         self.forwarder = forwarding.Forwarder(node)
         self.short_requests = work_queue.WorkQueue(self.runtime, SHORT_BACKLOG, SHORT_CONCURRENCY, self.run_queued)
         self.long_requests = work_queue.WorkQueue(self.runtime, LONG_BACKLOG, LONG_CONCURRENCY, self.run_queued)
-        self.received = 0  # requests so far, also those relayed for peers; numbers the attempt ids
-        self.open = 0  # requests under way
-        self.closed = scheduler.Signal()  # wakes when a request has ended
+        self.received_requests = 0  # requests so far, also those relayed for peers; numbers the attempt ids
+        self.open_requests = 0  # requests under way
+        self.request_ended = scheduler.Signal()  # wakes when a request has ended
 
     async def handle(self, request: http_server.Request) -> None:
         """Serve a status call, a peer's relayed request, or a client's request.
@@ -75,15 +75,15 @@
             await self.relay_for_peer(request)
             return
         self.counts["exchanges"] += 1
-        self.open += 1
+        self.open_requests += 1
         try:
             await self.serve(request)
         except errors.ServiceError as error:
             self.refused[error.code] = self.refused.get(error.code, 0) + 1
             raise
         finally:
-            self.open -= 1
-            self.closed.wake()
+            self.open_requests -= 1
+            self.request_ended.wake()
 
     async def serve(self, http_request: http_server.Request) -> None:
         """Admit a request; forward it at once where this node selects the worker, else through a work queue.
@@ -97,7 +97,7 @@
             await self.forwarder.forward(request)
             return
         request.done = defer.Deferred()
-        queue = self.long_requests if request.long else self.short_requests
+        queue = self.long_requests if request.is_long else self.short_requests
         if not queue.put(request):
             raise errors.ServiceError("busy", "This node holds as many exchanges as it can.")
         await request.done
@@ -201,20 +201,20 @@
         if worker is not None:
             attempt_id = self._next_id()
             attempt = self.attempts.begin(attempt_id, worker.id)
-            self.open += 1
+            self.open_requests += 1
             try:
                 outcome = await self.relays.send(request, worker, attempt)
             except defer.CancelledError:
                 return
             finally:
-                self.open -= 1
-                self.closed.wake()
+                self.open_requests -= 1
+                self.request_ended.wake()
                 self.attempts.end(attempt_id)
         self.relays.answer(request, outcome)
 
     def _next_id(self) -> str:
-        self.received += 1
-        return f"{local_member.member_id(self.node)}-{self.received}"
+        self.received_requests += 1
+        return f"{local_member.member_id(self.node)}-{self.received_requests}"
 
 
 def max_attempts(request: routed_request.RoutedRequest) -> int:
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -62,15 +62,23 @@
 class WorkerEstimate:
     """What this node knows of one worker.
 
-    >>> estimate = WorkerEstimate(); estimate.running, estimate.unread
+    >>> estimate = WorkerEstimate(); estimate.running, estimate.unread_tokens
     (0, 0)
     """
 
-    __slots__ = ("busy_since_us", "last_contact_us", "parts", "running", "suspected_at_us", "suspicion", "unread")
+    __slots__ = (
+        "busy_since_us",
+        "last_contact_us",
+        "parts",
+        "running",
+        "suspected_at_us",
+        "suspicion",
+        "unread_tokens",
+    )
 
     def __init__(self) -> None:
         self.running = 0  # own requests there
-        self.unread = 0  # own prompt tokens that it has still to read
+        self.unread_tokens = 0  # own prompt tokens that it has still to read
         # chain key of a part that it is likely to hold -> tokens, the latest used last
         self.parts: collections.OrderedDict[bytes, int] = collections.OrderedDict()
         self.last_contact_us = 0  # when it last said anything to this node
@@ -265,7 +273,7 @@
         estimate = self.estimate(worker)
         running, unread, _ = self.load_of_others(worker, now)
         running += estimate.running
-        unread += estimate.unread
+        unread += estimate.unread_tokens
         batch = pool.batch or BATCH_REQUESTS
         wait_us = unread * 1000 // READ_TOKENS_PER_MS + running * RUNNING_REQUEST_US
         if running >= batch:
@@ -390,7 +398,7 @@
         if not estimate.running:
             estimate.busy_since_us = self.runtime.now()
         estimate.running += 1
-        estimate.unread += tokens
+        estimate.unread_tokens += tokens
         self.on_load_change()
         if tokens >= HEAVY_TOKENS:
             self.on_heavy_load_change()
@@ -398,7 +406,7 @@
 
     def first_event(self, worker: str, tokens: int, took_us: int, expected_us: int) -> None:
         """Note that an attempt's first event came after so long: its prompt's tokens are read."""
-        self.estimate(worker).unread -= tokens
+        self.estimate(worker).unread_tokens -= tokens
         self.on_load_change()
         if tokens < HEAVY_TOKENS:
             error_us = took_us - expected_us - self.first_event_mean_us
@@ -414,7 +422,7 @@
         estimate = self.estimate(worker)
         estimate.running -= 1
         self.on_load_change()
-        estimate.unread -= tokens
+        estimate.unread_tokens -= tokens
 
     # ---- sessions -----------------------------------------------------------------------
 
@@ -449,7 +457,7 @@
         """
         now = self.runtime.now()
         self.session_table.sweep(now)
-        for worker in [worker for worker in self.session_table.at if worker not in ready]:
+        for worker in [worker for worker in self.session_table.by_worker if worker not in ready]:
             self.session_table.evict(worker)
         while self.first_turns and next(iter(self.first_turns.values())).expires_at_us < now:
             self.first_turns.popitem(last=False)
@@ -469,7 +477,7 @@
         """
         now = self.runtime.now()
         rows = [
-            (worker, estimate.running, max(0, estimate.unread), int(self.own_suspicion(worker, now) * 10) * 10)
+            (worker, estimate.running, max(0, estimate.unread_tokens), int(self.own_suspicion(worker, now) * 10) * 10)
             for worker, estimate in sorted(self.workers.items())
         ]
         return [row for row in rows if row[1] or row[3]]
@@ -498,7 +506,9 @@
         """
         return {
             "pool": self.pool,
-            "sessions": {worker: len(records) for worker, records in sorted(self.session_table.at.items()) if records},
+            "sessions": {
+                worker: len(records) for worker, records in sorted(self.session_table.by_worker.items()) if records
+            },
             "trials": len(self.first_turns),
             "running": {worker: estimate.running for worker, estimate in sorted(self.workers.items())},
         }
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -107,9 +107,9 @@
             request.deadline_us = request.arrived_at_us + min(spans_us, default=pool.long_wait_us)
             return
         request.session = sessions.derive(request.parts, terms.session_part)
-        request.long = len(request.raw) >= pool.long_bytes
-        request.work = MIN_WORK_UNITS + len(request.raw) // BYTES_PER_WORK_UNIT
-        wait_us = pool.long_wait_us if request.long else pool.short_wait_us
+        request.is_long = len(request.raw) >= pool.long_bytes
+        request.work_units = MIN_WORK_UNITS + len(request.raw) // BYTES_PER_WORK_UNIT
+        wait_us = pool.long_wait_us if request.is_long else pool.short_wait_us
         request.deadline_us = max(request.deadline_us, request.arrived_at_us + wait_us)
 
 
--- a/iriswheel/dataplane/routed_request.py
+++ b/iriswheel/dataplane/routed_request.py
@@ -30,7 +30,7 @@
         "done",
         "grant_requested",
         "idempotent",
-        "long",
+        "is_long",
         "may_have_run",
         "parsed",
         "parts",
@@ -42,7 +42,7 @@
         "route",
         "session",
         "terms",
-        "work",
+        "work_units",
     )
 
     parsed: edge_protocol.ParsedRequest
@@ -62,8 +62,8 @@
         self.attempt_number = 0  # the client's number of this send of the request; above 1 it is a repeat
         self.idempotent = False
         self.session = ""
-        self.long = False
-        self.work = 0
+        self.is_long = False
+        self.work_units = 0
         self.deadline_us = now
         self.configuration_index = 0  # the configuration's log index when it was routed
         self.may_have_run = False  # whether an attempt may have reached a worker
--- a/iriswheel/dataplane/sessions.py
+++ b/iriswheel/dataplane/sessions.py
@@ -21,18 +21,18 @@
 class Session(typing.Generic[Key]):
     """One open session.
 
-    >>> Session("s", "w1", expires=60, lifetime_us=60, cost=100).turns
+    >>> Session("s", "w1", expires_at_us=60, lifetime_us=60, cost=100).turns
     0
     """
 
-    __slots__ = ("cost", "expires", "id", "lifetime_us", "opened_by", "pending", "turns", "version", "worker")
+    __slots__ = ("cost", "expires_at_us", "id", "lifetime_us", "opened_by", "pending", "turns", "version", "worker")
 
     def __init__(
-        self, identifier: Key, worker: str, expires: int, lifetime_us: int, cost: int, *, version: int = 1
+        self, identifier: Key, worker: str, expires_at_us: int, lifetime_us: int, cost: int, *, version: int = 1
     ) -> None:
         self.id = identifier
         self.worker = worker
-        self.expires = expires
+        self.expires_at_us = expires_at_us
         self.lifetime_us = lifetime_us
         self.cost = cost
         self.version = version
@@ -79,7 +79,7 @@
 
     def __init__(self) -> None:
         self.records: dict[Key, Session[Key]] = {}  # by id
-        self.at: dict[str, dict[Key, Session[Key]]] = {}  # by worker, then by id
+        self.by_worker: dict[str, dict[Key, Session[Key]]] = {}  # by worker, then by id
         self.version = 0  # the newest of all records, so that a session opened anew beats its old copies
 
     def open(self, identifier: Key, worker: str, now: int, lifetime_us: int, cost: int) -> Session[Key]:
@@ -92,7 +92,7 @@
         self.version += 1
         session = Session(identifier, worker, now + lifetime_us, lifetime_us, cost, version=self.version)
         self.records[identifier] = session
-        self.at.setdefault(worker, {})[identifier] = session
+        self.by_worker.setdefault(worker, {})[identifier] = session
         return session
 
     def close(self, identifier: Key) -> Session[Key] | None:
@@ -103,7 +103,7 @@
         """
         session = self.records.pop(identifier, None)
         if session is not None:
-            del self.at[session.worker][identifier]
+            del self.by_worker[session.worker][identifier]
         return session
 
     def affinity(self, identifier: Key) -> Session[Key] | None:
@@ -118,10 +118,10 @@
         """Note a turn or its end: one lifetime is left from now.
 
         >>> table = SessionTable(); session = table.open("s", "w", 0, 60, 100); table.extend(session, 30)
-        >>> session.expires
+        >>> session.expires_at_us
         90
         """
-        session.expires = now + session.lifetime_us
+        session.expires_at_us = now + session.lifetime_us
         self.version += 1
         session.version = self.version
 
@@ -131,7 +131,7 @@
         >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); len(table.sweep(61))
         1
         """
-        expired = [session for session in self.records.values() if session.expires < now and not session.turns]
+        expired = [session for session in self.records.values() if session.expires_at_us < now and not session.turns]
         for session in expired:
             self.close(session.id)
         return expired
@@ -142,7 +142,7 @@
         >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); len(table.evict("w"))
         1
         """
-        evicted = list(self.at.get(worker, {}).values())
+        evicted = list(self.by_worker.get(worker, {}).values())
         for session in evicted:
             self.close(session.id)
         return evicted
@@ -153,7 +153,7 @@
         >>> SessionTable().count("w")
         0
         """
-        return len(self.at.get(worker, {}))
+        return len(self.by_worker.get(worker, {}))
 
     def load(self, worker: str) -> int:
         """Return the cost that a worker's open sessions hold.
@@ -161,7 +161,7 @@
         >>> SessionTable().load("w")
         0
         """
-        return sum(session.cost for session in self.at.get(worker, {}).values())
+        return sum(session.cost for session in self.by_worker.get(worker, {}).values())
 
     def earliest(self, workers: list[str]) -> int | None:
         """Return when the first session on these workers may end, or None.
@@ -170,7 +170,8 @@
         60
         """
         return min(
-            (session.expires for worker in workers for session in self.at.get(worker, {}).values()), default=None
+            (session.expires_at_us for worker in workers for session in self.by_worker.get(worker, {}).values()),
+            default=None,
         )
 
 
@@ -183,7 +184,7 @@
     return message.SessionRecord(
         session.id,
         session.worker,
-        max(0, session.expires - now),
+        max(0, session.expires_at_us - now),
         session.lifetime_us,
         session.cost,
         session.version,
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -151,8 +151,8 @@
             local_member.member_id(self.node),
             grant.worker,
             request.session,
-            request.work,
-            request.long,
+            request.work_units,
+            request.is_long,
         )
         return SelectedWorker(worker, grant.relay)
 
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -124,7 +124,7 @@
             "duties": message.plain(follower.membership.assignments),
             "wardens": self.pool_roles.state(),
             "carrier": self.gateway.forwarder.state(),
-            "open": self.gateway.open,
+            "open": self.gateway.open_requests,
             "counts": self.gateway.counts,
             "refused": self.gateway.refused,
         }
--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -136,7 +136,7 @@
             claims,
             held,
             affinities,
-            replica.held,
+            replica.has_all_records,
             max(0, replica.claims_missing_until_us - now),
             firsts,
             repeats,
--- a/iriswheel/node/shutdown.py
+++ b/iriswheel/node/shutdown.py
@@ -35,13 +35,13 @@
     """
     gateway = stopping_node.gateway
     stopping_node.draining = True
-    log.info("The node drains with {open_requests} requests open.", open_requests=gateway.open)
+    log.info("The node drains with {open_requests} requests open.", open_requests=gateway.open_requests)
     stopping_node.follower.session.tell(message.MemberLeaving(stopping_node.member.id))
     await _wait_for_requests(stopping_node)
     stopping_node.refusing_requests = True
     await stopping_node.runtime.sleep(LAST_BYTES_US)
     stopping_node.stopped = True
-    log.info("The node stops with {open_requests} requests open.", open_requests=gateway.open)
+    log.info("The node stops with {open_requests} requests open.", open_requests=gateway.open_requests)
 
 
 async def _wait_for_requests(stopping_node: node.Node) -> None:
@@ -54,7 +54,7 @@
     idle_since: int | None = None
     while (now := runtime.now()) < ends_at:
         noticed = now >= notice_at or _platform_has_noticed(stopping_node, now)
-        if gateway.open:
+        if gateway.open_requests:
             idle_since = None
         elif idle_since is None:
             idle_since = now
@@ -63,7 +63,7 @@
         stopping_node.refusing_requests = noticed and now >= closes_at
         # A request that slips in between closes_at and the next check may not end within the grace.
         wait_us = min(CHECK_INTERVAL_US, closes_at - now) if now < closes_at else CHECK_INTERVAL_US
-        await runtime.pause(gateway.closed, wait_us)
+        await runtime.pause(gateway.request_ended, wait_us)
 
 
 def _platform_has_noticed(stopping_node: node.Node, now: int) -> bool:
--- a/iriswheel/pools/in_flight.py
+++ b/iriswheel/pools/in_flight.py
@@ -32,16 +32,16 @@
 
     >>> import iriswheel.transport.message as message
     >>> load = InFlightLoad(); load.add(message.WorkerGrant("p", "a", "n", "w", "", 70, True))
-    >>> len(load.held), load.long, load.work
+    >>> len(load.grants), load.long, load.work
     (1, 1, 70)
-    >>> load.drop("a"); load.drop("a"); len(load.held), load.long, load.work
+    >>> load.drop("a"); load.drop("a"); len(load.grants), load.long, load.work
     (0, 0, 0)
     """
 
-    __slots__ = ("held", "long", "work")
+    __slots__ = ("grants", "long", "work")
 
     def __init__(self) -> None:
-        self.held: dict[str, message.WorkerGrant] = {}  # by attempt id
+        self.grants: dict[str, message.WorkerGrant] = {}  # by attempt id
         self.long = 0
         self.work = 0
 
@@ -52,7 +52,7 @@
         >>> InFlightLoad().add(message.WorkerGrant("p", "a", "n", "w", "", 70, True))
         """
         self.drop(grant.attempt_id)
-        self.held[grant.attempt_id] = grant
+        self.grants[grant.attempt_id] = grant
         self.long += grant.long
         self.work += grant.work
 
@@ -61,7 +61,7 @@
 
         >>> InFlightLoad().drop("a")
         """
-        grant = self.held.pop(attempt_id, None)
+        grant = self.grants.pop(attempt_id, None)
         if grant is not None:
             self.long -= grant.long
             self.work -= grant.work
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -141,7 +141,7 @@
             return  # no worker list yet: a missing worker may only be unlisted
         unavailable = [
             worker
-            for worker in self.records.session_table.at
+            for worker in self.records.session_table.by_worker
             if follower.state(worker) != message.WorkerState.READY or worker in self.watch.ejected
         ]
         for worker in unavailable:
@@ -175,7 +175,7 @@
 
     def _granted(self, request: message.SelectWorker, worker: str, affinity: bool) -> message.SelectionGranted:
         session = self.records.session_table.affinity(request.session)
-        left_us = session.expires - self.runtime.now() if session is not None else 0
+        left_us = session.expires_at_us - self.runtime.now() if session is not None else 0
         return message.SelectionGranted(
             self.assignment.term, worker, GRANT_USE_US, affinity, left_us, self.watch.relay_for(worker, request.node)
         )
@@ -358,7 +358,7 @@
         grant = message.WorkerGrant(
             self.pool, request.attempt_id, request.node, worker, request.session, request.work, request.long
         )
-        self.records.hold(grant, now, claim, now if request.is_retry else None)
+        self.records.add_grant(grant, now, claim, now if request.is_retry else None)
         self.selector.prefixes.remember(worker, request.prefix)
         affinity = session is not None and not opened
         new_session = session if opened else None
@@ -441,9 +441,11 @@
             "term": list(self.assignment.term),
             "seated": self.is_active(),
             "broken": self.claims_may_be_missing(),
-            "sessions": {worker: len(opened) for worker, opened in sorted(records.session_table.at.items()) if opened},
+            "sessions": {
+                worker: len(opened) for worker, opened in sorted(records.session_table.by_worker.items()) if opened
+            },
             "in_flight": {
-                worker: len(load.held) for worker, load in sorted(records.load_by_worker.items()) if load.held
+                worker: len(load.grants) for worker, load in sorted(records.load_by_worker.items()) if load.grants
             },
             "claims": len(records.claims),
             "waiting": self.waiting,
--- a/iriswheel/pools/pool_records.py
+++ b/iriswheel/pools/pool_records.py
@@ -47,7 +47,7 @@
         """Return what a worker has in flight; the result is for reading only."""
         return self.load_by_worker.get(worker, _NO_LOAD)
 
-    def hold(
+    def add_grant(
         self, grant: message.WorkerGrant, now: int, claim: claims.Claim | None = None, charged_at: int | None = None
     ) -> None:
         """Count a grant as load in flight.
@@ -200,13 +200,13 @@
         table.version = max((record.version for record in session_records), default=0)
         for record in session_records:
             session = table.open(record.id, record.worker, answered_at, record.lifetime_us, record.cost)
-            session.expires, session.opened_by = answered_at + record.left_us, record.attempt_id
+            session.expires_at_us, session.opened_by = answered_at + record.left_us, record.attempt_id
         claim_by_attempt: dict[str, claims.Claim] = {}
         for claim_record in claim_records:
             claim = claims.from_message(claim_record, answered_at)
             claim_by_attempt[claim.attempt_id] = self.claims[claim.request_id] = claim
         for grant in grants:
-            self.hold(grant, now, claim_by_attempt.get(grant.attempt_id))
+            self.add_grant(grant, now, claim_by_attempt.get(grant.attempt_id))
             held_session = table.affinity(grant.session)
             if held_session is not None and held_session.worker == grant.worker:
                 held_session.turns += 1
--- a/iriswheel/pools/selection.py
+++ b/iriswheel/pools/selection.py
@@ -84,14 +84,14 @@
         in_flight = self.records.load(worker)
         load = in_flight.work + self.records.session_table.load(worker)
         running, queued = self.watch.reports.get(worker, (0, 0))
-        load += max(0, running + queued - len(in_flight.held)) * REPORTED_REQUEST_COST
+        load += max(0, running + queued - len(in_flight.grants)) * REPORTED_REQUEST_COST
         matching = self.prefixes.matching_parts(worker, request.prefix)
         return load + request.work * (1 - PREFIX_DISCOUNT * matching / max(1, len(request.prefix)))
 
     def has_slot(self, worker: str, long: bool, pool: configuration.Pool) -> bool:
         """Whether a worker has a free slot; long prompts have fewer of them."""
         in_flight = self.records.load(worker)
-        return len(in_flight.held) < pool.slots and (not long or in_flight.long < pool.long_slots)
+        return len(in_flight.grants) < pool.slots and (not long or in_flight.long < pool.long_slots)
 
     def pick(
         self,
--- a/iriswheel/pools/session_replicas.py
+++ b/iriswheel/pools/session_replicas.py
@@ -31,7 +31,7 @@
         self.term: Term = (0, 0)
         self.sessions: dict[str, tuple[message.SessionRecord, int]] = {}  # id -> (record, when it came)
         self.claims: dict[str, tuple[message.Claim, int]] = {}  # request id -> (record, when it came)
-        self.held = False  # whether all records of an owner ever came here
+        self.has_all_records = False  # whether all records of an owner ever came here
         self.claims_missing_until_us = 0  # until when claims made under earlier owners may be missing
 
     def fence(self, term: Term) -> bool:
@@ -57,7 +57,7 @@
         if not self.fence(update.term):
             return False
         if update.complete:
-            self.sessions, self.claims, self.held = {}, {}, True
+            self.sessions, self.claims, self.has_all_records = {}, {}, True
             self.claims_missing_until_us = now + update.claims_missing_us
         for session in update.sessions:
             stored = self.sessions.get(session.id)
@@ -79,12 +79,13 @@
     ) -> None:
         """Take over all records of an owner that ran in this process.
 
-        >>> replica = SessionReplica(); replica.replace([], [], claims_missing_until_us=0, now=0); replica.held
+        >>> replica = SessionReplica(); replica.replace([], [], claims_missing_until_us=0, now=0)
+        >>> replica.has_all_records
         True
         """
         self.sessions = {session.id: (session, now) for session in sessions}
         self.claims = {claim.request_id: (claim, now) for claim in claims}
-        self.held, self.claims_missing_until_us = True, claims_missing_until_us
+        self.has_all_records, self.claims_missing_until_us = True, claims_missing_until_us
 
     def sweep(self, now: int) -> None:
         """Forget the records that expired long ago.
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -148,7 +148,7 @@
         node.runtime.spawn(f.stream(node, 0.5), simulated_cluster.log)
 
         def counted() -> tuple[int, bool]:
-            return sum(e.running for e in estimates.values()), any(e.unread for e in estimates.values())
+            return sum(e.running for e in estimates.values()), any(e.unread_tokens for e in estimates.values())
 
         f.go(0.05)
         assert counted() == (1, True)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -102,9 +102,9 @@
     while (
         not self.drain_noticed_at_us
         or self.runtime.now() < self.drain_noticed_at_us + self.options.notice_us
-        or self.gateway.open
+        or self.gateway.open_requests
     ):
-        await self.runtime.pause(self.gateway.closed, 100 * units.MILLISECOND_US)
+        await self.runtime.pause(self.gateway.request_ended, 100 * units.MILLISECOND_US)
     self.stopped = True
 
 
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -15,7 +15,7 @@
     """A stand-in for a node with one request open, whose platform has not asked since the stop."""
     return types.SimpleNamespace(
         runtime=scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US)),
-        gateway=types.SimpleNamespace(open=1, closed=scheduler.Signal()),
+        gateway=types.SimpleNamespace(open_requests=1, request_ended=scheduler.Signal()),
         options=types.SimpleNamespace(grace_us=GRACE_US, notice_us=units.SECOND_US),
         follower=types.SimpleNamespace(session=types.SimpleNamespace(tell=lambda notice: None)),
         member=types.SimpleNamespace(id="n1-1"),
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -68,7 +68,7 @@
         return code, headers, b"".join(receiver.parts)
 
     def open_sessions(self, t: simulated_cluster.SimulatedCluster) -> int:
-        return sum(len(rs) for rs in t.owner().pool_owners[t.pool].records.session_table.at.values())
+        return sum(len(rs) for rs in t.owner().pool_owners[t.pool].records.session_table.by_worker.values())
 
     def test_a_session_is_released_after_a_minute_without_requests(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster()
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -75,7 +75,7 @@
     def test_a_node_leaves_within_its_grace_whatever_is_open(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster(grace_us=8 * S)
         n = t.nodes["n1"]
-        n.gateway.open += 1  # a request that never ends
+        n.gateway.open_requests += 1  # a request that never ends
         started_at = t.world.time
         done = n.runtime.spawn(n.stop(), simulated_cluster.log)
         assert not n.ready()[0]
