--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -1,8 +1,8 @@
-"""Drawn days that press the core: changes without pause under troubles of core machines laid over each other.
+"""Days of random faults that stress the core: changes without pause under overlapping faults of core machines.
 
 A day has configurations in quick succession, races of two operators, and invalid ones all through; from the fifth
-second on a trouble begins every 0.5 to 6 s, each one of `TROUBLES`. A core machine counts as lost from its trouble's
-begin until some seconds after its end; no more than the deployment bears are lost at once, so a trouble may wait.
+second on a fault begins every 0.5 to 6 s, each one of `FAULTS`. A core machine counts as lost from its fault's begin
+until some seconds after its end; no more are lost at once than the deployment tolerates, so a fault may wait.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
     from simulation.site import site
 
-STORM_GAPS_S = (0.15, 0.4, 0.9)
+CHANGE_GAPS_S = (0.15, 0.4, 0.9)
 FAULT_GAPS_S = (0.5, 2, 4, 6)
-RACES, RACE_GAP_S = 18, 3
-INVALID, INVALID_GAP_S = 8, 5
+RACE_COUNT, RACE_GAP_S = 18, 3
+INVALID_COUNT, INVALID_GAP_S = 8, 5
 POLL_S = 0.1
 JUMP_US = 4 * units.SECOND_US
 SLOW_LINK_US = 60 * units.MILLISECOND_US
 ACKNOWLEDGED_LOSS_S = 0.004  # an acknowledging machine is lost within this time
-REFUSALS = 3  # after so many in a row an operator reads the configuration
+MAX_REFUSALS = 3  # after so many in a row an operator reads the configuration
 COMPLETE_AGAIN_S = 40  # within which all core machines are back
 AFTER_CLOSING_S = 15
 DISK_STATES: tuple[faults.DiskState, ...] = ("full", "slow", "stalled")  # in the order that draws follow
@@ -39,12 +39,12 @@
 
 
 class CoreDay:
-    """A drawn day under way: the site, and the core machines that count as lost."""
+    """A day of random faults under way: the site, and the core machines that count as lost."""
 
-    def __init__(self, owner: site.Site) -> None:
-        self.site, self.rng = owner, owner.rng
+    def __init__(self, deployment: site.Site) -> None:
+        self.site, self.rng = deployment, deployment.rng
         self.lost: set[str] = set()
-        self.refused = 0
+        self.refusals = 0
 
     # ---- changes -------------------------------------------------------------------
 
@@ -54,9 +54,9 @@
         """Run an operator's task."""
         return self.site.operator_runtime.spawn(coroutine, log)
 
-    async def storm(self, until: int) -> None:
+    async def send_changes(self, until: int) -> None:
         """Changes one after the other; after some refusals, on top of what is read."""
-        gap = self.rng.choice(STORM_GAPS_S)
+        gap = self.rng.choice(CHANGE_GAPS_S)
         while self.site.world.time < until:
             await self.change()
             await self.site.operator_runtime.sleep(int(gap * units.SECOND_US))
@@ -64,25 +64,25 @@
     async def change(self) -> None:
         """Send one change; after some refusals in a row, read what there is."""
         status = await self.site.configurations.send_next(self.rng.choice(["idle", "timeout"]), 60)
-        self.refused = 0 if status == 200 else self.refused + 1
-        if self.refused >= REFUSALS:
+        self.refusals = 0 if status == 200 else self.refusals + 1
+        if self.refusals >= MAX_REFUSALS:
             await self.read_back()
 
     async def read_back(self) -> None:
         """Take the newest configuration as the base of the next change."""
         self.site.configurations.take(await self.site.operator.read())
-        self.refused = 0
+        self.refusals = 0
 
-    async def races(self, until: int) -> None:
+    async def send_races(self, until: int) -> None:
         """Two operators at once, again and again."""
-        for _ in range(RACES):
+        for _ in range(RACE_COUNT):
             if self.site.world.time < until:
                 await self.site.configurations.race()
                 await self.site.operator_runtime.sleep(RACE_GAP_S * units.SECOND_US)
 
-    async def invalid(self, until: int) -> None:
+    async def send_invalid(self, until: int) -> None:
         """Invalid configurations, again and again."""
-        for _ in range(INVALID):
+        for _ in range(INVALID_COUNT):
             if self.site.world.time < until:
                 await self.site.configurations.send_invalid()
                 await self.site.operator_runtime.sleep(INVALID_GAP_S * units.SECOND_US)
@@ -93,7 +93,7 @@
         """The core machine that acknowledged last, or any."""
         place = self.site.operator.last_address
         names = [name for name in sorted(self.site.cores) if place and self.site.places[name].host == place[0]]
-        return names[0] if names else self.any_core()
+        return names[0] if names else self.random_core()
 
     def tail(self) -> str:
         """The last core machine of the newest view's chain."""
@@ -104,21 +104,21 @@
             name for name, core in self.site.cores.items() if core.consensus.own_voter.id == newest.chain[-1].id
         )
 
-    def any_core(self) -> str:
-        """A core machine by lot."""
+    def random_core(self) -> str:
+        """A random core machine."""
         return self.rng.choice(sorted(self.site.cores))
 
-    def leader_or_any(self) -> str:
+    def leader_or_random(self) -> str:
         """The leader in half of all cases."""
-        return self.rng.choice([self.leader, self.any_core])()
+        return self.rng.choice([self.leader, self.random_core])()
 
-    def in_turn(
+    def strike_when_tolerated(
         self,
         lose: collections.abc.Callable[[str], float],
         pick: collections.abc.Callable[[], str] | None = None,
         complete: bool = False,
     ) -> None:
-        """Let a trouble strike as soon as one more core machine may be lost, or while none is lost.
+        """Let a fault strike as soon as one more core machine may be lost, or while none is lost.
 
         `lose` takes the machine's name, and returns when it is back, in seconds.
         """
@@ -127,12 +127,12 @@
             if len(self.lost) >= (1 if complete else self.site.shape.tolerated_losses):
                 self.site.schedule(POLL_S, strike)
                 return
-            name = "all" if complete else (pick or self.leader_or_any)()
+            name = "all" if complete else (pick or self.leader_or_random)()
             if name in self.lost:
                 self.site.schedule(POLL_S, strike)
                 return
             self.lost.add(name)
-            self.any_core()  # a draw that recorded days hold
+            self.random_core()  # a draw that recorded days hold
             self.site.schedule(lose(name) + self.site.settle_s(), self.lost.discard, name)
 
         strike()
@@ -147,8 +147,8 @@
         else:
             self.spawn(self.change())
 
-    def met(self, name: str, seconds: int) -> None:
-        """Changes begin at a machine during its trouble and as it returns."""
+    def send_during_fault(self, name: str, seconds: int) -> None:
+        """Send changes to a machine during its fault and as it returns."""
         for at in self.rng.choice([(), (seconds / 2, seconds), (0.1, seconds / 3, seconds / 2, seconds + 0.05)]):
             self.site.schedule(at, self.send_to, name)
 
@@ -156,31 +156,31 @@
 
     def draw(self, seconds: int) -> None:
         """Play the day up to its closing fault."""
-        owner = self.site
-        begin = owner.world.time
+        deployment = self.site
+        begin = deployment.world.time
         until = begin + seconds * units.SECOND_US
-        self.spawn(self.storm(until))
-        owner.schedule(1.5, lambda: self.spawn(self.races(until)))
-        owner.schedule(3, lambda: self.spawn(self.invalid(until)))
+        self.spawn(self.send_changes(until))
+        deployment.schedule(1.5, lambda: self.spawn(self.send_races(until)))
+        deployment.schedule(3, lambda: self.spawn(self.send_invalid(until)))
         at = 4.0
         while at < seconds:
-            owner.schedule(at, self.rng.choice(FAULTS), self)
+            deployment.schedule(at, self.rng.choice(FAULTS), self)
             at += self.rng.choice(FAULT_GAPS_S)
-        owner.advance(seconds)
+        deployment.advance(seconds)
         self.close()
 
     def close(self) -> None:
         """Wait until no machine is lost, and let the closing fault strike."""
-        owner = self.site
-        owner.advance_until(lambda: not self.lost, COMPLETE_AGAIN_S)
+        deployment = self.site
+        deployment.advance_until(lambda: not self.lost, COMPLETE_AGAIN_S)
         self.lost.add("all")
-        days.acknowledged_change(owner)
-        owner.faults.close(self.rng.choice(faults.CLOSING_FAULTS), 0.9)
-        owner.traffic_until = owner.world.time + AFTER_CLOSING_S * units.SECOND_US
-        owner.advance(AFTER_CLOSING_S)
+        days.acknowledged_change(deployment)
+        deployment.faults.close(self.rng.choice(faults.CLOSING_FAULTS), 0.9)
+        deployment.traffic_until = deployment.world.time + AFTER_CLOSING_S * units.SECOND_US
+        deployment.advance(AFTER_CLOSING_S)
 
 
-# ---- troubles -----------------------------------------------------------------------------
+# ---- faults -----------------------------------------------------------------------------
 
 
 def cut(day: CoreDay) -> None:
@@ -190,10 +190,10 @@
 
     def lose(name: str) -> int:
         _cut(day.site, name, sorted(set(day.site.cores) - {name}), seconds, outward=outward, inward=inward)
-        day.met(name, seconds)
+        day.send_during_fault(name, seconds)
         return seconds
 
-    day.in_turn(lose)
+    day.strike_when_tolerated(lose)
 
 
 def cut_node(day: CoreDay) -> None:
@@ -203,19 +203,19 @@
 
 
 def _cut(
-    owner: site.Site, name: str, others: list[str], seconds: int, *, outward: bool = True, inward: bool = True
+    deployment: site.Site, name: str, others: list[str], seconds: int, *, outward: bool = True, inward: bool = True
 ) -> None:
-    here, there = owner.places[name].host, [owner.places[other].host for other in others]
+    here, there = deployment.places[name].host, [deployment.places[other].host for other in others]
     pairs = {(here, other) for other in there if outward} | {(other, here) for other in there if inward}
-    owner.faults.note_fault(name, "cut")
-    owner.world.cuts |= pairs
+    deployment.faults.note_fault(name, "cut")
+    deployment.world.cuts |= pairs
 
     def heal() -> None:
-        owner.world.cuts -= pairs
-        owner.world.retry()
-        owner.faults.note_repair(name, "cut")
+        deployment.world.cuts -= pairs
+        deployment.world.retry()
+        deployment.faults.note_repair(name, "cut")
 
-    owner.schedule(seconds, heal)
+    deployment.schedule(seconds, heal)
 
 
 def cut_seeds(day: CoreDay) -> None:
@@ -224,22 +224,22 @@
     def lose(name: str) -> int:
         _cut(day.site, name, sorted(set(day.site.cores) - {name}), 20)
         reload_settings(day)
-        day.met(name, 20)
+        day.send_during_fault(name, 20)
         return 20
 
-    day.in_turn(lose)
+    day.strike_when_tolerated(lose)
 
 
 def freeze(day: CoreDay) -> None:
-    """The leader stands still, and finds changes as it wakes."""
+    """The leader freezes, and finds changes as it wakes."""
     seconds = day.rng.choice([3, 8, 20])
 
     def lose(name: str) -> int:
         day.site.faults.freeze(name, seconds)
-        day.met(name, seconds)
+        day.send_during_fault(name, seconds)
         return seconds
 
-    day.in_turn(lose, day.leader)
+    day.strike_when_tolerated(lose, day.leader)
 
 
 def lose_after_acknowledgement(day: CoreDay) -> None:
@@ -252,7 +252,7 @@
         return back
 
     hooks = day.site.operator.on_send if timed else day.site.operator.on_acknowledged
-    hooks.append(lambda: day.site.schedule(wait, day.in_turn, lose, day.leader_or_any))
+    hooks.append(lambda: day.site.schedule(wait, day.strike_when_tolerated, lose, day.leader_or_random))
 
 
 def replace(day: CoreDay) -> None:
@@ -262,7 +262,7 @@
         day.site.faults.replace_core(name, day.rng.random() < 0.5)
         return REPLACEMENT_S
 
-    day.in_turn(lose)
+    day.strike_when_tolerated(lose)
 
 
 def disk(day: CoreDay) -> None:
@@ -273,7 +273,7 @@
         day.site.faults.degrade_disk(name, state, seconds)
         return seconds
 
-    day.in_turn(lose)
+    day.strike_when_tolerated(lose)
 
 
 def lose_answers(day: CoreDay) -> None:
@@ -284,9 +284,9 @@
 
 
 def restart_in_turn(day: CoreDay) -> None:
-    """Core machines are stopped in good order, one after the other, and start again."""
+    """Core machines are stopped by SIGTERM, one after the other, and start again."""
     for name in sorted(day.site.cores):
-        day.in_turn(functools.partial(_terminate, day), functools.partial(_name_or_any, day, name))
+        day.strike_when_tolerated(functools.partial(_terminate, day), functools.partial(_name_or_random, day, name))
 
 
 def _terminate(day: CoreDay, name: str) -> int:
@@ -294,8 +294,8 @@
     return REPLACEMENT_S
 
 
-def _name_or_any(day: CoreDay, name: str) -> str:
-    return name if name in day.site.cores else day.any_core()
+def _name_or_random(day: CoreDay, name: str) -> str:
+    return name if name in day.site.cores else day.random_core()
 
 
 def entire_core(day: CoreDay) -> None:
@@ -307,7 +307,7 @@
             strike(name, 2)
         return 2
 
-    day.in_turn(lose, complete=True)
+    day.strike_when_tolerated(lose, complete=True)
 
 
 def reset_connections(day: CoreDay) -> None:
@@ -316,17 +316,17 @@
         day.site.schedule(number * 0.5, _reset_some, day.site)
 
 
-def _reset_some(owner: site.Site) -> None:
-    names = {owner.places[name].host: name for name in [*owner.cores, *owner.nodes]}
-    core_hosts = {owner.places[name].host for name in owner.cores}
+def _reset_some(deployment: site.Site) -> None:
+    names = {deployment.places[name].host: name for name in [*deployment.cores, *deployment.nodes]}
+    core_hosts = {deployment.places[name].host for name in deployment.cores}
     struck: set[str] = set()
-    for connection in list(owner.world.connections.values()):
+    for connection in list(deployment.world.connections.values()):
         hosts = {side.process.host.host for side in connection.sides}
-        if hosts & core_hosts and owner.rng.random() < 0.5:
+        if hosts & core_hosts and deployment.rng.random() < 0.5:
             struck |= {names[host] for host in hosts if host in names}
             for side in connection.sides:
                 side.reset()
-    owner.faults.note_reset(struck)
+    deployment.faults.note_reset(struck)
 
 
 def slow(day: CoreDay) -> None:
@@ -340,7 +340,7 @@
         day.site.schedule(8, day.site.faults.note_repair, name, "slow")
         return 8
 
-    day.in_turn(lose)
+    day.strike_when_tolerated(lose)
 
 
 def lossy(day: CoreDay) -> None:
@@ -350,26 +350,26 @@
 
 def jump_time_of_day(day: CoreDay) -> None:
     """The time of day of half of the machines jumps by four seconds, and back after a while."""
-    owner, error = day.site, day.rng.choice([-JUMP_US, JUMP_US])
-    names = [name for name in [*sorted(owner.cores), *sorted(owner.nodes)] if day.rng.random() < 0.5]
+    deployment, error = day.site, day.rng.choice([-JUMP_US, JUMP_US])
+    names = [name for name in [*sorted(deployment.cores), *sorted(deployment.nodes)] if day.rng.random() < 0.5]
     for name in names:
-        owner.faults.note_fault(name, "time of day")
-        owner.machine_of(name).set_time_of_day(error)
+        deployment.faults.note_fault(name, "time of day")
+        deployment.machine_of(name).set_time_of_day(error)
 
     def back() -> None:
         for name in names:
-            owner.machine_of(name).set_time_of_day(0)
-            owner.faults.note_repair(name, "time of day")
+            deployment.machine_of(name).set_time_of_day(0)
+            deployment.faults.note_repair(name, "time of day")
 
-    owner.schedule(5, back)
+    deployment.schedule(5, back)
 
 
 def reload_settings(day: CoreDay) -> None:
     """All processes read their settings again, one after the other."""
-    owner = day.site
-    names = [*sorted(owner.nodes), *sorted(owner.cores)]
+    deployment = day.site
+    names = [*sorted(deployment.nodes), *sorted(deployment.cores)]
     for name in names:
-        owner.schedule(2 * day.rng.random(), owner.reload, name)
+        deployment.schedule(2 * day.rng.random(), deployment.reload, name)
 
 
 def change_seeds(day: CoreDay) -> None:
@@ -402,35 +402,35 @@
 )
 
 
-def time_of_day(owner: site.Site) -> None:
+def time_of_day(deployment: site.Site) -> None:
     """Changes without pause while times of day jump and come back, and a core machine freezes after each jump."""
-    day = CoreDay(owner)
-    until = owner.world.time + 26 * units.SECOND_US
-    day.spawn(day.storm(until))
+    day = CoreDay(deployment)
+    until = deployment.world.time + 26 * units.SECOND_US
+    day.spawn(day.send_changes(until))
 
     def freeze_briefly(name: str) -> int:
-        owner.faults.freeze(name, 3)
+        deployment.faults.freeze(name, 3)
         return 3
 
     for _ in range(2):
-        owner.advance(2)
+        deployment.advance(2)
         jump_time_of_day(day)
-        owner.advance(4.5 + owner.rng.random())
-        day.in_turn(freeze_briefly)
-        owner.advance(6)
+        deployment.advance(4.5 + deployment.rng.random())
+        day.strike_when_tolerated(freeze_briefly)
+        deployment.advance(6)
 
 
-def lose_tail(owner: site.Site) -> None:
+def lose_tail(deployment: site.Site) -> None:
     """Three times the tail is gone for good under changes without pause; an empty machine comes, then other seeds."""
-    day = CoreDay(owner)
-    day.spawn(day.storm(owner.world.time + 30 * units.SECOND_US))
+    day = CoreDay(deployment)
+    day.spawn(day.send_changes(deployment.world.time + 30 * units.SECOND_US))
     for _ in range(3):
-        owner.advance(4 + owner.rng.random())
-        owner.faults.replace_core(day.tail())
-        owner.schedule(3, reload_settings, day)
-        owner.advance(5)
+        deployment.advance(4 + deployment.rng.random())
+        deployment.faults.replace_core(day.tail())
+        deployment.schedule(3, reload_settings, day)
+        deployment.advance(5)
 
 
-def core_drawn(owner: site.Site) -> None:
-    """Changes without pause, and drawn troubles of the core over each other; ends with a closing fault."""
-    CoreDay(owner).draw(40)
+def core_drawn(deployment: site.Site) -> None:
+    """Changes without pause, and random overlapping faults of the core; ends with a closing fault."""
+    CoreDay(deployment).draw(40)
--- a/simulation/platform_days.py
+++ b/simulation/platform_days.py
@@ -77,22 +77,22 @@
 
 def play(name: str, seed: int, shape: str = "magnolia", load: float = 1.0, seconds: float | None = None) -> site.Site:
     """Play a day to its end: the site."""
-    owner = site.Site(seed, shape, seconds or LENGTHS_S.get(name, USUAL_LENGTH_S), load)
-    owner.begin()
-    DAYS[name](owner)
-    owner.end()
-    return owner
+    deployment = site.Site(seed, shape, seconds or LENGTHS_S.get(name, USUAL_LENGTH_S), load)
+    deployment.begin()
+    DAYS[name](deployment)
+    deployment.end()
+    return deployment
 
 
-def totals(owner: site.Site) -> Totals:
+def totals(deployment: site.Site) -> Totals:
     """What a day came to: shares of requests, worth, and what it cost."""
-    rows = owner.event_log.rows
-    earned = earned_value.earned_value(rows, owner.request_values())
+    rows = deployment.event_log.rows
+    earned = earned_value.earned_value(rows, deployment.request_values())
     kinds = collections.Counter(row["kind"] for row in rows)
     every = earned["all"]
     by_kind = {
         f"{what} {kind}": earned[kind].get(what, 0.0)
-        for kind in owner.request_values()
+        for kind in deployment.request_values()
         if kind in earned
         for what in ("worth", "p50_ms", "p99_ms")
     }
@@ -107,7 +107,7 @@
         probes=kinds["probed"],
         opened=kinds["opened"],
         ran=kinds["ran"],
-        again=sum(worker.engine.prefilled_again for worker in owner.workers.values()),
+        again=sum(worker.engine.prefilled_again for worker in deployment.workers.values()),
         **by_kind,
     )
 
@@ -116,12 +116,12 @@
     """Play and judge one day in this process."""
     loguru.logger.remove()
     try:
-        owner = play(job.name, job.seed, job.shape, job.load, job.seconds)
+        deployment = play(job.name, job.seed, job.shape, job.load, job.seconds)
     except Exception as error:  # a day that can't go on is a finding too
         return Result(job, {"crash": [repr(error)]}, {})
     if job.path:
-        pathlib.Path(job.path).write_text(owner.event_log.text())
-    return Result(job, platform_rules.examine(owner.event_log.rows), totals(owner))
+        pathlib.Path(job.path).write_text(deployment.event_log.text())
+    return Result(job, platform_rules.examine(deployment.event_log.rows), totals(deployment))
 
 
 # ---- the command ---------------------------------------------------------------------------
--- a/simulation/rules/answers.py
+++ b/simulation/rules/answers.py
@@ -1,4 +1,4 @@
-"""The rules about answers: whose they are, that requests run at most once, and that streams are whole."""
+"""The rules about answers: whose they are, that requests run at most once, and that streams are complete."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     """Answers that are another's, are not the worker's, or lack its seal."""
     for attempt in log.kinds["tried"]:
         name = attempt["attempt"]
-        is_broken = any(end["how"] in BROKEN_RUNS for end in log.ends[name])
+        is_broken = any(end["how"] in BROKEN_RUNS for end in log.run_ends[name])
         if attempt["how"] == "garbage" and not is_broken:
             yield f"try {name} got bytes that are no answer"
         if _is_success(attempt):
@@ -36,7 +36,7 @@
 def _mixed_success(log: event_log.Log, name: str, attempt: event_log.Row) -> Complaints:
     own_seals = {run["seal"] for run in log.runs[name]}
     seal = attempt["seal"]
-    if seal is None or seal not in log.run_of_seal:
+    if seal is None or seal not in log.run_by_seal:
         yield f"try {name} got a success without a worker's seal"
     elif seal not in own_seals:
         yield f"try {name} got the seal of another's run"
@@ -46,8 +46,8 @@
         yield f"try {name} got events of another request"
     if attempt["bad_events"] or attempt["encoding"]:
         yield f"try {name} got bytes that are not the worker's body"
-    is_whole_body = attempt["how"] == "whole" and not attempt["stream"]
-    if is_whole_body and seal in log.end_of_seal and log.end_of_seal[seal]["body"] != attempt["got"]:
+    is_complete_body = attempt["how"] == "whole" and not attempt["stream"]
+    if is_complete_body and seal in log.run_end_by_seal and log.run_end_by_seal[seal]["body"] != attempt["got"]:
         yield f"try {name} got another body than the worker gave"
 
 
@@ -74,21 +74,21 @@
 
 
 def refused(log: event_log.Log) -> Complaints:
-    """Promises that a request has not run, though it has."""
+    """Answers that say a request has not run, though it has."""
     for name, attempt in log.attempts.items():
         if not attempt["repeat"] and attempt["code"] in NOT_RUN_CODES and log.runs[name]:
             yield f"try {name} got {attempt['code']}, and ran"
 
 
 def lost(log: event_log.Log) -> Complaints:
-    """Requests read and never answered, round planned work."""
+    """Requests read and never answered, near a planned stop of a node."""
     for name, attempt in log.attempts.items():
         if attempt["how"] != "closed" or attempt["done"] >= attempt["until"]:
             continue
-        went_on = any(not row["verdict"] for row in log.arrived[name])
+        went_on = any(not row["verdict"] for row in log.arrivals[name])
         if not went_on and attempt["done"] - attempt["sent"] <= log.bounds["loss_slack"]:
             continue
-        if any(end["how"] in (*BROKEN_RUNS, "expired") for end in log.ends[name]):
+        if any(end["how"] in (*BROKEN_RUNS, "expired") for end in log.run_ends[name]):
             continue
         for row in log.kinds["term"]:
             if row["name"] == attempt["node"] and _is_lost_by(log, name, attempt, row["at"]):
@@ -105,12 +105,12 @@
     has_other_fault = any(
         fault.what != "term" and fault.touches(begin, attempt["done"]) for fault in log.faults[attempt["node"]]
     )
-    is_at_work = any(end["at"] > term_at + grace // 2 for end in log.ends[name])
+    is_at_work = any(end["at"] > term_at + grace // 2 for end in log.run_ends[name])
     return not has_other_fault and not is_at_work
 
 
 def order(log: event_log.Log) -> Complaints:
-    """Streams with a piece missing or doubled, joined from two runs, or ended early."""
+    """Streams with an event missing or doubled, joined from two runs, or ended early."""
     for name, attempt in log.attempts.items():
         if attempt["stream"] and _is_success(attempt):
             yield from _disordered(log, name, attempt)
@@ -131,7 +131,7 @@
             yield f"try {name} ended as whole within an event"
     for event, following in itertools.pairwise(events):
         if event.seal != following.seal:
-            run = log.run_of_seal.get(following.seal)
+            run = log.run_by_seal.get(following.seal)
             if not attempt["repeat"] or run is None or run["after"] != str(event.number):
                 yield f"try {name} joins two runs after event {event.number}"
 
@@ -140,7 +140,7 @@
     """Whether the event after which a stream was taken up was its last."""
     return any(
         event.number == attempt["after"] and event.is_last
-        for other in log.asked[attempt["request"]]
+        for other in log.attempts_by_request[attempt["request"]]
         for event in event_log.events_of(other)
     )
 
--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -46,7 +46,7 @@
 
 def shown_service(log: event_log.Log, attempt: event_log.Row) -> str | None:
     """What an attempt shows of the configuration: a service, None for a node's own 404, or "" for nothing."""
-    pools: list[str] = [row["pool"] for row in log.arrived[attempt["attempt"]] if not row["verdict"]]
+    pools: list[str] = [row["pool"] for row in log.arrivals[attempt["attempt"]] if not row["verdict"]]
     if pools:
         return pools[0]
     return None if attempt["code"] == 404 and attempt["how"] == "whole" else ""
@@ -54,7 +54,7 @@
 
 def _wrongly_applied(log: event_log.Log) -> Complaints:
     refused = [sent for sent in log.configurations if sent["code"] not in event_log.UNCLEAR_CODES or not sent["valid"]]
-    possible = log.possible()
+    possible = log.possibly_in_force()
     shown: collections.defaultdict[str, list[Shown]] = collections.defaultdict(list)
     for attempt in sorted(log.attempts.values(), key=lambda row: row["sent"]):
         service = shown_service(log, attempt)
@@ -137,13 +137,12 @@
 
 def acks(log: event_log.Log) -> Complaints:
     """Proper configurations that were not acknowledged in time although the core was settled."""
-    for sent in log.possible():
+    for sent in log.possibly_in_force():
         routes = len(sent["doc"][platform_names.CONFIGURATION["routes"]])
         bound = log.bounds["ack"] + ACK_PER_ROUTE_US * routes
         answered_at: int = sent["answered"] if sent["answered"] is not None else log.ended_at
-        end: int = sent.get(
-            "acknowledged", answered_at
-        )  # the first acknowledgement was lost on its way to the operator
+        # A row says when the first acknowledgement was given, where that was lost on its way to the operator.
+        end: int = sent.get("acknowledged", answered_at)
         begin = max([sent["sent"], log.started_at, *(change for change in log.core_changes if change < end)])
         if end - begin > bound and log.is_settled(end):
             yield f"version {sent['version']} was not acknowledged for {(end - begin) // units.MILLISECOND_US} ms"
--- a/simulation/rules/earned_value.py
+++ b/simulation/rules/earned_value.py
@@ -50,8 +50,8 @@
     if any(following.at_us - event.at_us > kind.pause_us for event, following in itertools.pairwise(events)):
         return False
     for event in events:
-        sent_times = log.end_of_seal.get(event.seal, {}).get("times")
-        after = log.run_of_seal.get(event.seal, {}).get("after")
+        sent_times = log.run_end_by_seal.get(event.seal, {}).get("times")
+        after = log.run_by_seal.get(event.seal, {}).get("after")
         index = event.number - 1 - (int(after) if after else 0)
         if sent_times and 0 <= index < len(sent_times) and event.at_us - sent_times[index] > log.bounds["late"]:
             return False
@@ -60,7 +60,7 @@
 
 def earned_by(log: event_log.Log, answered: event_log.Row, kind: RequestValue) -> Earned:
     """What a request earned."""
-    attempts = log.asked[answered["request"]]
+    attempts = log.attempts_by_request[answered["request"]]
     if not answered["ok"] or not attempts:
         return Earned("none", 0.0)
     if is_in_time(log, answered, attempts, kind):
@@ -86,19 +86,19 @@
     )
     windows: collections.defaultdict[int, Totals] = collections.defaultdict(lambda: dict(earned=0.0, owed=0.0))
     for answered in log.kinds["answered"]:
-        sort, began = answered["sort"], answered["began"]
-        if sort not in kinds or began < log.started_at:
+        kind_name, started_at = answered["sort"], answered["began"]
+        if kind_name not in kinds or started_at < log.started_at:
             continue
-        earned = earned_by(log, answered, kinds[sort])
-        groups = [totals[name] for name in ("all", sort, f"zone {answered['zone']}")]
+        earned = earned_by(log, answered, kinds[kind_name])
+        groups = [totals[name] for name in ("all", kind_name, f"zone {answered['zone']}")]
         for group in groups:
             group["asked"] += 1
             group[earned.state] += 1
-        for group in [*groups, windows[began // window]]:
+        for group in [*groups, windows[started_at // window]]:
             group["earned"] += earned.value
-            group["owed"] += kinds[sort].value
+            group["owed"] += kinds[kind_name].value
         if earned.state != "none":
-            waits[sort].append(first_event(log.asked[answered["request"]]) - began)
+            waits[kind_name].append(first_event(log.attempts_by_request[answered["request"]]) - started_at)
     return _summary(totals, windows, waits)
 
 
--- a/simulation/rules/log.py
+++ b/simulation/rules/log.py
@@ -45,11 +45,11 @@
         return self.begin <= begin and self.end >= end
 
 
-def take_ended(open_faults: list[Fault], what: str | None) -> Fault | None:
+def pop_ended_fault(open_faults: list[Fault], what: str | None) -> Fault | None:
     """Take out the fault that a repair ends: the newest of its kind, or of a process's end where it names none.
 
     >>> faults = [Fault(1, 99, "kill"), Fault(2, 99, "cut")]
-    >>> take_ended(faults, None).what, take_ended(faults, "cut").what, take_ended(faults, "cut")
+    >>> pop_ended_fault(faults, None).what, pop_ended_fault(faults, "cut").what, pop_ended_fault(faults, "cut")
     ('kill', 'cut', None)
     """
     fitting = [fault for fault in open_faults if (fault.what == what if what else fault.what in PROCESS_ENDS)]
@@ -73,9 +73,9 @@
     Attributes:
         kinds: Rows by their kind.
         attempts: Rows `tried` by the name of the attempt.
-        asked: Rows `tried` by the request.
-        arrived: Rows of workers that got an attempt, by its name; `runs` and `ends` likewise.
-        run_of_seal: Rows `run` by the seal; `end_of_seal` likewise rows `ran`.
+        attempts_by_request: Rows `tried` by the request.
+        arrivals: Rows of workers that got an attempt, by its name; `runs` and `run_ends` likewise.
+        run_by_seal: Rows `run` by the seal; `run_end_by_seal` likewise rows `ran`.
         faults: The faults of each machine.
         core_changes: When faults of core machines began or ended.
         configurations: What operators sent, in its order.
@@ -92,12 +92,12 @@
         self.started_at: int = begun.get("at", 0)
         self.ended_at: int = rows[-1]["at"] if rows else 0
         self.attempts = {row["attempt"]: row for row in self.kinds["tried"]}
-        self.asked = self._by("tried", "request")
-        self.arrived = self._by("arrived", "attempt")
+        self.attempts_by_request = self._by("tried", "request")
+        self.arrivals = self._by("arrived", "attempt")
         self.runs = self._by("run", "attempt")
-        self.ends = self._by("ran", "attempt")
-        self.run_of_seal = {row["seal"]: row for row in self.kinds["run"]}
-        self.end_of_seal = {row["seal"]: row for row in self.kinds["ran"]}
+        self.run_ends = self._by("ran", "attempt")
+        self.run_by_seal = {row["seal"]: row for row in self.kinds["run"]}
+        self.run_end_by_seal = {row["seal"]: row for row in self.kinds["ran"]}
         self.core = {name for name, machine in begun.get("machines", {}).items() if machine["role"] == "core"}
         self.core |= {row["name"] for row in self.kinds["machine"] if row["role"] == "core"}
         self.faults: collections.defaultdict[str, list[Fault]] = collections.defaultdict(list)
@@ -124,7 +124,7 @@
                 open_faults[name].append(fault)
                 self.faults[name].append(fault)
             else:
-                ended = take_ended(open_faults[name], row.get("what"))
+                ended = pop_ended_fault(open_faults[name], row.get("what"))
                 if ended is not None:
                     ended.end = row["at"]
             if name in self.core:
@@ -170,7 +170,7 @@
         return any(fault.what in ("gone", "term") and fault.covers(begin, end) for fault in self.faults[name])
 
     def is_in_touch(self, name: str, at: int) -> bool:
-        """Whether a machine is bound by rules with a time bound."""
+        """Whether a machine is expected to keep time limits: it has no fault, and the core was settled lately."""
         return not self.is_faulted(name, at - self.bounds["contact"], at) and self.is_settled(at)
 
     # ---- configurations -----------------------------------------------------------------
@@ -179,11 +179,13 @@
         """The versions that must be applied by a time."""
         return [sent["version"] for sent in self.acknowledged if sent["answered"] + self.bounds["apply"] < at]
 
-    def possible(self) -> Rows:
+    def possibly_in_force(self) -> Rows:
         """The valid configurations that were not refused."""
         return [sent for sent in self.configurations if sent["valid"] and sent["code"] in UNCLEAR_CODES]
 
     def in_force(self, attempt: Row) -> Rows:
         """What may be in force for an attempt: the newest that must be, and all later ones that may be."""
         floor = max(self.versions_in_force(attempt["sent"]), default=0)
-        return [sent for sent in self.possible() if sent["version"] >= floor and sent["sent"] <= attempt["done"]]
+        return [
+            sent for sent in self.possibly_in_force() if sent["version"] >= floor and sent["sent"] <= attempt["done"]
+        ]
--- a/simulation/rules/routing.py
+++ b/simulation/rules/routing.py
@@ -61,7 +61,7 @@
 
 
 def _is_denied(log: event_log.Log, name: str, attempt: event_log.Row) -> bool:
-    is_refused = 300 <= attempt["code"] < 500 and attempt["code"] not in TEMPORARY_CODES and not log.arrived[name]
+    is_refused = 300 <= attempt["code"] < 500 and attempt["code"] not in TEMPORARY_CODES and not log.arrivals[name]
     return (
         is_refused
         and not attempt["direct"]
@@ -130,7 +130,7 @@
 def _arrivals(log: event_log.Log) -> dict[str, _Arrivals]:
     found: collections.defaultdict[str, _Arrivals] = collections.defaultdict(_Arrivals)
     for name, attempt in log.attempts.items():
-        rows = sorted(log.arrived[name], key=lambda row: row["at"])
+        rows = sorted(log.arrivals[name], key=lambda row: row["at"])
         if not rows:  # a request that did not arrive is one for its route's services
             newest = log.in_force(attempt)[-1:]
             for pool in {pool for sent in newest for pool in services_of(sent, attempt) if pool}:
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -61,13 +61,13 @@
 
 
 class Step(enum.Enum):
-    """A step of the newcomer's repair."""
+    """A step of the repair, by the state of the core that replaces the lost one."""
 
-    SEEN = "seen"  # a voter has heard it
-    SEATED = "seated"  # it has a voter in an agreed view
+    SEEN = "seen"  # a voter has received its heartbeat
+    SEATED = "seated"  # it is a voter of an agreed view
     CHAINED = "chained"  # it is in the chain of an agreed view
-    REFILLED = "refilled"  # it has taken the first piece or entries
-    SYNCED = "synced"  # its copy is whole
+    REFILLED = "refilled"  # it has received the first snapshot chunk or log entries
+    SYNCED = "synced"  # it is synced in the view
     LEASED = "leased"  # the tail of its chain has the read lease
     ACKNOWLEDGED = "acknowledged"  # a change was acknowledged that was sent after that
 
@@ -75,10 +75,10 @@
 class Target(enum.Enum):
     """Who is struck by the second loss."""
 
-    SAME = "same"  # the newcomer, which still counts as lost
-    OTHER = "other"  # one other machine: within the tolerance where two losses are borne
-    SETTLED = "settled"  # as many as are borne, by lot, the settle time after the newcomer's start
-    STRESS = "stress"  # as many others as are borne at once, while the newcomer still counts as lost
+    SAME = "same"  # the replacement, which still counts as lost
+    OTHER = "other"  # one other machine: within the tolerance where two losses are tolerated
+    SETTLED = "settled"  # as many as are tolerated, at random, the settle time after the replacement's start
+    STRESS = "stress"  # as many others as are tolerated at once, while the replacement still counts as lost
 
 
 STEPS_OF_STRESS = (Step.SYNCED, Step.LEASED, Step.ACKNOWLEDGED)
@@ -94,7 +94,7 @@
     target: Target
     second: Loss
     seed: int
-    slow_disk: bool = False  # of the newcomer, so that its refill takes longer
+    slow_disk: bool = False  # of the replacement, so that its catch-up takes longer
 
     def options(self) -> str:
         """The options that play this case alone.
@@ -147,9 +147,11 @@
         self.site = simulated_site.Site(case.seed, seconds=0, load=TRAFFIC_SHARE)
         self.site.shape = shape(case.cores)
         self.rng = self.site.rng
-        self.joining = ""  # the name of the machine that the first loss brings
+        self.replacement = ""  # the name of the core that takes the place of the first lost one
         self.leaving: set[str] = set()  # machines that have a successor, and are about to be stopped
-        self.before: process_model.SimulatedProcess | None = None  # the process that had this name before
+        self.lost_process: process_model.SimulatedProcess | None = (
+            None  # of the first lost core, which may have had the same name
+        )
         self.reached_us: int | None = None
         self.leased_at: int | None = None
         self.acknowledged: list[tuple[int, int]] = []  # (sent, answered) of each acknowledged change
@@ -207,12 +209,12 @@
         return new
 
     def terminate(self, name: str) -> None:
-        """Stop a machine in good order, for good."""
+        """Stop a machine by SIGTERM, for good."""
         site, old = self.site, self.site.cores.pop(name)
         site.note_core_movements([name])
         site.faults.note_fault(name, "term")
-        for owner in [*site.nodes, *site.cores]:
-            site.reload(owner)
+        for other in [*site.nodes, *site.cores]:
+            site.reload(other)
 
         def end(_: object = None) -> None:
             if old.process.alive:
@@ -231,32 +233,34 @@
 
     # ---- steps -------------------------------------------------------------------------
 
-    def live(self) -> list[server_model.SimulatedCore]:
+    def live_cores(self) -> list[server_model.SimulatedCore]:
         """The core machines whose processes live."""
         return [core for core in self.site.cores.values() if core.process.alive]
 
     def newest_view(self) -> message.View | None:
         """The newest view that a live core machine knows."""
-        views = [core.consensus.view for core in self.live() if core.consensus.view is not None]
+        views = [core.consensus.view for core in self.live_cores() if core.consensus.view is not None]
         return max(views, key=lambda view: view.number, default=None)
 
-    def arrived(self) -> server_model.SimulatedCore | None:
-        """The newcomer once its process runs, or None."""
-        core = self.site.cores.get(self.joining)
+    def replacement_core(self) -> server_model.SimulatedCore | None:
+        """The replacement once its process runs, or None."""
+        core = self.site.cores.get(self.replacement)
         return (
-            core if core is not None and core.process is not self.before and core.process.name == self.joining else None
+            core
+            if core is not None and core.process is not self.lost_process and core.process.name == self.replacement
+            else None
         )
 
-    def reached(self, step: Step) -> bool:
-        """Whether the newcomer's repair has come to a step."""
-        core, view = self.arrived(), self.newest_view()
+    def has_reached(self, step: Step) -> bool:
+        """Whether the repair has come to a step."""
+        core, view = self.replacement_core(), self.newest_view()
         if core is None or view is None:
             return False
         identifier, incarnation = core.consensus.own_voter.id, core.runtime.incarnation
         chained = any(member.id == identifier and member.incarnation == incarnation for member in view.chain)
         match step:
             case Step.SEEN:
-                others = [other for other in self.live() if other is not core]
+                others = [other for other in self.live_cores() if other is not core]
                 reached = any(identifier in other.consensus.heartbeats for other in others)
             case Step.SEATED:
                 reached = any(voter.id == identifier for voter in view.voters)
@@ -274,16 +278,16 @@
         return reached
 
     def has_acknowledged_after_lease(self) -> bool:
-        """Whether a change was acknowledged that was sent after the tail of the newcomer's chain had its lease."""
-        if self.leased_at is None and self.reached(Step.LEASED):
+        """Whether a change was acknowledged that was sent after the tail of the replacement's chain had its lease."""
+        if self.leased_at is None and self.has_reached(Step.LEASED):
             self.leased_at = self.site.world.time
         return self.leased_at is not None and self.first_change_after(self.leased_at) is not None
 
     def tail_is_leased(self, view: message.View) -> bool:
         """Whether the tail of a view holds the read lease."""
-        return any(core.consensus.view == view and core.consensus.holds_lease() for core in self.live())
+        return any(core.consensus.view == view and core.consensus.holds_lease() for core in self.live_cores())
 
-    def complete(self) -> bool:
+    def is_repaired(self) -> bool:
         """Whether all core machines are in the chain, each synced, with a leased tail."""
         view, cores = self.newest_view(), self.site.cores.values()
         members = {(core.consensus.own_voter.id, core.runtime.incarnation) for core in cores if core.process.alive}
@@ -302,33 +306,33 @@
 
     # ---- the run -----------------------------------------------------------------------
 
-    def struck(self) -> list[str]:
-        """The names of the machines that the second loss strikes."""
-        names, borne = sorted(self.site.cores), self.site.shape.tolerated_losses
-        others = [name for name in names if name != self.joining and name not in self.leaving]
+    def second_targets(self) -> list[str]:
+        """The names of the machines that the second loss hits."""
+        names, tolerated = sorted(self.site.cores), self.site.shape.tolerated_losses
+        others = [name for name in names if name != self.replacement and name not in self.leaving]
         match self.case.target:
             case Target.SAME:
-                return [self.joining]
+                return [self.replacement]
             case Target.OTHER:
                 return [self.rng.choice(others)]
             case Target.SETTLED:
-                return self.rng.sample(names, borne)
+                return self.rng.sample(names, tolerated)
             case Target.STRESS:
-                return self.rng.sample(others, borne)
+                return self.rng.sample(others, tolerated)
 
     def repair(self) -> None:
         """Bring the first loss about, and let its repair come to the step of the case."""
         name = self.rng.choice(sorted(self.site.cores))
-        self.before = self.site.cores[name].process
+        self.lost_process = self.site.cores[name].process
         started_at, step = self.site.world.time, self.case.step
-        self.joining = self.lose(name, self.case.first)
+        self.replacement = self.lose(name, self.case.first)
         if self.case.slow_disk:
-            self.slow_disk(self.joining)
+            self.slow_disk(self.replacement)
         if self.case.target is Target.SETTLED:
-            self.wait(lambda: self.arrived() is not None, f"the newcomer {self.joining} did not start")
+            self.wait(lambda: self.replacement_core() is not None, f"the newcomer {self.replacement} did not start")
             self.site.advance(self.site.settle_s())
         else:
-            self.wait(lambda: self.reached(step), f"the newcomer {self.joining} was not {step.value}")
+            self.wait(lambda: self.has_reached(step), f"the newcomer {self.replacement} was not {step.value}")
         self.reached_us = self.site.world.time - started_at
 
     def play(self) -> Outcome:
@@ -344,9 +348,9 @@
             self.repair()
             site.advance(self.rng.uniform(0, STRIKE_DELAY_S))
             struck_at = site.world.time
-            for name in self.struck():
+            for name in self.second_targets():
                 self.lose(name, self.case.second)
-            self.wait(self.complete, "the chain was not complete after the second loss")
+            self.wait(self.is_repaired, "the chain was not complete after the second loss")
             complete_us = site.world.time - struck_at
             first_change_us = self.wait_for_change(struck_at) - struck_at
             if first_change_us > REPAIR_S * units.SECOND_US:
@@ -478,7 +482,7 @@
     :param steps: the steps of the repair after which the second loss strikes
     :param seconds: the kinds of the second loss
     :param targets: who is struck by it
-    :param slow_disk: whether the newcomer's disk is slow
+    :param slow_disk: whether the replacement's disk is slow
     :param processes: processes to use
     """
     chosen = cases(
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -52,8 +52,8 @@
 class Configurations:
     """What a site's operators send; owns the newest acknowledged document and its version."""
 
-    def __init__(self, owner: site.Site) -> None:
-        self.site = owner
+    def __init__(self, deployment: site.Site) -> None:
+        self.site = deployment
         self.document: Document = {}
         self.version = 0
         self.idle_routes = 0  # how many were ever added
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -20,348 +20,350 @@
 log = loguru.logger.bind(part="site")
 
 
-def some(owner: site.Site, names: collections.abc.Iterable[str], share: float) -> list[str]:
+def sample_share(deployment: site.Site, names: collections.abc.Iterable[str], share: float) -> list[str]:
     """A random share of these names, at least one."""
     ordered = sorted(names)
-    return owner.rng.sample(ordered, max(1, round(share * len(ordered))))
+    return deployment.rng.sample(ordered, max(1, round(share * len(ordered))))
 
 
-def one_of(owner: site.Site, names: collections.abc.Iterable[str]) -> str:
+def choose_one(deployment: site.Site, names: collections.abc.Iterable[str]) -> str:
     """A random one of these names."""
-    return some(owner, names, 0)[0]
+    return sample_share(deployment, names, 0)[0]
 
 
-def acknowledged_change(owner: site.Site) -> None:
+def acknowledged_change(deployment: site.Site) -> None:
     """Send a change, and let time pass until it has its answer."""
-    answer = owner.configurations.change("idle")
-    owner.advance_until(lambda: answer.called, 20)
+    answer = deployment.configurations.change("idle")
+    deployment.advance_until(lambda: answer.called, 20)
 
 
 # ---- configurations ------------------------------------------------------------------------
 
 
-def calm(owner: site.Site) -> None:
+def calm(deployment: site.Site) -> None:
     """Nothing happens, but for one change of the configuration."""
-    owner.advance(3)
-    owner.configurations.change("idle")
+    deployment.advance(3)
+    deployment.configurations.change("idle")
 
 
-def changes(owner: site.Site) -> None:
+def changes(deployment: site.Site) -> None:
     """Idle routes, a time-out, and many routes at once."""
     for how in ("idle", "timeout", "big", "idle"):
-        owner.advance(3.5)
-        owner.configurations.change(how)
+        deployment.advance(3.5)
+        deployment.configurations.change(how)
 
 
-def storm(owner: site.Site) -> None:
+def storm(deployment: site.Site) -> None:
     """Configurations in quick succession."""
 
     async def send_all() -> None:
         for number in range(12):
-            await owner.configurations.send_next("timeout" if number % 2 else "idle", 60)
+            await deployment.configurations.send_next("timeout" if number % 2 else "idle", 60)
 
-    owner.advance(3)
-    owner.operator_runtime.spawn(send_all(), log)
+    deployment.advance(3)
+    deployment.operator_runtime.spawn(send_all(), log)
 
 
-def race(owner: site.Site) -> None:
+def race(deployment: site.Site) -> None:
     """Two operators send at once, on top of the same version; invalid configurations come too."""
 
     async def send_all() -> None:
         for _ in range(3):
-            await owner.configurations.race()
-            await owner.configurations.send_invalid()
+            await deployment.configurations.race()
+            await deployment.configurations.send_invalid()
 
-    owner.advance(3)
-    owner.operator_runtime.spawn(send_all(), log)
+    deployment.advance(3)
+    deployment.operator_runtime.spawn(send_all(), log)
 
 
 # ---- workers -------------------------------------------------------------------------------
 
 
-def _crash(owner: site.Site, how: typing.Literal["reset", "dark"]) -> None:
-    owner.advance(4)
-    owner.configurations.change("idle")
-    owner.advance(1)
-    owner.faults.crash_worker(owner.rng.choice(owner.live_workers()), how, back=4.5)
+def _crash(deployment: site.Site, how: typing.Literal["reset", "dark"]) -> None:
+    deployment.advance(4)
+    deployment.configurations.change("idle")
+    deployment.advance(1)
+    deployment.faults.crash_worker(deployment.rng.choice(deployment.live_workers()), how, back=4.5)
 
 
-def crash_reset(owner: site.Site) -> None:
+def crash_reset(deployment: site.Site) -> None:
     """A worker's process dies: its connections are reset, its port refuses."""
-    _crash(owner, "reset")
+    _crash(deployment, "reset")
 
 
-def crash_dark(owner: site.Site) -> None:
-    """A worker's machine goes dark: it says nothing more."""
-    _crash(owner, "dark")
+def crash_dark(deployment: site.Site) -> None:
+    """A worker's machine goes dark: its connections stay silent."""
+    _crash(deployment, "dark")
 
 
-def crash_lost(owner: site.Site) -> None:
+def crash_lost(deployment: site.Site) -> None:
     """Two workers are lost for good, one after the other."""
     for how in ("dark", "reset"):
-        owner.advance(4)
-        owner.faults.crash_worker(owner.rng.choice(owner.live_workers()), how)
+        deployment.advance(4)
+        deployment.faults.crash_worker(deployment.rng.choice(deployment.live_workers()), how)
 
 
-def flap(owner: site.Site) -> None:
-    """A worker goes down and up by turns."""
-    name = owner.rng.choice(owner.live_workers())
+def flap(deployment: site.Site) -> None:
+    """A worker crashes and comes back, again and again."""
+    name = deployment.rng.choice(deployment.live_workers())
     for _ in range(4):
-        owner.advance(2)
-        owner.faults.crash_worker(name, "reset", back=1.2, listed=1.0)
-        owner.advance(1.3)
+        deployment.advance(2)
+        deployment.faults.crash_worker(name, "reset", back=1.2, listed=1.0)
+        deployment.advance(1.3)
 
 
-def release(owner: site.Site) -> None:
+def release(deployment: site.Site) -> None:
     """Workers are replaced one after the other."""
-    owner.advance(3)
-    for name in some(owner, owner.live_workers(), 0.45):
-        owner.faults.replace_worker(name)
-        owner.advance(1)
-    owner.configurations.change("idle")
+    deployment.advance(3)
+    for name in sample_share(deployment, deployment.live_workers(), 0.45):
+        deployment.faults.replace_worker(name)
+        deployment.advance(1)
+    deployment.configurations.change("idle")
 
 
-def release_all(owner: site.Site) -> None:
+def release_all(deployment: site.Site) -> None:
     """All workers are replaced, and addresses are used again after a while."""
-    owner.advance(2)
+    deployment.advance(2)
     hosts: list[str] = []
-    for name in owner.live_workers():
-        free = len(hosts) > 2 and not owner.world.machines[hosts[0]].power
+    for name in deployment.live_workers():
+        free = len(hosts) > 2 and not deployment.world.machines[hosts[0]].power
         host = hosts.pop(0) if free else None
-        hosts.append(owner.workers[name].host)
-        owner.faults.replace_worker(name, host)
-        owner.advance(2)
+        hosts.append(deployment.workers[name].host)
+        deployment.faults.replace_worker(name, host)
+        deployment.advance(2)
 
 
-def other_service(owner: site.Site) -> None:
+def other_service(deployment: site.Site) -> None:
     """The address of a worker that crashed goes to another service, while nodes still know it as the old one."""
     for _ in range(2):
-        owner.advance(3)
-        name = owner.rng.choice(owner.live_workers())
-        worker = owner.workers[name]
-        owner.faults.crash_worker(name, "reset", listed=4.0)
-        owner.advance(2.1)
-        owner.start_worker(f"other{worker.host}", worker.host, worker.zone, pool="other")
+        deployment.advance(3)
+        name = deployment.rng.choice(deployment.live_workers())
+        worker = deployment.workers[name]
+        deployment.faults.crash_worker(name, "reset", listed=4.0)
+        deployment.advance(2.1)
+        deployment.start_worker(f"other{worker.host}", worker.host, worker.zone, pool="other")
 
 
-def _unhealthy(owner: site.Site, **faults: float) -> None:
-    owner.advance(3)
-    owner.faults.make_unhealthy(some(owner, owner.live_workers(), 0.6), 5, "", **faults)
+def _unhealthy(deployment: site.Site, **faults: float) -> None:
+    deployment.advance(3)
+    deployment.faults.make_unhealthy(sample_share(deployment, deployment.live_workers(), 0.6), 5, "", **faults)
 
 
-def garble(owner: site.Site) -> None:
+def garble(deployment: site.Site) -> None:
     """Workers send bytes that are no answer."""
-    _unhealthy(owner, garble=0.05)
+    _unhealthy(deployment, garble=0.05)
 
 
-def surplus(owner: site.Site) -> None:
+def surplus(deployment: site.Site) -> None:
     """Workers send more after a whole answer, at once or in the place of the next one."""
-    _unhealthy(owner, surplus=0.1, late=0.1)
+    _unhealthy(deployment, surplus=0.1, late=0.1)
 
 
-def answers_lost(owner: site.Site) -> None:
+def answers_lost(deployment: site.Site) -> None:
     """Workers run requests and lose the answers."""
-    _unhealthy(owner, lost=0.05)
+    _unhealthy(deployment, lost=0.05)
 
 
-def broken_off(owner: site.Site) -> None:
+def broken_off(deployment: site.Site) -> None:
     """Workers break streams off midway."""
-    _unhealthy(owner, **{"break": 0.05})
+    _unhealthy(deployment, **{"break": 0.05})
 
 
-def grey(owner: site.Site) -> None:
+def grey(deployment: site.Site) -> None:
     """Workers fail part of their requests while their health checks are answered as good."""
-    way = owner.rng.choice(["errors", "hang", "mute"])
-    owner.advance(3)
-    owner.faults.make_unhealthy(some(owner, owner.live_workers(), 0.15), 6, health="good", **{way: 0.45})
+    way = deployment.rng.choice(["errors", "hang", "mute"])
+    deployment.advance(3)
+    deployment.faults.make_unhealthy(
+        sample_share(deployment, deployment.live_workers(), 0.15), 6, health="good", **{way: 0.45}
+    )
 
 
-def lying(owner: site.Site) -> None:
-    """Workers that are well say that they are not."""
-    owner.advance(3)
-    owner.faults.make_unhealthy(some(owner, owner.live_workers(), 0.3), 6, health="bad")
+def lying(deployment: site.Site) -> None:
+    """Healthy workers fail their health checks."""
+    deployment.advance(3)
+    deployment.faults.make_unhealthy(sample_share(deployment, deployment.live_workers(), 0.3), 6, health="bad")
 
 
-def idle_drops(owner: site.Site) -> None:
+def idle_drops(deployment: site.Site) -> None:
     """Workers drop idle connections early and without a word."""
-    for worker in owner.workers.values():
+    for worker in deployment.workers.values():
         worker.silent_drop, worker.idle_us = True, EARLY_IDLE_DROP_US
 
 
 # ---- nodes and core machines ---------------------------------------------------------------
 
 
-def kill_node(owner: site.Site) -> None:
+def kill_node(deployment: site.Site) -> None:
     """A node is killed and comes back."""
-    owner.advance(3)
-    owner.configurations.change("idle")
-    owner.advance(1)
-    for name in some(owner, owner.nodes, 0.16):
-        owner.faults.kill(name, 3.5)
+    deployment.advance(3)
+    deployment.configurations.change("idle")
+    deployment.advance(1)
+    for name in sample_share(deployment, deployment.nodes, 0.16):
+        deployment.faults.kill(name, 3.5)
 
 
-def power_node(owner: site.Site) -> None:
+def power_node(deployment: site.Site) -> None:
     """A node loses power and comes back."""
-    owner.advance(4)
-    for name in some(owner, owner.nodes, 0.17):
-        owner.faults.power_off(name, 3)
+    deployment.advance(4)
+    for name in sample_share(deployment, deployment.nodes, 0.17):
+        deployment.faults.power_off(name, 3)
 
 
-def kill_core(owner: site.Site) -> None:
+def kill_core(deployment: site.Site) -> None:
     """Core machines are killed, one after the other, while the configuration changes."""
-    for name in some(owner, owner.cores, 0.6):
-        owner.advance(2)
-        owner.configurations.change("idle")
-        owner.advance(0.02)
-        owner.faults.kill(name, 3.5)
-        owner.advance(4)
+    for name in sample_share(deployment, deployment.cores, 0.6):
+        deployment.advance(2)
+        deployment.configurations.change("idle")
+        deployment.advance(0.02)
+        deployment.faults.kill(name, 3.5)
+        deployment.advance(4)
 
 
-def kill_cores(owner: site.Site) -> None:
+def kill_cores(deployment: site.Site) -> None:
     """All of the core is killed at the same moment, and is back within a second."""
-    owner.advance(4)
-    owner.configurations.change("idle")
-    owner.advance(0.01)
-    for name in sorted(owner.cores):
-        owner.faults.kill(name, 0.8)
+    deployment.advance(4)
+    deployment.configurations.change("idle")
+    deployment.advance(0.01)
+    for name in sorted(deployment.cores):
+        deployment.faults.kill(name, 0.8)
 
 
-def herd(owner: site.Site) -> None:
+def herd(deployment: site.Site) -> None:
     """Many nodes are killed at the same moment."""
-    owner.advance(4)
-    for name in some(owner, owner.nodes, 0.55):
-        owner.faults.kill(name, 2)
+    deployment.advance(4)
+    for name in sample_share(deployment, deployment.nodes, 0.55):
+        deployment.faults.kill(name, 2)
 
 
-def freeze(owner: site.Site) -> None:
+def freeze(deployment: site.Site) -> None:
     """A node and then a core machine freeze, and wake again."""
-    owner.advance(3)
-    owner.faults.freeze(one_of(owner, owner.nodes), 4)
-    owner.advance(3)
-    owner.configurations.change("idle")
-    owner.faults.freeze(one_of(owner, owner.cores), 4)
+    deployment.advance(3)
+    deployment.faults.freeze(choose_one(deployment, deployment.nodes), 4)
+    deployment.advance(3)
+    deployment.configurations.change("idle")
+    deployment.faults.freeze(choose_one(deployment, deployment.cores), 4)
 
 
-def roll(owner: site.Site) -> None:
-    """Nodes are stopped in good order and started, one after the other, under load."""
-    owner.advance(3)
-    for name in some(owner, owner.nodes, 0.45):
-        owner.faults.terminate(name)
-        owner.advance(1.3)
+def roll(deployment: site.Site) -> None:
+    """Nodes are stopped by SIGTERM and started, one after the other, under load."""
+    deployment.advance(3)
+    for name in sample_share(deployment, deployment.nodes, 0.45):
+        deployment.faults.terminate(name)
+        deployment.advance(1.3)
 
 
-def roll_cores(owner: site.Site) -> None:
-    """Core machines are stopped in good order and started, one after the other."""
-    for name in some(owner, owner.cores, 1):
-        owner.advance(2)
-        owner.configurations.change("idle")
-        owner.faults.terminate(name)
-        owner.advance(4)
+def roll_cores(deployment: site.Site) -> None:
+    """Core machines are stopped by SIGTERM and started, one after the other."""
+    for name in sample_share(deployment, deployment.cores, 1):
+        deployment.advance(2)
+        deployment.configurations.change("idle")
+        deployment.faults.terminate(name)
+        deployment.advance(4)
 
 
-def replace_core(owner: site.Site) -> None:
+def replace_core(deployment: site.Site) -> None:
     """A core machine is replaced by an empty one at another address, gently or not; then another."""
-    for gently in owner.rng.sample([True, False], 2):
-        owner.advance(3)
-        owner.faults.replace_core(one_of(owner, owner.cores), gently)
-        owner.advance(1)
-        owner.configurations.change("idle")
-        owner.advance(5)
+    for gently in deployment.rng.sample([True, False], 2):
+        deployment.advance(3)
+        deployment.faults.replace_core(choose_one(deployment, deployment.cores), gently)
+        deployment.advance(1)
+        deployment.configurations.change("idle")
+        deployment.advance(5)
 
 
-def disks(owner: site.Site) -> None:
+def disks(deployment: site.Site) -> None:
     """Core machines' disks are slow, full and stalled, one after the other."""
     for state in ("slow", "full", "stalled"):
-        owner.advance(3)
-        owner.faults.degrade_disk(one_of(owner, owner.cores), state, 3)
-        owner.configurations.change("idle")
+        deployment.advance(3)
+        deployment.faults.degrade_disk(choose_one(deployment, deployment.cores), state, 3)
+        deployment.configurations.change("idle")
 
 
-def ack_wipe(owner: site.Site) -> None:
+def ack_wipe(deployment: site.Site) -> None:
     """A core machine loses power and its disk right after an acknowledgement."""
     for _ in range(2):
-        owner.advance(3)
-        acknowledged_change(owner)
-        owner.faults.power_off(one_of(owner, owner.cores), 3, wipe=True)
-        owner.advance(8)
+        deployment.advance(3)
+        acknowledged_change(deployment)
+        deployment.faults.power_off(choose_one(deployment, deployment.cores), 3, wipe=True)
+        deployment.advance(8)
 
 
-def _closing(owner: site.Site, how: faults.ClosingFault) -> None:
-    owner.advance(5)
-    acknowledged_change(owner)
-    owner.faults.close(how, 0.7 + owner.rng.random() * 0.7)
-    owner.traffic_until = owner.world.time + 22 * units.SECOND_US
-    owner.advance(22)
+def _closing(deployment: site.Site, how: faults.ClosingFault) -> None:
+    deployment.advance(5)
+    acknowledged_change(deployment)
+    deployment.faults.close(how, 0.7 + deployment.rng.random() * 0.7)
+    deployment.traffic_until = deployment.world.time + 22 * units.SECOND_US
+    deployment.advance(22)
 
 
-def closing_kill(owner: site.Site) -> None:
+def closing_kill(deployment: site.Site) -> None:
     """Right after an acknowledgement every process is killed."""
-    _closing(owner, "kill_all")
+    _closing(deployment, "kill_all")
 
 
-def closing_power(owner: site.Site) -> None:
+def closing_power(deployment: site.Site) -> None:
     """Right after an acknowledgement every machine loses power."""
-    _closing(owner, "power_off_all")
+    _closing(deployment, "power_off_all")
 
 
-def closing_wipe(owner: site.Site) -> None:
+def closing_wipe(deployment: site.Site) -> None:
     """Right after an acknowledgement every machine loses power, and a core machine its disk."""
-    _closing(owner, "wipe")
+    _closing(deployment, "wipe")
 
 
 # ---- network and load ----------------------------------------------------------------------
 
 
-def cut_node(owner: site.Site) -> None:
+def cut_node(deployment: site.Site) -> None:
     """A node is cut off from all other machines; a change comes meanwhile."""
-    owner.advance(4)
-    owner.faults.isolate(one_of(owner, owner.nodes), 5, clients=owner.rng.random() < 0.5)
-    owner.advance(1)
-    owner.configurations.change("idle")
+    deployment.advance(4)
+    deployment.faults.isolate(choose_one(deployment, deployment.nodes), 5, clients=deployment.rng.random() < 0.5)
+    deployment.advance(1)
+    deployment.configurations.change("idle")
 
 
-def cut_core(owner: site.Site) -> None:
+def cut_core(deployment: site.Site) -> None:
     """A core machine is cut off, while two operators send."""
-    owner.advance(3)
-    owner.faults.isolate(one_of(owner, owner.cores), 5)
-    owner.operator_runtime.spawn(owner.configurations.race(), log)
+    deployment.advance(3)
+    deployment.faults.isolate(choose_one(deployment, deployment.cores), 5)
+    deployment.operator_runtime.spawn(deployment.configurations.race(), log)
 
 
-def reset_conns(owner: site.Site) -> None:
+def reset_conns(deployment: site.Site) -> None:
     """Connections between the fleet's machines are reset, twice."""
     for _ in range(2):
-        owner.advance(4)
-        owner.configurations.change("idle")
-        owner.faults.reset_connections(0.5)
+        deployment.advance(4)
+        deployment.configurations.change("idle")
+        deployment.faults.reset_connections(0.5)
 
 
-def lossy(owner: site.Site) -> None:
+def lossy(deployment: site.Site) -> None:
     """The links of a zone lose packets."""
-    owner.advance(3)
-    owner.faults.lose_packets(owner.rng.choice(owner.shape.zones()), 0.025, 6)
-    owner.advance(1)
-    owner.configurations.change("idle")
+    deployment.advance(3)
+    deployment.faults.lose_packets(deployment.rng.choice(deployment.shape.zones()), 0.025, 6)
+    deployment.advance(1)
+    deployment.configurations.change("idle")
 
 
-def burst(owner: site.Site) -> None:
-    """One kind of request comes in a rush."""
-    owner.advance(4)
-    kind = owner.rng.choice(owner.shape.kinds).name
-    for traffic in owner.traffics:
+def burst(deployment: site.Site) -> None:
+    """One kind of request comes far more often for a while."""
+    deployment.advance(4)
+    kind = deployment.rng.choice(deployment.shape.kinds).name
+    for traffic in deployment.traffics:
         traffic.rate_factors[kind] = 1.6
 
     def end() -> None:
-        for traffic in owner.traffics:
+        for traffic in deployment.traffics:
             traffic.rate_factors.clear()
 
-    owner.schedule(4, end)
+    deployment.schedule(4, end)
 
 
-def hot_key(owner: site.Site) -> None:
+def hot_key(deployment: site.Site) -> None:
     """One key gets much of the traffic."""
-    owner.advance(3)
-    for traffic in owner.traffics:
-        traffic.hot_key = client.HotKey(owner.shape.kinds[0].name, 0.35)
+    deployment.advance(3)
+    for traffic in deployment.traffics:
+        traffic.hot_key = client.HotKey(deployment.shape.kinds[0].name, 0.35)
 
 
 # ---- several at once -----------------------------------------------------------------------
@@ -385,10 +387,10 @@
 MIXED_COUNT = 4
 
 
-def mixed(owner: site.Site) -> None:
-    """Several faults by chance, one after the other."""
-    for day in owner.rng.sample(MIXED_DAYS, MIXED_COUNT):
-        day(owner)
+def mixed(deployment: site.Site) -> None:
+    """Several faults drawn at random, one after the other."""
+    for day in deployment.rng.sample(MIXED_DAYS, MIXED_COUNT):
+        day(deployment)
 
 
 DAYS: tuple[Day, ...] = (
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -18,7 +18,7 @@
 FIRST_FAULT_S, FAULTS_S = 1.5, 14  # faults begin within this time
 CHANGE_TIMES_S = (3, 9, 20)
 ALONE_S = 11  # for so long a machine with a fault gets no other
-RUSH_S = 4
+RAISED_LOAD_S = 4
 CLOSING_SHARE = 0.5  # of the days, which end with a closing fault
 AFTER_CLOSING_S = 18
 DISK_STATES: tuple[faults.DiskState, ...] = ("slow", "full", "stalled")  # in the order that draws follow
@@ -33,15 +33,15 @@
 class DrawnDay:
     """A drawn day under way: the site, and the machines that have a fault."""
 
-    def __init__(self, owner: site.Site) -> None:
-        self.site, self.faults, self.rng = owner, owner.faults, owner.rng
+    def __init__(self, deployment: site.Site) -> None:
+        self.site, self.faults, self.rng = deployment, deployment.faults, deployment.rng
         self.faulty: set[str] = set()  # machines that get no other fault now
 
     # ---- who is struck ------------------------------------------------------------------
 
     def workers(self, share: float) -> list[str]:
         """A random share of the live workers."""
-        return days.some(self.site, self.site.live_workers(), share)
+        return days.sample_share(self.site, self.site.live_workers(), share)
 
     def in_turn(
         self, names: collections.abc.Iterable[typing.Any], gap: float, action: collections.abc.Callable[..., object]
@@ -94,8 +94,8 @@
             lambda: self.alone(nodes, lambda name: strike.power_off(name, 3)),
             lambda: self.alone(nodes, lambda name: strike.freeze(name, 3.5)),
             lambda: self.alone(nodes, lambda name: strike.isolate(name, 5)),
-            lambda: self.each_alone(days.some(self.site, nodes, 0.45), 1.2, strike.terminate),
-            lambda: self.each_alone(days.some(self.site, nodes, 0.55), 0, lambda name: strike.kill(name, 2)),
+            lambda: self.each_alone(days.sample_share(self.site, nodes, 0.45), 1.2, strike.terminate),
+            lambda: self.each_alone(days.sample_share(self.site, nodes, 0.55), 0, lambda name: strike.kill(name, 2)),
         ]
 
     def worker_losses(self) -> list[Action]:
@@ -109,7 +109,7 @@
 
     def load_changes(self) -> list[Action]:
         """How the load may change, and connections break."""
-        return [self.rush, self.heat_keys, lambda: self.faults.reset_connections(0.4)]
+        return [self.raise_load, self.heat_keys, lambda: self.faults.reset_connections(0.4)]
 
     def worker_faults(self) -> list[Action]:
         """How workers may fail requests."""
@@ -138,14 +138,14 @@
         if len(self.site.live_workers()) > FEWEST_WORKERS:
             self.faults.crash_worker(self.rng.choice(self.site.live_workers()), how, back=back)
 
-    def rush(self) -> None:
-        """Let one kind of request come in a rush."""
+    def raise_load(self) -> None:
+        """Let one kind of request come more often for a while."""
         kind, factor = self.rng.choice(self.site.shape.kinds).name, 1.4 + 0.4 * self.rng.random()
         for traffic in self.site.traffics:
             traffic.rate_factors[kind] = factor
-        self.site.schedule(RUSH_S, self._end_rush)
+        self.site.schedule(RAISED_LOAD_S, self._reset_load)
 
-    def _end_rush(self) -> None:
+    def _reset_load(self) -> None:
         for traffic in self.site.traffics:
             traffic.rate_factors.clear()
 
@@ -189,6 +189,6 @@
         self.site.advance(AFTER_CLOSING_S)
 
 
-def drawn(owner: site.Site) -> None:
+def drawn(deployment: site.Site) -> None:
     """Four to eight faults at random times, over one another; half of these days end with a closing fault."""
-    DrawnDay(owner).play()
+    DrawnDay(deployment).play()
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a simulated site: lost, frozen, cut off and replaced machines, sick disks, links and workers.
+"""Faults of a simulated site: lost, frozen, cut off and replaced machines, failing disks, links and workers.
 
 Each fault of a node or core machine is noted in the event log as `trouble`, and its end as `mend`, for the rules.
 """
@@ -37,9 +37,9 @@
 class Faults:
     """Brings faults about at a site, and ends them."""
 
-    def __init__(self, owner: site.Site) -> None:
-        self.site = owner
-        self.world: world.World = owner.world
+    def __init__(self, deployment: site.Site) -> None:
+        self.site = deployment
+        self.world: world.World = deployment.world
 
     # ---- the event log ------------------------------------------------------------------
 
@@ -82,7 +82,7 @@
     def terminate(self, name: str, grace: float = TERMINATION_GRACE_S, back: float = TERMINATION_DOWN_S) -> None:
         """Send a node or core machine SIGTERM, and SIGKILL after the grace; it starts again once it has ended."""
         process = self.site.process_of(name)
-        owner = self.site.nodes.get(name) or self.site.cores[name]
+        server = self.site.nodes.get(name) or self.site.cores[name]
         self.site.event_log.put(self.world.time, "term", name=name)
         self.note_fault(name, "term")
 
@@ -91,7 +91,7 @@
                 process.kill()
                 self.site.schedule(back, self.site.restart, name)
 
-        owner.runtime.spawn(owner.stop(), log).addBoth(end)
+        server.runtime.spawn(server.stop(), log).addBoth(end)
         self.site.schedule(grace, end)
 
     def degrade_disk(self, name: str, state: DiskState, seconds: float) -> None:
@@ -130,8 +130,8 @@
         def start() -> None:
             self.site.start_core(new)
             self.note_repair(new)
-            for owner in [*self.site.nodes, *(other for other in self.site.cores if other != new)]:
-                self.site.reload(owner)
+            for other in [*self.site.nodes, *(core for core in self.site.cores if core != new)]:
+                self.site.reload(other)
 
         self.site.cores[new] = old  # its name and place stand in the settings from now on
         self.site.schedule(REPLACEMENT_DELAY_S, start)
--- a/simulation/site/settings_files.py
+++ b/simulation/site/settings_files.py
@@ -21,7 +21,7 @@
 Settings = dict[str, typing.Any]
 
 
-class Owner(typing.NamedTuple):
+class ProcessPlace(typing.NamedTuple):
     """The process that a settings file is for.
 
     Attributes:
@@ -91,28 +91,28 @@
     }
 
 
-def settings_file(owner: Owner, shape: shapes.Shape, seed_hosts: list[str], bootstrap: bool) -> Settings:
+def settings_file(process: ProcessPlace, shape: shapes.Shape, seed_hosts: list[str], bootstrap: bool) -> Settings:
     """The settings file of a process.
 
     Args:
-        owner: The process.
+        process: The process.
         shape: The deployment.
         seed_hosts: The addresses of the core machines to name; where empty, those of the first start.
         bootstrap: Whether this is the first start of the fleet.
     """
-    is_core = owner.role == "core"
+    is_core = process.role == "core"
     first_hosts = [f"{CORE_HOST_PREFIX}{number}" for number in range(1, len(shape.cores) + 1)]
     if is_core:
-        addresses = {"control": f"{owner.host}:{CONTROL_PORT}"}
+        addresses = {"control": f"{process.host}:{CONTROL_PORT}"}
     else:
-        addresses = {"front": f"{owner.host}:{FRONT_PORT}", "ready": f"{owner.host}:{READY_PORT}"}
+        addresses = {"front": f"{process.host}:{FRONT_PORT}", "ready": f"{process.host}:{READY_PORT}"}
     return {
-        "node": owner.name,
+        "node": process.name,
         "role": "core" if is_core else "node",
-        "machine_class": owner.role,
+        "machine_class": process.role,
         "serves": ["supervisor" if is_core else "edge"],
-        "bind_ip": owner.host,
-        "zone": owner.zone,
+        "bind_ip": process.host,
+        "zone": process.zone,
         "region": "r",
         "port_range": [FLEET_PORT, FLEET_PORT + 15],
         "seed_nodes": [f"{host}:{CONTROL_PORT}" for host in seed_hosts or first_hosts],
@@ -125,7 +125,7 @@
         "zones": {zone: "r" for zone in shape.nodes},
         "bind_addrs": addresses,
         "data_dir": "/data" if is_core else "",
-        "constraints": constraints(owner.role),
+        "constraints": constraints(process.role),
         "tolerance": {"machines": shape.tolerated_losses, "zones": 0, "regions": 0},
         "bounds": bounds(shape),
         "provider_api": {
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -150,9 +150,9 @@
 
     def options(self, name: str, role: typing.Literal["edge", "core"]) -> options.Options:
         """The options of a process, as the platform's start makes them of its settings file."""
-        owner = settings_files.Owner(name, role, *self.places[name])
+        process = settings_files.ProcessPlace(name, role, *self.places[name])
         seed_hosts = [self.places[seed].host for seed in self.seeds()]
-        settings = settings_files.settings_file(owner, self.shape, seed_hosts, bootstrap=not self.started)
+        settings = settings_files.settings_file(process, self.shape, seed_hosts, bootstrap=not self.started)
         return platform_programs.settings.translate("node" if role == "edge" else "core", settings)
 
     def settle_s(self) -> int | float:
@@ -161,11 +161,11 @@
 
     def reload(self, name: str) -> None:
         """Let a process read its settings again, as SIGHUP does."""
-        owner = self.nodes.get(name) or self.cores.get(name)
-        if owner is None or not owner.process.alive:
+        server = self.nodes.get(name) or self.cores.get(name)
+        if server is None or not server.process.alive:
             return
         options = self.options(name, "edge" if name in self.nodes else "core")
-        owner.process.call(lambda: owner.renew(options))
+        server.process.call(lambda: server.renew(options))
 
     # ---- starting processes -------------------------------------------------------------
 
