--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,12 @@
     """Starts a simulated cluster without any load of its own, and lets it run until it serves."""
 
     def __call__(
-        self, *, seed: int = 3, shape: str = "small", seconds: float = 1, **options: Any
+        self,
+        *,
+        seed: int = 3,
+        shape: str = "small",
+        seconds: float = 1,
+        **options: Any,  # noqa: ANN401 - those of SimulatedCluster
     ) -> simulated_cluster.SimulatedCluster:
         """Start a cluster; `options` are those of SimulatedCluster."""
 
@@ -25,7 +30,7 @@
 
 
 @pytest.fixture
-def logged_errors(quiet_log: None) -> Iterator[list[str]]:
+def logged_errors(quiet_log: None) -> Iterator[list[str]]:  # noqa: ARG001 - asked for so that it runs before
     """The lines of level ERROR that were logged during the test."""
     lines: list[str] = []
     sink = loguru.logger.add(lambda line: lines.append(str(line)), level="ERROR")
@@ -38,7 +43,11 @@
     """The function that starts a cluster without load."""
 
     def start(
-        *, seed: int = 3, shape: str = "small", seconds: float = 1, **options: Any
+        *,
+        seed: int = 3,
+        shape: str = "small",
+        seconds: float = 1,
+        **options: Any,  # noqa: ANN401 - those of SimulatedCluster
     ) -> simulated_cluster.SimulatedCluster:
         cluster = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0, short_rate=0, conversations=0, **options)
         cluster.probing = False
--- a/tests/frozen_codec.py
+++ b/tests/frozen_codec.py
@@ -43,7 +43,7 @@
             made.append((f"field_{place}", hint, *default))
         return msgspec.defstruct(f"Frozen{tag}", made, tag=tag, array_like=True, frozen=True)
 
-    def _type(self, description: typing.Any) -> typing.Any:
+    def _type(self, description: object) -> typing.Any:  # noqa: ANN401 - a type expression
         match description:
             case str():
                 return SCALARS[description]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -107,7 +107,7 @@
 def exists(folder: pathlib.Path, name: str) -> bool:
     """Whether there is a test of this node id, though it was not chosen for this run."""
     command = [sys.executable, "-m", "pytest", "--collect-only", "--quiet", "-n", "0", name]
-    return subprocess.run(command, cwd=folder, capture_output=True).returncode == 0
+    return subprocess.run(command, cwd=folder, capture_output=True, check=False).returncode == 0
 
 
 def pytest_configure(config: pytest.Config) -> None:
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -24,7 +24,7 @@
             self.world, "n1", host_model.Host(self.world, "10.0.2.1", "a")
         )
         self.runtime = process.runtime()
-        self.follower = types.SimpleNamespace(workers=[], states={}, state=lambda name: "ready")
+        self.follower = types.SimpleNamespace(workers=[], states={}, state=lambda _name: "ready")
         self.tally = retry_budget.Budget(slack=9)
         self.node = types.SimpleNamespace(
             runtime=self.runtime,
@@ -34,7 +34,7 @@
             stopped=False,
             options_reread_at_us=None,
             loads=types.SimpleNamespace(report_now=scheduler.Signal(), touch=lambda: None),
-            gateway=types.SimpleNamespace(retry_budgets=types.SimpleNamespace(budget=lambda request: self.tally)),
+            gateway=types.SimpleNamespace(retry_budgets=types.SimpleNamespace(budget=lambda _request: self.tally)),
         )
         self.forwarder = forwarding.Forwarder(self.node)
         process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.edge_protocol))
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -1,5 +1,6 @@
 """What the outside sees of the program, gathered for the comparison with tests/data/outside.json."""
 
+import contextlib
 import dataclasses
 import gzip
 import hashlib
@@ -21,6 +22,7 @@
 from iriswheel import errors
 from iriswheel.configuration import configuration
 from iriswheel.runtime import options
+from iriswheel.transport import http_server
 from iriswheel.verification import replay
 from simulation import addresses, operator_model, simulated_cluster
 from simulation.scenarios import actions
@@ -76,7 +78,7 @@
         self.received += data
 
 
-def shape(value: typing.Any) -> typing.Any:
+def shape(value: object) -> object:
     """The names in a JSON value, and the types of what is under them.
 
     >>> shape({"a": [{"b": 1}, {"b": 2}], "c": None})
@@ -86,7 +88,7 @@
         case dict():
             return {key: shape(item) for key, item in sorted(value.items())}
         case list():
-            shapes: list[typing.Any] = []
+            shapes: list[object] = []
             for item in map(shape, value):
                 if item not in shapes:
                     shapes.append(item)
@@ -122,11 +124,13 @@
         self.cluster = simulated_cluster.SimulatedCluster(5, "small", long_rate=0, short_rate=0, conversations=0)
         self.cluster.probing = False
 
-    def note(self, label: str, owner: type) -> typing.Any:
+    def note(
+        self, label: str, owner: type[stand_ins.Worker | stand_ins.Platform]
+    ) -> contextlib.AbstractContextManager[object]:
         """Replace a stand-in's handler by one that notes the requests' headers under a label."""
         handle, requests = owner.handle, self.requests
 
-        async def noting(stand_in: typing.Any, request: typing.Any) -> None:
+        async def noting(stand_in: stand_ins.Worker | stand_ins.Platform, request: http_server.Request) -> None:
             names = {name.decode() for name, _ in request.requestHeaders.getAllRawHeaders()}
             key = f"{label}: {request.method.decode()} {request.path.decode()}"
             requests[key] = sorted(names | set(requests.get(key, ())))
@@ -279,8 +283,8 @@
     """The rows with faults that the judge must name: second runs, runs after a refusal, a lost configuration."""
     out = []
     any_run = next(row for row in rows if row["kind"] == "run")
-    for row in rows:
-        row = dict(row)
+    for original in rows:
+        row = dict(original)
         if row["kind"] == "sent":
             row["repeat"] = False
         out.append(row)
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -10,10 +10,12 @@
 
 import msgspec
 
+Struct = typing.TypeVar("Struct", bound=msgspec.Struct)
+
 DATA = pathlib.Path(__file__).parent / "data"
 
 
-def to_plain(value: typing.Any) -> typing.Any:
+def to_plain(value: object) -> object:
     """Turn untyped msgpack content into what JSON can hold; bytes become {"hex": ...}.
 
     >>> to_plain([b"ab", {"a": b""}])
@@ -29,7 +31,7 @@
     return value
 
 
-def from_plain(value: typing.Any) -> typing.Any:
+def from_plain(value: object) -> typing.Any:  # noqa: ANN401 - JSON's values, of any depth
     """Undo `to_plain`.
 
     >>> from_plain([{"hex": "6162"}, 7])
@@ -45,7 +47,7 @@
     return value
 
 
-def load(name: str) -> typing.Any:
+def load(name: str) -> typing.Any:  # noqa: ANN401 - JSON's values, of any depth
     """Read a recording from the data folder."""
     return json.loads((DATA / name).read_text())
 
@@ -59,7 +61,7 @@
     (DATA / name).write_text("{\n" + ",\n".join(parts) + "\n}\n")
 
 
-def struct_types(root: typing.Any) -> dict[str, msgspec.inspect.StructType]:
+def struct_types(root: object) -> dict[str, msgspec.inspect.StructType]:
     """All tagged structs that a type reaches, by their tag."""
     found: dict[str, msgspec.inspect.StructType] = {}
     _collect(msgspec.inspect.type_info(root), found, set())
@@ -83,7 +85,7 @@
             _collect(inner, found, seen)
 
 
-def build(cls: type, values: list[typing.Any]) -> typing.Any:
+def build(cls: type[Struct], values: list[typing.Any]) -> Struct:
     """Build a struct from plain values by position; fields beyond them get their defaults."""
     hints = [field.type for field in msgspec.structs.fields(cls)]
     return cls(*(msgspec.convert(value, hint) for value, hint in zip(values, hints, strict=False)))
@@ -104,7 +106,7 @@
     def __init__(self) -> None:
         self.count = 0
 
-    def plain(self, info: msgspec.inspect.Type) -> typing.Any:
+    def plain(self, info: msgspec.inspect.Type) -> typing.Any:  # noqa: ANN401, PLR0911 - a return for each sort of type
         """A value of a type, as plain data.
 
         >>> Sampler().plain(msgspec.inspect.type_info(dict[str, int]))
@@ -134,7 +136,7 @@
                 return {self.plain(info.key_type): self.plain(info.value_type)}
         return self._scalar(info)
 
-    def _scalar(self, info: msgspec.inspect.Type) -> typing.Any:
+    def _scalar(self, info: msgspec.inspect.Type) -> object:
         inspect = msgspec.inspect
         match info:
             case inspect.IntType():
@@ -149,6 +151,6 @@
                 return {"any": [self.count, None, "text", True, 0.5, {}]}
         raise TypeError(f"no sample for {info}")
 
-    def field(self, field: msgspec.inspect.Field) -> typing.Any:
+    def field(self, field: msgspec.inspect.Field) -> object:
         """A value of a field, as plain data: a switch that is on by default is off."""
         return False if field.default is True else self.plain(field.type)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -70,7 +70,7 @@
             agreed.voters[1],
             seeds=[],
             peers=None,
-            on_view=lambda agreed: None,
+            on_view=lambda _agreed: None,
         )
         snapshot = snapshot_format.encode(replicated_state.ReplicatedState())
 
@@ -99,7 +99,7 @@
         self.answers = answers  # host -> answer
 
     async def call(
-        self, host: str, port: int, msg: message.Prepare | message.LeaseRequest, us: int
+        self, host: str, _port: int, _message: message.Prepare | message.LeaseRequest, _timeout_us: int
     ) -> message.Promise | message.LeaseResponse:
         """Ask a peer."""
         if host not in self.answers:
@@ -115,7 +115,7 @@
         agreed = message.View(4, agreed.voters, [*agreed.chain[:2], message.ChainReplica("a", runtime.incarnation)])
         record = decisions.Record(agreed, synced_view=4)
         consensus = view_consensus.ViewConsensus(
-            runtime, Disk(), record, agreed.voters[2], seeds=[], peers=Peers(answers), on_view=lambda agreed: None
+            runtime, Disk(), record, agreed.voters[2], seeds=[], peers=Peers(answers), on_view=lambda _agreed: None
         )
         for identifier in "bc":
             consensus.receive_heartbeat(message.Heartbeat(identifier, "1", "zone", identifier, 1, agreed, 4, True))
@@ -148,7 +148,7 @@
         agreed = message.View(4, agreed.voters, [message.ChainReplica("a", runtime.incarnation), *agreed.chain[1:]])
         record = decisions.Record(agreed, synced_view=4)
         self.consensus = view_consensus.ViewConsensus(
-            runtime, Disk(), record, agreed.voters[0], seeds=[], peers=None, on_view=lambda agreed: None
+            runtime, Disk(), record, agreed.voters[0], seeds=[], peers=None, on_view=lambda _agreed: None
         )
         self.consensus.announce_departure()
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -2,7 +2,7 @@
 
 import contextlib
 import io
-import os
+import pathlib
 import re
 from collections.abc import Callable
 
@@ -20,7 +20,7 @@
 from iriswheel.transport import wire
 from simulation import simulated_cluster
 
-PAGE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "docs", "CAPACITY.md")
+PAGE = pathlib.Path(__file__).parent.parent / "docs" / "CAPACITY.md"
 
 
 def rows(text: str) -> dict[tuple[str, str], tuple[float, str]]:
@@ -36,10 +36,10 @@
 class StubValues:
     """Every line has the same slope and the same value at any size."""
 
-    def slope(self, name: str, line: str, by: str) -> float:
+    def slope(self, _name: str, _line: str, _by: str) -> float:
         return 2.0
 
-    def at(self, name: str, line: str, by: str, size: int) -> float:
+    def at(self, _name: str, _line: str, _by: str, _size: int) -> float:
         return 1000.0
 
     def all_at_once(self, name: str) -> dict[str, float] | None:
@@ -59,8 +59,7 @@
 class TestSlopes:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        with open(PAGE) as f:
-            self.page = rows(f.read())
+        self.page = rows(PAGE.read_text())
 
     def ran(self, measure: Callable[..., None], **more: int | list[int]) -> dict[tuple[str, str], tuple[float, str]]:
         out = io.StringIO()
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -42,9 +42,9 @@
         self.world = world
         self.members = {}
         self.sent = []  # what was sent, in order
-        self.meet = lambda msg: "pass"
+        self.meet = lambda _message: "pass"
 
-    async def call(self, host: str, port: int, msg: message.Message, us: int) -> message.Message:
+    async def call(self, host: str, _port: int, msg: message.Message, us: int) -> message.Message:
         self.sent.append(msg)
         fate = self.meet(msg)
         runtime = self.members["head"].runtime
@@ -81,7 +81,7 @@
         self.chain = chain.Chain(self.runtime, guard, state, self.network)
         voter = message.Voter(self.name, self.name, 1, "a")
         self.consensus = view_consensus.ViewConsensus(
-            self.runtime, guard, record, voter, seeds=[], peers=None, on_view=lambda v: None, copies=self.copies
+            self.runtime, guard, record, voter, seeds=[], peers=None, on_view=lambda _v: None, copies=self.copies
         )
         self.chain.consensus = self.consensus
         self.network.members[self.name] = self
@@ -250,7 +250,7 @@
         self.install(2, head, tail)
         self.go(3)
         assert len(tail.chain.receiver.incoming.content) > 200_000
-        self.network.meet = lambda msg: "pass"
+        self.network.meet = lambda _message: "pass"
         third.host.synced.update(head.host.synced)
         self.install(3, head, third)  # the second link is cut off
         self.until(third.chain.is_synced, 10)
@@ -280,7 +280,7 @@
         tail.host.power = True
         tail.start()
         assert (tail.chain.log.last_index, tail.chain.latest_state.view) == (2, 7)
-        self.network.meet = lambda msg: "pass"
+        self.network.meet = lambda _message: "pass"
         self.install(9, head, tail)
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.writes = []
 
-    async def commit(self, puts: list[tuple[bytes, bytes | None]]) -> None:
+    async def commit(self, _puts: list[tuple[bytes, bytes | None]]) -> None:
         done = defer.Deferred()
         self.writes.append(done)
         await done
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -22,6 +22,7 @@
 
 def good(
     identifier: str = "x1",
+    *,
     at: int = 20 * S,
     worker: str = "w1",
     parts: tuple[str, ...] = ("system",),
@@ -109,7 +110,7 @@
         self.complains("own", rows)
 
     def test_leaving(self) -> None:
-        self.complains("leaving", [dict(at=10 * S, kind="listed", worker="w1", state="leaving", pool="desk")] + good())
+        self.complains("leaving", [dict(at=10 * S, kind="listed", worker="w1", state="leaving", pool="desk"), *good()])
 
     def test_in_force(self) -> None:
         later = {**DOC, "routes": {**DOC["routes"], "probe": {"path": "/p/1", "pool": "desk"}}}
@@ -120,10 +121,10 @@
         probe = dict(
             at=13 * S, kind="probe", node="h:1", zone="a", exchange="p1", done=13 * S + 9, code="", worker="w1"
         )
-        self.complains("in_force", change + [{**probe, "path": "/p/1", "status": 404}])
+        self.complains("in_force", [*change, {**probe, "path": "/p/1", "status": 404}])
         run = dict(at=13 * S + 5, kind="run", worker="w1", run="r", exchange="p1", send=0, parts=[], path="/p/0")
-        self.complains("in_force", change + [{**probe, "path": "/p/0", "status": 200}, run])
-        self.complains("allowed", change + [{**probe, "path": "/p/0", "status": 200}, run])
+        self.complains("in_force", [*change, {**probe, "path": "/p/0", "status": 200}, run])
+        self.complains("allowed", [*change, {**probe, "path": "/p/0", "status": 200}, run])
 
     def test_kept(self) -> None:
         self.complains("kept", [dict(at=9 * S, kind="read", stamp=0, blueprint={})])
@@ -176,12 +177,12 @@
         here, there = self.refused("not_ready"), self.refused("not_ready")
         here[0]["node"], there[0]["node"] = "h:1", "h:2"
         assert "served" not in replay.judge(sorted(BASE + here + [kill], key=lambda r: r["at"]))
-        self.complains("served", there + [kill])
-        self.complains("served", there + [{**kill, "duty": True}])
+        self.complains("served", [*there, kill])
+        self.complains("served", [*there, {**kill, "duty": True}])
         self.complains(
             "served",
-            here
-            + [
+            [
+                *here,
                 kill,
                 dict(at=20 * S - 4, kind="mend", what="start", target="n1"),
                 *[{**r, "at": r["at"] + 10 * S, "exchange": "x2"} for r in here],
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.how = ""
 
-    def owns(self, status: int, low: dict[str, str], used: int) -> bool:
+    def owns(self, _status: int, _low: dict[str, str], _used: int) -> bool:
         return True
 
     def head_received(self, status: int, headers: list[tuple[bytes, bytes]], low: dict[str, str]) -> None:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -26,7 +26,6 @@
 from iriswheel.runtime import units
 from iriswheel.transport import message
 from simulation import disk_model, platform_days, platform_programs, platform_rules
-from tests import stubs
 
 Job = tuple[str, int, str, str]  # day, seed, shape, guard that is taken out or ""
 
@@ -134,7 +133,7 @@
 # guard -> what is put in its place, the day, its seed, the rule that must be seen broken
 GUARDS = {
     "own_answers": (
-        [(platform_programs.formats.Formats, "is_answer_to", stubs.returning(True))],
+        [(platform_programs.formats.Formats, "is_answer_to", lambda _self, _tag, _status, _headers: True)],
         "surplus",
         1,
         "mixed",
@@ -161,9 +160,9 @@
     "worker_states": ([(follower.Follower, "apply_workers", _first_list)], "release", 1, "drain"),
     "drain": ([(node.Node, "stop", _leave_at_once)], "roll", 1, "lost"),
     "last_bytes": ([(node.Node, "stop", _leave_with_the_last_request)], "roll", 4, "lost"),
-    "routes": ([(follower.Follower, "find", stubs.returning(None))], "calm", 1, "denied"),
+    "routes": ([(follower.Follower, "find", lambda _self, _host, _path: None)], "calm", 1, "denied"),
     "news": ([(follower.Follower, "apply_items", _first_items)], "changes", 1, "config"),
-    "budget": ([(retry_budget.Budget, "has_capacity", stubs.returning(True))], "all_fail", 1, "budget"),
+    "budget": ([(retry_budget.Budget, "has_capacity", lambda _self, _now: True)], "all_fail", 1, "budget"),
     "disk": ([(disk_model.Disk, "read", lambda _self: {})], "closing_power", 1, "config"),
 }
 OWN = {  # days that only a guard's absence needs
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -1,7 +1,7 @@
 """Disks that refuse a write: in the middle of agreeing on a view, and of taking a snapshot."""
 
 import os
-import tempfile
+import pathlib
 from collections.abc import Coroutine
 from typing import Any
 
@@ -99,13 +99,20 @@
 
 
 class TestDataFolder:
-    def test_a_new_data_folder_is_synced_up_to_the_one_that_was_there(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        synced, real = [], os.fsync
-        monkeypatch.setattr(os, "fsync", lambda fd: (synced.append(os.readlink(f"/proc/self/fd/{fd}")), real(fd)))
-        with tempfile.TemporaryDirectory() as d:
-            d = os.path.realpath(d)
-            disk = storage.Disk(os.path.join(d, "one", "two"))
-            disk.open()
-            disk.close()
-            folders = {os.path.relpath(p, d) for p in synced if os.path.isdir(p)}
+    def test_a_new_data_folder_is_synced_up_to_the_one_that_was_there(
+        self, monkeypatch: pytest.MonkeyPatch, tmp_path: pathlib.Path
+    ) -> None:
+        synced: list[pathlib.Path] = []
+        fsync = os.fsync
+
+        def recording_fsync(descriptor: int) -> None:
+            synced.append(pathlib.Path(f"/proc/self/fd/{descriptor}").readlink())
+            fsync(descriptor)
+
+        monkeypatch.setattr(os, "fsync", recording_fsync)
+        root = tmp_path.resolve()
+        disk = storage.Disk(str(root / "one" / "two"))
+        disk.open()
+        disk.close()
+        folders = {str(path.relative_to(root)) for path in synced if path.is_dir()}
         assert folders == {".", "one", "one/two", "one/two/state"}
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -32,14 +32,13 @@
 
     def job(self, identifier: str, parts: list[tuple[str, int]], tokens: int = 4, **more: int) -> inference_engine.Job:
         self.told[identifier] = []
-        job = inference_engine.Job(
+        return inference_engine.Job(
             identifier,
             parts,
             tokens,
             on_event=lambda k, last: self.told[identifier].append((k, last, self.runtime.now())),
             **more,
         )
-        return job
 
     def go(self, ms: int) -> None:
         self.clock.pump([0.001] * ms)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -27,7 +27,7 @@
 
 
 def unsynced_order(
-    view: message.View, promises: dict[str, message.Promise], alive: dict[str, str]
+    _view: message.View, _promises: dict[str, message.Promise], alive: dict[str, str]
 ) -> list[message.ChainReplica]:
     """Order the chain by name, whoever is synced."""
     return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
@@ -51,7 +51,8 @@
     promises: dict[str, message.Promise],
     voters: list[message.Voter],
     alive: dict[str, str],
-    leaving: dict[str, str],
+    _leaving: dict[str, str],
+    *,
     next_view: Callable[..., Any] = decisions.next_view,
 ) -> message.View | None:
     """Never let a leaving machine lead."""
@@ -110,12 +111,12 @@
         limits = cluster_model.Limits(proposals=1, changes=0, crashes=1)
         first = two_views(limits)
         assert self.search(limits, first=first).violation == ""
-        guard = ("complete_through", lambda record, identifier: record.synced_view)
+        guard = ("complete_through", lambda record, _identifier: record.synced_view)
         self.breaks(guard, limits, "no synced copy is left", first=first)
 
     def test_a_machine_outside_the_chain_does_not_count_as_complete(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1)
-        guard = ("complete_through", lambda record, identifier: record.view.number)
+        guard = ("complete_through", lambda record, _identifier: record.view.number)
         self.breaks(guard, limits, "without acknowledged", first=two_views(limits))
 
     def test_without_the_ballot_check_two_views_have_one_number(self) -> None:
@@ -129,15 +130,15 @@
 
     def test_without_the_wait_for_grants_two_tails_serve_reads(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, leases=4)
-        self.breaks(("is_lease_of_another", lambda holder, sender: False), limits, "two tails", recovery=False)
+        self.breaks(("is_lease_of_another", lambda _holder, _sender: False), limits, "two tails", recovery=False)
 
     def test_without_the_seal_a_sealed_view_acknowledges(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1)
-        self.breaks(("is_sealed", lambda record: False), limits, "in the sealed view")
+        self.breaks(("is_sealed", lambda _record: False), limits, "in the sealed view")
 
     def test_without_the_seal_two_tails_serve_reads(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, leases=4)
-        self.breaks(("is_sealed", lambda record: False), limits, "two tails", recovery=False)
+        self.breaks(("is_sealed", lambda _record: False), limits, "two tails", recovery=False)
 
     def test_without_the_order_by_last_entry_an_older_disk_leads(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, crashes=1, stale_disks=1)
@@ -145,7 +146,9 @@
 
     def test_without_the_look_at_its_place_an_old_snapshot_takes_back_acknowledged_changes(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, late_refills=1)
-        self.breaks(("may_restore", lambda record, here, there: True), limits, "without acknowledged", recovery=False)
+        self.breaks(
+            ("may_restore", lambda _record, _here, _there: True), limits, "without acknowledged", recovery=False
+        )
 
     def test_a_wiped_voter_under_its_old_name_breaks_the_agreement(self) -> None:
         found = self.search(
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -4,20 +4,19 @@
 A failure of a run here means that the software's behaviour has changed. Where that is meant, record the file again.
 """
 
-import os
+import pathlib
 import random
 import re
 import subprocess
 import sys
-import typing
 
 import msgspec
 import pytest
 
 from simulation import fingerprint, observed_runs
 
-RECORDED = os.path.join(os.path.dirname(os.path.abspath(__file__)), "data", "behaviour.json")
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+ROOT = pathlib.Path(__file__).parent.parent
+RECORDED = str(ROOT / "tests" / "data" / "behaviour.json")
 PLAYED = (
     "scene kill_warden small 3",
     "scene race magnolia 1",
@@ -45,7 +44,7 @@
 @pytest.mark.parametrize("run", PLAYED)
 def test_a_run_played_anew_has_its_recorded_fingerprint(run: str) -> None:
     command = [sys.executable, "-m", "simulation.fingerprint", "check", RECORDED, "--only", run, "--jobs", "1"]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
+    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
     assert "1 runs checked, 0 differ" in done.stdout
 
@@ -134,7 +133,7 @@
         assert fingerprint.differences(self.recorded, NO_NAMES) == []
 
     def test_a_rename_passes_by_the_table_alone(self, rows: list[observed_runs.Row]) -> None:
-        def renamed(value: typing.Any) -> typing.Any:
+        def renamed(value: object) -> object:
             return "kernel" if value == "core" else value
 
         rows = [{"identifier" if key == "name" else key: renamed(value) for key, value in row.items()} for row in rows]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -5,7 +5,7 @@
 from iriswheel.runtime import units
 from iriswheel.transport import message
 from simulation import host_model, inference_engine, platform_names, process_model
-from tests import node_fixture, stubs
+from tests import node_fixture
 
 S = units.SECOND_US
 H = platform_names.HEADERS
@@ -32,7 +32,7 @@
 
     def query(self, events: int = 40) -> tuple[client_connection.PendingAnswer, client_connection.ClientConnection]:
         """Send a request for a stream; the client's connection and what comes of it."""
-        call, got = client_connection.PendingAnswer(stubs.returning(None)), []
+        call, got = client_connection.PendingAnswer(lambda _call: None), []
         client_connection.connect(self.near.runtime(), "10.0.2.1", 80, S).addCallback(got.append)
         self.go(10)
         head = {
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -6,7 +6,7 @@
 import contextlib
 import itertools
 import json
-import os
+import pathlib
 import re
 import struct
 import tempfile
@@ -87,7 +87,7 @@
     def connection(self) -> tuple[wire.Connection, Transport]:
         self.clock, runtime = new_runtime()
         self.got = []
-        connection = wire.Connection(runtime, lambda connection, msg: self.got.append(msg), loguru.logger)
+        connection = wire.Connection(runtime, lambda _connection, msg: self.got.append(msg), loguru.logger)
         transport = Transport()
         connection.makeConnection(transport)
         return connection, transport
@@ -130,7 +130,7 @@
         ),
         strategies.integers(0, 3),
     )
-    def test_values_of_wrong_types(self, value: Any, kind: int) -> None:
+    def test_values_of_wrong_types(self, value: object, kind: int) -> None:
         for document in (value, [kind, 1, value], [kind, value, ["Ping"]], [kind, 1, [value, value, value]]):
             raw = msgspec.msgpack.encode(document)
             self.feed(struct.pack("!I", len(raw)) + raw)
@@ -300,12 +300,12 @@
 
     @QUICK
     @hypothesis.given(COMPLETE | DOCUMENTS, strategies.sampled_from(["PUT", "PATCH"]))
-    def test_any_configuration(self, document: Any, method: str) -> None:
+    def test_any_configuration(self, document: object, method: str) -> None:
         self.call(method, "/configuration", json.dumps(document).encode())
 
     @QUICK
     @hypothesis.given(CHANGE | DOCUMENTS)
-    def test_any_numbered_change(self, document: Any) -> None:
+    def test_any_numbered_change(self, document: object) -> None:
         self.call("POST", "/changes", json.dumps(document).encode())
 
     @QUICK
@@ -406,12 +406,11 @@
 
     def read(self, raw: bytes) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            path = os.path.join(folder, "boot.toml")
-            with open(path, "wb") as file:
-                file.write(raw)
+            path = pathlib.Path(folder) / "settings.toml"
+            path.write_bytes(raw)
             for role in ("node", "core"):
                 for read in (settings.read, lambda role, path: options.read(role, path, {})):
-                    self.check(read, role, path)
+                    self.check(read, role, str(path))
 
     def check(self, read: Callable[..., Any], role: str, path: str) -> None:
         with contextlib.suppress(options.OptionsError):
@@ -434,15 +433,13 @@
                 document = {**GOOD_SETTINGS, name: value}
                 self.read("".join(f"{key} = {text}\n" for key, text in document.items()).encode())
 
-    def test_a_rate_is_a_finite_number(self) -> None:
+    def test_a_rate_is_a_finite_number(self, tmp_path: pathlib.Path) -> None:
+        path = tmp_path / "settings.toml"
         for rate in ("nan", "inf"):
             document = {**GOOD_SETTINGS, "provider_api": f'{{address = "10.0.0.3:80", rate_per_s = {rate}}}'}
-            with tempfile.TemporaryDirectory() as folder:
-                path = os.path.join(folder, "boot.toml")
-                with open(path, "w") as file:
-                    file.writelines(f"{key} = {text}\n" for key, text in document.items())
-                with pytest.raises(options.OptionsError):
-                    settings.read("node", path)
+            path.write_text("".join(f"{key} = {text}\n" for key, text in document.items()))
+            with pytest.raises(options.OptionsError):
+                settings.read("node", str(path))
 
     @QUICK
     @hypothesis.given(strategies.binary(max_size=60))
@@ -488,11 +485,11 @@
         self.body = b""
         self.ends = []
 
-    def owns(self, status: int, low: dict[str, str], used: int) -> bool | None:
+    def owns(self, _status: int, low: dict[str, str], _used: int) -> bool | None:
         got = low.get(H["attempt"].lower())
         return None if got is None else got == self.attempt
 
-    def head_received(self, status: int, headers: list[tuple[bytes, bytes]], low: dict[str, str]) -> None:
+    def head_received(self, _status: int, _headers: list[tuple[bytes, bytes]], low: dict[str, str]) -> None:
         assert self.low is None, "two answers to one request"
         self.low = low
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -25,6 +25,7 @@
 
 def one(
     name: str = "a1",
+    *,
     at: int = 20 * S,
     repeat: bool = False,
     node: str = "n1",
@@ -116,6 +117,7 @@
 def sent(
     at: int,
     d: dict[str, Any],
+    *,
     base: int = 0,
     who: str = "boss",
     valid: bool = True,
@@ -195,7 +197,7 @@
         self.complains("unasked", self.change("arrived", attempt="a9"))
         for more in (dict(method="GET"), dict(url="/a/2"), dict(body="b2")):
             self.complains("unasked", self.change("arrived", **more))
-        self.complains("unasked", one() + [dict(at=S, kind="bad_request", worker="i-1")])
+        self.complains("unasked", [*one(), dict(at=S, kind="bad_request", worker="i-1")])
 
     def test_twice(self) -> None:
         again = [
@@ -268,14 +270,14 @@
         self.complains("lost", cut + term)
         self.content(one() + term)
         self.content(cut)
-        self.content(cut + [term[0], *inject_fault("n1", "cut", 18 * S, 21 * S)])
+        self.content([*cut, term[0], *inject_fault("n1", "cut", 18 * S, 21 * S)])
         broke = one(how="closed", done=20 * S + 30 * MS)
         broke[2]["how"] = "broke"
         self.content(broke + term)
         self.content([{**r, "until": r["sent"]} if r["kind"] == "tried" else r for r in cut] + term)
         unsent = [{**r, "code": 0, "seal": None, "events": []} for r in cut if r["kind"] == "tried"]
         self.content(unsent + term)
-        self.complains("lost", [{**unsent[0], "done": 20 * S + 300 * MS}] + term)
+        self.complains("lost", [{**unsent[0], "done": 20 * S + 300 * MS}, *term])
 
     def test_config_is_handled_late(self) -> None:
         moved = sent(10 * S, doc(3, ("/a/", "other")), base=1)
@@ -361,7 +363,7 @@
         )
         for repeat, after, good in ((True, "1", True), (True, "2", False), (True, None, False), (False, "1", False)):
             rows = [{**r, "events": joined} if r["kind"] == "tried" else r for r in one(repeat=repeat)]
-            found = self.judged(rows + [{**run, "after": after}])
+            found = self.judged([*rows, {**run, "after": after}])
             assert ("order" not in found) == good, (repeat, after)
 
     def test_recover(self) -> None:
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -16,7 +16,7 @@
 CALM = hypothesis.settings(derandomize=True, database=None, max_examples=60, deadline=None)
 
 
-def change(
+def change(  # noqa: PLR0917 - histories are written as tables, a call a line
     call: str,
     sent: int,
     answered: int,
@@ -164,7 +164,7 @@
     """Rows of event logs."""
 
     def config(
-        self, at: int, version: int, base: int, code: int, document: dict[str, int] | None = None, valid: bool = True
+        self, at: int, version: int, base: int, code: int, document: dict[str, int] | None = None, *, valid: bool = True
     ) -> list[dict[str, Any]]:
         row = dict(send=f"boss-{at}", version=version, base=base)
         document = {"version": version, "channels": [], "plants": [], **(document or {})}
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -52,7 +52,7 @@
     def dataReceived(self, data: bytes) -> None:
         self.parser.feed_data(data)
 
-    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
         self.closed = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -74,7 +74,7 @@
         self.seen = []  # attempts, in the order in which they came
         self.connections = []
 
-    def buildProtocol(self, address: address.IPv4Address) -> WorkerConnection:
+    def buildProtocol(self, _address: address.IPv4Address) -> WorkerConnection:
         self.connections.append(WorkerConnection(self))
         return self.connections[-1]
 
@@ -89,7 +89,7 @@
     def dataReceived(self, data: bytes) -> None:
         self.raw += data
 
-    def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
         self.closed = True
 
     @property
@@ -100,7 +100,7 @@
 
 class RequestPath(node_fixture.NodeFixture):
     @pytest.fixture(autouse=True)
-    def use_mutating_route(self, start_node: None) -> None:
+    def use_mutating_route(self, start_node: None) -> None:  # noqa: ARG002 - asked for so that it runs before
         self.workers = []
         self.born = 0  # workers ever started: each has an address of its own
         self.mutating()
@@ -131,7 +131,7 @@
         client = Client()
         factory = protocol.ClientFactory()
         factory.noisy = False
-        factory.buildProtocol = lambda address: client
+        factory.buildProtocol = lambda _address: client
         self.near.reactor.connectTCP("10.0.2.1", 80, factory)
         self.go(10)
         return client
@@ -225,7 +225,7 @@
         assert self.seen() == ["a1", "a2"]
 
     def test_only_answers_of_others_are_no_answer(self) -> None:
-        self.worker(lambda connection, attempt: connection.transport.write(answer("a9", b"body of a9")))
+        self.worker(lambda connection, _attempt: connection.transport.write(answer("a9", b"body of a9")))
         client = self.query("a1", ms=700, left_ms=500)
         assert client.status == 504
         assert b"body of a9" not in client.raw
@@ -368,19 +368,19 @@
             self.worker(script)
 
     def test_after_a_reset(self) -> None:
-        self.two(lambda connection, attempt: connection.transport.abortConnection())
+        self.two(lambda connection, _attempt: connection.transport.abortConnection())
         self.assert_once(self.query("a1"), 502)
 
     def test_after_a_close_without_an_answer(self) -> None:
-        self.two(lambda connection, attempt: connection.transport.loseConnection())
+        self.two(lambda connection, _attempt: connection.transport.loseConnection())
         self.assert_once(self.query("a1"), 502)
 
     def test_after_bytes_that_are_no_answer(self) -> None:
-        self.two(lambda connection, attempt: connection.transport.write(b"\x16\x03\x01 HTTP/9\r\n\r\n"))
+        self.two(lambda connection, _attempt: connection.transport.write(b"\x16\x03\x01 HTTP/9\r\n\r\n"))
         self.assert_once(self.query("a1"), 502)
 
     def test_after_no_answer_in_time(self) -> None:
-        self.two(lambda connection, attempt: None)
+        self.two(lambda _connection, _attempt: None)
         self.assert_once(self.query("a1"), 504)
 
     def test_after_a_failure_of_the_worker(self) -> None:
@@ -411,7 +411,7 @@
         assert (client.status, self.seen()) == (502, ["a0", "a1"])
 
     def test_after_a_freeze_of_the_node(self) -> None:
-        self.two(lambda connection, attempt: None)
+        self.two(lambda _connection, _attempt: None)
         client = self.query("a1")
         self.process.freeze()
         self.go(7000)
@@ -487,7 +487,7 @@
         self.world.push(self.world.time + 5000, connection.transport.abortConnection)
 
     def test_the_head_of_an_answer_that_never_came_is_not_given_with_another(self) -> None:
-        def chunked(connection: WorkerConnection, attempt: str) -> None:
+        def chunked(connection: WorkerConnection, _attempt: str) -> None:
             connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             connection.transport.write(b"a\r\nbody of a1\r\n0\r\n\r\n")
 
@@ -512,15 +512,15 @@
             seen = []
 
             async def select_worker(
-                x: routed_request.RoutedRequest, excluded_workers: list[str]
+                _request: routed_request.RoutedRequest, excluded_workers: list[str]
             ) -> tuple[types.SimpleNamespace, str]:
                 return types.SimpleNamespace(id=f"w{len(excluded_workers)}"), ""
 
             async def send(
-                x: routed_request.RoutedRequest,
+                _request: routed_request.RoutedRequest,
                 worker: types.SimpleNamespace,
-                under_way: dispatch.Attempt,
-                via: str,
+                _under_way: dispatch.Attempt,
+                _via: str,
                 seen: list[str] = seen,
             ) -> attempt_outcome.AttemptOutcome:
                 seen.append(worker.id)
@@ -530,11 +530,11 @@
             node_gateway = types.SimpleNamespace(
                 selector=types.SimpleNamespace(select_worker=select_worker),
                 send=send,
-                retry_budgets=types.SimpleNamespace(budget=lambda request: retry_budget.Budget()),
+                retry_budgets=types.SimpleNamespace(budget=lambda _request: retry_budget.Budget()),
                 counts={"repeats": 0},
                 attempts=attempt_registry.AttemptRegistry(types.SimpleNamespace(runtime=runtime)),
                 runtime=runtime,
-                owners=types.SimpleNamespace(release=lambda request, outcome: None),
+                owners=types.SimpleNamespace(release=lambda _request, _outcome: None),
             )
             request = routed_request.RoutedRequest(None, "n1-1/0", 0)
             request.route = configuration.Route("/x/", "desk", sends=sends)
--- a/tests/test_peer_status.py
+++ b/tests/test_peer_status.py
@@ -1,7 +1,6 @@
 """What a node that lost the core learns from its peers."""
 
 import types
-import typing
 
 from twisted.internet import task
 
@@ -12,10 +11,10 @@
 CORE = ("10.1.0.2", 7300)
 
 
-def follower_whose_peer_answers(response: message.CoreStatusResponse) -> typing.Any:
+def follower_whose_peer_answers(response: message.CoreStatusResponse) -> types.SimpleNamespace:
     """A stand-in for the follower of a node with one peer."""
 
-    async def call(host: str, port: int, query: message.Message, timeout_us: int) -> message.CoreStatusResponse:
+    async def call(_host: str, _port: int, _query: message.Message, _timeout_us: int) -> message.CoreStatusResponse:
         return response
 
     return types.SimpleNamespace(
@@ -25,7 +24,7 @@
         node=types.SimpleNamespace(peers=types.SimpleNamespace(call=call)),
         session=types.SimpleNamespace(hint=None),
         peers=lambda: [message.Member("n2-1", "n2", "a", "10.2.0.2", 7301, 8263)],
-        apply_membership=lambda membership: None,
+        apply_membership=lambda _membership: None,
     )
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -91,7 +91,7 @@
             method=method,
             path=b"/configuration",
             json=load,
-            getHeader=lambda name: match,
+            getHeader=lambda _name: match,
             answer_json=lambda status, value: out.append((status, value)),
         )
         d = defer.ensureDeferred(self.gateway.handle(request))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,12 +1,11 @@
 """Real processes: the command line, the outside surface, and one short trial under faults."""
 
 import json
-import os
+import pathlib
 import signal
 import socket
 import subprocess
 import sys
-import tempfile
 import time
 import unittest.mock
 from collections.abc import Callable, Iterator
@@ -18,10 +17,19 @@
 
 def program(*args: str) -> tuple[int, str, str]:
     """Run the program: exit code, standard output, standard error."""
-    p = subprocess.run([sys.executable, "-m", "iriswheel", *args], capture_output=True, text=True, timeout=60)
+    p = subprocess.run(
+        [sys.executable, "-m", "iriswheel", *args], capture_output=True, text=True, timeout=60, check=False
+    )
     return p.returncode, p.stdout, p.stderr
 
 
+def write_document(folder: pathlib.Path, document: object) -> str:
+    """Write a JSON file into a folder; its path."""
+    path = folder / "document.json"
+    path.write_text(json.dumps(document))
+    return str(path)
+
+
 def raw(port: int, text: bytes) -> tuple[str, bytes]:
     """Send bytes to a port and read all that comes: head and body."""
     with socket.create_connection((fleet.HOST, port), timeout=20) as s:
@@ -52,53 +60,62 @@
         for name in ("name: missing", "zone: missing", "host: 'nowhere'", "seeds: '127.0.0.1'", "platform: ''"):
             assert name in err
 
-    def test_unknown_option_in_a_file(self) -> None:
-        with tempfile.NamedTemporaryFile("w", suffix=".toml") as f:
-            f.write('name = "n"\ncolour = "red"\n')
-            f.flush()
-            code, _, err = program("core", "--options", f.name)
+    def test_unknown_option_in_a_file(self, tmp_path: pathlib.Path) -> None:
+        path = tmp_path / "core.toml"
+        path.write_text('name = "n"\ncolour = "red"\n')
+        code, _, err = program("core", "--options", str(path))
         assert code == 2
         assert "colour: unknown option" in err
 
-    def test_check(self) -> None:
+    def test_check(self, tmp_path: pathlib.Path) -> None:
         for name in ("magnolia.json", "swan.json"):
-            assert program("check", os.path.join(fleet.EXAMPLES, name))[0] == 0
-        with tempfile.NamedTemporaryFile("w", suffix=".json") as f:
-            json.dump({"pools": {"p": {"cap": -1, "size": 3}}, "routes": {"r": {"path": "x", "pool": "q"}}}, f)
-            f.flush()
-            code, _, err = program("check", f.name)
+            assert program("check", str(fleet.EXAMPLES / name))[0] == 0
+        document = {"pools": {"p": {"cap": -1, "size": 3}}, "routes": {"r": {"path": "x", "pool": "q"}}}
+        code, _, err = program("check", write_document(tmp_path, document))
         assert code == 2
         assert len(err.splitlines()) == 4
 
-    def test_replay_of_bad_files(self) -> None:
-        with tempfile.NamedTemporaryFile("w") as f:
-            f.write('{"at": 1, "kind": "sent"\n{"at": 2, "kind": "ended"}\n')
-            f.flush()
-            code, _, err = program("replay", f.name)
+    def test_replay_of_bad_files(self, tmp_path: pathlib.Path) -> None:
+        path = tmp_path / "run.events"
+        path.write_text('{"at": 1, "kind": "sent"\n{"at": 2, "kind": "ended"}\n')
+        code, _, err = program("replay", str(path))
         assert (code, len(err.splitlines())) == (2, 1)
         assert program("replay", "/nowhere/at/all")[0] == 2
 
     def test_sweep_of_an_unknown_scenario(self) -> None:
         p = subprocess.run(
-            [sys.executable, "-m", "simulation.sweep", "--scenarios", "nonsense"], capture_output=True, text=True
+            [sys.executable, "-m", "simulation.sweep", "--scenarios", "nonsense"],
+            capture_output=True,
+            text=True,
+            check=False,
         )
         assert (p.returncode, len(p.stderr.splitlines())) == (2, 1)
 
-    def test_a_data_folder_has_one_process(self) -> None:
-        with tempfile.TemporaryDirectory() as d:
-            args = ["core", "--name", "c", "--zone", "a", "--host", fleet.HOST, "--seeds", "127.0.0.1:1", "--data", d]
-            one = subprocess.Popen(
-                [sys.executable, "-m", "iriswheel", *args, "--port", str(fleet.free_port())],
-                stderr=subprocess.PIPE,
-                text=True,
-            )
-            while "listens" not in one.stderr.readline():
-                assert one.poll() is None
-            code, _, err = program(*args, "--port", str(fleet.free_port()))
-            one.terminate()
-            assert (code, "data folder" in err) == (3, True)
-            one.communicate()
-            assert one.returncode == 0
+    def test_a_data_folder_has_one_process(self, tmp_path: pathlib.Path) -> None:
+        options = [
+            "--name",
+            "c",
+            "--zone",
+            "a",
+            "--host",
+            fleet.HOST,
+            "--seeds",
+            "127.0.0.1:1",
+            "--data",
+            str(tmp_path),
+        ]
+        first = subprocess.Popen(
+            [sys.executable, "-m", "iriswheel", "core", *options, "--port", str(fleet.free_port())],
+            stderr=subprocess.PIPE,
+            text=True,
+        )
+        while "listens" not in first.stderr.readline():
+            assert first.poll() is None
+        code, _, err = program("core", *options, "--port", str(fleet.free_port()))
+        first.terminate()
+        assert (code, "data folder" in err) == (3, True)
+        first.communicate()
+        assert first.returncode == 0
 
 
 class TestOutsideInterfaces:
@@ -153,40 +170,32 @@
         assert "409" in head.splitlines()[0]
         assert json.loads(body)["verdict"] in ("ran", "may_have_run")  # the word of its end may be under way
 
-    def test_numbered_changes(self) -> None:
-        with tempfile.NamedTemporaryFile("w", suffix=".json") as f:
-            json.dump({"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": "desk"}}}}, f)
-            f.flush()
-            args = ("change", f.name, "--number", "3", "--built-on", "0", "--core", self.core)
-            first = program(*args)
-            assert (first[0], json.loads(first[1])["number"]) == (0, 3)
-            assert program(*args) == first
-            code, out, _ = program("change", f.name, "--number", "4", "--built-on", "1", "--core", self.core)
-            assert (code, json.loads(out)["code"]) == (4, "base_moved")
+    def test_numbered_changes(self, tmp_path: pathlib.Path) -> None:
+        document = {"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": "desk"}}}}
+        path = write_document(tmp_path, document)
+        args = ("change", path, "--number", "3", "--built-on", "0", "--core", self.core)
+        first = program(*args)
+        assert (first[0], json.loads(first[1])["number"]) == (0, 3)
+        assert program(*args) == first
+        code, out, _ = program("change", path, "--number", "4", "--built-on", "1", "--core", self.core)
+        assert (code, json.loads(out)["code"]) == (4, "base_moved")
         document = json.loads(program("show", "--core", self.core)[1])["blueprint"]
         assert (document["marks"]["operator"]["number"], document["routes"]["numbered"]["path"]) == (3, "/numbered")
 
-    def test_plan_confirm_show(self) -> None:
-        path = os.path.join(fleet.EXAMPLES, "magnolia.json")
-        with open(path) as f:
-            document = json.load(f)
+    def test_plan_confirm_show(self, tmp_path: pathlib.Path) -> None:
+        document = json.loads((fleet.EXAMPLES / "magnolia.json").read_text())
         document["pools"]["desk"]["cap"] = 7
-        with tempfile.NamedTemporaryFile("w", suffix=".json") as f:
-            json.dump(document, f)
-            f.flush()
-            code, out, _ = program("plan", f.name, "--core", self.core)
+        code, out, _ = program("plan", write_document(tmp_path, document), "--core", self.core)
         plan = json.loads(out)
         assert (code, plan["changed"], plan["pools"]) == (0, ["pools/desk"], ["desk"])
         first = program("confirm", plan["id"], "--core", self.core)
         assert program("confirm", plan["id"], "--core", self.core) == first
         shown = json.loads(program("show", "--core", self.core)[1])
         assert (7, json.loads(first[1])["stamp"]) == (shown["blueprint"]["pools"]["desk"]["cap"], shown["stamp"])
-        with tempfile.NamedTemporaryFile("w", suffix=".json") as f:
-            json.dump([{"op": "replace", "path": "/pools/desk/cap", "value": 8}], f)
-            f.flush()
-            stale = program("plan", f.name, "--patch", "--base", str(plan["base"]), "--core", self.core)
-            assert (stale[0], json.loads(stale[1])["code"]) == (4, "base_moved")
-            code, out, _ = program("plan", f.name, "--patch", "--core", self.core)
+        path = write_document(tmp_path, [{"op": "replace", "path": "/pools/desk/cap", "value": 8}])
+        stale = program("plan", path, "--patch", "--base", str(plan["base"]), "--core", self.core)
+        assert (stale[0], json.loads(stale[1])["code"]) == (4, "base_moved")
+        code, out, _ = program("plan", path, "--patch", "--core", self.core)
         assert (code, json.loads(out)["changed"]) == (0, ["pools/desk"])
 
     def test_unknown_plans_and_paths(self) -> None:
@@ -239,7 +248,7 @@
     def test_a_fault_of_the_pool_owner_strikes_the_node_that_is_it(
         self, case: Callable[[process_trial.Trial], None], monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(time, "sleep", lambda seconds: None)
+        monkeypatch.setattr(time, "sleep", lambda _seconds: None)
         trial = unittest.mock.create_autospec(process_trial.Trial, instance=True)
         trial.fleet = unittest.mock.create_autospec(fleet.Fleet, instance=True)
         trial.fleet.owner.return_value = "n3"
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -1,6 +1,6 @@
 """The names in docs/proof.md are those in the code, and none of the code's is missing there."""
 
-import os
+import pathlib
 import re
 
 import pytest
@@ -9,14 +9,13 @@
 from simulation import mutation_checks, platform_days, platform_rules
 from simulation.scenarios import registry
 
-PAGE = os.path.join(os.path.dirname(os.path.dirname(os.path.abspath(__file__))), "docs", "proof.md")
+PAGE = pathlib.Path(__file__).parent.parent / "docs" / "proof.md"
 
 
 class TestPointsOfTheProof:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        with open(PAGE) as f:
-            text = f.read()
+        text = PAGE.read_text()
         points, fails = text.split("## What must never happen")[1].split("## What a fault")[0].split("## What fails")
         self.points = [
             [set(re.findall(r"`(\w+)`", cell)) for cell in line.split("|")[1:-1]]
@@ -28,7 +27,8 @@
     def test_twelve_points_each_with_a_scenario_a_checker_and_a_guard(self) -> None:
         assert len(self.points) == 12
         for _, plays, checkers, outs, _ in self.points:
-            assert checkers and outs
+            assert checkers
+            assert outs
             assert set() == plays - set(registry.SCENARIOS)
             assert set() == checkers - {c.__name__ for c in replay.CHECKERS}
             assert set() == outs - set(mutation_checks.GUARDS)
@@ -42,8 +42,7 @@
 
 class TestRulesOfThePlatform:
     def test_each_rule_has_days_and_a_checker_and_none_is_missing(self) -> None:
-        with open(PAGE) as f:
-            text = f.read().split("# The users' platform")[1]
+        text = PAGE.read_text().split("# The users' platform")[1]
         rows = [
             [set(re.findall(r"`(\w+)`", cell)) for cell in line.split("|")[1:-1]]
             for line in text.splitlines()
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -161,7 +161,7 @@
         replicas = self.cores[name].session_replicas.by_pool
         self.sessions_at_start[name] = {identifier for replica in replicas.values() for identifier in replica.sessions}
 
-    def with_probe(self, k: int, more: dict[str, typing.Any] | None = None) -> dict[str, typing.Any]:
+    def with_probe(self, k: int, _more: dict[str, typing.Any] | None = None) -> dict[str, typing.Any]:
         """The configuration that stands with a probe route, in place of the example's."""
         if self.first_read is None:
             operator = operator_model.Operator(self, self.operator_runtime, "reader")
@@ -186,15 +186,19 @@
     return cluster
 
 
-def query(cluster: simulated_cluster.SimulatedCluster, *call: typing.Any) -> typing.Any:
+def query(
+    cluster: simulated_cluster.SimulatedCluster, method: str, path: str, document: object = None
+) -> tuple[int, dict[str, typing.Any]]:
     """Send one request of an operator: the status and the answer."""
     operator = operator_model.Operator(cluster, cluster.operator_runtime, "boss")
-    done = cluster.operator_runtime.spawn(operator.query(*call), simulated_cluster.log)
+    done = cluster.operator_runtime.spawn(operator.query(method, path, document), simulated_cluster.log)
     assert cluster.until(lambda: done.called, 20)
     return done.result
 
 
-def take(cluster: simulated_cluster.SimulatedCluster, number: int, built_on: int, what: typing.Any) -> typing.Any:
+def take(
+    cluster: simulated_cluster.SimulatedCluster, number: int, built_on: int, what: dict[str, typing.Any]
+) -> tuple[int, dict[str, typing.Any]]:
     """Have a numbered change taken: the status and the answer."""
     return query(cluster, "POST", "/changes", {"number": number, "built_on": built_on, **what})
 
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -8,7 +8,7 @@
 import pytest
 from twisted.internet import testing
 
-from iriswheel.transport import wire
+from iriswheel.transport import message, wire
 from simulation import host_model, process_model, world
 from tests import recorded
 
@@ -36,9 +36,9 @@
         self.transport = Transport()
         self.connection.makeConnection(self.transport)
 
-    def keep(self, connection: wire.Connection, message: typing.Any) -> None:
+    def keep(self, _connection: wire.Connection, received: message.Message) -> None:
         """Take one message."""
-        self.received.append(wire.encoder.encode(message).hex())
+        self.received.append(wire.encoder.encode(received).hex())
 
 
 def frames() -> list[tuple[str, bytes]]:
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -82,7 +82,7 @@
         c = Caller()
         f = protocol.ClientFactory()
         f.noisy = False
-        f.buildProtocol = lambda address: c
+        f.buildProtocol = lambda _address: c
         self.near.reactor.connectTCP(host, port, f)
         self.go(2)
         return c
@@ -90,6 +90,7 @@
     def request(
         self,
         c: Caller,
+        *,
         attempt: str | None = "a1",
         tokens: str = "10,9",
         parts: str = "aa:10",
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,7 +1,6 @@
 """When a node that stops refuses new requests."""
 
 import types
-import typing
 
 from twisted.internet import task
 
@@ -11,13 +10,13 @@
 GRACE_US = 8_100 * units.MILLISECOND_US
 
 
-def busy_node(clock: task.Clock) -> typing.Any:
+def busy_node(clock: task.Clock) -> types.SimpleNamespace:
     """A stand-in for a node with one request open, whose platform has not asked since the stop."""
     return types.SimpleNamespace(
         runtime=scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US)),
         gateway=types.SimpleNamespace(open_requests=1, request_ended=scheduler.Signal()),
         options=types.SimpleNamespace(grace_us=GRACE_US, notice_us=units.SECOND_US),
-        follower=types.SimpleNamespace(session=types.SimpleNamespace(tell=lambda notice: None)),
+        follower=types.SimpleNamespace(session=types.SimpleNamespace(tell=lambda _notice: None)),
         member=types.SimpleNamespace(id="n1-1"),
         drain_noticed_at_us=None,
         draining=False,
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -1,6 +1,7 @@
 """Small simulated towns, one matter each."""
 
 import time
+from collections.abc import Callable
 from typing import Any
 from unittest import mock
 
@@ -25,6 +26,7 @@
     def query(
         self,
         t: simulated_cluster.SimulatedCluster,
+        *,
         parts: tuple[str, ...] = ("system",),
         node: str = "n1",
         path: str = "/v1/complete",
@@ -148,7 +150,11 @@
         tapes = []
         for jump in (0, 10**6, -(10**6)):
             real = time.time
-            with mock.patch.object(time, "time", lambda: real() + jump * (real() % 1)):
+
+            def jumping_time(jump: int = jump, real: Callable[[], float] = real) -> float:
+                return real() + jump * (real() % 1)
+
+            with mock.patch.object(time, "time", jumping_time):
                 t = simulated_cluster.SimulatedCluster(5, "small", seconds=5)
                 t.begin()
                 t.end()
@@ -361,7 +367,7 @@
                 ),
                 simulated_cluster.log,
             )
-            assert t.until(lambda: d.called, 5)
+            assert t.until(lambda d=d: d.called, 5)
         t.go(2)
         assert sum(p.size for p in chain.latest_state.plans.values()) <= 16 << 20
         assert sum(map(len, t.head().process.host.synced.values())) < 120 << 20
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -2,7 +2,7 @@
 
 import functools
 import os
-import tempfile
+import pathlib
 from collections.abc import Callable
 from typing import Any
 
@@ -41,34 +41,32 @@
 
 
 class TestOptionsReadAgain:
-    def test_a_changed_file_is_read_again_and_a_bad_one_is_not(self) -> None:
+    def test_a_changed_file_is_read_again_and_a_bad_one_is_not(self, tmp_path: pathlib.Path) -> None:
         clock, got = task.Clock(), []
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * S), seed=1)
-        with tempfile.TemporaryDirectory() as d:
-            path = os.path.join(d, "node.toml")
-
-            def write(seeds: str) -> None:
-                with open(path, "w") as f:
-                    f.write(f'name = "n"\nhost = "127.0.0.1"\nzone = "a"\nplatform = "127.0.0.1:1"\nseeds = {seeds}\n')
-                return os.utime(path, ns=(len(got), hash(seeds) % 10**9))
-
-            write('["127.0.0.1:1"]')
-            watch = options.OptionsWatch(
-                runtime, path, lambda: options.read("node", path, {}), lambda o: got.append(o.seeds)
-            )
-            runtime.spawn(watch.run())
-            clock.advance(2)
-            assert got == []
-            write('["127.0.0.1:2"]')
-            clock.advance(2)
-            write('["nowhere"]')
-            clock.advance(2)
-            clock.advance(2)
-            assert got == [["127.0.0.1:2"]]
-            write('["127.0.0.1:3"]')
-            watch.reload()
-            clock.advance(2)
-            assert got == [["127.0.0.1:2"], ["127.0.0.1:3"]]
+        path = tmp_path / "node.toml"
+
+        def write(seeds: str) -> None:
+            path.write_text(f'name = "n"\nhost = "127.0.0.1"\nzone = "a"\nplatform = "127.0.0.1:1"\nseeds = {seeds}\n')
+            os.utime(path, ns=(len(got), hash(seeds) % 10**9))
+
+        write('["127.0.0.1:1"]')
+        watch = options.OptionsWatch(
+            runtime, str(path), lambda: options.read("node", str(path), {}), lambda o: got.append(o.seeds)
+        )
+        runtime.spawn(watch.run())
+        clock.advance(2)
+        assert got == []
+        write('["127.0.0.1:2"]')
+        clock.advance(2)
+        write('["nowhere"]')
+        clock.advance(2)
+        clock.advance(2)
+        assert got == [["127.0.0.1:2"]]
+        write('["127.0.0.1:3"]')
+        watch.reload()
+        clock.advance(2)
+        assert got == [["127.0.0.1:2"], ["127.0.0.1:3"]]
 
 
 class TestStoppingInACluster:
@@ -105,7 +103,7 @@
             c = at()
             started_at = t.world.time
             done = c.runtime.spawn(c.stop(), simulated_cluster.log)
-            assert t.until(lambda: done.called, 5)
+            assert t.until(lambda done=done: done.called, 5)
             assert t.world.time - started_at < S
             c.process.kill()
             others = [x for x in t.cores.values() if x is not c]
@@ -113,7 +111,7 @@
             t.start_core(c.options.name, *t.options[c.options.name])
             assert t.until(lambda: t.tail() is not None and len(t.tail().consensus.view.chain) == 3, 5)
 
-    def stop(self, t: simulated_cluster.SimulatedCluster, c: core.Core) -> defer.Deferred[Any]:
+    def stop(self, c: core.Core) -> defer.Deferred[Any]:
         return c.runtime.spawn(c.stop(), simulated_cluster.log)
 
     def test_a_core_machine_that_holds_the_only_synced_copy_stays_until_another_has_it(
@@ -125,7 +123,7 @@
         for c in others:
             c.process.host.fail()
             c.process.host.synced.clear()
-        done = self.stop(t, head)
+        done = self.stop(head)
         t.go(4.5)
         assert not done.called
         for c in others:
@@ -153,7 +151,7 @@
             identifier = joining_members[-1].consensus.own_voter.id
             assert t.until(lambda identifier=identifier: identifier in [x.id for x in head.consensus.view.chain], 10)
         assert len(head.consensus.view.chain) == 3
-        done = self.stop(t, head)
+        done = self.stop(head)
         t.go(5)
         assert not done.called
         assert not any(c.chain.is_synced() for c in joining_members)
@@ -168,7 +166,7 @@
         lost, leaving = t.tail(), t.head()
         lost.process.host.fail()
         t.go(4)
-        done = self.stop(t, leaving)
+        done = self.stop(leaving)
         t.go(4.5)
         assert not done.called
         lost.process.host.synced.clear()
@@ -179,7 +177,7 @@
 
     def test_a_fleet_whose_core_machines_all_stop_ends_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
         t = quiet_cluster(grace_us=8 * S)
-        done = [self.stop(t, c) for c in t.cores.values()]
+        done = [self.stop(c) for c in t.cores.values()]
         t.go(1)
         assert [d.called for d in done] == [True] * 3
 
@@ -222,7 +220,7 @@
     ) -> None:
         t = quiet_cluster(zones=["a"] * 12, serve_on=serve_on)
         n, asked = t.nodes["n1"], []
-        n.follower.runtime.spawn = lambda coroutine, log=None: asked.append(coroutine) or coroutine.close()
+        n.follower.runtime.spawn = lambda coroutine, *_log: asked.append(coroutine) or coroutine.close()
         n.follower.peer_status.query()
         assert len(asked) == most
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,6 +1,6 @@
 """The data folder on lmdb: what a failed commit leaves behind."""
 
-import tempfile
+import pathlib
 
 import lmdb
 import pytest
@@ -11,7 +11,7 @@
 class PanickedEnvironment:
     """An environment after a commit that failed while its meta page was written."""
 
-    def begin(self, write: bool = False) -> None:
+    def begin(self, write: bool = False) -> None:  # noqa: ARG002 - lmdb's signature, called by keyword
         raise lmdb.PanicError("mdb_txn_begin", -30795)
 
     def close(self) -> None:
@@ -19,15 +19,14 @@
 
 
 class TestEnvironment:
-    def test_a_panicked_environment_is_opened_anew_and_keeps_what_it_held(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            disk = storage.Disk(folder)
-            disk.open()
-            disk.write([(b"a", b"1")])
-            disk.env.close()
-            disk.env = PanickedEnvironment()
-            with pytest.raises(storage.DiskError):
-                disk.write([(b"b", b"2")])
-            disk.write([(b"c", b"3")])
-            assert disk.read() == {b"a": b"1", b"c": b"3"}
-            disk.close()
+    def test_a_panicked_environment_is_opened_anew_and_keeps_what_it_held(self, tmp_path: pathlib.Path) -> None:
+        disk = storage.Disk(str(tmp_path))
+        disk.open()
+        disk.write([(b"a", b"1")])
+        disk.env.close()
+        disk.env = PanickedEnvironment()
+        with pytest.raises(storage.DiskError):
+            disk.write([(b"b", b"2")])
+        disk.write([(b"c", b"3")])
+        assert disk.read() == {b"a": b"1", b"c": b"3"}
+        disk.close()
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -65,7 +65,7 @@
     def test_a_refusal_for_a_client_that_has_gone_away_is_dropped(self, logged_errors: list[str]) -> None:
         answer = defer.Deferred()
 
-        async def handle(request: http_server.Request) -> None:
+        async def handle(_request: http_server.Request) -> None:
             await answer
 
         self.server.handle = handle
