--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -10,7 +10,7 @@
 from iriswheel.transport import http_server
 from simulation import event_log, host_model, platform_programs, process_model, world
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 
 
 class NodeFixture:
@@ -25,7 +25,7 @@
         )
         self.runtime = process.runtime()
         self.follower = types.SimpleNamespace(workers=[], states={}, state=lambda _name: "ready")
-        self.tally = retry_budget.Budget(slack=9)
+        self.retry_budget = retry_budget.Budget(slack=9)
         self.node = types.SimpleNamespace(
             runtime=self.runtime,
             edge_protocol=platform_programs.formats.Formats(),
@@ -34,25 +34,27 @@
             stopped=False,
             options_reread_at_us=None,
             loads=types.SimpleNamespace(report_now=scheduler.Signal(), touch=lambda: None),
-            gateway=types.SimpleNamespace(retry_budgets=types.SimpleNamespace(budget=lambda _request: self.tally)),
+            gateway=types.SimpleNamespace(
+                retry_budgets=types.SimpleNamespace(budget=lambda _request: self.retry_budget)
+            ),
         )
         self.forwarder = forwarding.Forwarder(self.node)
         process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.edge_protocol))
         self.runtime.spawn(self.forwarder.watch(), None)
         self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.9.0.1", "a"))
         self.workers = []
-        self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * S)
+        self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * SECOND)
 
     async def handle(self, request: http_server.Request) -> None:
-        x = routed_request.RoutedRequest(request, "n1/0", self.runtime.now())
-        x.parsed, x.raw, x.idempotent = (
+        routed = routed_request.RoutedRequest(request, "n1/0", self.runtime.now())
+        routed.parsed, routed.raw, routed.idempotent = (
             self.node.edge_protocol.parse_request(request),
             request.content.read(),
             self.route.repeat == "may",
         )
-        x.route, x.pool, x.pool_name = self.route, configuration.Pool(election="node"), "desk"
-        x.terms, x.deadline_us = configuration.Terms(), x.arrived_at_us + x.parsed.left_us
-        await self.forwarder.forward(x)
+        routed.route, routed.pool, routed.pool_name = self.route, configuration.Pool(election="node"), "desk"
+        routed.terms, routed.deadline_us = configuration.Terms(), routed.arrived_at_us + routed.parsed.left_us
+        await self.forwarder.forward(routed)
 
     def go(self, ms: int) -> None:
         """Let simulated milliseconds pass."""
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -14,9 +14,9 @@
 SECOND = 1_000_000
 
 
-def promised(identifier: str, whole: int, last_entry: tuple[int, int] = (0, 0)) -> message.Promise:
+def promised(identifier: str, synced_view: int, last_entry: tuple[int, int] = (0, 0)) -> message.Promise:
     """A promise that tells of a copy."""
-    return message.Promise(True, (1, "a"), None, None, identifier, "1", whole, True, last_entry)
+    return message.Promise(True, (1, "a"), None, None, identifier, "1", synced_view, True, last_entry)
 
 
 def make_view(number: int, members: Sequence[str]) -> message.View:
@@ -152,28 +152,28 @@
         )
         self.consensus.announce_departure()
 
-    def hear(self, whole: int) -> None:
+    def hear(self, synced_view: int) -> None:
         """Take in a heartbeat of each other member."""
         for identifier in "bc":
             self.consensus.receive_heartbeat(
-                message.Heartbeat(identifier, "1", "zone", identifier, 1, self.consensus.view, whole, True)
+                message.Heartbeat(identifier, "1", "zone", identifier, 1, self.consensus.view, synced_view, True)
             )
 
     def test_the_only_synced_copy_stays_until_another_is_synced(self) -> None:
-        self.hear(whole=3)
+        self.hear(synced_view=3)
         assert self.consensus.holds_only_copy()
         self.consensus.view_change.is_due(self.consensus.view)
         self.clock.advance(2)
-        self.hear(whole=3)
+        self.hear(synced_view=3)
         assert not self.consensus.view_change.is_due(self.consensus.view)
-        self.hear(whole=4)
+        self.hear(synced_view=4)
         assert not self.consensus.holds_only_copy()
         self.consensus.view_change.is_due(self.consensus.view)
         self.clock.advance(2)
-        self.hear(whole=4)
+        self.hear(synced_view=4)
         assert self.consensus.view_change.is_due(self.consensus.view)
 
     def test_the_last_machine_does_not_wait_for_anybody(self) -> None:
-        self.hear(whole=3)
+        self.hear(synced_view=3)
         self.clock.advance(2)
         assert not self.consensus.holds_only_copy()
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -8,13 +8,13 @@
 from iriswheel.dataplane import edge_protocol, node_budgets
 from iriswheel.runtime import options, scheduler, units
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 
 
 class TestNodeBudgets:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        self.now = 100 * S
+        self.now = 100 * SECOND
         self.members = [f"n{k}" for k in range(9)]
         self.attempt_ids = 0
 
@@ -28,37 +28,37 @@
         )
         return node_budgets.NodeBudgets(node)
 
-    def spent(self, d: node_budgets.NodeBudgets, firsts: int = 0) -> int:
+    def spent(self, budgets: node_budgets.NodeBudgets, firsts: int = 0) -> int:
         """How many repeats it grants now, after some first sends."""
-        x = types.SimpleNamespace(pool_name="desk", pool=configuration.Pool(election="node"))
+        request = types.SimpleNamespace(pool_name="desk", pool=configuration.Pool(election="node"))
         for _ in range(firsts):
             self.attempt_ids += 1
-            d.budget(x).record_first_attempt(self.now, f"x{self.attempt_ids}")
+            budgets.budget(request).record_first_attempt(self.now, f"x{self.attempt_ids}")
         count = 0
-        while d.budget(x).spend(self.now):
+        while budgets.budget(request).spend(self.now):
             count += 1
         return count
 
     def test_ratio_and_window_are_those_of_the_options(self) -> None:
         for more, granted in (({}, 20), ({"retry_ratio": 0.1}, 10)):
-            d = self.budgets(retry_window_us=4 * S, **more)
-            assert (self.spent(d, 100), self.spent(d)) == (granted, 0)
-            self.now += 5 * S
-            assert self.spent(d, 100) == granted
+            budgets = self.budgets(retry_window_us=4 * SECOND, **more)
+            assert (self.spent(budgets, 100), self.spent(budgets)) == (granted, 0)
+            self.now += 5 * SECOND
+            assert self.spent(budgets, 100) == granted
 
     def test_a_new_process_takes_none_of_what_its_former_incarnation_may_have_spent(self) -> None:
-        self.now += 11 * S
-        d = self.budgets(retry_slack=50)
-        assert self.spent(d) == 1  # the one that is always free
-        self.now += 11 * S
-        assert self.spent(d) == 5
+        self.now += 11 * SECOND
+        budgets = self.budgets(retry_slack=50)
+        assert self.spent(budgets) == 1  # the one that is always free
+        self.now += 11 * SECOND
+        assert self.spent(budgets) == 5
 
     def test_nodes_that_left_within_the_window_may_have_spent_their_shares(self) -> None:
-        d = self.budgets(retry_slack=50)
-        self.now += 11 * S
-        assert d.slack() == 5
+        budgets = self.budgets(retry_slack=50)
+        self.now += 11 * SECOND
+        assert budgets.slack() == 5
         del self.members[4:]
-        self.now += 5 * S
-        assert d.slack() == 5
-        self.now += 11 * S
-        assert d.slack() == 10
+        self.now += 5 * SECOND
+        assert budgets.slack() == 5
+        self.now += 11 * SECOND
+        assert budgets.slack() == 10
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -94,22 +94,22 @@
 
 class TestHollowFleet:
     def made(self, **more: int) -> hollow_fleet.Fleet:
-        f = hollow_fleet.Fleet(1, routes=10, **more)
-        f.begin()
-        f.go(2)
-        return f
+        fleet = hollow_fleet.Fleet(1, routes=10, **more)
+        fleet.begin()
+        fleet.go(2)
+        return fleet
 
     def test_a_complete_worker_list_goes_to_every_node_only_when_it_changes(self) -> None:
         appended = {}
         for listed in (9, 90):
-            f = self.made(nodes=6, listed=listed)
-            quiet = f.by_role(f.metered(4))
-            f.platform.put("w1", state="leaving")
-            more = f.by_role(f.metered(4))
+            fleet = self.made(nodes=6, listed=listed)
+            quiet = fleet.by_role(fleet.metered(4))
+            fleet.platform.put("w1", state="leaving")
+            more = fleet.by_role(fleet.metered(4))
             appended[listed] = [
                 4 * (more[r][way] - quiet[r][way]) for r, way in (("node", "in_bytes"), ("lister", "out_bytes"))
             ] + [quiet["node"]["in_bytes"]]
-            appended[listed].append(len(wire.encoder.encode(f.nodes["n1"].follower.workers)))
+            appended[listed].append(len(wire.encoder.encode(fleet.nodes["n1"].follower.workers)))
             assert 0 < quiet["node"]["loops"] < quiet["warden"]["loops"]
         node, lister, quiet, size = (more - few for few, more in zip(appended[9], appended[90], strict=False))
         assert abs(quiet) < 0.02 * size, quiet  # a second, by 81 workers more: signs of life come as they fall
@@ -128,32 +128,32 @@
         assert got.node_to_node < 6 * 5 * got.membership_bytes / 4, got
 
     def test_load_reports_are_sent_and_counted(self) -> None:
-        f = hollow_fleet.Fleet(1, 4, 9, 2, 10, walking=False, election="node")
-        f.begin()
-        f.go(2)
-        quiet = f.by_role(f.metered(2))
-        f.load_up(8.1, 2)
-        f.go(1)
-        busy = f.by_role(f.metered(2))
+        fleet = hollow_fleet.Fleet(1, 4, 9, 2, 10, walking=False, election="node")
+        fleet.begin()
+        fleet.go(2)
+        quiet = fleet.by_role(fleet.metered(2))
+        fleet.load_up(8.1, 2)
+        fleet.go(1)
+        busy = fleet.by_role(fleet.metered(2))
         assert busy["node"]["out_bytes"] > quiet["node"]["out_bytes"] + 100, (quiet, busy)
-        others = f.nodes["n1"].gateway.forwarder.placement_of("model-0").others
+        others = fleet.nodes["n1"].gateway.forwarder.placement_of("model-0").others
         assert others
-        assert set(others) <= set(f.workers), others
+        assert set(others) <= set(fleet.workers), others
 
     def test_a_hollow_send_is_counted_until_its_first_event_and_its_end(self) -> None:
-        f = self.made(nodes=4, listed=9, election="node")
-        node = f.nodes["n1"]
+        fleet = self.made(nodes=4, listed=9, election="node")
+        node = fleet.nodes["n1"]
         estimates = node.gateway.forwarder.placement_of("model-0").workers
-        node.runtime.spawn(f.stream(node, 0.5), simulated_cluster.log)
+        node.runtime.spawn(fleet.stream(node, 0.5), simulated_cluster.log)
 
         def counted() -> tuple[int, bool]:
             return sum(e.running for e in estimates.values()), any(e.unread_tokens for e in estimates.values())
 
-        f.go(0.05)
+        fleet.go(0.05)
         assert counted() == (1, True)
-        f.go(0.1)
+        fleet.go(0.1)
         assert counted() == (1, False)
-        f.go(0.5)
+        fleet.go(0.5)
         assert counted() == (0, False)
 
 
@@ -167,5 +167,5 @@
             fleet_costs.exchange(listed=26, rate=30, seconds=3, spans=[0.5], steps=[1, 3])
         got = rows(out.getvalue())
         assert got["a worker chosen at a node, its parts ranked before", "workers of the pool"][0] > 0
-        told = [float(x) for x in re.findall(r"^\| 0.5 s \| [13] \| ([0-9.]+) ", out.getvalue(), re.M)]
-        assert told[0] > told[1] > 0, told
+        sent = [float(x) for x in re.findall(r"^\| 0.5 s \| [13] \| ([0-9.]+) ", out.getvalue(), re.M)]
+        assert sent[0] > sent[1] > 0, sent
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -14,7 +14,7 @@
 from iriswheel.transport import message, wire
 from simulation import disk_model, host_model, process_model, simulated_cluster, world
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 ROUTES = 1_400
 
 
@@ -36,17 +36,17 @@
 
 
 class Network:
-    """Messages between members without connections; each goes through `meet`, which may lose it or its answer."""
+    """Messages between members without connections; `fate_of` may lose each or its answer."""
 
     def __init__(self, world: world.World) -> None:
         self.world = world
         self.members = {}
         self.sent = []  # what was sent, in order
-        self.meet = lambda _message: "pass"
+        self.fate_of = lambda _message: "pass"
 
     async def call(self, host: str, _port: int, msg: message.Message, us: int) -> message.Message:
         self.sent.append(msg)
-        fate = self.meet(msg)
+        fate = self.fate_of(msg)
         runtime = self.members["head"].runtime
         await runtime.sleep(2 * units.MILLISECOND_US)
         if fate == "lose":
@@ -70,7 +70,7 @@
         self.start()
 
     def start(self) -> None:
-        """Begin a new life on the disk that is there."""
+        """Start a new incarnation on the disk that is there."""
         self.process = process_model.SimulatedProcess(self.network.world, self.name, self.host)
         self.runtime = self.process.runtime()
         disk = disk_model.Disk(self.process)
@@ -86,19 +86,21 @@
         self.chain.consensus = self.consensus
         self.network.members[self.name] = self
 
-    def install(self, number: int, order: list[str], whole: int | None = None) -> None:
+    def install(self, number: int, order: list[str], synced_view: int | None = None) -> None:
         """Let a view begin here."""
         members = [self.network.members[i] for i in order]
         voters = [message.Voter(m.name, m.name, 1, "a") for m in members]
         connections = [message.ChainReplica(m.name, m.runtime.incarnation) for m in members]
         before = self.consensus.record.synced_view
-        whole = number if order[0] == self.name else whole or before
-        self.consensus.acceptor.record = decisions.Record(message.View(number, voters, connections), synced_view=whole)
+        synced_view = number if order[0] == self.name else synced_view or before
+        self.consensus.acceptor.record = decisions.Record(
+            message.View(number, voters, connections), synced_view=synced_view
+        )
         self.chain.install(self.consensus.view)
 
 
 class TestChainOfTwo:
-    """Two links of a chain."""
+    """Two replicas of a chain."""
 
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
@@ -113,14 +115,14 @@
             m.install(number, [x.name for x in members])
 
     def go(self, seconds: float) -> None:
-        self.world.run(self.world.time + int(seconds * S))
+        self.world.run(self.world.time + int(seconds * SECOND))
 
     def until(self, condition: Callable[[], bool], seconds: float) -> float:
         started_at = self.world.time
-        while not condition() and self.world.time < started_at + seconds * S:
+        while not condition() and self.world.time < started_at + seconds * SECOND:
             self.go(0.01)
         assert condition()
-        return (self.world.time - started_at) / S
+        return (self.world.time - started_at) / SECOND
 
     def assert_same(self, one: Member, other: Member) -> None:
         assert (other.chain.log.last_index, other.chain.latest_state.view) == (
@@ -200,7 +202,7 @@
         self.go(0.1)
         assert (head.chain.committed_state.index, len(head.chain.committed_state.items)) == (300, 300)
 
-    # ---- snapshots in pieces ------------------------------------------------------------------
+    # ---- snapshots in chunks ------------------------------------------------------------------
 
     def large_pair(self) -> tuple[Member, Member]:
         head, tail = self.pair([large_change(1)], [])
@@ -227,11 +229,11 @@
         head, tail = self.large_pair()
         calls = []
 
-        def meet(msg: message.Message) -> str:
+        def fate_of(msg: message.Message) -> str:
             calls.append(msg)
             return "lose" if len(calls) % 3 == 0 else "lose answer" if len(calls) % 7 == 0 else "pass"
 
-        self.network.meet = meet
+        self.network.fate_of = fate_of
         self.install(2, head, tail)
         self.until(tail.chain.is_synced, 60)
         self.assert_same(head, tail)
@@ -244,15 +246,15 @@
     def test_a_snapshot_goes_on_in_a_later_view_while_the_state_moves_on(self) -> None:
         head, tail = self.large_pair()
         third = Member(self.network, "third", [])
-        self.network.meet = lambda msg: (
+        self.network.fate_of = lambda msg: (
             "lose" if isinstance(msg, message.SnapshotChunk) and msg.offset > 300_000 else "pass"
         )
         self.install(2, head, tail)
         self.go(3)
         assert len(tail.chain.receiver.incoming.content) > 200_000
-        self.network.meet = lambda _message: "pass"
+        self.network.fate_of = lambda _message: "pass"
         third.host.synced.update(head.host.synced)
-        self.install(3, head, third)  # the second link is cut off
+        self.install(3, head, third)  # the second replica is cut off
         self.until(third.chain.is_synced, 10)
         for k in range(5):
             msg = message.ProposeChange(3, "apply", f"x{k}", head.chain.latest_state.version, self.route(f"x{k}"))
@@ -272,7 +274,7 @@
             {b"e%016d" % k: replicated_log.encode_entry(entry(k, 7, self.route(f"old{k}"))) for k in (1, 2)}
         )
         tail.start()
-        self.network.meet = lambda msg: "lose" if isinstance(msg, message.CatchUp) else "pass"
+        self.network.fate_of = lambda msg: "lose" if isinstance(msg, message.CatchUp) else "pass"
         self.install(8, head, tail)
         self.until(lambda: tail.chain.receiver.incoming.complete, 5)
         tail.host.fail()
@@ -280,7 +282,7 @@
         tail.host.power = True
         tail.start()
         assert (tail.chain.log.last_index, tail.chain.latest_state.view) == (2, 7)
-        self.network.meet = lambda _message: "pass"
+        self.network.fate_of = lambda _message: "pass"
         self.install(9, head, tail)
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
@@ -289,7 +291,7 @@
         head, tail = self.large_pair()
         spoilt = []
 
-        def meet(msg: message.Message) -> str:
+        def fate_of(msg: message.Message) -> str:
             if isinstance(msg, message.SnapshotChunk) and not spoilt:
                 spoilt.append(msg)
                 tail.chain.receiver.incoming.add_chunk(
@@ -297,7 +299,7 @@
                 )
             return "pass"
 
-        self.network.meet = meet
+        self.network.fate_of = fate_of
         self.install(2, head, tail)
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
@@ -321,74 +323,76 @@
 
 
 class TestFleetUnderChanges:
-    """A whole small fleet, with steady changes."""
+    """A small simulated fleet, with steady changes."""
 
     AWAY_CHANGES = 1_000
 
-    def propose(self, t: simulated_cluster.SimulatedCluster, k: int) -> defer.Deferred[Any] | None:
-        head = t.head()
+    def propose(self, cluster: simulated_cluster.SimulatedCluster, k: int) -> defer.Deferred[Any] | None:
+        head = cluster.head()
         if head is None or not head.chain.is_synced():
             return None
         change = [(f"routes/s{k % 50}", {"path": f"/s/{k}", "pool": "desk"})]
         number = head.consensus.view.number
-        msg = message.ProposeChange(number, "apply", f"s{k}-{t.world.time}", head.chain.latest_state.version, change)
+        msg = message.ProposeChange(
+            number, "apply", f"s{k}-{cluster.world.time}", head.chain.latest_state.version, change
+        )
         return head.runtime.spawn(head.chain.answer(msg))
 
     def away_for_many_changes(self) -> tuple[simulated_cluster.SimulatedCluster, str]:
         """A fleet in which one member is down while many routes and changes come."""
-        t = simulated_cluster.SimulatedCluster(3, "small", long_rate=0, short_rate=0, conversations=0)
-        t.probing = False
-        t.begin()
-        t.go(1)
-        for n in t.nodes.values():  # they only cost time here
+        cluster = simulated_cluster.SimulatedCluster(3, "small", long_rate=0, short_rate=0, conversations=0)
+        cluster.probing = False
+        cluster.begin()
+        cluster.go(1)
+        for n in cluster.nodes.values():  # they only cost time here
             n.process.kill()
-        name = t.tail().options.name
-        t.cores[name].process.host.fail()
-        assert t.until(lambda: t.tail() is not None and len(t.tail().consensus.view.chain) == 2, 10)
-        head = t.head()
+        name = cluster.tail().options.name
+        cluster.cores[name].process.host.fail()
+        assert cluster.until(lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 2, 10)
+        head = cluster.head()
         many = large_change(head.chain.latest_state.index + 1, pool="desk").changes
         msg = message.ProposeChange(head.consensus.view.number, "apply", "many", head.chain.latest_state.version, many)
         done = head.runtime.spawn(head.chain.answer(msg))
-        assert t.until(lambda: done.called, 10)
+        assert cluster.until(lambda: done.called, 10)
         for k in range(self.AWAY_CHANGES):
-            done = self.propose(t, k)
+            done = self.propose(cluster, k)
             while not done.called:
-                t.go(0.005)
+                cluster.go(0.005)
             assert done.result.code == ""
-        return t, name
+        return cluster, name
 
-    def catch_up(self, t: simulated_cluster.SimulatedCluster, name: str) -> tuple[float, float]:
-        """Seconds until the member is whole again, and the longest time in which no change was taken meanwhile."""
-        t.start_core(name, *t.options[name])
-        back, started_at = t.cores[name], t.world.time
+    def catch_up(self, cluster: simulated_cluster.SimulatedCluster, name: str) -> tuple[float, float]:
+        """Seconds until the member is synced again, and the longest time in which no change was taken meanwhile."""
+        cluster.start_core(name, *cluster.options[name])
+        back, started_at = cluster.cores[name], cluster.world.time
         proposed, taken, last, longest, caught_up = [], 0, started_at, 0, None
-        while t.world.time - started_at < 4 * S or caught_up is None:
-            assert t.world.time - started_at < 40 * S
-            d = self.propose(t, len(proposed))
+        while cluster.world.time - started_at < 4 * SECOND or caught_up is None:
+            assert cluster.world.time - started_at < 40 * SECOND
+            d = self.propose(cluster, len(proposed))
             proposed += [d] if d is not None else []
             for _ in range(15):
-                t.go(0.01)
+                cluster.go(0.01)
                 assert not (back.consensus.holds_lease() and not back.chain.is_synced())
                 if caught_up is None and back.chain.is_synced():
-                    caught_up = t.world.time - started_at
+                    caught_up = cluster.world.time - started_at
             done = [d for d in proposed if d.called and d.result.code == ""]
             if len(done) > taken:
-                taken, last = len(done), t.world.time
-            longest = max(longest, t.world.time - last)
-        assert t.head().chain.latest_state.index - back.chain.committed_state.index < 4
-        return caught_up / S, longest / S
+                taken, last = len(done), cluster.world.time
+            longest = max(longest, cluster.world.time - last)
+        assert cluster.head().chain.latest_state.index - back.chain.committed_state.index < 4
+        return caught_up / SECOND, longest / SECOND
 
     def test_a_member_that_was_away_for_a_thousand_changes_and_a_blank_one_catch_up(self) -> None:
-        t, name = self.away_for_many_changes()
-        caught_up, longest = self.catch_up(t, name)
+        cluster, name = self.away_for_many_changes()
+        caught_up, longest = self.catch_up(cluster, name)
         assert caught_up < 2
         assert longest < 1
-        host = t.cores[name].process.host
+        host = cluster.cores[name].process.host
         host.fail()
         host.synced.clear()
-        t.go(3)
+        cluster.go(3)
         host.disk, host.slow_us = "slow", 150_000
-        t.world.loss[host.host] = 0.05
-        caught_up, longest = self.catch_up(t, name)
+        cluster.world.loss[host.host] = 0.05
+        caught_up, longest = self.catch_up(cluster, name)
         assert caught_up < 4
         assert longest < 3
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -13,7 +13,7 @@
 from simulation import operator_model, simulated_cluster
 from tests import conftest
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 
 
 def route(k: int | str) -> dict[str, Any]:
@@ -23,72 +23,84 @@
 
 class TestNumberedChanges:
     def start(
-        self, t: simulated_cluster.SimulatedCluster, number: int, built_on: int, what: dict[str, Any], who: str = "boss"
+        self,
+        cluster: simulated_cluster.SimulatedCluster,
+        number: int,
+        built_on: int,
+        what: dict[str, Any],
+        who: str = "boss",
     ) -> defer.Deferred[Any]:
-        return t.operator_runtime.spawn(
-            operator_model.Operator(t, t.operator_runtime, who).number(number, built_on, what), simulated_cluster.log
+        return cluster.operator_runtime.spawn(
+            operator_model.Operator(cluster, cluster.operator_runtime, who).number(number, built_on, what),
+            simulated_cluster.log,
         )
 
-    def wait(self, t: simulated_cluster.SimulatedCluster, *ds: defer.Deferred[Any]) -> list[int]:
-        assert t.until(lambda: all(d.called for d in ds), 40)
-        return [d.result for d in ds]
+    def wait(self, cluster: simulated_cluster.SimulatedCluster, *deferreds: defer.Deferred[Any]) -> list[int]:
+        assert cluster.until(lambda: all(d.called for d in deferreds), 40)
+        return [d.result for d in deferreds]
 
-    def items(self, t: simulated_cluster.SimulatedCluster) -> dict[str, Any]:
-        assert t.until(lambda: t.tail() is not None, 10)
-        return dict(t.tail().chain.committed_state.items)
+    def items(self, cluster: simulated_cluster.SimulatedCluster) -> dict[str, Any]:
+        assert cluster.until(lambda: cluster.tail() is not None, 10)
+        return dict(cluster.tail().chain.committed_state.items)
 
     def test_one_of_two_on_the_same_number_is_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
+        cluster = quiet_cluster()
         number = 0
         for k in range(8):
-            one, two = (self.start(t, number + j, number, route(10 * k + j), f"op{j}") for j in (3, 5))
-            assert sorted(self.wait(t, one, two)) == [200, 409]
+            one, two = (self.start(cluster, number + j, number, route(10 * k + j), f"op{j}") for j in (3, 5))
+            assert sorted(self.wait(cluster, one, two)) == [200, 409]
             won, lost = (3, 5) if one.result == 200 else (5, 3)
             number += won
-            items = self.items(t)
+            items = self.items(cluster)
             assert configuration.operator_number(items) == number
             assert tuple(f"routes/r{10 * k + j}" in items for j in (won, lost)) == (True, False)
 
     def test_a_change_sent_again_gets_the_same_answer_after_later_ones_were_taken(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster()
+        cluster = quiet_cluster()
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
-            assert self.wait(t, self.start(t, number, built_on, route(number))) == [200]
-        n = t.tail().chain.committed_state.index
+            assert self.wait(cluster, self.start(cluster, number, built_on, route(number))) == [200]
+        n = cluster.tail().chain.committed_state.index
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
-            assert self.wait(t, self.start(t, number, built_on, route(number))) == [200]
-        assert t.tail().chain.committed_state.index == n
-        assert self.wait(t, self.start(t, 9, 4, route("other"))) == [409]
-        assert self.wait(t, self.start(t, 10, 10, route("other"))) == [422]
-        assert self.wait(t, self.start(t, 12, 10, {"upsert": {"routes": {"r": {"path": "/", "pool": "x"}}}})) == [422]
-        assert self.wait(t, self.start(t, 12, 10, {"upsert": {}, "blueprint": {}})) == [400]
+            assert self.wait(cluster, self.start(cluster, number, built_on, route(number))) == [200]
+        assert cluster.tail().chain.committed_state.index == n
+        assert self.wait(cluster, self.start(cluster, 9, 4, route("other"))) == [409]
+        assert self.wait(cluster, self.start(cluster, 10, 10, route("other"))) == [422]
+        assert self.wait(
+            cluster, self.start(cluster, 12, 10, {"upsert": {"routes": {"r": {"path": "/", "pool": "x"}}}})
+        ) == [422]
+        assert self.wait(cluster, self.start(cluster, 12, 10, {"upsert": {}, "blueprint": {}})) == [400]
 
     @pytest.mark.parametrize("seed", [1, 2, 3, 4])
     def test_a_lone_operator_is_never_refused_while_core_machines_die(
         self, quiet_cluster: conftest.QuietCluster, seed: int
     ) -> None:
-        t = quiet_cluster(seed=seed)
+        cluster = quiet_cluster(seed=seed)
         number = 0
         for k in range(6):
-            d = self.start(t, number + 2, number, route(k))
-            t.go(t.rng.random() * 0.1)
-            victims = [t.head() or t.tail(), t.tail()][k % 2 : k % 2 + 1] if k < 4 else list(t.cores.values())
+            d = self.start(cluster, number + 2, number, route(k))
+            cluster.go(cluster.rng.random() * 0.1)
+            victims = (
+                [cluster.head() or cluster.tail(), cluster.tail()][k % 2 : k % 2 + 1]
+                if k < 4
+                else list(cluster.cores.values())
+            )
             for c in [c for c in victims if c is not None]:
                 c.process.kill()
-            t.go(0.5 + t.rng.random())
-            for name in [n for n, c in t.cores.items() if not c.process.alive]:
-                t.start_core(name, *t.options[name])
-            assert self.wait(t, d) == [200], (seed, k)
+            cluster.go(0.5 + cluster.rng.random())
+            for name in [n for n, c in cluster.cores.items() if not c.process.alive]:
+                cluster.start_core(name, *cluster.options[name])
+            assert self.wait(cluster, d) == [200], (seed, k)
             number += 2
-            assert f"routes/r{k}" in self.items(t)
-            t.go(2)
+            assert f"routes/r{k}" in self.items(cluster)
+            cluster.go(2)
 
-    def take(self, t: simulated_cluster.SimulatedCluster, count: int) -> list[tuple[int, int, dict[str, Any]]]:
+    def take(self, cluster: simulated_cluster.SimulatedCluster, count: int) -> list[tuple[int, int, dict[str, Any]]]:
         """Numbered changes, one after the other; returns their (number, built on, content)."""
         orders = [(k + 1, k, route(k % 3)) for k in range(count)]
         for order in orders:
-            assert self.wait(t, self.start(t, *order)) == [200]
+            assert self.wait(cluster, self.start(cluster, *order)) == [200]
         return orders
 
     def test_a_taken_change_is_acknowledged_again_after_many_later_ones_and_a_crash_of_all_core_machines(
@@ -96,31 +108,31 @@
     ) -> None:
         monkeypatch.setattr(replicated_state, "MAX_PLANS", 4)
         monkeypatch.setattr(replicated_log, "KEPT_ENTRIES", 8)
-        t = quiet_cluster()
-        orders = self.take(t, 24)
+        cluster = quiet_cluster()
+        orders = self.take(cluster, 24)
         again = [orders[k] for k in (-1, -2, -6, -20, 0)]
-        assert self.wait(t, *(self.start(t, *order) for order in again)) == [200] * 5
-        for c in t.cores.values():
+        assert self.wait(cluster, *(self.start(cluster, *order) for order in again)) == [200] * 5
+        for c in cluster.cores.values():
             c.process.kill()
-        t.go(1)
-        for name in t.cores:
-            t.start_core(name, *t.options[name])
-        assert self.wait(t, *(self.start(t, *order) for order in again)) == [200] * 5
-        assert self.wait(t, self.start(t, 1, 0, route(9))) == [409]
-        assert configuration.operator_number(self.items(t)) == 24
+        cluster.go(1)
+        for name in cluster.cores:
+            cluster.start_core(name, *cluster.options[name])
+        assert self.wait(cluster, *(self.start(cluster, *order) for order in again)) == [200] * 5
+        assert self.wait(cluster, self.start(cluster, 1, 0, route(9))) == [409]
+        assert configuration.operator_number(self.items(cluster)) == 24
 
     def test_a_change_that_is_no_longer_remembered_gets_no_clear_answer(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(replicated_state, "MIN_TAKEN_CHANGES", 4)
         monkeypatch.setattr(replicated_state, "TAKEN_CHANGES_SLACK", 2)
-        t = quiet_cluster()
-        orders = self.take(t, 8)
+        cluster = quiet_cluster()
+        orders = self.take(cluster, 8)
         assert [
             self.wait(
-                t,
-                t.operator_runtime.spawn(
-                    operator_model.Operator(t, t.operator_runtime, "boss").number(*order, attempts=3)
+                cluster,
+                cluster.operator_runtime.spawn(
+                    operator_model.Operator(cluster, cluster.operator_runtime, "boss").number(*order, attempts=3)
                 ),
             )[0]
             for order in (orders[0], orders[-2], (8, 6, route(9)))
@@ -129,82 +141,84 @@
     def test_of_eight_concurrent_changes_equal_ones_are_acknowledged_alike(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster()
+        cluster = quiet_cluster()
         orders = [(5, 0, route(k // 2)) for k in range(8)]
-        results = self.wait(t, *(self.start(t, *order) for order in orders))
+        results = self.wait(cluster, *(self.start(cluster, *order) for order in orders))
         assert sorted(results) == [200] * 2 + [409] * 6
         assert {tuple(results[k : k + 2]) for k in (0, 2, 4, 6)} == {(200, 200), (409, 409)}
 
     def test_a_complete_configuration_in_force_is_acknowledged_on_another_base(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster()
-        document, other = t.with_probe(1), t.with_probe(2)
-        assert self.wait(t, self.start(t, 4, 0, {"blueprint": document})) == [200]
-        n = t.tail().chain.committed_state.index
-        assert self.wait(t, self.start(t, 4, 3, {"blueprint": document})) == [200]
-        assert self.wait(t, self.start(t, 4, 3, {"blueprint": other})) == [409]
-        assert self.wait(t, self.start(t, 5, 3, {"blueprint": document})) == [409]
-        assert t.tail().chain.committed_state.index == n
+        cluster = quiet_cluster()
+        document, other = cluster.with_probe(1), cluster.with_probe(2)
+        assert self.wait(cluster, self.start(cluster, 4, 0, {"blueprint": document})) == [200]
+        n = cluster.tail().chain.committed_state.index
+        assert self.wait(cluster, self.start(cluster, 4, 3, {"blueprint": document})) == [200]
+        assert self.wait(cluster, self.start(cluster, 4, 3, {"blueprint": other})) == [409]
+        assert self.wait(cluster, self.start(cluster, 5, 3, {"blueprint": document})) == [409]
+        assert cluster.tail().chain.committed_state.index == n
 
     def test_a_change_is_taken_without_nodes_once_their_leases_ran_out(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster()
-        lease_us = t.tail().options.lease_us
-        for n in t.nodes.values():
+        cluster = quiet_cluster()
+        lease_us = cluster.tail().options.lease_us
+        for n in cluster.nodes.values():
             n.process.kill()
-        killed = t.world.time
-        t.go(1)
-        assert self.wait(t, self.start(t, 1, 0, route(1))) == [200]
-        assert lease_us - S < t.world.time - killed < lease_us + S // 2
-        started_at = t.world.time
-        assert self.wait(t, self.start(t, 2, 1, route(2))) == [200]
-        assert t.world.time - started_at < S // 2
+        killed = cluster.world.time
+        cluster.go(1)
+        assert self.wait(cluster, self.start(cluster, 1, 0, route(1))) == [200]
+        assert lease_us - SECOND < cluster.world.time - killed < lease_us + SECOND // 2
+        started_at = cluster.world.time
+        assert self.wait(cluster, self.start(cluster, 2, 1, route(2))) == [200]
+        assert cluster.world.time - started_at < SECOND // 2
 
     def test_a_lone_core_machine_takes_changes_where_one_copy_is_enough(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(cores=1, copies=1, seats=1)
-        assert self.wait(t, self.start(t, 1, 0, route(1))) + self.wait(t, self.start(t, 2, 1, route(2))) == [200, 200]
-        c = t.cores["c1"]
+        cluster = quiet_cluster(cores=1, copies=1, seats=1)
+        assert self.wait(cluster, self.start(cluster, 1, 0, route(1))) + self.wait(
+            cluster, self.start(cluster, 2, 1, route(2))
+        ) == [200, 200]
+        c = cluster.cores["c1"]
         c.process.host.fail()
-        t.go(1)
-        t.start_core("c1", *t.options["c1"])
-        assert self.wait(t, self.start(t, 3, 2, route(3))) == [200]
-        assert "routes/r1" in self.items(t)
+        cluster.go(1)
+        cluster.start_core("c1", *cluster.options["c1"])
+        assert self.wait(cluster, self.start(cluster, 3, 2, route(3))) == [200]
+        assert "routes/r1" in self.items(cluster)
 
 
 class TestTakenChanges:
     """The memory of changes that were taken."""
 
     def apply(self, count: int) -> replicated_state.ReplicatedState:
-        ledger = replicated_state.ReplicatedState()
+        state = replicated_state.ReplicatedState()
         for n in range(1, count + 1):
             changes = [("marks/operator", {"number": n})]
-            ledger = ledger.apply(message.LogEntry(n, 1, "apply", f"c{n - 1}-{n}-0a", n - 1, changes))
-        return ledger
+            state = state.apply(message.LogEntry(n, 1, "apply", f"c{n - 1}-{n}-0a", n - 1, changes))
+        return state
 
     def test_they_outlive_the_plans_and_are_in_the_snapshot(self) -> None:
-        ledger = self.apply(1_100)
-        assert "c0-1-0a" not in ledger.plans
-        again = snapshot_format.decode(snapshot_format.encode(ledger))
+        state = self.apply(1_100)
+        assert "c0-1-0a" not in state.plans
+        again = snapshot_format.decode(snapshot_format.encode(state))
         assert (*(again.taken[f"c{n - 1}-{n}-0a"] for n in (1, 100, 1_100)), again.forgotten) == (1, 100, 1_100, 0)
-        assert again == ledger
+        assert again == state
 
     def test_their_number_is_bounded(self) -> None:
-        ledger = self.apply(replicated_state.MIN_TAKEN_CHANGES + replicated_state.TAKEN_CHANGES_SLACK + 2)
-        assert (len(ledger.taken), ledger.forgotten) == (
+        state = self.apply(replicated_state.MIN_TAKEN_CHANGES + replicated_state.TAKEN_CHANGES_SLACK + 2)
+        assert (len(state.taken), state.forgotten) == (
             replicated_state.MIN_TAKEN_CHANGES + 1,
             replicated_state.TAKEN_CHANGES_SLACK + 1,
         )
-        assert len(snapshot_format.encode(ledger)) < 1 << 20
-        assert snapshot_format.decode(snapshot_format.encode(ledger)) == ledger
+        assert len(snapshot_format.encode(state)) < 1 << 20
+        assert snapshot_format.decode(snapshot_format.encode(state)) == state
 
-    def old(self, ledger: replicated_state.ReplicatedState) -> bytes:
+    def old(self, state: replicated_state.ReplicatedState) -> bytes:
         """The snapshot as format 2 had it: number, view, version, items and plans."""
-        plans = [(k, list(p)) for k, p in sorted(ledger.plans.items())]
-        return msgspec.msgpack.encode([ledger.index, ledger.view, ledger.version, dict(ledger.items), plans])
+        plans = [(k, list(p)) for k, p in sorted(state.plans.items())]
+        return msgspec.msgpack.encode([state.index, state.view, state.version, dict(state.items), plans])
 
     def test_a_snapshot_of_format_2_is_read(self) -> None:
         few, many = (snapshot_format.decode(self.old(self.apply(count))) for count in (20, 600))
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -8,7 +8,7 @@
 from iriswheel.runtime import units
 from iriswheel.verification import replay
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 DOC = {
     "pools": {"desk": {}},
     "routes": {"probe": {"path": "/p/0", "pool": "desk"}, "v1": {"path": "/v1", "pool": "desk"}},
@@ -23,7 +23,7 @@
 def good(
     identifier: str = "x1",
     *,
-    at: int = 20 * S,
+    at: int = 20 * SECOND,
     worker: str = "w1",
     parts: tuple[str, ...] = ("system",),
     send: int = 1,
@@ -76,128 +76,146 @@
 
 
 class TestCheckers:
-    def complains(self, name: str, rows: list[dict[str, Any]]) -> None:
+    def assert_complaint(self, name: str, rows: list[dict[str, Any]]) -> None:
         rows = sorted(BASE + rows, key=lambda r: r["at"])
         assert name in replay.judge(rows)
 
     def test_good_log_has_no_complaint(self) -> None:
-        rows = BASE + good() + [dict(at=40 * S, kind="read", stamp=2, blueprint=DOC), dict(at=41 * S, kind="ended")]
+        rows = (
+            BASE
+            + good()
+            + [dict(at=40 * SECOND, kind="read", stamp=2, blueprint=DOC), dict(at=41 * SECOND, kind="ended")]
+        )
         assert replay.judge(rows) == {}
 
     def test_once(self) -> None:
         twice = good()
         twice.insert(2, {**twice[1], "run": "w2-x1", "worker": "w2"})
-        self.complains("once", twice)
+        self.assert_complaint("once", twice)
         for ks in ((0,), (0, 0), (1, 0)):
             rows = good()
             rows[3]["text"] = answer("x1", "w1-x1", ks)
-            self.complains("once", rows)
+            self.assert_complaint("once", rows)
         rows = good()
         rows[3]["text"] = answer("x1", "w1-x1", (0,)).replace("data: [DONE]\n\n", "") + answer("x1", "w2-x1", (1,))
-        self.complains("once", rows)
+        self.assert_complaint("once", rows)
 
     def test_not_run(self) -> None:
         rows = good()[:3]
-        rows.append(dict(at=20 * S + 3, kind="refused", exchange="x1", send=1, code="busy", verdict="not_run", took=3))
-        self.complains("not_run", rows)
+        rows.append(
+            dict(at=20 * SECOND + 3, kind="refused", exchange="x1", send=1, code="busy", verdict="not_run", took=3)
+        )
+        self.assert_complaint("not_run", rows)
 
     def test_own(self) -> None:
-        rows = good("x1") + good("x2", at=21 * S)
+        rows = good("x1") + good("x2", at=21 * SECOND)
         rows[3]["text"], rows[7]["text"] = rows[7]["text"], rows[3]["text"]
-        self.complains("own", rows)
+        self.assert_complaint("own", rows)
         rows = good()
         rows[2]["kind"] = "cut"
-        self.complains("own", rows)
+        self.assert_complaint("own", rows)
 
     def test_leaving(self) -> None:
-        self.complains("leaving", [dict(at=10 * S, kind="listed", worker="w1", state="leaving", pool="desk"), *good()])
+        self.assert_complaint(
+            "leaving", [dict(at=10 * SECOND, kind="listed", worker="w1", state="leaving", pool="desk"), *good()]
+        )
 
     def test_in_force(self) -> None:
         later = {**DOC, "routes": {**DOC["routes"], "probe": {"path": "/p/1", "pool": "desk"}}}
         change = [
-            dict(at=10 * S, kind="confirm_sent", plan="2-b", base=2, probe=1, who="boss", blueprint=later),
-            dict(at=10 * S + 5, kind="confirmed", plan="2-b", stamp=4, probe=1, who="boss"),
+            dict(at=10 * SECOND, kind="confirm_sent", plan="2-b", base=2, probe=1, who="boss", blueprint=later),
+            dict(at=10 * SECOND + 5, kind="confirmed", plan="2-b", stamp=4, probe=1, who="boss"),
         ]
         probe = dict(
-            at=13 * S, kind="probe", node="h:1", zone="a", exchange="p1", done=13 * S + 9, code="", worker="w1"
+            at=13 * SECOND,
+            kind="probe",
+            node="h:1",
+            zone="a",
+            exchange="p1",
+            done=13 * SECOND + 9,
+            code="",
+            worker="w1",
         )
-        self.complains("in_force", [*change, {**probe, "path": "/p/1", "status": 404}])
-        run = dict(at=13 * S + 5, kind="run", worker="w1", run="r", exchange="p1", send=0, parts=[], path="/p/0")
-        self.complains("in_force", [*change, {**probe, "path": "/p/0", "status": 200}, run])
-        self.complains("allowed", [*change, {**probe, "path": "/p/0", "status": 200}, run])
+        self.assert_complaint("in_force", [*change, {**probe, "path": "/p/1", "status": 404}])
+        run = dict(at=13 * SECOND + 5, kind="run", worker="w1", run="r", exchange="p1", send=0, parts=[], path="/p/0")
+        self.assert_complaint("in_force", [*change, {**probe, "path": "/p/0", "status": 200}, run])
+        self.assert_complaint("allowed", [*change, {**probe, "path": "/p/0", "status": 200}, run])
 
     def test_kept(self) -> None:
-        self.complains("kept", [dict(at=9 * S, kind="read", stamp=0, blueprint={})])
-        self.complains("kept", [dict(at=9 * S, kind="read", stamp=2, blueprint={"pools": {"other": {}}})])
-        self.complains("kept", [dict(at=9 * S, kind="confirmed", plan="0-a", stamp=7, probe=0, who="boss")])
-        self.complains("kept", [dict(at=9 * S, kind="ended")])
+        self.assert_complaint("kept", [dict(at=9 * SECOND, kind="read", stamp=0, blueprint={})])
+        self.assert_complaint("kept", [dict(at=9 * SECOND, kind="read", stamp=2, blueprint={"pools": {"other": {}}})])
+        self.assert_complaint("kept", [dict(at=9 * SECOND, kind="confirmed", plan="0-a", stamp=7, probe=0, who="boss")])
+        self.assert_complaint("kept", [dict(at=9 * SECOND, kind="ended")])
 
     def test_allowed(self) -> None:
         rows = good()
         rows[1]["path"] = "/v2"
-        self.complains("allowed", rows)
+        self.assert_complaint("allowed", rows)
 
     def test_pinned(self) -> None:
         parts = ("system", "talk-1")
-        self.complains("pinned", good("x1", parts=parts) + good("x2", at=30 * S, worker="w2", parts=parts))
+        self.assert_complaint("pinned", good("x1", parts=parts) + good("x2", at=30 * SECOND, worker="w2", parts=parts))
 
     def test_capped(self) -> None:
-        rows = [r for k in range(11) for r in good(f"x{k}", at=(20 + k) * S, parts=("system", f"talk-{k}"))]
-        self.complains("capped", rows)
+        rows = [r for k in range(11) for r in good(f"x{k}", at=(20 + k) * SECOND, parts=("system", f"talk-{k}"))]
+        self.assert_complaint("capped", rows)
 
     def test_budget(self) -> None:
-        rows = [r for k in range(4) for r in good(f"x{k}", at=(20 + k) * S, send=2, repeat=True)]
-        self.complains("budget", rows)
+        rows = [r for k in range(4) for r in good(f"x{k}", at=(20 + k) * SECOND, send=2, repeat=True)]
+        self.assert_complaint("budget", rows)
 
     def refused(self, code: str, send: int = 1) -> list[dict[str, Any]]:
         return [
             *good(send=send)[:1],
-            dict(at=20 * S + 9, kind="refused", exchange="x1", send=send, code=code, verdict="not_run", took=9),
+            dict(at=20 * SECOND + 9, kind="refused", exchange="x1", send=send, code=code, verdict="not_run", took=9),
         ]
 
     def test_served(self) -> None:
         for code in ("busy", "no_worker", "sessions_full", "not_ready", "no_warden", "already_sent", "worker_broke"):
-            self.complains("served", self.refused(code))
-        self.complains(
+            self.assert_complaint("served", self.refused(code))
+        self.assert_complaint(
             "served",
-            [r for k in range(30) for r in good(f"y{k}", at=19 * S + k)] + self.refused("retry_budget", send=2),
+            [r for k in range(30) for r in good(f"y{k}", at=19 * SECOND + k)] + self.refused("retry_budget", send=2),
         )
         late = self.refused("busy")
-        late[1].update(at=40 * S, took=20 * S)
-        self.complains("served", late)
+        late[1].update(at=40 * SECOND, took=20 * SECOND)
+        self.assert_complaint("served", late)
         rows = good()
-        rows[3]["first"] = S
-        self.complains("served", rows)
+        rows[3]["first"] = SECOND
+        self.assert_complaint("served", rows)
         rows = good()
         rows[3].update(kind="torn")
-        self.complains("served", rows)
+        self.assert_complaint("served", rows)
 
     def test_served_excuses_who_is_at_a_fault_and_nobody_else(self) -> None:
-        kill = dict(at=20 * S - 5, kind="fault", what="kill", target="n1", role="node", addr="h:1", duty=False)
+        kill = dict(at=20 * SECOND - 5, kind="fault", what="kill", target="n1", role="node", addr="h:1", duty=False)
         here, there = self.refused("not_ready"), self.refused("not_ready")
         here[0]["node"], there[0]["node"] = "h:1", "h:2"
         assert "served" not in replay.judge(sorted(BASE + here + [kill], key=lambda r: r["at"]))
-        self.complains("served", [*there, kill])
-        self.complains("served", [*there, {**kill, "duty": True}])
-        self.complains(
+        self.assert_complaint("served", [*there, kill])
+        self.assert_complaint("served", [*there, {**kill, "duty": True}])
+        self.assert_complaint(
             "served",
             [
                 *here,
                 kill,
-                dict(at=20 * S - 4, kind="mend", what="start", target="n1"),
-                *[{**r, "at": r["at"] + 10 * S, "exchange": "x2"} for r in here],
+                dict(at=20 * SECOND - 4, kind="mend", what="start", target="n1"),
+                *[{**r, "at": r["at"] + 10 * SECOND, "exchange": "x2"} for r in here],
             ],
         )
 
     def test_answered(self) -> None:
-        row = dict(at=20 * S, kind="rude", how="bad head", host="h:1", status="", text="")
-        self.complains("answered", [row])
+        row = dict(at=20 * SECOND, kind="rude", how="bad head", host="h:1", status="", text="")
+        self.assert_complaint("answered", [row])
 
     def test_back(self) -> None:
-        rows = [dict(at=20 * S, kind="fault", what="kill", target="n1", large=True), dict(at=60 * S, kind="ended")]
-        self.complains("back", rows + good("x1", at=33 * S)[:1])
-        wanted = dict(at=20 * S, kind="wanted", probe=1, who="boss")
-        self.complains("back", [wanted, dict(at=60 * S, kind="read", stamp=2, blueprint=DOC)])
+        rows = [
+            dict(at=20 * SECOND, kind="fault", what="kill", target="n1", large=True),
+            dict(at=60 * SECOND, kind="ended"),
+        ]
+        self.assert_complaint("back", rows + good("x1", at=33 * SECOND)[:1])
+        wanted = dict(at=20 * SECOND, kind="wanted", probe=1, who="boss")
+        self.assert_complaint("back", [wanted, dict(at=60 * SECOND, kind="read", stamp=2, blueprint=DOC)])
 
     def test_damaged_and_cut_logs(self) -> None:
         line = json.dumps(BASE[0])
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -9,7 +9,7 @@
 from iriswheel.transport import message
 from simulation import event_log, host_model, inference_engine, platform_names, process_model, world
 
-MS, S = units.MILLISECOND_US, units.SECOND_US
+MILLISECOND, SECOND = units.MILLISECOND_US, units.SECOND_US
 
 
 class Flow:
@@ -43,24 +43,29 @@
         self.tape = event_log.EventLog()
         process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
         self.worker = workers.Worker(
-            process.runtime(), "w1", "desk", self.tape, inference_engine.EngineParameters(enter_us=0), idle_us=700 * MS
+            process.runtime(),
+            "w1",
+            "desk",
+            self.tape,
+            inference_engine.EngineParameters(enter_us=0),
+            idle_us=700 * MILLISECOND,
         )
         self.worker.close_share = 0
         self.worker.silent_drop = True
         process.reactor.listenTCP(8080, self.worker)
         near = process_model.SimulatedProcess(self.world, "n1", host_model.Host(self.world, "10.0.2.1", "a"))
-        self.lines = worker_connections.ConnectionPool(near.runtime())
+        self.connections = worker_connections.ConnectionPool(near.runtime())
         self.at = message.Worker(self.worker.id, "10.0.3.1", 8080, "desk", "ready", 0)
 
     def go(self, ms: int) -> None:
-        self.world.run(self.world.time + ms * MS)
+        self.world.run(self.world.time + ms * MILLISECOND)
 
     def send(self) -> str:
         flow = Flow()
 
         async def one() -> None:
-            line = await self.lines.get(self.at, 2 * S)
-            line.start(
+            connection = await self.connections.get(self.at, 2 * SECOND)
+            connection.start(
                 f"POST /x/ HTTP/1.1\r\nHost: h\r\n{platform_names.HEADERS['attempt']}: a{self.world.time}\r\n"
                 f"{platform_names.HEADERS['tokens']}: 1,9\r\nContent-Length: 0\r\n\r\n".encode(),
                 flow,
@@ -75,11 +80,11 @@
         return sum(r["kind"] == "opened" for r in self.tape.rows)
 
     def test_one_lost_send_teaches_how_long_a_connection_may_be_idle(self) -> None:
-        got = [self.send()]
+        ends = [self.send()]
         for _ in range(4):
             self.go(1000)
-            got.append(self.send())
-        assert got == ["whole", "lost", "whole", "whole", "whole"]
+            ends.append(self.send())
+        assert ends == ["whole", "lost", "whole", "whole", "whole"]
 
     def test_connections_used_sooner_are_kept(self) -> None:
         self.send()
@@ -96,7 +101,7 @@
         self.go(1000)
         self.send()
         self.worker.silent_drop, self.worker.idle_us = False, 0
-        self.go(worker_connections.IDLE_LIMIT_VALIDITY_US // MS + 1000)
+        self.go(worker_connections.IDLE_LIMIT_VALIDITY_US // MILLISECOND + 1000)
         self.send()
         before = self.opened()
         self.go(1000)
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -19,5 +19,7 @@
     def test_a_timer_is_due_by_the_clock_since_boot(self) -> None:
         # By the time of day, the timer would be due some 1.7e9 s after the clock since boot, and would
         # wait for as long as that clock is set back.
-        p = subprocess.run([sys.executable, "-c", SCRIPT], capture_output=True, text=True, timeout=60, check=False)
-        assert (p.stdout.strip(), p.stderr.strip()) == ("5.0", "")
+        process = subprocess.run(
+            [sys.executable, "-c", SCRIPT], capture_output=True, text=True, timeout=60, check=False
+        )
+        assert (process.stdout.strip(), process.stderr.strip()) == ("5.0", "")
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Blueprint items, the slices of nodes, and a node's look-up of routes."""
+"""Configuration items, the slices of nodes, and a node's look-up of routes."""
 
 import random
 import types
@@ -14,8 +14,8 @@
 from iriswheel.runtime import options, scheduler
 
 
-def a_follower() -> follower.Follower:
-    """A follower whose node only counts news."""
+def make_follower() -> follower.Follower:
+    """A follower whose node only counts updates."""
     runtime = scheduler.Runtime(task.Clock(), now=lambda: 0, seed=1)
     return follower.Follower(types.SimpleNamespace(runtime=runtime, on_update=lambda: None), options.Options("node"))
 
@@ -86,7 +86,7 @@
     def test_find_agrees_with_a_look_at_all_routes(self) -> None:
         rng = random.Random(7)
         part = lambda: "/" + "/".join(rng.choices(["a", "b", "ab"], k=rng.randrange(4))) + rng.choice(["", "/"])  # noqa: E731
-        follower, items = a_follower(), {}
+        follower, items = make_follower(), {}
         for n in range(1, 200):
             change = {}
             for _ in range(rng.randrange(3)):
@@ -95,21 +95,21 @@
                     [None, {"path": path, "pool": "p", "host": host, "urgency": rng.randrange(9)}]
                 )
             items = {k: v for k, v in {**items, **change}.items() if v is not None}
-            whole = rng.random() < 0.1 or n == 1
-            follower.apply_items(n, items if whole else change, whole)
+            is_snapshot = rng.random() < 0.1 or n == 1
+            follower.apply_items(n, items if is_snapshot else change, is_snapshot)
             assert {k[7:]: configuration.Route.from_dict(v) for k, v in items.items()} == follower.routes
             for _ in range(20):
                 host, path = rng.choice(["x", "z"]), part()
                 assert longest(follower.routes, host, path) == follower.find(host, path), (host, path)
 
     def test_host_by_any_case_and_port(self) -> None:
-        follower = a_follower()
+        follower = make_follower()
         follower.apply_items(1, {"routes/r": {"path": "/", "pool": "p", "host": "Desk.example"}}, True)
         assert follower.find("desk.EXAMPLE:8080", "/x").pool == "p"
         assert follower.find("other", "/x") is None
 
     def test_only_what_changed_is_parsed(self) -> None:
-        follower = a_follower()
+        follower = make_follower()
         items = {f"routes/r{k}": {"path": f"/{k}", "pool": "p"} for k in range(50)}
         follower.apply_items(1, items, True)
         had = dict(follower.routes)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -82,12 +82,12 @@
     self: follower.Follower,
     index: int,
     items: follower.ItemUpdate,
-    whole: bool,
+    is_snapshot: bool,
     apply_items: Callable[..., None] = follower.Follower.apply_items,
 ) -> None:
     """Says that it has applied everything, and goes by the first that it got."""
     if self.items is None or not self.items:
-        apply_items(self, index, items, whole)
+        apply_items(self, index, items, is_snapshot)
     else:
         self.applied_index = max(self.applied_index, index)
 
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -14,7 +14,7 @@
 from iriswheel.transport import message
 from simulation import addresses, disk_model, host_model, process_model, world
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 VOTERS = [message.Voter(i, f"10.0.1.{k}", addresses.PEER_PORT, "a") for k, i in enumerate("abc", 1)]
 
 
@@ -26,8 +26,8 @@
         self.world = world.World(1)
         self.host = host_model.Host(self.world, "10.0.1.2", "a")
         self.start()
-        self.wait(self.consensus.adopt(self.epoch(1)))
-        self.world.run(self.world.time + 2 * S)  # a restarted voter waits one lease before it promises
+        self.wait(self.consensus.adopt(self.make_view(1)))
+        self.world.run(self.world.time + 2 * SECOND)  # a restarted voter waits one lease before it promises
 
     def start(self) -> None:
         self.process = process_model.SimulatedProcess(self.world, "b", self.host)
@@ -41,13 +41,13 @@
             runtime, guard, record, VOTERS[1], seeds=[], peers=None, on_view=self.installed.append
         )
 
-    def epoch(self, number: int, order: str = "abc") -> message.View:
-        boots = {"b": self.consensus.runtime.incarnation}
-        return message.View(number, VOTERS, [message.ChainReplica(i, boots.get(i, "x")) for i in order])
+    def make_view(self, number: int, order: str = "abc") -> message.View:
+        incarnations = {"b": self.consensus.runtime.incarnation}
+        return message.View(number, VOTERS, [message.ChainReplica(i, incarnations.get(i, "x")) for i in order])
 
     def wait(self, coroutine: Coroutine[Any, Any, Any]) -> message.Accepted | message.Promise | None:
         done = defer.ensureDeferred(coroutine)
-        self.world.run(self.world.time + S)
+        self.world.run(self.world.time + SECOND)
         assert done.called
         return done.result
 
@@ -62,7 +62,7 @@
     def test_an_acceptance_that_the_disk_refuses_is_not_acknowledged(self) -> None:
         assert self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a"))).ok
         self.host.disk = "full"
-        answer = self.wait(self.consensus.answer(message.Accept((5, "a"), self.epoch(2, "ab"), "a")))
+        answer = self.wait(self.consensus.answer(message.Accept((5, "a"), self.make_view(2, "ab"), "a")))
         assert not answer.ok
         self.host.disk = "ok"
         promise = self.wait(self.consensus.answer(message.Prepare(2, (6, "c"), "c")))
@@ -73,9 +73,9 @@
         self.host.disk = "full"
         assert not self.wait(self.consensus.answer(message.Prepare(2, (9, "c"), "c"))).ok
         self.host.disk = "ok"
-        assert self.wait(self.consensus.answer(message.Accept((5, "a"), self.epoch(2, "ab"), "a"))).ok
+        assert self.wait(self.consensus.answer(message.Accept((5, "a"), self.make_view(2, "ab"), "a"))).ok
         self.start()
-        self.world.run(self.world.time + 2 * S)
+        self.world.run(self.world.time + 2 * SECOND)
         assert not self.wait(self.consensus.answer(message.Prepare(2, (4, "c"), "c"))).ok
         promise = self.wait(self.consensus.answer(message.Prepare(2, (6, "c"), "c")))
         assert (promise.accepted[0], "".join(x.id for x in promise.accepted[1].chain)) == ((5, "a"), "ab")
@@ -84,16 +84,16 @@
         self.host.disk = "full"
         done = defer.ensureDeferred(self.consensus.mark_synced(1))
         done.addErrback(lambda f: f.trap(storage.DiskError))
-        self.world.run(self.world.time + S)
+        self.world.run(self.world.time + SECOND)
         assert (done.called, self.consensus.record.synced_view) == (True, 0)
 
     def test_a_head_whose_disk_refused_the_view_leads_once_the_disk_works(self) -> None:
         self.host.disk = "full"
-        self.wait(self.consensus.adopt(self.epoch(2, "bac")))
+        self.wait(self.consensus.adopt(self.make_view(2, "bac")))
         assert (self.consensus.view.number, self.consensus.record.synced_view) == (2, 0)
         self.host.disk = "ok"
         installed = len(self.installed)
-        self.world.run(self.world.time + S)
+        self.world.run(self.world.time + SECOND)
         assert self.consensus.record.synced_view == 2
         assert len(self.installed) == installed + 1  # so that the chain starts
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""One node's forwarder between a client and stand-in workers: what it makes of each trouble."""
+"""One node's forwarder between a client and stand-in workers: what it makes of each fault."""
 
 import simulation.clients.connection as client_connection
 import simulation.workers.worker as workers
@@ -7,15 +7,15 @@
 from simulation import host_model, inference_engine, platform_names, process_model
 from tests import node_fixture
 
-S = units.SECOND_US
-H = platform_names.HEADERS
+SECOND = units.SECOND_US
+HEADERS = platform_names.HEADERS
 
 
 class TestForwarding(node_fixture.NodeFixture):
     def worker(self, **faults: float) -> workers.Worker:
         k = len(self.workers) + 1
         process = process_model.SimulatedProcess(self.world, f"w{k}", host_model.Host(self.world, f"10.0.3.{k}", "a"))
-        w = workers.Worker(
+        worker = workers.Worker(
             process.runtime(),
             f"w{k}",
             "desk",
@@ -23,31 +23,31 @@
             inference_engine.EngineParameters(enter_us=0),
             connection_limit=50,
         )
-        w.process, w.faults, w.closes, w.lingers = process, faults, 0, 0
-        process.reactor.listenTCP(80, w)
-        self.workers.append(w)
-        self.follower.workers.append(message.Worker(w.id, f"10.0.3.{k}", 80, "desk", "ready", 0))
+        worker.process, worker.faults, worker.close_share, worker.linger_share = process, faults, 0, 0
+        process.reactor.listenTCP(80, worker)
+        self.workers.append(worker)
+        self.follower.workers.append(message.Worker(worker.id, f"10.0.3.{k}", 80, "desk", "ready", 0))
         self.follower.states = {w.id: w for w in self.follower.workers}
-        return w
+        return worker
 
     def query(self, events: int = 40) -> tuple[client_connection.PendingAnswer, client_connection.ClientConnection]:
         """Send a request for a stream; the client's connection and what comes of it."""
         call, got = client_connection.PendingAnswer(lambda _call: None), []
-        client_connection.connect(self.near.runtime(), "10.0.2.1", 80, S).addCallback(got.append)
+        client_connection.connect(self.near.runtime(), "10.0.2.1", 80, SECOND).addCallback(got.append)
         self.go(10)
         head = {
             "Host": "h.example",
             "Content-Length": 2,
-            H["attempt"]: "a1",
-            H["tokens"]: f"10,{4 * events}",
-            H["parts"]: "aa:10",
-            H["left"]: 5000,
+            HEADERS["attempt"]: "a1",
+            HEADERS["tokens"]: f"10,{4 * events}",
+            HEADERS["parts"]: "aa:10",
+            HEADERS["left"]: 5000,
         }
         lines = "".join(f"{k}: {v}\r\n" for k, v in head.items())
         got[0].start(call, f"POST /x/ HTTP/1.1\r\n{lines}\r\nhi".encode())
         return call, got[0]
 
-    def elected(self) -> workers.Worker:
+    def selected_worker(self) -> workers.Worker:
         """The worker that runs the latest request."""
         return next(w for w in self.workers if w.name == self.runs()[-1])
 
@@ -59,7 +59,7 @@
             self.worker()
         call, _ = self.query()
         self.go(60)
-        self.elected().process.kill()
+        self.selected_worker().process.kill()
         self.go(1000)
         assert ("whole", list(range(1, 42))) == (call.outcome, [e[0] for e in call.events])
         assert self.forwarder.counts["resumed"] == 1
@@ -87,11 +87,11 @@
     def test_a_client_that_reads_slowly_counts_against_no_worker(self) -> None:
         for _ in range(2):
             self.worker().parameters.step_us = 100
-        call, line = self.query(events=4000)
+        call, connection = self.query(events=4000)
         self.go(60)
-        line.transport.pauseProducing()
+        connection.transport.pauseProducing()
         self.go(2500)
-        line.transport.resumeProducing()
+        connection.transport.resumeProducing()
         self.go(2000)
         assert (self.forwarder.counts["mute"], len(self.runs()), call.outcome) == (0, 1, "whole")
-        assert self.forwarder.placement_of("desk").own_suspicion(self.elected().id, self.world.time) == 0
+        assert self.forwarder.placement_of("desk").own_suspicion(self.selected_worker().id, self.world.time) == 0
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -29,7 +29,7 @@
 from iriswheel.transport import http_server, message, wire
 from simulation import platform_names
 
-H = platform_names.HEADERS
+HEADERS = platform_names.HEADERS
 QUICK = hypothesis.settings(derandomize=True, database=None, deadline=None, max_examples=150)
 SCALARS = strategies.one_of(
     strategies.none(),
@@ -99,7 +99,7 @@
             if not transport.aborted:
                 connection.dataReceived(raw[start:end])
         assert all(isinstance(msg, message.Message) for msg in self.got), self.got
-        assert [line for line in self.broken if "speaks version" not in line] == []
+        assert [connection for connection in self.broken if "speaks version" not in connection] == []
         return transport
 
     @QUICK
@@ -317,13 +317,13 @@
     def test_deep_and_great_values(self) -> None:
         for depth in (50, 300, *range(880, 1000, 3), 100_000):
             for text in ("[" * depth + "]" * depth, '{"a":' * depth + "1" + "}" * depth):
-                whole = f'{{"version":1,"channels":[],"plants":[],"else":{text}}}'
-                self.call("PUT", "/configuration", whole.encode())
+                document = f'{{"version":1,"channels":[],"plants":[],"else":{text}}}'
+                self.call("PUT", "/configuration", document.encode())
                 change = f'{{"number":1,"built_on":0,"upsert":{{"pools":{{"p":{{"label":{{"a":{text}}}}}}}}}}}'
                 self.call("POST", "/changes", change.encode())
         for text in ("NaN", "1e999", "9" * 30, "9" * 5000, '"\\ud800"'):
-            whole = f'{{"version":1,"channels":[],"plants":[],"else":{text}}}'
-            assert self.call("PUT", "/configuration", whole.encode()) == 400, text
+            document = f'{{"version":1,"channels":[],"plants":[],"else":{text}}}'
+            assert self.call("PUT", "/configuration", document.encode()) == 400, text
 
     def test_each_odd_value_in_each_field(self) -> None:
         channel = {"name": "r", "path_prefix": "/a/", "mode": "streaming", "cutoff_ms": 5, "plant": "p"}
@@ -456,7 +456,7 @@
 def complete_answer(attempt: str, status: int, chunked: bool, size: int, bare: bool) -> bytes:
     """A whole answer whose body names its attempt over and over."""
     body = f"<{attempt}>".encode() * size
-    head = "" if bare else f"{H['attempt']}: {attempt}\r\n{H['seal']}: s\r\n"
+    head = "" if bare else f"{HEADERS['attempt']}: {attempt}\r\n{HEADERS['seal']}: s\r\n"
     if chunked:
         pieces = b"%x\r\n%s\r\n" % (len(body), body) if body else b""
         return f"HTTP/1.1 {status} S\r\n{head}Transfer-Encoding: chunked\r\n\r\n".encode() + pieces + b"0\r\n\r\n"
@@ -486,7 +486,7 @@
         self.ends = []
 
     def owns(self, _status: int, low: dict[str, str], _used: int) -> bool | None:
-        got = low.get(H["attempt"].lower())
+        got = low.get(HEADERS["attempt"].lower())
         return None if got is None else got == self.attempt
 
     def head_received(self, _status: int, _headers: list[tuple[bytes, bytes]], low: dict[str, str]) -> None:
@@ -512,23 +512,23 @@
     )
     def test_answers_of_others(self, turns: list[list[bytes]], step: int) -> None:
         _, runtime = new_runtime()
-        line = worker_connections.WorkerConnection(runtime, "w1")
+        connection = worker_connections.WorkerConnection(runtime, "w1")
         transport = Transport()
-        line.makeConnection(transport)
+        connection.makeConnection(transport)
         flows = []
         for attempt, pieces in zip(ATTEMPTS, turns, strict=False):
-            if line.must_close or line.receiver is not None:
+            if connection.must_close or connection.receiver is not None:
                 break
             flows.append(RecordingFlow(attempt))
-            line.start(b"", flows[-1])
+            connection.start(b"", flows[-1])
             raw = b"".join(pieces)
             for start in range(0, len(raw), step):
                 if not transport.aborted:
-                    line.dataReceived(raw[start : start + step])
-        line.connectionLost()
+                    connection.dataReceived(raw[start : start + step])
+        connection.connectionLost()
         for flow in flows:
             assert len(flow.ends) == 1, flow.ends
             if flow.low is not None:
-                assert flow.low[H["attempt"].lower()] == flow.attempt
+                assert flow.low[HEADERS["attempt"].lower()] == flow.attempt
             if "whole" in flow.ends:
                 assert ({flow.attempt.encode()} if flow.body else set()) == set(re.findall(rb"<(a\d)>", flow.body))
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -7,11 +7,11 @@
 from simulation import platform_names, platform_rules
 from simulation.rules import earned_value
 
-MS, S = units.MILLISECOND_US, units.SECOND_US
+MILLISECOND, SECOND = units.MILLISECOND_US, units.SECOND_US
 ROUTE, CONFIGURATION = platform_names.ROUTE, platform_names.CONFIGURATION
 
 
-def doc(version: int, *routes: tuple[str, str]) -> dict[str, Any]:
+def make_document(version: int, *routes: tuple[str, str]) -> dict[str, Any]:
     """A configuration; routes are (path, service)."""
     return {
         CONFIGURATION["version"]: version,
@@ -23,10 +23,10 @@
     }
 
 
-def one(
+def request_rows(
     name: str = "a1",
     *,
-    at: int = 20 * S,
+    at: int = 20 * SECOND,
     repeat: bool = False,
     node: str = "n1",
     worker: str = "i-1",
@@ -37,7 +37,7 @@
 ) -> list[dict[str, Any]]:
     """The rows of one request that went well."""
     seal = f"seal-{name}"
-    events = [[k, seal, at + k * 10 * MS + 5 * MS, k == 3, name] for k in (1, 2, 3)]
+    events = [[k, seal, at + k * 10 * MILLISECOND + 5 * MILLISECOND, k == 3, name] for k in (1, 2, 3)]
     row = dict(
         attempt=name,
         request=f"r-{name}",
@@ -52,7 +52,7 @@
         node=node,
         zone="a",
         sent=at,
-        until=at + 5 * S,
+        until=at + 5 * SECOND,
         after=0,
         direct=False,
         code=200,
@@ -64,16 +64,16 @@
         events=events if stream else [],
         bad_events=0,
         rest=False,
-        first=at + 15 * MS,
-        pause=10 * MS,
+        first=at + 15 * MILLISECOND,
+        pause=10 * MILLISECOND,
         encoding=None,
-        done=at + 40 * MS,
+        done=at + 40 * MILLISECOND,
         text="",
     )
     row.update(more)
     return [
         dict(
-            at=at + 2 * MS,
+            at=at + 2 * MILLISECOND,
             kind="arrived",
             worker=worker,
             name="w1",
@@ -85,9 +85,18 @@
             body="b1",
             peer="10.0.2.1",
         ),
-        dict(at=at + 5 * MS, kind="run", worker=worker, name="w1", attempt=name, seal=seal, pool=pool, after=None),
         dict(
-            at=at + 35 * MS,
+            at=at + 5 * MILLISECOND,
+            kind="run",
+            worker=worker,
+            name="w1",
+            attempt=name,
+            seal=seal,
+            pool=pool,
+            after=None,
+        ),
+        dict(
+            at=at + 35 * MILLISECOND,
             kind="ran",
             worker=worker,
             name="w1",
@@ -95,7 +104,7 @@
             seal=seal,
             how="ran",
             events=3,
-            times=[at + k * 10 * MS for k in (1, 2, 3)],
+            times=[at + k * 10 * MILLISECOND for k in (1, 2, 3)],
             body="g1",
         ),
         dict(at=row["done"], kind="tried", **row),
@@ -114,25 +123,25 @@
     ]
 
 
-def sent(
+def change_rows(
     at: int,
-    d: dict[str, Any],
+    document: dict[str, Any],
     *,
     base: int = 0,
     who: str = "boss",
     valid: bool = True,
     code: int = 200,
-    after: int = 100 * MS,
+    after: int = 100 * MILLISECOND,
 ) -> list[dict[str, Any]]:
     """The rows of a configuration that was sent and answered."""
-    row = dict(version=d[CONFIGURATION["version"]], base=base, send=f"{who}-{at}")
+    row = dict(version=document[CONFIGURATION["version"]], base=base, send=f"{who}-{at}")
     return [
-        dict(at=at, kind="config_sent", doc=d, valid=valid, **row),
+        dict(at=at, kind="config_sent", doc=document, valid=valid, **row),
         dict(at=at + after, kind="config_answer", code=code, text="", **row),
     ]
 
 
-FIRST = doc(1, ("/a/", "desk"))
+FIRST = make_document(1, ("/a/", "desk"))
 BASE = [
     dict(
         at=0,
@@ -143,9 +152,9 @@
             **{f"c{k}": dict(host=f"10.0.1.{k}", role="core") for k in (1, 2, 3)},
         },
     ),
-    *sent(1, FIRST),
+    *change_rows(1, FIRST),
 ]
-END = [dict(at=60 * S, kind="config_read", code=200, doc=FIRST), dict(at=61 * S, kind="ended")]
+END = [dict(at=60 * SECOND, kind="config_read", code=200, doc=FIRST), dict(at=61 * SECOND, kind="ended")]
 
 
 def inject_fault(name: str, what: str, begin: int, end: int) -> list[dict[str, Any]]:
@@ -156,23 +165,23 @@
     def judged(self, rows: list[dict[str, Any]], end: list[dict[str, Any]] = END) -> dict[str, list[str]]:
         return platform_rules.examine(sorted(copy.deepcopy(BASE + rows + end), key=lambda r: r["at"]))
 
-    def complains(self, rule: str, rows: list[dict[str, Any]], end: list[dict[str, Any]] = END) -> None:
+    def assert_complaint(self, rule: str, rows: list[dict[str, Any]], end: list[dict[str, Any]] = END) -> None:
         assert rule in self.judged(rows, end)
 
-    def content(self, rows: list[dict[str, Any]], end: list[dict[str, Any]] = END) -> None:
+    def assert_no_complaint(self, rows: list[dict[str, Any]], end: list[dict[str, Any]] = END) -> None:
         assert self.judged(rows, end) == {}
 
     def change(self, which: str, **more: int | list[list[int | str]] | str | None) -> list[dict[str, Any]]:
         """The rows of a good request, one of them changed."""
-        rows = one()
+        rows = request_rows()
         rows[["arrived", "run", "ran", "tried", "answered"].index(which)].update(more)
         return rows
 
     def test_a_good_log_has_no_complaint(self) -> None:
-        self.content(one() + one("a2", at=21 * S, stream=False, repeat=True))
+        self.assert_no_complaint(request_rows() + request_rows("a2", at=21 * SECOND, stream=False, repeat=True))
 
     def test_mixed(self) -> None:
-        events = one()[3]["events"]
+        events = request_rows()[3]["events"]
         for more in (
             dict(seal=None),
             dict(seal="seal-other"),
@@ -183,26 +192,26 @@
             dict(events=[[1, "seal-a1", 1, False, "a9"], *events[1:]]),
             dict(events=[[1, "seal-a9", 1, False, "a1"], *events[1:]]),
         ):
-            self.complains("mixed", self.change("tried", **more))
-        self.complains("mixed", one() + one("a2") + [{**one()[3], "seal": "seal-a2"}])
-        short = one(stream=False)
+            self.assert_complaint("mixed", self.change("tried", **more))
+        self.assert_complaint("mixed", request_rows() + request_rows("a2") + [{**request_rows()[3], "seal": "seal-a2"}])
+        short = request_rows(stream=False)
         short[3]["got"] = "g2"
-        self.complains("mixed", short)
-        self.complains("mixed", [dict(at=S, kind="stray", node="n1", client="c1", data="x")])
+        self.assert_complaint("mixed", short)
+        self.assert_complaint("mixed", [dict(at=SECOND, kind="stray", node="n1", client="c1", data="x")])
         broken = self.change("tried", how="garbage", code=0)
         broken[2]["how"] = "garble"
-        self.content(broken)
+        self.assert_no_complaint(broken)
 
     def test_unasked(self) -> None:
-        self.complains("unasked", self.change("arrived", attempt="a9"))
+        self.assert_complaint("unasked", self.change("arrived", attempt="a9"))
         for more in (dict(method="GET"), dict(url="/a/2"), dict(body="b2")):
-            self.complains("unasked", self.change("arrived", **more))
-        self.complains("unasked", [*one(), dict(at=S, kind="bad_request", worker="i-1")])
+            self.assert_complaint("unasked", self.change("arrived", **more))
+        self.assert_complaint("unasked", [*request_rows(), dict(at=SECOND, kind="bad_request", worker="i-1")])
 
     def test_twice(self) -> None:
         again = [
             dict(
-                at=20 * S + 9 * MS,
+                at=20 * SECOND + 9 * MILLISECOND,
                 kind="run",
                 worker="i-2",
                 name="w2",
@@ -212,181 +221,219 @@
                 after=None,
             )
         ]
-        self.complains("twice", one() + again)
-        self.content(one(repeat=True) + again)
+        self.assert_complaint("twice", request_rows() + again)
+        self.assert_no_complaint(request_rows(repeat=True) + again)
 
     def test_refused(self) -> None:
         for code in (408, 421, 429, 503):
-            self.complains("refused", self.change("tried", code=code))
-        self.content([{**r, "code": 503} if r["kind"] == "tried" else r for r in one(repeat=True)])
+            self.assert_complaint("refused", self.change("tried", code=code))
+        self.assert_no_complaint([{**r, "code": 503} if r["kind"] == "tried" else r for r in request_rows(repeat=True)])
 
     def test_denied(self) -> None:
         def denials(n: int, **more: int) -> list[dict[str, Any]]:
             return [
                 r
                 for k in range(n)
-                for r in one(f"a{k}", at=20 * S + k, **{"code": 400, **more})
+                for r in request_rows(f"a{k}", at=20 * SECOND + k, **{"code": 400, **more})
                 if r["kind"] == "tried"
             ]
 
-        self.content(denials(5))
-        self.complains("denied", denials(6))
-        self.content(denials(6, code=429))
-        self.content(denials(6, direct=True))
-        self.content(denials(6) + inject_fault("n1", "kill", 18 * S, 19 * S))
+        self.assert_no_complaint(denials(5))
+        self.assert_complaint("denied", denials(6))
+        self.assert_no_complaint(denials(6, code=429))
+        self.assert_no_complaint(denials(6, direct=True))
+        self.assert_no_complaint(denials(6) + inject_fault("n1", "kill", 18 * SECOND, 19 * SECOND))
 
     def test_a_fault_goes_on_when_another_one_of_the_same_machine_ends(self) -> None:
-        denials = [r for k in range(6) for r in one(f"a{k}", at=20 * S + k, code=400) if r["kind"] == "tried"]
-        cut = [{**r, "what": "cut"} for r in inject_fault("n1", "cut", 10 * S, 40 * S)]
-        reset = [{**r, "what": "reset"} for r in inject_fault("n1", "reset", 12 * S, 12 * S)]
-        self.content(denials + cut + reset)
-        self.content(denials + cut + inject_fault("n1", "kill", 11 * S, 12 * S))
-        self.complains("denied", denials + reset)
+        denials = [
+            r for k in range(6) for r in request_rows(f"a{k}", at=20 * SECOND + k, code=400) if r["kind"] == "tried"
+        ]
+        cut = [{**r, "what": "cut"} for r in inject_fault("n1", "cut", 10 * SECOND, 40 * SECOND)]
+        reset = [{**r, "what": "reset"} for r in inject_fault("n1", "reset", 12 * SECOND, 12 * SECOND)]
+        self.assert_no_complaint(denials + cut + reset)
+        self.assert_no_complaint(denials + cut + inject_fault("n1", "kill", 11 * SECOND, 12 * SECOND))
+        self.assert_complaint("denied", denials + reset)
 
     def test_an_acknowledgement_that_is_lost_on_its_way_counts_for_the_core(self) -> None:
-        second = doc(2, ("/a/", "desk"))
-        late = sent(10 * S, second, base=1, after=9 * S)
-        lost = dict(at=11 * S, kind="acknowledgement_lost", send=late[0]["send"])
-        end = [dict(at=60 * S, kind="config_read", code=200, doc=second), dict(at=61 * S, kind="ended")]
-        self.complains("acks", late, end)
-        self.content([*late, lost], end)
+        second = make_document(2, ("/a/", "desk"))
+        late = change_rows(10 * SECOND, second, base=1, after=9 * SECOND)
+        lost = dict(at=11 * SECOND, kind="acknowledgement_lost", send=late[0]["send"])
+        end = [dict(at=60 * SECOND, kind="config_read", code=200, doc=second), dict(at=61 * SECOND, kind="ended")]
+        self.assert_complaint("acks", late, end)
+        self.assert_no_complaint([*late, lost], end)
 
     def test_route(self) -> None:
-        self.complains("route", one(pool="other"))
-        self.complains("route", one(url="/b/1"))
-        self.content(one(pool="other") + sent(5 * S, doc(3, ("/a/", "other")), base=1, code=0))
+        self.assert_complaint("route", request_rows(pool="other"))
+        self.assert_complaint("route", request_rows(url="/b/1"))
+        self.assert_no_complaint(
+            request_rows(pool="other") + change_rows(5 * SECOND, make_document(3, ("/a/", "other")), base=1, code=0)
+        )
 
     def test_drain(self) -> None:
         for state in ("draining", "gone"):
-            listed = [dict(at=15 * S, kind="listed", worker="i-1", state=state, pool="desk", seen=16 * S)]
-            self.complains("drain", one(at=20 * S) + listed)
-            self.content(one(at=18 * S) + listed)
-            self.content(one(at=20 * S) + listed + inject_fault("n1", "freeze", 17 * S, 18 * S))
-            self.content(self.change("arrived", verdict=421)[:1] + listed)
+            listed = [dict(at=15 * SECOND, kind="listed", worker="i-1", state=state, pool="desk", seen=16 * SECOND)]
+            self.assert_complaint("drain", request_rows(at=20 * SECOND) + listed)
+            self.assert_no_complaint(request_rows(at=18 * SECOND) + listed)
+            self.assert_no_complaint(
+                request_rows(at=20 * SECOND) + listed + inject_fault("n1", "freeze", 17 * SECOND, 18 * SECOND)
+            )
+            self.assert_no_complaint(self.change("arrived", verdict=421)[:1] + listed)
 
     def test_lost(self) -> None:
-        cut = one(how="closed", done=20 * S + 30 * MS)
-        term = [dict(at=19 * S, kind="term", name="n1"), *inject_fault("n1", "term", 19 * S, 27 * S)]
-        self.complains("lost", cut + term)
-        self.content(one() + term)
-        self.content(cut)
-        self.content([*cut, term[0], *inject_fault("n1", "cut", 18 * S, 21 * S)])
-        broke = one(how="closed", done=20 * S + 30 * MS)
+        cut = request_rows(how="closed", done=20 * SECOND + 30 * MILLISECOND)
+        term = [dict(at=19 * SECOND, kind="term", name="n1"), *inject_fault("n1", "term", 19 * SECOND, 27 * SECOND)]
+        self.assert_complaint("lost", cut + term)
+        self.assert_no_complaint(request_rows() + term)
+        self.assert_no_complaint(cut)
+        self.assert_no_complaint([*cut, term[0], *inject_fault("n1", "cut", 18 * SECOND, 21 * SECOND)])
+        broke = request_rows(how="closed", done=20 * SECOND + 30 * MILLISECOND)
         broke[2]["how"] = "broke"
-        self.content(broke + term)
-        self.content([{**r, "until": r["sent"]} if r["kind"] == "tried" else r for r in cut] + term)
+        self.assert_no_complaint(broke + term)
+        self.assert_no_complaint([{**r, "until": r["sent"]} if r["kind"] == "tried" else r for r in cut] + term)
         unsent = [{**r, "code": 0, "seal": None, "events": []} for r in cut if r["kind"] == "tried"]
-        self.content(unsent + term)
-        self.complains("lost", [{**unsent[0], "done": 20 * S + 300 * MS}, *term])
+        self.assert_no_complaint(unsent + term)
+        self.assert_complaint("lost", [{**unsent[0], "done": 20 * SECOND + 300 * MILLISECOND}, *term])
 
     def test_config_is_handled_late(self) -> None:
-        moved = sent(10 * S, doc(3, ("/a/", "other")), base=1)
-        end = [{**END[0], "doc": doc(3, ("/a/", "other"))}, END[1]]
-        self.complains("config", one(at=13 * S) + moved, end)
-        self.content(one(at=11 * S) + moved, end)
-        self.content(one(at=13 * S) + moved + inject_fault("n1", "cut", 9 * S, 11 * S), end)
-        self.content(one(at=13 * S, pool="other") + moved, end)
-        gone = sent(10 * S, doc(3, ("/b/", "desk")), base=1)
-        end = [{**END[0], "doc": doc(3, ("/b/", "desk"))}, END[1]]
-        self.complains("config", one(at=13 * S) + gone, end)
-        absent = one(at=13 * S, url="/b/1", code=404, seal=None, events=[])[3:4]
-        self.complains("config", absent + gone, end)
+        moved = change_rows(10 * SECOND, make_document(3, ("/a/", "other")), base=1)
+        end = [{**END[0], "doc": make_document(3, ("/a/", "other"))}, END[1]]
+        self.assert_complaint("config", request_rows(at=13 * SECOND) + moved, end)
+        self.assert_no_complaint(request_rows(at=11 * SECOND) + moved, end)
+        self.assert_no_complaint(
+            request_rows(at=13 * SECOND) + moved + inject_fault("n1", "cut", 9 * SECOND, 11 * SECOND), end
+        )
+        self.assert_no_complaint(request_rows(at=13 * SECOND, pool="other") + moved, end)
+        gone = change_rows(10 * SECOND, make_document(3, ("/b/", "desk")), base=1)
+        end = [{**END[0], "doc": make_document(3, ("/b/", "desk"))}, END[1]]
+        self.assert_complaint("config", request_rows(at=13 * SECOND) + gone, end)
+        absent = request_rows(at=13 * SECOND, url="/b/1", code=404, seal=None, events=[])[3:4]
+        self.assert_complaint("config", absent + gone, end)
 
     def test_config_goes_back(self) -> None:
-        moved = sent(10 * S, doc(3, ("/a/", "other")), base=1)
-        end = [{**END[0], "doc": doc(3, ("/a/", "other"))}, END[1]]
-        new = one("a1", at=10 * S + 500 * MS, pool="other")
-        self.complains("config", new + one("a2", at=11 * S) + moved, end)
-        self.content(new + one("a2", at=11 * S, node="n2") + moved, end)
-        self.content(new + one("a2", at=10 * S + 600 * MS) + moved, end)
-        self.content(
-            new + one("a2", at=11 * S) + moved + inject_fault("n1", "kill", 10 * S + 600 * MS, 10 * S + 900 * MS), end
+        moved = change_rows(10 * SECOND, make_document(3, ("/a/", "other")), base=1)
+        end = [{**END[0], "doc": make_document(3, ("/a/", "other"))}, END[1]]
+        new = request_rows("a1", at=10 * SECOND + 500 * MILLISECOND, pool="other")
+        self.assert_complaint("config", new + request_rows("a2", at=11 * SECOND) + moved, end)
+        self.assert_no_complaint(new + request_rows("a2", at=11 * SECOND, node="n2") + moved, end)
+        self.assert_no_complaint(new + request_rows("a2", at=10 * SECOND + 600 * MILLISECOND) + moved, end)
+        self.assert_no_complaint(
+            new
+            + request_rows("a2", at=11 * SECOND)
+            + moved
+            + inject_fault("n1", "kill", 10 * SECOND + 600 * MILLISECOND, 10 * SECOND + 900 * MILLISECOND),
+            end,
         )
 
     def test_config_that_must_not_be_in_force(self) -> None:
-        self.complains("config", one(pool="other") + sent(10 * S, doc(3, ("/a/", "other")), base=1, code=412))
-        self.complains(
-            "config", one(pool="other") + sent(10 * S, doc(3, ("/a/", "other")), base=1, code=0, valid=False)
+        self.assert_complaint(
+            "config",
+            request_rows(pool="other") + change_rows(10 * SECOND, make_document(3, ("/a/", "other")), base=1, code=412),
+        )
+        self.assert_complaint(
+            "config",
+            request_rows(pool="other")
+            + change_rows(10 * SECOND, make_document(3, ("/a/", "other")), base=1, code=0, valid=False),
+        )
+        self.assert_no_complaint(
+            request_rows(pool="other") + change_rows(10 * SECOND, make_document(3, ("/a/", "other")), base=1, code=0)
         )
-        self.content(one(pool="other") + sent(10 * S, doc(3, ("/a/", "other")), base=1, code=0))
 
     def test_config_acknowledged_wrongly(self) -> None:
-        third = doc(3, ("/a/", "desk"), ("/b/", "desk"))
+        third = make_document(3, ("/a/", "desk"), ("/b/", "desk"))
         end = [{**END[0], "doc": third}, END[1]]
-        self.content(sent(10 * S, third, base=1), end)
-        self.complains("config", sent(10 * S, third, base=1, valid=False), end)
-        race = sent(10 * S, third, base=1) + sent(10 * S, doc(3, ("/a/", "desk"), ("/c/", "desk")), base=1, who="other")
-        self.complains("config", race, end)
-        self.content(sent(10 * S, third, base=1) + sent(10 * S, third, base=1, who="other"), end)
+        self.assert_no_complaint(change_rows(10 * SECOND, third, base=1), end)
+        self.assert_complaint("config", change_rows(10 * SECOND, third, base=1, valid=False), end)
+        race = change_rows(10 * SECOND, third, base=1) + change_rows(
+            10 * SECOND, make_document(3, ("/a/", "desk"), ("/c/", "desk")), base=1, who="other"
+        )
+        self.assert_complaint("config", race, end)
+        self.assert_no_complaint(
+            change_rows(10 * SECOND, third, base=1) + change_rows(10 * SECOND, third, base=1, who="other"), end
+        )
 
     def test_config_is_read_back(self) -> None:
-        third = doc(3, ("/a/", "desk"), ("/b/", "desk"))
-        rows = sent(10 * S, third, base=1)
-        self.complains("config", rows, END)
-        self.complains("config", rows, [{**END[0], "doc": None}, END[1]])
-        self.complains("config", rows, END[1:])
-        self.complains("config", rows, [{**END[0], "doc": doc(3, ("/a/", "desk"))}, END[1]])
+        third = make_document(3, ("/a/", "desk"), ("/b/", "desk"))
+        rows = change_rows(10 * SECOND, third, base=1)
+        self.assert_complaint("config", rows, END)
+        self.assert_complaint("config", rows, [{**END[0], "doc": None}, END[1]])
+        self.assert_complaint("config", rows, END[1:])
+        self.assert_complaint("config", rows, [{**END[0], "doc": make_document(3, ("/a/", "desk"))}, END[1]])
         turned = {**third, CONFIGURATION["routes"]: third[CONFIGURATION["routes"]][::-1]}
-        self.content(rows, [{**END[0], "doc": turned}, END[1]])
+        self.assert_no_complaint(rows, [{**END[0], "doc": turned}, END[1]])
 
     def test_acks(self) -> None:
-        third = doc(3, ("/a/", "desk"), ("/b/", "desk"))
+        third = make_document(3, ("/a/", "desk"), ("/b/", "desk"))
         end = [{**END[0], "doc": third}, END[1]]
-        self.complains("acks", sent(10 * S, third, base=1, after=5 * S), end)
-        self.content(sent(10 * S, third, base=1, after=3 * S), end)
-        self.content(sent(10 * S, third, base=1, after=5 * S) + inject_fault("c1", "kill", 11 * S, 13 * S), end)
-        self.complains("acks", sent(10 * S, third, base=1, code=0, after=30 * S))
+        self.assert_complaint("acks", change_rows(10 * SECOND, third, base=1, after=5 * SECOND), end)
+        self.assert_no_complaint(change_rows(10 * SECOND, third, base=1, after=3 * SECOND), end)
+        self.assert_no_complaint(
+            change_rows(10 * SECOND, third, base=1, after=5 * SECOND)
+            + inject_fault("c1", "kill", 11 * SECOND, 13 * SECOND),
+            end,
+        )
+        self.assert_complaint("acks", change_rows(10 * SECOND, third, base=1, code=0, after=30 * SECOND))
 
     def test_budget(self) -> None:
         def repeats(n: int, requests: int) -> list[dict[str, Any]]:
-            rows = [r for k in range(requests) for r in one(f"a{k}", at=20 * S + k * 10 * MS, repeat=True)]
+            rows = [
+                r
+                for k in range(requests)
+                for r in request_rows(f"a{k}", at=20 * SECOND + k * 10 * MILLISECOND, repeat=True)
+            ]
             for k in range(n):
                 first = rows[5 * (k % requests)]
-                rows.append({**first, "at": first["at"] + 2 * S, "worker": "i-2"})
+                rows.append({**first, "at": first["at"] + 2 * SECOND, "worker": "i-2"})
             return rows
 
-        self.content(repeats(70, 100))
-        self.complains("budget", repeats(75, 100))
+        self.assert_no_complaint(repeats(70, 100))
+        self.assert_complaint("budget", repeats(75, 100))
 
     def test_order(self) -> None:
-        events = one()[3]["events"]
+        events = request_rows()[3]["events"]
         for more in (events[1:], events[:1] + events[2:], events[:2] + events[1:], events[::-1], events[:2]):
-            self.complains("order", self.change("tried", events=more))
-        self.complains("order", self.change("tried", rest=True))
-        self.content(self.change("tried", events=events[:2], how="silent"))
-        again = one("a2", at=21 * S, repeat=True, request="r-a1", after=3, events=[])
-        self.content(one(repeat=True) + again)
-        self.complains("order", again)
+            self.assert_complaint("order", self.change("tried", events=more))
+        self.assert_complaint("order", self.change("tried", rest=True))
+        self.assert_no_complaint(self.change("tried", events=events[:2], how="silent"))
+        again = request_rows("a2", at=21 * SECOND, repeat=True, request="r-a1", after=3, events=[])
+        self.assert_no_complaint(request_rows(repeat=True) + again)
+        self.assert_complaint("order", again)
         joined = [*events[:1], *[[k, "s2", at, last, name] for k, _, at, last, name in events[1:]]]
         run = dict(
-            at=20 * S + 15 * MS, kind="run", worker="i-2", name="w2", attempt="a1", seal="s2", pool="desk", after="1"
+            at=20 * SECOND + 15 * MILLISECOND,
+            kind="run",
+            worker="i-2",
+            name="w2",
+            attempt="a1",
+            seal="s2",
+            pool="desk",
+            after="1",
         )
         for repeat, after, good in ((True, "1", True), (True, "2", False), (True, None, False), (False, "1", False)):
-            rows = [{**r, "events": joined} if r["kind"] == "tried" else r for r in one(repeat=repeat)]
+            rows = [{**r, "events": joined} if r["kind"] == "tried" else r for r in request_rows(repeat=repeat)]
             found = self.judged([*rows, {**run, "after": after}])
             assert ("order" not in found) == good, (repeat, after)
 
     def test_recover(self) -> None:
         def day(ok: bool) -> list[dict[str, Any]]:
-            rows = [r for k in range(8) for r in one(f"a{k}", at=20 * S + k)]
-            late = [r for k in range(8) for r in one(f"b{k}", at=55 * S + k)]
+            rows = [r for k in range(8) for r in request_rows(f"a{k}", at=20 * SECOND + k)]
+            late = [r for k in range(8) for r in request_rows(f"b{k}", at=55 * SECOND + k)]
             return (
                 rows
                 + [{**r, "ok": ok} if r["kind"] == "answered" else r for r in late]
-                + [dict(at=30 * S, kind="closing", back=31 * S)]
+                + [dict(at=30 * SECOND, kind="closing", back=31 * SECOND)]
             )
 
-        self.content(day(True))
-        self.complains("recover", day(False))
+        self.assert_no_complaint(day(True))
+        self.assert_complaint("recover", day(False))
 
     def test_earned_value(self) -> None:
-        kinds = {"phrase": earned_value.RequestValue(400 * MS, 200 * MS, 3.0, 1.0)}
-        rows = one("a1") + one("a2", at=24 * S)
-        slow = one("a3", at=24 * S + 1)
-        slow[3]["events"] = [[k, s, at + S, last, n] for k, s, at, last, n in slow[3]["events"]]
-        held = one("a4", at=24 * S + 2)  # in its aim, but passed on late
-        held[3]["events"] = [[k, s, at + 130 * MS, last, n] for k, s, at, last, n in held[3]["events"]]
-        none = one("a5", at=24 * S + 3)
+        kinds = {"phrase": earned_value.RequestValue(400 * MILLISECOND, 200 * MILLISECOND, 3.0, 1.0)}
+        rows = request_rows("a1") + request_rows("a2", at=24 * SECOND)
+        slow = request_rows("a3", at=24 * SECOND + 1)
+        slow[3]["events"] = [[k, s, at + SECOND, last, n] for k, s, at, last, n in slow[3]["events"]]
+        held = request_rows("a4", at=24 * SECOND + 2)  # in its aim, but passed on late
+        held[3]["events"] = [[k, s, at + 130 * MILLISECOND, last, n] for k, s, at, last, n in held[3]["events"]]
+        none = request_rows("a5", at=24 * SECOND + 3)
         none[4]["ok"] = False
         got = earned_value.earned_value(sorted(BASE + rows + slow + held + none, key=lambda r: r["at"]), kinds)["all"]
         assert tuple(got[k] for k in ("asked", "in_aim", "late", "none", "earned", "owed")) == (5, 2, 2, 1, 8.0, 15.0)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -8,15 +8,16 @@
 from iriswheel.membership import lease
 from iriswheel.node import core_session, node
 from iriswheel.runtime import units
+from iriswheel.transport import message
 from simulation import simulated_cluster
 from tests import conftest
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 
 
-def confirm(server: core.Core) -> list[int | errors.ServiceError]:
+def confirm(server: core.Core) -> list[message.ProposeChangeResponse | errors.ServiceError]:
     """Make a plan that adds a route and confirm it; the version, or the error, in a list to come."""
-    results: list[int | errors.ServiceError] = []
+    results: list[message.ProposeChangeResponse | errors.ServiceError] = []
 
     async def go() -> None:
         seen = await server.client.read_at_tail("")
@@ -34,75 +35,79 @@
 
 class TestLeaseHolders:
     def test_a_change_waits_for_a_holder_that_does_not_apply_it_until_its_lease_ran_out(self) -> None:
-        holders = lease.LeaseHolders(2 * S, now=0)
+        holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([], [("a", "1")], now=0)
-        holders.record_heartbeat("a", [("n1", 4, S), ("n2", 5, S)], now=0)
-        assert holders.applied(5, now=S) == 4
-        assert holders.applied(5, now=S + lease.DRIFT_US) == 5
+        holders.record_heartbeat("a", [("n1", 4, SECOND), ("n2", 5, SECOND)], now=0)
+        assert holders.applied(5, now=SECOND) == 4
+        assert holders.applied(5, now=SECOND + lease.DRIFT_US) == 5
 
     def test_a_new_tail_waits_one_lease_for_what_a_lost_core_machine_granted(self) -> None:
         for chain, sure in (([("b", "1"), ("c", "1")], False), ([("a", "2"), ("b", "1")], False)):
-            holders = lease.LeaseHolders(2 * S, now=0)
-            holders.on_view([("a", "1"), ("b", "1")], chain, now=10 * S)
+            holders = lease.LeaseHolders(2 * SECOND, now=0)
+            holders.on_view([("a", "1"), ("b", "1")], chain, now=10 * SECOND)
             for name, _ in chain:
-                holders.record_heartbeat(name, [], now=10 * S)
-            assert holders.applied(5, now=12 * S) == 0
-            assert holders.applied(5, now=12 * S + lease.DRIFT_US) == 5, (chain, sure)
+                holders.record_heartbeat(name, [], now=10 * SECOND)
+            assert holders.applied(5, now=12 * SECOND) == 0
+            assert holders.applied(5, now=12 * SECOND + lease.DRIFT_US) == 5, (chain, sure)
 
     def test_a_tail_that_stays_waits_only_for_what_it_knows_that_a_lost_core_machine_granted(self) -> None:
-        holders = lease.LeaseHolders(2 * S, now=0)
+        holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([], [("a", "1"), ("b", "1")], now=0)
-        holders.record_heartbeat("a", [("n1", 4, 2 * S)], now=9 * S)
-        holders.on_view([("a", "1"), ("b", "1")], [("b", "1"), ("c", "1")], now=10 * S, was_tail=True)
+        holders.record_heartbeat("a", [("n1", 4, 2 * SECOND)], now=9 * SECOND)
+        holders.on_view([("a", "1"), ("b", "1")], [("b", "1"), ("c", "1")], now=10 * SECOND, was_tail=True)
         for name in "bc":
-            holders.record_heartbeat(name, [], now=10 * S)
-        assert holders.applied(5, now=11 * S) == 4
-        assert holders.applied(5, now=11 * S + lease.DRIFT_US) == 5
+            holders.record_heartbeat(name, [], now=10 * SECOND)
+        assert holders.applied(5, now=11 * SECOND) == 4
+        assert holders.applied(5, now=11 * SECOND + lease.DRIFT_US) == 5
 
     def test_a_new_tail_that_hears_all_of_the_chain_before_it_waits_for_none(self) -> None:
-        holders = lease.LeaseHolders(2 * S, now=0)
+        holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([], [("a", "1"), ("b", "1")], now=0)
-        holders.on_view([("a", "1"), ("b", "1")], [("a", "1"), ("b", "1"), ("c", "1")], now=10 * S)
+        holders.on_view([("a", "1"), ("b", "1")], [("a", "1"), ("b", "1"), ("c", "1")], now=10 * SECOND)
         for name in "ab":
-            holders.record_heartbeat(name, [], now=10 * S)
-        assert holders.applied(5, now=10 * S) == 0
-        holders.record_heartbeat("c", [], now=10 * S)
-        assert holders.applied(5, now=10 * S) == 5
+            holders.record_heartbeat(name, [], now=10 * SECOND)
+        assert holders.applied(5, now=10 * SECOND) == 0
+        holders.record_heartbeat("c", [], now=10 * SECOND)
+        assert holders.applied(5, now=10 * SECOND) == 5
 
     def test_a_doubt_is_passed_on_through_the_next_view(self) -> None:
-        holders = lease.LeaseHolders(2 * S, now=0)
-        holders.on_view([("a", "1"), ("b", "1")], [("b", "1")], now=10 * S)
-        holders.on_view([("b", "1")], [("b", "1"), ("c", "1")], now=11 * S)
+        holders = lease.LeaseHolders(2 * SECOND, now=0)
+        holders.on_view([("a", "1"), ("b", "1")], [("b", "1")], now=10 * SECOND)
+        holders.on_view([("b", "1")], [("b", "1"), ("c", "1")], now=11 * SECOND)
         for name in "bc":
-            holders.record_heartbeat(name, [], now=11 * S)
-        assert holders.applied(5, now=12 * S) == 0
+            holders.record_heartbeat(name, [], now=11 * SECOND)
+        assert holders.applied(5, now=12 * SECOND) == 0
 
 
 class TestLeasesInACluster:
     def test_a_change_is_acknowledged_when_a_cut_off_nodes_lease_ran_out_and_not_before(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(seconds=2)
-        cut = t.nodes["n1"]
-        t.world.cut(t.hosts("cores"), [cut.options.host])
-        got = confirm(t.tail())
-        assert t.until(lambda: got, 10)
+        cluster = quiet_cluster(seconds=2)
+        cut = cluster.nodes["n1"]
+        cluster.world.cut(cluster.hosts("cores"), [cut.options.host])
+        got = confirm(cluster.tail())
+        assert cluster.until(lambda: got, 10)
         assert not isinstance(got[0], errors.ServiceError)
         assert not cut.follower.session.lease.valid(cut.runtime.now())
-        assert cut.follower.applied_index < got[0].version <= t.nodes["n2"].follower.applied_index
+        assert cut.follower.applied_index < got[0].version <= cluster.nodes["n2"].follower.applied_index
 
     def test_a_lease_is_not_renewed_by_a_core_machine_that_does_not_hear_the_tail(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(seconds=2)
-        head = t.head()
-        nodes = [n for n in t.nodes.values() if n.follower.session.address == (head.options.host, head.options.port)]
-        others = [c.options.host for c in t.cores.values() if c is not head]
-        t.world.cut([head.options.host], others)
-        t.go(1.2 + head.options.lease_us / S)
+        cluster = quiet_cluster(seconds=2)
+        head = cluster.head()
+        nodes = [
+            n for n in cluster.nodes.values() if n.follower.session.address == (head.options.host, head.options.port)
+        ]
+        others = [c.options.host for c in cluster.cores.values() if c is not head]
+        cluster.world.cut([head.options.host], others)
+        cluster.go(1.2 + head.options.lease_us / SECOND)
         assert head.lease.until <= head.runtime.now()
-        assert [0] * len(t.nodes) == [head.lease.grant(n.me.id, head.runtime.now()) for n in t.nodes.values()]
-        for n in t.nodes.values():
+        assert [0] * len(cluster.nodes) == [
+            head.lease.grant(n.me.id, head.runtime.now()) for n in cluster.nodes.values()
+        ]
+        for n in cluster.nodes.values():
             assert n.follower.session.address != (head.options.host, head.options.port)
             assert n.follower.session.stands()
         assert all(n.follower.session.moves >= 2 for n in nodes)
@@ -110,45 +115,45 @@
     def test_a_node_follows_on_within_a_second_when_its_core_machine_freezes(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(seconds=2)
-        for server in t.cores.values():
+        cluster = quiet_cluster(seconds=2)
+        for server in cluster.cores.values():
             address = (server.options.host, server.options.port)
-            nodes = [n for n in t.nodes.values() if n.follower.session.address == address]
-            if server is t.tail() or not nodes:
+            nodes = [n for n in cluster.nodes.values() if n.follower.session.address == address]
+            if server is cluster.tail() or not nodes:
                 continue
             server.process.freeze()
-            self.moved_away(t, nodes, address)
+            self.moved_away(cluster, nodes, address)
             return
         pytest.fail("no core machine but the tail has a node")
 
     def moved_away(
-        self, t: simulated_cluster.SimulatedCluster, nodes: list[node.Node], address: tuple[str, int]
+        self, cluster: simulated_cluster.SimulatedCluster, nodes: list[node.Node], address: tuple[str, int]
     ) -> None:
-        assert t.until(lambda: all(n.follower.session.address != address for n in nodes), 1.5)
+        assert cluster.until(lambda: all(n.follower.session.address != address for n in nodes), 1.5)
         assert all(n.follower.session.lease.valid(n.runtime.now()) for n in nodes)
 
     def test_committed_changes_reach_nodes_through_a_core_machine_without_a_lease(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(seconds=2)
-        tail = t.tail()
-        n = next(iter(t.nodes.values()))
-        other = next(c for c in t.cores.values() if c is not tail)
+        cluster = quiet_cluster(seconds=2)
+        tail = cluster.tail()
+        n = next(iter(cluster.nodes.values()))
+        other = next(c for c in cluster.cores.values() if c is not tail)
         n.follower.session.reset()
         n.follower.session.addresses[:] = [(other.options.host, other.options.port)]
         other.tail_contact.answered_report = tail_contact.AnsweredReport()
         place = n.follower.applied_index
         got = confirm(tail)
-        assert t.until(lambda: got and n.follower.applied_index > place, 5)
+        assert cluster.until(lambda: got and n.follower.applied_index > place, 5)
 
     def test_where_no_core_machine_answers_attempts_go_on_side_by_side(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(seconds=2)
-        n = t.nodes["n1"]
-        for server in t.cores.values():
+        cluster = quiet_cluster(seconds=2)
+        n = cluster.nodes["n1"]
+        for server in cluster.cores.values():
             server.process.freeze()
-        t.go(1.5)
+        cluster.go(1.5)
         assert 2 <= len(n.follower.session.attempts) <= core_session.MAX_ATTEMPTS
 
 
@@ -156,14 +161,14 @@
     def test_a_node_with_serve_on_stops_where_a_peer_shows_that_it_missed_a_change(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(seconds=2, serve_on=True)
-        cut, peer = t.nodes["n1"], t.nodes["n2"]
-        t.world.cut(t.hosts("cores"), [cut.options.host])
-        t.go(4)
+        cluster = quiet_cluster(seconds=2, serve_on=True)
+        cut, peer = cluster.nodes["n1"], cluster.nodes["n2"]
+        cluster.world.cut(cluster.hosts("cores"), [cut.options.host])
+        cluster.go(4)
         assert not cut.follower.configuration_may_be_stale()
-        got = confirm(t.tail())
-        assert t.until(lambda: got, 10)
-        assert t.until(cut.follower.configuration_may_be_stale, 2)
+        got = confirm(cluster.tail())
+        assert cluster.until(lambda: got, 10)
+        assert cluster.until(cut.follower.configuration_may_be_stale, 2)
         assert peer.follower.applied_index > cut.follower.applied_index
-        t.world.heal()
-        assert t.until(lambda: not cut.follower.configuration_may_be_stale() and cut.ready()[0], 5)
+        cluster.world.heal()
+        assert cluster.until(lambda: not cut.follower.configuration_may_be_stale() and cut.ready()[0], 5)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -24,7 +24,7 @@
     base: int,
     content: str = "x",
     outcome: linearizability.Outcome = Outcome.ACKNOWLEDGED,
-) -> list[linearizability.ChangeResponse | linearizability.Invocation]:
+) -> list[linearizability.Event]:
     """The events of one change."""
     return [
         linearizability.Invocation(sent, call, Change(number, base, content)),
@@ -32,9 +32,7 @@
     ]
 
 
-def read(
-    call: str, sent: int, answered: int, number: int, content: str = ""
-) -> list[linearizability.Invocation | linearizability.ReadResponse]:
+def read(call: str, sent: int, answered: int, number: int, content: str = "") -> list[linearizability.Event]:
     """The events of one read."""
     return [
         linearizability.Invocation(sent, call, linearizability.Read()),
@@ -45,9 +43,11 @@
 @strategies.composite
 def correct_histories(
     draw: Callable[..., Any],
-) -> list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]:
+) -> list[linearizability.Event]:
     """What callers of a correct register may see: it acts at one moment of each call."""
-    state, events, sent = linearizability.State(), [], []
+    state = linearizability.State()
+    events: list[linearizability.Event] = []
+    sent: list[Change] = []
     for k in range(draw(strategies.integers(1, 14))):
         moment = 10 * k + 10
         before, after = draw(strategies.integers(1, 60)), draw(strategies.integers(1, 60))
@@ -72,21 +72,17 @@
 
 
 class TestHistories:
-    def good(
-        self, *parts: list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]
-    ) -> None:
+    def good(self, *parts: list[linearizability.Event]) -> None:
         assert linearizability.check([event for part in parts for event in part]).linearizable
 
-    def bad(
-        self, *parts: list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse]
-    ) -> None:
+    def bad(self, *parts: list[linearizability.Event]) -> None:
         assert not linearizability.check([event for part in parts for event in part]).linearizable
 
     def test_correct_histories_pass(self) -> None:
         @CALM
         @hypothesis.given(correct_histories())
         def passes(
-            events: list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse],
+            events: list[linearizability.Event],
         ) -> None:
             assert linearizability.check(events).linearizable
 
@@ -96,7 +92,7 @@
         @CALM
         @hypothesis.given(correct_histories(), strategies.integers(1, 5))
         def fails(
-            events: list[linearizability.ChangeResponse | linearizability.Invocation | linearizability.ReadResponse],
+            events: list[linearizability.Event],
             step: int,
         ) -> None:
             last = 1_000
@@ -142,7 +138,7 @@
         self.good(change("a", 1, 9, 5, 0), change("b", 1, 9, 5, 0), change("c", 1, 9, 6, 0, outcome=Outcome.REFUSED))
 
     def test_hundreds_of_changes_with_eight_at_once_are_judged(self) -> None:
-        events = []
+        events: list[linearizability.Event] = []
         for k in range(300):
             events += change(f"w{k}", 10 * k, 10 * k + 9, k + 1, k, "w")
             for j in range(7):
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -20,8 +20,8 @@
 from simulation import host_model, network_model, platform_names, process_model
 from tests import node_fixture
 
-S = units.SECOND_US
-H = platform_names.HEADERS
+SECOND = units.SECOND_US
+HEADERS = platform_names.HEADERS
 
 
 def answer(
@@ -33,7 +33,7 @@
     **more: str,
 ) -> bytes:
     """The bytes of a worker's answer; `length` may tell another length than the body has."""
-    headers = {H["attempt"]: attempt, H["seal"]: seal, **more}
+    headers = {HEADERS["attempt"]: attempt, HEADERS["seal"]: seal, **more}
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value is not None)
     size = len(body) if length is None else length
     return f"HTTP/1.1 {status} Some\r\n{lines}Content-Length: {size}\r\n\r\n".encode() + body
@@ -56,7 +56,7 @@
         self.closed = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if name.decode().lower() == H["attempt"].lower():
+        if name.decode().lower() == HEADERS["attempt"].lower():
             self.attempt = value.decode("latin-1")
 
     def on_message_complete(self) -> None:
@@ -102,21 +102,21 @@
     @pytest.fixture(autouse=True)
     def use_mutating_route(self, start_node: None) -> None:  # noqa: ARG002 - asked for so that it runs before
         self.workers = []
-        self.born = 0  # workers ever started: each has an address of its own
+        self.workers_started = 0  # workers ever started: each has an address of its own
         self.mutating()
 
     def mutating(self) -> None:
-        self.route = configuration.Route("/x/", "desk", repeat="never", sends=3, cutoff_us=9 * S)
+        self.route = configuration.Route("/x/", "desk", repeat="never", sends=3, cutoff_us=9 * SECOND)
 
     def idempotent(self, sends: int = 2) -> None:
-        self.route = configuration.Route("/x/", "desk", repeat="may", sends=sends, cutoff_us=9 * S)
+        self.route = configuration.Route("/x/", "desk", repeat="may", sends=sends, cutoff_us=9 * SECOND)
 
     def resumable(self) -> None:
-        self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * S)
+        self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * SECOND)
 
     def worker(self, script: Callable[..., Any]) -> ScriptedWorker:
-        self.born += 1
-        number = self.born
+        self.workers_started += 1
+        number = self.workers_started
         host = f"10.0.3.{number}"
         process = process_model.SimulatedProcess(self.world, f"w{number}", host_model.Host(self.world, host, "a"))
         worker = ScriptedWorker(script)
@@ -137,7 +137,13 @@
         return client
 
     def write(self, client: Client, attempt: str, method: str = "POST", left_ms: int = 5000, **more: int | str) -> None:
-        headers = {"Host": "h.example", H["attempt"]: attempt, H["left"]: left_ms, "Content-Length": 2, **more}
+        headers = {
+            "Host": "h.example",
+            HEADERS["attempt"]: attempt,
+            HEADERS["left"]: left_ms,
+            "Content-Length": 2,
+            **more,
+        }
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         client.transport.write(f"{method} /x/ HTTP/1.1\r\n{lines}\r\nhi".encode("latin-1"))
 
@@ -174,8 +180,8 @@
 
     def test_a_partial_second_answer_reaches_nobody(self) -> None:
         def script(connection: WorkerConnection, attempt: str) -> None:
-            whole = answer(attempt, f"body of {attempt}".encode())
-            connection.transport.write(whole + whole[:-3])
+            complete = answer(attempt, f"body of {attempt}".encode())
+            connection.transport.write(complete + complete[:-3])
 
         worker = self.worker(script)
         for attempt in ("a1", "a2"):
@@ -204,7 +210,7 @@
     def test_a_late_failure_in_the_place_of_the_next_is_passed_over(self) -> None:
         def script(connection: WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
-                connection.transport.write(answer("a1", b"no", status=503, seal=None, **{H["not_run"]: "1"}))
+                connection.transport.write(answer("a1", b"no", status=503, seal=None, **{HEADERS["not_run"]: "1"}))
             good(connection, attempt)
 
         worker = self.worker(script)
@@ -215,7 +221,7 @@
     def test_an_answer_without_id_on_a_kept_connection_is_nobodys(self) -> None:
         def script(connection: WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
-                connection.transport.write(answer(None, b"no", status=503, seal=None, **{H["not_run"]: "1"}))
+                connection.transport.write(answer(None, b"no", status=503, seal=None, **{HEADERS["not_run"]: "1"}))
             else:
                 good(connection, attempt)
 
@@ -255,7 +261,7 @@
         attempt = b"\xc3\xa9\xff".decode("latin-1")
 
         def echo(connection: WorkerConnection, attempt: str) -> None:
-            head = f"{H['attempt']}: {attempt}\r\n{H['seal']}: s\r\nContent-Length: 10\r\n\r\n"
+            head = f"{HEADERS['attempt']}: {attempt}\r\n{HEADERS['seal']}: s\r\nContent-Length: 10\r\n\r\n"
             connection.transport.write(b"HTTP/1.1 200 OK\r\n" + head.encode("latin-1") + b"body of a1")
 
         self.worker(echo)
@@ -363,55 +369,61 @@
         assert self.seen() == ["a1"]
         assert client.status in statuses
 
-    def two(self, script: Callable[..., Any]) -> None:
+    def start_two_workers(self, script: Callable[..., Any]) -> None:
         for _ in range(2):
             self.worker(script)
 
     def test_after_a_reset(self) -> None:
-        self.two(lambda connection, _attempt: connection.transport.abortConnection())
+        self.start_two_workers(lambda connection, _attempt: connection.transport.abortConnection())
         self.assert_once(self.query("a1"), 502)
 
     def test_after_a_close_without_an_answer(self) -> None:
-        self.two(lambda connection, _attempt: connection.transport.loseConnection())
+        self.start_two_workers(lambda connection, _attempt: connection.transport.loseConnection())
         self.assert_once(self.query("a1"), 502)
 
     def test_after_bytes_that_are_no_answer(self) -> None:
-        self.two(lambda connection, _attempt: connection.transport.write(b"\x16\x03\x01 HTTP/9\r\n\r\n"))
+        self.start_two_workers(lambda connection, _attempt: connection.transport.write(b"\x16\x03\x01 HTTP/9\r\n\r\n"))
         self.assert_once(self.query("a1"), 502)
 
     def test_after_no_answer_in_time(self) -> None:
-        self.two(lambda _connection, _attempt: None)
+        self.start_two_workers(lambda _connection, _attempt: None)
         self.assert_once(self.query("a1"), 504)
 
     def test_after_a_failure_of_the_worker(self) -> None:
-        self.two(lambda connection, attempt: connection.transport.write(answer(attempt, b"broken", status=500)))
+        self.start_two_workers(
+            lambda connection, attempt: connection.transport.write(answer(attempt, b"broken", status=500))
+        )
         client = self.query("a1")
         self.assert_once(client, 500)
-        assert H["seal"].lower().encode() in client.raw.lower()
+        assert HEADERS["seal"].lower().encode() in client.raw.lower()
 
     def test_after_a_success_without_a_seal(self) -> None:
-        self.two(lambda connection, attempt: connection.transport.write(answer(attempt, b"what", seal=None)))
+        self.start_two_workers(
+            lambda connection, attempt: connection.transport.write(answer(attempt, b"what", seal=None))
+        )
         self.assert_once(self.query("a1"), 502)
 
     @pytest.mark.parametrize("status", [408, 429, 503])
     def test_after_a_status_that_would_promise_too_much(self, status: int) -> None:
-        self.two(lambda connection, attempt, s=status: connection.transport.write(answer(attempt, b"no", status=s)))
+        self.start_two_workers(
+            lambda connection, attempt, s=status: connection.transport.write(answer(attempt, b"no", status=s))
+        )
         client = self.query("a1")
         self.assert_once(client, 502)
-        assert H["seal"].lower().encode() not in client.raw.lower()
+        assert HEADERS["seal"].lower().encode() not in client.raw.lower()
 
     def test_after_a_reset_of_a_kept_connection(self) -> None:
         def script(connection: WorkerConnection, attempt: str) -> None:
             good(connection, attempt) if attempt == "a0" else connection.transport.abortConnection()
 
-        self.two(script)
+        self.start_two_workers(script)
         self.assert_own(self.query("a0"), "a0")
         client = self.query("a1")
         self.go(2000)
         assert (client.status, self.seen()) == (502, ["a0", "a1"])
 
     def test_after_a_freeze_of_the_node(self) -> None:
-        self.two(lambda _connection, _attempt: None)
+        self.start_two_workers(lambda _connection, _attempt: None)
         client = self.query("a1")
         self.process.freeze()
         self.go(7000)
@@ -419,7 +431,7 @@
         self.assert_once(client, 504)
 
     def test_after_a_freeze_of_the_worker(self) -> None:
-        self.two(good)
+        self.start_two_workers(good)
         for worker in self.workers:
             worker.process.freeze()
         client = self.query("a1", ms=1500)
@@ -434,21 +446,21 @@
         def script(connection: WorkerConnection, attempt: str, s: int = status, attempts: list[str] = attempts) -> None:
             attempts.append(attempt)
             if len(attempts) == 1:
-                connection.transport.write(answer(attempt, b"no", status=s, seal=None, **{H["not_run"]: "1"}))
+                connection.transport.write(answer(attempt, b"no", status=s, seal=None, **{HEADERS["not_run"]: "1"}))
             else:
                 good(connection, attempt)
 
-        self.two(script)
+        self.start_two_workers(script)
         self.assert_own(self.query("a1"), "a1")
         assert self.seen() == ["a1", "a1"]
 
     def test_a_refusal_that_breaks_off_is_no_promise(self) -> None:
         def script(connection: WorkerConnection, attempt: str) -> None:
-            refusal = answer(attempt, b"no", status=503, seal=None, length=9, **{H["not_run"]: "1"})
+            refusal = answer(attempt, b"no", status=503, seal=None, length=9, **{HEADERS["not_run"]: "1"})
             connection.transport.write(refusal)
             connection.transport.loseConnection()
 
-        self.two(script)
+        self.start_two_workers(script)
         self.assert_once(self.query("a1"), 502)
 
 
@@ -503,7 +515,7 @@
         self.worker(self.head_alone)
         client = self.query("a1", ms=200)
         assert client.status == 502
-        assert H["seal"].lower().encode() not in client.raw.lower()
+        assert HEADERS["seal"].lower().encode() not in client.raw.lower()
 
 
 class TestAttemptsOfARoute:
@@ -550,8 +562,8 @@
     @pytest.mark.parametrize("sends", [1, 2, 3])
     def test_a_request_goes_to_no_more_workers_than_its_route_allows(self, status: int, sends: int) -> None:
         self.idempotent(sends)
-        self.tally.slack = 99
-        headers = {H["not_run"]: "1"} if status == 503 else {}
+        self.retry_budget.slack = 99
+        headers = {HEADERS["not_run"]: "1"} if status == 503 else {}
         for _ in range(4):
             self.worker(lambda c, a, s=status, h=headers: c.transport.write(answer(a, b"no", s, **h)))
         self.query("a1", ms=200)
@@ -582,9 +594,9 @@
         def script(connection: WorkerConnection, attempt: str) -> None:
             if len(self.seen()) == 1:
                 connection.transport.write(answer(attempt, b"id: 1\ndata: a\n\n", length=30))
-                self.world.push(self.world.time + 2 * S, lambda: connection.transport.write(b"id: 2\ndata: b\n\n"))
+                self.world.push(self.world.time + 2 * SECOND, lambda: connection.transport.write(b"id: 2\ndata: b\n\n"))
             else:
-                refusal = answer(attempt, b"no", status=503, seal=None, **{H["not_run"]: "1"})
+                refusal = answer(attempt, b"no", status=503, seal=None, **{HEADERS["not_run"]: "1"})
                 connection.transport.write(refusal)
 
         self.resumable()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -15,7 +15,7 @@
 from iriswheel.verification import history
 from simulation import addresses, simulated_cluster
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 CUT_SECONDS = 20
 HEAD, MIDDLE, TAIL = 0, 1, 2  # places in the chain
 
@@ -37,7 +37,7 @@
         started_at = self.runtime.now()
         asked = defer.ensureDeferred(command.send_request(self.runtime, [self.place], method, path, document))
         try:
-            status, answer = await self.runtime.within(asked, 3 * S)
+            status, answer = await self.runtime.within(asked, 3 * SECOND)
         except (scheduler.DeadlineError, error.ConnectionDone, error.ConnectionLost, client.ResponseFailed, ValueError):
             status, answer = 0, {}
         if status:
@@ -72,7 +72,7 @@
             for _ in range(2):  # the same again, as after a lost answer
                 if await self.order(number, newest, path) == 200:
                     self.cluster.newest = max(self.cluster.newest, number)
-            await self.runtime.sleep(self.runtime.rng.randrange(S // 2, 2 * S))
+            await self.runtime.sleep(self.runtime.rng.randrange(SECOND // 2, 2 * SECOND))
 
 
 class TestCoreMachineCutOff:
@@ -80,30 +80,30 @@
         self, seed: int, place: int, inward: bool, outward: bool, cores: int = 3
     ) -> tuple[simulated_cluster.SimulatedCluster, list[Caller], list[dict[str, Any]]]:
         """A day on which the chain's machine at a place is cut from the others for twenty seconds."""
-        t = simulated_cluster.SimulatedCluster(
+        cluster = simulated_cluster.SimulatedCluster(
             seed, "small", long_rate=0, short_rate=0, conversations=0, cores=cores, seats=cores
         )
-        t.probing = False
-        t.begin()
-        t.newest = 0
-        t.go(2)
-        chain = t.head().consensus.view.chain
-        cut = next(c for c in t.cores.values() if c.consensus.own_voter.id == chain[place].id)
-        others = [c.options.host for c in t.cores.values() if c is not cut]
-        callers = [Caller(t, name) for name in t.cores]
-        until = t.world.time + (CUT_SECONDS + 10) * S
-        work = [t.operator_runtime.spawn(caller.work(until), simulated_cluster.log) for caller in callers]
-        t.go(2 + t.rng.random())
+        cluster.probing = False
+        cluster.begin()
+        cluster.newest = 0
+        cluster.go(2)
+        chain = cluster.head().consensus.view.chain
+        cut = next(c for c in cluster.cores.values() if c.consensus.own_voter.id == chain[place].id)
+        others = [c.options.host for c in cluster.cores.values() if c is not cut]
+        callers = [Caller(cluster, name) for name in cluster.cores]
+        until = cluster.world.time + (CUT_SECONDS + 10) * SECOND
+        work = [cluster.operator_runtime.spawn(caller.work(until), simulated_cluster.log) for caller in callers]
+        cluster.go(2 + cluster.rng.random())
         if outward:
-            t.world.cut([cut.options.host], others, both=False)
+            cluster.world.cut([cut.options.host], others, both=False)
         if inward:
-            t.world.cut(others, [cut.options.host], both=False)
-        before = len(t.tape.rows)
-        t.go(CUT_SECONDS)
-        rows = t.tape.rows[before:]
-        t.world.heal()
-        t.until(lambda: all(d.called for d in work), 30)
-        return t, callers, rows
+            cluster.world.cut(others, [cut.options.host], both=False)
+        before = len(cluster.tape.rows)
+        cluster.go(CUT_SECONDS)
+        rows = cluster.tape.rows[before:]
+        cluster.world.heal()
+        cluster.until(lambda: all(d.called for d in work), 30)
+        return cluster, callers, rows
 
     @pytest.mark.parametrize(
         ("place", "inward", "outward"),
@@ -113,11 +113,11 @@
         self, place: int, inward: bool, outward: bool
     ) -> None:
         case = (place, inward, outward)
-        t, callers, during = self.play(40, *case)
-        assert history.complaints(t.tape.rows) == [], case
+        cluster, callers, during = self.play(40, *case)
+        assert history.complaints(cluster.tape.rows) == [], case
         assert any(r["kind"] == "numbered" and r["status"] == 200 for r in during), case
         assert any(r["kind"] == "read" for r in during), case
-        assert max(caller.slowest for caller in callers) < S, case
+        assert max(caller.slowest for caller in callers) < SECOND, case
 
     def test_without_the_lease_old_reads_are_found(self, monkeypatch: pytest.MonkeyPatch) -> None:
         lookup = tail.Tail.answer_read
@@ -127,8 +127,8 @@
                 return lookup(self, msg)
 
         monkeypatch.setattr(tail.Tail, "answer_read", look)
-        t, _, _ = self.play(40, 2, True, True)
-        assert "read number" in "".join(history.complaints(t.tape.rows))
+        cluster, _, _ = self.play(40, 2, True, True)
+        assert "read number" in "".join(history.complaints(cluster.tape.rows))
 
     def test_without_a_read_at_the_tail_wrong_refusals_are_found(self, monkeypatch: pytest.MonkeyPatch) -> None:
         local_state_for = change_orders.ChangeOrders.local_state_for
@@ -137,10 +137,10 @@
             "local_state_for",
             lambda self, order: local_state_for(self, order)._replace(read_at_tail=True),
         )
-        t, _, _ = self.play(40, 2, True, True)
-        assert "refused" in "".join(history.complaints(t.tape.rows))
+        cluster, _, _ = self.play(40, 2, True, True)
+        assert "refused" in "".join(history.complaints(cluster.tape.rows))
 
     def test_five_machines_with_the_leader_cut_off(self) -> None:
-        t, _, during = self.play(50, 0, True, True, cores=5)
-        assert history.complaints(t.tape.rows) == []
+        cluster, _, during = self.play(50, 0, True, True, cores=5)
+        assert history.complaints(cluster.tape.rows) == []
         assert any(r["kind"] == "numbered" and r["status"] == 200 for r in during)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -94,16 +94,16 @@
             getHeader=lambda _name: match,
             answer_json=lambda status, value: out.append((status, value)),
         )
-        d = defer.ensureDeferred(self.gateway.handle(request))
-        d.addErrback(lambda f: f.trap(errors.ServiceError) and out.append((f.value.status, f.value.code)))
+        handled = defer.ensureDeferred(self.gateway.handle(request))
+        handled.addErrback(lambda f: f.trap(errors.ServiceError) and out.append((f.value.status, f.value.code)))
         return out[0]
 
     def test_what_was_sent_comes_back(self) -> None:
         assert self.call(b"PUT", COMPLETE, "0") == (200, {"version": 7})
         assert self.call(b"GET") == (200, COMPLETE)
         assert self.call(b"PUT", COMPLETE, "0") == (200, {"version": 7})
-        r = self.core.items["routes/r-a"]
-        assert tuple(r[k] for k in ("cutoff_us", "aim_us", "gap_us", "repeat", "resume", "sends")) == (
+        route = self.core.items["routes/r-a"]
+        assert tuple(route[k] for k in ("cutoff_us", "aim_us", "gap_us", "repeat", "resume", "sends")) == (
             10_000_000,
             800_000,
             200_000,
@@ -155,19 +155,23 @@
         assert self.call(b"PUT", raw=json.dumps(COMPLETE)[:-40], match="6")[0] == 400
         assert self.call(b"PUT", COMPLETE, None)[0] == 400
         for f in (
-            lambda d: d["channels"][1].update(plant="nowhere"),
-            lambda d: d["channels"][1].update(path_prefix="/a/"),
-            lambda d: d["channels"][0].update(partition=[{"plant": "p1", "gain": 0}, {"plant": "p2", "gain": 0}]),
-            lambda d: d["channels"][0].update(partition=[]),
-            lambda d: d["channels"][0].update(partition=[{"plant": "p1", "gain": 1}, {"plant": "p9", "gain": 1}]),
-            lambda d: d["channels"][0].update(cutoff_ms=0),
-            lambda d: d["channels"][0].pop("path_prefix"),
-            lambda d: d["channels"].append(d["channels"][0]),
-            lambda d: d["plants"].pop(0),
-            lambda d: d.update(version=6),
-            lambda d: d.update(version="8"),
-            lambda d: d.pop("channels"),
-            lambda d: d.update(plants=7),
+            lambda document: document["channels"][1].update(plant="nowhere"),
+            lambda document: document["channels"][1].update(path_prefix="/a/"),
+            lambda document: document["channels"][0].update(
+                partition=[{"plant": "p1", "gain": 0}, {"plant": "p2", "gain": 0}]
+            ),
+            lambda document: document["channels"][0].update(partition=[]),
+            lambda document: document["channels"][0].update(
+                partition=[{"plant": "p1", "gain": 1}, {"plant": "p9", "gain": 1}]
+            ),
+            lambda document: document["channels"][0].update(cutoff_ms=0),
+            lambda document: document["channels"][0].pop("path_prefix"),
+            lambda document: document["channels"].append(document["channels"][0]),
+            lambda document: document["plants"].pop(0),
+            lambda document: document.update(version=6),
+            lambda document: document.update(version="8"),
+            lambda document: document.pop("channels"),
+            lambda document: document.update(plants=7),
         ):
             assert self.call(b"PUT", spoiled(f), "6")[0] == 400, spoiled(f)
         assert self.call(b"GET")[1] == {**COMPLETE, "version": 6}
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -17,10 +17,10 @@
 
 def program(*args: str) -> tuple[int, str, str]:
     """Run the program: exit code, standard output, standard error."""
-    p = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "iriswheel", *args], capture_output=True, text=True, timeout=60, check=False
     )
-    return p.returncode, p.stdout, p.stderr
+    return process.returncode, process.stdout, process.stderr
 
 
 def write_document(folder: pathlib.Path, document: object) -> str:
@@ -32,11 +32,11 @@
 
 def raw(port: int, text: bytes) -> tuple[str, bytes]:
     """Send bytes to a port and read all that comes: head and body."""
-    with socket.create_connection((fleet.HOST, port), timeout=20) as s:
-        s.sendall(text)
+    with socket.create_connection((fleet.HOST, port), timeout=20) as connection:
+        connection.sendall(text)
         got = b""
         while True:
-            piece = s.recv(65536)
+            piece = connection.recv(65536)
             if not piece:
                 break
             got += piece
@@ -83,13 +83,13 @@
         assert program("replay", "/nowhere/at/all")[0] == 2
 
     def test_sweep_of_an_unknown_scenario(self) -> None:
-        p = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "simulation.sweep", "--scenarios", "nonsense"],
             capture_output=True,
             text=True,
             check=False,
         )
-        assert (p.returncode, len(p.stderr.splitlines())) == (2, 1)
+        assert (process.returncode, len(process.stderr.splitlines())) == (2, 1)
 
     def test_a_data_folder_has_one_process(self, tmp_path: pathlib.Path) -> None:
         options = [
@@ -213,30 +213,30 @@
 class TestFaultTrial:
     def test_a_short_trial_is_clean(self) -> None:
         with fleet.Fleet("small") as f:
-            t = process_trial.Trial(f, 16, ["--short-rate", "15", "--long-rate", "1", "--talks", "3"])
-            t.served(10)
+            trial = process_trial.Trial(f, 16, ["--short-rate", "15", "--long-rate", "1", "--talks", "3"])
+            trial.served(10)
             name = f.owner()
-            t.fault("kill", name)
+            trial.fault("kill", name)
             f.kill(name)
             f.until(lambda: f.owner() not in ("", name), "another warden is seated", 30)
-            t.served(10)
-            t.restart(name)
+            trial.served(10)
+            trial.restart(name)
             f.until(lambda: f.ready(name), "the node is ready again", 30)
-            t.fault("kill", "c1")
+            trial.fault("kill", "c1")
             f.kill("c1")
             document = json.loads(json.dumps(f.configuration))
             document["routes"]["late"] = {"path": "/v1/late", "pool": f.pool}
-            f.until(lambda: f.confirm(document, t.note), "a change is confirmed without c1", 30)
-            t.restart("c1")
+            f.until(lambda: f.confirm(document, trial.note), "a change is confirmed without c1", 30)
+            trial.restart("c1")
             name = f.owner()
-            t.fault("freeze", name)
+            trial.fault("freeze", name)
             f.signal(name, signal.SIGSTOP)
             other = next(n for n in f.nodes if n != name)
             f.until(lambda: f.owner_of(other), "the other node is the warden", 30)
             f.signal(name, signal.SIGCONT)
-            t.repair("wake", name)
-            t.served(5)
-            report, found, _ = t.finish()
+            trial.repair("wake", name)
+            trial.served(5)
+            report, found, _ = trial.finish()
             # how fast a shared machine answers is for benchmarks.process_trial to say, not for a test
             lines = [line for ls in found.values() for line in ls if " waited " not in line and " paused " not in line]
             assert lines == []
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -20,8 +20,11 @@
             manager.issue_if_changed()
             latest = manager.latest
             assert sorted(m.id for m in live) == sorted(m.id for m in latest.members)
-            for d in latest.assignments:
-                assert assignments.group(d.key, latest.members, d) == (d.holder, d.copies)
+            for assignment in latest.assignments:
+                assert assignments.group(assignment.key, latest.members, assignment) == (
+                    assignment.holder,
+                    assignment.copies,
+                )
                 seen += 1
             manager.issue_if_changed()
             assert manager.latest is latest
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the users' side say what the platform's pages say, and err in the ways they tell of."""
+"""The stand-ins of workers and of their listing keep to the platform's pages, and show each fault."""
 
 import json
 from typing import Any
@@ -13,8 +13,8 @@
 from iriswheel.runtime import units
 from simulation import event_log, host_model, inference_engine, platform_names, process_model, world
 
-MS, S = units.MILLISECOND_US, units.SECOND_US
-H = platform_names.HEADERS
+MILLISECOND, SECOND = units.MILLISECOND_US, units.SECOND_US
+HEADERS = platform_names.HEADERS
 
 
 class Answer:
@@ -76,14 +76,14 @@
         self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.0.2.1", "a"))
 
     def go(self, ms: int) -> None:
-        self.world.run(self.world.time + ms * MS)
+        self.world.run(self.world.time + ms * MILLISECOND)
 
     def dial(self, host: str = "10.0.3.1", port: int = 8080) -> Caller:
         c = Caller()
-        f = protocol.ClientFactory()
-        f.noisy = False
-        f.buildProtocol = lambda _address: c
-        self.near.reactor.connectTCP(host, port, f)
+        factory = protocol.ClientFactory()
+        factory.noisy = False
+        factory.buildProtocol = lambda _address: c
+        self.near.reactor.connectTCP(host, port, factory)
         self.go(2)
         return c
 
@@ -99,13 +99,13 @@
         **more: str,
     ) -> None:
         headers = {
-            H["attempt"]: attempt,
-            H["tokens"]: tokens,
-            H["parts"]: parts,
-            H["left"]: left,
+            HEADERS["attempt"]: attempt,
+            HEADERS["tokens"]: tokens,
+            HEADERS["parts"]: parts,
+            HEADERS["left"]: left,
             "Host": "h.example",
             "Content-Length": 2,
-            **{H[k]: v for k, v in more.items()},
+            **{HEADERS[k]: v for k, v in more.items()},
         }
         lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items() if v is not None)
         c.transport.write(f"POST {path} HTTP/1.1\r\n{lines}\r\nhi".encode())
@@ -118,8 +118,8 @@
         self.request(c, target=self.worker.id)
         self.go(300)
         (a,) = c.answers
-        seal = a.headers[H["seal"].lower()]
-        assert (a.code, a.complete, a.headers[H["attempt"].lower()], a.headers["content-type"]) == (
+        seal = a.headers[HEADERS["seal"].lower()]
+        assert (a.code, a.complete, a.headers[HEADERS["attempt"].lower()], a.headers["content-type"]) == (
             200,
             True,
             "a1",
@@ -132,7 +132,7 @@
         assert [r["kind"] for r in self.kinds("arrived", "run", "ran")] == ["arrived", "run", "ran"]
         self.request(c, attempt="a2")
         self.go(300)
-        assert [x.headers[H["attempt"].lower()] for x in c.answers] == ["a1", "a2"]
+        assert [x.headers[HEADERS["attempt"].lower()] for x in c.answers] == ["a1", "a2"]
 
     def test_what_does_not_run_says_so(self) -> None:
         c = self.dial()
@@ -143,7 +143,7 @@
         self.request(c, attempt="a5", tokens="10,99000000")
         self.go(50)
         assert [a.code for a in c.answers] == [421, 400, 503, 421, 503]
-        assert all(H["not_run"].lower() in a.headers for a in c.answers)
+        assert all(HEADERS["not_run"].lower() in a.headers for a in c.answers)
         assert self.kinds("run") == []
 
     def test_a_deadline_that_passes_in_the_queue_is_answered_as_not_run(self) -> None:
@@ -154,7 +154,7 @@
         self.request(d, attempt="a2", left=100)
         self.go(200)
         assert [a.code for a in d.answers] == [503]
-        assert H["not_run"].lower() in d.answers[0].headers
+        assert HEADERS["not_run"].lower() in d.answers[0].headers
         assert [r["attempt"] for r in self.kinds("run")] == ["a1"]
 
     def test_a_deadline_in_the_middle_of_a_stream_cuts_it(self) -> None:
@@ -233,7 +233,7 @@
             self.worker.health, self.worker.faults = health, faults
             c.transport.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
             self.go(50)
-            assert (c.answers[-1].code, c.answers[-1].headers[H["worker"].lower()]) == (code, self.worker.id)
+            assert (c.answers[-1].code, c.answers[-1].headers[HEADERS["worker"].lower()]) == (code, self.worker.id)
 
     def test_the_report_is_old(self) -> None:
         c, d = self.dial(), self.dial()
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -1,4 +1,4 @@
-"""Small simulated towns, one matter each."""
+"""Small simulated clusters, one matter each."""
 
 import time
 from collections.abc import Callable
@@ -19,13 +19,13 @@
 from simulation import network_model, simulated_cluster
 from tests import conftest
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 
 
 class TestSimulatedCluster:
     def query(
         self,
-        t: simulated_cluster.SimulatedCluster,
+        cluster: simulated_cluster.SimulatedCluster,
         *,
         parts: tuple[str, ...] = ("system",),
         node: str = "n1",
@@ -35,9 +35,9 @@
         repeat: bool = True,
         identifier: str = "x",
     ) -> list[defer.Deferred[Any]]:
-        """Send one request; a box that will hold (status, head of the answer, its Taker)."""
+        """Send one request; a box that will hold (status, head of the answer, its AnswerCollector)."""
         box = []
-        agent = dispatch.Dispatcher(t.load.runtime).unpooled_agent
+        agent = dispatch.Dispatcher(cluster.load.runtime).unpooled_agent
         headers = http_headers.Headers(
             {
                 "X-Prompt-Prefix": [", ".join(parts)],
@@ -48,76 +48,76 @@
         )
 
         async def go() -> None:
-            host, port = t.platform.nodes[node]
+            host, port = cluster.platform.nodes[node]
             response = await agent.request(
                 b"POST", f"http://{host}:{port}{path}".encode(), headers, dispatch.Body(body)
             )
             done = load_generator.defer.Deferred()
-            receiver = load_generator.AnswerCollector(t.load.runtime, done)
+            receiver = load_generator.AnswerCollector(cluster.load.runtime, done)
             response.deliverBody(receiver)
             box.append((response.code, response.headers, receiver, done))
 
-        box.append(t.load.runtime.spawn(go(), simulated_cluster.log))
+        box.append(cluster.load.runtime.spawn(go(), simulated_cluster.log))
         return box
 
     def answer(
-        self, t: simulated_cluster.SimulatedCluster, **more: int | str | tuple[str, ...]
+        self, cluster: simulated_cluster.SimulatedCluster, **more: int | str | tuple[str, ...]
     ) -> tuple[int, http_headers.Headers, bytes]:
         """Send one request and wait for its end: status, headers, body."""
-        box = self.query(t, **more)
-        assert t.until(lambda: len(box) > 1 and box[1][3].called, 30)
+        box = self.query(cluster, **more)
+        assert cluster.until(lambda: len(box) > 1 and box[1][3].called, 30)
         code, headers, receiver, _ = box[1]
         return code, headers, b"".join(receiver.parts)
 
-    def open_sessions(self, t: simulated_cluster.SimulatedCluster) -> int:
-        return sum(len(rs) for rs in t.owner().pool_owners[t.pool].records.session_table.by_worker.values())
+    def open_sessions(self, cluster: simulated_cluster.SimulatedCluster) -> int:
+        return sum(len(rs) for rs in cluster.owner().pool_owners[cluster.pool].records.session_table.by_worker.values())
 
     def test_a_session_is_released_after_a_minute_without_requests(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        self.answer(t, parts=("system", "talk"))
-        t.go(57)
-        assert self.open_sessions(t) == 1
-        self.answer(t, parts=("system", "talk"), node="n2")
-        t.go(57)
-        assert self.open_sessions(t) == 1
-        t.go(10)
-        assert self.open_sessions(t) == 0
+        cluster = quiet_cluster()
+        self.answer(cluster, parts=("system", "talk"))
+        cluster.go(57)
+        assert self.open_sessions(cluster) == 1
+        self.answer(cluster, parts=("system", "talk"), node="n2")
+        cluster.go(57)
+        assert self.open_sessions(cluster) == 1
+        cluster.go(10)
+        assert self.open_sessions(cluster) == 0
 
     def test_a_prefix_that_everybody_shares_opens_no_session(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        self.answer(t, parts=("system",))
-        assert self.open_sessions(t) == 0
+        cluster = quiet_cluster()
+        self.answer(cluster, parts=("system",))
+        assert self.open_sessions(cluster) == 0
 
     def test_the_cap_refuses_at_once_until_the_earliest_expiry(self, quiet_cluster: conftest.QuietCluster) -> None:
         document = {
             "pools": {"desk": {"cap": 1}},
-            "terms": {"default": {"lifetime_us": 30 * S}},
+            "terms": {"default": {"lifetime_us": 30 * SECOND}},
             "routes": {"all": {"path": "/v1", "pool": "desk"}},
         }
-        t = quiet_cluster(configuration=document)
+        cluster = quiet_cluster(configuration=document)
         for k in range(2):
-            assert self.answer(t, parts=("system", f"talk-{k}"), identifier=f"x{k}")[0] == 200
-        started_at = t.world.time
-        code, headers, body = self.answer(t, parts=("system", "talk-2"), identifier="x2")
-        assert t.world.time - started_at < S
+            assert self.answer(cluster, parts=("system", f"talk-{k}"), identifier=f"x{k}")[0] == 200
+        started_at = cluster.world.time
+        code, headers, body = self.answer(cluster, parts=("system", "talk-2"), identifier="x2")
+        assert cluster.world.time - started_at < SECOND
         assert code == 503
         assert b"sessions_full" in body
         assert 25 <= int(headers.getRawHeaders("Retry-After")[0]) <= 31
 
     def test_a_client_that_goes_away_ends_the_run_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        box = self.query(t)
-        assert t.until(lambda: len(box) > 1 and box[1][2].first_at, 5)
+        cluster = quiet_cluster()
+        box = self.query(cluster)
+        assert cluster.until(lambda: len(box) > 1 and box[1][2].first_at, 5)
         box[1][2].transport.stopProducing()
-        t.go(0.1)
-        assert [r["kind"] for r in t.tape.rows if r["kind"] in ("ran", "cut")] == ["cut"]
-        t.go(1)
-        assert t.owner().pool_owners[t.pool].records.grants == {}
+        cluster.go(0.1)
+        assert [r["kind"] for r in cluster.tape.rows if r["kind"] in ("ran", "cut")] == ["cut"]
+        cluster.go(1)
+        assert cluster.owner().pool_owners[cluster.pool].records.grants == {}
 
     def test_a_slow_client_slows_the_worker(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        t = quiet_cluster()
+        cluster = quiet_cluster()
         sent = []
 
         async def flood(request: http_server.Request) -> None:
@@ -126,24 +126,24 @@
                 return
             for _ in range(200):
                 while request.channel.transport.producer_held:
-                    await t.load.runtime.sleep(10_000)
+                    await cluster.load.runtime.sleep(10_000)
                 request.write(b"x" * 16_384)
                 sent.append(16_384)
             request.finish()
 
-        for w in t.workers.values():
+        for w in cluster.workers.values():
             w.process.ports.clear()
-            t.listen(w.process, 9001, http_server.Server(w.runtime, flood))
+            cluster.listen(w.process, 9001, http_server.Server(w.runtime, flood))
         held = property(lambda side: side.producer_paused or side.bytes_in_flight > network_model.WINDOW_BYTES)
         monkeypatch.setattr(network_model.ConnectionSide, "producer_held", held, raising=False)
         assert held is not None
-        box = self.query(t)
-        assert t.until(lambda: len(box) > 1 and box[1][2].first_at, 5)
+        box = self.query(cluster)
+        assert cluster.until(lambda: len(box) > 1 and box[1][2].first_at, 5)
         box[1][2].transport.pauseProducing()
-        t.go(5)
+        cluster.go(5)
         assert sum(sent) < 12 * network_model.WINDOW_BYTES
         box[1][2].transport.resumeProducing()
-        assert t.until(lambda: box[1][3].called, 30)
+        assert cluster.until(lambda: box[1][3].called, 30)
         assert sum(map(len, box[1][2].parts)) == 200 * 16_384
 
     def test_jumps_of_the_wall_clock_change_nothing(self) -> None:
@@ -155,24 +155,24 @@
                 return real() + jump * (real() % 1)
 
             with mock.patch.object(time, "time", jumping_time):
-                t = simulated_cluster.SimulatedCluster(5, "small", seconds=5)
-                t.begin()
-                t.end()
-            tapes.append(t.tape.text())
+                cluster = simulated_cluster.SimulatedCluster(5, "small", seconds=5)
+                cluster.begin()
+                cluster.end()
+            tapes.append(cluster.tape.text())
         assert len(tapes[0]) > 1000
         differ = tapes != [tapes[0]] * 3  # not compared within the assertion: a report of the difference takes minutes
         assert not differ
 
     def test_new_terms_hold_for_an_open_session(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        self.answer(t, parts=("system", "talk"))
-        document = t.with_probe(1)
-        document["terms"]["default"]["lifetime_us"] = 10 * S
-        done = t.operator_runtime.spawn(t.operator.change(document), simulated_cluster.log)
-        assert t.until(lambda: done.called, 10)
-        self.answer(t, parts=("system", "talk"))
-        t.go(17)
-        assert self.open_sessions(t) == 0
+        cluster = quiet_cluster()
+        self.answer(cluster, parts=("system", "talk"))
+        document = cluster.with_probe(1)
+        document["terms"]["default"]["lifetime_us"] = 10 * SECOND
+        done = cluster.operator_runtime.spawn(cluster.operator.change(document), simulated_cluster.log)
+        assert cluster.until(lambda: done.called, 10)
+        self.answer(cluster, parts=("system", "talk"))
+        cluster.go(17)
+        assert self.open_sessions(cluster) == 0
 
     def test_a_route_of_another_zone_is_not_known_here(self, quiet_cluster: conftest.QuietCluster) -> None:
         document = {
@@ -180,71 +180,71 @@
             "terms": {"default": {}},
             "routes": {"all": {"path": "/v1", "pool": "desk"}, "far": {"path": "/far", "pool": "desk", "zones": ["d"]}},
         }
-        t = quiet_cluster(shape="magnolia", configuration=document)
-        assert self.answer(t, path="/far", node="n1")[0] == 404
-        assert self.answer(t, path="/far", node="n6")[0] == 200
-        assert "routes/far" not in t.nodes["n1"].follower.items
+        cluster = quiet_cluster(shape="magnolia", configuration=document)
+        assert self.answer(cluster, path="/far", node="n1")[0] == 404
+        assert self.answer(cluster, path="/far", node="n6")[0] == 200
+        assert "routes/far" not in cluster.nodes["n1"].follower.items
 
     def test_a_node_without_a_configuration_is_not_ready_and_answers_not_run(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster()
-        t.world.cut(["10.0.2.7"], t.hosts("cores"))
-        t.start_node("n7", "10.0.2.7", "a")
-        t.go(3)
-        assert not t.platform.heartbeat_sent_at["n7"]
-        code, _, body = self.answer(t, node="n7")
+        cluster = quiet_cluster()
+        cluster.world.cut(["10.0.2.7"], cluster.hosts("cores"))
+        cluster.start_node("n7", "10.0.2.7", "a")
+        cluster.go(3)
+        assert not cluster.platform.heartbeat_sent_at["n7"]
+        code, _, body = self.answer(cluster, node="n7")
         assert (code, b"not_ready" in body, b"not_run" in body) == (503, True, True)
 
     def test_one_working_disk_takes_no_change(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
+        cluster = quiet_cluster()
         for name in ("c2", "c3"):
-            t.cores[name].process.host.disk = "full"
-        done = t.operator_runtime.spawn(t.operator.change(t.with_probe(1)), simulated_cluster.log)
-        t.go(8)
+            cluster.cores[name].process.host.disk = "full"
+        done = cluster.operator_runtime.spawn(cluster.operator.change(cluster.with_probe(1)), simulated_cluster.log)
+        cluster.go(8)
         assert not done.called
-        code, may = self.plan_refused(t)
+        code, may = self.plan_refused(cluster)
         assert (code in ("too_few_copies", "no_chain"), may) == (True, "not_run")
         for name in ("c2", "c3"):
-            t.cores[name].process.host.repair()
-        assert t.until(lambda: done.called, 20)
+            cluster.cores[name].process.host.repair()
+        assert cluster.until(lambda: done.called, 20)
         assert done.result > 0
 
     def test_a_machine_that_alone_promised_does_not_break_the_chain_for_good(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster()
-        head = t.head()
+        cluster = quiet_cluster()
+        head = cluster.head()
         number = head.consensus.view.number + 1
         c = head.consensus
         c.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a short cut, in which its grant ran out
         prepare = message.Prepare(number, (1, c.own_voter.id), c.own_voter.id)
-        t.operator_runtime.spawn(c.answer(prepare), simulated_cluster.log)
-        t.go(0.1)
+        cluster.operator_runtime.spawn(c.answer(prepare), simulated_cluster.log)
+        cluster.go(0.1)
         assert c.is_sealed()
-        done = t.operator_runtime.spawn(t.operator.change(t.with_probe(1)), simulated_cluster.log)
-        assert t.until(lambda: done.called, 5)
+        done = cluster.operator_runtime.spawn(cluster.operator.change(cluster.with_probe(1)), simulated_cluster.log)
+        assert cluster.until(lambda: done.called, 5)
         assert done.result > 0
 
-    def plan_refused(self, t: simulated_cluster.SimulatedCluster) -> list[str]:
+    def plan_refused(self, cluster: simulated_cluster.SimulatedCluster) -> list[str]:
         """Code and verdict that a plan gets now."""
         got = []
 
         async def go() -> None:
-            _, document = await t.operator.query("POST", "/plans", {"blueprint": t.with_probe(9)})
+            _, document = await cluster.operator.query("POST", "/plans", {"blueprint": cluster.with_probe(9)})
             got.extend([document["code"], document["verdict"]])
 
-        d = t.operator_runtime.spawn(go(), simulated_cluster.log)
-        assert t.until(lambda: d.called, 10)
+        d = cluster.operator_runtime.spawn(go(), simulated_cluster.log)
+        assert cluster.until(lambda: d.called, 10)
         return got
 
     def test_a_late_selection_that_was_given_up_gets_no_grant(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        n = t.owner()
-        w = n.pool_owners[t.pool]
+        cluster = quiet_cluster()
+        n = cluster.owner()
+        w = n.pool_owners[cluster.pool]
         w.release("late-ask", errors.ExecutionOutcome.NOT_RUN)
         msg = message.SelectWorker(
-            t.pool,
+            cluster.pool,
             w.assignment.term,
             "n1",
             "late-ask",
@@ -256,127 +256,132 @@
             20,
             False,
             [],
-            {"lifetime_us": S, "cost": 1},
-            S,
+            {"lifetime_us": SECOND, "cost": 1},
+            SECOND,
         )
         d = n.runtime.spawn(w.select_worker(msg), simulated_cluster.log)
-        t.go(1)
+        cluster.go(1)
         assert d.result.code == "no_warden"
         assert w.records.claims == {}
 
     def test_a_claim_of_a_grant_that_came_too_late_is_given_back(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        n = t.owner()
-        w = n.pool_owners[t.pool]
-        w.records.claims["e1"] = claims.Claim("e1", 1, "n1", "old-ask", t.world.time + 600 * S)  # as gathered
+        cluster = quiet_cluster()
+        n = cluster.owner()
+        w = n.pool_owners[cluster.pool]
+        w.records.claims["e1"] = claims.Claim(
+            "e1", 1, "n1", "old-ask", cluster.world.time + 600 * SECOND
+        )  # as gathered
         w.release("old-ask", errors.ExecutionOutcome.NOT_RUN)
-        assert self.answer(t, identifier="e1", repeat=False)[0] == 200
-        code, _, body = self.answer(t, identifier="e1", repeat=False, send=2, node="n2")
+        assert self.answer(cluster, identifier="e1", repeat=False)[0] == 200
+        code, _, body = self.answer(cluster, identifier="e1", repeat=False, send=2, node="n2")
         assert (code, b'"ran"' in body) == (409, True)
 
     def test_a_former_pool_owner_gets_no_copy_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster(shape="magnolia")
-        n = t.owner()
-        old = n.pool_owners[t.pool]
-        holder = next(m for m in t.nodes.values() if m.me.id == old.assignment.copies[0])
-        holder.pool_roles.replica(t.pool).fence((old.assignment.term[0], old.assignment.term[1] + 1))
+        cluster = quiet_cluster(shape="magnolia")
+        n = cluster.owner()
+        old = n.pool_owners[cluster.pool]
+        holder = next(m for m in cluster.nodes.values() if m.me.id == old.assignment.copies[0])
+        holder.pool_roles.replica(cluster.pool).fence((old.assignment.term[0], old.assignment.term[1] + 1))
         d = n.runtime.spawn(
-            old.replicator.copy(message.ReplicateRecords(t.pool, old.assignment.term, n.me.id, [], [], [])),
+            old.replicator.copy(message.ReplicateRecords(cluster.pool, old.assignment.term, n.me.id, [], [], [])),
             simulated_cluster.log,
         )
-        t.go(1)
+        cluster.go(1)
         assert (d.result, old.is_live()) == (False, False)
 
     def test_a_pool_is_new_to_its_first_owner_however_often_it_queries(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster()
-        core = t.tail()
+        cluster = quiet_cluster()
+        core = cluster.tail()
 
         def had_an_owner(term: tuple[int, int]) -> bool:
             request = message.RecordsRequest("new", term, "n1")
             asked = core.runtime.spawn(core.session_replicas.collect(request), simulated_cluster.log)
-            t.go(0.1)
+            cluster.go(0.1)
             assert asked.result.ok
             return asked.result.has_replica
 
         assert [had_an_owner((9, k)) for k in (1, 1, 2, 3)] == [False, False, True, True]
 
     def test_an_update_does_not_interrupt_a_call_to_a_core_machine(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        n, core = t.nodes["n1"], t.tail()
+        cluster = quiet_cluster()
+        n, core = cluster.nodes["n1"], cluster.tail()
         asked = n.runtime.spawn(
-            n.peers.call(core.options.host, core.options.port, message.RecordsRequest("new", (9, 1), "n1"), S),
+            n.peers.call(core.options.host, core.options.port, message.RecordsRequest("new", (9, 1), "n1"), SECOND),
             simulated_cluster.log,
         )
         n.on_update()
-        t.go(0.5)
+        cluster.go(0.5)
         assert asked.result.ok
         n.on_update()
         assert n.peers.connections[(core.options.host, core.options.port)].up
 
     def test_a_term_that_a_lost_membership_had_passed_is_replaced(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster(shape="magnolia")
+        cluster = quiet_cluster(shape="magnolia")
         for who in ("copy", "holder"):
-            assignment = t.owner().pool_owners[t.pool].assignment
+            assignment = cluster.owner().pool_owners[cluster.pool].assignment
             name = assignment.holder if who == "holder" else assignment.copies[0]
-            n = next(m for m in t.nodes.values() if m.me.id == name)
-            newer = (assignment.term[0], t.tail().membership.latest.version[1] + 1)  # of a membership that nobody kept
-            n.serve(None, message.RecordsRequest(t.pool, newer, "somebody"))
-            assert self.answer(t, identifier=who, repeat=False, node="n1")[0] == 200
+            n = next(m for m in cluster.nodes.values() if m.me.id == name)
+            newer = (
+                assignment.term[0],
+                cluster.tail().membership.latest.version[1] + 1,
+            )  # of a membership that nobody kept
+            n.serve(None, message.RecordsRequest(cluster.pool, newer, "somebody"))
+            assert self.answer(cluster, identifier=who, repeat=False, node="n1")[0] == 200
 
     def test_a_thawed_tail_answers_nothing_on_its_old_lease(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        tail = t.tail()
+        cluster = quiet_cluster()
+        tail = cluster.tail()
         tail.process.freeze()
-        t.go(4)
+        cluster.go(4)
         tail.process.frozen = False  # it runs again, before it has heard anything
         assert not tail.consensus.holds_lease()
         assert not tail.chain.tail.answer_read(message.ReadRequest(1)).ok
         assert not tail.is_serving()
 
     def test_versions_that_are_two_steps_apart_do_not_talk(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        ours = t.nodes["n1"].runtime.protocol_version
+        cluster = quiet_cluster()
+        ours = cluster.nodes["n1"].runtime.protocol_version
         for name, version in (("n8", ours + 1), ("n9", ours + 2)):
-            t.versions[name] = version
-            t.start_node(name, f"10.0.2.{name[1]}", "a")
-        t.go(5)
-        assert (t.platform.heartbeat_sent_at["n8"], t.platform.heartbeat_sent_at["n9"]) == (True, False)
-        assert self.answer(t, node="n8")[0] == 200
-        assert "n9" not in [m.name for m in t.nodes["n1"].follower.membership.members]
+            cluster.versions[name] = version
+            cluster.start_node(name, f"10.0.2.{name[1]}", "a")
+        cluster.go(5)
+        assert (cluster.platform.heartbeat_sent_at["n8"], cluster.platform.heartbeat_sent_at["n9"]) == (True, False)
+        assert self.answer(cluster, node="n8")[0] == 200
+        assert "n9" not in [m.name for m in cluster.nodes["n1"].follower.membership.members]
 
     def test_an_older_program_refuses_a_newer_data_folder(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        c = t.cores["c1"]
+        cluster = quiet_cluster()
+        c = cluster.cores["c1"]
         c.process.kill()
         c.process.host.synced[b"format"] = b"99"
         with pytest.raises(storage.DiskError):
-            t.start_core("c1", *t.options["c1"])
+            cluster.start_core("c1", *cluster.options["c1"])
 
     def test_open_plans_are_bounded_by_their_bytes(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        chain = t.head().chain
+        cluster = quiet_cluster()
+        chain = cluster.head().chain
         pad = [["terms/t", {"pad": "x" * (1 << 20)}]]
         for k in range(40):
-            d = t.head().runtime.spawn(
+            d = cluster.head().runtime.spawn(
                 chain.answer(
                     message.ProposeChange(
-                        t.head().consensus.view.number, "plan", f"2-{k}", chain.latest_state.version, pad
+                        cluster.head().consensus.view.number, "plan", f"2-{k}", chain.latest_state.version, pad
                     )
                 ),
                 simulated_cluster.log,
             )
-            assert t.until(lambda d=d: d.called, 5)
-        t.go(2)
+            assert cluster.until(lambda d=d: d.called, 5)
+        cluster.go(2)
         assert sum(p.size for p in chain.latest_state.plans.values()) <= 16 << 20
-        assert sum(map(len, t.head().process.host.synced.values())) < 120 << 20
+        assert sum(map(len, cluster.head().process.host.synced.values())) < 120 << 20
 
     def test_a_thawed_node_selects_nothing_before_it_has_rejoined(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster()
-        n = t.nodes["n1"]
+        cluster = quiet_cluster()
+        n = cluster.nodes["n1"]
         n.process.freeze()
-        t.go(4)
+        cluster.go(4)
         n.process.frozen = False
         assert n.follower.needs_rejoin()
         assert n.ready() == (False, "rejoining")
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -15,13 +15,13 @@
 from simulation import simulated_cluster
 from tests import conftest
 
-S = units.SECOND_US
+SECOND = units.SECOND_US
 
 
 class TestClosingServer:
     def test_what_was_answered_goes_out_before_the_connection_ends(self) -> None:
         clock = task.Clock()
-        runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * S), seed=1)
+        runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
 
         async def handle(request: http_server.Request) -> None:
             request.answer_json(200, {"whole": True})
@@ -32,7 +32,7 @@
         channel = server.buildProtocol(address.IPv4Address("TCP", "127.0.0.1", 1))
         channel.makeConnection(wire)
         channel.dataReceived(b"GET /state HTTP/1.1\r\nHost: x\r\n\r\n")
-        done = defer.ensureDeferred(server.finish(S))
+        done = defer.ensureDeferred(server.finish(SECOND))
         assert b'{"whole": true}' in wire.value()
         assert (wire.disconnecting, done.called) == (True, False)  # disconnecting: after what was written
         assert server.buildProtocol(address.IPv4Address("TCP", "127.0.0.1", 2)) is None
@@ -43,7 +43,7 @@
 class TestOptionsReadAgain:
     def test_a_changed_file_is_read_again_and_a_bad_one_is_not(self, tmp_path: pathlib.Path) -> None:
         clock, got = task.Clock(), []
-        runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * S), seed=1)
+        runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
         path = tmp_path / "node.toml"
 
         def write(seeds: str) -> None:
@@ -71,45 +71,47 @@
 
 class TestStoppingInACluster:
     def test_a_node_leaves_within_its_grace_whatever_is_open(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster(grace_us=8 * S)
-        n = t.nodes["n1"]
+        cluster = quiet_cluster(grace_us=8 * SECOND)
+        n = cluster.nodes["n1"]
         n.gateway.open_requests += 1  # a request that never ends
-        started_at = t.world.time
+        started_at = cluster.world.time
         done = n.runtime.spawn(n.stop(), simulated_cluster.log)
         assert not n.ready()[0]
-        t.go(2.9)
+        cluster.go(2.9)
         assert not n.refusing_requests
-        t.go(0.5)
+        cluster.go(0.5)
         assert n.refusing_requests
-        assert t.until(lambda: done.called, 10)
-        assert 6.5 * S < t.world.time - started_at < 7.5 * S
+        assert cluster.until(lambda: done.called, 10)
+        assert 6.5 * SECOND < cluster.world.time - started_at < 7.5 * SECOND
 
     @pytest.mark.parametrize("serve_on", [True, False])
     def test_nodes_cut_off_from_the_core_serve_on_where_configured(
         self, quiet_cluster: conftest.QuietCluster, serve_on: bool
     ) -> None:
-        t = quiet_cluster(serve_on=serve_on)
-        t.world.cut(t.hosts("cores"), [t.nodes["n1"].options.host])
-        t.go(8)
-        assert t.nodes["n1"].ready()[0] == serve_on
-        t.world.heal()
-        assert t.until(lambda: t.nodes["n1"].ready()[0], 5)
+        cluster = quiet_cluster(serve_on=serve_on)
+        cluster.world.cut(cluster.hosts("cores"), [cluster.nodes["n1"].options.host])
+        cluster.go(8)
+        assert cluster.nodes["n1"].ready()[0] == serve_on
+        cluster.world.heal()
+        assert cluster.until(lambda: cluster.nodes["n1"].ready()[0], 5)
 
     def test_a_core_machine_that_stops_is_out_of_the_chain_before_it_goes(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster()
-        for at in (t.tail, t.head):
+        cluster = quiet_cluster()
+        for at in (cluster.tail, cluster.head):
             c = at()
-            started_at = t.world.time
+            started_at = cluster.world.time
             done = c.runtime.spawn(c.stop(), simulated_cluster.log)
-            assert t.until(lambda done=done: done.called, 5)
-            assert t.world.time - started_at < S
+            assert cluster.until(lambda done=done: done.called, 5)
+            assert cluster.world.time - started_at < SECOND
             c.process.kill()
-            others = [x for x in t.cores.values() if x is not c]
+            others = [x for x in cluster.cores.values() if x is not c]
             assert {len(x.consensus.view.chain) for x in others} == {2}
-            t.start_core(c.options.name, *t.options[c.options.name])
-            assert t.until(lambda: t.tail() is not None and len(t.tail().consensus.view.chain) == 3, 5)
+            cluster.start_core(c.options.name, *cluster.options[c.options.name])
+            assert cluster.until(
+                lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 3, 5
+            )
 
     def stop(self, c: core.Core) -> defer.Deferred[Any]:
         return c.runtime.spawn(c.stop(), simulated_cluster.log)
@@ -117,109 +119,113 @@
     def test_a_core_machine_that_holds_the_only_synced_copy_stays_until_another_has_it(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(grace_us=8 * S)
-        head = t.head()
-        others = [c for c in t.cores.values() if c is not head]
+        cluster = quiet_cluster(grace_us=8 * SECOND)
+        head = cluster.head()
+        others = [c for c in cluster.cores.values() if c is not head]
         for c in others:
             c.process.host.fail()
             c.process.host.synced.clear()
         done = self.stop(head)
-        t.go(4.5)
+        cluster.go(4.5)
         assert not done.called
         for c in others:
-            t.start_core(c.options.name, *t.options[c.options.name])
-        t.go(3)
+            cluster.start_core(c.options.name, *cluster.options[c.options.name])
+        cluster.go(3)
         assert not done.called  # two blank machines can't take it over: of the voters it is the only one
 
     def test_a_core_machine_hands_over_to_joining_members_that_are_still_catching_up(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(grace_us=30 * S)
-        head, held = t.head(), [True]
+        cluster = quiet_cluster(grace_us=30 * SECOND)
+        head, held = cluster.head(), [True]
 
         async def answer(msg: message.Message, real: Callable[..., Any]) -> message.Message:
             late = held and isinstance(msg, message.CatchUp)
             return message.AppendResponse(False) if late else await real(msg)
 
         joining_members = []
-        for c in [c for c in t.cores.values() if c is not head]:
+        for c in [c for c in cluster.cores.values() if c is not head]:
             c.process.host.fail()
             c.process.host.synced.clear()
-            t.start_core(c.options.name, *t.options[c.options.name])
-            joining_members.append(t.cores[c.options.name])
+            cluster.start_core(c.options.name, *cluster.options[c.options.name])
+            joining_members.append(cluster.cores[c.options.name])
             joining_members[-1].chain.answer = functools.partial(answer, real=joining_members[-1].chain.answer)
             identifier = joining_members[-1].consensus.own_voter.id
-            assert t.until(lambda identifier=identifier: identifier in [x.id for x in head.consensus.view.chain], 10)
+            assert cluster.until(
+                lambda identifier=identifier: identifier in [x.id for x in head.consensus.view.chain], 10
+            )
         assert len(head.consensus.view.chain) == 3
         done = self.stop(head)
-        t.go(5)
+        cluster.go(5)
         assert not done.called
         assert not any(c.chain.is_synced() for c in joining_members)
         held.clear()
-        assert t.until(lambda: done.called, 5)
+        assert cluster.until(lambda: done.called, 5)
         assert all(c.chain.is_synced() for c in joining_members)
 
     def test_a_core_machine_without_which_no_majority_is_left_stays_for_its_grace(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(grace_us=8 * S)
-        lost, leaving = t.tail(), t.head()
+        cluster = quiet_cluster(grace_us=8 * SECOND)
+        lost, leaving = cluster.tail(), cluster.head()
         lost.process.host.fail()
-        t.go(4)
+        cluster.go(4)
         done = self.stop(leaving)
-        t.go(4.5)
+        cluster.go(4.5)
         assert not done.called
         lost.process.host.synced.clear()
-        t.start_core(lost.options.name, *t.options[lost.options.name])
-        assert t.until(lambda: done.called, 3)
+        cluster.start_core(lost.options.name, *cluster.options[lost.options.name])
+        assert cluster.until(lambda: done.called, 3)
         leaving.process.kill()
-        assert t.until(lambda: t.tail() is not None and len(t.tail().consensus.view.chain) == 2, 5)
+        assert cluster.until(lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 2, 5)
 
     def test_a_fleet_whose_core_machines_all_stop_ends_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
-        t = quiet_cluster(grace_us=8 * S)
-        done = [self.stop(c) for c in t.cores.values()]
-        t.go(1)
+        cluster = quiet_cluster(grace_us=8 * SECOND)
+        done = [self.stop(c) for c in cluster.cores.values()]
+        cluster.go(1)
         assert [d.called for d in done] == [True] * 3
 
     def test_nodes_keep_their_session_in_their_own_zone_where_a_core_machine_serves_there(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(zones=["a", "a", "b", "c", "d"])
-        zones = {host: zone for host, zone in (t.options[c] for c in t.cores)}
+        cluster = quiet_cluster(zones=["a", "a", "b", "c", "d"])
+        zones = {host: zone for host, zone in (cluster.options[c] for c in cluster.cores)}
         assert sorted(zones.values()) == ["a", "b", "c"]
 
         def at_home() -> bool:
             return all(
                 n.follower.session.stands()
                 and (n.options.zone == "d" or zones[n.follower.session.address[0]] == n.options.zone)
-                for n in t.nodes.values()
+                for n in cluster.nodes.values()
             )
 
-        assert t.until(at_home, 15)
-        c = next(c for c in t.cores.values() if c.options.zone == "a")
+        assert cluster.until(at_home, 15)
+        c = next(c for c in cluster.cores.values() if c.options.zone == "a")
         c.process.kill()
-        assert t.until(lambda: not at_home() and all(n.follower.session.stands() for n in t.nodes.values()), 5)
-        t.go(5)
-        t.start_core(c.options.name, *t.options[c.options.name])
+        assert cluster.until(
+            lambda: not at_home() and all(n.follower.session.stands() for n in cluster.nodes.values()), 5
+        )
+        cluster.go(5)
+        cluster.start_core(c.options.name, *cluster.options[c.options.name])
         members = set()
 
         def at_home_with_all() -> bool:
-            members.add(len(next(iter(t.nodes.values())).follower.membership.members))
+            members.add(len(next(iter(cluster.nodes.values())).follower.membership.members))
             return at_home()
 
-        assert t.until(at_home_with_all, 15)
-        t.go(3)
-        assert members | {len(t.tail().membership.latest.members)} == {5}
-        moves = [n.follower.session.moves for n in t.nodes.values()]
-        t.go(30)
-        assert [n.follower.session.moves for n in t.nodes.values()] == moves
+        assert cluster.until(at_home_with_all, 15)
+        cluster.go(3)
+        assert members | {len(cluster.tail().membership.latest.members)} == {5}
+        moves = [n.follower.session.moves for n in cluster.nodes.values()]
+        cluster.go(30)
+        assert [n.follower.session.moves for n in cluster.nodes.values()] == moves
 
     @pytest.mark.parametrize(("serve_on", "most"), [(True, 3), (False, 11)])
     def test_a_node_that_serves_on_queries_few_peers_for_the_core(
         self, quiet_cluster: conftest.QuietCluster, serve_on: bool, most: int
     ) -> None:
-        t = quiet_cluster(zones=["a"] * 12, serve_on=serve_on)
-        n, asked = t.nodes["n1"], []
+        cluster = quiet_cluster(zones=["a"] * 12, serve_on=serve_on)
+        n, asked = cluster.nodes["n1"], []
         n.follower.runtime.spawn = lambda coroutine, *_log: asked.append(coroutine) or coroutine.close()
         n.follower.peer_status.query()
         assert len(asked) == most
@@ -227,23 +233,23 @@
     def test_nodes_without_updates_of_workers_do_not_storm_the_platform(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
-        t = quiet_cluster(zones=["a", "b", "c", "d"] * 6, serve_on=True)
+        cluster = quiet_cluster(zones=["a", "b", "c", "d"] * 6, serve_on=True)
         asked = []
-        handle = t.platform.handle
+        handle = cluster.platform.handle
 
         async def counted(request: http_server.Request) -> None:
             if request.path == b"/workers":
-                asked.append(t.world.time)
+                asked.append(cluster.world.time)
             await handle(request)
 
-        t.platform_proc.ports[9000].handle = counted
-        for c in t.cores.values():  # nobody can hand the role on
+        cluster.platform_proc.ports[9000].handle = counted
+        for c in cluster.cores.values():  # nobody can hand the role on
             c.process.kill()
-        holder = next(n for n in t.nodes.values() if n.follower.assignment("list").holder == n.me.id)
+        holder = next(n for n in cluster.nodes.values() if n.follower.assignment("list").holder == n.me.id)
         holder.process.kill()
-        del t.nodes[holder.options.name]
-        t.go(2)
+        del cluster.nodes[holder.options.name]
+        cluster.go(2)
         del asked[:]
-        t.go(10)
-        assert all(n.follower.runtime.now() - n.follower.updated_at < 4 * S for n in t.nodes.values())
+        cluster.go(10)
+        assert all(n.follower.runtime.now() - n.follower.updated_at < 4 * SECOND for n in cluster.nodes.values())
         assert 5 < len(asked) < 30, len(asked)
