--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -38,7 +38,7 @@
         self.worker = worker
         self.runtime = node.runtime
         self.protocol = node.edge_protocol
-        self.bodyless = request.request.method == b"HEAD"  # its answer is a head alone
+        self.bodyless = request.http_request.method == b"HEAD"  # its answer is a head alone
         self.connection: worker_connections.WorkerConnection | None = None
         self.done: defer.Deferred[attempt_outcome.AttemptOutcome] = defer.Deferred(lambda _: self.stop())
         self.started_at_us = self.last_received_us = self.runtime.now()
@@ -119,7 +119,7 @@
 
     def start(self, connection: worker_connections.WorkerConnection, head: bytes) -> None:
         """Send the request over a connection; the attempt's time begins anew."""
-        self.request.request.registerProducer(self, True)
+        self.request.http_request.registerProducer(self, True)
         connection.start(head + self.request.raw, self)
 
     def stop(self, outcome: attempt_outcome.AttemptOutcome | None = None) -> None:
@@ -137,7 +137,7 @@
 
     def answer_failure(self) -> None:
         """Give the worker's own failure to the client, as it is."""
-        body, client_request = b"".join(self.held_back), self.request.request
+        body, client_request = b"".join(self.held_back), self.request.http_request
         if client_request.gone:
             return
         self._set_head()
@@ -156,7 +156,7 @@
 
     def _write(self, data: bytes) -> None:
         """Write a piece to the client; the first one takes the answer's head along."""
-        request, client_request = self.request, self.request.request
+        request, client_request = self.request, self.request.http_request
         if client_request.gone or client_request.finished:
             return
         if not request.answer_begun:
@@ -171,7 +171,7 @@
             client_request.write(data)
 
     def _set_head(self) -> None:
-        client_request = self.request.request
+        client_request = self.request.http_request
         client_request.setResponseCode(self.status)
         for name, value in self.protocol.client_headers(self.headers, self.worker):
             client_request.responseHeaders.addRawHeader(name, value)
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -37,12 +37,14 @@
 
     def cancel_unreachable(self, worker: str) -> None:
         """Cancel the attempts that wait for a first byte of a worker that no node reaches."""
-        for attempt in [a for a in self.attempts.values() if a.worker == worker and not a.answer_begun]:
+        for attempt in [
+            attempt for attempt in self.attempts.values() if attempt.worker == worker and not attempt.answer_begun
+        ]:
             attempt.cancel()
 
     def cancel_drained(self) -> None:
         """End the attempts at workers that left and whose drain time is over."""
-        for attempt in [a for a in self.attempts.values() if self.node.follower.drained(a.worker)]:
+        for attempt in [attempt for attempt in self.attempts.values() if self.node.follower.drained(attempt.worker)]:
             attempt.cancel()
 
     async def watch_hangs(self) -> None:
@@ -52,7 +54,7 @@
         """
         while not self.node.stopped:
             await self.runtime.sleep(CHECK_INTERVAL_US)
-            for worker in sorted({a.worker for a in self.attempts.values() if self._hangs(a)}):
+            for worker in sorted({attempt.worker for attempt in self.attempts.values() if self._hangs(attempt)}):
                 self.runtime.spawn(self._cancel_hanging(worker), log)
 
     async def _cancel_hanging(self, worker_id: str) -> None:
@@ -62,7 +64,9 @@
             response = await self.node.reachability.probe(worker)
             if response.outcome != health.ProbeOutcome.NOT_REACHED:
                 return
-        for attempt in [a for a in self.attempts.values() if a.worker == worker_id and not a.is_relayed]:
+        for attempt in [
+            attempt for attempt in self.attempts.values() if attempt.worker == worker_id and not attempt.is_relayed
+        ]:
             if self._hangs(attempt):
                 attempt.cancel()
 
--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -15,7 +15,7 @@
     """One request that the forwarder sends, with what was learned of it so far."""
 
     def __init__(self, routed: routed_request.RoutedRequest, pool_placement: placement.Placement) -> None:
-        self.request = routed.request
+        self.http_request = routed.http_request
         self.parsed = routed.parsed
         self.raw = routed.raw
         self.route, self.pool, self.terms = routed.route, routed.pool, routed.terms
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -33,7 +33,7 @@
 SILENCE_US = 300 * units.MILLISECOND_US  # silence on a stream that speaks against its worker
 LONG_PROMPT_SILENCE_US = 1 * units.SECOND_US  # likewise, before the first event of a long prompt
 RESUME_SILENCE_US = 500 * units.MILLISECOND_US  # silence after which a stream that may be resumed elsewhere is
-CROWDED_SILENCE_US = 1_200 * units.MILLISECOND_US  # and before the first event, where many wait
+OVERLOADED_SILENCE_US = 1_200 * units.MILLISECOND_US  # and before the first event, where many wait
 SILENCE_SUSPICION = 0.3  # how much a silence counts against a worker
 MAX_UNREACHED = 3  # workers tried that give no connection
 MIN_RETRY_US = 150 * units.MILLISECOND_US  # a refused client may come back after so long
@@ -120,24 +120,24 @@
             for stream in waiting
             if now - stream.started_at_us > stream.request.placement.first_event_timeout_us(stream.expected_us)
         }
-        crowded = len(overdue) > 1 and 3 * len(overdue) > len(waiting)
+        overloaded = len(overdue) > 1 and 3 * len(overdue) > len(waiting)
         for stream in list(self.streams):
             if not is_silent(stream, stream in overdue, now):
                 continue
             if not stream.failure_recorded:
                 stream.failure_recorded = True
                 stream.request.placement.record_failure(stream.worker, SILENCE_SUSPICION)
-            if self._should_move(stream, stream in overdue, crowded, now):
+            if self._should_move(stream, stream in overdue, overloaded, now):
                 self.counts["mute"] += 1
                 stream.stop(stream.broken_outcome())
 
-    def _should_move(self, stream: answer_stream.AnswerStream, overdue: bool, crowded: bool, now: int) -> bool:
+    def _should_move(self, stream: answer_stream.AnswerStream, overdue: bool, overloaded: bool, now: int) -> bool:
         """Whether a silent stream is ended here to be sent to another worker; its own may still go on."""
         request = stream.request
         if not (
             request.resume
             and request.idempotent
-            and self.may_repeat(request)
+            and self.may_retry(request)
             and self._other_workers(request, stream.worker)
         ):
             return False
@@ -148,8 +148,8 @@
             return True
         if not overdue:
             return False
-        return not crowded or (
-            request.placement.is_unresponsive(stream.worker, now) and silence_us > CROWDED_SILENCE_US
+        return not overloaded or (
+            request.placement.is_unresponsive(stream.worker, now) and silence_us > OVERLOADED_SILENCE_US
         )
 
     def _in_maintenance(self, now: int) -> bool:
@@ -175,7 +175,7 @@
         """
         request = forwarded_request.ForwardedRequest(routed, self.placement_of(routed.pool_name))
         try:
-            await client_disconnect.run_until_disconnect(request.request, self.send_with_retries(request))
+            await client_disconnect.run_until_disconnect(request.http_request, self.send_with_retries(request))
         except defer.CancelledError:
             self.counts["gone"] += 1
 
@@ -195,17 +195,17 @@
                     continue
                 case attempt_outcome.AttemptOutcome.COMPLETE:
                     self.counts["whole"] += 1
-                    if not request.request.gone:
-                        request.request.finish()
+                    if not request.http_request.gone:
+                        request.http_request.finish()
                     return
                 case attempt_outcome.AttemptOutcome.LATE:
                     self.counts["late"] += 1
                     if request.answer_begun:
-                        request.request.break_off()
+                        request.http_request.break_off()
                         return
                     raise errors.ServiceError("too_late", "No answer came in time.", request.known_outcome())
             self._note_failure(request, outcome, stream)
-            if not self._try_again(request):
+            if not self._spend_retry(request):
                 self._end_unanswered(request, outcome, stream)
                 return
 
@@ -247,12 +247,12 @@
             case _:
                 request.may_have_run = True
 
-    def _try_again(self, request: forwarded_request.ForwardedRequest) -> bool:
+    def _spend_retry(self, request: forwarded_request.ForwardedRequest) -> bool:
         """Whether a request goes to another worker; takes the repeat from the retry budget."""
         allowed = (
             (request.idempotent or not request.may_have_run)
             and (request.resume or not request.answer_begun)
-            and self.may_repeat(request)
+            and self.may_retry(request)
         )
         if not allowed or self.runtime.now() >= request.deadline_us or not self._other_workers(request):
             return False
@@ -268,7 +268,7 @@
     ) -> None:
         """End a request after its last attempt; raises the error that is its answer where there is one."""
         if request.answer_begun:
-            request.request.break_off()
+            request.http_request.break_off()
             return
         if outcome is attempt_outcome.AttemptOutcome.FAILED and stream.status not in NOT_RUN_STATUSES:
             stream.answer_failure()
@@ -277,7 +277,7 @@
             raise self.give_up(request, "busy", "The worker turned it away.")
         raise self.give_up(request, "worker_broke", f"Worker {stream.worker} gave no answer.")
 
-    def may_repeat(self, request: forwarded_request.ForwardedRequest) -> bool:
+    def may_retry(self, request: forwarded_request.ForwardedRequest) -> bool:
         """Whether a request may be sent once more, by its route and this node's share of the budget."""
         max_sends = request.route.sends
         if max_sends and request.sends >= max_sends:
@@ -332,8 +332,8 @@
         finally:
             self.streams.pop(stream, None)
             pool_placement.end(worker.id, stream.unread_tokens)
-            if stream.connection is not None and not request.request.gone and not request.request.finished:
-                request.request.unregisterProducer()
+            if stream.connection is not None and not request.http_request.gone and not request.http_request.finished:
+                request.http_request.unregisterProducer()
 
     async def _exchange(
         self,
@@ -348,7 +348,7 @@
             connection.drop()
             return attempt_outcome.AttemptOutcome.UNSENT
         head = self.protocol.head(
-            request.request, len(request.raw), worker, left_us, request.route.urgency, request.last_event_id
+            request.http_request, len(request.raw), worker, left_us, request.route.urgency, request.last_event_id
         )
         request.sends += 1
         self.counts["sends"] += 1
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -104,12 +104,12 @@
 
     async def run_queued(self, request: routed_request.RoutedRequest) -> None:
         """Run one request of a work queue and fire its `done`; the work is cancelled when its client disconnects."""
-        if request.request.gone:
+        if request.http_request.gone:
             self.counts["gone"] += 1
             request.done.callback(None)
             return
         try:
-            await client_disconnect.run_until_disconnect(request.request, self.send_with_grants(request))
+            await client_disconnect.run_until_disconnect(request.http_request, self.send_with_grants(request))
         except defer.CancelledError:
             self.counts["gone"] += 1
             request.done.callback(None)
@@ -130,7 +130,7 @@
             execution = errors.ExecutionOutcome.NOT_RUN
             try:
                 worker, relay_member = await self.selector.select_worker(request, excluded_workers)
-                if request.is_repeat:
+                if request.is_retry:
                     self.retry_budgets.budget(request).retries.append(self.runtime.now())
                     self.counts["repeats"] += 1
                 execution = errors.ExecutionOutcome.MAY_HAVE_RUN
@@ -142,7 +142,7 @@
                         return
                     case attempt_outcome.AttemptOutcome.INTERRUPTED:
                         self.counts["torn"] += 1
-                        request.request.break_off()
+                        request.http_request.break_off()
                         return
                     case attempt_outcome.AttemptOutcome.UNSENT:
                         execution = errors.ExecutionOutcome.NOT_RUN
@@ -176,7 +176,7 @@
         )
         attempt.is_relayed = peer is not None
         if peer is None:
-            outcome = await dispatcher.send(request.request, request.raw, worker, request.idempotent, attempt)
+            outcome = await dispatcher.send(request.http_request, request.raw, worker, request.idempotent, attempt)
             if outcome is attempt_outcome.AttemptOutcome.UNSENT:
                 self.node.reachability.note_unreachable(worker.id)
             return outcome
@@ -185,7 +185,7 @@
             return attempt_outcome.AttemptOutcome.UNSENT
         self.counts["passed"] += 1
         return await dispatcher.send(
-            request.request,
+            request.http_request,
             request.raw,
             worker,
             request.idempotent,
--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -101,7 +101,7 @@
             excluded_workers,
             {"lifetime_us": request.terms.lifetime_us, "cost": request.terms.cost},
             left_us,
-            request.is_repeat,
+            request.is_retry,
         )
 
     async def _ask_local_owner(self, query: message.SelectWorker) -> Selection | None:
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -49,7 +49,7 @@
 
     def _parse(self, request: routed_request.RoutedRequest) -> None:
         """Check method and length, and parse the request's id, attempt number, idempotence and body."""
-        http_request, headers = request.request, request.request.requestHeaders
+        http_request, headers = request.http_request, request.http_request.requestHeaders
         if http_request.method != b"POST" and not self.node.edge_protocol.any_method:
             raise errors.ServiceError("bad_method", "Exchanges are sent with POST.")
         if (
@@ -115,7 +115,7 @@
 
 def request_path(request: routed_request.RoutedRequest) -> str:
     """Return the path of a request's target."""
-    return request.request.path.decode("latin-1")
+    return request.http_request.path.decode("latin-1")
 
 
 def covers(path: str, requested_path: str) -> bool:
--- a/iriswheel/dataplane/routed_request.py
+++ b/iriswheel/dataplane/routed_request.py
@@ -29,6 +29,7 @@
         "deadline_us",
         "done",
         "grant_requested",
+        "http_request",
         "idempotent",
         "is_long",
         "may_have_run",
@@ -37,7 +38,6 @@
         "pool",
         "pool_name",
         "raw",
-        "request",
         "request_id",
         "route",
         "session",
@@ -52,8 +52,8 @@
     terms: configuration.Terms
     done: defer.Deferred[None]  # fires when a request that went through a work queue is over
 
-    def __init__(self, request: http_server.Request, attempt_id: str, now: int) -> None:
-        self.request = request
+    def __init__(self, http_request: http_server.Request, attempt_id: str, now: int) -> None:
+        self.http_request = http_request
         self.attempt_id = attempt_id
         self.arrived_at_us = now
         self.raw = b""
@@ -70,7 +70,7 @@
         self.grant_requested = False  # whether a pool owner may hold a grant for it
 
     @property
-    def is_repeat(self) -> bool:
+    def is_retry(self) -> bool:
         """Whether a send now would repeat one that may have run, by this node or by the client's word."""
         return self.may_have_run or self.attempt_number > 1
 
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -21,7 +21,7 @@
     """A worker, and the member that relays to it if this node does not reach it ("" where none is known)."""
 
     worker: message.Worker
-    via: str
+    relay_member: str
 
 
 class SessionAffinity(typing.NamedTuple):
@@ -171,7 +171,7 @@
 
         Only a first attempt of an idempotent request may go without the owner, who keeps claims and retry budget.
         """
-        if not request.idempotent or not request.session or request.is_repeat:
+        if not request.idempotent or not request.session or request.is_retry:
             return None  # repeats go by the pool owner's budget
         key = (request.pool_name, request.session)
         affinity = self.affinities.get(key, NO_AFFINITY)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -149,7 +149,7 @@
     "once": (
         [
             (forwarded_request.ForwardedRequest, "__init__", _always_repeat),
-            (forwarding.Forwarder, "may_repeat", lambda _self, request: request.sends < 3),
+            (forwarding.Forwarder, "may_retry", lambda _self, request: request.sends < 3),
         ],
         "some_fail",
         1,
