--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -96,7 +96,9 @@
     was = tail.consensus.view.number
     tail.process.kill()
     f.until(
-        lambda: all(node.follower.membership.version[0] > was and node.follower.session.stands() for node in _live(f)),
+        lambda: all(
+            node.follower.membership.version[0] > was and node.follower.session.is_established() for node in _live(f)
+        ),
         LONG_LIMIT_S,
     )
 
@@ -109,7 +111,9 @@
     f.go(CUT_S)
     f.world.heal()
     f.until(
-        lambda: all(len(_members(node)) == len(f.nodes) and node.follower.session.stands() for node in _live(f)),
+        lambda: all(
+            len(_members(node)) == len(f.nodes) and node.follower.session.is_established() for node in _live(f)
+        ),
         LONG_LIMIT_S,
     )
 
--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -101,7 +101,7 @@
     point.put_bytes("the platform's list", len(page))
     point.put_loops(
         "the platform's list read",
-        measuring.ratio(lambda: n.follower.platform.believe(edge_protocol.workers(page))),
+        measuring.ratio(lambda: n.follower.platform.confirm_removals(edge_protocol.workers(page))),
     )
 
 
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -91,23 +91,23 @@
 
 def _measure_slice_at_node(point: measuring.Point, node_slice: Items, change: list[configuration.ItemChange]) -> None:
     n = samples.hollow()
-    n.follower.apply_items(1, node_slice, True)
+    n.follower.apply_items(1, node_slice, is_snapshot=True)
     place = [1]
 
     def take() -> None:
         place[0] += 1
-        n.follower.apply_items(place[0], dict(change), False)
+        n.follower.apply_items(place[0], dict(change), is_snapshot=False)
 
     point.put_loops("a change of one route taken at a node", measuring.ratio(take))
     point.put_bytes("a slice held at a node", measuring.held(lambda: _node_with_slice(node_slice)))
     last = point.size - 1
     path = f"/{last:06x}/{last % 97:02x}/x"
-    point.put_loops("a request's route found", measuring.ratio(lambda: n.follower.find("host.example", path)))
+    point.put_loops("a request's route found", measuring.ratio(lambda: n.follower.find_route("host.example", path)))
 
 
 def _node_with_slice(node_slice: Items) -> node.Node:
     made = samples.hollow()
-    made.follower.apply_items(1, msgspec.msgpack.decode(msgspec.msgpack.encode(node_slice)), True)
+    made.follower.apply_items(1, msgspec.msgpack.decode(msgspec.msgpack.encode(node_slice)), is_snapshot=True)
     return made
 
 
--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -185,7 +185,7 @@
     http = http_server.Server(runtime, make_handler(process), connection_limit=process_options.connections)
     bind(reactor, process_options, wire.Listener(runtime, process.serve, log), http)
     process.start()
-    watch = options.OptionsWatch(runtime, path, read_options, process.renew)
+    watch = options.OptionsWatch(runtime, path, read_options, process.reload_options)
     runtime.spawn(watch.run(), log)
     run(reactor, process_options, process.stop, watch.reload)
     disk.close()
@@ -230,7 +230,7 @@
         http_server.Server(runtime, handle_ready, connection_limit=READY_CONNECTION_LIMIT),
     )
     process.start(process_options.port, process_options.front_address()[1])
-    watch = options.OptionsWatch(runtime, path, read_options, process.renew)
+    watch = options.OptionsWatch(runtime, path, read_options, process.reload_options)
     runtime.spawn(watch.run(), log)
 
     async def stop() -> None:
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -124,7 +124,7 @@
         else:
             log.info("Core {core} starts with no view on its disk.", core=identifier)
 
-    def renew(self, options: options.Options) -> None:
+    def reload_options(self, options: options.Options) -> None:
         """Take in options that were read again: further seeds."""
         self.consensus.learn_seeds(options.seed_list())
         log.info("The options were reloaded.")
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -75,7 +75,7 @@
         if pool_placement is None:
             pool_placement = self.placements[pool] = placement.Placement(self.runtime, pool)
             pool_placement.on_heavy_load_change = self.node.loads.report_now.wake
-            pool_placement.on_load_change = self.node.loads.touch
+            pool_placement.on_load_change = self.node.loads.mark_changed
         return pool_placement
 
     def ready(self, pool: str) -> list[str]:
--- a/iriswheel/dataplane/interfaces.py
+++ b/iriswheel/dataplane/interfaces.py
@@ -58,7 +58,7 @@
     def states(self) -> dict[str, message.Worker]:
         """The listed workers, by id."""
 
-    def find(self, host: str, path: str) -> configuration.Route | None:
+    def find_route(self, host: str, path: str) -> configuration.Route | None:
         """Return the route for a host and a path, or None."""
 
     def assignment(self, key: str) -> message.RoleAssignment | None:
@@ -93,7 +93,7 @@
     def report_now(self) -> scheduler.Signal:
         """Woken for a report at once."""
 
-    def touch(self) -> None:
+    def mark_changed(self) -> None:
         """Note that the load changed."""
 
 
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -72,7 +72,7 @@
         follower = self.node.follower
         if follower.items is None:
             raise errors.ServiceError("not_ready", "This node has no blueprint yet.")
-        route = follower.find(request.parsed.host, request_path(request))
+        route = follower.find_route(request.parsed.host, request_path(request))
         if route is None and (follower.configuration_may_be_stale() or follower.needs_rejoin()):
             raise errors.ServiceError("not_ready", "This node is cut off for now.", request.known_outcome())
         if route is None:
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -22,10 +22,10 @@
     from iriswheel.node import follower
 
 
-HEDGE_US = 600 * units.MILLISECOND_US
+LEASE_OVERDUE_US = 600 * units.MILLISECOND_US
 """Without a lease renewed for so long, other core machines are tried; one comes every 250 ms."""
 
-ATTEMPT_US = 1_500 * units.MILLISECOND_US
+ATTEMPT_TIMEOUT_US = 1_500 * units.MILLISECOND_US
 """An attempt that brought no lease by then ends."""
 
 MAX_ATTEMPTS = 3
@@ -38,7 +38,7 @@
 OVERLAP_US = 1 * units.SECOND_US
 """The old session ends so long after the new one stands."""
 
-NEARER_INTERVAL_US = 10 * units.SECOND_US
+OWN_ZONE_INTERVAL_US = 10 * units.SECOND_US
 """The time between attempts to move to a core machine of the node's own zone."""
 
 RECENT_CONTACT_US = 800 * units.MILLISECOND_US
@@ -66,12 +66,12 @@
         self.attempts: set[Address] = set()  # the addresses of all attempts under way
         self.tried: dict[Address, int] = {}  # address -> when it was last tried, since a session last stood
         self.hint: Address | None = None  # where a peer has its session
-        self.nearer_at = -NEARER_INTERVAL_US
+        self.own_zone_tried_at = -OWN_ZONE_INTERVAL_US
         self.moves = 0
 
     # ---- what is known ---------------------------------------------------------
 
-    def stands(self) -> bool:
+    def is_established(self) -> bool:
         """Whether the session stands: a core machine renewed the lease lately."""
         return self._leased_within(wire.TIMEOUT_US)
 
@@ -92,20 +92,20 @@
         now = self.runtime.now()
         return {
             "core": "{}:{}".format(*self.address) if self.address is not None else None,
-            "stands": self.stands(),
+            "stands": self.is_established(),
             "lease_left_us": max(0, self.lease.until - now),
             "renewed_us_ago": None if self.leased_at is None else now - self.leased_at,
             "moves": self.moves,
             "attempts": sorted("{}:{}".format(*address) for address in self.attempts),
         }
 
-    def learn(self, addresses: collections.abc.Iterable[Address]) -> None:
+    def add_addresses(self, addresses: collections.abc.Iterable[Address]) -> None:
         """Remember further addresses of core machines; they may have been replaced."""
         for address in addresses:
             if address not in self.addresses:
                 self.addresses.append(address)
 
-    def order(self) -> list[Address]:
+    def addresses_by_preference(self) -> list[Address]:
         """The addresses of core machines in the order in which to try them.
 
         Those of the membership go before older addresses, those of this node's own zone first,
@@ -136,25 +136,25 @@
         follower = self.follower
         return message.SessionHeartbeat(follower.applied(), follower.membership.version, None, self.runtime.now())
 
-    def serve(self, connection: wire.Connection, msg: message.Message) -> None:
+    def receive(self, connection: wire.Connection, msg: message.Message) -> None:
         """Handle a message of a core machine: redirect, lease renewal, or an update for the follower."""
         if connection is not self.connection and connection not in self.candidates:
             return
         match msg:
             case message.Redirect(cores=cores):
-                self.learn((core.host, core.port) for core in cores)
+                self.add_addresses((core.host, core.port) for core in cores)
                 connection.close()
                 return
             case message.SessionHeartbeat(sent_at=sent_at, lease_left=lease_left):
                 if lease_left > 0:
                     self.lease.renew(sent_at, lease_left)
-                    self._leased(connection)
+                    self._record_lease(connection)
                 connection.tell(self.heartbeat())
-        self.follower.take(msg)
+        self.follower.apply_message(msg)
         if isinstance(msg, (message.ConfigurationSnapshot, message.ConfigurationUpdate)):
             connection.tell(self.heartbeat())
 
-    def _leased(self, connection: wire.Connection) -> None:
+    def _record_lease(self, connection: wire.Connection) -> None:
         if connection is not self.connection:
             self._move_to(connection)
         self.leased_at = self.runtime.now()
@@ -190,12 +190,12 @@
     async def run(self) -> None:
         """Keep a session with some core machine; one task."""
         while not self.follower.node.stopped:
-            self.learn(self.follower.core_zones())
-            self._drop_lost()
-            if not self._leased_within(HEDGE_US):
-                self._try_next()
-            elif (nearer := self._nearer()) is not None:
-                self._try(nearer)
+            self.add_addresses(self.follower.core_zones())
+            self._drop_lost_connection()
+            if not self._leased_within(LEASE_OVERDUE_US):
+                self._start_next_attempt()
+            elif (nearer := self._core_of_own_zone()) is not None:
+                self._start_attempt(nearer)
             if self.connection is not None:
                 await self.runtime.pause(self.connection.lost, ATTEMPT_INTERVAL_US)
             else:
@@ -203,7 +203,7 @@
             if self.connection is not None and not self.connection.up:
                 await self.runtime.sleep(self.runtime.rng.randrange(MAX_JITTER_US))
 
-    def _drop_lost(self) -> None:
+    def _drop_lost_connection(self) -> None:
         if self.connection is not None and self.address is not None and not self.connection.up:
             host, port = self.address
             log.info(
@@ -215,17 +215,17 @@
             self.tried[self.address] = self.runtime.now()
             self.connection = None
 
-    def _try_next(self) -> None:
+    def _start_next_attempt(self) -> None:
         if len(self.attempts) >= MAX_ATTEMPTS:
             return
         here = self.address if self.connection is not None else None
         hint, self.hint = self.hint, None
-        for address in ([hint] if hint is not None else []) + self.order():
+        for address in ([hint] if hint is not None else []) + self.addresses_by_preference():
             if address != here and address not in self.attempts:
-                self._try(address)
+                self._start_attempt(address)
                 return
 
-    def _nearer(self) -> Address | None:
+    def _core_of_own_zone(self) -> Address | None:
         """A core machine of this node's own zone, where the session is with one of another zone."""
         zones = self.follower.core_zones()
         own = self.follower.options.zone
@@ -233,28 +233,28 @@
         if (
             self.address is None
             or zones.get(self.address, own) == own
-            or now - self.nearer_at < NEARER_INTERVAL_US
+            or now - self.own_zone_tried_at < OWN_ZONE_INTERVAL_US
             or self.attempts
         ):
             return None
         nearer = [address for address, zone in zones.items() if zone == own]
         if not nearer:
             return None
-        self.nearer_at = now
+        self.own_zone_tried_at = now
         return nearer[0]
 
-    def _try(self, address: Address) -> None:
+    def _start_attempt(self, address: Address) -> None:
         self.attempts.add(address)
         self.tried[address] = self.runtime.now()
-        self.runtime.spawn(self._attempt(address), log)
+        self.runtime.spawn(self._open_candidate(address), log)
 
-    async def _attempt(self, address: Address) -> None:
-        """Open a candidate session beside the present one; closed where it brings no lease within ATTEMPT_US."""
+    async def _open_candidate(self, address: Address) -> None:
+        """Open a candidate session; it is closed where it brings no lease within ATTEMPT_TIMEOUT_US."""
         try:
-            connection = await wire.connect(self.runtime, *address, self.serve, log)
+            connection = await wire.connect(self.runtime, *address, self.receive, log)
             self.candidates[connection] = address
-            connection.tell(self.follower.join())
-            until = self.runtime.now() + ATTEMPT_US
+            connection.tell(self.follower.join_request())
+            until = self.runtime.now() + ATTEMPT_TIMEOUT_US
             while connection in self.candidates and connection.up and self.runtime.now() < until:
                 await self.runtime.pause(connection.lost, ATTEMPT_INTERVAL_US)
             if self.candidates.pop(connection, None) is not None:
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -21,10 +21,10 @@
     from iriswheel.runtime import options
 
 
-FROZEN_US = 1 * units.SECOND_US
+FREEZE_THRESHOLD_US = 1 * units.SECOND_US
 """A process that did not run for so long was frozen."""
 
-REJOIN_US = 1 * units.SECOND_US
+REJOIN_TIMEOUT_US = 1 * units.SECOND_US
 """How long a thawed node waits for its session."""
 
 WORKER_LIST_VALIDITY_US = 2_500 * units.MILLISECOND_US
@@ -45,11 +45,14 @@
 ItemUpdate = collections.abc.Mapping[str, configuration.Item | None]
 """Items by key; None removes one."""
 
+ItemsAndChanges = tuple[dict[str, configuration.Item], list[configuration.ItemChange]]
+"""All items after an update, and what the update changed."""
+
 ItemClass = typing.TypeVar("ItemClass")
 
 
 class Follower:
-    """Keeps the node's session with the core, and what came through it."""
+    """A read replica of what the node needs: its slice of the configuration, the membership, the workers."""
 
     def __init__(self, node: node.Node, options: options.Options) -> None:
         self.node = node
@@ -58,7 +61,7 @@
         self.session = core_session.CoreSession(self, options.seed_list())
         self.applied_index = 0
         self.items: configuration.Items | None = None  # the slice, as it came
-        # how far the core's disk reached by whose state this node goes until a core serves
+        # (view, log index) of the unconfirmed configuration that is in use; None once a core has confirmed one
         self.unconfirmed_at: tuple[int, int] | None = None
         self.route_index = route_index.RouteIndex()
         self.pools: dict[str, configuration.Pool] = {}
@@ -68,8 +71,8 @@
         self.worker_list = worker_list.WorkerList()
         self.platform = platform_listing.PlatformListing(self)
         self.peer_status = peer_status.PeerStatus(self)
-        self.ticked_at = self.runtime.now()
-        self.thawed_at: int | None = None  # since when this node must rejoin after a freeze, in µs
+        self.last_tick_at = self.runtime.now()
+        self.rejoining_since: int | None = None  # since when this node must rejoin after a freeze, in µs
 
     # ---- what the node knows ------------------------------------------------------
 
@@ -126,7 +129,7 @@
         """Return the core machines of the membership: address -> zone."""
         return {(core.host, core.port): core.zone for core in self.membership.cores}
 
-    def find(self, host: str, path: str) -> configuration.Route | None:
+    def find_route(self, host: str, path: str) -> configuration.Route | None:
         """Return the route for a host and a path, or None."""
         return self.route_index.find(host, path)
 
@@ -138,21 +141,21 @@
 
     def needs_rejoin(self) -> bool:
         """Whether this process did not run for a while and has not rejoined yet; what it knows may be out of date."""
-        self.look_for_freeze()
-        return self.thawed_at is not None
+        self.detect_freeze()
+        return self.rejoining_since is not None
 
-    def look_for_freeze(self) -> None:
-        """Notice that this process did not run for a while."""
+    def detect_freeze(self) -> None:
+        """Begin to rejoin where this process did not run for FREEZE_THRESHOLD_US."""
         now = self.runtime.now()
-        if now - self.ticked_at > FROZEN_US:
+        if now - self.last_tick_at > FREEZE_THRESHOLD_US:
             log.warning(
                 "The process did not run for {pause_ms} ms; the node rejoins.",
-                pause_ms=(now - self.ticked_at) // units.MILLISECOND_US,
+                pause_ms=(now - self.last_tick_at) // units.MILLISECOND_US,
             )
-            self.thawed_at = now
+            self.rejoining_since = now
             self.peer_status.clear()
             self.session.reset()
-        self.ticked_at = now
+        self.last_tick_at = now
 
     def configuration_may_be_stale(self) -> bool:
         """Whether this node may have missed a change that is in force on other nodes.
@@ -187,40 +190,35 @@
 
         A node that is told to serve on (option `serve_on`) never counts itself as cut off.
         """
-        if self.session.stands() or self.options.serve_on:
+        if self.session.is_established() or self.options.serve_on:
             return False
         without_core = self.peer_status.without_core(self.applied_index)
         return any(peer.id not in without_core for peer in self.peers())
 
     def lacks_worker_updates(self) -> bool:
         """Whether this node has a configuration, but no update of the worker list for WORKER_UPDATE_TIMEOUT_US."""
-        return self.items is not None and self._without_worker_news_for(WORKER_UPDATE_TIMEOUT_US)
+        return self.items is not None and self._lacks_worker_updates_for(WORKER_UPDATE_TIMEOUT_US)
 
-    def _without_worker_news_for(self, duration_us: int) -> bool:
+    def _lacks_worker_updates_for(self, duration_us: int) -> bool:
         updated_at = self.updated_at
         return updated_at is None or self.runtime.now() - updated_at > duration_us
 
     # ---- applying updates ------------------------------------------------------------
 
-    def apply_items(self, index: int, items: ItemUpdate, whole: bool) -> None:
+    def apply_items(self, index: int, items: ItemUpdate, *, is_snapshot: bool) -> None:
         """Apply a snapshot or an update of the slice; one older than what is here is dropped.
 
         Args:
             index: The log index that the items stand for.
-            items: All items where `whole`, else those that changed; None removes one.
-            whole: Whether this is a snapshot.
+            items: All items of a snapshot, else those that changed; None removes one.
+            is_snapshot: Whether `items` replaces all that is here.
         """
-        if index < self.applied_index or ((self.items is None or self.unconfirmed_at) and not whole):
+        has_base = self.items is not None and not self.unconfirmed_at
+        if index < self.applied_index or not (has_base or is_snapshot):
             return
         self.unconfirmed_at = None
         before = self.items or {}
-        after: dict[str, configuration.Item]
-        if whole:
-            after = dict(typing.cast(configuration.Items, items))  # a snapshot removes nothing
-            changes = configuration.difference(before, after)
-        else:
-            after = {key: value for key, value in {**before, **items}.items() if value is not None}
-            changes = list(items.items())
+        after, changes = _replace(before, items) if is_snapshot else _amend(before, items)
         parsed = [_parse(key, value) for key, value in changes if key.split("/", 1)[0] in configuration.KINDS]
         self.items = after
         self.applied_index = index
@@ -247,14 +245,14 @@
                 self.limits = item or configuration.Limits()
 
     def apply_unconfirmed(self, unconfirmed: message.UnconfirmedConfiguration) -> None:
-        """While this node knows nothing and no core serves: go by what a core's disk holds.
+        """While this node has no configuration and no core serves: use what a core's disk holds.
 
         After a loss of everything the core takes some seconds to agree; what it acknowledged
         stands on its disks all the time. The first snapshot of a serving core takes its place.
         """
         if self.items is not None and not (self.unconfirmed_at and self.unconfirmed_at < unconfirmed.position):
             return
-        self.apply_items(0, unconfirmed.items, True)
+        self.apply_items(0, unconfirmed.items, is_snapshot=True)
         self.unconfirmed_at = unconfirmed.position
         view, log_index = unconfirmed.position
         log.info(
@@ -283,7 +281,7 @@
 
     def apply_polled_workers(self, workers: list[message.Worker]) -> None:
         """Take a list that another node polled from the platform, where this one has no recent list either."""
-        if self._without_worker_news_for(WORKER_UPDATE_TIMEOUT_US // 2):
+        if self._lacks_worker_updates_for(WORKER_UPDATE_TIMEOUT_US // 2):
             self.apply_workers(workers)
 
     def apply_workers(self, workers: list[message.Worker]) -> None:
@@ -291,39 +289,39 @@
         if self.worker_list.replace(workers, self.runtime.now()):
             self.node.on_update()
 
-    def take(self, update: message.Message) -> None:
-        """Take what a core machine sends on a session."""
+    def apply_message(self, update: message.Message) -> None:
+        """Apply what a core machine sent on a session; with a lease, a rejoin after a freeze is complete."""
         match update:
             case message.ConfigurationSnapshot(index=index, items=items):
-                self.apply_items(index, items, True)
+                self.apply_items(index, items, is_snapshot=True)
             case message.UnconfirmedConfiguration():
                 self.apply_unconfirmed(update)
             case message.ConfigurationUpdate(index=index, items=items):
-                self.apply_items(index, items, False)
+                self.apply_items(index, items, is_snapshot=False)
             case message.MembershipUpdate(membership=membership):
                 self.apply_membership(membership)
             case message.LoadReport():
-                self.node.loads.take(update)
+                self.node.loads.apply_sums(update)
             case message.SessionHeartbeat(listing_unchanged=unchanged):
                 if unchanged is not None:
                     self.apply_listing_unchanged(unchanged)
-        if self.thawed_at is not None and self.session.lease.valid(self.runtime.now()):
-            self.thawed_at = None
+        if self.rejoining_since is not None and self.session.lease.valid(self.runtime.now()):
+            self.rejoining_since = None
             self.node.on_update()
 
     # ---- tasks -----------------------------------------------------------------------
 
-    def join(self) -> message.JoinRequest:
-        """Return what this node says to begin a session."""
+    def join_request(self) -> message.JoinRequest:
+        """Return the message that begins a session: this node, and the versions that it has."""
         membership = self.membership if self.membership.version > (0, 0) else None
         return message.JoinRequest(self.node.member, self.applied(), membership, self.runtime.now())
 
-    async def watch(self) -> None:
-        """Tick, so that a freeze is noticed; while cut off, ask the peers."""
+    async def watch_core_contact(self) -> None:
+        """Detect freezes, and ask the peers about the core while there is no contact with it; one task."""
         asked_at = 0
         while not self.node.stopped:
-            await self.runtime.sleep(TICK_US if self.session.stands() else TICK_WITHOUT_CORE_US)
-            self.look_for_freeze()
+            await self.runtime.sleep(TICK_US if self.session.is_established() else TICK_WITHOUT_CORE_US)
+            self.detect_freeze()
             now = self.runtime.now()
             if self.session.has_recent_contact():
                 self.peer_status.clear()
@@ -331,11 +329,25 @@
             if now - asked_at > PEER_QUERY_INTERVAL_US:
                 asked_at = now
                 self.peer_status.query()
-            if self.thawed_at is not None and now - self.thawed_at > REJOIN_US and not self.is_partitioned():
-                self.thawed_at = None  # the whole core is gone; peers are there
+            if (
+                self.rejoining_since is not None
+                and now - self.rejoining_since > REJOIN_TIMEOUT_US
+                and not self.is_partitioned()
+            ):
+                self.rejoining_since = None  # the whole core is gone; peers are there
                 self.node.on_update()
 
 
+def _replace(before: configuration.Items, items: ItemUpdate) -> ItemsAndChanges:
+    after = dict(typing.cast("configuration.Items", items))  # a snapshot removes nothing
+    return after, configuration.difference(before, after)
+
+
+def _amend(before: configuration.Items, changed: ItemUpdate) -> ItemsAndChanges:
+    after = {key: value for key, value in {**before, **changed}.items() if value is not None}
+    return after, list(changed.items())
+
+
 def _parse(key: str, value: configuration.Item | None) -> tuple[str, str, typing.Any]:
     """Return an item's kind, its name, and the item as its kind's class; None where it was removed."""
     kind, name = key.split("/", 1)
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -31,13 +31,13 @@
         self.changed = scheduler.Signal()
         self.has_changed = True
 
-    def touch(self) -> None:
+    def mark_changed(self) -> None:
         """Note that the load changed; it is reported within REPORT_INTERVAL_US."""
         if not self.has_changed:
             self.has_changed = True
             self.changed.wake()
 
-    def own(self) -> load_table.LoadTable:
+    def own_loads(self) -> load_table.LoadTable:
         """This node's own load."""
         return {
             (pool, worker): load_table.Load(requests, tokens, suspicion)
@@ -50,9 +50,9 @@
         session = self.node.follower.session
         if session.connection is not self.connection:
             self.connection, self.last_reported = session.connection, None
-        if self.connection is None or not session.stands():
+        if self.connection is None or not session.is_established():
             return
-        own = self.own()
+        own = self.own_loads()
         changed = load_table.changes(self.last_reported or {}, own)
         if changed or self.last_reported is None:
             rows = load_table.rows(own, changed)
@@ -72,7 +72,7 @@
             suspected = any(load.suspicion_percent for load in (self.last_reported or {}).values())
             self.has_changed = self.has_changed or suspected  # a suspicion fades with time
 
-    def take(self, report: message.LoadReport) -> None:
+    def apply_sums(self, report: message.LoadReport) -> None:
         """Take the sums of the other nodes' load."""
         for pool, placement in self.node.gateway.forwarder.placements.items():
             if report.complete or pool in report.rows:
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -57,9 +57,9 @@
         self.me = message.Member(identifier, options.name, options.zone, options.host, port, http)
         for coroutine in (
             self.follower.session.run(),
-            self.follower.watch(),
+            self.follower.watch_core_contact(),
             self.follower.platform.run(),
-            self._report_grants(),
+            self._run_upkeep(),
             self.gateway.attempts.watch_hangs(),
             self.reachability.probe_quiet_workers(),
             self.gateway.forwarder.watch(),
@@ -68,11 +68,11 @@
             self.runtime.spawn(coroutine, log)
         log.info("Node {node} starts in zone {zone}.", node=identifier, zone=options.zone)
 
-    def renew(self, options: options.Options) -> None:
+    def reload_options(self, options: options.Options) -> None:
         """Take in options that were read again: seeds, and where the platform is."""
         self.options_reread_at_us = self.runtime.now()
         self.options.platform = options.platform
-        self.follower.session.learn(options.seed_list())
+        self.follower.session.add_addresses(options.seed_list())
         log.info("The options were reloaded.")
 
     @property
@@ -140,23 +140,30 @@
         members = {(member.host, member.port) for member in self.follower.membership.members}
         self.peers.keep(members | set(self.follower.core_zones()))
 
-    async def _report_grants(self) -> None:
-        """Every second, list to each pool's owner the grants held here, and forget what has expired."""
+    async def _run_upkeep(self) -> None:
+        """Every second, report roles and grants, and forget what has expired; one task."""
         while not self.stopped:
             await self.runtime.sleep(REPORT_INTERVAL_US)
             self._report_contested_roles()
-            now = self.runtime.now()
-            for attempt_id in [attempt_id for attempt_id, (_, until) in self.given_up.items() if until < now]:
-                del self.given_up[attempt_id]
-            for assignment in self.follower.membership.assignments:
-                pool = pool_roles.pool_of(assignment)
-                if pool is not None:
-                    self.tell_member(assignment.holder, self._grant_report(pool))
+            self._forget_expired_attempts()
+            self._report_grants()
             self.gateway.attempts.cancel_drained()
             now = self.runtime.now()
             self.pool_roles.sweep(now)
             self.gateway.selector.forget_expired_sessions(now)
 
+    def _forget_expired_attempts(self) -> None:
+        now = self.runtime.now()
+        for attempt_id in [attempt_id for attempt_id, (_, until) in self.given_up.items() if until < now]:
+            del self.given_up[attempt_id]
+
+    def _report_grants(self) -> None:
+        """List to each pool's owner the grants that this node holds, so that it can free all others."""
+        for assignment in self.follower.membership.assignments:
+            pool = pool_roles.pool_of(assignment)
+            if pool is not None:
+                self.tell_member(assignment.holder, self._grant_report(pool))
+
     def _report_contested_roles(self) -> None:
         """Tell the core of pools whose role is here but could not be taken up: they need a new term."""
         for assignment in self.follower.membership.assignments:
--- a/iriswheel/node/peer_status.py
+++ b/iriswheel/node/peer_status.py
@@ -23,13 +23,20 @@
 log = loguru.logger.bind(part="peer_status")
 
 
+class ReceivedStatus(typing.NamedTuple):
+    """A peer's newest answer, and when it came (µs)."""
+
+    received_at: int
+    response: message.CoreStatusResponse
+
+
 class PeerStatus:
     """The newest answers of a node's peers to the question whether the core stands with them."""
 
     def __init__(self, follower: follower.Follower) -> None:
         self.follower = follower
         self.runtime = follower.runtime
-        self.responses: dict[str, tuple[int, message.CoreStatusResponse]] = {}  # member -> (when it came, answer)
+        self.responses: dict[str, ReceivedStatus] = {}  # by member
 
     def clear(self) -> None:
         """Forget all answers: the node hears the core itself, or was frozen."""
@@ -39,8 +46,8 @@
         """Whether a peer that is in touch with the core has a newer configuration than `applied_index`."""
         now = self.runtime.now()
         return any(
-            now - came_at < STATUS_VALIDITY_US and response.core and response.applied_index > applied_index
-            for came_at, response in self.responses.values()
+            now - received_at < STATUS_VALIDITY_US and response.core and response.applied_index > applied_index
+            for received_at, response in self.responses.values()
         )
 
     def without_core(self, applied_index: int) -> set[str]:
@@ -48,8 +55,8 @@
         now = self.runtime.now()
         return {
             member
-            for member, (came_at, response) in self.responses.items()
-            if now - came_at < STATUS_VALIDITY_US and not response.core and response.applied_index <= applied_index
+            for member, (received_at, response) in self.responses.items()
+            if now - received_at < STATUS_VALIDITY_US and not response.core and response.applied_index <= applied_index
         }
 
     def query(self) -> None:
@@ -75,7 +82,7 @@
             response = message.CoreStatusResponse(False, None)  # its process is dead
         except scheduler.DeadlineError:
             return
-        self.responses[peer.id] = (self.runtime.now(), response)
+        self.responses[peer.id] = ReceivedStatus(self.runtime.now(), response)
         self.follower.apply_membership(response.membership)
         if response.core_address is not None:
             self.follower.session.hint = response.core_address
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -51,7 +51,7 @@
         self._count = 0  # of the listings made here
         self._failures = 0  # in a row
 
-    def believe(self, workers: list[message.Worker]) -> list[message.Worker]:
+    def confirm_removals(self, workers: list[message.Worker]) -> list[message.Worker]:
         """Return the platform's answer, less what it must say more than once to be believed.
 
         A worker that it lists no more counts as gone from the second answer in a row on, and
@@ -78,13 +78,13 @@
             if assignment is None and self.follower.lacks_worker_updates() and self.follower.membership.members:
                 await self._wait_by_chance()
             if assignment is not None or self.follower.lacks_worker_updates():
-                workers = await self._ask(address, has_role=assignment is not None)
+                workers = await self._list_or_wait(address, has_role=assignment is not None)
                 if workers is None:
                     continue
                 if assignment is not None:
                     self._publish(assignment, workers)
                 else:
-                    self._share(workers)
+                    self._share_polled_workers(workers)
             await self.runtime.pause(self.list_now, self.options.list_us)
 
     def _own_assignment(self) -> message.RoleAssignment | None:
@@ -99,10 +99,10 @@
         wait_us = self.runtime.rng.randrange(1 + int(min(spread_us, MAX_SPREAD_US)))
         await self.runtime.pause(self.list_now, wait_us)
 
-    async def _ask(self, address: tuple[str, int], has_role: bool) -> list[message.Worker] | None:
+    async def _list_or_wait(self, address: tuple[str, int], has_role: bool) -> list[message.Worker] | None:
         """Return the list to go by; None, after a wait, where a node without the role gets none."""
         try:
-            workers = self.believe(await self._fetch_all(*address))
+            workers = self.confirm_removals(await self._fetch_all(*address))
         except defer.CancelledError:
             raise
         except Exception as error:  # whatever the platform does wrong, the last list stands
@@ -150,10 +150,10 @@
         session.tell(unchanged)
         if changed:
             self._tell_peers(message.ForwardedListing(listing))
-        elif not session.stands():  # else the core tells the others that the list stands
+        elif not session.is_established():  # else the core tells the others that the list stands
             self._tell_peers(unchanged)
 
-    def _share(self, workers: list[message.Worker]) -> None:
+    def _share_polled_workers(self, workers: list[message.Worker]) -> None:
         self.follower.apply_workers(workers)
         self._tell_peers(message.PolledWorkers(workers))
 
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -104,7 +104,7 @@
 
 
 def _believe_all(_self: platform_listing.PlatformListing, workers: list[message.Worker]) -> list[message.Worker]:
-    """In place of `PlatformListing.believe`: every list of workers is believed at once, also one that lost many."""
+    """In place of `PlatformListing.confirm_removals`: a list that lost many workers is taken at once."""
     return workers
 
 
@@ -120,7 +120,7 @@
 
 def _partitioned_by_half(self: follower.Follower) -> bool:
     """In place of `Follower.is_partitioned`: half of the members, not all, must say that they lost the core."""
-    if self.session.stands():
+    if self.session.is_established():
         return False
     fresh = [status for at, status in self.peer_status.responses.values() if _is_fresh(self, at)]
     return any(status.core for status in fresh) or 2 * (len(fresh) + 1) <= len(self.membership.members)
@@ -132,7 +132,7 @@
         member for member, (at, status) in self.peer_status.responses.items() if _is_fresh(self, at) and not status.core
     }
     own_id = "" if self.node.me is None else self.node.me.id
-    return not self.session.stands() and any(
+    return not self.session.is_established() and any(
         member.id not in (own_id, *without_core) for member in self.membership.members
     )
 
@@ -264,7 +264,7 @@
         [Patch(request_router.RequestRouter, "reroute", lambda _self, _request: None)], "crowd", 1, "served"
     ),
     "twice_said": Guard(
-        [Patch(platform_listing.PlatformListing, "believe", _believe_all)], "platform_bad", 1, "pinned"
+        [Patch(platform_listing.PlatformListing, "confirm_removals", _believe_all)], "platform_bad", 1, "pinned"
     ),
     "sweep": Guard([Patch(sessions.SessionTable, "sweep", _keep_all)], "release", 1, "served"),
     "early_answers": Guard(
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -165,7 +165,7 @@
         if server is None or not server.process.alive:
             return
         options = self.options(name, "edge" if name in self.nodes else "core")
-        server.process.call(lambda: server.renew(options))
+        server.process.call(lambda: server.reload_options(options))
 
     # ---- starting processes -------------------------------------------------------------
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -96,26 +96,28 @@
                 )
             items = {k: v for k, v in {**items, **change}.items() if v is not None}
             is_snapshot = rng.random() < 0.1 or n == 1
-            follower.apply_items(n, items if is_snapshot else change, is_snapshot)
+            follower.apply_items(n, items if is_snapshot else change, is_snapshot=is_snapshot)
             assert {k[7:]: configuration.Route.from_dict(v) for k, v in items.items()} == follower.routes
             for _ in range(20):
                 host, path = rng.choice(["x", "z"]), part()
-                assert longest(follower.routes, host, path) == follower.find(host, path), (host, path)
+                assert longest(follower.routes, host, path) == follower.find_route(host, path), (host, path)
 
     def test_host_by_any_case_and_port(self) -> None:
         follower = make_follower()
-        follower.apply_items(1, {"routes/r": {"path": "/", "pool": "p", "host": "Desk.example"}}, True)
-        assert follower.find("desk.EXAMPLE:8080", "/x").pool == "p"
-        assert follower.find("other", "/x") is None
+        follower.apply_items(1, {"routes/r": {"path": "/", "pool": "p", "host": "Desk.example"}}, is_snapshot=True)
+        assert follower.find_route("desk.EXAMPLE:8080", "/x").pool == "p"
+        assert follower.find_route("other", "/x") is None
 
     def test_only_what_changed_is_parsed(self) -> None:
         follower = make_follower()
         items = {f"routes/r{k}": {"path": f"/{k}", "pool": "p"} for k in range(50)}
-        follower.apply_items(1, items, True)
+        follower.apply_items(1, items, is_snapshot=True)
         had = dict(follower.routes)
-        follower.apply_items(2, {"routes/r7": {"path": "/7", "pool": "q"}, "limits/door": {"head_us": 5}}, False)
+        follower.apply_items(
+            2, {"routes/r7": {"path": "/7", "pool": "q"}, "limits/door": {"head_us": 5}}, is_snapshot=False
+        )
         assert [k for k in had if follower.routes[k] is not had[k]] == ["r7"]
         assert follower.limits.head_us == 5
-        follower.apply_items(3, items, True)
+        follower.apply_items(3, items, is_snapshot=True)
         assert [k for k in had if follower.routes[k] is not had[k]] == ["r7"]
         assert configuration.Limits() == follower.limits
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -87,7 +87,7 @@
 ) -> None:
     """Says that it has applied everything, and goes by the first that it got."""
     if self.items is None or not self.items:
-        apply_items(self, index, items, is_snapshot)
+        apply_items(self, index, items, is_snapshot=is_snapshot)
     else:
         self.applied_index = max(self.applied_index, index)
 
@@ -160,7 +160,7 @@
     "worker_states": ([(follower.Follower, "apply_workers", _first_list)], "release", 1, "drain"),
     "drain": ([(node.Node, "stop", _leave_at_once)], "roll", 1, "lost"),
     "last_bytes": ([(node.Node, "stop", _leave_with_the_last_request)], "roll", 4, "lost"),
-    "routes": ([(follower.Follower, "find", lambda _self, _host, _path: None)], "calm", 1, "denied"),
+    "routes": ([(follower.Follower, "find_route", lambda _self, _host, _path: None)], "calm", 1, "denied"),
     "news": ([(follower.Follower, "apply_items", _first_items)], "changes", 1, "config"),
     "budget": ([(retry_budget.Budget, "has_capacity", lambda _self, _now: True)], "all_fail", 1, "budget"),
     "disk": ([(disk_model.Disk, "read", lambda _self: {})], "closing_power", 1, "config"),
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -109,7 +109,7 @@
         ]
         for n in cluster.nodes.values():
             assert n.follower.session.address != (head.options.host, head.options.port)
-            assert n.follower.session.stands()
+            assert n.follower.session.is_established()
         assert all(n.follower.session.moves >= 2 for n in nodes)
 
     def test_a_node_follows_on_within_a_second_when_its_core_machine_freezes(
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -194,7 +194,7 @@
 
         def at_home() -> bool:
             return all(
-                n.follower.session.stands()
+                n.follower.session.is_established()
                 and (n.options.zone == "d" or zones[n.follower.session.address[0]] == n.options.zone)
                 for n in cluster.nodes.values()
             )
@@ -203,7 +203,7 @@
         c = next(c for c in cluster.cores.values() if c.options.zone == "a")
         c.process.kill()
         assert cluster.until(
-            lambda: not at_home() and all(n.follower.session.stands() for n in cluster.nodes.values()), 5
+            lambda: not at_home() and all(n.follower.session.is_established() for n in cluster.nodes.values()), 5
         )
         cluster.go(5)
         cluster.start_core(c.options.name, *cluster.options[c.options.name])
