--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -19,18 +19,18 @@
 
 
 def entry(
-    n: int, made: int, changes: Sequence[tuple[str, dict[str, Any]]] = (), base: int | None = None
+    index: int, view: int, changes: Sequence[tuple[str, dict[str, Any]]] = (), base: int | None = None
 ) -> message.LogEntry:
     """A change that stands by itself."""
-    return message.LogEntry(n, made, "apply", f"{n}-{made}", n - 1 if base is None else base, list(changes))
+    return message.LogEntry(index, view, "apply", f"{index}-{view}", index - 1 if base is None else base, list(changes))
 
 
-def large_change(n: int, made: int = 1, pool: str = "p") -> message.LogEntry:
+def large_change(index: int, view: int = 1, pool: str = "p") -> message.LogEntry:
     """A change of many routes, of which no part can be packed much smaller."""
     text = [hashlib.sha256(b"%d" % k).hexdigest() * 8 for k in range(ROUTES)]
     return entry(
-        n,
-        made,
+        index,
+        view,
         [(f"routes/r{k}", {"path": f"/r/{k}", "pool": pool, "label": {"note": text[k]}}) for k in range(ROUTES)],
     )
 
@@ -65,8 +65,8 @@
     def __init__(self, network: Network, name: str, entries: Sequence[message.LogEntry] = (), copies: int = 2) -> None:
         self.network, self.name, self.copies = network, name, copies
         self.host = host_model.Host(network.world, name, "a")
-        for e in entries:
-            self.host.synced[b"e%016d" % e.index] = replicated_log.encode_entry(e)
+        for log_entry in entries:
+            self.host.synced[b"e%016d" % log_entry.index] = replicated_log.encode_entry(log_entry)
         self.start()
 
     def start(self) -> None:
@@ -89,8 +89,8 @@
     def install(self, number: int, order: list[str], synced_view: int | None = None) -> None:
         """Let a view begin here."""
         members = [self.network.members[i] for i in order]
-        voters = [message.Voter(m.name, m.name, 1, "a") for m in members]
-        connections = [message.ChainReplica(m.name, m.runtime.incarnation) for m in members]
+        voters = [message.Voter(member.name, member.name, 1, "a") for member in members]
+        connections = [message.ChainReplica(member.name, member.runtime.incarnation) for member in members]
         before = self.consensus.record.synced_view
         synced_view = number if order[0] == self.name else synced_view or before
         self.consensus.acceptor.record = decisions.Record(
@@ -111,8 +111,8 @@
         return Member(self.network, "head", head), Member(self.network, "tail", tail)
 
     def install(self, number: int, *members: Member) -> None:
-        for m in reversed(members):
-            m.install(number, [x.name for x in members])
+        for member in reversed(members):
+            member.install(number, [other.name for other in members])
 
     def go(self, seconds: float) -> None:
         self.world.run(self.world.time + int(seconds * SECOND))
@@ -223,7 +223,7 @@
         self.install(2, head, tail)
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
-        assert max(self.size(m) for m in self.network.sent) < 1_200_000
+        assert max(self.size(msg) for msg in self.network.sent) < 1_200_000
 
     def test_a_snapshot_goes_on_where_it_was_when_chunks_and_answers_are_lost(self) -> None:
         head, tail = self.large_pair()
@@ -238,10 +238,10 @@
         self.until(tail.chain.is_synced, 60)
         self.assert_same(head, tail)
         total = len(snapshot_format.encode(head.chain.committed_state))
-        pieces = [m for m in calls if isinstance(m, message.SnapshotChunk)]
+        chunks = [msg for msg in calls if isinstance(msg, message.SnapshotChunk)]
         assert total > 700_000
-        assert sum(len(m.content) for m in pieces) < 2.5 * total  # lost ones are sent again, others are not
-        assert sorted(m.offset for m in pieces) == [m.offset for m in pieces]
+        assert sum(len(chunk.content) for chunk in chunks) < 2.5 * total  # lost ones are sent again, others are not
+        assert sorted(chunk.offset for chunk in chunks) == [chunk.offset for chunk in chunks]
 
     def test_a_snapshot_goes_on_in_a_later_view_while_the_state_moves_on(self) -> None:
         head, tail = self.large_pair()
@@ -265,7 +265,7 @@
         self.install(4, head, tail)
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
-        offsets = [m.offset for m in self.network.sent if isinstance(m, message.SnapshotChunk)]
+        offsets = [msg.offset for msg in self.network.sent if isinstance(msg, message.SnapshotChunk)]
         assert min(offsets) > 200_000
 
     def test_a_member_that_loses_power_in_a_transfer_keeps_its_old_copy_and_begins_anew(self) -> None:
@@ -344,8 +344,8 @@
         cluster.probing = False
         cluster.begin()
         cluster.go(1)
-        for n in cluster.nodes.values():  # they only cost time here
-            n.process.kill()
+        for node in cluster.nodes.values():  # they only cost time here
+            node.process.kill()
         name = cluster.tail().options.name
         cluster.cores[name].process.host.fail()
         assert cluster.until(lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 2, 10)
@@ -368,14 +368,14 @@
         proposed, taken, last, longest, caught_up = [], 0, started_at, 0, None
         while cluster.world.time - started_at < 4 * SECOND or caught_up is None:
             assert cluster.world.time - started_at < 40 * SECOND
-            d = self.propose(cluster, len(proposed))
-            proposed += [d] if d is not None else []
+            proposal = self.propose(cluster, len(proposed))
+            proposed += [proposal] if proposal is not None else []
             for _ in range(15):
                 cluster.go(0.01)
                 assert not (back.consensus.holds_lease() and not back.chain.is_synced())
                 if caught_up is None and back.chain.is_synced():
                     caught_up = cluster.world.time - started_at
-            done = [d for d in proposed if d.called and d.result.code == ""]
+            done = [proposal for proposal in proposed if proposal.called and proposal.result.code == ""]
             if len(done) > taken:
                 taken, last = len(done), cluster.world.time
             longest = max(longest, cluster.world.time - last)
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -55,8 +55,8 @@
         self.record.synced_view = number
 
 
-def entry(n: int, made: int, identifier: str) -> message.LogEntry:
-    return message.LogEntry(n, made, "apply", identifier, 0, [("marks/operator", {"number": n})])
+def entry(index: int, view: int, identifier: str) -> message.LogEntry:
+    return message.LogEntry(index, view, "apply", identifier, 0, [("marks/operator", {"number": index})])
 
 
 class TestReplica:
@@ -66,9 +66,9 @@
 
     def replica(self, consensus: FixedConsensus, entries: Sequence[message.LogEntry] = ()) -> chain.Chain:
         state = {b"e%016d" % e.index: replicated_log.encode_entry(e) for e in entries}
-        made = chain.Chain(scheduler.Runtime(None, now=lambda: 0), self.disk, state, None)
-        made.consensus = consensus
-        return made
+        replica = chain.Chain(scheduler.Runtime(None, now=lambda: 0), self.disk, state, None)
+        replica.consensus = consensus
+        return replica
 
     def put(self, replica: chain.Chain, msg: message.Message) -> defer.Deferred[Any]:
         return defer.ensureDeferred(replica.answer(msg))
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -36,8 +36,8 @@
         )
 
     def wait(self, cluster: simulated_cluster.SimulatedCluster, *deferreds: defer.Deferred[Any]) -> list[int]:
-        assert cluster.until(lambda: all(d.called for d in deferreds), 40)
-        return [d.result for d in deferreds]
+        assert cluster.until(lambda: all(done.called for done in deferreds), 40)
+        return [done.result for done in deferreds]
 
     def items(self, cluster: simulated_cluster.SimulatedCluster) -> dict[str, Any]:
         assert cluster.until(lambda: cluster.tail() is not None, 10)
@@ -61,10 +61,10 @@
         cluster = quiet_cluster()
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
             assert self.wait(cluster, self.start(cluster, number, built_on, route(number))) == [200]
-        n = cluster.tail().chain.committed_state.index
+        index = cluster.tail().chain.committed_state.index
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
             assert self.wait(cluster, self.start(cluster, number, built_on, route(number))) == [200]
-        assert cluster.tail().chain.committed_state.index == n
+        assert cluster.tail().chain.committed_state.index == index
         assert self.wait(cluster, self.start(cluster, 9, 4, route("other"))) == [409]
         assert self.wait(cluster, self.start(cluster, 10, 10, route("other"))) == [422]
         assert self.wait(
@@ -79,19 +79,19 @@
         cluster = quiet_cluster(seed=seed)
         number = 0
         for k in range(6):
-            d = self.start(cluster, number + 2, number, route(k))
+            done = self.start(cluster, number + 2, number, route(k))
             cluster.go(cluster.rng.random() * 0.1)
             victims = (
                 [cluster.head() or cluster.tail(), cluster.tail()][k % 2 : k % 2 + 1]
                 if k < 4
                 else list(cluster.cores.values())
             )
-            for c in [c for c in victims if c is not None]:
-                c.process.kill()
+            for core in [core for core in victims if core is not None]:
+                core.process.kill()
             cluster.go(0.5 + cluster.rng.random())
-            for name in [n for n, c in cluster.cores.items() if not c.process.alive]:
+            for name in [name for name, core in cluster.cores.items() if not core.process.alive]:
                 cluster.start_core(name, *cluster.options[name])
-            assert self.wait(cluster, d) == [200], (seed, k)
+            assert self.wait(cluster, done) == [200], (seed, k)
             number += 2
             assert f"routes/r{k}" in self.items(cluster)
             cluster.go(2)
@@ -112,8 +112,8 @@
         orders = self.take(cluster, 24)
         again = [orders[k] for k in (-1, -2, -6, -20, 0)]
         assert self.wait(cluster, *(self.start(cluster, *order) for order in again)) == [200] * 5
-        for c in cluster.cores.values():
-            c.process.kill()
+        for core in cluster.cores.values():
+            core.process.kill()
         cluster.go(1)
         for name in cluster.cores:
             cluster.start_core(name, *cluster.options[name])
@@ -153,19 +153,19 @@
         cluster = quiet_cluster()
         document, other = cluster.with_probe(1), cluster.with_probe(2)
         assert self.wait(cluster, self.start(cluster, 4, 0, {"blueprint": document})) == [200]
-        n = cluster.tail().chain.committed_state.index
+        index = cluster.tail().chain.committed_state.index
         assert self.wait(cluster, self.start(cluster, 4, 3, {"blueprint": document})) == [200]
         assert self.wait(cluster, self.start(cluster, 4, 3, {"blueprint": other})) == [409]
         assert self.wait(cluster, self.start(cluster, 5, 3, {"blueprint": document})) == [409]
-        assert cluster.tail().chain.committed_state.index == n
+        assert cluster.tail().chain.committed_state.index == index
 
     def test_a_change_is_taken_without_nodes_once_their_leases_ran_out(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
         lease_us = cluster.tail().options.lease_us
-        for n in cluster.nodes.values():
-            n.process.kill()
+        for node in cluster.nodes.values():
+            node.process.kill()
         killed = cluster.world.time
         cluster.go(1)
         assert self.wait(cluster, self.start(cluster, 1, 0, route(1))) == [200]
@@ -181,8 +181,8 @@
         assert self.wait(cluster, self.start(cluster, 1, 0, route(1))) + self.wait(
             cluster, self.start(cluster, 2, 1, route(2))
         ) == [200, 200]
-        c = cluster.cores["c1"]
-        c.process.host.fail()
+        core = cluster.cores["c1"]
+        core.process.host.fail()
         cluster.go(1)
         cluster.start_core("c1", *cluster.options["c1"])
         assert self.wait(cluster, self.start(cluster, 3, 2, route(3))) == [200]
@@ -194,16 +194,21 @@
 
     def apply(self, count: int) -> replicated_state.ReplicatedState:
         state = replicated_state.ReplicatedState()
-        for n in range(1, count + 1):
-            changes = [("marks/operator", {"number": n})]
-            state = state.apply(message.LogEntry(n, 1, "apply", f"c{n - 1}-{n}-0a", n - 1, changes))
+        for number in range(1, count + 1):
+            changes = [("marks/operator", {"number": number})]
+            state = state.apply(message.LogEntry(number, 1, "apply", f"c{number - 1}-{number}-0a", number - 1, changes))
         return state
 
     def test_they_outlive_the_plans_and_are_in_the_snapshot(self) -> None:
         state = self.apply(1_100)
         assert "c0-1-0a" not in state.plans
         again = snapshot_format.decode(snapshot_format.encode(state))
-        assert (*(again.taken[f"c{n - 1}-{n}-0a"] for n in (1, 100, 1_100)), again.forgotten) == (1, 100, 1_100, 0)
+        assert (*(again.taken[f"c{number - 1}-{number}-0a"] for number in (1, 100, 1_100)), again.forgotten) == (
+            1,
+            100,
+            1_100,
+            0,
+        )
         assert again == state
 
     def test_their_number_is_bounded(self) -> None:
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -160,7 +160,7 @@
         self.feed(struct.pack("!I", len(raw)) + bytes(raw))
 
 
-class Memory(core.Core):
+class InMemoryCore(core.Core):
     """A core that keeps its items in memory, and takes a change as the chain would: encoded."""
 
     def __init__(self) -> None:
@@ -286,7 +286,7 @@
 
     def call(self, method: str, path: str, body: bytes) -> int:
         _, runtime = new_runtime()
-        server = http_server.Server(runtime, configuration_api.ConfigurationApi(Memory()).handle)
+        server = http_server.Server(runtime, configuration_api.ConfigurationApi(InMemoryCore()).handle)
         channel = server.buildProtocol(None)
         transport = Transport()
         channel.makeConnection(transport)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -6,10 +6,10 @@
 from iriswheel.configuration import configuration
 from iriswheel.control import core, tail_contact
 from iriswheel.membership import lease
-from iriswheel.node import core_session, node
+from iriswheel.node import core_session
 from iriswheel.runtime import units
 from iriswheel.transport import message
-from simulation import simulated_cluster
+from simulation import server_model, simulated_cluster
 from tests import conftest
 
 SECOND = units.SECOND_US
@@ -98,19 +98,21 @@
         cluster = quiet_cluster(seconds=2)
         head = cluster.head()
         nodes = [
-            n for n in cluster.nodes.values() if n.follower.session.address == (head.options.host, head.options.port)
+            node
+            for node in cluster.nodes.values()
+            if node.follower.session.address == (head.options.host, head.options.port)
         ]
         others = [c.options.host for c in cluster.cores.values() if c is not head]
         cluster.world.cut([head.options.host], others)
         cluster.go(1.2 + head.options.lease_us / SECOND)
         assert head.lease.until <= head.runtime.now()
         assert [0] * len(cluster.nodes) == [
-            head.lease.grant(n.me.id, head.runtime.now()) for n in cluster.nodes.values()
+            head.lease.grant(node.me.id, head.runtime.now()) for node in cluster.nodes.values()
         ]
-        for n in cluster.nodes.values():
-            assert n.follower.session.address != (head.options.host, head.options.port)
-            assert n.follower.session.is_established()
-        assert all(n.follower.session.moves >= 2 for n in nodes)
+        for node in cluster.nodes.values():
+            assert node.follower.session.address != (head.options.host, head.options.port)
+            assert node.follower.session.is_established()
+        assert all(node.follower.session.moves >= 2 for node in nodes)
 
     def test_a_node_follows_on_within_a_second_when_its_core_machine_freezes(
         self, quiet_cluster: conftest.QuietCluster
@@ -118,7 +120,7 @@
         cluster = quiet_cluster(seconds=2)
         for server in cluster.cores.values():
             address = (server.options.host, server.options.port)
-            nodes = [n for n in cluster.nodes.values() if n.follower.session.address == address]
+            nodes = [node for node in cluster.nodes.values() if node.follower.session.address == address]
             if server is cluster.tail() or not nodes:
                 continue
             server.process.freeze()
@@ -127,34 +129,37 @@
         pytest.fail("no core machine but the tail has a node")
 
     def moved_away(
-        self, cluster: simulated_cluster.SimulatedCluster, nodes: list[node.Node], address: tuple[str, int]
+        self,
+        cluster: simulated_cluster.SimulatedCluster,
+        nodes: list[server_model.SimulatedNode],
+        address: tuple[str, int],
     ) -> None:
-        assert cluster.until(lambda: all(n.follower.session.address != address for n in nodes), 1.5)
-        assert all(n.follower.session.lease.valid(n.runtime.now()) for n in nodes)
+        assert cluster.until(lambda: all(node.follower.session.address != address for node in nodes), 1.5)
+        assert all(node.follower.session.lease.valid(node.runtime.now()) for node in nodes)
 
     def test_committed_changes_reach_nodes_through_a_core_machine_without_a_lease(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(seconds=2)
         tail = cluster.tail()
-        n = next(iter(cluster.nodes.values()))
+        node = next(iter(cluster.nodes.values()))
         other = next(c for c in cluster.cores.values() if c is not tail)
-        n.follower.session.reset()
-        n.follower.session.addresses[:] = [(other.options.host, other.options.port)]
+        node.follower.session.reset()
+        node.follower.session.addresses[:] = [(other.options.host, other.options.port)]
         other.tail_contact.answered_report = tail_contact.AnsweredReport()
-        place = n.follower.applied_index
+        place = node.follower.applied_index
         got = confirm(tail)
-        assert cluster.until(lambda: got and n.follower.applied_index > place, 5)
+        assert cluster.until(lambda: got and node.follower.applied_index > place, 5)
 
     def test_where_no_core_machine_answers_attempts_go_on_side_by_side(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(seconds=2)
-        n = cluster.nodes["n1"]
+        node = cluster.nodes["n1"]
         for server in cluster.cores.values():
             server.process.freeze()
         cluster.go(1.5)
-        assert 2 <= len(n.follower.session.attempts) <= core_session.MAX_ATTEMPTS
+        assert 2 <= len(node.follower.session.attempts) <= core_session.MAX_ATTEMPTS
 
 
 class TestServeOn:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -47,7 +47,7 @@
 del COMPLETE["channels"][1]["partition"]
 
 
-class Memory:
+class InMemoryCore:
     """Stands for a core: takes changes at once."""
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
 class TestPlatformConfiguration:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        self.core = Memory()
+        self.core = InMemoryCore()
         self.gateway = configuration_api.ConfigurationApi(self.core)
 
     def call(
@@ -95,7 +95,9 @@
             answer_json=lambda status, value: out.append((status, value)),
         )
         handled = defer.ensureDeferred(self.gateway.handle(request))
-        handled.addErrback(lambda f: f.trap(errors.ServiceError) and out.append((f.value.status, f.value.code)))
+        handled.addErrback(
+            lambda failure: failure.trap(errors.ServiceError) and out.append((failure.value.status, failure.value.code))
+        )
         return out[0]
 
     def test_what_was_sent_comes_back(self) -> None:
@@ -146,15 +148,15 @@
         assert {k for k, _ in configuration.difference(had, self.core.items)} == {"routes/r-a", "marks/operator"}
 
     def test_invalid_ones_are_refused(self) -> None:
-        def spoiled(f: Callable[..., Any]) -> dict[str, Any]:
+        def spoiled(spoil: Callable[..., Any]) -> dict[str, Any]:
             document = copy.deepcopy(COMPLETE)
-            f(document)
+            spoil(document)
             return document
 
         self.call(b"PUT", {**COMPLETE, "version": 6}, "0")
         assert self.call(b"PUT", raw=json.dumps(COMPLETE)[:-40], match="6")[0] == 400
         assert self.call(b"PUT", COMPLETE, None)[0] == 400
-        for f in (
+        for spoil in (
             lambda document: document["channels"][1].update(plant="nowhere"),
             lambda document: document["channels"][1].update(path_prefix="/a/"),
             lambda document: document["channels"][0].update(
@@ -173,7 +175,7 @@
             lambda document: document.pop("channels"),
             lambda document: document.update(plants=7),
         ):
-            assert self.call(b"PUT", spoiled(f), "6")[0] == 400, spoiled(f)
+            assert self.call(b"PUT", spoiled(spoil), "6")[0] == 400, spoiled(spoil)
         assert self.call(b"GET")[1] == {**COMPLETE, "version": 6}
         assert self.call(b"PUT", COMPLETE, "5")[0] == 412
         assert self.call(b"PUT", COMPLETE, "6")[0] == 200
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -212,28 +212,28 @@
 
 class TestFaultTrial:
     def test_a_short_trial_is_clean(self) -> None:
-        with fleet.Fleet("small") as f:
-            trial = process_trial.Trial(f, 16, ["--short-rate", "15", "--long-rate", "1", "--talks", "3"])
+        with fleet.Fleet("small") as running:
+            trial = process_trial.Trial(running, 16, ["--short-rate", "15", "--long-rate", "1", "--talks", "3"])
             trial.served(10)
-            name = f.owner()
+            name = running.owner()
             trial.fault("kill", name)
-            f.kill(name)
-            f.until(lambda: f.owner() not in ("", name), "another warden is seated", 30)
+            running.kill(name)
+            running.until(lambda: running.owner() not in ("", name), "another warden is seated", 30)
             trial.served(10)
             trial.restart(name)
-            f.until(lambda: f.ready(name), "the node is ready again", 30)
+            running.until(lambda: running.ready(name), "the node is ready again", 30)
             trial.fault("kill", "c1")
-            f.kill("c1")
-            document = json.loads(json.dumps(f.configuration))
-            document["routes"]["late"] = {"path": "/v1/late", "pool": f.pool}
-            f.until(lambda: f.confirm(document, trial.note), "a change is confirmed without c1", 30)
+            running.kill("c1")
+            document = json.loads(json.dumps(running.configuration))
+            document["routes"]["late"] = {"path": "/v1/late", "pool": running.pool}
+            running.until(lambda: running.confirm(document, trial.note), "a change is confirmed without c1", 30)
             trial.restart("c1")
-            name = f.owner()
+            name = running.owner()
             trial.fault("freeze", name)
-            f.signal(name, signal.SIGSTOP)
-            other = next(n for n in f.nodes if n != name)
-            f.until(lambda: f.owner_of(other), "the other node is the warden", 30)
-            f.signal(name, signal.SIGCONT)
+            running.signal(name, signal.SIGSTOP)
+            other = next(n for n in running.nodes if n != name)
+            running.until(lambda: running.owner_of(other), "the other node is the warden", 30)
+            running.signal(name, signal.SIGCONT)
             trial.repair("wake", name)
             trial.served(5)
             report, found, _ = trial.finish()
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -22,7 +22,7 @@
         self.headers, self.body, self.code, self.complete = {}, b"", 0, False
 
 
-class Caller(protocol.Protocol):
+class Client(protocol.Protocol):
     """Parses whatever comes back."""
 
     def __init__(self) -> None:
@@ -78,18 +78,18 @@
     def go(self, ms: int) -> None:
         self.world.run(self.world.time + ms * MILLISECOND)
 
-    def dial(self, host: str = "10.0.3.1", port: int = 8080) -> Caller:
-        c = Caller()
+    def dial(self, host: str = "10.0.3.1", port: int = 8080) -> Client:
+        client = Client()
         factory = protocol.ClientFactory()
         factory.noisy = False
-        factory.buildProtocol = lambda _address: c
+        factory.buildProtocol = lambda _address: client
         self.near.reactor.connectTCP(host, port, factory)
         self.go(2)
-        return c
+        return client
 
     def request(
         self,
-        c: Caller,
+        client: Client,
         *,
         attempt: str | None = "a1",
         tokens: str = "10,9",
@@ -108,18 +108,23 @@
             **{HEADERS[k]: v for k, v in more.items()},
         }
         lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items() if v is not None)
-        c.transport.write(f"POST {path} HTTP/1.1\r\n{lines}\r\nhi".encode())
+        client.transport.write(f"POST {path} HTTP/1.1\r\n{lines}\r\nhi".encode())
 
     def kinds(self, *kinds: str) -> list[dict[str, Any]]:
         return [r for r in self.tape.rows if r["kind"] in kinds]
 
     def test_a_stream_has_seal_attempt_and_rising_events(self) -> None:
-        c = self.dial()
-        self.request(c, target=self.worker.id)
+        client = self.dial()
+        self.request(client, target=self.worker.id)
         self.go(300)
-        (a,) = c.answers
-        seal = a.headers[HEADERS["seal"].lower()]
-        assert (a.code, a.complete, a.headers[HEADERS["attempt"].lower()], a.headers["content-type"]) == (
+        (answer,) = client.answers
+        seal = answer.headers[HEADERS["seal"].lower()]
+        assert (
+            answer.code,
+            answer.complete,
+            answer.headers[HEADERS["attempt"].lower()],
+            answer.headers["content-type"],
+        ) == (
             200,
             True,
             "a1",
@@ -127,59 +132,59 @@
         )
         assert (
             "".join(f"id: {k}\ndata: {seal} a1 {k}{' last' if k == 3 else ''}\n\n" for k in (1, 2, 3))
-            == a.body.decode()
+            == answer.body.decode()
         )
         assert [r["kind"] for r in self.kinds("arrived", "run", "ran")] == ["arrived", "run", "ran"]
-        self.request(c, attempt="a2")
+        self.request(client, attempt="a2")
         self.go(300)
-        assert [x.headers[HEADERS["attempt"].lower()] for x in c.answers] == ["a1", "a2"]
+        assert [x.headers[HEADERS["attempt"].lower()] for x in client.answers] == ["a1", "a2"]
 
     def test_what_does_not_run_says_so(self) -> None:
-        c = self.dial()
-        self.request(c, attempt="a1", target="i-other")
-        self.request(c, attempt=None)
-        self.request(c, attempt="a3", left=0)
-        self.request(c, attempt="a4", weights_wanted="2")
-        self.request(c, attempt="a5", tokens="10,99000000")
+        client = self.dial()
+        self.request(client, attempt="a1", target="i-other")
+        self.request(client, attempt=None)
+        self.request(client, attempt="a3", left=0)
+        self.request(client, attempt="a4", weights_wanted="2")
+        self.request(client, attempt="a5", tokens="10,99000000")
         self.go(50)
-        assert [a.code for a in c.answers] == [421, 400, 503, 421, 503]
-        assert all(HEADERS["not_run"].lower() in a.headers for a in c.answers)
+        assert [answer.code for answer in client.answers] == [421, 400, 503, 421, 503]
+        assert all(HEADERS["not_run"].lower() in answer.headers for answer in client.answers)
         assert self.kinds("run") == []
 
     def test_a_deadline_that_passes_in_the_queue_is_answered_as_not_run(self) -> None:
         self.worker.engine.parameters.capacity = 1
-        c, d = self.dial(), self.dial()
-        self.request(c, attempt="a1", tokens="10,400")
+        client, other = self.dial(), self.dial()
+        self.request(client, attempt="a1", tokens="10,400")
         self.go(20)
-        self.request(d, attempt="a2", left=100)
+        self.request(other, attempt="a2", left=100)
         self.go(200)
-        assert [a.code for a in d.answers] == [503]
-        assert HEADERS["not_run"].lower() in d.answers[0].headers
+        assert [answer.code for answer in other.answers] == [503]
+        assert HEADERS["not_run"].lower() in other.answers[0].headers
         assert [r["attempt"] for r in self.kinds("run")] == ["a1"]
 
     def test_a_deadline_in_the_middle_of_a_stream_cuts_it(self) -> None:
-        c = self.dial()
-        self.request(c, tokens="10,400", left=200)
+        client = self.dial()
+        self.request(client, tokens="10,400", left=200)
         self.go(400)
-        assert (c.answers[0].complete, c.closed) == (False, "ConnectionLost")
+        assert (client.answers[0].complete, client.closed) == (False, "ConnectionLost")
 
     def test_a_stream_is_taken_up_after_its_last_event(self) -> None:
-        c = self.dial()
-        self.request(c, tokens="10,17", after="3")
+        client = self.dial()
+        self.request(client, tokens="10,17", after="3")
         self.go(300)
-        assert [p.split(b"\n")[0] for p in c.answers[0].body.split(b"\n\n") if p] == [b"id: 4", b"id: 5"]
+        assert [p.split(b"\n")[0] for p in client.answers[0].body.split(b"\n\n") if p] == [b"id: 4", b"id: 5"]
 
     def test_nothing_is_left_to_take_up_after_the_last_event(self) -> None:
-        c = self.dial()
-        self.request(c, tokens="10,17", after="5")
+        client = self.dial()
+        self.request(client, tokens="10,17", after="5")
         self.go(300)
-        assert (c.answers[0].code, c.answers[0].complete, c.answers[0].body) == (200, True, b"")
+        assert (client.answers[0].code, client.answers[0].complete, client.answers[0].body) == (200, True, b"")
 
     def test_a_request_is_dropped_with_its_connection(self) -> None:
-        c = self.dial()
-        self.request(c, tokens="10,400")
+        client = self.dial()
+        self.request(client, tokens="10,400")
         self.go(100)
-        c.transport.abortConnection()
+        client.transport.abortConnection()
         self.go(50)
         assert [r["how"] for r in self.kinds("ran")] == ["cut"]
         assert self.worker.engine.running == []
@@ -187,43 +192,45 @@
     def test_too_many_connections_are_reset(self) -> None:
         callers = [self.dial() for _ in range(7)]
         self.go(10)
-        assert [c.closed for c in callers] == [None] * 5 + ["ConnectionLost"] * 2
+        assert [client.closed for client in callers] == [None] * 5 + ["ConnectionLost"] * 2
 
     def test_idle_connections_end_in_time_or_silently(self) -> None:
-        c = self.dial()
+        client = self.dial()
         self.go(6000)
-        assert c.closed == "ConnectionDone"
+        assert client.closed == "ConnectionDone"
         self.worker.silent_drop = True
-        c = self.dial()
+        client = self.dial()
         self.go(6000)
-        assert c.closed is None
-        self.request(c)
+        assert client.closed is None
+        self.request(client)
         self.go(50)
-        assert (c.closed, c.answers) == ("ConnectionLost", [])
+        assert (client.closed, client.answers) == ("ConnectionLost", [])
 
     def test_each_fault_shows(self) -> None:
         want = {
-            "garble": lambda c: c.garbage and not any(a.complete for a in c.answers),
-            "errors": lambda c: [a.code for a in c.answers] == [500],
-            "break": lambda c: c.closed == "ConnectionLost" and not c.answers[0].complete and c.answers[0].body,
-            "lost": lambda c: c.closed == "ConnectionLost" and not c.answers[0].complete,
-            "mute": lambda c: not c.answers and c.closed is None,
-            "hang": lambda c: not c.answers[0].complete and c.closed is None,
-            "surplus": lambda c: [a.complete for a in c.answers] == [True, True],
-            "late": lambda c: [a.complete for a in c.answers] == [True, True],
+            "garble": lambda client: client.garbage and not any(answer.complete for answer in client.answers),
+            "errors": lambda client: [answer.code for answer in client.answers] == [500],
+            "break": lambda client: (
+                client.closed == "ConnectionLost" and not client.answers[0].complete and client.answers[0].body
+            ),
+            "lost": lambda client: client.closed == "ConnectionLost" and not client.answers[0].complete,
+            "mute": lambda client: not client.answers and client.closed is None,
+            "hang": lambda client: not client.answers[0].complete and client.closed is None,
+            "surplus": lambda client: [answer.complete for answer in client.answers] == [True, True],
+            "late": lambda client: [answer.complete for answer in client.answers] == [True, True],
         }
         for way, seen in want.items():
             self.worker.faults = {way: 1.0}
-            c = self.dial()
-            self.request(c, attempt=way)
+            client = self.dial()
+            self.request(client, attempt=way)
             self.go(800)
-            assert seen(c), (way, c.raw)
-            c.transport.abortConnection()
+            assert seen(client), (way, client.raw)
+            client.transport.abortConnection()
             self.go(50)
         assert sorted(want) == sorted({r["attempt"] for r in self.kinds("run")}), "all of these have run"
 
     def test_health_is_reported_truly_or_falsely(self) -> None:
-        c = self.dial()
+        client = self.dial()
         for health, faults, code in (
             ("", {}, 200),
             ("", {"mute": 1}, 503),
@@ -231,19 +238,22 @@
             ("bad", {}, 503),
         ):
             self.worker.health, self.worker.faults = health, faults
-            c.transport.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
+            client.transport.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
             self.go(50)
-            assert (c.answers[-1].code, c.answers[-1].headers[HEADERS["worker"].lower()]) == (code, self.worker.id)
+            assert (client.answers[-1].code, client.answers[-1].headers[HEADERS["worker"].lower()]) == (
+                code,
+                self.worker.id,
+            )
 
     def test_the_report_is_old(self) -> None:
-        c, d = self.dial(), self.dial()
+        client, other = self.dial(), self.dial()
         self.go(300)
-        self.request(c, tokens="10,400")
+        self.request(client, tokens="10,400")
         for ms, running in ((50, 0), (250, 1)):
             self.go(ms)
-            d.transport.write(b"GET /report HTTP/1.1\r\nHost: x\r\n\r\n")
+            other.transport.write(b"GET /report HTTP/1.1\r\nHost: x\r\n\r\n")
             self.go(5)
-            assert json.loads(d.answers[-1].body)[platform_names.REPORT["running"]] == running
+            assert json.loads(other.answers[-1].body)[platform_names.REPORT["running"]] == running
 
     def test_the_list_comes_late_in_pages_and_at_a_rate(self) -> None:
         process = process_model.SimulatedProcess(self.world, "list", host_model.Host(self.world, "10.0.4.1", "a"))
@@ -251,12 +261,12 @@
         process.reactor.listenTCP(9000, listing)
         for k in range(5):
             listing.show(f"i-{k}", pool="desk", address=f"10.0.3.{k}:80", zone="ab"[k % 2])
-        c = self.dial("10.0.4.1", 9000)
+        client = self.dial("10.0.4.1", 9000)
 
         def page(query: str = "") -> dict[str, Any]:
-            c.transport.write(f"GET /workers{query} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
+            client.transport.write(f"GET /workers{query} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
             self.go(5)
-            return json.loads(c.answers[-1].body or b"{}")
+            return json.loads(client.answers[-1].body or b"{}")
 
         assert page()["worker_pool"] == []
         self.go(1500)
@@ -268,7 +278,7 @@
         assert ([f"i-{k}" for k in range(5)], None) == (got, token)
         assert [r["id"] for r in page("?zone=b")["worker_pool"]] == ["i-1", "i-3"]
         page()
-        assert c.answers[-1].code == 429
+        assert client.answers[-1].code == 429
         self.go(1000)
         listing.show("i-0", state="draining")
         listing.drop("i-1")
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -131,9 +131,9 @@
                 sent.append(16_384)
             request.finish()
 
-        for w in cluster.workers.values():
-            w.process.ports.clear()
-            cluster.listen(w.process, 9001, http_server.Server(w.runtime, flood))
+        for worker in cluster.workers.values():
+            worker.process.ports.clear()
+            cluster.listen(worker.process, 9001, http_server.Server(worker.runtime, flood))
         held = property(lambda side: side.producer_paused or side.bytes_in_flight > network_model.WINDOW_BYTES)
         monkeypatch.setattr(network_model.ConnectionSide, "producer_held", held, raising=False)
         assert held is not None
@@ -216,12 +216,12 @@
         cluster = quiet_cluster()
         head = cluster.head()
         number = head.consensus.view.number + 1
-        c = head.consensus
-        c.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a short cut, in which its grant ran out
-        prepare = message.Prepare(number, (1, c.own_voter.id), c.own_voter.id)
-        cluster.operator_runtime.spawn(c.answer(prepare), simulated_cluster.log)
+        consensus = head.consensus
+        consensus.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a short cut, in which its grant ran out
+        prepare = message.Prepare(number, (1, consensus.own_voter.id), consensus.own_voter.id)
+        cluster.operator_runtime.spawn(consensus.answer(prepare), simulated_cluster.log)
         cluster.go(0.1)
-        assert c.is_sealed()
+        assert consensus.is_sealed()
         done = cluster.operator_runtime.spawn(cluster.operator.change(cluster.with_probe(1)), simulated_cluster.log)
         assert cluster.until(lambda: done.called, 5)
         assert done.result > 0
@@ -234,18 +234,18 @@
             _, document = await cluster.operator.query("POST", "/plans", {"blueprint": cluster.with_probe(9)})
             got.extend([document["code"], document["verdict"]])
 
-        d = cluster.operator_runtime.spawn(go(), simulated_cluster.log)
-        assert cluster.until(lambda: d.called, 10)
+        done = cluster.operator_runtime.spawn(go(), simulated_cluster.log)
+        assert cluster.until(lambda: done.called, 10)
         return got
 
     def test_a_late_selection_that_was_given_up_gets_no_grant(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
-        n = cluster.owner()
-        w = n.pool_owners[cluster.pool]
-        w.release("late-ask", errors.ExecutionOutcome.NOT_RUN)
+        node = cluster.owner()
+        pool_owner = node.pool_owners[cluster.pool]
+        pool_owner.release("late-ask", errors.ExecutionOutcome.NOT_RUN)
         msg = message.SelectWorker(
             cluster.pool,
-            w.assignment.term,
+            pool_owner.assignment.term,
             "n1",
             "late-ask",
             "e1",
@@ -259,35 +259,35 @@
             {"lifetime_us": SECOND, "cost": 1},
             SECOND,
         )
-        d = n.runtime.spawn(w.select_worker(msg), simulated_cluster.log)
+        done = node.runtime.spawn(pool_owner.select_worker(msg), simulated_cluster.log)
         cluster.go(1)
-        assert d.result.code == "no_warden"
-        assert w.records.claims == {}
+        assert done.result.code == "no_warden"
+        assert pool_owner.records.claims == {}
 
     def test_a_claim_of_a_grant_that_came_too_late_is_given_back(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
-        n = cluster.owner()
-        w = n.pool_owners[cluster.pool]
-        w.records.claims["e1"] = claims.Claim(
+        node = cluster.owner()
+        pool_owner = node.pool_owners[cluster.pool]
+        pool_owner.records.claims["e1"] = claims.Claim(
             "e1", 1, "n1", "old-ask", cluster.world.time + 600 * SECOND
         )  # as gathered
-        w.release("old-ask", errors.ExecutionOutcome.NOT_RUN)
+        pool_owner.release("old-ask", errors.ExecutionOutcome.NOT_RUN)
         assert self.answer(cluster, identifier="e1", repeat=False)[0] == 200
         code, _, body = self.answer(cluster, identifier="e1", repeat=False, send=2, node="n2")
         assert (code, b'"ran"' in body) == (409, True)
 
     def test_a_former_pool_owner_gets_no_copy_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster(shape="magnolia")
-        n = cluster.owner()
-        old = n.pool_owners[cluster.pool]
+        node = cluster.owner()
+        old = node.pool_owners[cluster.pool]
         holder = next(m for m in cluster.nodes.values() if m.me.id == old.assignment.copies[0])
         holder.pool_roles.replica(cluster.pool).fence((old.assignment.term[0], old.assignment.term[1] + 1))
-        d = n.runtime.spawn(
-            old.replicator.copy(message.ReplicateRecords(cluster.pool, old.assignment.term, n.me.id, [], [], [])),
+        done = node.runtime.spawn(
+            old.replicator.copy(message.ReplicateRecords(cluster.pool, old.assignment.term, node.me.id, [], [], [])),
             simulated_cluster.log,
         )
         cluster.go(1)
-        assert (d.result, old.is_live()) == (False, False)
+        assert (done.result, old.is_live()) == (False, False)
 
     def test_a_pool_is_new_to_its_first_owner_however_often_it_queries(
         self, quiet_cluster: conftest.QuietCluster
@@ -306,28 +306,28 @@
 
     def test_an_update_does_not_interrupt_a_call_to_a_core_machine(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
-        n, core = cluster.nodes["n1"], cluster.tail()
-        asked = n.runtime.spawn(
-            n.peers.call(core.options.host, core.options.port, message.RecordsRequest("new", (9, 1), "n1"), SECOND),
+        node, core = cluster.nodes["n1"], cluster.tail()
+        asked = node.runtime.spawn(
+            node.peers.call(core.options.host, core.options.port, message.RecordsRequest("new", (9, 1), "n1"), SECOND),
             simulated_cluster.log,
         )
-        n.on_update()
+        node.on_update()
         cluster.go(0.5)
         assert asked.result.ok
-        n.on_update()
-        assert n.peers.connections[(core.options.host, core.options.port)].up
+        node.on_update()
+        assert node.peers.connections[(core.options.host, core.options.port)].up
 
     def test_a_term_that_a_lost_membership_had_passed_is_replaced(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster(shape="magnolia")
         for who in ("copy", "holder"):
             assignment = cluster.owner().pool_owners[cluster.pool].assignment
             name = assignment.holder if who == "holder" else assignment.copies[0]
-            n = next(m for m in cluster.nodes.values() if m.me.id == name)
+            node = next(m for m in cluster.nodes.values() if m.me.id == name)
             newer = (
                 assignment.term[0],
                 cluster.tail().membership.latest.version[1] + 1,
             )  # of a membership that nobody kept
-            n.serve(None, message.RecordsRequest(cluster.pool, newer, "somebody"))
+            node.serve(None, message.RecordsRequest(cluster.pool, newer, "somebody"))
             assert self.answer(cluster, identifier=who, repeat=False, node="n1")[0] == 200
 
     def test_a_thawed_tail_answers_nothing_on_its_old_lease(self, quiet_cluster: conftest.QuietCluster) -> None:
@@ -353,9 +353,9 @@
 
     def test_an_older_program_refuses_a_newer_data_folder(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
-        c = cluster.cores["c1"]
-        c.process.kill()
-        c.process.host.synced[b"format"] = b"99"
+        core = cluster.cores["c1"]
+        core.process.kill()
+        core.process.host.synced[b"format"] = b"99"
         with pytest.raises(storage.DiskError):
             cluster.start_core("c1", *cluster.options["c1"])
 
@@ -364,7 +364,7 @@
         chain = cluster.head().chain
         pad = [["terms/t", {"pad": "x" * (1 << 20)}]]
         for k in range(40):
-            d = cluster.head().runtime.spawn(
+            done = cluster.head().runtime.spawn(
                 chain.answer(
                     message.ProposeChange(
                         cluster.head().consensus.view.number, "plan", f"2-{k}", chain.latest_state.version, pad
@@ -372,16 +372,16 @@
                 ),
                 simulated_cluster.log,
             )
-            assert cluster.until(lambda d=d: d.called, 5)
+            assert cluster.until(lambda done=done: done.called, 5)
         cluster.go(2)
         assert sum(p.size for p in chain.latest_state.plans.values()) <= 16 << 20
         assert sum(map(len, cluster.head().process.host.synced.values())) < 120 << 20
 
     def test_a_thawed_node_selects_nothing_before_it_has_rejoined(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
-        n = cluster.nodes["n1"]
-        n.process.freeze()
+        node = cluster.nodes["n1"]
+        node.process.freeze()
         cluster.go(4)
-        n.process.frozen = False
-        assert n.follower.needs_rejoin()
-        assert n.ready() == (False, "rejoining")
+        node.process.frozen = False
+        assert node.follower.needs_rejoin()
+        assert node.ready() == (False, "rejoining")
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -42,45 +42,45 @@
 
 class TestOptionsReadAgain:
     def test_a_changed_file_is_read_again_and_a_bad_one_is_not(self, tmp_path: pathlib.Path) -> None:
-        clock, got = task.Clock(), []
+        clock, seeds_read = task.Clock(), []
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
         path = tmp_path / "node.toml"
 
         def write(seeds: str) -> None:
             path.write_text(f'name = "n"\nhost = "127.0.0.1"\nzone = "a"\nplatform = "127.0.0.1:1"\nseeds = {seeds}\n')
-            os.utime(path, ns=(len(got), hash(seeds) % 10**9))
+            os.utime(path, ns=(len(seeds_read), hash(seeds) % 10**9))
 
         write('["127.0.0.1:1"]')
         watch = options.OptionsWatch(
-            runtime, str(path), lambda: options.read("node", str(path), {}), lambda o: got.append(o.seeds)
+            runtime, str(path), lambda: options.read("node", str(path), {}), lambda o: seeds_read.append(o.seeds)
         )
         runtime.spawn(watch.run())
         clock.advance(2)
-        assert got == []
+        assert seeds_read == []
         write('["127.0.0.1:2"]')
         clock.advance(2)
         write('["nowhere"]')
         clock.advance(2)
         clock.advance(2)
-        assert got == [["127.0.0.1:2"]]
+        assert seeds_read == [["127.0.0.1:2"]]
         write('["127.0.0.1:3"]')
         watch.reload()
         clock.advance(2)
-        assert got == [["127.0.0.1:2"], ["127.0.0.1:3"]]
+        assert seeds_read == [["127.0.0.1:2"], ["127.0.0.1:3"]]
 
 
 class TestStoppingInACluster:
     def test_a_node_leaves_within_its_grace_whatever_is_open(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster(grace_us=8 * SECOND)
-        n = cluster.nodes["n1"]
-        n.gateway.open_requests += 1  # a request that never ends
+        node = cluster.nodes["n1"]
+        node.gateway.open_requests += 1  # a request that never ends
         started_at = cluster.world.time
-        done = n.runtime.spawn(n.stop(), simulated_cluster.log)
-        assert not n.ready()[0]
+        done = node.runtime.spawn(node.stop(), simulated_cluster.log)
+        assert not node.ready()[0]
         cluster.go(2.9)
-        assert not n.refusing_requests
+        assert not node.refusing_requests
         cluster.go(0.5)
-        assert n.refusing_requests
+        assert node.refusing_requests
         assert cluster.until(lambda: done.called, 10)
         assert 6.5 * SECOND < cluster.world.time - started_at < 7.5 * SECOND
 
@@ -100,36 +100,36 @@
     ) -> None:
         cluster = quiet_cluster()
         for at in (cluster.tail, cluster.head):
-            c = at()
+            machine = at()
             started_at = cluster.world.time
-            done = c.runtime.spawn(c.stop(), simulated_cluster.log)
+            done = machine.runtime.spawn(machine.stop(), simulated_cluster.log)
             assert cluster.until(lambda done=done: done.called, 5)
             assert cluster.world.time - started_at < SECOND
-            c.process.kill()
-            others = [x for x in cluster.cores.values() if x is not c]
-            assert {len(x.consensus.view.chain) for x in others} == {2}
-            cluster.start_core(c.options.name, *cluster.options[c.options.name])
+            machine.process.kill()
+            others = [other for other in cluster.cores.values() if other is not machine]
+            assert {len(other.consensus.view.chain) for other in others} == {2}
+            cluster.start_core(machine.options.name, *cluster.options[machine.options.name])
             assert cluster.until(
                 lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 3, 5
             )
 
-    def stop(self, c: core.Core) -> defer.Deferred[Any]:
-        return c.runtime.spawn(c.stop(), simulated_cluster.log)
+    def stop(self, machine: core.Core) -> defer.Deferred[Any]:
+        return machine.runtime.spawn(machine.stop(), simulated_cluster.log)
 
     def test_a_core_machine_that_holds_the_only_synced_copy_stays_until_another_has_it(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(grace_us=8 * SECOND)
         head = cluster.head()
-        others = [c for c in cluster.cores.values() if c is not head]
-        for c in others:
-            c.process.host.fail()
-            c.process.host.synced.clear()
+        others = [machine for machine in cluster.cores.values() if machine is not head]
+        for machine in others:
+            machine.process.host.fail()
+            machine.process.host.synced.clear()
         done = self.stop(head)
         cluster.go(4.5)
         assert not done.called
-        for c in others:
-            cluster.start_core(c.options.name, *cluster.options[c.options.name])
+        for machine in others:
+            cluster.start_core(machine.options.name, *cluster.options[machine.options.name])
         cluster.go(3)
         assert not done.called  # two blank machines can't take it over: of the voters it is the only one
 
@@ -144,24 +144,24 @@
             return message.AppendResponse(False) if late else await real(msg)
 
         joining_members = []
-        for c in [c for c in cluster.cores.values() if c is not head]:
-            c.process.host.fail()
-            c.process.host.synced.clear()
-            cluster.start_core(c.options.name, *cluster.options[c.options.name])
-            joining_members.append(cluster.cores[c.options.name])
+        for machine in [machine for machine in cluster.cores.values() if machine is not head]:
+            machine.process.host.fail()
+            machine.process.host.synced.clear()
+            cluster.start_core(machine.options.name, *cluster.options[machine.options.name])
+            joining_members.append(cluster.cores[machine.options.name])
             joining_members[-1].chain.answer = functools.partial(answer, real=joining_members[-1].chain.answer)
             identifier = joining_members[-1].consensus.own_voter.id
             assert cluster.until(
-                lambda identifier=identifier: identifier in [x.id for x in head.consensus.view.chain], 10
+                lambda identifier=identifier: identifier in [other.id for other in head.consensus.view.chain], 10
             )
         assert len(head.consensus.view.chain) == 3
         done = self.stop(head)
         cluster.go(5)
         assert not done.called
-        assert not any(c.chain.is_synced() for c in joining_members)
+        assert not any(machine.chain.is_synced() for machine in joining_members)
         held.clear()
         assert cluster.until(lambda: done.called, 5)
-        assert all(c.chain.is_synced() for c in joining_members)
+        assert all(machine.chain.is_synced() for machine in joining_members)
 
     def test_a_core_machine_without_which_no_majority_is_left_stays_for_its_grace(
         self, quiet_cluster: conftest.QuietCluster
@@ -181,32 +181,32 @@
 
     def test_a_fleet_whose_core_machines_all_stop_ends_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster(grace_us=8 * SECOND)
-        done = [self.stop(c) for c in cluster.cores.values()]
+        stopping = [self.stop(machine) for machine in cluster.cores.values()]
         cluster.go(1)
-        assert [d.called for d in done] == [True] * 3
+        assert [done.called for done in stopping] == [True] * 3
 
     def test_nodes_keep_their_session_in_their_own_zone_where_a_core_machine_serves_there(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(zones=["a", "a", "b", "c", "d"])
-        zones = {host: zone for host, zone in (cluster.options[c] for c in cluster.cores)}
+        zones = {host: zone for host, zone in (cluster.options[name] for name in cluster.cores)}
         assert sorted(zones.values()) == ["a", "b", "c"]
 
         def at_home() -> bool:
             return all(
-                n.follower.session.is_established()
-                and (n.options.zone == "d" or zones[n.follower.session.address[0]] == n.options.zone)
-                for n in cluster.nodes.values()
+                node.follower.session.is_established()
+                and (node.options.zone == "d" or zones[node.follower.session.address[0]] == node.options.zone)
+                for node in cluster.nodes.values()
             )
 
         assert cluster.until(at_home, 15)
-        c = next(c for c in cluster.cores.values() if c.options.zone == "a")
-        c.process.kill()
+        machine = next(machine for machine in cluster.cores.values() if machine.options.zone == "a")
+        machine.process.kill()
         assert cluster.until(
-            lambda: not at_home() and all(n.follower.session.is_established() for n in cluster.nodes.values()), 5
+            lambda: not at_home() and all(node.follower.session.is_established() for node in cluster.nodes.values()), 5
         )
         cluster.go(5)
-        cluster.start_core(c.options.name, *cluster.options[c.options.name])
+        cluster.start_core(machine.options.name, *cluster.options[machine.options.name])
         members = set()
 
         def at_home_with_all() -> bool:
@@ -216,18 +216,18 @@
         assert cluster.until(at_home_with_all, 15)
         cluster.go(3)
         assert members | {len(cluster.tail().membership.latest.members)} == {5}
-        moves = [n.follower.session.moves for n in cluster.nodes.values()]
+        moves = [node.follower.session.moves for node in cluster.nodes.values()]
         cluster.go(30)
-        assert [n.follower.session.moves for n in cluster.nodes.values()] == moves
+        assert [node.follower.session.moves for node in cluster.nodes.values()] == moves
 
     @pytest.mark.parametrize(("serve_on", "most"), [(True, 3), (False, 11)])
     def test_a_node_that_serves_on_queries_few_peers_for_the_core(
         self, quiet_cluster: conftest.QuietCluster, serve_on: bool, most: int
     ) -> None:
         cluster = quiet_cluster(zones=["a"] * 12, serve_on=serve_on)
-        n, asked = cluster.nodes["n1"], []
-        n.follower.runtime.spawn = lambda coroutine, *_log: asked.append(coroutine) or coroutine.close()
-        n.follower.peer_status.query()
+        node, asked = cluster.nodes["n1"], []
+        node.follower.runtime.spawn = lambda coroutine, *_log: asked.append(coroutine) or coroutine.close()
+        node.follower.peer_status.query()
         assert len(asked) == most
 
     def test_nodes_without_updates_of_workers_do_not_storm_the_platform(
@@ -243,13 +243,15 @@
             await handle(request)
 
         cluster.platform_proc.ports[9000].handle = counted
-        for c in cluster.cores.values():  # nobody can hand the role on
-            c.process.kill()
-        holder = next(n for n in cluster.nodes.values() if n.follower.assignment("list").holder == n.me.id)
+        for machine in cluster.cores.values():  # nobody can hand the role on
+            machine.process.kill()
+        holder = next(node for node in cluster.nodes.values() if node.follower.assignment("list").holder == node.me.id)
         holder.process.kill()
         del cluster.nodes[holder.options.name]
         cluster.go(2)
         del asked[:]
         cluster.go(10)
-        assert all(n.follower.runtime.now() - n.follower.updated_at < 4 * SECOND for n in cluster.nodes.values())
+        assert all(
+            node.follower.runtime.now() - node.follower.updated_at < 4 * SECOND for node in cluster.nodes.values()
+        )
         assert 5 < len(asked) < 30, len(asked)
