--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -31,7 +31,7 @@
 
 
 class ReplicaIncarnation(typing.NamedTuple):
-    """A replica of the chain in one of its lives; a restarted machine is another replica."""
+    """A replica of the chain in one of its incarnations; a restarted machine is another replica."""
 
     id: str
     incarnation: str
@@ -453,7 +453,7 @@
 def members_of(
     voters: list[message.Voter], machines: Incarnations, promises: dict[str, message.Promise]
 ) -> Incarnations:
-    """The machines that may be members of a chain, with the incarnations that they last told.
+    """The machines that may be members of a chain, with the incarnations that they last reported.
 
     >>> promises_by_id = {"a": message.Promise(True, (1, "a"), None, None, "a", "2", 4, True)}
     >>> members_of([message.Voter("a", "a", 1, "zone")], {"a": "1", "b": "1"}, promises_by_id)
--- a/iriswheel/consensus/departure.py
+++ b/iriswheel/consensus/departure.py
@@ -14,10 +14,10 @@
 def is_still_needed(view_acceptor: acceptor.Acceptor, heartbeats: peer_heartbeats.PeerHeartbeats) -> bool:
     """Whether this machine should stay while it leaves.
 
-    It should until a chain without it stands, of which as many replicas as make a majority of
+    It should until there is a chain without it, of which as many replicas as make a majority of
     the voters have shown that they are synced: before that it may hold the only synced copy, or be
     the voter without whom nothing can be agreed. Where all voters leave, the whole fleet
-    stops, and nobody is there to hand over to.
+    stops, and nobody is left to take over.
     """
     view = view_acceptor.view
     if view is None:
--- a/iriswheel/consensus/peer_heartbeats.py
+++ b/iriswheel/consensus/peer_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between core machines, and what they tell: who lives, who leaves, whose copy is synced."""
+"""Heartbeats between core machines, and what follows from them: who is alive, who leaves, whose copy is synced."""
 
 from __future__ import annotations
 
--- a/iriswheel/consensus/view_change.py
+++ b/iriswheel/consensus/view_change.py
@@ -157,10 +157,10 @@
         answers = await self.calls.call_all(old.voters, request, timing.CALL_TIMEOUT_US)
         if await self._adopt_newer(answers, number):
             return None
-        told = {identifier: answer for identifier, answer in answers.items() if isinstance(answer, message.Promise)}
-        rounds = [answer.ballot[0] for answer in told.values()]
+        received = {identifier: answer for identifier, answer in answers.items() if isinstance(answer, message.Promise)}
+        rounds = [answer.ballot[0] for answer in received.values()]
         self._highest_ballot_round = max([self._highest_ballot_round, *rounds])
-        promises = {identifier: answer for identifier, answer in told.items() if answer.ok}
+        promises = {identifier: answer for identifier, answer in received.items() if answer.ok}
         return promises if len(promises) >= decisions.majority(len(old.voters)) else None
 
     async def _is_accepted(self, old: message.View, ballot: decisions.Ballot, view: message.View) -> bool:
--- a/iriswheel/consensus/view_consensus.py
+++ b/iriswheel/consensus/view_consensus.py
@@ -1,7 +1,7 @@
-"""One core machine's part in agreeing on the view: who votes, and in which order the chain stands.
+"""One core machine's part in agreeing on the view: who votes, and in which order the replicas of the chain are.
 
 View v+1 is agreed by a majority of the machines that vote in view v, one decision
-per number, with promises and acceptances synced before they are told. A promise
+per number, with promises and acceptances synced before they are answered. A promise
 seals the old chain on the machine that gave it: from then on nothing of view v is
 acknowledged there. A read lease of the tail holds promises to others back until it expires.
 
--- a/iriswheel/control/change_orders.py
+++ b/iriswheel/control/change_orders.py
@@ -207,7 +207,7 @@
         )
 
     async def _propose_once(self, known: KnownState, order: ChangeOrder, until: int) -> Committed | Refused:
-        """Propose an order on a known state, unless it stands already or can't be taken."""
+        """Propose an order on a known state, unless it is committed already or can't be."""
         decision = decide(known, order)
         if isinstance(decision, Refused):
             return decision
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -67,7 +67,7 @@
         self.tail_service = tail_service.TailService(
             parts, options, self.tail_contact, self.node_sessions, self._announce
         )
-        self.reporter = reports.SessionReporter(parts, self.node_sessions, self.tail_service.take_report)
+        self.reporter = reports.SessionReporter(parts, self.node_sessions, self.tail_service.apply_report)
         self.session_replicas = replica_store.SessionReplicaStore(parts, self.disk, state)
         self.loads = load_exchange.LoadAggregator(parts, self.node_sessions.by_node)
         self.client = chain_client.ChainClient(parts, self.counters)
@@ -108,8 +108,8 @@
             self.consensus.keep_view_current(),
             self.reporter.run(),
             self.tail_service.send_heartbeats(),
-            self.tail_service.issue_regularly(),
-            self.session_replicas.write_regularly(),
+            self.tail_service.issue_periodically(),
+            self.session_replicas.write_periodically(),
             self.loads.run(),
         ):
             self.runtime.spawn(coroutine, log)
@@ -162,11 +162,11 @@
             case message.ProposeChange() | message.ReadRequest():
                 return self.chain.answer(received)
             case message.NodeSessionsReport():
-                self.tail_service.take_report(received)
+                self.tail_service.apply_report(received)
             case message.TailHeartbeat():
                 self.tail_contact.receive(received)
             case message.MemberLeaving():
-                return self.tail_service.take_leaving(received)
+                return self.tail_service.remove_member(received)
             case message.RecordsRequest():
                 return self.session_replicas.collect(received)
             case _:
@@ -183,7 +183,7 @@
                 if session is not None:
                     session.receive_heartbeat(received)
             case message.LoadReport():
-                self.loads.take(received, from_node=session is not None)
+                self.loads.apply_report(received, from_node=session is not None)
             case message.WorkerListing():
                 self.node_reports.record_listing(received)
             case message.ListingUnchanged():
@@ -193,7 +193,7 @@
             case message.RoleContested(key=key, term=term):
                 self.node_reports.record_role_contested(key, term)
             case message.ReplicateRecords():
-                self.session_replicas.take(received, from_node=session is not None)
+                self.session_replicas.apply_records(received, from_node=session is not None)
             case _:
                 log.warning(
                     "A core does not handle messages of type {message_type}.", message_type=type(received).__name__
@@ -205,7 +205,7 @@
             self.node_sessions.redirect(connection)
             return
         self.node_sessions.offer_unconfirmed(connection, join)
-        self.loads.start_over(join.member.id)
+        self.loads.reset_node(join.member.id)
         self.counters.joins += 1
         self.node_sessions.open(connection, join)
 
--- a/iriswheel/control/load_exchange.py
+++ b/iriswheel/control/load_exchange.py
@@ -43,7 +43,7 @@
         # node or core machine -> the keys that changed since its last report; None: it was sent nothing yet
         self.pending: dict[str, set[load_table.WorkerKey] | None] = {}
 
-    def take(self, report: message.LoadReport, from_node: bool) -> None:
+    def apply_report(self, report: message.LoadReport, from_node: bool) -> None:
         """Take a node's own load, or another core machine's sums; a long prompt is passed on at once."""
         if not from_node:
             self.last_contact[report.sender] = self.parts.runtime.now()
@@ -55,7 +55,7 @@
                 if receiver != report.sender:
                     self._send_changes(receiver, before.keys())
 
-    def start_over(self, node: str) -> None:
+    def reset_node(self, node: str) -> None:
         """A node opened a new session: its next report holds everything."""
         self.pending.pop(node, None)
 
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -75,7 +75,7 @@
             self.parts.node_reports.report_now.wake()
 
     async def run(self, is_stopping: collections.abc.Callable[[], bool]) -> None:
-        """Flush at every change, and every HEARTBEAT_INTERVAL_US, while the connection stands; one task a node.
+        """Flush at every change, and every HEARTBEAT_INTERVAL_US, while the connection is up; one task a node.
 
         A change that is committed as far as this core machine knows goes to its nodes also while the
         tail is not heard: it stays committed. No lease goes with it then, and nodes look for another
--- a/iriswheel/control/replica_store.py
+++ b/iriswheel/control/replica_store.py
@@ -73,7 +73,7 @@
         """How many sessions of a pool are known here; None where nothing of the pool is."""
         return len(self.by_pool[pool].sessions) if pool in self.by_pool else None
 
-    def take(self, records: message.ReplicateRecords, from_node: bool) -> None:
+    def apply_records(self, records: message.ReplicateRecords, from_node: bool) -> None:
         """Take a pool owner's records; those that come from a node itself go on to the other core machines."""
         if self._replica(records.pool).take(records, self.parts.runtime.now()):
             self._unwritten.add(records.pool)
@@ -86,7 +86,7 @@
                 self.parts.runtime.spawn(self.parts.peers.tell(voter.host, voter.port, records), log)
 
     async def collect(self, request: message.RecordsRequest) -> message.RecordsResponse:
-        """What is kept here of a pool, for a new pool owner; `copy` says whether the pool ever had another one.
+        """What is kept here of a pool, for a new pool owner; `has_replica` says whether the pool had an owner before.
 
         That the pool has an owner now is on the disk before the answer, so that no later pool owner
         takes the pool for new. A pool owner that asks again under its own term is not a later one.
@@ -102,7 +102,7 @@
         sessions, _ = session_replica.export(self.parts.runtime.now())
         return message.RecordsResponse(True, sessions, has_replica=had_owner)
 
-    async def write_regularly(self) -> None:
+    async def write_periodically(self) -> None:
         """Write the replicas that changed to the disk, every WRITE_INTERVAL_US; one task."""
         while True:
             await self.parts.runtime.sleep(WRITE_INTERVAL_US)
--- a/iriswheel/control/reports.py
+++ b/iriswheel/control/reports.py
@@ -69,12 +69,12 @@
         self,
         parts: core_parts.CoreParts,
         sessions: node_session.NodeSessions,
-        take_own: collections.abc.Callable[[message.NodeSessionsReport], None],
+        apply_own_report: collections.abc.Callable[[message.NodeSessionsReport], None],
     ) -> None:
-        """`take_own` takes the report where this machine is the tail itself."""
+        """`apply_own_report` takes the report where this machine is the tail itself."""
         self.parts = parts
         self.sessions = sessions
-        self.take_own = take_own
+        self.apply_own_report = apply_own_report
         self.sent_listing: SentListing | None = None
 
     async def run(self) -> None:
@@ -91,7 +91,7 @@
         report = self._report(view)
         tail = view.chain[-1]
         if tail.id == self.parts.consensus.own_voter.id:
-            self.take_own(report)
+            self.apply_own_report(report)
             return
         voter = self.parts.voter_of(tail)
         self.parts.runtime.spawn(self.parts.peers.tell(voter.host, voter.port, report), log)
--- a/iriswheel/control/tail_contact.py
+++ b/iriswheel/control/tail_contact.py
@@ -67,7 +67,7 @@
         self.announce()
 
     def record_own_heartbeat(self, view: int, echo: int, applied_by_all: int, session_count: int) -> None:
-        """This machine is the tail: it needs no message to be in touch."""
+        """Record what a heartbeat would bring, where this machine is the tail itself."""
         self.parts.lease.renew(echo)
         self.answered_report = AnsweredReport(self.parts.runtime.now(), view)
         self._advance(applied_by_all)
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -71,7 +71,7 @@
         ]
         self.holders.on_view(before, chain_members(view), self.parts.runtime.now(), was_tail)
 
-    def take_report(self, report: message.NodeSessionsReport) -> None:
+    def apply_report(self, report: message.NodeSessionsReport) -> None:
         """Record a core machine's report; the membership and the lease holders follow from it."""
         before = self.applied()
         self.parts.node_reports.record_listing_unchanged(report.listing_unchanged)
@@ -90,7 +90,7 @@
             return 0
         return self.holders.applied(self.parts.chain.committed_state.index, self.parts.runtime.now())
 
-    async def take_leaving(self, leaving: message.MemberLeaving) -> None:
+    async def remove_member(self, leaving: message.MemberLeaving) -> None:
         """Remove a node that says it leaves; where another machine is the tail, pass the message on."""
         if self.parts.consensus.is_tail():
             self.parts.membership.remove_member(leaving.member)
@@ -100,7 +100,7 @@
             if (tail.host, tail.port) != (self.options.host, self.options.port):
                 await self.parts.peers.tell(tail.host, tail.port, leaving)
 
-    async def issue_regularly(self) -> None:
+    async def issue_periodically(self) -> None:
         """Issue the membership where a member's time has run out; one task."""
         while True:
             await self.parts.runtime.sleep(ISSUE_INTERVAL_US)
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -1,4 +1,4 @@
-"""Leases that bound how long a node may go by a configuration that is no longer the newest.
+"""Leases that bound how long a node may route by a configuration that is no longer the newest.
 
 A lease starts at its holder and is measured on the holder's clock. A node puts its own time
 on every heartbeat to its core machine; a core machine puts its own time on every report to
@@ -65,7 +65,7 @@
 
 
 class SessionLease(msgspec.Struct):
-    """What a core machine knows of a node whose session stands: times in µs on the core's clock."""
+    """What a core machine knows of a node that has a session: times in µs on the core's clock."""
 
     applied: int  # the version that the node has applied, -1 before its first
     last_contact_at: int  # when its newest heartbeat came
@@ -183,7 +183,7 @@
         """A view was agreed whose chain is `chain`, after one whose chain was `before` (None: not known here).
 
         An empty `before` is the fleet's first view.
-        A core machine of the view before that is gone, or lives anew, may have granted leases
+        A core machine of the view before that is gone, or has restarted, may have granted leases
         that nobody can tell of, but for the one that was the tail (`was_tail`): it has answered
         every report on which a lease was granted.
         """
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -1,6 +1,6 @@
 """A node's session with the core: which core machine it is with, its lease, and how it finds another.
 
-The session that stands is the one on which a core machine last renewed the node's lease.
+The established session is the one on which a core machine last renewed the node's lease.
 When heartbeats with a lease stop coming, the node opens sessions with further core
 machines beside it, a few at a time and without waiting for any one of them, and moves to
 the first that renews the lease. Configuration updates are accepted from all of them, since
@@ -36,7 +36,7 @@
 """Many nodes lose one core machine at the same time; they wait differently long."""
 
 OVERLAP_US = 1 * units.SECOND_US
-"""The old session ends so long after the new one stands."""
+"""The old session ends so long after the new one is established."""
 
 OWN_ZONE_INTERVAL_US = 10 * units.SECOND_US
 """The time between attempts to move to a core machine of the node's own zone."""
@@ -60,7 +60,7 @@
         self.connection: wire.Connection | None = None
         self.address: Address | None = None
         self.lease = lease.NodeLease()
-        self.leased_at: int | None = None  # when a lease last came on the session that stands
+        self.leased_at: int | None = None  # when a lease last came on the established session
         # connection -> address, of attempts that have brought no lease yet
         self.candidates: dict[wire.Connection, Address] = {}
         self.attempts: set[Address] = set()  # the addresses of all attempts under way
@@ -72,7 +72,7 @@
     # ---- what is known ---------------------------------------------------------
 
     def is_established(self) -> bool:
-        """Whether the session stands: a core machine renewed the lease lately."""
+        """Whether a core machine renewed the lease on this session lately."""
         return self._leased_within(wire.TIMEOUT_US)
 
     def has_recent_contact(self) -> bool:
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -248,7 +248,7 @@
         """While this node has no configuration and no core serves: use what a core's disk holds.
 
         After a loss of everything the core takes some seconds to agree; what it acknowledged
-        stands on its disks all the time. The first snapshot of a serving core takes its place.
+        is on its disks all the time. The first snapshot of a serving core takes its place.
         """
         if self.items is not None and not (self.unconfirmed_at and self.unconfirmed_at < unconfirmed.position):
             return
--- a/iriswheel/node/peer_requests.py
+++ b/iriswheel/node/peer_requests.py
@@ -26,7 +26,7 @@
         self.node = local_node
         self.follower = local_node.follower
         pool_roles, gateway = local_node.pool_roles, local_node.gateway
-        # each handler takes the message type that it stands under
+        # each handler takes messages of the type that is its key
         self._handlers: dict[type[message.Message], collections.abc.Callable[[typing.Any], Response]] = {
             message.SelectWorker: pool_roles.select_worker,
             message.RevokeRequest: pool_roles.revoke,
@@ -47,7 +47,7 @@
         """Answer one message.
 
         Args:
-            connection: Where the message came from; None where this node told itself.
+            connection: Where the message came from; None where this node sent it to itself.
             request: The message.
         """
         match request:
--- a/iriswheel/node/peer_status.py
+++ b/iriswheel/node/peer_status.py
@@ -31,7 +31,7 @@
 
 
 class PeerStatus:
-    """The newest answers of a node's peers to the question whether the core stands with them."""
+    """The newest answers of a node's peers to the question whether they hear the core."""
 
     def __init__(self, follower: follower.Follower) -> None:
         self.follower = follower
@@ -60,7 +60,7 @@
         }
 
     def query(self) -> None:
-        """Ask the peers whether the core stands with them.
+        """Ask the peers whether they hear the core.
 
         All of them, since one that may be with a core that takes changes must be heard; but a
         node that serves on in any case only wants to know where the core is, and asks a few.
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -100,12 +100,12 @@
         await self.runtime.pause(self.list_now, wait_us)
 
     async def _list_or_wait(self, address: tuple[str, int], has_role: bool) -> list[message.Worker] | None:
-        """Return the list to go by; None, after a wait, where a node without the role gets none."""
+        """Return the list to use; None, after a wait, where a node without the role gets none."""
         try:
             workers = self.confirm_removals(await self._fetch_all(*address))
         except defer.CancelledError:
             raise
-        except Exception as error:  # whatever the platform does wrong, the last list stands
+        except Exception as error:  # whatever the platform does wrong, the last list stays in use
             log.warning("The platform's worker list could not be fetched: {error}", error=error)
             workers = self.follower.workers
             if not has_role:
@@ -150,7 +150,7 @@
         session.tell(unchanged)
         if changed:
             self._tell_peers(message.ForwardedListing(listing))
-        elif not session.is_established():  # else the core tells the others that the list stands
+        elif not session.is_established():  # else the core tells the others that the list is unchanged
             self._tell_peers(unchanged)
 
     def _share_polled_workers(self, workers: list[message.Worker]) -> None:
--- a/iriswheel/replication/chain_position.py
+++ b/iriswheel/replication/chain_position.py
@@ -12,7 +12,7 @@
 
 
 class ChainPosition:
-    """Where this replica stands; `consensus` is set once, before the first view."""
+    """Where this replica is in the chain; `consensus` is set once, before the first view."""
 
     consensus: view_consensus.ViewConsensus
 
--- a/iriswheel/transport/messages/node_session.py
+++ b/iriswheel/transport/messages/node_session.py
@@ -51,7 +51,7 @@
 
 
 class SessionHeartbeat(message_base.Message, tag="Alive", frozen=True):
-    """A heartbeat on a session; from a node, how far it has come; to a node, that the worker list stands."""
+    """A heartbeat on a session; from a node, how far it has come; to a node, that the worker list is unchanged."""
 
     index: int
     version: message_base.MembershipVersion
@@ -61,6 +61,6 @@
 
 
 class MemberLeaving(message_base.Message, tag="Leave", frozen=True):
-    """A node leaves in good order."""
+    """A node stops gracefully and leaves the membership at once."""
 
     member: str
--- a/iriswheel/transport/messages/replication.py
+++ b/iriswheel/transport/messages/replication.py
@@ -109,9 +109,9 @@
 
 
 class ProposeChangeResponse(message_base.Message, tag="Proposed", frozen=True):
-    """The answer to `ProposeChange`: an error, or the version under which the change stands."""
+    """The answer to `ProposeChange`: an error, or the version under which the change is committed."""
 
-    code: str  # of `errors.ServiceError`; "" where the change stands
+    code: str  # of `errors.ServiceError`; "" where the change is committed
     execution: str = "not_run"  # of `errors.ExecutionOutcome`
     text: str = ""
     version: int = 0
