--- a/iriswheel/verification/exactly_once.py
+++ b/iriswheel/verification/exactly_once.py
@@ -1,4 +1,4 @@
-"""Checkers of single requests: they run at most as often as allowed, and answers are true and whole."""
+"""Checkers of single requests: they run at most as often as allowed, and answers are the worker's own and complete."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def answer_events(text: str) -> list[dict[str, typing.Any]] | None:
-    r"""The events of an answer, as documents; None where it is not whole and in order.
+    r"""The events of an answer, as documents; None where one is missing or out of order.
 
     >>> answer_events('data: {"k": 0, "of": 1}\n\ndata: [DONE]\n\n')
     [{'k': 0, 'of': 1}]
@@ -62,7 +62,7 @@
 
 
 def own(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """3: an answer is the worker's own whole answer to this very request."""
+    """3: an answer is the worker's own complete answer to this very request."""
     runs = {row["run"]: row for row in log.rows_of("run")}
     finished = {row["run"] for row in log.rows_of("ran")}
     for row in log.rows_of("whole"):
--- a/iriswheel/verification/refusals.py
+++ b/iriswheel/verification/refusals.py
@@ -1,4 +1,4 @@
-"""Why a refusal turned a request away: whether the log bears out the reason that its code gives."""
+"""Whether an event log supports the reason that the code of a refusal gives."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def unfounded(log: event_log.EventLog, row: event_log.Row, sent: event_log.Row) -> str | None:
-    """Why a refusal turned a proper request away, or None where the log bears it out.
+    """What speaks against the reason of a refusal, or None where the log supports it.
 
     Args:
         log: The log.
@@ -71,7 +71,7 @@
 
 
 def already_sent(log: event_log.EventLog, refusal: Refusal) -> str | None:
-    """An earlier attempt reached a worker, or may have."""
+    """Reason: an earlier attempt reached a worker, or may have."""
     request = refusal.row["exchange"]
     if any(run["exchange"] == request for run in log.rows_of("run")):
         return None
@@ -86,7 +86,7 @@
 
 
 def retry_budget(log: event_log.EventLog, refusal: Refusal) -> str | None:
-    """There were too many repeats, or a node that counted them was lost."""
+    """Reason: there were too many retries, or a node that counted them was lost."""
     until = refusal.until
     grace_us = retry_checks.WINDOW_US + event_log.ROLE_FAULT_US
     if any(fault.assignment and fault.at <= until <= fault.at + grace_us for fault in log.faults):
@@ -98,7 +98,7 @@
 
 
 def sessions_full(log: event_log.EventLog, refusal: Refusal) -> str | None:
-    """No worker may take one more session."""
+    """Reason: no worker may take one more session."""
     slack_us = session_checks.SWEEP_US + session_checks.LIFETIME_SLACK_US
     for pool in refusal.pools:
         cap = min(session_checks.session_caps(refusal.documents, pool), default=0)
@@ -111,13 +111,13 @@
 
 
 def no_worker(log: event_log.EventLog, refusal: Refusal) -> str | None:
-    """No worker of the pool was ready."""
+    """Reason: no worker of the pool was ready."""
     ready = [worker for pool in refusal.pools for worker in log.ready_workers(pool, refusal.since, refusal.until)]
     return f"{ready[0]} was ready" if ready else None
 
 
 def busy(log: event_log.EventLog, refusal: Refusal) -> str | None:
-    """All slots of the pool's workers were taken."""
+    """Reason: all slots of the pool's workers were taken."""
     long = refusal.sent["sort"] == "long"
     full = any(
         log.is_crowded(pool, refusal.since, refusal.until, long, refusal.documents) for pool in refusal.pools if pool
@@ -126,7 +126,7 @@
 
 
 def worker_broke(log: event_log.EventLog, refusal: Refusal) -> str | None:
-    """The worker that ran it, or an unknown one, was at fault."""
+    """Reason: the worker that ran it, or an unknown one, was at fault."""
     since, until = refusal.since, refusal.until
     worker = log.runs.get(refusal.attempt, {}).get("worker")
     if worker is None:
--- a/iriswheel/verification/retry_checks.py
+++ b/iriswheel/verification/retry_checks.py
@@ -16,7 +16,7 @@
 
 
 class Demand(typing.NamedTuple):
-    """How many repeats and how many requests there were within the window."""
+    """How many retries ran and how many requests came within the window."""
 
     repeats: int
     requests: int
--- a/iriswheel/verification/routing_checks.py
+++ b/iriswheel/verification/routing_checks.py
@@ -14,7 +14,7 @@
 
 
 class Observation(typing.NamedTuple):
-    """What was seen of one request's way through a node."""
+    """Where one request or probe went, as its client and the worker saw it."""
 
     at: int
     done: int
--- a/iriswheel/verification/session_checks.py
+++ b/iriswheel/verification/session_checks.py
@@ -86,7 +86,7 @@
 
 
 def open_conversations(log: event_log.EventLog, at: int, slack_us: int) -> dict[str, set[event_log.Conversation]]:
-    """The conversations that may be open at a time, by worker: those not silent for their lifetime and more.
+    """The conversations that may be open at a time, by worker: those without a turn for less than their lifetime.
 
     Args:
         log: The log.
