--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -150,7 +150,7 @@
 def _apply_as_one_pool(self: follower.Follower, workers: list[message.Worker]) -> None:
     """In place of `Follower.apply_workers`: all workers are taken to be of the first pool."""
     pool = next(iter(self.pools), "")
-    _apply_workers(self, [message.Worker(w.id, w.host, w.port, pool, w.state, w.drain_us) for w in workers])
+    _apply_workers(self, [msgspec.structs.replace(worker, pool=pool) for worker in workers])
 
 
 def _order_blank_first(
--- a/simulation/observed_runs.py
+++ b/simulation/observed_runs.py
@@ -18,7 +18,7 @@
 DAY_SHAPES = ("magnolia", "swan")
 GROWN_LOAD = 0.1
 GROWN_DAYS = ("calm", "kill_core")
-SCENE_SEEDS = {"magnolia": 1, "swan": 2, "small": 3}
+SCENARIO_SEEDS = {"magnolia": 1, "swan": 2, "small": 3}
 DAY_SEEDS = {"magnolia": 1, "swan": 2}
 CORE_COUNTS = (3, 5)
 UNPLAYABLE = {"scene zones_move small 3"}  # its nodes are all in one zone
@@ -86,24 +86,24 @@
     found += [
         f"day {name} {shape} {DAY_SEEDS[shape]} {DAY_LOAD}" for shape in DAY_SHAPES for name in platform_days.DAYS
     ]
-    found += [f"scene {name} {shape} {SCENE_SEEDS[shape]}" for shape in fleet.SHAPES for name in registry.SCENARIOS]
+    found += [f"scene {name} {shape} {SCENARIO_SEEDS[shape]}" for shape in fleet.SHAPES for name in registry.SCENARIOS]
     for case in (case for cores in CORE_COUNTS for case in second_loss.cases(cores, [1])):
         losses = f"{case.first.name} {case.step.name} {case.target.name} {case.second.name}"
         found.append(f"second_loss {case.cores} {losses} {case.seed}")
     return [run for run in found if run not in UNPLAYABLE]
 
 
-def present_words(run: str, names: Names) -> list[str]:
-    """The words of a recorded key, with the names that are in use now.
+def current_key(run: str, names: Names) -> list[str]:
+    """The parts of a recorded key, with the names that are in use now.
 
-    >>> present_words("day calm swan 1 0.3", Names(runs={"calm": "idle", "scene swan": "goose"}))
+    >>> current_key("day calm swan 1 0.3", Names(runs={"calm": "idle", "scene swan": "goose"}))
     ['day', 'idle', 'swan', '1', '0.3']
     """
     part, *words = run.split()
     return [part, *(names.runs.get(f"{part} {word}", names.runs.get(word, word)) for word in words)]
 
 
-def play_scene(name: str, shape: str, seed: str) -> list[Row]:
+def play_scenario(name: str, shape: str, seed: str) -> list[Row]:
     """Play a scenario; the rows of its event log."""
     return registry.play(name, int(seed), shape).tape.rows
 
@@ -131,7 +131,7 @@
 
 
 PARTS: dict[str, collections.abc.Callable[..., list[Row]]] = {
-    "scene": play_scene,
+    "scene": play_scenario,
     "day": play_day,
     "second_loss": play_second_loss,
 }
@@ -140,7 +140,7 @@
 def observe(run: str, names: Names) -> Observed:
     """Play the run of a recorded key."""
     loguru.logger.remove()
-    part, *words = present_words(run, names)
+    part, *words = current_key(run, names)
     with mock.patch.object(world, world.World.__name__, ObservedWorld):
         rows = PARTS[part](*words)
     return Observed(rows, ObservedWorld.newest.traffic)
--- a/simulation/operator_model.py
+++ b/simulation/operator_model.py
@@ -1,4 +1,4 @@
-"""Operators of a simulated cluster: they plan, confirm and read back configurations, and log what they were told."""
+"""Operators of a simulated cluster: they plan, confirm and read back configurations, and log the answers."""
 
 from __future__ import annotations
 
@@ -152,34 +152,34 @@
 
     # ---- numbered changes, reads, requests -------------------------------------------------------------
 
-    async def number(
+    async def submit_numbered(
         self,
         number: int,
         built_on: int,
         content: Document,
         attempts: int = 60,
-        patience_us: int = units.SECOND_US,
+        answer_timeout_us: int = units.SECOND_US,
     ) -> int:
-        """Submit a numbered change, and go on to another core after a 5xx or silence.
+        """Submit a numbered change, and go on to another core after a 5xx or no answer.
 
         Args:
             number: The change's number.
             built_on: The number of the change that it builds on.
             content: What it changes.
             attempts: How often to send it.
-            patience_us: How long to wait for each answer.
+            answer_timeout_us: How long to wait for each answer.
 
         Returns:
-            The last status: 200, a 4xx that ended the call, or 0 where it never got clear.
+            The last status: 200, a 4xx that ended the call, or 0 where no answer was clear.
         """
         document = {"number": number, "built_on": built_on, **content}
-        places = self._core_addresses()
+        core_addresses = self._core_addresses()
         self.cluster.numbered_calls += 1
         row = dict(call=f"{self.name}-{self.cluster.numbered_calls}", number=number, built_on=built_on, who=self.name)
         self.cluster.tape.put(self.runtime.now(), "number_sent", content=linearizability.digest(content), **row)
         for attempt in range(attempts):
-            place = places[attempt % len(places)]
-            status, _ = await self._send([place], "POST", "/changes", document, patience_us)
+            address = core_addresses[attempt % len(core_addresses)]
+            status, _ = await self._send([address], "POST", "/changes", document, answer_timeout_us)
             if status < HTTP_SERVER_ERROR:
                 self.cluster.tape.put(self.runtime.now(), "numbered", status=status, **row)
                 return status
@@ -203,14 +203,14 @@
 
     def _core_addresses(self) -> list[str]:
         """The HTTP addresses of all cores, in a random order."""
-        places = [f"{self.cluster.options[name].host}:{addresses.HTTP_PORT}" for name in self.cluster.cores]
-        self.runtime.rng.shuffle(places)
-        return places
+        core_addresses = [f"{self.cluster.options[name].host}:{addresses.HTTP_PORT}" for name in self.cluster.cores]
+        self.runtime.rng.shuffle(core_addresses)
+        return core_addresses
 
     async def _send(
-        self, places: list[str], method: str, path: str, document: Document | None, timeout_us: int
+        self, core_addresses: list[str], method: str, path: str, document: Document | None, timeout_us: int
     ) -> tuple[int, Document]:
-        request = command.send_request(self.runtime, places, method, path, document)
+        request = command.send_request(self.runtime, core_addresses, method, path, document)
         try:
             return await self.runtime.within(defer.ensureDeferred(request), timeout_us)
         except Exception as error:  # whatever failed, the operator does not know whether the request was carried out
--- a/simulation/platform_days.py
+++ b/simulation/platform_days.py
@@ -85,7 +85,7 @@
 
 
 def totals(deployment: site.Site) -> Totals:
-    """What a day came to: shares of requests, worth, and what it cost."""
+    """What a day came to: shares of requests, their value, and what it cost."""
     rows = deployment.event_log.rows
     earned = earned_value.earned_value(rows, deployment.request_values())
     kinds = collections.Counter(row["kind"] for row in rows)
@@ -157,12 +157,12 @@
             f"{sum(row[key] for row in rows) / asked:{width}.4f}"
             for key, width in (("in_aim", 9), ("late", 8), ("none", 8))
         )
-        worth = f"{sum(row['worth'] for row in rows) / len(rows):8.3f}{min(row['worst'] for row in rows):10.3f}"
+        value = f"{sum(row['worth'] for row in rows) / len(rows):8.3f}{min(row['worst'] for row in rows):10.3f}"
         costs = "".join(
             f"{sum(row[key] for row in rows) / len(rows):{width}.0f}"
             for key, width in (("opened", 7), ("calls", 7), ("probes", 7), ("again", 11))
         )
-        print(f"{name:16}{asked:8}{shares}{worth}{costs}")
+        print(f"{name:16}{asked:8}{shares}{value}{costs}")
 
 
 def print_kinds(shape: str, rows_of_day: list[Totals]) -> None:
--- a/simulation/scenarios/actions.py
+++ b/simulation/scenarios/actions.py
@@ -197,8 +197,8 @@
 # ---- requests ------------------------------------------------------------------------------------
 
 
-def begin_exchange(cluster: simulated_cluster.SimulatedCluster, kind: load_generator.RequestKind, *parts: str) -> None:
-    """Let a client begin an exchange, with its retries."""
+def begin_request(cluster: simulated_cluster.SimulatedCluster, kind: load_generator.RequestKind, *parts: str) -> None:
+    """Let a client begin a request, with its retries."""
     sending = cluster.load.send_request(kind, list(parts))
     cluster.load.under_way.append(cluster.load.runtime.spawn(sending, simulated_cluster.log))
 
--- a/simulation/scenarios/configuration.py
+++ b/simulation/scenarios/configuration.py
@@ -173,7 +173,7 @@
 
 def _open_conversations(cluster: simulated_cluster.SimulatedCluster, count: int, prefix: str) -> None:
     for number in range(count):
-        actions.begin_exchange(cluster, "short", "phrases", f"{prefix}-{number}")
+        actions.begin_request(cluster, "short", "phrases", f"{prefix}-{number}")
         cluster.go(0.1)
 
 
--- a/simulation/scenarios/load.py
+++ b/simulation/scenarios/load.py
@@ -5,8 +5,8 @@
 from simulation import addresses, rude_clients, simulated_cluster
 from simulation.scenarios import actions
 
-RUSH_FACTOR = 10  # times the usual rate of short requests
-RUSH_SECONDS = 4
+RAISED_RATE_FACTOR = 10  # times the usual rate of short requests
+RAISED_RATE_SECONDS = 4
 
 
 def crowd(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -14,9 +14,9 @@
     actions.confirm_changes(cluster, 4, 5)
     cluster.go(5)
     for _ in range(150):
-        actions.begin_exchange(cluster, "short", "phrases")
+        actions.begin_request(cluster, "short", "phrases")
     for _ in range(8):
-        actions.begin_exchange(cluster, "long", "bundle")
+        actions.begin_request(cluster, "long", "bundle")
     cluster.go(20)
 
 
@@ -25,7 +25,7 @@
     actions.confirm_changes(cluster, 4, 5)
     cluster.go(5)
     for _ in range(60):
-        actions.begin_exchange(cluster, "short", "phrases", "hot")
+        actions.begin_request(cluster, "short", "phrases", "hot")
         cluster.go(0.15)
     cluster.go(10)
 
@@ -34,7 +34,7 @@
     """More conversations than all workers may hold."""
     cluster.go(3)
     for number in range(80):
-        actions.begin_exchange(cluster, "short", "phrases", f"many-{number}")
+        actions.begin_request(cluster, "short", "phrases", f"many-{number}")
         cluster.go(0.1)
     cluster.go(20)
 
@@ -43,10 +43,10 @@
     """Ten times the short rate for some seconds, most of it with one shared prefix."""
     actions.confirm_changes(cluster, 4, 5)
     cluster.go(4)
-    rate = cluster.rates[1] * RUSH_FACTOR
-    for _ in range(int(rate * RUSH_SECONDS)):
+    rate = cluster.rates[1] * RAISED_RATE_FACTOR
+    for _ in range(int(rate * RAISED_RATE_SECONDS)):
         parts = ["phrases"] if cluster.rng.random() < 0.8 else ["phrases", "hot"]
-        actions.begin_exchange(cluster, "short", *parts)
+        actions.begin_request(cluster, "short", *parts)
         cluster.go(1 / rate)
     cluster.go(10)
 
@@ -101,7 +101,7 @@
         target = actions.some_node(cluster, owner=turn % 2 == 0)
         name = target.options.name
         for number in range(12):
-            actions.begin_exchange(cluster, "short", "phrases", f"ctd-{turn}-{number}")
+            actions.begin_request(cluster, "short", "phrases", f"ctd-{turn}-{number}")
         cluster.go(0.004 + cluster.rng.random() * 0.012)
         if turn == 3:
             actions.cut_off(cluster, name)
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -117,24 +117,28 @@
         self._start_platform()
         self._start_servers()
         self.platform.runtime.spawn(self.platform.poll_nodes(), log)
-        callers = process_model.SimulatedProcess(self.world, "callers", self.machine(addresses.CLIENT_HOST, "far"))
-        office = process_model.SimulatedProcess(self.world, "office", self.machine(addresses.OPERATOR_HOST, "far"))
-        self.operator_runtime = office.runtime()
+        client_process = process_model.SimulatedProcess(
+            self.world, "callers", self.machine(addresses.CLIENT_HOST, "far")
+        )
+        operator_process = process_model.SimulatedProcess(
+            self.world, "office", self.machine(addresses.OPERATOR_HOST, "far")
+        )
+        self.operator_runtime = operator_process.runtime()
         self.operator = operator_model.Operator(self, self.operator_runtime, "boss")
         first = self.operator_runtime.spawn(self.operator.change(self.with_probe(0)), log)
         self.until_called(first, START_TIMEOUT_SECONDS)
         self.until(lambda: all(self.is_ready(name) for name in self.nodes), START_TIMEOUT_SECONDS)
         self._log_begin()
-        self._start_load(callers.runtime())
+        self._start_load(client_process.runtime())
 
     def _start_platform(self) -> None:
         zones = sorted(set(self.zones))
-        self.platform_proc = process_model.SimulatedProcess(
+        self.platform_process = process_model.SimulatedProcess(
             self.world, "platform", self.machine(addresses.PLATFORM_HOST, zones[0])
         )
-        self.platform = stand_ins.Platform(self.platform_proc.runtime(), self.tape)
+        self.platform = stand_ins.Platform(self.platform_process.runtime(), self.tape)
         server = http_server.Server(self.platform.runtime, self.platform.handle)
-        self.listen(self.platform_proc, addresses.PLATFORM_PORT, server)
+        self.listen(self.platform_process, addresses.PLATFORM_PORT, server)
 
     def _start_servers(self) -> None:
         zones = sorted(set(self.zones))
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -133,12 +133,12 @@
         names = platform_names.CONFIGURATION
         document = copy.deepcopy(self.document)
         document[names["version"]] = self.version + 1 + self.site.rng.randrange(3)
-        alter = {"idle": self._exchange_idle, "timeout": self._alter_timeout}.get(how)
+        alter = {"idle": self._swap_idle_routes, "timeout": self._alter_timeout}.get(how)
         change = alter(document) if alter is not None else self._add_many(document, count)
         change.patch[names["version"]] = document[names["version"]]
         return change
 
-    def _exchange_idle(self, document: Document) -> Change:
+    def _swap_idle_routes(self, document: Document) -> Change:
         names, route_names = platform_names.CONFIGURATION, platform_names.ROUTE
         routes = document[names["routes"]]
         dropped = next(route for route in routes if route[route_names["name"]].startswith(IDLE_NAME_PREFIX))
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -246,7 +246,7 @@
     actions.kill(cluster, "c1", restart_after=2)
     operator = operator_model.Operator(cluster, cluster.operator_runtime, "numbers")
     numbered = {"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": cluster.pool}}}}
-    cluster.operator_runtime.spawn(operator.number(6, 5, numbered), simulated_cluster.log)
+    cluster.operator_runtime.spawn(operator.submit_numbered(6, 5, numbered), simulated_cluster.log)
     cluster.go(6)
     cluster.end()
     return cluster.tape.rows
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -31,7 +31,7 @@
         who: str = "boss",
     ) -> defer.Deferred[Any]:
         return cluster.operator_runtime.spawn(
-            operator_model.Operator(cluster, cluster.operator_runtime, who).number(number, built_on, what),
+            operator_model.Operator(cluster, cluster.operator_runtime, who).submit_numbered(number, built_on, what),
             simulated_cluster.log,
         )
 
@@ -132,7 +132,9 @@
             self.wait(
                 cluster,
                 cluster.operator_runtime.spawn(
-                    operator_model.Operator(cluster, cluster.operator_runtime, "boss").number(*order, attempts=3)
+                    operator_model.Operator(cluster, cluster.operator_runtime, "boss").submit_numbered(
+                        *order, attempts=3
+                    )
                 ),
             )[0]
             for order in (orders[0], orders[-2], (8, 6, route(9)))
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -36,7 +36,7 @@
 def test_every_run_is_recorded() -> None:
     record = fingerprint.read(RECORDED)
     recorded = [run.run for run in record.runs]
-    words = [observed_runs.present_words(run, record.names) for run in recorded]
+    words = [observed_runs.current_key(run, record.names) for run in recorded]
     assert sorted(" ".join(row) for row in words) == sorted(observed_runs.keys())
     assert len(set(recorded)) == len(recorded)
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -242,7 +242,7 @@
                 asked.append(cluster.world.time)
             await handle(request)
 
-        cluster.platform_proc.ports[9000].handle = counted
+        cluster.platform_process.ports[9000].handle = counted
         for machine in cluster.cores.values():  # nobody can hand the role on
             machine.process.kill()
         holder = next(node for node in cluster.nodes.values() if node.follower.assignment("list").holder == node.me.id)
