--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -7,7 +7,6 @@
 import random
 import typing
 
-from benchmarks import stand_ins
 from benchmarks.capacity import hollow_fleet, measuring, samples
 from iriswheel.transport import message, wire
 
@@ -111,28 +110,24 @@
     :param out: file for the values
     """
     lines = measuring.Measurements()
-    was = stand_ins.SHORT_TOKENS
-    try:
-        for seed in range(1, repeats + 1):
-            for rate in rates:
-                stand_ins.SHORT_TOKENS = events[0]
-                f = _serving_fleet(seed, listed, election, rate)
-                _measure_streams(f, lines, "requests through nodes", "requests/s", size=rate, seconds=seconds)
-            for count in events:
-                stand_ins.SHORT_TOKENS = count
-                f = _serving_fleet(seed, listed, election, rates[0])
-                _measure_streams(f, lines, "events through nodes", "events/s", size=rates[0] * count, seconds=seconds)
-    finally:
-        stand_ins.SHORT_TOKENS = was
+    for seed in range(1, repeats + 1):
+        for rate in rates:
+            f = _serving_fleet(seed, listed, election, rate, events[0])
+            _measure_streams(f, lines, "requests through nodes", "requests/s", size=rate, seconds=seconds)
+        for count in events:
+            f = _serving_fleet(seed, listed, election, rates[0], count)
+            _measure_streams(f, lines, "events through nodes", "events/s", size=rates[0] * count, seconds=seconds)
     measuring.end(lines, out)
 
 
-def _serving_fleet(seed: int, workers: int, election: str, rate: int) -> hollow_fleet.Fleet:
-    """Four nodes that serve so many short requests a second, and have done so for a while."""
+def _serving_fleet(seed: int, workers: int, election: str, rate: int, events: int) -> hollow_fleet.Fleet:
+    """Four nodes that serve so many requests a second, with so many events each, and have done so for a while."""
     f = hollow_fleet.Fleet(seed, 4, workers, 1, 10, walking=False, election=election)
     f.configuration["routes"]["all"] = {"path": "/v1", "pool": "model-0", "terms": "t0"}
     f.rates = (0, rate, 0)
     f.begin()
+    for worker in f.workers.values():
+        worker.short_tokens = events
     f.go(8)
     return f
 
--- /dev/null
+++ b/benchmarks/stand_in_worker.py
@@ -0,0 +1,239 @@
+"""A stand-in for a worker: one model with a prefix cache, a batch of bounded size, and a load report that lags.
+
+It speaks what docs/interface.md says, and writes an event log of its own. Scenarios make it misbehave.
+"""
+
+from __future__ import annotations
+
+import collections
+import enum
+import json
+import typing
+
+from twisted.internet import defer
+
+from iriswheel.dataplane import edge_protocol
+from iriswheel.runtime import scheduler, units
+from iriswheel.transport import http_server
+
+if typing.TYPE_CHECKING:
+    from iriswheel.cli import load_generator
+
+PREFILL_BYTES_PER_S = 400_000  # prompt bytes read per second, alone
+CACHED_PART_SAVING = 0.85  # the share of a part's reading that its cached prefix saves
+TOKEN_US = 25 * units.MILLISECOND_US
+SHORT_TOKENS = 12  # of the answer to a short prompt
+LONG_TOKENS = 24
+LONG_PROMPT_BYTES = 16_000  # a prompt counts as long above this
+PROBE_BYTES = 16  # a body as small as this, a probe's, gets two tokens
+PROBE_TOKENS = 2
+BATCH = 24
+CACHED_PARTS = 64
+REPORT_LAG_US = 700 * units.MILLISECOND_US
+SLOW_START_US = 3 * units.SECOND_US
+STALL_US = 30 * units.SECOND_US
+NEVER_US = 60 * units.SECOND_US
+PADDING = "x" * 100_000  # of each event where answers are too large
+
+
+class AnswerFault(enum.Enum):
+    """How a worker answers requests wrongly; the values are the names of these faults in event logs."""
+
+    SLOW = "slow"  # the first event comes late
+    STALLS = "stops"  # the stream stops midway and is broken off much later
+    BREAKS_OFF = "short"  # the stream is broken off midway
+    OVERSIZED = "long"  # each event is very large
+
+
+class LoadReport(enum.Enum):
+    """How a worker answers the question for its load."""
+
+    GOOD = "good"
+    LATE = "late"
+    MISSING = "missing"  # there is no such path
+    UNREADABLE = "broken"
+    MISTYPED = "wrong"  # the fields have other types
+    NEVER = "never"
+
+
+class PrefixCache:
+    """The parts of prompts that were read last.
+
+    >>> cache = PrefixCache(); cache.add(["system", "talk"])
+    >>> cache.count_cached(["system", "other"]), cache.count_cached(["other", "system"])
+    (1, 0)
+    """
+
+    def __init__(self) -> None:
+        self.parts: collections.OrderedDict[str, None] = collections.OrderedDict()  # the least recently used first
+
+    def count_cached(self, parts: list[str]) -> int:
+        """How many parts of a prompt, from its beginning, are cached."""
+        for count, part in enumerate(parts):
+            if part not in self.parts:
+                return count
+        return len(parts)
+
+    def add(self, parts: list[str]) -> None:
+        """Keep the parts of a prompt; the least recently used give way."""
+        for part in parts:
+            self.parts[part] = None
+            self.parts.move_to_end(part)
+        while len(self.parts) > CACHED_PARTS:
+            self.parts.popitem(last=False)
+
+
+class Load(typing.NamedTuple):
+    """How many requests run and wait, from a time in µs on."""
+
+    since: int
+    running: int
+    queued: int
+
+
+class Worker:
+    """One stand-in worker.
+
+    Args:
+        runtime: Its clock and randomness.
+        identifier: Its name.
+        events: Takes what happens.
+    """
+
+    def __init__(self, runtime: scheduler.Runtime, identifier: str, events: load_generator.EventSink) -> None:
+        self.runtime = runtime
+        self.identifier = identifier
+        self.events = events
+        self.cache = PrefixCache()
+        self.request_count = 0  # that run or wait
+        self.prefill = defer.DeferredLock()  # one prompt is read at a time
+        self.batch = defer.DeferredSemaphore(BATCH)
+        self.past_loads: collections.deque[Load] = collections.deque([Load(0, 0, 0)])
+        self.run_count = 0
+        self.short_tokens = SHORT_TOKENS
+        self.load_report = LoadReport.GOOD
+        self.answer_fault: AnswerFault | None = None
+        self.unhealthy = False  # breaks every request off, unanswered
+
+    async def handle(self, request: http_server.Request) -> None:
+        """Answer one request."""
+        match (request.method, request.path):
+            case (b"GET", b"/load"):
+                await self._report_load(request)
+            case (b"POST", _):
+                await self._run(request)
+            case _:
+                request.answer_json(404, {"error": "no such path"})
+
+    async def _report_load(self, request: http_server.Request) -> None:
+        match self.load_report:
+            case LoadReport.LATE:
+                await self.runtime.sleep(units.SECOND_US + self.runtime.rng.randrange(2 * units.SECOND_US))
+            case LoadReport.MISSING:
+                request.answer_json(404, {"error": "no such path"})
+                return
+            case LoadReport.UNREADABLE:
+                request.answer(200, b'{"running": 3, "que')
+                return
+            case LoadReport.MISTYPED:
+                request.answer_json(200, {"running": "many", "queued": [1]})
+                return
+            case LoadReport.NEVER:
+                await self.runtime.sleep(NEVER_US)
+                return
+        known_until = self.runtime.now() - REPORT_LAG_US
+        while len(self.past_loads) > 1 and self.past_loads[1].since <= known_until:
+            self.past_loads.popleft()
+        load = self.past_loads[0]
+        request.answer_json(200, {"running": load.running, "queued": load.queued})
+
+    def _count_requests(self, change: int) -> None:
+        """Count a request that begins or ends, and keep the load for the late report."""
+        self.request_count += change
+        running, queued = min(self.request_count, BATCH), max(0, self.request_count - BATCH)
+        self.past_loads.append(Load(self.runtime.now(), running, queued))
+
+    async def _run(self, request: http_server.Request) -> None:
+        """Serve a request, unless its client goes away before the end."""
+        headers = request.requestHeaders
+        request_id = edge_protocol.identifier(headers, edge_protocol.REQUEST_ID)
+        attempt = edge_protocol.send_number(headers)
+        parts = edge_protocol.prefix(headers)
+        size = len(request.content.read())
+        self.run_count += 1
+        run = f"{self.identifier}-{self.runtime.incarnation}-{self.run_count}"
+        self.events.put(
+            self.runtime.now(),
+            "run",
+            worker=self.identifier,
+            run=run,
+            exchange=request_id,
+            send=attempt,
+            parts=parts,
+            target=edge_protocol.header(headers, edge_protocol.TARGET),
+            path=request.path.decode("latin-1"),
+        )
+        if self.unhealthy:
+            request.break_off()
+            return
+        answering = defer.ensureDeferred(self._answer(request, run, request_id, parts, size))
+        lost = request.lost.wait()
+        lost.addCallback(lambda _: answering.cancel())
+        self._count_requests(1)
+        try:
+            await answering
+            self.events.put(self.runtime.now(), "ran", worker=self.identifier, run=run, exchange=request_id)
+        except defer.CancelledError:
+            self.events.put(self.runtime.now(), "cut", worker=self.identifier, run=run, exchange=request_id)
+        finally:
+            self._count_requests(-1)
+            lost.addErrback(lambda _: None)
+            lost.cancel()
+
+    async def _answer(
+        self, request: http_server.Request, run: str, request_id: str, parts: list[str], size: int
+    ) -> None:
+        """Read the prompt once there is room in the batch, then stream the answer."""
+        await self.batch.acquire()
+        try:
+            await self._read_prompt(parts, size)
+            request.setHeader("Content-Type", "text/event-stream")
+            if self.answer_fault is AnswerFault.SLOW:
+                await self.runtime.sleep(SLOW_START_US)
+            await self._stream(request, {"worker": self.identifier, "run": run, "exchange": request_id}, size)
+        finally:
+            self.batch.release()
+
+    async def _read_prompt(self, parts: list[str], size: int) -> None:
+        """Take as long as the reading of a prompt takes, less for its cached parts."""
+        await self.prefill.acquire()
+        try:
+            cached = self.cache.count_cached(parts)
+            fresh_bytes = size * (1 - CACHED_PART_SAVING * cached / max(1, len(parts)))
+            await self.runtime.sleep(int(fresh_bytes / PREFILL_BYTES_PER_S * units.SECOND_US))
+            self.cache.add(parts)
+        finally:
+            self.prefill.release()
+
+    async def _stream(self, request: http_server.Request, names: dict[str, str], size: int) -> None:
+        """Send one event a token, each of which names the run, then an end."""
+        tokens = self._answer_tokens(size)
+        for k in range(tokens):
+            if k == tokens // 2 and self.answer_fault in (AnswerFault.STALLS, AnswerFault.BREAKS_OFF):
+                if self.answer_fault is AnswerFault.STALLS:
+                    await self.runtime.sleep(STALL_US)
+                request.break_off()
+                raise defer.CancelledError
+            document: dict[str, object] = {**names, "k": k, "of": tokens}
+            if self.answer_fault is AnswerFault.OVERSIZED:
+                document["pad"] = PADDING
+            request.write(b"data: " + json.dumps(document).encode() + b"\n\n")
+            await self.runtime.sleep(TOKEN_US)
+        request.write(b"data: [DONE]\n\n")
+        request.finish()
+
+    def _answer_tokens(self, size: int) -> int:
+        """How many tokens a prompt of so many bytes gets."""
+        if size > LONG_PROMPT_BYTES:
+            return LONG_TOKENS
+        return self.short_tokens if size > PROBE_BYTES else PROBE_TOKENS
--- a/simulation/scenarios/network.py
+++ b/simulation/scenarios/network.py
@@ -5,6 +5,7 @@
 import collections.abc
 import typing
 
+from benchmarks import stand_in_platform
 from simulation import addresses, simulated_cluster
 from simulation.scenarios import actions
 
@@ -187,14 +188,14 @@
 def platform_bad(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The platform can't be reached, is slow, answers nonsense, or once lists nobody."""
     actions.confirm_changes(cluster, 8, 4)
-    for mood in ("gone", "slow", "nonsense", "empty", "half"):
+    cluster.go(3)
+    cluster.world.cut([addresses.PLATFORM_HOST], cluster.hosts("nodes"))
+    cluster.go(6)
+    cluster.world.heal()
+    brief = (stand_in_platform.ListingFault.EMPTY, stand_in_platform.ListingFault.HALF)
+    for fault in stand_in_platform.ListingFault:
         cluster.go(3)
-        if mood == "gone":
-            cluster.world.cut([addresses.PLATFORM_HOST], cluster.hosts("nodes"))
-            cluster.go(6)
-            cluster.world.heal()
-        else:
-            cluster.platform.mood = mood
-            cluster.go(0.55 if mood in ("empty", "half") else 5)
-            cluster.platform.mood = ""
+        cluster.platform.listing_fault = fault
+        cluster.go(0.55 if fault in brief else 5)
+        cluster.platform.listing_fault = None
     cluster.go(6)
--- a/simulation/scenarios/workers.py
+++ b/simulation/scenarios/workers.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from benchmarks import stand_in_worker
 from simulation import simulated_cluster
 from simulation.scenarios import actions
 
@@ -119,13 +120,13 @@
 def worker_garbles(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A worker answers slowly, then stops in mid-stream, then breaks its answers off or sends too much."""
     actions.confirm_changes(cluster, 6, 5)
-    for mood in ("slow", "stops", "short", "long"):
+    for fault in stand_in_worker.AnswerFault:
         cluster.go(4)
         name = actions.some_worker(cluster)
-        cluster.fault(mood, name)
-        cluster.workers[name].mood = mood
+        cluster.fault(fault.value, name)
+        cluster.workers[name].answer_fault = fault
         cluster.go(5)
-        cluster.workers[name].mood = ""
+        cluster.workers[name].answer_fault = None
         cluster.repair("well", name)
         cluster.go(2)
     cluster.go(14)
@@ -143,9 +144,10 @@
     """Workers whose load report is late, missing, unreadable, of wrong types, or never comes; all serve."""
     actions.confirm_changes(cluster, 6, 5)
     cluster.go(4)
-    for name, report in zip(sorted(cluster.workers), ("late", "missing", "broken", "wrong", "never"), strict=False):
-        cluster.workers[name].report = report
+    bad_reports = [each for each in stand_in_worker.LoadReport if each is not stand_in_worker.LoadReport.GOOD]
+    for name, report in zip(sorted(cluster.workers), bad_reports, strict=False):
+        cluster.workers[name].load_report = report
     cluster.go(25)
     for name in sorted(cluster.workers):
-        cluster.workers[name].report = "good"
+        cluster.workers[name].load_report = stand_in_worker.LoadReport.GOOD
     cluster.go(4)
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -9,7 +9,7 @@
 
 import loguru
 
-from benchmarks import fleet, stand_ins
+from benchmarks import fleet, stand_in_platform, stand_in_worker
 from iriswheel.cli import load_generator
 from iriswheel.runtime import options, units
 from iriswheel.transport import http_server, wire
@@ -38,7 +38,7 @@
     zone: str
 
 
-class SimulatedWorker(stand_ins.Worker):
+class SimulatedWorker(stand_in_worker.Worker):
     """A stand-in worker in a simulated process."""
 
     def __init__(
@@ -136,7 +136,7 @@
         self.platform_process = process_model.SimulatedProcess(
             self.world, "platform", self.machine(addresses.PLATFORM_HOST, zones[0])
         )
-        self.platform = stand_ins.Platform(self.platform_process.runtime(), self.tape)
+        self.platform = stand_in_platform.Platform(self.platform_process.runtime(), self.tape)
         server = http_server.Server(self.platform.runtime, self.platform.handle)
         self.listen(self.platform_process, addresses.PLATFORM_PORT, server)
 
@@ -167,7 +167,7 @@
 
     def _start_load(self, runtime: scheduler.Runtime) -> None:
         mix = load_generator.LoadMix("/v1/complete", self.seconds * units.SECOND_US, *self.rates)
-        self.load = load_generator.LoadGenerator(runtime, self.platform.places, mix, self.tape)
+        self.load = load_generator.LoadGenerator(runtime, self.platform.node_addresses, mix, self.tape)
         self.load_done = runtime.spawn(self.load.run(), log)
         runtime.spawn(self.prober.run(runtime), log)
 
@@ -281,7 +281,7 @@
 
     def is_ready(self, name: str) -> bool:
         """Whether a node told the platform last that it is ready."""
-        return self.platform.heartbeat_sent_at.get(name, False)
+        return self.platform.readiness.get(name, False)
 
     def tail(self) -> server_model.SimulatedCore | None:
         """The core that is the leased tail, or None."""
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -18,7 +18,7 @@
 import loguru
 from twisted.internet import endpoints, protocol
 
-from benchmarks import stand_ins
+from benchmarks import stand_in_platform, stand_in_worker
 from iriswheel import errors
 from iriswheel.configuration import configuration
 from iriswheel.runtime import options
@@ -28,6 +28,8 @@
 from simulation.scenarios import actions
 from tests import recorded
 
+StandIn = stand_in_worker.Worker | stand_in_platform.Platform
+
 ROOT = pathlib.Path(__file__).parent.parent
 COMMANDS = ("core", "node", "load", "check", "plan", "confirm", "change", "show", "replay", "history")
 REQUEST_ID = "X-Exchange-Id: x{}\r\nX-Send-Number: 1\r\nX-May-Repeat: yes\r\nX-Requester: someone\r\n"
@@ -124,13 +126,11 @@
         self.cluster = simulated_cluster.SimulatedCluster(5, "small", long_rate=0, short_rate=0, conversations=0)
         self.cluster.probing = False
 
-    def note(
-        self, label: str, owner: type[stand_ins.Worker | stand_ins.Platform]
-    ) -> contextlib.AbstractContextManager[object]:
+    def note(self, label: str, owner: type[StandIn]) -> contextlib.AbstractContextManager[object]:
         """Replace a stand-in's handler by one that notes the requests' headers under a label."""
         handle, requests = owner.handle, self.requests
 
-        async def noting(stand_in: stand_ins.Worker | stand_ins.Platform, request: http_server.Request) -> None:
+        async def noting(stand_in: StandIn, request: http_server.Request) -> None:
             names = {name.decode() for name, _ in request.requestHeaders.getAllRawHeaders()}
             key = f"{label}: {request.method.decode()} {request.path.decode()}"
             requests[key] = sorted(names | set(requests.get(key, ())))
@@ -174,7 +174,7 @@
 
     def gather(self) -> dict[str, typing.Any]:
         """All requests."""
-        with self.note("worker", stand_ins.Worker), self.note("platform", stand_ins.Platform):
+        with self.note("worker", stand_in_worker.Worker), self.note("platform", stand_in_platform.Platform):
             self.cluster.begin()
             self.cluster.go(2)
             found = {"core": self.core_answers(), "node": self.node_answers()}
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -192,7 +192,7 @@
         cluster.world.cut(["10.0.2.7"], cluster.hosts("cores"))
         cluster.start_node("n7", "10.0.2.7", "a")
         cluster.go(3)
-        assert not cluster.platform.heartbeat_sent_at["n7"]
+        assert not cluster.platform.readiness["n7"]
         code, _, body = self.answer(cluster, node="n7")
         assert (code, b"not_ready" in body, b"not_run" in body) == (503, True, True)
 
@@ -347,7 +347,7 @@
             cluster.versions[name] = version
             cluster.start_node(name, f"10.0.2.{name[1]}", "a")
         cluster.go(5)
-        assert (cluster.platform.heartbeat_sent_at["n8"], cluster.platform.heartbeat_sent_at["n9"]) == (True, False)
+        assert (cluster.platform.readiness["n8"], cluster.platform.readiness["n9"]) == (True, False)
         assert self.answer(cluster, node="n8")[0] == 200
         assert "n9" not in [m.name for m in cluster.nodes["n1"].follower.membership.members]
 
