--- a/iriswheel/control/change_orders.py
+++ b/iriswheel/control/change_orders.py
@@ -159,7 +159,7 @@
             The version under which the order is committed.
 
         Raises:
-            errors.ServiceError: The order is refused, or after TIMEOUT_US it is not known to be in force.
+            errors.ServiceError: The order is refused, or after TIMEOUT_US it is not known to be applied by all nodes.
         """
         until = self.parts.runtime.now() + TIMEOUT_US
         self.counters.changes += 1
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -6,8 +6,9 @@
 
 import loguru
 
-from iriswheel.dataplane import dispatch, health
+from iriswheel.dataplane import dispatch
 from iriswheel.runtime import units
+from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
     from iriswheel.dataplane import interfaces
@@ -62,7 +63,7 @@
         worker = self.node.follower.states.get(worker_id)
         if worker is not None and worker_id not in self.node.reachability.unreachable_since:
             response = await self.node.reachability.probe(worker)
-            if response.outcome != health.ProbeOutcome.NOT_REACHED:
+            if response.outcome != message.ProbeOutcome.NOT_REACHED:
                 return
         for attempt in [
             attempt for attempt in self.attempts.values() if attempt.worker == worker_id and not attempt.is_relayed
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import enum
 import typing
 
 import loguru
@@ -25,14 +24,6 @@
 QUIET_PROBE_INTERVAL_US = 2 * units.SECOND_US
 
 
-class ProbeOutcome(enum.StrEnum):
-    """What a probe finds (`message.ProbeResponse.outcome`)."""
-
-    ANSWERED = "answer"
-    UNRESPONSIVE = "mute"  # it takes the connection and says nothing
-    NOT_REACHED = "none"
-
-
 log = loguru.logger.bind(part="health")
 
 
@@ -84,7 +75,7 @@
     async def probe(self, worker: message.Worker) -> message.ProbeResponse:
         """Ask a worker for its load: it answers anything, takes the connection and says nothing, or neither."""
         response = await self._ask_load(worker)
-        if response.outcome == ProbeOutcome.NOT_REACHED.value:
+        if response.outcome == message.ProbeOutcome.NOT_REACHED.value:
             self.note_unreachable(worker.id)
         else:
             self.unreachable_since.pop(worker.id, None)
@@ -98,14 +89,14 @@
             raise
         except Exception as reason:  # whatever went wrong: what counts is whether anything answered
             if getattr(reason, "answered", False):
-                return message.ProbeResponse(ProbeOutcome.ANSWERED.value, None)
+                return message.ProbeResponse(message.ProbeOutcome.ANSWERED.value, None)
             connects = await dispatcher.can_connect(worker.host, worker.port, CONNECT_TIMEOUT_US)
-            outcome = ProbeOutcome.UNRESPONSIVE if connects else ProbeOutcome.NOT_REACHED
+            outcome = message.ProbeOutcome.UNRESPONSIVE if connects else message.ProbeOutcome.NOT_REACHED
             return message.ProbeResponse(outcome.value, None)
         try:
-            return message.ProbeResponse(ProbeOutcome.ANSWERED.value, protocol.load(raw))
+            return message.ProbeResponse(message.ProbeOutcome.ANSWERED.value, protocol.load(raw))
         except ValueError:  # an answer in another format is an answer
-            return message.ProbeResponse(ProbeOutcome.ANSWERED.value, None)
+            return message.ProbeResponse(message.ProbeOutcome.ANSWERED.value, None)
 
     async def _try_connect(self, worker: message.Worker) -> None:
         """Note a worker as unreachable if no bare connection to it can be had."""
--- a/iriswheel/pools/worker_watch.py
+++ b/iriswheel/pools/worker_watch.py
@@ -108,7 +108,7 @@
             done.wake()
 
     def _log_ejection(self, worker: str, responses: dict[str, message.ProbeResponse]) -> None:
-        connects = any(response.outcome == health.ProbeOutcome.UNRESPONSIVE for response in responses.values())
+        connects = any(response.outcome == message.ProbeOutcome.UNRESPONSIVE for response in responses.values())
         reason = "accepts connections but does not answer" if connects else "no node can connect"
         if worker in self.last_contact_us:
             age_ms = self.silence_us(worker) // units.MILLISECOND_US
@@ -145,9 +145,9 @@
         """
         own_id, outcomes = local_member.member_id(self.node), {response.outcome for response in responses.values()}
         witnessed = alone or any(member != own_id for member in responses)
-        if health.ProbeOutcome.ANSWERED in outcomes or not witnessed:
+        if message.ProbeOutcome.ANSWERED in outcomes or not witnessed:
             return False
-        return health.ProbeOutcome.UNRESPONSIVE not in outcomes or (
+        return message.ProbeOutcome.UNRESPONSIVE not in outcomes or (
             worker in self.answered_once and self.silence_us(worker) >= UNRESPONSIVE_US
         )
 
@@ -162,7 +162,7 @@
 
     def _take_response(self, worker: str, member: str, response: message.ProbeResponse) -> None:
         """Take what a member's probe found."""
-        if response.outcome != health.ProbeOutcome.ANSWERED:
+        if response.outcome != message.ProbeOutcome.ANSWERED:
             return
         self.answered_once.add(worker)
         if response.load is not None:
--- a/iriswheel/transport/messages/health.py
+++ b/iriswheel/transport/messages/health.py
@@ -10,7 +10,7 @@
     """How a worker answered a probe; the field on the wire stays a plain string."""
 
     ANSWERED = "answer"
-    MUTE = "mute"  # it takes the connection and says nothing
+    UNRESPONSIVE = "mute"  # it takes the connection and says nothing
     NOT_REACHED = "none"
 
 
