--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,7 +1,7 @@
 """Each rule of the judge complains of a log that breaks it, and is content with one that does not."""
 
 import copy
-from typing import Any
+from typing import Any, NamedTuple
 
 from iriswheel.runtime import units
 from simulation import platform_names, platform_rules
@@ -23,6 +23,104 @@
     }
 
 
+class Attempt(NamedTuple):
+    """An attempt that goes well, as worker and client see it."""
+
+    name: str
+    at: int
+    worker: str
+    pool: str
+    url: str
+
+    @property
+    def seal(self) -> str:
+        """What the worker puts on each event."""
+        return f"seal-{self.name}"
+
+    def worker_rows(self) -> list[dict[str, Any]]:
+        """The rows of the worker: the request arrives, runs, and ends."""
+        common = dict(worker=self.worker, name="w1", attempt=self.name)
+        return [
+            dict(
+                at=self.at + 2 * MILLISECOND,
+                kind="arrived",
+                verdict=0,
+                pool=self.pool,
+                method="POST",
+                url=self.url,
+                body="b1",
+                peer="10.0.2.1",
+                **common,
+            ),
+            dict(at=self.at + 5 * MILLISECOND, kind="run", seal=self.seal, pool=self.pool, after=None, **common),
+            dict(
+                at=self.at + 35 * MILLISECOND,
+                kind="ran",
+                seal=self.seal,
+                how="ran",
+                events=3,
+                times=[self.at + k * 10 * MILLISECOND for k in (1, 2, 3)],
+                body="g1",
+                **common,
+            ),
+        ]
+
+    def events(self) -> list[list[int | str | bool]]:
+        """The events that the client gets."""
+        return [[k, self.seal, self.at + k * 10 * MILLISECOND + 5 * MILLISECOND, k == 3, self.name] for k in (1, 2, 3)]
+
+    def sent(self) -> dict[str, Any]:
+        """What the client sent, as fields of the row that its attempt gets."""
+        return dict(
+            attempt=self.name,
+            request=f"r-{self.name}",
+            tries=0,
+            sort="phrase",
+            host="h",
+            url=self.url,
+            method="POST",
+            body="b1",
+            zone="a",
+            sent=self.at,
+            until=self.at + 5 * SECOND,
+            after=0,
+            direct=False,
+        )
+
+    def received(self) -> dict[str, Any]:
+        """What the client got, as fields of the row that its attempt gets."""
+        return dict(
+            code=200,
+            how="whole",
+            seal=self.seal,
+            echo=self.name,
+            retry_after=None,
+            got="g1",
+            bad_events=0,
+            rest=False,
+            first=self.at + 15 * MILLISECOND,
+            pause=10 * MILLISECOND,
+            encoding=None,
+            done=self.at + 40 * MILLISECOND,
+            text="",
+        )
+
+    def answered_row(self, at: int) -> dict[str, Any]:
+        """The row of the request's end."""
+        return dict(
+            at=at,
+            kind="answered",
+            request=f"r-{self.name}",
+            sort="phrase",
+            zone="a",
+            began=self.at,
+            tries=1,
+            ok=True,
+            code=200,
+            how="whole",
+        )
+
+
 def request_rows(
     name: str = "a1",
     *,
@@ -35,92 +133,12 @@
     stream: bool = True,
     **more: int | list[Any] | str | None,
 ) -> list[dict[str, Any]]:
-    """The rows of one request that went well."""
-    seal = f"seal-{name}"
-    events = [[k, seal, at + k * 10 * MILLISECOND + 5 * MILLISECOND, k == 3, name] for k in (1, 2, 3)]
-    row = dict(
-        attempt=name,
-        request=f"r-{name}",
-        tries=0,
-        sort="phrase",
-        repeat=repeat,
-        stream=stream,
-        host="h",
-        url=url,
-        method="POST",
-        body="b1",
-        node=node,
-        zone="a",
-        sent=at,
-        until=at + 5 * SECOND,
-        after=0,
-        direct=False,
-        code=200,
-        how="whole",
-        seal=seal,
-        echo=name,
-        retry_after=None,
-        got="g1",
-        events=events if stream else [],
-        bad_events=0,
-        rest=False,
-        first=at + 15 * MILLISECOND,
-        pause=10 * MILLISECOND,
-        encoding=None,
-        done=at + 40 * MILLISECOND,
-        text="",
-    )
-    row.update(more)
-    return [
-        dict(
-            at=at + 2 * MILLISECOND,
-            kind="arrived",
-            worker=worker,
-            name="w1",
-            attempt=name,
-            verdict=0,
-            pool=pool,
-            method="POST",
-            url=url,
-            body="b1",
-            peer="10.0.2.1",
-        ),
-        dict(
-            at=at + 5 * MILLISECOND,
-            kind="run",
-            worker=worker,
-            name="w1",
-            attempt=name,
-            seal=seal,
-            pool=pool,
-            after=None,
-        ),
-        dict(
-            at=at + 35 * MILLISECOND,
-            kind="ran",
-            worker=worker,
-            name="w1",
-            attempt=name,
-            seal=seal,
-            how="ran",
-            events=3,
-            times=[at + k * 10 * MILLISECOND for k in (1, 2, 3)],
-            body="g1",
-        ),
-        dict(at=row["done"], kind="tried", **row),
-        dict(
-            at=row["done"],
-            kind="answered",
-            request=f"r-{name}",
-            sort="phrase",
-            zone="a",
-            began=at,
-            tries=1,
-            ok=True,
-            code=200,
-            how="whole",
-        ),
-    ]
+    """The rows of one request that went well, but for what the client's row has `more`."""
+    attempt = Attempt(name, at, worker, pool, url)
+    options = dict(repeat=repeat, node=node, stream=stream, events=attempt.events() if stream else [])
+    tried = {**attempt.sent(), **attempt.received(), **options, **more}
+    done = tried["done"]
+    return [*attempt.worker_rows(), dict(at=done, kind="tried", **tried), attempt.answered_row(done)]
 
 
 def change_rows(
