--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -71,7 +71,7 @@
         f.begin()
         if rate:
             f.load_up(rate, lasts)
-        f.go(3)
+        f.advance(3)
         rows = f.by_role(f.metered(seconds))
         hollow_fleet.show(f"{shape.nodes} nodes, {shape.workers} workers, {shape.pools} pools", rows)
         for role, figures in rows.items():
@@ -128,7 +128,7 @@
     f.begin()
     for worker in f.workers.values():
         worker.short_tokens = events
-    f.go(8)
+    f.advance(8)
     return f
 
 
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -74,7 +74,7 @@
             self.stand_in_runtime = self.standing.runtime()
         k = len(self.workers)
         w = self.workers[name] = simulated_cluster.SimulatedWorker(
-            self.standing, self.stand_in_runtime, name, self.tape
+            self.standing, self.stand_in_runtime, name, self.event_log
         )
         self.listen(self.standing, 9001 + k, http_server.Server(self.stand_in_runtime, w.handle))
         self.platform.put(name, host="10.0.3.1", port=9001 + k, pool=f"model-{k % self.pools}", state="ready")
@@ -134,7 +134,7 @@
         gc.disable()
         one = statistics.median(measuring.spent(measuring.loop) for _ in range(5))
         self.world.meter = self.meter
-        self.go(seconds)
+        self.advance(seconds)
         self.world.meter = None
         gc.enable()
         figures: dict[str, Figures] = {
--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -53,24 +53,24 @@
 def _change(f: hollow_fleet.Fleet) -> None:
     """A route is changed."""
     done = f.operator_runtime.spawn(f.operator.change(f.with_probe(f.probe + 1)), simulated_cluster.log)
-    f.until(lambda: done.called, LIMIT_S)
+    f.advance_until(lambda: done.called, LIMIT_S)
 
 
 def _restart(f: hollow_fleet.Fleet) -> None:
     """A node that has no role ends, and another incarnation of it starts."""
     ordinary = [node for name, node in f.nodes.items() if f.roles()[name] == "node"] or list(f.nodes.values())
     name = ordinary[0].options.name
-    host, zone = f.options[name]
+    host, zone = f.places[name]
     ordinary[0].process.kill()
-    f.go(0.1)
+    f.advance(0.1)
     f.start_node(name, host, zone)
-    f.until(lambda: all(f.nodes[name].member.id in _members(node) for node in _live(f)), LIMIT_S)
+    f.advance_until(lambda: all(f.nodes[name].member.id in _members(node) for node in _live(f)), LIMIT_S)
 
 
 def _worker(f: hollow_fleet.Fleet) -> None:
     """A worker leaves."""
     f.platform.put("w1", state="leaving")
-    f.until(
+    f.advance_until(
         lambda: all(
             node.follower.state("w1") == "leaving" and node.follower.membership.workers[0].state == "leaving"
             for node in _live(f)
@@ -85,7 +85,7 @@
     gone = {node.member.id for node in lost}
     for node in lost:
         node.process.host.fail()
-    f.until(lambda: all(not gone & _members(node) for node in _live(f)), LIMIT_S)
+    f.advance_until(lambda: all(not gone & _members(node) for node in _live(f)), LIMIT_S)
 
 
 def _tail(f: hollow_fleet.Fleet) -> None:
@@ -95,7 +95,7 @@
     assert tail.consensus.view is not None
     was = tail.consensus.view.number
     tail.process.kill()
-    f.until(
+    f.advance_until(
         lambda: all(
             node.follower.membership.version[0] > was and node.follower.session.is_established() for node in _live(f)
         ),
@@ -108,9 +108,9 @@
     some = [node.process.host.host for node in f.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
     rest = [host for host in f.world.machines if host not in some]
     f.world.cut(some, rest)
-    f.go(CUT_S)
+    f.advance(CUT_S)
     f.world.heal()
-    f.until(
+    f.advance_until(
         lambda: all(
             len(_members(node)) == len(f.nodes) and node.follower.session.is_established() for node in _live(f)
         ),
@@ -209,7 +209,7 @@
 def lost(f: hollow_fleet.Fleet, what: str) -> Cost:
     """What it costs a fleet that something happens, beyond its quiet."""
     f.begin()
-    f.go(SETTLE_S)
+    f.advance(SETTLE_S)
     membership_bytes = _membership_bytes(f)
     quiet, quiet_between = f.metered(QUIET_S), f.between(QUIET_S)
     one = statistics.median(measuring.spent(measuring.loop) for _ in range(5))
--- a/benchmarks/change_recovery.py
+++ b/benchmarks/change_recovery.py
@@ -97,7 +97,7 @@
     def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         self.cluster = cluster
         self.runtime = cluster.operator_runtime
-        self.places = [f"{cluster.options[name][0]}:{addresses.HTTP_PORT}" for name in sorted(cluster.cores)]
+        self.places = [f"{cluster.places[name][0]}:{addresses.HTTP_PORT}" for name in sorted(cluster.cores)]
         self.current = 0  # the number that new orders build on
         self.under_way = 0
         self.acknowledged: list[Acknowledgement] = []
@@ -174,7 +174,7 @@
             later(CUT_S, cluster.world.heal)
         case "kill":
             core.process.kill()
-            later(RESTART_S, cluster.start_core, name, *cluster.options[name])
+            later(RESTART_S, cluster.start_core, name, *cluster.places[name])
         case "kill for good":
             core.process.kill()
         case "freeze":
@@ -183,7 +183,7 @@
         case "wipe":
             core.process.kill()
             core.process.host.synced.clear()
-            later(RESTART_S, cluster.start_core, name, *cluster.options[name])
+            later(RESTART_S, cluster.start_core, name, *cluster.places[name])
 
 
 def quiet_cluster(start: Start) -> tuple[simulated_cluster.SimulatedCluster, Operators]:
@@ -200,11 +200,11 @@
     )
     cluster.probing = False
     cluster.begin()
-    if not cluster.until(lambda: len(chain_of(cluster)) == start.cores, LIMIT_S):
+    if not cluster.advance_until(lambda: len(chain_of(cluster)) == start.cores, LIMIT_S):
         raise TimeoutError(f"The chain does not hold all core machines: {start}")
     operators = Operators(cluster)
     cluster.operator_runtime.spawn(operators.run(), log)
-    cluster.go(WARM_UP_S + cluster.rng.random())
+    cluster.advance(WARM_UP_S + cluster.rng.random())
     return cluster, operators
 
 
@@ -214,7 +214,7 @@
     strike(cluster, case.fault, machine_at(cluster, case.position))
     first = None
     while cluster.world.time < started_at + LIMIT_S * units.SECOND_US:
-        cluster.go(STEP_S)
+        cluster.advance(STEP_S)
         first = first or next((done for done in operators.acknowledged if done.sent >= started_at), None)
         if first is not None and all(node.follower.applied_index >= first.version for node in cluster.nodes.values()):
             return Recovery(case, first.answered - started_at, cluster.world.time - started_at)
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -137,7 +137,7 @@
 
 
 def _with_core(connection: wire.Connection, cluster: hollow_fleet.Fleet) -> bool:
-    core_hosts = {cluster.options[name][0] for name in cluster.cores}
+    core_hosts = {cluster.places[name][0] for name in cluster.cores}
     return connection.transport.getPeer().host in core_hosts
 
 
@@ -148,9 +148,9 @@
     cluster.more = {"seats": cores}
     cluster.begin()
     views = [core.consensus for core in cluster.cores.values()]
-    if not cluster.until(lambda: all(m.view is not None and len(m.view.chain) == cores for m in views), 30):
+    if not cluster.advance_until(lambda: all(m.view is not None and len(m.view.chain) == cores for m in views), 30):
         raise TimeoutError("The chain does not hold all core machines.")
-    cluster.go(SETTLE_S)
+    cluster.advance(SETTLE_S)
     return cluster
 
 
@@ -158,7 +158,7 @@
     """Measure one cluster."""
     cluster = quiet_cluster(nodes, cores, seed)
     with counting(cluster) as traffic:
-        cluster.go(seconds)
+        cluster.advance(seconds)
     spent = {name: used["loops"] for name, used in cluster.metered(seconds).items()}
     tail = cluster.tail()
     assert tail is not None
--- a/benchmarks/simulated_costs.py
+++ b/benchmarks/simulated_costs.py
@@ -39,7 +39,7 @@
 def _change(cluster: simulated_cluster.SimulatedCluster, number: int, limit_s: float) -> int:
     """Have the configuration changed; how long that took, in µs."""
     started_at = cluster.world.time
-    cluster.until_called(_order_change(cluster, number), limit_s)
+    cluster.advance_until_called(_order_change(cluster, number), limit_s)
     return cluster.world.time - started_at
 
 
@@ -59,9 +59,9 @@
         for k in range(count):
             cluster.configuration["routes"][f"far{k}"] = _far_route(cluster, f"/far/{k}")
         cluster.begin()
-        cluster.go(2)
+        cluster.advance(2)
         before = _published_bytes(cluster)
-        cluster.go(QUIET_S)
+        cluster.advance(QUIET_S)
         quiet = {name: (sent - before[name]) / QUIET_S for name, sent in _published_bytes(cluster).items()}
         for what, change in (("a route of all halls", _change_near), ("a route of hall d", _change_far)):
             cost = _bytes_a_change(cluster, change, changes, quiet)
@@ -139,7 +139,7 @@
         for seed in range(1, seeds + 1):
             with contextlib.suppress(TimeoutError):
                 cluster = registry.play(name, seed, shape)
-                for found in recovery_times.recovery(cluster.tape.rows):
+                for found in recovery_times.recovery(cluster.event_log.rows):
                     by_kind.setdefault(found.fault.split()[0], []).append(found)
         for kind, recoveries in by_kind.items():
             times = sorted(found.last_failed_ms for found in recoveries)
@@ -172,7 +172,7 @@
         for route_count in routes:
             cluster = _quiet_cluster(seed, node_count, route_count)
             before = _sent_bytes(cluster)
-            cluster.go(QUIET_S)
+            cluster.advance(QUIET_S)
             quiet = (_sent_bytes(cluster) - before) / QUIET_S
             times = sorted(_change(cluster, cluster.probe + 1, 30) / 1000 for _ in range(CHANGE_COUNT))
             tail = cluster.tail()
@@ -197,7 +197,7 @@
     for k in range(routes):
         cluster.configuration["routes"][f"r{k}"] = {"path": f"/r/{k}", "pool": cluster.pool}
     cluster.begin()
-    cluster.go(3)
+    cluster.advance(3)
     return cluster
 
 
@@ -238,8 +238,8 @@
         end = cluster.world.time + MINUTE_US
         if minute % 3 == 1:
             _strike(cluster, DAY_FAULTS[(minute // 3) % len(DAY_FAULTS)])
-        cluster.go((end - cluster.world.time) / units.SECOND_US)
-        cluster.tape.rows.clear()
+        cluster.advance((end - cluster.world.time) / units.SECOND_US)
+        cluster.event_log.rows.clear()
         if (minute + 1) % REPORT_MINUTES == 0:
             held = {**_largest_at_nodes(cluster), **_largest_at_cores(cluster)}
             held["connections"] = len(cluster.world.connections)
@@ -258,7 +258,7 @@
         case "freeze":
             process = actions.some_node(cluster).process
             process.freeze()
-            cluster.go(OUTAGE_S)
+            cluster.advance(OUTAGE_S)
             process.wake()
         case "kill_core":
             actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=OUTAGE_S)
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -312,7 +312,7 @@
         for patch in GUARDS[guard].patches:
             stack.enter_context(mock.patch.object(patch.owner, patch.attribute, patch.replacement))
         cluster = registry.play(scenario, seed, shape)
-    return job, *replay.examine(cluster.tape.rows)
+    return job, *replay.examine(cluster.event_log.rows)
 
 
 def run(
--- a/simulation/observed_runs.py
+++ b/simulation/observed_runs.py
@@ -105,7 +105,7 @@
 
 def play_scenario(name: str, shape: str, seed: str) -> list[Row]:
     """Play a scenario; the rows of its event log."""
-    return registry.play(name, int(seed), shape).tape.rows
+    return registry.play(name, int(seed), shape).event_log.rows
 
 
 def play_day(name: str, shape: str, seed: str, load: str) -> list[Row]:
--- a/simulation/operator_model.py
+++ b/simulation/operator_model.py
@@ -51,7 +51,7 @@
             The configuration version, or 0 where it was not confirmed.
         """
         probe = _probe_number(document)
-        self.cluster.tape.put(self.runtime.now(), "wanted", probe=probe, who=self.name)
+        self.cluster.event_log.put(self.runtime.now(), "wanted", probe=probe, who=self.name)
         for _ in range(attempts):
             intent = await self._patch_to(document) if patch else {"blueprint": document}
             status, plan = await self.query("POST", "/plans", intent)
@@ -85,7 +85,7 @@
                 self.cluster.probe = max(self.cluster.probe, probe)
                 version: int = response["stamp"]
                 return version
-            self.cluster.tape.put(
+            self.cluster.event_log.put(
                 self.runtime.now(),
                 "confirm_refused",
                 plan=plan["id"],
@@ -130,7 +130,7 @@
             await self.runtime.sleep(RETRY_US)
 
     def _log_confirm_sent(self, plan: Document, document: Document) -> None:
-        self.cluster.tape.put(
+        self.cluster.event_log.put(
             self.runtime.now(),
             "confirm_sent",
             plan=plan["id"],
@@ -141,7 +141,7 @@
         )
 
     def _log_confirmed(self, plan: Document, response: Document, probe: int) -> None:
-        self.cluster.tape.put(
+        self.cluster.event_log.put(
             self.runtime.now(),
             "confirmed",
             plan=plan["id"],
@@ -176,12 +176,12 @@
         core_addresses = self._core_addresses()
         self.cluster.numbered_calls += 1
         row = dict(call=f"{self.name}-{self.cluster.numbered_calls}", number=number, built_on=built_on, who=self.name)
-        self.cluster.tape.put(self.runtime.now(), "number_sent", content=linearizability.digest(content), **row)
+        self.cluster.event_log.put(self.runtime.now(), "number_sent", content=linearizability.digest(content), **row)
         for attempt in range(attempts):
             address = core_addresses[attempt % len(core_addresses)]
             status, _ = await self._send([address], "POST", "/changes", document, answer_timeout_us)
             if status < HTTP_SERVER_ERROR:
-                self.cluster.tape.put(self.runtime.now(), "numbered", status=status, **row)
+                self.cluster.event_log.put(self.runtime.now(), "numbered", status=status, **row)
                 return status
             await self.runtime.sleep(NUMBERED_RETRY_US)
         return 0
@@ -193,7 +193,7 @@
             status, document = await self.query("GET", "/blueprint")
             if status == HTTP_OK:
                 row = dict(stamp=document["stamp"], blueprint=document["blueprint"], began=started_at, who=self.name)
-                self.cluster.tape.put(self.runtime.now(), "read", **row)
+                self.cluster.event_log.put(self.runtime.now(), "read", **row)
                 return
             await self.runtime.sleep(READ_RETRY_US)
 
@@ -203,7 +203,7 @@
 
     def _core_addresses(self) -> list[str]:
         """The HTTP addresses of all cores, in a random order."""
-        core_addresses = [f"{self.cluster.options[name].host}:{addresses.HTTP_PORT}" for name in self.cluster.cores]
+        core_addresses = [f"{self.cluster.places[name].host}:{addresses.HTTP_PORT}" for name in self.cluster.cores]
         self.runtime.rng.shuffle(core_addresses)
         return core_addresses
 
--- a/simulation/prober.py
+++ b/simulation/prober.py
@@ -46,13 +46,15 @@
         self.sent += 1
         identifier = f"p{self.sent}"
         host, port = self.cluster.platform.nodes[name]
-        row = dict(node=f"{host}:{port}", zone=self.cluster.options[name].zone, path=path, exchange=identifier)
+        row = dict(node=f"{host}:{port}", zone=self.cluster.places[name].zone, path=path, exchange=identifier)
         headers = http_headers.Headers({edge_protocol.REPEAT: ["yes"], edge_protocol.REQUEST_ID: [identifier]})
         url = f"http://{host}:{port}{path}".encode()
         try:
             response = await runtime.within(agent.request(b"POST", url, headers, dispatch.Body(b"probe")), TIMEOUT_US)
         except Exception:  # whatever became of it, the probe has no answer
-            self.cluster.tape.put(started_at, "probe", **row, status=0, worker=None, done=runtime.now(), code="lost")
+            self.cluster.event_log.put(
+                started_at, "probe", **row, status=0, worker=None, done=runtime.now(), code="lost"
+            )
             return
         targets = response.headers.getRawHeaders(edge_protocol.TARGET)
         worker = targets[0] if targets else None
@@ -60,6 +62,6 @@
 
         def log_answer(raw: bytes | None) -> None:
             code = json.loads(raw)["code"] if raw and response.code != HTTP_OK else ""
-            self.cluster.tape.put(started_at, "probe", code=code, **answer)
+            self.cluster.event_log.put(started_at, "probe", code=code, **answer)
 
         response.deliverBody(dispatch.BodyCollector(log_answer))
--- a/simulation/scenarios/actions.py
+++ b/simulation/scenarios/actions.py
@@ -77,9 +77,9 @@
     """Start a core, node or worker again where it was."""
     cluster.repair("start", name)
     if name in cluster.cores:
-        cluster.start_core(name, *cluster.options[name])
+        cluster.start_core(name, *cluster.places[name])
     elif name in cluster.nodes:
-        cluster.start_node(name, *cluster.options[name])
+        cluster.start_node(name, *cluster.places[name])
     else:
         cluster.start_worker(name, cluster.workers[name].host)
 
@@ -88,7 +88,7 @@
     """Stop a core or node as its service manager does: ask it to stop, and end it after a while."""
     server = cluster.servers()[name]
     stopped = server.runtime.spawn(server.stop(), simulated_cluster.log)
-    cluster.until_called(stopped, timeout_seconds)
+    cluster.advance_until_called(stopped, timeout_seconds)
     server.process.kill()
 
 
@@ -108,7 +108,7 @@
     names = sorted(cluster.cores)
     for name in names:
         lose_power(cluster, name, wiped=name in wiped, large=True)
-    cluster.go(0.3 + cluster.rng.random())
+    cluster.advance(0.3 + cluster.rng.random())
     for name in names:
         restart(cluster, name)
 
@@ -119,7 +119,7 @@
     cluster.fault("gone for good", name)
     lost.process.host.fail()
     del cluster.cores[name]
-    cluster.go(1 + cluster.rng.random() * 2)
+    cluster.advance(1 + cluster.rng.random() * 2)
     cluster.repair("start", new_name)
     cluster.start_core(new_name, new_host, lost.options.zone)
 
@@ -186,12 +186,12 @@
 ) -> None:
     """Edit the configuration in place, and wait until the operator has had it confirmed."""
     edit(cluster.configuration)
-    cluster.until_called(begin_change(cluster, patch), CONFIRM_TIMEOUT_SECONDS)
+    cluster.advance_until_called(begin_change(cluster, patch), CONFIRM_TIMEOUT_SECONDS)
 
 
 def confirm_next(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Wait until the operator has had one more change confirmed."""
-    cluster.until_called(begin_change(cluster), CONFIRM_TIMEOUT_SECONDS)
+    cluster.advance_until_called(begin_change(cluster), CONFIRM_TIMEOUT_SECONDS)
 
 
 # ---- requests ------------------------------------------------------------------------------------
@@ -225,4 +225,4 @@
                 cluster.prober.probe(cluster.load.runtime, cluster.load.agent, name, f"/p/{max(0, probe)}"),
                 simulated_cluster.log,
             )
-        cluster.go(0.3)
+        cluster.advance(0.3)
--- a/simulation/scenarios/configuration.py
+++ b/simulation/scenarios/configuration.py
@@ -14,10 +14,10 @@
 def burst(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Changes arrive in quick bursts, while a core is killed."""
     changes = actions.confirm_changes(cluster, 25, 0.05)
-    cluster.go(3)
+    cluster.advance(3)
     actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=3)
-    cluster.until_called(changes, 60)
-    cluster.go(14)
+    cluster.advance_until_called(changes, 60)
+    cluster.advance(14)
 
 
 def race(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -32,12 +32,12 @@
         cluster.operator_runtime.spawn(change_all(cluster.operator, range(1, 20, 2)), simulated_cluster.log),
         cluster.operator_runtime.spawn(change_all(other, range(2, 21, 2)), simulated_cluster.log),
     ]
-    cluster.go(0.5 + cluster.rng.random())
+    cluster.advance(0.5 + cluster.rng.random())
     head = cluster.head()
     if head is not None:
         actions.kill(cluster, head.options.name, restart_after=3)
-    cluster.until(lambda: all(changes.called for changes in both), 60)
-    cluster.go(14)
+    cluster.advance_until(lambda: all(changes.called for changes in both), 60)
+    cluster.advance(14)
 
 
 def operators(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -54,14 +54,14 @@
         cluster.operator_runtime.spawn(patch_cap(cluster.operator, (11, 13, 15), 1), simulated_cluster.log),
         cluster.operator_runtime.spawn(patch_cap(other, (12, 14, 16), 2), simulated_cluster.log),
     ]
-    cluster.go(0.3 + cluster.rng.random())
+    cluster.advance(0.3 + cluster.rng.random())
     head = cluster.head()
     if head is not None and cluster.rng.random() < 0.5:
         actions.kill(cluster, head.options.name, restart_after=3)
-    cluster.until(lambda: all(changes.called for changes in both), 60)
+    cluster.advance_until(lambda: all(changes.called for changes in both), 60)
     stale_plans = cluster.operator.stale_plans(cluster.with_probe(cluster.probe + 1))
-    cluster.until_called(cluster.operator_runtime.spawn(stale_plans, simulated_cluster.log), 60)
-    cluster.go(5)
+    cluster.advance_until_called(cluster.operator_runtime.spawn(stale_plans, simulated_cluster.log), 60)
+    cluster.advance(5)
 
 
 def many_routes(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -75,9 +75,9 @@
             await cluster.operator_runtime.sleep(3 * units.SECOND_US)
 
     cluster.operator_runtime.spawn(add_routes(), simulated_cluster.log)
-    cluster.go(8)
+    cluster.advance(8)
     actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=3)
-    cluster.go(16)
+    cluster.advance(16)
 
 
 def _start_spare_pool(cluster: simulated_cluster.SimulatedCluster, workers: int = 2) -> None:
@@ -106,7 +106,7 @@
     _start_spare_pool(cluster, 3)
     cluster.paths = [LOAD_PATH]
     for turn in range(5):
-        cluster.go(4 + cluster.rng.random() * 2)
+        cluster.advance(4 + cluster.rng.random() * 2)
         identifiers = [f"twin{turn}-{number}" for number in range(10)]
         for identifier in identifiers:
             actions.begin_attempt(cluster, identifier, 1)
@@ -115,10 +115,10 @@
             actions.begin_attempt(cluster, identifier, 2)
         if turn in (1, 3):
             target = actions.some_node(cluster, owner=True)
-            cluster.go(cluster.rng.random() * 2)
+            cluster.advance(cluster.rng.random() * 2)
             actions.kill(cluster, target.options.name, restart_after=3)
-            cluster.go(8)
-    cluster.go(6)
+            cluster.advance(8)
+    cluster.advance(6)
 
 
 def pool_comes_and_goes(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -132,7 +132,7 @@
 
     cluster.paths = ["/spare/x"]
     for turn in range(4):
-        cluster.go(4)
+        cluster.advance(4)
         if turn % 2 == 0:
             _start_spare_pool(cluster)
             actions.confirm_edit(cluster, add)
@@ -140,7 +140,7 @@
             actions.confirm_edit(cluster, remove, patch=True)
         if turn == 1:
             actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=3)
-    cluster.go(8)
+    cluster.advance(8)
 
 
 def _restrict_zones(cluster: simulated_cluster.SimulatedCluster, zones: list[str], patch: bool) -> None:
@@ -155,13 +155,13 @@
     zones = sorted(set(cluster.zones))
     cluster.paths = ["/hall/x"]
     for turn in range(5):
-        cluster.go(3)
+        cluster.advance(3)
         some = sorted(cluster.rng.sample(zones, 1 + cluster.rng.randrange(len(zones) - 1)))
         _restrict_zones(cluster, some, patch=turn % 2 == 1)
         if turn in (1, 3):
             target = actions.some_node(cluster, owner=False)
             actions.kill(cluster, target.options.name, restart_after=3)
-    cluster.go(8)
+    cluster.advance(8)
 
 
 def _set_cap(cluster: simulated_cluster.SimulatedCluster, cap: int) -> None:
@@ -174,13 +174,13 @@
 def _open_conversations(cluster: simulated_cluster.SimulatedCluster, count: int, prefix: str) -> None:
     for number in range(count):
         actions.begin_request(cluster, "short", "phrases", f"{prefix}-{number}")
-        cluster.go(0.1)
+        cluster.advance(0.1)
 
 
 def cap_moves(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The cap is lowered below what is open, and raised again, while conversations open."""
     actions.confirm_changes(cluster, 2, 2)
-    cluster.go(6)
+    cluster.advance(6)
     cluster.load.max_attempts = 1
     _set_cap(cluster, 4)
     _open_conversations(cluster, 30, "low")
@@ -188,12 +188,12 @@
     _open_conversations(cluster, 15, "lower")
     target = actions.some_node(cluster, owner=True)
     actions.kill(cluster, target.options.name, restart_after=3)
-    cluster.go(6)
+    cluster.advance(6)
     _open_conversations(cluster, 10, "after")
     _set_cap(cluster, 10)
-    cluster.go(2.5)
+    cluster.advance(2.5)
     _open_conversations(cluster, 30, "high")
-    cluster.go(6)
+    cluster.advance(6)
 
 
 def release(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -207,10 +207,10 @@
 
     actions.confirm_edit(cluster, shorten)
     cluster.load.max_attempts = 1
-    cluster.go(2.5)
+    cluster.advance(2.5)
     for turn in range(3):
         _open_conversations(cluster, 3 * cluster.worker_count + 4, f"rel-{turn}")
         if turn == 1:
             target = actions.some_node(cluster, owner=True)
             actions.kill(cluster, target.options.name, restart_after=3)
-        cluster.go(17)
+        cluster.advance(17)
--- a/simulation/scenarios/cores.py
+++ b/simulation/scenarios/cores.py
@@ -12,124 +12,124 @@
     """Cores are killed in turn and start again."""
     actions.confirm_changes(cluster, 12, 3)
     for _ in range(3):
-        cluster.go(5 + cluster.rng.random())
+        cluster.advance(5 + cluster.rng.random())
         target = actions.some_core(cluster)
         actions.kill(cluster, target.options.name, restart_after=1 + cluster.rng.random() * 6)
-        cluster.go(11)
+        cluster.advance(11)
 
 
 def kill_all_cores(cluster: simulated_cluster.SimulatedCluster) -> None:
     """All cores are killed at once and start again."""
     actions.confirm_changes(cluster)
-    cluster.go(8)
+    cluster.advance(8)
     for name in sorted(cluster.cores):
         actions.kill(cluster, name, restart_after=1 + cluster.rng.random() * 5)
-    cluster.go(25)
+    cluster.advance(25)
 
 
 def roll_cores(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Cores are stopped in good order and started again, one after the other."""
     actions.confirm_changes(cluster, 10)
     for name in sorted(cluster.cores):
-        cluster.go(6)
+        cluster.advance(6)
         actions.stop(cluster, name, 5)
-        cluster.go(0.5 + cluster.rng.random())
-        cluster.start_core(name, *cluster.options[name])
-        cluster.go(8)
+        cluster.advance(0.5 + cluster.rng.random())
+        cluster.start_core(name, *cluster.places[name])
+        cluster.advance(8)
 
 
 def power_after_ack(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A core loses power just after an acknowledgement, with its disk or without."""
     for _ in range(3):
-        cluster.go(4)
-        cluster.until_called(actions.begin_change(cluster), 20)
+        cluster.advance(4)
+        cluster.advance_until_called(actions.begin_change(cluster), 20)
         candidates = (cluster.head(), cluster.tail(), actions.some_core(cluster))
         target = cluster.rng.choice([candidate for candidate in candidates if candidate is not None])
         name = target.options.name
         actions.lose_power(cluster, name)
         if cluster.rng.random() < 0.4:
             target.process.host.synced.clear()
-        cluster.go(2 + cluster.rng.random() * 8)
+        cluster.advance(2 + cluster.rng.random() * 8)
         actions.restart(cluster, name)
-        cluster.go(16)
+        cluster.advance(16)
 
 
 def new_address(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A core is gone for good; an empty one starts at a new address."""
     actions.confirm_changes(cluster, 12, 3)
-    cluster.go(6)
+    cluster.advance(6)
     actions.replace_core(cluster, actions.some_core(cluster).options.name, "c4", "10.0.1.4")
-    cluster.go(25)
+    cluster.advance(25)
 
 
 def replace_all(cluster: simulated_cluster.SimulatedCluster) -> None:
     """All cores are replaced in turn by empty ones at new addresses."""
     actions.confirm_changes(cluster, 14, 3)
     for number, name in enumerate(sorted(cluster.cores), 4):
-        cluster.go(5)
+        cluster.advance(5)
         actions.replace_core(cluster, name, f"c{number}", f"10.0.1.{number}")
-        cluster.go(13)
+        cluster.advance(13)
 
 
 def planned_replace(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A core is replaced as planned, the new one first; soon after, all lose power and one its disk."""
     for number in (4, 5):
-        cluster.go(4)
+        cluster.advance(4)
         name = cluster.rng.choice(sorted(cluster.cores))
         cluster.start_core(f"c{number}", f"10.0.1.{number}", cluster.cores[name].options.zone)
-        cluster.go(1 + cluster.rng.random() * 3)
+        cluster.advance(1 + cluster.rng.random() * 3)
         cluster.fault("stop", name)
         actions.stop(cluster, name, 10)
         del cluster.cores[name]
         cluster.repair("stop", name)
         actions.confirm_next(cluster)
         actions.blackout(cluster, cluster.rng.sample(sorted(cluster.cores), 1))
-        cluster.go(10)
+        cluster.advance(10)
 
 
 def seeds_turned(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Cores are replaced one after the other, and the seeds named anew; then all processes start again."""
     actions.confirm_changes(cluster, 8, 3)
     for number in (4, 5, 6):
-        cluster.go(4)
+        cluster.advance(4)
         actions.replace_core(cluster, sorted(cluster.cores)[0], f"c{number}", f"10.0.1.{number}")
-        cluster.seeds = [f"{cluster.options[name][0]}:{addresses.PEER_PORT}" for name in sorted(cluster.cores)]
-        cluster.go(6)
+        cluster.seeds = [f"{cluster.places[name][0]}:{addresses.PEER_PORT}" for name in sorted(cluster.cores)]
+        cluster.advance(6)
     for name in sorted(cluster.nodes)[:3]:
         actions.kill(cluster, name, restart_after=0.5)
-        cluster.go(2)
+        cluster.advance(2)
     for name in sorted(cluster.cores):
         actions.kill(cluster, name, restart_after=0.6, large=True)
-    cluster.go(14)
+    cluster.advance(14)
 
 
 def closing_wipe(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Right after a change was acknowledged all cores lose power, one of them its disk as well."""
     for _ in range(4):
-        cluster.go(5)
+        cluster.advance(5)
         actions.confirm_next(cluster)
         actions.blackout(cluster, cluster.rng.sample(sorted(cluster.cores), 1))
-        cluster.go(9)
+        cluster.advance(9)
 
 
 def five_cores(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Five cores, of which any two may be lost: kills, lost disks, a blackout right after a change."""
     actions.confirm_changes(cluster, 6, 4)
-    cluster.until(lambda: _chain_length(cluster) == 5, 10)
-    cluster.go(4)
+    cluster.advance_until(lambda: _chain_length(cluster) == 5, 10)
+    cluster.advance(4)
     for name in cluster.rng.sample(sorted(cluster.cores), 2):
         actions.kill(cluster, name, restart_after=4)
-    cluster.go(14)
+    cluster.advance(14)
     for name in cluster.rng.sample(sorted(cluster.cores), 2):
         actions.lose_power(cluster, name, wiped=True)
-        cluster.go(cluster.rng.random())
-        start = functools.partial(cluster.start_core, name, *cluster.options[name])
+        cluster.advance(cluster.rng.random())
+        start = functools.partial(cluster.start_core, name, *cluster.places[name])
         actions.repair_later(cluster, 2, "start", name, start)
-    cluster.go(12)
+    cluster.advance(12)
     for _ in range(2):
         actions.confirm_next(cluster)
         actions.blackout(cluster, cluster.rng.sample(sorted(cluster.cores), 2))
-        cluster.go(10)
+        cluster.advance(10)
 
 
 def _chain_length(cluster: simulated_cluster.SimulatedCluster) -> int:
--- a/simulation/scenarios/disks.py
+++ b/simulation/scenarios/disks.py
@@ -15,32 +15,32 @@
     """Cores lose their disks, one after the other."""
     actions.confirm_changes(cluster, 10)
     for _ in range(2):
-        cluster.go(6 + cluster.rng.random())
+        cluster.advance(6 + cluster.rng.random())
         name = actions.some_core(cluster).options.name
         actions.lose_power(cluster, name, wiped=True)
-        cluster.go(1 + cluster.rng.random() * 3)
+        cluster.advance(1 + cluster.rng.random() * 3)
         actions.restart(cluster, name)
-        cluster.go(15)
+        cluster.advance(15)
 
 
 def disk_unhealthy(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A core's disk is full, slow or stalled for a while."""
     actions.confirm_changes(cluster, 10, 2)
     for condition in ("full", "slow", "stalled"):
-        cluster.go(4 + cluster.rng.random())
+        cluster.advance(4 + cluster.rng.random())
         target = actions.some_core(cluster)
         cluster.fault(f"disk {condition}", target.options.name)
         target.process.host.disk = condition
-        cluster.go(4 + cluster.rng.random() * 5)
+        cluster.advance(4 + cluster.rng.random() * 5)
         target.process.host.repair()
         cluster.repair("disk mended", target.options.name)
-        cluster.go(6)
+        cluster.advance(6)
 
 
 def power_steps(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A core loses power between two steps of a write: head, middle and tail, with the disk or without."""
     for position in cluster.rng.sample(range(3), 3):
-        cluster.go(4)
+        cluster.advance(4)
         target = _core_at(cluster, position) or actions.some_core(cluster)
         host = target.process.host
         host.trap = cluster.rng.choice(["before sync", "after sync", "after answer"])
@@ -50,15 +50,15 @@
             if cluster.rng.random() < 0.4:
                 host.synced.clear()
         host.trap = None
-        cluster.go(2 + cluster.rng.random() * 4)
+        cluster.advance(2 + cluster.rng.random() * 4)
         if not host.power:
             actions.restart(cluster, target.options.name)
-        cluster.until_called(change, 30)
-        cluster.go(14)
+        cluster.advance_until_called(change, 30)
+        cluster.advance(14)
 
 
 def _loses_power(cluster: simulated_cluster.SimulatedCluster, host: host_model.Host, seconds: float) -> bool:
-    return cluster.until(lambda: not host.power, seconds)
+    return cluster.advance_until(lambda: not host.power, seconds)
 
 
 def _core_at(cluster: simulated_cluster.SimulatedCluster, position: int) -> server_model.SimulatedCore | None:
@@ -75,21 +75,21 @@
 def empty_while_down(cluster: simulated_cluster.SimulatedCluster) -> None:
     """One core is down; another comes back with an empty disk."""
     actions.confirm_changes(cluster, 8, 3)
-    cluster.go(6)
+    cluster.advance(6)
     down, wiped = cluster.rng.sample(sorted(cluster.cores), 2)
     actions.lose_power(cluster, down)
-    cluster.go(5 + cluster.rng.random() * 3)
+    cluster.advance(5 + cluster.rng.random() * 3)
     actions.lose_power(cluster, wiped, wiped=True)
-    cluster.go(1 + cluster.rng.random() * 3)
+    cluster.advance(1 + cluster.rng.random() * 3)
     actions.restart(cluster, wiped)
-    cluster.go(4 + cluster.rng.random() * 6)
+    cluster.advance(4 + cluster.rng.random() * 6)
     actions.restart(cluster, down)
-    cluster.go(20)
+    cluster.advance(20)
 
 
 def disk_old(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The head comes back with its disk as it was some changes ago: alone, then after all lost power."""
-    cluster.go(2)
+    cluster.advance(2)
     for together in (False, True):
         target = cluster.head() or actions.some_core(cluster)
         outdated = dict(target.process.host.synced)
@@ -99,7 +99,7 @@
         for name in down:
             actions.lose_power(cluster, name)
         target.process.host.synced = outdated
-        cluster.go(cluster.rng.choice([0.1, 0.5, 3]))
+        cluster.advance(cluster.rng.choice([0.1, 0.5, 3]))
         for name in down:
             actions.restart(cluster, name)
-        cluster.go(14)
+        cluster.advance(14)
--- a/simulation/scenarios/mixed_faults.py
+++ b/simulation/scenarios/mixed_faults.py
@@ -29,9 +29,9 @@
 def last_fault(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A core loses power, perhaps with its disk, right after the last change."""
     actions.confirm_changes(cluster, 6, 3)
-    cluster.go(22)
-    cluster.until_called(cluster.load_done, 60)
-    cluster.until_called(actions.begin_change(cluster), 20)
+    cluster.advance(22)
+    cluster.advance_until_called(cluster.load_done, 60)
+    cluster.advance_until_called(actions.begin_change(cluster), 20)
     target = actions.some_core(cluster)
     actions.lose_power(cluster, target.options.name)
     if cluster.rng.random() < 0.5:
@@ -42,9 +42,9 @@
 def last_faults(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The run ends with one last fault, of a kind that the seed chooses, right after the last change."""
     actions.confirm_changes(cluster, 3, 3)
-    cluster.go(12)
+    cluster.advance(12)
     cluster.load.end()
-    cluster.until_called(cluster.load_done, 60)
+    cluster.advance_until_called(cluster.load_done, 60)
     actions.confirm_next(cluster)
     fault = LAST_FAULTS[cluster.seed % len(LAST_FAULTS)]
     core_name = actions.some_core(cluster).options.name
@@ -66,14 +66,14 @@
             actions.kill(cluster, actions.some_worker(cluster))
         case _:
             _fail_core_at_end(cluster, fault, core_name)
-    cluster.go(14)
+    cluster.advance(14)
 
 
 def _fail_core_at_end(cluster: simulated_cluster.SimulatedCluster, fault: str, name: str) -> None:
     match fault:
         case "disk lost":
             actions.lose_power(cluster, name, wiped=True)
-            cluster.go(1)
+            cluster.advance(1)
             actions.restart(cluster, name)
         case "disk full":
             cluster.fault("disk full", name)
@@ -86,11 +86,11 @@
     """Faults of several kinds, one on the other."""
     actions.confirm_changes(cluster, 20, 2)
     for _ in range(6):
-        cluster.go(2 + cluster.rng.random() * 3)
+        cluster.advance(2 + cluster.rng.random() * 3)
         MIXED_FAULTS[cluster.rng.randrange(len(MIXED_FAULTS))](cluster)
-    cluster.go(6)
+    cluster.advance(6)
     actions.heal(cluster, "all")
-    cluster.go(20)
+    cluster.advance(20)
 
 
 def _kill_some_core(cluster: simulated_cluster.SimulatedCluster) -> None:
--- a/simulation/scenarios/network.py
+++ b/simulation/scenarios/network.py
@@ -17,89 +17,89 @@
     """One core is cut off from everything."""
     actions.confirm_changes(cluster, 12, 2)
     for _ in range(2):
-        cluster.go(5 + cluster.rng.random())
+        cluster.advance(5 + cluster.rng.random())
         target = actions.some_core(cluster)
         cluster.fault("cut", target.options.name)
         cluster.world.cut([target.options.host], list(cluster.world.machines))
-        cluster.go(3 + cluster.rng.random() * 8)
+        cluster.advance(3 + cluster.rng.random() * 8)
         actions.heal(cluster, target.options.name)
-        cluster.go(8)
+        cluster.advance(8)
 
 
 def cut_core_two(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The core is cut in two: one machine with some nodes, two with the others."""
     actions.confirm_changes(cluster, 12, 2)
-    cluster.go(6)
+    cluster.advance(6)
     target = actions.some_core(cluster)
     names = sorted(cluster.nodes)
     cluster.rng.shuffle(names)
-    with_it = [cluster.options[name][0] for name in names[: len(names) // 2]]
+    with_it = [cluster.places[name][0] for name in names[: len(names) // 2]]
     rest = [host for host in cluster.hosts("cores", "nodes") if host not in with_it and host != target.options.host]
     cluster.fault("cut", target.options.name, True)
     cluster.world.cut([target.options.host] + (with_it if cluster.rng.random() < 0.5 else []), rest)
-    cluster.go(6 + cluster.rng.random() * 8)
+    cluster.advance(6 + cluster.rng.random() * 8)
     actions.heal(cluster, target.options.name)
-    cluster.go(18)
+    cluster.advance(18)
 
 
 def cut_core_off(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The whole core is cut off from all nodes."""
     actions.confirm_changes(cluster, 8, 3)
-    cluster.go(6)
+    cluster.advance(6)
     cluster.fault("cut", "core")
     cluster.world.cut(cluster.hosts("cores"), cluster.hosts("nodes"))
-    cluster.go(6 + cluster.rng.random() * 12)
+    cluster.advance(6 + cluster.rng.random() * 12)
     actions.heal(cluster, "all")
-    cluster.go(16)
+    cluster.advance(16)
 
 
 def cut_node(cluster: simulated_cluster.SimulatedCluster) -> None:
     """One node is cut off from all cores and nodes, but not from its clients and the workers."""
     actions.confirm_changes(cluster, 12, 3)
     for owner in (False, True):
-        cluster.go(5 + cluster.rng.random())
+        cluster.advance(5 + cluster.rng.random())
         name = actions.some_node(cluster, owner).options.name
         actions.cut_off(cluster, name)
         actions.probe_repeatedly(cluster, name, 10 + cluster.rng.randrange(30))
         actions.heal(cluster, name)
-        cluster.go(8)
+        cluster.advance(8)
 
 
 def cut_sides(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The core and the nodes are cut in two sides, each with some of both."""
     actions.confirm_changes(cluster, 12, 2)
-    cluster.go(6)
+    cluster.advance(6)
     cores, nodes = sorted(cluster.cores), sorted(cluster.nodes)
     cluster.rng.shuffle(cores)
     cluster.rng.shuffle(nodes)
     split = cluster.rng.randrange(len(nodes) // 2, len(nodes))  # mostly with the core that is alone
-    near = [cluster.options[name][0] for name in cores[:1] + nodes[:split]]
-    far = [cluster.options[name][0] for name in cores[1:] + nodes[split:]]
+    near = [cluster.places[name][0] for name in cores[:1] + nodes[:split]]
+    far = [cluster.places[name][0] for name in cores[1:] + nodes[split:]]
     cluster.fault("cut", "sides", True)
     cluster.world.cut(near, far, both=cluster.rng.random() < 0.7)
-    cluster.go(6 + cluster.rng.random() * 8)
+    cluster.advance(6 + cluster.rng.random() * 8)
     actions.heal(cluster, "sides")
-    cluster.go(18)
+    cluster.advance(18)
 
 
 def cut_hall(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Each zone in turn is cut off from the other cores and nodes."""
     actions.confirm_changes(cluster, 14, 3)
     for zone in sorted(set(cluster.zones)):
-        cluster.go(3)
-        inside = [cluster.options[name][0] for name in cluster.servers_in(zone)]
+        cluster.advance(3)
+        inside = [cluster.places[name][0] for name in cluster.servers_in(zone)]
         cluster.fault("cut", f"hall {zone}", True)
         cluster.world.cut(inside, [host for host in cluster.hosts("cores", "nodes") if host not in inside])
-        cluster.go(5 + cluster.rng.random() * 2)
+        cluster.advance(5 + cluster.rng.random() * 2)
         actions.heal(cluster, f"hall {zone}")
-        cluster.go(12)
+        cluster.advance(12)
 
 
 def one_way(cluster: simulated_cluster.SimulatedCluster) -> None:
     """What one machine sends is lost, what it gets is not; or the reverse."""
     actions.confirm_changes(cluster, 12, 3)
     for pick in (lambda: actions.some_core(cluster), lambda: actions.some_node(cluster)):
-        cluster.go(5 + cluster.rng.random())
+        cluster.advance(5 + cluster.rng.random())
         target = pick()
         others = [host for host in cluster.hosts("cores", "nodes") if host != target.options.host]
         cluster.fault("one-way", target.options.name)
@@ -107,50 +107,50 @@
             cluster.world.cut([target.options.host], others, both=False)
         else:
             cluster.world.cut(others, [target.options.host], both=False)
-        cluster.go(4 + cluster.rng.random() * 6)
+        cluster.advance(4 + cluster.rng.random() * 6)
         actions.heal(cluster, target.options.name)
-        cluster.go(12)
+        cluster.advance(12)
 
 
 def flap(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A core's and a node's links break and heal every second."""
     actions.confirm_changes(cluster, 12, 2)
     for target in (actions.some_core(cluster), actions.some_node(cluster)):
-        cluster.go(5)
+        cluster.advance(5)
         cluster.fault("flap", target.options.name)
         for _ in range(8):
             cluster.world.cut([target.options.host], cluster.hosts("cores", "nodes"))
-            cluster.go(0.5 + cluster.rng.random() * 0.5)
+            cluster.advance(0.5 + cluster.rng.random() * 0.5)
             cluster.world.heal()
-            cluster.go(0.3 + cluster.rng.random() * 0.4)
+            cluster.advance(0.3 + cluster.rng.random() * 0.4)
         cluster.repair("heal", target.options.name)
-        cluster.go(10)
+        cluster.advance(10)
 
 
 def slow_link(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A node's link and a core's link grow slow."""
     actions.confirm_changes(cluster, 10, 3)
     for target in (actions.some_node(cluster), actions.some_core(cluster)):
-        cluster.go(4)
+        cluster.advance(4)
         cluster.fault("slow", target.options.name)
         cluster.world.slow[target.options.host] = 80_000 + cluster.rng.randrange(120_000)
-        cluster.go(8)
+        cluster.advance(8)
         del cluster.world.slow[target.options.host]
         cluster.repair("mended", target.options.name)
-        cluster.go(4)
+        cluster.advance(4)
 
 
 def lossy_link(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A node's link and a core's link lose a fifth of all packets."""
     actions.confirm_changes(cluster, 10, 3)
     for target in (actions.some_node(cluster), actions.some_core(cluster)):
-        cluster.go(4)
+        cluster.advance(4)
         cluster.fault("lossy", target.options.name)
         cluster.world.loss[target.options.host] = 0.2
-        cluster.go(8)
+        cluster.advance(8)
         del cluster.world.loss[target.options.host]
         cluster.repair("mended", target.options.name)
-        cluster.go(4)
+        cluster.advance(4)
 
 
 def _cut_from_workers(
@@ -162,17 +162,17 @@
     """Cut the links between one node and some workers for a while; all else goes on."""
     cluster.fault("link", target.options.name, role="link")
     cluster.world.cut([target.options.host], [cluster.workers[name].host for name in workers])
-    cluster.go(seconds)
+    cluster.advance(seconds)
     actions.heal(cluster, target.options.name)
 
 
 def _cut_from_one_then_all_workers(cluster: simulated_cluster.SimulatedCluster, owner: bool) -> None:
     actions.confirm_changes(cluster, 6, 5)
-    cluster.go(6 + cluster.rng.random())
+    cluster.advance(6 + cluster.rng.random())
     _cut_from_workers(cluster, actions.some_node(cluster, owner), [actions.some_worker(cluster)], 8)
-    cluster.go(4)
+    cluster.advance(4)
     _cut_from_workers(cluster, actions.some_node(cluster, owner), sorted(cluster.workers), 9)
-    cluster.go(6)
+    cluster.advance(6)
 
 
 def blind_owner(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -188,14 +188,14 @@
 def platform_bad(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The platform can't be reached, is slow, answers nonsense, or once lists nobody."""
     actions.confirm_changes(cluster, 8, 4)
-    cluster.go(3)
+    cluster.advance(3)
     cluster.world.cut([addresses.PLATFORM_HOST], cluster.hosts("nodes"))
-    cluster.go(6)
+    cluster.advance(6)
     cluster.world.heal()
     brief = (stand_in_platform.ListingFault.EMPTY, stand_in_platform.ListingFault.HALF)
     for fault in stand_in_platform.ListingFault:
-        cluster.go(3)
+        cluster.advance(3)
         cluster.platform.listing_fault = fault
-        cluster.go(0.55 if fault in brief else 5)
+        cluster.advance(0.55 if fault in brief else 5)
         cluster.platform.listing_fault = None
-    cluster.go(6)
+    cluster.advance(6)
--- a/simulation/scenarios/processes.py
+++ b/simulation/scenarios/processes.py
@@ -9,46 +9,46 @@
 def calm(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Nothing happens but the operator's changes."""
     actions.confirm_changes(cluster)
-    cluster.go(40)
+    cluster.advance(40)
 
 
 def kill_node(cluster: simulated_cluster.SimulatedCluster) -> None:
     """One node after the other is killed and starts again."""
     actions.confirm_changes(cluster)
     for _ in range(3):
-        cluster.go(6)
+        cluster.advance(6)
         target = actions.some_node(cluster, owner=False)
         actions.kill(cluster, target.options.name, restart_after=2 + cluster.rng.random() * 4)
-        cluster.go(6)
+        cluster.advance(6)
 
 
 def kill_owner(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The pool owner is killed, and its successor too."""
     actions.confirm_changes(cluster)
     for _ in range(2):
-        cluster.go(6 + cluster.rng.random())
+        cluster.advance(6 + cluster.rng.random())
         target = actions.some_node(cluster, owner=True)
         actions.kill(cluster, target.options.name, restart_after=3 + cluster.rng.random() * 4)
-        cluster.go(14)
+        cluster.advance(14)
 
 
 def kill_pair(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The pool owner and, about when its role moves, the tail are killed; the newest membership may be lost with it."""
     actions.confirm_changes(cluster, 10, 4)
     for _ in range(3):
-        cluster.go(6 + cluster.rng.random())
+        cluster.advance(6 + cluster.rng.random())
         pool_owner_node = actions.some_node(cluster, owner=True)
         actions.kill(cluster, pool_owner_node.options.name, restart_after=0.4 + cluster.rng.random() * 3)
-        cluster.go(cluster.rng.random() * 1.2)
+        cluster.advance(cluster.rng.random() * 1.2)
         tail = cluster.tail() or actions.some_core(cluster)
         actions.kill(cluster, tail.options.name, restart_after=1 + cluster.rng.random() * 3)
-        cluster.go(12)
+        cluster.advance(12)
 
 
 def kill_many(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The pool owner and its copies, or half of the nodes, are killed at once."""
     actions.confirm_changes(cluster)
-    cluster.go(8)
+    cluster.advance(8)
     names = sorted(cluster.nodes)
     cluster.rng.shuffle(names)
     pool_owner_node = cluster.owner()
@@ -58,42 +58,42 @@
         doomed = [pool_owner_node.options.name] + [identifier.rsplit("-", 1)[0] for identifier in copies]
     for name in sorted(set(doomed)):
         actions.kill(cluster, name, restart_after=2 + cluster.rng.random() * 6, large=True)
-    cluster.go(25)
+    cluster.advance(25)
 
 
 def kill_all(cluster: simulated_cluster.SimulatedCluster) -> None:
     """All cores and nodes are killed at once and start again."""
     actions.confirm_changes(cluster)
-    cluster.go(8)
+    cluster.advance(8)
     for name in sorted(cluster.servers()):
         actions.kill(cluster, name, restart_after=1 + cluster.rng.random(), large=True)
-    cluster.go(25)
+    cluster.advance(25)
 
 
 def kill_hall(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A whole zone loses power, and comes back."""
     actions.confirm_changes(cluster)
-    cluster.go(8)
+    cluster.advance(8)
     zone = cluster.rng.choice(sorted(set(cluster.zones)))
     names = cluster.servers_in(zone)
     for name in names:
         cluster.fault("power", name, True)
         cluster.servers()[name].process.host.fail()
-    cluster.go(4 + cluster.rng.random() * 6)
+    cluster.advance(4 + cluster.rng.random() * 6)
     for name in names:
         actions.restart(cluster, name)
-    cluster.go(20)
+    cluster.advance(20)
 
 
 def roll_nodes(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Nodes are stopped in good order and started again, one after the other."""
     actions.confirm_changes(cluster)
     for name in sorted(cluster.nodes)[:4]:
-        cluster.go(4)
+        cluster.advance(4)
         actions.stop(cluster, name, 40)
-        cluster.go(0.5 + cluster.rng.random())
-        cluster.start_node(name, *cluster.options[name])
-        cluster.until_ready(name, 10)
+        cluster.advance(0.5 + cluster.rng.random())
+        cluster.start_node(name, *cluster.places[name])
+        cluster.advance_until_ready(name, 10)
 
 
 def upgrade(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -106,13 +106,13 @@
     for name, version in upgrades + downgrades:
         cluster.versions[name] = version
         actions.stop(cluster, name, 40)
-        cluster.go(0.5)
+        cluster.advance(0.5)
         if name in cluster.nodes:
-            cluster.start_node(name, *cluster.options[name])
-            cluster.until_ready(name, 10)
+            cluster.start_node(name, *cluster.places[name])
+            cluster.advance_until_ready(name, 10)
         else:
-            cluster.start_core(name, *cluster.options[name])
-            cluster.go(6)
+            cluster.start_core(name, *cluster.places[name])
+            cluster.advance(6)
 
 
 def freeze(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -123,13 +123,13 @@
         lambda: actions.some_node(cluster),
         lambda: actions.some_core(cluster),
     ):
-        cluster.go(6 + cluster.rng.random())
+        cluster.advance(6 + cluster.rng.random())
         target = pick()
         actions.freeze(cluster, target.options.name)
-        cluster.go(1 + cluster.rng.random() * 7)
+        cluster.advance(1 + cluster.rng.random() * 7)
         target.process.wake()
         cluster.repair("wake", target.options.name)
-        cluster.go(9)
+        cluster.advance(9)
 
 
 def freeze_many(cluster: simulated_cluster.SimulatedCluster) -> None:
@@ -139,31 +139,31 @@
     in_zone = cluster.servers_in(zone)
     half = cluster.rng.sample(sorted(cluster.nodes), len(cluster.nodes) // 2)
     for group in (in_zone, half):
-        cluster.go(6 + cluster.rng.random())
+        cluster.advance(6 + cluster.rng.random())
         processes = {name: cluster.servers()[name].process for name in group}
         for name in processes:
             actions.freeze(cluster, name, large=True)
-        cluster.go(2 + cluster.rng.random() * 6)
+        cluster.advance(2 + cluster.rng.random() * 6)
         for name, process in processes.items():
             process.wake()
             cluster.repair("wake", name)
-        cluster.go(16)
+        cluster.advance(16)
 
 
 def wake_without_core(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A node sleeps through a change and wakes while the whole core is gone; clients hold on to its address."""
-    cluster.go(3)
+    cluster.advance(3)
     for _ in range(2):
         target = actions.some_node(cluster, owner=False)
         actions.freeze(cluster, target.options.name)
         actions.confirm_next(cluster)
-        cluster.go(1 + cluster.rng.random() * 2)
+        cluster.advance(1 + cluster.rng.random() * 2)
         for name in sorted(cluster.cores):
             actions.kill(cluster, name, restart_after=6)
-        cluster.go(0.2 + cluster.rng.random() * 2)
+        cluster.advance(0.2 + cluster.rng.random() * 2)
         target.process.wake()
         # It can't learn what it missed before the core is back, and must not serve.
         actions.probe_repeatedly(cluster, target.options.name, 20)
-        cluster.go(2)
+        cluster.advance(2)
         cluster.repair("wake", target.options.name)
-        cluster.go(6)
+        cluster.advance(6)
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -86,7 +86,7 @@
         self.seed = seed
         self.world = world.World(seed)
         self.rng = self.world.rng
-        self.tape = event_log.EventLog()
+        self.event_log = event_log.EventLog()
         self.zones, self.worker_count, self.pool, name = fleet.SHAPES[shape]
         self.zones = zones or self.zones
         example = pathlib.Path(fleet.EXAMPLES, name)
@@ -97,7 +97,7 @@
         self.cores: dict[str, server_model.SimulatedCore] = {}
         self.nodes: dict[str, server_model.SimulatedNode] = {}
         self.workers: dict[str, SimulatedWorker] = {}
-        self.options: dict[str, Place] = {}
+        self.places: dict[str, Place] = {}
         self.seeds: list[str] = []
         self.numbered_calls = 0  # calls with a numbered change so far
         self.probe = 0  # which probe route was confirmed last
@@ -126,8 +126,8 @@
         self.operator_runtime = operator_process.runtime()
         self.operator = operator_model.Operator(self, self.operator_runtime, "boss")
         first = self.operator_runtime.spawn(self.operator.change(self.with_probe(0)), log)
-        self.until_called(first, START_TIMEOUT_SECONDS)
-        self.until(lambda: all(self.is_ready(name) for name in self.nodes), START_TIMEOUT_SECONDS)
+        self.advance_until_called(first, START_TIMEOUT_SECONDS)
+        self.advance_until(lambda: all(self.is_ready(name) for name in self.nodes), START_TIMEOUT_SECONDS)
         self._log_begin()
         self._start_load(client_process.runtime())
 
@@ -136,7 +136,7 @@
         self.platform_process = process_model.SimulatedProcess(
             self.world, "platform", self.machine(addresses.PLATFORM_HOST, zones[0])
         )
-        self.platform = stand_in_platform.Platform(self.platform_process.runtime(), self.tape)
+        self.platform = stand_in_platform.Platform(self.platform_process.runtime(), self.event_log)
         server = http_server.Server(self.platform.runtime, self.platform.handle)
         self.listen(self.platform_process, addresses.PLATFORM_PORT, server)
 
@@ -152,7 +152,7 @@
             self.start_node(f"n{number}", f"10.0.2.{number}", zone)
 
     def _log_begin(self) -> None:
-        self.tape.put(
+        self.event_log.put(
             self.world.time,
             "begun",
             cap=self.configuration["pools"][self.pool].get("cap", DEFAULT_CAP),
@@ -160,14 +160,14 @@
             blueprint=self.configuration,
             zones={
                 f"{place.host}:{addresses.HTTP_PORT}": place.zone
-                for name, place in self.options.items()
+                for name, place in self.places.items()
                 if name in self.nodes
             },
         )
 
     def _start_load(self, runtime: scheduler.Runtime) -> None:
         mix = load_generator.LoadMix("/v1/complete", self.seconds * units.SECOND_US, *self.rates)
-        self.load = load_generator.LoadGenerator(runtime, self.platform.node_addresses, mix, self.tape)
+        self.load = load_generator.LoadGenerator(runtime, self.platform.node_addresses, mix, self.event_log)
         self.load_done = runtime.spawn(self.load.run(), log)
         runtime.spawn(self.prober.run(runtime), log)
 
@@ -189,7 +189,7 @@
         machine = self.machine(host, zone)
         machine.power = True
         process = process_model.SimulatedProcess(self.world, name, machine)
-        self.options[name] = Place(host, zone)
+        self.places[name] = Place(host, zone)
         process_options = options.Options(
             role,
             name=name,
@@ -226,7 +226,7 @@
         """Start a worker and have the platform list it."""
         process = process_model.SimulatedProcess(self.world, name, self.machine(host, sorted(set(self.zones))[0]))
         runtime = process.runtime()
-        worker = self.workers[name] = SimulatedWorker(process, runtime, name, self.tape)
+        worker = self.workers[name] = SimulatedWorker(process, runtime, name, self.event_log)
         self.listen(process, addresses.WORKER_PORT, http_server.Server(runtime, worker.handle))
         self.platform.put(name, host=host, port=addresses.WORKER_PORT, pool=self.pool, state="ready")
 
@@ -239,35 +239,35 @@
 
     # ---- time ---------------------------------------------------------------------------
 
-    def go(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Let virtual time pass."""
         self.world.run(self.world.time + int(seconds * units.SECOND_US))
 
-    def until(self, condition: collections.abc.Callable[[], object], seconds: float) -> bool:
+    def advance_until(self, condition: collections.abc.Callable[[], object], seconds: float) -> bool:
         """Let time pass until a condition holds; False where it did not in time."""
         end = self.world.time + seconds * units.SECOND_US
         while not condition():
             if self.world.time >= end:
                 return False
-            self.go(STEP_SECONDS)
+            self.advance(STEP_SECONDS)
         return True
 
-    def until_called(self, deferred: defer.Deferred[typing.Any], seconds: float) -> bool:
+    def advance_until_called(self, deferred: defer.Deferred[typing.Any], seconds: float) -> bool:
         """Let time pass until a deferred has fired; False where it did not in time."""
-        return self.until(lambda: deferred.called, seconds)
+        return self.advance_until(lambda: deferred.called, seconds)
 
-    def until_ready(self, name: str, seconds: float) -> bool:
+    def advance_until_ready(self, name: str, seconds: float) -> bool:
         """Let time pass until a node is ready; False where it was not in time."""
-        return self.until(lambda: self.is_ready(name), seconds)
+        return self.advance_until(lambda: self.is_ready(name), seconds)
 
     def end(self) -> None:
         """End the run: let what is open end, and read the configuration back."""
-        self.until_called(self.load_done, self.seconds + 120)
-        self.go(2)  # the probes go on: a fresh request at every ready node after the last fault
+        self.advance_until_called(self.load_done, self.seconds + 120)
+        self.advance(2)  # the probes go on: a fresh request at every ready node after the last fault
         self.probing = False
-        self.go(9)
-        self.until_called(self.operator_runtime.spawn(self.operator.read(), log), 40)
-        self.tape.put(self.world.time, "ended")
+        self.advance(9)
+        self.advance_until_called(self.operator_runtime.spawn(self.operator.read(), log), 40)
+        self.event_log.put(self.world.time, "ended")
 
     # ---- what the faults aim at -------------------------------------------------------------
 
@@ -277,7 +277,7 @@
 
     def servers_in(self, zone: str) -> list[str]:
         """The names of the cores and nodes in a zone, sorted."""
-        return [name for name in sorted(self.servers()) if self.options[name].zone == zone]
+        return [name for name in sorted(self.servers()) if self.places[name].zone == zone]
 
     def is_ready(self, name: str) -> bool:
         """Whether a node told the platform last that it is ready."""
@@ -325,9 +325,9 @@
         for group in groups:
             match group:
                 case "cores":
-                    found += [self.options[name].host for name in self.cores]
+                    found += [self.places[name].host for name in self.cores]
                 case "nodes":
-                    found += [self.options[name].host for name in self.nodes]
+                    found += [self.places[name].host for name in self.nodes]
                 case "workers":
                     found += [worker.host for worker in self.workers.values()]
                 case "platform":
@@ -348,8 +348,8 @@
             role: Of the target; by default that of the process of this name.
         """
         role = role or self._role(target)
-        address = f"{self.options[target].host}:{addresses.HTTP_PORT}" if role in ("node", "link") else ""
-        self.tape.put(
+        address = f"{self.places[target].host}:{addresses.HTTP_PORT}" if role in ("node", "link") else ""
+        self.event_log.put(
             self.world.time,
             "fault",
             what=what,
@@ -368,4 +368,4 @@
 
     def repair(self, what: str, target: str) -> None:
         """Log that a fault of this target, or of "all", is over."""
-        self.tape.put(self.world.time, "mend", what=what, target=target)
+        self.event_log.put(self.world.time, "mend", what=what, target=target)
--- a/simulation/sweep.py
+++ b/simulation/sweep.py
@@ -40,8 +40,8 @@
     except Exception as error:  # a scenario that can't go on is a finding too
         return seed_runs.Outcome(job, {"crash": [repr(error)]}, {}, time.process_time() - started_at)
     if job.log:
-        pathlib.Path(job.log).write_text(cluster.tape.text())
-    complaints, rows_judged = replay.examine(cluster.tape.rows)
+        pathlib.Path(job.log).write_text(cluster.event_log.text())
+    complaints, rows_judged = replay.examine(cluster.event_log.rows)
     return seed_runs.Outcome(job, complaints, rows_judged, time.process_time() - started_at)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -52,7 +52,7 @@
         cluster = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0, short_rate=0, conversations=0, **options)
         cluster.probing = False
         cluster.begin()
-        cluster.go(seconds)
+        cluster.advance(seconds)
         return cluster
 
     return start
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -143,10 +143,10 @@
         runtime = self.cluster.operator_runtime
         point = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=2)
         opened = point.connect(protocol.Factory.forProtocol(Client))
-        self.cluster.until(lambda: opened.called, 3)
+        self.cluster.advance_until(lambda: opened.called, 3)
         client = opened.result
         client.transport.write(text.encode())
-        self.cluster.go(3)
+        self.cluster.advance(3)
         client.transport.abortConnection()
         return client.received
 
@@ -176,7 +176,7 @@
         """All requests."""
         with self.note("worker", stand_in_worker.Worker), self.note("platform", stand_in_platform.Platform):
             self.cluster.begin()
-            self.cluster.go(2)
+            self.cluster.advance(2)
             found = {"core": self.core_answers(), "node": self.node_answers()}
         return {**found, "requests": dict(sorted(self.requests.items()))}
 
@@ -240,16 +240,16 @@
     cluster = simulated_cluster.SimulatedCluster(4, "small", long_rate=0.5, short_rate=3, conversations=2, seconds=24)
     cluster.begin()
     actions.confirm_changes(cluster, 3, 3)
-    cluster.go(6)
+    cluster.advance(6)
     actions.kill(cluster, "n1", restart_after=2)
-    cluster.go(6)
+    cluster.advance(6)
     actions.kill(cluster, "c1", restart_after=2)
     operator = operator_model.Operator(cluster, cluster.operator_runtime, "numbers")
     numbered = {"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": cluster.pool}}}}
     cluster.operator_runtime.spawn(operator.submit_numbered(6, 5, numbered), simulated_cluster.log)
-    cluster.go(6)
+    cluster.advance(6)
     cluster.end()
-    return cluster.tape.rows
+    return cluster.event_log.rows
 
 
 def judged(rows: list[dict[str, typing.Any]]) -> dict[str, typing.Any]:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -96,7 +96,7 @@
     def made(self, **more: int) -> hollow_fleet.Fleet:
         fleet = hollow_fleet.Fleet(1, routes=10, **more)
         fleet.begin()
-        fleet.go(2)
+        fleet.advance(2)
         return fleet
 
     def test_a_complete_worker_list_goes_to_every_node_only_when_it_changes(self) -> None:
@@ -130,10 +130,10 @@
     def test_load_reports_are_sent_and_counted(self) -> None:
         fleet = hollow_fleet.Fleet(1, 4, 9, 2, 10, walking=False, election="node")
         fleet.begin()
-        fleet.go(2)
+        fleet.advance(2)
         quiet = fleet.by_role(fleet.metered(2))
         fleet.load_up(8.1, 2)
-        fleet.go(1)
+        fleet.advance(1)
         busy = fleet.by_role(fleet.metered(2))
         assert busy["node"]["out_bytes"] > quiet["node"]["out_bytes"] + 100, (quiet, busy)
         others = fleet.nodes["n1"].gateway.forwarder.placement_of("model-0").others
@@ -149,11 +149,11 @@
         def counted() -> tuple[int, bool]:
             return sum(e.running for e in estimates.values()), any(e.unread_tokens for e in estimates.values())
 
-        fleet.go(0.05)
+        fleet.advance(0.05)
         assert counted() == (1, True)
-        fleet.go(0.1)
+        fleet.advance(0.1)
         assert counted() == (1, False)
-        fleet.go(0.5)
+        fleet.advance(0.5)
         assert counted() == (0, False)
 
 
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -343,27 +343,29 @@
         cluster = simulated_cluster.SimulatedCluster(3, "small", long_rate=0, short_rate=0, conversations=0)
         cluster.probing = False
         cluster.begin()
-        cluster.go(1)
+        cluster.advance(1)
         for node in cluster.nodes.values():  # they only cost time here
             node.process.kill()
         name = cluster.tail().options.name
         cluster.cores[name].process.host.fail()
-        assert cluster.until(lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 2, 10)
+        assert cluster.advance_until(
+            lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 2, 10
+        )
         head = cluster.head()
         many = large_change(head.chain.latest_state.index + 1, pool="desk").changes
         msg = message.ProposeChange(head.consensus.view.number, "apply", "many", head.chain.latest_state.version, many)
         done = head.runtime.spawn(head.chain.answer(msg))
-        assert cluster.until(lambda: done.called, 10)
+        assert cluster.advance_until(lambda: done.called, 10)
         for k in range(self.AWAY_CHANGES):
             done = self.propose(cluster, k)
             while not done.called:
-                cluster.go(0.005)
+                cluster.advance(0.005)
             assert done.result.code == ""
         return cluster, name
 
     def catch_up(self, cluster: simulated_cluster.SimulatedCluster, name: str) -> tuple[float, float]:
         """Seconds until the member is synced again, and the longest time in which no change was taken meanwhile."""
-        cluster.start_core(name, *cluster.options[name])
+        cluster.start_core(name, *cluster.places[name])
         back, started_at = cluster.cores[name], cluster.world.time
         proposed, taken, last, longest, caught_up = [], 0, started_at, 0, None
         while cluster.world.time - started_at < 4 * SECOND or caught_up is None:
@@ -371,7 +373,7 @@
             proposal = self.propose(cluster, len(proposed))
             proposed += [proposal] if proposal is not None else []
             for _ in range(15):
-                cluster.go(0.01)
+                cluster.advance(0.01)
                 assert not (back.consensus.holds_lease() and not back.chain.is_synced())
                 if caught_up is None and back.chain.is_synced():
                     caught_up = cluster.world.time - started_at
@@ -390,7 +392,7 @@
         host = cluster.cores[name].process.host
         host.fail()
         host.synced.clear()
-        cluster.go(3)
+        cluster.advance(3)
         host.disk, host.slow_us = "slow", 150_000
         cluster.world.loss[host.host] = 0.05
         caught_up, longest = self.catch_up(cluster, name)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -36,11 +36,11 @@
         )
 
     def wait(self, cluster: simulated_cluster.SimulatedCluster, *deferreds: defer.Deferred[Any]) -> list[int]:
-        assert cluster.until(lambda: all(done.called for done in deferreds), 40)
+        assert cluster.advance_until(lambda: all(done.called for done in deferreds), 40)
         return [done.result for done in deferreds]
 
     def items(self, cluster: simulated_cluster.SimulatedCluster) -> dict[str, Any]:
-        assert cluster.until(lambda: cluster.tail() is not None, 10)
+        assert cluster.advance_until(lambda: cluster.tail() is not None, 10)
         return dict(cluster.tail().chain.committed_state.items)
 
     def test_one_of_two_on_the_same_number_is_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
@@ -80,7 +80,7 @@
         number = 0
         for k in range(6):
             done = self.start(cluster, number + 2, number, route(k))
-            cluster.go(cluster.rng.random() * 0.1)
+            cluster.advance(cluster.rng.random() * 0.1)
             victims = (
                 [cluster.head() or cluster.tail(), cluster.tail()][k % 2 : k % 2 + 1]
                 if k < 4
@@ -88,13 +88,13 @@
             )
             for core in [core for core in victims if core is not None]:
                 core.process.kill()
-            cluster.go(0.5 + cluster.rng.random())
+            cluster.advance(0.5 + cluster.rng.random())
             for name in [name for name, core in cluster.cores.items() if not core.process.alive]:
-                cluster.start_core(name, *cluster.options[name])
+                cluster.start_core(name, *cluster.places[name])
             assert self.wait(cluster, done) == [200], (seed, k)
             number += 2
             assert f"routes/r{k}" in self.items(cluster)
-            cluster.go(2)
+            cluster.advance(2)
 
     def take(self, cluster: simulated_cluster.SimulatedCluster, count: int) -> list[tuple[int, int, dict[str, Any]]]:
         """Numbered changes, one after the other; returns their (number, built on, content)."""
@@ -114,9 +114,9 @@
         assert self.wait(cluster, *(self.start(cluster, *order) for order in again)) == [200] * 5
         for core in cluster.cores.values():
             core.process.kill()
-        cluster.go(1)
+        cluster.advance(1)
         for name in cluster.cores:
-            cluster.start_core(name, *cluster.options[name])
+            cluster.start_core(name, *cluster.places[name])
         assert self.wait(cluster, *(self.start(cluster, *order) for order in again)) == [200] * 5
         assert self.wait(cluster, self.start(cluster, 1, 0, route(9))) == [409]
         assert configuration.operator_number(self.items(cluster)) == 24
@@ -169,7 +169,7 @@
         for node in cluster.nodes.values():
             node.process.kill()
         killed = cluster.world.time
-        cluster.go(1)
+        cluster.advance(1)
         assert self.wait(cluster, self.start(cluster, 1, 0, route(1))) == [200]
         assert lease_us - SECOND < cluster.world.time - killed < lease_us + SECOND // 2
         started_at = cluster.world.time
@@ -185,8 +185,8 @@
         ) == [200, 200]
         core = cluster.cores["c1"]
         core.process.host.fail()
-        cluster.go(1)
-        cluster.start_core("c1", *cluster.options["c1"])
+        cluster.advance(1)
+        cluster.start_core("c1", *cluster.places["c1"])
         assert self.wait(cluster, self.start(cluster, 3, 2, route(3))) == [200]
         assert "routes/r1" in self.items(cluster)
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -87,7 +87,7 @@
         cut = cluster.nodes["n1"]
         cluster.world.cut(cluster.hosts("cores"), [cut.options.host])
         got = confirm(cluster.tail())
-        assert cluster.until(lambda: got, 10)
+        assert cluster.advance_until(lambda: got, 10)
         assert not isinstance(got[0], errors.ServiceError)
         assert not cut.follower.session.lease.valid(cut.runtime.now())
         assert cut.follower.applied_index < got[0].version <= cluster.nodes["n2"].follower.applied_index
@@ -104,7 +104,7 @@
         ]
         others = [c.options.host for c in cluster.cores.values() if c is not head]
         cluster.world.cut([head.options.host], others)
-        cluster.go(1.2 + head.options.lease_us / SECOND)
+        cluster.advance(1.2 + head.options.lease_us / SECOND)
         assert head.lease.until <= head.runtime.now()
         assert [0] * len(cluster.nodes) == [
             head.lease.grant(node.me.id, head.runtime.now()) for node in cluster.nodes.values()
@@ -134,7 +134,7 @@
         nodes: list[server_model.SimulatedNode],
         address: tuple[str, int],
     ) -> None:
-        assert cluster.until(lambda: all(node.follower.session.address != address for node in nodes), 1.5)
+        assert cluster.advance_until(lambda: all(node.follower.session.address != address for node in nodes), 1.5)
         assert all(node.follower.session.lease.valid(node.runtime.now()) for node in nodes)
 
     def test_committed_changes_reach_nodes_through_a_core_machine_without_a_lease(
@@ -149,7 +149,7 @@
         other.tail_contact.answered_report = tail_contact.AnsweredReport()
         place = node.follower.applied_index
         got = confirm(tail)
-        assert cluster.until(lambda: got and node.follower.applied_index > place, 5)
+        assert cluster.advance_until(lambda: got and node.follower.applied_index > place, 5)
 
     def test_where_no_core_machine_answers_attempts_go_on_side_by_side(
         self, quiet_cluster: conftest.QuietCluster
@@ -158,7 +158,7 @@
         node = cluster.nodes["n1"]
         for server in cluster.cores.values():
             server.process.freeze()
-        cluster.go(1.5)
+        cluster.advance(1.5)
         assert 2 <= len(node.follower.session.attempts) <= core_session.MAX_ATTEMPTS
 
 
@@ -169,11 +169,11 @@
         cluster = quiet_cluster(seconds=2, serve_on=True)
         cut, peer = cluster.nodes["n1"], cluster.nodes["n2"]
         cluster.world.cut(cluster.hosts("cores"), [cut.options.host])
-        cluster.go(4)
+        cluster.advance(4)
         assert not cut.follower.configuration_may_be_stale()
         got = confirm(cluster.tail())
-        assert cluster.until(lambda: got, 10)
-        assert cluster.until(cut.follower.configuration_may_be_stale, 2)
+        assert cluster.advance_until(lambda: got, 10)
+        assert cluster.advance_until(cut.follower.configuration_may_be_stale, 2)
         assert peer.follower.applied_index > cut.follower.applied_index
         cluster.world.heal()
-        assert cluster.until(lambda: not cut.follower.configuration_may_be_stale() and cut.ready()[0], 5)
+        assert cluster.advance_until(lambda: not cut.follower.configuration_may_be_stale() and cut.ready()[0], 5)
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -65,13 +65,13 @@
     """Changes, and a core machine, a node and the pool's owner that end and come back."""
     cluster.begin()
     actions.confirm_changes(cluster, 6, 3)
-    cluster.go(6)
+    cluster.advance(6)
     for name in ("c1", "c2"):
         actions.kill(cluster, name, restart_after=2)
-        cluster.go(8)
+        cluster.advance(8)
     owner = cluster.owner()
     actions.kill(cluster, owner.options.name, restart_after=2)
-    cluster.go(10)
+    cluster.advance(10)
     cluster.end()
 
 
@@ -87,8 +87,8 @@
     with mixed_fleet(old) as codec:
         play(cluster)
     assert codec.failures == []
-    assert replay.judge(cluster.tape.rows) == {}
-    kinds = collections.Counter(row["kind"] for row in cluster.tape.rows)
+    assert replay.judge(cluster.event_log.rows) == {}
+    kinds = collections.Counter(row["kind"] for row in cluster.event_log.rows)
     assert kinds["whole"] > 200
     assert kinds["confirmed"] > 5
     expected = {"Pulse", "Prepare", "Promise", "Append", "Sessions", "Beat", "Join", "Elect", "Granted", "Copy"}
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -26,7 +26,7 @@
     def __init__(self, simulated: simulated_cluster.SimulatedCluster, core: str) -> None:
         self.cluster = simulated
         self.runtime = simulated.operator_runtime
-        self.place = f"{simulated.options[core][0]}:{addresses.HTTP_PORT}"
+        self.place = f"{simulated.places[core][0]}:{addresses.HTTP_PORT}"
         self.name = f"at-{core}"
         self.slowest = 0
 
@@ -48,7 +48,7 @@
         status, document, started_at = await self.query("GET", "/blueprint")
         if status == 200:
             row = dict(stamp=document["stamp"], blueprint=document["blueprint"], began=started_at, who=self.name)
-            self.cluster.tape.put(self.runtime.now(), "read", **row)
+            self.cluster.event_log.put(self.runtime.now(), "read", **row)
             number = document["blueprint"].get("marks", {}).get("operator", {}).get("number", 0)
             self.cluster.newest = max(self.cluster.newest, number)
         return status
@@ -57,9 +57,9 @@
         what = {"upsert": {"routes": {"r": {"path": path, "pool": self.cluster.pool}}}}
         self.cluster.numbered_calls += 1
         row = dict(call=f"{self.name}-{self.cluster.numbered_calls}", number=number, built_on=built_on)
-        self.cluster.tape.put(self.runtime.now(), "number_sent", content=path, **row)
+        self.cluster.event_log.put(self.runtime.now(), "number_sent", content=path, **row)
         status, _, _ = await self.query("POST", "/changes", {"number": number, "built_on": built_on, **what})
-        self.cluster.tape.put(self.runtime.now(), "numbered", status=status, **row)
+        self.cluster.event_log.put(self.runtime.now(), "numbered", status=status, **row)
         return status
 
     async def work(self, until: int) -> None:
@@ -86,23 +86,23 @@
         cluster.probing = False
         cluster.begin()
         cluster.newest = 0
-        cluster.go(2)
+        cluster.advance(2)
         chain = cluster.head().consensus.view.chain
         cut = next(c for c in cluster.cores.values() if c.consensus.own_voter.id == chain[place].id)
         others = [c.options.host for c in cluster.cores.values() if c is not cut]
         callers = [Caller(cluster, name) for name in cluster.cores]
         until = cluster.world.time + (CUT_SECONDS + 10) * SECOND
         work = [cluster.operator_runtime.spawn(caller.work(until), simulated_cluster.log) for caller in callers]
-        cluster.go(2 + cluster.rng.random())
+        cluster.advance(2 + cluster.rng.random())
         if outward:
             cluster.world.cut([cut.options.host], others, both=False)
         if inward:
             cluster.world.cut(others, [cut.options.host], both=False)
-        before = len(cluster.tape.rows)
-        cluster.go(CUT_SECONDS)
-        rows = cluster.tape.rows[before:]
+        before = len(cluster.event_log.rows)
+        cluster.advance(CUT_SECONDS)
+        rows = cluster.event_log.rows[before:]
         cluster.world.heal()
-        cluster.until(lambda: all(d.called for d in work), 30)
+        cluster.advance_until(lambda: all(d.called for d in work), 30)
         return cluster, callers, rows
 
     @pytest.mark.parametrize(
@@ -114,7 +114,7 @@
     ) -> None:
         case = (place, inward, outward)
         cluster, callers, during = self.play(40, *case)
-        assert history.complaints(cluster.tape.rows) == [], case
+        assert history.complaints(cluster.event_log.rows) == [], case
         assert any(r["kind"] == "numbered" and r["status"] == 200 for r in during), case
         assert any(r["kind"] == "read" for r in during), case
         assert max(caller.slowest for caller in callers) < SECOND, case
@@ -128,7 +128,7 @@
 
         monkeypatch.setattr(tail.Tail, "answer_read", look)
         cluster, _, _ = self.play(40, 2, True, True)
-        assert "read number" in "".join(history.complaints(cluster.tape.rows))
+        assert "read number" in "".join(history.complaints(cluster.event_log.rows))
 
     def test_without_a_read_at_the_tail_wrong_refusals_are_found(self, monkeypatch: pytest.MonkeyPatch) -> None:
         local_state_for = change_orders.ChangeOrders.local_state_for
@@ -138,9 +138,9 @@
             lambda self, order: local_state_for(self, order)._replace(read_at_tail=True),
         )
         cluster, _, _ = self.play(40, 2, True, True)
-        assert "refused" in "".join(history.complaints(cluster.tape.rows))
+        assert "refused" in "".join(history.complaints(cluster.event_log.rows))
 
     def test_five_machines_with_the_leader_cut_off(self) -> None:
         cluster, _, during = self.play(50, 0, True, True, cores=5)
-        assert history.complaints(cluster.tape.rows) == []
+        assert history.complaints(cluster.event_log.rows) == []
         assert any(r["kind"] == "numbered" and r["status"] == 200 for r in during)
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -155,7 +155,7 @@
         place = self.machine(host, zone)
         place.synced.update(self.disks_by_name[name])
         if name == self.missing:
-            self.options[name] = (host, zone)
+            self.places[name] = (host, zone)
             return
         super().start_core(name, host, zone)
         replicas = self.cores[name].session_replicas.by_pool
@@ -167,11 +167,11 @@
             operator = operator_model.Operator(self, self.operator_runtime, "reader")
             for _ in range(60):
                 done = self.operator_runtime.spawn(operator.query("GET", "/blueprint"), simulated_cluster.log)
-                self.until(lambda done=done: done.called, 10)
+                self.advance_until(lambda done=done: done.called, 10)
                 if done.result[0] == 200:
                     self.first_read = done.result[1]
                     break
-                self.go(0.3)
+                self.advance(0.3)
         document = msgspec.json.decode(msgspec.json.encode(self.first_read["blueprint"]))
         document["routes"]["probe"] = {"path": f"/p/{k}", "pool": self.pool}
         self.configuration = self.first_read["blueprint"]
@@ -192,7 +192,7 @@
     """Send one request of an operator: the status and the answer."""
     operator = operator_model.Operator(cluster, cluster.operator_runtime, "boss")
     done = cluster.operator_runtime.spawn(operator.query(method, path, document), simulated_cluster.log)
-    assert cluster.until(lambda: done.called, 20)
+    assert cluster.advance_until(lambda: done.called, 20)
     return done.result
 
 
--- a/tests/test_scenes.py
+++ b/tests/test_scenes.py
@@ -43,8 +43,8 @@
         _, complaints, _ = mutation_checks.play(job)
         return PlayedScenario(complaints, "")
     cluster = registry.play(scenario, seed, shape)
-    log = cluster.tape.text() if scenario == "calm" else ""
-    return PlayedScenario(replay.judge(cluster.tape.rows), log)
+    log = cluster.event_log.text() if scenario == "calm" else ""
+    return PlayedScenario(replay.judge(cluster.event_log.rows), log)
 
 
 def play_in_two_processes(job: mutation_checks.Job) -> list[PlayedScenario]:
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -65,7 +65,7 @@
     ) -> tuple[int, http_headers.Headers, bytes]:
         """Send one request and wait for its end: status, headers, body."""
         box = self.query(cluster, **more)
-        assert cluster.until(lambda: len(box) > 1 and box[1][3].called, 30)
+        assert cluster.advance_until(lambda: len(box) > 1 and box[1][3].called, 30)
         code, headers, receiver, _ = box[1]
         return code, headers, b"".join(receiver.parts)
 
@@ -75,12 +75,12 @@
     def test_a_session_is_released_after_a_minute_without_requests(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         self.answer(cluster, parts=("system", "talk"))
-        cluster.go(57)
+        cluster.advance(57)
         assert self.open_sessions(cluster) == 1
         self.answer(cluster, parts=("system", "talk"), node="n2")
-        cluster.go(57)
+        cluster.advance(57)
         assert self.open_sessions(cluster) == 1
-        cluster.go(10)
+        cluster.advance(10)
         assert self.open_sessions(cluster) == 0
 
     def test_a_prefix_that_everybody_shares_opens_no_session(self, quiet_cluster: conftest.QuietCluster) -> None:
@@ -107,11 +107,11 @@
     def test_a_client_that_goes_away_ends_the_run_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         box = self.query(cluster)
-        assert cluster.until(lambda: len(box) > 1 and box[1][2].first_at, 5)
+        assert cluster.advance_until(lambda: len(box) > 1 and box[1][2].first_at, 5)
         box[1][2].transport.stopProducing()
-        cluster.go(0.1)
-        assert [r["kind"] for r in cluster.tape.rows if r["kind"] in ("ran", "cut")] == ["cut"]
-        cluster.go(1)
+        cluster.advance(0.1)
+        assert [r["kind"] for r in cluster.event_log.rows if r["kind"] in ("ran", "cut")] == ["cut"]
+        cluster.advance(1)
         assert cluster.owner().pool_owners[cluster.pool].records.grants == {}
 
     def test_a_slow_client_slows_the_worker(
@@ -138,12 +138,12 @@
         monkeypatch.setattr(network_model.ConnectionSide, "producer_held", held, raising=False)
         assert held is not None
         box = self.query(cluster)
-        assert cluster.until(lambda: len(box) > 1 and box[1][2].first_at, 5)
+        assert cluster.advance_until(lambda: len(box) > 1 and box[1][2].first_at, 5)
         box[1][2].transport.pauseProducing()
-        cluster.go(5)
+        cluster.advance(5)
         assert sum(sent) < 12 * network_model.WINDOW_BYTES
         box[1][2].transport.resumeProducing()
-        assert cluster.until(lambda: box[1][3].called, 30)
+        assert cluster.advance_until(lambda: box[1][3].called, 30)
         assert sum(map(len, box[1][2].parts)) == 200 * 16_384
 
     def test_jumps_of_the_wall_clock_change_nothing(self) -> None:
@@ -158,7 +158,7 @@
                 cluster = simulated_cluster.SimulatedCluster(5, "small", seconds=5)
                 cluster.begin()
                 cluster.end()
-            tapes.append(cluster.tape.text())
+            tapes.append(cluster.event_log.text())
         assert len(tapes[0]) > 1000
         differ = tapes != [tapes[0]] * 3  # not compared within the assertion: a report of the difference takes minutes
         assert not differ
@@ -169,9 +169,9 @@
         document = cluster.with_probe(1)
         document["terms"]["default"]["lifetime_us"] = 10 * SECOND
         done = cluster.operator_runtime.spawn(cluster.operator.change(document), simulated_cluster.log)
-        assert cluster.until(lambda: done.called, 10)
+        assert cluster.advance_until(lambda: done.called, 10)
         self.answer(cluster, parts=("system", "talk"))
-        cluster.go(17)
+        cluster.advance(17)
         assert self.open_sessions(cluster) == 0
 
     def test_a_route_of_another_zone_is_not_known_here(self, quiet_cluster: conftest.QuietCluster) -> None:
@@ -191,7 +191,7 @@
         cluster = quiet_cluster()
         cluster.world.cut(["10.0.2.7"], cluster.hosts("cores"))
         cluster.start_node("n7", "10.0.2.7", "a")
-        cluster.go(3)
+        cluster.advance(3)
         assert not cluster.platform.readiness["n7"]
         code, _, body = self.answer(cluster, node="n7")
         assert (code, b"not_ready" in body, b"not_run" in body) == (503, True, True)
@@ -201,13 +201,13 @@
         for name in ("c2", "c3"):
             cluster.cores[name].process.host.disk = "full"
         done = cluster.operator_runtime.spawn(cluster.operator.change(cluster.with_probe(1)), simulated_cluster.log)
-        cluster.go(8)
+        cluster.advance(8)
         assert not done.called
         code, may = self.plan_refused(cluster)
         assert (code in ("too_few_copies", "no_chain"), may) == (True, "not_run")
         for name in ("c2", "c3"):
             cluster.cores[name].process.host.repair()
-        assert cluster.until(lambda: done.called, 20)
+        assert cluster.advance_until(lambda: done.called, 20)
         assert done.result > 0
 
     def test_a_machine_that_alone_promised_does_not_break_the_chain_for_good(
@@ -220,10 +220,10 @@
         consensus.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a short cut, in which its grant ran out
         prepare = message.Prepare(number, (1, consensus.own_voter.id), consensus.own_voter.id)
         cluster.operator_runtime.spawn(consensus.answer(prepare), simulated_cluster.log)
-        cluster.go(0.1)
+        cluster.advance(0.1)
         assert consensus.is_sealed()
         done = cluster.operator_runtime.spawn(cluster.operator.change(cluster.with_probe(1)), simulated_cluster.log)
-        assert cluster.until(lambda: done.called, 5)
+        assert cluster.advance_until(lambda: done.called, 5)
         assert done.result > 0
 
     def plan_refused(self, cluster: simulated_cluster.SimulatedCluster) -> list[str]:
@@ -235,7 +235,7 @@
             got.extend([document["code"], document["verdict"]])
 
         done = cluster.operator_runtime.spawn(go(), simulated_cluster.log)
-        assert cluster.until(lambda: done.called, 10)
+        assert cluster.advance_until(lambda: done.called, 10)
         return got
 
     def test_a_late_selection_that_was_given_up_gets_no_grant(self, quiet_cluster: conftest.QuietCluster) -> None:
@@ -260,7 +260,7 @@
             SECOND,
         )
         done = node.runtime.spawn(pool_owner.select_worker(msg), simulated_cluster.log)
-        cluster.go(1)
+        cluster.advance(1)
         assert done.result.code == "no_warden"
         assert pool_owner.records.claims == {}
 
@@ -286,7 +286,7 @@
             old.replicator.copy(message.ReplicateRecords(cluster.pool, old.assignment.term, node.me.id, [], [], [])),
             simulated_cluster.log,
         )
-        cluster.go(1)
+        cluster.advance(1)
         assert (done.result, old.is_live()) == (False, False)
 
     def test_a_pool_is_new_to_its_first_owner_however_often_it_queries(
@@ -298,7 +298,7 @@
         def had_an_owner(term: tuple[int, int]) -> bool:
             request = message.RecordsRequest("new", term, "n1")
             asked = core.runtime.spawn(core.session_replicas.collect(request), simulated_cluster.log)
-            cluster.go(0.1)
+            cluster.advance(0.1)
             assert asked.result.ok
             return asked.result.has_replica
 
@@ -312,7 +312,7 @@
             simulated_cluster.log,
         )
         node.on_update()
-        cluster.go(0.5)
+        cluster.advance(0.5)
         assert asked.result.ok
         node.on_update()
         assert node.peers.connections[(core.options.host, core.options.port)].up
@@ -334,7 +334,7 @@
         cluster = quiet_cluster()
         tail = cluster.tail()
         tail.process.freeze()
-        cluster.go(4)
+        cluster.advance(4)
         tail.process.frozen = False  # it runs again, before it has heard anything
         assert not tail.consensus.holds_lease()
         assert not tail.chain.tail.answer_read(message.ReadRequest(1)).ok
@@ -346,7 +346,7 @@
         for name, version in (("n8", ours + 1), ("n9", ours + 2)):
             cluster.versions[name] = version
             cluster.start_node(name, f"10.0.2.{name[1]}", "a")
-        cluster.go(5)
+        cluster.advance(5)
         assert (cluster.platform.readiness["n8"], cluster.platform.readiness["n9"]) == (True, False)
         assert self.answer(cluster, node="n8")[0] == 200
         assert "n9" not in [m.name for m in cluster.nodes["n1"].follower.membership.members]
@@ -357,7 +357,7 @@
         core.process.kill()
         core.process.host.synced[b"format"] = b"99"
         with pytest.raises(storage.DiskError):
-            cluster.start_core("c1", *cluster.options["c1"])
+            cluster.start_core("c1", *cluster.places["c1"])
 
     def test_open_plans_are_bounded_by_their_bytes(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
@@ -372,8 +372,8 @@
                 ),
                 simulated_cluster.log,
             )
-            assert cluster.until(lambda done=done: done.called, 5)
-        cluster.go(2)
+            assert cluster.advance_until(lambda done=done: done.called, 5)
+        cluster.advance(2)
         assert sum(p.size for p in chain.latest_state.plans.values()) <= 16 << 20
         assert sum(map(len, cluster.head().process.host.synced.values())) < 120 << 20
 
@@ -381,7 +381,7 @@
         cluster = quiet_cluster()
         node = cluster.nodes["n1"]
         node.process.freeze()
-        cluster.go(4)
+        cluster.advance(4)
         node.process.frozen = False
         assert node.follower.needs_rejoin()
         assert node.ready() == (False, "rejoining")
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -77,11 +77,11 @@
         started_at = cluster.world.time
         done = node.runtime.spawn(node.stop(), simulated_cluster.log)
         assert not node.ready()[0]
-        cluster.go(2.9)
+        cluster.advance(2.9)
         assert not node.refusing_requests
-        cluster.go(0.5)
+        cluster.advance(0.5)
         assert node.refusing_requests
-        assert cluster.until(lambda: done.called, 10)
+        assert cluster.advance_until(lambda: done.called, 10)
         assert 6.5 * SECOND < cluster.world.time - started_at < 7.5 * SECOND
 
     @pytest.mark.parametrize("serve_on", [True, False])
@@ -90,10 +90,10 @@
     ) -> None:
         cluster = quiet_cluster(serve_on=serve_on)
         cluster.world.cut(cluster.hosts("cores"), [cluster.nodes["n1"].options.host])
-        cluster.go(8)
+        cluster.advance(8)
         assert cluster.nodes["n1"].ready()[0] == serve_on
         cluster.world.heal()
-        assert cluster.until(lambda: cluster.nodes["n1"].ready()[0], 5)
+        assert cluster.advance_until(lambda: cluster.nodes["n1"].ready()[0], 5)
 
     def test_a_core_machine_that_stops_is_out_of_the_chain_before_it_goes(
         self, quiet_cluster: conftest.QuietCluster
@@ -103,13 +103,13 @@
             machine = at()
             started_at = cluster.world.time
             done = machine.runtime.spawn(machine.stop(), simulated_cluster.log)
-            assert cluster.until(lambda done=done: done.called, 5)
+            assert cluster.advance_until(lambda done=done: done.called, 5)
             assert cluster.world.time - started_at < SECOND
             machine.process.kill()
             others = [other for other in cluster.cores.values() if other is not machine]
             assert {len(other.consensus.view.chain) for other in others} == {2}
-            cluster.start_core(machine.options.name, *cluster.options[machine.options.name])
-            assert cluster.until(
+            cluster.start_core(machine.options.name, *cluster.places[machine.options.name])
+            assert cluster.advance_until(
                 lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 3, 5
             )
 
@@ -126,11 +126,11 @@
             machine.process.host.fail()
             machine.process.host.synced.clear()
         done = self.stop(head)
-        cluster.go(4.5)
+        cluster.advance(4.5)
         assert not done.called
         for machine in others:
-            cluster.start_core(machine.options.name, *cluster.options[machine.options.name])
-        cluster.go(3)
+            cluster.start_core(machine.options.name, *cluster.places[machine.options.name])
+        cluster.advance(3)
         assert not done.called  # two blank machines can't take it over: of the voters it is the only one
 
     def test_a_core_machine_hands_over_to_joining_members_that_are_still_catching_up(
@@ -147,20 +147,20 @@
         for machine in [machine for machine in cluster.cores.values() if machine is not head]:
             machine.process.host.fail()
             machine.process.host.synced.clear()
-            cluster.start_core(machine.options.name, *cluster.options[machine.options.name])
+            cluster.start_core(machine.options.name, *cluster.places[machine.options.name])
             joining_members.append(cluster.cores[machine.options.name])
             joining_members[-1].chain.answer = functools.partial(answer, real=joining_members[-1].chain.answer)
             identifier = joining_members[-1].consensus.own_voter.id
-            assert cluster.until(
+            assert cluster.advance_until(
                 lambda identifier=identifier: identifier in [other.id for other in head.consensus.view.chain], 10
             )
         assert len(head.consensus.view.chain) == 3
         done = self.stop(head)
-        cluster.go(5)
+        cluster.advance(5)
         assert not done.called
         assert not any(machine.chain.is_synced() for machine in joining_members)
         held.clear()
-        assert cluster.until(lambda: done.called, 5)
+        assert cluster.advance_until(lambda: done.called, 5)
         assert all(machine.chain.is_synced() for machine in joining_members)
 
     def test_a_core_machine_without_which_no_majority_is_left_stays_for_its_grace(
@@ -169,27 +169,29 @@
         cluster = quiet_cluster(grace_us=8 * SECOND)
         lost, leaving = cluster.tail(), cluster.head()
         lost.process.host.fail()
-        cluster.go(4)
+        cluster.advance(4)
         done = self.stop(leaving)
-        cluster.go(4.5)
+        cluster.advance(4.5)
         assert not done.called
         lost.process.host.synced.clear()
-        cluster.start_core(lost.options.name, *cluster.options[lost.options.name])
-        assert cluster.until(lambda: done.called, 3)
+        cluster.start_core(lost.options.name, *cluster.places[lost.options.name])
+        assert cluster.advance_until(lambda: done.called, 3)
         leaving.process.kill()
-        assert cluster.until(lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 2, 5)
+        assert cluster.advance_until(
+            lambda: cluster.tail() is not None and len(cluster.tail().consensus.view.chain) == 2, 5
+        )
 
     def test_a_fleet_whose_core_machines_all_stop_ends_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster(grace_us=8 * SECOND)
         stopping = [self.stop(machine) for machine in cluster.cores.values()]
-        cluster.go(1)
+        cluster.advance(1)
         assert [done.called for done in stopping] == [True] * 3
 
     def test_nodes_keep_their_session_in_their_own_zone_where_a_core_machine_serves_there(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(zones=["a", "a", "b", "c", "d"])
-        zones = {host: zone for host, zone in (cluster.options[name] for name in cluster.cores)}
+        zones = {host: zone for host, zone in (cluster.places[name] for name in cluster.cores)}
         assert sorted(zones.values()) == ["a", "b", "c"]
 
         def at_home() -> bool:
@@ -199,25 +201,25 @@
                 for node in cluster.nodes.values()
             )
 
-        assert cluster.until(at_home, 15)
+        assert cluster.advance_until(at_home, 15)
         machine = next(machine for machine in cluster.cores.values() if machine.options.zone == "a")
         machine.process.kill()
-        assert cluster.until(
+        assert cluster.advance_until(
             lambda: not at_home() and all(node.follower.session.is_established() for node in cluster.nodes.values()), 5
         )
-        cluster.go(5)
-        cluster.start_core(machine.options.name, *cluster.options[machine.options.name])
+        cluster.advance(5)
+        cluster.start_core(machine.options.name, *cluster.places[machine.options.name])
         members = set()
 
         def at_home_with_all() -> bool:
             members.add(len(next(iter(cluster.nodes.values())).follower.membership.members))
             return at_home()
 
-        assert cluster.until(at_home_with_all, 15)
-        cluster.go(3)
+        assert cluster.advance_until(at_home_with_all, 15)
+        cluster.advance(3)
         assert members | {len(cluster.tail().membership.latest.members)} == {5}
         moves = [node.follower.session.moves for node in cluster.nodes.values()]
-        cluster.go(30)
+        cluster.advance(30)
         assert [node.follower.session.moves for node in cluster.nodes.values()] == moves
 
     @pytest.mark.parametrize(("serve_on", "most"), [(True, 3), (False, 11)])
@@ -248,9 +250,9 @@
         holder = next(node for node in cluster.nodes.values() if node.follower.assignment("list").holder == node.me.id)
         holder.process.kill()
         del cluster.nodes[holder.options.name]
-        cluster.go(2)
+        cluster.advance(2)
         del asked[:]
-        cluster.go(10)
+        cluster.advance(10)
         assert all(
             node.follower.runtime.now() - node.follower.updated_at < 4 * SECOND for node in cluster.nodes.values()
         )
