--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -15,6 +15,16 @@
 TOKENS_A_STEP = 1000  # a change of the tokens to read that counts as much as one running request
 PACKED_ROW_BYTES = 5
 
+QUIET_TABLE_HEAD = (
+    "| fleet | role | loops/s | longest step, loops | messages in/s | B/s in | out/s | B/s out | writes to others/s |\n"
+    "|---|---|---|---|---|---|---|---|---|"
+)
+REPORTS_TABLE_HEAD = (
+    "| a telling every | told from a change of | rows a second | B/s into a node, as rows travel today "
+    "| packed, 5 B a row |\n"
+    "|---|---|---|---|---|"
+)
+
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
@@ -59,25 +69,21 @@
     :param out: file for the values
     """
     lines = measuring.Measurements()
-    print(
-        "| fleet | role | loops/s | longest step, loops | messages in/s | B/s in | out/s | B/s out "
-        "| writes to others/s |"
-    )
-    print("|---|---|---|---|---|---|---|---|---|")
+    print(QUIET_TABLE_HEAD)
     for shape in _shapes(sizes, listed, pools):
-        f = hollow_fleet.Fleet(
+        cluster = hollow_fleet.Fleet(
             seed, shape.nodes, shape.workers, shape.pools, routes, walking=walking, election=election
         )
-        f.begin()
+        cluster.begin()
         if rate:
-            f.load_up(rate, lasts)
-        f.advance(3)
-        rows = f.by_role(f.metered(seconds))
-        hollow_fleet.show(f"{shape.nodes} nodes, {shape.workers} workers, {shape.pools} pools", rows)
+            cluster.load_up(rate, lasts)
+        cluster.advance(3)
+        rows = cluster.by_role(cluster.metered(seconds))
+        hollow_fleet.print_rows(f"{shape.nodes} nodes, {shape.workers} workers, {shape.pools} pools", rows)
         for role, figures in rows.items():
             for what, value in figures.items():
                 lines.put(f"{role}: {what}", shape.by, hollow_fleet.UNITS[what], shape.size, value)
-    measuring.end(lines, out)
+    measuring.print_and_keep(lines, out)
 
 
 def _shapes(nodes: measuring.Sizes, workers: measuring.Sizes, pools: measuring.Sizes) -> list[Shape]:
@@ -112,38 +118,38 @@
     lines = measuring.Measurements()
     for seed in range(1, repeats + 1):
         for rate in rates:
-            f = _serving_fleet(seed, listed, election, rate, events[0])
-            _measure_streams(f, lines, "requests through nodes", "requests/s", size=rate, seconds=seconds)
+            cluster = _serving_fleet(seed, listed, election, rate, events[0])
+            _measure_streams(cluster, lines, "requests through nodes", "requests/s", size=rate, seconds=seconds)
         for count in events:
-            f = _serving_fleet(seed, listed, election, rates[0], count)
-            _measure_streams(f, lines, "events through nodes", "events/s", size=rates[0] * count, seconds=seconds)
-    measuring.end(lines, out)
+            cluster = _serving_fleet(seed, listed, election, rates[0], count)
+            _measure_streams(cluster, lines, "events through nodes", "events/s", size=rates[0] * count, seconds=seconds)
+    measuring.print_and_keep(lines, out)
 
 
 def _serving_fleet(seed: int, workers: int, election: str, rate: int, events: int) -> hollow_fleet.Fleet:
     """Four nodes that serve so many requests a second, with so many events each, and have done so for a while."""
-    f = hollow_fleet.Fleet(seed, 4, workers, 1, 10, walking=False, election=election)
-    f.configuration["routes"]["all"] = {"path": "/v1", "pool": "model-0", "terms": "t0"}
-    f.rates = (0, rate, 0)
-    f.begin()
-    for worker in f.workers.values():
+    cluster = hollow_fleet.Fleet(seed, 4, workers, 1, 10, walking=False, election=election)
+    cluster.configuration["routes"]["all"] = {"path": "/v1", "pool": "model-0", "terms": "t0"}
+    cluster.rates = (0, rate, 0)
+    cluster.begin()
+    for worker in cluster.workers.values():
         worker.short_tokens = events
-    f.advance(8)
-    return f
+    cluster.advance(8)
+    return cluster
 
 
 def _measure_streams(
-    f: hollow_fleet.Fleet, lines: measuring.Measurements, line: str, by: str, *, size: int, seconds: float
+    cluster: hollow_fleet.Fleet, lines: measuring.Measurements, line: str, by: str, *, size: int, seconds: float
 ) -> None:
-    before = _requests_seen(f)
-    figures = f.metered(seconds)
-    seen = (_requests_seen(f) - before) / seconds
-    lines.put(line, by, "loops", size, sum(figures[name]["loops"] for name in f.nodes))
+    before = _requests_seen(cluster)
+    figures = cluster.metered(seconds)
+    seen = (_requests_seen(cluster) - before) / seconds
+    lines.put(line, by, "loops", size, sum(figures[name]["loops"] for name in cluster.nodes))
     lines.put("requests seen", by, "/s", size, seen)
 
 
-def _requests_seen(f: hollow_fleet.Fleet) -> int:
-    return sum(node.gateway.counts["exchanges"] for node in f.nodes.values())
+def _requests_seen(cluster: hollow_fleet.Fleet) -> int:
+    return sum(node.gateway.counts["exchanges"] for node in cluster.nodes.values())
 
 
 class LoadChange(typing.NamedTuple):
@@ -188,18 +194,14 @@
     """
     changes = _load_changes(random.Random(seed), listed, rate, lasts, seconds)
     names = [worker.id for worker in samples.workers(listed)]
-    print(
-        "| a telling every | told from a change of | rows a second | B/s into a node, as rows travel today "
-        "| packed, 5 B a row |"
-    )
-    print("|---|---|---|---|---|")
+    print(REPORTS_TABLE_HEAD)
     for span in spans:
         for step in steps:
             told = _play_reports(changes, names, seconds, span, step)
             print(
-                f"| {span:g} s | {step} | {measuring.short(told.rows / seconds)} "
-                f"| {measuring.short(told.size / seconds)} "
-                f"| {measuring.short(PACKED_ROW_BYTES * told.rows / seconds)} |",
+                f"| {span:g} s | {step} | {measuring.three_digits(told.rows / seconds)} "
+                f"| {measuring.three_digits(told.size / seconds)} "
+                f"| {measuring.three_digits(PACKED_ROW_BYTES * told.rows / seconds)} |",
                 flush=True,
             )
 
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -52,7 +52,9 @@
         walking: bool = True,
         election: str = "warden",
     ) -> None:
-        document = configuration.unflatten(samples.items(max(routes, pools), pools=pools, election=election))
+        document = configuration.unflatten(
+            samples.configuration_items(max(routes, pools), pools=pools, election=election)
+        )
         super().__init__(
             seed,
             "small",
@@ -72,12 +74,12 @@
         if self.standing is None:
             self.standing = process_model.SimulatedProcess(self.world, "workers", self.machine("10.0.3.1", "zone0"))
             self.stand_in_runtime = self.standing.runtime()
-        k = len(self.workers)
-        w = self.workers[name] = simulated_cluster.SimulatedWorker(
+        number = len(self.workers)
+        worker = self.workers[name] = simulated_cluster.SimulatedWorker(
             self.standing, self.stand_in_runtime, name, self.event_log
         )
-        self.listen(self.standing, 9001 + k, http_server.Server(self.stand_in_runtime, w.handle))
-        self.platform.put(name, host="10.0.3.1", port=9001 + k, pool=f"model-{k % self.pools}", state="ready")
+        self.listen(self.standing, 9001 + number, http_server.Server(self.stand_in_runtime, worker.handle))
+        self.platform.put(name, host="10.0.3.1", port=9001 + number, pool=f"model-{number % self.pools}", state="ready")
 
     def start_node(self, name: str, host: str, zone: str) -> None:
         """Start a node, without its probes of workers unless the fleet has them."""
@@ -91,48 +93,52 @@
 
     def load_up(self, rate: float, lasts: float) -> None:
         """Let every node have so many sends a second under way, each for so many seconds; none of them is sent."""
-        for n in self.nodes.values():
+        for loaded in self.nodes.values():
             for _ in range(int(rate * lasts)):
-                n.runtime.spawn(self.stream(n, lasts * n.runtime.rng.random()), simulated_cluster.log)
-            n.runtime.spawn(self.arrivals(n, rate, lasts), simulated_cluster.log)
+                loaded.runtime.spawn(self.stream(loaded, lasts * loaded.runtime.rng.random()), simulated_cluster.log)
+            loaded.runtime.spawn(self.arrivals(loaded, rate, lasts), simulated_cluster.log)
 
-    async def arrivals(self, n: node.Node, rate: float, lasts: float) -> None:
+    async def arrivals(self, loaded: node.Node, rate: float, lasts: float) -> None:
         """One node's hollow sends."""
         while True:
-            await n.runtime.sleep(int(n.runtime.rng.expovariate(rate) * units.SECOND_US))
-            n.runtime.spawn(self.stream(n, lasts), simulated_cluster.log)
+            await loaded.runtime.sleep(int(loaded.runtime.rng.expovariate(rate) * units.SECOND_US))
+            loaded.runtime.spawn(self.stream(loaded, lasts), simulated_cluster.log)
 
-    async def stream(self, n: node.Node, lasts: float) -> None:
+    async def stream(self, loaded: node.Node, lasts: float) -> None:
         """One hollow send: counted where a real one would be."""
-        pool = f"model-{n.runtime.rng.randrange(self.pools)}"
-        place, names = n.gateway.forwarder.placement_of(pool), n.gateway.forwarder.ready(pool)
-        name = names[n.runtime.rng.randrange(len(names))]
-        tokens = place.begin(name, [], [], samples.LONG if n.runtime.rng.random() < samples.LONG_SHARE else 400)
-        await n.runtime.sleep(FIRST_EVENT_US)
+        pool = f"model-{loaded.runtime.rng.randrange(self.pools)}"
+        place, names = loaded.gateway.forwarder.placement_of(pool), loaded.gateway.forwarder.ready(pool)
+        name = names[loaded.runtime.rng.randrange(len(names))]
+        tokens = place.begin(name, [], [], samples.LONG if loaded.runtime.rng.random() < samples.LONG_SHARE else 400)
+        await loaded.runtime.sleep(FIRST_EVENT_US)
         place.first_event(name, tokens, FIRST_EVENT_US, FIRST_EVENT_US)  # as expected, so that estimates stay
-        await n.runtime.sleep(int(lasts * units.SECOND_US))
+        await loaded.runtime.sleep(int(lasts * units.SECOND_US))
         place.end(name, 0)
 
     def roles(self) -> dict[str, str]:
         """Each process's role now: tail, other core, lister, pool owner, node."""
-        r = max((n.follower.membership for n in self.nodes.values()), key=lambda r: r.version)
-        by_key = {d.key: d for d in r.assignments}
-        out = {name: "tail" if c.consensus.is_tail() else "core" for name, c in self.cores.items()}
-        names = {m.id: m.name for m in r.members}
-        out.update({m.name: "node" for m in r.members})
-        for d in r.assignments:
-            for i in [*d.copies, d.holder]:
-                if d.key.startswith("pool/"):
-                    out[names[i]] = "warden" if i == d.holder or out[names[i]] == "warden" else "copy"
-        out[names[by_key["list"].holder]] = "lister"
-        return out
+        membership = max(
+            (node.follower.membership for node in self.nodes.values()), key=lambda membership: membership.version
+        )
+        by_key = {assignment.key: assignment for assignment in membership.assignments}
+        roles = {name: "tail" if core.consensus.is_tail() else "core" for name, core in self.cores.items()}
+        names = {member.id: member.name for member in membership.members}
+        roles.update({member.name: "node" for member in membership.members})
+        for assignment in membership.assignments:
+            for identifier in [*assignment.copies, assignment.holder]:
+                if assignment.key.startswith("pool/"):
+                    roles[names[identifier]] = (
+                        "warden" if identifier == assignment.holder or roles[names[identifier]] == "warden" else "copy"
+                    )
+        roles[names[by_key["list"].holder]] = "lister"
+        return roles
 
     def metered(self, seconds: float) -> dict[str, Figures]:
         """Let time pass with the meter on; what each process took, sent, got and spent a second."""
         self.meter = processor_meter.Meter()
         gc.collect()
         gc.disable()
-        one = statistics.median(measuring.spent(measuring.loop) for _ in range(5))
+        one = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
         self.world.meter = self.meter
         self.advance(seconds)
         self.world.meter = None
@@ -179,12 +185,12 @@
         }
 
 
-def show(what: str, rows: dict[str, Figures]) -> None:
+def print_rows(what: str, rows: dict[str, Figures]) -> None:
     """Print what each role took.
 
-    >>> show("quiet", {})
+    >>> print_rows("quiet", {})
     """
     columns = ("loops", "step", "in", "in_bytes", "out", "out_bytes", "outer")
     for role, row in rows.items():
-        cells = [measuring.short(row[column]) for column in columns]
+        cells = [measuring.three_digits(row[column]) for column in columns]
         print("| " + " | ".join([what, role, *cells]) + " |", flush=True)
--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -50,69 +50,77 @@
 )  # of Cost, as the table shows them
 
 
-def _change(f: hollow_fleet.Fleet) -> None:
+def _change(cluster: hollow_fleet.Fleet) -> None:
     """A route is changed."""
-    done = f.operator_runtime.spawn(f.operator.change(f.with_probe(f.probe + 1)), simulated_cluster.log)
-    f.advance_until(lambda: done.called, LIMIT_S)
+    done = cluster.operator_runtime.spawn(
+        cluster.operator.change(cluster.with_probe(cluster.probe + 1)), simulated_cluster.log
+    )
+    cluster.advance_until(lambda: done.called, LIMIT_S)
 
 
-def _restart(f: hollow_fleet.Fleet) -> None:
+def _restart(cluster: hollow_fleet.Fleet) -> None:
     """A node that has no role ends, and another incarnation of it starts."""
-    ordinary = [node for name, node in f.nodes.items() if f.roles()[name] == "node"] or list(f.nodes.values())
+    ordinary = [node for name, node in cluster.nodes.items() if cluster.roles()[name] == "node"] or list(
+        cluster.nodes.values()
+    )
     name = ordinary[0].options.name
-    host, zone = f.places[name]
+    host, zone = cluster.places[name]
     ordinary[0].process.kill()
-    f.advance(0.1)
-    f.start_node(name, host, zone)
-    f.advance_until(lambda: all(f.nodes[name].member.id in _members(node) for node in _live(f)), LIMIT_S)
+    cluster.advance(0.1)
+    cluster.start_node(name, host, zone)
+    cluster.advance_until(
+        lambda: all(cluster.nodes[name].member.id in _members(node) for node in _live(cluster)), LIMIT_S
+    )
 
 
-def _worker(f: hollow_fleet.Fleet) -> None:
+def _worker(cluster: hollow_fleet.Fleet) -> None:
     """A worker leaves."""
-    f.platform.put("w1", state="leaving")
-    f.advance_until(
+    cluster.platform.put("w1", state="leaving")
+    cluster.advance_until(
         lambda: all(
             node.follower.state("w1") == "leaving" and node.follower.membership.workers[0].state == "leaving"
-            for node in _live(f)
+            for node in _live(cluster)
         ),
         LIMIT_S,
     )
 
 
-def _zone(f: hollow_fleet.Fleet) -> None:
+def _zone(cluster: hollow_fleet.Fleet) -> None:
     """The nodes of a zone lose power."""
-    lost = [node for node in f.nodes.values() if node.member.zone == LOST_ZONE]
+    lost = [node for node in cluster.nodes.values() if node.member.zone == LOST_ZONE]
     gone = {node.member.id for node in lost}
     for node in lost:
         node.process.host.fail()
-    f.advance_until(lambda: all(not gone & _members(node) for node in _live(f)), LIMIT_S)
+    cluster.advance_until(lambda: all(not gone & _members(node) for node in _live(cluster)), LIMIT_S)
 
 
-def _tail(f: hollow_fleet.Fleet) -> None:
+def _tail(cluster: hollow_fleet.Fleet) -> None:
     """The tail ends."""
-    tail = f.tail()
+    tail = cluster.tail()
     assert tail is not None
     assert tail.consensus.view is not None
     was = tail.consensus.view.number
     tail.process.kill()
-    f.advance_until(
+    cluster.advance_until(
         lambda: all(
-            node.follower.membership.version[0] > was and node.follower.session.is_established() for node in _live(f)
+            node.follower.membership.version[0] > was and node.follower.session.is_established()
+            for node in _live(cluster)
         ),
         LONG_LIMIT_S,
     )
 
 
-def _cut(f: hollow_fleet.Fleet) -> None:
+def _cut(cluster: hollow_fleet.Fleet) -> None:
     """A third of the nodes is cut off from the core and from the rest for ten seconds."""
-    some = [node.process.host.host for node in f.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
-    rest = [host for host in f.world.machines if host not in some]
-    f.world.cut(some, rest)
-    f.advance(CUT_S)
-    f.world.heal()
-    f.advance_until(
+    some = [node.process.host.host for node in cluster.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
+    rest = [host for host in cluster.world.machines if host not in some]
+    cluster.world.cut(some, rest)
+    cluster.advance(CUT_S)
+    cluster.world.heal()
+    cluster.advance_until(
         lambda: all(
-            len(_members(node)) == len(f.nodes) and node.follower.session.is_established() for node in _live(f)
+            len(_members(node)) == len(cluster.nodes) and node.follower.session.is_established()
+            for node in _live(cluster)
         ),
         LONG_LIMIT_S,
     )
@@ -129,8 +137,8 @@
 }
 
 
-def _live(f: hollow_fleet.Fleet) -> list[server_model.SimulatedNode]:
-    return [node for node in f.nodes.values() if node.process.alive]
+def _live(cluster: hollow_fleet.Fleet) -> list[server_model.SimulatedNode]:
+    return [node for node in cluster.nodes.values() if node.process.alive]
 
 
 def _members(node: server_model.SimulatedNode) -> set[str]:
@@ -181,7 +189,7 @@
                 _keep(lines, what, size, cost)
             print(_row(what, size, costs), flush=True)
     print()
-    measuring.end(lines, out)
+    measuring.print_and_keep(lines, out)
 
 
 def _keep(lines: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
@@ -201,24 +209,24 @@
 def _row(what: str, nodes: int, costs: list[Cost]) -> str:
     """The row of the table: medians over the seeds."""
     times = [cost.ms for cost in costs]
-    medians = [measuring.short(statistics.median(getattr(cost, column) for cost in costs)) for column in COLUMNS]
+    medians = [measuring.three_digits(statistics.median(getattr(cost, column) for cost in costs)) for column in COLUMNS]
     spread = f"{statistics.median(times):.0f} ({min(times):.0f} to {max(times):.0f})"
     return f"| {what} | {nodes} | {spread} | " + " | ".join(medians) + " |"
 
 
-def lost(f: hollow_fleet.Fleet, what: str) -> Cost:
+def lost(cluster: hollow_fleet.Fleet, what: str) -> Cost:
     """What it costs a fleet that something happens, beyond its quiet."""
-    f.begin()
-    f.advance(SETTLE_S)
-    membership_bytes = _membership_bytes(f)
-    quiet, quiet_between = f.metered(QUIET_S), f.between(QUIET_S)
-    one = statistics.median(measuring.spent(measuring.loop) for _ in range(5))
-    took = _play(f, EVENTS[what])
-    live = [name for name in quiet if f.world.processes[name].alive]
-    nodes = [name for name in live if name in f.nodes]
-    into = _bytes_into(f, set(quiet))
-    loops = {name: f.meter.spent[name] / one - quiet[name]["loops"] * took for name in live}
-    between = f.between(1)
+    cluster.begin()
+    cluster.advance(SETTLE_S)
+    membership_bytes = _membership_bytes(cluster)
+    quiet, quiet_between = cluster.metered(QUIET_S), cluster.between(QUIET_S)
+    one = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
+    took = _play(cluster, EVENTS[what])
+    live = [name for name in quiet if cluster.world.processes[name].alive]
+    nodes = [name for name in live if name in cluster.nodes]
+    into = _bytes_into(cluster, set(quiet))
+    loops = {name: cluster.meter.spent[name] / one - quiet[name]["loops"] * took for name in live}
+    between = cluster.between(1)
     beyond = {way: between[way] - quiet_between[way] * took for way in between}
     return Cost(
         membership_bytes,
@@ -227,33 +235,33 @@
         core_to_node=beyond["core node"],
         node_to_node=beyond["node node"],
         into_node=statistics.median(into.get(name, 0) - quiet[name]["in_bytes"] * took for name in nodes),
-        busiest_core=max(loops[name] for name in live if name in f.cores),
+        busiest_core=max(loops[name] for name in live if name in cluster.cores),
         node=statistics.median(loops[name] for name in nodes),
-        longest_step=max(f.meter.longest[name] for name in nodes) / one,
+        longest_step=max(cluster.meter.longest[name] for name in nodes) / one,
     )
 
 
-def _membership_bytes(f: hollow_fleet.Fleet) -> int:
-    update = message.MembershipUpdate(next(iter(f.nodes.values())).follower.membership)
+def _membership_bytes(cluster: hollow_fleet.Fleet) -> int:
+    update = message.MembershipUpdate(next(iter(cluster.nodes.values())).follower.membership)
     return len(wire.encoder.encode(wire.Envelope(0, 0, update)))
 
 
-def _play(f: hollow_fleet.Fleet, event: collections.abc.Callable[[hollow_fleet.Fleet], None]) -> float:
+def _play(cluster: hollow_fleet.Fleet, event: collections.abc.Callable[[hollow_fleet.Fleet], None]) -> float:
     """Let something happen with the meter on; how many seconds it took until all know."""
-    started_at = f.world.time
-    f.world.meter = f.meter = processor_meter.Meter()
+    started_at = cluster.world.time
+    cluster.world.meter = cluster.meter = processor_meter.Meter()
     gc.collect()
     gc.disable()
-    event(f)
-    f.world.meter = None
+    event(cluster)
+    cluster.world.meter = None
     gc.enable()
-    return (f.world.time - started_at) / units.SECOND_US
+    return (cluster.world.time - started_at) / units.SECOND_US
 
 
-def _bytes_into(f: hollow_fleet.Fleet, servers: set[str]) -> dict[str, int]:
+def _bytes_into(cluster: hollow_fleet.Fleet, servers: set[str]) -> dict[str, int]:
     """Bytes that the meter counted from cores and nodes to each process."""
     into: dict[str, int] = {}
-    for (sender, receiver), (_, size) in f.meter.sent.items():
+    for (sender, receiver), (_, size) in cluster.meter.sent.items():
         if sender in servers:
             into[receiver] = into.get(receiver, 0) + size
     return into
--- a/benchmarks/capacity/measuring.py
+++ b/benchmarks/capacity/measuring.py
@@ -30,41 +30,41 @@
     return x
 
 
-def spent(f: collections.abc.Callable[[], object], least: int = LEAST_NS) -> float:
-    """Nanoseconds of this thread's time that one call of f takes, over as many as fill the least time.
+def nanoseconds_per_call(call: collections.abc.Callable[[], object], least: int = LEAST_NS) -> float:
+    """Nanoseconds of this thread's time that a call takes, over as many calls as fill the least time.
 
-    >>> spent(loop, 1000) > 0
+    >>> nanoseconds_per_call(loop, 1000) > 0
     True
     """
-    f()
+    call()
     calls, total = 0, 0
     while total < least:
         started_at = time.thread_time_ns()
-        f()
+        call()
         total += time.thread_time_ns() - started_at
         calls += 1
     return total / calls
 
 
-def ratio(f: collections.abc.Callable[[], object], least: int = LEAST_NS) -> float:
-    """Processor time of f in loops.
+def loops_per_call(call: collections.abc.Callable[[], object], least: int = LEAST_NS) -> float:
+    """Processor time of a call, in loops.
 
-    >>> ratio(loop, 1000) > 0
+    >>> loops_per_call(loop, 1000) > 0
     True
     """
     gc.collect()
     gc.disable()
     try:
-        one = spent(loop, least)
-        return spent(f, least) / one
+        one = nanoseconds_per_call(loop, least)
+        return nanoseconds_per_call(call, least) / one
     finally:
         gc.enable()
 
 
-def held(make: collections.abc.Callable[[], object]) -> int:
+def allocated_bytes(make: collections.abc.Callable[[], object]) -> int:
     """Bytes that stay allocated for what make() returns.
 
-    >>> held(lambda: bytes(100_000)) > 100_000
+    >>> allocated_bytes(lambda: bytes(100_000)) > 100_000
     True
     """
     gc.collect()
@@ -129,10 +129,10 @@
             if len(sizes) < 2:
                 continue
             slope, least, most, base, good = self.fit(line, by)
-            seen = ", ".join(f"{x} ({short(statistics.median(v))})" for x, v in sorted(sizes.items()))
+            seen = ", ".join(f"{x} ({three_digits(statistics.median(v))})" for x, v in sorted(sizes.items()))
             out.append(
-                f"| {line} | {by} | {short(slope)} {unit} | {short(least)} to {short(most)} "
-                f"| {short(base)} | {good:.3f} | {seen} |"
+                f"| {line} | {by} | {three_digits(slope)} {unit} | {three_digits(least)} to {three_digits(most)} "
+                f"| {three_digits(base)} | {good:.3f} | {seen} |"
             )
         return "\n".join(out)
 
@@ -157,22 +157,22 @@
         self.measurements.put(line, self.by, "loops", self.size, value)
 
 
-def short(x: float) -> str:
+def three_digits(value: float) -> str:
     """A figure with three digits that count.
 
-    >>> short(0.0123456), short(1234567), short(42)
+    >>> three_digits(0.0123456), three_digits(1234567), three_digits(42)
     ('0.0123', '1,230,000', '42')
     """
-    if abs(x) >= 100:
-        digits = len(str(int(abs(x)))) - 3
-        return f"{round(x, -digits):,.0f}"
-    return f"{x:.3g}"
+    if abs(value) >= 100:
+        digits = len(str(int(abs(value)))) - 3
+        return f"{round(value, -digits):,.0f}"
+    return f"{value:.3g}"
 
 
-def end(lines: Measurements, out: str) -> None:
-    """Print the table; with a file's name, keep the values there too."""
+def print_and_keep(lines: Measurements, out: str) -> None:
+    """Print the table; with a file's name, write the values there too."""
     print(lines.table(), flush=True)
-    one = statistics.median(spent(loop) for _ in range(5))
+    one = statistics.median(nanoseconds_per_call(loop) for _ in range(5))
     print(f"\nOne loop (1000 rounds) took {one / 1000:.1f} us here.")
     if out:
         rows = [[*key, unit, sizes] for key, (unit, sizes) in lines.rows.items()]
--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -40,19 +40,21 @@
             _measure_membership(lines.point("pools", pool_count), samples.memberships(8, 36, pool_count))
         for workers in listed:
             _measure_listing(lines.point("workers", workers), samples.workers(workers))
-    measuring.end(lines, out)
+    measuring.print_and_keep(lines, out)
 
 
 def _measure_membership(point: measuring.Point, membership: message.Membership) -> None:
     raw = wire.encoder.encode(wire.Envelope(wire.FrameKind.TELL, 0, message.MembershipUpdate(membership)))
     point.put_bytes("a membership on the wire", len(raw))
-    point.put_loops("a membership read", measuring.ratio(lambda: wire.decoder.decode(raw)))
+    point.put_loops("a membership read", measuring.loops_per_call(lambda: wire.decoder.decode(raw)))
     point.put_loops(
         "a membership written",
-        measuring.ratio(lambda: wire.encoder.encode(wire.Envelope(0, 0, message.MembershipUpdate(membership)))),
+        measuring.loops_per_call(
+            lambda: wire.encoder.encode(wire.Envelope(0, 0, message.MembershipUpdate(membership)))
+        ),
     )
-    point.put_loops("a membership taken at a node, nothing changed", measuring.ratio(_repeated_update(raw)))
-    point.put_bytes("a membership held at a node", measuring.held(lambda: _node_with_membership(raw)))
+    point.put_loops("a membership taken at a node, nothing changed", measuring.loops_per_call(_repeated_update(raw)))
+    point.put_bytes("a membership held at a node", measuring.allocated_bytes(lambda: _node_with_membership(raw)))
 
 
 def _decode_membership(raw: bytes) -> message.Membership:
@@ -64,11 +66,11 @@
 def _repeated_update(raw: bytes) -> collections.abc.Callable[[], None]:
     """What applies a membership at a node, at each call under a newer version."""
     other = _decode_membership(raw)
-    n, version = samples.hollow(), [17]
+    idle_node, version = samples.idle_node(), [17]
 
     def take() -> None:
         version[0] += 1
-        n.follower.apply_membership(
+        idle_node.follower.apply_membership(
             message.Membership(
                 (3, version[0]), other.members, other.workers, other.assignments, other.cores, (3, 1, version[0])
             )
@@ -78,7 +80,7 @@
 
 
 def _node_with_membership(raw: bytes) -> node.Node:
-    made = samples.hollow()
+    made = samples.idle_node()
     made.follower.apply_membership(_decode_membership(raw))
     return made
 
@@ -89,19 +91,20 @@
     envelope = wire.Envelope(wire.FrameKind.TELL, 0, listing)
     raw = wire.encoder.encode(envelope)
     point.put_bytes("a worker list on the wire", len(raw))
-    point.put_loops("a worker list written", measuring.ratio(lambda: wire.encoder.encode(envelope)))
-    point.put_loops("a worker list read", measuring.ratio(lambda: wire.decoder.decode(raw)))
-    n = samples.hollow()
-    n.follower.apply_listing(message.WorkerListing(workers, LIST_VERSION))
+    point.put_loops("a worker list written", measuring.loops_per_call(lambda: wire.encoder.encode(envelope)))
+    point.put_loops("a worker list read", measuring.loops_per_call(lambda: wire.decoder.decode(raw)))
+    idle_node = samples.idle_node()
+    idle_node.follower.apply_listing(message.WorkerListing(workers, LIST_VERSION))
     same = _decode_listing(raw)
     point.put_loops(
-        "a worker list taken at a node, nothing changed", measuring.ratio(lambda: n.follower.apply_listing(same))
+        "a worker list taken at a node, nothing changed",
+        measuring.loops_per_call(lambda: idle_node.follower.apply_listing(same)),
     )
     page = _platform_page(workers)
     point.put_bytes("the platform's list", len(page))
     point.put_loops(
         "the platform's list read",
-        measuring.ratio(lambda: n.follower.platform.confirm_removals(edge_protocol.workers(page))),
+        measuring.loops_per_call(lambda: idle_node.follower.platform.confirm_removals(edge_protocol.workers(page))),
     )
 
 
@@ -149,7 +152,7 @@
                 _measure_manager(lines.point("members", members), manager, _report(members), pool_count)
         for members in sizes:
             _measure_report(lines.point("members", members), _report(members))
-    measuring.end(lines, out)
+    measuring.print_and_keep(lines, out)
 
 
 def _report(members: int) -> message.NodeSessionsReport:
@@ -162,9 +165,10 @@
     report: message.NodeSessionsReport,
     pools: int,
 ) -> None:
-    point.put_loops(f"a look for news at the tail, {pools} pools", measuring.ratio(manager.issue_if_changed))
+    point.put_loops(f"a look for news at the tail, {pools} pools", measuring.loops_per_call(manager.issue_if_changed))
     point.put_loops(
-        f"a core's word taken at the tail, {pools} pools", measuring.ratio(lambda: manager.apply_report(report))
+        f"a core's word taken at the tail, {pools} pools",
+        measuring.loops_per_call(lambda: manager.apply_report(report)),
     )
 
 
@@ -173,5 +177,5 @@
     point.put_bytes("a core's word on the wire", len(raw))
     point.put_loops(
         "a core's word written and read",
-        measuring.ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(0, 0, report)))),
+        measuring.loops_per_call(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(0, 0, report)))),
     )
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -39,12 +39,12 @@
     for _ in range(repeats):
         for size in sizes:
             _measure_routes(lines.point("routes", size))
-    measuring.end(lines, out)
+    measuring.print_and_keep(lines, out)
 
 
 def _measure_routes(point: measuring.Point) -> None:
     """A configuration and the change of one of its routes, from the operator to a node."""
-    before = samples.items(point.size)
+    before = samples.configuration_items(point.size)
     after = {**before, "routes/r1": {**before["routes/r1"], "path": "/moved/"}}
     change = configuration.difference(before, after)
     _measure_plan(point, before, after)
@@ -64,7 +64,7 @@
     point.put_bytes("a whole configuration as the operator sends it", len(raw))
     point.put_loops(
         "a plan of a whole configuration: read, checked, compared, named",
-        measuring.ratio(
+        measuring.loops_per_call(
             lambda: configuration.describe(had, configuration.difference(had, configuration.flatten(json.loads(raw))))
         ),
     )
@@ -76,11 +76,11 @@
     """What a core machine does with the state before and after the plan of a change."""
     point.put_loops(
         "a confirm applied, one route changed",
-        measuring.ratio(lambda: two.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
+        measuring.loops_per_call(lambda: two.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
     )
     point.put_bytes("a frame on a core's disk", len(snapshot_format.encode(ledger)))
-    point.put_loops("a frame written", measuring.ratio(lambda: snapshot_format.encode(ledger)))
-    two_slices = measuring.ratio(
+    point.put_loops("a frame written", measuring.loops_per_call(lambda: snapshot_format.encode(ledger)))
+    two_slices = measuring.loops_per_call(
         lambda: configuration.difference(
             configuration.slice_for_node(ledger.items, "zone0"),
             configuration.slice_for_node(two.items, "zone0"),
@@ -90,23 +90,25 @@
 
 
 def _measure_slice_at_node(point: measuring.Point, node_slice: Items, change: list[configuration.ItemChange]) -> None:
-    n = samples.hollow()
-    n.follower.apply_items(1, node_slice, is_snapshot=True)
+    idle_node = samples.idle_node()
+    idle_node.follower.apply_items(1, node_slice, is_snapshot=True)
     place = [1]
 
     def take() -> None:
         place[0] += 1
-        n.follower.apply_items(place[0], dict(change), is_snapshot=False)
+        idle_node.follower.apply_items(place[0], dict(change), is_snapshot=False)
 
-    point.put_loops("a change of one route taken at a node", measuring.ratio(take))
-    point.put_bytes("a slice held at a node", measuring.held(lambda: _node_with_slice(node_slice)))
+    point.put_loops("a change of one route taken at a node", measuring.loops_per_call(take))
+    point.put_bytes("a slice held at a node", measuring.allocated_bytes(lambda: _node_with_slice(node_slice)))
     last = point.size - 1
     path = f"/{last:06x}/{last % 97:02x}/x"
-    point.put_loops("a request's route found", measuring.ratio(lambda: n.follower.find_route("host.example", path)))
+    point.put_loops(
+        "a request's route found", measuring.loops_per_call(lambda: idle_node.follower.find_route("host.example", path))
+    )
 
 
 def _node_with_slice(node_slice: Items) -> node.Node:
-    made = samples.hollow()
+    made = samples.idle_node()
     made.follower.apply_items(1, msgspec.msgpack.decode(msgspec.msgpack.encode(node_slice)), is_snapshot=True)
     return made
 
@@ -136,28 +138,30 @@
         for size in listed:
             _measure_picks(lines, size)
         for size in keys:
-            _measure_held(lines.point("parts ranked", size), "ranks held, 90 workers", lambda k: ranked(k, 90))
+            _measure_held(
+                lines.point("parts ranked", size), "ranks held, 90 workers", lambda k: placement_with_rankings(k, 90)
+            )
         for size in parts:
-            _measure_held(lines.point("parts", size), "parts held of the workers at a node", kept)
+            _measure_held(lines.point("parts", size), "parts held of the workers at a node", placement_with_parts)
         for size in FIRST_TURNS:
-            _measure_held(lines.point("first turns", size), "first turns held at a node", tried)
+            _measure_held(lines.point("first turns", size), "first turns held at a node", placement_with_first_turns)
         for size in sizes:
-            _measure_held(lines.point("sessions", size), "sessions held at a node", samples.session_messages)
+            _measure_held(lines.point("sessions", size), "sessions held at a node", samples.session_table)
         for size in pools:
             _measure_sweep(lines.point("pools", size))
-    measuring.end(lines, out)
+    measuring.print_and_keep(lines, out)
 
 
 def _measure_held(point: measuring.Point, line: str, make: collections.abc.Callable[[int], object]) -> None:
-    point.put_bytes(line, measuring.held(lambda: make(point.size)))
+    point.put_bytes(line, measuring.allocated_bytes(lambda: make(point.size)))
 
 
 def _measure_picks(lines: measuring.Measurements, workers: int) -> None:
     """The choice of a worker at a node, and what it knows of the workers for that."""
     pool = configuration.Pool(cap=0, election="node", batch=64)
     shared = types.SimpleNamespace(sizes=[13_300, 800, 92, 291])
-    n = active(workers)
-    place, names = n.gateway.forwarder.placement_of("model-0"), n.gateway.forwarder.ready("model-0")
+    idle_node = node_with_workers(workers)
+    place, names = idle_node.gateway.forwarder.placement_of("model-0"), idle_node.gateway.forwarder.ready("model-0")
     place.take([(name, 22, 900, 0) for name in names], True)
     cut = placement.chain([f"{k:08x}" for k in range(4)])
     place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())
@@ -172,54 +176,60 @@
     point = lines.point("workers of the pool", workers)
     point.put_loops(
         "a worker chosen at a node, its parts ranked before",
-        measuring.ratio(lambda: place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())),
+        measuring.loops_per_call(lambda: place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())),
     )
-    point.put_loops("a worker chosen at a node, a part never ranked", measuring.ratio(fresh))
+    point.put_loops("a worker chosen at a node, a part never ranked", measuring.loops_per_call(fresh))
     point = lines.point("workers", workers)
     point.put_loops(
-        "the ready workers listed for an election", measuring.ratio(lambda: n.gateway.forwarder.ready("model-0"))
+        "the ready workers listed for an election",
+        measuring.loops_per_call(lambda: idle_node.gateway.forwarder.ready("model-0")),
+    )
+    point.put_bytes(
+        "others' loads held", measuring.allocated_bytes(lambda: {k: (22, 900, 0) for k in map(str.upper, names)})
     )
-    point.put_bytes("others' loads held", measuring.held(lambda: {k: (22, 900, 0) for k in map(str.upper, names)}))
 
 
 def _measure_sweep(point: measuring.Point) -> None:
-    n = active(LARGEST_POOL, point.size)
+    idle_node = node_with_workers(LARGEST_POOL, point.size)
     for k in range(point.size):
-        n.gateway.forwarder.placement_of(f"model-{k}")
-    point.put_loops("the sweep of a node's placements, 2600 workers", measuring.ratio(lambda: swept(n)))
+        idle_node.gateway.forwarder.placement_of(f"model-{k}")
+    point.put_loops(
+        "the sweep of a node's placements, 2600 workers", measuring.loops_per_call(lambda: sweep_placements(idle_node))
+    )
 
 
-def active(w: int, p: int = 1) -> node.Node:
-    """A hollow node that knows w workers of p pools.
+def node_with_workers(worker_count: int, pool_count: int = 1) -> node.Node:
+    """A node, none of whose tasks runs, that knows so many workers.
 
-    >>> active(3).gateway.forwarder.ready("model-0")
+    >>> node_with_workers(3).gateway.forwarder.ready("model-0")
     ['i-00000000', 'i-00000001', 'i-00000002']
     """
-    n = samples.hollow()
-    n.follower.apply_listing(message.WorkerListing(samples.workers(w, p), (3, 1, 40)))
-    return n
+    made = samples.idle_node()
+    made.follower.apply_listing(message.WorkerListing(samples.workers(worker_count, pool_count), (3, 1, 40)))
+    return made
 
 
-def ranked(k: int, w: int) -> placement.Placement:
-    """A placement that has ranked w workers for k parts.
+def placement_with_rankings(part_count: int, worker_count: int) -> placement.Placement:
+    """A placement that has ranked its workers for so many prefix parts.
 
-    >>> len(ranked(2, 3).ranks)
+    >>> len(placement_with_rankings(2, 3).ranks)
     2
     """
-    place, names = samples.hollow().gateway.forwarder.placement_of("model-0"), [x.id for x in samples.workers(w, 1)]
-    for key in range(k):
+    place = samples.idle_node().gateway.forwarder.placement_of("model-0")
+    names = [worker.id for worker in samples.workers(worker_count, 1)]
+    for key in range(part_count):
         place.rank(key.to_bytes(8, "big"), tuple(names))  # each election makes its own, as here
     return place
 
 
-def tried(x: int) -> placement.Placement:
-    """A placement with x first turns that may yet become sessions.
+def placement_with_first_turns(count: int) -> placement.Placement:
+    """A placement with first turns that may yet become sessions.
 
-    >>> len(tried(3).first_turns)
+    >>> len(placement_with_first_turns(3).first_turns)
     3
     """
-    place = samples.hollow().gateway.forwarder.placement_of("model-0")
-    for k in range(x):
+    place = samples.idle_node().gateway.forwarder.placement_of("model-0")
+    for k in range(count):
         place.note_turn(k.to_bytes(8, "big"), f"i-{k % 2600:08x}", configuration.Terms(), 0)
     return place
 
@@ -245,24 +255,26 @@
     return int(raw) * 1024
 
 
-def kept(x: int) -> placement.Placement:
-    """A placement that knows x parts of 2,600 workers.
+def placement_with_parts(count: int) -> placement.Placement:
+    """A placement that knows so many prefix parts, spread over 2,600 workers.
 
-    >>> len(kept(2600).workers)
+    >>> len(placement_with_parts(2600).workers)
     2600
     """
-    place = samples.hollow().gateway.forwarder.placement_of("model-0")
-    for k in range(x):
+    place = samples.idle_node().gateway.forwarder.placement_of("model-0")
+    for k in range(count):
         place.estimate(f"i-{k % 2600:08x}").note_parts([k.to_bytes(8, "big")], [800 + k % 64])
     return place
 
 
-def swept(n: node.Node) -> None:
+def sweep_placements(swept_node: node.Node) -> None:
     """What a node's forwarder does once a second."""
-    follower = n.follower
-    n.gateway.forwarder.connections.sweep({w.id for w in follower.workers if w.state != "gone"})
-    for pool, p in n.gateway.forwarder.placements.items():
-        p.sweep({w.id for w in follower.workers if w.pool == pool and w.state == "ready"})
+    follower = swept_node.follower
+    swept_node.gateway.forwarder.connections.sweep({worker.id for worker in follower.workers if worker.state != "gone"})
+    for pool, pool_placement in swept_node.gateway.forwarder.placements.items():
+        pool_placement.sweep(
+            {worker.id for worker in follower.workers if worker.pool == pool and worker.state == "ready"}
+        )
 
 
 def sockets(*, sizes: measuring.Sizes = (0, 100, 1000), calls: int = 2000, repeats: int = 5, out: str = "") -> None:
@@ -288,20 +300,20 @@
                 await _measure_calls(lines, connection, size, calls)
 
     default_reactor.run(measure)
-    measuring.end(lines, out)
+    measuring.print_and_keep(lines, out)
 
 
 async def _measure_calls(lines: measuring.Measurements, connection: wire.Connection, records: int, calls: int) -> None:
-    table = samples.session_messages(records)
+    table = samples.session_table(records)
     copy = message.ReplicateRecords(
         "model-0", (3, 17), "n", [sessions.to_message(record, 0) for record in table.records.values()], [], []
     )
-    one = measuring.spent(measuring.loop)
+    one = measuring.nanoseconds_per_call(measuring.loop)
     started_at = time.thread_time_ns()
     for _ in range(calls):
         await connection.call(copy, 5 * units.SECOND_US)
     took = (time.thread_time_ns() - started_at) / calls / 2 / one
-    codec = measuring.ratio(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(1, 1, copy)))) / 2
+    codec = measuring.loops_per_call(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(1, 1, copy)))) / 2
     point = lines.point("bytes", len(wire.encoder.encode(wire.Envelope(1, 1, copy))))
     point.put_loops("a message sent and taken over a connection", took)
     point.put_loops("of it, writing and reading its form", codec)
--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -31,13 +31,15 @@
     for _ in range(repeats):
         for size in sizes:
             _measure_records(lines.point("sessions", size))
-    measuring.end(lines, out)
+    measuring.print_and_keep(lines, out)
 
 
 def _measure_records(point: measuring.Point) -> None:
     size = point.size
-    point.put_bytes("session records held at their pool owner", measuring.held(lambda: samples.session_messages(size)))
-    table = samples.session_messages(size)
+    point.put_bytes(
+        "session records held at their pool owner", measuring.allocated_bytes(lambda: samples.session_table(size))
+    )
+    table = samples.session_table(size)
     _measure_steps(point, table)
     copy = message.ReplicateRecords("model-0", TERM, OWNER, _messages(table), [], [], True, 0)
     raw = wire.encoder.encode(wire.Envelope(wire.FrameKind.CALL, 7, copy))
@@ -64,9 +66,9 @@
         for k in range(few):
             book.close(f"new-{k}")
 
-    point.put_loops("a turn noted", measuring.ratio(turns) / few)
-    point.put_loops("a session opened and closed", measuring.ratio(openings) / few)
-    point.put_loops("a sweep that finds nothing", measuring.ratio(lambda: book.sweep(0)))
+    point.put_loops("a turn noted", measuring.loops_per_call(turns) / few)
+    point.put_loops("a session opened and closed", measuring.loops_per_call(openings) / few)
+    point.put_loops("a sweep that finds nothing", measuring.loops_per_call(lambda: book.sweep(0)))
 
 
 def _measure_copy(point: measuring.Point, book: sessions.SessionTable[str], raw: bytes) -> None:
@@ -74,7 +76,7 @@
     point.put_bytes("a whole copy on the wire", len(raw))
     point.put_loops(
         "a whole copy made and written",
-        measuring.ratio(
+        measuring.loops_per_call(
             lambda: wire.encoder.encode(
                 wire.Envelope(
                     1,
@@ -95,7 +97,7 @@
     )
     point.put_loops(
         "a whole copy read and shelved",
-        measuring.ratio(
+        measuring.loops_per_call(
             # No cast to its type: that would be one more call that is timed.
             lambda: session_replicas.SessionReplica().take(wire.decoder.decode(raw).content, 0)  # type: ignore[arg-type]
         ),
@@ -107,10 +109,10 @@
     replica = session_replicas.SessionReplica()
     replica.take(copy, 0)
     point.put_loops(
-        "a shelf frozen at a core", measuring.ratio(lambda: replica_store.encode_session_replica(replica, 5))
+        "a shelf frozen at a core", measuring.loops_per_call(lambda: replica_store.encode_session_replica(replica, 5))
     )
     point.put_bytes("a shelf's bytes on a core's disk", len(replica_store.encode_session_replica(replica, 5)))
-    point.put_bytes("a shelf's memory", measuring.held(lambda: _decoded_replica(raw)))
+    point.put_bytes("a shelf's memory", measuring.allocated_bytes(lambda: _decoded_replica(raw)))
 
 
 def _decoded_replica(raw: bytes) -> session_replicas.SessionReplica:
@@ -121,45 +123,47 @@
     return replica
 
 
-def chief(w: int, s: int, parts: int = 0) -> pool_owner.PoolOwner:
-    """A pool owner of one pool with w ready workers, s sessions and so many prefix parts on each worker.
+def owner_with_sessions(worker_count: int, session_count: int, parts: int = 0) -> pool_owner.PoolOwner:
+    """A pool owner of one pool with ready workers, sessions, and so many prefix parts on each worker.
 
-    >>> chief(3, 10).pool
+    >>> owner_with_sessions(3, 10).pool
     'model-0'
     """
-    n = samples.hollow()
-    ws = samples.workers(w, 1)
-    n.follower.apply_listing(message.WorkerListing(ws, (3, 1, 40)))
-    out = pool_owner.PoolOwner(n, "model-0", samples.assignments(["pool/model-0"], samples.members(3))[0])
-    out.records.session_table = samples.session_messages(s, w)
-    for x in ws:
-        out.selector.prefixes.parts[x.id] = {f"{x.id}-{k}": None for k in range(parts)}
-    return out
+    idle_node = samples.idle_node()
+    workers = samples.workers(worker_count, 1)
+    idle_node.follower.apply_listing(message.WorkerListing(workers, (3, 1, 40)))
+    owner = pool_owner.PoolOwner(idle_node, "model-0", samples.assignments(["pool/model-0"], samples.members(3))[0])
+    owner.records.session_table = samples.session_table(session_count, worker_count)
+    for worker in workers:
+        owner.selector.prefixes.parts[worker.id] = {f"{worker.id}-{k}": None for k in range(parts)}
+    return owner
 
 
-def choice(
+def select_worker(
     owner: pool_owner.PoolOwner, request: message.SelectWorker, pool: configuration.Pool
 ) -> str | selection.NoChoice | None:
     """What a pool owner chooses for a request.
 
-    >>> choice(chief(3, 10), query(1), configuration.Pool(cap=0))
+    >>> select_worker(owner_with_sessions(3, 10), selection_request(1), configuration.Pool(cap=0))
     'i-00000001'
     """
     return owner.selector.pick(request, pool, owner.node.follower.workers, owner.runtime.now())
 
 
-def query(k: int, prefix: collections.abc.Sequence[str] = ("system", "bundle")) -> message.SelectWorker:
+def selection_request(
+    number: int, prefix: collections.abc.Sequence[str] = ("system", "bundle")
+) -> message.SelectWorker:
     """A question for a worker.
 
-    >>> query(1).request_id
+    >>> selection_request(1).request_id
     'x1'
     """
     return message.SelectWorker(
         "model-0",
         (3, 17),
         "n",
-        f"n-{k}/0",
-        f"x{k}",
+        f"n-{number}/0",
+        f"x{number}",
         1,
         True,
         "",
@@ -190,16 +194,16 @@
     for _ in range(repeats):
         for workers in listed:
             point = lines.point("workers of the pool", workers)
-            point.put_loops("a worker chosen, no sessions", _choice_loops(chief(workers, 0)))
+            point.put_loops("a worker chosen, no sessions", _choice_loops(owner_with_sessions(workers, 0)))
         for session_count in sizes:
             point = lines.point("sessions of the pool", session_count)
-            point.put_loops("a worker chosen, 90 workers", _choice_loops(chief(90, session_count)))
-    measuring.end(lines, out)
+            point.put_loops("a worker chosen, 90 workers", _choice_loops(owner_with_sessions(90, session_count)))
+    measuring.print_and_keep(lines, out)
 
 
 def _choice_loops(owner: pool_owner.PoolOwner) -> float:
     pool = configuration.Pool(cap=0)
-    return measuring.ratio(lambda: choice(owner, query(1), pool))
+    return measuring.loops_per_call(lambda: select_worker(owner, selection_request(1), pool))
 
 
 def prefixes(*, sizes: measuring.Sizes = (15_000, 150_000, 1_500_000), repeats: int = 3, out: str = "") -> None:
@@ -213,16 +217,18 @@
     for _ in range(repeats):
         for size in sizes:
             _measure_prefixes(lines.point("parts", size))
-    measuring.end(lines, out)
+    measuring.print_and_keep(lines, out)
 
 
 def _measure_prefixes(point: measuring.Point) -> None:
     per_worker = point.size // LARGEST_POOL
-    point.put_bytes("prefix parts held", measuring.held(lambda: _prefix_table(per_worker)))
-    owner = chief(90, 0, point.size // 90)
+    point.put_bytes("prefix parts held", measuring.allocated_bytes(lambda: _prefix_table(per_worker)))
+    owner = owner_with_sessions(90, 0, point.size // 90)
     pool = configuration.Pool(cap=0)
-    request = query(1, [f"i-{7:08x}-{k}" for k in range(4)])
-    point.put_loops("a worker chosen by parts, 90 workers", measuring.ratio(lambda: choice(owner, request, pool)))
+    request = selection_request(1, [f"i-{7:08x}-{k}" for k in range(4)])
+    point.put_loops(
+        "a worker chosen by parts, 90 workers", measuring.loops_per_call(lambda: select_worker(owner, request, pool))
+    )
 
 
 def _prefix_table(per_worker: int) -> dict[str, dict[str, None]]:
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -22,7 +22,7 @@
 Items = dict[str, dict[str, typing.Any]]  # a configuration's items by section and name
 
 
-def members(n: int) -> list[message.Member]:
+def members(count: int) -> list[message.Member]:
     """Members as long in their names as those of a real site.
 
     >>> len(members(3))
@@ -37,11 +37,11 @@
             7300,
             8263,
         )
-        for k in range(n)
+        for k in range(count)
     ]
 
 
-def workers(n: int, pools: int = POOLS) -> list[message.Worker]:
+def workers(count: int, pools: int = POOLS) -> list[message.Worker]:
     """Workers as the platform lists them.
 
     >>> workers(1)[0].pool
@@ -51,11 +51,11 @@
         message.Worker(
             f"i-{k:08x}", f"10.128.{k // 250}.{k % 250}", 8080, f"model-{k % pools}", "ready", 3 * units.SECOND_US
         )
-        for k in range(n)
+        for k in range(count)
     ]
 
 
-def assignments(keys: list[str], ms: list[message.Member]) -> list[message.RoleAssignment]:
+def assignments(keys: list[str], candidates: list[message.Member]) -> list[message.RoleAssignment]:
     """Seated role assignments over members.
 
     >>> [d.key for d in assignments(["list"], members(3))]
@@ -63,7 +63,7 @@
     """
     out = []
     for key in keys:
-        holder, copies = role_assignments.group(key, ms, None)
+        holder, copies = role_assignments.group(key, candidates, None)
         out.append(message.RoleAssignment(key, (3, 17), holder, copies, [holder, *copies], True))
     return out
 
@@ -77,50 +77,59 @@
     return ["list", *(f"pool/model-{k}" for k in range(pools))]
 
 
-def memberships(n: int, w: int, p: int) -> message.Membership:
-    """A membership of n members, w workers and p pools.
+def memberships(member_count: int, worker_count: int, pool_count: int) -> message.Membership:
+    """A membership of so many members, workers and pools.
 
     >>> len(memberships(8, 20, 2).assignments)
     3
     """
-    ms = members(n)
+    made = members(member_count)
     voters = [message.Voter(f"{k:016x}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(5)]
-    return message.Membership((3, 17), ms, workers(w, max(1, p)), assignments(pool_keys(p), ms), voters, (3, 1, 40))
+    return message.Membership(
+        (3, 17),
+        made,
+        workers(worker_count, max(1, pool_count)),
+        assignments(pool_keys(pool_count), made),
+        voters,
+        (3, 1, 40),
+    )
 
 
-def session_messages(n: int, w: int = 90) -> sessions.SessionTable[str]:
-    """Session records over w workers.
+def session_table(count: int, worker_count: int = 90) -> sessions.SessionTable[str]:
+    """A pool's open sessions, spread over its workers.
 
-    >>> len(session_messages(10).records)
+    >>> len(session_table(10).records)
     10
     """
-    book: sessions.SessionTable[str] = sessions.SessionTable()
+    table: sessions.SessionTable[str] = sessions.SessionTable()
     # As in a pool that has served for a while: a record's size must not depend on how often a timing opened sessions.
-    book.version = 1 << 20
-    for k in range(n):
-        book.open(f"{k:024x}", f"i-{k % w:08x}", 0, 600 * units.SECOND_US, 100)
-    return book
+    table.version = 1 << 20
+    for k in range(count):
+        table.open(f"{k:024x}", f"i-{k % worker_count:08x}", 0, 600 * units.SECOND_US, 100)
+    return table
 
 
-def hollow(zone: str = "zone0") -> node.Node:
+def idle_node(zone: str = "zone0") -> node.Node:
     """A node of its own, none of whose tasks runs.
 
-    >>> hollow().follower.applied_index
+    >>> idle_node().follower.applied_index
     0
     """
     clock = task.Clock()
     runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * units.SECOND_US), seed=1)
     clock.advance(1000)
-    o = options.Options(
+    node_options = options.Options(
         "node", name="edge-zone0-0", host="10.1.0.0", zone=zone, seeds=["10.2.0.0:7300"], platform="10.3.0.1:80"
     )
-    n = node.Node(runtime, o)
-    n.me = members(1)[0]
-    return n
+    made = node.Node(runtime, node_options)
+    made.me = members(1)[0]
+    return made
 
 
-def membership_manager_at_tail(n: int, p: int, cores: int = 5) -> membership_manager.MembershipManager:
-    """A tail's membership manager with n members and p pools, its first membership issued.
+def membership_manager_at_tail(
+    member_count: int, pool_count: int, cores: int = 5
+) -> membership_manager.MembershipManager:
+    """A tail's membership manager, its first membership issued.
 
     >>> len(membership_manager_at_tail(8, 2).latest.members)
     8
@@ -129,32 +138,34 @@
     runtime = types.SimpleNamespace(now=lambda: clock[0])
     view = message.View(3, [message.Voter(f"c{k}", f"10.2.0.{k}", 7300, f"zone{k}") for k in range(cores)], [])
     consensus = types.SimpleNamespace(view=view, is_tail=lambda: True, holds_lease=lambda: True)
-    out = membership_manager.MembershipManager(runtime, consensus, lambda: [f"model-{k}" for k in range(p)])
-    out.begin_view()
-    for m in members(n):
-        out.seen[m.id] = membership_manager.SeenMember(clock[0], m, "c0")
-    out.issue_if_changed()
+    manager = membership_manager.MembershipManager(
+        runtime, consensus, lambda: [f"model-{k}" for k in range(pool_count)]
+    )
+    manager.begin_view()
+    for member in members(member_count):
+        manager.seen[member.id] = membership_manager.SeenMember(clock[0], member, "c0")
+    manager.issue_if_changed()
     clock[0] += units.SECOND_US // 2
-    out.issue_if_changed()
-    return out
+    manager.issue_if_changed()
+    return manager
 
 
-def items(r: int, tenants: int = 470, pools: int = POOLS, election: str = "warden") -> Items:
-    """A configuration of r routes.
+def configuration_items(routes: int, tenants: int = 470, pools: int = POOLS, election: str = "warden") -> Items:
+    """The items of a configuration with so many routes.
 
-    >>> sorted(items(1, 1, 1))
+    >>> sorted(configuration_items(1, 1, 1))
     ['pools/model-0', 'routes/r0', 'terms/default', 'terms/t0']
     """
-    out: Items = {
+    items: Items = {
         f"pools/model-{k}": {"cap": 0, "slots": 64, "long_slots": 16, "election": election} for k in range(pools)
     }
-    out["terms/default"] = {}
-    out.update({f"terms/t{k}": {"lifetime_us": 600 * units.SECOND_US} for k in range(min(r, tenants))})
-    for k in range(r):
-        out[f"routes/r{k}"] = {
+    items["terms/default"] = {}
+    items.update({f"terms/t{k}": {"lifetime_us": 600 * units.SECOND_US} for k in range(min(routes, tenants))})
+    for k in range(routes):
+        items[f"routes/r{k}"] = {
             "path": f"/{k:06x}/{k % 97:02x}/",
             "pool": f"model-{k % pools}",
             "terms": f"t{k % tenants}",
             "zones": [] if k % 4 else [f"zone{k % ZONES}"],
         }
-    return out
+    return items
--- a/benchmarks/capacity/target_costs.py
+++ b/benchmarks/capacity/target_costs.py
@@ -111,7 +111,7 @@
 
     def put(self, role: str, what: str, how: str, value: float, unit: str, *, budget: str = "") -> None:
         """Add a row."""
-        self.rows.append(f"| {role} | {what} | {how} | {measuring.short(value)} {unit} | {budget} |")
+        self.rows.append(f"| {role} | {what} | {how} | {measuring.three_digits(value)} {unit} | {budget} |")
 
     def build(self) -> list[str]:
         """All rows, in the order of the page."""
@@ -165,7 +165,7 @@
             self.put(role, f"{path}: processor, quiet", how, loops, "loops/s", budget=loops_limit)
             self.put(role, f"{path}: longest step", "M", costs[f"{role}: step"], "loops", budget=STEP_BUDGET)
             for way in ("in", "out"):
-                unit = f"KB/s in {measuring.short(costs[f'{role}: {way}'])} messages"
+                unit = f"KB/s in {measuring.three_digits(costs[f'{role}: {way}'])} messages"
                 self.put(role, f"{path}: {way}", "M", costs[f"{role}: {way}_bytes"] / 1000, unit, budget=bytes_limit)
 
     def memory(self) -> list[tuple[str, str, float]]:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -88,8 +88,8 @@
     """
     while True:
         port = random.choice(FREE_PORTS)
-        with contextlib.suppress(OSError), contextlib.closing(socket.socket()) as s:
-            s.bind((HOST, port))
+        with contextlib.suppress(OSError), contextlib.closing(socket.socket()) as probe:
+            probe.bind((HOST, port))
             return port
 
 
@@ -250,14 +250,16 @@
 
     def assigned_owners(self) -> set[str]:
         """The nodes that are a pool's pool owner or keep its copies."""
-        out = set()
-        for n in self.nodes:
-            if self.processes[n].poll() is None:
-                for d in self.state(n).get("duties", []):
-                    out |= {i.rsplit("-", 1)[0] for i in [d["holder"], *d["copies"]]}
-                if out:
+        owners = set()
+        for name in self.nodes:
+            if self.processes[name].poll() is None:
+                for assignment in self.state(name).get("duties", []):
+                    owners |= {
+                        identifier.rsplit("-", 1)[0] for identifier in [assignment["holder"], *assignment["copies"]]
+                    }
+                if owners:
                     break
-        return out
+        return owners
 
     def state(self, name: str) -> dict[str, typing.Any]:
         """What a process shows of itself."""
@@ -282,9 +284,9 @@
         while not condition():
             if time.monotonic() - started_at > seconds:
                 raise TimeoutError(f"not within {seconds} s: {what}")
-            for name, p in self.processes.items():
-                if p.poll() not in (None, 0, -signal.SIGKILL):
-                    raise RuntimeError(f"{name} ended with {p.returncode}; see {self.folder}/{name}.log")
+            for name, process in self.processes.items():
+                if process.poll() not in (None, 0, -signal.SIGKILL):
+                    raise RuntimeError(f"{name} ended with {process.returncode}; see {self.folder}/{name}.log")
             time.sleep(STEP_S)
         return time.monotonic() - started_at
 
@@ -324,22 +326,22 @@
 
     def owner(self) -> str:
         """The name of the node that is the pool's pool owner now, or ""."""
-        return next((n for n in self.nodes if self.processes[n].poll() is None and self.owner_of(n)), "")
+        return next((name for name in self.nodes if self.processes[name].poll() is None and self.owner_of(name)), "")
 
     def owner_of(self, name: str) -> bool:
         """Whether a node is a seated pool owner."""
-        return any(w["seated"] for w in self.state(name).get("wardens", []))
+        return any(owner["seated"] for owner in self.state(name).get("wardens", []))
 
     def end(self) -> None:
         """Stop all that was started here."""
-        for p in self.processes.values():
-            if p.poll() is None:
-                p.send_signal(signal.SIGCONT)
-                p.kill()
-        for p in self.processes.values():
-            p.wait()
-            if p.stdout is not None:
-                p.stdout.close()
+        for process in self.processes.values():
+            if process.poll() is None:
+                process.send_signal(signal.SIGCONT)
+                process.kill()
+        for process in self.processes.values():
+            process.wait()
+            if process.stdout is not None:
+                process.stdout.close()
         if self.own:
             shutil.rmtree(self.folder, ignore_errors=True)
 
@@ -384,13 +386,13 @@
         pathlib.Path(folder).mkdir(parents=True, exist_ok=True)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(signal_number, lambda *_: sys.exit(0))  # by way of Fleet.end
-    with Fleet(shape, folder) as f:
-        f.begin()
-        for name, (port, http) in {**f.cores, **f.nodes}.items():
+    with Fleet(shape, folder) as deployment:
+        deployment.begin()
+        for name, (port, http) in {**deployment.cores, **deployment.nodes}.items():
             print(f"{name}: {HOST}:{port}, HTTP {HOST}:{http}")
-        print(f"platform: {HOST}:{f.platform}")
+        print(f"platform: {HOST}:{deployment.platform}")
         if load:
-            print(f.load(load).communicate()[0])
+            print(deployment.load(load).communicate()[0])
             return
         signal.pause()
 
--- a/benchmarks/process_costs.py
+++ b/benchmarks/process_costs.py
@@ -20,14 +20,14 @@
 KINDS = ("placed", "claimed", "opened")  # of selections: free, at most once, opening a session
 
 
-def first_attempt_ms(f: fleet.Fleet) -> dict[str, list[float]]:
+def first_attempt_ms(deployment: fleet.Fleet) -> dict[str, list[float]]:
     """From the sending of a first attempt to its arrival at a worker, by node, in ms; long prompts apart."""
     rows = []
-    for name in ["load", *f.workers]:
-        with pathlib.Path(f.events(name)).open() as log:
+    for name in ["load", *deployment.workers]:
+        with pathlib.Path(deployment.events(name)).open() as log:
             rows += replay.read(log)[0]
     arrived_at = {(row["exchange"], row["send"]): row["at"] for row in rows if row["kind"] == "run"}
-    names = {f"{fleet.HOST}:{ports.http}": name for name, ports in f.nodes.items()}
+    names = {f"{fleet.HOST}:{ports.http}": name for name, ports in deployment.nodes.items()}
     by_node: dict[str, list[float]] = {}
     for row in rows:
         key = (row.get("exchange"), row.get("send"))
@@ -36,10 +36,10 @@
     return by_node
 
 
-def _wait_for_owner(f: fleet.Fleet) -> str:
+def _wait_for_owner(deployment: fleet.Fleet) -> str:
     """The node of the pool's owner, which may become active a moment after the fleet is ready."""
-    f.until(f.owner, "the pool has an owner", fleet.START_TIMEOUT_S)
-    return f.owner()
+    deployment.until(deployment.owner, "the pool has an owner", fleet.START_TIMEOUT_S)
+    return deployment.owner()
 
 
 def hop(*, shape: str = "magnolia", seconds: int = 20, runs: int = 3) -> None:
@@ -52,11 +52,11 @@
     own: list[float] = []
     others: list[float] = []
     for k in range(runs):
-        with fleet.Fleet(shape) as f:
-            f.begin()
-            at = _wait_for_owner(f)
-            f.load(seconds, "--seed", str(k + 1)).communicate()
-            for name, values in first_attempt_ms(f).items():
+        with fleet.Fleet(shape) as deployment:
+            deployment.begin()
+            at = _wait_for_owner(deployment)
+            deployment.load(seconds, "--seed", str(k + 1)).communicate()
+            for name, values in first_attempt_ms(deployment).items():
                 (own if name == at else others).extend(values)
     for what, values in (("warden's own node", own), ("other nodes", others)):
         values.sort()
@@ -76,13 +76,13 @@
     :param rates: short requests per second
     """
     for rate in rates:
-        with fleet.Fleet(shape) as f:
-            f.begin()
-            load = f.load(seconds, "--short-rate", str(rate), "--long-rate", "1", "--talks", "0")
+        with fleet.Fleet(shape) as deployment:
+            deployment.begin()
+            load = deployment.load(seconds, "--short-rate", str(rate), "--long-rate", "1", "--talks", "0")
             report = json.loads(load.communicate()[0])
-            values = sorted(value for of_node in first_attempt_ms(f).values() for value in of_node)
-            cpu, owner = f.cpu(), f.owner()
-            busiest = max(share for name, share in cpu.items() if name in f.nodes and name != owner)
+            values = sorted(value for of_node in first_attempt_ms(deployment).values() for value in of_node)
+            cpu, owner = deployment.cpu(), deployment.owner()
+            busiest = max(share for name, share in cpu.items() if name in deployment.nodes and name != owner)
             print(
                 f"{rate}/s: {report['ends']['whole']} whole, {report['ends']['refused']} refused; way to the worker "
                 f"median {statistics.median(values):.1f} ms, 99 % {values[int(len(values) * 0.99)]:.1f} ms; "
@@ -157,18 +157,22 @@
     :param depth: questions under way at a time
     """
     loguru.logger.remove()
-    with fleet.Fleet(shape) as f:
-        f.configuration["pools"][f.pool].update(slots=UNBOUNDED_SLOTS, long_slots=UNBOUNDED_SLOTS, cap=0)
-        f.begin()
-        owner = _wait_for_owner(f)
-        assignment = next(each for each in f.state(owner)["duties"] if each["key"] == f"pool/{f.pool}")
+    with fleet.Fleet(shape) as deployment:
+        deployment.configuration["pools"][deployment.pool].update(
+            slots=UNBOUNDED_SLOTS, long_slots=UNBOUNDED_SLOTS, cap=0
+        )
+        deployment.begin()
+        owner = _wait_for_owner(deployment)
+        assignment = next(
+            each for each in deployment.state(owner)["duties"] if each["key"] == f"pool/{deployment.pool}"
+        )
         epoch, number = assignment["term"]
         runtime = scheduler.Runtime(default_reactor.load())
 
         async def measure() -> None:
-            port = f.nodes[owner].peer
+            port = deployment.nodes[owner].peer
             connection = await wire.connect(runtime, fleet.HOST, port, _ignore, loguru.logger)
-            load = SelectionLoad(runtime, connection, f.pool, (epoch, number))
+            load = SelectionLoad(runtime, connection, deployment.pool, (epoch, number))
             for kind in KINDS:
                 granted = await load.run(kind, depth, seconds)
                 print(f"{kind}: {granted / seconds:.0f} elections a second", flush=True)
--- a/benchmarks/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -35,19 +35,19 @@
     """A fleet, the load on it, and the log of what was done to it.
 
     Args:
-        f: The fleet, not yet begun.
+        deployment: The fleet, not yet begun.
         seconds: How long the load goes on at most.
         more: Further options of the load generator.
     """
 
-    def __init__(self, f: fleet.Fleet, seconds: int, more: collections.abc.Sequence[str] = ()) -> None:
-        self.fleet = f
-        self.out = pathlib.Path(f.events("trial")).open("w")  # noqa: SIM115 - open until the trial ends
+    def __init__(self, deployment: fleet.Fleet, seconds: int, more: collections.abc.Sequence[str] = ()) -> None:
+        self.fleet = deployment
+        self.out = pathlib.Path(deployment.events("trial")).open("w")  # noqa: SIM115 - open until the trial ends
         self.tape = load_generator.Events(self.out)
-        f.begin(self.note)
-        self.note("begun", blueprint=f.configuration, zones=self.zones())
-        self.load = f.load(seconds, *more)
-        f.until(lambda: self.count("load") > 5, "the load has begun", 20)
+        deployment.begin(self.note)
+        self.note("begun", blueprint=deployment.configuration, zones=self.zones())
+        self.load = deployment.load(seconds, *more)
+        deployment.until(lambda: self.count("load") > 5, "the load has begun", 20)
 
     def note(self, kind: str, **more: object) -> None:
         """Write a row to the trial's own log."""
@@ -57,7 +57,12 @@
     def fault(self, what: str, target: str, large: bool = False) -> None:
         """Note a fault."""
         role = next(
-            (r for r, group in (("core", self.fleet.cores), ("node", self.fleet.nodes)) if target in group), "worker"
+            (
+                role_name
+                for role_name, group in (("core", self.fleet.cores), ("node", self.fleet.nodes))
+                if target in group
+            ),
+            "worker",
         )
         address = f"{fleet.HOST}:{self.fleet.nodes[target][1]}" if role == "node" else ""
         self.note(
@@ -76,7 +81,7 @@
 
     def zones(self) -> dict[str, str]:
         """The zones of the nodes' doors."""
-        return {f"{fleet.HOST}:{http}": self.fleet.zones[n] for n, (_, http) in self.fleet.nodes.items()}
+        return {f"{fleet.HOST}:{http}": self.fleet.zones[name] for name, (_, http) in self.fleet.nodes.items()}
 
     def restart(self, name: str) -> None:
         """Start a process again, and note that its fault is over."""
@@ -92,10 +97,10 @@
         except FileNotFoundError:
             return 0
 
-    def served(self, n: int) -> None:
-        """Wait until the workers have finished n more requests."""
-        goal = self._worker_lines() + LOG_LINES_A_REQUEST * n
-        self.fleet.until(lambda: self._worker_lines() >= goal, f"{n} more exchanges are served", WAIT_S)
+    def served(self, count: int) -> None:
+        """Wait until the workers have finished count more requests."""
+        goal = self._worker_lines() + LOG_LINES_A_REQUEST * count
+        self.fleet.until(lambda: self._worker_lines() >= goal, f"{count} more exchanges are served", WAIT_S)
 
     def _worker_lines(self) -> int:
         return sum(self.count(name) for name in self.fleet.workers)
@@ -122,134 +127,136 @@
 # ---- cases ---------------------------------------------------------------------------------
 
 
-def spread(t: Trial, names: collections.abc.Sequence[str], seconds: float) -> None:
+def spread(trial: Trial, names: collections.abc.Sequence[str], seconds: float) -> None:
     """Kill processes at once, let the load go on, start them again."""
-    for x in names:
-        t.fault("kill", x, large=len(names) > 1)
-        t.fleet.kill(x)
+    for name in names:
+        trial.fault("kill", name, large=len(names) > 1)
+        trial.fleet.kill(name)
     time.sleep(seconds)
-    for x in names:
-        t.restart(x)
+    for name in names:
+        trial.restart(name)
     time.sleep(9)
 
 
-def change(t: Trial) -> None:
+def change(trial: Trial) -> None:
     """A change of the configuration is confirmed."""
-    document = json.loads(json.dumps(t.fleet.configuration))
-    document["routes"]["late"] = {"path": "/v1/late", "pool": t.fleet.pool}
+    document = json.loads(json.dumps(trial.fleet.configuration))
+    document["routes"]["late"] = {"path": "/v1/late", "pool": trial.fleet.pool}
     started_at = time.monotonic()
-    t.fleet.until(lambda: t.fleet.confirm(document, t.note), "the change is confirmed", 20)
+    trial.fleet.until(lambda: trial.fleet.confirm(document, trial.note), "the change is confirmed", 20)
     print(f"change acknowledged after {1000 * (time.monotonic() - started_at):.0f} ms")
 
 
-def drain(t: Trial) -> None:
+def drain(trial: Trial) -> None:
     """A worker is listed as leaving, then gone, then ended; another one comes."""
-    name = sorted(t.fleet.workers)[0]
-    t.fleet.add_worker(f"{name}b")
-    t.fleet.list_worker(id=name, state="leaving")
+    name = sorted(trial.fleet.workers)[0]
+    trial.fleet.add_worker(f"{name}b")
+    trial.fleet.list_worker(id=name, state="leaving")
     time.sleep(7)
-    t.fleet.list_worker(id=name, state="gone")
-    t.fleet.kill(name)
+    trial.fleet.list_worker(id=name, state="gone")
+    trial.fleet.kill(name)
     time.sleep(3)
 
 
-def node(t: Trial) -> None:
+def node(trial: Trial) -> None:
     """A node is killed and started again."""
-    spread(t, [next(n for n in t.fleet.nodes if n not in t.fleet.assigned_owners())], 4)
+    spread(trial, [next(name for name in trial.fleet.nodes if name not in trial.fleet.assigned_owners())], 4)
 
 
-def warden(t: Trial) -> None:
+def warden(trial: Trial) -> None:
     """The pool owner is killed and started again."""
-    spread(t, [t.fleet.owner()], 4)
+    spread(trial, [trial.fleet.owner()], 4)
 
 
-def core(t: Trial) -> None:
+def core(trial: Trial) -> None:
     """Each core machine in turn is killed and started again."""
-    for c in sorted(t.fleet.cores):
-        spread(t, [c], 3)
+    for name in sorted(trial.fleet.cores):
+        spread(trial, [name], 3)
 
 
-def hall(t: Trial) -> None:
+def hall(trial: Trial) -> None:
     """All processes of a zone are killed at once."""
-    zone = sorted(set(t.fleet.zones.values()))[-1]
-    spread(t, [x for x in [*t.fleet.cores, *t.fleet.nodes] if t.fleet.zones[x] == zone], 4)
+    zone = sorted(set(trial.fleet.zones.values()))[-1]
+    spread(trial, [name for name in [*trial.fleet.cores, *trial.fleet.nodes] if trial.fleet.zones[name] == zone], 4)
     time.sleep(6)
 
 
-def everything(t: Trial) -> None:
+def everything(trial: Trial) -> None:
     """All cores and nodes are killed at once."""
-    spread(t, [*t.fleet.cores, *t.fleet.nodes], 0.5)
+    spread(trial, [*trial.fleet.cores, *trial.fleet.nodes], 0.5)
     time.sleep(6)
 
 
-def freeze(t: Trial) -> None:
+def freeze(trial: Trial) -> None:
     """The pool owner freezes for four seconds, then a core machine."""
-    for name in (t.fleet.owner(), sorted(t.fleet.cores)[-1]):
-        t.fault("freeze", name)
-        t.fleet.signal(name, signal.SIGSTOP)
+    for name in (trial.fleet.owner(), sorted(trial.fleet.cores)[-1]):
+        trial.fault("freeze", name)
+        trial.fleet.signal(name, signal.SIGSTOP)
         time.sleep(FREEZE_S)
-        t.fleet.signal(name, signal.SIGCONT)
-        t.repair("wake", name)
+        trial.fleet.signal(name, signal.SIGCONT)
+        trial.repair("wake", name)
         time.sleep(8)
 
 
-def blank(t: Trial) -> None:
+def blank(trial: Trial) -> None:
     """A core machine comes back with an empty data folder."""
-    name = sorted(t.fleet.cores)[0]
-    t.fault("disk lost", name)
-    t.fleet.kill(name)
-    shutil.rmtree(t.fleet.folder / name)
+    name = sorted(trial.fleet.cores)[0]
+    trial.fault("disk lost", name)
+    trial.fleet.kill(name)
+    shutil.rmtree(trial.fleet.folder / name)
     time.sleep(1)
-    t.restart(name)
-    t.fleet.until(lambda: t.fleet.state(name).get("whole"), f"{name} is whole", WAIT_S)
+    trial.restart(name)
+    trial.fleet.until(lambda: trial.fleet.state(name).get("whole"), f"{name} is whole", WAIT_S)
     time.sleep(4)
 
 
-def moved(t: Trial) -> None:
+def moved(trial: Trial) -> None:
     """A core machine is gone for good; an empty one comes at a new address."""
-    name = sorted(t.fleet.cores)[0]
-    t.fault("gone for good", name)
-    t.fleet.kill(name)
-    del t.fleet.cores[name]
+    name = sorted(trial.fleet.cores)[0]
+    trial.fault("gone for good", name)
+    trial.fleet.kill(name)
+    del trial.fleet.cores[name]
     time.sleep(2)
-    t.fleet.add_core("c9", fleet.free_port(), t.fleet.zones[name])
-    t.fleet.until(lambda: t.fleet.state("c9").get("whole"), "c9 is whole", WAIT_S)
-    t.repair("start", name)
+    trial.fleet.add_core("c9", fleet.free_port(), trial.fleet.zones[name])
+    trial.fleet.until(lambda: trial.fleet.state("c9").get("whole"), "c9 is whole", WAIT_S)
+    trial.repair("start", name)
     time.sleep(4)
 
 
-def full(t: Trial) -> None:
+def full(trial: Trial) -> None:
     """A core machine's files may not grow or change for a while: its disk refuses every write."""
-    name = sorted(t.fleet.cores)[-1]
-    pid = t.fleet.processes[name].pid
+    name = sorted(trial.fleet.cores)[-1]
+    pid = trial.fleet.processes[name].pid
     was = resource.prlimit(pid, resource.RLIMIT_FSIZE)
-    t.fault("disk full", name)
+    trial.fault("disk full", name)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, was[1]))
     for _ in range(3):
-        t.fleet.confirm(t.fleet.configuration, t.note)
+        trial.fleet.confirm(trial.fleet.configuration, trial.note)
         time.sleep(2)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, was)
-    t.repair("disk mended", name)
-    t.fleet.until(
-        lambda: t.fleet.state(name).get("whole") and t.fleet.state(name).get("disk_ok"), f"{name} is back", WAIT_S
+    trial.repair("disk mended", name)
+    trial.fleet.until(
+        lambda: trial.fleet.state(name).get("whole") and trial.fleet.state(name).get("disk_ok"),
+        f"{name} is back",
+        WAIT_S,
     )
     time.sleep(3)
 
 
-def roll(t: Trial) -> None:
+def roll(trial: Trial) -> None:
     """Every node and core is stopped in good order and started again, one after the other."""
-    for name in [*t.fleet.nodes, *t.fleet.cores]:
-        if name in t.fleet.cores:
-            t.fault("stop", name)
-        t.fleet.signal(name, signal.SIGTERM)
-        t.fleet.processes[name].wait(STOP_S)
-        t.restart(name)
-        _wait_until_ready(t, name)
+    for name in [*trial.fleet.nodes, *trial.fleet.cores]:
+        if name in trial.fleet.cores:
+            trial.fault("stop", name)
+        trial.fleet.signal(name, signal.SIGTERM)
+        trial.fleet.processes[name].wait(STOP_S)
+        trial.restart(name)
+        _wait_until_ready(trial, name)
         time.sleep(1)
 
 
-def _wait_until_ready(t: Trial, name: str) -> None:
-    t.fleet.until(lambda: t.fleet.ready(name), f"{name} is ready", WAIT_S)
+def _wait_until_ready(trial: Trial, name: str) -> None:
+    trial.fleet.until(lambda: trial.fleet.ready(name), f"{name} is ready", WAIT_S)
 
 
 CASES: dict[str, collections.abc.Callable[[Trial], None]] = {
@@ -272,20 +279,20 @@
     :param long_rate: long prompts per second
     :param short_rate: short prompts per second
     """
-    bad = [c for c in cases if c not in CASES]
+    bad = [case for case in cases if case not in CASES]
     if shape not in fleet.SHAPES or bad:
         sys.exit(
             f"trial: no shape or case {' '.join(bad) or shape}; "
             f"there are {', '.join(fleet.SHAPES)}, and {', '.join(CASES)}"
         )
-    with fleet.Fleet(shape) as f:
-        t = Trial(f, LOAD_S, ["--long-rate", str(long_rate), "--short-rate", str(short_rate)])
+    with fleet.Fleet(shape) as deployment:
+        trial = Trial(deployment, LOAD_S, ["--long-rate", str(long_rate), "--short-rate", str(short_rate)])
         time.sleep(SETTLE_S)
         for name in list(cases) or list(CASES):
-            t.note("case", name=name)
-            CASES[name](t)
+            trial.note("case", name=name)
+            CASES[name](trial)
             time.sleep(2)
-        report, found, back = t.finish()
+        report, found, back = trial.finish()
     _print_findings(report, found, back)
     sys.exit(1 if found else 0)
 
