--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -1,6 +1,7 @@
 """One node's request path in the simulator, without a core: what tests of it have in common."""
 
 import types
+from typing import Any
 
 import pytest
 
@@ -42,7 +43,7 @@
         process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.edge_protocol))
         self.runtime.spawn(self.forwarder.watch(), None)
         self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.9.0.1", "a"))
-        self.workers = []
+        self.workers: list[Any] = []
         self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * SECOND)
 
     async def handle(self, request: http_server.Request) -> None:
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -26,7 +26,7 @@
 from iriswheel.verification import replay
 from simulation import addresses, operator_model, simulated_cluster
 from simulation.scenarios import actions
-from tests import recorded
+from tests import deferreds, recorded
 
 StandIn = stand_in_worker.Worker | stand_in_platform.Platform
 
@@ -144,7 +144,7 @@
         point = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=2)
         opened = point.connect(protocol.Factory.forProtocol(Client))
         self.cluster.advance_until(lambda: opened.called, 3)
-        client = opened.result
+        client = deferreds.result_of(opened)
         client.transport.write(text.encode())
         self.cluster.advance(3)
         client.transport.abortConnection()
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -10,6 +10,7 @@
 from iriswheel.replication import chain, replicated_state, snapshot_format
 from iriswheel.runtime import scheduler
 from iriswheel.transport import message
+from tests import deferreds
 
 SECOND = 1_000_000
 
@@ -76,7 +77,7 @@
 
         def take(entries: list[message.LogEntry], snapshot: bytes | None) -> message.AppendResponse:
             refill = message.CatchUp(4, snapshot, entries)
-            return self.result_of(defer.ensureDeferred(replica.answer(refill)))
+            return deferreds.result_of(defer.ensureDeferred(replica.answer(refill)))
 
         entries = [message.LogEntry(n, 4, "plan", f"0-{n}", 0, []) for n in (1, 2)]
         assert take(entries[:1], snapshot).ok
@@ -85,12 +86,6 @@
         assert not take(entries[:1], snapshot).ok
         assert (replica.log.last_index, replica.committed_state.index) == (2, 2)
 
-    def result_of(self, deferred: defer.Deferred[Any]) -> message.AppendResponse:
-        """The result of a deferred that has fired."""
-        results = []
-        deferred.addCallback(results.append)
-        return results[0]
-
 
 class Peers:
     """Peers of which some answer at once, and the others never."""
@@ -131,12 +126,12 @@
         clock.advance(2)  # the grants of before the start have run out, and so have the heartbeats
         consensus.receive_heartbeat(message.Heartbeat("b", "1", "zone", "b", 1, consensus.view, 4, True))
         prepare = message.Prepare(5, (1, "a"), "a")
-        answers = []
-        defer.ensureDeferred(
-            consensus.calls.call_all(consensus.view.voters, prepare, timing.CALL_TIMEOUT_US)
-        ).addCallback(answers.append)
+        answers = defer.ensureDeferred(consensus.calls.call_all(consensus.view.voters, prepare, timing.CALL_TIMEOUT_US))
         clock.advance(timing.DEAD_PEER_CALL_TIMEOUT_US / SECOND)
-        assert {identifier for identifier, answer in answers[0].items() if answer is not None} == {"a", "b"}
+        assert {identifier for identifier, answer in deferreds.result_of(answers).items() if answer is not None} == {
+            "a",
+            "b",
+        }
 
 
 class TestLeavingMember:
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -40,8 +40,8 @@
 
     def __init__(self, world: world.World) -> None:
         self.world = world
-        self.members = {}
-        self.sent = []  # what was sent, in order
+        self.members: dict[str, Member] = {}
+        self.sent: list[message.Message] = []  # what was sent, in order
         self.fate_of = lambda _message: "pass"
 
     async def call(self, host: str, _port: int, msg: message.Message, us: int) -> message.Message:
@@ -289,7 +289,7 @@
 
     def test_a_corrupted_chunk_is_sent_again(self) -> None:
         head, tail = self.large_pair()
-        spoilt = []
+        spoilt: list[message.SnapshotChunk] = []
 
         def fate_of(msg: message.Message) -> str:
             if isinstance(msg, message.SnapshotChunk) and not spoilt:
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -18,10 +18,10 @@
     ok = True
 
     def __init__(self) -> None:
-        self.writes = []
+        self.writes: list[defer.Deferred[None]] = []
 
     async def commit(self, _puts: list[tuple[bytes, bytes | None]]) -> None:
-        done = defer.Deferred()
+        done: defer.Deferred[None] = defer.Deferred()
         self.writes.append(done)
         await done
 
@@ -70,16 +70,17 @@
         replica.consensus = consensus
         return replica
 
-    def put(self, replica: chain.Chain, msg: message.Message) -> defer.Deferred[Any]:
+    def put(self, replica: chain.Chain, msg: chain.ChainRequest) -> Any:  # noqa: ANN401 - a deferred of any answer
         return defer.ensureDeferred(replica.answer(msg))
 
     def test_a_new_tail_answers_no_read_before_what_it_holds_is_committed(self) -> None:
-        replica = self.replica(FixedConsensus(4, "b", "a"), [entry(1, 3, "c0-1-0a")])
+        consensus = FixedConsensus(4, "b", "a")
+        replica = self.replica(consensus, [entry(1, 3, "c0-1-0a")])
         assert not self.put(replica, message.ReadRequest(4)).result.ok
         replica.tail.commit_synced(4)
         seen = self.put(replica, message.ReadRequest(4, "c0-1-0a")).result
         assert (seen.ok, seen.version, seen.taken) == (True, 1, 1)
-        replica.consensus.agree(5, "b", "a")
+        consensus.agree(5, "b", "a")
         assert not self.put(replica, message.ReadRequest(5)).result.ok
 
     def test_a_read_that_comes_after_the_lease_has_ended_fails(self) -> None:
@@ -90,10 +91,11 @@
         assert not self.put(replica, message.ReadRequest(4)).result.ok
 
     def test_a_tail_that_may_not_commit_alone_answers_no_read_by_less_than_it_holds(self) -> None:
-        replica = self.replica(FixedConsensus(4, "a", "b"))
+        consensus = FixedConsensus(4, "a", "b")
+        replica = self.replica(consensus)
         self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})]))
         self.disk.finish()
-        replica.consensus.agree(5, "a")
+        consensus.agree(5, "a")
         replica.tail.commit_synced(5)
         assert not self.put(replica, message.ReadRequest(5)).result.ok
         restarted = self.replica(FixedConsensus(4, "a"), [entry(1, 3, "c0-1-0a")])
@@ -106,11 +108,12 @@
         assert self.put(blank, message.ReadRequest(4)).result.ok
 
     def test_a_change_synced_after_its_view_ended_is_not_acknowledged_by_another_entry(self) -> None:
-        replica = self.replica(FixedConsensus(4, "a", "b"))
+        consensus = FixedConsensus(4, "a", "b")
+        replica = self.replica(consensus)
         proposed = self.put(
             replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})])
         )
-        replica.consensus.agree(5, "b", "a", synced=False)
+        consensus.agree(5, "b", "a", synced=False)
         placed = self.put(replica, message.PositionRequest(5, "b"))
         assert not placed.called
         self.disk.finish()
@@ -123,11 +126,12 @@
         assert dict(replica.committed_state.taken) == {"c0-1-0b": 1}
 
     def test_a_change_taken_again_after_a_catch_up_by_snapshot_is_distinguished(self) -> None:
-        replica = self.replica(FixedConsensus(4, "a", "b"))
+        consensus = FixedConsensus(4, "a", "b")
+        replica = self.replica(consensus)
         proposed = self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, []))
         self.disk.finish()
         assert not proposed.called
-        replica.consensus.agree(5, "b", "a", synced=False)
+        consensus.agree(5, "b", "a", synced=False)
         other = replicated_state.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
         self.put(replica, message.CatchUp(5, snapshot_format.encode(other), []))
         self.disk.finish()
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -11,7 +11,7 @@
 from iriswheel.runtime import units
 from iriswheel.transport import message
 from simulation import operator_model, simulated_cluster
-from tests import conftest
+from tests import conftest, deferreds
 
 SECOND = units.SECOND_US
 
@@ -35,9 +35,9 @@
             simulated_cluster.log,
         )
 
-    def wait(self, cluster: simulated_cluster.SimulatedCluster, *deferreds: defer.Deferred[Any]) -> list[int]:
-        assert cluster.advance_until(lambda: all(done.called for done in deferreds), 40)
-        return [done.result for done in deferreds]
+    def wait(self, cluster: simulated_cluster.SimulatedCluster, *changes: defer.Deferred[Any]) -> list[int]:
+        assert cluster.advance_until(lambda: all(change.called for change in changes), 40)
+        return [deferreds.result_of(change) for change in changes]
 
     def items(self, cluster: simulated_cluster.SimulatedCluster) -> dict[str, Any]:
         assert cluster.advance_until(lambda: cluster.tail() is not None, 10)
--- a/tests/test_core_days.py
+++ b/tests/test_core_days.py
@@ -70,7 +70,7 @@
         self.world = world.World(1)
         self.machine = host_model.Host(self.world, "h", "a")
         self.reactor = process_model.SimulatedProcess(self.world, "p", self.machine).reactor
-        self.rung = []
+        self.rung: list[int] = []
 
     def ring(self) -> None:
         self.rung.append(self.world.time)
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -35,7 +35,7 @@
         self.disk = disk_model.Disk(self.process)
         state = self.disk.read()
         record = msgspec.msgpack.decode(state[b"council"], type=decisions.Record) if state else decisions.Record()
-        self.installed = []
+        self.installed: list[message.View] = []
         guard = storage.MonitoredDisk(runtime, self.disk)
         self.consensus = view_consensus.ViewConsensus(
             runtime, guard, record, VOTERS[1], seeds=[], peers=None, on_view=self.installed.append
@@ -45,7 +45,7 @@
         incarnations = {"b": self.consensus.runtime.incarnation}
         return message.View(number, VOTERS, [message.ChainReplica(i, incarnations.get(i, "x")) for i in order])
 
-    def wait(self, coroutine: Coroutine[Any, Any, Any]) -> message.Accepted | message.Promise | None:
+    def wait(self, coroutine: Coroutine[Any, Any, Any]) -> Any:  # noqa: ANN401 - what the coroutine returns
         done = defer.ensureDeferred(coroutine)
         self.world.run(self.world.time + SECOND)
         assert done.called
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -27,7 +27,7 @@
         )
         self.runtime = scheduler.Runtime(self.clock, now=lambda: round(self.clock.seconds() * units.SECOND_US), seed=1)
         self.engine = inference_engine.Engine(self.runtime, inference_engine.EngineParameters(**{**base, **figures}))
-        self.events = {}
+        self.events: dict[str, list[tuple[int, bool, int]]] = {}
         return self.engine
 
     def job(self, identifier: str, parts: list[tuple[str, int]], tokens: int = 4, **more: int) -> inference_engine.Job:
--- a/tests/test_fuzz_documents.py
+++ b/tests/test_fuzz_documents.py
@@ -19,7 +19,7 @@
     """A core that keeps its items in memory, and takes a change as the chain would: encoded."""
 
     def __init__(self) -> None:
-        self.items = {}
+        self.items: dict[str, Any] = {}
         self.operator_api = operator_api.OperatorApi(
             self, None, self, None, replicas=None, counters=counters.Counters()
         )
@@ -38,7 +38,7 @@
         return await self.change(order)
 
 
-ODD_JSON = [
+ODD_JSON: list[Any] = [
     None,
     True,
     -1,
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -18,7 +18,7 @@
 
     def connection(self) -> tuple[wire.Connection, fuzzing.Transport]:
         self.clock, runtime = fuzzing.new_runtime()
-        self.got = []
+        self.got: list[message.Message] = []
         connection = wire.Connection(runtime, lambda _connection, msg: self.got.append(msg), loguru.logger)
         transport = fuzzing.Transport()
         connection.makeConnection(transport)
--- a/tests/test_fuzz_worker_bytes.py
+++ b/tests/test_fuzz_worker_bytes.py
@@ -41,9 +41,9 @@
 
     def __init__(self, attempt: str) -> None:
         self.attempt = attempt
-        self.low = None
+        self.low: dict[str, str] | None = None
         self.body = b""
-        self.ends = []
+        self.ends: list[str] = []
 
     def owns(self, _status: int, low: dict[str, str], _used: int) -> bool | None:
         got = low.get(HEADERS["attempt"].lower())
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -20,10 +20,16 @@
 HEAD, MIDDLE, TAIL = 0, 1, 2  # places in the chain
 
 
+class ClusterWithNewest(simulated_cluster.SimulatedCluster):
+    """A cluster with the newest number of a change that any of its operators knows."""
+
+    newest = 0
+
+
 class Caller:
     """An operator who is bound to one core machine, and notes each call with its answer."""
 
-    def __init__(self, simulated: simulated_cluster.SimulatedCluster, core: str) -> None:
+    def __init__(self, simulated: ClusterWithNewest, core: str) -> None:
         self.cluster = simulated
         self.runtime = simulated.operator_runtime
         self.place = f"{simulated.places[core][0]}:{addresses.HTTP_PORT}"
@@ -78,14 +84,11 @@
 class TestCoreMachineCutOff:
     def play(
         self, seed: int, place: int, inward: bool, outward: bool, cores: int = 3
-    ) -> tuple[simulated_cluster.SimulatedCluster, list[Caller], list[dict[str, Any]]]:
+    ) -> tuple[ClusterWithNewest, list[Caller], list[dict[str, Any]]]:
         """A day on which the chain's machine at a place is cut from the others for twenty seconds."""
-        cluster = simulated_cluster.SimulatedCluster(
-            seed, "small", long_rate=0, short_rate=0, conversations=0, cores=cores, seats=cores
-        )
+        cluster = ClusterWithNewest(seed, "small", long_rate=0, short_rate=0, conversations=0, cores=cores, seats=cores)
         cluster.probing = False
         cluster.begin()
-        cluster.newest = 0
         cluster.advance(2)
         chain = cluster.head().consensus.view.chain
         cut = next(c for c in cluster.cores.values() if c.consensus.own_voter.id == chain[place].id)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -51,7 +51,8 @@
     """Stands for a core: takes changes at once."""
 
     def __init__(self) -> None:
-        self.items, self.taken = {}, set()
+        self.items: dict[str, Any] = {}
+        self.taken: set[str] = set()
 
     async def change(self, order: change_orders.ChangeOrder) -> None:
         if order.identifier in self.taken:
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -21,7 +21,7 @@
 from iriswheel.runtime import storage
 from iriswheel.transport import message
 from simulation import operator_model, simulated_cluster
-from tests import recorded
+from tests import deferreds, recorded
 
 RECORDS = recorded.load("disk.json")["records"]
 TYPES = {"entry": message.LogEntry, "frame": snapshot_format.Snapshot, "council": decisions.Record}
@@ -168,8 +168,9 @@
             for _ in range(60):
                 done = self.operator_runtime.spawn(operator.query("GET", "/blueprint"), simulated_cluster.log)
                 self.advance_until(lambda done=done: done.called, 10)
-                if done.result[0] == 200:
-                    self.first_read = done.result[1]
+                status, answer = deferreds.result_of(done)
+                if status == 200:
+                    self.first_read = answer
                     break
                 self.advance(0.3)
         document = msgspec.json.decode(msgspec.json.encode(self.first_read["blueprint"]))
@@ -187,13 +188,14 @@
 
 
 def query(
-    cluster: simulated_cluster.SimulatedCluster, method: str, path: str, document: object = None
+    cluster: simulated_cluster.SimulatedCluster, method: str, path: str, document: dict[str, typing.Any] | None = None
 ) -> tuple[int, dict[str, typing.Any]]:
     """Send one request of an operator: the status and the answer."""
     operator = operator_model.Operator(cluster, cluster.operator_runtime, "boss")
     done = cluster.operator_runtime.spawn(operator.query(method, path, document), simulated_cluster.log)
     assert cluster.advance_until(lambda: done.called, 20)
-    return done.result
+    status, answer = deferreds.result_of(done)
+    return status, answer
 
 
 def take(
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -19,14 +19,17 @@
 
 class Answer:
     def __init__(self) -> None:
-        self.headers, self.body, self.code, self.complete = {}, b"", 0, False
+        self.headers: dict[str, str] = {}
+        self.body, self.code, self.complete = b"", 0, False
 
 
 class Client(protocol.Protocol):
     """Parses whatever comes back."""
 
     def __init__(self) -> None:
-        self.answers, self.closed, self.raw = [], None, b""
+        self.answers: list[Answer] = []
+        self.closed: str | None = None
+        self.raw = b""
         self.parser = httptools.HttpResponseParser(self)
 
     def dataReceived(self, data: bytes) -> None:
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -2,7 +2,6 @@
 
 import time
 from collections.abc import Callable
-from typing import Any
 from unittest import mock
 
 import pytest
@@ -17,11 +16,25 @@
 from iriswheel.runtime import storage, units
 from iriswheel.transport import http_server, message
 from simulation import network_model, simulated_cluster
-from tests import conftest
+from tests import conftest, deferreds
 
 SECOND = units.SECOND_US
 
 
+class SentRequest:
+    """A request under way; what has come of its answer."""
+
+    def __init__(self) -> None:
+        self.code = 0  # until the answer's head has come
+        self.headers = http_headers.Headers()
+        self.receiver: load_generator.AnswerCollector | None = None
+        self.done: defer.Deferred[None] = defer.Deferred()
+
+    def has_begun(self) -> bool:
+        """Whether a part of the answer's body has come."""
+        return self.receiver is not None and bool(self.receiver.first_at)
+
+
 class TestSimulatedCluster:
     def query(
         self,
@@ -34,9 +47,9 @@
         send: int = 1,
         repeat: bool = True,
         identifier: str = "x",
-    ) -> list[defer.Deferred[Any]]:
-        """Send one request; a box that will hold (status, head of the answer, its AnswerCollector)."""
-        box = []
+    ) -> SentRequest:
+        """Send one request."""
+        sent = SentRequest()
         agent = dispatch.Dispatcher(cluster.load.runtime).unpooled_agent
         headers = http_headers.Headers(
             {
@@ -52,22 +65,20 @@
             response = await agent.request(
                 b"POST", f"http://{host}:{port}{path}".encode(), headers, dispatch.Body(body)
             )
-            done = load_generator.defer.Deferred()
-            receiver = load_generator.AnswerCollector(cluster.load.runtime, done)
-            response.deliverBody(receiver)
-            box.append((response.code, response.headers, receiver, done))
+            sent.code, sent.headers = response.code, response.headers
+            sent.receiver = load_generator.AnswerCollector(cluster.load.runtime, sent.done)
+            response.deliverBody(sent.receiver)
 
-        box.append(cluster.load.runtime.spawn(go(), simulated_cluster.log))
-        return box
+        cluster.load.runtime.spawn(go(), simulated_cluster.log)
+        return sent
 
     def answer(
         self, cluster: simulated_cluster.SimulatedCluster, **more: int | str | tuple[str, ...]
     ) -> tuple[int, http_headers.Headers, bytes]:
         """Send one request and wait for its end: status, headers, body."""
-        box = self.query(cluster, **more)
-        assert cluster.advance_until(lambda: len(box) > 1 and box[1][3].called, 30)
-        code, headers, receiver, _ = box[1]
-        return code, headers, b"".join(receiver.parts)
+        sent = self.query(cluster, **more)
+        assert cluster.advance_until(lambda: sent.done.called, 30)
+        return sent.code, sent.headers, b"".join(sent.receiver.parts)
 
     def open_sessions(self, cluster: simulated_cluster.SimulatedCluster) -> int:
         return sum(len(rs) for rs in cluster.owner().pool_owners[cluster.pool].records.session_table.by_worker.values())
@@ -106,9 +117,9 @@
 
     def test_a_client_that_goes_away_ends_the_run_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
-        box = self.query(cluster)
-        assert cluster.advance_until(lambda: len(box) > 1 and box[1][2].first_at, 5)
-        box[1][2].transport.stopProducing()
+        request = self.query(cluster)
+        assert cluster.advance_until(request.has_begun, 5)
+        request.receiver.transport.stopProducing()
         cluster.advance(0.1)
         assert [r["kind"] for r in cluster.event_log.rows if r["kind"] in ("ran", "cut")] == ["cut"]
         cluster.advance(1)
@@ -118,7 +129,7 @@
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         cluster = quiet_cluster()
-        sent = []
+        sent: list[int] = []
 
         async def flood(request: http_server.Request) -> None:
             if request.method == b"GET":
@@ -137,14 +148,14 @@
         held = property(lambda side: side.producer_paused or side.bytes_in_flight > network_model.WINDOW_BYTES)
         monkeypatch.setattr(network_model.ConnectionSide, "producer_held", held, raising=False)
         assert held is not None
-        box = self.query(cluster)
-        assert cluster.advance_until(lambda: len(box) > 1 and box[1][2].first_at, 5)
-        box[1][2].transport.pauseProducing()
+        request = self.query(cluster)
+        assert cluster.advance_until(request.has_begun, 5)
+        request.receiver.transport.pauseProducing()
         cluster.advance(5)
         assert sum(sent) < 12 * network_model.WINDOW_BYTES
-        box[1][2].transport.resumeProducing()
-        assert cluster.advance_until(lambda: box[1][3].called, 30)
-        assert sum(map(len, box[1][2].parts)) == 200 * 16_384
+        request.receiver.transport.resumeProducing()
+        assert cluster.advance_until(lambda: request.done.called, 30)
+        assert sum(map(len, request.receiver.parts)) == 200 * 16_384
 
     def test_jumps_of_the_wall_clock_change_nothing(self) -> None:
         tapes = []
@@ -208,7 +219,7 @@
         for name in ("c2", "c3"):
             cluster.cores[name].process.host.repair()
         assert cluster.advance_until(lambda: done.called, 20)
-        assert done.result > 0
+        assert deferreds.result_of(done) > 0
 
     def test_a_machine_that_alone_promised_does_not_break_the_chain_for_good(
         self, quiet_cluster: conftest.QuietCluster
@@ -224,7 +235,7 @@
         assert consensus.is_sealed()
         done = cluster.operator_runtime.spawn(cluster.operator.change(cluster.with_probe(1)), simulated_cluster.log)
         assert cluster.advance_until(lambda: done.called, 5)
-        assert done.result > 0
+        assert deferreds.result_of(done) > 0
 
     def plan_refused(self, cluster: simulated_cluster.SimulatedCluster) -> list[str]:
         """Code and verdict that a plan gets now."""
@@ -299,8 +310,9 @@
             request = message.RecordsRequest("new", term, "n1")
             asked = core.runtime.spawn(core.session_replicas.collect(request), simulated_cluster.log)
             cluster.advance(0.1)
-            assert asked.result.ok
-            return asked.result.has_replica
+            response = deferreds.result_of(asked)
+            assert response.ok
+            return response.has_replica
 
         assert [had_an_owner((9, k)) for k in (1, 1, 2, 3)] == [False, False, True, True]
 
@@ -313,7 +325,7 @@
         )
         node.on_update()
         cluster.advance(0.5)
-        assert asked.result.ok
+        assert deferreds.result_of(asked).ok
         node.on_update()
         assert node.peers.connections[(core.options.host, core.options.port)].up
 
@@ -362,7 +374,7 @@
     def test_open_plans_are_bounded_by_their_bytes(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         chain = cluster.head().chain
-        pad = [["terms/t", {"pad": "x" * (1 << 20)}]]
+        pad = [("terms/t", {"pad": "x" * (1 << 20)})]
         for k in range(40):
             done = cluster.head().runtime.spawn(
                 chain.answer(
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -42,7 +42,8 @@
 
 class TestOptionsReadAgain:
     def test_a_changed_file_is_read_again_and_a_bad_one_is_not(self, tmp_path: pathlib.Path) -> None:
-        clock, seeds_read = task.Clock(), []
+        clock = task.Clock()
+        seeds_read: list[list[str]] = []
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
         path = tmp_path / "node.toml"
 
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -18,7 +18,7 @@
         self.clock = task.Clock()
         self.limits = configuration.Limits(head_bytes=300, body_bytes=10, head_us=3_000_000, idle_us=15_000_000)
         runtime = scheduler.Runtime(self.clock, now=lambda: int(self.clock.seconds() * units.SECOND_US))
-        self.served = []
+        self.served: list[bytes] = []
 
         async def handle(request: http_server.Request) -> None:
             self.served.append(request.content.read())
@@ -63,7 +63,7 @@
         assert not transport.connected
 
     def test_a_refusal_for_a_client_that_has_gone_away_is_dropped(self, logged_errors: list[str]) -> None:
-        answer = defer.Deferred()
+        answer: defer.Deferred[None] = defer.Deferred()
 
         async def handle(_request: http_server.Request) -> None:
             await answer
