--- a/simulation/observed_runs.py
+++ b/simulation/observed_runs.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from benchmarks import fleet
-from simulation import platform_days, second_loss, world
+from simulation import platform_days, second_loss, second_loss_cases, world
 from simulation.scenarios import registry
 
 DAY_LOAD = 0.3  # of the usual traffic: a day costs less, and its troubles are the same
@@ -87,7 +87,7 @@
         f"day {name} {shape} {DAY_SEEDS[shape]} {DAY_LOAD}" for shape in DAY_SHAPES for name in platform_days.DAYS
     ]
     found += [f"scene {name} {shape} {SCENARIO_SEEDS[shape]}" for shape in fleet.SHAPES for name in registry.SCENARIOS]
-    for case in (case for cores in CORE_COUNTS for case in second_loss.cases(cores, [1])):
+    for case in (case for cores in CORE_COUNTS for case in second_loss_cases.cases(cores, [1])):
         losses = f"{case.first.name} {case.step.name} {case.target.name} {case.second.name}"
         found.append(f"second_loss {case.cores} {losses} {case.seed}")
     return [run for run in found if run not in UNPLAYABLE]
@@ -116,12 +116,12 @@
 def play_second_loss(cores: str, *words: str) -> list[Row]:
     """Play a second loss; the rows of its event log, and at its end what the run measured."""
     first, step, target, second, seed = words
-    case = second_loss.Case(
+    case = second_loss_cases.Case(
         int(cores),
-        second_loss.Loss[first],
-        second_loss.Step[step],
-        second_loss.Target[target],
-        second_loss.Loss[second],
+        second_loss_cases.Loss[first],
+        second_loss_cases.Step[step],
+        second_loss_cases.Target[target],
+        second_loss_cases.Loss[second],
         int(seed),
     )
     run = second_loss.Run(case)
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -13,8 +13,6 @@
 
 import collections
 import collections.abc
-import enum
-import itertools
 import multiprocessing
 import sys
 import time
@@ -27,7 +25,7 @@
 import simulation.site.site as simulated_site
 from iriswheel.consensus import decisions
 from iriswheel.runtime import units
-from simulation import host_model, platform_names, platform_rules, process_model
+from simulation import host_model, platform_names, platform_rules, process_model, second_loss_cases
 from simulation.site import shapes
 
 if typing.TYPE_CHECKING:
@@ -49,68 +47,15 @@
 READ_BACK_S = 30
 TRAFFIC_SHARE = 0.01  # the load of the site's workers does not matter here
 
-log = loguru.logger.bind(part="site")
-
-
-class Loss(enum.Enum):
-    """How a core machine is lost."""
-
-    WIPED = "wiped"  # its power and its disk; it restarts at its address
-    GONE = "gone"  # for good; an empty machine comes at another address
-    PLANNED = "planned"  # an empty machine comes at another address, then the old one gets SIGTERM
-
-
-class Step(enum.Enum):
-    """A step of the repair, by the state of the core that replaces the lost one."""
-
-    SEEN = "seen"  # a voter has received its heartbeat
-    SEATED = "seated"  # it is a voter of an agreed view
-    CHAINED = "chained"  # it is in the chain of an agreed view
-    REFILLED = "refilled"  # it has received the first snapshot chunk or log entries
-    SYNCED = "synced"  # it is synced in the view
-    LEASED = "leased"  # the tail of its chain has the read lease
-    ACKNOWLEDGED = "acknowledged"  # a change was acknowledged that was sent after that
-
-
-class Target(enum.Enum):
-    """Who is struck by the second loss."""
-
-    SAME = "same"  # the replacement, which still counts as lost
-    OTHER = "other"  # one other machine: within the tolerance where two losses are tolerated
-    SETTLED = "settled"  # as many as are tolerated, at random, the settle time after the replacement's start
-    STRESS = "stress"  # as many others as are tolerated at once, while the replacement still counts as lost
-
-
-STEPS_OF_STRESS = (Step.SYNCED, Step.LEASED, Step.ACKNOWLEDGED)
 ZONES = ("osborne", "malaga", "kewdale")
 
-
-class Case(msgspec.Struct, frozen=True):
-    """One run: the deployment, both losses, the step between them, and the seed."""
-
-    cores: int
-    first: Loss
-    step: Step
-    target: Target
-    second: Loss
-    seed: int
-    slow_disk: bool = False  # of the replacement, so that its catch-up takes longer
-
-    def options(self) -> str:
-        """The options that play this case alone.
-
-        >>> Case(3, Loss.WIPED, Step.SEEN, Target.SAME, Loss.GONE, 1).options()
-        '--cores 3 --firsts WIPED --steps SEEN --seconds GONE --targets SAME --first-seed 1'
-        """
-        slow = " --slow-disk" if self.slow_disk else ""
-        losses = f"--firsts {self.first.name} --steps {self.step.name} --seconds {self.second.name}"
-        return f"--cores {self.cores} {losses} --targets {self.target.name} --first-seed {self.seed}{slow}"
+log = loguru.logger.bind(part="site")
 
 
 class Outcome(msgspec.Struct, frozen=True):
     """What a run showed."""
 
-    case: Case
+    case: second_loss_cases.Case
     complaints: list[str]
     acknowledged: int
     reached_us: int | None  # from the first loss to the step
@@ -142,7 +87,7 @@
 class Run:
     """One run under way."""
 
-    def __init__(self, case: Case) -> None:
+    def __init__(self, case: second_loss_cases.Case) -> None:
         self.case = case
         self.site = simulated_site.Site(case.seed, seconds=0, load=TRAFFIC_SHARE)
         self.site.shape = shape(case.cores)
@@ -186,16 +131,16 @@
 
     # ---- losses ------------------------------------------------------------------------
 
-    def lose(self, name: str, loss: Loss) -> str:
+    def lose(self, name: str, loss: second_loss_cases.Loss) -> str:
         """Lose a machine; the name of the one that takes its place."""
         match loss:
-            case Loss.WIPED:
+            case second_loss_cases.Loss.WIPED:
                 self.site.faults.power_off(name, RESTART_S, wipe=True)
                 return name
-            case Loss.GONE:
+            case second_loss_cases.Loss.GONE:
                 self.site.faults.replace_core(name)
                 return self.site.core_movements[-1].name
-            case Loss.PLANNED:
+            case second_loss_cases.Loss.PLANNED:
                 return self.replace_planned(name)
 
     def replace_planned(self, name: str) -> str:
@@ -251,7 +196,7 @@
             else None
         )
 
-    def has_reached(self, step: Step) -> bool:
+    def has_reached(self, step: second_loss_cases.Step) -> bool:
         """Whether the repair has come to a step."""
         core, view = self.replacement_core(), self.newest_view()
         if core is None or view is None:
@@ -259,27 +204,27 @@
         identifier, incarnation = core.consensus.own_voter.id, core.runtime.incarnation
         chained = any(member.id == identifier and member.incarnation == incarnation for member in view.chain)
         match step:
-            case Step.SEEN:
+            case second_loss_cases.Step.SEEN:
                 others = [other for other in self.live_cores() if other is not core]
                 reached = any(identifier in other.consensus.heartbeats for other in others)
-            case Step.SEATED:
+            case second_loss_cases.Step.SEATED:
                 reached = any(voter.id == identifier for voter in view.voters)
-            case Step.CHAINED:
+            case second_loss_cases.Step.CHAINED:
                 reached = chained
-            case Step.REFILLED:
+            case second_loss_cases.Step.REFILLED:
                 received = core.chain.log.last_index > 0 or len(core.chain.receiver.incoming.content) > 0
                 reached = chained and received
-            case Step.SYNCED:
+            case second_loss_cases.Step.SYNCED:
                 reached = chained and decisions.is_synced(core.consensus.record)
-            case Step.LEASED:
+            case second_loss_cases.Step.LEASED:
                 reached = chained and self.tail_is_leased(view)
-            case Step.ACKNOWLEDGED:
+            case second_loss_cases.Step.ACKNOWLEDGED:
                 reached = self.has_acknowledged_after_lease()
         return reached
 
     def has_acknowledged_after_lease(self) -> bool:
         """Whether a change was acknowledged that was sent after the tail of the replacement's chain had its lease."""
-        if self.leased_at is None and self.has_reached(Step.LEASED):
+        if self.leased_at is None and self.has_reached(second_loss_cases.Step.LEASED):
             self.leased_at = self.site.world.time
         return self.leased_at is not None and self.first_change_after(self.leased_at) is not None
 
@@ -311,13 +256,13 @@
         names, tolerated = sorted(self.site.cores), self.site.shape.tolerated_losses
         others = [name for name in names if name != self.replacement and name not in self.leaving]
         match self.case.target:
-            case Target.SAME:
+            case second_loss_cases.Target.SAME:
                 return [self.replacement]
-            case Target.OTHER:
+            case second_loss_cases.Target.OTHER:
                 return [self.rng.choice(others)]
-            case Target.SETTLED:
+            case second_loss_cases.Target.SETTLED:
                 return self.rng.sample(names, tolerated)
-            case Target.STRESS:
+            case second_loss_cases.Target.STRESS:
                 return self.rng.sample(others, tolerated)
 
     def repair(self) -> None:
@@ -328,7 +273,7 @@
         self.replacement = self.lose(name, self.case.first)
         if self.case.slow_disk:
             self.slow_disk(self.replacement)
-        if self.case.target is Target.SETTLED:
+        if self.case.target is second_loss_cases.Target.SETTLED:
             self.wait(lambda: self.replacement_core() is not None, f"the newcomer {self.replacement} did not start")
             self.site.advance(self.site.settle_s())
         else:
@@ -373,34 +318,7 @@
         site.event_log.put(site.world.time, "ended")
 
 
-def cases(
-    cores: int,
-    seeds: collections.abc.Iterable[int],
-    *,
-    firsts: collections.abc.Sequence[Loss] = tuple(Loss),
-    steps: collections.abc.Sequence[Step] = tuple(Step),
-    seconds: collections.abc.Sequence[Loss] = tuple(Loss),
-    targets: collections.abc.Sequence[Target] = tuple(Target),
-    slow_disk: bool = False,
-) -> list[Case]:
-    """The cases of a deployment; those that strike when all is settled again do not depend on the step.
-
-    >>> len(cases(3, [1])), len(cases(5, [1]))
-    (99, 162)
-    """
-    out = []
-    for seed, first, step, target, second in itertools.product(seeds, firsts, steps, targets, seconds):
-        if target is Target.OTHER and cores // 2 < 2:
-            continue
-        if target is Target.STRESS and step not in STEPS_OF_STRESS:
-            continue
-        if target is Target.SETTLED and step is not Step.ACKNOWLEDGED:
-            continue
-        out.append(Case(cores, first, step, target, second, seed, slow_disk))
-    return out
-
-
-def play(case: Case) -> Outcome:
+def play(case: second_loss_cases.Case) -> Outcome:
     """Play one case in this process."""
     loguru.logger.remove()
     return Run(case).play()
@@ -435,14 +353,14 @@
     []
     """
     lines = []
-    for first in Loss:
+    for first in second_loss_cases.Loss:
         found = []
-        for step in Step:
+        for step in second_loss_cases.Step:
             group = [outcome for outcome in outcomes if outcome.case.first is first and outcome.case.step is step]
             times = sorted(
                 outcome.reached_us
                 for outcome in group
-                if outcome.reached_us is not None and outcome.case.target is not Target.SETTLED
+                if outcome.reached_us is not None and outcome.case.target is not second_loss_cases.Target.SETTLED
             )
             found += [f"{step.value} {spread(times)}"] if times else []
         lines += [f"{first.value}: " + ", ".join(found)] if found else []
@@ -466,10 +384,10 @@
     cores: int = 3,
     seeds: int = 1,
     first_seed: int = 1,
-    firsts: collections.abc.Sequence[Loss] = tuple(Loss),
-    steps: collections.abc.Sequence[Step] = tuple(Step),
-    seconds: collections.abc.Sequence[Loss] = tuple(Loss),
-    targets: collections.abc.Sequence[Target] = tuple(Target),
+    firsts: collections.abc.Sequence[second_loss_cases.Loss] = tuple(second_loss_cases.Loss),
+    steps: collections.abc.Sequence[second_loss_cases.Step] = tuple(second_loss_cases.Step),
+    seconds: collections.abc.Sequence[second_loss_cases.Loss] = tuple(second_loss_cases.Loss),
+    targets: collections.abc.Sequence[second_loss_cases.Target] = tuple(second_loss_cases.Target),
     slow_disk: bool = False,
     processes: int = 2,
 ) -> typing.NoReturn:
@@ -485,7 +403,7 @@
     :param slow_disk: whether the replacement's disk is slow
     :param processes: processes to use
     """
-    chosen = cases(
+    chosen = second_loss_cases.cases(
         cores,
         range(first_seed, first_seed + seeds),
         firsts=firsts,
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -8,9 +8,14 @@
 from iriswheel.consensus import decisions
 from iriswheel.runtime import units
 from iriswheel.transport import message
-from simulation import second_loss
+from simulation import second_loss, second_loss_cases
 
-Case, Loss, Step, Target = second_loss.Case, second_loss.Loss, second_loss.Step, second_loss.Target
+Case, Loss, Step, Target = (
+    second_loss_cases.Case,
+    second_loss_cases.Loss,
+    second_loss_cases.Step,
+    second_loss_cases.Target,
+)
 
 KEPT = [
     Case(3, Loss.WIPED, Step.SEATED, Target.SAME, Loss.GONE, 1),
@@ -31,14 +36,14 @@
     return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
 
 
-def name_of(case: second_loss.Case) -> str:
+def name_of(case: second_loss_cases.Case) -> str:
     """A case as the name of a parameter."""
     words = (case.first, case.step, case.target, case.second)
     return "-".join([str(case.cores), *(word.name.lower() for word in words), str(case.seed)])
 
 
 @pytest.mark.parametrize("case", KEPT, ids=name_of)
-def test_a_second_loss_during_a_repair_is_borne_and_changes_go_on(case: second_loss.Case) -> None:
+def test_a_second_loss_during_a_repair_is_borne_and_changes_go_on(case: second_loss_cases.Case) -> None:
     outcome = second_loss.play(case)
     assert outcome.complaints == [], case.options()
     # changes are acknowledged before and after it
