--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -130,23 +130,31 @@
     return b"\r\n".join(line for line in lines if not line.lower().startswith(b"x-target"))
 
 
-# guard -> what is put in its place, the day, its seed, the rule that must be seen broken
+class Guard(NamedTuple):
+    """A guard of the product, and the day on which its absence shows."""
+
+    patches: list[tuple[object, str, object]]  # owner, attribute, what is put in its place
+    day: str
+    seed: int
+    rule: str  # that must be seen broken
+
+
 GUARDS = {
-    "own_answers": (
+    "own_answers": Guard(
         [(platform_programs.formats.Formats, "is_answer_to", lambda _self, _tag, _status, _headers: True)],
         "surplus",
         1,
         "mixed",
     ),
-    "seal": (
+    "seal": Guard(
         [(platform_programs.formats.Formats, "client_headers", lambda _self, _headers, _worker: [])],
         "calm",
         1,
         "mixed",
     ),
-    "own_heads": ([(platform_programs.formats.Formats, "head", _stale_head)], "calm", 1, "unasked"),
-    "target": ([(platform_programs.formats.Formats, "head", _no_target)], "other_service", 1, "route"),
-    "once": (
+    "own_heads": Guard([(platform_programs.formats.Formats, "head", _stale_head)], "calm", 1, "unasked"),
+    "target": Guard([(platform_programs.formats.Formats, "head", _no_target)], "other_service", 1, "route"),
+    "once": Guard(
         [
             (forwarded_request.ForwardedRequest, "__init__", _always_repeat),
             (forwarding.Forwarder, "may_retry", lambda _self, request: request.sends < 3),
@@ -155,15 +163,15 @@
         1,
         "twice",
     ),
-    "promises": ([(forwarding.Forwarder, "give_up", _promise)], "some_fail", 1, "refused"),
-    "complete_events": ([(answer_stream, "complete_events", lambda raw: (raw, b""))], "broken_off", 1, "order"),
-    "worker_states": ([(follower.Follower, "apply_workers", _first_list)], "release", 1, "drain"),
-    "drain": ([(node.Node, "stop", _leave_at_once)], "roll", 1, "lost"),
-    "last_bytes": ([(node.Node, "stop", _leave_with_the_last_request)], "roll", 4, "lost"),
-    "routes": ([(follower.Follower, "find_route", lambda _self, _host, _path: None)], "calm", 1, "denied"),
-    "news": ([(follower.Follower, "apply_items", _first_items)], "changes", 1, "config"),
-    "budget": ([(retry_budget.Budget, "has_capacity", lambda _self, _now: True)], "all_fail", 1, "budget"),
-    "disk": ([(disk_model.Disk, "read", lambda _self: {})], "closing_power", 1, "config"),
+    "promises": Guard([(forwarding.Forwarder, "give_up", _promise)], "some_fail", 1, "refused"),
+    "complete_events": Guard([(answer_stream, "complete_events", lambda raw: (raw, b""))], "broken_off", 1, "order"),
+    "worker_states": Guard([(follower.Follower, "apply_workers", _first_list)], "release", 1, "drain"),
+    "drain": Guard([(node.Node, "stop", _leave_at_once)], "roll", 1, "lost"),
+    "last_bytes": Guard([(node.Node, "stop", _leave_with_the_last_request)], "roll", 4, "lost"),
+    "routes": Guard([(follower.Follower, "find_route", lambda _self, _host, _path: None)], "calm", 1, "denied"),
+    "news": Guard([(follower.Follower, "apply_items", _first_items)], "changes", 1, "config"),
+    "budget": Guard([(retry_budget.Budget, "has_capacity", lambda _self, _now: True)], "all_fail", 1, "budget"),
+    "disk": Guard([(disk_model.Disk, "read", lambda _self: {})], "closing_power", 1, "config"),
 }
 OWN = {  # days that only a guard's absence needs
     "some_fail": lambda site: (site.advance(2), site.faults.make_unhealthy(site.live_workers(), 8, garble=0.3)),
@@ -184,7 +192,7 @@
     """Play a day, perhaps with a guard out."""
     name, seed, shape, guard = job
     with contextlib.ExitStack() as stack:
-        for owner, what, instead in GUARDS[guard][0] if guard else ():
+        for owner, what, instead in GUARDS[guard].patches if guard else ():
             stack.enter_context(mock.patch.object(owner, what, instead))
         stack.enter_context(mock.patch.dict(platform_days.DAYS, OWN))
         site = platform_days.play(name, seed, shape)
@@ -235,5 +243,5 @@
 
 @pytest.mark.parametrize("guard", GUARDS)
 def test_a_day_without_a_guard_breaks_its_rule(guard: str) -> None:
-    _, day, seed, rule = GUARDS[guard]
-    assert rule in play((day, seed, "magnolia", guard)).complaints
+    missing = GUARDS[guard]
+    assert missing.rule in play((missing.day, missing.seed, "magnolia", guard)).complaints
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -1,5 +1,7 @@
 """The commands that measure simulated clusters, at their smallest size."""
 
+from typing import ClassVar
+
 import pytest
 
 from benchmarks import simulated_costs
@@ -10,7 +12,7 @@
 class RecordedCluster(simulated_cluster.SimulatedCluster):
     """A cluster that the test sees."""
 
-    made: "list[RecordedCluster]" = []
+    made: "ClassVar[list[RecordedCluster]]" = []
 
     def begin(self) -> None:
         self.made.append(self)
