--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,6 +8,9 @@
 
 from simulation import simulated_cluster
 
+# Modules with assertions that test files share.
+pytest.register_assert_rewrite("tests.deferreds", "tests.request_path")
+
 
 class QuietCluster(Protocol):
     """Starts a simulated cluster without any load of its own, and lets it run until it serves."""
--- /dev/null
+++ b/tests/request_path.py
@@ -0,0 +1,165 @@
+"""A node's request path with a client and scripted workers: what tests of it have in common.
+
+A scripted worker gets complete requests and writes whatever bytes the test wants.
+"""
+
+from collections.abc import Callable
+from typing import Any
+
+import httptools
+import pytest
+from twisted.internet import address, protocol
+from twisted.python import failure
+
+from iriswheel.configuration import configuration
+from iriswheel.runtime import units
+from iriswheel.transport import message
+from simulation import host_model, platform_names, process_model
+from tests import node_fixture
+
+SECOND = units.SECOND_US
+HEADERS = platform_names.HEADERS
+
+
+def answer(
+    attempt: str | None,
+    body: bytes = b"",
+    status: int = 200,
+    seal: str | None = "s",
+    length: int | None = None,
+    **more: str,
+) -> bytes:
+    """The bytes of a worker's answer; `length` may tell another length than the body has."""
+    headers = {HEADERS["attempt"]: attempt, HEADERS["seal"]: seal, **more}
+    lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value is not None)
+    size = len(body) if length is None else length
+    return f"HTTP/1.1 {status} Some\r\n{lines}Content-Length: {size}\r\n\r\n".encode() + body
+
+
+class WorkerConnection(protocol.Protocol):
+    """A connection to a scripted worker."""
+
+    def __init__(self, worker: "ScriptedWorker") -> None:
+        self.worker = worker
+        self.parser = httptools.HttpRequestParser(self)
+        self.attempt = ""
+        self.after = None
+        self.closed = False
+
+    def dataReceived(self, data: bytes) -> None:
+        self.parser.feed_data(data)
+
+    def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
+        self.closed = True
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        if name.decode().lower() == HEADERS["attempt"].lower():
+            self.attempt = value.decode("latin-1")
+
+    def on_message_complete(self) -> None:
+        self.worker.seen.append(self.attempt)
+        self.worker.script(self, self.attempt)
+
+
+class ScriptedWorker(protocol.Factory):
+    """A worker that does with each whole request what its script says."""
+
+    noisy = False
+
+    def __init__(self, script: Callable[..., Any]) -> None:
+        self.script = script
+        self.seen = []  # attempts, in the order in which they came
+        self.connections = []
+
+    def buildProtocol(self, _address: address.IPv4Address) -> WorkerConnection:
+        self.connections.append(WorkerConnection(self))
+        return self.connections[-1]
+
+
+class Client(protocol.Protocol):
+    """A client that keeps all bytes that come."""
+
+    def __init__(self) -> None:
+        self.raw = b""
+        self.closed = False
+
+    def dataReceived(self, data: bytes) -> None:
+        self.raw += data
+
+    def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
+        self.closed = True
+
+    @property
+    def status(self) -> int:
+        """The first answer's status; 0 before there is one."""
+        return int(self.raw.split(b" ", 2)[1]) if self.raw else 0
+
+
+class RequestPath(node_fixture.NodeFixture):
+    @pytest.fixture(autouse=True)
+    def use_mutating_route(self, start_node: None) -> None:  # noqa: ARG002 - asked for so that it runs before
+        self.workers = []
+        self.workers_started = 0  # workers ever started: each has an address of its own
+        self.mutating()
+
+    def mutating(self) -> None:
+        self.route = configuration.Route("/x/", "desk", repeat="never", sends=3, cutoff_us=9 * SECOND)
+
+    def idempotent(self, sends: int = 2) -> None:
+        self.route = configuration.Route("/x/", "desk", repeat="may", sends=sends, cutoff_us=9 * SECOND)
+
+    def resumable(self) -> None:
+        self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * SECOND)
+
+    def worker(self, script: Callable[..., Any]) -> ScriptedWorker:
+        self.workers_started += 1
+        number = self.workers_started
+        host = f"10.0.3.{number}"
+        process = process_model.SimulatedProcess(self.world, f"w{number}", host_model.Host(self.world, host, "a"))
+        worker = ScriptedWorker(script)
+        worker.process = process
+        process.reactor.listenTCP(80, worker)
+        self.workers.append(worker)
+        self.follower.workers.append(message.Worker(f"i-{number}", host, 80, "desk", "ready", 0))
+        self.follower.states = {w.id: w for w in self.follower.workers}
+        return worker
+
+    def client(self) -> Client:
+        client = Client()
+        factory = protocol.ClientFactory()
+        factory.noisy = False
+        factory.buildProtocol = lambda _address: client
+        self.near.reactor.connectTCP("10.0.2.1", 80, factory)
+        self.go(10)
+        return client
+
+    def write(self, client: Client, attempt: str, method: str = "POST", left_ms: int = 5000, **more: int | str) -> None:
+        headers = {
+            "Host": "h.example",
+            HEADERS["attempt"]: attempt,
+            HEADERS["left"]: left_ms,
+            "Content-Length": 2,
+            **more,
+        }
+        lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
+        client.transport.write(f"{method} /x/ HTTP/1.1\r\n{lines}\r\nhi".encode("latin-1"))
+
+    def query(self, attempt: str, ms: int = 50, **more: int | str) -> Client:
+        """A request on a connection of its own; the client after some time."""
+        client = self.client()
+        self.write(client, attempt, **more)
+        self.go(ms)
+        return client
+
+    def seen(self) -> list[str]:
+        return sorted(attempt for worker in self.workers for attempt in worker.seen)
+
+    def assert_own(self, client: Client, attempt: str) -> None:
+        assert client.status == 200
+        assert client.raw.endswith(f"body of {attempt}".encode()), client.raw
+        assert client.raw.count(b"HTTP/1.1") == 1
+
+
+def good(connection: WorkerConnection, attempt: str) -> None:
+    """Answer as a sound worker does."""
+    connection.transport.write(answer(attempt, f"body of {attempt}".encode()))
--- /dev/null
+++ b/tests/test_request_bounds.py
@@ -0,0 +1,124 @@
+"""Attempts and streams of a request stay within the bounds of its route and its time."""
+
+import types
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+from twisted.internet import defer
+
+from iriswheel import errors
+from iriswheel.configuration import configuration
+from iriswheel.dataplane import attempt_outcome, attempt_registry, dispatch, gateway, retry_budget, routed_request
+from iriswheel.runtime import units
+from simulation import platform_names
+from tests import request_path
+
+SECOND = units.SECOND_US
+HEADERS = platform_names.HEADERS
+
+
+class TestAttemptsOfARoute:
+    def test_a_request_with_selected_workers_goes_to_no_more_than_its_route_allows(self) -> None:
+        for sends, expected in ((0, gateway.MAX_ATTEMPTS), (1, 1), (2, 2), (9, gateway.MAX_ATTEMPTS)):
+            seen = []
+
+            async def select_worker(
+                _request: routed_request.RoutedRequest, excluded_workers: list[str]
+            ) -> tuple[types.SimpleNamespace, str]:
+                return types.SimpleNamespace(id=f"w{len(excluded_workers)}"), ""
+
+            async def send(
+                _request: routed_request.RoutedRequest,
+                worker: types.SimpleNamespace,
+                _under_way: dispatch.Attempt,
+                _via: str,
+                seen: list[str] = seen,
+            ) -> attempt_outcome.AttemptOutcome:
+                seen.append(worker.id)
+                return attempt_outcome.AttemptOutcome.BROKE
+
+            runtime = types.SimpleNamespace(now=lambda: 0)
+            node_gateway = types.SimpleNamespace(
+                selector=types.SimpleNamespace(select_worker=select_worker),
+                send=send,
+                retry_budgets=types.SimpleNamespace(budget=lambda _request: retry_budget.Budget()),
+                counts={"repeats": 0},
+                attempts=attempt_registry.AttemptRegistry(types.SimpleNamespace(runtime=runtime)),
+                runtime=runtime,
+                owners=types.SimpleNamespace(release=lambda _request, _outcome: None),
+            )
+            request = routed_request.RoutedRequest(None, "n1-1/0", 0)
+            request.route = configuration.Route("/x/", "desk", sends=sends)
+            request.idempotent = True
+            done = defer.ensureDeferred(gateway.Gateway.send_with_grants(node_gateway, request))
+            done.addErrback(lambda failure: failure.value.execution)
+            assert done.result == errors.ExecutionOutcome.MAY_HAVE_RUN
+            assert len(seen) == expected
+
+
+class TestBoundsOfARequest(request_path.RequestPath):
+    @pytest.mark.parametrize("status", [500, 503])
+    @pytest.mark.parametrize("sends", [1, 2, 3])
+    def test_a_request_goes_to_no_more_workers_than_its_route_allows(self, status: int, sends: int) -> None:
+        self.idempotent(sends)
+        self.retry_budget.slack = 99
+        headers = {HEADERS["not_run"]: "1"} if status == 503 else {}
+        for _ in range(4):
+            self.worker(lambda c, a, s=status, h=headers: c.transport.write(request_path.answer(a, b"no", s, **h)))
+        self.query("a1", ms=200)
+        assert len(self.seen()) == sends
+        assert max(len(worker.seen) for worker in self.workers) <= 1
+
+    def test_a_stream_that_goes_on_elsewhere_does_not_announce_the_first_length(self) -> None:
+        def script(connection: request_path.WorkerConnection, attempt: str) -> None:
+            if len(self.seen()) == 1:
+                connection.transport.write(request_path.answer(attempt, b"id: 1\ndata: a\n\nid: 2\nda", length=32))
+                self.world.push(self.world.time + 5000, connection.transport.abortConnection)
+            else:
+                connection.transport.write(request_path.answer(attempt, b"id: 2\ndata: longer than before\n\n"))
+
+        self.resumable()
+        for _ in range(2):
+            self.worker(script)
+        client = self.query("a1", ms=200)
+        head, _, body = client.raw.partition(b"\r\n\r\n")
+        assert b"content-length" not in head.lower()
+        assert b"transfer-encoding: chunked" in head.lower()
+        assert body.endswith(b"0\r\n\r\n")
+        assert (body.count(b"id: 1"), body.count(b"id: 2")) == (1, 1)
+
+    def silent_stream(self, plan: Callable[..., Any]) -> tuple[bool, int]:
+        """A stream whose worker is silent for two seconds, and what of it comes, where other workers refuse it."""
+
+        def script(connection: request_path.WorkerConnection, attempt: str) -> None:
+            if len(self.seen()) == 1:
+                connection.transport.write(request_path.answer(attempt, b"id: 1\ndata: a\n\n", length=30))
+                self.world.push(self.world.time + 2 * SECOND, lambda: connection.transport.write(b"id: 2\ndata: b\n\n"))
+            else:
+                refusal = request_path.answer(attempt, b"no", status=503, seal=None, **{HEADERS["not_run"]: "1"})
+                connection.transport.write(refusal)
+
+        self.resumable()
+        for _ in range(2):
+            self.worker(script)
+        client = self.query("a1")
+        plan()
+        self.go(3000)
+        return client.raw.endswith(b"0\r\n\r\n"), len(self.seen())
+
+    def test_a_silent_stream_is_not_cut_while_the_node_stops(self) -> None:
+        assert self.silent_stream(lambda: setattr(self.node, "draining", True)) == (True, 1)
+
+    def test_a_silent_stream_is_not_cut_after_options_were_read_again(self) -> None:
+        assert self.silent_stream(lambda: setattr(self.node, "options_reread_at_us", self.world.time)) == (True, 1)
+
+    def test_a_silent_stream_goes_elsewhere_at_other_times(self) -> None:
+        assert self.silent_stream(lambda: None)[1] == 2
+
+    def test_a_worker_that_gives_no_connection_holds_no_request_past_its_time(self) -> None:
+        for number in (1, 2):
+            self.worker(request_path.good)
+            self.world.cut(["10.0.2.1"], [f"10.0.3.{number}"])
+        client = self.query("a1", ms=130, left_ms=100)
+        assert client.status == 503
