--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import collections.abc
 import json
 import pathlib
 import typing
@@ -13,7 +12,7 @@
 from iriswheel.cli import load_generator
 from iriswheel.runtime import options, units
 from iriswheel.transport import http_server, wire
-from simulation import addresses, event_log, host_model, operator_model, prober, process_model, server_model, world
+from simulation import addresses, deployment, event_log, operator_model, prober, process_model, server_model
 
 if typing.TYPE_CHECKING:
     from twisted.internet import defer
@@ -21,7 +20,6 @@
     from iriswheel.runtime import scheduler
 
 SEED_COUNT = 3  # cores that the seeds name, however many there are
-STEP_SECONDS = 0.05  # how often a condition is checked
 DEFAULT_CAP = 10
 LIFETIME_US = 60 * units.SECOND_US
 START_TIMEOUT_SECONDS = 30
@@ -31,13 +29,6 @@
 log = loguru.logger.bind(part="cluster")
 
 
-class Place(typing.NamedTuple):
-    """Where a core or node runs."""
-
-    host: str
-    zone: str
-
-
 class SimulatedWorker(stand_in_worker.Worker):
     """A stand-in worker in a simulated process."""
 
@@ -53,7 +44,7 @@
         self.host = process.host.host
 
 
-class SimulatedCluster:
+class SimulatedCluster(deployment.Deployment):
     """One simulated run of a whole cluster.
 
     Args:
@@ -84,8 +75,7 @@
         **more: typing.Any,  # noqa: ANN401 - each field of options.Options has a type of its own
     ) -> None:
         self.seed = seed
-        self.world = world.World(seed)
-        self.rng = self.world.rng
+        super().__init__(seed)
         self.event_log = event_log.EventLog()
         self.zones, self.worker_count, self.pool, name = fleet.SHAPES[shape]
         self.zones = zones or self.zones
@@ -97,7 +87,7 @@
         self.cores: dict[str, server_model.SimulatedCore] = {}
         self.nodes: dict[str, server_model.SimulatedNode] = {}
         self.workers: dict[str, SimulatedWorker] = {}
-        self.places: dict[str, Place] = {}
+        self.places: dict[str, deployment.Place] = {}
         self.seeds: list[str] = []
         self.numbered_calls = 0  # calls with a numbered change so far
         self.probe = 0  # which probe route was confirmed last
@@ -108,10 +98,6 @@
 
     # ---- building -----------------------------------------------------------------
 
-    def machine(self, host: str, zone: str) -> host_model.Host:
-        """The machine of a host, made when first named."""
-        return self.world.machines.get(host) or host_model.Host(self.world, host, zone)
-
     def begin(self) -> None:
         """Start everything and wait until a first configuration is confirmed and all nodes are ready."""
         self._start_platform()
@@ -186,10 +172,8 @@
         **more: typing.Any,  # noqa: ANN401 - each field of options.Options has a type of its own
     ) -> tuple[process_model.SimulatedProcess, scheduler.Runtime, options.Options]:
         """A new process on a machine with power, its runtime and its options."""
-        machine = self.machine(host, zone)
-        machine.power = True
-        process = process_model.SimulatedProcess(self.world, name, machine)
-        self.places[name] = Place(host, zone)
+        process = process_model.SimulatedProcess(self.world, name, self.powered_machine(host, zone))
+        self.places[name] = deployment.Place(host, zone)
         process_options = options.Options(
             role,
             name=name,
@@ -239,19 +223,6 @@
 
     # ---- time ---------------------------------------------------------------------------
 
-    def advance(self, seconds: float) -> None:
-        """Let virtual time pass."""
-        self.world.run(self.world.time + int(seconds * units.SECOND_US))
-
-    def advance_until(self, condition: collections.abc.Callable[[], object], seconds: float) -> bool:
-        """Let time pass until a condition holds; False where it did not in time."""
-        end = self.world.time + seconds * units.SECOND_US
-        while not condition():
-            if self.world.time >= end:
-                return False
-            self.advance(STEP_SECONDS)
-        return True
-
     def advance_until_called(self, deferred: defer.Deferred[typing.Any], seconds: float) -> bool:
         """Let time pass until a deferred has fired; False where it did not in time."""
         return self.advance_until(lambda: deferred.called, seconds)
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -17,7 +17,15 @@
 import simulation.workers.worker as workers
 from iriswheel.runtime import units
 from iriswheel.transport import http_server, wire
-from simulation import event_log, host_model, inference_engine, platform_programs, process_model, server_model, world
+from simulation import (
+    deployment,
+    event_log,
+    host_model,
+    inference_engine,
+    platform_programs,
+    process_model,
+    server_model,
+)
 from simulation.clients import client, operator, virtual_address
 from simulation.rules import earned_value
 from simulation.site import configurations, faults, settings_files, shapes
@@ -28,7 +36,6 @@
 CLIENTS_PER_ZONE = 11
 READINESS_CONNECTIONS = 64
 FIRST_CONFIGURATION_S = 60  # within which the first configuration is acknowledged
-POLL_S = 0.05
 DRAIN_S = 15  # at the end, for the requests that are still open
 READ_BACKS, READ_BACK_S, READ_BACK_GAP_S = 3, 30, 1.1
 
@@ -38,13 +45,6 @@
 log = loguru.logger.bind(part="site")
 
 
-class Place(typing.NamedTuple):
-    """Where a process runs."""
-
-    host: str
-    zone: str
-
-
 class Movement(typing.NamedTuple):
     """A core machine that came or went."""
 
@@ -71,7 +71,7 @@
         self.host, self.zone = process.host.host, process.host.zone
 
 
-class Site:
+class Site(deployment.Deployment):
     """One simulated run.
 
     `configurations` sends configurations, and `faults` brings faults about.
@@ -95,17 +95,16 @@
             load: How many times the usual load.
             engine_parameters: The parameters of the workers' engines, where they are not the deployment's.
         """
+        super().__init__(seed)
         self.shape = shapes.SHAPES[shape]
-        self.world = world.World(seed)
         self.world.held_writes = True
-        self.rng = self.world.rng
         self.event_log = event_log.EventLog()
         self.seconds, self.load = seconds, load
         self.engine_parameters = engine_parameters or inference_engine.EngineParameters(**self.shape.engine_parameters)
         self.cores: dict[str, server_model.SimulatedCore] = {}
         self.nodes: dict[str, server_model.SimulatedNode] = {}
         self.workers: dict[str, SimulatedWorker] = {}
-        self.places: dict[str, Place] = {}
+        self.places: dict[str, deployment.Place] = {}
         self.pool = f"p{self.rng.getrandbits(16):04x}"
         self.started = False  # whether the first start is over
         self.core_movements: list[Movement] = []
@@ -118,12 +117,6 @@
 
     # ---- machines and processes ---------------------------------------------------------
 
-    def machine(self, host: str, zone: str) -> host_model.Host:
-        """The machine at an address, made when first named; it has power."""
-        machine = self.world.machines.get(host) or host_model.Host(self.world, host, zone)
-        machine.power = True
-        return machine
-
     def machine_of(self, name: str) -> host_model.Host:
         """The machine of a process."""
         return self.world.machines[self.places[name].host]
@@ -132,10 +125,10 @@
         """The process of a node, core machine or worker."""
         return (self.nodes.get(name) or self.cores.get(name) or self.workers[name]).process
 
-    def new_process(self, name: str, place: Place) -> process_model.SimulatedProcess:
+    def new_process(self, name: str, place: deployment.Place) -> process_model.SimulatedProcess:
         """A process that begins at a place."""
         self.places[name] = place
-        return process_model.SimulatedProcess(self.world, name, self.machine(*place))
+        return process_model.SimulatedProcess(self.world, name, self.powered_machine(*place))
 
     def live_workers(self) -> list[str]:
         """The names of the workers that live and do not leave."""
@@ -206,7 +199,7 @@
 
     def start_worker(self, name: str, host: str, zone: str, pool: str | None = None) -> SimulatedWorker:
         """Start a worker as a new instance, and list it."""
-        process = self.new_process(name, Place(host, zone))
+        process = self.new_process(name, deployment.Place(host, zone))
         speed = 0.93 + 0.14 * self.rng.random()
         worker = SimulatedWorker(
             process,
@@ -239,7 +232,7 @@
         self._start_traffic()
 
     def _start_platform(self) -> None:
-        place = Place(settings_files.PROVIDER_HOST, self.shape.cores[0])
+        place = deployment.Place(settings_files.PROVIDER_HOST, self.shape.cores[0])
         provider = self.new_process("provider", place)
         page = 3 if len(self.shape.workers) < 10 else 25
         self.listing = listing.Listing(provider.runtime(), self.event_log, page=page)
@@ -255,11 +248,11 @@
         for number, zone in enumerate(self.shape.workers, 1):
             self.start_worker(f"w{number}", f"10.128.0.{number}", zone)
         for number, zone in enumerate(self.shape.cores, 1):
-            self.places[f"c{number}"] = Place(f"{settings_files.CORE_HOST_PREFIX}{number}", zone)
+            self.places[f"c{number}"] = deployment.Place(f"{settings_files.CORE_HOST_PREFIX}{number}", zone)
         for number in range(1, len(self.shape.cores) + 1):
             self.start_core(f"c{number}")
         for number, zone in enumerate(self.shape.nodes, 1):
-            self.places[f"n{number}"] = Place(f"10.2.0.{number}", zone)
+            self.places[f"n{number}"] = deployment.Place(f"10.2.0.{number}", zone)
             self.start_node(f"n{number}")
         self.started = True
         self.client_runtime.spawn(self.virtual_address.run(), log)
@@ -318,19 +311,6 @@
 
     # ---- time ---------------------------------------------------------------------------
 
-    def advance(self, seconds: float) -> None:
-        """Let virtual time pass."""
-        self.world.run(self.world.time + int(seconds * units.SECOND_US))
-
-    def advance_until(self, condition: collections.abc.Callable[[], object], seconds: float) -> bool:
-        """Let time pass until a condition holds; False where it did not in time."""
-        end = self.world.time + int(seconds * units.SECOND_US)
-        while not condition():
-            if self.world.time >= end:
-                return False
-            self.advance(POLL_S)
-        return True
-
     def schedule(self, seconds: float, action: collections.abc.Callable[..., object], *arguments: object) -> None:
         """Run an action after a while, whatever the scenario does meanwhile."""
         self.world.push(self.world.time + int(seconds * units.SECOND_US), lambda: action(*arguments))
