--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -10,7 +10,6 @@
 from benchmarks.capacity import hollow_fleet, measuring, samples
 from iriswheel.transport import message, wire
 
-SHORT_PROMPT_TOKENS = 400
 READ_SECONDS = 0.1  # from an attempt's start until its prompt is read
 TOKENS_A_STEP = 1000  # a change of the tokens to read that counts as much as one running request
 PACKED_ROW_BYTES = 5
@@ -211,7 +210,7 @@
     changes = []
     for _ in range(int(rate * (lasts + seconds))):
         at, worker = rng.random() * (lasts + seconds) - lasts, rng.randrange(workers)
-        tokens = samples.LONG if rng.random() < samples.LONG_SHARE else SHORT_PROMPT_TOKENS
+        tokens = samples.LONG if rng.random() < samples.LONG_SHARE else hollow_fleet.SHORT_PROMPT_TOKENS
         changes += [
             LoadChange(at, worker, 1, tokens),
             LoadChange(at + READ_SECONDS, worker, 0, -tokens),
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -15,6 +15,10 @@
 
 FIRST_EVENT_US = 100 * units.MILLISECOND_US  # from a hollow send to its first event
 
+WORKER_HOST = "10.0.3.1"
+FIRST_WORKER_PORT = 9001
+SHORT_PROMPT_TOKENS = 400
+
 Figures = dict[str, float]  # of one process or role: a key of UNITS -> value
 
 UNITS = {
@@ -66,20 +70,26 @@
         )
         self.worker_count, self.pool, self.pools, self.walking = listed, "model-0", pools, walking
         self.probing = False
-        self.standing: process_model.SimulatedProcess | None = None  # the process of all workers
+        self.worker_process: process_model.SimulatedProcess | None = None  # of all workers
         self.meter = processor_meter.Meter()
 
     def start_worker(self, name: str, host: str) -> None:  # noqa: ARG002 - all are at one host
         """Start a worker in the process that all of them share."""
-        if self.standing is None:
-            self.standing = process_model.SimulatedProcess(self.world, "workers", self.machine("10.0.3.1", "zone0"))
-            self.stand_in_runtime = self.standing.runtime()
+        if self.worker_process is None:
+            self.worker_process = process_model.SimulatedProcess(
+                self.world, "workers", self.machine(WORKER_HOST, "zone0")
+            )
+            self.worker_runtime = self.worker_process.runtime()
         number = len(self.workers)
         worker = self.workers[name] = simulated_cluster.SimulatedWorker(
-            self.standing, self.stand_in_runtime, name, self.event_log
+            self.worker_process, self.worker_runtime, name, self.event_log
+        )
+        self.listen(
+            self.worker_process, FIRST_WORKER_PORT + number, http_server.Server(self.worker_runtime, worker.handle)
+        )
+        self.platform.put(
+            name, host=WORKER_HOST, port=FIRST_WORKER_PORT + number, pool=f"model-{number % self.pools}", state="ready"
         )
-        self.listen(self.standing, 9001 + number, http_server.Server(self.stand_in_runtime, worker.handle))
-        self.platform.put(name, host="10.0.3.1", port=9001 + number, pool=f"model-{number % self.pools}", state="ready")
 
     def start_node(self, name: str, host: str, zone: str) -> None:
         """Start a node, without its probes of workers unless the fleet has them."""
@@ -109,7 +119,8 @@
         pool = f"model-{loaded.runtime.rng.randrange(self.pools)}"
         place, names = loaded.gateway.forwarder.placement_of(pool), loaded.gateway.forwarder.ready(pool)
         name = names[loaded.runtime.rng.randrange(len(names))]
-        tokens = place.begin(name, [], [], samples.LONG if loaded.runtime.rng.random() < samples.LONG_SHARE else 400)
+        is_long = loaded.runtime.rng.random() < samples.LONG_SHARE
+        tokens = place.begin(name, [], [], samples.LONG if is_long else SHORT_PROMPT_TOKENS)
         await loaded.runtime.sleep(FIRST_EVENT_US)
         place.first_event(name, tokens, FIRST_EVENT_US, FIRST_EVENT_US)  # as expected, so that estimates stay
         await loaded.runtime.sleep(int(lasts * units.SECOND_US))
