--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -53,7 +53,7 @@
 def _change(cluster: hollow_fleet.Fleet) -> None:
     """A route is changed."""
     done = cluster.operator_runtime.spawn(
-        cluster.operator.change(cluster.with_probe(cluster.probe + 1)), simulated_cluster.log
+        cluster.operator.change(cluster.with_probe(cluster.newest_probe + 1)), simulated_cluster.log
     )
     cluster.advance_until(lambda: done.called, LIMIT_S)
 
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -145,7 +145,7 @@
     """A settled cluster without load, whose chain holds all core machines."""
     cluster = hollow_fleet.Fleet(seed, nodes, LISTED, POOLS, ROUTES, walking=False, election="node")
     cluster.core_count = cores
-    cluster.more = {"seats": cores}
+    cluster.extra_options = {"seats": cores}
     cluster.begin()
     views = [core.consensus for core in cluster.cores.values()]
     if not cluster.advance_until(lambda: all(m.view is not None and len(m.view.chain) == cores for m in views), 30):
--- a/benchmarks/simulated_costs.py
+++ b/benchmarks/simulated_costs.py
@@ -87,13 +87,13 @@
 
 def _change_near(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:  # noqa: ARG001 - as _change_far
     """Change a route that all nodes have."""
-    _change(cluster, cluster.probe + 1, CHANGE_LIMIT_S)
+    _change(cluster, cluster.newest_probe + 1, CHANGE_LIMIT_S)
 
 
 def _change_far(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:
     """Change a route that only the nodes of one zone have."""
-    cluster.configuration["routes"]["farther"] = _far_route(cluster, f"/farther/{cluster.probe}/{number}")
-    _change(cluster, cluster.probe, CHANGE_LIMIT_S)
+    cluster.configuration["routes"]["farther"] = _far_route(cluster, f"/farther/{cluster.newest_probe}/{number}")
+    _change(cluster, cluster.newest_probe, CHANGE_LIMIT_S)
 
 
 def _bytes_a_change(
@@ -174,11 +174,11 @@
             before = _sent_bytes(cluster)
             cluster.advance(QUIET_S)
             quiet = (_sent_bytes(cluster) - before) / QUIET_S
-            times = sorted(_change(cluster, cluster.probe + 1, 30) / 1000 for _ in range(CHANGE_COUNT))
+            times = sorted(_change(cluster, cluster.newest_probe + 1, 30) / 1000 for _ in range(CHANGE_COUNT))
             tail = cluster.tail()
             assert tail is not None
             tail.process.kill()
-            without_tail_us = _change(cluster, cluster.probe + 1, 40)
+            without_tail_us = _change(cluster, cluster.newest_probe + 1, 40)
             print(
                 f"{node_count} nodes, {route_count} routes: plan and confirm {times[CHANGE_COUNT // 2]:.0f} ms "
                 f"(median of {CHANGE_COUNT}, worst {times[-1]:.0f}); the "
@@ -248,7 +248,7 @@
 
 async def _change_over_and_over(cluster: simulated_cluster.SimulatedCluster) -> None:
     while True:
-        await cluster.operator.change(cluster.with_probe(cluster.probe + 1))
+        await cluster.operator.change(cluster.with_probe(cluster.newest_probe + 1))
         await cluster.operator_runtime.sleep(CHANGE_PAUSE_US)
 
 
--- a/simulation/operator_model.py
+++ b/simulation/operator_model.py
@@ -82,7 +82,7 @@
             status, response = await self.query("POST", f"/plans/{plan['id']}/confirm", {})
             if status == HTTP_OK:
                 self._log_confirmed(plan, response, probe)
-                self.cluster.probe = max(self.cluster.probe, probe)
+                self.cluster.newest_probe = max(self.cluster.newest_probe, probe)
                 version: int = response["stamp"]
                 return version
             self.cluster.event_log.put(
@@ -109,7 +109,7 @@
                 plans.append((plan, wanted))
         for plan, wanted in plans + plans:
             await self._confirm_again(plan, wanted)
-        self.cluster.probe = max(self.cluster.probe, _probe_number(document))
+        self.cluster.newest_probe = max(self.cluster.newest_probe, _probe_number(document))
 
     async def _plan(self, document: Document) -> Document | None:
         for _ in range(STALE_PLAN_ATTEMPTS):
--- a/simulation/prober.py
+++ b/simulation/prober.py
@@ -36,8 +36,8 @@
         while cluster.probing:
             await runtime.sleep(INTERVAL_US)
             for name in [name for name in sorted(cluster.nodes) if cluster.is_ready(name)]:
-                newest = [f"/p/{probe}" for probe in (cluster.probe, cluster.probe - 1) if probe >= 0]
-                for path in newest + cluster.paths:
+                newest = [f"/p/{probe}" for probe in (cluster.newest_probe, cluster.newest_probe - 1) if probe >= 0]
+                for path in newest + cluster.extra_probe_paths:
                     runtime.spawn(self.probe(runtime, agent, name, path), log)
 
     async def probe(self, runtime: scheduler.Runtime, agent: dispatch.HttpAgent, name: str, path: str) -> None:
--- a/simulation/scenarios/actions.py
+++ b/simulation/scenarios/actions.py
@@ -167,7 +167,7 @@
     """Let the operator confirm changes one after the other, with a pause after each."""
 
     async def change_all() -> None:
-        for probe in range(cluster.probe + 1, cluster.probe + 1 + count):
+        for probe in range(cluster.newest_probe + 1, cluster.newest_probe + 1 + count):
             await cluster.operator.change(cluster.with_probe(probe))
             await cluster.operator_runtime.sleep(int(gap_seconds * units.SECOND_US))
 
@@ -177,7 +177,7 @@
 def begin_change(cluster: simulated_cluster.SimulatedCluster, patch: bool = False) -> defer.Deferred[int | None]:
     """Let the operator confirm the configuration with the next probe route, whole or as a JSON Patch."""
     return cluster.operator_runtime.spawn(
-        cluster.operator.change(cluster.with_probe(cluster.probe + 1), patch=patch), simulated_cluster.log
+        cluster.operator.change(cluster.with_probe(cluster.newest_probe + 1), patch=patch), simulated_cluster.log
     )
 
 
@@ -220,7 +220,7 @@
 def probe_repeatedly(cluster: simulated_cluster.SimulatedCluster, name: str, rounds: int) -> None:
     """Let clients that hold on to a node's address try the newest two probe routes there, every 0.3 seconds."""
     for _ in range(rounds):
-        for probe in (cluster.probe, cluster.probe - 1):
+        for probe in (cluster.newest_probe, cluster.newest_probe - 1):
             cluster.load.runtime.spawn(
                 cluster.prober.probe(cluster.load.runtime, cluster.load.agent, name, f"/p/{max(0, probe)}"),
                 simulated_cluster.log,
--- a/simulation/scenarios/configuration.py
+++ b/simulation/scenarios/configuration.py
@@ -59,7 +59,7 @@
     if head is not None and cluster.rng.random() < 0.5:
         actions.kill(cluster, head.options.name, restart_after=3)
     cluster.advance_until(lambda: all(changes.called for changes in both), 60)
-    stale_plans = cluster.operator.stale_plans(cluster.with_probe(cluster.probe + 1))
+    stale_plans = cluster.operator.stale_plans(cluster.with_probe(cluster.newest_probe + 1))
     cluster.advance_until_called(cluster.operator_runtime.spawn(stale_plans, simulated_cluster.log), 60)
     cluster.advance(5)
 
@@ -104,7 +104,7 @@
 def route_moves(cluster: simulated_cluster.SimulatedCluster) -> None:
     """The route that carries the load moves between two pools that both serve; its pool owners die meanwhile."""
     _start_spare_pool(cluster, 3)
-    cluster.paths = [LOAD_PATH]
+    cluster.extra_probe_paths = [LOAD_PATH]
     for turn in range(5):
         cluster.advance(4 + cluster.rng.random() * 2)
         identifiers = [f"twin{turn}-{number}" for number in range(10)]
@@ -130,7 +130,7 @@
     def remove(document: actions.Document) -> None:
         del document["routes"]["spare"], document["pools"]["spare"]
 
-    cluster.paths = ["/spare/x"]
+    cluster.extra_probe_paths = ["/spare/x"]
     for turn in range(4):
         cluster.advance(4)
         if turn % 2 == 0:
@@ -153,7 +153,7 @@
 def zones_move(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A route's zones change again and again, while nodes die."""
     zones = sorted(set(cluster.zones))
-    cluster.paths = ["/hall/x"]
+    cluster.extra_probe_paths = ["/hall/x"]
     for turn in range(5):
         cluster.advance(3)
         some = sorted(cluster.rng.sample(zones, 1 + cluster.rng.randrange(len(zones) - 1)))
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -23,6 +23,10 @@
 DEFAULT_CAP = 10
 LIFETIME_US = 60 * units.SECOND_US
 START_TIMEOUT_SECONDS = 30
+LOAD_END_SECONDS = 120  # within which the requests under way end
+LAST_PROBES_SECONDS = 2
+PROBE_ANSWERS_SECONDS = 9  # within which the last probes are answered
+READ_BACK_SECONDS = 40
 
 Group = typing.Literal["cores", "nodes", "workers", "platform", "outside"]
 
@@ -37,13 +41,21 @@
         process: process_model.SimulatedProcess,
         runtime: scheduler.Runtime,
         identifier: str,
-        tape: event_log.EventLog,
+        events: event_log.EventLog,
     ) -> None:
-        super().__init__(runtime, identifier, tape)
+        super().__init__(runtime, identifier, events)
         self.process = process
         self.host = process.host.host
 
 
+class NewServer(typing.NamedTuple):
+    """What a core or node is made of: its process, the process's runtime, and its options."""
+
+    process: process_model.SimulatedProcess
+    runtime: scheduler.Runtime
+    options: options.Options
+
+
 class SimulatedCluster(deployment.Deployment):
     """One simulated run of a whole cluster.
 
@@ -57,7 +69,7 @@
         configuration: The configuration in place of the shape's example.
         zones: The zone of each node in place of the shape's.
         cores: How many cores.
-        more: Further options of all cores and nodes.
+        extra_options: Further options of all cores and nodes.
     """
 
     def __init__(
@@ -72,7 +84,7 @@
         configuration: dict[str, typing.Any] | None = None,
         zones: list[str] | None = None,
         cores: int = 3,
-        **more: typing.Any,  # noqa: ANN401 - each field of options.Options has a type of its own
+        **extra_options: typing.Any,  # noqa: ANN401 - each field of options.Options has a type of its own
     ) -> None:
         self.seed = seed
         super().__init__(seed)
@@ -83,18 +95,18 @@
         self.configuration: dict[str, typing.Any] = configuration or json.loads(example.read_text())
         self.rates = (long_rate, short_rate, conversations)
         self.seconds = seconds
-        self.core_count, self.more = cores, more
+        self.core_count, self.extra_options = cores, extra_options
         self.cores: dict[str, server_model.SimulatedCore] = {}
         self.nodes: dict[str, server_model.SimulatedNode] = {}
         self.workers: dict[str, SimulatedWorker] = {}
         self.places: dict[str, deployment.Place] = {}
         self.seeds: list[str] = []
         self.numbered_calls = 0  # calls with a numbered change so far
-        self.probe = 0  # which probe route was confirmed last
+        self.newest_probe = 0  # the number of the probe route that was confirmed last
         self.probing = True
         self.prober = prober.Prober(self)
         self.versions: dict[str, int] = {}  # process -> version of our messages that it speaks, where not this one
-        self.paths: list[str] = []  # more paths to try at every node
+        self.extra_probe_paths: list[str] = []  # that probes try at every node too
 
     # ---- building -----------------------------------------------------------------
 
@@ -163,15 +175,15 @@
         """Let a process listen."""
         process.reactor.listenTCP(port, factory)
 
-    def place(
+    def _new_server(
         self,
         role: str,
         name: str,
         host: str,
         zone: str,
-        **more: typing.Any,  # noqa: ANN401 - each field of options.Options has a type of its own
-    ) -> tuple[process_model.SimulatedProcess, scheduler.Runtime, options.Options]:
-        """A new process on a machine with power, its runtime and its options."""
+        **extra_options: typing.Any,  # noqa: ANN401 - each field of options.Options has a type of its own
+    ) -> NewServer:
+        """A new process for a core or node, on a machine with power."""
         process = process_model.SimulatedProcess(self.world, name, self.powered_machine(host, zone))
         self.places[name] = deployment.Place(host, zone)
         process_options = options.Options(
@@ -182,15 +194,15 @@
             http_port=addresses.HTTP_PORT,
             zone=zone,
             seeds=list(self.seeds),
-            **{**self.more, **more},
+            **{**self.extra_options, **extra_options},
         )
         runtime = process.runtime()
         runtime.protocol_version = self.versions.get(name, runtime.protocol_version)
-        return process, runtime, process_options
+        return NewServer(process, runtime, process_options)
 
     def start_core(self, name: str, host: str, zone: str) -> None:
         """Start a core's process, on the disk that is there."""
-        process, runtime, core_options = self.place("core", name, host, zone, data="sim")
+        process, runtime, core_options = self._new_server("core", name, host, zone, data="sim")
         started = self.cores[name] = server_model.SimulatedCore(process, runtime, core_options)
         self.listen(process, addresses.PEER_PORT, wire.Listener(runtime, started.serve, log))
         self.listen(process, addresses.HTTP_PORT, http_server.Server(runtime, started.handle))
@@ -199,7 +211,7 @@
     def start_node(self, name: str, host: str, zone: str) -> None:
         """Start a node's process."""
         platform = f"{addresses.PLATFORM_HOST}:{addresses.PLATFORM_PORT}"
-        process, runtime, node_options = self.place("node", name, host, zone, platform=platform)
+        process, runtime, node_options = self._new_server("node", name, host, zone, platform=platform)
         started = self.nodes[name] = server_model.SimulatedNode(process, runtime, node_options)
         self.listen(process, addresses.PEER_PORT, wire.Listener(runtime, started.serve, log))
         self.listen(process, addresses.HTTP_PORT, http_server.Server(runtime, started.gateway.handle))
@@ -233,11 +245,11 @@
 
     def end(self) -> None:
         """End the run: let what is open end, and read the configuration back."""
-        self.advance_until_called(self.load_done, self.seconds + 120)
-        self.advance(2)  # the probes go on: a fresh request at every ready node after the last fault
+        self.advance_until_called(self.load_done, self.seconds + LOAD_END_SECONDS)
+        self.advance(LAST_PROBES_SECONDS)  # each ready node gets a fresh request after the last fault
         self.probing = False
-        self.advance(9)
-        self.advance_until_called(self.operator_runtime.spawn(self.operator.read(), log), 40)
+        self.advance(PROBE_ANSWERS_SECONDS)
+        self.advance_until_called(self.operator_runtime.spawn(self.operator.read(), log), READ_BACK_SECONDS)
         self.event_log.put(self.world.time, "ended")
 
     # ---- what the faults aim at -------------------------------------------------------------
