--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -35,11 +35,10 @@
 RESUME_SILENCE_US = 500 * units.MILLISECOND_US  # silence after which a stream that may be resumed elsewhere is
 OVERLOADED_SILENCE_US = 1_200 * units.MILLISECOND_US  # and before the first event, where many wait
 SILENCE_SUSPICION = 0.3  # how much a silence counts against a worker
+WAITING_PER_OVERDUE = 3  # from more than one overdue stream in so many that wait, the workers are overloaded
 MAX_UNREACHED = 3  # workers tried that give no connection
 MIN_RETRY_US = 150 * units.MILLISECOND_US  # a refused client may come back after so long
-OPTIONS_REREAD_US = (
-    12 * units.SECOND_US
-)  # what runs when options are read again, or comes soon after, has ended by then
+OPTIONS_RELOAD_GRACE_US = 12 * units.SECOND_US  # requests of the time of a reload have ended by then
 MISDIRECTED = 421  # the status of a worker that does not serve what it was sent
 NOT_RUN_STATUSES = frozenset((408, MISDIRECTED, 429, 503))  # by which a node promises that a request never ran
 
@@ -94,25 +93,25 @@
             "lines": sum(self.connections.open.values()),
         }
 
-    # ---- silence ----------------------------------------------------------------------
+    # ---- silent streams ---------------------------------------------------------------
 
     async def watch(self) -> None:
-        """Look after streams that fell silent, idle connections and sessions; one task."""
-        swept = 0
+        """Handle silent streams and sweep idle connections and sessions, until the node stops; one task."""
+        swept_at_us = 0
         while not self.node.stopped:
             if not self.streams:
                 await self.runtime.pause(self.started, SWEEP_INTERVAL_US)
             await self.runtime.sleep(CHECK_INTERVAL_US)
             now = self.runtime.now()
-            self.check_timeouts(now)
-            if now - swept > SWEEP_INTERVAL_US:
-                swept = now
+            self.handle_silent_streams(now)
+            if now - swept_at_us > SWEEP_INTERVAL_US:
+                swept_at_us = now
                 self._sweep()
 
-    def check_timeouts(self, now: int) -> None:
-        """Blame workers that keep attempts waiting; resume elsewhere what may be.
+    def handle_silent_streams(self, now: int) -> None:
+        """Record a failure of each worker whose stream is silent, and end the streams to be sent to another worker.
 
-        Where many attempts wait for longer than they should, it is the load, and more sends make it worse.
+        Where many attempts wait for longer than they should, the workers are overloaded, and retries would add load.
         """
         waiting = [stream for stream in self.streams if not stream.received_any]
         overdue = {
@@ -120,19 +119,21 @@
             for stream in waiting
             if now - stream.started_at_us > stream.request.placement.first_event_timeout_us(stream.expected_us)
         }
-        overloaded = len(overdue) > 1 and 3 * len(overdue) > len(waiting)
+        overloaded = len(overdue) > 1 and WAITING_PER_OVERDUE * len(overdue) > len(waiting)
         for stream in list(self.streams):
             if not is_silent(stream, stream in overdue, now):
                 continue
             if not stream.failure_recorded:
                 stream.failure_recorded = True
                 stream.request.placement.record_failure(stream.worker, SILENCE_SUSPICION)
-            if self._should_move(stream, stream in overdue, overloaded, now):
+            if self._should_try_elsewhere(stream, stream in overdue, overloaded, now):
                 self.counts["mute"] += 1
                 stream.stop(stream.broken_outcome())
 
-    def _should_move(self, stream: answer_stream.AnswerStream, overdue: bool, overloaded: bool, now: int) -> bool:
-        """Whether a silent stream is ended here to be sent to another worker; its own may still go on."""
+    def _should_try_elsewhere(
+        self, stream: answer_stream.AnswerStream, overdue: bool, overloaded: bool, now: int
+    ) -> bool:
+        """Whether to end a silent stream and send its request to another worker, although its own may still answer."""
         request = stream.request
         if not (
             request.resume
@@ -153,13 +154,14 @@
         )
 
     def _in_maintenance(self, now: int) -> bool:
-        """Whether this node stops, or has read its options again not long ago."""
+        """Whether this node drains, or reloaded its options within OPTIONS_RELOAD_GRACE_US."""
         options_reread_at_us = self.node.options_reread_at_us
         return self.node.draining or (
-            options_reread_at_us is not None and now - options_reread_at_us < OPTIONS_REREAD_US
+            options_reread_at_us is not None and now - options_reread_at_us < OPTIONS_RELOAD_GRACE_US
         )
 
     def _sweep(self) -> None:
+        """Close idle connections and those of workers that are gone; drop expired sessions."""
         workers = self.node.follower.workers
         self.connections.sweep({worker.id for worker in workers if worker.state != message.WorkerState.GONE})
         for pool, pool_placement in self.placements.items():
@@ -248,7 +250,7 @@
                 request.may_have_run = True
 
     def _spend_retry(self, request: forwarded_request.ForwardedRequest) -> bool:
-        """Whether a request goes to another worker; takes the repeat from the retry budget."""
+        """Spend a retry of the request's budget; False, and nothing is spent, where it may not go to another worker."""
         allowed = (
             (request.idempotent or not request.may_have_run)
             and (request.resume or not request.answer_begun)
@@ -328,14 +330,14 @@
                 pool_placement.record_failure(worker.id, answer_stream.BROKEN_SUSPICION)
                 self.counts["unreached"] += 1
                 return attempt_outcome.AttemptOutcome.UNSENT
-            return await self._exchange(request, worker, stream, connection)
+            return await self._send_over(request, worker, stream, connection)
         finally:
             self.streams.pop(stream, None)
             pool_placement.end(worker.id, stream.unread_tokens)
             if stream.connection is not None and not request.http_request.gone and not request.http_request.finished:
                 request.http_request.unregisterProducer()
 
-    async def _exchange(
+    async def _send_over(
         self,
         request: forwarded_request.ForwardedRequest,
         worker: message.Worker,
@@ -374,16 +376,16 @@
 
 
 def is_silent(stream: answer_stream.AnswerStream, overdue: bool, now: int) -> bool:
-    """Whether a stream's silence speaks against its worker.
+    """Whether a stream has been silent for so long that this counts against its worker.
 
     Args:
         stream: The stream.
-        overdue: Whether its first event is waited for longer than is patient.
+        overdue: Whether its first event has not come within the time-out of its worker's pool.
         now: The time in microseconds.
     """
     if stream.done.called or stream.paused or not (overdue or stream.received_any):
         return False
     silence_us = now - stream.last_received_us
-    if stream.unread_tokens >= placement.HEAVY_TOKENS:  # how long it is read is not known as well
+    if stream.unread_tokens >= placement.HEAVY_TOKENS:  # the expected read time of a long prompt is less exact
         return silence_us >= LONG_PROMPT_SILENCE_US
     return not stream.received_any or silence_us >= SILENCE_US
