--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -64,8 +64,8 @@
         self.own_voter = own_voter
         self.on_seal: collections.abc.Callable[[], None] = lambda: None  # the view was closed or replaced here
         self.on_adopt: collections.abc.Callable[[], None] = lambda: None  # a newer view is about to be written
-        self.predecessors: list[decisions.ReplicaIncarnation] | None = None
-        """The chain before the newest view's; None where it is not known here."""
+        self.previous_chain: list[decisions.ReplicaIncarnation] | None = None
+        """The chain of the view before the newest one; empty before view 1, None where it is not known here."""
         self._on_view = on_view
         self._last_entry = last_entry
         self._lock = defer.DeferredLock()
@@ -146,12 +146,12 @@
     async def adopt(self, view: message.View) -> None:
         """Take a view that was agreed, unless a newer one is known."""
         async with self._lock:
-            before, predecessors = self.record, self._chain_before(view)
+            before, previous_chain = self.record, self._chain_before(view)
             adopted = decisions.adopt(before, self.own_voter.id, view)
             if adopted is before:
                 return
             self.record = msgspec.structs.replace(adopted, synced_view=before.synced_view)
-            self.predecessors = predecessors
+            self.previous_chain = previous_chain
             self.on_seal()
             self.on_adopt()
             try:
@@ -193,7 +193,7 @@
             return []
         if self.view is None or self.view.number + 1 != view.number:
             return None
-        return [decisions.ReplicaIncarnation(replica.id, replica.incarnation) for replica in self.view.chain]
+        return decisions.chain_incarnations(self.view)
 
     def _is_newest(self, view: message.View) -> bool:
         return self.view is not None and self.view.number == view.number
--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -53,6 +53,15 @@
     silent: bool  # silent for long enough to be replaced by a newcomer at its own address
 
 
+def chain_incarnations(view: message.View) -> list[ReplicaIncarnation]:
+    """The replicas of a view's chain in their incarnations, from head to tail.
+
+    >>> [tuple(replica) for replica in chain_incarnations(message.View(4, [], [message.ChainReplica("a", "x")]))]
+    [('a', 'x')]
+    """
+    return [ReplicaIncarnation(replica.id, replica.incarnation) for replica in view.chain]
+
+
 def majority(count: int) -> int:
     """How many of `count` voters make a majority.
 
@@ -146,9 +155,15 @@
     >>> refuse_promise(Record(), Replica("a", "1", True), 3).ok
     False
     """
-    newer = newer_view(record, number)
     return message.Promise(
-        False, record.promised, None, newer, replica.id, replica.incarnation, record.synced_view, replica.disk_ok
+        ok=False,
+        ballot=record.promised,
+        accepted=None,
+        newer=newer_view(record, number),
+        id=replica.id,
+        incarnation=replica.incarnation,
+        synced_view=record.synced_view,
+        disk_ok=replica.disk_ok,
     )
 
 
@@ -182,15 +197,15 @@
         return record, refuse_promise(record, replica, prepare.number)
     promised = msgspec.structs.replace(record, promised=prepare.ballot)
     answer = message.Promise(
-        True,
-        prepare.ballot,
-        record.accepted,
-        None,
-        replica.id,
-        replica.incarnation,
-        record.synced_view,
-        replica.disk_ok,
-        replica.last_entry,
+        ok=True,
+        ballot=prepare.ballot,
+        accepted=record.accepted,
+        newer=None,
+        id=replica.id,
+        incarnation=replica.incarnation,
+        synced_view=record.synced_view,
+        disk_ok=replica.disk_ok,
+        last_entry=replica.last_entry,
     )
     return promised, answer
 
--- a/iriswheel/consensus/peer_heartbeats.py
+++ b/iriswheel/consensus/peer_heartbeats.py
@@ -60,16 +60,16 @@
     def own_heartbeat(self) -> message.Heartbeat:
         """This machine's own heartbeat."""
         return message.Heartbeat(
-            self.own_voter.id,
-            self.runtime.incarnation,
-            self.own_voter.zone,
-            self.own_voter.host,
-            self.own_voter.port,
-            self.acceptor.view,
-            self.acceptor.record.synced_view,
-            self.acceptor.disk.ok,
-            self.leaving,
-            self.acceptor.is_sealed(),
+            id=self.own_voter.id,
+            incarnation=self.runtime.incarnation,
+            zone=self.own_voter.zone,
+            host=self.own_voter.host,
+            port=self.own_voter.port,
+            view=self.acceptor.view,
+            synced_view=self.acceptor.record.synced_view,
+            disk_ok=self.acceptor.disk.ok,
+            leaving=self.leaving,
+            sealed=self.acceptor.is_sealed(),
         )
 
     def receive(self, heartbeat: message.Heartbeat) -> None:
--- a/iriswheel/consensus/view_change.py
+++ b/iriswheel/consensus/view_change.py
@@ -77,7 +77,7 @@
         if decisions.is_handing_over(view, alive, leaving, self.heartbeats.known_synced(view)):
             alive, voters = alive | leaving, view.voters
         live_ids = [voter.id for voter in view.voters if voter.id in alive]
-        is_unchanged = voters == view.voters and _members(voters, alive) == set(_replicas(view))
+        is_unchanged = voters == view.voters and _members(voters, alive) == set(decisions.chain_incarnations(view))
         has_quorum = len(live_ids) >= decisions.majority(len(view.voters))
         if (is_unchanged and not self.heartbeats.is_any_sealed(view)) or not has_quorum:
             self._wanted_since_us = None
@@ -189,10 +189,6 @@
         self.runtime.spawn(self.calls.call_all(everybody, request, timing.CALL_TIMEOUT_US), log)
 
 
-def _replicas(view: message.View) -> list[decisions.ReplicaIncarnation]:
-    return [decisions.ReplicaIncarnation(replica.id, replica.incarnation) for replica in view.chain]
-
-
 def _members(voters: list[message.Voter], alive: decisions.Incarnations) -> set[decisions.ReplicaIncarnation]:
     voter_ids = {voter.id for voter in voters}
     return {
--- a/iriswheel/consensus/view_consensus.py
+++ b/iriswheel/consensus/view_consensus.py
@@ -90,9 +90,9 @@
         return self.acceptor.record
 
     @property
-    def predecessors(self) -> list[decisions.ReplicaIncarnation] | None:
-        """The chain before the newest view's; None where it is not known here."""
-        return self.acceptor.predecessors
+    def previous_chain(self) -> list[decisions.ReplicaIncarnation] | None:
+        """The chain of the view before the newest one; empty before view 1, None where it is not known here."""
+        return self.acceptor.previous_chain
 
     def is_sealed(self) -> bool:
         """Whether a promise here has closed the newest view."""
--- a/iriswheel/control/persistent_state.py
+++ b/iriswheel/control/persistent_state.py
@@ -4,14 +4,13 @@
 
 import msgspec
 
-from iriswheel.consensus import decisions
+from iriswheel.consensus import acceptor, decisions
 from iriswheel.runtime import scheduler, storage
 
 FORMAT = 3  # of the data folder
 
 IDENTITY_KEY = b"identity"
 FORMAT_KEY = b"format"
-RECORD_KEY = b"council"
 
 
 def load(runtime: scheduler.Runtime, disk: storage.DataFolder) -> dict[bytes, bytes]:
@@ -47,6 +46,6 @@
     >>> consensus_record({}) == decisions.Record()
     True
     """
-    if RECORD_KEY not in state:
+    if acceptor.RECORD_KEY not in state:
         return decisions.Record()
-    return msgspec.msgpack.decode(state[RECORD_KEY], type=decisions.Record)
+    return msgspec.msgpack.decode(state[acceptor.RECORD_KEY], type=decisions.Record)
--- a/iriswheel/control/reports.py
+++ b/iriswheel/control/reports.py
@@ -101,17 +101,17 @@
         latest = self.parts.membership.latest
         now = self.parts.runtime.now()
         return message.NodeSessionsReport(
-            self.parts.consensus.own_voter.id,
-            view.number,
-            [session.member for session in sessions],
-            [session.applied_index for session in sessions],
-            self._listing_to_send(view.number, now),
-            sorted(self.parts.node_reports.active.items()),
-            latest if latest is not None and latest.version[0] < view.number else None,
-            sorted(self.parts.node_reports.contested.items()),
-            self.parts.node_reports.listing_unchanged,
-            now,
-            self.parts.lease.rows_to_report(now),
+            core=self.parts.consensus.own_voter.id,
+            view=view.number,
+            members=[session.member for session in sessions],
+            applied_indexes=[session.applied_index for session in sessions],
+            listing=self._listing_to_send(view.number, now),
+            active=sorted(self.parts.node_reports.active.items()),
+            membership=latest if latest is not None and latest.version[0] < view.number else None,
+            contested=sorted(self.parts.node_reports.contested.items()),
+            listing_unchanged=self.parts.node_reports.listing_unchanged,
+            sent_at=now,
+            leases=self.parts.lease.rows_to_report(now),
         )
 
     def _listing_to_send(self, view: int, now: int) -> message.WorkerListing | None:
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -7,6 +7,7 @@
 
 import loguru
 
+from iriswheel.consensus import decisions
 from iriswheel.membership import lease
 from iriswheel.runtime import scheduler, units
 from iriswheel.transport import message
@@ -23,15 +24,6 @@
 log = loguru.logger.bind(part="core")
 
 
-def chain_members(view: message.View) -> list[lease.ChainMember]:
-    """The machines of a view's chain.
-
-    >>> chain_members(message.View(4, [], [message.ChainReplica("a", "x")]))
-    [('a', 'x')]
-    """
-    return [(replica.id, replica.incarnation) for replica in view.chain]
-
-
 class SentMembership(typing.NamedTuple):
     """Which membership was sent to a core machine, and in which view."""
 
@@ -65,11 +57,11 @@
     def on_view(self, view: message.View) -> None:
         """Forget the reports of the view before, and count who may hold leases from it."""
         self.received_reports = {}
-        before = self.parts.consensus.predecessors
-        was_tail = before is not None and before[-1:] == [
-            (self.parts.consensus.own_voter.id, self.parts.runtime.incarnation)
-        ]
-        self.holders.on_view(before, chain_members(view), self.parts.runtime.now(), was_tail)
+        previous_chain = self.parts.consensus.previous_chain
+        own_replica = decisions.ReplicaIncarnation(self.parts.consensus.own_voter.id, self.parts.runtime.incarnation)
+        was_tail = previous_chain is not None and previous_chain[-1:] == [own_replica]
+        chain = decisions.chain_incarnations(view)
+        self.holders.on_view(previous_chain, chain, self.parts.runtime.now(), was_tail)
 
     def apply_report(self, report: message.NodeSessionsReport) -> None:
         """Record a core machine's report; the membership and the lease holders follow from it."""
@@ -125,13 +117,13 @@
         latest = self.parts.membership.latest if self.parts.membership.has_issued() else None
         for replica in view.chain:
             heartbeat = message.TailHeartbeat(
-                view.number,
-                index,
-                self.applied(),
-                self.parts.membership.session_count(),
-                self._membership_for(replica, view.number, latest),
-                self.parts.node_reports.listing_unchanged,
-                self.received_reports.get(replica.id, 0),
+                view=view.number,
+                index=index,
+                applied_by_all=self.applied(),
+                sessions=self.parts.membership.session_count(),
+                membership=self._membership_for(replica, view.number, latest),
+                listing_unchanged=self.parts.node_reports.listing_unchanged,
+                echo=self.received_reports.get(replica.id, 0),
             )
             if replica.id == self.parts.consensus.own_voter.id:
                 self.contact.record_own_heartbeat(
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -27,11 +27,13 @@
 
 from iriswheel.runtime import units
 
+if typing.TYPE_CHECKING:
+    from iriswheel.consensus import decisions
+
 DRIFT_US = 50 * units.MILLISECOND_US
 SILENT_US = 700 * units.MILLISECOND_US  # a node that was not heard for so long gets no lease before it is listed again
 
 
-ChainMember: typing.TypeAlias = tuple[str, str]  # core id, incarnation
 LeaseRow: typing.TypeAlias = tuple[str, int, int]  # node, version applied, how long it may hold a lease (µs)
 
 
@@ -175,14 +177,14 @@
 
     def on_view(
         self,
-        before: collections.abc.Sequence[ChainMember] | None,
-        chain: collections.abc.Sequence[ChainMember],
+        before: collections.abc.Sequence[decisions.ReplicaIncarnation] | None,
+        chain: collections.abc.Sequence[decisions.ReplicaIncarnation],
         now: int,
         was_tail: bool = False,
     ) -> None:
         """A view was agreed whose chain is `chain`, after one whose chain was `before` (None: not known here).
 
-        An empty `before` is the fleet's first view.
+        An empty `before` says that this is the fleet's first view.
         A core machine of the view before that is gone, or has restarted, may have granted leases
         that nobody can tell of, but for the one that was the tail (`was_tail`): it has answered
         every report on which a lease was granted.
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -62,7 +62,7 @@
         self.applied_index = 0
         self.items: configuration.Items | None = None  # the slice, as it came
         # (view, log index) of the unconfirmed configuration that is in use; None once a core has confirmed one
-        self.unconfirmed_at: tuple[int, int] | None = None
+        self.unconfirmed_position: tuple[int, int] | None = None
         self.route_index = route_index.RouteIndex()
         self.pools: dict[str, configuration.Pool] = {}
         self.terms: dict[str, configuration.Terms] = {}
@@ -135,7 +135,7 @@
 
     def applied(self) -> int:
         """Return the version of the configuration that this node has applied."""
-        return NO_CONFIGURATION if self.items is None or self.unconfirmed_at else self.applied_index
+        return NO_CONFIGURATION if self.items is None or self.unconfirmed_position else self.applied_index
 
     # ---- whether it may rely on that -----------------------------------------------
 
@@ -213,10 +213,10 @@
             items: All items of a snapshot, else those that changed; None removes one.
             is_snapshot: Whether `items` replaces all that is here.
         """
-        has_base = self.items is not None and not self.unconfirmed_at
+        has_base = self.items is not None and not self.unconfirmed_position
         if index < self.applied_index or not (has_base or is_snapshot):
             return
-        self.unconfirmed_at = None
+        self.unconfirmed_position = None
         before = self.items or {}
         after, changes = _replace(before, items) if is_snapshot else _amend(before, items)
         parsed = [_parse(key, value) for key, value in changes if key.split("/", 1)[0] in configuration.KINDS]
@@ -250,10 +250,12 @@
         After a loss of everything the core takes some seconds to agree; what it acknowledged
         is on its disks all the time. The first snapshot of a serving core takes its place.
         """
-        if self.items is not None and not (self.unconfirmed_at and self.unconfirmed_at < unconfirmed.position):
+        in_use = self.unconfirmed_position
+        is_newer = in_use is not None and in_use < unconfirmed.position
+        if self.items is not None and not is_newer:
             return
         self.apply_items(0, unconfirmed.items, is_snapshot=True)
-        self.unconfirmed_at = unconfirmed.position
+        self.unconfirmed_position = unconfirmed.position
         view, log_index = unconfirmed.position
         log.info(
             "No core serves; using a core's unconfirmed configuration of view {view}, log index {log_index}.",
--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -33,12 +33,12 @@
             if not self.position.has_predecessor_in(request.view):
                 return message.PositionResponse(False)
             return message.PositionResponse(
-                True,
-                self.log.last_index,
-                self.log.latest_state.view,
-                True,
-                self.incoming.digest,
-                len(self.incoming.content),
+                ok=True,
+                index=self.log.last_index,
+                view=self.log.latest_state.view,
+                accepts_chunks=True,
+                snapshot=self.incoming.digest,
+                received=len(self.incoming.content),
             )
 
     def take_chunk(self, chunk: message.SnapshotChunk) -> message.SnapshotChunkResponse:
