--- a/tests/outside.py
+++ b/tests/outside.py
@@ -76,7 +76,7 @@
     def __init__(self) -> None:
         self.received = b""
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: D102
+    def dataReceived(self, data: bytes) -> None:
         self.received += data
 
 
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -12,7 +12,7 @@
 class RecordedCluster(simulated_cluster.SimulatedCluster):
     """A cluster that the test sees."""
 
-    made: "ClassVar[list[RecordedCluster]]" = []
+    made: ClassVar[list["RecordedCluster"]] = []
 
     def begin(self) -> None:
         self.made.append(self)
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -20,7 +20,7 @@
 class Transport(testing.StringTransport):
     """A connection's far side that keeps what is written."""
 
-    def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802
+    def setTcpNoDelay(self, enabled: bool) -> None:
         """Do nothing: there is no socket."""
 
 
