--- a/simulation/clients/connection.py
+++ b/simulation/clients/connection.py
@@ -73,8 +73,8 @@
         """A header of the answer, or None."""
         return self.headers.get(name.lower())
 
-    def take(self, data: bytes, now: int) -> None:
-        """Take bytes of the body, and the events that they complete."""
+    def receive(self, data: bytes, now: int) -> None:
+        """Receive bytes of the body, and the events that they complete."""
         if self.first_at is None:
             self.first_at = now
         else:
@@ -212,7 +212,7 @@
 
     def on_body(self, data: bytes) -> None:
         """Hand over bytes of the body."""
-        self._expected().take(data, self.runtime.now())
+        self._expected().receive(data, self.runtime.now())
 
     def on_message_complete(self) -> None:
         """End the request as whole."""
--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -70,7 +70,7 @@
 
     async def read_back(self) -> None:
         """Take the newest configuration as the base of the next change."""
-        self.site.configurations.take(await self.site.operator.read())
+        self.site.configurations.adopt_newer(await self.site.operator.read())
         self.refusals = 0
 
     async def send_races(self, until: int) -> None:
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -110,14 +110,14 @@
         await site.operator_runtime.sleep(wait_us)
         while self.operating:
             sent, base = site.world.time, site.configurations.version
-            document = site.configurations.altered("idle").document
+            document = site.configurations.next_change("idle").document
             document[platform_names.CONFIGURATION["version"]] += version_gap
             status = await operator.put(document, base, seconds=CHANGE_PATIENCE_S)
             if status == 200:
                 self.acknowledged.append((sent, site.world.time))
-                site.configurations.take(document)
+                site.configurations.adopt_newer(document)
             else:
-                site.configurations.take(await operator.read())
+                site.configurations.adopt_newer(await operator.read())
             await site.operator_runtime.sleep(OPERATOR_GAP_US)
 
     def first_change_after(self, at: int) -> int | None:
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -22,9 +22,9 @@
 IDLE_HOST = "idle.example"
 IDLE_NAME_PREFIX = "r-idle"
 BOUND_VALUES = (16384, 4194304, 3000, 15000)
-TRY_WAITS_MS = (300, 700, 1_100, 900)  # between the trials of a change's routes
+ROUTE_CHECK_WAITS_MS = (300, 700, 1_100, 900)  # before each check of a change's routes
 UNKNOWN_PATH = "/never/"
-INVALID_SECONDS = 15  # an operator's patience with a configuration that is invalid
+INVALID_TIMEOUT_S = 15  # for how long an operator sends a configuration that is invalid
 VERSION_GAP_OF_RIVAL = 10
 
 Document = dict[str, typing.Any]
@@ -123,7 +123,7 @@
         self.idle_routes += count
         return routes
 
-    def altered(self, how: ChangeKind, count: int = 100) -> Change:
+    def next_change(self, how: ChangeKind, count: int = 100) -> Change:
         """A change of the newest configuration.
 
         Args:
@@ -165,7 +165,7 @@
 
     # ---- sending ------------------------------------------------------------------------
 
-    def take(self, document: Document | None) -> None:
+    def adopt_newer(self, document: Document | None) -> None:
         """Build the next changes on a configuration that was read, where it is newer."""
         if document is None:
             return
@@ -173,38 +173,38 @@
         if version > self.version:
             self.document, self.version = document, version
 
-    def acknowledged(self, document: Document) -> None:
+    def adopt_acknowledged(self, document: Document) -> None:
         """Build the next changes on a configuration that was acknowledged."""
         self.document, self.version = document, document[platform_names.CONFIGURATION["version"]]
 
     async def put_first(self, seconds: int) -> int:
         """Send the first configuration: the status."""
-        self.acknowledged(self.first())
+        self.adopt_acknowledged(self.first())
         return await self.site.operator.put(self.document, 0, seconds=seconds)
 
-    def change(self, how: ChangeKind = "idle", wait: int = 60) -> defer.Deferred[int | None]:
-        """Send the next configuration, with patience for so many seconds: a Deferred of the status."""
+    def begin_change(self, how: ChangeKind = "idle", wait: int = 60) -> defer.Deferred[int | None]:
+        """Begin to send the next configuration, for so many seconds at most: a Deferred of the status."""
         return self.site.operator_runtime.spawn(self.send_next(how, wait), log)
 
     async def send_next(self, how: ChangeKind, wait: int, count: int = 100) -> int:
         """Send the next configuration and try its routes at each node: the status."""
-        change = self.altered(how, count)
+        change = self.next_change(how, count)
         base = self.version
         if self.site.rng.random() < 0.5:
             status = await self.site.operator.patch(change.patch, change.document, base, seconds=wait)
         else:
             status = await self.site.operator.put(change.document, base, seconds=wait)
         if status == 200:
-            self.acknowledged(change.document)
+            self.adopt_acknowledged(change.document)
             paths = [*change.added, *change.removed, UNKNOWN_PATH]
-            self.site.client_runtime.spawn(self.try_routes(paths), log)
+            self.site.client_runtime.spawn(self.check_routes(paths), log)
         return status
 
     async def race(self) -> list[int | None]:
         """Let two operators send at once on top of the same version: the statuses."""
         base, documents, answers = self.version, [], []
         for operator in (self.site.operator, self.site.rival):
-            document = self.altered("idle").document
+            document = self.next_change("idle").document
             documents.append(document)
             if operator is self.site.rival:
                 document[platform_names.CONFIGURATION["version"]] += VERSION_GAP_OF_RIVAL
@@ -212,21 +212,21 @@
         statuses = [await answer for answer in answers]
         for status, document in zip(statuses, documents, strict=True):
             if status == 200:
-                self.acknowledged(document)
+                self.adopt_acknowledged(document)
         return statuses
 
     async def send_invalid(self) -> None:
         """Send configurations that are invalid; none may be acknowledged."""
-        for spoil in (
+        for invalidate in (
             self._unknown_pool,
             self._double_route,
             self._no_time,
             self._old_version,
             self._split_without_weight,
         ):
-            document = self.altered("timeout").document
-            spoil(document, document[platform_names.CONFIGURATION["routes"]][0])
-            await self.site.operator.put(document, self.version, valid=False, seconds=INVALID_SECONDS)
+            document = self.next_change("timeout").document
+            invalidate(document, document[platform_names.CONFIGURATION["routes"]][0])
+            await self.site.operator.put(document, self.version, valid=False, seconds=INVALID_TIMEOUT_S)
 
     def _unknown_pool(self, _document: Document, route: Document) -> None:
         route[platform_names.ROUTE["pool"]] = "nowhere"
@@ -245,17 +245,17 @@
         del route[names["pool"]]
         route[names["split"]] = [{names["pool"]: self.site.pool, names["weight"]: 0}]
 
-    async def try_routes(self, paths: list[str]) -> None:
-        """Try paths at each node that takes connections, soon after a change and when it must be in force."""
-        for wait_ms in TRY_WAITS_MS:
+    async def check_routes(self, paths: list[str]) -> None:
+        """Request each path at each node that takes connections, soon after a change and when it must be in force."""
+        for wait_ms in ROUTE_CHECK_WAITS_MS:
             await self.site.client_runtime.sleep(wait_ms * units.MILLISECOND_US)
             for name in sorted(
                 name for name in self.site.virtual_address.nodes if self.site.virtual_address.is_in(name)
             ):
                 for path in paths:
-                    self._try_route(name, path)
+                    self._check_route(name, path)
 
-    def _try_route(self, node: str, path: str) -> None:
+    def _check_route(self, node: str, path: str) -> None:
         runtime = self.site.client_runtime
         self.direct_requests += 1
         caller = client.Client(
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -33,7 +33,7 @@
 
 def acknowledged_change(deployment: site.Site) -> None:
     """Send a change, and let time pass until it has its answer."""
-    answer = deployment.configurations.change("idle")
+    answer = deployment.configurations.begin_change("idle")
     deployment.advance_until(lambda: answer.called, 20)
 
 
@@ -43,14 +43,14 @@
 def calm(deployment: site.Site) -> None:
     """Nothing happens, but for one change of the configuration."""
     deployment.advance(3)
-    deployment.configurations.change("idle")
+    deployment.configurations.begin_change("idle")
 
 
 def changes(deployment: site.Site) -> None:
     """Idle routes, a time-out, and many routes at once."""
     for how in ("idle", "timeout", "big", "idle"):
         deployment.advance(3.5)
-        deployment.configurations.change(how)
+        deployment.configurations.begin_change(how)
 
 
 def storm(deployment: site.Site) -> None:
@@ -81,7 +81,7 @@
 
 def _crash(deployment: site.Site, how: typing.Literal["reset", "dark"]) -> None:
     deployment.advance(4)
-    deployment.configurations.change("idle")
+    deployment.configurations.begin_change("idle")
     deployment.advance(1)
     deployment.faults.crash_worker(deployment.rng.choice(deployment.live_workers()), how, back=4.5)
 
@@ -118,7 +118,7 @@
     for name in sample_share(deployment, deployment.live_workers(), 0.45):
         deployment.faults.replace_worker(name)
         deployment.advance(1)
-    deployment.configurations.change("idle")
+    deployment.configurations.begin_change("idle")
 
 
 def release_all(deployment: site.Site) -> None:
@@ -196,7 +196,7 @@
 def kill_node(deployment: site.Site) -> None:
     """A node is killed and comes back."""
     deployment.advance(3)
-    deployment.configurations.change("idle")
+    deployment.configurations.begin_change("idle")
     deployment.advance(1)
     for name in sample_share(deployment, deployment.nodes, 0.16):
         deployment.faults.kill(name, 3.5)
@@ -213,7 +213,7 @@
     """Core machines are killed, one after the other, while the configuration changes."""
     for name in sample_share(deployment, deployment.cores, 0.6):
         deployment.advance(2)
-        deployment.configurations.change("idle")
+        deployment.configurations.begin_change("idle")
         deployment.advance(0.02)
         deployment.faults.kill(name, 3.5)
         deployment.advance(4)
@@ -222,7 +222,7 @@
 def kill_cores(deployment: site.Site) -> None:
     """All of the core is killed at the same moment, and is back within a second."""
     deployment.advance(4)
-    deployment.configurations.change("idle")
+    deployment.configurations.begin_change("idle")
     deployment.advance(0.01)
     for name in sorted(deployment.cores):
         deployment.faults.kill(name, 0.8)
@@ -240,7 +240,7 @@
     deployment.advance(3)
     deployment.faults.freeze(choose_one(deployment, deployment.nodes), 4)
     deployment.advance(3)
-    deployment.configurations.change("idle")
+    deployment.configurations.begin_change("idle")
     deployment.faults.freeze(choose_one(deployment, deployment.cores), 4)
 
 
@@ -256,7 +256,7 @@
     """Core machines are stopped by SIGTERM and started, one after the other."""
     for name in sample_share(deployment, deployment.cores, 1):
         deployment.advance(2)
-        deployment.configurations.change("idle")
+        deployment.configurations.begin_change("idle")
         deployment.faults.terminate(name)
         deployment.advance(4)
 
@@ -267,7 +267,7 @@
         deployment.advance(3)
         deployment.faults.replace_core(choose_one(deployment, deployment.cores), gently)
         deployment.advance(1)
-        deployment.configurations.change("idle")
+        deployment.configurations.begin_change("idle")
         deployment.advance(5)
 
 
@@ -276,7 +276,7 @@
     for state in ("slow", "full", "stalled"):
         deployment.advance(3)
         deployment.faults.degrade_disk(choose_one(deployment, deployment.cores), state, 3)
-        deployment.configurations.change("idle")
+        deployment.configurations.begin_change("idle")
 
 
 def ack_wipe(deployment: site.Site) -> None:
@@ -319,7 +319,7 @@
     deployment.advance(4)
     deployment.faults.isolate(choose_one(deployment, deployment.nodes), 5, clients=deployment.rng.random() < 0.5)
     deployment.advance(1)
-    deployment.configurations.change("idle")
+    deployment.configurations.begin_change("idle")
 
 
 def cut_core(deployment: site.Site) -> None:
@@ -333,7 +333,7 @@
     """Connections between the fleet's machines are reset, twice."""
     for _ in range(2):
         deployment.advance(4)
-        deployment.configurations.change("idle")
+        deployment.configurations.begin_change("idle")
         deployment.faults.reset_connections(0.5)
 
 
@@ -342,7 +342,7 @@
     deployment.advance(3)
     deployment.faults.lose_packets(deployment.rng.choice(deployment.shape.zones()), 0.025, 6)
     deployment.advance(1)
-    deployment.configurations.change("idle")
+    deployment.configurations.begin_change("idle")
 
 
 def burst(deployment: site.Site) -> None:
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -17,7 +17,7 @@
 DAY_S = 24
 FIRST_FAULT_S, FAULTS_S = 1.5, 14  # faults begin within this time
 CHANGE_TIMES_S = (3, 9, 20)
-ALONE_S = 11  # for so long a machine with a fault gets no other
+FAULT_GAP_S = 11  # within which a machine that had a fault gets no other
 RAISED_LOAD_S = 4
 CLOSING_SHARE = 0.5  # of the days, which end with a closing fault
 AFTER_CLOSING_S = 18
@@ -37,71 +37,72 @@
         self.site, self.faults, self.rng = deployment, deployment.faults, deployment.rng
         self.faulty: set[str] = set()  # machines that get no other fault now
 
-    # ---- who is struck ------------------------------------------------------------------
+    # ---- targets ------------------------------------------------------------------
 
     def workers(self, share: float) -> list[str]:
         """A random share of the live workers."""
         return days.sample_share(self.site, self.site.live_workers(), share)
 
-    def in_turn(
+    def for_each(
         self, names: collections.abc.Iterable[typing.Any], gap: float, action: collections.abc.Callable[..., object]
     ) -> None:
         """Run an action for each name, with a gap in seconds between them."""
         for index, name in enumerate(names):
             self.site.schedule(index * gap, action, name)
 
-    def alone(self, names: collections.abc.Iterable[str], strike: ActionOnMachine) -> None:
-        """Strike a random machine that has no fault."""
+    def on_random_machine(self, names: collections.abc.Iterable[str], action: ActionOnMachine) -> None:
+        """Let an action hit a random machine that has no fault; it gets no other fault for a while."""
         free = [name for name in sorted(names) if self.site.process_of(name).alive and name not in self.faulty]
         if free:
             name = self.rng.choice(free)
             self.faulty.add(name)
-            self.site.schedule(ALONE_S, self.faulty.discard, name)
-            strike(name)
+            self.site.schedule(FAULT_GAP_S, self.faulty.discard, name)
+            action(name)
 
-    def each_alone(self, names: collections.abc.Iterable[str], gap: float, strike: ActionOnMachine) -> None:
-        """Strike those of the machines in turn that have no fault; they get no other for the rest of the day."""
+    def on_machines_in_turn(self, names: collections.abc.Iterable[str], gap: float, action: ActionOnMachine) -> None:
+        """Let an action hit the machines that have no fault, one by one; they get no other for the rest of the day."""
 
-        def strike_free(name: str) -> None:
+        def act_if_free(name: str) -> None:
             if name not in self.faulty:
                 self.faulty.add(name)
-                strike(name)
+                action(name)
 
         free = [name for name in names if name not in self.faulty and self.site.process_of(name).alive]
-        self.in_turn(free, gap, strike_free)
+        self.for_each(free, gap, act_if_free)
 
     # ---- faults -------------------------------------------------------------------------
 
     def core_faults(self) -> list[ActionOnMachine]:
         """What may happen to a core machine."""
-        strike = self.faults
         return [
-            lambda name: strike.kill(name, 3),
-            lambda name: strike.power_off(name, 3),
-            lambda name: strike.freeze(name, 3.5),
-            lambda name: strike.isolate(name, 4.5),
-            lambda name: strike.isolate(name, 4.5, both=False),
-            strike.terminate,
-            lambda name: strike.degrade_disk(name, self.rng.choice(DISK_STATES), 4),
-            lambda name: strike.power_off(name, 3, wipe=True),
+            lambda name: self.faults.kill(name, 3),
+            lambda name: self.faults.power_off(name, 3),
+            lambda name: self.faults.freeze(name, 3.5),
+            lambda name: self.faults.isolate(name, 4.5),
+            lambda name: self.faults.isolate(name, 4.5, both=False),
+            self.faults.terminate,
+            lambda name: self.faults.degrade_disk(name, self.rng.choice(DISK_STATES), 4),
+            lambda name: self.faults.power_off(name, 3, wipe=True),
         ]
 
     def node_faults(self) -> list[Action]:
         """What may happen to nodes."""
-        nodes, strike = self.site.nodes, self.faults
+        nodes = self.site.nodes
         return [
-            lambda: self.alone(nodes, lambda name: strike.kill(name, 3)),
-            lambda: self.alone(nodes, lambda name: strike.power_off(name, 3)),
-            lambda: self.alone(nodes, lambda name: strike.freeze(name, 3.5)),
-            lambda: self.alone(nodes, lambda name: strike.isolate(name, 5)),
-            lambda: self.each_alone(days.sample_share(self.site, nodes, 0.45), 1.2, strike.terminate),
-            lambda: self.each_alone(days.sample_share(self.site, nodes, 0.55), 0, lambda name: strike.kill(name, 2)),
+            lambda: self.on_random_machine(nodes, lambda name: self.faults.kill(name, 3)),
+            lambda: self.on_random_machine(nodes, lambda name: self.faults.power_off(name, 3)),
+            lambda: self.on_random_machine(nodes, lambda name: self.faults.freeze(name, 3.5)),
+            lambda: self.on_random_machine(nodes, lambda name: self.faults.isolate(name, 5)),
+            lambda: self.on_machines_in_turn(days.sample_share(self.site, nodes, 0.45), 1.2, self.faults.terminate),
+            lambda: self.on_machines_in_turn(
+                days.sample_share(self.site, nodes, 0.55), 0, lambda name: self.faults.kill(name, 2)
+            ),
         ]
 
     def worker_losses(self) -> list[Action]:
         """How workers may come and go."""
         return [
-            lambda: self.in_turn(self.workers(0.45), 1, self.faults.replace_worker),
+            lambda: self.for_each(self.workers(0.45), 1, self.faults.replace_worker),
             lambda: self.crash_one("reset", 4),
             lambda: self.crash_one("dark", 4.5),
             lambda: self.crash_one("dark", None),
@@ -129,7 +130,9 @@
         return [
             lambda: spawn(configurations.race(), log),
             lambda: spawn(configurations.send_invalid(), log),
-            lambda: self.in_turn(range(6), 0.35, lambda _: configurations.change(self.rng.choice(["idle", "timeout"]))),
+            lambda: self.for_each(
+                range(6), 0.35, lambda _: configurations.begin_change(self.rng.choice(["idle", "timeout"]))
+            ),
             lambda: spawn(configurations.send_next("big", 60, 280), log),
         ]
 
@@ -173,9 +176,11 @@
         for action in self.rng.sample(actions, self.rng.randrange(3, 7)):
             self.site.schedule(self.fault_time(), action)
         # One fault of a core machine: no more than the deployment tolerates at once.
-        self.site.schedule(self.fault_time(), lambda: self.alone(self.site.cores, self.rng.choice(core_faults)))
+        self.site.schedule(
+            self.fault_time(), lambda: self.on_random_machine(self.site.cores, self.rng.choice(core_faults))
+        )
         for seconds in CHANGE_TIMES_S:
-            self.site.schedule(seconds, self.site.configurations.change, "idle")
+            self.site.schedule(seconds, self.site.configurations.begin_change, "idle")
         self.site.advance(DAY_S)
         if self.rng.random() < CLOSING_SHARE:
             self.close()
