--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -122,7 +122,7 @@
         "node", name="edge-zone0-0", host="10.1.0.0", zone=zone, seeds=["10.2.0.0:7300"], platform="10.3.0.1:80"
     )
     made = node.Node(runtime, node_options)
-    made.me = members(1)[0]
+    made.member_record = members(1)[0]
     return made
 
 
--- a/benchmarks/simulated_costs.py
+++ b/benchmarks/simulated_costs.py
@@ -291,7 +291,7 @@
         "heard": _largest(len(contacts) for owner in owners for contacts in owner.watch.last_contact_us.values()),
         "copies": _largest(len(replica.sessions) + len(replica.claims) for replica in copies),
         "pins": _largest(len(node.gateway.selector.affinities) for node in nodes),
-        "given up": _largest(len(node.given_up) for node in nodes),
+        "given up": _largest(len(node.abandoned_attempts) for node in nodes),
         "tallies": _largest(len(budget.first_attempts) + len(budget.retries) for budget in budgets),
         "links": _largest(len(each.connections) for each in peers),
     }
--- a/iriswheel/dataplane/interfaces.py
+++ b/iriswheel/dataplane/interfaces.py
@@ -10,7 +10,7 @@
 
 if typing.TYPE_CHECKING:
     from iriswheel.configuration import configuration
-    from iriswheel.dataplane import dispatch, edge_protocol, gateway, health
+    from iriswheel.dataplane import dispatch, edge_protocol, gateway, health, owner_client
     from iriswheel.runtime import options, scheduler
     from iriswheel.transport import message, peers
 
@@ -19,7 +19,7 @@
     """A process that takes part in the membership."""
 
     @property
-    def me(self) -> message.Member | None:
+    def member_record(self) -> message.Member | None:
         """This process's own member record; None before it has started."""
 
 
@@ -154,8 +154,8 @@
         """The grants of attempts under way here, by attempt id."""
 
     @property
-    def given_up(self) -> dict[str, tuple[str, int]]:
-        """Attempts given up without a send: attempt id -> (pool, until when it is reported in µs)."""
+    def abandoned_attempts(self) -> dict[str, owner_client.AbandonedAttempt]:
+        """The attempts that this node gave up without a send, by attempt id."""
 
     @property
     def draining(self) -> bool:
--- a/iriswheel/dataplane/local_member.py
+++ b/iriswheel/dataplane/local_member.py
@@ -14,6 +14,6 @@
     Args:
         local_node: The node of this process; it gets its member record when its ports are bound.
     """
-    member = local_node.me
+    member = local_node.member_record
     assert member is not None, "a node has its member record before it serves or probes anything"
     return member.id
--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -18,13 +18,20 @@
 OWNER_SILENCE_US = 600 * units.MILLISECOND_US  # a pool owner not heard for this long is silent
 CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
 RESPONSE_MARGIN_US = 500 * units.MILLISECOND_US  # how long an answer is waited for beyond the request's own time
-GIVEN_UP_RETENTION_US = 10 * units.SECOND_US  # how long grant reports list an attempt that was given up
+ABANDONED_REPORT_US = 10 * units.SECOND_US  # how long grant reports list an abandoned attempt
 
 Selection: typing.TypeAlias = message.SelectionDenied | message.SelectionGranted
 
 log = loguru.logger.bind(part="owner_client")
 
 
+class AbandonedAttempt(typing.NamedTuple):
+    """An attempt given up without a send; grant reports list it to its pool's owner until a time."""
+
+    pool_name: str
+    reported_until_us: int
+
+
 class OwnerClient:
     """This node's requests to the pools' owners; an owner may be this node itself."""
 
@@ -66,7 +73,7 @@
     def release(self, request: routed_request.RoutedRequest, outcome: errors.ExecutionOutcome) -> None:
         """Release a request's grant at the pool owner, with the outcome of its attempt.
 
-        The notice may be lost; NOT_RUN is therefore repeated in grant reports for GIVEN_UP_RETENTION_US.
+        The notice may be lost; NOT_RUN is therefore repeated in grant reports for ABANDONED_REPORT_US.
         """
         if not request.grant_requested:
             return
@@ -74,7 +81,8 @@
         pool_name, attempt_id = request.pool_name, request.attempt_id
         self.node.grants.pop(attempt_id, None)
         if outcome == errors.ExecutionOutcome.NOT_RUN:
-            self.node.given_up[attempt_id] = (pool_name, self.runtime.now() + GIVEN_UP_RETENTION_US)
+            reported_until_us = self.runtime.now() + ABANDONED_REPORT_US
+            self.node.abandoned_attempts[attempt_id] = AbandonedAttempt(pool_name, reported_until_us)
         assignment = self.assignment(pool_name)
         if assignment is not None:
             self.node.tell_member(assignment.holder, message.GrantReleased(pool_name, attempt_id, outcome.value))
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -106,7 +106,7 @@
 
     def peers(self) -> list[message.Member]:
         """Return all members but this node."""
-        own = self.node.me
+        own = self.node.member_record
         return [member for member in self.membership.members if own is None or member.id != own.id]
 
     def pool(self, name: str) -> configuration.Pool | None:
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -56,8 +56,8 @@
         changed = load_table.changes(self.last_reported or {}, own)
         if changed or self.last_reported is None:
             rows = load_table.rows(own, changed)
-            assert self.node.me is not None  # known since the node started, before any session
-            session.tell(message.LoadReport(self.node.me.id, self.last_reported is None, rows))
+            assert self.node.member_record is not None  # known since the node started, before any session
+            session.tell(message.LoadReport(self.node.member_record.id, self.last_reported is None, rows))
             self.last_reported = own
 
     async def run(self) -> None:
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -14,6 +14,7 @@
 from iriswheel.transport import message, peers, wire
 
 if typing.TYPE_CHECKING:
+    from iriswheel.dataplane import owner_client
     from iriswheel.pools import pool_owner
     from iriswheel.runtime import options
 
@@ -33,7 +34,7 @@
         self.runtime = runtime
         self.options = options
         self.edge_protocol = formats or edge_protocol.EdgeProtocol()
-        self.me: message.Member | None = None
+        self.member_record: message.Member | None = None
         self.peers = peers.Peers(runtime, self.serve, log)
         self.reachability: health.Reachability = health.Reachability(self)
         self.dispatcher = dispatch.Dispatcher(runtime, self.reachability.note_contact)
@@ -43,7 +44,8 @@
         self.pool_roles: pool_roles.PoolRoles = pool_roles.PoolRoles(self)
         self.peer_requests = peer_requests.PeerRequests(self)
         self.grants: dict[str, message.WorkerGrant] = {}  # by attempt id, of attempts under way here
-        self.given_up: dict[str, tuple[str, int]] = {}  # attempt id -> (pool, until), given up here without a send
+        # by attempt id: given up here without a send
+        self.abandoned_attempts: dict[str, owner_client.AbandonedAttempt] = {}
         self.draining = False  # not ready any more, but still serving whoever comes
         self.refusing_requests = False  # late in the drain: new requests get an error
         self.drain_noticed_at_us: int | None = None  # when the platform first heard that this node drains
@@ -54,7 +56,7 @@
         """Start all tasks; the ports are those really bound."""
         options = self.options
         identifier = f"{options.name}-{self.runtime.incarnation}"
-        self.me = message.Member(identifier, options.name, options.zone, options.host, port, http)
+        self.member_record = message.Member(identifier, options.name, options.zone, options.host, port, http)
         for coroutine in (
             self.follower.session.run(),
             self.follower.watch_core_contact(),
@@ -82,10 +84,10 @@
 
     @property
     def member(self) -> message.Member:
-        """This node as a member; it has no record before it has started."""
-        if self.me is None:
+        """This node as a member; raises RuntimeError before it has started."""
+        if self.member_record is None:
             raise RuntimeError("The node has not started.")
-        return self.me
+        return self.member_record
 
     # ---- state ---------------------------------------------------------------------
 
@@ -133,9 +135,9 @@
 
     def on_update(self) -> None:
         """The membership, the slice or the workers changed: look which role assignments are here."""
-        if self.me is None:
+        if self.member_record is None:
             return
-        self.pool_roles.update(self.me.id)
+        self.pool_roles.update(self.member_record.id)
         # a question to the core machines may be under way, as a new pool owner puts it to them
         members = {(member.host, member.port) for member in self.follower.membership.members}
         self.peers.keep(members | set(self.follower.core_zones()))
@@ -154,8 +156,11 @@
 
     def _forget_expired_attempts(self) -> None:
         now = self.runtime.now()
-        for attempt_id in [attempt_id for attempt_id, (_, until) in self.given_up.items() if until < now]:
-            del self.given_up[attempt_id]
+        self.abandoned_attempts = {
+            attempt_id: attempt
+            for attempt_id, attempt in self.abandoned_attempts.items()
+            if attempt.reported_until_us >= now
+        }
 
     def _report_grants(self) -> None:
         """List to each pool's owner the grants that this node holds, so that it can free all others."""
@@ -173,8 +178,8 @@
 
     def _grant_report(self, pool: str) -> message.GrantReport:
         attempt_ids = [attempt_id for attempt_id, grant in sorted(self.grants.items()) if grant.pool == pool]
-        given_up = [attempt_id for attempt_id, (pool_name, _) in self.given_up.items() if pool_name == pool]
-        return message.GrantReport(pool, self.member.id, attempt_ids, self.reachability.recent_contacts(), given_up)
+        abandoned = [attempt_id for attempt_id, attempt in self.abandoned_attempts.items() if attempt.pool_name == pool]
+        return message.GrantReport(pool, self.member.id, attempt_ids, self.reachability.recent_contacts(), abandoned)
 
     # ---- messages -----------------------------------------------------------------------
 
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -131,7 +131,7 @@
     without_core = {
         member for member, (at, status) in self.peer_status.responses.items() if _is_fresh(self, at) and not status.core
     }
-    own_id = "" if self.node.me is None else self.node.me.id
+    own_id = "" if self.node.member_record is None else self.node.member_record.id
     return not self.session.is_established() and any(
         member.id not in (own_id, *without_core) for member in self.membership.members
     )
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -107,7 +107,7 @@
         cluster.advance(1.2 + head.options.lease_us / SECOND)
         assert head.lease.until <= head.runtime.now()
         assert [0] * len(cluster.nodes) == [
-            head.lease.grant(node.me.id, head.runtime.now()) for node in cluster.nodes.values()
+            head.lease.grant(node.member_record.id, head.runtime.now()) for node in cluster.nodes.values()
         ]
         for node in cluster.nodes.values():
             assert node.follower.session.address != (head.options.host, head.options.port)
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -291,10 +291,12 @@
         cluster = quiet_cluster(shape="magnolia")
         node = cluster.owner()
         old = node.pool_owners[cluster.pool]
-        holder = next(m for m in cluster.nodes.values() if m.me.id == old.assignment.copies[0])
+        holder = next(m for m in cluster.nodes.values() if m.member_record.id == old.assignment.copies[0])
         holder.pool_roles.replica(cluster.pool).fence((old.assignment.term[0], old.assignment.term[1] + 1))
         done = node.runtime.spawn(
-            old.replicator.copy(message.ReplicateRecords(cluster.pool, old.assignment.term, node.me.id, [], [], [])),
+            old.replicator.copy(
+                message.ReplicateRecords(cluster.pool, old.assignment.term, node.member_record.id, [], [], [])
+            ),
             simulated_cluster.log,
         )
         cluster.advance(1)
@@ -334,7 +336,7 @@
         for who in ("copy", "holder"):
             assignment = cluster.owner().pool_owners[cluster.pool].assignment
             name = assignment.holder if who == "holder" else assignment.copies[0]
-            node = next(m for m in cluster.nodes.values() if m.me.id == name)
+            node = next(m for m in cluster.nodes.values() if m.member_record.id == name)
             newer = (
                 assignment.term[0],
                 cluster.tail().membership.latest.version[1] + 1,
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -248,7 +248,9 @@
         cluster.platform_process.ports[9000].handle = counted
         for machine in cluster.cores.values():  # nobody can hand the role on
             machine.process.kill()
-        holder = next(node for node in cluster.nodes.values() if node.follower.assignment("list").holder == node.me.id)
+        holder = next(
+            node for node in cluster.nodes.values() if node.follower.assignment("list").holder == node.member_record.id
+        )
         holder.process.kill()
         del cluster.nodes[holder.options.name]
         cluster.advance(2)
