--- a/tests/frozen_codec.py
+++ b/tests/frozen_codec.py
@@ -4,6 +4,7 @@
 """
 
 import collections
+import types
 import typing
 
 import msgspec
@@ -29,9 +30,9 @@
         self.types: dict[str, type] = {}
         for tag, fields in schema["messages"].items():  # those that others hold come first
             self.types[tag] = self._struct(tag, fields)
-        sent = typing.Union[tuple(self.types[tag] for tag in schema["sent"])]  # noqa: UP007
+        sent = self._type(["union", *(["message", tag] for tag in schema["sent"])])
         frame = msgspec.defstruct("Frame", [("a", int), ("b", int), ("c", sent)], array_like=True)
-        self.decoder = msgspec.msgpack.Decoder(frame)
+        self.decoder: msgspec.msgpack.Decoder[typing.Any] = msgspec.msgpack.Decoder(frame)
         self.seen: collections.Counter[str] = collections.Counter()  # tag -> frames
         self.failures: list[str] = []
 
@@ -43,18 +44,18 @@
             made.append((f"field_{place}", hint, *default))
         return msgspec.defstruct(f"Frozen{tag}", made, tag=tag, array_like=True, frozen=True)
 
-    def _type(self, description: object) -> typing.Any:  # noqa: ANN401 - a type expression
+    def _type(self, description: typing.Any) -> typing.Any:  # noqa: ANN401 - JSON; a type expression
         match description:
             case str():
                 return SCALARS[description]
             case ["message", tag]:
                 return self.types[tag]
             case ["list", item]:
-                return list[self._type(item)]
+                return types.GenericAlias(list, self._type(item))
             case ["dict", key, value]:
-                return dict[self._type(key), self._type(value)]
+                return types.GenericAlias(dict, (self._type(key), self._type(value)))
             case ["tuple", *items]:
-                return tuple[tuple(self._type(item) for item in items)]
+                return types.GenericAlias(tuple, tuple(self._type(item) for item in items))
             case ["union", *items]:
                 return typing.Union[tuple(self._type(item) for item in items)]  # noqa: UP007
         raise TypeError(f"no type is described by {description}")
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -54,6 +54,7 @@
             self.route.repeat == "may",
         )
         routed.route, routed.pool, routed.pool_name = self.route, configuration.Pool(election="node"), "desk"
+        assert routed.parsed.left_us is not None
         routed.terms, routed.deadline_us = configuration.Terms(), routed.arrived_at_us + routed.parsed.left_us
         await self.forwarder.forward(routed)
 
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -34,7 +34,7 @@
 COMMANDS = ("core", "node", "load", "check", "plan", "confirm", "change", "show", "replay", "history")
 REQUEST_ID = "X-Exchange-Id: x{}\r\nX-Send-Number: 1\r\nX-May-Repeat: yes\r\nX-Requester: someone\r\n"
 CHANGE = {"number": 1, "built_on": 0, "upsert": {"routes": {"r1": {"path": "/r1", "pool": "desk"}}}}
-CORE_CALLS = (  # method, path, body
+CORE_CALLS: tuple[tuple[str, str, typing.Any], ...] = (  # method, path, body
     ("GET", "/blueprint", None),
     ("GET", "/state", None),
     ("GET", "/ready", None),
@@ -128,7 +128,8 @@
 
     def note(self, label: str, owner: type[StandIn]) -> contextlib.AbstractContextManager[object]:
         """Replace a stand-in's handler by one that notes the requests' headers under a label."""
-        handle, requests = owner.handle, self.requests
+        handle: typing.Any = owner.handle
+        requests = self.requests
 
         async def noting(stand_in: StandIn, request: http_server.Request) -> None:
             names = {name.decode() for name, _ in request.requestHeaders.getAllRawHeaders()}
@@ -141,14 +142,14 @@
     def query(self, host: str, port: int, text: str) -> bytes:
         """Send a request as it stands; all that came back within three seconds."""
         runtime = self.cluster.operator_runtime
-        point = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=2)
+        point: typing.Any = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=2)
         opened = point.connect(protocol.Factory.forProtocol(Client))
         self.cluster.advance_until(lambda: opened.called, 3)
-        client = deferreds.result_of(opened)
+        client: typing.Any = deferreds.result_of(opened)
         client.transport.write(text.encode())
         self.cluster.advance(3)
         client.transport.abortConnection()
-        return client.received
+        return bytes(client.received)
 
     def core_answers(self) -> list[typing.Any]:
         """The answers of a core machine to all calls."""
@@ -205,13 +206,19 @@
 
 def command_list() -> list[str]:
     """The subcommands, in their order."""
-    return re.search(r"\{(.*?)\}", run("--help")[0]).group(1).split(",")
+    listed = re.search(r"\{(.*?)\}", run("--help")[0])
+    assert listed is not None
+    return listed.group(1).split(",")
 
 
 def option_defaults() -> dict[str, typing.Any]:
     """The keys of an options file, with their types and defaults."""
     blank = options.Options("core")
-    return {f.name: [f.type.__name__, getattr(blank, f.name)] for f in dataclasses.fields(blank) if f.name != "role"}
+    return {
+        f.name: [getattr(f.type, "__name__", f.type), getattr(blank, f.name)]
+        for f in dataclasses.fields(blank)
+        if f.name != "role"
+    }
 
 
 def configuration_defaults() -> dict[str, typing.Any]:
--- a/tests/request_path.py
+++ b/tests/request_path.py
@@ -39,6 +39,8 @@
 class WorkerConnection(protocol.Protocol):
     """A connection to a scripted worker."""
 
+    transport: Any  # a side of a simulated connection
+
     def __init__(self, worker: "ScriptedWorker") -> None:
         self.worker = worker
         self.parser = httptools.HttpRequestParser(self)
@@ -68,8 +70,8 @@
 
     def __init__(self, script: Callable[..., Any]) -> None:
         self.script = script
-        self.seen = []  # attempts, in the order in which they came
-        self.connections = []
+        self.seen: list[str] = []  # attempts, in the order in which they came
+        self.connections: list[WorkerConnection] = []
 
     def buildProtocol(self, _address: address.IPv4Address) -> WorkerConnection:
         self.connections.append(WorkerConnection(self))
@@ -79,6 +81,8 @@
 class Client(protocol.Protocol):
     """A client that keeps all bytes that come."""
 
+    transport: Any  # a side of a simulated connection
+
     def __init__(self) -> None:
         self.raw = b""
         self.closed = False
--- a/tests/test_assignments.py
+++ b/tests/test_assignments.py
@@ -19,6 +19,7 @@
             manager.seen = {m.id: membership_manager.SeenMember(now, m, "c0") for m in live}
             manager.issue_if_changed()
             latest = manager.latest
+            assert latest is not None
             assert sorted(m.id for m in live) == sorted(m.id for m in latest.members)
             for assignment in latest.assignments:
                 assert assignments.group(assignment.key, latest.members, assignment) == (
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,6 +1,7 @@
 """What a node takes for its part of the fleet's retry budget."""
 
 import types
+from typing import Any
 
 import pytest
 
@@ -18,7 +19,7 @@
         self.members = [f"n{k}" for k in range(9)]
         self.attempt_ids = 0
 
-    def budgets(self, **more: float) -> node_budgets.NodeBudgets:
+    def budgets(self, **more: Any) -> node_budgets.NodeBudgets:  # noqa: ANN401 - fields of Options
         """The budgets of a node whose process starts now."""
         node = types.SimpleNamespace(
             runtime=scheduler.Runtime(None, now=lambda: self.now),
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -5,6 +5,7 @@
 import pathlib
 import re
 from collections.abc import Callable
+from typing import Any
 
 import pytest
 
@@ -93,14 +94,14 @@
 
 
 class TestHollowFleet:
-    def made(self, **more: int) -> hollow_fleet.Fleet:
+    def made(self, **more: Any) -> hollow_fleet.Fleet:  # noqa: ANN401 - options of Fleet
         fleet = hollow_fleet.Fleet(1, routes=10, **more)
         fleet.begin()
         fleet.advance(2)
         return fleet
 
     def test_a_complete_worker_list_goes_to_every_node_only_when_it_changes(self) -> None:
-        appended = {}
+        appended: dict[int, list[float]] = {}
         for listed in (9, 90):
             fleet = self.made(nodes=6, listed=listed)
             quiet = fleet.by_role(fleet.metered(4))
@@ -111,8 +112,8 @@
             ] + [quiet["node"]["in_bytes"]]
             appended[listed].append(len(wire.encoder.encode(fleet.nodes["n1"].follower.workers)))
             assert 0 < quiet["node"]["loops"] < quiet["warden"]["loops"]
-        node, lister, quiet, size = (more - few for few, more in zip(appended[9], appended[90], strict=False))
-        assert abs(quiet) < 0.02 * size, quiet  # a second, by 81 workers more: signs of life come as they fall
+        node, lister, idle, size = (more - few for few, more in zip(appended[9], appended[90], strict=True))
+        assert abs(idle) < 0.02 * size, idle  # a second, by 81 workers more: signs of life come as they fall
         assert abs(node - 2 * size) < 0.05 * size, node / size  # in a list and in a membership
         # to five other nodes; the core is told twice a second anyway, and may be once more in the second span
         assert 4.95 * size < lister < 6.05 * size, lister / size
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -36,6 +36,7 @@
     """A view that the test sets; its tail holds the lease. The replica is synced in it, unless said otherwise."""
 
     required_copies = 2
+    lease_has_ended = False
 
     def __init__(self, number: int, *ids: str) -> None:
         self.own_voter = types.SimpleNamespace(id="a")
@@ -49,7 +50,7 @@
         return number == self.view.number
 
     def holds_lease(self) -> bool:
-        return self.view.chain[-1].id == self.own_voter.id
+        return not self.lease_has_ended and bool(self.view.chain[-1].id == self.own_voter.id)
 
     async def mark_synced(self, number: int) -> None:
         self.record.synced_view = number
@@ -66,8 +67,11 @@
 
     def replica(self, consensus: FixedConsensus, entries: Sequence[message.LogEntry] = ()) -> chain.Chain:
         state = {b"e%016d" % e.index: replicated_log.encode_entry(e) for e in entries}
-        replica = chain.Chain(scheduler.Runtime(None, now=lambda: 0), self.disk, state, None)
-        replica.consensus = consensus
+        disk: Any = self.disk
+        peers: Any = None  # no replica sends anything here
+        stand_in: Any = consensus
+        replica = chain.Chain(scheduler.Runtime(None, now=lambda: 0), disk, state, peers)
+        replica.consensus = stand_in
         return replica
 
     def put(self, replica: chain.Chain, msg: chain.ChainRequest) -> Any:  # noqa: ANN401 - a deferred of any answer
@@ -84,10 +88,11 @@
         assert not self.put(replica, message.ReadRequest(5)).result.ok
 
     def test_a_read_that_comes_after_the_lease_has_ended_fails(self) -> None:
-        replica = self.replica(FixedConsensus(4, "b", "a"))
+        consensus = FixedConsensus(4, "b", "a")
+        replica = self.replica(consensus)
         replica.tail.commit_synced(4)
         assert self.put(replica, message.ReadRequest(4)).result.ok
-        replica.consensus.holds_lease = lambda: False
+        consensus.lease_has_ended = True
         assert not self.put(replica, message.ReadRequest(4)).result.ok
 
     def test_a_tail_that_may_not_commit_alone_answers_no_read_by_less_than_it_holds(self) -> None:
--- a/tests/test_change_recovery.py
+++ b/tests/test_change_recovery.py
@@ -10,6 +10,8 @@
         start = change_recovery.Start(seed=1, cores=3, lease_ms=1_500)
         (recovery,) = change_recovery.measure_seed(start, [kill])
         assert recovery.case == kill
+        assert recovery.acknowledged is not None
+        assert recovery.applied is not None
         assert recovery.acknowledged > 1 * units.SECOND_US  # the others don't take it for dead before
         assert recovery.acknowledged < 5 * units.SECOND_US
         assert recovery.applied >= recovery.acknowledged
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -39,9 +39,15 @@
         assert cluster.advance_until(lambda: all(change.called for change in changes), 40)
         return [deferreds.result_of(change) for change in changes]
 
+    def committed(self, cluster: simulated_cluster.SimulatedCluster) -> replicated_state.ReplicatedState:
+        """What the tail has committed."""
+        tail = cluster.tail()
+        assert tail is not None
+        return tail.chain.committed_state
+
     def items(self, cluster: simulated_cluster.SimulatedCluster) -> dict[str, Any]:
         assert cluster.advance_until(lambda: cluster.tail() is not None, 10)
-        return dict(cluster.tail().chain.committed_state.items)
+        return dict(self.committed(cluster).items)
 
     def test_one_of_two_on_the_same_number_is_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
@@ -61,10 +67,10 @@
         cluster = quiet_cluster()
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
             assert self.wait(cluster, self.start(cluster, number, built_on, route(number))) == [200]
-        index = cluster.tail().chain.committed_state.index
+        index = self.committed(cluster).index
         for number, built_on in ((4, 0), (9, 4), (10, 9)):
             assert self.wait(cluster, self.start(cluster, number, built_on, route(number))) == [200]
-        assert cluster.tail().chain.committed_state.index == index
+        assert self.committed(cluster).index == index
         assert self.wait(cluster, self.start(cluster, 9, 4, route("other"))) == [409]
         assert self.wait(cluster, self.start(cluster, 10, 10, route("other"))) == [422]
         assert self.wait(
@@ -155,17 +161,19 @@
         cluster = quiet_cluster()
         document, other = cluster.with_probe(1), cluster.with_probe(2)
         assert self.wait(cluster, self.start(cluster, 4, 0, {"blueprint": document})) == [200]
-        index = cluster.tail().chain.committed_state.index
+        index = self.committed(cluster).index
         assert self.wait(cluster, self.start(cluster, 4, 3, {"blueprint": document})) == [200]
         assert self.wait(cluster, self.start(cluster, 4, 3, {"blueprint": other})) == [409]
         assert self.wait(cluster, self.start(cluster, 5, 3, {"blueprint": document})) == [409]
-        assert cluster.tail().chain.committed_state.index == index
+        assert self.committed(cluster).index == index
 
     def test_a_change_is_taken_without_nodes_once_their_leases_ran_out(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
-        lease_us = cluster.tail().options.lease_us
+        tail = cluster.tail()
+        assert tail is not None
+        lease_us = tail.options.lease_us
         for node in cluster.nodes.values():
             node.process.kill()
         killed = cluster.world.time
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -9,7 +9,7 @@
 from iriswheel.verification import replay
 
 SECOND = units.SECOND_US
-DOC = {
+DOC: dict[str, dict[str, Any]] = {
     "pools": {"desk": {}},
     "routes": {"probe": {"path": "/p/0", "pool": "desk"}, "v1": {"path": "/v1", "pool": "desk"}},
 }
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -17,7 +17,8 @@
 def make_follower() -> follower.Follower:
     """A follower whose node only counts updates."""
     runtime = scheduler.Runtime(task.Clock(), now=lambda: 0, seed=1)
-    return follower.Follower(types.SimpleNamespace(runtime=runtime, on_update=lambda: None), options.Options("node"))
+    node: Any = types.SimpleNamespace(runtime=runtime, on_update=lambda: None)
+    return follower.Follower(node, options.Options("node"))
 
 
 def longest(routes: dict[str, configuration.Route], host: str, path: str) -> configuration.Route | None:
@@ -85,8 +86,12 @@
 class TestRouteLookup:
     def test_find_agrees_with_a_look_at_all_routes(self) -> None:
         rng = random.Random(7)
-        part = lambda: "/" + "/".join(rng.choices(["a", "b", "ab"], k=rng.randrange(4))) + rng.choice(["", "/"])  # noqa: E731
-        follower, items = make_follower(), {}
+
+        def part() -> str:
+            return "/" + "/".join(rng.choices(["a", "b", "ab"], k=rng.randrange(4))) + rng.choice(["", "/"])
+
+        follower = make_follower()
+        items: dict[str, Any] = {}
         for n in range(1, 200):
             change = {}
             for _ in range(rng.randrange(3)):
@@ -105,7 +110,9 @@
     def test_host_by_any_case_and_port(self) -> None:
         follower = make_follower()
         follower.apply_items(1, {"routes/r": {"path": "/", "pool": "p", "host": "Desk.example"}}, is_snapshot=True)
-        assert follower.find_route("desk.EXAMPLE:8080", "/x").pool == "p"
+        route = follower.find_route("desk.EXAMPLE:8080", "/x")
+        assert route is not None
+        assert route.pool == "p"
         assert follower.find_route("other", "/x") is None
 
     def test_only_what_changed_is_parsed(self) -> None:
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -37,8 +37,9 @@
         record = msgspec.msgpack.decode(state[b"council"], type=decisions.Record) if state else decisions.Record()
         self.installed: list[message.View] = []
         guard = storage.MonitoredDisk(runtime, self.disk)
+        peers: Any = None  # the machine sends nothing
         self.consensus = view_consensus.ViewConsensus(
-            runtime, guard, record, VOTERS[1], seeds=[], peers=None, on_view=self.installed.append
+            runtime, guard, record, VOTERS[1], seeds=[], peers=peers, on_view=self.installed.append
         )
 
     def make_view(self, number: int, order: str = "abc") -> message.View:
@@ -90,6 +91,7 @@
     def test_a_head_whose_disk_refused_the_view_leads_once_the_disk_works(self) -> None:
         self.host.disk = "full"
         self.wait(self.consensus.adopt(self.make_view(2, "bac")))
+        assert self.consensus.view is not None
         assert (self.consensus.view.number, self.consensus.record.synced_view) == (2, 0)
         self.host.disk = "ok"
         installed = len(self.installed)
--- a/tests/test_encoding.py
+++ b/tests/test_encoding.py
@@ -20,5 +20,6 @@
     def test_the_view_on_the_disk_keeps_its_bytes(self) -> None:
         old = b"\x94\x94\xa4View\x04\x90\x91\x93\xa9ChainLink\xa1a\xa1b\x92\x00\xa0\xc0\x04"
         record = msgspec.msgpack.decode(old, type=decisions.Record)
+        assert record.view is not None
         assert [message.ChainReplica("a", "b")] == record.view.chain
         assert msgspec.msgpack.encode(record) == old
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,6 +1,7 @@
 """The engine's model does what an engine does: batches, pieces, kept parts, memory, urgency."""
 
 import itertools
+from typing import Any
 
 from twisted.internet import task
 
@@ -11,7 +12,7 @@
 
 
 class TestEngine:
-    def make(self, **figures: int) -> inference_engine.Engine:
+    def make(self, **figures: Any) -> inference_engine.Engine:  # noqa: ANN401 - fields of EngineParameters
         self.clock = task.Clock()
         base = dict(
             enter_us=0,
@@ -30,7 +31,13 @@
         self.events: dict[str, list[tuple[int, bool, int]]] = {}
         return self.engine
 
-    def job(self, identifier: str, parts: list[tuple[str, int]], tokens: int = 4, **more: int) -> inference_engine.Job:
+    def job(
+        self,
+        identifier: str,
+        parts: list[tuple[str, int]],
+        tokens: int = 4,
+        **more: Any,  # noqa: ANN401 - fields of Job
+    ) -> inference_engine.Job:
         self.events[identifier] = []
         return inference_engine.Job(
             identifier,
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -5,17 +5,23 @@
 from iriswheel.runtime import units
 from iriswheel.transport import message
 from simulation import host_model, inference_engine, platform_names, process_model
-from tests import node_fixture
+from tests import deferreds, node_fixture
 
 SECOND = units.SECOND_US
 HEADERS = platform_names.HEADERS
 
 
+class WorkerInProcess(workers.Worker):
+    """A stand-in worker that knows the process that it runs in."""
+
+    process: process_model.SimulatedProcess
+
+
 class TestForwarding(node_fixture.NodeFixture):
-    def worker(self, **faults: float) -> workers.Worker:
+    def worker(self, **faults: float) -> WorkerInProcess:
         k = len(self.workers) + 1
         process = process_model.SimulatedProcess(self.world, f"w{k}", host_model.Host(self.world, f"10.0.3.{k}", "a"))
-        worker = workers.Worker(
+        worker = WorkerInProcess(
             process.runtime(),
             f"w{k}",
             "desk",
@@ -32,8 +38,8 @@
 
     def query(self, events: int = 40) -> tuple[client_connection.PendingAnswer, client_connection.ClientConnection]:
         """Send a request for a stream; the client's connection and what comes of it."""
-        call, got = client_connection.PendingAnswer(lambda _call: None), []
-        client_connection.connect(self.near.runtime(), "10.0.2.1", 80, SECOND).addCallback(got.append)
+        call = client_connection.PendingAnswer(lambda _call: None)
+        connected = client_connection.connect(self.near.runtime(), "10.0.2.1", 80, SECOND)
         self.go(10)
         head = {
             "Host": "h.example",
@@ -44,10 +50,11 @@
             HEADERS["left"]: 5000,
         }
         lines = "".join(f"{k}: {v}\r\n" for k, v in head.items())
-        got[0].start(call, f"POST /x/ HTTP/1.1\r\n{lines}\r\nhi".encode())
-        return call, got[0]
+        connection = deferreds.result_of(connected)
+        connection.start(call, f"POST /x/ HTTP/1.1\r\n{lines}\r\nhi".encode())
+        return call, connection
 
-    def selected_worker(self) -> workers.Worker:
+    def selected_worker(self) -> WorkerInProcess:
         """The worker that runs the latest request."""
         return next(w for w in self.workers if w.name == self.runs()[-1])
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -248,7 +248,7 @@
         self.assert_no_complaint([{**r, "code": 503} if r["kind"] == "tried" else r for r in request_rows(repeat=True)])
 
     def test_denied(self) -> None:
-        def denials(n: int, **more: int) -> list[dict[str, Any]]:
+        def denials(n: int, **more: Any) -> list[dict[str, Any]]:  # noqa: ANN401 - fields of a row
             return [
                 r
                 for k in range(n)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -160,7 +160,7 @@
     """Rows of event logs."""
 
     def config(
-        self, at: int, version: int, base: int, code: int, document: dict[str, int] | None = None, *, valid: bool = True
+        self, at: int, version: int, base: int, code: int, document: dict[str, Any] | None = None, *, valid: bool = True
     ) -> list[dict[str, Any]]:
         row = dict(send=f"boss-{at}", version=version, base=base)
         document = {"version": version, "channels": [], "plants": [], **(document or {})}
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -70,6 +70,7 @@
         actions.kill(cluster, name, restart_after=2)
         cluster.advance(8)
     owner = cluster.owner()
+    assert owner is not None
     actions.kill(cluster, owner.options.name, restart_after=2)
     cluster.advance(10)
     cluster.end()
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -43,7 +43,8 @@
         started_at = self.runtime.now()
         asked = defer.ensureDeferred(command.send_request(self.runtime, [self.place], method, path, document))
         try:
-            status, answer = await self.runtime.within(asked, 3 * SECOND)
+            answered = await self.runtime.within(asked, 3 * SECOND)
+            status, answer = answered.status, answered.document
         except (scheduler.DeadlineError, error.ConnectionDone, error.ConnectionLost, client.ResponseFailed, ValueError):
             status, answer = 0, {}
         if status:
@@ -90,7 +91,10 @@
         cluster.probing = False
         cluster.begin()
         cluster.advance(2)
-        chain = cluster.head().consensus.view.chain
+        head = cluster.head()
+        assert head is not None
+        assert head.consensus.view is not None
+        chain = head.consensus.view.chain
         cut = next(c for c in cluster.cores.values() if c.consensus.own_voter.id == chain[place].id)
         others = [c.options.host for c in cluster.cores.values() if c is not cut]
         callers = [Caller(cluster, name) for name in cluster.cores]
--- a/tests/test_peer_status.py
+++ b/tests/test_peer_status.py
@@ -1,6 +1,7 @@
 """What a node that lost the core learns from its peers."""
 
 import types
+from typing import Any
 
 from twisted.internet import task
 
@@ -11,7 +12,7 @@
 CORE = ("10.1.0.2", 7300)
 
 
-def follower_whose_peer_answers(response: message.CoreStatusResponse) -> types.SimpleNamespace:
+def follower_whose_peer_answers(response: message.CoreStatusResponse) -> Any:  # noqa: ANN401 - it stands for one
     """A stand-in for the follower of a node with one peer."""
 
     async def call(_host: str, _port: int, _query: message.Message, _timeout_us: int) -> message.CoreStatusResponse:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,6 +9,7 @@
 import configuration_api
 import pytest
 from twisted.internet import defer
+from twisted.python import failure
 
 from iriswheel import errors
 from iriswheel.configuration import configuration
@@ -37,7 +38,7 @@
     "transport_security": False,
     "engine": {"capacity": 64, "kv_capacity": 443888, "stride": 4, "model_list": [{"name": "m"}]},
 }
-COMPLETE = {
+COMPLETE: dict[str, Any] = {
     "version": 7,
     "channels": [CHANNEL, {**CHANNEL, "name": "r b", "path_prefix": "/b/", "plant": "p1"}],
     "plants": [PLANT, {**PLANT, "name": "p2"}],
@@ -75,20 +76,21 @@
 class TestPlatformConfiguration:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
-        self.core = InMemoryCore()
-        self.gateway = configuration_api.ConfigurationApi(self.core)
+        core: Any = InMemoryCore()
+        self.core: InMemoryCore = core
+        self.gateway = configuration_api.ConfigurationApi(core)
 
     def call(
         self, method: bytes, document: dict[str, Any] | None = None, match: str | None = None, raw: str | None = None
     ) -> tuple[int, dict[str, Any] | str]:
-        def load() -> dict[str, Any]:
+        def load() -> object:
             try:
                 return json.loads(raw if raw is not None else json.dumps(document))
             except ValueError:
                 raise errors.ServiceError("bad_request", "") from None
 
-        out = []
-        request = types.SimpleNamespace(
+        out: list[tuple[int, Any]] = []
+        request: Any = types.SimpleNamespace(
             method=method,
             path=b"/configuration",
             json=load,
@@ -96,9 +98,13 @@
             answer_json=lambda status, value: out.append((status, value)),
         )
         handled = defer.ensureDeferred(self.gateway.handle(request))
-        handled.addErrback(
-            lambda failure: failure.trap(errors.ServiceError) and out.append((failure.value.status, failure.value.code))
-        )
+
+        def answer_error(caught: failure.Failure) -> None:
+            caught.trap(errors.ServiceError)
+            assert isinstance(caught.value, errors.ServiceError)
+            out.append((caught.value.status, caught.value.code))
+
+        handled.addErrback(answer_error)
         return out[0]
 
     def test_what_was_sent_comes_back(self) -> None:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -109,6 +109,7 @@
             stderr=subprocess.PIPE,
             text=True,
         )
+        assert first.stderr is not None
         while "listens" not in first.stderr.readline():
             assert first.poll() is None
         code, _, err = program("core", *options, "--port", str(fleet.free_port()))
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -96,7 +96,7 @@
             assert len(record["full"]["values"]) == len(fields), tag
             assert len(record["defaults"]["values"]) == sum(field.required for field in fields), tag
             short = msgspec.msgpack.encode([tag, *recorded.from_plain(record["defaults"]["values"])])
-            made = msgspec.msgpack.decode(short, type=types[tag].cls)
+            made: message.Message = msgspec.msgpack.decode(short, type=types[tag].cls)
             assert msgspec.msgpack.encode(made).hex() == record["defaults"]["hex"], tag
 
 
@@ -105,7 +105,7 @@
 ) -> None:
     for tag, cls, sample in samples:
         longer = msgspec.msgpack.encode([*msgspec.msgpack.decode(bytes.fromhex(sample["hex"])), "further"])
-        made = msgspec.msgpack.decode(longer, type=cls)
+        made: message.Message = msgspec.msgpack.decode(longer, type=cls)
         assert msgspec.msgpack.encode(made).hex() == sample["hex"], tag
 
 
@@ -146,7 +146,7 @@
         for sample in record.values():
             receiver = Receiver()
             receiver.transport.clear()
-            made = recorded.build(types[tag].cls, recorded.from_plain(sample["values"]))
+            made: typing.Any = recorded.build(types[tag].cls, recorded.from_plain(sample["values"]))
             receiver.connection.tell(made)
             receiver.connection.call(made, 1_000_000)
             content = bytes.fromhex(sample["hex"])
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -48,6 +48,7 @@
     assert outcome.complaints == [], case.options()
     # changes are acknowledged before and after it
     assert outcome.acknowledged > 10, case.options()
+    assert outcome.first_change_us is not None, case.options()
     assert outcome.first_change_us < second_loss.REPAIR_S * units.SECOND_US, case.options()
 
 
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -26,6 +26,8 @@
 class Client(protocol.Protocol):
     """Parses whatever comes back."""
 
+    transport: Any  # a side of a simulated connection
+
     def __init__(self) -> None:
         self.answers: list[Answer] = []
         self.closed: str | None = None
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,6 +1,7 @@
 """When a node that stops refuses new requests."""
 
 import types
+from typing import Any
 
 from twisted.internet import task
 
@@ -10,7 +11,7 @@
 GRACE_US = 8_100 * units.MILLISECOND_US
 
 
-def busy_node(clock: task.Clock) -> types.SimpleNamespace:
+def busy_node(clock: task.Clock) -> Any:  # noqa: ANN401 - it stands for a node
     """A stand-in for a node with one request open, whose platform has not asked since the stop."""
     return types.SimpleNamespace(
         runtime=scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US)),
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,6 +1,7 @@
 """The data folder on lmdb: what a failed commit leaves behind."""
 
 import pathlib
+from typing import Any
 
 import lmdb
 import pytest
@@ -23,8 +24,10 @@
         disk = storage.Disk(str(tmp_path))
         disk.open()
         disk.write([(b"a", b"1")])
+        assert disk.env is not None
         disk.env.close()
-        disk.env = PanickedEnvironment()
+        panicked: Any = PanickedEnvironment()
+        disk.env = panicked
         with pytest.raises(storage.DiskError):
             disk.write([(b"b", b"2")])
         disk.write([(b"c", b"3")])
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,6 +1,7 @@
 """What a client may send, and how long it may take over it: the configuration's limits at the door."""
 
 from collections.abc import Iterator
+from typing import Any
 
 import pytest
 from twisted.internet import defer, error, task, testing
@@ -30,8 +31,8 @@
         look.cancel()
 
     def connect(self) -> tuple[http_server.Channel, testing.StringTransportWithDisconnection]:
-        channel = self.server.buildProtocol(None)
-        transport = testing.StringTransportWithDisconnection()
+        channel: Any = self.server.buildProtocol(None)
+        transport: Any = testing.StringTransportWithDisconnection()
         transport.protocol = channel
         transport.unregisterProducer = lambda: None  # as a socket's, which takes it at any time
         channel.makeConnection(transport)
