--- a/simulation/disk_model.py
+++ b/simulation/disk_model.py
@@ -14,8 +14,6 @@
 SYNC_US = 2_000  # the least time of a sync, and how much it varies
 TRAP_DELAY_US = 3_000  # within what time after a write's answer power is lost
 
-Puts = list[tuple[bytes, bytes | None]]
-
 
 class Disk:
     """A host's disk as one process has it: its writes are synced in order, or lost with the process.
@@ -38,19 +36,19 @@
         """All records that were synced, in the order of their keys."""
         return dict(sorted(self.host.synced.items()))
 
-    def write(self, puts: Puts) -> None:
+    def write(self, writes: list[storage.Write]) -> None:
         """Sync records at once, as a process does while it starts."""
-        for key, value in puts:
+        for key, value in writes:
             if value is None:
                 self.host.synced.pop(key, None)
             else:
                 self.host.synced[key] = value
 
-    def commit(self, puts: Puts) -> defer.Deferred[None]:
+    def commit(self, writes: list[storage.Write]) -> defer.Deferred[None]:
         """Sync records after the time that the disk needs.
 
         Args:
-            puts: The records by key; a value of None deletes one.
+            writes: The records by key; a value of None deletes one.
 
         Returns:
             Fires once the records are synced, or fails with `storage.DiskError` where the disk is full.
@@ -59,14 +57,14 @@
         synced: defer.Deferred[None] = defer.Deferred()
         cost = SYNC_US + simulated_world.rng.randrange(SYNC_US) + (self.host.slow_us if self.host.disk == "slow" else 0)
         self.busy_until = max(self.busy_until, simulated_world.time) + cost
-        simulated_world.push(self.busy_until, lambda: self._sync(puts, synced))
+        simulated_world.push(self.busy_until, lambda: self._sync(writes, synced))
         return synced
 
-    def _sync(self, puts: Puts, synced: defer.Deferred[None]) -> None:
+    def _sync(self, writes: list[storage.Write], synced: defer.Deferred[None]) -> None:
         if not self.process.alive:
             return
         if self.host.disk == "stalled":
-            self.host.held.append(lambda: self._sync(puts, synced))
+            self.host.held.append(lambda: self._sync(writes, synced))
             return
         if self.host.disk == "full":
             self.process.call(lambda: synced.errback(storage.DiskError("No space is left.")))
@@ -75,7 +73,7 @@
         if trap == "before sync":
             self.host.spring(trap)
             return
-        self.write(puts)
+        self.write(writes)
         if trap == "after sync":
             self.host.spring(trap)
             return
--- a/simulation/scenarios/configuration.py
+++ b/simulation/scenarios/configuration.py
@@ -197,7 +197,7 @@
 
 
 def release(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The cap is full; silent conversations must make room, after a change of pool owner too."""
+    """The cap is full; idle conversations must make room, after a change of pool owner too."""
     cluster.load.conversations = 0
 
     def shorten(document: dict[str, dict[str, dict[str, typing.Any]]]) -> None:
--- a/simulation/scenarios/cores.py
+++ b/simulation/scenarios/cores.py
@@ -28,7 +28,7 @@
 
 
 def roll_cores(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Cores are stopped in good order and started again, one after the other."""
+    """Cores are shut down gracefully and started again, one after the other."""
     actions.confirm_changes(cluster, 10)
     for name in sorted(cluster.cores):
         cluster.advance(6)
@@ -88,7 +88,7 @@
 
 
 def seeds_turned(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Cores are replaced one after the other, and the seeds named anew; then all processes start again."""
+    """Cores are replaced one after the other, and the options name the new ones as seeds; then all restart."""
     actions.confirm_changes(cluster, 8, 3)
     for number in (4, 5, 6):
         cluster.advance(4)
--- a/simulation/scenarios/processes.py
+++ b/simulation/scenarios/processes.py
@@ -86,7 +86,7 @@
 
 
 def roll_nodes(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Nodes are stopped in good order and started again, one after the other."""
+    """Nodes are shut down gracefully and started again, one after the other."""
     actions.confirm_changes(cluster)
     for name in sorted(cluster.nodes)[:4]:
         cluster.advance(4)
@@ -151,7 +151,7 @@
 
 
 def wake_without_core(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A node sleeps through a change and wakes while the whole core is gone; clients hold on to its address."""
+    """A node is frozen through a change and wakes while the whole core is gone; clients hold on to its address."""
     cluster.advance(3)
     for _ in range(2):
         target = actions.some_node(cluster, owner=False)
--- a/simulation/scenarios/workers.py
+++ b/simulation/scenarios/workers.py
@@ -23,7 +23,7 @@
 
 
 def worker_vanish(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A worker's machine is gone for good without a word; the platform notices some seconds later."""
+    """A worker's machine is gone for good, its connections silent; the platform notices some seconds later."""
     actions.confirm_changes(cluster, 6, 5)
     for _ in range(2):
         cluster.advance(6 + cluster.rng.random())
--- a/simulation/state_search/cluster_model.py
+++ b/simulation/state_search/cluster_model.py
@@ -33,7 +33,7 @@
     """One core machine: what is on its disk, what is in its memory, and what a fault did to it."""
 
     identifier: str
-    place: int
+    index: int  # in the world's tuple of cores
     identities: int = 1
     incarnation_number: int = 1
     up: bool = True
@@ -66,7 +66,7 @@
 
     @property
     def incarnation(self) -> str:
-        """The boot as chain members carry it."""
+        """The incarnation as chain members carry it."""
         return str(self.incarnation_number)
 
     @property
@@ -77,7 +77,7 @@
     @property
     def voter(self) -> message.Voter:
         """The machine's voter."""
-        return message.Voter(self.identifier, f"host{self.place}", 1, "zone")
+        return message.Voter(self.identifier, f"host{self.index}", 1, "zone")
 
     @property
     def last_entry(self) -> tuple[int, int]:
@@ -135,7 +135,7 @@
     >>> len(start(3, Limits()).cores)
     3
     """
-    machines = [Core("abcdefg"[place], place) for place in range(cores)]
+    machines = [Core("abcdefg"[index], index) for index in range(cores)]
     voters = [core.voter for core in machines]
     view = message.View(1, voters, [message.ChainReplica(core.identifier, core.incarnation) for core in machines])
     record = decisions.Record(view, synced_view=1)
@@ -155,7 +155,7 @@
 def put(world: World, core: Core) -> World:
     """The state with one core replaced."""
     cores = list(world.cores)
-    cores[core.place] = core
+    cores[core.index] = core
     return replace(world, cores=tuple(cores))
 
 
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -206,7 +206,7 @@
         )
         if answer.ok:
             after = cluster_model.put(used, replace(core, holder=tail.identifier))
-            tail_after = after.cores[tail.place]
+            tail_after = after.cores[tail.index]
             after = cluster_model.put(
                 after, replace(tail_after, supporters=cluster_model.add(tail_after.supporters, core.identifier))
             )
@@ -240,8 +240,8 @@
         if not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
             continue
         members = [member.id for member in core.view.chain]
-        place = members.index(core.identifier) + 1
-        following = cluster_model.by_identifier(world, members[place]) if place < len(members) else None
+        position = members.index(core.identifier) + 1
+        following = cluster_model.by_identifier(world, members[position]) if position < len(members) else None
         if following is None or not following.reachable or not cluster_model.serves(following):
             continue
         if following.view.number != core.view.number:
@@ -286,7 +286,7 @@
 
 def tolerated(world: cluster_model.World, core: cluster_model.Core, setting: cluster_model.Setting) -> bool:
     """Whether one more machine may be lost."""
-    lost = [other for other in world.cores if other.lost and other.place != core.place]
+    lost = [other for other in world.cores if other.lost and other.index != core.index]
     return len(lost) < setting.tolerance
 
 
@@ -312,7 +312,7 @@
     identifier = core.identifier if setting.keep_identity else f"{core.identifier[0]}{identities}"
     record = decisions.Record(core.record.view) if setting.keep_identity else decisions.Record()
     return cluster_model.Core(
-        identifier, core.place, identities, core.incarnation_number + 1, settled=False, record=record
+        identifier, core.index, identities, core.incarnation_number + 1, settled=False, record=record
     )
 
 
@@ -363,10 +363,10 @@
     if used is None or any(core.lost for core in world.cores):
         return
     for empty in range(min(setting.tolerance, world.limits.wipes) + 1):
-        for places in itertools.combinations(range(len(world.cores)), empty):
-            cores = tuple(wiped(core, setting) if core.place in places else restarted(core) for core in world.cores)
+        for indices in itertools.combinations(range(len(world.cores)), empty):
+            cores = tuple(wiped(core, setting) if core.index in indices else restarted(core) for core in world.cores)
             limits = replace(used.limits, wipes=used.limits.wipes - empty)
-            yield f"all restart, {list(places)} empty", replace(used, cores=cores, limits=limits)
+            yield f"all restart, {list(indices)} empty", replace(used, cores=cores, limits=limits)
 
 
 def steps(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
--- a/simulation/state_search/explore.py
+++ b/simulation/state_search/explore.py
@@ -108,9 +108,9 @@
     """All reachable cores learn the newest view that one of them knows, and the chain is brought up to date."""
     known = [core.record.view for core in world.cores if core.reachable and core.record.view is not None]
     newest = max(known, key=lambda view: view.number)
-    for place in range(len(world.cores)):
-        if world.cores[place].reachable:
-            world = cluster_steps.adopt(world, world.cores[place], newest)
+    for index in range(len(world.cores)):
+        if world.cores[index].reachable:
+            world = cluster_steps.adopt(world, world.cores[index], newest)
     moved = True
     while moved:
         moved = False
@@ -145,9 +145,9 @@
     ballot = (max(core.record.promised[0] for core in known) + 1, proposer.identifier)
     before = world
     request = message.Prepare(old.number + 1, ballot, proposer.identifier)
-    for place in range(len(world.cores)):
-        if world.cores[place].reachable:
-            world = cluster_steps.receive_prepare(world, world.cores[place], request)
+    for index in range(len(world.cores)):
+        if world.cores[index].reachable:
+            world = cluster_steps.receive_prepare(world, world.cores[index], request)
     given = [answer for number, answer in world.promises if answer.ballot == ballot and number == request.number]
     given = [answer for answer in given if (request.number, answer) not in before.promises]
     if len(given) < decisions.majority(len(old.voters)):
@@ -159,7 +159,7 @@
         raise cluster_model.ViolationError(
             f"no synced copy is left that could lead after view {old.number}: {cluster_model.describe(old)}"
         )
-    return cluster_steps.adopt(world, world.cores[proposer.place], view)
+    return cluster_steps.adopt(world, world.cores[proposer.index], view)
 
 
 def state_key(world: cluster_model.World) -> bytes:
