--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -129,7 +129,7 @@
             await self.runtime.sleep(sessions.SWEEP_US)
             sweeps += 1
             if sweeps % SWEEPS_PER_SNAPSHOT == 0 and self.is_active():
-                self.replicator.tell_cores(self.replicator.snapshot())
+                self.replicator.notify_cores(self.replicator.snapshot())
                 await self.replicator.copy(self.replicator.snapshot())
             self.counts["closed"] += self.records.sweep(self.runtime.now())
             self.check_workers()
--- a/iriswheel/pools/replication.py
+++ b/iriswheel/pools/replication.py
@@ -73,7 +73,7 @@
             owner.end()
         return owner.is_live() and all(response is not None and response.ok for response in responses)
 
-    def tell_cores(self, update: message.ReplicateRecords) -> None:
+    def notify_cores(self, update: message.ReplicateRecords) -> None:
         """Send the sessions of an update to the core machines; nothing waits for it."""
         self.node.follower.session.tell(
             message.ReplicateRecords(
@@ -113,7 +113,7 @@
             for member in self.node.follower.membership.members:
                 self.node.tell_member(member.id, message.SessionsClosed(self.owner.pool, list(closed)))
         update = self.update(session_records, claim_records, still_closed)
-        self.tell_cores(update)
+        self.notify_cores(update)
         if not await self.copy(update):
             records.changed_sessions_and_claims = {**changed, **records.changed_sessions_and_claims}
             records.closed_ids = {**closed, **records.closed_ids}
--- a/iriswheel/pools/session_replicas.py
+++ b/iriswheel/pools/session_replicas.py
@@ -5,6 +5,8 @@
 import collections.abc
 import typing
 
+import msgspec
+
 from iriswheel.runtime import units
 from iriswheel.transport import message
 
@@ -29,8 +31,8 @@
 
     def __init__(self) -> None:
         self.term: Term = (0, 0)
-        self.sessions: dict[str, tuple[message.SessionRecord, int]] = {}  # id -> (record, when it came)
-        self.claims: dict[str, tuple[message.Claim, int]] = {}  # request id -> (record, when it came)
+        self.sessions: dict[str, tuple[message.SessionRecord, int]] = {}  # id -> (record, when it came in µs)
+        self.claims: dict[str, tuple[message.Claim, int]] = {}  # request id -> (record, when it came in µs)
         self.has_all_records = False  # whether all records of an owner ever came here
         self.claims_missing_until_us = 0  # until when claims made under earlier owners may be missing
 
@@ -48,8 +50,8 @@
     def take(self, update: message.ReplicateRecords, now: int) -> bool:
         """Store what the owner sent, unless a newer term was seen; whether it was stored.
 
-        A partial update is stored as well, but only one that holds all records makes this
-        replica count as whole.
+        A partial update is stored as well, but only after one that holds all records does
+        `has_all_records` say so.
 
         >>> SessionReplica().take(message.ReplicateRecords("p", (1, 1), "n", [], [], [], complete=True), 0)
         True
@@ -101,8 +103,8 @@
         >>> SessionReplica().export(0)
         ([], [])
         """
-        sessions = [_age_session(record, now - came_at) for _, (record, came_at) in sorted(self.sessions.items())]
-        claims = [_age_claim(record, now - came_at) for _, (record, came_at) in sorted(self.claims.items())]
+        sessions = [_with_age(record, now - came_at) for _, (record, came_at) in sorted(self.sessions.items())]
+        claims = [_with_age(record, now - came_at) for _, (record, came_at) in sorted(self.claims.items())]
         return sessions, claims
 
 
@@ -114,24 +116,6 @@
         del records[key]
 
 
-def _age_session(record: message.SessionRecord, age_us: int) -> message.SessionRecord:
-    return message.SessionRecord(
-        record.id,
-        record.worker,
-        max(0, record.left_us - age_us),
-        record.lifetime_us,
-        record.cost,
-        record.version,
-        record.attempt_id,
-    )
-
-
-def _age_claim(record: message.Claim, age_us: int) -> message.Claim:
-    return message.Claim(
-        record.request_id,
-        record.attempt,
-        record.node,
-        record.attempt_id,
-        record.state,
-        max(0, record.left_us - age_us),
-    )
+def _with_age(record: Record, age_us: int) -> Record:
+    """Return a record with the time that is left of it after `age_us`, as remaining times count from the sending."""
+    return msgspec.structs.replace(record, left_us=max(0, record.left_us - age_us))
--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -148,7 +148,7 @@
         snapshot = owner.replicator.snapshot()
         if not await owner.replicator.copy(snapshot):
             return False
-        owner.replicator.tell_cores(snapshot)
+        owner.replicator.notify_cores(snapshot)
         owner.gathered = True
         if owner.claims_may_be_missing() and not from_copies:
             log.warning("No copy of pool {pool}'s records answers: claims may be lost.", pool=owner.pool)
