--- a/tests/request_path.py
+++ b/tests/request_path.py
@@ -3,12 +3,12 @@
 A scripted worker gets complete requests and writes whatever bytes the test wants.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import Any
 
 import httptools
 import pytest
-from twisted.internet import address, protocol
+from twisted.internet import interfaces, protocol
 from twisted.python import failure
 
 from iriswheel.configuration import configuration
@@ -25,12 +25,13 @@
     attempt: str | None,
     body: bytes = b"",
     status: int = 200,
+    *,
     seal: str | None = "s",
     length: int | None = None,
-    **more: str,
+    more: Mapping[str, str] | None = None,
 ) -> bytes:
     """The bytes of a worker's answer; `length` may tell another length than the body has."""
-    headers = {HEADERS["attempt"]: attempt, HEADERS["seal"]: seal, **more}
+    headers = {HEADERS["attempt"]: attempt, HEADERS["seal"]: seal, **(more or {})}
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value is not None)
     size = len(body) if length is None else length
     return f"HTTP/1.1 {status} Some\r\n{lines}Content-Length: {size}\r\n\r\n".encode() + body
@@ -68,12 +69,13 @@
 
     noisy = False
 
-    def __init__(self, script: Callable[..., Any]) -> None:
+    def __init__(self, script: Callable[..., object], process: process_model.SimulatedProcess) -> None:
         self.script = script
+        self.process = process
         self.seen: list[str] = []  # attempts, in the order in which they came
         self.connections: list[WorkerConnection] = []
 
-    def buildProtocol(self, _address: address.IPv4Address) -> WorkerConnection:
+    def buildProtocol(self, _address: interfaces.IAddress | None) -> WorkerConnection:
         self.connections.append(WorkerConnection(self))
         return self.connections[-1]
 
@@ -115,13 +117,12 @@
     def resumable(self) -> None:
         self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * SECOND)
 
-    def worker(self, script: Callable[..., Any]) -> ScriptedWorker:
+    def worker(self, script: Callable[..., object]) -> ScriptedWorker:
         self.workers_started += 1
         number = self.workers_started
         host = f"10.0.3.{number}"
         process = process_model.SimulatedProcess(self.world, f"w{number}", host_model.Host(self.world, host, "a"))
-        worker = ScriptedWorker(script)
-        worker.process = process
+        worker = ScriptedWorker(script, process)
         process.reactor.listenTCP(80, worker)
         self.workers.append(worker)
         self.follower.workers.append(message.Worker(f"i-{number}", host, 80, "desk", "ready", 0))
@@ -130,7 +131,7 @@
 
     def client(self) -> Client:
         client = Client()
-        factory = protocol.ClientFactory()
+        factory: Any = protocol.ClientFactory()
         factory.noisy = False
         factory.buildProtocol = lambda _address: client
         self.near.reactor.connectTCP("10.0.2.1", 80, factory)
@@ -148,7 +149,7 @@
         lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
         client.transport.write(f"{method} /x/ HTTP/1.1\r\n{lines}\r\nhi".encode("latin-1"))
 
-    def query(self, attempt: str, ms: int = 50, **more: int | str) -> Client:
+    def query(self, attempt: str, ms: int = 50, **more: Any) -> Client:  # noqa: ANN401 - as of `write`
         """A request on a connection of its own; the client after some time."""
         client = self.client()
         self.write(client, attempt, **more)
--- a/tests/test_answers_of_others.py
+++ b/tests/test_answers_of_others.py
@@ -51,7 +51,7 @@
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
                 connection.transport.write(
-                    request_path.answer("a1", b"no", status=503, seal=None, **{HEADERS["not_run"]: "1"})
+                    request_path.answer("a1", b"no", status=503, seal=None, more={HEADERS["not_run"]: "1"})
                 )
             request_path.good(connection, attempt)
 
@@ -64,7 +64,7 @@
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
                 connection.transport.write(
-                    request_path.answer(None, b"no", status=503, seal=None, **{HEADERS["not_run"]: "1"})
+                    request_path.answer(None, b"no", status=503, seal=None, more={HEADERS["not_run"]: "1"})
                 )
             else:
                 request_path.good(connection, attempt)
@@ -165,7 +165,11 @@
         assert -1 not in places
 
     def test_a_connection_whose_client_went_away_is_not_used_again(self) -> None:
-        worker = self.worker(lambda connection, attempt: attempt == "a2" and request_path.good(connection, attempt))
+        def script(connection: request_path.WorkerConnection, attempt: str) -> None:
+            if attempt == "a2":
+                request_path.good(connection, attempt)
+
+        worker = self.worker(script)
         client = self.query("a1")
         client.transport.abortConnection()
         self.go(20)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -43,7 +43,7 @@
         assert (self.outcomes, self.seen()) == (["cancelled"], [])
 
     def head_alone(self, connection: request_path.WorkerConnection, attempt: str) -> None:
-        connection.transport.write(request_path.answer(attempt, length=9, **{"X-First": "1"}))
+        connection.transport.write(request_path.answer(attempt, length=9, more={"X-First": "1"}))
         self.world.push(self.world.time + 5000, connection.transport.abortConnection)
 
     def test_the_head_of_an_answer_that_never_came_is_not_given_with_another(self) -> None:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -20,7 +20,7 @@
     replica: decisions.Replica,
     holder: None,
     prepare: message.Prepare,
-    promise: Callable[..., Any] = decisions.promise,
+    promise: Callable[..., tuple[decisions.Record, message.Promise]] = decisions.promise,
 ) -> tuple[decisions.Record, message.Promise]:
     """Promise without a look at the ballot promised before."""
     return promise(msgspec.structs.replace(record, promised=decisions.NO_BALLOT), replica, holder, prepare)
@@ -37,8 +37,8 @@
     view: message.View,
     promises: dict[str, message.Promise],
     alive: dict[str, str],
-    order: Callable[..., Any] = decisions.order,
-) -> list[message.ChainReplica]:
+    order: Callable[..., list[message.ChainReplica] | None] = decisions.order,
+) -> list[message.ChainReplica] | None:
     """Order the chain without a look at the last log entries."""
     promises = {
         identifier: msgspec.structs.replace(answer, last_entry=(0, 0)) for identifier, answer in promises.items()
@@ -53,7 +53,7 @@
     alive: dict[str, str],
     _leaving: dict[str, str],
     *,
-    next_view: Callable[..., Any] = decisions.next_view,
+    next_view: Callable[..., message.View | None] = decisions.next_view,
 ) -> message.View | None:
     """Never let a leaving machine lead."""
     return next_view(view, promises, voters, alive, {})
@@ -63,6 +63,7 @@
     """A state in which `a` and `b` have gone on to a chain of their own, and `b` is not synced in it yet."""
     world = cluster_model.start(3, limits)
     a, b, c = world.cores
+    assert a.record.view is not None
     agreed = message.View(2, a.record.view.voters, a.record.view.chain[:2])
     a = msgspec.structs.replace(a, record=decisions.Record(agreed, synced_view=2))
     b = msgspec.structs.replace(b, record=decisions.Record(agreed, synced_view=1))
@@ -76,7 +77,7 @@
         depth: int = 30,
         cores: int = 3,
         states: int = STATES,
-        **more: bool | cluster_model.World,
+        **more: Any,  # noqa: ANN401 - options of explore.search
     ) -> explore.Found:
         return explore.search(cores, limits, depth, most_states=states, **more)
 
@@ -85,7 +86,7 @@
         guard: tuple[str, Callable[..., Any]],
         limits: cluster_model.Limits,
         words: str,
-        **more: bool | cluster_model.World,
+        **more: Any,  # noqa: ANN401 - options of explore.search
     ) -> None:
         name, replacement = guard
         with mock.patch.object(decisions, name, replacement):
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -56,7 +56,8 @@
 
     def selected_worker(self) -> WorkerInProcess:
         """The worker that runs the latest request."""
-        return next(w for w in self.workers if w.name == self.runs()[-1])
+        latest: WorkerInProcess = next(w for w in self.workers if w.name == self.runs()[-1])
+        return latest
 
     def runs(self) -> list[str]:
         return [r["name"] for r in self.tape.rows if r["kind"] == "run"]
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -3,6 +3,7 @@
 import itertools
 import struct
 from collections.abc import Sequence
+from typing import Any
 
 import hypothesis
 import loguru
@@ -80,7 +81,8 @@
     @fuzzing.QUICK
     @hypothesis.given(strategies.data())
     def test_messages_with_bytes_changed(self, data: strategies.DataObject) -> None:
-        good = wire.encoder.encode(wire.Envelope(0, 0, message.Worker("w", "h", 1, "p", "ready", 0)))
+        part: Any = message.Worker("w", "h", 1, "p", "ready", 0)  # of a message, and none itself
+        good = wire.encoder.encode(wire.Envelope(0, 0, part))
         good = (
             wire.encoder.encode(wire.Envelope(1, 1, message.WorkerListing([], (3, 1, 40))))
             if data.draw(strategies.booleans())
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -6,6 +6,7 @@
 
 import pytest
 from twisted.internet import defer
+from twisted.python import failure
 
 from iriswheel import errors
 from iriswheel.configuration import configuration
@@ -21,7 +22,7 @@
 class TestAttemptsOfARoute:
     def test_a_request_with_selected_workers_goes_to_no_more_than_its_route_allows(self) -> None:
         for sends, expected in ((0, gateway.MAX_ATTEMPTS), (1, 1), (2, 2), (9, gateway.MAX_ATTEMPTS)):
-            seen = []
+            seen: list[str] = []
 
             async def select_worker(
                 _request: routed_request.RoutedRequest, excluded_workers: list[str]
@@ -39,7 +40,7 @@
                 return attempt_outcome.AttemptOutcome.BROKE
 
             runtime = types.SimpleNamespace(now=lambda: 0)
-            node_gateway = types.SimpleNamespace(
+            node_gateway: Any = types.SimpleNamespace(
                 selector=types.SimpleNamespace(select_worker=select_worker),
                 send=send,
                 retry_budgets=types.SimpleNamespace(budget=lambda _request: retry_budget.Budget()),
@@ -48,12 +49,15 @@
                 runtime=runtime,
                 owners=types.SimpleNamespace(release=lambda _request, _outcome: None),
             )
-            request = routed_request.RoutedRequest(None, "n1-1/0", 0)
+            received: Any = None  # nothing of it is read
+            request = routed_request.RoutedRequest(received, "n1-1/0", 0)
             request.route = configuration.Route("/x/", "desk", sends=sends)
             request.idempotent = True
             done = defer.ensureDeferred(gateway.Gateway.send_with_grants(node_gateway, request))
-            done.addErrback(lambda failure: failure.value.execution)
-            assert done.result == errors.ExecutionOutcome.MAY_HAVE_RUN
+            failures: list[failure.Failure] = []
+            done.addErrback(failures.append)
+            assert isinstance(failures[0].value, errors.ServiceError)
+            assert failures[0].value.execution == errors.ExecutionOutcome.MAY_HAVE_RUN
             assert len(seen) == expected
 
 
@@ -65,7 +69,7 @@
         self.retry_budget.slack = 99
         headers = {HEADERS["not_run"]: "1"} if status == 503 else {}
         for _ in range(4):
-            self.worker(lambda c, a, s=status, h=headers: c.transport.write(request_path.answer(a, b"no", s, **h)))
+            self.worker(lambda c, a, s=status, h=headers: c.transport.write(request_path.answer(a, b"no", s, more=h)))
         self.query("a1", ms=200)
         assert len(self.seen()) == sends
         assert max(len(worker.seen) for worker in self.workers) <= 1
@@ -96,7 +100,7 @@
                 connection.transport.write(request_path.answer(attempt, b"id: 1\ndata: a\n\n", length=30))
                 self.world.push(self.world.time + 2 * SECOND, lambda: connection.transport.write(b"id: 2\ndata: b\n\n"))
             else:
-                refusal = request_path.answer(attempt, b"no", status=503, seal=None, **{HEADERS["not_run"]: "1"})
+                refusal = request_path.answer(attempt, b"no", status=503, seal=None, more={HEADERS["not_run"]: "1"})
                 connection.transport.write(refusal)
 
         self.resumable()
--- a/tests/test_sent_once.py
+++ b/tests/test_sent_once.py
@@ -95,7 +95,7 @@
 
     @pytest.mark.parametrize("status", [421, 429, 503])
     def test_a_worker_that_did_not_run_it_is_followed_by_another(self, status: int) -> None:
-        attempts = []
+        attempts: list[str] = []
 
         def script(
             connection: request_path.WorkerConnection, attempt: str, s: int = status, attempts: list[str] = attempts
@@ -103,7 +103,7 @@
             attempts.append(attempt)
             if len(attempts) == 1:
                 connection.transport.write(
-                    request_path.answer(attempt, b"no", status=s, seal=None, **{HEADERS["not_run"]: "1"})
+                    request_path.answer(attempt, b"no", status=s, seal=None, more={HEADERS["not_run"]: "1"})
                 )
             else:
                 request_path.good(connection, attempt)
@@ -114,7 +114,9 @@
 
     def test_a_refusal_that_breaks_off_is_no_promise(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
-            refusal = request_path.answer(attempt, b"no", status=503, seal=None, length=9, **{HEADERS["not_run"]: "1"})
+            refusal = request_path.answer(
+                attempt, b"no", status=503, seal=None, length=9, more={HEADERS["not_run"]: "1"}
+            )
             connection.transport.write(refusal)
             connection.transport.loseConnection()
 
