--- a/tests/test_fuzz_documents.py
+++ b/tests/test_fuzz_documents.py
@@ -20,8 +20,10 @@
 
     def __init__(self) -> None:
         self.items: dict[str, Any] = {}
+        stand_in: Any = self
+        missing: Any = None  # what no document reaches
         self.operator_api = operator_api.OperatorApi(
-            self, None, self, None, replicas=None, counters=counters.Counters()
+            self, missing, stand_in, missing, replicas=missing, counters=counters.Counters()
         )
 
     async def read(self) -> dict[str, Any]:
@@ -142,7 +144,7 @@
     def call(self, method: str, path: str, body: bytes) -> int:
         _, runtime = fuzzing.new_runtime()
         server = http_server.Server(runtime, configuration_api.ConfigurationApi(InMemoryCore()).handle)
-        channel = server.buildProtocol(None)
+        channel: Any = server.buildProtocol(None)
         transport = fuzzing.Transport()
         channel.makeConnection(transport)
         head = f"{method} {path} HTTP/1.1\r\nHost: a\r\nIf-Match: 0\r\nContent-Length: {len(body)}\r\n\r\n"
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -7,6 +7,7 @@
 """
 
 import base64
+import functools
 import pathlib
 import re
 import shutil
@@ -20,7 +21,7 @@
 from iriswheel.replication import replicated_log, snapshot_format
 from iriswheel.runtime import storage
 from iriswheel.transport import message
-from simulation import operator_model, simulated_cluster
+from simulation import deployment, operator_model, simulated_cluster
 from tests import deferreds, recorded
 
 RECORDS = recorded.load("disk.json")["records"]
@@ -31,7 +32,8 @@
 
 def content(folder: str) -> dict[str, typing.Any]:
     """What a recorded folder holds, and what was answered before."""
-    return recorded.load(f"{folder}/content.json")
+    recording: dict[str, typing.Any] = recorded.load(f"{folder}/content.json")
+    return recording
 
 
 def disks(folder: str) -> dict[str, dict[bytes, bytes]]:
@@ -67,11 +69,12 @@
 
     def test_recorded_values_make_the_recorded_bytes(self, name: str, cls: type) -> None:
         for sample in RECORDS[name].values():
-            made = recorded.build(cls, recorded.from_plain(sample["values"]))
+            made: msgspec.Struct = recorded.build(cls, recorded.from_plain(sample["values"]))
             assert msgspec.msgpack.encode(made).hex() == sample["hex"]
 
     def test_all_fields_are_recorded_and_those_with_defaults_may_be_missing(self, name: str, cls: type) -> None:
-        fields = msgspec.inspect.type_info(cls).fields
+        struct: typing.Any = msgspec.inspect.type_info(cls)
+        fields = struct.fields
         full, short = (RECORDS[name][sample]["values"] for sample in ("full", "defaults"))
         assert len(full) == len(fields)
         assert len(short) == sum(field.required for field in fields)
@@ -155,7 +158,7 @@
         place = self.machine(host, zone)
         place.synced.update(self.disks_by_name[name])
         if name == self.missing:
-            self.places[name] = (host, zone)
+            self.places[name] = deployment.Place(host, zone)
             return
         super().start_core(name, host, zone)
         replicas = self.cores[name].session_replicas.by_pool
@@ -167,13 +170,14 @@
             operator = operator_model.Operator(self, self.operator_runtime, "reader")
             for _ in range(60):
                 done = self.operator_runtime.spawn(operator.query("GET", "/blueprint"), simulated_cluster.log)
-                self.advance_until(lambda done=done: done.called, 10)
-                status, answer = deferreds.result_of(done)
-                if status == 200:
-                    self.first_read = answer
+                self.advance_until(functools.partial(getattr, done, "called"), 10)
+                answered = deferreds.result_of(done)
+                if answered is not None and answered[0] == 200:
+                    self.first_read = answered[1]
                     break
                 self.advance(0.3)
-        document = msgspec.json.decode(msgspec.json.encode(self.first_read["blueprint"]))
+        assert self.first_read is not None
+        document: dict[str, typing.Any] = msgspec.json.decode(msgspec.json.encode(self.first_read["blueprint"]))
         document["routes"]["probe"] = {"path": f"/p/{k}", "pool": self.pool}
         self.configuration = self.first_read["blueprint"]
         return document
@@ -194,8 +198,9 @@
     operator = operator_model.Operator(cluster, cluster.operator_runtime, "boss")
     done = cluster.operator_runtime.spawn(operator.query(method, path, document), simulated_cluster.log)
     assert cluster.advance_until(lambda: done.called, 20)
-    status, answer = deferreds.result_of(done)
-    return status, answer
+    answered = deferreds.result_of(done)
+    assert answered is not None
+    return answered
 
 
 def take(
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -68,7 +68,8 @@
 
 
 def test_the_tags_are_those_recorded(types: dict[str, msgspec.inspect.StructType]) -> None:
-    sendable = {info.tag for info in msgspec.inspect.type_info(wire.Envelope).fields[2].type.types}
+    envelope: typing.Any = msgspec.inspect.type_info(wire.Envelope)
+    sendable = {info.tag for info in envelope.fields[2].type.types}
     assert sorted(sendable) == sorted(RECORDING["messages"])
     assert sorted(set(types) - sendable) == sorted(RECORDING["parts"])
 
@@ -83,7 +84,7 @@
 
 def test_recorded_values_make_the_recorded_bytes(samples: list[tuple[str, type, dict[str, typing.Any]]]) -> None:
     for tag, cls, sample in samples:
-        made = recorded.build(cls, recorded.from_plain(sample["values"]))
+        made: msgspec.Struct = recorded.build(cls, recorded.from_plain(sample["values"]))
         assert msgspec.msgpack.encode(made).hex() == sample["hex"], tag
 
 
@@ -96,7 +97,7 @@
             assert len(record["full"]["values"]) == len(fields), tag
             assert len(record["defaults"]["values"]) == sum(field.required for field in fields), tag
             short = msgspec.msgpack.encode([tag, *recorded.from_plain(record["defaults"]["values"])])
-            made: message.Message = msgspec.msgpack.decode(short, type=types[tag].cls)
+            made: msgspec.Struct = msgspec.msgpack.decode(short, type=types[tag].cls)
             assert msgspec.msgpack.encode(made).hex() == record["defaults"]["hex"], tag
 
 
@@ -105,7 +106,7 @@
 ) -> None:
     for tag, cls, sample in samples:
         longer = msgspec.msgpack.encode([*msgspec.msgpack.decode(bytes.fromhex(sample["hex"])), "further"])
-        made: message.Message = msgspec.msgpack.decode(longer, type=cls)
+        made: msgspec.Struct = msgspec.msgpack.decode(longer, type=cls)
         assert msgspec.msgpack.encode(made).hex() == sample["hex"], tag
 
 
