--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -148,7 +148,7 @@
 
 
 def _requests_seen(cluster: hollow_fleet.Fleet) -> int:
-    return sum(node.gateway.counts["exchanges"] for node in cluster.nodes.values())
+    return sum(node.gateway.counts.requests for node in cluster.nodes.values())
 
 
 class LoadChange(typing.NamedTuple):
--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -10,7 +10,7 @@
 from iriswheel.dataplane import attempt_outcome
 
 if typing.TYPE_CHECKING:
-    from iriswheel.dataplane import forwarded_request, interfaces, worker_connections
+    from iriswheel.dataplane import forwarded_request, interfaces, request_counts, worker_connections
 
 BROKEN_SUSPICION = 0.5  # how much a broken connection counts against its worker
 
@@ -28,12 +28,12 @@
     def __init__(
         self,
         node: interfaces.DataPlaneNode,
-        counts: dict[str, int],
+        counts: request_counts.ForwarderCounts,
         request: forwarded_request.ForwardedRequest,
         worker: str,
     ) -> None:
         self.node = node
-        self.counts = counts  # of the forwarder; "broke" is counted here
+        self.counts = counts  # of the forwarder; `broken` is counted here
         self.request = request
         self.worker = worker
         self.runtime = node.runtime
@@ -111,7 +111,7 @@
 
     def answer_lost(self) -> None:
         """Note that the connection broke off, or brought what is no answer."""
-        self.counts["broke"] += 1
+        self.counts.broken += 1
         self.request.placement.record_failure(self.worker, BROKEN_SUSPICION)
         self._finish(self.broken_outcome())
 
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -17,6 +17,7 @@
     client_disconnect,
     forwarded_request,
     placement,
+    request_counts,
     worker_connections,
 )
 from iriswheel.runtime import scheduler, units
@@ -55,18 +56,7 @@
         # Attempts that were sent and are under way, in the order of sending: a set would go by memory addresses.
         self.streams: dict[answer_stream.AnswerStream, None] = {}
         self.started = scheduler.Signal()  # wakes when there is a stream again
-        self.counts = {
-            "sends": 0,
-            "whole": 0,
-            "resumed": 0,
-            "again": 0,
-            "broke": 0,
-            "unrun": 0,
-            "unreached": 0,
-            "mute": 0,
-            "gone": 0,
-            "late": 0,
-        }
+        self.counts = request_counts.ForwarderCounts()
 
     def placement_of(self, pool: str) -> placement.Placement:
         """Return the placement over a pool."""
@@ -88,7 +78,7 @@
     def state(self) -> dict[str, typing.Any]:
         """Return what this forwarder shows of itself in the node's state."""
         return {
-            "counts": self.counts,
+            "counts": self.counts.state(),
             "places": [pool_placement.state() for _, pool_placement in sorted(self.placements.items())],
             "lines": sum(self.connections.open.values()),
         }
@@ -127,7 +117,7 @@
                 stream.failure_recorded = True
                 stream.request.placement.record_failure(stream.worker, SILENCE_SUSPICION)
             if self._should_try_elsewhere(stream, stream in overdue, overloaded, now):
-                self.counts["mute"] += 1
+                self.counts.silent += 1
                 stream.stop(stream.broken_outcome())
 
     def _should_try_elsewhere(
@@ -179,7 +169,7 @@
         try:
             await client_disconnect.run_until_disconnect(request.http_request, self.send_with_retries(request))
         except defer.CancelledError:
-            self.counts["gone"] += 1
+            self.counts.disconnected += 1
 
     async def send_with_retries(self, request: forwarded_request.ForwardedRequest) -> None:
         """Send a request to workers until one has answered or the request must be given up."""
@@ -196,12 +186,12 @@
                         raise self.give_up(request, "no_worker", "No worker can be reached now.")
                     continue
                 case attempt_outcome.AttemptOutcome.COMPLETE:
-                    self.counts["whole"] += 1
+                    self.counts.completed += 1
                     if not request.http_request.gone:
                         request.http_request.finish()
                     return
                 case attempt_outcome.AttemptOutcome.LATE:
-                    self.counts["late"] += 1
+                    self.counts.late += 1
                     if request.answer_begun:
                         request.http_request.break_off()
                         return
@@ -240,7 +230,7 @@
         request.excluded_workers.add(stream.worker)
         match outcome:
             case attempt_outcome.AttemptOutcome.REFUSED:
-                self.counts["unrun"] += 1
+                self.counts.refused += 1
                 if stream.status == MISDIRECTED:
                     request.placement.record_failure(stream.worker, answer_stream.BROKEN_SUSPICION)
             case attempt_outcome.AttemptOutcome.FAILED:
@@ -259,7 +249,10 @@
         if not allowed or self.runtime.now() >= request.deadline_us or not self._other_workers(request):
             return False
         self.node.gateway.retry_budgets.budget(request).spend(self.runtime.now())
-        self.counts["resumed" if request.answer_begun else "again"] += 1
+        if request.answer_begun:
+            self.counts.resumed += 1
+        else:
+            self.counts.retried += 1
         return True
 
     def _end_unanswered(
@@ -328,7 +321,7 @@
                 connection = await self.connections.get(worker, idle_use_us, request.deadline_us - self.runtime.now())
             except worker_connections.UnreachableError:
                 pool_placement.record_failure(worker.id, answer_stream.BROKEN_SUSPICION)
-                self.counts["unreached"] += 1
+                self.counts.unreached += 1
                 return attempt_outcome.AttemptOutcome.UNSENT
             return await self._send_over(request, worker, stream, connection)
         finally:
@@ -353,7 +346,7 @@
             request.http_request, len(request.raw), worker, left_us, request.route.urgency, request.last_event_id
         )
         request.sends += 1
-        self.counts["sends"] += 1
+        self.counts.attempts += 1
         stream.connection = connection
         stream.started_at_us = stream.last_received_us = self.runtime.now()
         self.streams[stream] = None
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -19,6 +19,7 @@
     node_budgets,
     owner_client,
     relay,
+    request_counts,
     request_router,
     routed_request,
     work_queue,
@@ -41,7 +42,7 @@
     def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
-        self.counts = {"exchanges": 0, "whole": 0, "torn": 0, "repeats": 0, "bypass": 0, "passed": 0, "gone": 0}
+        self.counts = request_counts.GatewayCounts()
         self.refused: dict[str, int] = {}  # by error code
         self.retry_budgets = node_budgets.NodeBudgets(node)
         self.router = request_router.RequestRouter(node, self.retry_budgets)
@@ -74,7 +75,7 @@
         if request.requestHeaders.hasHeader(edge_protocol.PASS):
             await self.relay_for_peer(request)
             return
-        self.counts["exchanges"] += 1
+        self.counts.requests += 1
         self.open_requests += 1
         try:
             await self.serve(request)
@@ -105,13 +106,13 @@
     async def run_queued(self, request: routed_request.RoutedRequest) -> None:
         """Run one request of a work queue and fire its `done`; the work is cancelled when its client disconnects."""
         if request.http_request.gone:
-            self.counts["gone"] += 1
+            self.counts.disconnected += 1
             request.done.callback(None)
             return
         try:
             await client_disconnect.run_until_disconnect(request.http_request, self.send_with_grants(request))
         except defer.CancelledError:
-            self.counts["gone"] += 1
+            self.counts.disconnected += 1
             request.done.callback(None)
         except Exception as error:  # whatever it is, it goes to the task that serves the request
             request.done.errback(error)
@@ -132,16 +133,16 @@
                 worker, relay_member = await self.selector.select_worker(request, excluded_workers)
                 if request.is_retry:
                     self.retry_budgets.budget(request).retries.append(self.runtime.now())
-                    self.counts["repeats"] += 1
+                    self.counts.retries += 1
                 execution = errors.ExecutionOutcome.MAY_HAVE_RUN
                 attempt = self.attempts.begin(request.attempt_id, worker.id)
                 match await self.send(request, worker, attempt, relay_member):
                     case attempt_outcome.AttemptOutcome.COMPLETE:
                         execution = errors.ExecutionOutcome.RAN
-                        self.counts["whole"] += 1
+                        self.counts.completed += 1
                         return
                     case attempt_outcome.AttemptOutcome.INTERRUPTED:
-                        self.counts["torn"] += 1
+                        self.counts.interrupted += 1
                         request.http_request.break_off()
                         return
                     case attempt_outcome.AttemptOutcome.UNSENT:
@@ -183,7 +184,7 @@
         token = await relay.request_token(self.node, peer, worker.id)
         if not token:
             return attempt_outcome.AttemptOutcome.UNSENT
-        self.counts["passed"] += 1
+        self.counts.relayed += 1
         return await dispatcher.send(
             request.http_request,
             request.raw,
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -10,7 +10,7 @@
 from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    from iriswheel.dataplane import interfaces, owner_client, routed_request
+    from iriswheel.dataplane import interfaces, owner_client, request_counts, routed_request
 
 RETRY_INTERVAL_US = 50 * units.MILLISECOND_US
 REJOIN_WAIT_US = 1 * units.SECOND_US  # a request waits so long for this node to rejoin, or for a worker after one broke
@@ -42,13 +42,13 @@
         node: interfaces.DataPlaneNode,
         router: request_router.RequestRouter,
         owners: owner_client.OwnerClient,
-        counts: dict[str, int],
+        counts: request_counts.GatewayCounts,
     ) -> None:
         self.node = node
         self.runtime = node.runtime
         self.router = router
         self.owners = owners
-        self.counts = counts  # "bypass" is counted here
+        self.counts = counts  # of the gateway; `bypasses` is counted here
         self.affinities: dict[tuple[str, str], SessionAffinity] = {}  # by pool and session
 
     async def select_worker(self, request: routed_request.RoutedRequest, excluded_workers: list[str]) -> SelectedWorker:
@@ -186,5 +186,5 @@
         ):
             return None
         self.affinities[key] = SessionAffinity(affinity.worker, now + request.terms.lifetime_us)
-        self.counts["bypass"] += 1
+        self.counts.bypasses += 1
         return SelectedWorker(worker, "")
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -127,7 +127,7 @@
             "wardens": self.pool_roles.state(),
             "carrier": self.gateway.forwarder.state(),
             "open": self.gateway.open_requests,
-            "counts": self.gateway.counts,
+            "counts": self.gateway.counts.state(),
             "refused": self.gateway.refused,
         }
 
--- a/tests/test_answers_of_others.py
+++ b/tests/test_answers_of_others.py
@@ -188,7 +188,7 @@
         self.world.heal()
         self.go(2000)
         assert (self.seen(), logged_errors) == ([], [])
-        assert (self.forwarder.counts["gone"], self.forwarder.counts["unreached"]) == (1, 0)
+        assert (self.forwarder.counts.disconnected, self.forwarder.counts.unreached) == (1, 0)
         assert self.forwarder.connections.open == {}
 
     def test_a_connection_that_a_slow_client_paused_is_read_again(self) -> None:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -70,7 +70,7 @@
         self.selected_worker().process.kill()
         self.go(1000)
         assert ("whole", list(range(1, 42))) == (call.outcome, [e[0] for e in call.events])
-        assert self.forwarder.counts["resumed"] == 1
+        assert self.forwarder.counts.resumed == 1
 
     def test_a_stream_that_nobody_can_take_up_is_broken_off(self) -> None:
         for _ in range(2):
@@ -90,7 +90,7 @@
         self.go(1500)
         w.process.wake()
         self.go(1000)
-        assert (self.forwarder.counts["mute"], call.outcome, len(call.events)) == (0, "whole", 41)
+        assert (self.forwarder.counts.silent, call.outcome, len(call.events)) == (0, "whole", 41)
 
     def test_a_client_that_reads_slowly_counts_against_no_worker(self) -> None:
         for _ in range(2):
@@ -101,5 +101,5 @@
         self.go(2500)
         connection.transport.resumeProducing()
         self.go(2000)
-        assert (self.forwarder.counts["mute"], len(self.runs()), call.outcome) == (0, 1, "whole")
+        assert (self.forwarder.counts.silent, len(self.runs()), call.outcome) == (0, 1, "whole")
         assert self.forwarder.placement_of("desk").own_suspicion(self.selected_worker().id, self.world.time) == 0
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -10,7 +10,15 @@
 
 from iriswheel import errors
 from iriswheel.configuration import configuration
-from iriswheel.dataplane import attempt_outcome, attempt_registry, dispatch, gateway, retry_budget, routed_request
+from iriswheel.dataplane import (
+    attempt_outcome,
+    attempt_registry,
+    dispatch,
+    gateway,
+    request_counts,
+    retry_budget,
+    routed_request,
+)
 from iriswheel.runtime import units
 from simulation import platform_names
 from tests import request_path
@@ -44,7 +52,7 @@
                 selector=types.SimpleNamespace(select_worker=select_worker),
                 send=send,
                 retry_budgets=types.SimpleNamespace(budget=lambda _request: retry_budget.Budget()),
-                counts={"repeats": 0},
+                counts=request_counts.GatewayCounts(),
                 attempts=attempt_registry.AttemptRegistry(types.SimpleNamespace(runtime=runtime)),
                 runtime=runtime,
                 owners=types.SimpleNamespace(release=lambda _request, _outcome: None),
