--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -353,7 +353,7 @@
         voters.append(joining)
 
 
-def order(
+def next_chain(
     view: message.View, promises: dict[str, message.Promise], alive: Incarnations
 ) -> list[message.ChainReplica] | None:
     """The chain that view.number + 1 should have, or None where no copy can be trusted.
@@ -374,12 +374,12 @@
     >>> v = message.View(4, [], [a, b, c])
     >>> promises_by_id = {i: message.Promise(True, (1, "b"), None, None, i, "x", w, True)
     ...         for i, w in (("b", 4), ("c", 4))}
-    >>> [l.id for l in order(v, promises_by_id, {"b": "x", "c": "y", "d": "z"})]
+    >>> [l.id for l in next_chain(v, promises_by_id, {"b": "x", "c": "y", "d": "z"})]
     ['b', 'c', 'd']
-    >>> order(v, {"d": promises_by_id["b"]}, {"d": "z"}) is None
+    >>> next_chain(v, {"d": promises_by_id["b"]}, {"d": "z"}) is None
     True
     >>> promises_by_id["c"] = message.Promise(True, (1, "b"), None, None, "c", "x", 4, True, (4, 17))
-    >>> [l.id for l in order(v, promises_by_id, {"b": "x", "c": "y"})]
+    >>> [l.id for l in next_chain(v, promises_by_id, {"b": "x", "c": "y"})]
     ['c', 'b']
     """
     old = [member.id for member in view.chain]
@@ -459,7 +459,7 @@
     if taken:
         return max(taken, key=lambda accepted: accepted[0])[1]
     for candidates, machines in ((voters, alive), (view.voters, alive | leaving)):
-        chain = order(view, promises, members_of(candidates, machines, promises))
+        chain = next_chain(view, promises, members_of(candidates, machines, promises))
         if chain is not None:
             return message.View(view.number + 1, candidates, chain)
     return None
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -10,7 +10,6 @@
 from iriswheel.consensus import view_consensus
 from iriswheel.control import (
     chain_client,
-    change_orders,
     core_parts,
     counters,
     load_exchange,
@@ -20,6 +19,7 @@
     persistent_state,
     replica_store,
     reports,
+    submitted_changes,
     tail_contact,
     tail_service,
 )
@@ -71,11 +71,11 @@
         self.session_replicas = replica_store.SessionReplicaStore(parts, self.disk, state)
         self.loads = load_exchange.LoadAggregator(parts, self.node_sessions.by_node)
         self.client = chain_client.ChainClient(parts, self.counters)
-        self.orders = change_orders.ChangeOrders(parts, self.client, self.tail_contact, self.counters)
+        self.change_applier = submitted_changes.ChangeApplier(parts, self.client, self.tail_contact, self.counters)
         self.operator_api = operator_api.OperatorApi(
             self,
             self.client,
-            self.orders,
+            self.change_applier,
             self.tail_contact,
             replicas=self.session_replicas,
             counters=self.counters,
@@ -146,9 +146,9 @@
         """The committed items, read at the tail."""
         return (await self.client.read_state()).items
 
-    async def change(self, order: change_orders.ChangeOrder) -> int:
+    async def change(self, change: submitted_changes.SubmittedChange) -> int:
         """Bring a numbered change into force; returns its version."""
-        return await self.orders.apply_change(order)
+        return await self.change_applier.apply_change(change)
 
     def serve(self, connection: wire.Connection | None, received: message.Message) -> Answer | None:
         """Answer one message from another process."""
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -9,7 +9,7 @@
 
 from iriswheel import errors
 from iriswheel.configuration import configuration
-from iriswheel.control import change_orders
+from iriswheel.control import submitted_changes
 from iriswheel.runtime import units
 from iriswheel.transport import message
 
@@ -22,7 +22,7 @@
 PLAN_FIELDS = ("blueprint", "patch", "base")
 
 
-def read_change(document: typing.Any) -> change_orders.ChangeOrder:  # noqa: ANN401 - any JSON value
+def read_change(document: typing.Any) -> submitted_changes.SubmittedChange:  # noqa: ANN401 - any JSON value
     """Parse a numbered change: a complete configuration, or items to put in and to remove.
 
     Raises:
@@ -57,7 +57,7 @@
         )
 
     identifier = configuration.change_id(number, built_on, document)
-    return change_orders.ChangeOrder(identifier, number, built_on, make, "blueprint" in document)
+    return submitted_changes.SubmittedChange(identifier, number, built_on, make, "blueprint" in document)
 
 
 def check_plan(document: typing.Any) -> None:  # noqa: ANN401 - any JSON value
@@ -97,7 +97,7 @@
             planned = configuration.apply_patch(configuration.unflatten(current), document["patch"])
         return configuration.flatten(planned)
     except configuration.InvalidConfigurationError as error:
-        text = "; ".join(error.errors[: change_orders.PROBLEMS_SHOWN])
+        text = "; ".join(error.errors[: submitted_changes.PROBLEMS_SHOWN])
         raise errors.ServiceError("bad_blueprint", text, field="blueprint") from error
 
 
@@ -108,7 +108,7 @@
         self,
         core: core.Core,
         client: chain_client.ChainClient,
-        orders: change_orders.ChangeOrders,
+        change_applier: submitted_changes.ChangeApplier,
         contact: tail_contact.TailContact,
         *,
         replicas: replica_store.SessionReplicaStore,
@@ -116,7 +116,7 @@
     ) -> None:
         self.core = core
         self.client = client
-        self.orders = orders
+        self.change_applier = change_applier
         self.contact = contact
         self.replicas = replicas
         self.counters = counters
@@ -136,9 +136,9 @@
                 response = await self.confirm(identifier)
                 request.answer_json(200, {"id": identifier, "stamp": response.version, "verdict": "ran"})
             case (b"POST", ["changes"]):
-                order = read_change(request.json())
-                version = await self.orders.apply_change(order)
-                request.answer_json(200, {"number": order.number, "stamp": version, "verdict": "ran"})
+                change = read_change(request.json())
+                version = await self.change_applier.apply_change(change)
+                request.answer_json(200, {"number": change.number, "stamp": version, "verdict": "ran"})
             case (b"GET", ["state"]):
                 request.answer_json(200, self.state())
             case (b"GET", ["ready"]):
--- a/iriswheel/control/change_orders.py
+++ b/iriswheel/control/submitted_changes.py
@@ -24,7 +24,7 @@
 MakeItems: typing.TypeAlias = collections.abc.Callable[[configuration.Items], dict[str, configuration.Item]]
 
 
-class ChangeOrder(typing.NamedTuple):
+class SubmittedChange(typing.NamedTuple):
     """An operator's change with the number `number`, built on the number `built_on`.
 
     make(items) gives the new items, or raises InvalidConfigurationError. `complete` says that these
@@ -39,29 +39,29 @@
 
 
 class KnownState(typing.NamedTuple):
-    """What was read of the committed state, to decide about an order."""
+    """What was read of the committed state, to decide about a change."""
 
     version: int
     items: configuration.Items
-    taken_as: int  # the version under which the order was taken; 0: it is not among those remembered
+    taken_as: int  # the version under which the change was taken; 0: it is not among those remembered
     forgotten: int  # the highest number of a change that is no longer remembered
-    read_at_tail: bool  # for this order, under the tail's lease; else it may be out of date
+    read_at_tail: bool  # for this change, under the tail's lease; else it may be out of date
 
 
 class Committed(typing.NamedTuple):
-    """The order is committed, under a version."""
+    """The change is committed, under a version."""
 
     version: int
 
 
 class Applicable(typing.NamedTuple):
-    """The order can be taken: it makes these changes."""
+    """The change can be taken: it makes these changes."""
 
     changes: list[configuration.ItemChange]
 
 
 class Refused(typing.NamedTuple):
-    """The order can't be taken on this state."""
+    """The change can't be taken on this state."""
 
     error: errors.ServiceError
 
@@ -69,72 +69,72 @@
 Decision: typing.TypeAlias = Committed | Applicable | Refused
 
 
-def items_after(order: ChangeOrder, items: configuration.Items) -> dict[str, configuration.Item]:
-    """The items that an order makes of others, under its number.
+def items_after(change: SubmittedChange, items: configuration.Items) -> dict[str, configuration.Item]:
+    """The items that a change makes of others, under its number.
 
     Raises:
         errors.ServiceError: `bad_blueprint`, with what is wrong.
 
-    >>> items_after(ChangeOrder("c0-3-x", 3, 0, dict), {"pools/p": {}})
+    >>> items_after(SubmittedChange("c0-3-x", 3, 0, dict), {"pools/p": {}})
     {'pools/p': {}, 'marks/operator': {'number': 3}}
     """
     problems = []
-    if order.number <= order.built_on:
-        problems.append(f"{configuration.OPERATOR_KEY}: number {order.number} is not above {order.built_on}")
+    if change.number <= change.built_on:
+        problems.append(f"{configuration.OPERATOR_KEY}: number {change.number} is not above {change.built_on}")
     made: dict[str, configuration.Item] = {}
     try:
-        made = order.make(items)
+        made = change.make(items)
     except configuration.InvalidConfigurationError as error:
         problems += error.errors
     if problems:
         raise errors.ServiceError("bad_blueprint", "; ".join(problems[:PROBLEMS_SHOWN]), field="blueprint")
-    return {**made, configuration.OPERATOR_KEY: {**made.get(configuration.OPERATOR_KEY, {}), "number": order.number}}
+    return {**made, configuration.OPERATOR_KEY: {**made.get(configuration.OPERATOR_KEY, {}), "number": change.number}}
 
 
-def decide(known: KnownState, order: ChangeOrder) -> Decision:
-    """Decide from a state whether an order is committed, can be proposed, or must be refused.
+def decide(known: KnownState, change: SubmittedChange) -> Decision:
+    """Decide from a state whether a change is committed, can be proposed, or must be refused.
 
-    An order is committed where it is among those taken, or where a complete one would make just the state that
-    is there. Numbers rise, so an order on a number that was passed can't be taken any more.
+    A change is committed where it is among those taken, or where a complete one would make just the state that
+    is there. Numbers rise, so a change on a number that was passed can't be taken any more.
 
-    >>> order = ChangeOrder("c0-3-x", 3, 0, lambda items: {"pools/p": {}})
-    >>> decide(KnownState(0, {}, 0, 0, True), order)
+    >>> change = SubmittedChange("c0-3-x", 3, 0, lambda items: {"pools/p": {}})
+    >>> decide(KnownState(0, {}, 0, 0, True), change)
     Applicable(changes=[('marks/operator', {'number': 3}), ('pools/p', {})])
-    >>> decide(KnownState(8, {"marks/operator": {"number": 3}}, 5, 0, True), order)
+    >>> decide(KnownState(8, {"marks/operator": {"number": 3}}, 5, 0, True), change)
     Committed(version=5)
-    >>> decide(KnownState(8, {"marks/operator": {"number": 4}}, 0, 0, True), order).error.code
+    >>> decide(KnownState(8, {"marks/operator": {"number": 4}}, 0, 0, True), change).error.code
     'base_moved'
     """
     if known.taken_as:
         return Committed(known.taken_as)
     current = configuration.operator_number(known.items)
-    is_base = current == order.built_on
-    may_stand = order.complete and current == order.number
+    is_base = current == change.built_on
+    may_stand = change.complete and current == change.number
     if not is_base and not may_stand:
-        return Refused(_base_passed(known, order, current))
+        return Refused(_base_passed(known, change, current))
     try:
-        made = items_after(order, known.items)
+        made = items_after(change, known.items)
     except errors.ServiceError as error:
-        return Refused(error if is_base else _base_passed(known, order, current))
+        return Refused(error if is_base else _base_passed(known, change, current))
     changes = configuration.difference(known.items, made)
     if may_stand and not changes and known.version:
         return Committed(known.version)
-    return Applicable(changes) if is_base else Refused(_base_passed(known, order, current))
+    return Applicable(changes) if is_base else Refused(_base_passed(known, change, current))
 
 
-def _base_passed(known: KnownState, order: ChangeOrder, current: int) -> errors.ServiceError:
-    """The refusal of an order whose base is not the present number.
+def _base_passed(known: KnownState, change: SubmittedChange, current: int) -> errors.ServiceError:
+    """The refusal of a change whose base is not the present number.
 
-    Where the id of an order may have been forgotten, nobody knows whether it was taken.
+    Where the id of a change may have been forgotten, nobody knows whether it was taken.
     """
-    if order.number <= known.forgotten:
+    if change.number <= known.forgotten:
         text = "Changes of that age are no longer remembered."
         return errors.ServiceError("unknown_outcome", text, errors.ExecutionOutcome.MAY_HAVE_RUN)
     return errors.ServiceError("base_moved", f"The blueprint is at number {current}.")
 
 
-class ChangeOrders:
-    """Proposes operators' orders and waits until every node has applied them."""
+class ChangeApplier:
+    """Proposes operators' changes and waits until every node has applied them."""
 
     def __init__(
         self,
@@ -148,28 +148,28 @@
         self.contact = contact
         self.counters = counters
 
-    async def apply_change(self, order: ChangeOrder) -> int:
-        """Bring an order into force, and wait until the nodes have applied it.
+    async def apply_change(self, change: SubmittedChange) -> int:
+        """Bring a change into force, and wait until the nodes have applied it.
 
-        An order that comes again is found taken, also when later ones were taken since. The head
-        compares versions, so of two orders on one base just one is taken. A refusal is given only
-        after a read at the tail, under its lease, made for this order.
+        A change that comes again is found taken, also when later ones were taken since. The head
+        compares versions, so of two changes on one base just one is taken. A refusal is given only
+        after a read at the tail, under its lease, made for this change.
 
         Returns:
-            The version under which the order is committed.
+            The version under which the change is committed.
 
         Raises:
-            errors.ServiceError: The order is refused, or after TIMEOUT_US it is not known to be applied by all nodes.
+            errors.ServiceError: The change is refused, or after TIMEOUT_US it is not known to be applied by all nodes.
         """
         until = self.parts.runtime.now() + TIMEOUT_US
         self.counters.changes += 1
-        known: KnownState | None = self.local_state_for(order)
+        known: KnownState | None = self.local_state_for(change)
         may_have_run, last_error = False, None
         while self.parts.runtime.now() < until:
             try:
                 if known is None:
-                    known = await self.tail_state_for(order, until - self.parts.runtime.now())
-                outcome = await self._propose_once(known, order, until)
+                    known = await self.tail_state_for(change, until - self.parts.runtime.now())
+                outcome = await self._propose_once(known, change, until)
             except errors.ServiceError as error:
                 may_have_run = may_have_run or error.execution is errors.ExecutionOutcome.MAY_HAVE_RUN
                 known, last_error = None, error
@@ -188,40 +188,42 @@
             )
         raise errors.ServiceError("no_chain", f"The change can't be taken now: {last_error.text}")
 
-    def local_state_for(self, order: ChangeOrder) -> KnownState:
-        """What this machine's own copy says of an order; it may be out of date."""
+    def local_state_for(self, change: SubmittedChange) -> KnownState:
+        """What this machine's own copy says of a change; it may be out of date."""
         base = self.parts.chain.committed_state
         return KnownState(
             version=base.version,
             items=base.items,
-            taken_as=base.taken.get(order.identifier, 0),
+            taken_as=base.taken.get(change.identifier, 0),
             forgotten=base.forgotten,
             read_at_tail=False,
         )
 
-    async def tail_state_for(self, order: ChangeOrder, timeout_us: int) -> KnownState:
-        """What the tail says of an order, under its lease."""
-        read = await self.client.read_at_tail(order.identifier, timeout_us)
+    async def tail_state_for(self, change: SubmittedChange, timeout_us: int) -> KnownState:
+        """What the tail says of a change, under its lease."""
+        read = await self.client.read_at_tail(change.identifier, timeout_us)
         return KnownState(
             version=read.version, items=read.items, taken_as=read.taken, forgotten=read.forgotten, read_at_tail=True
         )
 
-    async def _propose_once(self, known: KnownState, order: ChangeOrder, until: int) -> Committed | Refused:
-        """Propose an order on a known state, unless it is committed already or can't be."""
-        decision = decide(known, order)
+    async def _propose_once(self, known: KnownState, change: SubmittedChange, until: int) -> Committed | Refused:
+        """Propose a change on a known state, unless it is committed already or can't be."""
+        decision = decide(known, change)
         if isinstance(decision, Refused):
             return decision
         if isinstance(decision, Applicable):
-            decision = Committed(await self._propose(known.version, order, decision.changes, until))
+            decision = Committed(await self._propose(known.version, change, decision.changes, until))
         await self.contact.wait_until_applied(decision.version, until)
         return decision
 
-    async def _propose(self, base: int, order: ChangeOrder, changes: list[configuration.ItemChange], until: int) -> int:
+    async def _propose(
+        self, base: int, change: SubmittedChange, changes: list[configuration.ItemChange], until: int
+    ) -> int:
         left = max(0, until - self.parts.runtime.now())
         try:
-            return (await self.client.propose(message.ChangeKind.APPLY, order.identifier, base, changes, left)).version
+            return (await self.client.propose(message.ChangeKind.APPLY, change.identifier, base, changes, left)).version
         except errors.ServiceError as error:
             if error.code != "base_moved":
                 raise
-            # a read at the tail will say what became of this order
+            # a read at the tail will say what became of this change
             raise errors.ServiceError("no_chain", "Another change came first.") from error
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -29,7 +29,7 @@
 class TestChainOrder:
     def test_of_copies_synced_one_view_before_the_newest_leads(self) -> None:
         answers = {"b": promised("b", 3, (3, 6)), "c": promised("c", 3, (3, 7))}
-        members = decisions.order(make_view(4, "abc"), answers, {"b": "1", "c": "1"})
+        members = decisions.next_chain(make_view(4, "abc"), answers, {"b": "1", "c": "1"})
         assert [member.id for member in members] == ["c", "b"]
 
     def test_newcomers_alone_agree_on_no_chain(self) -> None:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -37,7 +37,7 @@
     view: message.View,
     promises: dict[str, message.Promise],
     alive: dict[str, str],
-    order: Callable[..., list[message.ChainReplica] | None] = decisions.order,
+    order: Callable[..., list[message.ChainReplica] | None] = decisions.next_chain,
 ) -> list[message.ChainReplica] | None:
     """Order the chain without a look at the last log entries."""
     promises = {
@@ -127,7 +127,7 @@
 
     def test_without_synced_leaders_acknowledged_changes_are_lost(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, wipes=1)
-        self.breaks(("order", unsynced_order), limits, "without acknowledged")
+        self.breaks(("next_chain", unsynced_order), limits, "without acknowledged")
 
     def test_without_the_wait_for_grants_two_tails_serve_reads(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, leases=4)
@@ -143,7 +143,7 @@
 
     def test_without_the_order_by_last_entry_an_older_disk_leads(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, crashes=1, stale_disks=1)
-        self.breaks(("order", order_without_last_entries), limits, "without acknowledged")
+        self.breaks(("next_chain", order_without_last_entries), limits, "without acknowledged")
 
     def test_without_the_look_at_its_place_an_old_snapshot_takes_back_acknowledged_changes(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, late_refills=1)
--- a/tests/test_fuzz_documents.py
+++ b/tests/test_fuzz_documents.py
@@ -10,7 +10,7 @@
 from twisted.internet import testing
 
 from iriswheel.configuration import configuration
-from iriswheel.control import change_orders, core, counters, operator_api
+from iriswheel.control import core, counters, operator_api, submitted_changes
 from iriswheel.transport import http_server
 from tests import fuzzing
 
@@ -29,15 +29,15 @@
     async def read(self) -> dict[str, Any]:
         return self.items
 
-    async def change(self, order: change_orders.ChangeOrder) -> int:
-        new = change_orders.items_after(order, self.items)
-        msgspec.msgpack.decode(msgspec.msgpack.encode([order.identifier, configuration.difference(self.items, new)]))
+    async def change(self, change: submitted_changes.SubmittedChange) -> int:
+        new = submitted_changes.items_after(change, self.items)
+        msgspec.msgpack.decode(msgspec.msgpack.encode([change.identifier, configuration.difference(self.items, new)]))
         configuration.slice_for_node(new, "a")
         json.dumps(configuration_api.show(new))
         return 1
 
-    async def apply_change(self, order: change_orders.ChangeOrder) -> int:
-        return await self.change(order)
+    async def apply_change(self, change: submitted_changes.SubmittedChange) -> int:
+        return await self.change(change)
 
 
 ODD_JSON: list[Any] = [
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 from twisted.web import client
 
 from iriswheel.cli import command
-from iriswheel.control import change_orders
+from iriswheel.control import submitted_changes
 from iriswheel.replication import tail
 from iriswheel.runtime import scheduler, units
 from iriswheel.transport import message
@@ -138,9 +138,9 @@
         assert "read number" in "".join(history.complaints(cluster.event_log.rows))
 
     def test_without_a_read_at_the_tail_wrong_refusals_are_found(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        local_state_for = change_orders.ChangeOrders.local_state_for
+        local_state_for = submitted_changes.ChangeApplier.local_state_for
         monkeypatch.setattr(
-            change_orders.ChangeOrders,
+            submitted_changes.ChangeApplier,
             "local_state_for",
             lambda self, order: local_state_for(self, order)._replace(read_at_tail=True),
         )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,7 +13,7 @@
 
 from iriswheel import errors
 from iriswheel.configuration import configuration
-from iriswheel.control import change_orders
+from iriswheel.control import submitted_changes
 
 CHANNEL = {
     "name": "r-a",
@@ -55,19 +55,19 @@
         self.items: dict[str, Any] = {}
         self.taken: set[str] = set()
 
-    async def change(self, order: change_orders.ChangeOrder) -> None:
-        if order.identifier in self.taken:
+    async def change(self, change: submitted_changes.SubmittedChange) -> None:
+        if change.identifier in self.taken:
             return
-        if order.built_on != configuration.operator_number(self.items):
+        if change.built_on != configuration.operator_number(self.items):
             raise errors.ServiceError("base_moved", "")
-        if order.number <= order.built_on:
+        if change.number <= change.built_on:
             raise errors.ServiceError("bad_blueprint", "")
         try:
-            new = order.make(self.items)
+            new = change.make(self.items)
         except configuration.InvalidConfigurationError as e:
             raise errors.ServiceError("bad_blueprint", str(e)) from e
-        self.items = {**new, "marks/operator": {**new["marks/operator"], "number": order.number}}
-        self.taken.add(order.identifier)
+        self.items = {**new, "marks/operator": {**new["marks/operator"], "number": change.number}}
+        self.taken.add(change.identifier)
 
     async def read(self) -> dict[str, Any]:
         return self.items
--- /dev/null
+++ b/tests/test_submitted_changes.py
@@ -0,0 +1,14 @@
+"""What operators are told of a change that is too old for a decision."""
+
+from iriswheel import errors
+from iriswheel.control import submitted_changes
+
+FORGOTTEN = submitted_changes.KnownState(version=9, items={}, taken_as=0, forgotten=5, read_at_tail=True)
+
+
+def test_a_change_that_may_have_been_forgotten_is_unknown_and_says_why() -> None:
+    change = submitted_changes.SubmittedChange("c4-3-0a", number=4, built_on=3, make=dict)
+    decision = submitted_changes.decide(FORGOTTEN, change)
+    assert isinstance(decision, submitted_changes.Refused)
+    assert decision.error.execution is errors.ExecutionOutcome.MAY_HAVE_RUN
+    assert decision.error.text == "Changes of that age are no longer remembered."
