--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -87,7 +87,7 @@
 
 @interface.implementer(iweb.IBodyProducer)
 class Body:
-    """A body that is all there.
+    """A request body that is held in memory, as the producer that Twisted's client asks for.
 
     >>> Body(b"abc").length
     3
@@ -208,7 +208,7 @@
 
 
 class BareConnection(protocol.Protocol):
-    """A connection that is made to see whether it can be."""
+    """A connection that is opened only to learn whether the peer accepts one."""
 
     # Set by `makeConnection`, before anything else is called.
     transport: AbortableTransport  # type: ignore[assignment]
@@ -242,7 +242,7 @@
         self.answer_begun = False  # whether the answer's head has come
 
     def cancel(self) -> None:
-        """Cancel the attempt: its worker hangs, is unreachable, or its drain time is over.
+        """Cancel the attempt, as its worker hangs, is unreachable, or has drained; its client is still there.
 
         >>> attempt = Attempt("w1", 0); attempt.cancel(); attempt.was_cancelled
         True
@@ -267,7 +267,7 @@
         self.unpooled_agent = self._agent(client.HTTPConnectionPool(runtime.reactor, persistent=False))
 
     def _agent(self, pool: client.HTTPConnectionPool) -> HttpAgent:
-        pool.retryAutomatically = False  # a repeat is ours to decide
+        pool.retryAutomatically = False  # the retry budget and idempotence decide about a retry, not Twisted
         reactor = self.runtime.reactor
         agent = client.Agent.usingEndpointFactory(reactor, AddressEndpoints(reactor), pool)
         return typing.cast("HttpAgent", agent)  # Twisted's interfaces carry no types
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -145,9 +145,9 @@
 
     def _in_maintenance(self, now: int) -> bool:
         """Whether this node drains, or reloaded its options within OPTIONS_RELOAD_GRACE_US."""
-        options_reread_at_us = self.node.options_reread_at_us
+        options_reloaded_at_us = self.node.options_reloaded_at_us
         return self.node.draining or (
-            options_reread_at_us is not None and now - options_reread_at_us < OPTIONS_RELOAD_GRACE_US
+            options_reloaded_at_us is not None and now - options_reloaded_at_us < OPTIONS_RELOAD_GRACE_US
         )
 
     def _sweep(self) -> None:
@@ -183,7 +183,7 @@
                     unreached += 1
                     request.excluded_workers.add(worker.id)
                     if unreached >= MAX_UNREACHED:
-                        raise self.give_up(request, "no_worker", "No worker can be reached now.")
+                        raise self.final_error(request, "no_worker", "No worker can be reached now.")
                     continue
                 case attempt_outcome.AttemptOutcome.COMPLETE:
                     self.counts.completed += 1
@@ -213,11 +213,11 @@
         )
         now = self.runtime.now()
         if not worker_id:
-            raise self.give_up(request, "no_worker", "No worker can be reached now.")
+            raise self.final_error(request, "no_worker", "No worker can be reached now.")
         if now >= request.deadline_us:
-            raise self.give_up(request, "busy", "The time is over.")
+            raise self.final_error(request, "busy", "The time is over.")
         if not request.sends and wait_us > request.deadline_us - now:
-            raise self.give_up(request, "busy", "No worker would begin in time.", wait_us // 2)
+            raise self.final_error(request, "busy", "No worker would begin in time.", wait_us // 2)
         return self.node.follower.states[worker_id]
 
     def _note_failure(
@@ -269,8 +269,8 @@
             stream.answer_failure()
             return
         if outcome is attempt_outcome.AttemptOutcome.REFUSED:
-            raise self.give_up(request, "busy", "The worker turned it away.")
-        raise self.give_up(request, "worker_broke", f"Worker {stream.worker} gave no answer.")
+            raise self.final_error(request, "busy", "The worker turned it away.")
+        raise self.final_error(request, "worker_broke", f"Worker {stream.worker} gave no answer.")
 
     def may_retry(self, request: forwarded_request.ForwardedRequest) -> bool:
         """Whether a request may be sent once more, by its route and this node's share of the budget."""
@@ -279,14 +279,14 @@
             return False
         return self.node.gateway.retry_budgets.budget(request).has_capacity(self.runtime.now())
 
-    def give_up(
+    def final_error(
         self, request: forwarded_request.ForwardedRequest, code: errors.ErrorCode, text: str, retry_us: int = 0
     ) -> errors.ServiceError:
-        """Return the final answer to a request that is given up.
+        """Return the error that answers a request which is given up.
 
         Args:
             request: The request.
-            code: The error's code, where the request did not run.
+            code: The error's code where the request did not run; else it is worker_broke.
             text: The error's text.
             retry_us: After how long the client should retry.
         """
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -32,8 +32,12 @@
     from iriswheel.transport import http_server, message
 
 MAX_ATTEMPTS = 4  # attempts that may break per request, where the route sets no lower bound
-SHORT_BACKLOG, SHORT_CONCURRENCY = 512, 256
-LONG_BACKLOG, LONG_CONCURRENCY = 64, 48
+# Requests that wait, and that run at a time, in each of the two work queues. Long requests have a queue of their own,
+# so that short ones do not wait behind them.
+SHORT_BACKLOG = 512
+SHORT_CONCURRENCY = 256
+LONG_BACKLOG = 64
+LONG_CONCURRENCY = 48
 
 
 class Gateway:
--- a/iriswheel/dataplane/interfaces.py
+++ b/iriswheel/dataplane/interfaces.py
@@ -170,8 +170,8 @@
         """Whether the tasks of this node are to end."""
 
     @property
-    def options_reread_at_us(self) -> int | None:
-        """When the options were last read again."""
+    def options_reloaded_at_us(self) -> int | None:
+        """When the options were last reloaded; None where they never were."""
 
     drain_noticed_at_us: int | None  # when the platform first heard that this node drains; set by the data plane
 
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -200,7 +200,8 @@
         >>> placement.suspicion("w1", 0)
         0.5
         """
-        return min(1.0, self.own_suspicion(worker, now) + OTHERS_SUSPICION * self.load_of_others(worker, now)[2] / 100)
+        _, _, others_percent = self.load_of_others(worker, now)
+        return min(1.0, self.own_suspicion(worker, now) + OTHERS_SUSPICION * others_percent / 100)
 
     def own_suspicion(self, worker: str, now: int) -> float:
         """Return this node's own suspicion of a worker, which fades.
@@ -357,7 +358,10 @@
         return self._nearest(candidates, shared_keys, prompt.sizes[:-1], own_tokens, workers, pool=pool)
 
     def _candidates(self, ready: list[str], excluded_workers: set[str], now: int) -> list[str]:
-        """Return the healthy workers not yet tried; all not yet tried where most look ill: then it is not they."""
+        """Return the healthy workers not yet tried; all not yet tried where less than half of them are healthy.
+
+        So many failures at once point to this node or its network rather than to the workers.
+        """
         untried = [worker for worker in ready if worker not in excluded_workers]
         healthy = [worker for worker in untried if not self.is_unhealthy(worker, now)]
         return healthy if 2 * len(healthy) >= len(untried) else untried
@@ -388,7 +392,7 @@
     # ---- attempts -----------------------------------------------------------------------
 
     def begin(self, worker: str, keys: list[bytes], sizes: list[int], own_tokens: int) -> int:
-        """Note that an attempt goes out; returns the tokens that the worker will likely read for it."""
+        """Count an attempt in its worker's load; returns the prompt tokens that the worker will likely read for it."""
         estimate = self.estimate(worker)
         tokens = own_tokens
         for key, size in zip(keys, sizes, strict=False):
@@ -418,7 +422,7 @@
         self.estimate(worker).last_contact_us = self.runtime.now()
 
     def end(self, worker: str, tokens: int) -> None:
-        """Note that an attempt is over; `tokens` are those that were never read."""
+        """Take an ended attempt out of its worker's load; `tokens` are those of its prompt that were never read."""
         estimate = self.estimate(worker)
         estimate.running -= 1
         self.on_load_change()
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -50,7 +50,7 @@
         self.refusing_requests = False  # late in the drain: new requests get an error
         self.drain_noticed_at_us: int | None = None  # when the platform first heard that this node drains
         self.stopped = False  # ends the tasks
-        self.options_reread_at_us: int | None = None  # when the options were last read again
+        self.options_reloaded_at_us: int | None = None  # when the options were last reloaded
 
     def start(self, port: int, http: int) -> None:
         """Start all tasks; the ports are those really bound."""
@@ -72,7 +72,7 @@
 
     def reload_options(self, options: options.Options) -> None:
         """Take in options that were read again: seeds, and where the platform is."""
-        self.options_reread_at_us = self.runtime.now()
+        self.options_reloaded_at_us = self.runtime.now()
         self.options.platform = options.platform
         self.follower.session.add_addresses(options.seed_list())
         log.info("The options were reloaded.")
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -33,7 +33,7 @@
             follower=self.follower,
             draining=False,
             stopped=False,
-            options_reread_at_us=None,
+            options_reloaded_at_us=None,
             loads=types.SimpleNamespace(report_now=scheduler.Signal(), mark_changed=lambda: None),
             gateway=types.SimpleNamespace(
                 retry_budgets=types.SimpleNamespace(budget=lambda _request: self.retry_budget)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -163,7 +163,7 @@
         1,
         "twice",
     ),
-    "promises": Guard([(forwarding.Forwarder, "give_up", _promise)], "some_fail", 1, "refused"),
+    "promises": Guard([(forwarding.Forwarder, "final_error", _promise)], "some_fail", 1, "refused"),
     "complete_events": Guard([(answer_stream, "complete_events", lambda raw: (raw, b""))], "broken_off", 1, "order"),
     "worker_states": Guard([(follower.Follower, "apply_workers", _first_list)], "release", 1, "drain"),
     "drain": Guard([(node.Node, "stop", _leave_at_once)], "roll", 1, "lost"),
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -123,7 +123,7 @@
         assert self.silent_stream(lambda: setattr(self.node, "draining", True)) == (True, 1)
 
     def test_a_silent_stream_is_not_cut_after_options_were_read_again(self) -> None:
-        assert self.silent_stream(lambda: setattr(self.node, "options_reread_at_us", self.world.time)) == (True, 1)
+        assert self.silent_stream(lambda: setattr(self.node, "options_reloaded_at_us", self.world.time)) == (True, 1)
 
     def test_a_silent_stream_goes_elsewhere_at_other_times(self) -> None:
         assert self.silent_stream(lambda: None)[1] == 2
