--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -14,7 +14,7 @@
 
 from iriswheel import errors
 from iriswheel.dataplane import local_member, sessions
-from iriswheel.pools import claims, pool_records, replication, selection, takeover, worker_watch
+from iriswheel.pools import claims, pool_records, replication, selection, selection_counts, takeover, worker_watch
 from iriswheel.runtime import scheduler, units
 from iriswheel.transport import message
 
@@ -69,7 +69,7 @@
         self.replicator = replication.RecordReplicator(self)
         self.takeover = takeover.Takeover(self)
         self.ended = False
-        self.counts = {"elects": 0, "pinned": 0, "opened": 0, "closed": 0, "claims": 0, "denied": 0}
+        self.counts = selection_counts.SelectionCounts()
 
     # ---- role --------------------------------------------------------------------
 
@@ -131,7 +131,7 @@
             if sweeps % SWEEPS_PER_SNAPSHOT == 0 and self.is_active():
                 self.replicator.notify_cores(self.replicator.snapshot())
                 await self.replicator.copy(self.replicator.snapshot())
-            self.counts["closed"] += self.records.sweep(self.runtime.now())
+            self.counts.closed_sessions += self.records.sweep(self.runtime.now())
             self.check_workers()
 
     def check_workers(self) -> None:
@@ -145,7 +145,7 @@
             if follower.state(worker) != message.WorkerState.READY or worker in self.watch.ejected
         ]
         for worker in unavailable:
-            self.counts["closed"] += self.records.evict(worker)
+            self.counts.closed_sessions += self.records.evict(worker)
         live_nodes = {member.id for member in follower.membership.members}
         self.records.release_lost_nodes(live_nodes, self.runtime.now())
         self.slot_freed.wake()
@@ -170,7 +170,7 @@
         retry_us: int = units.SECOND_US,
     ) -> message.SelectionDenied:
         """Count and return a refusal."""
-        self.counts["denied"] += 1
+        self.counts.denials += 1
         return message.SelectionDenied(self.assignment.term, code, text, outcome.value, retry_us)
 
     def _granted(self, request: message.SelectWorker, worker: str, affinity: bool) -> message.SelectionGranted:
@@ -249,7 +249,7 @@
 
     async def select_worker(self, request: message.SelectWorker) -> SelectionResponse:
         """Choose a worker for a request, open its session and claim it; wait for a free slot if need be."""
-        self.counts["elects"] += 1
+        self.counts.selections += 1
         if not request.is_retry:
             first_id = request.request_id or request.attempt_id.rpartition("/")[0]
             self.records.budget.record_first_attempt(self.runtime.now(), first_id)
@@ -374,10 +374,10 @@
         session = table.affinity(request.session)
         if session is not None and session.worker != worker:
             self.records.close_session(session)
-            self.counts["closed"] += 1
+            self.counts.closed_sessions += 1
             session = None
         if session is not None:
-            self.counts["pinned"] += 1
+            self.counts.affinity_hits += 1
             # the terms may have changed
             session.lifetime_us, session.cost = request.terms["lifetime_us"], request.terms["cost"]
             table.extend(session, now)
@@ -387,7 +387,7 @@
             return None, False
         session = table.open(request.session, worker, now, request.terms["lifetime_us"], request.terms["cost"])
         session.pending, session.opened_by = True, request.attempt_id
-        self.counts["opened"] += 1
+        self.counts.opened_sessions += 1
         return session, True
 
     def _claim(self, request: message.SelectWorker, now: int) -> claims.Claim | None:
@@ -397,7 +397,7 @@
             request.request_id, request.attempt, request.node, request.attempt_id, now + claims.RETENTION_US
         )
         self.records.claims[request.request_id] = claim
-        self.counts["claims"] += 1
+        self.counts.claims += 1
         return claim
 
     async def _grant_after_copy(
@@ -449,7 +449,7 @@
             },
             "claims": len(records.claims),
             "waiting": self.waiting,
-            "counts": self.counts,
+            "counts": self.counts.state(),
         }
 
 
