--- a/iriswheel/dataplane/retry_budget.py
+++ b/iriswheel/dataplane/retry_budget.py
@@ -83,7 +83,7 @@
             self.retries.remove(spent_at)
 
     def wait_us(self, now: int) -> int:
-        """Return after how long it is worth to come back, in microseconds.
+        """Return after how many microseconds a refused client should retry.
 
         >>> Budget().wait_us(0)
         2000000
@@ -93,7 +93,7 @@
         return NO_RETRIES_WAIT_US
 
     def export(self, now: int) -> tuple[dict[str, int], list[int]]:
-        """Return both as they travel: requests with their ages, and the retries' ages, in microseconds.
+        """Return what a message holds of the budget: first attempts with their ages, and the retries' ages, in µs.
 
         >>> budget = Budget(); budget.record_first_attempt(2, "x1"); _ = budget.spend(3); budget.export(5)
         ({'x1': 3}, [2])
--- a/iriswheel/dataplane/sessions.py
+++ b/iriswheel/dataplane/sessions.py
@@ -1,8 +1,8 @@
 """Worker sessions: a conversation stays on the worker that holds its prefix.
 
-The first turn is placed by normal balancing, later turns are pinned while the worker is ready,
-each turn puts the expiry one lifetime ahead, a sweep closes what is past it, an open session's
-cost counts in its worker's load, and a worker takes no more sessions than its cap.
+The first turn goes where the load is least, later turns go to the same worker while it is ready. Each turn moves
+the expiry to one lifetime from then; a sweep closes expired sessions. An open session's cost counts in its worker's
+load. Pool owners and `placement.Placement` keep to the cap of sessions a worker, which is not checked here.
 """
 
 from __future__ import annotations
@@ -176,7 +176,7 @@
 
 
 def to_message(session: Session[str], now: int) -> message.SessionRecord:
-    """Return a session as it travels.
+    """Return the message of a session, with the time that is left of it at `now`.
 
     >>> to_message(Session("s", "w", 100, 60, 5), now=40).left_us
     60
--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -143,6 +143,11 @@
         )
 
     async def _copy_all(self, from_copies: bool) -> bool:
+        """Replicate the gathered records to all copies; False where not all of them confirmed.
+
+        Args:
+            from_copies: Whether a copy of the last group that holds all records was among the answers.
+        """
         owner = self.owner
         owner.check_workers()
         snapshot = owner.replicator.snapshot()
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -164,7 +164,7 @@
         assert self.consensus.view is not None
         return self.consensus.view_change.is_due(self.consensus.view)
 
-    def hear(self, synced_view: int) -> None:
+    def receive_heartbeats(self, synced_view: int) -> None:
         """Take in a heartbeat of each other member."""
         for identifier in "bc":
             self.consensus.receive_heartbeat(
@@ -172,20 +172,20 @@
             )
 
     def test_the_only_synced_copy_stays_until_another_is_synced(self) -> None:
-        self.hear(synced_view=3)
+        self.receive_heartbeats(synced_view=3)
         assert self.consensus.holds_only_copy()
         self.is_view_change_due()
         self.clock.advance(2)
-        self.hear(synced_view=3)
+        self.receive_heartbeats(synced_view=3)
         assert not self.is_view_change_due()
-        self.hear(synced_view=4)
+        self.receive_heartbeats(synced_view=4)
         assert not self.consensus.holds_only_copy()
         self.is_view_change_due()
         self.clock.advance(2)
-        self.hear(synced_view=4)
+        self.receive_heartbeats(synced_view=4)
         assert self.is_view_change_due()
 
     def test_the_last_machine_does_not_wait_for_anybody(self) -> None:
-        self.hear(synced_view=3)
+        self.receive_heartbeats(synced_view=3)
         self.clock.advance(2)
         assert not self.consensus.holds_only_copy()
