--- a/benchmarks/simulated_costs.py
+++ b/benchmarks/simulated_costs.py
@@ -310,7 +310,7 @@
         "pulses": _largest(len(each.consensus.heartbeats) for each in cores),
         "posts": _largest(len(each.node_sessions.by_node) for each in cores),
         "seated": _largest(len(each.node_reports.active) for each in cores),
-        "left": _largest(len(each.membership.left) for each in cores),
+        "left": _largest(len(each.membership.departed) for each in cores),
         "places": _largest(len(each.membership.seen) for each in cores),
     }
 
--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -45,7 +45,7 @@
         record: What the disk held at the start.
         own_voter: Identity and address of this machine.
         on_view: Called with each view that is adopted here, once that is on disk or the disk refused it.
-        last_entry: The newest log entry here, as (view, index); promises tell it.
+        last_entry: Gives the newest log entry here; promises tell it.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         own_voter: message.Voter,
         *,
         on_view: collections.abc.Callable[[message.View], object],
-        last_entry: collections.abc.Callable[[], tuple[int, int]],
+        last_entry: collections.abc.Callable[[], decisions.LastEntry],
     ) -> None:
         self.runtime = runtime
         self.disk = disk
--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -37,13 +37,23 @@
     incarnation: str
 
 
+class LastEntry(typing.NamedTuple):
+    """The newest log entry of a copy; of two copies, the one whose last entry compares higher is ahead."""
+
+    view: int  # that made the entry
+    index: int  # type: ignore[assignment]  # hides tuple.index, which has no use here
+
+
+NO_ENTRY = LastEntry(0, 0)
+
+
 class Replica(typing.NamedTuple):
     """What an acceptor tells of itself in a promise: identity, incarnation, disk, last log entry."""
 
     id: str
     incarnation: str
     disk_ok: bool
-    last_entry: tuple[int, int] = (0, 0)
+    last_entry: LastEntry = NO_ENTRY
 
 
 class VoterState(typing.NamedTuple):
--- a/iriswheel/consensus/view_consensus.py
+++ b/iriswheel/consensus/view_consensus.py
@@ -13,11 +13,10 @@
 import collections.abc
 import typing
 
-from iriswheel.consensus import acceptor, departure, peer_heartbeats, tail_lease, view_change, voter_calls
+from iriswheel.consensus import acceptor, decisions, departure, peer_heartbeats, tail_lease, view_change, voter_calls
 from iriswheel.transport import message
 
 if typing.TYPE_CHECKING:
-    from iriswheel.consensus import decisions
     from iriswheel.runtime import scheduler, storage
     from iriswheel.transport import peer_calls
 
@@ -59,8 +58,8 @@
         self.runtime = runtime
         self.own_voter = own_voter
         self.required_copies = copies
-        self.last_entry: collections.abc.Callable[[], tuple[int, int]] = lambda: (0, 0)
-        """The newest log entry here, as (view, index); set by the owner of the log."""
+        self.last_entry: collections.abc.Callable[[], decisions.LastEntry] = lambda: decisions.NO_ENTRY
+        """Gives the newest log entry here; set by the owner of the log."""
         self.started_at = runtime.now()
         self.acceptor = acceptor.Acceptor(
             runtime, disk, record, own_voter, on_view=on_view, last_entry=self._last_entry
@@ -74,7 +73,7 @@
         self.acceptor.on_seal = self.tail_lease.revoke
         self.acceptor.on_adopt = self.view_change.reset
 
-    def _last_entry(self) -> tuple[int, int]:
+    def _last_entry(self) -> decisions.LastEntry:
         return self.last_entry()
 
     # ---- the view ------------------------------------------------------------
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -7,7 +7,7 @@
 
 import loguru
 
-from iriswheel.consensus import view_consensus
+from iriswheel.consensus import decisions, view_consensus
 from iriswheel.control import (
     chain_client,
     core_parts,
@@ -96,7 +96,7 @@
             copies=options.copies,
         )
         consensus.learn_seeds(options.seed_list())
-        consensus.last_entry = lambda: (self.chain.latest_state.view, self.chain.latest_state.index)
+        consensus.last_entry = lambda: decisions.LastEntry(self.chain.latest_state.view, self.chain.latest_state.index)
         return consensus
 
     def start(self) -> None:
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -78,11 +78,11 @@
         self.consensus = consensus
         self.pools = pools
         self.latest: message.Membership | None = None  # the newest membership known here, ours or another's
-        self.view = 0  # the view in which this machine issues
+        self.issuing_view = 0  # number of the view in which this machine issues
         self.leased_since: int | None = None  # when the lease was first held in this view
         self.reports: dict[str, ReceivedReport] = {}  # by core machine
         self.seen: dict[str, SeenMember] = {}  # by member
-        self.left: set[str] = set()
+        self.departed: set[str] = set()  # ids of members that said they leave
         self.listing: message.WorkerListing | None = None
         self.removed_since: dict[str, int] = {}  # role of a pool that was removed -> since when
         self.updated = scheduler.Signal()
@@ -104,7 +104,7 @@
         if not self.consensus.is_tail() or view is None or report.view != view.number:
             return
         now = self.runtime.now()
-        if self.view != report.view:
+        if self.issuing_view != report.view:
             self.begin_view()
         if not self.has_issued():
             self.keep_newest(report.membership)
@@ -117,13 +117,13 @@
 
     def remove_member(self, identifier: str) -> None:
         """Drop a node that said it leaves, without the grace of one that was lost."""
-        self.left.add(identifier)
+        self.departed.add(identifier)
         self.seen.pop(identifier, None)
         self.issue_if_changed()
 
     def begin_view(self) -> None:
         """Forget what was reported in an earlier view; this machine is the tail of the newest one."""
-        self.view = self._view_number()
+        self.issuing_view = self._view_number()
         self.leased_since = None
         self.reports = {}
         self.seen = {}
@@ -134,11 +134,11 @@
 
     def has_issued(self) -> bool:
         """Whether this tail has issued a membership in its view."""
-        return self.latest is not None and self.latest.version[0] == self.view == self._view_number()
+        return self.latest is not None and self.latest.version[0] == self.issuing_view == self._view_number()
 
     def issue_if_changed(self) -> None:
         """Issue a membership if it changed; only under the tail's lease, so that just one machine issues."""
-        if not self.consensus.holds_lease() or self.view != self._view_number():
+        if not self.consensus.holds_lease() or self.issuing_view != self._view_number():
             return
         now = self.runtime.now()
         if not self.has_issued() and not self._adopt_last_membership(now):
@@ -157,7 +157,7 @@
     def _record_reported_members(self, report: message.NodeSessionsReport, now: int) -> None:
         """Members that have a session with the reporting core machine."""
         for member in report.members:
-            if member.id not in self.left:
+            if member.id not in self.departed:
                 self.seen[member.id] = SeenMember(now, member, report.core)
 
     def _record_missing_members(self, report: message.NodeSessionsReport, now: int) -> None:
@@ -216,7 +216,7 @@
 
     def _next_membership(self) -> message.Membership:
         old = self.latest
-        version = (self.view, old.version[1] + 1 if old is not None and self.has_issued() else 1)
+        version = (self.issuing_view, old.version[1] + 1 if old is not None and self.has_issued() else 1)
         members = self._live_members()
         listing = self.listing or message.WorkerListing([], (0, 0, 0))
         roles = self._assign(version, members)
--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -102,9 +102,13 @@
     async def _restore(
         self, snapshot: bytes, state: replicated_state.ReplicatedState, entries: list[message.LogEntry]
     ) -> bool:
-        """Replace this copy by a snapshot and all entries after it, unless the snapshot is a late one.
+        """Replace this copy by a snapshot and all entries after it, unless the snapshot was held up on its way.
 
-        A copy that is synced in this view is a beginning of the sender's, so that an older snapshot for it is late.
+        A copy that is synced in this view holds what the sender held earlier in it. A snapshot that ends before
+        such a copy does was sent before the copy was synced, and would take back entries.
+
+        Returns:
+            Whether the copy was replaced.
         """
         record = self.position.consensus.record
         may_restore = decisions.may_restore(record, self.log.last_index, state.index)
--- a/iriswheel/replication/replicated_log.py
+++ b/iriswheel/replication/replicated_log.py
@@ -19,7 +19,7 @@
 ENTRY_KEY_PREFIX = b"e"
 
 MAX_BATCH_ENTRIES = 64
-KEPT_ENTRIES = 512  # behind the snapshot, and states kept for nodes that resume
+KEPT_ENTRIES = 512  # entries behind the snapshot, entries until the next one, and states for nodes that resume
 MAX_BYTES_SINCE_SNAPSHOT = 32 << 20  # a snapshot after so many bytes of changes; entries are kept up to this size
 
 log = loguru.logger.bind(part="chain")
@@ -89,10 +89,16 @@
             self.committed_state = self.committed_state.apply(entry)
             self._bytes_since_snapshot += len(encode_entry(entry.changes)) if entry.changes else 0
             self.history[self.committed_state.index] = self.committed_state
-        for old in [key for key in self.history if key <= self.committed_state.index - KEPT_ENTRIES]:
-            del self.history[old]
+        self._drop_old_history()
         self.committed.wake()
         self.on_commit()
+        self._start_compaction_if_due()
+
+    def _drop_old_history(self) -> None:
+        for old in [key for key in self.history if key <= self.committed_state.index - KEPT_ENTRIES]:
+            del self.history[old]
+
+    def _start_compaction_if_due(self) -> None:
         entries_since_snapshot = self.committed_state.index - self._snapshot_index
         if entries_since_snapshot >= KEPT_ENTRIES or self._bytes_since_snapshot > MAX_BYTES_SINCE_SNAPSHOT:
             self._bytes_since_snapshot = 0
@@ -108,7 +114,7 @@
             try:
                 await self.disk.commit([snapshot, *removals])
             except storage.DiskError:
-                self._snapshot_index -= KEPT_ENTRIES // 2  # again a little later
+                self._snapshot_index -= KEPT_ENTRIES // 2  # so that the next try is due after half as many entries
                 return
             for index in old:
                 del self.entries[index]
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -25,7 +25,7 @@
     world: cluster_model.World, core: cluster_model.Core, request: message.Prepare
 ) -> cluster_model.World:
     """One acceptor's step on a Prepare."""
-    replica = decisions.Replica(core.identifier, core.incarnation, True, core.last_entry)
+    replica = decisions.Replica(core.identifier, core.incarnation, True, decisions.LastEntry(*core.last_entry))
     record, answer = decisions.promise(core.record, replica, core.holder, request)
     if not answer.ok:
         return world
