--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -150,6 +150,7 @@
             adopted = decisions.adopt(before, self.own_voter.id, view)
             if adopted is before:
                 return
+            # the view counts from now on; being synced in it counts only once that is on the disk
             self.record = msgspec.structs.replace(adopted, synced_view=before.synced_view)
             self.previous_chain = previous_chain
             self.on_seal()
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -34,7 +34,7 @@
 SILENT_US = 700 * units.MILLISECOND_US  # a node that was not heard for so long gets no lease before it is listed again
 
 
-LeaseRow: typing.TypeAlias = tuple[str, int, int]  # node, version applied, how long it may hold a lease (µs)
+LeaseRow: typing.TypeAlias = tuple[str, int, int]  # node, log index applied, how long it may hold a lease (µs)
 
 
 class NodeLease:
@@ -60,7 +60,7 @@
 
 
 class GrantedLease(msgspec.Struct):
-    """What one node may hold: until when (µs, local clock), and the version that it has applied."""
+    """What one node may hold: until when (µs, local clock), and the log index that it has applied."""
 
     until: int
     applied: int
@@ -69,7 +69,7 @@
 class SessionLease(msgspec.Struct):
     """What a core machine knows of a node that has a session: times in µs on the core's clock."""
 
-    applied: int  # the version that the node has applied, -1 before its first
+    applied: int  # the log index that the node has applied, -1 before its first
     last_contact_at: int  # when its newest heartbeat came
     listed_at: int | None = None  # since which report to the tail it is listed as one that may get a lease
 
@@ -110,7 +110,7 @@
             self.until = echo + self.length
 
     def record_heartbeat(self, node: str, applied: int, now: int) -> None:
-        """A node's heartbeat came at `now` (µs); it has applied the configuration up to a version."""
+        """A node's heartbeat came at `now` (µs); it has applied the configuration up to a log index."""
         session = self.sessions.get(node)
         if session is None:
             self.sessions[node] = SessionLease(applied, now)
@@ -158,7 +158,7 @@
     """At a core machine that may become the tail: who may hold a lease, and how far each has come.
 
     `on_view` is called for each view; `record_heartbeat` with each report; `applied` says how far up to
-    a version all holders have come.
+    a log index all holders have come.
 
     >>> holders = LeaseHolders(2_000_000, now=0)
     >>> holders.on_view([], [("a", "1"), ("b", "1")], now=0)
@@ -203,9 +203,9 @@
             known = self.holders.get(node, reported)
             self.holders[node] = GrantedLease(max(reported.until, known.until), max(reported.applied, known.applied))
 
-    def applied(self, version: int, now: int) -> int:
-        """How far up to `version` every node with a possible lease at `now` (µs) has come; 0 if unknown."""
+    def applied(self, index: int, now: int) -> int:
+        """How far up to a log index every node with a possible lease at `now` (µs) has come; 0 if unknown."""
         if self.awaited or now < self.unsure_until:
             return 0
         self.holders = {node: grant for node, grant in self.holders.items() if grant.until > now}
-        return min([version] + [grant.applied for grant in self.holders.values()])
+        return min([index] + [grant.applied for grant in self.holders.values()])
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -1,4 +1,4 @@
-"""A node's view of the fleet: its slice of the configuration, the membership, the workers.
+"""What a node follows of the fleet: its slice of the configuration, the membership, the workers.
 
 The node keeps one session with a core machine and applies its snapshots and updates in the
 order of log indexes; an older one never replaces a newer one.
