--- a/iriswheel/transport/messages/membership.py
+++ b/iriswheel/transport/messages/membership.py
@@ -114,7 +114,7 @@
     sent_at: int = 0  # on the core's clock, in µs; the tail sends it back
     leases: list[tuple[str, int, int]] = msgspec.field(
         default_factory=list
-    )  # node, version applied, how long it may hold a lease (µs)
+    )  # node, log index applied, how long it may hold a lease (µs)
 
 
 class TailHeartbeat(message_base.Message, tag="Beat", frozen=True):
