--- a/benchmarks/capacity/target_costs.py
+++ b/benchmarks/capacity/target_costs.py
@@ -9,7 +9,7 @@
 import typing
 
 from benchmarks.capacity import measuring, node_costs
-from iriswheel.dataplane import placement
+from iriswheel.dataplane import placement, worker_estimate
 
 SECONDS_A_DAY = 86_400
 FIRST_TURN_S = 600  # how long a node remembers a first turn
@@ -186,8 +186,8 @@
             ("ranks", f"{placement.MAX_RANKINGS} a pool x pools, {workers_a_pool} workers", target.pools * rank_bytes),
             (
                 "parts known of workers",
-                f"{placement.MAX_PARTS} a worker, full (X)",
-                part_bytes * placement.MAX_PARTS * target.workers,
+                f"{worker_estimate.MAX_PARTS} a worker, full (X)",
+                part_bytes * worker_estimate.MAX_PARTS * target.workers,
             ),
             (
                 "first turns",
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -13,7 +13,7 @@
 import hashlib
 import typing
 
-from iriswheel.dataplane import sessions
+from iriswheel.dataplane import sessions, worker_estimate
 from iriswheel.runtime import scheduler, units
 
 if typing.TYPE_CHECKING:
@@ -26,7 +26,6 @@
 FULL_BATCH_US = 700 * units.MILLISECOND_US  # how long a request holds its place in a full batch
 MAX_FIRST_TURNS = 16_384  # first turns remembered
 MAX_RANKINGS = 1_024  # rankings remembered
-MAX_PARTS = 512  # parts remembered per worker
 LONG_TOKENS = 4_000  # of a prompt, shared parts and all, from which on it is long
 RESERVED_RATIO = 0.34  # of the workers that read no long prompts
 HEAVY_TOKENS = 2_000  # to read, from which on the load is reported to other nodes at once
@@ -59,47 +58,6 @@
 NO_FIRST_TURN = FirstTurn("", 0)
 
 
-class WorkerEstimate:
-    """What this node knows of one worker.
-
-    >>> estimate = WorkerEstimate(); estimate.running, estimate.unread_tokens
-    (0, 0)
-    """
-
-    __slots__ = (
-        "busy_since_us",
-        "last_contact_us",
-        "parts",
-        "running",
-        "suspected_at_us",
-        "suspicion",
-        "unread_tokens",
-    )
-
-    def __init__(self) -> None:
-        self.running = 0  # own requests there
-        self.unread_tokens = 0  # own prompt tokens that it has still to read
-        # chain key of a part that it is likely to hold -> tokens, the latest used last
-        self.parts: collections.OrderedDict[bytes, int] = collections.OrderedDict()
-        self.last_contact_us = 0  # when it last said anything to this node
-        self.busy_since_us = 0  # when the first of the attempts now under way went out
-        self.suspicion = 0.0  # 0 to 1, as it was at suspected_at_us
-        self.suspected_at_us = 0
-
-    def note_parts(self, keys: list[bytes], sizes: list[int]) -> None:
-        """Note the parts that a prompt brings there.
-
-        >>> estimate = WorkerEstimate(); estimate.note_parts([b"k"], [100]); list(estimate.parts.items())
-        [(b'k', 100)]
-        """
-        parts = self.parts
-        for key, size in zip(keys, sizes, strict=False):
-            parts.pop(key, None)
-            parts[key] = size
-        while len(parts) > MAX_PARTS:
-            parts.popitem(last=False)
-
-
 def chain(parts: list[str]) -> list[bytes]:
     """Return a key for each part that stands for all parts up to it.
 
@@ -143,7 +101,7 @@
     def __init__(self, runtime: scheduler.Runtime, pool: str) -> None:
         self.runtime = runtime
         self.pool = pool
-        self.workers: dict[str, WorkerEstimate] = {}
+        self.workers: dict[str, worker_estimate.WorkerEstimate] = {}
         self.others: dict[str, OthersLoad] = {}  # by worker
         self.others_received_at_us = 0  # when the others' load last came
         # mean and deviation of the first events of short prompts, beyond what was expected
@@ -157,7 +115,7 @@
         # (key, workers) -> the workers by weight
         self.ranks: collections.OrderedDict[tuple[bytes, tuple[str, ...]], list[str]] = collections.OrderedDict()
 
-    def estimate(self, worker: str) -> WorkerEstimate:
+    def estimate(self, worker: str) -> worker_estimate.WorkerEstimate:
         """Return what is known of a worker.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").estimate("w1").running
@@ -165,7 +123,7 @@
         """
         estimate = self.workers.get(worker)
         if estimate is None:
-            estimate = self.workers[worker] = WorkerEstimate()
+            estimate = self.workers[worker] = worker_estimate.WorkerEstimate()
         return estimate
 
     def rank(self, key: bytes, workers: tuple[str, ...]) -> list[str]:
