--- a/simulation/scenarios/network.py
+++ b/simulation/scenarios/network.py
@@ -12,6 +12,8 @@
 if typing.TYPE_CHECKING:
     from simulation import server_model
 
+Impairment = typing.TypeVar("Impairment", int, float)  # of a link: a delay in µs, or the share of packets lost
+
 
 def cut_core_one(cluster: simulated_cluster.SimulatedCluster) -> None:
     """One core is cut off from everything."""
@@ -129,26 +131,28 @@
 
 def slow_link(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A node's link and a core's link grow slow."""
-    actions.confirm_changes(cluster, 10, 3)
-    for target in (actions.some_node(cluster), actions.some_core(cluster)):
-        cluster.advance(4)
-        cluster.fault("slow", target.options.name)
-        cluster.world.slow[target.options.host] = 80_000 + cluster.rng.randrange(120_000)
-        cluster.advance(8)
-        del cluster.world.slow[target.options.host]
-        cluster.repair("mended", target.options.name)
-        cluster.advance(4)
+    _impair_links(cluster, "slow", cluster.world.slow, lambda: 80_000 + cluster.rng.randrange(120_000))
 
 
 def lossy_link(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A node's link and a core's link lose a fifth of all packets."""
+    _impair_links(cluster, "lossy", cluster.world.loss, lambda: 0.2)
+
+
+def _impair_links(
+    cluster: simulated_cluster.SimulatedCluster,
+    fault: str,
+    impairments: dict[str, Impairment],
+    draw: collections.abc.Callable[[], Impairment],
+) -> None:
+    """Impair a node's link and then a core's for 8 s each, by what `draw` gives; `impairments` is by host."""
     actions.confirm_changes(cluster, 10, 3)
     for target in (actions.some_node(cluster), actions.some_core(cluster)):
         cluster.advance(4)
-        cluster.fault("lossy", target.options.name)
-        cluster.world.loss[target.options.host] = 0.2
+        cluster.fault(fault, target.options.name)
+        impairments[target.options.host] = draw()
         cluster.advance(8)
-        del cluster.world.loss[target.options.host]
+        del impairments[target.options.host]
         cluster.repair("mended", target.options.name)
         cluster.advance(4)
 
