--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -100,9 +100,9 @@
         """Whether this incarnation serves as the tail of the newest view's chain."""
         return decisions.is_tail(self.record, self.own_voter.id, self.runtime.incarnation)
 
-    def may_lead_reads(self) -> bool:
+    def may_request_read_lease(self) -> bool:
         """Whether this machine is the synced tail, which may ask for the read lease."""
-        return decisions.may_lead_reads(self.record, self.own_voter.id, self.runtime.incarnation)
+        return decisions.may_request_read_lease(self.record, self.own_voter.id, self.runtime.incarnation)
 
     async def answer(self, request: VoterRequest) -> VoterResponse:
         """Answer one request of a proposer or of a tail."""
--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -130,10 +130,10 @@
     return record.view.chain[-1].id == identifier
 
 
-def may_lead_reads(record: Record, identifier: str, incarnation: str) -> bool:
+def may_request_read_lease(record: Record, identifier: str, incarnation: str) -> bool:
     """Whether a machine may ask for the read lease, and serve reads while it holds it.
 
-    >>> may_lead_reads(Record(message.View(2, [], [message.ChainReplica("a", "1")]), synced_view=1), "a", "1")
+    >>> may_request_read_lease(Record(message.View(2, [], [message.ChainReplica("a", "1")]), synced_view=1), "a", "1")
     False
     """
     return is_tail(record, identifier, incarnation) and is_synced(record)
@@ -145,7 +145,7 @@
     >>> may_commit(Record(message.View(2, [], [message.ChainReplica("a", "1")]), synced_view=2), "a", "1", copies=2)
     False
     """
-    if record.view is None or not may_lead_reads(record, identifier, incarnation):
+    if record.view is None or not may_request_read_lease(record, identifier, incarnation):
         return False
     return len(record.view.chain) >= copies
 
--- a/iriswheel/consensus/tail_lease.py
+++ b/iriswheel/consensus/tail_lease.py
@@ -34,7 +34,7 @@
 
     def is_held(self) -> bool:
         """Whether this machine is the synced tail and holds the lease at this very moment."""
-        return self.acceptor.may_lead_reads() and self.runtime.now() < self._expires_at_us
+        return self.acceptor.may_request_read_lease() and self.runtime.now() < self._expires_at_us
 
     def revoke(self) -> None:
         """End the lease at once: its view is sealed or over."""
@@ -44,7 +44,7 @@
         """While this machine is the tail, renew its lease in time."""
         while True:
             view = self.acceptor.view
-            if view is not None and self.acceptor.may_lead_reads() and self.acceptor.disk.ok:
+            if view is not None and self.acceptor.may_request_read_lease() and self.acceptor.disk.ok:
                 await self._renew(view)
             await self.runtime.pause(self.renew_now, timing.LEASE_RENEWAL_INTERVAL_US)
 
--- a/simulation/state_search/cluster_model.py
+++ b/simulation/state_search/cluster_model.py
@@ -235,7 +235,7 @@
 
 def has_lease(core: Core) -> bool:
     """Whether a core serves reads."""
-    leading = core.up and decisions.may_lead_reads(core.record, core.identifier, core.incarnation)
+    leading = core.up and decisions.may_request_read_lease(core.record, core.identifier, core.incarnation)
     return leading and len(core.supporters) >= decisions.majority(len(core.view.voters))
 
 
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -195,7 +195,7 @@
     tails = [
         core
         for core in world.cores
-        if core.reachable and decisions.may_lead_reads(core.record, core.identifier, core.incarnation)
+        if core.reachable and decisions.may_request_read_lease(core.record, core.identifier, core.incarnation)
     ]
     for tail, core in itertools.product(tails, world.cores):
         used = cluster_model.spend(world, "leases")
