--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -177,11 +177,11 @@
     )
 
 
-def is_election(record: Record, identifier: str, number: int, sender: str) -> bool:
+def is_valid_proposal(record: Record, identifier: str, number: int, sender: str) -> bool:
     """Whether a proposal is for the next view, from one voter to another.
 
     >>> voters = [message.Voter(i, "host", 1, "zone") for i in "ab"]
-    >>> is_election(Record(message.View(2, voters, [])), "a", 3, "b")
+    >>> is_valid_proposal(Record(message.View(2, voters, [])), "a", 3, "b")
     True
     """
     follows = record.view is not None and record.view.number + 1 == number
@@ -201,7 +201,7 @@
     >>> record.promised, answer.ok
     ((1, 'b'), True)
     """
-    if not is_election(record, replica.id, prepare.number, prepare.sender) or prepare.ballot <= record.promised:
+    if not is_valid_proposal(record, replica.id, prepare.number, prepare.sender) or prepare.ballot <= record.promised:
         return record, refuse_promise(record, replica, prepare.number)
     if is_lease_of_another(holder, prepare.sender):
         return record, refuse_promise(record, replica, prepare.number)
@@ -261,7 +261,7 @@
     False
     """
     number = request.view.number
-    if not is_election(record, identifier, number, request.sender) or request.ballot < record.promised:
+    if not is_valid_proposal(record, identifier, number, request.sender) or request.ballot < record.promised:
         return record, message.Accepted(False, newer_view(record, number))
     accepted = msgspec.structs.replace(record, promised=request.ballot, accepted=(request.ballot, request.view))
     return accepted, message.Accepted(True, None)
