--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -183,7 +183,7 @@
 
     def grant_lease(self, request: message.LeaseRequest) -> message.LeaseResponse:
         """Answer a LeaseRequest; a grant holds promises to others back until it expires."""
-        answer = decisions.give_lease(self.record, self.own_voter.id, request)
+        answer = decisions.grant_lease(self.record, self.own_voter.id, request)
         if answer.ok:
             self.lease_grant = LeaseGrant(request.tail, self.runtime.now() + timing.LEASE_US)
         return answer
--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -322,10 +322,10 @@
     return not is_synced(record) or snapshot_entry >= synced_entry
 
 
-def give_lease(record: Record, identifier: str, request: message.LeaseRequest) -> message.LeaseResponse:
+def grant_lease(record: Record, identifier: str, request: message.LeaseRequest) -> message.LeaseResponse:
     """Answer a LeaseRequest: given to the tail of an unsealed view.
 
-    >>> give_lease(Record(), "a", message.LeaseRequest(1, "b")).ok
+    >>> grant_lease(Record(), "a", message.LeaseRequest(1, "b")).ok
     False
     """
     view = record.view
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -201,7 +201,7 @@
         used = cluster_model.spend(world, "leases")
         if used is None or not core.reachable or core.identifier in tail.supporters:
             continue
-        answer = decisions.give_lease(
+        answer = decisions.grant_lease(
             core.record, core.identifier, message.LeaseRequest(tail.view.number, tail.identifier)
         )
         if answer.ok:
