--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -163,7 +163,7 @@
             except storage.DiskError:
                 # an agreed view may be known without the disk; being synced in it may not
                 if view.chain[0].id == self.own_voter.id:
-                    self.runtime.spawn(self._lead_once_synced(view), log)
+                    self.runtime.spawn(self._retry_marking_synced(view), log)
             self._on_view(view)
             self.on_synced()
         chain = " ".join(replica.id for replica in view.chain)
@@ -212,7 +212,7 @@
     def _is_newest(self, view: message.View) -> bool:
         return self.view is not None and self.view.number == view.number
 
-    async def _lead_once_synced(self, view: message.View) -> None:
+    async def _retry_marking_synced(self, view: message.View) -> None:
         """At the head of a view whose disk refused the note that it is synced: retry as long as the view lasts."""
         while self._is_newest(view) and self.record.synced_view < view.number:
             await self.runtime.sleep(timing.LEASE_RENEWAL_INTERVAL_US)
