--- a/iriswheel/consensus/peer_heartbeats.py
+++ b/iriswheel/consensus/peer_heartbeats.py
@@ -56,7 +56,7 @@
         self.send_now = scheduler.Signal()
         self.incarnation_seen = scheduler.Signal()  # woken for a machine that was not seen before in its incarnation
         self._seeds = list(seeds)
-        self._blank_seen_at_us: dict[Address, int] = {}  # of machines that know no view
+        self._seen_without_view_at_us: dict[Address, int] = {}  # of machines that know no view
         self._adopting = 0  # number of the newest view whose adoption is under way
 
     def own_heartbeat(self) -> message.Heartbeat:
@@ -80,7 +80,7 @@
         self.received[heartbeat.id] = ReceivedHeartbeat(self.runtime.now(), heartbeat)
         view = self.acceptor.view
         if heartbeat.view is None:
-            self._blank_seen_at_us[(heartbeat.host, heartbeat.port)] = self.runtime.now()
+            self._seen_without_view_at_us[(heartbeat.host, heartbeat.port)] = self.runtime.now()
         elif (view is None or heartbeat.view.number > view.number) and heartbeat.view.number > self._adopting:
             self.runtime.spawn(self._adopt(heartbeat.view), log)
         if is_new:
@@ -114,12 +114,12 @@
             if now - received_at_us < timing.PEER_TIMEOUT_US
         ]
 
-    def recent_blank(self) -> set[Address]:
+    def recent_without_view(self) -> set[Address]:
         """The addresses of live machines that knew no view."""
         now = self.runtime.now()
         return {
             address
-            for address, seen_at_us in self._blank_seen_at_us.items()
+            for address, seen_at_us in self._seen_without_view_at_us.items()
             if now - seen_at_us < timing.PEER_TIMEOUT_US
         }
 
--- a/iriswheel/consensus/view_change.py
+++ b/iriswheel/consensus/view_change.py
@@ -124,8 +124,8 @@
     async def _bootstrap(self) -> None:
         """Make view 1: the first of its machines does it, once all of them are there and know no view."""
         own_address = (self.own_voter.host, self.own_voter.port)
-        blank = self.heartbeats.recent_blank() | {own_address}
-        if self._initial_addresses[:1] != [own_address] or not set(self._initial_addresses) <= blank:
+        without_view = self.heartbeats.recent_without_view() | {own_address}
+        if self._initial_addresses[:1] != [own_address] or not set(self._initial_addresses) <= without_view:
             return
         by_address = {(heartbeat.host, heartbeat.port): heartbeat for heartbeat in self.heartbeats.recent()}
         by_address[own_address] = self.heartbeats.own_heartbeat()
