--- a/iriswheel/consensus/view_change.py
+++ b/iriswheel/consensus/view_change.py
@@ -48,12 +48,12 @@
         self.started_at_us = runtime.now()
         self._initial_addresses = list(initial_addresses)
         self._voter_count = max(voter_count, len(self._initial_addresses))
-        self._wanted_since_us: int | None = None  # since when the chain differs from the one that it should be
+        self._change_due_since_us: int | None = None  # since when the chain differs from the one that it should be
         self._highest_ballot_round = 0
 
     def reset(self) -> None:
         """Count the time for which a change is wanted anew: a newer view is there."""
-        self._wanted_since_us = None
+        self._change_due_since_us = None
 
     async def keep_view_current(self) -> None:
         """Look at the chain over and over, and propose a better view where one is due."""
@@ -80,15 +80,15 @@
         is_unchanged = voters == view.voters and _members(voters, alive) == set(decisions.chain_incarnations(view))
         has_quorum = len(live_ids) >= decisions.majority(len(view.voters))
         if (is_unchanged and not self.heartbeats.is_any_sealed(view)) or not has_quorum:
-            self._wanted_since_us = None
+            self._change_due_since_us = None
             return False
-        if self._wanted_since_us is None:
-            self._wanted_since_us = now
+        if self._change_due_since_us is None:
+            self._change_due_since_us = now
         if self.acceptor.is_tail() and not is_unchanged:
             return True
-        return now - self._wanted_since_us >= self._patience_us(view, alive, live_ids)
+        return now - self._change_due_since_us >= self._proposal_delay_us(view, alive, live_ids)
 
-    def _patience_us(self, view: message.View, alive: decisions.Incarnations, live_ids: list[str]) -> int:
+    def _proposal_delay_us(self, view: message.View, alive: decisions.Incarnations, live_ids: list[str]) -> int:
         """How long others go first: a live tail, whose lease holds proposals of others back, then lower ranks."""
         rank = live_ids.index(self.own_voter.id) if self.own_voter.id in live_ids else len(live_ids)
         tail = view.chain[-1]
--- a/iriswheel/consensus/voter_calls.py
+++ b/iriswheel/consensus/voter_calls.py
@@ -62,8 +62,8 @@
 
         alive = self.heartbeats.alive()
         for voter in voters:
-            patience_us = timeout_us if voter.id in alive else min(timeout_us, timing.DEAD_PEER_CALL_TIMEOUT_US)
-            defer.ensureDeferred(self._call(voter, request, patience_us)).addBoth(collect, voter.id)
+            voter_timeout_us = timeout_us if voter.id in alive else min(timeout_us, timing.DEAD_PEER_CALL_TIMEOUT_US)
+            defer.ensureDeferred(self._call(voter, request, voter_timeout_us)).addBoth(collect, voter.id)
         await complete
         return {voter.id: answers.get(voter.id) for voter in voters}
 
