--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -253,7 +253,7 @@
             "stamp": core.chain.committed_state.version,
             "n": core.chain.committed_state.index,
             "tip": core.chain.latest_state.index,
-            "lease_left_us": max(0, core.lease.until - core.runtime.now()),
+            "lease_left_us": max(0, core.lease.expires_at_us - core.runtime.now()),
             "disk_ok": core.disk.ok,
             "sessions": sorted(session.member.name for session in sessions),
             "fed_bytes": {session.member.name: session.connection.sent_bytes for session in sessions},
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -47,22 +47,22 @@
     """
 
     def __init__(self) -> None:
-        self.until = 0
+        self.expires_at_us = 0
 
     def renew(self, echo: int, left: int) -> None:
         """Take a core machine's answer to the heartbeat that this node sent at `echo` (µs)."""
         if echo > 0 and left > 0:
-            self.until = max(self.until, echo + left)
+            self.expires_at_us = max(self.expires_at_us, echo + left)
 
     def valid(self, now: int) -> bool:
         """Whether the lease runs at `now` (µs)."""
-        return now < self.until
+        return now < self.expires_at_us
 
 
 class GrantedLease(msgspec.Struct):
     """What one node may hold: until when (µs, local clock), and the log index that it has applied."""
 
-    until: int
+    expires_at_us: int
     applied: int
 
 
@@ -98,7 +98,7 @@
 
     def __init__(self, length: int) -> None:
         self.length = length  # of a lease, in µs
-        self.until = 0
+        self.expires_at_us = 0
         self.echo = 0
         self.sessions: dict[str, SessionLease] = {}
         self.grants: dict[str, GrantedLease] = {}
@@ -107,7 +107,7 @@
         """The tail sent back the time (µs) of a report of this core machine."""
         if echo > self.echo:
             self.echo = echo
-            self.until = echo + self.length
+            self.expires_at_us = echo + self.length
 
     def record_heartbeat(self, node: str, applied: int, now: int) -> None:
         """A node's heartbeat came at `now` (µs); it has applied the configuration up to a log index."""
@@ -126,12 +126,14 @@
     def grant(self, node: str, now: int) -> int:
         """What is left (µs) at `now` of a lease for a node, noted as granted; 0 where it may not have one."""
         session = self.sessions.get(node)
-        if session is None or session.listed_at is None or self.echo < session.listed_at or now >= self.until:
+        if session is None or session.listed_at is None or self.echo < session.listed_at or now >= self.expires_at_us:
             return 0
-        until = min(self.until, session.last_contact_at + self.length)
+        expires_at_us = min(self.expires_at_us, session.last_contact_at + self.length)
         old = self.grants.get(node)
-        self.grants[node] = GrantedLease(max(until, old.until if old is not None else 0), session.applied)
-        return self.until - now
+        self.grants[node] = GrantedLease(
+            max(expires_at_us, old.expires_at_us if old is not None else 0), session.applied
+        )
+        return self.expires_at_us - now
 
     def rows_to_report(self, now: int) -> list[LeaseRow]:
         """The rows of a report sent at `now` (µs).
@@ -139,9 +141,9 @@
         A node with a session may get one up to a whole lease before the next report is answered.
         """
         rows = {}
-        self.grants = {node: grant for node, grant in self.grants.items() if grant.until > now}
+        self.grants = {node: grant for node, grant in self.grants.items() if grant.expires_at_us > now}
         for node, grant in self.grants.items():
-            rows[node] = (node, grant.applied, grant.until - now)
+            rows[node] = (node, grant.applied, grant.expires_at_us - now)
         for node, session in self.sessions.items():
             if session.applied < 0:
                 continue
@@ -201,11 +203,13 @@
         for node, applied, left in leases:
             reported = GrantedLease(now + left + DRIFT_US, applied)
             known = self.holders.get(node, reported)
-            self.holders[node] = GrantedLease(max(reported.until, known.until), max(reported.applied, known.applied))
+            self.holders[node] = GrantedLease(
+                max(reported.expires_at_us, known.expires_at_us), max(reported.applied, known.applied)
+            )
 
     def applied(self, index: int, now: int) -> int:
         """How far up to a log index every node with a possible lease at `now` (µs) has come; 0 if unknown."""
         if self.awaited or now < self.unsure_until:
             return 0
-        self.holders = {node: grant for node, grant in self.holders.items() if grant.until > now}
+        self.holders = {node: grant for node, grant in self.holders.items() if grant.expires_at_us > now}
         return min([index] + [grant.applied for grant in self.holders.values()])
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -93,7 +93,7 @@
         return {
             "core": "{}:{}".format(*self.address) if self.address is not None else None,
             "stands": self.is_established(),
-            "lease_left_us": max(0, self.lease.until - now),
+            "lease_left_us": max(0, self.lease.expires_at_us - now),
             "renewed_us_ago": None if self.leased_at is None else now - self.leased_at,
             "moves": self.moves,
             "attempts": sorted("{}:{}".format(*address) for address in self.attempts),
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -199,7 +199,7 @@
         bound_us = self.options.revocation_us
         if not bound_us:
             return False
-        known_until_us = self.session.lease.until
+        known_until_us = self.session.lease.expires_at_us
         return not known_until_us or self.runtime.now() >= known_until_us + bound_us - CLOCK_MARGIN_US
 
     def may_be_replaced(self) -> bool:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -111,7 +111,7 @@
         others = [c.options.host for c in cluster.cores.values() if c is not head]
         cluster.world.cut([head.options.host], others)
         cluster.advance(1.2 + head.options.lease_us / SECOND)
-        assert head.lease.until <= head.runtime.now()
+        assert head.lease.expires_at_us <= head.runtime.now()
         for node in cluster.nodes.values():
             assert node.member_record is not None
             assert head.lease.grant(node.member_record.id, head.runtime.now()) == 0
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -69,7 +69,7 @@
 
     def lease_until(self, until: int) -> None:
         """The lease ends then."""
-        self.follower.session.lease.until = until
+        self.follower.session.lease.expires_at_us = until
 
     def authenticate(self, credentials: str | None, public: bool = False, forged: str = "") -> Any:  # noqa: ANN401 - it stands for a request
         received = http_headers.Headers({edge_protocol.TENANT: [forged]} if forged else {})
