--- a/benchmarks/total_loss.py
+++ b/benchmarks/total_loss.py
@@ -127,7 +127,7 @@
     nodes = [node for node in cluster.nodes.values() if node.process.alive]
     return {
         "tail_lease": cluster.tail() is not None,
-        "node_lease": any(node.follower.session.lease.valid(node.runtime.now()) for node in nodes),
+        "node_lease": any(node.follower.session.lease.is_valid(node.runtime.now()) for node in nodes),
         "ready": any(node.ready()[0] for node in nodes),
         "served": clients.first_served_at is not None,
         "acknowledged": any(done.sent >= lost_at for done in operators.acknowledged),
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -42,7 +42,7 @@
 
     >>> lease = NodeLease()
     >>> lease.renew(echo=1_000_000, left=500_000)
-    >>> lease.valid(1_400_000), lease.valid(1_500_000)
+    >>> lease.is_valid(1_400_000), lease.is_valid(1_500_000)
     (True, False)
     """
 
@@ -54,7 +54,7 @@
         if echo > 0 and left > 0:
             self.expires_at_us = max(self.expires_at_us, echo + left)
 
-    def valid(self, now: int) -> bool:
+    def is_valid(self, now: int) -> bool:
         """Whether the lease runs at `now` (µs)."""
         return now < self.expires_at_us
 
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -186,7 +186,7 @@
         serves on in any case (option `serve_on`) stops only where a peer that has its session
         with the core shows that it missed a change.
         """
-        if self.session.lease.valid(self.runtime.now()):
+        if self.session.lease.is_valid(self.runtime.now()):
             return False
         return self.peer_has_newer_configuration() if self.options.serve_on else self.is_partitioned()
 
@@ -209,7 +209,7 @@
         """
         if self.needs_rejoin():
             return True
-        return not self.session.lease.valid(self.runtime.now()) and self.peer_status.any_in_touch()
+        return not self.session.lease.is_valid(self.runtime.now()) and self.peer_status.any_in_touch()
 
     def peer_has_newer_configuration(self) -> bool:
         """Whether a peer that is in touch with the core has a newer configuration than this node."""
@@ -362,7 +362,7 @@
             case message.SessionHeartbeat(listing_unchanged=unchanged):
                 if unchanged is not None:
                     self.apply_listing_unchanged(unchanged)
-        if self.rejoining_since is not None and self.session.lease.valid(self.runtime.now()):
+        if self.rejoining_since is not None and self.session.lease.is_valid(self.runtime.now()):
             self.rejoining_since = None
             self.node.on_update()
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -94,7 +94,7 @@
         got = confirm(cluster.tail())
         assert cluster.advance_until(lambda: got, 10)
         assert not isinstance(got[0], errors.ServiceError)
-        assert not cut.follower.session.lease.valid(cut.runtime.now())
+        assert not cut.follower.session.lease.is_valid(cut.runtime.now())
         assert cut.follower.applied_index < got[0].version <= cluster.nodes["n2"].follower.applied_index
 
     def test_a_lease_is_not_renewed_by_a_core_machine_that_does_not_hear_the_tail(
@@ -140,7 +140,7 @@
         address: tuple[str, int],
     ) -> None:
         assert cluster.advance_until(lambda: all(node.follower.session.address != address for node in nodes), 1.5)
-        assert all(node.follower.session.lease.valid(node.runtime.now()) for node in nodes)
+        assert all(node.follower.session.lease.is_valid(node.runtime.now()) for node in nodes)
 
     def test_committed_changes_reach_nodes_through_a_core_machine_without_a_lease(
         self, quiet_cluster: conftest.QuietCluster
