--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -173,9 +173,9 @@
 
     def __init__(self, length: int, now: int) -> None:
         self.length = length  # of a lease, in µs
-        self.unsure_until = now + length + DRIFT_US
+        self.unknown_grants_until = now + length + DRIFT_US
         self.holders: dict[str, GrantedLease] = {}
-        self.awaited: set[str] = set()
+        self.unreported_cores: set[str] = set()
 
     def on_view(
         self,
@@ -192,14 +192,14 @@
         every report on which a lease was granted.
         """
         if before == []:
-            self.unsure_until = now
+            self.unknown_grants_until = now
         elif before is None or not (was_tail or set(before) <= set(chain)):
-            self.unsure_until = now + self.length + DRIFT_US
-        self.awaited = {core for core, _ in chain}
+            self.unknown_grants_until = now + self.length + DRIFT_US
+        self.unreported_cores = {core for core, _ in chain}
 
     def record_heartbeat(self, core: str, leases: list[LeaseRow], now: int) -> None:
         """Record a core machine's report in the present view: the leases that it granted."""
-        self.awaited.discard(core)
+        self.unreported_cores.discard(core)
         for node, applied, left in leases:
             reported = GrantedLease(now + left + DRIFT_US, applied)
             known = self.holders.get(node, reported)
@@ -209,7 +209,7 @@
 
     def applied(self, index: int, now: int) -> int:
         """How far up to a log index every node with a possible lease at `now` (µs) has come; 0 if unknown."""
-        if self.awaited or now < self.unsure_until:
+        if self.unreported_cores or now < self.unknown_grants_until:
             return 0
         self.holders = {node: grant for node, grant in self.holders.items() if grant.expires_at_us > now}
         return min([index] + [grant.applied for grant in self.holders.values()])
