--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -31,7 +31,9 @@
     from iriswheel.consensus import decisions
 
 DRIFT_US = 50 * units.MILLISECOND_US
-SILENT_US = 700 * units.MILLISECOND_US  # a node that was not heard for so long gets no lease before it is listed again
+NODE_SILENCE_LIMIT_US = (
+    700 * units.MILLISECOND_US
+)  # a node that was not heard for so long gets no lease before it is listed again
 
 
 LeaseRow: typing.TypeAlias = tuple[str, int, int]  # node, log index applied, how long it may hold a lease (µs)
@@ -147,7 +149,7 @@
         for node, session in self.sessions.items():
             if session.applied < 0:
                 continue
-            if now - session.last_contact_at > SILENT_US:
+            if now - session.last_contact_at > NODE_SILENCE_LIMIT_US:
                 session.listed_at = None
                 continue
             if session.listed_at is None:
