--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -92,7 +92,7 @@
         """The index up to which every node that may hold a lease has applied the log; 0 where it is not known."""
         if not self.parts.consensus.holds_lease():
             return 0
-        return self.holders.applied(self.parts.chain.committed_state.index, self.parts.runtime.now())
+        return self.holders.applied_by_holders(self.parts.chain.committed_state.index, self.parts.runtime.now())
 
     async def remove_member(self, leaving: message.MemberLeaving) -> None:
         """Remove a node that says it leaves; where another machine is the tail, pass the message on."""
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -161,15 +161,17 @@
 class LeaseHolders:
     """At a core machine that may become the tail: who may hold a lease, and how far each has come.
 
-    `on_view` is called for each view; `record_heartbeat` with each report; `applied` says how far up to
+    `on_view` is called for each view; `record_heartbeat` with each report; `applied_by_holders` says how far up to
     a log index all holders have come.
 
     >>> holders = LeaseHolders(2_000_000, now=0)
     >>> holders.on_view([], [("a", "1"), ("b", "1")], now=0)
     >>> holders.record_heartbeat("a", [("n1", 4, 500_000)], now=10)
-    >>> holders.applied(5, now=20), holders.record_heartbeat("b", [], now=30), holders.applied(5, now=40)
-    (0, None, 4)
-    >>> holders.applied(5, now=600_000)
+    >>> holders.applied_by_holders(5, now=20)
+    0
+    >>> holders.record_heartbeat("b", [], now=30); holders.applied_by_holders(5, now=40)
+    4
+    >>> holders.applied_by_holders(5, now=600_000)
     5
     """
 
@@ -209,7 +211,7 @@
                 max(reported.expires_at_us, known.expires_at_us), max(reported.applied, known.applied)
             )
 
-    def applied(self, index: int, now: int) -> int:
+    def applied_by_holders(self, index: int, now: int) -> int:
         """How far up to a log index every node with a possible lease at `now` (µs) has come; 0 if unknown."""
         if self.unreported_cores or now < self.unknown_grants_until:
             return 0
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -43,8 +43,8 @@
         holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([], [A], now=0)
         holders.record_heartbeat("a", [("n1", 4, SECOND), ("n2", 5, SECOND)], now=0)
-        assert holders.applied(5, now=SECOND) == 4
-        assert holders.applied(5, now=SECOND + lease.DRIFT_US) == 5
+        assert holders.applied_by_holders(5, now=SECOND) == 4
+        assert holders.applied_by_holders(5, now=SECOND + lease.DRIFT_US) == 5
 
     def test_a_new_tail_waits_one_lease_for_what_a_lost_core_machine_granted(self) -> None:
         for chain, sure in (([B, C], False), ([decisions.ReplicaIncarnation("a", "2"), B], False)):
@@ -52,8 +52,8 @@
             holders.on_view([A, B], chain, now=10 * SECOND)
             for name, _ in chain:
                 holders.record_heartbeat(name, [], now=10 * SECOND)
-            assert holders.applied(5, now=12 * SECOND) == 0
-            assert holders.applied(5, now=12 * SECOND + lease.DRIFT_US) == 5, (chain, sure)
+            assert holders.applied_by_holders(5, now=12 * SECOND) == 0
+            assert holders.applied_by_holders(5, now=12 * SECOND + lease.DRIFT_US) == 5, (chain, sure)
 
     def test_a_tail_that_stays_waits_only_for_what_it_knows_that_a_lost_core_machine_granted(self) -> None:
         holders = lease.LeaseHolders(2 * SECOND, now=0)
@@ -62,8 +62,8 @@
         holders.on_view([A, B], [B, C], now=10 * SECOND, was_tail=True)
         for name in "bc":
             holders.record_heartbeat(name, [], now=10 * SECOND)
-        assert holders.applied(5, now=11 * SECOND) == 4
-        assert holders.applied(5, now=11 * SECOND + lease.DRIFT_US) == 5
+        assert holders.applied_by_holders(5, now=11 * SECOND) == 4
+        assert holders.applied_by_holders(5, now=11 * SECOND + lease.DRIFT_US) == 5
 
     def test_a_new_tail_that_hears_all_of_the_chain_before_it_waits_for_none(self) -> None:
         holders = lease.LeaseHolders(2 * SECOND, now=0)
@@ -71,9 +71,9 @@
         holders.on_view([A, B], [A, B, C], now=10 * SECOND)
         for name in "ab":
             holders.record_heartbeat(name, [], now=10 * SECOND)
-        assert holders.applied(5, now=10 * SECOND) == 0
+        assert holders.applied_by_holders(5, now=10 * SECOND) == 0
         holders.record_heartbeat("c", [], now=10 * SECOND)
-        assert holders.applied(5, now=10 * SECOND) == 5
+        assert holders.applied_by_holders(5, now=10 * SECOND) == 5
 
     def test_a_doubt_is_passed_on_through_the_next_view(self) -> None:
         holders = lease.LeaseHolders(2 * SECOND, now=0)
@@ -81,7 +81,7 @@
         holders.on_view([B], [B, C], now=11 * SECOND)
         for name in "bc":
             holders.record_heartbeat(name, [], now=11 * SECOND)
-        assert holders.applied(5, now=12 * SECOND) == 0
+        assert holders.applied_by_holders(5, now=12 * SECOND) == 0
 
 
 class TestLeasesInACluster:
