--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -43,7 +43,7 @@
     """A node's lease, on the node's clock.
 
     >>> lease = NodeLease()
-    >>> lease.renew(echo=1_000_000, left=500_000)
+    >>> lease.renew(sent_at=1_000_000, remaining_us=500_000)
     >>> lease.is_valid(1_400_000), lease.is_valid(1_500_000)
     (True, False)
     """
@@ -51,10 +51,10 @@
     def __init__(self) -> None:
         self.expires_at_us = 0
 
-    def renew(self, echo: int, left: int) -> None:
-        """Take a core machine's answer to the heartbeat that this node sent at `echo` (µs)."""
-        if echo > 0 and left > 0:
-            self.expires_at_us = max(self.expires_at_us, echo + left)
+    def renew(self, sent_at: int, remaining_us: int) -> None:
+        """Take a core machine's answer to the heartbeat that this node sent at `sent_at` (µs)."""
+        if sent_at > 0 and remaining_us > 0:
+            self.expires_at_us = max(self.expires_at_us, sent_at + remaining_us)
 
     def is_valid(self, now: int) -> bool:
         """Whether the lease runs at `now` (µs)."""
@@ -84,32 +84,32 @@
 
     >>> core = CoreLease(2_000_000)
     >>> core.record_heartbeat("n1", 7, now=1_000_000)
-    >>> core.renew(echo=900_000); core.grant("n1", now=1_010_000)
+    >>> core.renew(sent_at=900_000); core.grant("n1", now=1_010_000)
     0
     >>> core.rows_to_report(now=1_020_000)
     [('n1', 7, 2000000)]
-    >>> core.renew(echo=1_020_000); core.grant("n1", now=1_030_000)
+    >>> core.renew(sent_at=1_020_000); core.grant("n1", now=1_030_000)
     1990000
     >>> core.rows_to_report(now=1_800_000)  # silent for a while: listed with what it may hold, and no longer eligible
     [('n1', 7, 1200000)]
-    >>> core.renew(echo=1_800_000); core.grant("n1", now=1_810_000)
+    >>> core.renew(sent_at=1_800_000); core.grant("n1", now=1_810_000)
     0
     >>> core.end_session("n1"); core.rows_to_report(now=2_000_000), core.rows_to_report(now=3_000_000)
     ([('n1', 7, 1000000)], [])
     """
 
-    def __init__(self, length: int) -> None:
-        self.length = length  # of a lease, in µs
+    def __init__(self, duration_us: int) -> None:
+        self.duration_us = duration_us  # of a lease, in µs
         self.expires_at_us = 0
-        self.echo = 0
+        self.answered_report_at = 0
         self.sessions: dict[str, SessionLease] = {}
         self.grants: dict[str, GrantedLease] = {}
 
-    def renew(self, echo: int) -> None:
+    def renew(self, sent_at: int) -> None:
         """The tail sent back the time (µs) of a report of this core machine."""
-        if echo > self.echo:
-            self.echo = echo
-            self.expires_at_us = echo + self.length
+        if sent_at > self.answered_report_at:
+            self.answered_report_at = sent_at
+            self.expires_at_us = sent_at + self.duration_us
 
     def record_heartbeat(self, node: str, applied: int, now: int) -> None:
         """A node's heartbeat came at `now` (µs); it has applied the configuration up to a log index."""
@@ -128,9 +128,14 @@
     def grant(self, node: str, now: int) -> int:
         """What is left (µs) at `now` of a lease for a node, noted as granted; 0 where it may not have one."""
         session = self.sessions.get(node)
-        if session is None or session.listed_at is None or self.echo < session.listed_at or now >= self.expires_at_us:
+        if (
+            session is None
+            or session.listed_at is None
+            or self.answered_report_at < session.listed_at
+            or now >= self.expires_at_us
+        ):
             return 0
-        expires_at_us = min(self.expires_at_us, session.last_contact_at + self.length)
+        expires_at_us = min(self.expires_at_us, session.last_contact_at + self.duration_us)
         old = self.grants.get(node)
         self.grants[node] = GrantedLease(
             max(expires_at_us, old.expires_at_us if old is not None else 0), session.applied
@@ -154,7 +159,7 @@
                 continue
             if session.listed_at is None:
                 session.listed_at = now
-            rows[node] = (node, session.applied, self.length)
+            rows[node] = (node, session.applied, self.duration_us)
         return [row for _, row in sorted(rows.items())]
 
 
@@ -175,9 +180,9 @@
     5
     """
 
-    def __init__(self, length: int, now: int) -> None:
-        self.length = length  # of a lease, in µs
-        self.unknown_grants_until = now + length + DRIFT_US
+    def __init__(self, duration_us: int, now: int) -> None:
+        self.duration_us = duration_us  # of a lease, in µs
+        self.unknown_grants_until = now + duration_us + DRIFT_US
         self.holders: dict[str, GrantedLease] = {}
         self.unreported_cores: set[str] = set()
 
@@ -198,14 +203,14 @@
         if before == []:
             self.unknown_grants_until = now
         elif before is None or not (was_tail or set(before) <= set(chain)):
-            self.unknown_grants_until = now + self.length + DRIFT_US
+            self.unknown_grants_until = now + self.duration_us + DRIFT_US
         self.unreported_cores = {core for core, _ in chain}
 
     def record_heartbeat(self, core: str, leases: list[LeaseRow], now: int) -> None:
         """Record a core machine's report in the present view: the leases that it granted."""
         self.unreported_cores.discard(core)
-        for node, applied, left in leases:
-            reported = GrantedLease(now + left + DRIFT_US, applied)
+        for node, applied, remaining_us in leases:
+            reported = GrantedLease(now + remaining_us + DRIFT_US, applied)
             known = self.holders.get(node, reported)
             self.holders[node] = GrantedLease(
                 max(reported.expires_at_us, known.expires_at_us), max(reported.applied, known.applied)
