--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -63,7 +63,7 @@
     """
     out = []
     for key in keys:
-        holder, copies = role_assignments.group(key, candidates, None)
+        holder, copies = role_assignments.choose_group(key, candidates, None)
         out.append(message.RoleAssignment(key, (3, 17), holder, copies, [holder, *copies], True))
     return out
 
--- a/iriswheel/membership/assignments.py
+++ b/iriswheel/membership/assignments.py
@@ -11,7 +11,7 @@
 
 from iriswheel.transport import message
 
-COPIES = 2  # members beside the holder that keep a role's records
+RECORD_COPIES = 2  # members beside the holder that keep a role's records
 LISTING_ROLE = "list"
 POOL_ROLE_PREFIX = "pool/"
 
@@ -66,7 +66,7 @@
     return sorted(members, key=lambda member: rendezvous_weight(key, member.id), reverse=True)
 
 
-def group(
+def choose_group(
     key: str, members: collections.abc.Sequence[message.Member], previous: message.RoleAssignment | None
 ) -> Group:
     """Who holds a role and who keeps its copies: whoever had it keeps it.
@@ -75,11 +75,11 @@
     Copies stand in other zones than the holder's where there are such.
 
     >>> members = [message.Member(i, i, z, "h", 1, 2) for i, z in ("an", "bn", "cs", "ds")]
-    >>> tuple(group("pool/desk", members, None))
+    >>> tuple(choose_group("pool/desk", members, None))
     ('c', ['a', 'b'])
-    >>> tuple(group("pool/desk", members[1:], message.RoleAssignment("pool/desk", (1, 1), "a", ["d", "c"], [])))
+    >>> tuple(choose_group("pool/desk", members[1:], message.RoleAssignment("pool/desk", (1, 1), "a", ["d", "c"], [])))
     ('d', ['b', 'c'])
-    >>> tuple(group("pool/desk", members[1:], message.RoleAssignment("pool/desk", (1, 2), "d", ["b", "c"], [])))
+    >>> tuple(choose_group("pool/desk", members[1:], message.RoleAssignment("pool/desk", (1, 2), "d", ["b", "c"], [])))
     ('d', ['b', 'c'])
     """
     ranked = rank_members(key, members)
@@ -94,7 +94,7 @@
         return member.zone == zone, place
 
     others = sorted((member for member in ranked if member.id != holder), key=preference)
-    return Group(holder, [member.id for member in others[:COPIES]])
+    return Group(holder, [member.id for member in others[:RECORD_COPIES]])
 
 
 def assign(
@@ -127,7 +127,7 @@
     (1, 2)
     """
     if previous is None:
-        holder, copies = group(key, members, None)
+        holder, copies = choose_group(key, members, None)
         return message.RoleAssignment(key, version, holder, copies, [])
     current = previous
     if not current.active and (key, current.term) in active:
@@ -135,7 +135,7 @@
     if (key, current.term) in contested:
         current = _under_new_term(current, version, Group(current.holder, current.copies))
     members_before = Group(current.holder, current.copies)
-    members_now = members_before if same_members else group(key, members, current)
+    members_now = members_before if same_members else choose_group(key, members, current)
     return current if members_now == members_before else _under_new_term(current, version, members_now)
 
 
--- a/tests/test_assignments.py
+++ b/tests/test_assignments.py
@@ -22,7 +22,7 @@
             assert latest is not None
             assert sorted(m.id for m in live) == sorted(m.id for m in latest.members)
             for assignment in latest.assignments:
-                assert assignments.group(assignment.key, latest.members, assignment) == (
+                assert assignments.choose_group(assignment.key, latest.members, assignment) == (
                     assignment.holder,
                     assignment.copies,
                 )
