--- a/iriswheel/control/load_exchange.py
+++ b/iriswheel/control/load_exchange.py
@@ -81,7 +81,7 @@
         """Bring the sums up to date by a report."""
         table = self.tables.setdefault(report.sender, {})
         old = dict(table)
-        for key in load_table.update(table, report):
+        for key in load_table.apply_report(table, report):
             for sums in [self.sums, self.node_sums] if from_node else [self.sums]:
                 sums[key] = load_table.add_and_subtract(
                     sums.get(key, load_table.NO_LOAD),
--- a/iriswheel/membership/load_table.py
+++ b/iriswheel/membership/load_table.py
@@ -56,10 +56,10 @@
     )
 
 
-def changes(old: LoadTable, new: LoadTable) -> set[WorkerKey]:
+def changed_keys(old: LoadTable, new: LoadTable) -> set[WorkerKey]:
     """The workers whose load differs.
 
-    >>> changes({"a": 1, "b": 2}, {"b": 2, "c": 3}) == {"a", "c"}
+    >>> changed_keys({"a": 1, "b": 2}, {"b": 2, "c": 3}) == {"a", "c"}
     True
     """
     return {key for key in old.keys() | new.keys() if old.get(key, NO_LOAD) != new.get(key, NO_LOAD)}
@@ -77,14 +77,14 @@
     return rise_tokens >= HEAVY_PROMPT_TOKENS or rise_percent >= SUSPICION_STEP_PERCENT
 
 
-def update(table: LoadTable, report: message.LoadReport) -> set[WorkerKey]:
+def apply_report(table: LoadTable, report: message.LoadReport) -> set[WorkerKey]:
     """Bring a table up to date by a report, in place.
 
     Returns:
         The keys whose load changed.
 
     >>> import iriswheel.transport.message as message
-    >>> t = {}; update(t, message.LoadReport("n1", True, {"p": [("w1", 1, 60, 0)]})), t
+    >>> t = {}; apply_report(t, message.LoadReport("n1", True, {"p": [("w1", 1, 60, 0)]})), t
     ({('p', 'w1')}, {('p', 'w1'): Load(running_requests=1, unread_prompt_tokens=60, suspicion_percent=0)})
     """
     reported: LoadTable = {
@@ -93,7 +93,7 @@
         for worker, requests, tokens, suspicion in pool_rows
     }
     new = reported if report.complete else {**table, **reported}
-    changed = changes(table, new)
+    changed = changed_keys(table, new)
     table.clear()
     table.update({key: load for key, load in new.items() if load != NO_LOAD})
     return changed
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -53,7 +53,7 @@
         if self.connection is None or not session.is_established():
             return
         own = self.own_loads()
-        changed = load_table.changes(self.last_reported or {}, own)
+        changed = load_table.changed_keys(self.last_reported or {}, own)
         if changed or self.last_reported is None:
             rows = load_table.rows(own, changed)
             assert self.node.member_record is not None  # known since the node started, before any session
