--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -146,7 +146,7 @@
         if not self.has_issued() and not self._adopt_last_membership(now):
             return
         if self.seen and not self.session_count():
-            self._renew_graces(now)
+            self._restart_grace_periods(now)
         for node in [node for node, seen in self.seen.items() if now - seen.seen_at > LOST_SESSION_GRACE_US]:
             del self.seen[node]
         membership = self._next_membership()
@@ -208,7 +208,7 @@
                 self.listing = message.WorkerListing(old.workers, old.listing_version)
         return True
 
-    def _renew_graces(self, now: int) -> None:
+    def _restart_grace_periods(self, now: int) -> None:
         """No node at all is left: give each a grace again.
 
         The core is more likely cut off than all nodes are dead, and role assignments made now would
@@ -265,11 +265,9 @@
         needed = [assignments.LISTING_ROLE, *map(assignments.pool_role, self.pools())]
         now = self.runtime.now()
         removed = [key for key in previous if key not in needed]
-        lingering = [
-            key for key in removed if now - self.removed_since.setdefault(key, now) < REMOVED_POOL_RETENTION_US
-        ]
-        self.removed_since = {key: since for key, since in self.removed_since.items() if key in lingering}
-        return needed + lingering
+        retained = [key for key in removed if now - self.removed_since.setdefault(key, now) < REMOVED_POOL_RETENTION_US]
+        self.removed_since = {key: since for key, since in self.removed_since.items() if key in retained}
+        return needed + retained
 
 
 def _same_content(new: message.Membership, old: message.Membership | None) -> bool:
