--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -28,18 +28,18 @@
 
 
 class TestChainOrder:
-    def test_of_copies_synced_one_view_before_the_newest_leads(self) -> None:
+    def test_the_newest_copy_leads_if_none_is_synced_in_the_latest_view(self) -> None:
         answers = {"b": promised("b", 3, (3, 6)), "c": promised("c", 3, (3, 7))}
         members = view_formation.next_chain(make_view(4, "abc"), answers, {"b": "1", "c": "1"})
         assert members is not None
         assert [member.id for member in members] == ["c", "b"]
 
-    def test_newcomers_alone_agree_on_no_chain(self) -> None:
+    def test_newcomers_without_a_synced_copy_form_no_chain(self) -> None:
         answers = {"b2": promised("b2", 0), "c2": promised("c2", 0)}
         old = make_view(4, ["a", "b2", "c2"])
         assert view_formation.next_view(old, answers, old.voters, {"b2": "1", "c2": "1"}, {}) is None
 
-    def test_a_copy_that_leaves_leads_only_where_no_other_can(self) -> None:
+    def test_a_leaving_machine_heads_the_chain_only_if_no_other_copy_is_synced(self) -> None:
         old = make_view(4, "abc")
         alive, leaving = {"b": "1", "c": "1"}, {"a": "1"}
         answers = {"a": promised("a", 4), "b": promised("b", 3)}
@@ -62,7 +62,7 @@
 
 
 class TestLateSnapshots:
-    def test_a_snapshot_that_was_held_up_takes_nothing_back(self) -> None:
+    def test_a_delayed_older_snapshot_does_not_undo_acknowledged_entries(self) -> None:
         clock = task.Clock()
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
         members = [message.ChainReplica("a", "1"), message.ChainReplica("b", runtime.incarnation)]
@@ -126,7 +126,7 @@
             consensus.receive_heartbeat(message.Heartbeat(identifier, "1", "zone", identifier, 1, agreed, 4, True))
         return clock, consensus
 
-    def test_the_tail_holds_its_lease_as_soon_as_a_majority_gave_it(self) -> None:
+    def test_the_tail_holds_its_lease_as_soon_as_a_majority_has_granted_it(self) -> None:
         _, consensus = self.make_consensus({"b": message.LeaseResponse(True, None)})
         consensus.runtime.spawn(consensus.renew_lease())
         assert consensus.holds_lease()
@@ -147,7 +147,7 @@
         answer = deferreds.result_of(defer.ensureDeferred(consensus.acceptor.promise(prepare)))
         assert answer.ok
 
-    def test_a_copy_counts_as_synced_and_may_lead_reads_only_once_that_is_on_the_disk(self) -> None:
+    def test_a_copy_is_synced_and_gets_the_read_lease_only_once_the_record_is_on_disk(self) -> None:
         _, consensus = self.make_consensus({"b": message.LeaseResponse(True, None)})
         written: defer.Deferred[None] = defer.Deferred()
 
@@ -163,7 +163,7 @@
         written.callback(None)
         assert (consensus.acceptor.is_synced(), consensus.holds_lease()) == (True, True)
 
-    def test_a_view_that_is_told_while_the_disk_stalls_is_adopted_once(self) -> None:
+    def test_a_view_repeated_by_heartbeats_during_a_disk_stall_is_written_once(self) -> None:
         _, consensus = self.make_consensus({})
         stalled: defer.Deferred[None] = defer.Deferred()
         writes: list[object] = []
@@ -184,7 +184,7 @@
         assert consensus.view == newer
         assert len(writes) == 2
 
-    def test_a_proposal_waits_but_shortly_for_machines_that_are_silent(self) -> None:
+    def test_a_proposal_uses_a_short_timeout_for_dead_machines(self) -> None:
         clock, consensus = self.make_consensus({"b": promised("b", 4)})
         clock.advance(2)  # the grants of before the start have run out, and so have the heartbeats
         consensus.receive_heartbeat(message.Heartbeat("b", "1", "zone", "b", 1, consensus.view, 4, True))
@@ -239,7 +239,7 @@
         self.receive_heartbeats(synced_view=4)
         assert self.is_view_change_due()
 
-    def test_the_last_machine_does_not_wait_for_anybody(self) -> None:
+    def test_the_last_live_machine_may_stop_without_a_successor(self) -> None:
         self.receive_heartbeats(synced_view=3)
         self.clock.advance(2)
         assert not self.consensus.holds_only_copy()
--- a/tests/test_assignments.py
+++ b/tests/test_assignments.py
@@ -7,7 +7,7 @@
 
 
 class TestAssignments:
-    def test_a_group_stays_what_it_is_while_its_members_stay(self) -> None:
+    def test_choosing_a_group_again_over_the_same_members_changes_nothing(self) -> None:
         """So a tail need not weigh again: as members come and go, weighing once more changes nothing."""
         rng = random.Random(5)
         manager = samples.membership_manager_at_tail(12, 4)
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -52,7 +52,7 @@
         assert done.called
         return done.result
 
-    def test_a_promise_that_the_disk_refuses_is_a_refusal_and_seals_nothing(self) -> None:
+    def test_a_promise_that_cannot_be_synced_is_refused_and_leaves_the_view_open(self) -> None:
         self.host.disk = "full"
         answer = self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a")))
         assert (answer.ok, answer.ballot) == (False, (0, ""))
@@ -69,7 +69,7 @@
         promise = self.wait(self.consensus.answer(message.Prepare(2, (6, "c"), "c")))
         assert (promise.ok, promise.accepted) == (True, None)
 
-    def test_a_promise_that_was_given_outlives_a_refused_one_and_a_restart(self) -> None:
+    def test_an_earlier_promise_survives_a_failed_write_and_a_restart(self) -> None:
         assert self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a"))).ok
         self.host.disk = "full"
         assert not self.wait(self.consensus.answer(message.Prepare(2, (9, "c"), "c"))).ok
@@ -81,14 +81,14 @@
         promise = self.wait(self.consensus.answer(message.Prepare(2, (6, "c"), "c")))
         assert (promise.accepted[0], "".join(x.id for x in promise.accepted[1].chain)) == ((5, "a"), "ab")
 
-    def test_a_copy_counts_as_synced_only_once_that_is_on_the_disk(self) -> None:
+    def test_a_copy_counts_as_synced_only_once_the_record_is_on_disk(self) -> None:
         self.host.disk = "full"
         done = defer.ensureDeferred(self.consensus.mark_synced(1))
         done.addErrback(lambda f: f.trap(storage.DiskError))
         self.world.run(self.world.time + SECOND)
         assert (done.called, self.consensus.record.synced_view) == (True, 0)
 
-    def test_a_head_whose_disk_refused_the_view_leads_once_the_disk_works(self) -> None:
+    def test_a_head_whose_disk_refused_the_view_is_synced_once_the_disk_works(self) -> None:
         self.host.disk = "full"
         self.wait(self.consensus.adopt(self.make_view(2, "bac")))
         assert self.consensus.view is not None
@@ -101,7 +101,7 @@
 
 
 class TestDataFolder:
-    def test_a_new_data_folder_is_synced_up_to_the_one_that_was_there(
+    def test_a_new_data_folder_is_synced_up_to_the_first_existing_parent(
         self, monkeypatch: pytest.MonkeyPatch, tmp_path: pathlib.Path
     ) -> None:
         synced: list[pathlib.Path] = []
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -97,7 +97,7 @@
         assert words in found.violation
 
     @pytest.mark.parametrize("name", explore.SCENARIOS)
-    def test_nothing_breaks_in_any_scenario(self, name: str) -> None:
+    def test_no_scenario_violates_an_invariant(self, name: str) -> None:
         scenario = explore.SCENARIOS[name]
         found = self.search(scenario.limits, cores=scenario.cores, states=800)
         assert (found.violation, found.trace) == ("", ()), name
@@ -111,7 +111,7 @@
         assert self.search(limits).violation == ""
         self.breaks(("next_view", no_hand_over), limits, "no synced copy is left", module=view_formation)
 
-    def test_two_views_in_a_row_and_the_loss_of_their_head_leave_a_copy_that_may_lead(self) -> None:
+    def test_a_copy_that_may_lead_remains_after_two_views_and_the_loss_of_their_head(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, crashes=1)
         first = two_views(limits)
         assert self.search(limits, first=first).violation == ""
@@ -123,12 +123,12 @@
         guard = ("complete_through", lambda record, _identifier: record.view.number)
         self.breaks(guard, limits, "without acknowledged", first=two_views(limits))
 
-    def test_without_the_ballot_check_two_views_have_one_number(self) -> None:
+    def test_without_the_ballot_check_two_views_share_a_number(self) -> None:
         self.breaks(
             ("promise", any_ballot), cluster_model.Limits(proposals=2, changes=0), "two views 2", recovery=False
         )
 
-    def test_without_synced_leaders_acknowledged_changes_are_lost(self) -> None:
+    def test_a_chain_with_an_unsynced_head_loses_acknowledged_changes(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, wipes=1)
         self.breaks(("next_chain", unsynced_order), limits, "without acknowledged", module=view_formation)
 
@@ -149,25 +149,25 @@
         guard = ("is_grant_void", lambda _record, holder, _incarnation: holder == decisions.UNKNOWN_HOLDER)
         self.breaks(guard, limits, "two tails", first=first, recovery=False)
 
-    def test_without_the_seal_a_sealed_view_acknowledges(self) -> None:
+    def test_without_the_seal_check_a_sealed_view_acknowledges_changes(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1)
         self.breaks(("is_sealed", lambda _record: False), limits, "in the sealed view")
 
-    def test_without_the_seal_two_tails_serve_reads(self) -> None:
+    def test_without_the_seal_check_two_tails_serve_reads(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, leases=4)
         self.breaks(("is_sealed", lambda _record: False), limits, "two tails", recovery=False)
 
-    def test_without_the_order_by_last_entry_an_older_disk_leads(self) -> None:
+    def test_without_the_order_by_last_entry_a_stale_disk_heads_the_chain(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, crashes=1, stale_disks=1)
         self.breaks(("next_chain", order_without_last_entries), limits, "without acknowledged", module=view_formation)
 
-    def test_without_the_look_at_its_place_an_old_snapshot_takes_back_acknowledged_changes(self) -> None:
+    def test_without_the_index_check_an_old_snapshot_undoes_acknowledged_changes(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, late_refills=1)
         self.breaks(
             ("may_restore", lambda _record, _here, _there: True), limits, "without acknowledged", recovery=False
         )
 
-    def test_a_wiped_voter_under_its_old_name_breaks_the_agreement(self) -> None:
+    def test_a_wiped_voter_that_keeps_its_id_breaks_agreement(self) -> None:
         found = self.search(
             cluster_model.Limits(proposals=2, changes=0, wipes=1),
             states=GUARD_STATES,
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -39,14 +39,14 @@
 
 
 class TestLeaseHolders:
-    def test_a_change_waits_for_a_holder_that_does_not_apply_it_until_its_lease_ran_out(self) -> None:
+    def test_a_change_waits_for_a_holder_that_does_not_apply_it_until_its_lease_expires(self) -> None:
         holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([], [A], now=0)
         holders.record_heartbeat("a", [("n1", 4, SECOND), ("n2", 5, SECOND)], now=0)
         assert holders.applied_by_holders(5, now=SECOND) == 4
         assert holders.applied_by_holders(5, now=SECOND + lease.DRIFT_US) == 5
 
-    def test_a_new_tail_waits_one_lease_for_what_a_lost_core_machine_granted(self) -> None:
+    def test_a_new_tail_waits_one_lease_for_unknown_grants_of_a_lost_core_machine(self) -> None:
         for chain, sure in (([B, C], False), ([decisions.ReplicaIncarnation("a", "2"), B], False)):
             holders = lease.LeaseHolders(2 * SECOND, now=0)
             holders.on_view([A, B], chain, now=10 * SECOND)
@@ -55,7 +55,7 @@
             assert holders.applied_by_holders(5, now=12 * SECOND) == 0
             assert holders.applied_by_holders(5, now=12 * SECOND + lease.DRIFT_US) == 5, (chain, sure)
 
-    def test_a_tail_that_stays_waits_only_for_what_it_knows_that_a_lost_core_machine_granted(self) -> None:
+    def test_a_tail_that_stays_waits_only_for_reported_grants_of_a_lost_core_machine(self) -> None:
         holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([], [A, B], now=0)
         holders.record_heartbeat("a", [("n1", 4, 2 * SECOND)], now=9 * SECOND)
@@ -65,7 +65,7 @@
         assert holders.applied_by_holders(5, now=11 * SECOND) == 4
         assert holders.applied_by_holders(5, now=11 * SECOND + lease.DRIFT_US) == 5
 
-    def test_a_new_tail_that_hears_all_of_the_chain_before_it_waits_for_none(self) -> None:
+    def test_a_new_tail_whose_chain_keeps_all_old_replicas_needs_only_their_reports(self) -> None:
         holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([], [A, B], now=0)
         holders.on_view([A, B], [A, B, C], now=10 * SECOND)
@@ -75,7 +75,7 @@
         holders.record_heartbeat("c", [], now=10 * SECOND)
         assert holders.applied_by_holders(5, now=10 * SECOND) == 5
 
-    def test_a_doubt_is_passed_on_through_the_next_view(self) -> None:
+    def test_the_wait_for_unknown_grants_outlasts_the_next_view(self) -> None:
         holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([A, B], [B], now=10 * SECOND)
         holders.on_view([B], [B, C], now=11 * SECOND)
@@ -85,7 +85,7 @@
 
 
 class TestLeasesInACluster:
-    def test_a_change_is_acknowledged_when_a_cut_off_nodes_lease_ran_out_and_not_before(
+    def test_a_change_is_acknowledged_only_after_the_lease_of_a_cut_off_node_expires(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(seconds=2)
@@ -119,7 +119,7 @@
             assert node.follower.session.is_established()
         assert all(node.follower.session.moves >= 2 for node in nodes)
 
-    def test_a_node_follows_on_within_a_second_when_its_core_machine_freezes(
+    def test_a_node_moves_to_another_core_machine_within_1500_ms_when_its_own_freezes(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(seconds=2)
@@ -156,7 +156,7 @@
         got = confirm(tail)
         assert cluster.advance_until(lambda: got and node.follower.applied_index > place, 5)
 
-    def test_where_no_core_machine_answers_attempts_go_on_side_by_side(
+    def test_a_node_keeps_several_connection_attempts_open_if_no_core_machine_answers(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(seconds=2)
@@ -168,7 +168,7 @@
 
 
 class TestServeOn:
-    def test_a_node_with_serve_on_stops_where_a_peer_shows_that_it_missed_a_change(
+    def test_a_node_with_serve_on_is_stale_once_a_peer_reports_a_change_it_missed(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(seconds=2, serve_on=True)
--- a/tests/test_lease_cost.py
+++ b/tests/test_lease_cost.py
@@ -4,7 +4,7 @@
 
 
 class TestQuietCluster:
-    def test_a_quiet_node_stays_far_below_its_budget_and_all_core_machines_report(self) -> None:
+    def test_an_idle_node_stays_far_below_its_traffic_budget_and_all_core_machines_report(self) -> None:
         cost = lease_cost.measure(nodes=6, cores=3, seconds=2, seed=1)
         for rate in (cost.into_node, cost.out_of_node):
             assert rate.size < 200  # of 16 KB/s
