--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -16,7 +16,7 @@
 GUARD_STATES = 60_000
 
 
-def any_ballot(
+def promise_without_ballot_check(
     record: decisions.Record,
     replica: decisions.Replica,
     holder: None,
@@ -27,14 +27,14 @@
     return promise(msgspec.structs.replace(record, promised=decisions.NO_BALLOT), replica, holder, prepare)
 
 
-def unsynced_order(
+def chain_ignoring_synced_views(
     _view: message.View, _promises: dict[str, message.Promise], alive: dict[str, str]
 ) -> list[message.ChainReplica]:
     """Order the chain by name, whoever is synced."""
     return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
 
 
-def order_without_last_entries(
+def chain_ignoring_last_entries(
     view: message.View,
     promises: dict[str, message.Promise],
     alive: dict[str, str],
@@ -47,7 +47,7 @@
     return order(view, promises, alive)
 
 
-def no_hand_over(
+def next_view_without_handover(
     view: message.View,
     promises: dict[str, message.Promise],
     voters: list[message.Voter],
@@ -60,7 +60,7 @@
     return next_view(view, promises, voters, alive, {})
 
 
-def two_views(limits: cluster_model.Limits) -> cluster_model.World:
+def world_in_view_two(limits: cluster_model.Limits) -> cluster_model.World:
     """A state in which `a` and `b` have gone on to a chain of their own, and `b` is not synced in it yet."""
     world = cluster_model.start(3, limits)
     a, b, c = world.cores
@@ -78,23 +78,23 @@
         depth: int = 30,
         cores: int = 3,
         states: int = STATES,
-        **more: Any,  # noqa: ANN401 - options of explore.search
+        **options: Any,  # noqa: ANN401 - options of explore.search
     ) -> explore.Found:
-        return explore.search(cores, limits, depth, most_states=states, **more)
+        return explore.search(cores, limits, depth, most_states=states, **options)
 
-    def breaks(
+    def assert_violation(
         self,
         guard: tuple[str, Callable[..., Any]],
         limits: cluster_model.Limits,
-        words: str,
+        expected_violation: str,
         *,
         module: types.ModuleType = decisions,
-        **more: Any,  # noqa: ANN401 - options of explore.search
+        **options: Any,  # noqa: ANN401 - options of explore.search
     ) -> None:
         name, replacement = guard
         with mock.patch.object(module, name, replacement):
-            found = self.search(limits, states=GUARD_STATES, **more)
-        assert words in found.violation
+            found = self.search(limits, states=GUARD_STATES, **options)
+        assert expected_violation in found.violation
 
     @pytest.mark.parametrize("name", explore.SCENARIOS)
     def test_no_scenario_violates_an_invariant(self, name: str) -> None:
@@ -109,32 +109,41 @@
     def test_the_leaving_machine_with_the_only_synced_copy_hands_over(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, crashes=1, leaves=1)
         assert self.search(limits).violation == ""
-        self.breaks(("next_view", no_hand_over), limits, "no synced copy is left", module=view_formation)
+        self.assert_violation(
+            ("next_view", next_view_without_handover), limits, "no synced copy is left", module=view_formation
+        )
 
     def test_a_copy_that_may_lead_remains_after_two_views_and_the_loss_of_their_head(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, crashes=1)
-        first = two_views(limits)
+        first = world_in_view_two(limits)
         assert self.search(limits, first=first).violation == ""
         guard = ("complete_through", lambda record, _identifier: record.synced_view)
-        self.breaks(guard, limits, "no synced copy is left", first=first)
+        self.assert_violation(guard, limits, "no synced copy is left", first=first)
 
     def test_a_machine_outside_the_chain_does_not_count_as_complete(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1)
         guard = ("complete_through", lambda record, _identifier: record.view.number)
-        self.breaks(guard, limits, "without acknowledged", first=two_views(limits))
+        self.assert_violation(guard, limits, "without acknowledged", first=world_in_view_two(limits))
 
     def test_without_the_ballot_check_two_views_share_a_number(self) -> None:
-        self.breaks(
-            ("promise", any_ballot), cluster_model.Limits(proposals=2, changes=0), "two views 2", recovery=False
+        self.assert_violation(
+            ("promise", promise_without_ballot_check),
+            cluster_model.Limits(proposals=2, changes=0),
+            "two views 2",
+            recovery=False,
         )
 
     def test_a_chain_with_an_unsynced_head_loses_acknowledged_changes(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, wipes=1)
-        self.breaks(("next_chain", unsynced_order), limits, "without acknowledged", module=view_formation)
+        self.assert_violation(
+            ("next_chain", chain_ignoring_synced_views), limits, "without acknowledged", module=view_formation
+        )
 
     def test_without_the_wait_for_grants_two_tails_serve_reads(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, leases=4)
-        self.breaks(("is_lease_of_another", lambda _holder, _sender: False), limits, "two tails", recovery=False)
+        self.assert_violation(
+            ("is_lease_of_another", lambda _holder, _sender: False), limits, "two tails", recovery=False
+        )
 
     def test_a_grant_from_before_a_restart_is_void_only_once_its_tail_has_restarted_too(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, crashes=1, leases=2)
@@ -147,23 +156,25 @@
         first = msgspec.structs.replace(cluster_model.start(3, limits), cores=cores)
         assert self.search(limits, first=first, recovery=False).violation == ""
         guard = ("is_grant_void", lambda _record, holder, _incarnation: holder == decisions.UNKNOWN_HOLDER)
-        self.breaks(guard, limits, "two tails", first=first, recovery=False)
+        self.assert_violation(guard, limits, "two tails", first=first, recovery=False)
 
     def test_without_the_seal_check_a_sealed_view_acknowledges_changes(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1)
-        self.breaks(("is_sealed", lambda _record: False), limits, "in the sealed view")
+        self.assert_violation(("is_sealed", lambda _record: False), limits, "in the sealed view")
 
     def test_without_the_seal_check_two_tails_serve_reads(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=0, leases=4)
-        self.breaks(("is_sealed", lambda _record: False), limits, "two tails", recovery=False)
+        self.assert_violation(("is_sealed", lambda _record: False), limits, "two tails", recovery=False)
 
     def test_without_the_order_by_last_entry_a_stale_disk_heads_the_chain(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, crashes=1, stale_disks=1)
-        self.breaks(("next_chain", order_without_last_entries), limits, "without acknowledged", module=view_formation)
+        self.assert_violation(
+            ("next_chain", chain_ignoring_last_entries), limits, "without acknowledged", module=view_formation
+        )
 
     def test_without_the_index_check_an_old_snapshot_undoes_acknowledged_changes(self) -> None:
         limits = cluster_model.Limits(proposals=1, changes=1, late_refills=1)
-        self.breaks(
+        self.assert_violation(
             ("may_restore", lambda _record, _here, _there: True), limits, "without acknowledged", recovery=False
         )
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -16,7 +16,7 @@
 SECOND = units.SECOND_US
 
 
-def confirm(server: core.Core | None) -> list[message.ProposeChangeResponse | errors.ServiceError]:
+def start_route_change(server: core.Core | None) -> list[message.ProposeChangeResponse | errors.ServiceError]:
     """Make a plan that adds a route and confirm it; the version, or the error, in a list to come."""
     assert server is not None
     results: list[message.ProposeChangeResponse | errors.ServiceError] = []
@@ -91,11 +91,11 @@
         cluster = quiet_cluster(seconds=2)
         cut = cluster.nodes["n1"]
         cluster.world.cut(cluster.hosts("cores"), [cut.options.host])
-        got = confirm(cluster.tail())
-        assert cluster.advance_until(lambda: got, 10)
-        assert not isinstance(got[0], errors.ServiceError)
+        results = start_route_change(cluster.tail())
+        assert cluster.advance_until(lambda: results, 10)
+        assert not isinstance(results[0], errors.ServiceError)
         assert not cut.follower.session.lease.is_valid(cut.runtime.now())
-        assert cut.follower.applied_index < got[0].version <= cluster.nodes["n2"].follower.applied_index
+        assert cut.follower.applied_index < results[0].version <= cluster.nodes["n2"].follower.applied_index
 
     def test_a_lease_is_not_renewed_by_a_core_machine_that_does_not_hear_the_tail(
         self, quiet_cluster: conftest.QuietCluster
@@ -129,11 +129,11 @@
             if server is cluster.tail() or not nodes:
                 continue
             server.process.freeze()
-            self.moved_away(cluster, nodes, address)
+            self.assert_nodes_moved(cluster, nodes, address)
             return
         pytest.fail("no core machine but the tail has a node")
 
-    def moved_away(
+    def assert_nodes_moved(
         self,
         cluster: simulated_cluster.SimulatedCluster,
         nodes: list[server_model.SimulatedNode],
@@ -153,8 +153,8 @@
         node.follower.session.addresses[:] = [(other.options.host, other.options.port)]
         other.tail_contact.answered_report = tail_contact.AnsweredReport()
         place = node.follower.applied_index
-        got = confirm(tail)
-        assert cluster.advance_until(lambda: got and node.follower.applied_index > place, 5)
+        results = start_route_change(tail)
+        assert cluster.advance_until(lambda: results and node.follower.applied_index > place, 5)
 
     def test_a_node_keeps_several_connection_attempts_open_if_no_core_machine_answers(
         self, quiet_cluster: conftest.QuietCluster
@@ -176,8 +176,8 @@
         cluster.world.cut(cluster.hosts("cores"), [cut.options.host])
         cluster.advance(4)
         assert not cut.follower.configuration_may_be_stale()
-        got = confirm(cluster.tail())
-        assert cluster.advance_until(lambda: got, 10)
+        results = start_route_change(cluster.tail())
+        assert cluster.advance_until(lambda: results, 10)
         assert cluster.advance_until(cut.follower.configuration_may_be_stale, 2)
         assert peer.follower.applied_index > cut.follower.applied_index
         cluster.world.heal()
