--- a/iriswheel/consensus/acceptor.py
+++ b/iriswheel/consensus/acceptor.py
@@ -63,13 +63,12 @@
         self.disk = disk
         self.record = record
         self.own_voter = own_voter
-        self.on_seal: collections.abc.Callable[[], None] = lambda: None  # called when the view is sealed or replaced
-        self.on_synced: collections.abc.Callable[[], None] = lambda: (
-            None
-        )  # called when this copy may have become synced
-        self.on_adopt: collections.abc.Callable[[], None] = lambda: (
-            None
-        )  # called before a newer view is written to disk
+        # called when the view is sealed or replaced here
+        self.on_seal: collections.abc.Callable[[], None] = lambda: None
+        # called when this copy may have become synced in the view
+        self.on_synced: collections.abc.Callable[[], None] = lambda: None
+        # called before a newer view is written to disk
+        self.on_adopt: collections.abc.Callable[[], None] = lambda: None
         # returns the incarnation in which a machine (by id) was last heard since the start; None if it was not heard
         self.seen_incarnation: collections.abc.Callable[[str], str | None] = lambda _identifier: None
         self.previous_chain: list[decisions.ReplicaIncarnation] | None = None
