--- a/iriswheel/consensus/decisions.py
+++ b/iriswheel/consensus/decisions.py
@@ -1,9 +1,10 @@
-"""The decisions of the view agreement, as pure functions.
+"""The decisions of an acceptor in view consensus, as pure functions.
 
-A view (who votes, and the order of the chain) is agreed by single-decree Paxos among the voters of the view
-before it. Each function here takes the state of one acceptor and a typed message, and returns the new state
-with the typed answer. Disk, clock and network belong to the caller: `acceptor.Acceptor` syncs a changed state before
-it sends the answer, and `simulation.state_search.explore` searches the interleavings of the same functions.
+A view is a numbered configuration of the core machines: the list of voters, and the order of the replicas in the
+chain from head to tail. Each view is agreed by single-decree Paxos among the voters of the view before it. A function
+that answers a message takes the record of one acceptor and the typed message, and returns the new record with the typed
+answer. Disk, clock and network belong to the caller: `acceptor.Acceptor` syncs a changed record to disk before it
+sends the answer, and `simulation.state_search.explore` searches the interleavings of the same functions.
 """
 
 from __future__ import annotations
@@ -14,57 +15,57 @@
 
 from iriswheel.transport import message
 
-Ballot: typing.TypeAlias = tuple[int, str]  # a round, and the machine that proposes in it
-Incarnations: typing.TypeAlias = dict[str, str]  # of machines, by id
+Ballot: typing.TypeAlias = tuple[int, str]  # round number, and id of the machine that proposes in that round
+Incarnations: typing.TypeAlias = dict[str, str]  # machine id -> incarnation
 
 NO_BALLOT: Ballot = (0, "")
-UNKNOWN_HOLDER = ""  # after a restart: a grant that was given before may stand
+UNKNOWN_HOLDER = ""  # holder of the grant that this voter may have made before it restarted
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """What an acceptor keeps on disk; its copy holds all that was acknowledged in the views up to `synced_view`."""
+    """The state of one acceptor, as it is kept on disk."""
 
-    view: message.View | None = None
-    promised: Ballot = NO_BALLOT
-    accepted: tuple[Ballot, message.View] | None = None
-    synced_view: int = 0
+    view: message.View | None = None  # the newest agreed view that this machine knows
+    promised: Ballot = NO_BALLOT  # the highest ballot promised or accepted for the next view
+    accepted: tuple[Ballot, message.View] | None = None  # the next view as accepted here, with its ballot
+    synced_view: int = 0  # number of the last view up to which this copy holds every acknowledged change
 
 
 class ReplicaIncarnation(typing.NamedTuple):
-    """A replica of the chain in one of its incarnations; a restarted machine is another replica."""
+    """A replica of the chain in one incarnation; a machine that has restarted counts as a different replica."""
 
     id: str
     incarnation: str
 
 
 class LastEntry(typing.NamedTuple):
-    """The newest log entry of a copy; of two copies, the one whose last entry compares higher is ahead."""
+    """The newest log entry of a copy of the log; of two copies, the one whose last entry compares higher is ahead."""
 
-    view: int  # that made the entry
-    index: int  # type: ignore[assignment]  # hides tuple.index, which has no use here
+    view: int  # number of the view in which the entry was made
+    index: int  # type: ignore[assignment]  # log index; hides the method tuple.index, which is not used
 
 
 NO_ENTRY = LastEntry(0, 0)
 
 
 class Replica(typing.NamedTuple):
-    """What an acceptor tells of itself in a promise: identity, incarnation, disk, last log entry."""
+    """The acceptor's own machine, as its promises describe it: id, incarnation, state of the disk, last log entry."""
 
     id: str
     incarnation: str
-    disk_ok: bool
+    disk_ok: bool  # False from a failed or stalled write until a later write succeeds
     last_entry: LastEntry = NO_ENTRY
 
 
 class VoterState(typing.NamedTuple):
-    """What a proposer knows of one voter: whether it may be replaced, and at what address it still answers."""
+    """What a proposer knows of another voter: whether a machine that is no voter yet may take its place."""
 
-    replaceable: bool  # it was silent for long, or says that it leaves
-    silent: bool  # silent for long enough to be replaced by a newcomer at its own address
+    replaceable: bool  # no heartbeat within VOTER_REPLACEMENT_US, or the voter is leaving: any newcomer may replace it
+    silent: bool  # no heartbeat within PEER_TIMEOUT_US: a newcomer at the same address may replace it
 
 
 def chain_incarnations(view: message.View) -> list[ReplicaIncarnation]:
-    """The replicas of a view's chain in their incarnations, from head to tail.
+    """The replicas of a view's chain with their incarnations, from head to tail.
 
     >>> [tuple(replica) for replica in chain_incarnations(message.View(4, [], [message.ChainReplica("a", "x")]))]
     [('a', 'x')]
@@ -73,7 +74,7 @@
 
 
 def majority(count: int) -> int:
-    """How many of `count` voters make a majority.
+    """The smallest number of votes that is a majority of `count` voters.
 
     >>> majority(3), majority(4)
     (2, 3)
@@ -91,7 +92,7 @@
 
 
 def is_voter(record: Record, identifier: str) -> bool:
-    """Whether a machine votes on the successor of the record's view.
+    """Whether a machine is a voter of the record's view, and so votes on the view after it.
 
     >>> is_voter(Record(), "a")
     False
@@ -100,7 +101,7 @@
 
 
 def is_synced(record: Record) -> bool:
-    """Whether the copy holds all that was acknowledged before the record's view.
+    """Whether the copy holds every change that was acknowledged before the record's view.
 
     >>> is_synced(Record(message.View(2, [], []), synced_view=2))
     True
@@ -109,7 +110,7 @@
 
 
 def is_serving(record: Record, identifier: str, incarnation: str) -> bool:
-    """Whether this incarnation of a machine is a member of the record's chain, and the view is not sealed.
+    """Whether this incarnation of a machine is a replica of the record's chain, and the view is not sealed.
 
     >>> is_serving(Record(message.View(2, [], [message.ChainReplica("a", "1")])), "a", "2")
     False
@@ -131,7 +132,7 @@
 
 
 def may_request_read_lease(record: Record, identifier: str, incarnation: str) -> bool:
-    """Whether a machine may ask for the read lease, and serve reads while it holds it.
+    """Whether a machine is the synced tail: it may request the read lease, and serve reads while it holds the lease.
 
     >>> may_request_read_lease(Record(message.View(2, [], [message.ChainReplica("a", "1")]), synced_view=1), "a", "1")
     False
@@ -140,7 +141,9 @@
 
 
 def may_commit(record: Record, identifier: str, incarnation: str, copies: int) -> bool:
-    """Whether all that is synced on this machine is committed: it is the synced tail of a chain of enough copies.
+    """Whether a log entry counts as committed once this machine has it on disk.
+
+    That is so on the synced tail of a chain of at least `copies` replicas, since every replica before it has the entry.
 
     >>> may_commit(Record(message.View(2, [], [message.ChainReplica("a", "1")]), synced_view=2), "a", "1", copies=2)
     False
@@ -151,7 +154,7 @@
 
 
 def newer_view(record: Record, number: int) -> message.View | None:
-    """The record's view where it is as new as the one that a proposer works on, or None.
+    """The record's view if its number is at least `number`, the view that a proposer tries to get agreed; else None.
 
     >>> newer_view(Record(message.View(2, [], [])), 3) is None
     True
@@ -160,7 +163,7 @@
 
 
 def refuse_promise(record: Record, replica: Replica, number: int) -> message.Promise:
-    """The answer to a Prepare that is refused.
+    """The answer that refuses a Prepare; it carries a newer view, if the record has one.
 
     >>> refuse_promise(Record(), Replica("a", "1", True), 3).ok
     False
@@ -178,7 +181,7 @@
 
 
 def is_valid_proposal(record: Record, identifier: str, number: int, sender: str) -> bool:
-    """Whether a proposal is for the next view, from one voter to another.
+    """Whether a proposal is for the view after the record's, and both proposer and acceptor are voters of that record.
 
     >>> voters = [message.Voter(i, "host", 1, "zone") for i in "ab"]
     >>> is_valid_proposal(Record(message.View(2, voters, [])), "a", 3, "b")
@@ -191,9 +194,10 @@
 def promise(
     record: Record, replica: Replica, holder: str | None, prepare: message.Prepare
 ) -> tuple[Record, message.Promise]:
-    """Answer a Prepare; `holder` is who has an unexpired read lease from this acceptor, or None.
+    """Answer a Prepare; `holder` is the machine with an unexpired read lease from this acceptor, or None.
 
-    A higher ballot than any before is promised, unless somebody else holds a lease.
+    The ballot is promised if it is higher than every ballot promised before, and no machine but the proposer holds a
+    lease from this acceptor.
 
     >>> voters = [message.Voter(i, "host", 1, "zone") for i in "ab"]
     >>> record, answer = promise(
@@ -221,7 +225,7 @@
 
 
 def is_lease_of_another(holder: str | None, sender: str) -> bool:
-    """Whether an unexpired lease forbids a promise to the sender.
+    """Whether an unexpired lease of another machine, or of an unknown one, forbids a promise to the sender.
 
     >>> is_lease_of_another(None, "a"), is_lease_of_another("a", "a"), is_lease_of_another(UNKNOWN_HOLDER, "a")
     (False, False, True)
@@ -230,16 +234,17 @@
 
 
 def is_grant_void(record: Record, holder: str, tail_incarnation: str | None) -> bool:
-    """Whether a grant that may stand from before a restart binds this acceptor no longer.
+    """Whether a lease that this acceptor may have granted before it restarted no longer binds it.
 
-    It went to the tail of the view that the record had then. Where that is still the record's view, it is void once
-    its tail is seen in another incarnation, in which that machine holds nothing. Where a newer view's write was lost,
-    the record allows promises for that view alone, which is agreed already (docs/notes/recovery.md).
+    Such a grant went to the tail of the view that the record had at that time. If the record still has that view, the
+    grant is void once the tail is seen in another incarnation: a restarted machine holds no lease. If the record had a
+    newer view whose write was lost, the record on disk allows promises only for that newer view, and that view is
+    agreed already (docs/notes/recovery.md).
 
     Args:
         record: The acceptor's record.
-        holder: Who has the grant.
-        tail_incarnation: In which incarnation the tail was seen since the restart; None where it was not.
+        holder: The machine that has the grant; UNKNOWN_HOLDER for a grant that may be from before the restart.
+        tail_incarnation: The incarnation in which the tail was seen since the restart; None if it was not seen.
 
     >>> record = Record(message.View(2, [], [message.ChainReplica("a", "1")]))
     >>> [is_grant_void(record, UNKNOWN_HOLDER, incarnation) for incarnation in (None, "1", "2")]
@@ -253,7 +258,7 @@
 
 
 def accept(record: Record, identifier: str, request: message.Accept) -> tuple[Record, message.Accepted]:
-    """Answer an Accept: taken unless a higher ballot was promised.
+    """Answer an Accept: the view is accepted unless a higher ballot was promised.
 
     >>> voters = [message.Voter(i, "host", 1, "zone") for i in "ab"]
     >>> old, new = message.View(2, voters, []), message.View(3, voters, [])
@@ -268,9 +273,9 @@
 
 
 def adopt(record: Record, identifier: str, view: message.View) -> Record:
-    """The state after a view was agreed, or the same state where it knows one as new.
+    """The record after a view was agreed; the same record if its own view is as new or newer.
 
-    The head of a view is synced in it by construction.
+    The head of a view is synced in it by construction: proposers put a copy with all acknowledged changes first.
 
     >>> adopt(Record(), "a", message.View(1, [], [message.ChainReplica("a", "1")])).synced_view
     1
@@ -282,10 +287,11 @@
 
 
 def complete_through(record: Record, identifier: str) -> int:
-    """The last view of which a copy holds all that was acknowledged, once the record's view is over.
+    """The last view up to which a copy holds every acknowledged change, once the record's view is over.
 
-    A chain acknowledges nothing while one of its members is not synced. So a member that held all of the view
-    before, and was not synced in this one, holds all of this one too.
+    A chain acknowledges nothing while one of its replicas is not synced. So a replica that holds every change up to the
+    view before the record's, and did not become synced in the record's view, has missed no acknowledged change of the
+    record's view either.
 
     >>> view = message.View(3, [], [message.ChainReplica("a", "1"), message.ChainReplica("b", "1")])
     >>> complete_through(Record(view, synced_view=2), "b"), complete_through(Record(view, synced_view=1), "b")
@@ -300,7 +306,7 @@
 
 
 def become_synced(record: Record, number: int) -> Record:
-    """The state once the copy holds all that was acknowledged before the numbered view, unless that is over.
+    """The record once the copy holds all that was acknowledged before view `number`; unchanged if that view is over.
 
     >>> records = [Record(message.View(number, [], [])) for number in (2, 3)]
     >>> tuple(become_synced(record, 2).synced_view for record in records)
@@ -312,9 +318,9 @@
 
 
 def may_restore(record: Record, synced_entry: int, snapshot_entry: int) -> bool:
-    """Whether a snapshot may replace the copy: always before the copy is synced, then only where it is not older.
+    """Whether a snapshot may replace the copy: always before the copy is synced, afterwards only if it is not older.
 
-    A snapshot may arrive after others that were sent later, when it was held up in an old connection.
+    A snapshot that was delayed in an old connection can arrive after newer ones.
 
     >>> may_restore(Record(message.View(2, [], []), synced_view=2), synced_entry=17, snapshot_entry=12)
     False
@@ -323,7 +329,7 @@
 
 
 def grant_lease(record: Record, identifier: str, request: message.LeaseRequest) -> message.LeaseResponse:
-    """Answer a LeaseRequest: given to the tail of an unsealed view.
+    """Answer a LeaseRequest: a voter grants it to the tail of its own view, as long as that view is not sealed.
 
     >>> grant_lease(Record(), "a", message.LeaseRequest(1, "b")).ok
     False
