--- a/iriswheel/consensus/departure.py
+++ b/iriswheel/consensus/departure.py
@@ -1,4 +1,4 @@
-"""Whether a core machine that leaves may stop: not before the others can go on without it."""
+"""Decides when a core machine that is leaving may stop: not before the other machines can continue without it."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def is_still_needed(view_acceptor: acceptor.Acceptor, heartbeats: peer_heartbeats.PeerHeartbeats) -> bool:
-    """Whether this machine should stay while it leaves.
+    """Whether this machine, which is leaving, must keep running for now.
 
-    It should until there is a chain without it, of which as many replicas as make a majority of
-    the voters have shown that they are synced: before that it may hold the only synced copy, or be
-    the voter without whom nothing can be agreed. Where all voters leave, the whole fleet
-    stops, and nobody is left to take over.
+    It must until the chain no longer contains it, and enough replicas of that chain to make a majority of the voters
+    have reported that they are synced. Before that, this machine may hold the only synced copy, or may be the voter
+    without which there is no majority. If all other voters are leaving too, the whole fleet is stopping and no
+    machine is left to take over, so it need not stay.
     """
     view = view_acceptor.view
     if view is None:
@@ -43,7 +43,10 @@
 
 
 def holds_only_copy(view_acceptor: acceptor.Acceptor, heartbeats: peer_heartbeats.PeerHeartbeats) -> bool:
-    """Whether others go on, and none of them is known to hold what this machine's copy holds."""
+    """Whether this copy is synced and, as far as this machine has heard, no other live replica's copy is.
+
+    False if no other machine is alive, since there is none to hand the copy over to.
+    """
     view = view_acceptor.view
     if view is None or not view_acceptor.is_synced():
         return False
--- a/iriswheel/consensus/peer_heartbeats.py
+++ b/iriswheel/consensus/peer_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats between core machines, and what follows from them: who is alive, who leaves, whose copy is synced."""
+"""Heartbeats between core machines, and what they show: who is alive, who is leaving, whose copy is synced."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 
 
 class ReceivedHeartbeat(typing.NamedTuple):
-    """The newest heartbeat of a machine, and when it came."""
+    """The newest heartbeat of another core machine, and when it arrived."""
 
-    received_at_us: int
+    received_at_us: int  # on this machine's clock
     heartbeat: message.Heartbeat
 
 
 class PeerHeartbeats:
-    """Sends this machine's heartbeats, and keeps the newest one of each other machine.
+    """Sends this core machine's heartbeats, and keeps the newest heartbeat of each other core machine.
 
     Args:
         runtime: Clock and tasks.
-        peers: Calls to other machines.
+        peers: Makes calls to other core machines.
         view_acceptor: This machine's record of views.
-        seeds: Addresses at which core machines are looked for.
+        seeds: Addresses to which heartbeats are sent besides those of the voters.
     """
 
     def __init__(
@@ -51,16 +51,16 @@
         self.peers = peers
         self.acceptor = view_acceptor
         self.own_voter = view_acceptor.own_voter
-        self.received: dict[str, ReceivedHeartbeat] = {}  # by machine
-        self.leaving = False
-        self.send_now = scheduler.Signal()
-        self.incarnation_seen = scheduler.Signal()  # woken for a machine that was not seen before in its incarnation
+        self.received: dict[str, ReceivedHeartbeat] = {}  # by machine id
+        self.leaving = False  # whether this machine has announced its departure
+        self.send_now = scheduler.Signal()  # wakes the tasks that send heartbeats
+        self.incarnation_seen = scheduler.Signal()  # woken by the first heartbeat of a machine in a new incarnation
         self._seeds = list(seeds)
-        self._seen_without_view_at_us: dict[Address, int] = {}  # of machines that know no view
-        self._adopting = 0  # number of the newest view whose adoption is under way
+        self._seen_without_view_at_us: dict[Address, int] = {}  # when a machine that knew no view was last heard
+        self._adopting = 0  # number of the view that a heartbeat brought and that is being adopted, 0 for none
 
     def own_heartbeat(self) -> message.Heartbeat:
-        """This machine's own heartbeat."""
+        """The heartbeat that describes this machine's present state."""
         return message.Heartbeat(
             id=self.own_voter.id,
             incarnation=self.runtime.incarnation,
@@ -75,7 +75,7 @@
         )
 
     def receive(self, heartbeat: message.Heartbeat) -> None:
-        """Keep a heartbeat, and adopt a newer view that it tells."""
+        """Keep another machine's heartbeat, and adopt the view in it if that is newer than the one known here."""
         is_new = self.seen_incarnation(heartbeat.id) != heartbeat.incarnation
         self.received[heartbeat.id] = ReceivedHeartbeat(self.runtime.now(), heartbeat)
         view = self.acceptor.view
@@ -87,9 +87,10 @@
             self.incarnation_seen.wake()
 
     async def _adopt(self, view: message.View) -> None:
-        """Adopt a view that a heartbeat told.
+        """Adopt a view that came in a heartbeat.
 
-        While the disk stalls each further heartbeat tells it again; only the first one waits for the disk.
+        While the disk stalls, each further heartbeat carries the same view; only the first of them waits for the disk,
+        so that waiting adoptions do not pile up.
         """
         self._adopting = view.number
         try:
@@ -99,14 +100,14 @@
                 self._adopting = 0
 
     def seen_incarnation(self, identifier: str) -> str | None:
-        """The incarnation of a machine's newest heartbeat; None where none has come since the start."""
+        """The incarnation in a machine's newest heartbeat; None if none has arrived since this process started."""
         last = self.received.get(identifier)
         return None if last is None else last.heartbeat.incarnation
 
-    # ---- what heartbeats tell ------------------------------------------------
+    # ---- state of the other machines -----------------------------------------
 
     def recent(self) -> list[message.Heartbeat]:
-        """The heartbeats of the other machines that count as alive."""
+        """The newest heartbeats of the other machines that were heard within PEER_TIMEOUT_US."""
         now = self.runtime.now()
         return [
             heartbeat
@@ -115,7 +116,7 @@
         ]
 
     def recent_without_view(self) -> set[Address]:
-        """The addresses of live machines that knew no view."""
+        """The addresses of machines that sent a heartbeat without a view within PEER_TIMEOUT_US."""
         now = self.runtime.now()
         return {
             address
@@ -124,11 +125,11 @@
         }
 
     def alive(self) -> decisions.Incarnations:
-        """The machines that live and stay, and whose disk works, with their incarnations.
+        """The live machines that are not leaving and whose disk works, with their incarnations.
 
-        Voters that leave count where those that stay are no majority, since nothing could be agreed
-        without them; and replicas that leave count until a majority of the voters is synced and stays, since
-        nobody else may be able to bring the others up to date.
+        A leaving voter is included as long as the voters that stay are not a majority, since no view could be agreed
+        without it. A leaving replica of the chain is included until a majority of the voters stays and is synced,
+        since it may hold the only copy from which the others can catch up.
         """
         heartbeats = [heartbeat for heartbeat in self.recent() if heartbeat.disk_ok]
         heartbeats += [self.own_heartbeat()] if self.acceptor.disk.ok else []
@@ -148,12 +149,12 @@
         return alive
 
     def hears_majority(self, view: message.View) -> bool:
-        """Whether this machine heard, itself included, a majority of a view's voters within PEER_TIMEOUT_US."""
+        """Whether a majority of a view's voters, counting this machine, was heard within PEER_TIMEOUT_US."""
         heard = {heartbeat.id for heartbeat in self.recent()} | {self.own_voter.id}
         return len([voter for voter in view.voters if voter.id in heard]) >= decisions.majority(len(view.voters))
 
     def departing(self) -> decisions.Incarnations:
-        """The machines that live and leave, and whose disk works, with their incarnations."""
+        """The live machines that are leaving and whose disk works, with their incarnations."""
         departing = {
             heartbeat.id: heartbeat.incarnation
             for heartbeat in self.recent()
@@ -164,17 +165,17 @@
         return departing
 
     def known_synced(self, view: message.View) -> set[str]:
-        """The machines that are synced in the newest view, as far as this one has heard."""
+        """The ids of the machines that are synced in the newest view, as far as their heartbeats have told this one."""
         synced = {
             identifier for identifier, (_, heartbeat) in self.received.items() if heartbeat.synced_view == view.number
         }
         return synced | {self.own_voter.id} if self.acceptor.is_synced() else synced
 
     def is_any_sealed(self, view: message.View) -> bool:
-        """Whether the newest view is sealed on a live machine: the chain is broken there until the next view.
+        """Whether the newest view is sealed on this machine or on another live one.
 
-        The voters that keep the tail's lease refuse the sealed machine's own proposals, so that the
-        tail has to see this too.
+        The chain does not work on a machine that has sealed the view, until the next view is agreed. Voters bound by
+        the tail's lease refuse the proposals of that machine, so the tail must notice the seal and propose instead.
         """
         return any(
             heartbeat.sealed and heartbeat.view is not None and heartbeat.view.number == view.number
@@ -182,7 +183,7 @@
         )
 
     def voter_state(self, identifier: str, started_at_us: int) -> decisions.VoterState:
-        """What this machine knows of another voter; one never heard is silent since `started_at_us`."""
+        """Whether another voter may be replaced; one that was never heard counts as silent since `started_at_us`."""
         last = self.received.get(identifier)
         silent_us = self.runtime.now() - (started_at_us if last is None else last.received_at_us)
         leaves = last is not None and last.heartbeat.leaving
@@ -190,19 +191,19 @@
             replaceable=silent_us > timing.VOTER_REPLACEMENT_US or leaves, silent=silent_us > timing.PEER_TIMEOUT_US
         )
 
-    # ---- exchange ------------------------------------------------------------
+    # ---- sending -------------------------------------------------------------
 
     def announce_departure(self) -> None:
-        """Tell the others that this machine leaves: the next chain goes on without it."""
+        """Tell the other machines at once that this one is leaving, so that the next view has a chain without it."""
         self.leaving = True
         self.send_now.wake()
 
     def learn_seeds(self, seeds: collections.abc.Iterable[Address]) -> None:
-        """Look for core machines at further addresses; they are no initial members."""
+        """Send heartbeats to further addresses; the machines there do not count as machines of view 1."""
         self._seeds += [seed for seed in seeds if seed not in self._seeds]
 
     def addresses(self) -> set[Address]:
-        """All addresses at which core machines are looked for, but this one's."""
+        """All addresses to which heartbeats are sent: those of seeds and voters, but not this machine's own."""
         addresses = set(self._seeds)
         view = self.acceptor.view
         if view is not None:
@@ -211,11 +212,11 @@
         return addresses
 
     def addresses_heard(self) -> set[Address]:
-        """The same, with those of further core machines that live: newcomers that don't vote."""
+        """The result of `addresses`, with those of the live core machines that are not voters yet."""
         return self.addresses() | {(heartbeat.host, heartbeat.port) for heartbeat in self.recent()}
 
     async def exchange(self) -> None:
-        """Keep one heartbeat task for each address."""
+        """Keep one heartbeat task running for each address; never returns."""
         tasks: dict[Address, defer.Deferred[None]] = {}
         while True:
             for address in sorted(self.addresses()):
@@ -231,5 +232,5 @@
                 if isinstance(response, message.Heartbeat):
                     self.receive(response)
             except (wire.ConnectionBrokenError, scheduler.DeadlineError):
-                pass  # the silence shows in `recent`
+                pass  # a machine that does not answer drops out of `recent`
             await self.runtime.pause(self.send_now, timing.HEARTBEAT_INTERVAL_US)
