--- a/iriswheel/consensus/tail_lease.py
+++ b/iriswheel/consensus/tail_lease.py
@@ -1,7 +1,7 @@
-"""The tail's read lease, renewed with a majority of the voters.
+"""The tail's read lease, which a majority of the voters grants and renews.
 
-While a majority has granted the lease, none of them promises the next view to another machine; so no other tail can
-serve newer state, and reads at this one are current.
+A voter that has granted the lease promises the next view to no other machine until the grant expires. So while a
+majority has granted it, no other tail can serve newer state, and reads at this tail are current.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class TailLease:
-    """The read lease of this machine, while it is the tail."""
+    """Obtains and renews the read lease while this machine is the tail."""
 
     def __init__(
         self, runtime: scheduler.Runtime, view_acceptor: acceptor.Acceptor, calls: voter_calls.VoterCalls
@@ -27,21 +27,21 @@
         self.runtime = runtime
         self.acceptor = view_acceptor
         self.calls = calls
-        # called when the lease is got anew
+        # called when the lease is obtained and was not held before
         self.on_obtained: collections.abc.Callable[[], object] = lambda: None
-        self.renew_now = scheduler.Signal()  # woken where this machine may have become the synced tail
+        self.renew_now = scheduler.Signal()  # woken when this machine may have become the synced tail
         self._expires_at_us = 0
 
     def is_held(self) -> bool:
-        """Whether this machine is the synced tail and holds the lease at this very moment."""
+        """Whether this machine is the synced tail and holds the lease now."""
         return self.acceptor.may_request_read_lease() and self.runtime.now() < self._expires_at_us
 
     def revoke(self) -> None:
-        """End the lease at once: its view is sealed or over."""
+        """Give up the lease at once, since its view is sealed or has been replaced."""
         self._expires_at_us = 0
 
     async def keep_renewed(self) -> None:
-        """While this machine is the tail, renew its lease in time."""
+        """Renew the lease every LEASE_RENEWAL_INTERVAL_US while this machine is the tail; never returns."""
         while True:
             view = self.acceptor.view
             if view is not None and self.acceptor.may_request_read_lease() and self.acceptor.disk.ok:
@@ -49,7 +49,7 @@
             await self.runtime.pause(self.renew_now, timing.LEASE_RENEWAL_INTERVAL_US)
 
     async def _renew(self, view: message.View) -> None:
-        asked_at_us = self.runtime.now()  # grants began later than this
+        asked_at_us = self.runtime.now()  # every grant starts later, so the lease ends here before any grant ends
         quorum = decisions.majority(len(view.voters))
         answers = await self.calls.call_all(
             view.voters,
--- a/iriswheel/consensus/timing.py
+++ b/iriswheel/consensus/timing.py
@@ -1,27 +1,28 @@
-"""Durations that the parts of view consensus rely on together, in microseconds."""
+"""Intervals, timeouts and lease times that the modules of view consensus share, in microseconds."""
 
 from __future__ import annotations
 
 from iriswheel.runtime import units
 
 LEASE_US = 1_500 * units.MILLISECOND_US
-"""How long a voter's grant of the read lease binds it, counted on its own clock."""
+"""How long a voter's grant of the read lease binds that voter, on its own clock."""
 
 CLOCK_DRIFT_US = 150 * units.MILLISECOND_US
-"""How much earlier the tail ends its lease, since clocks do not run at the same rate."""
+"""How much earlier than the voters' grants the tail ends its lease, since clocks do not run at the same rate."""
 
 LEASE_RENEWAL_INTERVAL_US = 300 * units.MILLISECOND_US
 
 HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
 
 PEER_TIMEOUT_US = 1_300 * units.MILLISECOND_US
-"""A core machine that was not heard for so long counts as dead."""
+"""A core machine that was not heard for this time counts as dead."""
 
 VOTER_REPLACEMENT_US = 1_500 * units.MILLISECOND_US
-"""A newcomer takes the place of a voter that is silent for so long."""
+"""A machine that is not a voter yet may replace a voter that was not heard for this time."""
 
 PROPOSER_RANK_DELAY_US = 300 * units.MILLISECOND_US
-"""By how much each further live voter waits before it proposes, so that proposals rarely collide."""
+"""How much longer each live voter waits before it proposes than the one listed before it, so that proposals rarely
+collide."""
 
 VIEW_CHECK_INTERVAL_US = 200 * units.MILLISECOND_US
 
@@ -32,4 +33,5 @@
 LEASE_CALL_TIMEOUT_US = 500 * units.MILLISECOND_US
 
 DEAD_PEER_CALL_TIMEOUT_US = 150 * units.MILLISECOND_US
-"""For a call to a machine that counts as dead: it may be back, but nobody waits for it."""
+"""Timeout of a call to a machine that counts as dead: it is called since it may be back, but must not hold up the
+others."""
--- a/iriswheel/consensus/voter_calls.py
+++ b/iriswheel/consensus/voter_calls.py
@@ -1,4 +1,4 @@
-"""Calls of one request to all voters, with their answers collected until enough of them are positive."""
+"""Sends one request to all voters, and collects their answers until enough of them are positive."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class VoterCalls:
-    """Puts requests to voters; the one on this machine is asked without the network."""
+    """Sends requests to voters; this machine's own acceptor is asked directly, without the network."""
 
     def __init__(
         self,
@@ -39,16 +39,17 @@
         timeout_us: int,
         enough: int | None = None,
     ) -> dict[str, acceptor.VoterResponse | None]:
-        """Put a request to all voters, this machine included.
+        """Send a request to all given voters and wait for their answers.
 
         Args:
-            voters: The machines to ask.
-            request: What they are asked.
-            timeout_us: How long each may take; machines that count as dead have a shorter time.
-            enough: After so many positive answers nobody is waited for any more.
+            voters: The machines to ask; this machine may be one of them.
+            request: The message to send.
+            timeout_us: How long each voter may take; one that counts as dead gets at most DEAD_PEER_CALL_TIMEOUT_US.
+            enough: Number of positive answers after which the remaining voters are not waited for; None to wait for
+                all.
 
         Returns:
-            The answers by voter, None where none came.
+            The answers by voter id; None for a voter that did not answer.
         """
         answers: dict[str, acceptor.VoterResponse | None] = {}
         complete: defer.Deferred[None] = defer.Deferred()
@@ -73,5 +74,5 @@
         if voter.id == self.acceptor.own_voter.id:
             return await self.acceptor.answer(request)
         call = defer.ensureDeferred(self.peers.call(voter.host, voter.port, request, timeout_us))
-        # a voter answers a request by the response of that request: see `Acceptor.answer`
+        # a voter answers each request with the response type that belongs to it: see `Acceptor.answer`
         return typing.cast("acceptor.VoterResponse", await self.runtime.within(call, timeout_us))
