--- a/iriswheel/consensus/view_change.py
+++ b/iriswheel/consensus/view_change.py
@@ -1,4 +1,4 @@
-"""The proposer of view consensus: makes the first view, and proposes the next one where the chain should change."""
+"""The proposer of view consensus: makes view 1, and proposes the next one when chain or voters should change."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class ViewChange:
-    """Watches the chain, and gets the next view agreed where one is due.
+    """Compares the newest view with the live machines, and proposes the next view when a change is due.
 
     Args:
         runtime: Clock, tasks and randomness.
         view_acceptor: This machine's record of views.
-        heartbeats: What is known of the other machines.
-        calls: Requests to the voters.
-        initial_addresses: Addresses of the machines of view 1; the first of them makes it.
-        voter_count: How many machines vote once so many are there.
+        heartbeats: The newest heartbeats of the other core machines.
+        calls: Sends requests to the voters.
+        initial_addresses: Addresses of the machines of view 1; the machine at the first address makes that view.
+        voter_count: Number of voters up to which newcomers are added.
     """
 
     def __init__(
@@ -48,15 +48,15 @@
         self.started_at_us = runtime.now()
         self._initial_addresses = list(initial_addresses)
         self._voter_count = max(voter_count, len(self._initial_addresses))
-        self._change_due_since_us: int | None = None  # since when the chain differs from the one that it should be
+        self._change_due_since_us: int | None = None  # since when the newest view should be replaced
         self._highest_ballot_round = 0
 
     def reset(self) -> None:
-        """Count the time for which a change is wanted anew: a newer view is there."""
+        """Restart the wait before a proposal, since a newer view is known."""
         self._change_due_since_us = None
 
     async def keep_view_current(self) -> None:
-        """Look at the chain over and over, and propose a better view where one is due."""
+        """Check periodically whether a change of the view is due, and propose the next view if so; never returns."""
         while True:
             jitter_us = self.runtime.rng.randrange(timing.VIEW_CHECK_JITTER_US)
             await self.runtime.pause(self.heartbeats.incarnation_seen, timing.VIEW_CHECK_INTERVAL_US + jitter_us)
@@ -66,10 +66,10 @@
             elif self.acceptor.is_voter() and self.is_due(view):
                 await self._propose_after(view)
 
-    # ---- when ------------------------------------------------------------------
+    # ---- whether a change is due -----------------------------------------------
 
     def is_due(self, view: message.View) -> bool:
-        """Whether this machine should propose the successor of the newest view now."""
+        """Whether this machine should propose the next view now."""
         now = self.runtime.now()
         alive = self.heartbeats.alive()
         voters = self._desired_voters(view)
@@ -89,7 +89,11 @@
         return now - self._change_due_since_us >= self._proposal_delay_us(view, alive, live_ids)
 
     def _proposal_delay_us(self, view: message.View, alive: decisions.Incarnations, live_ids: list[str]) -> int:
-        """How long others go first: a live tail, whose lease holds proposals of others back, then lower ranks."""
+        """How long this machine waits before it proposes, so that others may propose first.
+
+        A live tail goes first, since voters bound by its lease refuse the proposals of other machines; then the live
+        voters follow in the order in which the view lists them.
+        """
         rank = live_ids.index(self.own_voter.id) if self.own_voter.id in live_ids else len(live_ids)
         tail = view.chain[-1]
         is_tail_first = (
@@ -100,8 +104,8 @@
     def _desired_voters(self, view: message.View) -> list[message.Voter]:
         """The voters of the next view.
 
-        A newcomer takes the place of a machine that is lost, that leaves, or that came
-        back blank at the newcomer's address; else a place of its own up to the number of voters.
+        A newcomer (a live machine that is not a voter) replaces a voter that is dead or leaving, or that had the
+        newcomer's address before it came back without its data. Otherwise it is added, up to `voter_count` voters.
         """
         known = {voter.id for voter in view.voters}
         newcomers = [
@@ -119,10 +123,10 @@
             size=self._voter_count,
         )
 
-    # ---- how -------------------------------------------------------------------
+    # ---- agreement on the next view --------------------------------------------
 
     async def _bootstrap(self) -> None:
-        """Make view 1: the first of its machines does it, once all of them are there and know no view."""
+        """Make view 1, if this machine has the first initial address and all its machines are live and know no view."""
         own_address = (self.own_voter.host, self.own_voter.port)
         without_view = self.heartbeats.recent_without_view() | {own_address}
         if self._initial_addresses[:1] != [own_address] or not set(self._initial_addresses) <= without_view:
@@ -135,7 +139,7 @@
         await self.acceptor.adopt(message.View(1, voters, chain))
 
     async def _propose_after(self, old: message.View) -> None:
-        """Try to get the successor of a view agreed: one ballot of single-decree Paxos among its voters."""
+        """Run one ballot of single-decree Paxos among the voters of view `old`, to get the next view agreed."""
         self._highest_ballot_round = max(self._highest_ballot_round, self.acceptor.record.promised[0]) + 1
         ballot = (self._highest_ballot_round, self.own_voter.id)
         voters = self._desired_voters(old)
@@ -144,14 +148,17 @@
             return
         view = view_formation.next_view(old, promises, voters, self.heartbeats.alive(), self.heartbeats.departing())
         if view is None:
-            log.warning("View {view} can't be proposed: no voter that answered has a synced copy.", view=old.number + 1)
+            log.warning(
+                "View {view} can't be proposed, and the present view stays: no voter that answered has a synced copy.",
+                view=old.number + 1,
+            )
             return
         if await self._is_accepted(old, ballot, view):
             await self.acceptor.adopt(view)
             self._announce(old, view)
 
     async def _collect_promises(self, old: message.View, ballot: decisions.Ballot) -> dict[str, message.Promise] | None:
-        """The promises by voter, or None where a majority did not promise."""
+        """Ask the voters of view `old` for promises; None if fewer than a majority gave one."""
         number = old.number + 1
         request = message.Prepare(number, ballot, self.own_voter.id)
         answers = await self.calls.call_all(old.voters, request, timing.CALL_TIMEOUT_US)
@@ -164,7 +171,7 @@
         return promises if len(promises) >= decisions.majority(len(old.voters)) else None
 
     async def _is_accepted(self, old: message.View, ballot: decisions.Ballot, view: message.View) -> bool:
-        """Whether a majority of the old view's voters accepts a view."""
+        """Ask the voters of view `old` to accept `view`; whether a majority did."""
         quorum = decisions.majority(len(old.voters))
         request = message.Accept(ballot, view, self.own_voter.id)
         answers = await self.calls.call_all(old.voters, request, timing.CALL_TIMEOUT_US, enough=quorum)
@@ -175,7 +182,11 @@
     async def _adopt_newer(
         self, answers: collections.abc.Mapping[str, acceptor.VoterResponse | None], number: int
     ) -> bool:
-        """Adopt a view that was agreed meanwhile, where an answer tells one; whether it did."""
+        """Adopt the view in an answer if its number is at least `number`: another proposal has been agreed meanwhile.
+
+        Returns:
+            Whether a view was adopted.
+        """
         for answer in answers.values():
             if answer is not None and answer.newer is not None and answer.newer.number >= number:
                 await self.acceptor.adopt(answer.newer)
