--- a/iriswheel/consensus/view_consensus.py
+++ b/iriswheel/consensus/view_consensus.py
@@ -1,9 +1,9 @@
-"""One core machine's part in agreeing on the view: who votes, and in which order the replicas of the chain are.
+"""View consensus on one core machine: agreement on who votes, and on the order of the replicas in the chain.
 
-View v+1 is agreed by a majority of the machines that vote in view v, one decision
-per number, with promises and acceptances synced before they are answered. A promise
-seals the old chain on the machine that gave it: from then on nothing of view v is
-acknowledged there. A read lease of the tail holds promises to others back until it expires.
+View v+1 is agreed by a majority of the voters of view v, by one decision of single-decree Paxos per view number.
+Promises and acceptances are synced to disk before they are answered. A promise seals view v on the machine that gave
+it: from then on, that machine acknowledges nothing in view v. A voter that has granted the tail's read lease promises
+to no other machine until the grant expires.
 
 This module composes the parts: acceptor, heartbeats, the tail's lease and the proposer.
 """
@@ -37,18 +37,19 @@
 
 
 class ViewConsensus:
-    """View consensus on one core machine, as the rest of the process uses it.
+    """View consensus on one core machine: the interface for the rest of the process.
 
     Args:
         runtime: Clock, tasks and randomness.
-        disk: Where the acceptor's record is synced.
-        record: What the disk held of it at the start.
+        disk: The disk to which the acceptor's record is synced.
+        record: The acceptor's record that the disk held when the process started.
         own_voter: Identity and address of this machine.
-        seeds: Addresses of the machines of view 1, the first of which makes it; none where another fleet is joined.
-        peers: Calls to other core machines.
+        seeds: Addresses of the machines of view 1, of which the first makes that view; empty on a machine that joins an
+            existing fleet.
+        peers: Makes calls to other core machines.
         on_view: Called with each view that is adopted here.
-        voter_count: How many machines vote once so many are there.
-        copies: How many synced copies there must be of a change before it is acknowledged.
+        voter_count: Number of voters up to which newcomers are added.
+        copies: Number of synced copies that a change needs before it is acknowledged.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         self.own_voter = own_voter
         self.required_copies = copies
         self.last_entry: collections.abc.Callable[[], decisions.LastEntry] = lambda: decisions.NO_ENTRY
-        """Gives the newest log entry here; set by the owner of the log."""
+        """Returns the newest log entry of this machine's copy; set by the component that owns the log."""
         self.started_at = runtime.now()
         self.acceptor = acceptor.Acceptor(
             runtime, disk, record, own_voter, on_view=on_view, last_entry=self._last_entry
@@ -91,21 +92,21 @@
 
     @property
     def view(self) -> message.View | None:
-        """The newest view known here."""
+        """The newest view that this machine knows; None before it knows any."""
         return self.acceptor.record.view
 
     @property
     def record(self) -> decisions.Record:
-        """The acceptor's record."""
+        """The record of this machine's acceptor."""
         return self.acceptor.record
 
     @property
     def previous_chain(self) -> list[decisions.ReplicaIncarnation] | None:
-        """The chain of the view before the newest one; empty before view 1, None where it is not known here."""
+        """The chain of the view before the newest one; empty in view 1, None if this machine does not know it."""
         return self.acceptor.previous_chain
 
     def is_sealed(self) -> bool:
-        """Whether a promise here has closed the newest view."""
+        """Whether a promise or an acceptance of this machine has closed the newest view."""
         return self.acceptor.is_sealed()
 
     def is_voter(self) -> bool:
@@ -116,31 +117,31 @@
         """Whether this incarnation is a replica of the newest view's chain, and the view is not sealed here.
 
         Args:
-            number: The view that is meant; False where it is not the newest.
+            number: If given, the result is False unless the newest view has this number.
         """
         if number is not None and (self.view is None or number != self.view.number):
             return False
         return self.acceptor.is_serving()
 
     def is_tail(self) -> bool:
-        """Whether this machine is the tail of the newest view."""
+        """Whether this incarnation serves as the tail of the newest view's chain."""
         return self.acceptor.is_tail()
 
     def holds_lease(self) -> bool:
-        """Whether this machine is the synced tail and holds the read lease at this very moment."""
+        """Whether this machine is the synced tail and holds the read lease now."""
         return self.tail_lease.is_held()
 
     def is_cut_off(self) -> bool:
-        """Whether this machine knows that it can reach no majority, so that it can neither change nor read anything.
+        """Whether this machine has lost contact with a majority of the voters, so that it can serve no change or read.
 
-        A machine that has just started has heard nobody yet, and may still.
+        False until PEER_TIMEOUT_US after the start, before the other machines have had time to be heard.
         """
         view = self.view
         has_listened = self.runtime.now() - self.started_at >= timing.PEER_TIMEOUT_US
         return view is not None and has_listened and not self.peer_heartbeats.hears_majority(view)
 
     def voter(self, identifier: str) -> message.Voter | None:
-        """The address of a voter of the newest view, or None where it is none."""
+        """The voter of the newest view that has an id; None if no voter has it."""
         voters = self.view.voters if self.view is not None else []
         return next((voter for voter in voters if voter.id == identifier), None)
 
@@ -154,18 +155,18 @@
         return await self.acceptor.answer(request)
 
     def receive_heartbeat(self, heartbeat: message.Heartbeat) -> None:
-        """Keep another machine's heartbeat, and adopt a newer view that it tells."""
+        """Keep another machine's heartbeat, and adopt the view in it if that is newer than the one known here."""
         self.peer_heartbeats.receive(heartbeat)
 
     async def adopt(self, view: message.View) -> None:
-        """Take a view that was agreed, unless a newer one is known."""
+        """Adopt a view that was agreed, unless this machine already knows it or a newer one."""
         await self.acceptor.adopt(view)
 
     async def mark_synced(self, number: int) -> None:
-        """Note on disk that this machine's copy is synced in a view.
+        """Record on disk that this machine's copy is synced in a view.
 
         Raises:
-            storage.DiskError: The disk refused the note, and the copy does not count as synced.
+            storage.DiskError: The disk refused the write; the copy does not count as synced.
         """
         await self.acceptor.mark_synced(number)
 
@@ -173,48 +174,48 @@
 
     @property
     def heartbeats(self) -> dict[str, peer_heartbeats.ReceivedHeartbeat]:
-        """The newest heartbeat of each other machine."""
+        """The newest heartbeat of each other core machine, by machine id."""
         return self.peer_heartbeats.received
 
     @property
     def heartbeat_now(self) -> scheduler.Signal:
-        """Wakes the heartbeat tasks before their interval is over."""
+        """Makes the heartbeat tasks send at once, without waiting for their interval."""
         return self.peer_heartbeats.send_now
 
     def addresses(self) -> set[peer_heartbeats.Address]:
-        """All addresses at which core machines are looked for, but this one's."""
+        """All addresses to which heartbeats are sent: those of seeds and voters, but not this machine's own."""
         return self.peer_heartbeats.addresses()
 
     def addresses_heard(self) -> set[peer_heartbeats.Address]:
-        """The same, with those of further core machines that live: newcomers that don't vote."""
+        """The result of `addresses`, with those of the live core machines that are not voters yet."""
         return self.peer_heartbeats.addresses_heard()
 
     def learn_seeds(self, seeds: collections.abc.Iterable[peer_heartbeats.Address]) -> None:
-        """Look for core machines at further addresses; they are no initial members."""
+        """Send heartbeats to further addresses; the machines there do not count as machines of view 1."""
         self.peer_heartbeats.learn_seeds(seeds)
 
     def announce_departure(self) -> None:
-        """Tell the others that this machine leaves: the next chain goes on without it."""
+        """Tell the other machines at once that this one is leaving, so that the next view has a chain without it."""
         self.peer_heartbeats.announce_departure()
 
     def is_still_needed(self) -> bool:
-        """Whether this machine should stay while it leaves, since the others can't go on without it yet."""
+        """Whether this machine, which is leaving, must keep running, since the others can't continue without it yet."""
         return departure.is_still_needed(self.acceptor, self.peer_heartbeats)
 
     def holds_only_copy(self) -> bool:
-        """Whether others go on, and none of them is known to hold what this machine's copy holds."""
+        """Whether this copy is synced and, as far as this machine has heard, no other live replica's copy is."""
         return departure.holds_only_copy(self.acceptor, self.peer_heartbeats)
 
     # ---- tasks -----------------------------------------------------------------
 
     async def exchange_heartbeats(self) -> None:
-        """Send heartbeats to all core machines, for ever."""
+        """Send heartbeats to all core machines; never returns."""
         await self.peer_heartbeats.exchange()
 
     async def renew_lease(self) -> None:
-        """Keep the read lease while this machine is the tail, for ever."""
+        """Renew the read lease while this machine is the tail; never returns."""
         await self.tail_lease.keep_renewed()
 
     async def keep_view_current(self) -> None:
-        """Propose a better view whenever one is due, for ever."""
+        """Propose the next view whenever a change is due; never returns."""
         await self.view_change.keep_view_current()
--- a/iriswheel/consensus/view_formation.py
+++ b/iriswheel/consensus/view_formation.py
@@ -1,6 +1,7 @@
-"""Who votes in the next view and who stands in its chain, as pure functions of what a majority promised.
+"""The voters and the chain of the next view, as pure functions of the promises of a majority and of the live machines.
 
-A proposer calls these between the promises and its proposal; `decisions` has what an acceptor answers.
+A proposer calls these after it has the promises and before it sends its proposal. The answers of acceptors are in
+`decisions`.
 """
 
 from __future__ import annotations
@@ -18,11 +19,16 @@
     states: dict[str, decisions.VoterState],
     size: int,
 ) -> list[message.Voter]:
-    """The voters of the next view: a newcomer takes a replaceable voter, else a new one up to `size`.
+    """The voters of the next view: each newcomer replaces a replaceable voter, or is added as long as there is room.
 
-    `joining_members` are live machines that do not vote, in the order in which they are served; `states`
-    says of each other voter what this proposer, `identifier`, knows of it. A newcomer at the address of a voter
-    waits until that voter is silent.
+    Args:
+        view: The present view.
+        identifier: The id of this machine, the proposer.
+        leaving: Whether this machine is leaving, so that it may be replaced too.
+        joining_members: Live machines that are not voters, in the order in which they are considered.
+        states: The state of each other voter, as far as this machine knows it. A newcomer that has the address of a
+            voter waits until that voter is silent.
+        size: The number of voters up to which newcomers are added.
 
     >>> a, b, c = [message.Voter(i, i, 1, "zone") for i in "abc"]
     >>> states = {"b": decisions.VoterState(True, True)}
@@ -44,14 +50,14 @@
 def _place_newcomer(
     joining: message.Voter, voters: list[message.Voter], candidates: dict[str, decisions.VoterState], size: int
 ) -> None:
-    """Put a newcomer into the place of the first voter that it may replace, else at the end while there is room."""
+    """Replace the first voter that the newcomer may replace; if there is none, append it while there is room."""
     for index, voter in enumerate(voters):
         state = candidates.get(voter.id)
         if state is None:
             continue
         is_same_address = (voter.host, voter.port) == (joining.host, joining.port)
         if is_same_address and not state.silent:
-            return  # its last heartbeat may be an old one
+            return  # both sent heartbeats from this address lately, and one of these may be old
         if state.replaceable or is_same_address:
             voters[index] = joining
             return
@@ -62,19 +68,17 @@
 def next_chain(
     view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
 ) -> list[message.ChainReplica] | None:
-    """The chain that view.number + 1 should have, or None where no copy can be trusted.
+    """The chain of view `view.number + 1`, from head to tail, or None if no copy is known to have all changes.
 
-    Members that were synced in the view come first, in their old order: each of them
-    holds all that was acknowledged. Where none of the old members that answer was synced,
-    nothing was acknowledged in the view, and of those that were synced in the view before the
-    one with the newest entry leads.
+    Old replicas that were synced in the view come first, in their old order: each of them holds every acknowledged
+    change. If none of the old replicas that answered was synced, nothing was acknowledged in the view; then the head
+    is the copy with the newest entry among those that were synced in the view before.
 
-    A member that was synced but can't go on (its disk is bad, or it leaves) still shows that
-    something may have been acknowledged: where it is the only synced one, there is no chain
-    without it.
+    A replica that was synced but can't continue (its disk fails, or it is leaving) still shows that changes may have
+    been acknowledged: if it is the only synced one, no chain can be formed without it.
 
-    A member holds all that those behind it hold. One that holds less came back with an older
-    disk, and counts as a newcomer.
+    In a chain, each replica holds everything that the replicas behind it hold. One that holds less has come back with
+    an older state of its disk, and counts as a newcomer.
 
     >>> a, b, c = [message.ChainReplica(i, "x") for i in "abc"]
     >>> v = message.View(4, [], [a, b, c])
@@ -104,7 +108,7 @@
 
 
 def _synced_in_order(view: message.View, promises: dict[str, message.Promise], able: list[str]) -> list[str]:
-    """Of the old members that can go on, those that are synced and hold all that those behind them hold."""
+    """Of the old replicas in `able`, the synced ones that hold everything that the synced replicas behind them hold."""
     synced = [identifier for identifier in able if promises[identifier].synced_view == view.number]
     return [
         identifier
@@ -116,7 +120,7 @@
 def _newest_of_view_before(
     view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
 ) -> list[str]:
-    """The machine with the newest entry of those that were synced in the view before, if there is one."""
+    """The machine with the newest entry among those synced in the view before `view`, as a list of at most one id."""
     synced = [
         identifier
         for identifier in sorted(promises)
@@ -128,7 +132,7 @@
 def is_handing_over(
     view: message.View, alive: decisions.Incarnations, leaving: decisions.Incarnations, synced: set[str]
 ) -> bool:
-    """Whether the only synced members of the chain are about to leave, and must bring another up to date first.
+    """Whether no synced replica of the chain stays, but one is leaving, which must first sync another machine.
 
     >>> chain = [message.ChainReplica("a", "1"), message.ChainReplica("b", "1")]
     >>> view = message.View(4, [], chain)
@@ -146,12 +150,18 @@
     alive: decisions.Incarnations,
     leaving: decisions.Incarnations,
 ) -> message.View | None:
-    """The view to propose after a majority promised, or None where no synced copy can lead it.
+    """The view to propose after a majority has promised, or None if no synced copy can be its head.
 
-    A view that may have been agreed already is proposed again. `alive` are the live machines with their
-    incarnations, but for those in `leaving`; what a promise says of a machine goes before it. Where none but a
-    machine that leaves can lead, it stays for one more view, with the voters as they are, to bring the others up
-    to date.
+    If voters have accepted a view already, it may have been agreed: the accepted view with the highest ballot is
+    proposed again. If only a leaving machine can be the head, it stays in the chain for one more view, with unchanged
+    voters, so that the others can catch up from it.
+
+    Args:
+        view: The present view.
+        promises: The promises of a majority of its voters, by voter id.
+        voters: The voters that the next view should have.
+        alive: The incarnations of the live machines that are not leaving; a promise takes precedence over this.
+        leaving: The incarnations of the live machines that are leaving.
 
     >>> a, b = message.ChainReplica("a", "1"), message.ChainReplica("b", "1")
     >>> old = message.View(4, [message.Voter(i, i, 1, "zone") for i in "ab"], [a, b])
@@ -178,7 +188,9 @@
 def members_of(
     voters: list[message.Voter], machines: decisions.Incarnations, promises: dict[str, message.Promise]
 ) -> decisions.Incarnations:
-    """The machines that may be members of a chain, with the incarnations that they last reported.
+    """The `machines` that are voters and may be in a chain: their incarnations, taken from a promise if there is one.
+
+    A machine whose promise says that its disk fails is left out.
 
     >>> promises_by_id = {"a": message.Promise(True, (1, "a"), None, None, "a", "2", 4, True)}
     >>> members_of([message.Voter("a", "a", 1, "zone")], {"a": "1", "b": "1"}, promises_by_id)
