--- a/iriswheel/consensus/__init__.py
+++ b/iriswheel/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement of the core machines on the view: who votes, and the order of the chain."""
+"""Consensus of the core machines on the view: which machines vote, and the order of the replicas in the chain."""
--- a/iriswheel/consensus/view_formation.py
+++ b/iriswheel/consensus/view_formation.py
@@ -93,23 +93,23 @@
     ['c', 'b']
     """
     old = [member.id for member in view.chain]
-    able = [identifier for identifier in old if identifier in promises and identifier in alive]
-    lead = _synced_in_order(view, promises, able)
-    if not lead:
+    available = [identifier for identifier in old if identifier in promises and identifier in alive]
+    leading = _synced_in_order(view, promises, available)
+    if not leading:
         answered = [promises[identifier].synced_view for identifier in old if identifier in promises]
         if not answered or view.number in answered:
             return None
-        lead = _newest_of_view_before(view, promises, alive)
-    if not lead:
+        leading = _newest_of_view_before(view, promises, alive)
+    if not leading:
         return None
-    rest = [identifier for identifier in able if identifier not in lead]
-    newcomers = [identifier for identifier in sorted(alive) if identifier not in old and identifier not in lead]
-    return [message.ChainReplica(identifier, alive[identifier]) for identifier in lead + rest + newcomers]
+    rest = [identifier for identifier in available if identifier not in leading]
+    newcomers = [identifier for identifier in sorted(alive) if identifier not in old and identifier not in leading]
+    return [message.ChainReplica(identifier, alive[identifier]) for identifier in leading + rest + newcomers]
 
 
-def _synced_in_order(view: message.View, promises: dict[str, message.Promise], able: list[str]) -> list[str]:
-    """Of the old replicas in `able`, the synced ones that hold everything that the synced replicas behind them hold."""
-    synced = [identifier for identifier in able if promises[identifier].synced_view == view.number]
+def _synced_in_order(view: message.View, promises: dict[str, message.Promise], available: list[str]) -> list[str]:
+    """Of the old replicas in `available`, the synced ones that hold everything that synced ones behind them hold."""
+    synced = [identifier for identifier in available if promises[identifier].synced_view == view.number]
     return [
         identifier
         for index, identifier in enumerate(synced)
@@ -175,9 +175,9 @@
     >>> next_view(old, promises_by_id, old.voters, {"b": "1"}, {}) is None
     True
     """
-    taken = [answer.accepted for answer in promises.values() if answer.accepted is not None]
-    if taken:
-        return max(taken, key=lambda accepted: accepted[0])[1]
+    accepted_views = [answer.accepted for answer in promises.values() if answer.accepted is not None]
+    if accepted_views:
+        return max(accepted_views, key=lambda accepted: accepted[0])[1]
     for candidates, machines in ((voters, alive), (view.voters, alive | leaving)):
         chain = next_chain(view, promises, members_of(candidates, machines, promises))
         if chain is not None:
