--- a/iriswheel/membership/assignments.py
+++ b/iriswheel/membership/assignments.py
@@ -1,6 +1,7 @@
-"""Which member holds which role: pure decisions over the members and the assignments before.
+"""Assignment of roles to nodes, as pure functions of the live members and the previous assignments.
 
-A role is the worker list ("list") or the pool owner of one pool ("pool/<name>").
+A role is a task that one node has for the whole fleet: the holder of role "list" keeps the worker list, and the holder
+of role "pool/<name>" is the owner of that pool.
 """
 
 from __future__ import annotations
@@ -11,22 +12,22 @@
 
 from iriswheel.transport import message
 
-RECORD_COPIES = 2  # members beside the holder that keep a role's records
+RECORD_COPIES = 2  # number of members besides the holder that keep copies of a role's records
 LISTING_ROLE = "list"
 POOL_ROLE_PREFIX = "pool/"
 
-RoleTerm: typing.TypeAlias = tuple[str, message.Term]
+RoleTerm: typing.TypeAlias = tuple[str, message.Term]  # key of a role, and the term of its holder
 
 
 class Group(typing.NamedTuple):
-    """The members of a role: their ids."""
+    """The ids of the members that serve a role."""
 
     holder: str
-    copies: list[str]
+    copies: list[str]  # the members that keep copies of the holder's records
 
 
 def pool_role(pool: str) -> str:
-    """The key of the role of a pool's owner.
+    """The key of the role of pool owner for one pool.
 
     >>> pool_role("desk")
     'pool/desk'
@@ -35,7 +36,7 @@
 
 
 def owned_pools(assignments: collections.abc.Iterable[message.RoleAssignment], node: str) -> tuple[str, ...]:
-    """The pools whose owner a node is.
+    """The names of the pools that a node owns.
 
     >>> owned_pools([message.RoleAssignment("pool/desk", (1, 1), "n1", [], [])], "n1")
     ('desk',)
@@ -48,7 +49,7 @@
 
 
 def rendezvous_weight(key: str, identifier: str) -> bytes:
-    """The weight of a member for a key; the heaviest one gets the role.
+    """The weight of a member for a key by rendezvous hashing; the member with the highest weight gets the role.
 
     >>> rendezvous_weight("pool/desk", "n1") == rendezvous_weight("pool/desk", "n1")
     True
@@ -57,7 +58,7 @@
 
 
 def rank_members(key: str, members: collections.abc.Iterable[message.Member]) -> list[message.Member]:
-    """Members by weight for a key, the heaviest first.
+    """The members ordered by their weight for a key, the highest first.
 
     >>> members = [message.Member(i, i, "z", "h", 1, 2) for i in "abc"]
     >>> [member.id for member in rank_members("pool/desk", members)]
@@ -69,10 +70,10 @@
 def choose_group(
     key: str, members: collections.abc.Sequence[message.Member], previous: message.RoleAssignment | None
 ) -> Group:
-    """Who holds a role and who keeps its copies: whoever had it keeps it.
+    """Choose the holder of a role and the members that keep copies; live members of the previous group stay in place.
 
-    A new holder is taken from the old copies first, since those know the records.
-    Copies stand in other zones than the holder's where there are such.
+    A new holder is chosen from the previous copies first, since those have the records. Copies are placed in other
+    zones than the holder's if there are members in other zones.
 
     >>> members = [message.Member(i, i, z, "h", 1, 2) for i, z in ("an", "bn", "cs", "ds")]
     >>> tuple(choose_group("pool/desk", members, None))
@@ -107,16 +108,16 @@
     contested: collections.abc.Set[RoleTerm],
     same_members: bool = False,
 ) -> message.RoleAssignment:
-    """The next assignment of one role over the live members.
+    """The next assignment of one role, given the live members.
 
     Args:
-        key: The role.
-        version: Of the membership that is being made; the term of a role that moves.
+        key: The key of the role.
+        version: The version of the membership that is being made; it becomes the term of a role whose group changes.
         members: The live members, at least one.
-        previous: The assignment before.
-        active: The roles whose holders are active, with their terms.
-        contested: The roles whose holders met a newer term than their own: they need a new one.
-        same_members: Whether the members are those of the previous assignment; then its group stays.
+        previous: The previous assignment; None for a new role.
+        active: The roles whose holders have reported that they are active, with their terms.
+        contested: The roles whose holders have met a newer term than their own, with their terms: each gets a new term.
+        same_members: Whether the members are those of the previous membership, so that the group can't have changed.
 
     >>> members = [message.Member(i, i, "z", "h", 1, 2) for i in "abc"]
     >>> first = assign("pool/desk", (1, 1), members, None, active=set(), contested=set())
@@ -140,6 +141,6 @@
 
 
 def _under_new_term(assignment: message.RoleAssignment, term: message.Term, new_group: Group) -> message.RoleAssignment:
-    """A role's assignment to a group under a new term, not active yet; its base is the last active group."""
+    """Assign a role to a group under a new term, not active yet; the last active group becomes the base."""
     base = [assignment.holder, *assignment.copies] if assignment.active else assignment.base
     return message.RoleAssignment(assignment.key, term, new_group.holder, new_group.copies, base)
