--- a/iriswheel/membership/__init__.py
+++ b/iriswheel/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Cluster membership: live nodes, role assignments, leases."""
+"""Cluster membership: live nodes, assignments of roles to nodes, leases of nodes, and tables of worker load."""
--- a/iriswheel/membership/load_table.py
+++ b/iriswheel/membership/load_table.py
@@ -1,4 +1,4 @@
-"""Tables of the load in flight at each worker, and their rows as they travel between processes."""
+"""Tables of the load in flight at each worker, and the rows in which load reports carry them between processes."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 if typing.TYPE_CHECKING:
     from iriswheel.transport import message
 
-REPORT_INTERVAL_US = 150 * units.MILLISECOND_US  # between two reports of what changed
-HEAVY_PROMPT_TOKENS = 2_000  # a rise by so much is reported at once
-SUSPICION_STEP_PERCENT = 20  # likewise
+REPORT_INTERVAL_US = 150 * units.MILLISECOND_US  # time between two reports of changed loads
+HEAVY_PROMPT_TOKENS = 2_000  # rise of a worker's unread prompt tokens that is reported at once
+SUSPICION_STEP_PERCENT = 20  # rise of a worker's suspicion, in percentage points, that is reported at once
 
-WorkerKey: typing.TypeAlias = tuple[str, str]  # pool, worker
+WorkerKey: typing.TypeAlias = tuple[str, str]  # name of the pool, id of the worker
 
 
 class Load(typing.NamedTuple):
-    """The load in flight at a worker; as rows of a report its fields travel in this order."""
+    """The load in flight at a worker; rows of a report carry the fields in this order."""
 
     running_requests: int
     unread_prompt_tokens: int
-    suspicion_percent: int
+    suspicion_percent: int  # suspicion that the worker is faulty, from recent failed attempts; up to 100 per node
 
 
 LoadTable: typing.TypeAlias = dict[WorkerKey, Load]
-LoadRow: typing.TypeAlias = tuple[str, int, int, int]  # worker, and its load
+LoadRow: typing.TypeAlias = tuple[str, int, int, int]  # id of the worker, then the fields of Load
 
 NO_LOAD = Load(0, 0, 0)
 
 
 def rows(table: LoadTable, keys: collections.abc.Iterable[WorkerKey]) -> dict[str, list[LoadRow]]:
-    """The rows of a table for some workers, by pool; a worker that is not in the table has no load.
+    """The rows of a table for the given workers, by pool; a worker that is not in the table has load 0.
 
     >>> rows({("p", "w1"): (1, 60, 0)}, {("p", "w1"), ("p", "w2")})
     {'p': [('w1', 1, 60, 0), ('w2', 0, 0, 0)]}
@@ -44,7 +44,7 @@
 
 
 def add_and_subtract(load: Load, added: Load, removed: Load) -> Load:
-    """A load with one added and one taken away.
+    """The load after adding one load and subtracting another.
 
     >>> add_and_subtract(Load(3, 60, 0), Load(1, 0, 50), Load(2, 60, 0))
     Load(running_requests=2, unread_prompt_tokens=0, suspicion_percent=50)
@@ -57,7 +57,7 @@
 
 
 def changed_keys(old: LoadTable, new: LoadTable) -> set[WorkerKey]:
-    """The workers whose load differs.
+    """The keys of the workers whose load differs between two tables.
 
     >>> changed_keys({"a": 1, "b": 2}, {"b": 2, "c": 3}) == {"a", "c"}
     True
@@ -66,7 +66,7 @@
 
 
 def is_large_rise(before: Load, after: Load) -> bool:
-    """Whether the unread prompt tokens of a worker rose by much, or the suspicion of it.
+    """Whether a worker's unread prompt tokens or its suspicion rose so much that the rise is reported at once.
 
     >>> idle, busy, suspected = Load(1, 0, 0), Load(2, 13_000, 0), Load(1, 0, 30)
     >>> is_large_rise(idle, busy), is_large_rise(busy, idle), is_large_rise(idle, suspected)
@@ -78,10 +78,10 @@
 
 
 def apply_report(table: LoadTable, report: message.LoadReport) -> set[WorkerKey]:
-    """Bring a table up to date by a report, in place.
+    """Apply a load report to a table, in place; a complete report replaces the whole table.
 
     Returns:
-        The keys whose load changed.
+        The keys of the workers whose load changed.
 
     >>> import iriswheel.transport.message as message
     >>> t = {}; apply_report(t, message.LoadReport("n1", True, {"p": [("w1", 1, 60, 0)]})), t
