--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -1,21 +1,21 @@
 """Leases that bound how long a node may route by a configuration that is no longer the newest.
 
-A lease starts at its holder and is measured on the holder's clock. A node puts its own time
-on every heartbeat to its core machine; a core machine puts its own time on every report to
-the tail. The tail sends back the newest time that it got from each core machine, and a core
-machine the newest time that it got from each node, with what is left of its own lease:
+A lease is counted from the time at which its holder sent a message, on the holder's own clock. A node puts its own
+time on every heartbeat to its core machine; a core machine puts its own time on every report to the tail. The tail
+sends back the newest time that it got from each core machine. A core machine sends back the newest time that it got
+from each node, with the remaining time of the core machine's own lease:
 
     node --(node's time)--> core machine --(core's time)--> tail
-    node <--(node's time, what is left)-- core machine <--(core's time)-- tail
+    node <--(node's time, remaining time)-- core machine <--(core's time)-- tail
 
-So a hop that has not heard the tail itself has nothing left to pass on, a message that was
-held up on its way shortens a lease instead of extending it, and no two clocks are compared.
-Clocks must run at the same rate, within DRIFT_US in a lease; no time of day is used. The
-option `lease_us` of the core machines says how long a lease is; it must be the same on all.
+So a core machine that has not heard the tail itself has no remaining time to pass on, a message that was delayed on
+its way shortens a lease instead of extending it, and times of two clocks are never compared. Clocks must run at the
+same rate, with a drift of at most DRIFT_US during a lease; the time of day is not used. The option `lease_us` of the
+core machines sets the duration of a lease; it must be the same on all of them.
 
-The tail acknowledges a change once every node that may hold a lease has applied it or its
-lease has run out. A new tail does not know the leases of a core machine that is gone; it
-waits for one lease from the time at which it learned of its epoch.
+The tail acknowledges a change once every node that may hold a lease has applied the change or its lease has expired.
+A new tail does not know the leases that a lost core machine has granted, so it waits for the duration of one lease
+from the time at which it learned of its view.
 """
 
 from __future__ import annotations
@@ -30,17 +30,16 @@
 if typing.TYPE_CHECKING:
     from iriswheel.consensus import decisions
 
-DRIFT_US = 50 * units.MILLISECOND_US
-NODE_SILENCE_LIMIT_US = (
-    700 * units.MILLISECOND_US
-)  # a node that was not heard for so long gets no lease before it is listed again
+DRIFT_US = 50 * units.MILLISECOND_US  # largest drift between two clocks during one lease
+# A node that was not heard for this time gets no lease until a report to the tail lists it again.
+NODE_SILENCE_LIMIT_US = 700 * units.MILLISECOND_US
 
 
-LeaseRow: typing.TypeAlias = tuple[str, int, int]  # node, log index applied, how long it may hold a lease (µs)
+LeaseRow: typing.TypeAlias = tuple[str, int, int]  # node id, log index applied, longest remaining time of a lease (µs)
 
 
 class NodeLease:
-    """A node's lease, on the node's clock.
+    """The lease of a node as the node itself knows it; times in µs on the node's clock.
 
     >>> lease = NodeLease()
     >>> lease.renew(sent_at=1_000_000, remaining_us=500_000)
@@ -52,35 +51,39 @@
         self.expires_at_us = 0
 
     def renew(self, sent_at: int, remaining_us: int) -> None:
-        """Take a core machine's answer to the heartbeat that this node sent at `sent_at` (µs)."""
+        """Extend the lease by a core machine's answer to the heartbeat that this node sent at `sent_at` (µs).
+
+        A time of 0 in either argument means that the core machine granted nothing.
+        """
         if sent_at > 0 and remaining_us > 0:
             self.expires_at_us = max(self.expires_at_us, sent_at + remaining_us)
 
     def is_valid(self, now: int) -> bool:
-        """Whether the lease runs at `now` (µs)."""
+        """Whether the lease has not expired at `now` (µs)."""
         return now < self.expires_at_us
 
 
 class GrantedLease(msgspec.Struct):
-    """What one node may hold: until when (µs, local clock), and the log index that it has applied."""
+    """A lease that one node may hold."""
 
-    expires_at_us: int
-    applied: int
+    expires_at_us: int  # on the clock of the machine that keeps this record
+    applied: int  # the log index up to which the node has applied the configuration
 
 
 class SessionLease(msgspec.Struct):
-    """What a core machine knows of a node that has a session: times in µs on the core's clock."""
+    """A node that has a session with this core machine; times in µs on the core machine's clock."""
 
-    applied: int  # the log index that the node has applied, -1 before its first
-    last_contact_at: int  # when its newest heartbeat came
-    listed_at: int | None = None  # since which report to the tail it is listed as one that may get a lease
+    applied: int  # the log index up to which the node has applied the configuration, -1 before its first configuration
+    last_contact_at: int  # arrival time of the node's newest heartbeat
+    listed_at: int | None = None  # send time of the first of the latest reports that all list the node
 
 
 class CoreLease:
-    """A core machine's own lease from the tail, and what it passes on to nodes.
+    """A core machine's own lease from the tail, and the leases that it grants to nodes.
 
-    A node gets a lease only after the tail has answered a report that lists it: from then on
-    the tail waits for it, and this machine has every change acknowledged before.
+    A node gets a lease only after the tail has answered a report that lists the node. From that answer on, the tail
+    waits for the node before it acknowledges a change, and this core machine has every change that was acknowledged
+    before.
 
     >>> core = CoreLease(2_000_000)
     >>> core.record_heartbeat("n1", 7, now=1_000_000)
@@ -90,7 +93,7 @@
     [('n1', 7, 2000000)]
     >>> core.renew(sent_at=1_020_000); core.grant("n1", now=1_030_000)
     1990000
-    >>> core.rows_to_report(now=1_800_000)  # silent for a while: listed with what it may hold, and no longer eligible
+    >>> core.rows_to_report(now=1_800_000)  # silent for too long: listed only with its old lease, gets no new one
     [('n1', 7, 1200000)]
     >>> core.renew(sent_at=1_800_000); core.grant("n1", now=1_810_000)
     0
@@ -99,20 +102,20 @@
     """
 
     def __init__(self, duration_us: int) -> None:
-        self.duration_us = duration_us  # of a lease, in µs
-        self.expires_at_us = 0
-        self.answered_report_at = 0
+        self.duration_us = duration_us  # duration of a lease
+        self.expires_at_us = 0  # end of this core machine's own lease
+        self.answered_report_at = 0  # send time of the newest report that the tail has answered
         self.sessions: dict[str, SessionLease] = {}
         self.grants: dict[str, GrantedLease] = {}
 
     def renew(self, sent_at: int) -> None:
-        """The tail sent back the time (µs) of a report of this core machine."""
+        """Extend the own lease: the tail has answered the report that this core machine sent at `sent_at` (µs)."""
         if sent_at > self.answered_report_at:
             self.answered_report_at = sent_at
             self.expires_at_us = sent_at + self.duration_us
 
     def record_heartbeat(self, node: str, applied: int, now: int) -> None:
-        """A node's heartbeat came at `now` (µs); it has applied the configuration up to a log index."""
+        """Record a node's heartbeat that arrived at `now` (µs), and the log index up to which the node has applied."""
         session = self.sessions.get(node)
         if session is None:
             self.sessions[node] = SessionLease(applied, now)
@@ -122,11 +125,11 @@
             self.grants[node].applied = max(applied, self.grants[node].applied)
 
     def end_session(self, node: str) -> None:
-        """A node's session ended; what was granted to it may still run."""
+        """Forget a node's session, which has ended; a lease that was granted to the node may still run."""
         self.sessions.pop(node, None)
 
     def grant(self, node: str, now: int) -> int:
-        """What is left (µs) at `now` of a lease for a node, noted as granted; 0 where it may not have one."""
+        """Grant a lease to a node and record it; returns the remaining time (µs) at `now`, 0 if none is granted."""
         session = self.sessions.get(node)
         if (
             session is None
@@ -143,9 +146,10 @@
         return self.expires_at_us - now
 
     def rows_to_report(self, now: int) -> list[LeaseRow]:
-        """The rows of a report sent at `now` (µs).
+        """The nodes that may hold a lease, for a report to the tail that is sent at `now` (µs).
 
-        A node with a session may get one up to a whole lease before the next report is answered.
+        A node that was heard lately is listed with a whole lease, since it may get one before the next report is
+        answered.
         """
         rows = {}
         self.grants = {node: grant for node, grant in self.grants.items() if grant.expires_at_us > now}
@@ -164,10 +168,10 @@
 
 
 class LeaseHolders:
-    """At a core machine that may become the tail: who may hold a lease, and how far each has come.
+    """The nodes that may hold a lease, with their progress, as a core machine that may become the tail knows them.
 
-    `on_view` is called for each view; `record_heartbeat` with each report; `applied_by_holders` says how far up to
-    a log index all holders have come.
+    `on_view` is called for each view, and `record_heartbeat` with each report of a core machine. `applied_by_holders`
+    returns the log index that all nodes with a possible lease have applied.
 
     >>> holders = LeaseHolders(2_000_000, now=0)
     >>> holders.on_view([], [("a", "1"), ("b", "1")], now=0)
@@ -181,10 +185,10 @@
     """
 
     def __init__(self, duration_us: int, now: int) -> None:
-        self.duration_us = duration_us  # of a lease, in µs
-        self.unknown_grants_until = now + duration_us + DRIFT_US
-        self.holders: dict[str, GrantedLease] = {}
-        self.unreported_cores: set[str] = set()
+        self.duration_us = duration_us  # duration of a lease
+        self.unknown_grants_until = now + duration_us + DRIFT_US  # until then, unreported leases may still run (µs)
+        self.holders: dict[str, GrantedLease] = {}  # by node id
+        self.unreported_cores: set[str] = set()  # replicas of the chain that have not reported in the present view
 
     def on_view(
         self,
@@ -193,12 +197,17 @@
         now: int,
         was_tail: bool = False,
     ) -> None:
-        """A view was agreed whose chain is `chain`, after one whose chain was `before` (None: not known here).
+        """Prepare for the reports of a new view.
 
-        An empty `before` says that this is the fleet's first view.
-        A core machine of the view before that is gone, or has restarted, may have granted leases
-        that nobody can tell of, but for the one that was the tail (`was_tail`): it has answered
-        every report on which a lease was granted.
+        A core machine of the previous view that is lost or has restarted may have granted leases that no machine
+        reports any more. Only the machine that was the tail knows of all of them, since it has answered every report
+        on which a lease was granted; any other waits until such leases have expired.
+
+        Args:
+            before: The chain of the previous view; empty if this is the first view, None if it is not known here.
+            chain: The chain of the new view.
+            now: The time in µs on this machine's clock.
+            was_tail: Whether this machine was the tail of the previous view.
         """
         if before == []:
             self.unknown_grants_until = now
@@ -207,7 +216,7 @@
         self.unreported_cores = {core for core, _ in chain}
 
     def record_heartbeat(self, core: str, leases: list[LeaseRow], now: int) -> None:
-        """Record a core machine's report in the present view: the leases that it granted."""
+        """Record the leases that a core machine lists in a report in the present view."""
         self.unreported_cores.discard(core)
         for node, applied, remaining_us in leases:
             reported = GrantedLease(now + remaining_us + DRIFT_US, applied)
@@ -217,7 +226,10 @@
             )
 
     def applied_by_holders(self, index: int, now: int) -> int:
-        """How far up to a log index every node with a possible lease at `now` (µs) has come; 0 if unknown."""
+        """The index, at most `index`, up to which every node that may hold a lease at `now` (µs) has applied the log.
+
+        0 as long as a replica of the chain has not reported, or leases that are not reported may still run.
+        """
         if self.unreported_cores or now < self.unknown_grants_until:
             return 0
         self.holders = {node: grant for node, grant in self.holders.items() if grant.expires_at_us > now}
