--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -84,7 +84,7 @@
         view = self.parts.consensus.view
         if self.parts.consensus.is_tail() and view is not None and report.view == view.number:
             self.received_reports[report.core] = max(report.sent_at, self.received_reports.get(report.core, 0))
-            self.holders.record_heartbeat(report.core, report.leases, self.parts.runtime.now())
+            self.holders.record_report(report.core, report.leases, self.parts.runtime.now())
         if self.applied() != before or lists_new_nodes:
             self.heartbeat_now.wake()
 
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -170,15 +170,15 @@
 class LeaseHolders:
     """The nodes that may hold a lease, with their progress, as a core machine that may become the tail knows them.
 
-    `on_view` is called for each view, and `record_heartbeat` with each report of a core machine. `applied_by_holders`
+    `on_view` is called for each view, and `record_report` with each report of a core machine. `applied_by_holders`
     returns the log index that all nodes with a possible lease have applied.
 
     >>> holders = LeaseHolders(2_000_000, now=0)
     >>> holders.on_view([], [("a", "1"), ("b", "1")], now=0)
-    >>> holders.record_heartbeat("a", [("n1", 4, 500_000)], now=10)
+    >>> holders.record_report("a", [("n1", 4, 500_000)], now=10)
     >>> holders.applied_by_holders(5, now=20)
     0
-    >>> holders.record_heartbeat("b", [], now=30); holders.applied_by_holders(5, now=40)
+    >>> holders.record_report("b", [], now=30); holders.applied_by_holders(5, now=40)
     4
     >>> holders.applied_by_holders(5, now=600_000)
     5
@@ -215,7 +215,7 @@
             self.unknown_grants_until = now + self.duration_us + DRIFT_US
         self.unreported_cores = {core for core, _ in chain}
 
-    def record_heartbeat(self, core: str, leases: list[LeaseRow], now: int) -> None:
+    def record_report(self, core: str, leases: list[LeaseRow], now: int) -> None:
         """Record the leases that a core machine lists in a report in the present view."""
         self.unreported_cores.discard(core)
         for node, applied, remaining_us in leases:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -42,7 +42,7 @@
     def test_a_change_waits_for_a_holder_that_does_not_apply_it_until_its_lease_expires(self) -> None:
         holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([], [A], now=0)
-        holders.record_heartbeat("a", [("n1", 4, SECOND), ("n2", 5, SECOND)], now=0)
+        holders.record_report("a", [("n1", 4, SECOND), ("n2", 5, SECOND)], now=0)
         assert holders.applied_by_holders(5, now=SECOND) == 4
         assert holders.applied_by_holders(5, now=SECOND + lease.DRIFT_US) == 5
 
@@ -51,17 +51,17 @@
             holders = lease.LeaseHolders(2 * SECOND, now=0)
             holders.on_view([A, B], chain, now=10 * SECOND)
             for name, _ in chain:
-                holders.record_heartbeat(name, [], now=10 * SECOND)
+                holders.record_report(name, [], now=10 * SECOND)
             assert holders.applied_by_holders(5, now=12 * SECOND) == 0
             assert holders.applied_by_holders(5, now=12 * SECOND + lease.DRIFT_US) == 5, (chain, sure)
 
     def test_a_tail_that_stays_waits_only_for_reported_grants_of_a_lost_core_machine(self) -> None:
         holders = lease.LeaseHolders(2 * SECOND, now=0)
         holders.on_view([], [A, B], now=0)
-        holders.record_heartbeat("a", [("n1", 4, 2 * SECOND)], now=9 * SECOND)
+        holders.record_report("a", [("n1", 4, 2 * SECOND)], now=9 * SECOND)
         holders.on_view([A, B], [B, C], now=10 * SECOND, was_tail=True)
         for name in "bc":
-            holders.record_heartbeat(name, [], now=10 * SECOND)
+            holders.record_report(name, [], now=10 * SECOND)
         assert holders.applied_by_holders(5, now=11 * SECOND) == 4
         assert holders.applied_by_holders(5, now=11 * SECOND + lease.DRIFT_US) == 5
 
@@ -70,9 +70,9 @@
         holders.on_view([], [A, B], now=0)
         holders.on_view([A, B], [A, B, C], now=10 * SECOND)
         for name in "ab":
-            holders.record_heartbeat(name, [], now=10 * SECOND)
+            holders.record_report(name, [], now=10 * SECOND)
         assert holders.applied_by_holders(5, now=10 * SECOND) == 0
-        holders.record_heartbeat("c", [], now=10 * SECOND)
+        holders.record_report("c", [], now=10 * SECOND)
         assert holders.applied_by_holders(5, now=10 * SECOND) == 5
 
     def test_the_wait_for_unknown_grants_outlasts_the_next_view(self) -> None:
@@ -80,7 +80,7 @@
         holders.on_view([A, B], [B], now=10 * SECOND)
         holders.on_view([B], [B, C], now=11 * SECOND)
         for name in "bc":
-            holders.record_heartbeat(name, [], now=11 * SECOND)
+            holders.record_report(name, [], now=11 * SECOND)
         assert holders.applied_by_holders(5, now=12 * SECOND) == 0
 
 
