--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -1,7 +1,8 @@
-"""The membership: who is a member, which workers there are, and who holds which role.
+"""Issues the membership: the live nodes, the workers, and the assignment of roles to nodes.
 
-The tail issues it under its lease. It is never on a disk: a new tail starts from the
-newest membership that anybody still holds, and its version begins with its view's number.
+Only the tail issues a membership, while it holds the read lease. The membership is never stored on disk: a new tail
+starts from the newest membership that a core machine or a node still has, and the versions that it issues begin with
+the number of its view.
 """
 
 from __future__ import annotations
@@ -15,20 +16,21 @@
 from iriswheel.runtime import scheduler, units
 from iriswheel.transport import message
 
-TAKEOVER_WAIT_US = 1 * units.SECOND_US  # a new tail collects reports for so long before it issues
-# likewise, where no node that has come has a membership: all have restarted, and no role is anybody's
+TAKEOVER_WAIT_US = 1 * units.SECOND_US  # time for which a new tail waits for the reports of all core machines
+# Time for which a new tail waits before it issues, if no node has reported a membership: all nodes have restarted, so
+# no role has a holder.
 FIRST_MEMBERSHIP_WAIT_US = 100 * units.MILLISECOND_US
-REPORT_VALIDITY_US = 1 * units.SECOND_US  # a core machine without a newer report has lost its nodes
-ENDED_SESSION_GRACE_US = 500 * units.MILLISECOND_US  # a node whose session ended stays a member for so long
-LOST_SESSION_GRACE_US = 3_500 * units.MILLISECOND_US  # likewise, one whose core machine is silent
-REMOVED_POOL_RETENTION_US = 600 * units.SECOND_US  # a removed pool keeps its pool owner as long as claims are kept
-NO_CORE = ""
+REPORT_VALIDITY_US = 1 * units.SECOND_US  # age from which a core machine's report no longer shows that it has sessions
+ENDED_SESSION_GRACE_US = 500 * units.MILLISECOND_US  # time for which a node stays a member after its session has ended
+LOST_SESSION_GRACE_US = 3_500 * units.MILLISECOND_US  # the same, for a node whose core machine is silent
+REMOVED_POOL_RETENTION_US = 600 * units.SECOND_US  # time for which a removed pool keeps its owner, as claims are kept
+NO_CORE = ""  # id of the core machine of a member that has no session
 
 log = loguru.logger.bind(part="membership")
 
 
 class Clock(typing.Protocol):
-    """A clock that never goes back."""
+    """A monotonic clock."""
 
     @property
     def now(self) -> collections.abc.Callable[[], int]:
@@ -36,31 +38,31 @@
 
 
 class Consensus(typing.Protocol):
-    """What the membership manager needs of view consensus."""
+    """The part of view consensus that the membership manager uses."""
 
     @property
     def view(self) -> message.View | None:
-        """The newest view known here."""
+        """The newest view that this machine knows."""
 
     def is_tail(self) -> bool:
         """Whether this machine is the tail of the newest view."""
 
     def holds_lease(self) -> bool:
-        """Whether this machine is the tail and holds the lease."""
+        """Whether this machine is the tail and holds the read lease."""
 
 
 class SeenMember(typing.NamedTuple):
-    """A member, when it was last seen (µs), and the core machine with which it has its session, or NO_CORE."""
+    """A node that is or was a member, as reports have last shown it."""
 
-    seen_at: int
+    seen_at: int  # time in µs from which its grace period counts
     member: message.Member
-    core: str
+    core: str  # id of the core machine with which it has a session, or NO_CORE
 
 
 class ReceivedReport(typing.NamedTuple):
-    """A core machine's newest report, and when it came (µs)."""
+    """The newest report of a core machine."""
 
-    received_at: int
+    received_at: int  # arrival time in µs
     report: message.NodeSessionsReport
 
 
@@ -69,8 +71,8 @@
 
     Args:
         runtime: The clock.
-        consensus: The view, and whether this machine is its tail.
-        pools: Gives the names of the pools that have a pool owner.
+        consensus: Tells the newest view, and whether this machine is its tail and holds the lease.
+        pools: Returns the names of the pools that need a pool owner.
     """
 
     def __init__(
@@ -79,29 +81,32 @@
         self.runtime = runtime
         self.consensus = consensus
         self.pools = pools
-        self.latest: message.Membership | None = None  # the newest membership known here, ours or another's
-        self.issuing_view = 0  # number of the view in which this machine issues
-        self.leased_since: int | None = None  # when the lease was first held in this view
-        self.reports: dict[str, ReceivedReport] = {}  # by core machine
-        self.seen: dict[str, SeenMember] = {}  # by member
-        self.departed: set[str] = set()  # ids of members that said they leave
-        self.listing: message.WorkerListing | None = None
-        self.removed_since: dict[str, int] = {}  # role of a pool that was removed -> since when
-        self.updated = scheduler.Signal()
+        self.latest: message.Membership | None = None  # the newest membership known, issued here or by another tail
+        self.issuing_view = 0  # number of the view for which this machine collects reports as the tail
+        self.leased_since: int | None = None  # time (µs) at which the lease was first held in this view
+        self.reports: dict[str, ReceivedReport] = {}  # by id of the core machine
+        self.seen: dict[str, SeenMember] = {}  # by id of the member
+        self.departed: set[str] = set()  # ids of members that have announced that they leave
+        self.listing: message.WorkerListing | None = None  # the newest worker list known
+        self.removed_since: dict[str, int] = {}  # key of a removed pool's role -> time (µs) at which this was noticed
+        self.updated = scheduler.Signal()  # woken by each newer membership
 
     def keep_newest(self, membership: message.Membership | None) -> None:
-        """Keep the newest membership."""
+        """Keep a membership if it is newer than the one known."""
         if membership is not None and (self.latest is None or membership.version > self.latest.version):
             self.latest = membership
             self.updated.wake()
 
     def keep_newest_listing(self, listing: message.WorkerListing | None) -> None:
-        """Keep the newest worker list."""
+        """Keep a worker list if it is newer than the one known."""
         if listing is not None and (self.listing is None or listing.version > self.listing.version):
             self.listing = listing
 
     def apply_report(self, report: message.NodeSessionsReport) -> None:
-        """Record which nodes a core machine has sessions with, and issue a membership if it changed."""
+        """Record the nodes with which a core machine has sessions, and issue a new membership if its content changed.
+
+        Ignored unless this machine is the tail of the view in which the report was sent.
+        """
         view = self.consensus.view
         if not self.consensus.is_tail() or view is None or report.view != view.number:
             return
@@ -118,28 +123,28 @@
         self.issue_if_changed()
 
     def remove_member(self, identifier: str) -> None:
-        """Drop a node that said it leaves, without the grace of one that was lost."""
+        """Remove a node that has announced that it leaves, without the grace period of a lost node."""
         self.departed.add(identifier)
         self.seen.pop(identifier, None)
         self.issue_if_changed()
 
     def begin_view(self) -> None:
-        """Forget what was reported in an earlier view; this machine is the tail of the newest one."""
+        """Start as the tail of the newest view: forget everything that was reported in an earlier view."""
         self.issuing_view = self._view_number()
         self.leased_since = None
         self.reports = {}
         self.seen = {}
 
     def session_count(self) -> int:
-        """How many members have a session now."""
+        """The number of members that have a session with a core machine now."""
         return sum(1 for seen in self.seen.values() if seen.core)
 
     def has_issued(self) -> bool:
-        """Whether this tail has issued a membership in its view."""
+        """Whether this machine, as the tail, has issued a membership in the newest view."""
         return self.latest is not None and self.latest.version[0] == self.issuing_view == self._view_number()
 
     def issue_if_changed(self) -> None:
-        """Issue a membership if it changed; only under the tail's lease, so that just one machine issues."""
+        """Issue a new membership if its content changed; only under the read lease, so that only one machine issues."""
         if not self.consensus.holds_lease() or self.issuing_view != self._view_number():
             return
         now = self.runtime.now()
@@ -157,15 +162,15 @@
         return self.consensus.view.number if self.consensus.view is not None else 0
 
     def _record_reported_members(self, report: message.NodeSessionsReport, now: int) -> None:
-        """Members that have a session with the reporting core machine."""
+        """Record the members that have a session with the reporting core machine."""
         for member in report.members:
             if member.id not in self.departed:
                 self.seen[member.id] = SeenMember(now, member, report.core)
 
     def _record_missing_members(self, report: message.NodeSessionsReport, now: int) -> None:
-        """Members that had their session with the reporting core machine and have it no longer.
+        """Record the members whose session with the reporting core machine has ended.
 
-        One that another core machine has reported has moved there; else its grace begins.
+        A member that another core machine has reported lately has moved there; otherwise its grace period begins.
         """
         reported = {member.id for member in report.members}
         for node, seen in self.seen.items():
@@ -189,7 +194,7 @@
                 self.seen[node] = seen._replace(core=NO_CORE)
 
     def _adopt_last_membership(self, now: int) -> bool:
-        """Start from the newest membership known; False as long as others may still report a newer one."""
+        """Start from the newest membership known; False as long as other core machines may still report a newer one."""
         if self.leased_since is None:
             self.leased_since = now
         waited = now - self.leased_since
@@ -200,7 +205,7 @@
         old = self.latest
         all_restarted = old is None and bool(self.seen)
         if waited < (FIRST_MEMBERSHIP_WAIT_US if all_restarted else TAKEOVER_WAIT_US // 2):
-            return False  # nodes need a moment to come back
+            return False  # nodes need this time to open new sessions
         if old is not None:
             for member in old.members:
                 self.seen.setdefault(member.id, SeenMember(now, member, NO_CORE))
@@ -209,10 +214,10 @@
         return True
 
     def _restart_grace_periods(self, now: int) -> None:
-        """No node at all is left: give each a grace again.
+        """Restart the grace period of every node, since none has a session.
 
-        The core is more likely cut off than all nodes are dead, and role assignments made now would
-        reach nobody.
+        It is more likely that the core machines are cut off than that all nodes are dead, and assignments of roles made
+        now would reach no node.
         """
         for node, seen in self.seen.items():
             self.seen[node] = seen._replace(seen_at=now - LOST_SESSION_GRACE_US + ENDED_SESSION_GRACE_US)
@@ -227,7 +232,7 @@
         return message.Membership(version, members, listing.workers, roles, cores, listing.version)
 
     def _live_members(self) -> list[message.Member]:
-        """The members by name; a node's newest incarnation replaces the ones before."""
+        """The live members ordered by name; only the newest incarnation of each node counts."""
         by_name = {}
         for _, seen in sorted(self.seen.items(), key=lambda item: (item[1].seen_at, item[0])):
             by_name[seen.member.name] = seen.member
@@ -236,7 +241,7 @@
     def _assign(
         self, version: message.MembershipVersion, members: list[message.Member]
     ) -> list[message.RoleAssignment]:
-        """The role assignments over the live members; a role that moves gets a new term."""
+        """Assign all roles to the live members; a role whose holder or copies change gets a new term."""
         old = self.latest
         previous = {assignment.key: assignment for assignment in old.assignments} if old is not None else {}
         if not members:
@@ -261,7 +266,7 @@
         return assigned
 
     def _roles(self, previous: collections.abc.Iterable[str]) -> list[str]:
-        """The roles that are needed now; that of a removed pool stays as long as its claims must be asked for."""
+        """The keys of the roles needed now; the role of a removed pool is kept as long as its claims may be queried."""
         needed = [assignments.LISTING_ROLE, *map(assignments.pool_role, self.pools())]
         now = self.runtime.now()
         removed = [key for key in previous if key not in needed]
@@ -271,7 +276,7 @@
 
 
 def _same_content(new: message.Membership, old: message.Membership | None) -> bool:
-    """Whether two memberships differ in their versions only."""
+    """Whether two memberships differ only in their versions."""
     return old is not None and (new.members, new.workers, new.assignments, new.cores) == (
         old.members,
         old.workers,
@@ -290,7 +295,7 @@
     key, term = assignment.key, assignment.term
     if (key, previous.term) in contested:
         log.warning(
-            "Role {role} gets a new term in place of {old_term}: its holder has met a newer one.",
+            "Role {role} gets a new term in place of {old_term}, since its holder has met a newer term.",
             role=key,
             old_term=previous.term,
         )
