--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,4 +1,4 @@
-"""The decisions of the view agreement, one by one."""
+"""View consensus on single machines: chain order, late snapshots, calls to voters, and departure."""
 
 from collections.abc import Sequence
 from types import SimpleNamespace
@@ -17,7 +17,7 @@
 
 
 def promised(identifier: str, synced_view: int, last_entry: tuple[int, int] = (0, 0)) -> message.Promise:
-    """A promise that tells of a copy."""
+    """A promise of a voter whose copy has the given synced view and last entry."""
     return message.Promise(True, (1, "a"), None, None, identifier, "1", synced_view, True, last_entry)
 
 
@@ -53,12 +53,12 @@
 
 
 class Disk:
-    """A disk that works."""
+    """A disk on which every write succeeds."""
 
     ok = True
 
     async def commit(self, puts: list[tuple[bytes, bytes]]) -> None:
-        """Write at once."""
+        """Return at once, as if the pairs were synced."""
 
 
 class TestLateSnapshots:
@@ -90,21 +90,24 @@
         entries = [message.LogEntry(n, 4, "plan", f"0-{n}", 0, []) for n in (1, 2)]
         assert take(entries[:1], snapshot).ok
         assert take(entries, None).ok
-        assert (replica.log.last_index, replica.committed_state.index) == (2, 2)  # acknowledged: this is the tail
+        assert (replica.log.last_index, replica.committed_state.index) == (
+            2,
+            2,
+        )  # committed at once, since this replica is the tail
         assert not take(entries[:1], snapshot).ok
         assert (replica.log.last_index, replica.committed_state.index) == (2, 2)
 
 
 class Peers:
-    """Peers of which some answer at once, and the others never."""
+    """Calls to peers of which some answer at once, and the others never answer."""
 
     def __init__(self, answers: dict[str, Any]) -> None:
-        self.answers = answers  # host -> answer
+        self.answers = answers  # answer by host; other hosts never answer
 
     async def call(
         self, host: str, _port: int, _message: message.Prepare | message.LeaseRequest, _timeout_us: int
     ) -> object:
-        """Ask a peer."""
+        """Return the answer of a peer, or wait without end."""
         if host not in self.answers:
             await defer.Deferred()
         return self.answers[host]
@@ -133,13 +136,15 @@
 
     def test_a_restarted_voter_promises_once_it_sees_that_the_tail_has_restarted(self) -> None:
         _, consensus = self.make_consensus({})
-        agreed = make_view(4, "bca")  # its tail is this machine in a former incarnation
+        agreed = make_view(4, "bca")  # its tail is this machine in an earlier incarnation
         consensus.acceptor.record = decisions.Record(agreed, synced_view=4)
         prepare = message.Prepare(5, (1, "b"), "b")
         answer = deferreds.result_of(defer.ensureDeferred(consensus.acceptor.promise(prepare)))
         assert answer.ok
         other_tail = message.View(4, agreed.voters, [*agreed.chain[1:], agreed.chain[0]])
-        consensus.acceptor.record = decisions.Record(other_tail, synced_view=4)  # "b" lives on: its lease may stand
+        consensus.acceptor.record = decisions.Record(
+            other_tail, synced_view=4
+        )  # the tail "b" is not known to have restarted: its lease may run
         prepare = message.Prepare(5, (1, "c"), "c")
         answer = deferreds.result_of(defer.ensureDeferred(consensus.acceptor.promise(prepare)))
         assert not answer.ok
@@ -176,9 +181,9 @@
         disk: Any = SimpleNamespace(ok=True, commit=commit)
         consensus.acceptor.disk = disk
         consensus.acceptor.record = decisions.Record(consensus.view, synced_view=3)
-        defer.ensureDeferred(consensus.mark_synced(4))  # holds the lock until the disk goes on
+        defer.ensureDeferred(consensus.mark_synced(4))  # holds the acceptor's lock until the first write ends
         newer = make_view(5, "abc")
-        for _ in range(2_000):  # each heartbeat of a stall of some minutes tells the view
+        for _ in range(2_000):  # heartbeats during a stall of some minutes; each of them carries the view
             consensus.receive_heartbeat(message.Heartbeat("b", "1", "zone", "b", 1, newer, 5, True))
         stalled.callback(None)
         assert consensus.view == newer
@@ -186,7 +191,7 @@
 
     def test_a_proposal_uses_a_short_timeout_for_dead_machines(self) -> None:
         clock, consensus = self.make_consensus({"b": promised("b", 4)})
-        clock.advance(2)  # the grants of before the start have run out, and so have the heartbeats
+        clock.advance(2)  # grants from before the start have expired, and the heartbeats are too old
         consensus.receive_heartbeat(message.Heartbeat("b", "1", "zone", "b", 1, consensus.view, 4, True))
         prepare = message.Prepare(5, (1, "a"), "a")
         assert consensus.view is not None
@@ -214,12 +219,12 @@
         self.consensus.announce_departure()
 
     def is_view_change_due(self) -> bool:
-        """Whether the leaving member proposes a view now."""
+        """Whether the leaving machine should propose a view now."""
         assert self.consensus.view is not None
         return self.consensus.view_change.is_due(self.consensus.view)
 
     def receive_heartbeats(self, synced_view: int) -> None:
-        """Take in a heartbeat of each other member."""
+        """Receive a heartbeat from each other machine, synced in the given view."""
         for identifier in "bc":
             self.consensus.receive_heartbeat(
                 message.Heartbeat(identifier, "1", "zone", identifier, 1, self.consensus.view, synced_view, True)
