--- a/tests/test_assignments.py
+++ b/tests/test_assignments.py
@@ -1,4 +1,4 @@
-"""The membership as the tail issues it: who has which role."""
+"""The assignments of roles to members in the memberships that the tail issues."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 class TestAssignments:
     def test_choosing_a_group_again_over_the_same_members_changes_nothing(self) -> None:
-        """So a tail need not weigh again: as members come and go, weighing once more changes nothing."""
+        """The tail skips the choice while the members stay, so each issued group must be what it would choose again."""
         rng = random.Random(5)
         manager = samples.membership_manager_at_tail(12, 4)
         everybody = samples.members(40)
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -1,4 +1,4 @@
-"""Disks that refuse a write: in the middle of agreeing on a view, and of taking a snapshot."""
+"""Disks that refuse a write while a voter agrees on a view, and the sync of a new data folder's parents."""
 
 import os
 import pathlib
@@ -19,7 +19,7 @@
 
 
 class TestVoterWithAFailingDisk:
-    """One machine's part, without the others."""
+    """A single voter whose disk fails, without the other machines."""
 
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
@@ -97,7 +97,7 @@
         installed = len(self.installed)
         self.world.run(self.world.time + SECOND)
         assert self.consensus.record.synced_view == 2
-        assert len(self.installed) == installed + 1  # so that the chain starts
+        assert len(self.installed) == installed + 1  # a second call of on_view, so that the chain starts
 
 
 class TestDataFolder:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The view agreement searched state by state: nothing breaks as it stands, and each guard taken out is noticed."""
+"""State search of view consensus: no invariant is violated, and the search notices each safety check taken out."""
 
 import types
 from collections.abc import Callable
@@ -12,8 +12,8 @@
 from iriswheel.transport import message
 from simulation.state_search import cluster_model, explore
 
-STATES = 4_000  # of each search without a fault, so that the whole file stays quick
-GUARD_STATES = 60_000
+STATES = 4_000  # limit on the states of a search in the unmodified code, to keep this file quick
+GUARD_STATES = 60_000  # limit on the states of a search in which a check is taken out
 
 
 def promise_without_ballot_check(
@@ -23,14 +23,14 @@
     prepare: message.Prepare,
     promise: Callable[..., tuple[decisions.Record, message.Promise]] = decisions.promise,
 ) -> tuple[decisions.Record, message.Promise]:
-    """Promise without a look at the ballot promised before."""
+    """In place of `decisions.promise`: promises any ballot, even one below a ballot that was promised before."""
     return promise(msgspec.structs.replace(record, promised=decisions.NO_BALLOT), replica, holder, prepare)
 
 
 def chain_ignoring_synced_views(
     _view: message.View, _promises: dict[str, message.Promise], alive: dict[str, str]
 ) -> list[message.ChainReplica]:
-    """Order the chain by name, whoever is synced."""
+    """In place of `view_formation.next_chain`: orders the chain by id, without regard to which copies are synced."""
     return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
 
 
@@ -40,7 +40,7 @@
     alive: dict[str, str],
     order: Callable[..., list[message.ChainReplica] | None] = view_formation.next_chain,
 ) -> list[message.ChainReplica] | None:
-    """Order the chain without a look at the last log entries."""
+    """In place of `view_formation.next_chain`: ignores the last log entries of the copies."""
     promises = {
         identifier: msgspec.structs.replace(answer, last_entry=(0, 0)) for identifier, answer in promises.items()
     }
@@ -56,12 +56,12 @@
     *,
     next_view: Callable[..., message.View | None] = view_formation.next_view,
 ) -> message.View | None:
-    """Never let a leaving machine lead."""
+    """In place of `view_formation.next_view`: never puts a leaving machine into the chain."""
     return next_view(view, promises, voters, alive, {})
 
 
 def world_in_view_two(limits: cluster_model.Limits) -> cluster_model.World:
-    """A state in which `a` and `b` have gone on to a chain of their own, and `b` is not synced in it yet."""
+    """A state in which `a` and `b` are in view 2 with a chain of their own, and `b` is not synced in it yet."""
     world = cluster_model.start(3, limits)
     a, b, c = world.cores
     assert a.record.view is not None
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases of nodes: no change is acknowledged that a node under a lease has not applied."""
+"""Leases of nodes: the tail acknowledges no change that a node with an unexpired lease has not applied."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 def start_route_change(server: core.Core | None) -> list[message.ProposeChangeResponse | errors.ServiceError]:
-    """Make a plan that adds a route and confirm it; the version, or the error, in a list to come."""
+    """Start to add a route by a plan and its confirmation; the returned list receives the response or the error."""
     assert server is not None
     results: list[message.ProposeChangeResponse | errors.ServiceError] = []
 
