--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -16,7 +16,7 @@
 from iriswheel.runtime import scheduler, units
 from iriswheel.transport import message
 
-TAKEOVER_WAIT_US = 1 * units.SECOND_US  # time for which a new tail waits for the reports of all core machines
+TAKEOVER_WAIT_US = 1 * units.SECOND_US  # longest wait of a new tail for reports before it issues a membership
 # Time for which a new tail waits before it issues, if no node has reported a membership: all nodes have restarted, so
 # no role has a holder.
 FIRST_MEMBERSHIP_WAIT_US = 100 * units.MILLISECOND_US
@@ -54,7 +54,7 @@
 class SeenMember(typing.NamedTuple):
     """A node that is or was a member, as reports have last shown it."""
 
-    seen_at: int  # time in µs from which its grace period counts
+    seen_at: int  # time in µs; the member is removed LOST_SESSION_GRACE_US after it
     member: message.Member
     core: str  # id of the core machine with which it has a session, or NO_CORE
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -90,10 +90,8 @@
         entries = [message.LogEntry(n, 4, "plan", f"0-{n}", 0, []) for n in (1, 2)]
         assert take(entries[:1], snapshot).ok
         assert take(entries, None).ok
-        assert (replica.log.last_index, replica.committed_state.index) == (
-            2,
-            2,
-        )  # committed at once, since this replica is the tail
+        # both entries are committed at once, since this replica is the tail
+        assert (replica.log.last_index, replica.committed_state.index) == (2, 2)
         assert not take(entries[:1], snapshot).ok
         assert (replica.log.last_index, replica.committed_state.index) == (2, 2)
 
@@ -142,9 +140,8 @@
         answer = deferreds.result_of(defer.ensureDeferred(consensus.acceptor.promise(prepare)))
         assert answer.ok
         other_tail = message.View(4, agreed.voters, [*agreed.chain[1:], agreed.chain[0]])
-        consensus.acceptor.record = decisions.Record(
-            other_tail, synced_view=4
-        )  # the tail "b" is not known to have restarted: its lease may run
+        # the tail "b" is not known to have restarted, so its lease may still run
+        consensus.acceptor.record = decisions.Record(other_tail, synced_view=4)
         prepare = message.Prepare(5, (1, "c"), "c")
         answer = deferreds.result_of(defer.ensureDeferred(consensus.acceptor.promise(prepare)))
         assert not answer.ok
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -30,7 +30,7 @@
 def chain_ignoring_synced_views(
     _view: message.View, _promises: dict[str, message.Promise], alive: dict[str, str]
 ) -> list[message.ChainReplica]:
-    """In place of `view_formation.next_chain`: orders the chain by id, without regard to which copies are synced."""
+    """In place of `view_formation.next_chain`: orders the chain by descending id, whichever copies are synced."""
     return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
 
 
