--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -1,4 +1,4 @@
-"""The decisions of the view agreement, one by one."""
+"""View consensus on single machines: chain order, late snapshots, calls to voters, and departure."""
 
 from collections.abc import Sequence
 from types import SimpleNamespace
@@ -17,7 +17,7 @@
 
 
 def promised(identifier: str, synced_view: int, last_entry: tuple[int, int] = (0, 0)) -> message.Promise:
-    """A promise that tells of a copy."""
+    """A promise of a voter whose copy has the given synced view and last entry."""
     return message.Promise(True, (1, "a"), None, None, identifier, "1", synced_view, True, last_entry)
 
 
@@ -28,18 +28,18 @@
 
 
 class TestChainOrder:
-    def test_of_copies_synced_one_view_before_the_newest_leads(self) -> None:
+    def test_the_newest_copy_leads_if_none_is_synced_in_the_latest_view(self) -> None:
         answers = {"b": promised("b", 3, (3, 6)), "c": promised("c", 3, (3, 7))}
         members = view_formation.next_chain(make_view(4, "abc"), answers, {"b": "1", "c": "1"})
         assert members is not None
         assert [member.id for member in members] == ["c", "b"]
 
-    def test_newcomers_alone_agree_on_no_chain(self) -> None:
+    def test_newcomers_without_a_synced_copy_form_no_chain(self) -> None:
         answers = {"b2": promised("b2", 0), "c2": promised("c2", 0)}
         old = make_view(4, ["a", "b2", "c2"])
         assert view_formation.next_view(old, answers, old.voters, {"b2": "1", "c2": "1"}, {}) is None
 
-    def test_a_copy_that_leaves_leads_only_where_no_other_can(self) -> None:
+    def test_a_leaving_machine_heads_the_chain_only_if_no_other_copy_is_synced(self) -> None:
         old = make_view(4, "abc")
         alive, leaving = {"b": "1", "c": "1"}, {"a": "1"}
         answers = {"a": promised("a", 4), "b": promised("b", 3)}
@@ -53,16 +53,16 @@
 
 
 class Disk:
-    """A disk that works."""
+    """A disk on which every write succeeds."""
 
     ok = True
 
     async def commit(self, puts: list[tuple[bytes, bytes]]) -> None:
-        """Write at once."""
+        """Return at once, as if the pairs were synced."""
 
 
 class TestLateSnapshots:
-    def test_a_snapshot_that_was_held_up_takes_nothing_back(self) -> None:
+    def test_a_delayed_older_snapshot_does_not_undo_acknowledged_entries(self) -> None:
         clock = task.Clock()
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
         members = [message.ChainReplica("a", "1"), message.ChainReplica("b", runtime.incarnation)]
@@ -90,21 +90,22 @@
         entries = [message.LogEntry(n, 4, "plan", f"0-{n}", 0, []) for n in (1, 2)]
         assert take(entries[:1], snapshot).ok
         assert take(entries, None).ok
-        assert (replica.log.last_index, replica.committed_state.index) == (2, 2)  # acknowledged: this is the tail
+        # both entries are committed at once, since this replica is the tail
+        assert (replica.log.last_index, replica.committed_state.index) == (2, 2)
         assert not take(entries[:1], snapshot).ok
         assert (replica.log.last_index, replica.committed_state.index) == (2, 2)
 
 
 class Peers:
-    """Peers of which some answer at once, and the others never."""
+    """Calls to peers of which some answer at once, and the others never answer."""
 
     def __init__(self, answers: dict[str, Any]) -> None:
-        self.answers = answers  # host -> answer
+        self.answers = answers  # answer by host; other hosts never answer
 
     async def call(
         self, host: str, _port: int, _message: message.Prepare | message.LeaseRequest, _timeout_us: int
     ) -> object:
-        """Ask a peer."""
+        """Return the answer of a peer, or wait without end."""
         if host not in self.answers:
             await defer.Deferred()
         return self.answers[host]
@@ -126,20 +127,21 @@
             consensus.receive_heartbeat(message.Heartbeat(identifier, "1", "zone", identifier, 1, agreed, 4, True))
         return clock, consensus
 
-    def test_the_tail_holds_its_lease_as_soon_as_a_majority_gave_it(self) -> None:
+    def test_the_tail_holds_its_lease_as_soon_as_a_majority_has_granted_it(self) -> None:
         _, consensus = self.make_consensus({"b": message.LeaseResponse(True, None)})
         consensus.runtime.spawn(consensus.renew_lease())
         assert consensus.holds_lease()
 
     def test_a_restarted_voter_promises_once_it_sees_that_the_tail_has_restarted(self) -> None:
         _, consensus = self.make_consensus({})
-        agreed = make_view(4, "bca")  # its tail is this machine in a former incarnation
+        agreed = make_view(4, "bca")  # its tail is this machine in an earlier incarnation
         consensus.acceptor.record = decisions.Record(agreed, synced_view=4)
         prepare = message.Prepare(5, (1, "b"), "b")
         answer = deferreds.result_of(defer.ensureDeferred(consensus.acceptor.promise(prepare)))
         assert answer.ok
         other_tail = message.View(4, agreed.voters, [*agreed.chain[1:], agreed.chain[0]])
-        consensus.acceptor.record = decisions.Record(other_tail, synced_view=4)  # "b" lives on: its lease may stand
+        # the tail "b" is not known to have restarted, so its lease may still run
+        consensus.acceptor.record = decisions.Record(other_tail, synced_view=4)
         prepare = message.Prepare(5, (1, "c"), "c")
         answer = deferreds.result_of(defer.ensureDeferred(consensus.acceptor.promise(prepare)))
         assert not answer.ok
@@ -147,7 +149,7 @@
         answer = deferreds.result_of(defer.ensureDeferred(consensus.acceptor.promise(prepare)))
         assert answer.ok
 
-    def test_a_copy_counts_as_synced_and_may_lead_reads_only_once_that_is_on_the_disk(self) -> None:
+    def test_a_copy_is_synced_and_gets_the_read_lease_only_once_the_record_is_on_disk(self) -> None:
         _, consensus = self.make_consensus({"b": message.LeaseResponse(True, None)})
         written: defer.Deferred[None] = defer.Deferred()
 
@@ -163,7 +165,7 @@
         written.callback(None)
         assert (consensus.acceptor.is_synced(), consensus.holds_lease()) == (True, True)
 
-    def test_a_view_that_is_told_while_the_disk_stalls_is_adopted_once(self) -> None:
+    def test_a_view_repeated_by_heartbeats_during_a_disk_stall_is_written_once(self) -> None:
         _, consensus = self.make_consensus({})
         stalled: defer.Deferred[None] = defer.Deferred()
         writes: list[object] = []
@@ -176,17 +178,17 @@
         disk: Any = SimpleNamespace(ok=True, commit=commit)
         consensus.acceptor.disk = disk
         consensus.acceptor.record = decisions.Record(consensus.view, synced_view=3)
-        defer.ensureDeferred(consensus.mark_synced(4))  # holds the lock until the disk goes on
+        defer.ensureDeferred(consensus.mark_synced(4))  # holds the acceptor's lock until the first write ends
         newer = make_view(5, "abc")
-        for _ in range(2_000):  # each heartbeat of a stall of some minutes tells the view
+        for _ in range(2_000):  # heartbeats during a stall of some minutes; each of them carries the view
             consensus.receive_heartbeat(message.Heartbeat("b", "1", "zone", "b", 1, newer, 5, True))
         stalled.callback(None)
         assert consensus.view == newer
         assert len(writes) == 2
 
-    def test_a_proposal_waits_but_shortly_for_machines_that_are_silent(self) -> None:
+    def test_a_proposal_uses_a_short_timeout_for_dead_machines(self) -> None:
         clock, consensus = self.make_consensus({"b": promised("b", 4)})
-        clock.advance(2)  # the grants of before the start have run out, and so have the heartbeats
+        clock.advance(2)  # grants from before the start have expired, and the heartbeats are too old
         consensus.receive_heartbeat(message.Heartbeat("b", "1", "zone", "b", 1, consensus.view, 4, True))
         prepare = message.Prepare(5, (1, "a"), "a")
         assert consensus.view is not None
@@ -214,12 +216,12 @@
         self.consensus.announce_departure()
 
     def is_view_change_due(self) -> bool:
-        """Whether the leaving member proposes a view now."""
+        """Whether the leaving machine should propose a view now."""
         assert self.consensus.view is not None
         return self.consensus.view_change.is_due(self.consensus.view)
 
     def receive_heartbeats(self, synced_view: int) -> None:
-        """Take in a heartbeat of each other member."""
+        """Receive a heartbeat from each other machine, synced in the given view."""
         for identifier in "bc":
             self.consensus.receive_heartbeat(
                 message.Heartbeat(identifier, "1", "zone", identifier, 1, self.consensus.view, synced_view, True)
@@ -239,7 +241,7 @@
         self.receive_heartbeats(synced_view=4)
         assert self.is_view_change_due()
 
-    def test_the_last_machine_does_not_wait_for_anybody(self) -> None:
+    def test_the_last_live_machine_may_stop_without_a_successor(self) -> None:
         self.receive_heartbeats(synced_view=3)
         self.clock.advance(2)
         assert not self.consensus.holds_only_copy()
--- a/tests/test_assignments.py
+++ b/tests/test_assignments.py
@@ -1,4 +1,4 @@
-"""The membership as the tail issues it: who has which role."""
+"""The assignments of roles to members in the memberships that the tail issues."""
 
 import random
 
@@ -7,8 +7,8 @@
 
 
 class TestAssignments:
-    def test_a_group_stays_what_it_is_while_its_members_stay(self) -> None:
-        """So a tail need not weigh again: as members come and go, weighing once more changes nothing."""
+    def test_choosing_a_group_again_over_the_same_members_changes_nothing(self) -> None:
+        """The tail skips the choice while the members stay, so each issued group must be what it would choose again."""
         rng = random.Random(5)
         manager = samples.membership_manager_at_tail(12, 4)
         everybody = samples.members(40)
@@ -22,7 +22,7 @@
             assert latest is not None
             assert sorted(m.id for m in live) == sorted(m.id for m in latest.members)
             for assignment in latest.assignments:
-                assert assignments.group(assignment.key, latest.members, assignment) == (
+                assert assignments.choose_group(assignment.key, latest.members, assignment) == (
                     assignment.holder,
                     assignment.copies,
                 )
