--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -96,7 +96,7 @@
         """Have a pool's owner say whether a request was sent there."""
         owner = self.owners.get(request.pool)
         if owner is None:
-            return message.RevokeResponse(pool_owner.RevocationState.LATER.value)
+            return message.RevokeResponse(pool_owner.RevocationState.RETRY_LATER.value)
         return owner.revoke(request)
 
     def release(self, released: message.GrantReleased) -> None:
--- a/iriswheel/pools/claims.py
+++ b/iriswheel/pools/claims.py
@@ -14,7 +14,7 @@
 RETENTION_US = 600 * units.SECOND_US
 """How long a claim is remembered after its grant was made or released."""
 
-REVOKED_PREFIX = "pool/"
+REVOCATION_PREFIX = "pool/"
 """Attempt ids of claims that another pool's owner made, to forbid the request here, begin with this."""
 
 
@@ -74,13 +74,13 @@
             max(0, self.expires_at_us - now),
         )
 
-    def was_revoked(self) -> bool:
+    def is_revocation(self) -> bool:
         """Whether another pool's owner made this claim, to forbid the request here.
 
-        >>> Claim("e", 0, "n", "pool/other", 0).was_revoked()
+        >>> Claim("e", 0, "n", "pool/other", 0).is_revocation()
         True
         """
-        return self.attempt_id.startswith(REVOKED_PREFIX)
+        return self.attempt_id.startswith(REVOCATION_PREFIX)
 
     def is_same_call(self, attempt_id: str) -> bool:
         """Whether an attempt id belongs to the very call that made this claim, asked again.
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -45,7 +45,7 @@
 
     NEVER_SENT = ""
     UNKNOWN = "unknown"
-    LATER = "later"
+    RETRY_LATER = "later"
 
 
 class PoolOwner:
@@ -195,12 +195,12 @@
                     errors.ExecutionOutcome.MAY_HAVE_RUN,
                 )
             return None
-        if claim.is_same_call(request.attempt_id) or (claim.was_revoked() and request.attempt != 1):
+        if claim.is_same_call(request.attempt_id) or (claim.is_revocation() and request.attempt != 1):
             return None
         outcome = _outcome_of_claim(claim.state)
         return self.deny("already_sent", "This exchange was sent before and may not be repeated.", outcome)
 
-    async def query_pools(self, request: message.SelectWorker) -> str:
+    async def query_other_pools(self, request: message.SelectWorker) -> str:
         """Ask all other pools' owners whether a retry was sent there; each that says no forbids it from then on.
 
         The route may have moved between two attempts, and claims are kept by pool.
@@ -218,17 +218,17 @@
             revocation = message.RevokeRequest(other_pool, self.pool, request.request_id)
             responses = await self.node.call_members(holders, revocation, replication.COPY_DEADLINE_US)
             response = responses.get(assignment.holder)
-            if response is None or response.state == RevocationState.LATER:
-                return RevocationState.LATER.value
+            if response is None or response.state == RevocationState.RETRY_LATER:
+                return RevocationState.RETRY_LATER.value
             state = response.state or state
         return state
 
     async def revoke(self, revocation: message.RevokeRequest) -> message.RevokeResponse:
         """Answer another pool's owner that asks for a retry; what was never sent here never will be."""
         if not self.is_active():
-            return message.RevokeResponse(RevocationState.LATER.value)
+            return message.RevokeResponse(RevocationState.RETRY_LATER.value)
         known = self.records.claims.get(revocation.request_id)
-        if known is not None and not known.was_revoked():
+        if known is not None and not known.is_revocation():
             return message.RevokeResponse(known.state.value)
         if known is None and self.claims_may_be_missing():
             return message.RevokeResponse(RevocationState.UNKNOWN.value)
@@ -237,13 +237,13 @@
             revocation.request_id,
             0,
             self.member_id,
-            f"{claims.REVOKED_PREFIX}{revocation.requesting_pool}",
+            f"{claims.REVOCATION_PREFIX}{revocation.requesting_pool}",
             now + claims.RETENTION_US,
         )
         self.records.claims[revocation.request_id] = claim
         copied = await self.replicator.copy(self.replicator.update([], [claim.export(now)], []))
         stands = copied and self.records.claims.get(revocation.request_id) is claim
-        return message.RevokeResponse((RevocationState.NEVER_SENT if stands else RevocationState.LATER).value)
+        return message.RevokeResponse((RevocationState.NEVER_SENT if stands else RevocationState.RETRY_LATER).value)
 
     # ---- selection ---------------------------------------------------------------
 
@@ -315,10 +315,10 @@
         self, request: message.SelectWorker
     ) -> tuple[bool, message.SelectionDenied | None]:
         """Return whether a retry was sent to no other pool, and the refusal where it was."""
-        state = await self.query_pools(request)
+        state = await self.query_other_pools(request)
         if state == RevocationState.NEVER_SENT:
             return True, None
-        if state != RevocationState.LATER:
+        if state != RevocationState.RETRY_LATER:
             text = "This exchange was sent before, to another pool."
             return False, self.deny("already_sent", text, _outcome_of_claim(state))
         await self.runtime.sleep(POOL_QUERY_RETRY_US)
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -170,7 +170,7 @@
 
 
 async def _nobody_has_it(_self: pool_owner.PoolOwner, _request: message.SelectWorker) -> str:
-    """In place of `PoolOwner.query_pools`: other pools' owners are not asked whether they hold a request."""
+    """In place of `PoolOwner.query_other_pools`: other pools' owners are not asked whether they hold a request."""
     return ""
 
 
@@ -211,7 +211,7 @@
     "claims": Guard(
         [Patch(pool_owner.PoolOwner, "refuse_if_claimed", lambda _self, _request: None)], "worker_storm", 1, "once"
     ),
-    "other_pools": Guard([Patch(pool_owner.PoolOwner, "query_pools", _nobody_has_it)], "route_moves", 3, "once"),
+    "other_pools": Guard([Patch(pool_owner.PoolOwner, "query_other_pools", _nobody_has_it)], "route_moves", 3, "once"),
     "torn_answers": Guard(
         [Patch(dispatch.AnswerRelay, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"
     ),
