--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -27,7 +27,7 @@
 
 GATHER_RETRY_US = 200 * units.MILLISECOND_US
 ACTIVATION_RETRY_US = 100 * units.MILLISECOND_US
-COPY_RETRY_US = 50 * units.MILLISECOND_US
+REPLICATION_RETRY_US = 50 * units.MILLISECOND_US
 POOL_QUERY_RETRY_US = 50 * units.MILLISECOND_US
 
 SWEEPS_PER_SNAPSHOT = 6
@@ -130,7 +130,7 @@
             sweeps += 1
             if sweeps % SWEEPS_PER_SNAPSHOT == 0 and self.is_active():
                 self.replicator.notify_cores(self.replicator.snapshot())
-                await self.replicator.copy(self.replicator.snapshot())
+                await self.replicator.replicate(self.replicator.snapshot())
             self.counts.closed_sessions += self.records.sweep(self.runtime.now())
             self.check_workers()
 
@@ -216,7 +216,7 @@
             holders = [member for member in self.node.follower.membership.members if member.id == assignment.holder]
             other_pool = assignment.key.removeprefix(ROLE_KEY_PREFIX)
             revocation = message.RevokeRequest(other_pool, self.pool, request.request_id)
-            responses = await self.node.call_members(holders, revocation, replication.COPY_DEADLINE_US)
+            responses = await self.node.call_members(holders, revocation, replication.REPLICATION_DEADLINE_US)
             response = responses.get(assignment.holder)
             if response is None or response.state == RevocationState.RETRY_LATER:
                 return RevocationState.RETRY_LATER.value
@@ -241,8 +241,8 @@
             now + claims.RETENTION_US,
         )
         self.records.claims[revocation.request_id] = claim
-        copied = await self.replicator.copy(self.replicator.update([], [claim.export(now)], []))
-        stands = copied and self.records.claims.get(revocation.request_id) is claim
+        replicated = await self.replicator.replicate(self.replicator.update([], [claim.export(now)], []))
+        stands = replicated and self.records.claims.get(revocation.request_id) is claim
         return message.RevokeResponse((RevocationState.NEVER_SENT if stands else RevocationState.RETRY_LATER).value)
 
     # ---- selection ---------------------------------------------------------------
@@ -369,7 +369,7 @@
         new_session = session if opened else None
         if new_session is None and claim is None:
             return self._granted(request, worker, affinity)
-        return await self._grant_after_copy(request, worker, new_session, claim, affinity)
+        return await self._grant_after_replication(request, worker, new_session, claim, affinity)
 
     def _use_session(
         self, request: message.SelectWorker, worker: str, now: int
@@ -405,7 +405,7 @@
         self.counts.claims += 1
         return claim
 
-    async def _grant_after_copy(
+    async def _grant_after_replication(
         self,
         request: message.SelectWorker,
         worker: str,
@@ -420,14 +420,14 @@
             [claim.export(now)] if claim is not None else [],
             [],
         )
-        deadline_us = now + max(request.wait_us, replication.COPY_DEADLINE_US)
-        while not await self.replicator.copy(update):
+        deadline_us = now + max(request.wait_us, replication.REPLICATION_DEADLINE_US)
+        while not await self.replicator.replicate(update):
             if not self.is_live() or self.runtime.now() > deadline_us:
                 if opened is not None and self.records.session_table.affinity(opened.id) is opened:
                     self.records.close_session(opened)
                 self.release(request.attempt_id, errors.ExecutionOutcome.NOT_RUN)
                 return self.deny("no_warden", "The copies of this pool's records don't answer.")
-            await self.runtime.sleep(COPY_RETRY_US)
+            await self.runtime.sleep(REPLICATION_RETRY_US)
         if opened is not None:
             opened.pending = False
             self.records.changed_sessions_and_claims[opened.id] = opened
--- a/iriswheel/pools/replication.py
+++ b/iriswheel/pools/replication.py
@@ -16,10 +16,10 @@
 if typing.TYPE_CHECKING:
     from iriswheel.pools import pool_owner
 
-COPY_DEADLINE_US = 500 * units.MILLISECOND_US
+REPLICATION_DEADLINE_US = 500 * units.MILLISECOND_US
 """How long the nodes that keep copies have for their answer."""
 
-LAZY_COPY_INTERVAL_US = 300 * units.MILLISECOND_US
+BACKGROUND_REPLICATION_INTERVAL_US = 300 * units.MILLISECOND_US
 
 
 class RecordReplicator:
@@ -59,7 +59,7 @@
             max(0, owner.claims_missing_until_us - now),
         )
 
-    async def copy(self, update: message.ReplicateRecords) -> bool:
+    async def replicate(self, update: message.ReplicateRecords) -> bool:
         """Send an update to every node that keeps copies; False unless all of them confirmed it.
 
         A copy that has seen a newer term refuses; this owner then ends, as another holds the role.
@@ -68,7 +68,7 @@
         members = [member for member in self.node.follower.membership.members if member.id in owner.assignment.copies]
         if len(members) < len(owner.assignment.copies):
             return False
-        responses = (await self.node.call_members(members, update, COPY_DEADLINE_US)).values()
+        responses = (await self.node.call_members(members, update, REPLICATION_DEADLINE_US)).values()
         if any(response is not None and not response.ok for response in responses):
             owner.end()
         return owner.is_live() and all(response is not None and response.ok for response in responses)
@@ -84,11 +84,11 @@
     async def run(self) -> None:
         """Copy what changed a few times a second, for as long as the owner lives."""
         while self.owner.is_live():
-            await self.runtime.sleep(LAZY_COPY_INTERVAL_US)
+            await self.runtime.sleep(BACKGROUND_REPLICATION_INTERVAL_US)
             if self.records.changed_sessions_and_claims or self.records.closed_ids:
-                await self._copy_changes()
+                await self._replicate_changes()
 
-    async def _copy_changes(self) -> None:
+    async def _replicate_changes(self) -> None:
         records = self.records
         changed, records.changed_sessions_and_claims = records.changed_sessions_and_claims, {}
         closed, records.closed_ids = records.closed_ids, {}
@@ -114,6 +114,6 @@
                 self.node.tell_member(member.id, message.SessionsClosed(self.owner.pool, list(closed)))
         update = self.update(session_records, claim_records, still_closed)
         self.notify_cores(update)
-        if not await self.copy(update):
+        if not await self.replicate(update):
             records.changed_sessions_and_claims = {**changed, **records.changed_sessions_and_claims}
             records.closed_ids = {**closed, **records.closed_ids}
--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -18,7 +18,7 @@
 GATHER_DEADLINE_US = 600 * units.MILLISECOND_US
 """How long members and core machines have for their answer."""
 
-ABSENT_COPIES_WAIT_US = 3 * units.SECOND_US
+ABSENT_REPLICAS_WAIT_US = 3 * units.SECOND_US
 """How long a new owner waits for a member of the last group before it goes on without."""
 
 log = loguru.logger.bind(part="takeover")
@@ -116,7 +116,7 @@
             return False
         now = self.runtime.now()
         base = [member for member in owner.assignment.base if member in answers and answers[member].has_replica]
-        if not base and self._may_wait_for_copies(members, answers, now):
+        if not base and self._may_wait_for_replicas(members, answers, now):
             return False
         if base:  # what an earlier owner had lost is lost to this one too
             owner.claims_missing_until_us = max(now + answers[member].claims_missing_us for member in base)
@@ -130,32 +130,32 @@
         owner.records.load_merged(
             list(merged.sessions.values()), merged.claims.values(), grants, answered_at=now, now=self.runtime.now()
         )
-        return await self._copy_all(bool(base))
+        return await self._replicate_all(bool(base))
 
     def _request(self) -> message.RecordsRequest:
         return message.RecordsRequest(self.owner.pool, self.owner.assignment.term, self.owner.member_id)
 
-    def _may_wait_for_copies(self, members: list[message.Member], answers: Answers, now: int) -> bool:
+    def _may_wait_for_replicas(self, members: list[message.Member], answers: Answers, now: int) -> bool:
         """Whether a member of the last group is live but did not answer, and there is time to ask again."""
         absent = [member.id for member in members if member.id not in answers]
         return any(member in absent for member in self.owner.assignment.base) and (
-            now - self.owner.started_at_us < ABSENT_COPIES_WAIT_US
+            now - self.owner.started_at_us < ABSENT_REPLICAS_WAIT_US
         )
 
-    async def _copy_all(self, from_copies: bool) -> bool:
+    async def _replicate_all(self, from_replica: bool) -> bool:
         """Replicate the gathered records to all copies; False where not all of them confirmed.
 
         Args:
-            from_copies: Whether a copy of the last group that holds all records was among the answers.
+            from_replica: Whether a copy of the last group that holds all records was among the answers.
         """
         owner = self.owner
         owner.check_workers()
         snapshot = owner.replicator.snapshot()
-        if not await owner.replicator.copy(snapshot):
+        if not await owner.replicator.replicate(snapshot):
             return False
         owner.replicator.notify_cores(snapshot)
         owner.gathered = True
-        if owner.claims_may_be_missing() and not from_copies:
+        if owner.claims_may_be_missing() and not from_replica:
             log.warning("No copy of pool {pool}'s records answers: claims may be lost.", pool=owner.pool)
         return True
 
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -314,7 +314,7 @@
         )
         holder.pool_roles.replica(cluster.pool).fence((old.assignment.term[0], old.assignment.term[1] + 1))
         done = node.runtime.spawn(
-            old.replicator.copy(
+            old.replicator.replicate(
                 message.ReplicateRecords(
                     cluster.pool, old.assignment.term, optional.present(node.member_record).id, [], [], []
                 )
