--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -141,7 +141,7 @@
 
 def select_worker(
     owner: pool_owner.PoolOwner, request: message.SelectWorker, pool: configuration.Pool
-) -> str | selection.NoChoice | None:
+) -> str | selection.SelectionRefusal | None:
     """What a pool owner chooses for a request.
 
     >>> select_worker(owner_with_sessions(3, 10), selection_request(1), configuration.Pool(cap=0))
--- a/iriswheel/pools/selection.py
+++ b/iriswheel/pools/selection.py
@@ -58,7 +58,7 @@
         return matching
 
 
-class NoChoice(typing.NamedTuple):
+class SelectionRefusal(typing.NamedTuple):
     """Why no worker can be chosen, however long the request waits."""
 
     code: str
@@ -99,7 +99,7 @@
         pool: configuration.Pool,
         workers: collections.abc.Iterable[message.Worker],
         now: int,
-    ) -> str | NoChoice | None:
+    ) -> str | SelectionRefusal | None:
         """Choose the worker for a request.
 
         Args:
@@ -123,7 +123,7 @@
             free = not session.pending and self.has_slot(session.worker, request.long, pool)
             return session.worker if free else None
         if not ready:
-            return NoChoice("no_worker", f"No worker of pool {self.pool} is ready.")
+            return SelectionRefusal("no_worker", f"No worker of pool {self.pool} is ready.")
         ready = [worker for worker in ready if worker not in request.excluded_workers] or ready
         ready = [worker for worker in ready if not self.watch.is_suspect(worker)] or ready
         if request.session and pool.cap:
@@ -131,7 +131,7 @@
             below_cap = [worker for worker in ready if table.count(worker) < pool.cap]
             if not below_cap:
                 wait_us = max(units.SECOND_US, (table.earliest(ready) or now) - now)
-                return NoChoice("sessions_full", "Every worker has all the sessions it may have.", wait_us)
+                return SelectionRefusal("sessions_full", "Every worker has all the sessions it may have.", wait_us)
             ready = below_cap
         with_slot = [worker for worker in ready if self.has_slot(worker, request.long, pool)]
         return min(with_slot, key=lambda worker: (self.score(worker, request), worker), default=None)
