--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -256,12 +256,12 @@
         deadline_us = self.runtime.now() + request.wait_us
         self.waiting += 1
         try:
-            await self._check_unreached(request.excluded_workers)
+            await self._check_excluded_workers(request.excluded_workers)
             return await self._select_until(request, deadline_us)
         finally:
             self.waiting -= 1
 
-    async def _check_unreached(self, workers: list[str]) -> None:
+    async def _check_excluded_workers(self, workers: list[str]) -> None:
         """Check the workers that the requesting node could not reach: perhaps no node reaches them."""
         for name in workers:
             worker = self.node.follower.states.get(name)
@@ -270,17 +270,17 @@
 
     async def _select_until(self, request: message.SelectWorker, deadline_us: int) -> SelectionResponse:
         # whether other pools need not be asked for an earlier attempt
-        cleared = request.idempotent or not request.request_id or request.attempt == 1
+        unsent_elsewhere = request.idempotent or not request.request_id or request.attempt == 1
         while True:
             pool = self.node.follower.pool(self.pool)
-            response = self._response_without_choice(request, pool)
+            response = self._immediate_response(request, pool)
             if response is not None:
                 return response
             if pool is not None and self.is_active():
-                if cleared:
+                if unsent_elsewhere:
                     response = await self._choose(request, pool)
                 else:
-                    cleared, response = await self._clear_with_other_pools(request)
+                    unsent_elsewhere, response = await self._check_other_pools(request)
                     if response is None and deadline_us > self.runtime.now():
                         continue  # all may have changed meanwhile
                 if response is not None:
@@ -289,11 +289,11 @@
             if left_us <= 0 and not self.is_active():
                 return self.deny("no_warden", "No seat came free in time.")
             if left_us <= 0:
-                outcome = errors.ExecutionOutcome.NOT_RUN if cleared else errors.ExecutionOutcome.MAY_HAVE_RUN
+                outcome = errors.ExecutionOutcome.NOT_RUN if unsent_elsewhere else errors.ExecutionOutcome.MAY_HAVE_RUN
                 return self.deny("busy", "No seat came free in time.", outcome)
             await self.runtime.pause(self.slot_freed, left_us)
 
-    def _response_without_choice(
+    def _immediate_response(
         self, request: message.SelectWorker, pool: configuration.Pool | None
     ) -> SelectionResponse | None:
         """Return the answer to a request for which no worker is chosen now; None where one is, or it waits."""
@@ -302,7 +302,7 @@
             return refusal
         if pool is None:
             return self.deny("no_route", f"The blueprint has no pool {self.pool}.")
-        return self._known_response(request)
+        return self._response_from_records(request)
 
     def _refuse_outdated(self, request: message.SelectWorker) -> message.SelectionDenied | None:
         if not self.is_live() or request.term != self.assignment.term:
@@ -311,9 +311,7 @@
             return self.deny("no_warden", "This send was given up.")
         return None
 
-    async def _clear_with_other_pools(
-        self, request: message.SelectWorker
-    ) -> tuple[bool, message.SelectionDenied | None]:
+    async def _check_other_pools(self, request: message.SelectWorker) -> tuple[bool, message.SelectionDenied | None]:
         """Return whether a retry was sent to no other pool, and the refusal where it was."""
         state = await self.query_other_pools(request)
         if state == RevocationState.NEVER_SENT:
@@ -324,7 +322,7 @@
         await self.runtime.sleep(POOL_QUERY_RETRY_US)
         return False, None
 
-    def _known_response(self, request: message.SelectWorker) -> SelectionResponse | None:
+    def _response_from_records(self, request: message.SelectWorker) -> SelectionResponse | None:
         """Return the answer to a request that holds a grant already, or that may not be sent."""
         held = self.records.grants.get(request.attempt_id)
         if held is not None:
@@ -354,7 +352,7 @@
         Without the copies, an owner after this one could grant a request again that may not be repeated.
         """
         now = self.runtime.now()
-        session, opened = self._use_session(request, worker, now)
+        session, opened = self._extend_or_open_session(request, worker, now)
         if session is not None:
             session.turns += 1
         claim = self._claim(request, now)
@@ -371,7 +369,7 @@
             return self._granted(request, worker, affinity)
         return await self._grant_after_replication(request, worker, new_session, claim, affinity)
 
-    def _use_session(
+    def _extend_or_open_session(
         self, request: message.SelectWorker, worker: str, now: int
     ) -> tuple[sessions.Session[str] | None, bool]:
         """Return the request's session on a worker, extended or opened, and whether it was opened."""
--- a/tests/test_selection_deadline.py
+++ b/tests/test_selection_deadline.py
@@ -48,8 +48,8 @@
         slot_freed=scheduler.Signal(),
         is_active=lambda: True,
         deny=lambda code, _text, outcome: (code, outcome),
-        _response_without_choice=lambda _request, _pool: None,
-        _clear_with_other_pools=clear,
+        _immediate_response=lambda _request, _pool: None,
+        _check_other_pools=clear,
         _choose=choose,
     )
     return defer.ensureDeferred(pool_owner.PoolOwner._select_until(owner, RETRIED, units.SECOND_US))
