--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -147,7 +147,7 @@
         for worker in unavailable:
             self.counts.closed_sessions += self.records.evict(worker)
         live_nodes = {member.id for member in follower.membership.members}
-        self.records.release_lost_nodes(live_nodes, self.runtime.now())
+        self.records.release_grants_of_lost_nodes(live_nodes, self.runtime.now())
         self.slot_freed.wake()
 
     # ---- grants ------------------------------------------------------------------
--- a/iriswheel/pools/pool_records.py
+++ b/iriswheel/pools/pool_records.py
@@ -86,7 +86,7 @@
         """Refuse an attempt from now on, and undo what an earlier owner granted too late."""
         self.abandoned[attempt_id] = now + ABANDONED_RETENTION_US
         for claim in [claim for claim in self.claims.values() if claim.attempt_id == attempt_id]:
-            self.unclaim(claim)
+            self.remove_claim(claim)
         opened = [
             session
             for session in self.session_table.records.values()
@@ -113,7 +113,7 @@
         if claim is None or self.claims.get(claim.request_id) is not claim:
             return
         if outcome == errors.ExecutionOutcome.NOT_RUN:
-            self.unclaim(claim)
+            self.remove_claim(claim)
         else:
             claim.state = claims.ClaimState.RAN
             claim.expires_at_us = now + claims.RETENTION_US
@@ -134,7 +134,7 @@
             elif now - held.listed_at > LOST_GRANT_US:
                 self.release(attempt_id, errors.ExecutionOutcome.MAY_HAVE_RUN, now)
 
-    def release_lost_nodes(self, live_nodes: collections.abc.Container[str], now: int) -> None:
+    def release_grants_of_lost_nodes(self, live_nodes: collections.abc.Container[str], now: int) -> None:
         """Release the grants of nodes that are no members any more."""
         for attempt_id, held in list(self.grants.items()):
             if held.grant.node not in live_nodes and now - held.listed_at > LOST_GRANT_US:
@@ -154,7 +154,7 @@
             self.closed_ids[session.id] = None
         return len(evicted)
 
-    def unclaim(self, claim: claims.Claim) -> None:
+    def remove_claim(self, claim: claims.Claim) -> None:
         """Forget a claim: its time is over, or its node says that it was never used."""
         del self.claims[claim.request_id]
         self.closed_ids[claim.request_id] = None
@@ -165,7 +165,7 @@
         for session in expired:
             self.closed_ids[session.id] = None
         for claim in [claim for claim in self.claims.values() if claim.expires_at_us < now]:
-            self.unclaim(claim)
+            self.remove_claim(claim)
         for attempt_id in [attempt_id for attempt_id, until in self.abandoned.items() if until < now]:
             del self.abandoned[attempt_id]
         return len(expired)
