--- a/iriswheel/pools/selection.py
+++ b/iriswheel/pools/selection.py
@@ -83,7 +83,7 @@
         """
         in_flight = self.records.load(worker)
         load = in_flight.work + self.records.session_table.load(worker)
-        running, queued = self.watch.reports.get(worker, (0, 0))
+        running, queued = self.watch.reported_loads.get(worker, (0, 0))
         load += max(0, running + queued - len(in_flight.grants)) * REPORTED_REQUEST_COST
         matching = self.prefixes.matching_parts(worker, request.prefix)
         return load + request.work * (1 - PREFIX_DISCOUNT * matching / max(1, len(request.prefix)))
--- a/iriswheel/pools/worker_watch.py
+++ b/iriswheel/pools/worker_watch.py
@@ -34,9 +34,11 @@
         self.owner = owner
         self.node = owner.node
         self.runtime = owner.runtime
-        self.reports: dict[str, tuple[int, int]] = {}  # worker -> (running, queued), the newest that could be read
+        self.reported_loads: dict[
+            str, tuple[int, int]
+        ] = {}  # worker -> (running, queued), the newest that could be read
         self.last_contact_us: dict[str, dict[str, int]] = {}  # worker -> member -> when it last heard it
-        self.answered_once: set[str] = set()  # workers that ever answered the question for their load
+        self.ever_answered: set[str] = set()  # workers that ever answered the question for their load
         self.ejected: dict[str, int] = {}  # unreachable worker -> when that was last found
         self.running_checks: dict[str, scheduler.Signal] = {}  # worker -> wakes when the check under way is done
 
@@ -54,7 +56,7 @@
     def is_suspect(self, worker: str) -> bool:
         """Whether a worker that used to answer was not heard recently: no place for new work."""
         return (
-            worker in self.answered_once
+            worker in self.ever_answered
             and self.silence_us(worker) > health.RECENT_CONTACT_US + health.PROBE_INTERVAL_US // 2
         )
 
@@ -92,9 +94,9 @@
         done = self.running_checks[worker.id] = scheduler.Signal()
         try:
             witnesses = self._witnesses()
-            responses = await self._ask(witnesses, worker)
+            responses = await self._probe_from(witnesses, worker)
             for member, response in responses.items():
-                self._take_response(worker.id, member, response)
+                self._record_response(worker.id, member, response)
             if not self._proves_unreachable(worker.id, responses, alone=len(witnesses) < 2):
                 return
             if worker.id not in self.ejected:
@@ -128,7 +130,9 @@
             member for member in self.node.follower.membership.members if member.id == own_id or member.id in copies
         ]
 
-    async def _ask(self, witnesses: list[message.Member], worker: message.Worker) -> dict[str, message.ProbeResponse]:
+    async def _probe_from(
+        self, witnesses: list[message.Member], worker: message.Worker
+    ) -> dict[str, message.ProbeResponse]:
         """Return what the witnesses found, by member, as far as they answer."""
         responses = await self.node.call_members(witnesses, message.ProbeRequest(worker), WITNESS_TIMEOUT_US)
         return {
@@ -148,30 +152,30 @@
         if message.ProbeOutcome.ANSWERED in outcomes or not witnessed:
             return False
         return message.ProbeOutcome.UNRESPONSIVE not in outcomes or (
-            worker in self.answered_once and self.silence_us(worker) >= UNRESPONSIVE_US
+            worker in self.ever_answered and self.silence_us(worker) >= UNRESPONSIVE_US
         )
 
     async def _poll(self, worker: message.Worker) -> None:
         """Ask one worker; where it does not answer and nobody else hears it, check."""
         response = await self.node.reachability.probe(worker)
-        self._take_response(worker.id, local_member.member_id(self.node), response)
+        self._record_response(worker.id, local_member.member_id(self.node), response)
         wait_us = RECHECK_INTERVAL_US if worker.id in self.ejected else health.RECENT_CONTACT_US
         ejected_at = self.ejected.get(worker.id, 0)
         if self.silence_us(worker.id) > health.RECENT_CONTACT_US and self.runtime.now() - ejected_at > wait_us:
             await self.check(worker)
 
-    def _take_response(self, worker: str, member: str, response: message.ProbeResponse) -> None:
+    def _record_response(self, worker: str, member: str, response: message.ProbeResponse) -> None:
         """Take what a member's probe found."""
         if response.outcome != message.ProbeOutcome.ANSWERED:
             return
-        self.answered_once.add(worker)
+        self.ever_answered.add(worker)
         if response.load is not None:
-            self.reports[worker] = response.load
+            self.reported_loads[worker] = response.load
         self.note_contact(worker, member)
 
     def _forget_unlisted(self, listed: set[str]) -> None:
         """Forget the workers that are listed no more."""
-        tables: tuple[dict[str, typing.Any], ...] = (self.reports, self.last_contact_us, self.ejected)
+        tables: tuple[dict[str, typing.Any], ...] = (self.reported_loads, self.last_contact_us, self.ejected)
         for table in tables:
             for worker in [worker for worker in table if worker not in listed]:
                 del table[worker]
