--- a/iriswheel/control/replica_store.py
+++ b/iriswheel/control/replica_store.py
@@ -75,7 +75,7 @@
 
     def apply_records(self, records: message.ReplicateRecords, from_node: bool) -> None:
         """Take a pool owner's records; those that come from a node itself go on to the other core machines."""
-        if self._replica(records.pool).take(records, self.parts.runtime.now()):
+        if self._replica(records.pool).apply_update(records, self.parts.runtime.now()):
             self._unwritten.add(records.pool)
         if from_node:
             self._forward(records)
--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -113,7 +113,7 @@
 
     def replicate(self, update: message.ReplicateRecords) -> message.ReplicateResponse:
         """Keep a copy of an owner's records."""
-        return message.ReplicateResponse(self.replica(update.pool).take(update, self.runtime.now()))
+        return message.ReplicateResponse(self.replica(update.pool).apply_update(update, self.runtime.now()))
 
     def export_records(self, request: message.RecordsRequest) -> message.RecordsResponse:
         """Return what this node holds of a pool, for its new owner; older terms are refused from then on."""
--- a/iriswheel/pools/session_replicas.py
+++ b/iriswheel/pools/session_replicas.py
@@ -23,9 +23,9 @@
     """Copies of one pool's sessions and claims, under the newest term that was seen here.
 
     >>> replica = SessionReplica()
-    >>> replica.take(message.ReplicateRecords("p", (2, 1), "n1", [], [], []), now=0)
+    >>> replica.apply_update(message.ReplicateRecords("p", (2, 1), "n1", [], [], []), now=0)
     True
-    >>> replica.take(message.ReplicateRecords("p", (1, 9), "n0", [], [], []), now=0)
+    >>> replica.apply_update(message.ReplicateRecords("p", (1, 9), "n0", [], [], []), now=0)
     False
     """
 
@@ -47,13 +47,13 @@
         self.term = term
         return True
 
-    def take(self, update: message.ReplicateRecords, now: int) -> bool:
+    def apply_update(self, update: message.ReplicateRecords, now: int) -> bool:
         """Store what the owner sent, unless a newer term was seen; whether it was stored.
 
         A partial update is stored as well, but only after one that holds all records does
         `has_all_records` say so.
 
-        >>> SessionReplica().take(message.ReplicateRecords("p", (1, 1), "n", [], [], [], complete=True), 0)
+        >>> SessionReplica().apply_update(message.ReplicateRecords("p", (1, 1), "n", [], [], [], complete=True), 0)
         True
         """
         if not self.fence(update.term):
@@ -103,14 +103,16 @@
         >>> SessionReplica().export(0)
         ([], [])
         """
-        sessions = [_with_age(record, now - came_at) for _, (record, came_at) in sorted(self.sessions.items())]
-        claims = [_with_age(record, now - came_at) for _, (record, came_at) in sorted(self.claims.items())]
+        sessions = [_with_age(record, now - received_at) for _, (record, received_at) in sorted(self.sessions.items())]
+        claims = [_with_age(record, now - received_at) for _, (record, received_at) in sorted(self.claims.items())]
         return sessions, claims
 
 
 def _drop_expired(records: dict[str, tuple[Record, int]], now: int) -> None:
     expired = [
-        key for key, (record, came_at) in records.items() if now - came_at > record.left_us + EXPIRED_RETENTION_US
+        key
+        for key, (record, received_at) in records.items()
+        if now - received_at > record.left_us + EXPIRED_RETENTION_US
     ]
     for key in expired:
         del records[key]
