--- a/iriswheel/pools/in_flight.py
+++ b/iriswheel/pools/in_flight.py
@@ -32,17 +32,17 @@
 
     >>> import iriswheel.transport.message as message
     >>> load = InFlightLoad(); load.add(message.WorkerGrant("p", "a", "n", "w", "", 70, True))
-    >>> len(load.grants), load.long, load.work
+    >>> len(load.grants), load.long_prompts, load.work
     (1, 1, 70)
-    >>> load.drop("a"); load.drop("a"); len(load.grants), load.long, load.work
+    >>> load.drop("a"); load.drop("a"); len(load.grants), load.long_prompts, load.work
     (0, 0, 0)
     """
 
-    __slots__ = ("grants", "long", "work")
+    __slots__ = ("grants", "long_prompts", "work")
 
     def __init__(self) -> None:
         self.grants: dict[str, message.WorkerGrant] = {}  # by attempt id
-        self.long = 0
+        self.long_prompts = 0
         self.work = 0
 
     def add(self, grant: message.WorkerGrant) -> None:
@@ -53,7 +53,7 @@
         """
         self.drop(grant.attempt_id)
         self.grants[grant.attempt_id] = grant
-        self.long += grant.long
+        self.long_prompts += grant.long
         self.work += grant.work
 
     def drop(self, attempt_id: str) -> None:
@@ -63,5 +63,5 @@
         """
         grant = self.grants.pop(attempt_id, None)
         if grant is not None:
-            self.long -= grant.long
+            self.long_prompts -= grant.long
             self.work -= grant.work
--- a/iriswheel/pools/selection.py
+++ b/iriswheel/pools/selection.py
@@ -91,7 +91,7 @@
     def has_slot(self, worker: str, long: bool, pool: configuration.Pool) -> bool:
         """Whether a worker has a free slot; long prompts have fewer of them."""
         in_flight = self.records.load(worker)
-        return len(in_flight.grants) < pool.slots and (not long or in_flight.long < pool.long_slots)
+        return len(in_flight.grants) < pool.slots and (not long or in_flight.long_prompts < pool.long_slots)
 
     def pick(
         self,
