--- a/iriswheel/rate_limits/limit_owner.py
+++ b/iriswheel/rate_limits/limit_owner.py
@@ -24,7 +24,7 @@
 OWNER_OVERSHOOT_RATIO = 0.5
 """The part of the tolerated overshoot that an owner uses for bursts; the rest is for its stand-ins."""
 
-STAND_IN_RATE_RATIO = 0.05
+BACKUP_RATE_RATIO = 0.05
 """The part of the tenant's rate by which a stand-in's allowance fills."""
 
 
@@ -48,30 +48,30 @@
         return self.overshoot_ratio * self.limit(tenant)
 
 
-def owner_terms(tenant: configuration.Tenant, window: Window) -> token_bucket.Terms:
+def owner_parameters(tenant: configuration.Tenant, window: Window) -> token_bucket.BucketParameters:
     """The terms of a tenant's bucket at its owner.
 
     It fills as fast as the limit allows in the long run, burst and all, and holds no more than may pass beyond the
     limit: the bucket of a tenant that presses lets the limit through evenly, and does not flood the workers first.
 
     >>> from iriswheel.configuration import configuration
-    >>> owner_terms(configuration.Tenant(rate=10.0, burst=20.0), Window(10_000_000, 0.1))
+    >>> owner_parameters(configuration.Tenant(rate=10.0, burst=20.0), Window(10_000_000, 0.1))
     Terms(rate=12.0, capacity=6.0)
     """
     capacity = OWNER_OVERSHOOT_RATIO * window.overshoot(tenant)
     rate = window.limit(tenant) / window.length_us * units.SECOND_US
-    return token_bucket.Terms(rate, max(capacity, tenant.rate * MIN_CAPACITY_S))
+    return token_bucket.BucketParameters(rate, max(capacity, tenant.rate * MIN_CAPACITY_S))
 
 
-def stand_in_terms(tenant: configuration.Tenant, window: Window) -> token_bucket.Terms:
+def backup_parameters(tenant: configuration.Tenant, window: Window) -> token_bucket.BucketParameters:
     """The terms of a tenant's bucket at each stand-in: together these allow the rest of the tolerated overshoot.
 
     >>> from iriswheel.configuration import configuration
-    >>> stand_in_terms(configuration.Tenant(rate=10.0, burst=20.0), Window(10_000_000, 0.1))
+    >>> backup_parameters(configuration.Tenant(rate=10.0, burst=20.0), Window(10_000_000, 0.1))
     Terms(rate=0.5, capacity=3.0)
     """
-    allowance = (1 - OWNER_OVERSHOOT_RATIO) * window.overshoot(tenant) / (owner_ranking.RANKS - 1)
-    return token_bucket.Terms(tenant.rate * STAND_IN_RATE_RATIO, max(allowance, tenant.rate * MIN_CAPACITY_S))
+    allowance = (1 - OWNER_OVERSHOOT_RATIO) * window.overshoot(tenant) / (owner_ranking.MEMBERS_PER_TENANT - 1)
+    return token_bucket.BucketParameters(tenant.rate * BACKUP_RATE_RATIO, max(allowance, tenant.rate * MIN_CAPACITY_S))
 
 
 class LimitOwner:
@@ -92,13 +92,13 @@
         now_us = self.node.runtime.now()
         bucket = self.buckets.get(request.tenant)
         if bucket is None:  # the owner before, or this node's former process, may have used the limit up
-            allowance = stand_in_terms(tenant, self.window).capacity
+            allowance = backup_parameters(tenant, self.window).capacity
             bucket = self.buckets[request.tenant] = token_bucket.TokenBucket(allowance, now_us)
         acts_as_owner = rank == 0 and not self.node.follower.may_be_replaced()
-        terms = (owner_terms if acts_as_owner else stand_in_terms)(tenant, self.window)
-        if bucket.take(request.cost, terms, now_us):
+        parameters = (owner_parameters if acts_as_owner else backup_parameters)(tenant, self.window)
+        if bucket.take(request.cost, parameters, now_us):
             return message.ChargeResponse(message.ChargeOutcome.CHARGED)
-        return message.ChargeResponse(message.ChargeOutcome.EXCEEDED, bucket.refuse(request.cost, terms, now_us))
+        return message.ChargeResponse(message.ChargeOutcome.EXCEEDED, bucket.refuse(request.cost, parameters, now_us))
 
     def refund(self, refund: message.ChargeRefund) -> None:
         """Take back the charge of a request that did not run."""
--- a/iriswheel/rate_limits/owner_ranking.py
+++ b/iriswheel/rate_limits/owner_ranking.py
@@ -12,7 +12,7 @@
 MEMBERS_PER_CANDIDATE = 16
 """One in so many members keeps buckets: each node has a connection to each of these, which costs keep-alives."""
 
-RANKS = 3
+MEMBERS_PER_TENANT = 3
 """Members that are asked for one tenant: its owner, and those that stand in while that does not answer."""
 
 CANDIDATES_KEY = "rate-limits"
@@ -41,7 +41,7 @@
         owners = self._owners.get(tenant)
         if owners is None:
             ranked = assignments.rank_members(TENANT_KEY_PREFIX + tenant, self._candidates)
-            owners = self._owners[tenant] = ranked[:RANKS]
+            owners = self._owners[tenant] = ranked[:MEMBERS_PER_TENANT]
         return owners
 
     def _take_members(self, members: list[message.Member]) -> None:
@@ -49,7 +49,7 @@
         self._members = members
         if same:
             return
-        count = max(RANKS, len(members) // MEMBERS_PER_CANDIDATE)
+        count = max(MEMBERS_PER_TENANT, len(members) // MEMBERS_PER_CANDIDATE)
         candidates = assignments.rank_members(CANDIDATES_KEY, members)[:count]
         if candidates != self._candidates:
             self._candidates = candidates
--- a/iriswheel/rate_limits/token_bucket.py
+++ b/iriswheel/rate_limits/token_bucket.py
@@ -11,7 +11,7 @@
 """Nobody is told to wait for longer: by then the pressure may be over."""
 
 
-class Terms(typing.NamedTuple):
+class BucketParameters(typing.NamedTuple):
     """What fills a bucket, and how far."""
 
     rate: float  # units a second
@@ -26,12 +26,12 @@
     bucket would never pass otherwise. What it costs beyond the balance is a debt that later requests wait for.
 
     >>> bucket = TokenBucket(balance=5.0, updated_at_us=0)
-    >>> terms = Terms(rate=10.0, capacity=20.0)
-    >>> bucket.take(30.0, terms, now_us=0), bucket.take(1.0, terms, now_us=0)
+    >>> parameters = BucketParameters(rate=10.0, capacity=20.0)
+    >>> bucket.take(30.0, parameters, now_us=0), bucket.take(1.0, parameters, now_us=0)
     (True, False)
-    >>> bucket.refuse(1.0, terms, now_us=0), bucket.refuse(1.0, terms, now_us=0)
+    >>> bucket.refuse(1.0, parameters, now_us=0), bucket.refuse(1.0, parameters, now_us=0)
     (2600000, 2700000)
-    >>> bucket.take(1.0, terms, now_us=2_600_000), round(bucket.balance, 3)
+    >>> bucket.take(1.0, parameters, now_us=2_600_000), round(bucket.balance, 3)
     (True, 0.0)
     """
 
@@ -39,9 +39,9 @@
     updated_at_us: int
     turns_until_us: int = 0  # when those refused so far would have passed, one after the other
 
-    def take(self, cost: float, terms: Terms, now_us: int) -> bool:
+    def take(self, cost: float, parameters: BucketParameters, now_us: int) -> bool:
         """Charge a request; False, and nothing is charged, where the balance is used up."""
-        self._refill(terms, now_us)
+        self._refill(parameters, now_us)
         if self.balance <= 0:
             return False
         self.balance -= cost
@@ -51,21 +51,21 @@
         """Take back the charge of a request that did not run."""
         self.balance += cost
 
-    def refuse(self, cost: float, terms: Terms, now_us: int) -> int:
+    def refuse(self, cost: float, parameters: BucketParameters, now_us: int) -> int:
         """How long a refused request should wait.
 
         Its turn is behind that of all that were refused before it: told of the balance alone, they would come back
         together, and take what new requests need.
         """
-        if terms.rate <= 0:
+        if parameters.rate <= 0:
             return MAX_WAIT_US
-        paid_off_us = now_us + int(max(0.0, -self.balance) / terms.rate * units.SECOND_US)
-        own_us = int(cost / terms.rate * units.SECOND_US)
+        paid_off_us = now_us + int(max(0.0, -self.balance) / parameters.rate * units.SECOND_US)
+        own_us = int(cost / parameters.rate * units.SECOND_US)
         self.turns_until_us = min(max(self.turns_until_us, paid_off_us) + own_us, now_us + MAX_WAIT_US)
         return self.turns_until_us - now_us
 
-    def _refill(self, terms: Terms, now_us: int) -> None:
+    def _refill(self, parameters: BucketParameters, now_us: int) -> None:
         """Add what has come in since the last time; a balance above the capacity falls to it."""
         elapsed_s = max(0, now_us - self.updated_at_us) / units.SECOND_US
-        self.balance = min(terms.capacity, self.balance + terms.rate * elapsed_s)
+        self.balance = min(parameters.capacity, self.balance + parameters.rate * elapsed_s)
         self.updated_at_us = now_us
