--- a/iriswheel/rate_limits/limit_owner.py
+++ b/iriswheel/rate_limits/limit_owner.py
@@ -98,13 +98,15 @@
         parameters = (owner_parameters if acts_as_owner else backup_parameters)(tenant, self.window)
         if bucket.take(request.cost, parameters, now_us):
             return message.ChargeResponse(message.ChargeOutcome.CHARGED)
-        return message.ChargeResponse(message.ChargeOutcome.EXCEEDED, bucket.refuse(request.cost, parameters, now_us))
+        return message.ChargeResponse(
+            message.ChargeOutcome.EXCEEDED, bucket.schedule_retry(request.cost, parameters, now_us)
+        )
 
     def refund(self, refund: message.ChargeRefund) -> None:
         """Take back the charge of a request that did not run."""
         bucket = self.buckets.get(refund.tenant)
         if bucket is not None:
-            bucket.give_back(refund.cost)
+            bucket.refund(refund.cost)
 
     def sweep(self) -> None:
         """Forget the buckets of tenants that are gone."""
--- a/iriswheel/rate_limits/token_bucket.py
+++ b/iriswheel/rate_limits/token_bucket.py
@@ -29,7 +29,7 @@
     >>> parameters = BucketParameters(rate=10.0, capacity=20.0)
     >>> bucket.take(30.0, parameters, now_us=0), bucket.take(1.0, parameters, now_us=0)
     (True, False)
-    >>> bucket.refuse(1.0, parameters, now_us=0), bucket.refuse(1.0, parameters, now_us=0)
+    >>> bucket.schedule_retry(1.0, parameters, now_us=0), bucket.schedule_retry(1.0, parameters, now_us=0)
     (2600000, 2700000)
     >>> bucket.take(1.0, parameters, now_us=2_600_000), round(bucket.balance, 3)
     (True, 0.0)
@@ -37,7 +37,7 @@
 
     balance: float
     updated_at_us: int
-    turns_until_us: int = 0  # when those refused so far would have passed, one after the other
+    retries_scheduled_until_us: int = 0  # when those refused so far would have passed, one after the other
 
     def take(self, cost: float, parameters: BucketParameters, now_us: int) -> bool:
         """Charge a request; False, and nothing is charged, where the balance is used up."""
@@ -47,11 +47,11 @@
         self.balance -= cost
         return True
 
-    def give_back(self, cost: float) -> None:
+    def refund(self, cost: float) -> None:
         """Take back the charge of a request that did not run."""
         self.balance += cost
 
-    def refuse(self, cost: float, parameters: BucketParameters, now_us: int) -> int:
+    def schedule_retry(self, cost: float, parameters: BucketParameters, now_us: int) -> int:
         """How long a refused request should wait.
 
         Its turn is behind that of all that were refused before it: told of the balance alone, they would come back
@@ -59,10 +59,12 @@
         """
         if parameters.rate <= 0:
             return MAX_WAIT_US
-        paid_off_us = now_us + int(max(0.0, -self.balance) / parameters.rate * units.SECOND_US)
-        own_us = int(cost / parameters.rate * units.SECOND_US)
-        self.turns_until_us = min(max(self.turns_until_us, paid_off_us) + own_us, now_us + MAX_WAIT_US)
-        return self.turns_until_us - now_us
+        debt_paid_at_us = now_us + int(max(0.0, -self.balance) / parameters.rate * units.SECOND_US)
+        cost_us = int(cost / parameters.rate * units.SECOND_US)
+        self.retries_scheduled_until_us = min(
+            max(self.retries_scheduled_until_us, debt_paid_at_us) + cost_us, now_us + MAX_WAIT_US
+        )
+        return self.retries_scheduled_until_us - now_us
 
     def _refill(self, parameters: BucketParameters, now_us: int) -> None:
         """Add what has come in since the last time; a balance above the capacity falls to it."""
