--- a/iriswheel/rate_limits/owner_ranking.py
+++ b/iriswheel/rate_limits/owner_ranking.py
@@ -37,14 +37,14 @@
     def owners(self, tenant: str, members: list[message.Member]) -> list[message.Member]:
         """The members that may be asked for a tenant, its owner first."""
         if members is not self._members:
-            self._take_members(members)
+            self._update_members(members)
         owners = self._owners.get(tenant)
         if owners is None:
             ranked = assignments.rank_members(TENANT_KEY_PREFIX + tenant, self._candidates)
             owners = self._owners[tenant] = ranked[:MEMBERS_PER_TENANT]
         return owners
 
-    def _take_members(self, members: list[message.Member]) -> None:
+    def _update_members(self, members: list[message.Member]) -> None:
         same = members == self._members
         self._members = members
         if same:
--- a/iriswheel/rate_limits/rate_limiter.py
+++ b/iriswheel/rate_limits/rate_limiter.py
@@ -18,7 +18,7 @@
 CALL_TIMEOUT_US = 120 * units.MILLISECOND_US
 """An owner that does not answer within this time is passed over."""
 
-SILENT_US = 1 * units.SECOND_US
+UNRESPONSIVE_MEMBER_SKIP_US = 1 * units.SECOND_US
 """A member that did not answer is not asked again for so long."""
 
 NO_OWNER_RETRY_US = 300 * units.MILLISECOND_US
@@ -44,7 +44,7 @@
         self.runtime = node.runtime
         self.ranking = owner_ranking.OwnerRanking()
         self.owner = limit_owner.LimitOwner(node, self.ranking)
-        self.silent_until_us: dict[str, int] = {}  # by member
+        self.skipped_until_us: dict[str, int] = {}  # by member
         self.unanswered = 0  # requests refused since no owner answered
 
     async def charge(self, tenant: str, cost: float) -> Charge:
@@ -55,9 +55,9 @@
                 answers.
         """
         for member in self.ranking.owners(tenant, self.node.follower.membership.members):
-            if self.silent_until_us.get(member.id, 0) > self.runtime.now():
+            if self.skipped_until_us.get(member.id, 0) > self.runtime.now():
                 continue
-            response = await self._ask(member, message.ChargeRequest(tenant, cost))
+            response = await self._request_charge(member, message.ChargeRequest(tenant, cost))
             match response:
                 case message.ChargeResponse(outcome=message.ChargeOutcome.CHARGED):
                     return Charge(member, tenant, cost)
@@ -79,7 +79,7 @@
     def sweep(self) -> None:
         """Forget what is over; called now and then."""
         now_us = self.runtime.now()
-        self.silent_until_us = {name: until for name, until in self.silent_until_us.items() if until > now_us}
+        self.skipped_until_us = {name: until for name, until in self.skipped_until_us.items() if until > now_us}
         self.owner.sweep()
 
     def state(self) -> dict[str, typing.Any]:
@@ -88,7 +88,9 @@
             return {}
         return {"rate_limits": {"balances": self.owner.state(), "unanswered": self.unanswered}}
 
-    async def _ask(self, member: message.Member, request: message.ChargeRequest) -> message.ChargeResponse | None:
+    async def _request_charge(
+        self, member: message.Member, request: message.ChargeRequest
+    ) -> message.ChargeResponse | None:
         """Ask one member; None where it does not answer, and it is passed over for a while then."""
         if member.id == local_member.member_id(self.node):
             return self.owner.charge(request)
@@ -96,6 +98,6 @@
         try:
             response: message.ChargeResponse = await self.runtime.within(call, CALL_TIMEOUT_US)
         except (wire.ConnectionBrokenError, scheduler.DeadlineError):
-            self.silent_until_us[member.id] = self.runtime.now() + SILENT_US
+            self.skipped_until_us[member.id] = self.runtime.now() + UNRESPONSIVE_MEMBER_SKIP_US
             return None
         return response
