--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -99,7 +99,7 @@
         "a whole copy read and shelved",
         measuring.loops_per_call(
             # No cast to its type: that would be one more call that is timed.
-            lambda: session_replicas.SessionReplica().take(wire.decoder.decode(raw).content, 0)  # type: ignore[arg-type]
+            lambda: session_replicas.SessionReplica().apply_update(wire.decoder.decode(raw).content, 0)  # type: ignore[arg-type]
         ),
     )
 
@@ -107,7 +107,7 @@
 def _measure_replica(point: measuring.Point, copy: message.ReplicateRecords, raw: bytes) -> None:
     """A copy as a core machine keeps it, in memory and on its disk."""
     replica = session_replicas.SessionReplica()
-    replica.take(copy, 0)
+    replica.apply_update(copy, 0)
     point.put_loops(
         "a shelf frozen at a core", measuring.loops_per_call(lambda: replica_store.encode_session_replica(replica, 5))
     )
@@ -119,7 +119,7 @@
     copy = wire.decoder.decode(raw).content
     assert isinstance(copy, message.ReplicateRecords)
     replica = session_replicas.SessionReplica()
-    replica.take(copy, 0)
+    replica.apply_update(copy, 0)
     return replica
 
 
--- a/iriswheel/rate_limits/limit_owner.py
+++ b/iriswheel/rate_limits/limit_owner.py
@@ -56,7 +56,7 @@
 
     >>> from iriswheel.configuration import configuration
     >>> owner_parameters(configuration.Tenant(rate=10.0, burst=20.0), Window(10_000_000, 0.1))
-    Terms(rate=12.0, capacity=6.0)
+    BucketParameters(rate=12.0, capacity=6.0)
     """
     capacity = OWNER_OVERSHOOT_RATIO * window.overshoot(tenant)
     rate = window.limit(tenant) / window.length_us * units.SECOND_US
@@ -68,7 +68,7 @@
 
     >>> from iriswheel.configuration import configuration
     >>> backup_parameters(configuration.Tenant(rate=10.0, burst=20.0), Window(10_000_000, 0.1))
-    Terms(rate=0.5, capacity=3.0)
+    BucketParameters(rate=0.5, capacity=3.0)
     """
     allowance = (1 - OWNER_OVERSHOOT_RATIO) * window.overshoot(tenant) / (owner_ranking.MEMBERS_PER_TENANT - 1)
     return token_bucket.BucketParameters(tenant.rate * BACKUP_RATE_RATIO, max(allowance, tenant.rate * MIN_CAPACITY_S))
