--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -1,8 +1,8 @@
-"""The pool owner: the node whose role is to select a pool's workers, under a term.
+"""The pool owner: the node that selects the workers of one pool, for one term of that role.
 
-It owns the pool's session records, the slots of its workers, the load in flight and
-the claims on requests that may not be repeated. New sessions and claims
-are replicated to other nodes before their grant is answered; a new pool owner gathers them before it answers anything.
+The pool owner keeps the pool's session records, the grants that use the slots of its workers, and the claims on
+requests that must not run twice. New sessions and claims are replicated to other nodes before the grant is sent
+to the requesting node. A new pool owner first gathers these records from all members and only then answers requests.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     from iriswheel.pools import interfaces, session_replicas
 
 GRANT_USE_US = 2 * units.SECOND_US
-"""Sent with each grant as the time for which it may be used; nodes go by the request's own time limit instead."""
+"""The validity period that each grant message carries; nodes ignore it and use the request's own time limit."""
 
 GATHER_RETRY_US = 200 * units.MILLISECOND_US
 ACTIVATION_RETRY_US = 100 * units.MILLISECOND_US
@@ -31,7 +31,7 @@
 POOL_QUERY_RETRY_US = 50 * units.MILLISECOND_US
 
 SWEEPS_PER_SNAPSHOT = 6
-"""After so many sweeps the copies get all records, in case one of them has missed something."""
+"""Number of sweeps after which all records are replicated again, in case a replica has missed an update."""
 
 ROLE_KEY_PREFIX = "pool/"
 
@@ -41,15 +41,15 @@
 
 
 class RevocationState(enum.StrEnum):
-    """The states that `RevokeResponse` adds to those of a claim."""
+    """The values of `RevokeResponse.state` that are not a `ClaimState`."""
 
-    NEVER_SENT = ""
-    UNKNOWN = "unknown"
-    RETRY_LATER = "later"
+    NEVER_SENT = ""  # the request was never sent to a worker of the pool, and the pool now refuses it
+    UNKNOWN = "unknown"  # a claim on the request may have been lost
+    RETRY_LATER = "later"  # the pool's owner can't answer yet
 
 
 class PoolOwner:
-    """One pool's owner, for as long as the role is at this node under one term."""
+    """The owner of one pool on this node, for one term of the role."""
 
     def __init__(self, node: interfaces.OwnerNode, pool: str, assignment: message.RoleAssignment) -> None:
         self.node = node
@@ -57,12 +57,12 @@
         self.member_id = local_member.member_id(node)
         self.pool = pool
         self.assignment = assignment
-        self.slot_freed = scheduler.Signal()  # woken when a waiting request should look again
+        self.slot_freed = scheduler.Signal()  # wakes the waiting requests: a slot, the role or the worker list changed
         self.records = pool_records.PoolRecords(self.slot_freed)
-        self.waiting = 0  # requests that wait for a worker
-        self.gathered = False
+        self.waiting = 0  # selections under way, most of which wait for a free slot
+        self.gathered = False  # whether the records of earlier owners are loaded and replicated
         self.started_at_us = self.runtime.now()
-        # until when claims of earlier owners may be missing here
+        # claims that earlier owners made may have been lost until this time; by then all of them have expired
         self.claims_missing_until_us = self.started_at_us + claims.RETENTION_US
         self.watch = worker_watch.WorkerWatch(self)
         self.selector = selection.WorkerSelector(pool, self.records, self.watch)
@@ -74,11 +74,15 @@
     # ---- role --------------------------------------------------------------------
 
     def is_live(self) -> bool:
-        """Whether this term still is the newest that this node knows."""
+        """Whether this node still holds the role under this term, as far as this node knows."""
         return not self.ended and self.node.pool_owners.get(self.pool) is self
 
     def is_active(self) -> bool:
-        """Whether this owner may answer: it has its records, and the membership lists it as active."""
+        """Whether this owner may grant workers.
+
+        It may once it has gathered its records, the membership lists it as active under its term, this node has a
+        worker list, and this node does not have to rejoin the fleet.
+        """
         assignment = self.node.follower.assignment(f"{ROLE_KEY_PREFIX}{self.pool}")
         return (
             self.is_live()
@@ -91,11 +95,11 @@
         )
 
     def claims_may_be_missing(self) -> bool:
-        """Whether claims made under earlier owners may have been lost."""
+        """Whether claims that earlier owners made may have been lost and may not have expired yet."""
         return self.runtime.now() < self.claims_missing_until_us
 
     async def run(self) -> None:
-        """Gather the records, take up the role, then look after the records."""
+        """Gather the records, start the background tasks, and report the role as activated to the core."""
         while self.is_live() and not await self.takeover.gather():
             await self.runtime.sleep(GATHER_RETRY_US)
         for coroutine in (self.sweep(), self.replicator.run(), self.watch.run()):
@@ -112,18 +116,18 @@
         )
 
     def end(self) -> None:
-        """Stop answering: another member holds the role, under a newer term."""
+        """Stop granting workers, since the role was assigned anew under a newer term."""
         self.ended = True
         self.slot_freed.wake()
 
     def hand_over_to(self, replica: session_replicas.SessionReplica) -> None:
-        """Put the records, if all were gathered, into this node's own replica for the next owner."""
+        """Store the records in this node's own replica for the next owner; do nothing if they were not gathered."""
         if self.gathered:
             now = self.runtime.now()
             replica.replace(*self.records.export(now), self.claims_missing_until_us, now)
 
     async def sweep(self) -> None:
-        """Drop expired records every few seconds; every SWEEPS_PER_SNAPSHOT sweeps replicate all records."""
+        """Remove expired records every `sessions.SWEEP_US`; replicate all records every SWEEPS_PER_SNAPSHOT sweeps."""
         sweeps = 0
         while self.is_live():
             await self.runtime.sleep(sessions.SWEEP_US)
@@ -135,10 +139,10 @@
             self.check_workers()
 
     def check_workers(self) -> None:
-        """Close the sessions of workers that get no new requests, release the grants of lost nodes."""
+        """Close the sessions of workers that accept no new requests, and release the grants of lost nodes."""
         follower = self.node.follower
         if follower.updated_at is None:
-            return  # no worker list yet: a missing worker may only be unlisted
+            return  # without a worker list, every worker would seem unavailable
         unavailable = [
             worker
             for worker in self.records.session_table.by_worker
@@ -153,11 +157,11 @@
     # ---- grants ------------------------------------------------------------------
 
     def release(self, attempt_id: str, outcome: errors.ExecutionOutcome) -> None:
-        """End a grant with the outcome that its node reports."""
+        """End a grant with the execution outcome that the requesting node reports."""
         self.records.release(attempt_id, outcome, self.runtime.now())
 
     def take_report(self, report: message.GrantReport) -> None:
-        """Take a node's report: the grants it holds, and the workers it heard from."""
+        """Process a node's report of the grants that it holds and the workers that answered it recently."""
         for worker in report.reachable_workers:
             self.watch.note_contact(worker, report.node)
         self.records.take_report(report, self.runtime.now())
@@ -169,7 +173,7 @@
         outcome: errors.ExecutionOutcome = errors.ExecutionOutcome.NOT_RUN,
         retry_us: int = units.SECOND_US,
     ) -> message.SelectionDenied:
-        """Count and return a refusal."""
+        """Return a denial of a selection, and count it."""
         self.counts.denials += 1
         return message.SelectionDenied(self.assignment.term, code, text, outcome.value, retry_us)
 
@@ -183,7 +187,7 @@
     # ---- requests that may not be repeated ----------------------------------------
 
     def refuse_if_claimed(self, request: message.SelectWorker) -> message.SelectionDenied | None:
-        """Return why a request that may not be repeated can't be sent, or None where it can."""
+        """Return a denial if a request that must not run twice may have been sent already, else None."""
         if request.idempotent or not request.request_id:
             return None
         claim = self.records.claims.get(request.request_id)
@@ -201,13 +205,14 @@
         return self.deny("already_sent", "This exchange was sent before and may not be repeated.", outcome)
 
     async def query_other_pools(self, request: message.SelectWorker) -> str:
-        """Ask all other pools' owners whether a retry was sent there; each that says no forbids it from then on.
+        """Ask the owners of all other pools whether a retried request was sent to one of their workers.
 
-        The route may have moved between two attempts, and claims are kept by pool.
+        Each pool keeps its own claims, and the route may have moved to another pool between two attempts of a request.
+        An owner that answers no refuses the request from then on.
 
         Returns:
-            "" where it was sent nowhere, "later" where an owner gave no answer, else the state of
-            the last claim that an owner named.
+            `RevocationState.NEVER_SENT` if no pool has sent the request, `RETRY_LATER` if an owner gave no answer,
+            else the state of the last claim that was reported.
         """
         state = ""
         for assignment in self.node.follower.membership.assignments:
@@ -224,7 +229,11 @@
         return state
 
     async def revoke(self, revocation: message.RevokeRequest) -> message.RevokeResponse:
-        """Answer another pool's owner that asks for a retry; what was never sent here never will be."""
+        """Answer whether this pool has sent a request that is now retried in another pool.
+
+        If it has not, a claim for the other pool (a revocation) is recorded and replicated before the answer, so that
+        this pool never sends the request.
+        """
         if not self.is_active():
             return message.RevokeResponse(RevocationState.RETRY_LATER.value)
         known = self.records.claims.get(revocation.request_id)
@@ -248,7 +257,7 @@
     # ---- selection ---------------------------------------------------------------
 
     async def select_worker(self, request: message.SelectWorker) -> SelectionResponse:
-        """Choose a worker for a request, open its session and claim it; wait for a free slot if need be."""
+        """Select a worker for a request, record its session and claim, and wait for a free slot if necessary."""
         self.counts.selections += 1
         if not request.is_retry:
             first_id = request.request_id or request.attempt_id.rpartition("/")[0]
@@ -262,14 +271,14 @@
             self.waiting -= 1
 
     async def _check_excluded_workers(self, workers: list[str]) -> None:
-        """Check the workers that the requesting node could not reach: perhaps no node reaches them."""
+        """Have the workers that the requesting node could not reach probed, since perhaps no node reaches them."""
         for name in workers:
             worker = self.node.follower.states.get(name)
             if worker is not None and worker.state == message.WorkerState.READY and name not in self.watch.ejected:
                 await self.watch.check(worker)
 
     async def _select_until(self, request: message.SelectWorker, deadline_us: int) -> SelectionResponse:
-        # whether other pools need not be asked for an earlier attempt
+        # whether it is certain that no other pool has sent an earlier attempt of the request
         unsent_elsewhere = request.idempotent or not request.request_id or request.attempt == 1
         while True:
             pool = self.node.follower.pool(self.pool)
@@ -282,21 +291,21 @@
                 else:
                     unsent_elsewhere, response = await self._check_other_pools(request)
                     if response is None and deadline_us > self.runtime.now():
-                        continue  # all may have changed meanwhile
+                        continue  # the role, the claims or the configuration may have changed during the query
                 if response is not None:
                     return response
             left_us = deadline_us - self.runtime.now()
             if left_us <= 0 and not self.is_active():
-                return self.deny("no_warden", "No seat came free in time.")
+                return self.deny("no_warden", "No slot came free in time.")
             if left_us <= 0:
                 outcome = errors.ExecutionOutcome.NOT_RUN if unsent_elsewhere else errors.ExecutionOutcome.MAY_HAVE_RUN
-                return self.deny("busy", "No seat came free in time.", outcome)
+                return self.deny("busy", "No slot came free in time.", outcome)
             await self.runtime.pause(self.slot_freed, left_us)
 
     def _immediate_response(
         self, request: message.SelectWorker, pool: configuration.Pool | None
     ) -> SelectionResponse | None:
-        """Return the answer to a request for which no worker is chosen now; None where one is, or it waits."""
+        """Return the response to a request that needs no selection; None if a worker must be selected for it."""
         refusal = self._refuse_outdated(request)
         if refusal is not None or not self.is_active():
             return refusal
@@ -306,13 +315,16 @@
 
     def _refuse_outdated(self, request: message.SelectWorker) -> message.SelectionDenied | None:
         if not self.is_live() or request.term != self.assignment.term:
-            return self.deny("no_warden", "The duty has gone elsewhere.")
+            return self.deny("no_warden", "This owner's term has ended.")
         if request.attempt_id in self.records.abandoned:
             return self.deny("no_warden", "This send was given up.")
         return None
 
     async def _check_other_pools(self, request: message.SelectWorker) -> tuple[bool, message.SelectionDenied | None]:
-        """Return whether a retry was sent to no other pool, and the refusal where it was."""
+        """Return whether no other pool has sent a retried request, and the denial if one has.
+
+        If another pool's owner gave no answer, return False without a denial, after POOL_QUERY_RETRY_US.
+        """
         state = await self.query_other_pools(request)
         if state == RevocationState.NEVER_SENT:
             return True, None
@@ -323,14 +335,14 @@
         return False, None
 
     def _response_from_records(self, request: message.SelectWorker) -> SelectionResponse | None:
-        """Return the answer to a request that holds a grant already, or that may not be sent."""
+        """Return the grant that an attempt already holds, or a denial if its request may have been sent before."""
         held = self.records.grants.get(request.attempt_id)
         if held is not None:
             return self._granted(request, held.grant.worker, True)
         return self.refuse_if_claimed(request)
 
     async def _choose(self, request: message.SelectWorker, pool: configuration.Pool) -> SelectionResponse | None:
-        """Grant a worker or refuse the request; None where it should wait."""
+        """Return a grant or a denial; None if the request should wait for a free slot."""
         now = self.runtime.now()
         if request.is_retry and not self.records.budget.has_capacity(now):
             wait_us = self.records.budget.wait_us(now)
@@ -347,9 +359,9 @@
         return None
 
     async def grant(self, request: message.SelectWorker, worker: str) -> SelectionResponse:
-        """Record a grant; answer once what it opened or claimed is replicated.
+        """Record a grant, and return it once the session that it opened and its claim are replicated.
 
-        Without the copies, an owner after this one could grant a request again that may not be repeated.
+        Without the replicas, the next owner could grant a worker again to a request that must not run twice.
         """
         now = self.runtime.now()
         session, opened = self._extend_or_open_session(request, worker, now)
@@ -372,7 +384,10 @@
     def _extend_or_open_session(
         self, request: message.SelectWorker, worker: str, now: int
     ) -> tuple[sessions.Session[str] | None, bool]:
-        """Return the request's session on a worker, extended or opened, and whether it was opened."""
+        """Return the request's session on a worker, if it has one, and whether the session was opened now.
+
+        A session that is open on another worker is closed and opened anew on this one.
+        """
         table = self.records.session_table
         session = table.affinity(request.session)
         if session is not None and session.worker != worker:
@@ -381,7 +396,7 @@
             session = None
         if session is not None:
             self.counts.affinity_hits += 1
-            # the terms may have changed
+            # the configured lifetime and cost of sessions may have changed since the last turn
             session.lifetime_us, session.cost = request.terms["lifetime_us"], request.terms["cost"]
             table.extend(session, now)
             self.records.changed_sessions_and_claims[session.id] = session
@@ -411,7 +426,7 @@
         claim: claims.Claim | None,
         affinity: bool,
     ) -> SelectionResponse:
-        """Answer a grant once all copies have its records; release it where they don't confirm in time."""
+        """Return a grant once all replicas have confirmed its records; release it if they don't in time."""
         now = self.runtime.now()
         update = self.replicator.update(
             [sessions.to_message(opened, now)] if opened is not None else [],
@@ -437,7 +452,7 @@
     # ---- state -------------------------------------------------------------------
 
     def state(self) -> dict[str, object]:
-        """Return what a node shows of this owner."""
+        """Return the owner's entry in the node's state, which `GET /state` shows."""
         records = self.records
         return {
             "pool": self.pool,
@@ -457,7 +472,7 @@
 
 
 def _outcome_of_claim(state: str) -> errors.ExecutionOutcome:
-    """What the state of a claim says of its request.
+    """Return the execution outcome that a claim's state, or a `RevocationState`, implies for its request.
 
     >>> _outcome_of_claim("ran").value, _outcome_of_claim("unknown").value
     ('ran', 'may_have_run')
