--- a/iriswheel/pools/claims.py
+++ b/iriswheel/pools/claims.py
@@ -82,11 +82,11 @@
         """
         return self.attempt_id.startswith(REVOCATION_PREFIX)
 
-    def is_same_call(self, attempt_id: str) -> bool:
+    def covers_attempt(self, attempt_id: str) -> bool:
         """Whether an attempt id belongs to the very call that made this claim, asked again.
 
         >>> claim = Claim("e", 1, "n", "n-7/0", 0)
-        >>> claim.is_same_call("n-7/1"), claim.is_same_call("n-8/0")
+        >>> claim.covers_attempt("n-7/1"), claim.covers_attempt("n-8/0")
         (True, False)
         """
         return self.attempt_id.rpartition("/")[0] == attempt_id.rpartition("/")[0]
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -199,7 +199,7 @@
                     errors.ExecutionOutcome.MAY_HAVE_RUN,
                 )
             return None
-        if claim.is_same_call(request.attempt_id) or (claim.is_revocation() and request.attempt != 1):
+        if claim.covers_attempt(request.attempt_id) or (claim.is_revocation() and request.attempt != 1):
             return None
         outcome = _outcome_of_claim(claim.state)
         return self.deny("already_sent", "This exchange was sent before and may not be repeated.", outcome)
@@ -251,8 +251,8 @@
         )
         self.records.claims[revocation.request_id] = claim
         replicated = await self.replicator.replicate(self.replicator.update([], [claim.export(now)], []))
-        stands = replicated and self.records.claims.get(revocation.request_id) is claim
-        return message.RevokeResponse((RevocationState.NEVER_SENT if stands else RevocationState.RETRY_LATER).value)
+        recorded = replicated and self.records.claims.get(revocation.request_id) is claim
+        return message.RevokeResponse((RevocationState.NEVER_SENT if recorded else RevocationState.RETRY_LATER).value)
 
     # ---- selection ---------------------------------------------------------------
 
