--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -1,4 +1,4 @@
-"""How a new pool owner gathers the records of its pool from all members before it answers anything."""
+"""Takeover: a new pool owner gathers the records of its pool from all members before it grants any worker."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     from iriswheel.pools import pool_owner
 
 GATHER_DEADLINE_US = 600 * units.MILLISECOND_US
-"""How long members and core machines have for their answer."""
+"""Time limit for the answers of members and core machines."""
 
 ABSENT_REPLICAS_WAIT_US = 3 * units.SECOND_US
-"""How long a new owner waits for a member of the last group before it goes on without."""
+"""Time for which a new owner retries while no replica has answered and a node that should hold one is absent."""
 
 log = loguru.logger.bind(part="takeover")
 
@@ -27,19 +27,19 @@
 
 
 class MergedRecords(typing.NamedTuple):
-    """The newest record of each session and of each claimed request."""
+    """The newest session record of each session id, and the newest claim of each request id."""
 
     sessions: dict[str, message.SessionRecord]
     claims: dict[str, message.Claim]
 
 
 def merge_answers(answers: Answers, use_affinities: bool) -> MergedRecords:
-    """Merge what members hold: the newest record of each session and of each claim.
+    """Merge the records of all members into the newest record of each session and of each claim.
 
     Args:
-        answers: The members' answers, by member.
-        use_affinities: Whether sessions that a member only remembers as its own client's count,
-            where no copy of the record is left.
+        answers: The members' answers, by member id.
+        use_affinities: Whether to add sessions known only from the session affinities that a node keeps for its own
+            clients; for use when no replica of the records answered.
 
     >>> old = message.SessionRecord("s", "w1", 5, 9, 0, 1)
     >>> new = message.SessionRecord("s", "w2", 5, 9, 0, 2)
@@ -63,7 +63,7 @@
 def merge_core_sessions(
     answers: collections.abc.Iterable[message.RecordsResponse],
 ) -> dict[str, message.SessionRecord]:
-    """Merge the sessions that core machines keep: the newest record of each.
+    """Merge the sessions that the core machines keep into the newest record of each session.
 
     >>> merge_core_sessions([message.RecordsResponse(True)])
     {}
@@ -92,7 +92,7 @@
 
 
 class Takeover:
-    """Gathers the records of one new pool owner and replicates them."""
+    """Gathers the records of a pool for its new owner, and replicates them to the new replica nodes."""
 
     def __init__(self, owner: pool_owner.PoolOwner) -> None:
         self.owner = owner
@@ -100,10 +100,11 @@
         self.runtime = owner.runtime
 
     async def gather(self) -> bool:
-        """Ask every live node for what it holds, and bring the copies up to date.
+        """Ask all members for the pool's records, load the merged records, and replicate them.
 
         Returns:
-            Whether the owner now has all records; False to try again, or where the owner has ended.
+            Whether the records are loaded and replicated; False if the caller should try again, or if the owner's
+            term has ended.
         """
         owner = self.owner
         members = list(self.node.follower.membership.members)
@@ -112,13 +113,13 @@
             return False
         answers = {member: answer for member, answer in responses.items() if answer is not None}
         if any(not answer.ok for answer in answers.values()):
-            owner.end()  # a member has seen a newer term
+            owner.end()  # a member that has seen a newer term refuses this one
             return False
         now = self.runtime.now()
         base = [member for member in owner.assignment.base if member in answers and answers[member].has_replica]
         if not base and self._may_wait_for_replicas(members, answers, now):
             return False
-        if base:  # what an earlier owner had lost is lost to this one too
+        if base:  # claims that the previous owner had lost are missing from its replicas as well
             owner.claims_missing_until_us = max(now + answers[member].claims_missing_us for member in base)
         merged = merge_answers(answers, use_affinities=not base)
         for member in sorted(answers):
@@ -136,17 +137,17 @@
         return message.RecordsRequest(self.owner.pool, self.owner.assignment.term, self.owner.member_id)
 
     def _may_wait_for_replicas(self, members: list[message.Member], answers: Answers, now: int) -> bool:
-        """Whether a member of the last group is live but did not answer, and there is time to ask again."""
+        """Whether a node of the last active replica group gave no answer and there is still time to retry."""
         absent = [member.id for member in members if member.id not in answers]
         return any(member in absent for member in self.owner.assignment.base) and (
             now - self.owner.started_at_us < ABSENT_REPLICAS_WAIT_US
         )
 
     async def _replicate_all(self, from_replica: bool) -> bool:
-        """Replicate the gathered records to all copies; False where not all of them confirmed.
+        """Replicate the gathered records to all replica nodes; return False if one of them did not confirm.
 
         Args:
-            from_replica: Whether a copy of the last group that holds all records was among the answers.
+            from_replica: Whether a complete replica from the last active replica group was among the answers.
         """
         owner = self.owner
         owner.check_workers()
@@ -156,14 +157,18 @@
         owner.replicator.notify_cores(snapshot)
         owner.gathered = True
         if owner.claims_may_be_missing() and not from_replica:
-            log.warning("No copy of pool {pool}'s records answers: claims may be lost.", pool=owner.pool)
+            log.warning(
+                "No node answered with a replica of pool {pool}'s records: claims may be lost, and retries of "
+                "requests that must not run twice may be refused.",
+                pool=owner.pool,
+            )
         return True
 
     async def _gather_from_cores(self) -> list[message.SessionRecord]:
-        """Return the sessions that core machines keep, for when no node's copy is left.
+        """Return the sessions that the core machines keep, for a takeover in which no node has a replica.
 
-        Where most core machines answer and none has ever heard of the pool, it is new, and
-        no claim was lost.
+        If a majority of the core machines answer and none of them has a record of an earlier owner, the pool is new
+        and no claim was lost. Otherwise claims may be missing until they would have expired.
         """
         cores = self.node.follower.membership.cores
         calls = [
