--- a/iriswheel/pools/replication.py
+++ b/iriswheel/pools/replication.py
@@ -1,7 +1,7 @@
-"""Copies of a pool's records on other nodes and on the core machines.
+"""Replication of a pool's records from the pool owner to other nodes and to the core machines.
 
-What a grant depends on is copied before the grant is answered; expiries and closed sessions
-follow a few times a second.
+A new session or claim is replicated before its grant is answered. All other changes, such as extended and closed
+sessions, are replicated in the background every BACKGROUND_REPLICATION_INTERVAL_US.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
     from iriswheel.pools import pool_owner
 
 REPLICATION_DEADLINE_US = 500 * units.MILLISECOND_US
-"""How long the nodes that keep copies have for their answer."""
+"""Time limit for the answers of replica nodes, and of other pools' owners to a `RevokeRequest`."""
 
 BACKGROUND_REPLICATION_INTERVAL_US = 300 * units.MILLISECOND_US
 
 
 class RecordReplicator:
-    """Sends one pool owner's records to the nodes that keep copies, and to the core machines."""
+    """Sends one pool owner's records to its replica nodes (`RoleAssignment.copies`) and to the core machines."""
 
     def __init__(self, owner: pool_owner.PoolOwner) -> None:
         self.owner = owner
@@ -37,14 +37,14 @@
         claim_records: list[message.Claim],
         closed: list[str],
     ) -> message.ReplicateRecords:
-        """Return a message with the records that changed."""
+        """Return a message with changed records and the ids of closed sessions and removed claims."""
         owner = self.owner
         return message.ReplicateRecords(
             owner.pool, owner.assignment.term, self.owner.member_id, session_records, claim_records, closed
         )
 
     def snapshot(self) -> message.ReplicateRecords:
-        """Return a message with all records, for a process that has none of them."""
+        """Return a message with all records, which replaces the contents of a replica."""
         owner = self.owner
         now = self.runtime.now()
         session_records, claim_records = self.records.export(now)
@@ -60,9 +60,10 @@
         )
 
     async def replicate(self, update: message.ReplicateRecords) -> bool:
-        """Send an update to every node that keeps copies; False unless all of them confirmed it.
+        """Send an update to all replica nodes; return True only if all of them confirmed it.
 
-        A copy that has seen a newer term refuses; this owner then ends, as another holds the role.
+        A replica node that has seen a newer term refuses the update. This owner then ends, since the role was
+        assigned anew.
         """
         owner = self.owner
         members = [member for member in self.node.follower.membership.members if member.id in owner.assignment.copies]
@@ -74,7 +75,7 @@
         return owner.is_live() and all(response is not None and response.ok for response in responses)
 
     def notify_cores(self, update: message.ReplicateRecords) -> None:
-        """Send the sessions of an update to the core machines; nothing waits for it."""
+        """Send an update without its claims to the core machine that this node is connected to; await no answer."""
         self.node.follower.session.tell(
             message.ReplicateRecords(
                 update.pool, update.term, update.owner, update.sessions, [], update.closed, update.complete
@@ -82,7 +83,7 @@
         )
 
     async def run(self) -> None:
-        """Copy what changed a few times a second, for as long as the owner lives."""
+        """Replicate changed records every BACKGROUND_REPLICATION_INTERVAL_US while the owner holds the role."""
         while self.owner.is_live():
             await self.runtime.sleep(BACKGROUND_REPLICATION_INTERVAL_US)
             if self.records.changed_sessions_and_claims or self.records.closed_ids:
@@ -103,7 +104,7 @@
             for record in changed.values()
             if isinstance(record, claims.Claim) and records.claims.get(record.request_id) is record
         ]
-        # an id may have been opened anew since it was closed
+        # a session or claim may have been recorded again under the same id since it was removed
         still_closed = [
             identifier
             for identifier in closed
