--- a/iriswheel/pools/selection.py
+++ b/iriswheel/pools/selection.py
@@ -1,4 +1,4 @@
-"""Which worker a request should go to: scores, free slots, and the choice among the ready workers."""
+"""Selection of the worker for a request, by session affinity, free slots and expected load."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     from iriswheel.configuration import configuration
     from iriswheel.pools import pool_records, worker_watch
 
-PREFIX_PARTS_PER_WORKER = 256
+PREFIX_PARTS_PER_WORKER = 256  # prefix parts remembered for each worker
 REPORTED_REQUEST_COST = 100
-"""What a request counts that a worker reports beyond those granted here."""
+"""Work units counted for each request that a worker reports beyond the grants of this pool owner."""
 
 PREFIX_DISCOUNT = 0.8
-"""The part of a request's work that a wholly known prefix saves."""
+"""Fraction of a request's work that is saved if the worker has its whole prefix in the prefix cache."""
 
 
 class PrefixTable:
-    """The prefix parts that each worker served last, the newest last.
+    """The prefix parts that each worker served most recently, and so probably has in its prefix cache.
 
     >>> table = PrefixTable(); table.remember("w1", ["system", "tools"])
     >>> table.matching_parts("w1", ["system", "other"]), table.matching_parts("w2", ["system"])
@@ -29,10 +29,10 @@
     """
 
     def __init__(self) -> None:
-        self.parts: dict[str, dict[str, None]] = {}  # worker -> parts, newest last
+        self.parts: dict[str, dict[str, None]] = {}  # by worker; the most recently served part last
 
     def remember(self, worker: str, prefix: collections.abc.Iterable[str]) -> None:
-        """Note the parts of a request that a worker serves; the oldest are forgotten.
+        """Record the prefix parts of a request granted to a worker; the least recently served parts are evicted.
 
         >>> PrefixTable().remember("w1", ["system"])
         """
@@ -44,7 +44,7 @@
             del known[next(iter(known))]
 
     def matching_parts(self, worker: str, prefix: collections.abc.Iterable[str]) -> int:
-        """Return how many leading parts of a prefix a worker has served.
+        """Return how many leading parts of a prefix a worker has served recently.
 
         >>> PrefixTable().matching_parts("w1", ["system"])
         0
@@ -59,7 +59,7 @@
 
 
 class SelectionRefusal(typing.NamedTuple):
-    """Why no worker can be chosen, however long the request waits."""
+    """The reason why no worker can be selected, even if the request waits for a free slot."""
 
     code: str
     text: str
@@ -67,7 +67,7 @@
 
 
 class WorkerSelector:
-    """Chooses workers by the pool's records and by what is heard of the workers."""
+    """Selects workers by the pool's records, the loads that workers report, and the workers' health."""
 
     def __init__(self, pool: str, records: pool_records.PoolRecords, watch: worker_watch.WorkerWatch) -> None:
         self.pool = pool
@@ -76,10 +76,11 @@
         self.prefixes = PrefixTable()
 
     def score(self, worker: str, request: message.SelectWorker) -> float:
-        """Return the load that a request would meet on a worker: the lower, the better.
+        """Return the load on a worker if it were given a request, in work units; the lowest score is the best.
 
-        Real work in flight, the reserved cost of open sessions, what the worker itself
-        reports beyond that, and the request's own work less the prefix held there.
+        The score is the sum of the work of all granted requests in flight, the cost of the worker's open sessions, a
+        flat cost for each further request that the worker reports, and the request's own work, less the discount for
+        prefix parts that the worker has probably cached.
         """
         in_flight = self.records.load(worker)
         load = in_flight.work + self.records.session_table.load(worker)
@@ -89,7 +90,7 @@
         return load + request.work * (1 - PREFIX_DISCOUNT * matching / max(1, len(request.prefix)))
 
     def has_slot(self, worker: str, long: bool, pool: configuration.Pool) -> bool:
-        """Whether a worker has a free slot; long prompts have fewer of them."""
+        """Whether a worker has a free slot; a long prompt also needs one of the pool's `long_slots`."""
         in_flight = self.records.load(worker)
         return len(in_flight.grants) < pool.slots and (not long or in_flight.long_prompts < pool.long_slots)
 
@@ -105,11 +106,11 @@
         Args:
             request: The request.
             pool: The pool's configuration.
-            workers: The listed workers to which new requests may go.
+            workers: The listed workers of all pools that accept new requests.
             now: The present time, in µs.
 
         Returns:
-            The worker's id, None where the request should wait for a slot, or why it need not wait.
+            The worker's id, None if the request should wait for a slot, or why waiting would not help.
         """
         ready = [
             worker.id
@@ -131,7 +132,7 @@
             below_cap = [worker for worker in ready if table.count(worker) < pool.cap]
             if not below_cap:
                 wait_us = max(units.SECOND_US, (table.earliest(ready) or now) - now)
-                return SelectionRefusal("sessions_full", "Every worker has all the sessions it may have.", wait_us)
+                return SelectionRefusal("sessions_full", "Every worker is at its limit of open sessions.", wait_us)
             ready = below_cap
         with_slot = [worker for worker in ready if self.has_slot(worker, request.long, pool)]
         return min(with_slot, key=lambda worker: (self.score(worker, request), worker), default=None)
