--- a/iriswheel/pools/claims.py
+++ b/iriswheel/pools/claims.py
@@ -1,7 +1,7 @@
 """Claims: the pool owner's records that make a request run at most once in its pool.
 
-A request that may not be repeated is claimed before its worker is granted. While the claim
-is remembered, no other attempt of the same request gets a grant.
+The pool owner records a claim on a request that must not run twice before it grants a worker to it. Until the claim
+expires, no other attempt of the same request gets a grant.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from iriswheel.transport import message
 
 RETENTION_US = 600 * units.SECOND_US
-"""How long a claim is remembered after its grant was made or released."""
+"""Time after the grant, or after its release, at which a claim expires."""
 
 REVOCATION_PREFIX = "pool/"
-"""Attempt ids of claims that another pool's owner made, to forbid the request here, begin with this."""
+"""Start of the attempt id of a revocation, a claim recorded on behalf of another pool; that pool's name follows."""
 
 
 class ClaimState(enum.StrEnum):
-    """What is known of a claimed request."""
+    """What the pool owner knows about the execution of a claimed request."""
 
-    CLAIMED = "claimed"
-    RAN = "ran"
+    CLAIMED = "claimed"  # a worker was granted; the request may have run
+    RAN = "ran"  # the grant has ended, and the request ran or may have run
 
 
 class Claim:
     """The claim on one request.
 
     Args:
-        request_id: The request that may not be repeated.
-        attempt_number: The number of the attempt, as the client or its node counts them.
+        request_id: The request that must not run twice.
+        attempt_number: The number of the attempt, as counted by the client or the node that it calls.
         node: The member that holds the grant.
         attempt_id: The attempt that was granted a worker.
-        expires_at_us: When the claim may be forgotten, in µs on this process's clock.
-        state: What is known of the request.
+        expires_at_us: When the claim expires, in µs on this process's clock.
+        state: What is known about the request's execution.
 
     >>> Claim("e", 1, "n", "a", 0).state.value
     'claimed'
@@ -60,7 +60,7 @@
         self.state = state
 
     def export(self, now: int) -> message.Claim:
-        """Return the claim as a message, with the time that is left of it at `now`.
+        """Return the claim as a message, with the time from `now` until it expires.
 
         >>> Claim("e", 1, "n", "a", 9).export(4).left_us
         5
@@ -75,7 +75,7 @@
         )
 
     def is_revocation(self) -> bool:
-        """Whether another pool's owner made this claim, to forbid the request here.
+        """Whether the claim was recorded on behalf of another pool, so that a late first attempt is refused here.
 
         >>> Claim("e", 0, "n", "pool/other", 0).is_revocation()
         True
@@ -83,7 +83,7 @@
         return self.attempt_id.startswith(REVOCATION_PREFIX)
 
     def covers_attempt(self, attempt_id: str) -> bool:
-        """Whether an attempt id belongs to the very call that made this claim, asked again.
+        """Whether an attempt comes from the same call at a node as the claim: the ids are equal up to the last slash.
 
         >>> claim = Claim("e", 1, "n", "n-7/0", 0)
         >>> claim.covers_attempt("n-7/1"), claim.covers_attempt("n-8/0")
@@ -93,7 +93,7 @@
 
 
 def from_message(record: message.Claim, now: int) -> Claim:
-    """Return the claim that a message holds.
+    """Return the claim that a message holds; its remaining time counts from `now`.
 
     >>> from_message(message.Claim("e", 1, "n", "a", "ran", 5), now=4).expires_at_us
     9
