--- a/iriswheel/pools/in_flight.py
+++ b/iriswheel/pools/in_flight.py
@@ -1,4 +1,4 @@
-"""The load in flight: grants that nodes hold, counted by worker."""
+"""The load in flight: the grants that nodes hold, and their sums for each worker."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @dataclasses.dataclass(slots=True)
 class HeldGrant:
-    """A grant that a node holds, as its pool owner knows it.
+    """The pool owner's record of a grant that a node holds.
 
     Attributes:
-        grant: What was granted.
-        listed_at: When the node last listed the grant (or got it), in µs.
-        claim: The claim made with it, if any.
-        charged_at: When the retry budget was charged for it, in µs; None where it was not.
+        grant: The granted worker and the request's share of load.
+        listed_at: When the node last listed the grant in a report, or else when it was granted, in µs.
+        claim: The claim recorded with the grant, if any.
+        charged_at: When the grant was charged to the retry budget, in µs; None if it was not.
     """
 
     grant: message.WorkerGrant
@@ -28,7 +28,7 @@
 
 
 class InFlightLoad:
-    """What one worker has in flight, added up.
+    """The grants in flight on one worker, with their number of long prompts and their sum of work units.
 
     >>> import iriswheel.transport.message as message
     >>> load = InFlightLoad(); load.add(message.WorkerGrant("p", "a", "n", "w", "", 70, True))
@@ -46,7 +46,7 @@
         self.work = 0
 
     def add(self, grant: message.WorkerGrant) -> None:
-        """Count a grant.
+        """Add a grant, in place of an earlier one for the same attempt.
 
         >>> import iriswheel.transport.message as message
         >>> InFlightLoad().add(message.WorkerGrant("p", "a", "n", "w", "", 70, True))
@@ -57,7 +57,7 @@
         self.work += grant.work
 
     def drop(self, attempt_id: str) -> None:
-        """Count a grant no more.
+        """Remove an attempt's grant, if there is one.
 
         >>> InFlightLoad().drop("a")
         """
