--- a/iriswheel/pools/interfaces.py
+++ b/iriswheel/pools/interfaces.py
@@ -1,4 +1,4 @@
-"""What a pool owner uses of the node process that it runs in; `node.node.Node` provides it."""
+"""Interfaces through which a pool owner uses its node process; `node.node.Node` implements them."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class CoreNotices(typing.Protocol):
-    """The node's session with a core machine, for notices alone."""
+    """The node's session with a core machine, restricted to messages without an answer."""
 
     def tell(self, msg: message.Message) -> None:
-        """Send the core machine a message; dropped where there is no connection."""
+        """Send the core machine a message, which is dropped if there is no connection."""
 
 
 class OwnerFleetView(typing.Protocol):
-    """What a pool owner asks of the node's view of the fleet."""
+    """The part of the node's view of the fleet that a pool owner uses."""
 
     @property
     def session(self) -> CoreNotices:
@@ -31,58 +31,58 @@
 
     @property
     def membership(self) -> message.Membership:
-        """The newest membership."""
+        """The newest membership that this node has received."""
 
     @property
     def workers(self) -> list[message.Worker]:
-        """The workers as they were last listed."""
+        """The workers of the newest worker list."""
 
     @property
     def states(self) -> dict[str, message.Worker]:
-        """The listed workers, by id."""
+        """The workers of the newest worker list, by id."""
 
     @property
     def updated_at(self) -> int | None:
         """When the worker list was last sent or confirmed, in µs; None before the first."""
 
     def pool(self, name: str) -> configuration.Pool | None:
-        """Return a pool's configuration, or None."""
+        """Return a pool's configuration, or None if the configuration has no such pool."""
 
     def assignment(self, key: str) -> message.RoleAssignment | None:
-        """Return a role's assignment, or None."""
+        """Return the assignment of the role with this key from the membership, or None."""
 
     def accepts_requests(self, worker: str) -> bool:
         """Whether new requests may go to a worker: it is listed as ready, and its zone is not evacuated."""
 
     def needs_rejoin(self) -> bool:
-        """Whether this process did not run for a while and has not rejoined yet."""
+        """Whether this process was frozen for a while, so that its view may be stale, and has not rejoined yet."""
 
 
 class OwnerNode(interfaces.MemberProcess, typing.Protocol):
-    """The node process, as far as a pool owner needs it."""
+    """The part of the node process that a pool owner uses."""
 
     @property
     def runtime(self) -> scheduler.Runtime:
-        """Clock, timers, tasks."""
+        """The process's clock, timers and tasks."""
 
     @property
     def follower(self) -> OwnerFleetView:
-        """What this node knows of the fleet."""
+        """This node's view of the fleet."""
 
     @property
     def reachability(self) -> health.Reachability:
-        """Which workers are reached from here."""
+        """This node's own contact with the workers."""
 
     @property
     def peers(self) -> peers.Peers:
-        """Connections to other processes."""
+        """The connections to other processes of the fleet."""
 
     @property
     def pool_owners(self) -> collections.abc.Mapping[str, pool_owner.PoolOwner]:
-        """The pool owners whose role is here, by pool."""
+        """The pool owners that run on this node, by pool."""
 
     def tell_member(self, identifier: str, notice: message.Message) -> None:
-        """Send a member a notice without an answer."""
+        """Send a member, which may be this node, a message without an answer."""
 
     @typing.overload
     async def call_members(
@@ -107,4 +107,4 @@
     async def call_members(
         self, members: list[message.Member], request: message.Message, deadline_us: int
     ) -> collections.abc.Mapping[str, message.Message | None]:
-        """Call members, this one included; the answers by member id, None where none came in time."""
+        """Call members, of which one may be this node; return the answers by member id, None if none came in time."""
