--- a/iriswheel/pools/pool_records.py
+++ b/iriswheel/pools/pool_records.py
@@ -1,6 +1,6 @@
-"""The records of one pool at its owner: sessions, claims, grants, and what changed since the last copy.
+"""The records of one pool at its owner: sessions, claims, grants, and the changes not yet replicated.
 
-No input or output happens here; `replication` sends the changes to the copies.
+This module does no input or output; `replication` sends the changes to the replicas.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from iriswheel.transport import message
 
 ABANDONED_RETENTION_US = 60 * units.SECOND_US
-"""How long an attempt is refused whose node gave it up before its query arrived here."""
+"""Time for which an abandoned attempt gets no grant, in case its `SelectWorker` request arrives late."""
 
 LOST_GRANT_US = 3 * units.SECOND_US
-"""A grant that its node has not listed for so long is taken for lost."""
+"""Time without a listing in its node's grant reports after which a grant counts as lost and is released."""
 
 _NO_LOAD = in_flight.InFlightLoad()
 
 
 class PoolRecords:
-    """What a pool owner knows of its pool.
+    """A pool owner's sessions, claims, grants and retry budget.
 
     Args:
-        slot_freed: Woken whenever a grant ends, so that waiting requests look again.
+        slot_freed: Woken whenever a grant ends, so that waiting requests try again to get a slot.
     """
 
     def __init__(self, slot_freed: scheduler.Signal) -> None:
@@ -35,39 +35,39 @@
         self.claims: dict[str, claims.Claim] = {}  # by request id
         self.grants: dict[str, in_flight.HeldGrant] = {}  # by attempt id
         self.load_by_worker: dict[str, in_flight.InFlightLoad] = {}
-        self.abandoned: dict[str, int] = {}  # attempt id -> until when it gets no grant
-        self.budget = retry_budget.Budget()  # of the whole fleet's sends to this pool
-        # changed since the last update to the copies
+        self.abandoned: dict[str, int] = {}  # attempt id -> time until which it gets no grant, in µs
+        self.budget = retry_budget.Budget()  # for the attempts of all nodes in this pool
+        # by session id or request id: the records changed, and those closed or removed, since the last replication
         self.changed_sessions_and_claims: dict[str, claims.Claim | sessions.Session[str]] = {}
         self.closed_ids: dict[str, None] = {}
 
     # ---- grants ------------------------------------------------------------------
 
     def load(self, worker: str) -> in_flight.InFlightLoad:
-        """Return what a worker has in flight; the result is for reading only."""
+        """Return a worker's load in flight; callers must not modify it."""
         return self.load_by_worker.get(worker, _NO_LOAD)
 
     def add_grant(
         self, grant: message.WorkerGrant, now: int, claim: claims.Claim | None = None, charged_at: int | None = None
     ) -> None:
-        """Count a grant as load in flight.
+        """Record a grant and add it to its worker's load in flight.
 
         Args:
-            grant: The grant, whose attempt id is new here.
+            grant: The grant, whose attempt id has no grant yet.
             now: The present time, in µs.
-            claim: The claim made with it, if any.
-            charged_at: When the retry budget was charged for it, in µs; None where it was not.
+            claim: The claim recorded with the grant, if any.
+            charged_at: When the grant was charged to the retry budget, in µs; None if it was not.
         """
         self.grants[grant.attempt_id] = in_flight.HeldGrant(grant, now, claim, charged_at)
         self.load_by_worker.setdefault(grant.worker, in_flight.InFlightLoad()).add(grant)
 
     def release(self, attempt_id: str, outcome: errors.ExecutionOutcome, now: int) -> None:
-        """End a grant; the requests that wait for a slot look again.
+        """End a grant, and wake the requests that wait for a slot.
 
         Args:
             attempt_id: The attempt whose grant ends.
-            outcome: Whether the attempt ran. One that did not gives back its claim, its part of
-                the retry budget, and the session that it opened.
+            outcome: Whether the attempt ran. If it did not, its claim is removed, its charge to the retry budget is
+                refunded, and the session that it opened is closed.
             now: The present time, in µs.
         """
         held = self.grants.pop(attempt_id, None)
@@ -83,7 +83,7 @@
         self.slot_freed.wake()
 
     def _abandon(self, attempt_id: str, now: int) -> None:
-        """Refuse an attempt from now on, and undo what an earlier owner granted too late."""
+        """Refuse an abandoned attempt from now on, and undo what an earlier owner recorded for it."""
         self.abandoned[attempt_id] = now + ABANDONED_RETENTION_US
         for claim in [claim for claim in self.claims.values() if claim.attempt_id == attempt_id]:
             self.remove_claim(claim)
@@ -102,7 +102,7 @@
         session.turns = max(0, session.turns - 1)
         not_run = outcome == errors.ExecutionOutcome.NOT_RUN
         if not_run and session.opened_by == grant.attempt_id and not session.turns:
-            self.close_session(session)  # its first turn never reached the worker
+            self.close_session(session)  # the first turn did not run, so the worker holds no prefix for it
         else:
             self.session_table.extend(session, now)
             self.changed_sessions_and_claims[session.id] = session
@@ -120,7 +120,7 @@
             self.changed_sessions_and_claims[claim.request_id] = claim
 
     def take_report(self, report: message.GrantReport, now: int) -> None:
-        """Take a node's list of the grants it holds; those it no longer lists are released."""
+        """Process a node's report: release its abandoned attempts, and the grants unlisted for LOST_GRANT_US."""
         for attempt_id in report.abandoned_attempts:
             if attempt_id not in self.abandoned:
                 self.release(attempt_id, errors.ExecutionOutcome.NOT_RUN, now)
@@ -135,7 +135,7 @@
                 self.release(attempt_id, errors.ExecutionOutcome.MAY_HAVE_RUN, now)
 
     def release_grants_of_lost_nodes(self, live_nodes: collections.abc.Container[str], now: int) -> None:
-        """Release the grants of nodes that are no members any more."""
+        """Release the grants of nodes that are no longer members and have not listed them for LOST_GRANT_US."""
         for attempt_id, held in list(self.grants.items()):
             if held.grant.node not in live_nodes and now - held.listed_at > LOST_GRANT_US:
                 self.release(attempt_id, errors.ExecutionOutcome.MAY_HAVE_RUN, now)
@@ -143,24 +143,24 @@
     # ---- sessions and claims -----------------------------------------------------
 
     def close_session(self, session: sessions.Session[str]) -> None:
-        """Close a session, here and with the next update on every copy."""
+        """Close a session here, and on every replica with the next update."""
         self.session_table.close(session.id)
         self.closed_ids[session.id] = None
 
     def evict(self, worker: str) -> int:
-        """Close all sessions of a worker; how many there were."""
+        """Close all sessions of a worker, and return how many there were."""
         evicted = self.session_table.evict(worker)
         for session in evicted:
             self.closed_ids[session.id] = None
         return len(evicted)
 
     def remove_claim(self, claim: claims.Claim) -> None:
-        """Forget a claim: its time is over, or its node says that it was never used."""
+        """Remove a claim that has expired or whose request did not run."""
         del self.claims[claim.request_id]
         self.closed_ids[claim.request_id] = None
 
     def sweep(self, now: int) -> int:
-        """Forget what has expired; how many sessions were closed."""
+        """Remove expired sessions, claims and abandoned attempts, and return how many sessions were closed."""
         expired = self.session_table.sweep(now)
         for session in expired:
             self.closed_ids[session.id] = None
@@ -173,7 +173,7 @@
     # ---- as messages -------------------------------------------------------------
 
     def export(self, now: int) -> tuple[list[message.SessionRecord], list[message.Claim]]:
-        """Return all sessions and claims, with the time that is left of them at `now`."""
+        """Return all sessions and claims as messages, with the time from `now` until each expires."""
         return (
             [sessions.to_message(session, now) for session in self.session_table.records.values()],
             [claim.export(now) for claim in self.claims.values()],
@@ -187,13 +187,13 @@
         answered_at: int,
         now: int,
     ) -> None:
-        """Take over the records that were merged from what the members hold.
+        """Load the records that a takeover has merged from the members' answers.
 
         Args:
-            session_records: One record a session.
-            claim_records: One record a request.
+            session_records: One record for each session.
+            claim_records: One record for each claimed request.
             grants: All grants that the members hold.
-            answered_at: When the members answered, in µs; the records' remaining times count from then.
+            answered_at: When the members answered, in µs; the remaining times of the records count from then.
             now: The present time, in µs.
         """
         table = self.session_table
