--- a/iriswheel/pools/selection_counts.py
+++ b/iriswheel/pools/selection_counts.py
@@ -1,4 +1,4 @@
-"""Counters of a pool owner since it took up its role, which `GET /state` shows."""
+"""The counters that a pool owner keeps for its term, which `GET /state` shows."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclasses.dataclass(slots=True)
 class SelectionCounts:
-    """What one pool owner was asked and how it answered.
+    """Counts of the selections that one pool owner was asked for, and of their results.
 
     >>> SelectionCounts(selections=2).state()["elects"]
     2
     """
 
-    selections: int = 0  # requests of nodes for a worker
-    affinity_hits: int = 0  # grants at the worker of an open session
+    selections: int = 0  # `SelectWorker` requests received
+    affinity_hits: int = 0  # grants of the worker on which the request's session was open
     opened_sessions: int = 0
-    closed_sessions: int = 0  # expired, moved to another worker, or of a worker that is no longer ready
-    claims: int = 0  # claims made on requests that may not be repeated
-    denials: int = 0
+    closed_sessions: int = 0  # sessions expired, moved to another worker, or of a worker that accepts no requests
+    claims: int = 0  # claims recorded on requests that must not run twice
+    denials: int = 0  # denials, of selections that ended without a grant
 
     def state(self) -> dict[str, int]:
-        """Return the counts under the names that operators know."""
+        """Return the counts under their names in `GET /state`."""
         return {
             "elects": self.selections,
             "pinned": self.affinity_hits,
