--- a/iriswheel/pools/session_replicas.py
+++ b/iriswheel/pools/session_replicas.py
@@ -1,4 +1,4 @@
-"""The copies that a process keeps of one pool's records, for the next owner of the pool."""
+"""The replica of one pool's records that a process keeps for the next owner of the pool."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from iriswheel.transport import message
 
 EXPIRED_RETENTION_US = 60 * units.SECOND_US
-"""How long a copy is kept after the record itself has expired."""
+"""Time for which a replica keeps a record after it has expired."""
 
 Term = tuple[int, int]
-"""The version of the membership under which a role was assigned."""
+"""The term of a role: the version of the membership that assigned it."""
 
 Record = typing.TypeVar("Record", message.SessionRecord, message.Claim)
 
 
 class SessionReplica:
-    """Copies of one pool's sessions and claims, under the newest term that was seen here.
+    """A replica of one pool's sessions and claims, which accepts updates only under the newest term it has seen.
 
     >>> replica = SessionReplica()
     >>> replica.apply_update(message.ReplicateRecords("p", (2, 1), "n1", [], [], []), now=0)
@@ -31,13 +31,14 @@
 
     def __init__(self) -> None:
         self.term: Term = (0, 0)
-        self.sessions: dict[str, tuple[message.SessionRecord, int]] = {}  # id -> (record, when it came in µs)
-        self.claims: dict[str, tuple[message.Claim, int]] = {}  # request id -> (record, when it came in µs)
-        self.has_all_records = False  # whether all records of an owner ever came here
-        self.claims_missing_until_us = 0  # until when claims made under earlier owners may be missing
+        self.sessions: dict[str, tuple[message.SessionRecord, int]] = {}  # by id: (record, receipt in µs)
+        self.claims: dict[str, tuple[message.Claim, int]] = {}  # by request id: (record, receipt in µs)
+        self.has_all_records = False  # whether a complete set of an owner's records was ever stored here
+        # claims that earlier owners made may have been lost until this time; by then all of them have expired
+        self.claims_missing_until_us = 0
 
     def fence(self, term: Term) -> bool:
-        """Refuse older terms from now on; False where a newer one was seen already.
+        """Refuse older terms from now on; return False if a newer term was seen already.
 
         >>> replica = SessionReplica(); replica.fence((3, 1)), replica.fence((2, 7))
         (True, False)
@@ -48,10 +49,10 @@
         return True
 
     def apply_update(self, update: message.ReplicateRecords, now: int) -> bool:
-        """Store what the owner sent, unless a newer term was seen; whether it was stored.
+        """Store an update from the pool owner, and return True; return False if a newer term was seen.
 
-        A partial update is stored as well, but only after one that holds all records does
-        `has_all_records` say so.
+        A partial update is stored even if the replica holds no complete set of records yet. Only a complete update
+        sets `has_all_records`.
 
         >>> SessionReplica().apply_update(message.ReplicateRecords("p", (1, 1), "n", [], [], [], complete=True), 0)
         True
@@ -79,7 +80,7 @@
         claims_missing_until_us: int,
         now: int,
     ) -> None:
-        """Take over all records of an owner that ran in this process.
+        """Replace the records by those of an owner whose term on this node has ended.
 
         >>> replica = SessionReplica(); replica.replace([], [], claims_missing_until_us=0, now=0)
         >>> replica.has_all_records
@@ -90,7 +91,7 @@
         self.has_all_records, self.claims_missing_until_us = True, claims_missing_until_us
 
     def sweep(self, now: int) -> None:
-        """Forget the records that expired long ago.
+        """Remove the records that expired more than EXPIRED_RETENTION_US ago.
 
         >>> SessionReplica().sweep(0)
         """
@@ -98,7 +99,7 @@
         _drop_expired(self.claims, now)
 
     def export(self, now: int) -> tuple[list[message.SessionRecord], list[message.Claim]]:
-        """Return all records, with the time that is left of them at `now`.
+        """Return all records, with the time from `now` until each expires.
 
         >>> SessionReplica().export(0)
         ([], [])
@@ -119,5 +120,5 @@
 
 
 def _with_age(record: Record, age_us: int) -> Record:
-    """Return a record with the time that is left of it after `age_us`, as remaining times count from the sending."""
+    """Return a record whose remaining time, which counted from its receipt, is reduced by its age."""
     return msgspec.structs.replace(record, left_us=max(0, record.left_us - age_us))
