--- a/iriswheel/pools/worker_watch.py
+++ b/iriswheel/pools/worker_watch.py
@@ -1,7 +1,7 @@
-"""A pool owner's health checks of its workers: which of them are ejected because no node reaches them.
+"""A pool owner's health checks of its workers, which eject workers that no node reaches.
 
-A worker that answers anything to anybody is alive. One node's bad link makes no worker
-unreachable: that takes the pool owner and a witness on another node, and neither may reach it.
+A worker that answers any member in any way is alive. A worker is ejected only if neither the pool owner nor another
+member (a witness) reaches it, so that one node's broken link ejects no worker.
 """
 
 from __future__ import annotations
@@ -19,49 +19,57 @@
     from iriswheel.pools import pool_owner
 
 
-WITNESS_TIMEOUT_US = 1 * units.SECOND_US  # for the answers of the members that probe as well
-UNRESPONSIVE_US = 2 * units.SECOND_US  # connects but says nothing for this long: unreachable, if it ever answered
-RECHECK_INTERVAL_US = 2 * units.SECOND_US  # an unreachable worker is checked again
-NEVER_HEARD_SILENCE_US = 3600 * units.SECOND_US  # the silence of a worker that nobody ever heard
+WITNESS_TIMEOUT_US = 1 * units.SECOND_US  # time limit for the answers of the witnesses
+UNRESPONSIVE_US = 2 * units.SECOND_US  # silence after which a worker that once answered but only connects is ejected
+RECHECK_INTERVAL_US = 2 * units.SECOND_US  # time between two checks of an ejected worker
+NEVER_HEARD_SILENCE_US = 3600 * units.SECOND_US  # silence assumed for a worker that never answered
 
 log = loguru.logger.bind(part="worker_watch")
 
 
 class WorkerWatch:
-    """A pool owner's watch over its pool's workers."""
+    """Probes a pool's workers for the pool owner, and ejects the unreachable ones."""
 
     def __init__(self, owner: pool_owner.PoolOwner) -> None:
         self.owner = owner
         self.node = owner.node
         self.runtime = owner.runtime
-        self.reported_loads: dict[
-            str, tuple[int, int]
-        ] = {}  # worker -> (running, queued), the newest that could be read
-        self.last_contact_us: dict[str, dict[str, int]] = {}  # worker -> member -> when it last heard it
-        self.ever_answered: set[str] = set()  # workers that ever answered the question for their load
-        self.ejected: dict[str, int] = {}  # unreachable worker -> when that was last found
-        self.running_checks: dict[str, scheduler.Signal] = {}  # worker -> wakes when the check under way is done
+        self.reported_loads: dict[str, tuple[int, int]] = {}  # worker -> requests (running, queued), as last reported
+        self.last_contact_us: dict[str, dict[str, int]] = {}  # worker -> member -> last answer, in µs
+        self.ever_answered: set[str] = set()  # workers that have answered at least one probe
+        self.ejected: dict[str, int] = {}  # ejected worker -> when it was last found unreachable, in µs
+        self.running_checks: dict[str, scheduler.Signal] = {}  # worker -> wakes at the end of the check under way
 
     def note_contact(self, worker: str, member: str) -> None:
-        """Note that a member heard a worker just now."""
+        """Record that a worker has just answered a member, and readmit the worker if it was ejected."""
         self.last_contact_us.setdefault(worker, {})[member] = self.runtime.now()
         if self.ejected.pop(worker, None) is not None:
-            log.info("Worker {worker} readmitted: heard by member {member}.", worker=worker, member=member)
+            log.info(
+                "Worker {worker} is readmitted, since it has answered member {member}.", worker=worker, member=member
+            )
             self.owner.slot_freed.wake()
 
     def silence_us(self, worker: str) -> int:
-        """Return how long nobody has heard a worker, in microseconds."""
+        """Return the time since a worker last answered any member, in µs."""
         return self.runtime.now() - max(self.last_contact_us.get(worker, {}).values(), default=-NEVER_HEARD_SILENCE_US)
 
     def is_suspect(self, worker: str) -> bool:
-        """Whether a worker that used to answer was not heard recently: no place for new work."""
+        """Whether a worker that has answered probes before is silent now; other workers are preferred to it."""
         return (
             worker in self.ever_answered
             and self.silence_us(worker) > health.RECENT_CONTACT_US + health.PROBE_INTERVAL_US // 2
         )
 
     def relay_for(self, worker: str, member: str) -> str:
-        """Return a member other than this one that heard a worker lately, the latest first, or ""."""
+        """Return a live member that can relay requests to a worker, or "" if none is known.
+
+        Args:
+            worker: The worker.
+            member: The member that needs the relay, and is not itself returned.
+
+        Returns:
+            The other member that the worker answered last, if that was within UNRESPONSIVE_US.
+        """
         now = self.runtime.now()
         live = {known.id for known in self.node.follower.membership.members}
         by_age = sorted(
@@ -72,7 +80,7 @@
         return by_age[0][1] if by_age and by_age[0][0] < UNRESPONSIVE_US else ""
 
     async def run(self) -> None:
-        """Every half second: ask all workers for their load, and check those that nobody hears."""
+        """Every `health.PROBE_INTERVAL_US`, probe all workers for their load, and check those that are silent."""
         while self.owner.is_live():
             workers = [
                 worker
@@ -87,7 +95,10 @@
             await self.runtime.sleep(health.PROBE_INTERVAL_US)
 
     async def check(self, worker: message.Worker) -> None:
-        """Probe a worker from this node and from the nodes that keep copies; decide whether it is unreachable."""
+        """Have a worker probed by this node and the pool's replica nodes, and eject it if it is unreachable.
+
+        A check of the same worker that is already under way is awaited instead.
+        """
         if worker.id in self.running_checks:
             await self.running_checks[worker.id].wait()
             return
@@ -111,20 +122,24 @@
 
     def _log_ejection(self, worker: str, responses: dict[str, message.ProbeResponse]) -> None:
         connects = any(response.outcome == message.ProbeOutcome.UNRESPONSIVE for response in responses.values())
-        reason = "accepts connections but does not answer" if connects else "no node can connect"
+        reason = "it accepts connections but does not answer" if connects else "no node can connect to it"
         if worker in self.last_contact_us:
             age_ms = self.silence_us(worker) // units.MILLISECOND_US
             log.warning(
-                "Worker {worker} ejected: no response for {age_ms} ms, {reason}.",
+                "Worker {worker} is ejected and gets no more requests: no response for {age_ms} ms, and {reason}.",
                 worker=worker,
                 age_ms=age_ms,
                 reason=reason,
             )
         else:
-            log.warning("Worker {worker} ejected: no response so far, {reason}.", worker=worker, reason=reason)
+            log.warning(
+                "Worker {worker} is ejected and gets no requests: it has never responded, and {reason}.",
+                worker=worker,
+                reason=reason,
+            )
 
     def _witnesses(self) -> list[message.Member]:
-        """Return this node and those that hold copies of the pool's records."""
+        """Return this node and the nodes that keep replicas of the pool's records."""
         own_id, copies = local_member.member_id(self.node), self.owner.assignment.copies
         return [
             member for member in self.node.follower.membership.members if member.id == own_id or member.id in copies
@@ -133,19 +148,22 @@
     async def _probe_from(
         self, witnesses: list[message.Member], worker: message.Worker
     ) -> dict[str, message.ProbeResponse]:
-        """Return what the witnesses found, by member, as far as they answer."""
+        """Have members probe a worker, and return the results by member id, of those that answer in time."""
         responses = await self.node.call_members(witnesses, message.ProbeRequest(worker), WITNESS_TIMEOUT_US)
         return {
             member: response for member, response in responses.items() if isinstance(response, message.ProbeResponse)
         }
 
     def _proves_unreachable(self, worker: str, responses: dict[str, message.ProbeResponse], alone: bool) -> bool:
-        """Whether what was found proves a worker unreachable.
+        """Whether probe results prove that a worker is unreachable.
+
+        No probe may have been answered, and a member other than this node must have probed as well. A worker that
+        accepts connections counts as unreachable only if it answered before and has been silent for UNRESPONSIVE_US.
 
         Args:
             worker: The worker.
-            responses: What this node and the witnesses found, by member.
-            alone: Whether there is no other member that could witness.
+            responses: The results of this node's probe and of the witnesses' probes, by member id.
+            alone: Whether no other member could act as a witness; this node's probe is then sufficient.
         """
         own_id, outcomes = local_member.member_id(self.node), {response.outcome for response in responses.values()}
         witnessed = alone or any(member != own_id for member in responses)
@@ -156,7 +174,7 @@
         )
 
     async def _poll(self, worker: message.Worker) -> None:
-        """Ask one worker; where it does not answer and nobody else hears it, check."""
+        """Probe one worker from this node; start a check if it has answered no member recently."""
         response = await self.node.reachability.probe(worker)
         self._record_response(worker.id, local_member.member_id(self.node), response)
         wait_us = RECHECK_INTERVAL_US if worker.id in self.ejected else health.RECENT_CONTACT_US
@@ -165,7 +183,7 @@
             await self.check(worker)
 
     def _record_response(self, worker: str, member: str, response: message.ProbeResponse) -> None:
-        """Take what a member's probe found."""
+        """Record the reported load and the contact of a member's probe, if the worker answered it."""
         if response.outcome != message.ProbeOutcome.ANSWERED:
             return
         self.ever_answered.add(worker)
@@ -174,7 +192,7 @@
         self.note_contact(worker, member)
 
     def _forget_unlisted(self, listed: set[str]) -> None:
-        """Forget the workers that are listed no more."""
+        """Remove the records of workers that are no longer in the worker list."""
         tables: tuple[dict[str, typing.Any], ...] = (self.reported_loads, self.last_contact_us, self.ejected)
         for table in tables:
             for worker in [worker for worker in table if worker not in listed]:
