--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -43,7 +43,7 @@
 class RevocationState(enum.StrEnum):
     """The values of `RevokeResponse.state` that are not a `ClaimState`."""
 
-    NEVER_SENT = ""  # the request was never sent to a worker of the pool, and the pool now refuses it
+    NEVER_SENT = ""  # the pool has not sent the request, and has recorded a revocation
     UNKNOWN = "unknown"  # a claim on the request may have been lost
     RETRY_LATER = "later"  # the pool's owner can't answer yet
 
@@ -208,7 +208,7 @@
         """Ask the owners of all other pools whether a retried request was sent to one of their workers.
 
         Each pool keeps its own claims, and the route may have moved to another pool between two attempts of a request.
-        An owner that answers no refuses the request from then on.
+        An owner that answers no records a revocation, and refuses the request's first attempt from then on.
 
         Returns:
             `RevocationState.NEVER_SENT` if no pool has sent the request, `RETRY_LATER` if an owner gave no answer,
@@ -231,8 +231,8 @@
     async def revoke(self, revocation: message.RevokeRequest) -> message.RevokeResponse:
         """Answer whether this pool has sent a request that is now retried in another pool.
 
-        If it has not, a claim for the other pool (a revocation) is recorded and replicated before the answer, so that
-        this pool never sends the request.
+        If it has not, a revocation (a claim on behalf of the other pool) is recorded and replicated before the
+        answer. This pool then refuses the request's first attempt, should that arrive late.
         """
         if not self.is_active():
             return message.RevokeResponse(RevocationState.RETRY_LATER.value)
