--- a/iriswheel/pools/__init__.py
+++ b/iriswheel/pools/__init__.py
@@ -1,1 +1,1 @@
-"""Ownership of pools: the one node that selects a pool's workers, and replicas of its records."""
+"""Pool ownership: one node at a time selects the workers of a pool, and replicates its records to other nodes."""
--- a/iriswheel/rate_limits/__init__.py
+++ b/iriswheel/rate_limits/__init__.py
@@ -1,1 +1,1 @@
-"""Rate limits of tenants, which hold over all nodes together: token buckets, each kept by one node."""
+"""Fleet-wide rate limits of tenants: each tenant's token bucket is kept by one node, its owner."""
--- a/iriswheel/rate_limits/interfaces.py
+++ b/iriswheel/rate_limits/interfaces.py
@@ -1,4 +1,4 @@
-"""What the rate limits use of the node process that they run in; `node.node.Node` provides it."""
+"""Interfaces through which the rate limits use their node process; `node.node.Node` implements them."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 class TenantView(typing.Protocol):
-    """What the rate limits ask of the node's view of the fleet."""
+    """The part of the node's view of the fleet that the rate limits use."""
 
     @property
     def membership(self) -> message.Membership:
-        """The newest membership."""
+        """The newest membership that this node has received."""
 
     @property
     def tenants(self) -> dict[str, configuration.Tenant]:
-        """The tenants, by name."""
+        """The configured tenants, by name."""
 
     def may_be_replaced(self) -> bool:
-        """Whether the core may have counted this node out while other nodes are in touch with it."""
+        """Whether the core may have removed this node from the membership while other nodes are in contact with it."""
 
 
 class RateLimitNode(interfaces.MemberProcess, typing.Protocol):
-    """The node process, as far as rate limits need it."""
+    """The part of the node process that the rate limits use."""
 
     @property
     def runtime(self) -> scheduler.Runtime:
-        """Clock, timers, tasks."""
+        """The process's clock, timers and tasks."""
 
     @property
     def options(self) -> options.Options:
@@ -40,8 +40,8 @@
 
     @property
     def follower(self) -> TenantView:
-        """What this node knows of the fleet."""
+        """This node's view of the fleet."""
 
     @property
     def peers(self) -> peers.Peers:
-        """Connections to other processes."""
+        """The connections to other processes of the fleet."""
--- a/iriswheel/rate_limits/limit_owner.py
+++ b/iriswheel/rate_limits/limit_owner.py
@@ -1,8 +1,9 @@
-"""The buckets that this node keeps, as the owner of tenants' limits or as the stand-in of an owner.
+"""The token buckets that this node keeps for tenants, as the owner of their rate limits or as a backup of the owner.
 
-The owner of a tenant is the member that ranks first for it. A stand-in has a small allowance of its own, so that
-requests go on while the owner is gone and not yet out of the membership; the allowance is bounded, since both may
-be reached by different nodes at the same time. An owner that may have been replaced counts as a stand-in.
+The owner of a tenant's limit is the member that ranks first for the tenant; the next members are its backups. Backups
+admit requests while the owner does not answer and the membership still lists it. A backup has a small bucket of its
+own, since some nodes may reach the owner while others reach the backup. An owner that may have been replaced admits
+no more than a backup.
 """
 
 from __future__ import annotations
@@ -19,23 +20,23 @@
     from iriswheel.rate_limits import interfaces
 
 MIN_CAPACITY_S = 0.1
-"""A bucket holds what its rate brings in so long, at least: with nothing in it no request would ever pass."""
+"""Seconds of refill that a bucket holds at least, since a bucket without capacity would admit no request."""
 
 OWNER_OVERSHOOT_RATIO = 0.5
-"""The part of the tolerated overshoot that an owner uses for bursts; the rest is for its stand-ins."""
+"""Fraction of the tolerated overshoot that the owner's bucket may admit; its backups share the rest."""
 
 BACKUP_RATE_RATIO = 0.05
-"""The part of the tenant's rate by which a stand-in's allowance fills."""
+"""Fraction of the tenant's rate at which a backup's bucket fills."""
 
 
 class Window(typing.NamedTuple):
-    """Over which time a limit counts, and what may pass beyond it."""
+    """The time window in which usage is limited, and the overshoot that is tolerated in it."""
 
     length_us: int
-    overshoot_ratio: float
+    overshoot_ratio: float  # fraction of the limit that may be admitted beyond it
 
     def limit(self, tenant: configuration.Tenant) -> float:
-        """What a tenant may use in any window.
+        """Return what a tenant may use in any window, in the tenant's rate unit.
 
         >>> from iriswheel.configuration import configuration
         >>> Window(8_000_000, 0.1).limit(configuration.Tenant(rate=10.0, burst=30.0))
@@ -44,15 +45,16 @@
         return tenant.rate * self.length_us / units.SECOND_US + tenant.burst
 
     def overshoot(self, tenant: configuration.Tenant) -> float:
-        """What may pass beyond that."""
+        """Return what may be admitted beyond the limit in any window, in the tenant's rate unit."""
         return self.overshoot_ratio * self.limit(tenant)
 
 
 def owner_parameters(tenant: configuration.Tenant, window: Window) -> token_bucket.BucketParameters:
-    """The terms of a tenant's bucket at its owner.
+    """Return the parameters of a tenant's bucket at its owner.
 
-    It fills as fast as the limit allows in the long run, burst and all, and holds no more than may pass beyond the
-    limit: the bucket of a tenant that presses lets the limit through evenly, and does not flood the workers first.
+    The bucket fills at the window's limit, including the burst, spread evenly over the window. It holds no more than
+    the owner's part of the overshoot, so that a tenant above its limit is admitted at an even rate and can't send the
+    workers its whole limit at once.
 
     >>> from iriswheel.configuration import configuration
     >>> owner_parameters(configuration.Tenant(rate=10.0, burst=20.0), Window(10_000_000, 0.1))
@@ -64,7 +66,7 @@
 
 
 def backup_parameters(tenant: configuration.Tenant, window: Window) -> token_bucket.BucketParameters:
-    """The terms of a tenant's bucket at each stand-in: together these allow the rest of the tolerated overshoot.
+    """Return the parameters of a tenant's bucket at each backup; all backups share the rest of the overshoot.
 
     >>> from iriswheel.configuration import configuration
     >>> backup_parameters(configuration.Tenant(rate=10.0, burst=20.0), Window(10_000_000, 0.1))
@@ -75,7 +77,7 @@
 
 
 class LimitOwner:
-    """Keeps the buckets of the tenants for which this node is asked."""
+    """Keeps the buckets of the tenants for which this node is the owner or a backup."""
 
     def __init__(self, node: interfaces.RateLimitNode, ranking: owner_ranking.OwnerRanking) -> None:
         self.node = node
@@ -84,14 +86,15 @@
         self.buckets: dict[str, token_bucket.TokenBucket] = {}  # by tenant
 
     def charge(self, request: message.ChargeRequest) -> message.ChargeResponse:
-        """Charge a request to its tenant, if the limit allows."""
+        """Charge a request to its tenant's bucket, or answer that the limit is exceeded."""
         tenant = self.node.follower.tenants.get(request.tenant)
         rank = self._rank(request.tenant)
         if tenant is None or rank is None:
             return message.ChargeResponse(message.ChargeOutcome.NOT_OWNER)
         now_us = self.node.runtime.now()
         bucket = self.buckets.get(request.tenant)
-        if bucket is None:  # the owner before, or this node's former process, may have used the limit up
+        if bucket is None:
+            # a previous owner, or this node before a restart, may have used up the limit: start with a backup's bucket
             allowance = backup_parameters(tenant, self.window).capacity
             bucket = self.buckets[request.tenant] = token_bucket.TokenBucket(allowance, now_us)
         acts_as_owner = rank == 0 and not self.node.follower.may_be_replaced()
@@ -103,22 +106,22 @@
         )
 
     def refund(self, refund: message.ChargeRefund) -> None:
-        """Take back the charge of a request that did not run."""
+        """Refund the charge of a request that did not run."""
         bucket = self.buckets.get(refund.tenant)
         if bucket is not None:
             bucket.refund(refund.cost)
 
     def sweep(self) -> None:
-        """Forget the buckets of tenants that are gone."""
+        """Remove the buckets of tenants that are no longer configured."""
         for name in [name for name in self.buckets if name not in self.node.follower.tenants]:
             del self.buckets[name]
 
     def state(self) -> dict[str, float]:
-        """Return the balances, by tenant."""
+        """Return the balances of the buckets, by tenant, in the tenant's rate unit."""
         return {name: round(bucket.balance, 1) for name, bucket in sorted(self.buckets.items())}
 
     def _rank(self, tenant: str) -> int | None:
-        """This node's rank for a tenant, 0 for its owner; None where it is not to be asked."""
+        """Return this node's rank for a tenant: 0 as owner, more as backup, None if it is neither."""
         owners = self.ranking.owners(tenant, self.node.follower.membership.members)
         own_id = local_member.member_id(self.node)
         return next((rank for rank, owner in enumerate(owners) if owner.id == own_id), None)
--- a/iriswheel/rate_limits/owner_ranking.py
+++ b/iriswheel/rate_limits/owner_ranking.py
@@ -1,4 +1,7 @@
-"""Which members keep a tenant's bucket: the same on every node that has the same members."""
+"""The owner and the backups of each tenant's rate limit, by rendezvous hashing over the members.
+
+Every node that has the same membership computes the same ranking.
+"""
 
 from __future__ import annotations
 
@@ -10,17 +13,20 @@
     from iriswheel.transport import message
 
 MEMBERS_PER_CANDIDATE = 16
-"""One in so many members keeps buckets: each node has a connection to each of these, which costs keep-alives."""
+"""One in this many members is a candidate that may keep buckets.
+
+Every node keeps a connection to each candidate, so that more candidates would cost more keep-alive traffic.
+"""
 
 MEMBERS_PER_TENANT = 3
-"""Members that are asked for one tenant: its owner, and those that stand in while that does not answer."""
+"""Number of members that keep a bucket for one tenant: its owner, and the backups that are asked in its absence."""
 
 CANDIDATES_KEY = "rate-limits"
 TENANT_KEY_PREFIX = "rate-limit/"
 
 
 class OwnerRanking:
-    """The ranking over the members of the newest membership, worked out once for each tenant.
+    """The owners and backups of tenants in one membership, computed once for each tenant.
 
     >>> from iriswheel.transport import message
     >>> members = [message.Member(i, i, "z", "h", 1, 2) for i in "abcd"]
@@ -35,7 +41,7 @@
         self._owners: dict[str, list[message.Member]] = {}
 
     def owners(self, tenant: str, members: list[message.Member]) -> list[message.Member]:
-        """The members that may be asked for a tenant, its owner first."""
+        """Return the members that keep a bucket for a tenant: its owner first, then its backups."""
         if members is not self._members:
             self._update_members(members)
         owners = self._owners.get(tenant)
--- a/iriswheel/rate_limits/rate_limiter.py
+++ b/iriswheel/rate_limits/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Charges a node's requests to the rate limits of their tenants, before they are sent to a worker."""
+"""Charges requests that a node receives to their tenants' rate limits, before the requests are sent to a worker."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
     from iriswheel.rate_limits import interfaces
 
 CALL_TIMEOUT_US = 120 * units.MILLISECOND_US
-"""An owner that does not answer within this time is passed over."""
+"""Time limit for a member's answer, after which the tenant's next member is asked."""
 
 UNRESPONSIVE_MEMBER_SKIP_US = 1 * units.SECOND_US
-"""A member that did not answer is not asked again for so long."""
+"""Time for which a member that did not answer is not asked again."""
 
 NO_OWNER_RETRY_US = 300 * units.MILLISECOND_US
 MIN_RETRY_US = 20 * units.MILLISECOND_US
 
 
 class Charge(typing.NamedTuple):
-    """A charge that was made, for its refund."""
+    """A charge for a request, with what is needed to refund it."""
 
-    owner: message.Member
+    owner: message.Member  # the member that made the charge: the tenant's owner or a backup
     tenant: str
     cost: float
 
 
 class RateLimiter:
-    """One node's end of the rate limits.
+    """Charges one node's requests at the owners of their tenants' limits.
 
-    A tenant's owner is asked for each request: the sum over all nodes is known exactly there.
+    The owner is asked for each request, since only the owner knows the exact usage over all nodes.
     """
 
     def __init__(self, node: interfaces.RateLimitNode) -> None:
@@ -44,15 +44,15 @@
         self.runtime = node.runtime
         self.ranking = owner_ranking.OwnerRanking()
         self.owner = limit_owner.LimitOwner(node, self.ranking)
-        self.skipped_until_us: dict[str, int] = {}  # by member
-        self.unanswered = 0  # requests refused since no owner answered
+        self.skipped_until_us: dict[str, int] = {}  # by member id
+        self.unanswered = 0  # requests refused because neither the owner nor a backup answered
 
     async def charge(self, tenant: str, cost: float) -> Charge:
-        """Charge a request to a tenant.
+        """Charge a request to a tenant, at its owner or else at the first backup that answers.
 
         Raises:
-            errors.ServiceError: `rate_limited` where the tenant is beyond its limit, `not_ready` where no owner
-                answers.
+            errors.ServiceError: `rate_limited` if the tenant has exceeded its limit, `not_ready` if neither the owner
+                nor a backup answers.
         """
         for member in self.ranking.owners(tenant, self.node.follower.membership.members):
             if self.skipped_until_us.get(member.id, 0) > self.runtime.now():
@@ -66,10 +66,10 @@
                         "rate_limited", "The tenant is beyond its rate limit.", retry_us=max(MIN_RETRY_US, wait_us)
                     )
         self.unanswered += 1
-        raise errors.ServiceError("not_ready", "No node answers for the tenant's limit.", retry_us=NO_OWNER_RETRY_US)
+        raise errors.ServiceError("not_ready", "No owner of the tenant's limit replies.", retry_us=NO_OWNER_RETRY_US)
 
     def refund(self, charge: Charge) -> None:
-        """Take back the charge of a request that did not run."""
+        """Refund the charge of a request that did not run."""
         refund = message.ChargeRefund(charge.tenant, charge.cost)
         if charge.owner.id == local_member.member_id(self.node):
             self.owner.refund(refund)
@@ -77,13 +77,13 @@
             self.runtime.spawn(self.node.peers.tell(charge.owner.host, charge.owner.port, refund), None)
 
     def sweep(self) -> None:
-        """Forget what is over; called now and then."""
+        """Remove expired entries of skipped members, and buckets of removed tenants; called periodically."""
         now_us = self.runtime.now()
         self.skipped_until_us = {name: until for name, until in self.skipped_until_us.items() if until > now_us}
         self.owner.sweep()
 
     def state(self) -> dict[str, typing.Any]:
-        """Return what the node shows of its part in the rate limits; nothing where it has none."""
+        """Return the node's entry in `GET /state`, or nothing if it keeps no bucket and every charge was answered."""
         if not self.owner.buckets and not self.unanswered:
             return {}
         return {"rate_limits": {"balances": self.owner.state(), "unanswered": self.unanswered}}
@@ -91,7 +91,7 @@
     async def _request_charge(
         self, member: message.Member, request: message.ChargeRequest
     ) -> message.ChargeResponse | None:
-        """Ask one member; None where it does not answer, and it is passed over for a while then."""
+        """Send a charge request to one member; return None, and skip the member for a while, if it does not answer."""
         if member.id == local_member.member_id(self.node):
             return self.owner.charge(request)
         call = defer.ensureDeferred(self.node.peers.call(member.host, member.port, request, CALL_TIMEOUT_US))
--- a/iriswheel/rate_limits/token_bucket.py
+++ b/iriswheel/rate_limits/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket whose balance may fall below zero by the last request that it lets through."""
+"""A token bucket whose balance may fall below zero through the last request that it admits."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 from iriswheel.runtime import units
 
 MAX_WAIT_US = 3 * units.SECOND_US
-"""Nobody is told to wait for longer: by then the pressure may be over."""
+"""Longest wait that a refused request is given, since the load may have fallen by then."""
 
 
 class BucketParameters(typing.NamedTuple):
-    """What fills a bucket, and how far."""
+    """The fill rate and the capacity of a bucket, in the tenant's rate unit."""
 
-    rate: float  # units a second
+    rate: float  # units per second
     capacity: float  # units
 
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """The balance of one tenant's limit, in the unit of the limit.
+    """The balance of one tenant's limit, in the tenant's rate unit.
 
-    A request passes while the balance is above zero, whatever it costs: one that is larger than the whole
-    bucket would never pass otherwise. What it costs beyond the balance is a debt that later requests wait for.
+    A request is admitted if the balance is above zero, whatever the request costs: otherwise a request that costs
+    more than the capacity would never be admitted. The cost beyond the balance becomes a debt, and later requests are
+    refused until the bucket has refilled above zero.
 
     >>> bucket = TokenBucket(balance=5.0, updated_at_us=0)
     >>> parameters = BucketParameters(rate=10.0, capacity=20.0)
@@ -37,10 +38,10 @@
 
     balance: float
     updated_at_us: int
-    retries_scheduled_until_us: int = 0  # when those refused so far would have passed, one after the other
+    retries_scheduled_until_us: int = 0  # time by which all refused requests could be admitted in sequence
 
     def take(self, cost: float, parameters: BucketParameters, now_us: int) -> bool:
-        """Charge a request; False, and nothing is charged, where the balance is used up."""
+        """Charge a request and return True; return False without a charge if the balance is not above zero."""
         self._refill(parameters, now_us)
         if self.balance <= 0:
             return False
@@ -48,14 +49,14 @@
         return True
 
     def refund(self, cost: float) -> None:
-        """Take back the charge of a request that did not run."""
+        """Refund the charge of a request that did not run."""
         self.balance += cost
 
     def schedule_retry(self, cost: float, parameters: BucketParameters, now_us: int) -> int:
-        """How long a refused request should wait.
+        """Return how long a refused request should wait before its retry, in µs.
 
-        Its turn is behind that of all that were refused before it: told of the balance alone, they would come back
-        together, and take what new requests need.
+        Its retry is scheduled after those of all requests refused before it. If the waits depended on the balance
+        alone, all refused requests would be retried at the same time and use up the balance that new requests need.
         """
         if parameters.rate <= 0:
             return MAX_WAIT_US
@@ -67,7 +68,7 @@
         return self.retries_scheduled_until_us - now_us
 
     def _refill(self, parameters: BucketParameters, now_us: int) -> None:
-        """Add what has come in since the last time; a balance above the capacity falls to it."""
+        """Add the refill since the last update; a balance above the capacity is reduced to the capacity."""
         elapsed_s = max(0, now_us - self.updated_at_us) / units.SECOND_US
         self.balance = min(parameters.capacity, self.balance + parameters.rate * elapsed_s)
         self.updated_at_us = now_us
