--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -26,12 +26,12 @@
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet = fleet
-        self.up, self.silent, self.replaced = True, False, False
+        self.up, self.silent, self.may_be_replaced = True, False, False
         self.runtime = scheduler.Runtime(fleet.clock, now=lambda: int(fleet.clock.seconds() * SECOND), seed=1)
         self.member_record = message.Member(f"{name}-1", name, "a", name, 1, 2)
         self.options = options.Options("node", rate_window_us=WINDOW.length_us, rate_overshoot=WINDOW.overshoot_ratio)
         self.follower = types.SimpleNamespace(
-            tenants={"t": TENANT}, membership=fleet.membership, may_be_replaced=lambda: self.replaced
+            tenants={"t": TENANT}, membership=fleet.membership, may_be_replaced=lambda: self.may_be_replaced
         )
         self.peers: Any = types.SimpleNamespace(call=self.call, tell=self.tell)
         self.rate_limiter = rate_limiter.RateLimiter(self)
@@ -60,7 +60,7 @@
         for number in range(count):
             self.nodes[f"n{number}"] = Node(self, f"n{number}")
         self.set_members(list(self.nodes.values()))
-        self.passed: list[tuple[float, float]] = []  # when, cost
+        self.admitted: list[tuple[float, float]] = []  # when, cost
         self.refusals: list[errors.ServiceError] = []
 
     def set_members(self, nodes: list[Node]) -> None:
@@ -83,15 +83,15 @@
             except errors.ServiceError as error:
                 self.refusals.append(error)
                 return None
-            self.passed.append((self.clock.seconds(), cost))
+            self.admitted.append((self.clock.seconds(), cost))
             return charged
 
         return defer.ensureDeferred(charge())
 
-    def press(self, seconds: float, times_the_rate: float, nodes: list[Node] | None = None) -> None:
+    def send_evenly(self, seconds: float, rate_factor: float, nodes: list[Node] | None = None) -> None:
         """All nodes send evenly."""
         senders = nodes or [node for node in self.nodes.values() if node.up]
-        per_step = TENANT.rate * times_the_rate / 500 / 100
+        per_step = TENANT.rate * rate_factor / 500 / 100
         due = 0.0
         for step in range(int(seconds * 100)):
             due += per_step
@@ -100,16 +100,16 @@
                 due -= 1
             self.clock.advance(0.01)
 
-    def most_in_a_window(self) -> float:
+    def max_cost_in_a_window(self) -> float:
         """The most that passed in any window."""
         return max(
-            (sum(cost for at, cost in self.passed if start <= at < start + WINDOW_S) for start, _ in self.passed),
+            (sum(cost for at, cost in self.admitted if start <= at < start + WINDOW_S) for start, _ in self.admitted),
             default=0.0,
         )
 
-    def assert_within_the_bound(self) -> None:
+    def assert_within_overshoot(self) -> None:
         """No window holds more than the limit and what is tolerated beyond it."""
-        assert self.most_in_a_window() <= WINDOW.limit(TENANT) + WINDOW.overshoot(TENANT) + 3 * 500  # debts
+        assert self.max_cost_in_a_window() <= WINDOW.limit(TENANT) + WINDOW.overshoot(TENANT) + 3 * 500  # debts
 
 
 @pytest.fixture
@@ -118,15 +118,15 @@
 
 
 def test_within_its_limit_a_tenant_is_not_refused(fleet: Fleet) -> None:
-    fleet.press(20, 0.9)
+    fleet.send_evenly(20, 0.9)
     assert fleet.refusals == []
 
 
 def test_a_tenant_that_presses_gets_its_limit_and_no_more(fleet: Fleet) -> None:
-    fleet.press(5, 0.5)
-    fleet.press(30, 6)
-    fleet.assert_within_the_bound()
-    assert fleet.most_in_a_window() >= WINDOW.limit(TENANT)
+    fleet.send_evenly(5, 0.5)
+    fleet.send_evenly(30, 6)
+    fleet.assert_within_overshoot()
+    assert fleet.max_cost_in_a_window() >= WINDOW.limit(TENANT)
     assert {error.code for error in fleet.refusals} == {"rate_limited"}
     assert {error.status for error in fleet.refusals} == {429}
 
@@ -158,23 +158,23 @@
 
 
 def test_while_the_owner_is_dead_its_stand_ins_let_a_bounded_part_through(fleet: Fleet) -> None:
-    fleet.press(10, 6)
+    fleet.send_evenly(10, 6)
     fleet.owners()[0].up = False
-    passed = len(fleet.passed)
-    fleet.press(3, 6)
-    assert len(fleet.passed) > passed
-    fleet.assert_within_the_bound()
+    admitted = len(fleet.admitted)
+    fleet.send_evenly(3, 6)
+    assert len(fleet.admitted) > admitted
+    fleet.assert_within_overshoot()
 
 
 def test_the_owner_that_follows_starts_with_little(fleet: Fleet) -> None:
-    fleet.press(10, 6)
+    fleet.send_evenly(10, 6)
     owner = fleet.owners()[0]
     owner.up = False
     fleet.set_members([node for node in fleet.nodes.values() if node is not owner])
-    fleet.press(12, 6)
-    fleet.assert_within_the_bound()
+    fleet.send_evenly(12, 6)
+    fleet.assert_within_overshoot()
     since = fleet.clock.seconds() - 2
-    assert sum(cost for at, cost in fleet.passed if at > since) >= 1.9 * TENANT.rate  # and goes on at the whole rate
+    assert sum(cost for at, cost in fleet.admitted if at > since) >= 1.9 * TENANT.rate  # and goes on at the whole rate
 
 
 def test_a_silent_owner_holds_a_request_up_but_once(fleet: Fleet) -> None:
@@ -189,14 +189,14 @@
 
 
 def test_an_owner_that_may_have_been_replaced_gives_no_more_than_a_stand_in(fleet: Fleet) -> None:
-    fleet.press(10, 6)
+    fleet.send_evenly(10, 6)
     old = fleet.owners()[0]
-    old.replaced = True  # cut off, and others with it that know no newer membership
-    with_it = [old, fleet.nodes["n0"], fleet.nodes["n1"]]
-    passed = sum(cost for _, cost in fleet.passed)
-    fleet.press(8, 6, with_it)
-    passed = sum(cost for _, cost in fleet.passed) - passed
-    assert passed <= WINDOW.overshoot(TENANT)
+    old.may_be_replaced = True  # cut off, and others with it that know no newer membership
+    still_in_contact = [old, fleet.nodes["n0"], fleet.nodes["n1"]]
+    admitted = sum(cost for _, cost in fleet.admitted)
+    fleet.send_evenly(8, 6, still_in_contact)
+    admitted = sum(cost for _, cost in fleet.admitted) - admitted
+    assert admitted <= WINDOW.overshoot(TENANT)
 
 
 def test_a_node_that_reaches_no_owner_refuses_at_once(fleet: Fleet) -> None:
@@ -209,14 +209,14 @@
 
 
 def test_a_lowered_limit_holds_from_the_moment_that_the_owner_knows_it(fleet: Fleet) -> None:
-    fleet.press(10, 6)
+    fleet.send_evenly(10, 6)
     low = configuration.Tenant(rate_unit="tokens", rate=1_000.0, burst=1_000.0)
     for node in fleet.nodes.values():
         node.follower.tenants["t"] = low
-    passed = sum(cost for _, cost in fleet.passed)
-    fleet.press(8, 6)
-    passed = sum(cost for _, cost in fleet.passed) - passed
-    assert passed <= WINDOW.limit(low) + WINDOW.overshoot(low) + 500
+    admitted = sum(cost for _, cost in fleet.admitted)
+    fleet.send_evenly(8, 6)
+    admitted = sum(cost for _, cost in fleet.admitted) - admitted
+    assert admitted <= WINDOW.limit(low) + WINDOW.overshoot(low) + 500
 
 
 def test_a_member_that_does_not_know_the_tenant_is_passed_over(fleet: Fleet) -> None:
