--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -122,7 +122,7 @@
     assert fleet.refusals == []
 
 
-def test_a_tenant_that_presses_gets_its_limit_and_no_more(fleet: Fleet) -> None:
+def test_a_tenant_above_its_limit_gets_its_limit_and_no_more(fleet: Fleet) -> None:
     fleet.send_evenly(5, 0.5)
     fleet.send_evenly(30, 6)
     fleet.assert_within_overshoot()
@@ -131,7 +131,7 @@
     assert {error.status for error in fleet.refusals} == {429}
 
 
-def test_refused_requests_are_told_to_come_back_one_after_the_other(fleet: Fleet) -> None:
+def test_refused_requests_get_increasing_retry_waits(fleet: Fleet) -> None:
     for _ in range(30):
         fleet.send(fleet.nodes["n0"])
     waits = [error.retry_us for error in fleet.refusals]
@@ -140,7 +140,7 @@
     assert waits[0] != waits[-1]
 
 
-def test_a_request_that_did_not_run_counts_for_nothing(fleet: Fleet) -> None:
+def test_a_refunded_request_does_not_count_against_the_limit(fleet: Fleet) -> None:
     for _ in range(100):
         for node in fleet.nodes.values():
             charged = deferreds.result_of(fleet.send(node))
@@ -149,7 +149,7 @@
             fleet.clock.advance(0)
 
 
-def test_a_request_larger_than_the_bucket_passes_and_is_paid_off(fleet: Fleet) -> None:
+def test_a_request_larger_than_the_bucket_is_admitted_and_its_debt_delays_the_next(fleet: Fleet) -> None:
     node = fleet.nodes["n0"]
     assert deferreds.result_of(fleet.send(node, 30_000.0)) is not None
     assert deferreds.result_of(fleet.send(node)) is None
@@ -157,7 +157,7 @@
     assert deferreds.result_of(fleet.send(node)) is not None
 
 
-def test_while_the_owner_is_dead_its_stand_ins_let_a_bounded_part_through(fleet: Fleet) -> None:
+def test_while_the_owner_is_dead_its_backups_admit_a_bounded_amount(fleet: Fleet) -> None:
     fleet.send_evenly(10, 6)
     fleet.owners()[0].up = False
     admitted = len(fleet.admitted)
@@ -166,7 +166,7 @@
     fleet.assert_within_overshoot()
 
 
-def test_the_owner_that_follows_starts_with_little(fleet: Fleet) -> None:
+def test_a_new_owner_starts_with_a_small_balance_and_then_admits_the_full_rate(fleet: Fleet) -> None:
     fleet.send_evenly(10, 6)
     owner = fleet.owners()[0]
     owner.up = False
@@ -177,7 +177,7 @@
     assert sum(cost for at, cost in fleet.admitted if at > since) >= 1.9 * TENANT.rate  # and goes on at the whole rate
 
 
-def test_a_silent_owner_holds_a_request_up_but_once(fleet: Fleet) -> None:
+def test_a_silent_owner_delays_only_the_first_request(fleet: Fleet) -> None:
     owner, *_ = fleet.owners()
     owner.silent = True
     node = next(node for node in fleet.nodes.values() if node is not owner and node is not fleet.owners()[1])
@@ -188,7 +188,7 @@
     assert deferreds.result_of(fleet.send(node)) is not None  # it is passed over for now
 
 
-def test_an_owner_that_may_have_been_replaced_gives_no_more_than_a_stand_in(fleet: Fleet) -> None:
+def test_an_owner_that_may_have_been_replaced_admits_no_more_than_a_backup(fleet: Fleet) -> None:
     fleet.send_evenly(10, 6)
     old = fleet.owners()[0]
     old.may_be_replaced = True  # cut off, and others with it that know no newer membership
@@ -199,7 +199,7 @@
     assert admitted <= WINDOW.overshoot(TENANT)
 
 
-def test_a_node_that_reaches_no_owner_refuses_at_once(fleet: Fleet) -> None:
+def test_a_node_that_reaches_neither_owner_nor_backup_refuses_at_once(fleet: Fleet) -> None:
     for owner in fleet.owners():
         owner.up = False
     node = next(node for node in fleet.nodes.values() if node.up)
@@ -208,7 +208,7 @@
     assert node.rate_limiter.state()["rate_limits"]["unanswered"] == 1
 
 
-def test_a_lowered_limit_holds_from_the_moment_that_the_owner_knows_it(fleet: Fleet) -> None:
+def test_a_lowered_limit_applies_as_soon_as_the_nodes_have_it(fleet: Fleet) -> None:
     fleet.send_evenly(10, 6)
     low = configuration.Tenant(rate_unit="tokens", rate=1_000.0, burst=1_000.0)
     for node in fleet.nodes.values():
@@ -219,13 +219,13 @@
     assert admitted <= WINDOW.limit(low) + WINDOW.overshoot(low) + 500
 
 
-def test_a_member_that_does_not_know_the_tenant_is_passed_over(fleet: Fleet) -> None:
+def test_a_member_without_the_tenants_configuration_is_skipped(fleet: Fleet) -> None:
     fleet.owners()[0].follower.tenants = {}
     node = fleet.owners()[2]
     assert deferreds.result_of(fleet.send(node)) is not None
 
 
-def test_buckets_of_removed_tenants_are_forgotten(fleet: Fleet) -> None:
+def test_buckets_of_removed_tenants_are_removed(fleet: Fleet) -> None:
     fleet.send(fleet.nodes["n0"])
     owner = fleet.owners()[0]
     assert list(owner.rate_limiter.owner.buckets) == ["t"]
--- a/tests/test_selection_deadline.py
+++ b/tests/test_selection_deadline.py
@@ -55,7 +55,7 @@
     return defer.ensureDeferred(pool_owner.PoolOwner._select_until(owner, RETRIED, units.SECOND_US))
 
 
-def test_a_request_that_is_not_cleared_in_time_is_denied_and_no_worker_is_chosen() -> None:
+def test_a_retry_is_denied_without_a_worker_if_the_other_pools_do_not_answer_in_time() -> None:
     clock, asked = task.Clock(), list[str]()
     selected = select(clock, asked, takes_s=0.4)
     clock.pump([0.1] * 15)
--- a/tests/test_tenants_in_fleet.py
+++ b/tests/test_tenants_in_fleet.py
@@ -50,7 +50,7 @@
         text = f"POST /v1/complete HTTP/1.1\r\nHost: x\r\n{headers}\r\nhello"
         return self.outside.query(node, addresses.HTTP_PORT, text).decode("latin-1")
 
-    def test_each_node_asks_for_a_key_and_no_worker_gets_it(self) -> None:
+    def test_every_node_requires_a_key_and_sends_it_to_no_worker(self) -> None:
         for number, node in enumerate(NODES):
             refused = self.send(node, 10 * number, key=None)
             assert refused.startswith("HTTP/1.1 401 ")
@@ -62,13 +62,13 @@
         assert [headers["x-tenant"] for headers in self.seen] == ["desk", "desk"]
         assert not any("authorization" in headers for headers in self.seen)
 
-    def test_a_key_that_is_taken_away_is_refused_by_all_nodes_once_that_is_confirmed(self) -> None:
+    def test_a_removed_key_is_refused_by_all_nodes_once_the_change_is_confirmed(self) -> None:
         assert self.send(NODES[0], 1).startswith("HTTP/1.1 200 ")
         self.change({"tenants": {"desk": {**TENANT, "keys": []}}})
         for number, node in enumerate(NODES):
             assert self.send(node, 2 + number).startswith("HTTP/1.1 401 ")
 
-    def test_the_limit_counts_over_all_nodes(self) -> None:
+    def test_a_rate_limit_applies_to_all_nodes_together(self) -> None:
         self.change({"tenants": {"desk": {**TENANT, "rate": 0.1, "burst": 0.5}}})
         answers = [self.send(NODES[number % 2], number) for number in range(6)]  # three seconds apart
         statuses = [answer.split()[1] for answer in answers]
