--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Tenants' rate limits over several nodes: what passes in sum, whoever of them fails."""
+"""Fleet-wide rate limits of tenants: how much all nodes admit together, also when an owner of the limit fails."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Node:
-    """A node with the parts that rate limits use."""
+    """A node with only the interfaces that the rate limits use."""
 
     def __init__(self, fleet: Fleet, name: str) -> None:
         self.fleet = fleet
@@ -37,7 +37,7 @@
         self.rate_limiter = rate_limiter.RateLimiter(self)
 
     async def call(self, host: str, _port: int, request: message.ChargeRequest, _timeout_us: int) -> object:
-        """Ask another node."""
+        """Send another node a charge request."""
         other = self.fleet.nodes[host]
         if other.silent:
             await defer.Deferred()
@@ -46,12 +46,12 @@
         return other.rate_limiter.owner.charge(request)
 
     async def tell(self, host: str, _port: int, refund: message.ChargeRefund) -> None:
-        """Tell another node."""
+        """Send another node a refund."""
         self.fleet.nodes[host].rate_limiter.owner.refund(refund)
 
 
 class Fleet:
-    """Nodes that know the same members."""
+    """Nodes with the same membership."""
 
     def __init__(self, count: int = 6) -> None:
         self.clock = task.Clock()
@@ -60,22 +60,22 @@
         for number in range(count):
             self.nodes[f"n{number}"] = Node(self, f"n{number}")
         self.set_members(list(self.nodes.values()))
-        self.admitted: list[tuple[float, float]] = []  # when, cost
+        self.admitted: list[tuple[float, float]] = []  # time in seconds, cost
         self.refusals: list[errors.ServiceError] = []
 
     def set_members(self, nodes: list[Node]) -> None:
-        """From now on all nodes know these members."""
+        """Give all nodes a membership of these nodes."""
         self.membership = message.Membership((1, 1), [node.member_record for node in nodes], [], [], [])
         for node in self.nodes.values():
             node.follower.membership = self.membership
 
     def owners(self) -> list[Node]:
-        """The owner, and those that stand in for it."""
+        """Return the owner of the tenant's limit and its backups."""
         ranking = next(iter(self.nodes.values())).rate_limiter.ranking
         return [self.nodes[member.name] for member in ranking.owners("t", self.membership.members)]
 
     def send(self, node: Node, cost: float = 500.0) -> defer.Deferred[Any]:
-        """Charge one request at a node; what comes of it is noted."""
+        """Charge one request at a node, and record whether it was admitted or refused."""
 
         async def charge() -> rate_limiter.Charge | None:
             try:
@@ -89,7 +89,7 @@
         return defer.ensureDeferred(charge())
 
     def send_evenly(self, seconds: float, rate_factor: float, nodes: list[Node] | None = None) -> None:
-        """All nodes send evenly."""
+        """Send requests at an even rate, a multiple of the tenant's, from the given nodes or all that are up."""
         senders = nodes or [node for node in self.nodes.values() if node.up]
         per_step = TENANT.rate * rate_factor / 500 / 100
         due = 0.0
@@ -101,15 +101,17 @@
             self.clock.advance(0.01)
 
     def max_cost_in_a_window(self) -> float:
-        """The most that passed in any window."""
+        """Return the largest cost admitted in any window."""
         return max(
             (sum(cost for at, cost in self.admitted if start <= at < start + WINDOW_S) for start, _ in self.admitted),
             default=0.0,
         )
 
     def assert_within_overshoot(self) -> None:
-        """No window holds more than the limit and what is tolerated beyond it."""
-        assert self.max_cost_in_a_window() <= WINDOW.limit(TENANT) + WINDOW.overshoot(TENANT) + 3 * 500  # debts
+        """Assert that no window exceeds the limit, the tolerated overshoot and the debts."""
+        assert (
+            self.max_cost_in_a_window() <= WINDOW.limit(TENANT) + WINDOW.overshoot(TENANT) + 3 * 500
+        )  # debts of three buckets
 
 
 @pytest.fixture
@@ -174,7 +176,7 @@
     fleet.send_evenly(12, 6)
     fleet.assert_within_overshoot()
     since = fleet.clock.seconds() - 2
-    assert sum(cost for at, cost in fleet.admitted if at > since) >= 1.9 * TENANT.rate  # and goes on at the whole rate
+    assert sum(cost for at, cost in fleet.admitted if at > since) >= 1.9 * TENANT.rate  # the full rate
 
 
 def test_a_silent_owner_delays_only_the_first_request(fleet: Fleet) -> None:
@@ -185,13 +187,13 @@
     assert not first.called
     fleet.clock.advance(rate_limiter.CALL_TIMEOUT_US / SECOND)
     assert deferreds.result_of(first) is not None
-    assert deferreds.result_of(fleet.send(node)) is not None  # it is passed over for now
+    assert deferreds.result_of(fleet.send(node)) is not None  # the silent owner is skipped
 
 
 def test_an_owner_that_may_have_been_replaced_admits_no_more_than_a_backup(fleet: Fleet) -> None:
     fleet.send_evenly(10, 6)
     old = fleet.owners()[0]
-    old.may_be_replaced = True  # cut off, and others with it that know no newer membership
+    old.may_be_replaced = True  # it and the nodes below are cut off, with an old membership
     still_in_contact = [old, fleet.nodes["n0"], fleet.nodes["n1"]]
     admitted = sum(cost for _, cost in fleet.admitted)
     fleet.send_evenly(8, 6, still_in_contact)
--- a/tests/test_selection_deadline.py
+++ b/tests/test_selection_deadline.py
@@ -1,4 +1,7 @@
-"""A pool owner whose time for a selection runs out while another pool can't be asked yet chooses no worker."""
+"""A pool owner selects no worker for a retry if it can't rule out in time that another pool sent the request.
+
+Selecting a worker nevertheless could run a request twice that must not run twice.
+"""
 
 from types import SimpleNamespace
 from typing import Any
@@ -29,17 +32,17 @@
 )
 
 
-def select(clock: task.Clock, asked: list[str], *, takes_s: float) -> defer.Deferred[Any]:
-    """Select for a request that was sent before, while the other pools can't say yet what became of it."""
+def select(clock: task.Clock, asked: list[str], *, query_s: float) -> defer.Deferred[Any]:
+    """Select a worker for a retry within a second, while no query of the other pools, of `query_s`, gets an answer."""
     runtime = scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US))
 
-    async def clear(_request: message.SelectWorker) -> tuple[bool, None]:
-        asked.append("cleared")
-        await runtime.sleep(int(takes_s * units.SECOND_US))
+    async def check_other_pools(_request: message.SelectWorker) -> tuple[bool, None]:
+        asked.append("other pools checked")
+        await runtime.sleep(int(query_s * units.SECOND_US))
         return False, None
 
     async def choose(_request: message.SelectWorker, _pool: object) -> None:
-        asked.append("chosen")
+        asked.append("worker chosen")
 
     owner: Any = SimpleNamespace(
         runtime=runtime,
@@ -49,7 +52,7 @@
         is_active=lambda: True,
         deny=lambda code, _text, outcome: (code, outcome),
         _immediate_response=lambda _request, _pool: None,
-        _check_other_pools=clear,
+        _check_other_pools=check_other_pools,
         _choose=choose,
     )
     return defer.ensureDeferred(pool_owner.PoolOwner._select_until(owner, RETRIED, units.SECOND_US))
@@ -57,7 +60,10 @@
 
 def test_a_retry_is_denied_without_a_worker_if_the_other_pools_do_not_answer_in_time() -> None:
     clock, asked = task.Clock(), list[str]()
-    selected = select(clock, asked, takes_s=0.4)
+    selected = select(clock, asked, query_s=0.4)
     clock.pump([0.1] * 15)
-    assert deferreds.result_of(selected) == ("busy", errors.ExecutionOutcome.MAY_HAVE_RUN)  # by the earlier send
-    assert asked == ["cleared"] * 3
+    assert deferreds.result_of(selected) == (
+        "busy",
+        errors.ExecutionOutcome.MAY_HAVE_RUN,
+    )  # the first attempt may have run
+    assert asked == ["other pools checked"] * 3
--- a/tests/test_tenants_in_fleet.py
+++ b/tests/test_tenants_in_fleet.py
@@ -1,4 +1,4 @@
-"""Tenants in a simulated fleet: keys and limits at every node, from a change of the configuration on."""
+"""Tenants in a simulated fleet: every node enforces keys and rate limits as of a confirmed configuration change."""
 
 import hashlib
 import json
@@ -21,30 +21,32 @@
     def start_fleet(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.outside = outside.Outside()
         self.cluster = self.outside.cluster
-        self.seen: list[dict[str, str]] = []  # headers of the requests that reached a worker
+        self.worker_request_headers: list[dict[str, str]] = []  # headers of the requests that reached a worker
         handle: Any = stand_in_worker.Worker.handle
 
-        async def noting(worker: stand_in_worker.Worker, request: http_server.Request) -> None:
+        async def record_headers(worker: stand_in_worker.Worker, request: http_server.Request) -> None:
             if request.method == b"POST":
                 raw = request.requestHeaders.getAllRawHeaders()
-                self.seen.append({name.decode().lower(): values[0].decode() for name, values in raw})
+                self.worker_request_headers.append({name.decode().lower(): values[0].decode() for name, values in raw})
             await handle(worker, request)
 
-        monkeypatch.setattr(stand_in_worker.Worker, "handle", noting)
+        monkeypatch.setattr(stand_in_worker.Worker, "handle", record_headers)
         self.cluster.begin()
         self.cluster.advance(2)
-        self.number = 0
-        self.change({"limits": {"door": {"require_key": True}}, "tenants": {"desk": TENANT}})
+        self.configuration_number = 0
+        self.confirm_change({"limits": {"door": {"require_key": True}}, "tenants": {"desk": TENANT}})
 
-    def change(self, upsert: dict[str, Any]) -> None:
-        """Bring a change into force on all nodes."""
-        body = json.dumps({"number": self.number + 1, "built_on": self.number, "upsert": upsert})
-        self.number += 1
+    def confirm_change(self, upsert: dict[str, Any]) -> None:
+        """Submit a configuration change, which succeeds once all nodes apply it."""
+        body = json.dumps(
+            {"number": self.configuration_number + 1, "built_on": self.configuration_number, "upsert": upsert}
+        )
+        self.configuration_number += 1
         text = f"POST /changes HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}"
         assert b" 200 " in self.outside.query("10.0.1.1", addresses.HTTP_PORT, text).partition(b"\r\n")[0]
 
     def send(self, node: str, number: int, key: str | None = KEY) -> str:
-        """Send one request; the whole answer."""
+        """Send one request to a node, and return the HTTP response."""
         credentials = "" if key is None else f"Authorization: Bearer {key}\r\n"
         headers = outside.REQUEST_ID.format(number) + credentials + "X-Tenant: forged\r\nContent-Length: 5\r\n"
         text = f"POST /v1/complete HTTP/1.1\r\nHost: x\r\n{headers}\r\nhello"
@@ -59,18 +61,18 @@
             assert self.send(node, 10 * number + 2).startswith("HTTP/1.1 200 ")
             state = self.outside.query(node, addresses.HTTP_PORT, "GET /state HTTP/1.1\r\nHost: x\r\n\r\n")
             assert KEY.encode() not in state
-        assert [headers["x-tenant"] for headers in self.seen] == ["desk", "desk"]
-        assert not any("authorization" in headers for headers in self.seen)
+        assert [headers["x-tenant"] for headers in self.worker_request_headers] == ["desk", "desk"]
+        assert not any("authorization" in headers for headers in self.worker_request_headers)
 
     def test_a_removed_key_is_refused_by_all_nodes_once_the_change_is_confirmed(self) -> None:
         assert self.send(NODES[0], 1).startswith("HTTP/1.1 200 ")
-        self.change({"tenants": {"desk": {**TENANT, "keys": []}}})
+        self.confirm_change({"tenants": {"desk": {**TENANT, "keys": []}}})
         for number, node in enumerate(NODES):
             assert self.send(node, 2 + number).startswith("HTTP/1.1 401 ")
 
     def test_a_rate_limit_applies_to_all_nodes_together(self) -> None:
-        self.change({"tenants": {"desk": {**TENANT, "rate": 0.1, "burst": 0.5}}})
-        answers = [self.send(NODES[number % 2], number) for number in range(6)]  # three seconds apart
+        self.confirm_change({"tenants": {"desk": {**TENANT, "rate": 0.1, "burst": 0.5}}})
+        answers = [self.send(NODES[number % 2], number) for number in range(6)]  # one every three seconds
         statuses = [answer.split()[1] for answer in answers]
         assert statuses.count("200") <= 3
         assert set(statuses) == {"200", "429"}
