--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -74,7 +74,7 @@
     # ---- role --------------------------------------------------------------------
 
     def is_live(self) -> bool:
-        """Whether this node still holds the role under this term, as far as this node knows."""
+        """Whether this node holds the role under this term, by the newest membership and term that it has seen."""
         return not self.ended and self.node.pool_owners.get(self.pool) is self
 
     def is_active(self) -> bool:
@@ -184,7 +184,7 @@
             self.assignment.term, worker, GRANT_USE_US, affinity, left_us, self.watch.relay_for(worker, request.node)
         )
 
-    # ---- requests that may not be repeated ----------------------------------------
+    # ---- requests that must not run twice -----------------------------------------
 
     def refuse_if_claimed(self, request: message.SelectWorker) -> message.SelectionDenied | None:
         """Return a denial if a request that must not run twice may have been sent already, else None."""
@@ -208,7 +208,7 @@
         """Ask the owners of all other pools whether a retried request was sent to one of their workers.
 
         Each pool keeps its own claims, and the route may have moved to another pool between two attempts of a request.
-        An owner that answers no records a revocation, and refuses the request's first attempt from then on.
+        An owner whose pool has not sent the request records a revocation, and from then on refuses its first attempt.
 
         Returns:
             `RevocationState.NEVER_SENT` if no pool has sent the request, `RETRY_LATER` if an owner gave no answer,
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -109,9 +109,8 @@
 
     def assert_within_overshoot(self) -> None:
         """Assert that no window exceeds the limit, the tolerated overshoot and the debts."""
-        assert (
-            self.max_cost_in_a_window() <= WINDOW.limit(TENANT) + WINDOW.overshoot(TENANT) + 3 * 500
-        )  # debts of three buckets
+        # each of the three buckets may go into debt by one request of 500 tokens
+        assert self.max_cost_in_a_window() <= WINDOW.limit(TENANT) + WINDOW.overshoot(TENANT) + 3 * 500
 
 
 @pytest.fixture
--- a/tests/test_selection_deadline.py
+++ b/tests/test_selection_deadline.py
@@ -33,7 +33,7 @@
 
 
 def select(clock: task.Clock, asked: list[str], *, query_s: float) -> defer.Deferred[Any]:
-    """Select a worker for a retry within a second, while no query of the other pools, of `query_s`, gets an answer."""
+    """Select a worker for a retry within a second, while each check with the other pools takes `query_s` and fails."""
     runtime = scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US))
 
     async def check_other_pools(_request: message.SelectWorker) -> tuple[bool, None]:
@@ -62,8 +62,6 @@
     clock, asked = task.Clock(), list[str]()
     selected = select(clock, asked, query_s=0.4)
     clock.pump([0.1] * 15)
-    assert deferreds.result_of(selected) == (
-        "busy",
-        errors.ExecutionOutcome.MAY_HAVE_RUN,
-    )  # the first attempt may have run
+    # MAY_HAVE_RUN refers to the earlier attempt
+    assert deferreds.result_of(selected) == ("busy", errors.ExecutionOutcome.MAY_HAVE_RUN)
     assert asked == ["other pools checked"] * 3
