--- a/iriswheel/rate_limits/limit_owner.py
+++ b/iriswheel/rate_limits/limit_owner.py
@@ -94,7 +94,7 @@
         now_us = self.node.runtime.now()
         bucket = self.buckets.get(request.tenant)
         if bucket is None:
-            # a previous owner, or this node before a restart, may have used up the limit: start with a backup's bucket
+            # a previous owner, or this node before a restart, may have used up the limit: start with a backup's balance
             allowance = backup_parameters(tenant, self.window).capacity
             bucket = self.buckets[request.tenant] = token_bucket.TokenBucket(allowance, now_us)
         acts_as_owner = rank == 0 and not self.node.follower.may_be_replaced()
