--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -1,8 +1,8 @@
-"""The pool owner: the node whose role is to select a pool's workers, under a term.
+"""The pool owner: the node that selects the workers of one pool, for one term of that role.
 
-It owns the pool's session records, the slots of its workers, the load in flight and
-the claims on requests that may not be repeated. New sessions and claims
-are replicated to other nodes before their grant is answered; a new pool owner gathers them before it answers anything.
+The pool owner keeps the pool's session records, the grants that use the slots of its workers, and the claims on
+requests that must not run twice. New sessions and claims are replicated to other nodes before the grant is sent
+to the requesting node. A new pool owner first gathers these records from all members and only then answers requests.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
     from iriswheel.pools import interfaces, session_replicas
 
 GRANT_USE_US = 2 * units.SECOND_US
-"""Sent with each grant as the time for which it may be used; nodes go by the request's own time limit instead."""
+"""The validity period that each grant message carries; nodes ignore it and use the request's own time limit."""
 
 GATHER_RETRY_US = 200 * units.MILLISECOND_US
 ACTIVATION_RETRY_US = 100 * units.MILLISECOND_US
-COPY_RETRY_US = 50 * units.MILLISECOND_US
+REPLICATION_RETRY_US = 50 * units.MILLISECOND_US
 POOL_QUERY_RETRY_US = 50 * units.MILLISECOND_US
 
 SWEEPS_PER_SNAPSHOT = 6
-"""After so many sweeps the copies get all records, in case one of them has missed something."""
+"""Number of sweeps after which all records are replicated again, in case a replica has missed an update."""
 
 ROLE_KEY_PREFIX = "pool/"
 
@@ -41,15 +41,15 @@
 
 
 class RevocationState(enum.StrEnum):
-    """The states that `RevokeResponse` adds to those of a claim."""
+    """The values of `RevokeResponse.state` that are not a `ClaimState`."""
 
-    NEVER_SENT = ""
-    UNKNOWN = "unknown"
-    LATER = "later"
+    NEVER_SENT = ""  # the pool has not sent the request, and has recorded a revocation
+    UNKNOWN = "unknown"  # a claim on the request may have been lost
+    RETRY_LATER = "later"  # the pool's owner can't answer yet
 
 
 class PoolOwner:
-    """One pool's owner, for as long as the role is at this node under one term."""
+    """The owner of one pool on this node, for one term of the role."""
 
     def __init__(self, node: interfaces.OwnerNode, pool: str, assignment: message.RoleAssignment) -> None:
         self.node = node
@@ -57,12 +57,12 @@
         self.member_id = local_member.member_id(node)
         self.pool = pool
         self.assignment = assignment
-        self.slot_freed = scheduler.Signal()  # woken when a waiting request should look again
+        self.slot_freed = scheduler.Signal()  # wakes the waiting requests: a slot, the role or the worker list changed
         self.records = pool_records.PoolRecords(self.slot_freed)
-        self.waiting = 0  # requests that wait for a worker
-        self.gathered = False
+        self.waiting = 0  # selections under way, most of which wait for a free slot
+        self.gathered = False  # whether the records of earlier owners are loaded and replicated
         self.started_at_us = self.runtime.now()
-        # until when claims of earlier owners may be missing here
+        # claims that earlier owners made may have been lost until this time; by then all of them have expired
         self.claims_missing_until_us = self.started_at_us + claims.RETENTION_US
         self.watch = worker_watch.WorkerWatch(self)
         self.selector = selection.WorkerSelector(pool, self.records, self.watch)
@@ -74,11 +74,15 @@
     # ---- role --------------------------------------------------------------------
 
     def is_live(self) -> bool:
-        """Whether this term still is the newest that this node knows."""
+        """Whether this node holds the role under this term, by the newest membership and term that it has seen."""
         return not self.ended and self.node.pool_owners.get(self.pool) is self
 
     def is_active(self) -> bool:
-        """Whether this owner may answer: it has its records, and the membership lists it as active."""
+        """Whether this owner may grant workers.
+
+        It may once it has gathered its records, the membership lists it as active under its term, this node has a
+        worker list, and this node does not have to rejoin the fleet.
+        """
         assignment = self.node.follower.assignment(f"{ROLE_KEY_PREFIX}{self.pool}")
         return (
             self.is_live()
@@ -91,11 +95,11 @@
         )
 
     def claims_may_be_missing(self) -> bool:
-        """Whether claims made under earlier owners may have been lost."""
+        """Whether claims that earlier owners made may have been lost and may not have expired yet."""
         return self.runtime.now() < self.claims_missing_until_us
 
     async def run(self) -> None:
-        """Gather the records, take up the role, then look after the records."""
+        """Gather the records, start the background tasks, and report the role as activated to the core."""
         while self.is_live() and not await self.takeover.gather():
             await self.runtime.sleep(GATHER_RETRY_US)
         for coroutine in (self.sweep(), self.replicator.run(), self.watch.run()):
@@ -112,33 +116,33 @@
         )
 
     def end(self) -> None:
-        """Stop answering: another member holds the role, under a newer term."""
+        """Stop granting workers, since the role was assigned anew under a newer term."""
         self.ended = True
         self.slot_freed.wake()
 
     def hand_over_to(self, replica: session_replicas.SessionReplica) -> None:
-        """Put the records, if all were gathered, into this node's own replica for the next owner."""
+        """Store the records in this node's own replica for the next owner; do nothing if they were not gathered."""
         if self.gathered:
             now = self.runtime.now()
             replica.replace(*self.records.export(now), self.claims_missing_until_us, now)
 
     async def sweep(self) -> None:
-        """Drop expired records every few seconds; every SWEEPS_PER_SNAPSHOT sweeps replicate all records."""
+        """Remove expired records every `sessions.SWEEP_US`; replicate all records every SWEEPS_PER_SNAPSHOT sweeps."""
         sweeps = 0
         while self.is_live():
             await self.runtime.sleep(sessions.SWEEP_US)
             sweeps += 1
             if sweeps % SWEEPS_PER_SNAPSHOT == 0 and self.is_active():
                 self.replicator.notify_cores(self.replicator.snapshot())
-                await self.replicator.copy(self.replicator.snapshot())
+                await self.replicator.replicate(self.replicator.snapshot())
             self.counts.closed_sessions += self.records.sweep(self.runtime.now())
             self.check_workers()
 
     def check_workers(self) -> None:
-        """Close the sessions of workers that get no new requests, release the grants of lost nodes."""
+        """Close the sessions of workers that accept no new requests, and release the grants of lost nodes."""
         follower = self.node.follower
         if follower.updated_at is None:
-            return  # no worker list yet: a missing worker may only be unlisted
+            return  # without a worker list, every worker would seem unavailable
         unavailable = [
             worker
             for worker in self.records.session_table.by_worker
@@ -147,17 +151,17 @@
         for worker in unavailable:
             self.counts.closed_sessions += self.records.evict(worker)
         live_nodes = {member.id for member in follower.membership.members}
-        self.records.release_lost_nodes(live_nodes, self.runtime.now())
+        self.records.release_grants_of_lost_nodes(live_nodes, self.runtime.now())
         self.slot_freed.wake()
 
     # ---- grants ------------------------------------------------------------------
 
     def release(self, attempt_id: str, outcome: errors.ExecutionOutcome) -> None:
-        """End a grant with the outcome that its node reports."""
+        """End a grant with the execution outcome that the requesting node reports."""
         self.records.release(attempt_id, outcome, self.runtime.now())
 
     def take_report(self, report: message.GrantReport) -> None:
-        """Take a node's report: the grants it holds, and the workers it heard from."""
+        """Process a node's report of the grants that it holds and the workers that answered it recently."""
         for worker in report.reachable_workers:
             self.watch.note_contact(worker, report.node)
         self.records.take_report(report, self.runtime.now())
@@ -169,7 +173,7 @@
         outcome: errors.ExecutionOutcome = errors.ExecutionOutcome.NOT_RUN,
         retry_us: int = units.SECOND_US,
     ) -> message.SelectionDenied:
-        """Count and return a refusal."""
+        """Return a denial of a selection, and count it."""
         self.counts.denials += 1
         return message.SelectionDenied(self.assignment.term, code, text, outcome.value, retry_us)
 
@@ -180,10 +184,10 @@
             self.assignment.term, worker, GRANT_USE_US, affinity, left_us, self.watch.relay_for(worker, request.node)
         )
 
-    # ---- requests that may not be repeated ----------------------------------------
+    # ---- requests that must not run twice -----------------------------------------
 
     def refuse_if_claimed(self, request: message.SelectWorker) -> message.SelectionDenied | None:
-        """Return why a request that may not be repeated can't be sent, or None where it can."""
+        """Return a denial if a request that must not run twice may have been sent already, else None."""
         if request.idempotent or not request.request_id:
             return None
         claim = self.records.claims.get(request.request_id)
@@ -195,19 +199,20 @@
                     errors.ExecutionOutcome.MAY_HAVE_RUN,
                 )
             return None
-        if claim.is_same_call(request.attempt_id) or (claim.was_revoked() and request.attempt != 1):
+        if claim.covers_attempt(request.attempt_id) or (claim.is_revocation() and request.attempt != 1):
             return None
         outcome = _outcome_of_claim(claim.state)
         return self.deny("already_sent", "This exchange was sent before and may not be repeated.", outcome)
 
-    async def query_pools(self, request: message.SelectWorker) -> str:
-        """Ask all other pools' owners whether a retry was sent there; each that says no forbids it from then on.
+    async def query_other_pools(self, request: message.SelectWorker) -> str:
+        """Ask the owners of all other pools whether a retried request was sent to one of their workers.
 
-        The route may have moved between two attempts, and claims are kept by pool.
+        Each pool keeps its own claims, and the route may have moved to another pool between two attempts of a request.
+        An owner whose pool has not sent the request records a revocation, and from then on refuses its first attempt.
 
         Returns:
-            "" where it was sent nowhere, "later" where an owner gave no answer, else the state of
-            the last claim that an owner named.
+            `RevocationState.NEVER_SENT` if no pool has sent the request, `RETRY_LATER` if an owner gave no answer,
+            else the state of the last claim that was reported.
         """
         state = ""
         for assignment in self.node.follower.membership.assignments:
@@ -216,19 +221,23 @@
             holders = [member for member in self.node.follower.membership.members if member.id == assignment.holder]
             other_pool = assignment.key.removeprefix(ROLE_KEY_PREFIX)
             revocation = message.RevokeRequest(other_pool, self.pool, request.request_id)
-            responses = await self.node.call_members(holders, revocation, replication.COPY_DEADLINE_US)
+            responses = await self.node.call_members(holders, revocation, replication.REPLICATION_DEADLINE_US)
             response = responses.get(assignment.holder)
-            if response is None or response.state == RevocationState.LATER:
-                return RevocationState.LATER.value
+            if response is None or response.state == RevocationState.RETRY_LATER:
+                return RevocationState.RETRY_LATER.value
             state = response.state or state
         return state
 
     async def revoke(self, revocation: message.RevokeRequest) -> message.RevokeResponse:
-        """Answer another pool's owner that asks for a retry; what was never sent here never will be."""
+        """Answer whether this pool has sent a request that is now retried in another pool.
+
+        If it has not, a revocation (a claim on behalf of the other pool) is recorded and replicated before the
+        answer. This pool then refuses the request's first attempt, should that arrive late.
+        """
         if not self.is_active():
-            return message.RevokeResponse(RevocationState.LATER.value)
+            return message.RevokeResponse(RevocationState.RETRY_LATER.value)
         known = self.records.claims.get(revocation.request_id)
-        if known is not None and not known.was_revoked():
+        if known is not None and not known.is_revocation():
             return message.RevokeResponse(known.state.value)
         if known is None and self.claims_may_be_missing():
             return message.RevokeResponse(RevocationState.UNKNOWN.value)
@@ -237,18 +246,18 @@
             revocation.request_id,
             0,
             self.member_id,
-            f"{claims.REVOKED_PREFIX}{revocation.requesting_pool}",
+            f"{claims.REVOCATION_PREFIX}{revocation.requesting_pool}",
             now + claims.RETENTION_US,
         )
         self.records.claims[revocation.request_id] = claim
-        copied = await self.replicator.copy(self.replicator.update([], [claim.export(now)], []))
-        stands = copied and self.records.claims.get(revocation.request_id) is claim
-        return message.RevokeResponse((RevocationState.NEVER_SENT if stands else RevocationState.LATER).value)
+        replicated = await self.replicator.replicate(self.replicator.update([], [claim.export(now)], []))
+        recorded = replicated and self.records.claims.get(revocation.request_id) is claim
+        return message.RevokeResponse((RevocationState.NEVER_SENT if recorded else RevocationState.RETRY_LATER).value)
 
     # ---- selection ---------------------------------------------------------------
 
     async def select_worker(self, request: message.SelectWorker) -> SelectionResponse:
-        """Choose a worker for a request, open its session and claim it; wait for a free slot if need be."""
+        """Select a worker for a request, record its session and claim, and wait for a free slot if necessary."""
         self.counts.selections += 1
         if not request.is_retry:
             first_id = request.request_id or request.attempt_id.rpartition("/")[0]
@@ -256,83 +265,84 @@
         deadline_us = self.runtime.now() + request.wait_us
         self.waiting += 1
         try:
-            await self._check_unreached(request.excluded_workers)
+            await self._check_excluded_workers(request.excluded_workers)
             return await self._select_until(request, deadline_us)
         finally:
             self.waiting -= 1
 
-    async def _check_unreached(self, workers: list[str]) -> None:
-        """Check the workers that the requesting node could not reach: perhaps no node reaches them."""
+    async def _check_excluded_workers(self, workers: list[str]) -> None:
+        """Have the workers that the requesting node could not reach probed, since perhaps no node reaches them."""
         for name in workers:
             worker = self.node.follower.states.get(name)
             if worker is not None and worker.state == message.WorkerState.READY and name not in self.watch.ejected:
                 await self.watch.check(worker)
 
     async def _select_until(self, request: message.SelectWorker, deadline_us: int) -> SelectionResponse:
-        # whether other pools need not be asked for an earlier attempt
-        cleared = request.idempotent or not request.request_id or request.attempt == 1
+        # whether it is certain that no other pool has sent an earlier attempt of the request
+        unsent_elsewhere = request.idempotent or not request.request_id or request.attempt == 1
         while True:
             pool = self.node.follower.pool(self.pool)
-            response = self._response_without_choice(request, pool)
+            response = self._immediate_response(request, pool)
             if response is not None:
                 return response
             if pool is not None and self.is_active():
-                if cleared:
+                if unsent_elsewhere:
                     response = await self._choose(request, pool)
                 else:
-                    cleared, response = await self._clear_with_other_pools(request)
+                    unsent_elsewhere, response = await self._check_other_pools(request)
                     if response is None and deadline_us > self.runtime.now():
-                        continue  # all may have changed meanwhile
+                        continue  # the role, the claims or the configuration may have changed during the query
                 if response is not None:
                     return response
             left_us = deadline_us - self.runtime.now()
             if left_us <= 0 and not self.is_active():
-                return self.deny("no_warden", "No seat came free in time.")
+                return self.deny("no_warden", "No slot came free in time.")
             if left_us <= 0:
-                outcome = errors.ExecutionOutcome.NOT_RUN if cleared else errors.ExecutionOutcome.MAY_HAVE_RUN
-                return self.deny("busy", "No seat came free in time.", outcome)
+                outcome = errors.ExecutionOutcome.NOT_RUN if unsent_elsewhere else errors.ExecutionOutcome.MAY_HAVE_RUN
+                return self.deny("busy", "No slot came free in time.", outcome)
             await self.runtime.pause(self.slot_freed, left_us)
 
-    def _response_without_choice(
+    def _immediate_response(
         self, request: message.SelectWorker, pool: configuration.Pool | None
     ) -> SelectionResponse | None:
-        """Return the answer to a request for which no worker is chosen now; None where one is, or it waits."""
+        """Return the response to a request that needs no selection; None if a worker must be selected for it."""
         refusal = self._refuse_outdated(request)
         if refusal is not None or not self.is_active():
             return refusal
         if pool is None:
             return self.deny("no_route", f"The blueprint has no pool {self.pool}.")
-        return self._known_response(request)
+        return self._response_from_records(request)
 
     def _refuse_outdated(self, request: message.SelectWorker) -> message.SelectionDenied | None:
         if not self.is_live() or request.term != self.assignment.term:
-            return self.deny("no_warden", "The duty has gone elsewhere.")
+            return self.deny("no_warden", "This owner's term has ended.")
         if request.attempt_id in self.records.abandoned:
             return self.deny("no_warden", "This send was given up.")
         return None
 
-    async def _clear_with_other_pools(
-        self, request: message.SelectWorker
-    ) -> tuple[bool, message.SelectionDenied | None]:
-        """Return whether a retry was sent to no other pool, and the refusal where it was."""
-        state = await self.query_pools(request)
+    async def _check_other_pools(self, request: message.SelectWorker) -> tuple[bool, message.SelectionDenied | None]:
+        """Return whether no other pool has sent a retried request, and the denial if one has.
+
+        If another pool's owner gave no answer, return False without a denial, after POOL_QUERY_RETRY_US.
+        """
+        state = await self.query_other_pools(request)
         if state == RevocationState.NEVER_SENT:
             return True, None
-        if state != RevocationState.LATER:
+        if state != RevocationState.RETRY_LATER:
             text = "This exchange was sent before, to another pool."
             return False, self.deny("already_sent", text, _outcome_of_claim(state))
         await self.runtime.sleep(POOL_QUERY_RETRY_US)
         return False, None
 
-    def _known_response(self, request: message.SelectWorker) -> SelectionResponse | None:
-        """Return the answer to a request that holds a grant already, or that may not be sent."""
+    def _response_from_records(self, request: message.SelectWorker) -> SelectionResponse | None:
+        """Return the grant that an attempt already holds, or a denial if its request may have been sent before."""
         held = self.records.grants.get(request.attempt_id)
         if held is not None:
             return self._granted(request, held.grant.worker, True)
         return self.refuse_if_claimed(request)
 
     async def _choose(self, request: message.SelectWorker, pool: configuration.Pool) -> SelectionResponse | None:
-        """Grant a worker or refuse the request; None where it should wait."""
+        """Return a grant or a denial; None if the request should wait for a free slot."""
         now = self.runtime.now()
         if request.is_retry and not self.records.budget.has_capacity(now):
             wait_us = self.records.budget.wait_us(now)
@@ -349,12 +359,12 @@
         return None
 
     async def grant(self, request: message.SelectWorker, worker: str) -> SelectionResponse:
-        """Record a grant; answer once what it opened or claimed is replicated.
+        """Record a grant, and return it once the session that it opened and its claim are replicated.
 
-        Without the copies, an owner after this one could grant a request again that may not be repeated.
+        Without the replicas, the next owner could grant a worker again to a request that must not run twice.
         """
         now = self.runtime.now()
-        session, opened = self._use_session(request, worker, now)
+        session, opened = self._extend_or_open_session(request, worker, now)
         if session is not None:
             session.turns += 1
         claim = self._claim(request, now)
@@ -369,12 +379,15 @@
         new_session = session if opened else None
         if new_session is None and claim is None:
             return self._granted(request, worker, affinity)
-        return await self._grant_after_copy(request, worker, new_session, claim, affinity)
+        return await self._grant_after_replication(request, worker, new_session, claim, affinity)
 
-    def _use_session(
+    def _extend_or_open_session(
         self, request: message.SelectWorker, worker: str, now: int
     ) -> tuple[sessions.Session[str] | None, bool]:
-        """Return the request's session on a worker, extended or opened, and whether it was opened."""
+        """Return the request's session on a worker, if it has one, and whether the session was opened now.
+
+        A session that is open on another worker is closed and opened anew on this one.
+        """
         table = self.records.session_table
         session = table.affinity(request.session)
         if session is not None and session.worker != worker:
@@ -383,7 +396,7 @@
             session = None
         if session is not None:
             self.counts.affinity_hits += 1
-            # the terms may have changed
+            # the configured lifetime and cost of sessions may have changed since the last turn
             session.lifetime_us, session.cost = request.terms["lifetime_us"], request.terms["cost"]
             table.extend(session, now)
             self.records.changed_sessions_and_claims[session.id] = session
@@ -405,7 +418,7 @@
         self.counts.claims += 1
         return claim
 
-    async def _grant_after_copy(
+    async def _grant_after_replication(
         self,
         request: message.SelectWorker,
         worker: str,
@@ -413,21 +426,21 @@
         claim: claims.Claim | None,
         affinity: bool,
     ) -> SelectionResponse:
-        """Answer a grant once all copies have its records; release it where they don't confirm in time."""
+        """Return a grant once all replicas have confirmed its records; release it if they don't in time."""
         now = self.runtime.now()
         update = self.replicator.update(
             [sessions.to_message(opened, now)] if opened is not None else [],
             [claim.export(now)] if claim is not None else [],
             [],
         )
-        deadline_us = now + max(request.wait_us, replication.COPY_DEADLINE_US)
-        while not await self.replicator.copy(update):
+        deadline_us = now + max(request.wait_us, replication.REPLICATION_DEADLINE_US)
+        while not await self.replicator.replicate(update):
             if not self.is_live() or self.runtime.now() > deadline_us:
                 if opened is not None and self.records.session_table.affinity(opened.id) is opened:
                     self.records.close_session(opened)
                 self.release(request.attempt_id, errors.ExecutionOutcome.NOT_RUN)
                 return self.deny("no_warden", "The copies of this pool's records don't answer.")
-            await self.runtime.sleep(COPY_RETRY_US)
+            await self.runtime.sleep(REPLICATION_RETRY_US)
         if opened is not None:
             opened.pending = False
             self.records.changed_sessions_and_claims[opened.id] = opened
@@ -439,7 +452,7 @@
     # ---- state -------------------------------------------------------------------
 
     def state(self) -> dict[str, object]:
-        """Return what a node shows of this owner."""
+        """Return the owner's entry in the node's state, which `GET /state` shows."""
         records = self.records
         return {
             "pool": self.pool,
@@ -459,7 +472,7 @@
 
 
 def _outcome_of_claim(state: str) -> errors.ExecutionOutcome:
-    """What the state of a claim says of its request.
+    """Return the execution outcome that a claim's state, or a `RevocationState`, implies for its request.
 
     >>> _outcome_of_claim("ran").value, _outcome_of_claim("unknown").value
     ('ran', 'may_have_run')
--- a/iriswheel/pools/replication.py
+++ b/iriswheel/pools/replication.py
@@ -1,7 +1,7 @@
-"""Copies of a pool's records on other nodes and on the core machines.
+"""Replication of a pool's records from the pool owner to other nodes and to the core machines.
 
-What a grant depends on is copied before the grant is answered; expiries and closed sessions
-follow a few times a second.
+A new session or claim is replicated before its grant is answered. All other changes, such as extended and closed
+sessions, are replicated in the background every BACKGROUND_REPLICATION_INTERVAL_US.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 if typing.TYPE_CHECKING:
     from iriswheel.pools import pool_owner
 
-COPY_DEADLINE_US = 500 * units.MILLISECOND_US
-"""How long the nodes that keep copies have for their answer."""
+REPLICATION_DEADLINE_US = 500 * units.MILLISECOND_US
+"""Time limit for the answers of replica nodes, and of other pools' owners to a `RevokeRequest`."""
 
-LAZY_COPY_INTERVAL_US = 300 * units.MILLISECOND_US
+BACKGROUND_REPLICATION_INTERVAL_US = 300 * units.MILLISECOND_US
 
 
 class RecordReplicator:
-    """Sends one pool owner's records to the nodes that keep copies, and to the core machines."""
+    """Sends one pool owner's records to its replica nodes (`RoleAssignment.copies`) and to the core machines."""
 
     def __init__(self, owner: pool_owner.PoolOwner) -> None:
         self.owner = owner
@@ -37,14 +37,14 @@
         claim_records: list[message.Claim],
         closed: list[str],
     ) -> message.ReplicateRecords:
-        """Return a message with the records that changed."""
+        """Return a message with changed records and the ids of closed sessions and removed claims."""
         owner = self.owner
         return message.ReplicateRecords(
             owner.pool, owner.assignment.term, self.owner.member_id, session_records, claim_records, closed
         )
 
     def snapshot(self) -> message.ReplicateRecords:
-        """Return a message with all records, for a process that has none of them."""
+        """Return a message with all records, which replaces the contents of a replica."""
         owner = self.owner
         now = self.runtime.now()
         session_records, claim_records = self.records.export(now)
@@ -59,22 +59,23 @@
             max(0, owner.claims_missing_until_us - now),
         )
 
-    async def copy(self, update: message.ReplicateRecords) -> bool:
-        """Send an update to every node that keeps copies; False unless all of them confirmed it.
+    async def replicate(self, update: message.ReplicateRecords) -> bool:
+        """Send an update to all replica nodes; return True only if all of them confirmed it.
 
-        A copy that has seen a newer term refuses; this owner then ends, as another holds the role.
+        A replica node that has seen a newer term refuses the update. This owner then ends, since the role was
+        assigned anew.
         """
         owner = self.owner
         members = [member for member in self.node.follower.membership.members if member.id in owner.assignment.copies]
         if len(members) < len(owner.assignment.copies):
             return False
-        responses = (await self.node.call_members(members, update, COPY_DEADLINE_US)).values()
+        responses = (await self.node.call_members(members, update, REPLICATION_DEADLINE_US)).values()
         if any(response is not None and not response.ok for response in responses):
             owner.end()
         return owner.is_live() and all(response is not None and response.ok for response in responses)
 
     def notify_cores(self, update: message.ReplicateRecords) -> None:
-        """Send the sessions of an update to the core machines; nothing waits for it."""
+        """Send an update without its claims to the core machine that this node is connected to; await no answer."""
         self.node.follower.session.tell(
             message.ReplicateRecords(
                 update.pool, update.term, update.owner, update.sessions, [], update.closed, update.complete
@@ -82,13 +83,13 @@
         )
 
     async def run(self) -> None:
-        """Copy what changed a few times a second, for as long as the owner lives."""
+        """Replicate changed records every BACKGROUND_REPLICATION_INTERVAL_US while the owner holds the role."""
         while self.owner.is_live():
-            await self.runtime.sleep(LAZY_COPY_INTERVAL_US)
+            await self.runtime.sleep(BACKGROUND_REPLICATION_INTERVAL_US)
             if self.records.changed_sessions_and_claims or self.records.closed_ids:
-                await self._copy_changes()
+                await self._replicate_changes()
 
-    async def _copy_changes(self) -> None:
+    async def _replicate_changes(self) -> None:
         records = self.records
         changed, records.changed_sessions_and_claims = records.changed_sessions_and_claims, {}
         closed, records.closed_ids = records.closed_ids, {}
@@ -103,7 +104,7 @@
             for record in changed.values()
             if isinstance(record, claims.Claim) and records.claims.get(record.request_id) is record
         ]
-        # an id may have been opened anew since it was closed
+        # a session or claim may have been recorded again under the same id since it was removed
         still_closed = [
             identifier
             for identifier in closed
@@ -114,6 +115,6 @@
                 self.node.tell_member(member.id, message.SessionsClosed(self.owner.pool, list(closed)))
         update = self.update(session_records, claim_records, still_closed)
         self.notify_cores(update)
-        if not await self.copy(update):
+        if not await self.replicate(update):
             records.changed_sessions_and_claims = {**changed, **records.changed_sessions_and_claims}
             records.closed_ids = {**closed, **records.closed_ids}
--- a/iriswheel/rate_limits/owner_ranking.py
+++ b/iriswheel/rate_limits/owner_ranking.py
@@ -1,4 +1,7 @@
-"""Which members keep a tenant's bucket: the same on every node that has the same members."""
+"""The owner and the backups of each tenant's rate limit, by rendezvous hashing over the members.
+
+Every node that has the same membership computes the same ranking.
+"""
 
 from __future__ import annotations
 
@@ -10,17 +13,20 @@
     from iriswheel.transport import message
 
 MEMBERS_PER_CANDIDATE = 16
-"""One in so many members keeps buckets: each node has a connection to each of these, which costs keep-alives."""
+"""One in this many members is a candidate that may keep buckets.
+
+Every node keeps a connection to each candidate, so that more candidates would cost more keep-alive traffic.
+"""
 
-RANKS = 3
-"""Members that are asked for one tenant: its owner, and those that stand in while that does not answer."""
+MEMBERS_PER_TENANT = 3
+"""Number of members that keep a bucket for one tenant: its owner, and the backups that are asked in its absence."""
 
 CANDIDATES_KEY = "rate-limits"
 TENANT_KEY_PREFIX = "rate-limit/"
 
 
 class OwnerRanking:
-    """The ranking over the members of the newest membership, worked out once for each tenant.
+    """The owners and backups of tenants in one membership, computed once for each tenant.
 
     >>> from iriswheel.transport import message
     >>> members = [message.Member(i, i, "z", "h", 1, 2) for i in "abcd"]
@@ -35,21 +41,21 @@
         self._owners: dict[str, list[message.Member]] = {}
 
     def owners(self, tenant: str, members: list[message.Member]) -> list[message.Member]:
-        """The members that may be asked for a tenant, its owner first."""
+        """Return the members that keep a bucket for a tenant: its owner first, then its backups."""
         if members is not self._members:
-            self._take_members(members)
+            self._update_members(members)
         owners = self._owners.get(tenant)
         if owners is None:
             ranked = assignments.rank_members(TENANT_KEY_PREFIX + tenant, self._candidates)
-            owners = self._owners[tenant] = ranked[:RANKS]
+            owners = self._owners[tenant] = ranked[:MEMBERS_PER_TENANT]
         return owners
 
-    def _take_members(self, members: list[message.Member]) -> None:
+    def _update_members(self, members: list[message.Member]) -> None:
         same = members == self._members
         self._members = members
         if same:
             return
-        count = max(RANKS, len(members) // MEMBERS_PER_CANDIDATE)
+        count = max(MEMBERS_PER_TENANT, len(members) // MEMBERS_PER_CANDIDATE)
         candidates = assignments.rank_members(CANDIDATES_KEY, members)[:count]
         if candidates != self._candidates:
             self._candidates = candidates
