--- a/benchmarks/stand_in_worker.py
+++ b/benchmarks/stand_in_worker.py
@@ -156,7 +156,7 @@
     async def _run(self, request: http_server.Request) -> None:
         """Serve a request, unless its client goes away before the end."""
         headers = request.requestHeaders
-        request_id = edge_protocol.identifier(headers, edge_protocol.REQUEST_ID)
+        request_id = edge_protocol.identifier(headers, edge_protocol.REQUEST_ID_HEADER)
         attempt = edge_protocol.send_number(headers)
         parts = edge_protocol.prefix(headers)
         size = len(request.content.read())
@@ -170,7 +170,7 @@
             exchange=request_id,
             send=attempt,
             parts=parts,
-            target=edge_protocol.header(headers, edge_protocol.TARGET),
+            target=edge_protocol.header(headers, edge_protocol.TARGET_WORKER_HEADER),
             path=request.path.decode("latin-1"),
         )
         if self.unhealthy:
--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -303,7 +303,7 @@
         self, attempt: Attempt, started_at: int, response: dispatch.Response, collector: AnswerCollector, complete: bool
     ) -> AttemptResult:
         now = self.runtime.now()
-        workers = response.headers.getRawHeaders(edge_protocol.TARGET)
+        workers = response.headers.getRawHeaders(edge_protocol.TARGET_WORKER_HEADER)
         worker = workers[0] if workers else None
         end: AttemptEnd = "whole" if complete else "torn"
         self.ends[end] += 1
@@ -366,10 +366,10 @@
 def _headers(attempt: Attempt) -> http_headers.Headers:
     return http_headers.Headers(
         {
-            edge_protocol.PREFIX: [", ".join(attempt.parts)],
-            edge_protocol.REQUEST_ID: [attempt.request_id],
-            edge_protocol.SEND: [str(attempt.number)],
-            edge_protocol.REPEAT: ["yes" if attempt.idempotent else "no"],
+            edge_protocol.PROMPT_PREFIX_HEADER: [", ".join(attempt.parts)],
+            edge_protocol.REQUEST_ID_HEADER: [attempt.request_id],
+            edge_protocol.SEND_NUMBER_HEADER: [str(attempt.number)],
+            edge_protocol.MAY_REPEAT_HEADER: ["yes" if attempt.idempotent else "no"],
             "Content-Type": ["text/plain"],
         }
     )
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -358,13 +358,15 @@
             log.warning("Worker {worker} gave no answer: {error}.", worker=worker.id, error=type(reason).__name__)
             return attempt_outcome.AttemptOutcome.BROKE
         attempt.answer_begun, attempt.last_received_us = True, self.runtime.now()
-        if token and response.headers.hasHeader(edge_protocol.PASS):
+        if token and response.headers.hasHeader(edge_protocol.RELAY_HEADER):
             return self._relay_failure(response)
         return await self._stream_answer(request, response, worker.id, attempt, relayed=bool(token))
 
     def _relay_failure(self, response: Response) -> attempt_outcome.AttemptOutcome:
         """Return how an attempt ended of which the relaying node says that it got no answer."""
-        unsent = response.headers.getRawHeaders(edge_protocol.PASS) == [attempt_outcome.AttemptOutcome.UNSENT.value]
+        unsent = response.headers.getRawHeaders(edge_protocol.RELAY_HEADER) == [
+            attempt_outcome.AttemptOutcome.UNSENT.value
+        ]
         response.deliverBody(BodyCollector(lambda _: None))
         return attempt_outcome.AttemptOutcome.UNSENT if unsent else attempt_outcome.AttemptOutcome.BROKE
 
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -24,16 +24,16 @@
     HeaderPairs = list[tuple[bytes, bytes]]  # (name, value), in the order on the connection
     LowerCaseHeaders = collections.abc.Mapping[str, str]  # by lower-case name
 
-PREFIX = "X-Prompt-Prefix"
-TARGET = "X-Target-Worker"
-REQUEST_ID = "X-Exchange-Id"
-SEND = "X-Send-Number"
-REPEAT = "X-May-Repeat"
-CLIENT = "X-Requester"
-AUTHORIZATION = "Authorization"
-TENANT = "X-Tenant"
-BEARER = b"bearer"  # the scheme of credentials, in lower case
-PASS = "X-Iriswheel-Pass"  # between nodes only: the one-time token of a request that one node hands to another
+PROMPT_PREFIX_HEADER = "X-Prompt-Prefix"
+TARGET_WORKER_HEADER = "X-Target-Worker"
+REQUEST_ID_HEADER = "X-Exchange-Id"
+SEND_NUMBER_HEADER = "X-Send-Number"
+MAY_REPEAT_HEADER = "X-May-Repeat"
+REQUESTER_HEADER = "X-Requester"
+AUTHORIZATION_HEADER = "Authorization"
+TENANT_HEADER = "X-Tenant"
+BEARER_SCHEME = b"bearer"  # the scheme of credentials, in lower case
+RELAY_HEADER = "X-Iriswheel-Pass"  # between nodes only: the one-time token of a request that one node hands to another
 
 PART_PATTERN = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,128}\Z")
 PART_COUNT_MAX = 32
@@ -54,7 +54,7 @@
     "proxy-connection",
 }
 # What each HTTP side writes for itself.
-GENERATED = {"host", "content-length", TARGET.lower(), PASS.lower()}
+GENERATED = {"host", "content-length", TARGET_WORKER_HEADER.lower(), RELAY_HEADER.lower()}
 
 WORKERS_PATH = "/workers"
 LOAD_PATH = "/load"
@@ -89,16 +89,18 @@
         ServiceError: the header is no list of parts.
 
     >>> import twisted.web.http_headers as hh
-    >>> prefix(hh.Headers({PREFIX: ["system-1, bundle-7"]}))
+    >>> prefix(hh.Headers({PROMPT_PREFIX_HEADER: ["system-1, bundle-7"]}))
     ['system-1', 'bundle-7']
     """
-    text = header(headers, PREFIX)
+    text = header(headers, PROMPT_PREFIX_HEADER)
     if not text:
         return []
     parts = [part.strip() for part in text.split(",")]
     if len(parts) > PART_COUNT_MAX or not all(PART_PATTERN.match(part) for part in parts):
         raise errors.ServiceError(
-            "bad_request", f"{PREFIX} is not a list of up to {PART_COUNT_MAX} parts.", field=PREFIX
+            "bad_request",
+            f"{PROMPT_PREFIX_HEADER} is not a list of up to {PART_COUNT_MAX} parts.",
+            field=PROMPT_PREFIX_HEADER,
         )
     return parts
 
@@ -110,7 +112,7 @@
         ServiceError: the header is no id.
 
     >>> import twisted.web.http_headers as hh
-    >>> identifier(hh.Headers({REQUEST_ID: ["e1"]}), REQUEST_ID)
+    >>> identifier(hh.Headers({REQUEST_ID_HEADER: ["e1"]}), REQUEST_ID_HEADER)
     'e1'
     """
     text = header(headers, name)
@@ -128,14 +130,16 @@
         ServiceError: the header is no number in range.
 
     >>> import twisted.web.http_headers as hh
-    >>> send_number(hh.Headers({SEND: ["2"]}))
+    >>> send_number(hh.Headers({SEND_NUMBER_HEADER: ["2"]}))
     2
     """
-    text = header(headers, SEND)
+    text = header(headers, SEND_NUMBER_HEADER)
     if text is None:
         return 0
     if not text.isdigit() or not 1 <= int(text[:9]) <= SEND_NUMBER_MAX or len(text) > SEND_DIGITS_MAX:
-        raise errors.ServiceError("bad_request", f"{SEND} is not a number from 1.", field=SEND)
+        raise errors.ServiceError(
+            "bad_request", f"{SEND_NUMBER_HEADER} is not a number from 1.", field=SEND_NUMBER_HEADER
+        )
     return int(text)
 
 
@@ -146,56 +150,56 @@
         ServiceError: the header is neither yes nor no.
 
     >>> import twisted.web.http_headers as hh
-    >>> idempotent(hh.Headers({REPEAT: ["yes"]})), idempotent(hh.Headers())
+    >>> idempotent(hh.Headers({MAY_REPEAT_HEADER: ["yes"]})), idempotent(hh.Headers())
     (True, False)
     """
-    match header(headers, REPEAT):
+    match header(headers, MAY_REPEAT_HEADER):
         case None | "no" | "false" | "0":
             return False
         case "yes" | "true" | "1":
             return True
-    raise errors.ServiceError("bad_request", f"{REPEAT} is neither yes nor no.", field=REPEAT)
+    raise errors.ServiceError("bad_request", f"{MAY_REPEAT_HEADER} is neither yes nor no.", field=MAY_REPEAT_HEADER)
 
 
 def key_digest(headers: http_headers.Headers) -> str:
     """The SHA-256 digest of the key that a request carries as a bearer token; "" where it carries none.
 
     >>> import twisted.web.http_headers as hh
-    >>> [key_digest(hh.Headers({AUTHORIZATION: [credentials]}))[:8] for credentials in ("Bearer abc", "Basic abc")]
+    >>> [key_digest(hh.Headers({AUTHORIZATION_HEADER: [credentials]}))[:8] for credentials in ("Bearer abc", "Basic abc")]
     ['ba7816bf', '']
     """
-    values = headers.getRawHeaders(AUTHORIZATION.encode("ascii"), [])
+    values = headers.getRawHeaders(AUTHORIZATION_HEADER.encode("ascii"), [])
     scheme, _, key = values[0].strip().partition(b" ") if len(values) == 1 else (b"", b"", b"")
     key = key.strip()
-    return hashlib.sha256(key).hexdigest() if scheme.lower() == BEARER and key else ""
+    return hashlib.sha256(key).hexdigest() if scheme.lower() == BEARER_SCHEME and key else ""
 
 
 def replace_credentials(headers: http_headers.Headers, tenant: str) -> None:
     """Take a request's credentials off, and name its tenant; "" for none.
 
     >>> import twisted.web.http_headers as hh
-    >>> received = hh.Headers({AUTHORIZATION: ["Bearer abc"], TENANT: ["forged"]})
+    >>> received = hh.Headers({AUTHORIZATION_HEADER: ["Bearer abc"], TENANT_HEADER: ["forged"]})
     >>> replace_credentials(received, "desk"); list(received.getAllRawHeaders())
     [(b'X-Tenant', [b'desk'])]
     """
-    headers.removeHeader(AUTHORIZATION)
-    headers.removeHeader(TENANT)
+    headers.removeHeader(AUTHORIZATION_HEADER)
+    headers.removeHeader(TENANT_HEADER)
     if tenant:
-        headers.setRawHeaders(TENANT, [tenant])
+        headers.setRawHeaders(TENANT_HEADER, [tenant])
 
 
 def worker_request_headers(headers: http_headers.Headers, worker: str, token: str = "") -> http_headers.Headers:
     """The headers of the request to a worker, or with a token to the node that relays it.
 
     >>> import twisted.web.http_headers as hh
-    >>> received = hh.Headers({"X-A": ["b"], TARGET: ["w9"], "Connection": ["X-C"], "X-C": ["d"]})
+    >>> received = hh.Headers({"X-A": ["b"], TARGET_WORKER_HEADER: ["w9"], "Connection": ["X-C"], "X-C": ["d"]})
     >>> sorted(worker_request_headers(received, "w1").getAllRawHeaders())
     [(b'X-A', [b'b']), (b'X-Target-Worker', [b'w1'])]
     """
     kept = _end_to_end(headers)
-    kept.setRawHeaders(TARGET, [worker])
+    kept.setRawHeaders(TARGET_WORKER_HEADER, [worker])
     if token:
-        kept.setRawHeaders(PASS, [token])
+        kept.setRawHeaders(RELAY_HEADER, [token])
     return kept
 
 
@@ -209,7 +213,7 @@
     [(b'X-Target-Worker', [b'w1'])]
     """
     kept = _end_to_end(headers)
-    kept.setRawHeaders(TARGET, [worker])
+    kept.setRawHeaders(TARGET_WORKER_HEADER, [worker])
     return list(kept.getAllRawHeaders())
 
 
@@ -386,12 +390,12 @@
         return ParsedRequest(
             parts=parts,
             sizes=[0] * len(parts),
-            request_id=identifier(headers, REQUEST_ID),
+            request_id=identifier(headers, REQUEST_ID_HEADER),
             send=send_number(headers),
             idempotent=idempotent(headers),
-            client=header(headers, CLIENT) or "",
+            client=header(headers, REQUESTER_HEADER) or "",
             host=header(headers, "host") or "",
-            tag=identifier(headers, REQUEST_ID),
+            tag=identifier(headers, REQUEST_ID_HEADER),
             key_digest=key_digest(headers),
         )
 
@@ -414,7 +418,10 @@
             _urgency: Of the route, or the tenant; 0 goes first. Other formats send it.
             after: Id of the last event that the client has, where a stream is resumed.
         """
-        added = [(b"Host", f"{worker.host}:{worker.port}".encode()), (TARGET.encode(), worker.id.encode())]
+        added = [
+            (b"Host", f"{worker.host}:{worker.port}".encode()),
+            (TARGET_WORKER_HEADER.encode(), worker.id.encode()),
+        ]
         if after:
             added.append((b"Last-Event-ID", after.encode()))
         return self.lines(request, size, HOP_BY_HOP | GENERATED | {"last-event-id"}, added)
@@ -460,7 +467,7 @@
         >>> EdgeProtocol().client_headers([(b"Keep-Alive", b"5"), (b"X-A", b"b")], "w1")
         [(b'X-A', b'b'), (b'X-Target-Worker', b'w1')]
         """
-        return [*end_to_end_pairs(headers, HOP_BY_HOP | GENERATED), (TARGET.encode(), worker.encode())]
+        return [*end_to_end_pairs(headers, HOP_BY_HOP | GENERATED), (TARGET_WORKER_HEADER.encode(), worker.encode())]
 
     def refusal(self, error: errors.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
         """The answer to an error: status, headers, body.
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -76,7 +76,7 @@
             case (b"GET", "/state") if not self._is_routed(request):
                 request.answer_json(200, self.node.state())
                 return
-        if request.requestHeaders.hasHeader(edge_protocol.PASS):
+        if request.requestHeaders.hasHeader(edge_protocol.RELAY_HEADER):
             await self.relay_for_peer(request)
             return
         self.counts.requests += 1
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -63,7 +63,7 @@
 
     def redeem_token(self, request: http_server.Request) -> message.Worker | None:
         """Use up the token that a peer's request carries; returns its worker while it is valid and ready."""
-        name = edge_protocol.header(request.requestHeaders, edge_protocol.PASS)
+        name = edge_protocol.header(request.requestHeaders, edge_protocol.RELAY_HEADER)
         token = self.tokens.pop(name or "", NO_TOKEN)
         worker = self.node.follower.states.get(token.worker)
         if worker is None or self.runtime.now() >= token.expires_at_us:
@@ -88,4 +88,4 @@
                 request.break_off()
             case attempt_outcome.AttemptOutcome.UNSENT | attempt_outcome.AttemptOutcome.BROKE:
                 error = errors.ServiceError("no_worker", "The worker was not reached.")
-                request.answer(error.status, error.body(), {edge_protocol.PASS: outcome.value})
+                request.answer(error.status, error.body(), {edge_protocol.RELAY_HEADER: outcome.value})
--- a/simulation/prober.py
+++ b/simulation/prober.py
@@ -47,7 +47,9 @@
         identifier = f"p{self.sent}"
         host, port = self.cluster.platform.nodes[name]
         row = dict(node=f"{host}:{port}", zone=self.cluster.places[name].zone, path=path, exchange=identifier)
-        headers = http_headers.Headers({edge_protocol.REPEAT: ["yes"], edge_protocol.REQUEST_ID: [identifier]})
+        headers = http_headers.Headers(
+            {edge_protocol.MAY_REPEAT_HEADER: ["yes"], edge_protocol.REQUEST_ID_HEADER: [identifier]}
+        )
         url = f"http://{host}:{port}{path}".encode()
         try:
             response = await runtime.within(agent.request(b"POST", url, headers, dispatch.Body(b"probe")), TIMEOUT_US)
@@ -56,7 +58,7 @@
                 started_at, "probe", **row, status=0, worker=None, done=runtime.now(), code="lost"
             )
             return
-        targets = response.headers.getRawHeaders(edge_protocol.TARGET)
+        targets = response.headers.getRawHeaders(edge_protocol.TARGET_WORKER_HEADER)
         worker = targets[0] if targets else None
         answer = dict(**row, status=response.code, worker=worker, done=runtime.now())
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -334,7 +334,7 @@
         server = relay.RelayServer(self.node)
         tokens = [server.issue_token("i-1") for _ in range(2)]
         requests: list[Any] = [
-            types.SimpleNamespace(requestHeaders=http_headers.Headers({edge_protocol.PASS: [token]}))
+            types.SimpleNamespace(requestHeaders=http_headers.Headers({edge_protocol.RELAY_HEADER: [token]}))
             for token in tokens
         ]
         assert server.redeem_token(requests[0]) is self.worker
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -72,9 +72,9 @@
         self.follower.session.lease.until = until
 
     def authenticate(self, credentials: str | None, public: bool = False, forged: str = "") -> Any:  # noqa: ANN401 - it stands for a request
-        received = http_headers.Headers({edge_protocol.TENANT: [forged]} if forged else {})
+        received = http_headers.Headers({edge_protocol.TENANT_HEADER: [forged]} if forged else {})
         if credentials is not None:
-            received.setRawHeaders(edge_protocol.AUTHORIZATION, [credentials])
+            received.setRawHeaders(edge_protocol.AUTHORIZATION_HEADER, [credentials])
         request = types.SimpleNamespace(
             parsed=edge_protocol.ParsedRequest(key_digest=edge_protocol.key_digest(received)),
             route=configuration.Route("/", "p", public=public),
