--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -63,7 +63,7 @@
             headers: The answer's headers, with their names in lower case.
             uses: How many requests have gone over the connection, this one included.
         """
-        mine = self.protocol.is_answer_to(self.request.parsed.tag, status, headers)
+        mine = self.protocol.is_answer_to(self.request.parsed.attempt_tag, status, headers)
         if mine is not None:
             return mine
         return (uses <= 1 and self.protocol.reports_not_run(status, headers)) or None
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -165,8 +165,10 @@
     """The SHA-256 digest of the key that a request carries as a bearer token; "" where it carries none.
 
     >>> import twisted.web.http_headers as hh
-    >>> [key_digest(hh.Headers({AUTHORIZATION_HEADER: [credentials]}))[:8] for credentials in ("Bearer abc", "Basic abc")]
-    ['ba7816bf', '']
+    >>> for credentials in ("Bearer abc", "Basic abc"):
+    ...     key_digest(hh.Headers({AUTHORIZATION_HEADER: [credentials]}))[:8]
+    'ba7816bf'
+    ''
     """
     values = headers.getRawHeaders(AUTHORIZATION_HEADER.encode("ascii"), [])
     scheme, _, key = values[0].strip().partition(b" ") if len(values) == 1 else (b"", b"", b"")
@@ -324,14 +326,14 @@
         tokens_in: Tokens of the prompt; 0 where not told.
         tokens_out: Tokens of the answer; 0 where not told.
         request_id: The request's id, the same for all attempts; "" where not told.
-        send: Number of the client's attempt, from 1; 0 where not told.
+        attempt_number: Number of the client's attempt, from 1; 0 where not told.
         idempotent: Whether the request may run more than once.
         client: The requester, by which a route may choose terms.
         left_us: How long the client will wait; None where not told.
-        tag: Id of this attempt, which the worker's answer carries back.
+        attempt_tag: Id of this attempt, which the worker's answer carries back.
         host: The Host header.
         model: The model asked for.
-        after: Id of the last event that the client has, where it resumes a stream.
+        last_event_id: Id of the last event that the client has, where it resumes a stream.
         key_digest: SHA-256 digest of the client's key; "" where there is none.
 
     >>> ParsedRequest().left_us is None
@@ -343,14 +345,14 @@
     tokens_in: int = 0
     tokens_out: int = 0
     request_id: str = ""
-    send: int = 0
+    attempt_number: int = 0
     idempotent: bool = False
     client: str = ""
     left_us: int | None = None
-    tag: str = ""
+    attempt_tag: str = ""
     host: str = ""
     model: str = ""
-    after: str = ""
+    last_event_id: str = ""
     key_digest: str = ""
 
     @property
@@ -391,11 +393,11 @@
             parts=parts,
             sizes=[0] * len(parts),
             request_id=identifier(headers, REQUEST_ID_HEADER),
-            send=send_number(headers),
+            attempt_number=send_number(headers),
             idempotent=idempotent(headers),
             client=header(headers, REQUESTER_HEADER) or "",
             host=header(headers, "host") or "",
-            tag=identifier(headers, REQUEST_ID_HEADER),
+            attempt_tag=identifier(headers, REQUEST_ID_HEADER),
             key_digest=key_digest(headers),
         )
 
@@ -406,7 +408,7 @@
         worker: message.Worker,
         _left_us: int | None,
         _urgency: int,
-        after: str = "",
+        last_event_id: str = "",
     ) -> bytes:
         """The head of the request to a worker.
 
@@ -416,14 +418,14 @@
             worker: The worker that gets it.
             _left_us: How long the client will wait; None where not told. Other formats send it.
             _urgency: Of the route, or the tenant; 0 goes first. Other formats send it.
-            after: Id of the last event that the client has, where a stream is resumed.
+            last_event_id: Id of the last event that the client has, where a stream is resumed.
         """
         added = [
             (b"Host", f"{worker.host}:{worker.port}".encode()),
             (TARGET_WORKER_HEADER.encode(), worker.id.encode()),
         ]
-        if after:
-            added.append((b"Last-Event-ID", after.encode()))
+        if last_event_id:
+            added.append((b"Last-Event-ID", last_event_id.encode()))
         return self.lines(request, size, HOP_BY_HOP | GENERATED | {"last-event-id"}, added)
 
     def lines(self, request: http_server.Request, size: int, drop: set[str], more: HeaderPairs) -> bytes:
@@ -437,7 +439,7 @@
         head.append(b"Content-Length: %d" % size)
         return b"\r\n".join(head) + b"\r\n\r\n"
 
-    def is_answer_to(self, _tag: str, _status: int, _headers: LowerCaseHeaders) -> bool | None:
+    def is_answer_to(self, _attempt_tag: str, _status: int, _headers: LowerCaseHeaders) -> bool | None:
         """Whether an answer belongs to the attempt with this tag; None where the answer does not say.
 
         >>> EdgeProtocol().is_answer_to("x1", 200, {})
--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -29,7 +29,7 @@
         self.keys = placement.chain(self.parsed.parts)
         self.unnamed_tokens = max(0, self.parsed.tokens_in - sum(sizes))  # of the prompt, that no part names
         self.own_tokens = self.unnamed_tokens + (sizes[-1] if sizes else 0)  # that no other request shares
-        self.last_event_id = self.parsed.after
+        self.last_event_id = self.parsed.last_event_id
         self.answer_begun = False  # whether a byte went to the client
         self.may_have_run = False  # whether a worker may have run it
         self.sends = 0
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -42,7 +42,11 @@
         ):
             raise errors.ServiceError("length_required", "The body's length is not said.", field="Content-Length")
         parsed = request.parsed = self.node.edge_protocol.parse_request(http_request)
-        request.parts, request.request_id, request.attempt_number = parsed.parts, parsed.request_id, parsed.send
+        request.parts, request.request_id, request.attempt_number = (
+            parsed.parts,
+            parsed.request_id,
+            parsed.attempt_number,
+        )
         request.idempotent = parsed.idempotent
         assert http_request.content is not None, "the body is read before the request is handled"
         request.raw = http_request.content.read()
