--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -104,7 +104,9 @@
     point.put_bytes("the platform's list", len(page))
     point.put_loops(
         "the platform's list read",
-        measuring.loops_per_call(lambda: idle_node.follower.platform.confirm_removals(edge_protocol.workers(page))),
+        measuring.loops_per_call(
+            lambda: idle_node.follower.platform.confirm_removals(edge_protocol.parse_worker_list(page))
+        ),
     )
 
 
--- a/benchmarks/stand_in_worker.py
+++ b/benchmarks/stand_in_worker.py
@@ -158,7 +158,7 @@
         headers = request.requestHeaders
         request_id = edge_protocol.identifier(headers, edge_protocol.REQUEST_ID_HEADER)
         attempt = edge_protocol.send_number(headers)
-        parts = edge_protocol.prefix(headers)
+        parts = edge_protocol.prompt_parts(headers)
         size = len(request.content.read())
         self.run_count += 1
         run = f"{self.identifier}-{self.runtime.incarnation}-{self.run_count}"
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -82,14 +82,14 @@
     return values[0].decode("latin-1").strip()
 
 
-def prefix(headers: http_headers.Headers) -> list[str]:
+def prompt_parts(headers: http_headers.Headers) -> list[str]:
     """The shared parts of the prompt, outermost first.
 
     Raises:
         ServiceError: the header is no list of parts.
 
     >>> import twisted.web.http_headers as hh
-    >>> prefix(hh.Headers({PROMPT_PREFIX_HEADER: ["system-1, bundle-7"]}))
+    >>> prompt_parts(hh.Headers({PROMPT_PREFIX_HEADER: ["system-1, bundle-7"]}))
     ['system-1', 'bundle-7']
     """
     text = header(headers, PROMPT_PREFIX_HEADER)
@@ -251,13 +251,15 @@
     return kept
 
 
-def workers(raw: bytes) -> list[message.Worker]:
+def parse_worker_list(raw: bytes) -> list[message.Worker]:
     """The platform's worker list, by id.
 
     Raises:
         ValueError: the list can't be read.
 
-    >>> workers(b'{"workers": [{"id": "w1", "host": "127.0.0.1", "port": 9, "pool": "desk", "state": "ready"}]}')
+    >>> parse_worker_list(
+    ...     b'{"workers": [{"id": "w1", "host": "127.0.0.1", "port": 9, "pool": "desk", "state": "ready"}]}'
+    ... )
     [Worker(id='w1', host='127.0.0.1', port=9, pool='desk', state='ready', drain_us=0)]
     """
     try:
@@ -291,13 +293,13 @@
     )
 
 
-def load(raw: bytes) -> tuple[int, int]:
+def parse_load_report(raw: bytes) -> tuple[int, int]:
     """A worker's load report: how many requests run there, and how many wait.
 
     Raises:
         ValueError: the report can't be read.
 
-    >>> load(b'{"running": 3, "queued": 2}')
+    >>> parse_load_report(b'{"running": 3, "queued": 2}')
     (3, 2)
     """
     try:
@@ -307,10 +309,10 @@
         raise ValueError(f"The load report can't be read: {error!r}") from error
 
 
-def ready(ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
+def readiness_answer(ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
     """The answer to the platform's question whether a node is ready: status and JSON body.
 
-    >>> ready(True)
+    >>> readiness_answer(True)
     (200, {'ready': True})
     """
     return (200, {"ready": True}) if ok else (503, {"ready": False, "why": why})
@@ -371,15 +373,15 @@
     Attributes:
         ready_path: Where the platform asks a node whether it is ready.
         load_path: Where a worker answers with its load report.
-        any_method: Whether requests come by other methods than POST.
+        accepts_any_method: Whether requests come by other methods than POST.
 
-    >>> EdgeProtocol().ready(True)
+    >>> EdgeProtocol().readiness_answer(True)
     (200, {'ready': True})
     """
 
     ready_path = READY_PATH
     load_path = LOAD_PATH
-    any_method = False
+    accepts_any_method = False
 
     def parse_request(self, request: http_server.Request) -> ParsedRequest:
         """What a client says of its request.
@@ -388,7 +390,7 @@
             ServiceError: a header is malformed.
         """
         headers = request.requestHeaders
-        parts = prefix(headers)
+        parts = prompt_parts(headers)
         return ParsedRequest(
             parts=parts,
             sizes=[0] * len(parts),
@@ -401,7 +403,7 @@
             key_digest=key_digest(headers),
         )
 
-    def head(
+    def worker_request_head(
         self,
         request: http_server.Request,
         size: int,
@@ -426,9 +428,9 @@
         ]
         if last_event_id:
             added.append((b"Last-Event-ID", last_event_id.encode()))
-        return self.lines(request, size, HOP_BY_HOP | GENERATED | {"last-event-id"}, added)
+        return self.format_request_head(request, size, HOP_BY_HOP | GENERATED | {"last-event-id"}, added)
 
-    def lines(self, request: http_server.Request, size: int, drop: set[str], more: HeaderPairs) -> bytes:
+    def format_request_head(self, request: http_server.Request, size: int, drop: set[str], more: HeaderPairs) -> bytes:
         """A request's head with the headers in `drop` (lower case) left out and those in `more` added."""
         drop = drop | connection_options(request.requestHeaders)
         head = [b"%s %s HTTP/1.1" % (request.method, request.uri)]
@@ -479,40 +481,40 @@
         """
         return error.status, error.headers(), error.body()
 
-    def list_path(self, _token: str) -> str:
+    def worker_list_path(self, _token: str) -> str:
         """Where the platform's worker list is asked for, or its page of this token.
 
-        >>> EdgeProtocol().list_path("")
+        >>> EdgeProtocol().worker_list_path("")
         '/workers'
         """
         return WORKERS_PATH
 
-    def page(self, raw: bytes) -> tuple[list[message.Worker], str]:
+    def parse_worker_page(self, raw: bytes) -> tuple[list[message.Worker], str]:
         """A page of the platform's worker list: workers, and the next page's token or "".
 
         Raises:
             ValueError: the page can't be read.
 
-        >>> EdgeProtocol().page(b'{"workers": []}')
+        >>> EdgeProtocol().parse_worker_page(b'{"workers": []}')
         ([], '')
         """
-        return workers(raw), ""
+        return parse_worker_list(raw), ""
 
-    def load(self, raw: bytes) -> tuple[int, int]:
+    def parse_load_report(self, raw: bytes) -> tuple[int, int]:
         """A worker's load report: requests that run there, and that wait.
 
         Raises:
             ValueError: the report can't be read.
 
-        >>> EdgeProtocol().load(b'{"running": 3, "queued": 2}')
+        >>> EdgeProtocol().parse_load_report(b'{"running": 3, "queued": 2}')
         (3, 2)
         """
-        return load(raw)
+        return parse_load_report(raw)
 
-    def ready(self, ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
+    def readiness_answer(self, ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
         """The answer to the platform's question whether a node is ready: status and JSON body.
 
-        >>> EdgeProtocol().ready(False, "stopping")
+        >>> EdgeProtocol().readiness_answer(False, "stopping")
         (503, {'ready': False, 'why': 'stopping'})
         """
-        return ready(ok, why)
+        return readiness_answer(ok, why)
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -371,7 +371,7 @@
         if not self._is_due(request, worker):
             connection.release()
             return attempt_outcome.AttemptOutcome.UNSENT
-        head = self.protocol.head(
+        head = self.protocol.worker_request_head(
             request.http_request, len(request.raw), worker, left_us, request.urgency, request.last_event_id
         )
         request.sends += 1
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -71,7 +71,7 @@
             case (b"GET", edge_protocol.READY_PATH) if not self._is_routed(request):
                 if self.node.draining:
                     self.node.drain_noticed_at_us = self.node.drain_noticed_at_us or self.runtime.now()
-                request.answer_json(*self.node.edge_protocol.ready(*self.node.ready()))
+                request.answer_json(*self.node.edge_protocol.readiness_answer(*self.node.ready()))
                 return
             case (b"GET", "/state") if not self._is_routed(request):
                 request.answer_json(200, self.node.state())
@@ -239,7 +239,7 @@
 
     def _is_routed(self, request: http_server.Request) -> bool:
         """Whether the configuration routes a path at which the node itself answers otherwise."""
-        if not self.node.edge_protocol.any_method:
+        if not self.node.edge_protocol.accepts_any_method:
             return False  # no request of a client comes by GET
         host = self.node.edge_protocol.parse_request(request).host
         return self.node.follower.find_route(host, request.path.decode("latin-1")) is not None
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -94,7 +94,7 @@
             outcome = message.ProbeOutcome.UNRESPONSIVE if connects else message.ProbeOutcome.NOT_REACHED
             return message.ProbeResponse(outcome.value, None)
         try:
-            return message.ProbeResponse(message.ProbeOutcome.ANSWERED.value, protocol.load(raw))
+            return message.ProbeResponse(message.ProbeOutcome.ANSWERED.value, protocol.parse_load_report(raw))
         except ValueError:  # an answer in another format is an answer
             return message.ProbeResponse(message.ProbeOutcome.ANSWERED.value, None)
 
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -33,7 +33,7 @@
             errors.ServiceError: The request is malformed.
         """
         http_request, headers = request.http_request, request.http_request.requestHeaders
-        if http_request.method != b"POST" and not self.node.edge_protocol.any_method:
+        if http_request.method != b"POST" and not self.node.edge_protocol.accepts_any_method:
             raise errors.ServiceError("bad_method", "Exchanges are sent with POST.")
         if (
             http_request.method == b"POST"
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -122,9 +122,9 @@
         token = ""
         for _ in range(MAX_PAGES):
             raw = await self.node.dispatcher.fetch(
-                host, port, self.node.edge_protocol.list_path(token), PAGE_DEADLINE_US
+                host, port, self.node.edge_protocol.worker_list_path(token), PAGE_DEADLINE_US
             )
-            page, token = self.node.edge_protocol.page(raw)
+            page, token = self.node.edge_protocol.parse_worker_page(raw)
             workers += page
             if not token:
                 return sorted(workers, key=lambda worker: worker.id)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -113,7 +113,7 @@
 def _stale_head(
     self: platform_programs.formats.Formats,
     *arguments: object,
-    head: Callable[..., bytes] = platform_programs.formats.Formats.head,
+    head: Callable[..., bytes] = platform_programs.formats.Formats.worker_request_head,
 ) -> bytes:
     """Send the head of the request before."""
     _sent_headers.append(head(self, *arguments))
@@ -123,7 +123,7 @@
 def _no_target(
     self: platform_programs.formats.Formats,
     *arguments: object,
-    head: Callable[..., bytes] = platform_programs.formats.Formats.head,
+    head: Callable[..., bytes] = platform_programs.formats.Formats.worker_request_head,
 ) -> bytes:
     """Send no header that names the target."""
     lines = head(self, *arguments).split(b"\r\n")
@@ -152,8 +152,10 @@
         1,
         "mixed",
     ),
-    "own_heads": Guard([(platform_programs.formats.Formats, "head", _stale_head)], "calm", 1, "unasked"),
-    "target": Guard([(platform_programs.formats.Formats, "head", _no_target)], "other_service", 1, "route"),
+    "own_heads": Guard([(platform_programs.formats.Formats, "worker_request_head", _stale_head)], "calm", 1, "unasked"),
+    "target": Guard(
+        [(platform_programs.formats.Formats, "worker_request_head", _no_target)], "other_service", 1, "route"
+    ),
     "once": Guard(
         [
             (forwarded_request.ForwardedRequest, "__init__", _always_repeat),
--- a/tests/test_status_paths.py
+++ b/tests/test_status_paths.py
@@ -29,7 +29,7 @@
 def handled_by(path: bytes, routed: str, *, any_method: bool) -> str:
     """Whether the node itself answers a request, or it goes the way of clients' requests."""
     formats = edge_protocol.EdgeProtocol()
-    formats.any_method = any_method
+    formats.accepts_any_method = any_method
     served: list[object] = []
     node = SimpleNamespace(
         edge_protocol=formats,
