--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -126,7 +126,7 @@
         )
 
 
-class AnswerRelay(protocol.Protocol):
+class AnswerBodyStreamer(protocol.Protocol):
     """Passes the pieces of an answer on as they come, no faster than they are taken."""
 
     # Set by `makeConnection`, before anything else is called.
@@ -207,7 +207,7 @@
         self.on_end(b"".join(self.parts) if complete else None)
 
 
-class BareConnection(protocol.Protocol):
+class ProbeConnection(protocol.Protocol):
     """A connection that is opened only to learn whether the peer accepts one."""
 
     # Set by `makeConnection`, before anything else is called.
@@ -218,10 +218,10 @@
         self.transport.abortConnection()
 
 
-class NoAnswerError(ValueError):
+class UnexpectedAnswerError(ValueError):
     """The far side answered, but not with what was asked for.
 
-    >>> NoAnswerError("answer 404").answered
+    >>> UnexpectedAnswerError("answer 404").answered
     True
     """
 
@@ -297,13 +297,13 @@
         response.deliverBody(BodyCollector(collect))
         raw = await collected
         if response.code != 200 or raw is None:
-            raise NoAnswerError(f"answer {response.code}")
+            raise UnexpectedAnswerError(f"answer {response.code}")
         return raw
 
     async def can_connect(self, host: str, port: int, timeout_us: int) -> bool:
         """Whether a bare connection can be had in time."""
         try:
-            connection = await tcp_client.connect(self.runtime.reactor, host, port, timeout_us, BareConnection)
+            connection = await tcp_client.connect(self.runtime.reactor, host, port, timeout_us, ProbeConnection)
         except defer.CancelledError:
             raise
         except Exception:  # refused, timed out, no route: whatever it is, none could be had
@@ -376,23 +376,23 @@
         """Write an answer to the client as it comes."""
         if not relayed:
             self.on_answer(worker)
-        done: defer.Deferred[bool] = defer.Deferred(lambda _: relay.stopProducing())
+        done: defer.Deferred[bool] = defer.Deferred(lambda _: streamer.stopProducing())
         attempt.waiting = done
-        set_head(request, response, worker)
+        prepare_head(request, response, worker)
 
-        def take(data: bytes) -> None:
+        def write_piece(data: bytes) -> None:
             attempt.last_received_us = self.runtime.now()
             if not relayed:
                 self.on_answer(worker)
             request.write(data)
 
-        def finish(complete: bool) -> None:
+        def note_end(complete: bool) -> None:
             if not done.called:
                 done.callback(complete)
 
-        relay = AnswerRelay(self.runtime, take, finish)
-        request.registerProducer(relay, True)
-        response.deliverBody(relay)
+        streamer = AnswerBodyStreamer(self.runtime, write_piece, note_end)
+        request.registerProducer(streamer, True)
+        response.deliverBody(streamer)
         try:
             complete = await done
         except defer.CancelledError:
@@ -405,7 +405,7 @@
         return end_answer(request, complete)
 
 
-def set_head(request: http_server.Request, response: Response, worker: str) -> None:
+def prepare_head(request: http_server.Request, response: Response, worker: str) -> None:
     """Prepare the head of an answer; it goes out with the first bytes of the body."""
     request.setResponseCode(response.code, response.phrase)
     for name, values in edge_protocol.client_response_headers(response.headers, worker):
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -174,8 +174,8 @@
     return ""
 
 
-def _interrupted_is_complete(self: dispatch.AnswerRelay, _reason: failure.Failure | None = None) -> None:
-    """In place of `AnswerRelay.connectionLost`: an answer that broke off counts as complete."""
+def _interrupted_is_complete(self: dispatch.AnswerBodyStreamer, _reason: failure.Failure | None = None) -> None:
+    """In place of `AnswerBodyStreamer.connectionLost`: an answer that broke off counts as complete."""
     if self.read_timer is not None and self.read_timer.active():
         self.read_timer.cancel()
     self.on_end(True)
@@ -213,7 +213,7 @@
     ),
     "other_pools": Guard([Patch(pool_owner.PoolOwner, "query_pools", _nobody_has_it)], "route_moves", 3, "once"),
     "torn_answers": Guard(
-        [Patch(dispatch.AnswerRelay, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"
+        [Patch(dispatch.AnswerBodyStreamer, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"
     ),
     "own_headers": Guard([Patch(edge_protocol, "worker_request_headers", _stale_headers)], "calm", 1, "own"),
     "unsent_or_broke": Guard(
