--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -29,8 +29,8 @@
     from iriswheel.dataplane import interfaces, routed_request
 
 
-IDLE_USE_US = 2 * units.SECOND_US  # a connection idle for longer carries nothing that may not be repeated
-IDEMPOTENT_IDLE_USE_US = 60 * units.SECOND_US
+MAX_IDLE_US = 2 * units.SECOND_US  # a connection idle for longer carries nothing that may not be repeated
+IDEMPOTENT_MAX_IDLE_US = 60 * units.SECOND_US
 CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
 SWEEP_INTERVAL_US = 1 * units.SECOND_US
 SILENCE_US = 300 * units.MILLISECOND_US  # silence on a stream that speaks against its worker
@@ -44,8 +44,8 @@
 )  # that a request waits for connections that it does not get
 MIN_RETRY_US = 150 * units.MILLISECOND_US  # a refused client may come back after so long
 OPTIONS_RELOAD_GRACE_US = 12 * units.SECOND_US  # requests of the time of a reload have ended by then
-MISDIRECTED = 421  # the status of a worker that does not serve what it was sent
-NOT_RUN_STATUSES = frozenset((408, MISDIRECTED, 429, 503))  # by which a node promises that a request never ran
+MISDIRECTED_STATUS = 421  # the status of a worker that does not serve what it was sent
+NOT_RUN_STATUSES = frozenset((408, MISDIRECTED_STATUS, 429, 503))  # by which a node promises that a request never ran
 
 
 class Forwarder:
@@ -62,7 +62,7 @@
         self.streams: dict[answer_stream.AnswerStream, None] = {}
         self.reach = worker_reach.WorkerReach(node.runtime, node.follower, self.connections, self._last_contact_us)
         self.reach.on_back = lambda worker: self.placement_of(worker.pool).record_return(worker.id)
-        self.started = scheduler.Signal()  # wakes when there is a stream again
+        self.stream_started = scheduler.Signal()  # wakes when there is a stream again
         self.counts = request_counts.ForwarderCounts()
 
     def placement_of(self, pool: str) -> placement.Placement:
@@ -103,7 +103,7 @@
         swept_at_us = 0
         while not self.node.stopped:
             if not self.streams:
-                await self.runtime.pause(self.started, SWEEP_INTERVAL_US)
+                await self.runtime.pause(self.stream_started, SWEEP_INTERVAL_US)
             await self.runtime.sleep(CHECK_INTERVAL_US)
             now = self.runtime.now()
             self.handle_silent_streams(now)
@@ -189,7 +189,7 @@
 
     async def send_with_retries(self, request: forwarded_request.ForwardedRequest) -> None:
         """Send a request to workers until one has answered or the request must be given up."""
-        connecting_us = 0  # spent on connections that were not had
+        failed_connect_us = 0  # spent on connections that were not had
         while True:
             worker = self._choose_worker(request)
             began_us = self.runtime.now()
@@ -197,9 +197,9 @@
             outcome = await self.send(request, worker, stream)
             match outcome:
                 case attempt_outcome.AttemptOutcome.UNSENT:
-                    connecting_us += self.runtime.now() - began_us
+                    failed_connect_us += self.runtime.now() - began_us
                     request.excluded_workers.add(worker.id)
-                    if connecting_us >= MAX_CONNECTING_US:
+                    if failed_connect_us >= MAX_CONNECTING_US:
                         raise self.final_error(request, "no_worker", "No worker can be reached now.")
                     continue
                 case attempt_outcome.AttemptOutcome.COMPLETE:
@@ -256,7 +256,7 @@
         match outcome:
             case attempt_outcome.AttemptOutcome.REFUSED:
                 self.counts.refused += 1
-                if stream.status == MISDIRECTED:
+                if stream.status == MISDIRECTED_STATUS:
                     request.placement.record_failure(stream.worker, answer_stream.BROKEN_SUSPICION)
             case attempt_outcome.AttemptOutcome.FAILED:
                 request.placement.record_failure(stream.worker, SILENCE_SUSPICION)
@@ -341,22 +341,22 @@
         )
         stream.expected_us += placement.read_time_us(stream.unread_tokens)
         try:
-            idle_use_us = IDEMPOTENT_IDLE_USE_US if request.idempotent else IDLE_USE_US
+            max_idle_us = IDEMPOTENT_MAX_IDLE_US if request.idempotent else MAX_IDLE_US
             try:
-                connection = await self.connections.get(worker, idle_use_us, request.deadline_us - self.runtime.now())
+                connection = await self.connections.get(worker, max_idle_us, request.deadline_us - self.runtime.now())
             except worker_connections.UnreachableError:
                 pool_placement.record_failure(worker.id, answer_stream.BROKEN_SUSPICION)
                 self.reach.note_unreached(worker)
                 self.counts.unreached += 1
                 return attempt_outcome.AttemptOutcome.UNSENT
-            return await self._send_over(request, worker, stream, connection)
+            return await self._send_on_connection(request, worker, stream, connection)
         finally:
             self.streams.pop(stream, None)
             pool_placement.end(worker.id, stream.unread_tokens)
             if stream.connection is not None and not request.http_request.gone and not request.http_request.finished:
                 request.http_request.unregisterProducer()
 
-    async def _send_over(
+    async def _send_on_connection(
         self,
         request: forwarded_request.ForwardedRequest,
         worker: message.Worker,
@@ -368,7 +368,7 @@
         if left_us <= 0 or not self.node.follower.accepts_requests(worker.id):
             connection.drop()
             return attempt_outcome.AttemptOutcome.UNSENT
-        if not self._is_due(request, worker):
+        if not self._start_send(request, worker):
             connection.release()
             return attempt_outcome.AttemptOutcome.UNSENT
         head = self.protocol.worker_request_head(
@@ -380,7 +380,7 @@
         stream.started_at_us = stream.last_received_us = self.runtime.now()
         self.streams[stream] = None
         if len(self.streams) == 1:
-            self.started.wake()
+            self.stream_started.wake()
         if request.keys:
             request.placement.note_turn(request.keys[-1], worker.id, request.terms, request.pool.cap)
         may_have_run_before = request.may_have_run
@@ -396,7 +396,7 @@
             request.may_have_run = may_have_run_before
         return outcome
 
-    def _is_due(self, request: forwarded_request.ForwardedRequest, worker: message.Worker) -> bool:
+    def _start_send(self, request: forwarded_request.ForwardedRequest, worker: message.Worker) -> bool:
         """Whether a worker, if it is cold, may be sent to now, after the wait for a connection; notes the send."""
         listed = self.node.follower.states.get(worker.id, worker)
         return self.cold_workers.start_send(listed, request.pool)
