--- a/iriswheel/dataplane/worker_connections.py
+++ b/iriswheel/dataplane/worker_connections.py
@@ -30,7 +30,7 @@
 TCP_USER_TIMEOUT_MS = 2_000  # after which sent bytes that nobody acknowledged end the connection
 IDLE_LIMIT_VALIDITY_US = 30 * units.SECOND_US  # how long it counts that a worker had dropped an idle connection
 MIN_IDLE_LIMIT_US = 100 * units.MILLISECOND_US  # idle connections this young are used whatever was learned
-UNLIMITED_US = 10**12
+NO_IDLE_LIMIT_US = 10**12
 MAX_FOREIGN_ANSWERS = 3  # answers to other requests that are passed over during one request
 
 
@@ -326,7 +326,7 @@
         """
         limit = self.idle_limits.get(worker)
         if limit is None or self.runtime.now() - limit.learned_at_us >= IDLE_LIMIT_VALIDITY_US:
-            return UNLIMITED_US
+            return NO_IDLE_LIMIT_US
         return limit.limit_us
 
     async def get(
@@ -356,9 +356,9 @@
         except Exception as reason:  # refused, timed out, no route: all mean that nothing was sent
             self._count_closed(worker.id)
             raise UnreachableError(type(reason).__name__) from reason
-        connection.on_free = self._keep
-        connection.on_stale = self._learn
-        connection.on_closed = self._forget
+        connection.on_free = self._add_idle
+        connection.on_stale = self._shorten_idle_limit
+        connection.on_closed = self._note_closed
         if not connection.is_connected:
             self._count_closed(worker.id)
             raise UnreachableError("closed")
@@ -391,18 +391,18 @@
             lambda: WorkerConnection(self.runtime, worker.id),
         )
 
-    def _keep(self, connection: WorkerConnection) -> None:
+    def _add_idle(self, connection: WorkerConnection) -> None:
         """Keep a connection that is idle now."""
         self.idle.setdefault(connection.worker, []).append(connection)
 
-    def _learn(self, connection: WorkerConnection) -> None:
+    def _shorten_idle_limit(self, connection: WorkerConnection) -> None:
         """Trust younger connections only: one that had been idle was gone when it was used."""
         if connection.idle_us > MIN_IDLE_LIMIT_US:
             worker = connection.worker
             limit_us = max(MIN_IDLE_LIMIT_US, min(connection.idle_us // 2, self.idle_limit_us(worker)))
             self.idle_limits[worker] = IdleLimit(self.runtime.now(), limit_us)
 
-    def _forget(self, connection: WorkerConnection) -> None:
+    def _note_closed(self, connection: WorkerConnection) -> None:
         self._count_closed(connection.worker)
 
     def _count_closed(self, worker: str) -> None:
