--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -54,7 +54,7 @@
     "proxy-connection",
 }
 # What each HTTP side writes for itself.
-GENERATED = {"host", "content-length", TARGET_WORKER_HEADER.lower(), RELAY_HEADER.lower()}
+REGENERATED_HEADERS = {"host", "content-length", TARGET_WORKER_HEADER.lower(), RELAY_HEADER.lower()}
 
 WORKERS_PATH = "/workers"
 LOAD_PATH = "/load"
@@ -245,7 +245,7 @@
 
 def _end_to_end(headers: http_headers.Headers) -> http_headers.Headers:
     kept = headers.copy()
-    for name in HOP_BY_HOP | GENERATED | connection_options(headers):
+    for name in HOP_BY_HOP | REGENERATED_HEADERS | connection_options(headers):
         if name:
             kept.removeHeader(name)
     return kept
@@ -276,14 +276,14 @@
     worker = message.Worker(
         str(entry["id"]), str(entry["host"]), int(entry["port"]), str(entry["pool"]), state, drain_us
     )
-    return with_conditions(worker, str(entry.get("zone", "")), bool(entry.get("cold", False)))
+    return with_zone_and_cold(worker, str(entry.get("zone", "")), bool(entry.get("cold", False)))
 
 
-def with_conditions(worker: message.Worker, zone: str, cold: bool) -> message.Worker:
+def with_zone_and_cold(worker: message.Worker, zone: str, cold: bool) -> message.Worker:
     """The worker with its zone and whether it is cold, where either is told.
 
     >>> worker = message.Worker("w1", "127.0.0.1", 9, "desk", "ready")
-    >>> with_conditions(worker, "", False) is worker, with_conditions(worker, "attic", True).cold
+    >>> with_zone_and_cold(worker, "", False) is worker, with_zone_and_cold(worker, "attic", True).cold
     (True, True)
     """
     if not zone and not cold:
@@ -428,16 +428,18 @@
         ]
         if last_event_id:
             added.append((b"Last-Event-ID", last_event_id.encode()))
-        return self.format_request_head(request, size, HOP_BY_HOP | GENERATED | {"last-event-id"}, added)
+        return self.format_request_head(request, size, HOP_BY_HOP | REGENERATED_HEADERS | {"last-event-id"}, added)
 
-    def format_request_head(self, request: http_server.Request, size: int, drop: set[str], more: HeaderPairs) -> bytes:
-        """A request's head with the headers in `drop` (lower case) left out and those in `more` added."""
-        drop = drop | connection_options(request.requestHeaders)
+    def format_request_head(
+        self, request: http_server.Request, size: int, dropped: set[str], added: HeaderPairs
+    ) -> bytes:
+        """A request's head with the headers in `dropped` (lower case) left out and those in `added` added."""
+        dropped = dropped | connection_options(request.requestHeaders)
         head = [b"%s %s HTTP/1.1" % (request.method, request.uri)]
         for name, values in request.requestHeaders.getAllRawHeaders():
-            if name.decode("latin-1").lower() not in drop:
+            if name.decode("latin-1").lower() not in dropped:
                 head += [b"%s: %s" % (name, value) for value in values]
-        head += [b"%s: %s" % pair for pair in more]
+        head += [b"%s: %s" % pair for pair in added]
         head.append(b"Content-Length: %d" % size)
         return b"\r\n".join(head) + b"\r\n\r\n"
 
@@ -471,7 +473,10 @@
         >>> EdgeProtocol().client_headers([(b"Keep-Alive", b"5"), (b"X-A", b"b")], "w1")
         [(b'X-A', b'b'), (b'X-Target-Worker', b'w1')]
         """
-        return [*end_to_end_pairs(headers, HOP_BY_HOP | GENERATED), (TARGET_WORKER_HEADER.encode(), worker.encode())]
+        return [
+            *end_to_end_pairs(headers, HOP_BY_HOP | REGENERATED_HEADERS),
+            (TARGET_WORKER_HEADER.encode(), worker.encode()),
+        ]
 
     def refusal(self, error: errors.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
         """The answer to an error: status, headers, body.
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -13,7 +13,7 @@
     from iriswheel.dataplane import interfaces
     from iriswheel.transport import http_server
 
-TOKEN_US = 700 * units.MILLISECOND_US  # how long a token is valid, and how long a peer may take to give one
+TOKEN_VALIDITY_US = 700 * units.MILLISECOND_US  # how long a token is valid, and how long a peer may take to give one
 TOKEN_BITS = 96
 
 
@@ -30,7 +30,7 @@
 async def request_token(local_node: interfaces.DataPlaneNode, peer: message.Member, worker: str) -> str:
     """Ask a peer for a relay token; returns "" where the peer can't help or does not answer."""
     try:
-        response = await local_node.peers.call(peer.host, peer.port, message.RelayRequest(worker), TOKEN_US)
+        response = await local_node.peers.call(peer.host, peer.port, message.RelayRequest(worker), TOKEN_VALIDITY_US)
     except (wire.ConnectionBrokenError, scheduler.DeadlineError):
         return ""
     assert isinstance(response, message.RelayResponse)
@@ -58,7 +58,7 @@
         ):
             return ""
         name = f"{self.runtime.rng.getrandbits(TOKEN_BITS):024x}"
-        self.tokens[name] = RelayToken(worker, now + TOKEN_US)
+        self.tokens[name] = RelayToken(worker, now + TOKEN_VALIDITY_US)
         return name
 
     def redeem_token(self, request: http_server.Request) -> message.Worker | None:
