--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -117,7 +117,7 @@
     async def stream(self, loaded: node.Node, lasts: float) -> None:
         """One hollow send: counted where a real one would be."""
         pool = f"model-{loaded.runtime.rng.randrange(self.pools)}"
-        place, names = loaded.gateway.forwarder.placement_of(pool), loaded.gateway.forwarder.ready(pool)
+        place, names = loaded.gateway.forwarder.placement_of(pool), loaded.gateway.forwarder.ready_workers(pool)
         name = names[loaded.runtime.rng.randrange(len(names))]
         is_long = loaded.runtime.rng.random() < samples.LONG_SHARE
         tokens = place.begin(name, [], [], samples.LONG if is_long else SHORT_PROMPT_TOKENS)
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -161,7 +161,10 @@
     pool = configuration.Pool(cap=0, election="node", batch=64)
     shared = types.SimpleNamespace(sizes=[13_300, 800, 92, 291])
     idle_node = node_with_workers(workers)
-    place, names = idle_node.gateway.forwarder.placement_of("model-0"), idle_node.gateway.forwarder.ready("model-0")
+    place, names = (
+        idle_node.gateway.forwarder.placement_of("model-0"),
+        idle_node.gateway.forwarder.ready_workers("model-0"),
+    )
     place.take([(name, 22, 900, 0) for name in names], True)
     cut = placement.chain([f"{k:08x}" for k in range(4)])
     place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())
@@ -182,7 +185,7 @@
     point = lines.point("workers", workers)
     point.put_loops(
         "the ready workers listed for an election",
-        measuring.loops_per_call(lambda: idle_node.gateway.forwarder.ready("model-0")),
+        measuring.loops_per_call(lambda: idle_node.gateway.forwarder.ready_workers("model-0")),
     )
     point.put_bytes(
         "others' loads held", measuring.allocated_bytes(lambda: {k: (22, 900, 0) for k in map(str.upper, names)})
@@ -201,7 +204,7 @@
 def node_with_workers(worker_count: int, pool_count: int = 1) -> node.Node:
     """A node, none of whose tasks runs, that knows so many workers.
 
-    >>> node_with_workers(3).gateway.forwarder.ready("model-0")
+    >>> node_with_workers(3).gateway.forwarder.ready_workers("model-0")
     ['i-00000000', 'i-00000001', 'i-00000002']
     """
     made = samples.idle_node()
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -74,7 +74,7 @@
             pool_placement.on_load_change = self.node.loads.mark_changed
         return pool_placement
 
-    def ready(self, pool: str) -> list[str]:
+    def ready_workers(self, pool: str) -> list[str]:
         """Return the workers of a pool that take requests; to cold ones this node may not be allowed to send."""
         follower = self.node.follower
         return [
@@ -171,7 +171,7 @@
         self.connections.sweep({worker.id for worker in workers if worker.state != message.WorkerState.GONE})
         self.cold_workers.sweep()
         for pool, pool_placement in self.placements.items():
-            pool_placement.sweep(set(self.ready(pool)))
+            pool_placement.sweep(set(self.ready_workers(pool)))
 
     # ---- attempts ---------------------------------------------------------------------
 
