--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -63,9 +63,9 @@
             headers: The answer's headers, with their names in lower case.
             uses: How many requests have gone over the connection, this one included.
         """
-        mine = self.protocol.is_answer_to(self.request.parsed.attempt_tag, status, headers)
-        if mine is not None:
-            return mine
+        is_ours = self.protocol.is_answer_to(self.request.parsed.attempt_tag, status, headers)
+        if is_ours is not None:
+            return is_ours
         return (uses <= 1 and self.protocol.reports_not_run(status, headers)) or None
 
     def head_received(self, status: int, headers: list[tuple[bytes, bytes]], lowercase: dict[str, str]) -> None:
