--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -1,7 +1,8 @@
-"""Forwarding of requests whose workers the node itself selects: place, send, stream, resume elsewhere.
+"""Forwarding of requests in pools whose workers the node itself selects.
 
-No request is queued here: it is sent to a worker or refused at once. A refusal says whether the
-request may have run, by what is known of its attempts.
+The forwarder selects a worker, sends the request, streams the answer to the client and, where the worker fails,
+sends the request to another worker. It queues no request: a request is sent to a worker or refused at once. A
+refusal says whether the request may have run at a worker, as far as its attempts have shown.
 """
 
 from __future__ import annotations
@@ -29,27 +30,36 @@
     from iriswheel.dataplane import interfaces, routed_request
 
 
-MAX_IDLE_US = 2 * units.SECOND_US  # a connection idle for longer carries nothing that may not be repeated
-IDEMPOTENT_MAX_IDLE_US = 60 * units.SECOND_US
-CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
-SWEEP_INTERVAL_US = 1 * units.SECOND_US
-SILENCE_US = 300 * units.MILLISECOND_US  # silence on a stream that speaks against its worker
-LONG_PROMPT_SILENCE_US = 1 * units.SECOND_US  # likewise, before the first event of a long prompt
-RESUME_SILENCE_US = 500 * units.MILLISECOND_US  # silence after which a stream that may be resumed elsewhere is
-OVERLOADED_SILENCE_US = 1_200 * units.MILLISECOND_US  # and before the first event, where many wait
-SILENCE_SUSPICION = 0.3  # how much a silence counts against a worker
-WAITING_PER_OVERDUE = 3  # from more than one overdue stream in so many that wait, the workers are overloaded
-MAX_CONNECTING_US = (
-    3 * worker_connections.CONNECT_TIMEOUT_US
-)  # that a request waits for connections that it does not get
-MIN_RETRY_US = 150 * units.MILLISECOND_US  # a refused client may come back after so long
-OPTIONS_RELOAD_GRACE_US = 12 * units.SECOND_US  # requests of the time of a reload have ended by then
-MISDIRECTED_STATUS = 421  # the status of a worker that does not serve what it was sent
-NOT_RUN_STATUSES = frozenset((408, MISDIRECTED_STATUS, 429, 503))  # by which a node promises that a request never ran
+# Longest idle time of a connection that a request reuses. A worker may have closed a connection that was idle for
+# longer, and then nobody can say whether the request ran.
+MAX_IDLE_US = 2 * units.SECOND_US  # for requests that may run only once
+IDEMPOTENT_MAX_IDLE_US = 60 * units.SECOND_US  # for requests that may run again
+CHECK_INTERVAL_US = 100 * units.MILLISECOND_US  # between two checks of all streams for silence
+SWEEP_INTERVAL_US = 1 * units.SECOND_US  # between two sweeps of idle connections and expired sessions
+# Silence is the time since the worker last sent a byte on a stream.
+SILENCE_US = 300 * units.MILLISECOND_US  # silence after the first event that is a failure of the worker
+LONG_PROMPT_SILENCE_US = (
+    1 * units.SECOND_US
+)  # silence during the prefill of a long prompt that is a failure of the worker
+RESUME_SILENCE_US = (
+    500 * units.MILLISECOND_US
+)  # silence after the first event until the request is resumed at another worker
+# Silence before the first event until the request is sent to another worker, while the workers are overloaded.
+OVERLOADED_SILENCE_US = 1_200 * units.MILLISECOND_US
+SILENCE_SUSPICION = 0.3  # added to a worker's suspicion (0 to 1) by a silence or a failed answer
+# The workers are overloaded where more than one stream is overdue, and more than one in this many of those that
+# wait for their first event.
+WAITING_PER_OVERDUE = 3
+MAX_CONNECTING_US = 3 * worker_connections.CONNECT_TIMEOUT_US  # time a request spends on connections that failed
+MIN_RETRY_US = 150 * units.MILLISECOND_US  # shortest wait that a refused client is asked for
+OPTIONS_RELOAD_GRACE_US = 12 * units.SECOND_US  # time until requests that were under way at a reload have ended
+MISDIRECTED_STATUS = 421  # HTTP status of a worker that does not serve the model or pool of the request
+# HTTP statuses by which a node promises its client that the request never ran.
+NOT_RUN_STATUSES = frozenset((408, MISDIRECTED_STATUS, 429, 503))
 
 
 class Forwarder:
-    """A node's forwarder of requests to workers that it selects itself."""
+    """Sends the requests of one node to workers that the node selects itself."""
 
     def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
@@ -58,15 +68,16 @@
         self.connections = worker_connections.ConnectionPool(node.runtime)
         self.cold_workers = cold_workers.ColdWorkers(node.runtime, node.options.name, node.follower)
         self.placements: dict[str, placement.Placement] = {}  # by pool name
-        # Attempts that were sent and are under way, in the order of sending: a set would go by memory addresses.
+        # Attempts under way, in the order in which they were sent. The keys of a dictionary keep that order; a set's
+        # order would depend on memory addresses, and simulated runs could not be repeated.
         self.streams: dict[answer_stream.AnswerStream, None] = {}
         self.reach = worker_reach.WorkerReach(node.runtime, node.follower, self.connections, self._last_contact_us)
         self.reach.on_back = lambda worker: self.placement_of(worker.pool).record_return(worker.id)
-        self.stream_started = scheduler.Signal()  # wakes when there is a stream again
+        self.stream_started = scheduler.Signal()  # wakes `watch` when the first stream starts
         self.counts = request_counts.ForwarderCounts()
 
     def placement_of(self, pool: str) -> placement.Placement:
-        """Return the placement over a pool."""
+        """Return the placement of a pool, which is created at its first use."""
         pool_placement = self.placements.get(pool)
         if pool_placement is None:
             pool_placement = self.placements[pool] = placement.Placement(self.runtime, pool)
@@ -75,20 +86,23 @@
         return pool_placement
 
     def ready_workers(self, pool: str) -> list[str]:
-        """Return the workers of a pool that take requests; to cold ones this node may not be allowed to send."""
+        """Return the ids of a pool's workers that accept requests.
+
+        Among them are cold workers, to which `cold_workers` limits how often this node sends.
+        """
         follower = self.node.follower
         return [
             worker.id for worker in follower.workers if worker.pool == pool and follower.accepts_requests(worker.id)
         ]
 
     def _last_contact_us(self, worker: message.Worker) -> int:
-        """Return when a worker last said anything to a request of this node; 0 for never."""
+        """Return when this node last received bytes of an answer from a worker; 0 for never."""
         pool_placement = self.placements.get(worker.pool)
         estimate = pool_placement.workers.get(worker.id) if pool_placement is not None else None
         return estimate.last_contact_us if estimate is not None else 0
 
     def state(self) -> dict[str, typing.Any]:
-        """Return what this forwarder shows of itself in the node's state."""
+        """Return the forwarder's part of `GET /state`."""
         return {
             "counts": self.counts.state(),
             "cold": self.cold_workers.state(),
@@ -99,7 +113,7 @@
     # ---- silent streams ---------------------------------------------------------------
 
     async def watch(self) -> None:
-        """Handle silent streams and sweep idle connections and sessions, until the node stops; one task."""
+        """Check for silent streams and sweep idle connections and sessions, until the node stops; runs as one task."""
         swept_at_us = 0
         while not self.node.stopped:
             if not self.streams:
@@ -115,7 +129,8 @@
     def handle_silent_streams(self, now: int) -> None:
         """Record a failure of each worker whose stream is silent, and end the streams to be sent to another worker.
 
-        Where many attempts wait for longer than they should, the workers are overloaded, and retries would add load.
+        Where many attempts are overdue with their first event, the workers are overloaded. Retries would add load
+        then, so a request is sent to another worker only after a longer silence of an unresponsive worker.
         """
         waiting = [stream for stream in self.streams if not stream.received_any]
         overdue = {
@@ -138,7 +153,7 @@
     def _should_try_elsewhere(
         self, stream: answer_stream.AnswerStream, overdue: bool, overloaded: bool, now: int
     ) -> bool:
-        """Whether to end a silent stream and send its request to another worker, although its own may still answer."""
+        """Whether to end a silent stream, whose worker may still answer, and send its request to another worker."""
         request = stream.request
         if not (
             request.resume
@@ -148,7 +163,7 @@
         ):
             return False
         if request.answer_begun and self._in_maintenance(now):
-            return False  # a refusal elsewhere would end an answer that planned work must not cut
+            return False  # if the other workers refuse it, the answer is cut, and planned maintenance must cut none
         silence_us = now - stream.last_received_us
         if stream.received_any and silence_us > RESUME_SILENCE_US:
             return True
@@ -159,14 +174,14 @@
         )
 
     def _in_maintenance(self, now: int) -> bool:
-        """Whether this node drains, or reloaded its options within OPTIONS_RELOAD_GRACE_US."""
+        """Whether this node drains, or reloaded its options less than OPTIONS_RELOAD_GRACE_US ago."""
         options_reloaded_at_us = self.node.options_reloaded_at_us
         return self.node.draining or (
             options_reloaded_at_us is not None and now - options_reloaded_at_us < OPTIONS_RELOAD_GRACE_US
         )
 
     def _sweep(self) -> None:
-        """Close idle connections and those of workers that are gone; drop expired sessions."""
+        """Close idle connections that expired or whose workers are gone, and drop expired sessions."""
         workers = self.node.follower.workers
         self.connections.sweep({worker.id for worker in workers if worker.state != message.WorkerState.GONE})
         self.cold_workers.sweep()
@@ -176,7 +191,7 @@
     # ---- attempts ---------------------------------------------------------------------
 
     async def forward(self, routed: routed_request.RoutedRequest) -> None:
-        """Forward one request until it is answered; cancelled when its client disconnects.
+        """Forward one request until it is answered; the work is cancelled when the client disconnects.
 
         Raises:
             errors.ServiceError: The request is refused or given up before any byte of an answer.
@@ -188,8 +203,8 @@
             self.counts.disconnected += 1
 
     async def send_with_retries(self, request: forwarded_request.ForwardedRequest) -> None:
-        """Send a request to workers until one has answered or the request must be given up."""
-        failed_connect_us = 0  # spent on connections that were not had
+        """Send a request to one worker after another until one has answered or the request must be given up."""
+        failed_connect_us = 0  # time spent on connections that failed
         while True:
             worker = self._choose_worker(request)
             began_us = self.runtime.now()
@@ -219,7 +234,11 @@
                 return
 
     def _choose_worker(self, request: forwarded_request.ForwardedRequest) -> message.Worker:
-        """Return the worker for the next attempt; raises the error of a request that gets none."""
+        """Return the worker for the next attempt.
+
+        Raises:
+            errors.ServiceError: No worker can be reached, or none can begin before the request's deadline.
+        """
         candidates = self._candidates(request)
         worker_id, wait_us = request.placement.pick(
             request.parsed,
@@ -234,13 +253,13 @@
         if not worker_id:
             raise self.final_error(request, "no_worker", "No worker can be reached now.")
         if now >= request.deadline_us:
-            raise self.final_error(request, "busy", "The time is over.")
+            raise self.final_error(request, "busy", "Deadline expired.")
         if not request.sends and wait_us > request.deadline_us - now:
             raise self.final_error(request, "busy", "No worker would begin in time.", wait_us // 2)
         return self.node.follower.states[worker_id]
 
     def _candidates(self, request: forwarded_request.ForwardedRequest) -> cold_workers.Candidates:
-        """Return the workers to send to that are within reach; all of them where it tried each of those."""
+        """Return the candidates that are within reach; all candidates where the request has tried each of those."""
         candidates = self.cold_workers.candidates(request.pool_name, request.pool)
         reached = self.reach.within_reach(candidates.ready)
         return candidates if request.excluded_workers.issuperset(reached) else candidates._replace(ready=reached)
@@ -251,7 +270,7 @@
         outcome: attempt_outcome.AttemptOutcome,
         stream: answer_stream.AnswerStream,
     ) -> None:
-        """Record a refused, failed or broken attempt: exclude its worker, and note whether it may have run."""
+        """Record a refused, failed or broken attempt: exclude its worker, and note whether the request may have run."""
         request.excluded_workers.add(stream.worker)
         match outcome:
             case attempt_outcome.AttemptOutcome.REFUSED:
@@ -265,7 +284,10 @@
                 request.may_have_run = True
 
     def _spend_retry(self, request: forwarded_request.ForwardedRequest) -> bool:
-        """Spend a retry of the request's budget; False, and nothing is spent, where it may not go to another worker."""
+        """Spend one retry of the request's retry budget.
+
+        Returns False, and spends nothing, where the request may not be sent to another worker.
+        """
         allowed = (
             (request.idempotent or not request.may_have_run)
             and (request.resume or not request.answer_begun)
@@ -286,7 +308,13 @@
         outcome: attempt_outcome.AttemptOutcome,
         stream: answer_stream.AnswerStream,
     ) -> None:
-        """End a request after its last attempt; raises the error that is its answer where there is one."""
+        """End a request whose last attempt did not complete its answer.
+
+        An answer that has begun is broken off, and a failure of the worker is passed on to the client.
+
+        Raises:
+            errors.ServiceError: No byte of an answer came; the HTTP server answers with this error.
+        """
         if request.answer_begun:
             request.http_request.break_off()
             return
@@ -294,11 +322,11 @@
             stream.answer_failure()
             return
         if outcome is attempt_outcome.AttemptOutcome.REFUSED:
-            raise self.final_error(request, "busy", "The worker turned it away.")
+            raise self.final_error(request, "busy", "Request refused by worker.")
         raise self.final_error(request, "worker_broke", f"Worker {stream.worker} gave no answer.")
 
     def may_retry(self, request: forwarded_request.ForwardedRequest) -> bool:
-        """Whether a request may be sent once more, by its route and this node's share of the budget."""
+        """Whether the route's limit of sends and this node's share of the retry budget allow one more send."""
         max_sends = request.route.sends
         if max_sends and request.sends >= max_sends:
             return False
@@ -307,20 +335,20 @@
     def final_error(
         self, request: forwarded_request.ForwardedRequest, code: errors.ErrorCode, text: str, retry_us: int = 0
     ) -> errors.ServiceError:
-        """Return the error that answers a request which is given up.
+        """Return the error with which a given-up request is answered.
 
         Args:
-            request: The request.
-            code: The error's code where the request did not run; else it is worker_broke.
-            text: The error's text.
-            retry_us: After how long the client should retry.
+            request: The request that is given up.
+            code: The error code where the request did not run at any worker; where it may have, it is worker_broke.
+            text: The error text for people.
+            retry_us: The wait before the client's retry, in microseconds; at least MIN_RETRY_US is asked for.
         """
         if request.may_have_run:
             return errors.ServiceError("worker_broke", text, errors.ExecutionOutcome.MAY_HAVE_RUN)
         return errors.ServiceError(code, text, retry_us=max(MIN_RETRY_US, retry_us))
 
     def _other_workers(self, request: forwarded_request.ForwardedRequest, current: str = "") -> list[str]:
-        """Return the workers that a request may still be sent to, without the current one."""
+        """Return the workers other than `current` that a request may still be sent to."""
         return [
             worker
             for worker in self._candidates(request).ready
@@ -333,7 +361,7 @@
         worker: message.Worker,
         stream: answer_stream.AnswerStream,
     ) -> attempt_outcome.AttemptOutcome:
-        """Send a request to one worker and stream its answer; UNSENT where the worker was not reached."""
+        """Send a request to one worker and stream its answer; the outcome is UNSENT where no connection was made."""
         pool_placement = request.placement
         stream.expected_us = pool_placement.wait_us(worker.id, request.pool, self.runtime.now())
         stream.unread_tokens = pool_placement.begin(
@@ -363,7 +391,7 @@
         stream: answer_stream.AnswerStream,
         connection: worker_connections.WorkerConnection,
     ) -> attempt_outcome.AttemptOutcome:
-        """Send a request over a connection and wait until its answer has ended or its time is over."""
+        """Send a request over a connection and wait until its answer has ended or its deadline has passed."""
         left_us = request.deadline_us - self.runtime.now()
         if left_us <= 0 or not self.node.follower.accepts_requests(worker.id):
             connection.drop()
@@ -384,7 +412,7 @@
         if request.keys:
             request.placement.note_turn(request.keys[-1], worker.id, request.terms, request.pool.cap)
         may_have_run_before = request.may_have_run
-        request.may_have_run = True  # until the worker says that it did not run it
+        request.may_have_run = True  # taken back below where the worker reports that it did not run the request
         stream.start(connection, head)
         deadline = self.runtime.later(left_us, stream.stop, attempt_outcome.AttemptOutcome.LATE)
         try:
@@ -397,22 +425,25 @@
         return outcome
 
     def _start_send(self, request: forwarded_request.ForwardedRequest, worker: message.Worker) -> bool:
-        """Whether a worker, if it is cold, may be sent to now, after the wait for a connection; notes the send."""
+        """Whether the request may be sent now, after the wait for a connection; counts the send to a cold worker.
+
+        Only sends to cold workers are limited.
+        """
         listed = self.node.follower.states.get(worker.id, worker)
         return self.cold_workers.start_send(listed, request.pool)
 
 
 def is_silent(stream: answer_stream.AnswerStream, overdue: bool, now: int) -> bool:
-    """Whether a stream has been silent for so long that this counts against its worker.
+    """Whether a stream has been silent for so long that it counts as a failure of its worker.
 
     Args:
-        stream: The stream.
-        overdue: Whether its first event has not come within the time-out of its worker's pool.
+        stream: The stream, one attempt under way.
+        overdue: Whether the first event has not come within the pool's time-out for it.
         now: The time in microseconds.
     """
     if stream.done.called or stream.paused or not (overdue or stream.received_any):
         return False
     silence_us = now - stream.last_received_us
-    if stream.unread_tokens >= placement.HEAVY_TOKENS:  # the expected read time of a long prompt is less exact
+    if stream.unread_tokens >= placement.HEAVY_TOKENS:  # a long prompt's prefill time is hard to predict
         return silence_us >= LONG_PROMPT_SILENCE_US
     return not stream.received_any or silence_us >= SILENCE_US
