--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -1,4 +1,7 @@
-"""Sending to a worker: one request out, its answer streamed back."""
+"""The HTTP client towards workers that pool owners select, other nodes and the platform.
+
+One attempt sends a client's request to a worker and streams the answer back to the client.
+"""
 
 from __future__ import annotations
 
@@ -20,40 +23,40 @@
 
 
 CONNECT_TIMEOUT_US = 700 * units.MILLISECOND_US
-HEAD_TIMEOUT_US = 10 * units.SECOND_US  # until the answer's head
-READ_TIMEOUT_US = 10 * units.SECOND_US  # between two pieces of an answer
-IDLE_CONNECTION_S = 4  # pooled connections are dropped well before a worker would drop them
-MAX_POOLED_PER_HOST = 32
-MAX_COLLECTED_BYTES = 1 << 20
+HEAD_TIMEOUT_US = 10 * units.SECOND_US  # from the start of the request to the answer's head
+READ_TIMEOUT_US = 10 * units.SECOND_US  # longest silence between two pieces of an answer
+IDLE_CONNECTION_S = 4  # idle time of a pooled connection, well below the time after which workers close it
+MAX_POOLED_PER_HOST = 32  # idle connections
+MAX_COLLECTED_BYTES = 1 << 20  # size of a body that is collected in memory
 
 log = loguru.logger.bind(part="dispatch")
 
 
-# ---- what of Twisted's client is used here; its own interfaces carry no types -----------
+# ---- types of the parts of Twisted's client used here; Twisted's interfaces carry none -----
 
 
 class Producer(typing.Protocol):
-    """A transport that is read from, for a body as it comes."""
+    """The transport from which the body of an answer is read."""
 
     def pauseProducing(self) -> None:
-        """Read no further for now."""
+        """Pause reading."""
 
     def resumeProducing(self) -> None:
-        """Go on reading."""
+        """Resume reading."""
 
     def stopProducing(self) -> None:
-        """Read no more at all."""
+        """Stop reading for good."""
 
 
 class AbortableTransport(typing.Protocol):
-    """A connection's transport."""
+    """The transport of a connection that can be aborted."""
 
     def abortConnection(self) -> None:
-        """Break the connection off."""
+        """Close the connection without sending what is buffered."""
 
 
 class Response(typing.Protocol):
-    """An answer whose head has come."""
+    """An answer whose head has been received, and whose body is still to be read."""
 
     code: int
     phrase: bytes
@@ -62,11 +65,11 @@
     _transport: Producer | None
 
     def deliverBody(self, receiver: protocol.Protocol, /) -> None:  # noqa: N802 - Twisted's name
-        """Have the body given to a protocol as it comes."""
+        """Deliver the body to a protocol piece by piece, as it is received."""
 
 
 class HttpAgent(typing.Protocol):
-    """Sends requests."""
+    """The request method of Twisted's HTTP agents."""
 
     def request(
         self,
@@ -75,19 +78,19 @@
         headers: http_headers.Headers | None = None,
         bodyProducer: Body | None = None,  # noqa: N803 - Twisted's name
     ) -> defer.Deferred[Response]:
-        """Send a request; the Deferred fires when its answer's head has come."""
+        """Send a request; the Deferred fires when the head of the answer has been received."""
 
 
 class Consumer(typing.Protocol):
-    """What a body is written to."""
+    """The transport that a request body is written to."""
 
     def write(self, data: bytes, /) -> None:
-        """Take bytes."""
+        """Send bytes."""
 
 
 @interface.implementer(iweb.IBodyProducer)
 class Body:
-    """A request body that is held in memory, as the producer that Twisted's client asks for.
+    """A request body in memory, in the form of the body producer that Twisted's client requires.
 
     >>> Body(b"abc").length
     3
@@ -114,7 +117,7 @@
 
 @interface.implementer(iweb.IAgentEndpointFactory)
 class AddressEndpoints:
-    """Connects by IP address, on the reactor that it was given."""
+    """Makes endpoints for URIs whose host is an IP address, on a real or a simulated reactor."""
 
     def __init__(self, reactor: typing.Any) -> None:  # noqa: ANN401 - real or simulated; Twisted's interfaces carry no types
         self.reactor = reactor
@@ -127,7 +130,7 @@
 
 
 class AnswerBodyStreamer(protocol.Protocol):
-    """Passes the pieces of an answer on as they come, no faster than they are taken."""
+    """Passes on the body of an answer piece by piece, with back-pressure from the client to the worker."""
 
     # Set by `makeConnection`, before anything else is called.
     transport: Producer  # type: ignore[assignment]
@@ -146,7 +149,7 @@
         self.read_timer: scheduler.Timer | None = None
 
     def connectionMade(self) -> None:
-        """Begin to watch for silence."""
+        """Start the timer that ends an answer after READ_TIMEOUT_US without a byte."""
         self.read_timer = self.runtime.later(READ_TIMEOUT_US, self._check_read_timeout)
 
     def _check_read_timeout(self) -> None:
@@ -157,34 +160,34 @@
             self.stopProducing()
 
     def pauseProducing(self) -> None:
-        """Read no further while the client does not keep up."""
+        """Stop reading from the worker while the client reads too slowly."""
         self.paused = True
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
-        """Go on reading; the time while it was paused is not the worker's silence."""
+        """Resume reading; the read time-out starts anew, since the worker was not silent during the pause."""
         self.paused = False
         self.last_received_us = self.runtime.now()
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:
-        """Break the answer off."""
+        """Stop reading the answer before its end."""
         self.transport.stopProducing()
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass a piece on."""
+        """Pass on one piece of the body."""
         self.last_received_us = self.runtime.now()
         self.on_data(data)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
-        """Tell whether the answer is complete."""
+        """Stop the timer and report whether the answer is complete."""
         if self.read_timer is not None and self.read_timer.active():
             self.read_timer.cancel()
         self.on_end(reason.check(client.ResponseDone) is not None)
 
 
 class BodyCollector(protocol.Protocol):
-    """Gathers a small body, and hands it over when it is complete; None where it broke off."""
+    """Collects a small body in memory; `on_end` gets the whole body, or None where it broke off."""
 
     # Set by `makeConnection`, before anything else is called.
     transport: Producer  # type: ignore[assignment]
@@ -195,54 +198,54 @@
         self.size = 0
 
     def dataReceived(self, data: bytes) -> None:
-        """Gather a piece; a body that is too large is broken off."""
+        """Collect one piece; reading stops where the body exceeds MAX_COLLECTED_BYTES."""
         self.parts.append(data)
         self.size += len(data)
         if self.size > MAX_COLLECTED_BYTES:
             self.transport.stopProducing()
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
-        """Hand the body over."""
+        """Report the body, or None where it is incomplete."""
         complete = reason.check(client.ResponseDone, http.PotentialDataLoss) is not None
         self.on_end(b"".join(self.parts) if complete else None)
 
 
 class ProbeConnection(protocol.Protocol):
-    """A connection that is opened only to learn whether the peer accepts one."""
+    """A connection that is opened only to learn whether the host accepts connections."""
 
     # Set by `makeConnection`, before anything else is called.
     transport: AbortableTransport  # type: ignore[assignment]
 
     def abort(self) -> None:
-        """Break the connection off."""
+        """Close the connection at once."""
         self.transport.abortConnection()
 
 
 class UnexpectedAnswerError(ValueError):
-    """The far side answered, but not with what was asked for.
+    """A host answered, but not with the document that was requested.
 
     >>> UnexpectedAnswerError("answer 404").answered
     True
     """
 
-    answered = True
+    answered = True  # marks for the health checks that the host itself could be reached
 
 
 class Attempt:
-    """One attempt under way, which can be cut short."""
+    """One attempt under way; its node may cancel it before it ends."""
 
     __slots__ = ("answer_begun", "is_relayed", "last_received_us", "waiting", "was_cancelled", "worker")
 
     def __init__(self, worker: str, now: int) -> None:
         self.worker = worker
-        self.last_received_us = now  # when something last came
-        self.is_relayed = False  # whether it goes by way of another node
-        self.waiting: defer.Deferred[typing.Any] | None = None  # what the attempt waits on: its head, then its end
-        self.was_cancelled = False
-        self.answer_begun = False  # whether the answer's head has come
+        self.last_received_us = now  # time of the last bytes of the answer; the start before there are any
+        self.is_relayed = False  # whether another node relays it to the worker
+        self.waiting: defer.Deferred[typing.Any] | None = None  # fires with the answer's head, later with its end
+        self.was_cancelled = False  # whether this node has cancelled it
+        self.answer_begun = False  # whether the answer's head has been received
 
     def cancel(self) -> None:
-        """Cancel the attempt, as its worker hangs, is unreachable, or has drained; its client is still there.
+        """Cancel the attempt because its worker hangs, is unreachable or has drained, while its client still waits.
 
         >>> attempt = Attempt("w1", 0); attempt.cancel(); attempt.was_cancelled
         True
@@ -253,13 +256,13 @@
 
 
 class Dispatcher:
-    """This process's HTTP client towards workers, peers and the platform."""
+    """This node's HTTP client towards workers that pool owners select, other nodes and the platform."""
 
     def __init__(
         self, runtime: scheduler.Runtime, on_answer: collections.abc.Callable[[str], None] = lambda _worker: None
     ) -> None:
         self.runtime = runtime
-        self.on_answer = on_answer  # called with a worker's id whenever it says something
+        self.on_answer = on_answer  # called with a worker's id whenever bytes of an answer come from it
         self.pool = client.HTTPConnectionPool(runtime.reactor, persistent=True)
         self.pool.maxPersistentPerHost = MAX_POOLED_PER_HOST
         self.pool.cachedConnectionTimeout = IDLE_CONNECTION_S
@@ -267,17 +270,19 @@
         self.unpooled_agent = self._agent(client.HTTPConnectionPool(runtime.reactor, persistent=False))
 
     def _agent(self, pool: client.HTTPConnectionPool) -> HttpAgent:
-        pool.retryAutomatically = False  # the retry budget and idempotence decide about a retry, not Twisted
+        pool.retryAutomatically = (
+            False  # retries are limited by the retry budget and by idempotence, which Twisted ignores
+        )
         reactor = self.runtime.reactor
         agent = client.Agent.usingEndpointFactory(reactor, AddressEndpoints(reactor), pool)
         return typing.cast("HttpAgent", agent)  # Twisted's interfaces carry no types
 
     async def fetch(self, host: str, port: int, path: str, timeout_us: int) -> bytes:
-        """Return the body of a small GET.
+        """Fetch a small document with GET and return its body.
 
         Raises:
-            NoAnswerError: The answer's status is not 200, or it broke off.
-            scheduler.DeadlineError: No whole answer came in time.
+            UnexpectedAnswerError: The answer's status is not 200, or its body broke off.
+            scheduler.DeadlineError: The answer was not complete in time.
         """
         body: bytes = await self.runtime.within(defer.ensureDeferred(self._fetch(host, port, path)), timeout_us)
         return body
@@ -301,12 +306,12 @@
         return raw
 
     async def can_connect(self, host: str, port: int, timeout_us: int) -> bool:
-        """Whether a bare connection can be had in time."""
+        """Whether a TCP connection can be opened within the time-out."""
         try:
             connection = await tcp_client.connect(self.runtime.reactor, host, port, timeout_us, ProbeConnection)
         except defer.CancelledError:
             raise
-        except Exception:  # refused, timed out, no route: whatever it is, none could be had
+        except Exception:  # refused, timed out, no route: no connection in any of these cases
             return False
         connection.abort()
         return True
@@ -322,19 +327,19 @@
         token: str = "",
         relay_address: tuple[str, int] | None = None,
     ) -> attempt_outcome.AttemptOutcome:
-        """Send a request to a worker and stream the answer back.
+        """Send a request to a worker and stream the answer back to the client.
 
-        A request that may not be repeated goes out on a fresh connection: on a pooled
-        one that the worker just closed, nobody could say whether it had run.
+        A request that is not idempotent goes out on a new connection: if it went out on a pooled connection that the
+        worker had just closed, nobody could say whether the request had run.
 
         Args:
             request: The client's request; the answer is written to it.
             raw: The request's body.
-            worker: The worker.
+            worker: The worker that is to run the request.
             idempotent: Whether the request may run more than once.
-            attempt: The attempt, which others may cut short.
-            token: A relay token, where the request goes by way of another node.
-            relay_address: That node's host and HTTP port.
+            attempt: The attempt, which this node may cancel.
+            token: The relay token where another node relays the request, else "".
+            relay_address: Host and HTTP port of the relaying node, else None.
 
         Raises:
             defer.CancelledError: The client disconnected.
@@ -352,10 +357,14 @@
             if not attempt.was_cancelled:
                 raise
             return attempt_outcome.AttemptOutcome.BROKE
-        except Exception as reason:  # whatever broke after the request went out: it may have run
+        except Exception as reason:  # any failure after the request was sent: it may have run
             if request.gone:
-                raise defer.CancelledError() from reason  # the client left while the connection was made
-            log.warning("Worker {worker} gave no answer: {error}.", worker=worker.id, error=type(reason).__name__)
+                raise defer.CancelledError() from reason  # the client disconnected while the connection was made
+            log.warning(
+                "Worker {worker} gave no answer to a request that may have run: {error}.",
+                worker=worker.id,
+                error=type(reason).__name__,
+            )
             return attempt_outcome.AttemptOutcome.BROKE
         attempt.answer_begun, attempt.last_received_us = True, self.runtime.now()
         if token and response.headers.hasHeader(edge_protocol.RELAY_HEADER):
@@ -363,7 +372,7 @@
         return await self._stream_answer(request, response, worker.id, attempt, relayed=bool(token))
 
     def _relay_failure(self, response: Response) -> attempt_outcome.AttemptOutcome:
-        """Return how an attempt ended of which the relaying node says that it got no answer."""
+        """Return the outcome of an attempt for which the relaying node reports that no answer came from the worker."""
         unsent = response.headers.getRawHeaders(edge_protocol.RELAY_HEADER) == [
             attempt_outcome.AttemptOutcome.UNSENT.value
         ]
@@ -373,7 +382,7 @@
     async def _stream_answer(
         self, request: http_server.Request, response: Response, worker: str, attempt: Attempt, relayed: bool
     ) -> attempt_outcome.AttemptOutcome:
-        """Write an answer to the client as it comes."""
+        """Write an answer to the client while it is received."""
         if not relayed:
             self.on_answer(worker)
         done: defer.Deferred[bool] = defer.Deferred(lambda _: streamer.stopProducing())
@@ -406,7 +415,7 @@
 
 
 def prepare_head(request: http_server.Request, response: Response, worker: str) -> None:
-    """Prepare the head of an answer; it goes out with the first bytes of the body."""
+    """Prepare the head of the answer to the client; it is sent with the first bytes of the body."""
     request.setResponseCode(response.code, response.phrase)
     for name, values in edge_protocol.client_response_headers(response.headers, worker):
         request.responseHeaders.setRawHeaders(name, values)
@@ -415,7 +424,10 @@
 
 
 def end_answer(request: http_server.Request, complete: bool) -> attempt_outcome.AttemptOutcome:
-    """End an answer towards the client as far as it is complete, and say how the attempt ended."""
+    """Finish the answer to the client if it is complete, and return how the attempt ended.
+
+    Where no byte has been sent to the client, the prepared head is discarded, so that another attempt may answer.
+    """
     if complete:
         if not request.gone:
             request.finish()
@@ -427,6 +439,6 @@
 
 
 def discard_head(request: http_server.Request) -> None:
-    """Take a head back that was to go out with the first bytes of an answer which never came."""
+    """Remove the headers that were prepared for an answer of which no byte was received."""
     for name, _ in list(request.responseHeaders.getAllRawHeaders()):
         request.responseHeaders.removeHeader(name)
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -1,4 +1,4 @@
-"""A node's entry point for clients: admission, worker selection, attempts and the answer of each request."""
+"""A node's entry point for client requests: admission, worker selection, attempts and the answer to the client."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
     from iriswheel.dataplane import interfaces
     from iriswheel.transport import http_server, message
 
-MAX_ATTEMPTS = 4  # attempts that may break per request, where the route sets no lower bound
-# Requests that wait, and that run at a time, in each of the two work queues. Long requests have a queue of their own,
-# so that short ones do not wait behind them.
+MAX_ATTEMPTS = 4  # attempts of a request that may break before it is given up; a route may set fewer
+# For each of the two work queues: the requests that may wait (backlog) and that may run at a time (concurrency). Long
+# requests have their own queue, so that short ones do not wait behind them.
 SHORT_BACKLOG = 512
 SHORT_CONCURRENCY = 256
 LONG_BACKLOG = 64
@@ -41,13 +41,13 @@
 
 
 class Gateway:
-    """Composes admission, worker selection, sending and relaying."""
+    """Takes the HTTP requests of a node: admits them, selects workers, and sends or relays to them."""
 
     def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
         self.counts = request_counts.GatewayCounts()
-        self.refused: dict[str, int] = {}  # by error code
+        self.refused: dict[str, int] = {}  # count of refused requests, by error code
         self.retry_budgets = node_budgets.NodeBudgets(node)
         self.router = request_router.RequestRouter(node, self.retry_budgets)
         self.owners = owner_client.OwnerClient(node)
@@ -57,12 +57,12 @@
         self.forwarder = forwarding.Forwarder(node)
         self.short_requests = work_queue.WorkQueue(self.runtime, SHORT_BACKLOG, SHORT_CONCURRENCY, self.run_queued)
         self.long_requests = work_queue.WorkQueue(self.runtime, LONG_BACKLOG, LONG_CONCURRENCY, self.run_queued)
-        self.received_requests = 0  # requests so far, also those relayed for peers; numbers the attempt ids
-        self.open_requests = 0  # requests under way
-        self.request_ended = scheduler.Signal()  # wakes when a request has ended
+        self.received_requests = 0  # requests since the start, with those relayed for peers; part of each attempt id
+        self.open_requests = 0  # requests under way, with those relayed for peers
+        self.request_ended = scheduler.Signal()  # wakes at the end of each request
 
     async def handle(self, request: http_server.Request) -> None:
-        """Serve a status call, a peer's relayed request, or a client's request.
+        """Answer a status call, relay a peer's request to a worker, or serve a client's request.
 
         Raises:
             errors.ServiceError: The request is refused; the HTTP server answers with this error.
@@ -93,8 +93,9 @@
     async def serve(self, http_request: http_server.Request) -> None:
         """Admit a request, charge it to its tenant's rate limit, and forward it.
 
-        Only requests that wait for a pool owner are queued: a node that selects by itself sends or refuses at once,
-        but for the moment after its start.
+        Only requests in pools with an owner are queued, since they wait for the owner's grant. Where the node selects
+        the worker itself, it sends or refuses a request at once. Just after its start, a node holds every request for
+        a short time until it is ready to serve.
         """
         attempt_id = f"{self._next_id()}/0"
         request = routed_request.RoutedRequest(http_request, attempt_id, self.runtime.now())
@@ -117,18 +118,21 @@
             raise
 
     async def serve_admitted(self, request: routed_request.RoutedRequest) -> None:
-        """Forward a request at once where this node selects the worker, else through a work queue."""
+        """Forward a request at once where this node selects the worker; queue it where the pool's owner does."""
         if request.pool.election == schema.Election.NODE:
             await self.forwarder.forward(request)
             return
         request.done = defer.Deferred()
         queue = self.long_requests if request.is_long else self.short_requests
         if not queue.put(request):
-            raise errors.ServiceError("busy", "This node holds as many exchanges as it can.")
+            raise errors.ServiceError("busy", "The work queue of this node is full for now.")
         await request.done
 
     async def run_queued(self, request: routed_request.RoutedRequest) -> None:
-        """Run one request of a work queue and fire its `done`; the work is cancelled when its client disconnects."""
+        """Run one request from a work queue and fire its `done`.
+
+        A request whose client has disconnected is not sent, or cancelled where it is under way.
+        """
         if request.http_request.gone:
             self.counts.disconnected += 1
             request.done.callback(None)
@@ -138,16 +142,16 @@
         except defer.CancelledError:
             self.counts.disconnected += 1
             request.done.callback(None)
-        except Exception as error:  # whatever it is, it goes to the task that serves the request
+        except Exception as error:  # of any type: the task that serves the request handles it
             request.done.errback(error)
         else:
             request.done.callback(None)
 
     async def send_with_grants(self, request: routed_request.RoutedRequest) -> None:
-        """Send a request to workers until one has answered or the request must be given up.
+        """Send a request to one worker after another, each granted by the pool owner, until one has answered.
 
         Raises:
-            errors.ServiceError: It is given up before any byte of an answer.
+            errors.ServiceError: The request is given up, and no byte of an answer has gone to the client.
         """
         excluded_workers: list[str] = []
         broken_attempts = 0
@@ -194,7 +198,7 @@
         attempt: dispatch.Attempt,
         relay_member: str,
     ) -> attempt_outcome.AttemptOutcome:
-        """Send to a worker; relayed by the member `relay_member` where this node has no connection to the worker."""
+        """Send a request to a worker, by way of the node `relay_member` where this node can't reach the worker."""
         dispatcher = self.node.dispatcher
         peer = (
             self.node.follower.member(relay_member) if worker.id in self.node.reachability.unreachable_since else None
@@ -220,7 +224,7 @@
         )
 
     async def relay_for_peer(self, request: http_server.Request) -> None:
-        """Send a peer's request to a worker that the peer can't reach; the peer answers to the client."""
+        """Send a peer's request to a worker that the peer can't reach; the peer passes the answer to its client."""
         outcome = attempt_outcome.AttemptOutcome.UNSENT
         worker = self.relays.redeem_token(request)
         if worker is not None:
@@ -238,9 +242,9 @@
         self.relays.answer(request, outcome)
 
     def _is_routed(self, request: http_server.Request) -> bool:
-        """Whether the configuration routes a path at which the node itself answers otherwise."""
+        """Whether a configured route covers the path of a status call, so that the request goes to a worker instead."""
         if not self.node.edge_protocol.accepts_any_method:
-            return False  # no request of a client comes by GET
+            return False  # clients send POST only, so a GET is a status call
         host = self.node.edge_protocol.parse_request(request).host
         return self.node.follower.find_route(host, request.path.decode("latin-1")) is not None
 
@@ -250,5 +254,5 @@
 
 
 def max_attempts(request: routed_request.RoutedRequest) -> int:
-    """Return how many attempts of a request may break before it is given up."""
+    """Return how many attempts of a request may break before the request is given up."""
     return min(MAX_ATTEMPTS, request.route.sends or MAX_ATTEMPTS)
