--- a/iriswheel/dataplane/worker_connections.py
+++ b/iriswheel/dataplane/worker_connections.py
@@ -1,8 +1,8 @@
-"""Connections to workers: one request at a time on each, kept for the next one.
+"""A pool of HTTP connections to workers, each with one request at a time.
 
-The library's own agent reads one answer for each request and knows no other; a worker in
-trouble may send another's answer first, or more than one. So the connections are ours, and
-the parser is `httptools`.
+Twisted's HTTP agent takes the first answer on a connection as the answer to the request under way. A failing worker may
+first send the answer to another request, or send more than one answer. This module therefore has its own connections,
+which ask for each answer whether it belongs to the request; `httptools` parses the answers.
 """
 
 from __future__ import annotations
@@ -24,71 +24,74 @@
 
 
 CONNECT_TIMEOUT_US = 350 * units.MILLISECOND_US
-KEEP_ALIVE_US = 4 * units.SECOND_US  # an idle connection, where the worker does not say how long it keeps one
-MAX_KEEP_ALIVE_US = 60 * units.SECOND_US  # and where it does, at most
-KEEP_ALIVE_MARGIN_US = 400 * units.MILLISECOND_US  # dropped so long before the worker would
-TCP_USER_TIMEOUT_MS = 2_000  # after which sent bytes that nobody acknowledged end the connection
-IDLE_LIMIT_VALIDITY_US = 30 * units.SECOND_US  # how long it counts that a worker had dropped an idle connection
-MIN_IDLE_LIMIT_US = 100 * units.MILLISECOND_US  # idle connections this young are used whatever was learned
-NO_IDLE_LIMIT_US = 10**12
-MAX_FOREIGN_ANSWERS = 3  # answers to other requests that are passed over during one request
+KEEP_ALIVE_US = 4 * units.SECOND_US  # lifetime of an idle connection to a worker that sends no keep-alive time-out
+MAX_KEEP_ALIVE_US = 60 * units.SECOND_US  # longest lifetime of an idle connection, whatever time-out the worker sends
+KEEP_ALIVE_MARGIN_US = 400 * units.MILLISECOND_US  # time by which an idle connection is closed before the worker does
+TCP_USER_TIMEOUT_MS = 2_000  # time without an acknowledgement of sent bytes until TCP closes the connection
+IDLE_LIMIT_VALIDITY_US = 30 * units.SECOND_US  # lifetime of the idle limit learned for a worker
+MIN_IDLE_LIMIT_US = 100 * units.MILLISECOND_US  # smallest idle limit that is learned for a worker
+NO_IDLE_LIMIT_US = 10**12  # idle limit of a worker for which none is learned
+MAX_FOREIGN_ANSWERS = 3  # answers to other requests that are discarded while one request waits for its own
 
 
 class UnreachableError(Exception):
-    """No connection to a worker could be had: nothing was sent."""
+    """No connection to a worker could be made, so that nothing was sent to it."""
 
     code = "unreached"
 
 
 class AnswerReceiver(typing.Protocol):
-    """What takes an answer from a connection: all of it, and then one of the two ends."""
+    """Receives the answer to one request from a connection.
 
-    bodyless: bool  # whether the answer is a head alone
+    The connection calls `head_received` and `data_received`, and last either `answer_complete` or `answer_lost`.
+    """
+
+    bodyless: bool  # whether the answer consists of a head without a body
 
     def owns(self, status: int, headers: dict[str, str], uses: int) -> bool | None:
-        """Whether an answer belongs to the request; None where that can't be told."""
+        """Whether an answer belongs to this receiver's request; None where the answer does not tell."""
 
     def head_received(self, status: int, headers: list[tuple[bytes, bytes]], lowercase: dict[str, str]) -> None:
-        """Take the answer's status and headers, the latter as they came and by lower-case name."""
+        """Take the answer's status and its headers, both in their received form and by lower-case name."""
 
     def data_received(self, data: bytes) -> None:
-        """Take a piece of the answer's body."""
+        """Take one piece of the answer's body."""
 
     def answer_complete(self) -> None:
-        """Note that the whole answer has come."""
+        """Note that the whole answer has been received."""
 
     def answer_lost(self) -> None:
-        """Note that the connection broke off, or brought what is no answer."""
+        """Note that the connection was lost, or carried bytes that are no valid answer."""
 
 
 class TcpTransport(typing.Protocol):
-    """What a connection uses of its TCP transport."""
+    """The methods of the TCP transport that a connection uses."""
 
     def write(self, data: bytes, /) -> None:
         """Send bytes."""
 
     def abortConnection(self) -> None:
-        """Break the connection off."""
+        """Close the connection without sending what is buffered."""
 
     def setTcpNoDelay(self, enabled: bool, /) -> None:
-        """Send small pieces at once."""
+        """Send small writes at once, without Nagle's algorithm."""
 
     def pauseProducing(self) -> None:
-        """Read no further for now."""
+        """Pause reading."""
 
     def resumeProducing(self) -> None:
-        """Go on reading."""
+        """Resume reading."""
 
 
 ConnectionCallback: typing.TypeAlias = "collections.abc.Callable[[WorkerConnection], None]"
 
 
 def _ignore(connection: WorkerConnection) -> None:
-    """Stand in for a callback before the pool has set its own."""
+    """Do nothing; the default of each callback until the pool sets its own."""
 
 
 class WorkerConnection(protocol.Protocol):
-    """One connection to a worker."""
+    """One HTTP connection to a worker, with at most one request under way."""
 
     # Set by `makeConnection`, before anything else is called.
     transport: TcpTransport  # type: ignore[assignment]
@@ -96,35 +99,35 @@
     def __init__(self, runtime: scheduler.Runtime, worker: str) -> None:
         self.runtime = runtime
         self.worker = worker
-        self.receiver: AnswerReceiver | None = None  # while a request is under way
+        self.receiver: AnswerReceiver | None = None  # receiver of the answer; None while the connection is idle
         self.parser = httptools.HttpResponseParser(self)
         self.headers: list[tuple[bytes, bytes]] = []
         self.is_connected = False
-        self.uses = 0  # requests that went over it
-        self.foreign_answers = 0  # that were passed over during this request
-        self.skipping_answer = False  # whether the answer that comes now is passed over
-        self.must_close = False  # it is not to be used again
+        self.uses = 0  # number of requests sent on it, with the one under way
+        self.foreign_answers = 0  # answers to other requests that were discarded during the request under way
+        self.skipping_answer = False  # whether the answer that is being received is discarded
+        self.must_close = False  # whether it must not carry another request
         self.keep_alive_us = KEEP_ALIVE_US
-        self.expires_at_us = 0  # when an idle one is dropped
+        self.expires_at_us = 0  # time at which it is dropped if it is still idle
         self.idle_since_us = 0
-        self.idle_us = 0  # how long it was idle before the request under way
-        self.received_any = False  # whether anything came back in this request
-        self.paused = False  # while the client reads too slowly
-        self.on_stale: ConnectionCallback = _ignore
-        self.on_free: ConnectionCallback = _ignore
-        self.on_closed: ConnectionCallback = _ignore
+        self.idle_us = 0  # idle time before the request under way; 0 for the first request
+        self.received_any = False  # whether any byte was received during the request under way
+        self.paused = False  # whether reading is paused, because the client reads too slowly
+        self.on_stale: ConnectionCallback = _ignore  # called when a reused connection was lost without a byte received
+        self.on_free: ConnectionCallback = _ignore  # called when it is idle and can take the next request
+        self.on_closed: ConnectionCallback = _ignore  # called once it is closed
 
     def connectionMade(self) -> None:
-        """Set the socket's options."""
+        """Set the options of the socket: no delay, keep-alive, and the TCP user time-out."""
         self.is_connected = True
         self.transport.setTcpNoDelay(True)
         handle: socket.socket | None = getattr(self.transport, "getHandle", lambda: None)()
-        if handle is not None:  # a simulated transport has none
+        if handle is not None:  # a simulated transport has no socket
             handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
             handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
     def start(self, raw: bytes, receiver: AnswerReceiver) -> None:
-        """Send a request; its answer goes to the receiver."""
+        """Send a request, whose answer is given to the receiver."""
         self.receiver = receiver
         self.idle_us = self.runtime.now() - self.idle_since_us if self.uses else 0
         self.received_any = False
@@ -134,24 +137,24 @@
         self.transport.write(raw)
 
     def pause(self) -> None:
-        """Read no further for now."""
+        """Pause reading."""
         self.paused = True
         self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Go on reading."""
+        """Resume reading."""
         self.paused = False
         self.transport.resumeProducing()
 
     def drop(self) -> None:
-        """Break the connection off; its receiver, if any, is told nothing."""
+        """Close the connection at once, without a call to its receiver."""
         self.must_close = True
         self.receiver = None
         if self.is_connected:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Feed the parser; bytes that nobody asked for, or that are no HTTP, end the connection."""
+        """Feed the parser; bytes that come without a request under way, or that are not HTTP, end the connection."""
         if self.receiver is None:
             self.drop()
             return
@@ -162,7 +165,7 @@
             self._fail()
 
     def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
-        """End the request under way, if any."""
+        """End the request under way, if there is one, as lost."""
         self.is_connected = False
         self.must_close = True
         receiver, self.receiver = self.receiver, None
@@ -172,20 +175,23 @@
                 self.on_stale(self)
             receiver.answer_lost()
 
-    # ---- what the parser calls; an exception here ends its `feed_data` with an HttpParserError -----
+    # ---- callbacks of the parser; where one raises, the parser's `feed_data` raises an HttpParserError -----
 
     def on_message_begin(self) -> None:
-        """Begin an answer; one more after a whole answer ends the connection."""
+        """Begin an answer; one that begins after the request's own answer ended closes the connection."""
         self.headers = []
         if self.receiver is None:
             self.drop()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Store one header of the answer."""
         self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Decide whose answer it is; one to another request, come late, is passed over."""
+        """Decide whether the answer belongs to the request under way.
+
+        Interim answers (1xx), and late answers to other requests, are discarded.
+        """
         receiver = self.receiver
         if receiver is None:
             return
@@ -205,21 +211,21 @@
                 self.skipping_answer = True
                 self.foreign_answers += 1
             case None:
-                raise ValueError("whose answer it is can't be told")
+                raise ValueError("the answer does not tell to which request it belongs")
 
     def on_body(self, body: bytes) -> None:
-        """Pass a piece of the body on."""
+        """Pass one piece of the body to the receiver."""
         if self.receiver is not None and not self.skipping_answer:
             self.receiver.data_received(body)
 
     def on_message_complete(self) -> None:
-        """End the request, unless it was another's answer."""
+        """End the request, unless the answer that ended was a discarded one."""
         if self.receiver is None:
             return
         if self.skipping_answer:
             self.skipping_answer = False
             if self.foreign_answers > MAX_FOREIGN_ANSWERS:
-                raise ValueError("too many answers of others")
+                raise ValueError("the worker sent too many answers to other requests")
             return
         receiver, self.receiver = self.receiver, None
         if not self.parser.should_keep_alive():
@@ -228,21 +234,21 @@
         self.release()
 
     def _fail(self) -> None:
-        """End the request and the connection: what came is no answer."""
+        """End the request and the connection after bytes that are no valid answer."""
         receiver = self.receiver
         self.drop()
         if receiver is not None:
             receiver.answer_lost()
 
     def _end_without_body(self) -> None:
-        """End a request whose answer is its head alone; the parser would wait for the length that is told."""
+        """End a request whose answer has no body; the parser would wait for the body that Content-Length announces."""
         receiver = self.receiver
         self.drop()
         if receiver is not None:
             receiver.answer_complete()
 
     def _note_keep_alive(self, headers: dict[str, str]) -> None:
-        """Note how long the worker keeps the connection."""
+        """Note how long the worker keeps the connection open while it is idle, as the answer's headers say."""
         self.keep_alive_us = KEEP_ALIVE_US
         if "close" in headers.get("connection", "").lower():
             self.must_close = True
@@ -252,30 +258,30 @@
                 self.keep_alive_us = min(MAX_KEEP_ALIVE_US, int(value) * units.SECOND_US - KEEP_ALIVE_MARGIN_US)
 
     def release(self) -> None:
-        """Offer the connection for the next request, if it is sound."""
+        """Return the connection to the pool for the next request, or close it where it can't be reused."""
         if self.must_close or self.keep_alive_us <= 0 or not self.is_connected:
             self.drop()
             return
         if self.paused:
-            self.resume()  # else its end would not be noticed, nor the next answer read
+            self.resume()  # a paused connection would neither notice its end nor read the next answer
         self.idle_since_us = self.runtime.now()
         self.expires_at_us = self.idle_since_us + self.keep_alive_us
         self.on_free(self)
 
     def is_usable(self, now: int) -> bool:
-        """Whether an idle connection may still be used, or kept."""
+        """Whether an idle connection can still carry a request: it is open and has not expired."""
         return self.is_connected and not self.must_close and now < self.expires_at_us
 
 
 class IdleLimit(typing.NamedTuple):
-    """For how long idle connections to a worker may be trusted, as was learned at a time."""
+    """The idle time up to which connections to a worker are reused, learned from a connection that was lost."""
 
     learned_at_us: int
-    limit_us: int
+    limit_us: int  # longest idle time, in microseconds
 
 
 class ConnectionPool:
-    """All connections of this process to workers.
+    """The connections of this process to workers, idle ones and those with a request under way.
 
     >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).count("w1")
     0
@@ -283,10 +289,11 @@
 
     def __init__(self, runtime: scheduler.Runtime) -> None:
         self.runtime = runtime
-        self.idle: dict[str, list[WorkerConnection]] = {}  # by worker, the latest used last
-        self.open: dict[str, int] = {}  # worker -> how many there are
-        self.idle_limits: dict[str, IdleLimit] = {}  # by worker
-        self.on_connected: collections.abc.Callable[[str], object] = lambda _worker: None  # with the worker
+        self.idle: dict[str, list[WorkerConnection]] = {}  # by worker id, the most recently used last
+        self.open: dict[str, int] = {}  # number of open connections, by worker id
+        self.idle_limits: dict[str, IdleLimit] = {}  # learned idle limits, by worker id
+        # Called with the worker's id after each new connection.
+        self.on_connected: collections.abc.Callable[[str], object] = lambda _worker: None
 
     def count(self, worker: str) -> int:
         """Return how many connections to a worker are open.
@@ -297,7 +304,7 @@
         return self.open.get(worker, 0)
 
     def take(self, worker: str, max_idle_us: int) -> WorkerConnection | None:
-        """Return an idle connection that was used within max_idle_us, or None.
+        """Take an idle connection that was last used within max_idle_us; returns None where there is none.
 
         >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).take("w1", 1) is None
         True
@@ -317,7 +324,7 @@
         return None
 
     def idle_limit_us(self, worker: str) -> int:
-        """Return how long a connection to a worker may have been idle and still be used, in microseconds.
+        """Return the longest idle time, in microseconds, after which a connection to a worker is still reused.
 
         >>> pool = ConnectionPool(scheduler.Runtime(None, now=lambda: 0))
         >>> pool.idle_limits["w1"] = IdleLimit(0, 700_000)
@@ -332,28 +339,28 @@
     async def get(
         self, worker: message.Worker, max_idle_us: int, left_us: int = CONNECT_TIMEOUT_US
     ) -> WorkerConnection:
-        """Return a connection to a worker, an idle one if it was used within max_idle_us.
+        """Return a connection to a worker: an idle one that was last used within max_idle_us, or else a new one.
 
-        A new one is waited for up to CONNECT_TIMEOUT_US, and no longer than left_us.
+        The time-out of a new connection is CONNECT_TIMEOUT_US or left_us, whichever is shorter.
 
         Raises:
-            UnreachableError: No connection could be had.
+            UnreachableError: No connection could be made.
         """
         return self.take(worker.id, max_idle_us) or await self.connect(worker, left_us)
 
     async def connect(self, worker: message.Worker, left_us: int = CONNECT_TIMEOUT_US) -> WorkerConnection:
-        """Return a new connection to a worker, waited for up to CONNECT_TIMEOUT_US, and no longer than left_us.
+        """Return a new connection to a worker, with a time-out of CONNECT_TIMEOUT_US or left_us if that is shorter.
 
         Raises:
-            UnreachableError: No connection could be had.
+            UnreachableError: No connection could be made.
         """
         self.open[worker.id] = self.open.get(worker.id, 0) + 1
         try:
             connection = await self._connect(worker, max(0, min(CONNECT_TIMEOUT_US, left_us)))
         except (defer.CancelledError, error.ConnectingCancelledError) as cancelled:
             self._count_closed(worker.id)
-            raise defer.CancelledError() from cancelled  # an endpoint says it by an error of its own
-        except Exception as reason:  # refused, timed out, no route: all mean that nothing was sent
+            raise defer.CancelledError() from cancelled  # Twisted's endpoints report a cancellation by their own error
+        except Exception as reason:  # refused, timed out, no route: in each case nothing was sent
             self._count_closed(worker.id)
             raise UnreachableError(type(reason).__name__) from reason
         connection.on_free = self._add_idle
@@ -366,7 +373,7 @@
         return connection
 
     def sweep(self, listed: set[str]) -> None:
-        """Drop idle connections past their time, and those to workers that are listed no more.
+        """Drop idle connections that have expired, and those to workers whose ids are not in `listed`.
 
         >>> ConnectionPool(scheduler.Runtime(None, now=lambda: 0)).sweep({"w1"})
         """
@@ -392,11 +399,11 @@
         )
 
     def _add_idle(self, connection: WorkerConnection) -> None:
-        """Keep a connection that is idle now."""
+        """Keep a connection that has become idle for the next request to its worker."""
         self.idle.setdefault(connection.worker, []).append(connection)
 
     def _shorten_idle_limit(self, connection: WorkerConnection) -> None:
-        """Trust younger connections only: one that had been idle was gone when it was used."""
+        """Halve the idle limit of a worker that had closed an idle connection by the time it was reused."""
         if connection.idle_us > MIN_IDLE_LIMIT_US:
             worker = connection.worker
             limit_us = max(MIN_IDLE_LIMIT_US, min(connection.idle_us // 2, self.idle_limit_us(worker)))
