--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -1,4 +1,4 @@
-"""One attempt's answer: taken from the worker's connection and written to the client."""
+"""The answer of one attempt, received on the worker's connection and written to the client."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 if typing.TYPE_CHECKING:
     from iriswheel.dataplane import forwarded_request, interfaces, request_counts, worker_connections
 
-BROKEN_SUSPICION = 0.5  # how much a broken connection counts against its worker
+BROKEN_SUSPICION = 0.5  # added to a worker's suspicion (0 to 1) by a broken connection
 
 EVENT_ID = re.compile(rb"(?:^|\n)id: ?([^\r\n]*)")
 EVENT_END = re.compile(rb"\r?\n\r?\n")
 
 
 class AnswerStream:
-    """Receives an answer from a worker's connection; towards the client it is the answer's producer.
+    """Receives an answer from a worker's connection and is, for the client's connection, the producer of its body.
 
-    Of an event stream that may be resumed at another worker only whole events go to the client. A refusal or a
-    failure is held back, since the request may still be sent to another worker.
+    Where the route allows that a stream is resumed at another worker, only whole events are written to the client.
+    The body of a refusal or a failure is held back, since the request may still be sent to another worker.
     """
 
     def __init__(
@@ -33,35 +33,38 @@
         worker: str,
     ) -> None:
         self.node = node
-        self.counts = counts  # of the forwarder; `broken` is counted here
+        self.counts = counts  # the forwarder's counts, of which this class counts `broken`
         self.request = request
         self.worker = worker
         self.runtime = node.runtime
         self.protocol = node.edge_protocol
-        self.bodyless = request.http_request.method == b"HEAD"  # its answer is a head alone
+        self.bodyless = request.http_request.method == b"HEAD"  # the answer to HEAD has no body
         self.connection: worker_connections.WorkerConnection | None = None
         self.done: defer.Deferred[attempt_outcome.AttemptOutcome] = defer.Deferred(lambda _: self.stop())
         self.started_at_us = self.last_received_us = self.runtime.now()
-        self.expected_us = 0  # how long its first event was expected to take
-        self.failure_recorded = False
-        self.paused = False  # while the client reads too slowly
-        self.unread_tokens = 0  # of the prompt, not read by the worker yet as far as is known
+        self.expected_us = 0  # expected time from the send to the first event
+        self.failure_recorded = False  # whether a silence has been recorded as a failure of the worker
+        self.paused = False  # whether reading is paused, because the client reads too slowly
+        self.unread_tokens = 0  # prompt tokens that the worker has still to prefill, by this node's estimate
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
         self.lowercase_headers: dict[str, str] = {}
-        self.received_any = False  # whether the answer's own bytes have come
-        self.partial_event = b""  # the piece of an event that has no end yet
-        self.held_back: list[bytes] = []  # the body of a refusal or a failure
+        self.received_any = False  # whether any byte of a successful answer's body has been received
+        self.partial_event = b""  # received bytes of an event whose end is still to come
+        self.held_back: list[bytes] = []  # pieces of the body of a refusal or a failure
 
-    # ---- what the connection calls ------------------------------------------------------
+    # ---- called by the worker's connection ----------------------------------------------
 
     def owns(self, status: int, headers: dict[str, str], uses: int) -> bool | None:
-        """Whether an answer is this request's; None where that can't be told.
+        """Whether an answer belongs to this attempt's request; None where that is not certain.
+
+        An answer that names no request belongs to this one if it reports that the worker did not run the request,
+        and no other request was sent on the connection before.
 
         Args:
-            status: The answer's status.
+            status: The HTTP status of the answer.
             headers: The answer's headers, with their names in lower case.
-            uses: How many requests have gone over the connection, this one included.
+            uses: The number of requests sent on the connection, with this one.
         """
         is_ours = self.protocol.is_answer_to(self.request.parsed.attempt_tag, status, headers)
         if is_ours is not None:
@@ -69,12 +72,12 @@
         return (uses <= 1 and self.protocol.reports_not_run(status, headers)) or None
 
     def head_received(self, status: int, headers: list[tuple[bytes, bytes]], lowercase: dict[str, str]) -> None:
-        """Take the answer's status and headers, the latter as they came and by lower-case name."""
+        """Take the answer's status and its headers, both in their received form and by lower-case name."""
         self._note_contact()
         self.status, self.headers, self.lowercase_headers = status, list(headers), lowercase
 
     def data_received(self, data: bytes) -> None:
-        """Take a piece of the answer's body."""
+        """Take one piece of the answer's body: write it to the client, or hold it back."""
         self._note_contact()
         if not 200 <= self.status < 300 or not self.protocol.is_from_worker(self.status, self.lowercase_headers):
             self.held_back.append(data)
@@ -95,7 +98,7 @@
         self._write(data)
 
     def answer_complete(self) -> None:
-        """Note that the whole answer has come."""
+        """End the attempt after the whole answer has been received."""
         if not 200 <= self.status < 300:
             refused = self.protocol.reports_not_run(self.status, self.lowercase_headers)
             self._finish(attempt_outcome.AttemptOutcome.REFUSED if refused else attempt_outcome.AttemptOutcome.FAILED)
@@ -110,33 +113,36 @@
             self._finish(attempt_outcome.AttemptOutcome.COMPLETE)
 
     def answer_lost(self) -> None:
-        """Note that the connection broke off, or brought what is no answer."""
+        """End the attempt after the connection was lost, or carried bytes that are no valid answer."""
         self.counts.broken += 1
         self.request.placement.record_failure(self.worker, BROKEN_SUSPICION)
         self._finish(self.broken_outcome())
 
-    # ---- what the forwarder calls -------------------------------------------------------
+    # ---- called by the forwarder --------------------------------------------------------
 
     def start(self, connection: worker_connections.WorkerConnection, head: bytes) -> None:
-        """Send the request over a connection; the attempt's time begins anew."""
+        """Send the request over a connection, and become the producer of the client's answer."""
         self.request.http_request.registerProducer(self, True)
         connection.start(head + self.request.raw, self)
 
     def stop(self, outcome: attempt_outcome.AttemptOutcome | None = None) -> None:
-        """End the attempt from this side; the worker's connection is broken off."""
+        """End the attempt before its answer is complete, and close the worker's connection.
+
+        Without an outcome, as at a cancellation, `done` does not fire from here.
+        """
         if self.connection is not None:
             self.connection.drop()
         if outcome is not None:
             self._finish(outcome)
 
     def broken_outcome(self) -> attempt_outcome.AttemptOutcome:
-        """Return the outcome of an attempt that ends before its whole answer has come."""
+        """Return the outcome of an attempt that ends before its answer is complete."""
         if self.request.answer_begun:
             return attempt_outcome.AttemptOutcome.INTERRUPTED
         return attempt_outcome.AttemptOutcome.BROKE
 
     def answer_failure(self) -> None:
-        """Give the worker's own failure to the client, as it is."""
+        """Pass the worker's failure on to the client, with its status, headers and body."""
         body, client_request = b"".join(self.held_back), self.request.http_request
         if client_request.gone:
             return
@@ -146,7 +152,7 @@
         client_request.finish()
 
     def _note_contact(self) -> None:
-        """The worker said something."""
+        """Note that bytes have come from the worker."""
         self.last_received_us = self.runtime.now()
         self.request.placement.note_contact(self.worker)
 
@@ -155,7 +161,7 @@
             self.done.callback(outcome)
 
     def _write(self, data: bytes) -> None:
-        """Write a piece to the client; the first one takes the answer's head along."""
+        """Write a piece of the body to the client; the first call also sets the answer's head."""
         request, client_request = self.request, self.request.http_request
         if client_request.gone or client_request.finished:
             return
@@ -163,7 +169,7 @@
             request.answer_begun = True
             self._set_head()
             length = self.lowercase_headers.get("content-length")
-            if length is not None and not request.resume:  # what another worker adds may be longer or shorter
+            if length is not None and not request.resume:  # a resumed answer may be longer or shorter
                 client_request.setHeader("Content-Length", length)
             if self.node.draining:
                 client_request.setHeader("Connection", "close")
@@ -176,27 +182,27 @@
         for name, value in self.protocol.client_headers(self.headers, self.worker):
             client_request.responseHeaders.addRawHeader(name, value)
 
-    # ---- what the client's connection calls -----------------------------------------------
+    # ---- called by the client's connection ------------------------------------------------
 
     def pauseProducing(self) -> None:
-        """Read no further while the client does not keep up."""
+        """Stop reading from the worker while the client reads too slowly."""
         self.paused = True
         if self.connection is not None and self.connection.receiver is self:
             self.connection.pause()
 
     def resumeProducing(self) -> None:
-        """Go on reading; the time while it was paused is not the worker's silence."""
+        """Resume reading; the worker's silence is measured anew, since it was not silent during the pause."""
         self.paused = False
         self.last_received_us = self.runtime.now()
         if self.connection is not None and self.connection.receiver is self:
             self.connection.resume()
 
     def stopProducing(self) -> None:
-        """Do nothing: the request's own signal tells that its client has disconnected."""
+        """Do nothing: the signal `lost` of the request reports that the client has disconnected."""
 
 
 def complete_events(raw: bytes) -> tuple[bytes, bytes]:
-    r"""Split a stream's bytes into whole events and the rest.
+    r"""Split received bytes of an event stream into whole events and the incomplete rest.
 
     >>> complete_events(b"id: 1\n\nid: 2\n\nid:")
     (b'id: 1\n\nid: 2\n\n', b'id:')
--- a/iriswheel/dataplane/attempt_outcome.py
+++ b/iriswheel/dataplane/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""How an attempt to have a worker answer a request ended."""
+"""The outcome of an attempt, which is one send of a request to a worker."""
 
 from __future__ import annotations
 
@@ -6,16 +6,18 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt ended; dispatch, which can't read a worker's refusals, gives only the first four.
+    """How an attempt ended.
+
+    The module `dispatch` gives only the first four, as it passes every answer on without a look at its status.
 
     >>> AttemptOutcome.COMPLETE.name
     'COMPLETE'
     """
 
-    COMPLETE = "complete"  # the worker's whole answer went to the client
-    UNSENT = "unsent"  # no worker was reached
-    BROKE = "broke"  # it may have run; no byte of an answer went to the client
-    INTERRUPTED = "interrupted"  # the answer broke off after bytes had gone to the client
-    REFUSED = "refused"  # the worker said that it did not run it
-    FAILED = "failed"  # the worker's own answer is a failure; nothing went to the client
-    LATE = "late"  # the request's time is over
+    COMPLETE = "complete"  # the worker's whole answer was received and written to the client
+    UNSENT = "unsent"  # the request was not sent to the worker
+    BROKE = "broke"  # the request may have run, and no byte of an answer was written to the client
+    INTERRUPTED = "interrupted"  # the answer broke off after bytes of it had been written to the client
+    REFUSED = "refused"  # the worker reported that it did not run the request
+    FAILED = "failed"  # the worker answered with an error status, which was not written to the client
+    LATE = "late"  # the request's deadline passed
--- a/iriswheel/dataplane/client_disconnect.py
+++ b/iriswheel/dataplane/client_disconnect.py
@@ -1,4 +1,4 @@
-"""Work for a client that ends when the client disconnects."""
+"""Cancellation of the work for a request when the request's client disconnects."""
 
 from __future__ import annotations
 
--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -1,4 +1,4 @@
-"""What is kept of a request over its attempts, where the node itself selects the workers."""
+"""The state of a request over all its attempts, in a pool whose workers the node itself selects."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ForwardedRequest:
-    """One request that the forwarder sends, with what was learned of it so far."""
+    """One request that the forwarder sends, with the results of its attempts so far."""
 
     def __init__(self, routed: routed_request.RoutedRequest, pool_placement: placement.Placement) -> None:
         self.http_request = routed.http_request
@@ -27,14 +27,16 @@
         self.deadline_us = routed.deadline_us
         sizes = self.parsed.sizes
         self.keys = placement.chain(self.parsed.parts)
-        self.unnamed_tokens = max(0, self.parsed.tokens_in - sum(sizes))  # of the prompt, that no part names
-        self.own_tokens = self.unnamed_tokens + (sizes[-1] if sizes else 0)  # that no other request shares
-        self.last_event_id = self.parsed.last_event_id
-        self.answer_begun = False  # whether a byte went to the client
-        self.may_have_run = False  # whether a worker may have run it
-        self.sends = 0
-        self.excluded_workers: set[str] = set()  # workers that it is not sent to any more
+        self.unnamed_tokens = max(0, self.parsed.tokens_in - sum(sizes))  # prompt tokens outside the named parts
+        self.own_tokens = self.unnamed_tokens + (
+            sizes[-1] if sizes else 0
+        )  # prompt tokens not shared with others: unnamed ones and the last part
+        self.last_event_id = self.parsed.last_event_id  # id of the last event that the client has
+        self.answer_begun = False  # whether an answer to the client has begun
+        self.may_have_run = False  # whether a worker may have run the request
+        self.sends = 0  # number of attempts sent to a worker
+        self.excluded_workers: set[str] = set()  # ids of workers to which it is not sent again
 
     def known_outcome(self) -> errors.ExecutionOutcome:
-        """Return what may be said of the request if it is given up now."""
+        """Return whether the request may have run at a worker, for the error that answers it if it is given up now."""
         return errors.ExecutionOutcome.MAY_HAVE_RUN if self.may_have_run else errors.ExecutionOutcome.NOT_RUN
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -1,4 +1,7 @@
-"""Relaying to a worker by way of a peer, where this node does not reach the worker itself; both sides."""
+"""Relaying of a request by way of another node (peer), where a node can't reach the worker itself.
+
+`request_token` is the side of the node that has the client, `RelayServer` that of the peer that reaches the worker.
+"""
 
 from __future__ import annotations
 
@@ -13,12 +16,12 @@
     from iriswheel.dataplane import interfaces
     from iriswheel.transport import http_server
 
-TOKEN_VALIDITY_US = 700 * units.MILLISECOND_US  # how long a token is valid, and how long a peer may take to give one
-TOKEN_BITS = 96
+TOKEN_VALIDITY_US = 700 * units.MILLISECOND_US  # lifetime of a token, and time-out of the call to a peer for one
+TOKEN_BITS = 96  # random bits in the name of a token
 
 
 class RelayToken(typing.NamedTuple):
-    """The right to one relayed request to a worker, until a time."""
+    """The right of a peer to have one request relayed to a worker before the token expires."""
 
     worker: str
     expires_at_us: int
@@ -28,7 +31,7 @@
 
 
 async def request_token(local_node: interfaces.DataPlaneNode, peer: message.Member, worker: str) -> str:
-    """Ask a peer for a relay token; returns "" where the peer can't help or does not answer."""
+    """Ask a peer for a relay token; returns "" where the peer can't reach the worker either, or does not answer."""
     try:
         response = await local_node.peers.call(peer.host, peer.port, message.RelayRequest(worker), TOKEN_VALIDITY_US)
     except (wire.ConnectionBrokenError, scheduler.DeadlineError):
@@ -38,7 +41,7 @@
 
 
 class RelayServer:
-    """Gives tokens to peers and passes their requests on to workers."""
+    """Issues relay tokens to peers and sends the peers' requests to workers."""
 
     def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
@@ -46,7 +49,11 @@
         self.tokens: dict[str, RelayToken] = {}
 
     def issue_token(self, worker: str) -> str:
-        """Return a token for one request of a peer to a worker, or "" where this node can't help."""
+        """Return the name of a new token for one request to a worker, or "" where this node can't relay to it.
+
+        A node relays only to a worker that accepts requests and can be reached, and only while it needs no
+        rejoin and its worker list is recent.
+        """
         follower, now = self.node.follower, self.runtime.now()
         for expired in [name for name, token in self.tokens.items() if token.expires_at_us < now]:
             del self.tokens[expired]
@@ -62,7 +69,10 @@
         return name
 
     def redeem_token(self, request: http_server.Request) -> message.Worker | None:
-        """Use up the token that a peer's request carries; returns its worker while it is valid and ready."""
+        """Take the token that a peer's request carries out of use, and return its worker.
+
+        Returns None where the token is unknown or has expired, or where the worker accepts no requests any more.
+        """
         name = edge_protocol.header(request.requestHeaders, edge_protocol.RELAY_HEADER)
         token = self.tokens.pop(name or "", NO_TOKEN)
         worker = self.node.follower.states.get(token.worker)
@@ -75,14 +85,18 @@
     async def send(
         self, request: http_server.Request, worker: message.Worker, attempt: dispatch.Attempt
     ) -> attempt_outcome.AttemptOutcome:
-        """Send a peer's request to its worker; cancelled when the peer disconnects."""
+        """Send a peer's request to its worker; the work is cancelled when the peer disconnects."""
         assert request.content is not None, "the body is read before the request is handled"
         return await client_disconnect.run_until_disconnect(
             request, self.node.dispatcher.send(request, request.content.read(), worker, False, attempt)
         )
 
     def answer(self, request: http_server.Request, outcome: attempt_outcome.AttemptOutcome) -> None:
-        """Tell the peer how the send ended, where the worker's own answer has not done so."""
+        """Report to the peer how the send ended, unless the worker's answer has been passed on completely.
+
+        An answer that broke off is broken off towards the peer too. Where no byte came, the relay header holds the
+        outcome.
+        """
         match outcome:
             case attempt_outcome.AttemptOutcome.INTERRUPTED:
                 request.break_off()
--- a/iriswheel/dataplane/routed_request.py
+++ b/iriswheel/dataplane/routed_request.py
@@ -1,4 +1,4 @@
-"""The state of one client request from its admission to its end."""
+"""The state of one client request from its arrival at the node to its end."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class RoutedRequest:
-    """One request on its way through the node.
+    """One client request that this node handles.
 
-    The router fills in what the configuration says of it; `parsed`, `route`, `pool` and `terms` are set once
-    it is admitted. Times are microseconds of `Runtime.now`.
+    The request router sets what the configuration says of the request: `parsed`, `route`, `pool`, `pool_name` and
+    `terms` have no value before that. Times are in microseconds, as returned by `Runtime.now`.
     """
 
     __slots__ = (
@@ -53,50 +53,54 @@
     pool: configuration.Pool
     pool_name: str
     terms: configuration.Terms
-    done: defer.Deferred[None]  # fires when a request that went through a work queue is over
+    done: defer.Deferred[None]  # fires when a request from a work queue has ended
 
     def __init__(self, http_request: http_server.Request, attempt_id: str, now: int) -> None:
         self.http_request = http_request
         self.attempt_id = attempt_id
         self.arrived_at_us = now
-        self.raw = b""
-        self.parts: list[str] = []  # ids of the prompt's parts, outermost first
+        self.raw = b""  # body of the request
+        self.parts: list[str] = []  # ids of the shared parts of the prompt, outermost first
         self.request_id = ""
-        self.attempt_number = 0  # the client's number of this send of the request; above 1 it is a repeat
+        self.attempt_number = (
+            0  # the client's number of its attempt at this request, from 1; 0 where the client does not say
+        )
         self.idempotent = False
         self.session = ""
         self.is_long = False
         self.work_units = 0
         self.deadline_us = now
-        self.configuration_index = 0  # the configuration's log index when it was routed
+        self.configuration_index = 0  # log index of the configuration by which it was routed
         self.may_have_run = False  # whether an attempt may have reached a worker
-        self.grant_requested = False  # whether a pool owner may hold a grant for it
+        self.grant_requested = False  # whether a pool owner has been asked for a grant, and may hold one
         self.tenant_name = ""
-        self.tenant: configuration.Tenant | None = None  # whose key it carries, where keys are required
+        self.tenant: configuration.Tenant | None = (
+            None  # the tenant whose API key it carries; None where no key is required
+        )
 
     @property
     def urgency(self) -> int:
-        """The tenant's urgency, or else the route's; 0 goes first."""
+        """The urgency set for the tenant, or else the route's; 0 is the most urgent."""
         if self.tenant is None or self.tenant.urgency == schema.ROUTE_URGENCY:
             return self.route.urgency
         return self.tenant.urgency
 
     @property
     def is_retry(self) -> bool:
-        """Whether a send now would repeat one that may have run, by this node or by the client's word."""
+        """Whether the next send is a retry: an attempt of this node may have run, or the client says it is a retry."""
         return self.may_have_run or self.attempt_number > 1
 
     def known_outcome(self) -> errors.ExecutionOutcome:
-        """Return what may be said of the request if it is given up now."""
+        """Return whether the request may have run at a worker, for the error that answers it if it is given up now."""
         return errors.ExecutionOutcome.MAY_HAVE_RUN if self.may_have_run else errors.ExecutionOutcome.NOT_RUN
 
     def renew_attempt_id(self) -> None:
-        """Take the next attempt id: a given-up attempt's id is never used for another one."""
+        """Take the next attempt id, since the id of an attempt that was given up is never used again."""
         self.attempt_id = next_attempt_id(self.attempt_id)
 
 
 def next_attempt_id(attempt_id: str) -> str:
-    """Return the id of the attempt that follows; one request's attempts are numbered after the slash.
+    """Return the id of a request's next attempt; the attempts of one request are numbered after the slash.
 
     >>> next_attempt_id("n1-c0ffee-7/0")
     'n1-c0ffee-7/1'
--- a/iriswheel/dataplane/tcp_client.py
+++ b/iriswheel/dataplane/tcp_client.py
@@ -22,18 +22,18 @@
     timeout_us: int,
     build: collections.abc.Callable[[], ConnectedProtocol],
 ) -> defer.Deferred[ConnectedProtocol]:
-    """Connect to an address; the Deferred fires with the protocol that was built for the connection.
+    """Open a TCP connection; the Deferred fires with the protocol of the connection.
 
     Args:
         reactor: The reactor, real or simulated.
         host: The IP address.
         port: The TCP port.
-        timeout_us: How long the connection is waited for, in microseconds.
-        build: Makes the connection's protocol.
+        timeout_us: The connect time-out in microseconds.
+        build: Creates the protocol of the connection.
     """
     endpoint = endpoints.TCP4ClientEndpoint(reactor, host, port, timeout=timeout_us / units.SECOND_US)
     factory = protocol.Factory.forProtocol(build)
     factory.noisy = False
-    # Twisted declares the factory's interface, and that of what it builds, in terms that type checkers can't read.
+    # Type checkers can't read the interfaces that Twisted declares for the factory and for the protocols it builds.
     connecting = endpoint.connect(typing.cast("interfaces.IProtocolFactory", factory))
     return typing.cast("defer.Deferred[ConnectedProtocol]", connecting)
