--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -270,9 +270,7 @@
         self.unpooled_agent = self._agent(client.HTTPConnectionPool(runtime.reactor, persistent=False))
 
     def _agent(self, pool: client.HTTPConnectionPool) -> HttpAgent:
-        pool.retryAutomatically = (
-            False  # retries are limited by the retry budget and by idempotence, which Twisted ignores
-        )
+        pool.retryAutomatically = False  # only the retry budget and idempotence decide about a retry
         reactor = self.runtime.reactor
         agent = client.Agent.usingEndpointFactory(reactor, AddressEndpoints(reactor), pool)
         return typing.cast("HttpAgent", agent)  # Twisted's interfaces carry no types
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -1,7 +1,7 @@
-"""The formats that the outside defines: headers, worker list, load report, readiness.
+"""The formats of what a node exchanges with clients, workers and the platform.
 
-A site whose formats differ hands a subclass of `EdgeProtocol` to its nodes; docs/interface.md describes the formats
-of this module.
+These are the HTTP headers, the platform's worker list, the workers' load report and the node's readiness. A site whose
+formats differ passes a subclass of `EdgeProtocol` to its nodes; docs/interface.md describes the formats of this module.
 """
 
 from __future__ import annotations
@@ -32,8 +32,9 @@
 REQUESTER_HEADER = "X-Requester"
 AUTHORIZATION_HEADER = "Authorization"
 TENANT_HEADER = "X-Tenant"
-BEARER_SCHEME = b"bearer"  # the scheme of credentials, in lower case
-RELAY_HEADER = "X-Iriswheel-Pass"  # between nodes only: the one-time token of a request that one node hands to another
+BEARER_SCHEME = b"bearer"  # authentication scheme of API keys, in lower case
+# Only between nodes: in a relayed request its one-time token, in the answer the outcome of an attempt without answer
+RELAY_HEADER = "X-Iriswheel-Pass"
 
 PART_PATTERN = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,128}\Z")
 PART_COUNT_MAX = 32
@@ -41,7 +42,7 @@
 SEND_NUMBER_MAX = 1_000_000
 SEND_DIGITS_MAX = 7
 
-# RFC 9110, section 7.6.1
+# Headers that concern a single connection and are not forwarded: RFC 9110, section 7.6.1
 HOP_BY_HOP = {
     "connection",
     "keep-alive",
@@ -53,22 +54,22 @@
     "upgrade",
     "proxy-connection",
 }
-# What each HTTP side writes for itself.
+# Headers that are written anew for each connection instead of being forwarded.
 REGENERATED_HEADERS = {"host", "content-length", TARGET_WORKER_HEADER.lower(), RELAY_HEADER.lower()}
 
 WORKERS_PATH = "/workers"
 LOAD_PATH = "/load"
 READY_PATH = "/ready"
 
-NOT_RUN_STATUSES = (421, 429, 503)
+NOT_RUN_STATUSES = (421, 429, 503)  # HTTP statuses by which a worker reports that it did not run a request
 MILLISECOND_US = 1_000
 
 
 def header(headers: http_headers.Headers, name: str) -> str | None:
-    """One header's text, or None where it is absent.
+    """The value of a header, or None where the header is absent.
 
     Raises:
-        ServiceError: the header is given twice.
+        ServiceError: The header is given more than once.
 
     >>> import twisted.web.http_headers as hh
     >>> header(hh.Headers({"X-A": ["b"]}), "X-A")
@@ -83,10 +84,10 @@
 
 
 def prompt_parts(headers: http_headers.Headers) -> list[str]:
-    """The shared parts of the prompt, outermost first.
+    """The ids of the shared parts of the prompt, outermost first.
 
     Raises:
-        ServiceError: the header is no list of parts.
+        ServiceError: The header is not a valid list of part ids.
 
     >>> import twisted.web.http_headers as hh
     >>> prompt_parts(hh.Headers({PROMPT_PREFIX_HEADER: ["system-1, bundle-7"]}))
@@ -106,10 +107,10 @@
 
 
 def identifier(headers: http_headers.Headers, name: str) -> str:
-    """An id from a header, or "" where it is absent.
+    """An id from a header, or "" where the header is absent.
 
     Raises:
-        ServiceError: the header is no id.
+        ServiceError: The header's value is not a valid id.
 
     >>> import twisted.web.http_headers as hh
     >>> identifier(hh.Headers({REQUEST_ID_HEADER: ["e1"]}), REQUEST_ID_HEADER)
@@ -127,7 +128,7 @@
     """The number of the client's attempt at this request, from 1; 0 where the client does not say.
 
     Raises:
-        ServiceError: the header is no number in range.
+        ServiceError: The header's value is not a number from 1 to SEND_NUMBER_MAX.
 
     >>> import twisted.web.http_headers as hh
     >>> send_number(hh.Headers({SEND_NUMBER_HEADER: ["2"]}))
@@ -144,10 +145,10 @@
 
 
 def idempotent(headers: http_headers.Headers) -> bool:
-    """Whether the client allows that the request runs more than once; it does not unless it says so.
+    """Whether the client allows that the request runs more than once; by default it does not.
 
     Raises:
-        ServiceError: the header is neither yes nor no.
+        ServiceError: The header's value is neither yes nor no.
 
     >>> import twisted.web.http_headers as hh
     >>> idempotent(hh.Headers({MAY_REPEAT_HEADER: ["yes"]})), idempotent(hh.Headers())
@@ -162,7 +163,7 @@
 
 
 def key_digest(headers: http_headers.Headers) -> str:
-    """The SHA-256 digest of the key that a request carries as a bearer token; "" where it carries none.
+    """The SHA-256 digest of the API key that a request carries as a bearer token; "" where it carries none.
 
     >>> import twisted.web.http_headers as hh
     >>> for credentials in ("Bearer abc", "Basic abc"):
@@ -177,7 +178,7 @@
 
 
 def replace_credentials(headers: http_headers.Headers, tenant: str) -> None:
-    """Take a request's credentials off, and name its tenant; "" for none.
+    """Replace a request's credentials by the name of its tenant; with "" the request names no tenant.
 
     >>> import twisted.web.http_headers as hh
     >>> received = hh.Headers({AUTHORIZATION_HEADER: ["Bearer abc"], TENANT_HEADER: ["forged"]})
@@ -191,7 +192,7 @@
 
 
 def worker_request_headers(headers: http_headers.Headers, worker: str, token: str = "") -> http_headers.Headers:
-    """The headers of the request to a worker, or with a token to the node that relays it.
+    """The headers of the request to a worker, or with a relay token to the node that relays the request.
 
     >>> import twisted.web.http_headers as hh
     >>> received = hh.Headers({"X-A": ["b"], TARGET_WORKER_HEADER: ["w9"], "Connection": ["X-C"], "X-C": ["d"]})
@@ -208,7 +209,7 @@
 def client_response_headers(
     headers: http_headers.Headers, worker: str
 ) -> list[tuple[bytes, collections.abc.Sequence[bytes]]]:
-    """The headers of the answer to the client, each name with its values.
+    """The headers of the answer to the client, as pairs of a name and its values.
 
     >>> import twisted.web.http_headers as hh
     >>> client_response_headers(hh.Headers({"Keep-Alive": ["5"]}), "w1")
@@ -220,7 +221,7 @@
 
 
 def connection_options(headers: http_headers.Headers) -> set[str]:
-    """The names of the headers that concern this connection alone, as `Connection` lists them.
+    """The names listed in the header `Connection`: headers that concern this connection only, in lower case.
 
     >>> import twisted.web.http_headers as hh
     >>> sorted(connection_options(hh.Headers({"Connection": ["close, X-A"]})))
@@ -230,7 +231,7 @@
 
 
 def end_to_end_pairs(headers: HeaderPairs, dropped: set[str]) -> HeaderPairs:
-    """The headers without those named in `dropped` (lower case) and those that `Connection` lists.
+    """The headers that are forwarded: all but those in `dropped` (lower case) and those that `Connection` lists.
 
     >>> end_to_end_pairs([(b"Connection", b"X-A"), (b"X-A", b"1"), (b"X-B", b"2")], HOP_BY_HOP)
     [(b'X-B', b'2')]
@@ -252,10 +253,10 @@
 
 
 def parse_worker_list(raw: bytes) -> list[message.Worker]:
-    """The platform's worker list, by id.
+    """The workers of the platform's worker list, in the order of their ids.
 
     Raises:
-        ValueError: the list can't be read.
+        ValueError: The list is malformed.
 
     >>> parse_worker_list(
     ...     b'{"workers": [{"id": "w1", "host": "127.0.0.1", "port": 9, "pool": "desk", "state": "ready"}]}'
@@ -280,7 +281,7 @@
 
 
 def with_zone_and_cold(worker: message.Worker, zone: str, cold: bool) -> message.Worker:
-    """The worker with its zone and whether it is cold, where either is told.
+    """The worker as a `ZonedWorker` where it has a zone or is cold, else unchanged.
 
     >>> worker = message.Worker("w1", "127.0.0.1", 9, "desk", "ready")
     >>> with_zone_and_cold(worker, "", False) is worker, with_zone_and_cold(worker, "attic", True).cold
@@ -294,10 +295,10 @@
 
 
 def parse_load_report(raw: bytes) -> tuple[int, int]:
-    """A worker's load report: how many requests run there, and how many wait.
+    """The numbers of a worker's load report: requests that run at the worker, and requests that wait there.
 
     Raises:
-        ValueError: the report can't be read.
+        ValueError: The report is malformed.
 
     >>> parse_load_report(b'{"running": 3, "queued": 2}')
     (3, 2)
@@ -310,7 +311,7 @@
 
 
 def readiness_answer(ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
-    """The answer to the platform's question whether a node is ready: status and JSON body.
+    """The answer to the platform's readiness check of a node: HTTP status and JSON document.
 
     >>> readiness_answer(True)
     (200, {'ready': True})
@@ -320,23 +321,23 @@
 
 @dataclasses.dataclass
 class ParsedRequest:
-    """What a client says of its request.
+    """The contents of a client request's headers.
 
     Attributes:
-        parts: Ids of the prompt's parts, outermost first.
-        sizes: Tokens of each part; 0 where not told.
-        tokens_in: Tokens of the prompt; 0 where not told.
-        tokens_out: Tokens of the answer; 0 where not told.
-        request_id: The request's id, the same for all attempts; "" where not told.
-        attempt_number: Number of the client's attempt, from 1; 0 where not told.
+        parts: Ids of the shared parts of the prompt, outermost first.
+        sizes: Size of each part in tokens; 0 where the client does not say.
+        tokens_in: Size of the prompt in tokens; 0 where the client does not say.
+        tokens_out: Size of the answer in tokens; 0 where the client does not say.
+        request_id: Id of the request, the same for all attempts; "" where the client does not say.
+        attempt_number: Number of the client's attempt, from 1; 0 where the client does not say.
         idempotent: Whether the request may run more than once.
-        client: The requester, by which a route may choose terms.
-        left_us: How long the client will wait; None where not told.
-        attempt_tag: Id of this attempt, which the worker's answer carries back.
-        host: The Host header.
-        model: The model asked for.
-        last_event_id: Id of the last event that the client has, where it resumes a stream.
-        key_digest: SHA-256 digest of the client's key; "" where there is none.
+        client: Name of the requester, by which a route may choose the session terms.
+        left_us: Time in microseconds for which the client will still wait; None where the client does not say.
+        attempt_tag: Id by which the worker's answer names the request or attempt that it answers.
+        host: Value of the Host header.
+        model: Name of the requested model.
+        last_event_id: Id of the last event that the client has received, where it resumes a stream.
+        key_digest: SHA-256 digest of the client's API key; "" where it sends none.
 
     >>> ParsedRequest().left_us is None
     True
@@ -359,7 +360,7 @@
 
     @property
     def tokens(self) -> int:
-        """All tokens that the request states; 0 where it states none.
+        """Size of the prompt and the answer together, in tokens; 0 where the client states neither.
 
         >>> ParsedRequest(tokens_in=1460, tokens_out=80).tokens
         1540
@@ -368,12 +369,12 @@
 
 
 class EdgeProtocol:
-    """The formats towards clients, workers and platform; this class has iriswheel's own.
+    """Iriswheel's own formats towards clients, workers and the platform; a subclass may define others.
 
     Attributes:
-        ready_path: Where the platform asks a node whether it is ready.
-        load_path: Where a worker answers with its load report.
-        accepts_any_method: Whether requests come by other methods than POST.
+        ready_path: Path of a node at which the platform checks whether the node is ready.
+        load_path: Path of a worker at which it answers with its load report.
+        accepts_any_method: Whether clients may send requests with other methods than POST.
 
     >>> EdgeProtocol().readiness_answer(True)
     (200, {'ready': True})
@@ -384,10 +385,10 @@
     accepts_any_method = False
 
     def parse_request(self, request: http_server.Request) -> ParsedRequest:
-        """What a client says of its request.
+        """Read the headers of a client's request.
 
         Raises:
-            ServiceError: a header is malformed.
+            ServiceError: A header is malformed.
         """
         headers = request.requestHeaders
         parts = prompt_parts(headers)
@@ -412,15 +413,16 @@
         _urgency: int,
         last_event_id: str = "",
     ) -> bytes:
-        """The head of the request to a worker.
+        """The head of the request to a worker, in bytes.
 
         Args:
             request: The client's request.
             size: Length of the body in bytes.
-            worker: The worker that gets it.
-            _left_us: How long the client will wait; None where not told. Other formats send it.
-            _urgency: Of the route, or the tenant; 0 goes first. Other formats send it.
-            last_event_id: Id of the last event that the client has, where a stream is resumed.
+            worker: The worker to which the request is sent.
+            _left_us: Time in microseconds for which the client will still wait; None where it is unknown. Other
+                formats send it to the worker.
+            _urgency: Urgency of the tenant or the route; 0 is the most urgent. Other formats send it to the worker.
+            last_event_id: Id of the last event that the client has received, where a stream is resumed; else "".
         """
         added = [
             (b"Host", f"{worker.host}:{worker.port}".encode()),
@@ -433,7 +435,7 @@
     def format_request_head(
         self, request: http_server.Request, size: int, dropped: set[str], added: HeaderPairs
     ) -> bytes:
-        """A request's head with the headers in `dropped` (lower case) left out and those in `added` added."""
+        """The head of a request in bytes, without the headers in `dropped` (lower case) and with those in `added`."""
         dropped = dropped | connection_options(request.requestHeaders)
         head = [b"%s %s HTTP/1.1" % (request.method, request.uri)]
         for name, values in request.requestHeaders.getAllRawHeaders():
@@ -444,7 +446,7 @@
         return b"\r\n".join(head) + b"\r\n\r\n"
 
     def is_answer_to(self, _attempt_tag: str, _status: int, _headers: LowerCaseHeaders) -> bool | None:
-        """Whether an answer belongs to the attempt with this tag; None where the answer does not say.
+        """Whether an answer belongs to the attempt with this tag; None where the answer names no attempt.
 
         >>> EdgeProtocol().is_answer_to("x1", 200, {})
         True
@@ -452,7 +454,7 @@
         return True
 
     def reports_not_run(self, status: int, _headers: LowerCaseHeaders) -> bool:
-        """Whether the worker says that it did not run the request.
+        """Whether an answer reports that the worker did not run the request.
 
         >>> EdgeProtocol().reports_not_run(503, {}), EdgeProtocol().reports_not_run(200, {})
         (True, False)
@@ -460,7 +462,7 @@
         return status in NOT_RUN_STATUSES
 
     def is_from_worker(self, _status: int, _headers: LowerCaseHeaders) -> bool:
-        """Whether the head of a successful answer can be a worker's.
+        """Whether a successful answer comes from a worker, which these formats take for granted.
 
         >>> EdgeProtocol().is_from_worker(200, {})
         True
@@ -468,7 +470,7 @@
         return True
 
     def client_headers(self, headers: HeaderPairs, worker: str) -> HeaderPairs:
-        """The headers of a worker's answer that go to the client.
+        """The headers of the answer to the client, from those of the worker's answer.
 
         >>> EdgeProtocol().client_headers([(b"Keep-Alive", b"5"), (b"X-A", b"b")], "w1")
         [(b'X-A', b'b'), (b'X-Target-Worker', b'w1')]
@@ -479,7 +481,7 @@
         ]
 
     def refusal(self, error: errors.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
-        """The answer to an error: status, headers, body.
+        """The answer that reports an error to the client: HTTP status, headers and body.
 
         >>> EdgeProtocol().refusal(errors.ServiceError("busy", "Full."))[:2]
         (503, [('Retry-After', '1')])
@@ -487,7 +489,7 @@
         return error.status, error.headers(), error.body()
 
     def worker_list_path(self, _token: str) -> str:
-        """Where the platform's worker list is asked for, or its page of this token.
+        """The path of the platform's worker list; with a page token, of that page of it.
 
         >>> EdgeProtocol().worker_list_path("")
         '/workers'
@@ -495,10 +497,10 @@
         return WORKERS_PATH
 
     def parse_worker_page(self, raw: bytes) -> tuple[list[message.Worker], str]:
-        """A page of the platform's worker list: workers, and the next page's token or "".
+        """The workers of one page of the platform's worker list, and the next page's token or "".
 
         Raises:
-            ValueError: the page can't be read.
+            ValueError: The page is malformed.
 
         >>> EdgeProtocol().parse_worker_page(b'{"workers": []}')
         ([], '')
@@ -506,10 +508,10 @@
         return parse_worker_list(raw), ""
 
     def parse_load_report(self, raw: bytes) -> tuple[int, int]:
-        """A worker's load report: requests that run there, and that wait.
+        """The numbers of a worker's load report: requests that run at the worker, and requests that wait there.
 
         Raises:
-            ValueError: the report can't be read.
+            ValueError: The report is malformed.
 
         >>> EdgeProtocol().parse_load_report(b'{"running": 3, "queued": 2}')
         (3, 2)
@@ -517,7 +519,7 @@
         return parse_load_report(raw)
 
     def readiness_answer(self, ok: bool, why: str = "") -> tuple[int, dict[str, typing.Any]]:
-        """The answer to the platform's question whether a node is ready: status and JSON body.
+        """The answer to the platform's readiness check of a node: HTTP status and JSON document.
 
         >>> EdgeProtocol().readiness_answer(False, "stopping")
         (503, {'ready': False, 'why': 'stopping'})
--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -28,9 +28,8 @@
         sizes = self.parsed.sizes
         self.keys = placement.chain(self.parsed.parts)
         self.unnamed_tokens = max(0, self.parsed.tokens_in - sum(sizes))  # prompt tokens outside the named parts
-        self.own_tokens = self.unnamed_tokens + (
-            sizes[-1] if sizes else 0
-        )  # prompt tokens not shared with others: unnamed ones and the last part
+        # Prompt tokens that no other request shares: the unnamed ones and those of the last part.
+        self.own_tokens = self.unnamed_tokens + (sizes[-1] if sizes else 0)
         self.last_event_id = self.parsed.last_event_id  # id of the last event that the client has
         self.answer_begun = False  # whether an answer to the client has begun
         self.may_have_run = False  # whether a worker may have run the request
--- a/iriswheel/dataplane/routed_request.py
+++ b/iriswheel/dataplane/routed_request.py
@@ -62,9 +62,7 @@
         self.raw = b""  # body of the request
         self.parts: list[str] = []  # ids of the shared parts of the prompt, outermost first
         self.request_id = ""
-        self.attempt_number = (
-            0  # the client's number of its attempt at this request, from 1; 0 where the client does not say
-        )
+        self.attempt_number = 0  # the client's number of its attempt, from 1; 0 where the client does not say
         self.idempotent = False
         self.session = ""
         self.is_long = False
@@ -74,9 +72,7 @@
         self.may_have_run = False  # whether an attempt may have reached a worker
         self.grant_requested = False  # whether a pool owner has been asked for a grant, and may hold one
         self.tenant_name = ""
-        self.tenant: configuration.Tenant | None = (
-            None  # the tenant whose API key it carries; None where no key is required
-        )
+        self.tenant: configuration.Tenant | None = None  # the tenant of its API key; None where no key is required
 
     @property
     def urgency(self) -> int:
