--- a/tests/test_answers_of_others.py
+++ b/tests/test_answers_of_others.py
@@ -8,8 +8,8 @@
 HEADERS = platform_names.HEADERS
 
 
-class TestAnswersOfOthers(request_path.RequestPath):
-    def test_a_second_answer_in_one_segment_reaches_nobody(self) -> None:
+class TestAnswersToOtherRequests(request_path.RequestPath):
+    def test_a_second_answer_in_one_segment_reaches_no_client(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             connection.transport.write(request_path.answer(attempt, f"body of {attempt}".encode()) * 2)
 
@@ -18,7 +18,7 @@
             self.assert_own(self.query(attempt), attempt)
         assert [connection.closed for connection in worker.connections] == [True, True]
 
-    def test_a_partial_second_answer_reaches_nobody(self) -> None:
+    def test_a_partial_second_answer_reaches_no_client(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             complete = request_path.answer(attempt, f"body of {attempt}".encode())
             connection.transport.write(complete + complete[:-3])
@@ -28,7 +28,7 @@
             self.assert_own(self.query(attempt), attempt)
         assert len(worker.connections) == 2
 
-    def test_a_late_answer_on_an_idle_connection_ends_the_connection(self) -> None:
+    def test_a_late_answer_on_an_idle_connection_closes_the_connection(self) -> None:
         worker = self.worker(request_path.good)
         self.query("a1")
         worker.connections[0].transport.write(request_path.answer("a1", b"body of a1"))
@@ -36,7 +36,7 @@
         self.assert_own(self.query("a2"), "a2")
         assert [connection.closed for connection in worker.connections] == [True, False]
 
-    def test_a_late_answer_in_the_place_of_the_next_is_passed_over(self) -> None:
+    def test_a_late_answer_before_the_next_requests_own_is_discarded(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
                 connection.transport.write(request_path.answer("a1", b"body of a1"))
@@ -47,7 +47,7 @@
             self.assert_own(self.query(attempt), attempt)
         assert len(worker.connections) == 1
 
-    def test_a_late_failure_in_the_place_of_the_next_is_passed_over(self) -> None:
+    def test_a_late_failure_before_the_next_requests_own_answer_is_discarded(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
                 connection.transport.write(
@@ -60,7 +60,7 @@
             self.assert_own(self.query(attempt), attempt)
         assert worker.seen == ["a1", "a2"]
 
-    def test_an_answer_without_id_on_a_kept_connection_is_nobodys(self) -> None:
+    def test_an_answer_without_id_on_a_reused_connection_is_rejected(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
                 connection.transport.write(
@@ -74,14 +74,14 @@
         assert self.query("a2").status == 502
         assert self.seen() == ["a1", "a2"]
 
-    def test_only_answers_of_others_are_no_answer(self) -> None:
+    def test_a_request_that_gets_only_answers_to_other_requests_times_out(self) -> None:
         self.worker(lambda connection, _attempt: connection.transport.write(request_path.answer("a9", b"body of a9")))
         client = self.query("a1", ms=700, left_ms=500)
         assert client.status == 504
         assert b"body of a9" not in client.raw
         assert self.seen() == ["a1"]
 
-    def test_a_body_longer_than_its_length_reaches_nobody_beyond_it(self) -> None:
+    def test_bytes_beyond_the_announced_length_reach_no_client(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             body = f"body of {attempt}".encode()
             connection.transport.write(request_path.answer(attempt, body + b" and more", length=len(body)))
@@ -90,7 +90,7 @@
         for attempt in ("a1", "a2"):
             self.assert_own(self.query(attempt), attempt)
 
-    def test_a_body_shorter_than_its_length_is_not_given_as_complete(self) -> None:
+    def test_a_body_shorter_than_the_announced_length_is_not_sent_as_complete(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             connection.transport.write(request_path.answer(attempt, b"body", length=9))
             connection.transport.loseConnection()
@@ -101,7 +101,7 @@
         assert not client.raw.endswith(b"0\r\n\r\n")
         assert b"Content-Length: 9" in client.raw
 
-    def test_an_id_may_hold_any_bytes(self) -> None:
+    def test_an_attempt_id_may_hold_any_bytes(self) -> None:
         attempt = b"\xc3\xa9\xff".decode("latin-1")
 
         def echo(connection: request_path.WorkerConnection, attempt: str) -> None:
@@ -111,7 +111,7 @@
         self.worker(echo)
         self.assert_own(self.query(attempt), "a1")
 
-    def test_a_header_can_not_bring_another_along(self) -> None:
+    def test_headers_that_could_smuggle_a_header_or_request_are_refused(self) -> None:
         self.worker(request_path.good)
         for headers in (
             {"X-A": "b\nX-Attempt-Id: a9"},
@@ -122,7 +122,7 @@
             assert self.query("a1", **headers).status == 400
         assert self.seen() == []
 
-    def test_connection_options_may_hold_any_bytes(self) -> None:
+    def test_a_connection_header_may_hold_any_bytes(self) -> None:
         self.worker(request_path.good)
         self.assert_own(self.query("a1", Connection="\xff"), "a1")
 
@@ -135,7 +135,7 @@
         for attempt in ("a1", "a2"):
             self.assert_own(self.query(attempt), attempt)
 
-    def test_an_answer_to_head_ends_with_its_head(self) -> None:
+    def test_an_answer_to_a_head_request_has_no_body(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             connection.transport.write(
                 request_path.answer(attempt, length=10)
@@ -164,7 +164,7 @@
         assert (sorted(places), 3) == (places, client.raw.count(b"HTTP/1.1"))
         assert -1 not in places
 
-    def test_a_connection_whose_client_went_away_is_not_used_again(self) -> None:
+    def test_a_connection_whose_client_disconnected_is_not_reused(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
                 request_path.good(connection, attempt)
@@ -176,7 +176,7 @@
         assert worker.connections[0].closed
         self.assert_own(self.query("a2"), "a2")
 
-    def test_a_client_that_goes_away_while_a_worker_is_connected_ends_its_request(
+    def test_a_request_ends_when_its_client_disconnects_during_the_connect(
         self, logged_errors: list[str]
     ) -> None:
         for _ in range(2):
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -12,7 +12,7 @@
 MILLISECOND, SECOND = units.MILLISECOND_US, units.SECOND_US
 
 
-class Flow:
+class RecordingReceiver:
     """A send that only notes how it ended."""
 
     bodyless = False
@@ -61,7 +61,7 @@
         self.world.run(self.world.time + ms * MILLISECOND)
 
     def send(self) -> str:
-        flow = Flow()
+        flow = RecordingReceiver()
 
         async def one() -> None:
             connection = await self.connections.get(self.at, 2 * SECOND)
@@ -79,14 +79,14 @@
     def opened(self) -> int:
         return sum(r["kind"] == "opened" for r in self.tape.rows)
 
-    def test_one_lost_send_teaches_how_long_a_connection_may_be_idle(self) -> None:
+    def test_one_lost_request_limits_how_long_idle_connections_are_reused(self) -> None:
         ends = [self.send()]
         for _ in range(4):
             self.go(1000)
             ends.append(self.send())
         assert ends == ["whole", "lost", "whole", "whole", "whole"]
 
-    def test_connections_used_sooner_are_kept(self) -> None:
+    def test_connections_reused_within_the_idle_limit_are_kept(self) -> None:
         self.send()
         self.go(1000)
         assert self.send() == "lost"
@@ -96,7 +96,7 @@
             self.go(150)
         assert self.opened() - before == 1
 
-    def test_what_was_learned_is_forgotten(self) -> None:
+    def test_a_learned_idle_limit_expires(self) -> None:
         self.send()
         self.go(1000)
         self.send()
@@ -108,7 +108,7 @@
         assert self.send() == "whole"
         assert self.opened() - before == 0
 
-    def test_a_connection_reset_while_it_works_teaches_nothing(self) -> None:
+    def test_a_connection_reset_during_a_request_sets_no_idle_limit(self) -> None:
         self.send()
         self.worker.faults = {"break": 1.0}
         self.go(300)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -33,7 +33,7 @@
                 return
         request.answer(502, b"no")
 
-    def test_a_client_that_goes_away_while_a_worker_is_connected_ends_its_request(self) -> None:
+    def test_a_request_ends_when_its_client_disconnects_during_the_connect(self) -> None:
         for _ in range(2):
             self.worker(request_path.good)
         self.world.cut(["10.0.2.1"], ["10.0.3.1"])
@@ -46,7 +46,7 @@
         connection.transport.write(request_path.answer(attempt, length=9, more={"X-First": "1"}))
         self.world.push(self.world.time + 5000, connection.transport.abortConnection)
 
-    def test_the_head_of_an_answer_that_never_came_is_not_given_with_another(self) -> None:
+    def test_the_head_of_a_lost_answer_is_not_sent_with_the_next_workers_answer(self) -> None:
         def chunked(connection: request_path.WorkerConnection, _attempt: str) -> None:
             connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             connection.transport.write(b"a\r\nbody of a1\r\n0\r\n\r\n")
@@ -59,7 +59,7 @@
         assert b"content-length" not in head.lower()
         assert b"body of a1" in body
 
-    def test_the_head_of_an_answer_that_never_came_is_not_given_with_a_failure_of_our_own(self) -> None:
+    def test_the_head_of_a_lost_answer_is_not_sent_with_the_nodes_own_error(self) -> None:
         self.worker(self.head_alone)
         client = self.query("a1", ms=200)
         assert client.status == 502
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -62,7 +62,7 @@
     def runs(self) -> list[str]:
         return [r["name"] for r in self.tape.rows if r["kind"] == "run"]
 
-    def test_a_stream_that_breaks_off_is_taken_up_elsewhere(self) -> None:
+    def test_a_stream_that_breaks_off_is_resumed_at_another_worker(self) -> None:
         for _ in range(2):
             self.worker()
         call, _ = self.query()
@@ -72,7 +72,7 @@
         assert ("whole", list(range(1, 42))) == (call.outcome, [e[0] for e in call.events])
         assert self.forwarder.counts.resumed == 1
 
-    def test_a_stream_that_nobody_can_take_up_is_broken_off(self) -> None:
+    def test_a_stream_that_no_worker_can_resume_is_broken_off(self) -> None:
         for _ in range(2):
             self.worker()
         call, _ = self.query()
@@ -82,7 +82,7 @@
         self.go(1000)
         assert (call.outcome, 0 < len(call.events) < 41) == ("closed", True)
 
-    def test_a_silent_worker_keeps_a_stream_that_nobody_can_take_up(self) -> None:
+    def test_a_silent_worker_keeps_its_stream_where_no_other_worker_can_resume_it(self) -> None:
         w = self.worker()
         call, _ = self.query()
         self.go(60)
@@ -92,7 +92,7 @@
         self.go(1000)
         assert (self.forwarder.counts.silent, call.outcome, len(call.events)) == (0, "whole", 41)
 
-    def test_a_client_that_reads_slowly_counts_against_no_worker(self) -> None:
+    def test_a_slow_client_is_not_recorded_as_a_failure_of_its_worker(self) -> None:
         for _ in range(2):
             self.worker().parameters.step_us = 100
         call, connection = self.query(events=4000)
--- a/tests/test_fuzz_worker_bytes.py
+++ b/tests/test_fuzz_worker_bytes.py
@@ -34,7 +34,7 @@
 PIECES = ANSWERS | strategies.binary(max_size=9) | strategies.sampled_from([b"\r\n", b"<a2> more", b"HTTP/1.1 200"])
 
 
-class RecordingFlow:
+class RecordingReceiver:
     """A request under way, and what was given to it."""
 
     bodyless = False
@@ -70,7 +70,7 @@
     @hypothesis.given(
         strategies.lists(strategies.lists(PIECES, max_size=4), min_size=1, max_size=4), strategies.integers(1, 400)
     )
-    def test_answers_of_others(self, turns: list[list[bytes]], step: int) -> None:
+    def test_a_request_gets_only_its_own_answer(self, turns: list[list[bytes]], step: int) -> None:
         _, runtime = fuzzing.new_runtime()
         connection = worker_connections.WorkerConnection(runtime, "w1")
         transport = fuzzing.Transport()
@@ -79,7 +79,7 @@
         for attempt, pieces in zip(ATTEMPTS, turns, strict=False):
             if connection.must_close or connection.receiver is not None:
                 break
-            flows.append(RecordingFlow(attempt))
+            flows.append(RecordingReceiver(attempt))
             connection.start(b"", flows[-1])
             raw = b"".join(pieces)
             for start in range(0, len(raw), step):
--- a/tests/test_sent_once.py
+++ b/tests/test_sent_once.py
@@ -56,7 +56,7 @@
         self.assert_once(self.query("a1"), 502)
 
     @pytest.mark.parametrize("status", [408, 429, 503])
-    def test_after_a_status_that_would_promise_too_much(self, status: int) -> None:
+    def test_after_a_status_that_would_wrongly_promise_that_it_did_not_run(self, status: int) -> None:
         self.start_two_workers(
             lambda connection, attempt, s=status: connection.transport.write(
                 request_path.answer(attempt, b"no", status=s)
@@ -94,7 +94,7 @@
         self.assert_once(client, 200)
 
     @pytest.mark.parametrize("status", [421, 429, 503])
-    def test_a_worker_that_did_not_run_it_is_followed_by_another(self, status: int) -> None:
+    def test_a_request_that_a_worker_did_not_run_goes_to_another_worker(self, status: int) -> None:
         attempts: list[str] = []
 
         def script(
@@ -112,7 +112,7 @@
         self.assert_own(self.query("a1"), "a1")
         assert self.seen() == ["a1", "a1"]
 
-    def test_a_refusal_that_breaks_off_is_no_promise(self) -> None:
+    def test_an_incomplete_refusal_does_not_count_as_not_run(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             refusal = request_path.answer(
                 attempt, b"no", status=503, seal=None, length=9, more={HEADERS["not_run"]: "1"}
