--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -45,7 +45,9 @@
         self.forwarder = forwarding.Forwarder(self.node)
         process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.edge_protocol))
         self.runtime.spawn(self.forwarder.watch(), None)
-        self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.9.0.1", "a"))
+        self.client_process = process_model.SimulatedProcess(
+            self.world, "near", host_model.Host(self.world, "10.9.0.1", "a")
+        )
         self.workers: list[Any] = []
         self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * SECOND)
         self.pool = configuration.Pool(election="node")
--- a/tests/request_path.py
+++ b/tests/request_path.py
@@ -103,18 +103,18 @@
 
 class RequestPath(node_fixture.NodeFixture):
     @pytest.fixture(autouse=True)
-    def use_mutating_route(self, start_node: None) -> None:  # noqa: ARG002 - asked for so that it runs before
+    def start_without_workers(self, start_node: None) -> None:  # noqa: ARG002 - asked for so that it runs before
         self.workers = []
         self.workers_started = 0  # workers ever started: each has an address of its own
-        self.mutating()
+        self.use_non_idempotent_route()
 
-    def mutating(self) -> None:
+    def use_non_idempotent_route(self) -> None:
         self.route = configuration.Route("/x/", "desk", repeat="never", sends=3, cutoff_us=9 * SECOND)
 
-    def idempotent(self, sends: int = 2) -> None:
+    def use_idempotent_route(self, sends: int = 2) -> None:
         self.route = configuration.Route("/x/", "desk", repeat="may", sends=sends, cutoff_us=9 * SECOND)
 
-    def resumable(self) -> None:
+    def use_resumable_route(self) -> None:
         self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * SECOND)
 
     def worker(self, script: Callable[..., object]) -> ScriptedWorker:
@@ -134,7 +134,7 @@
         factory: Any = protocol.ClientFactory()
         factory.noisy = False
         factory.buildProtocol = lambda _address: client
-        self.near.reactor.connectTCP("10.0.2.1", 80, factory)
+        self.client_process.reactor.connectTCP("10.0.2.1", 80, factory)
         self.go(10)
         return client
 
@@ -165,6 +165,6 @@
         assert client.raw.count(b"HTTP/1.1") == 1
 
 
-def good(connection: WorkerConnection, attempt: str) -> None:
+def answer_correctly(connection: WorkerConnection, attempt: str) -> None:
     """Answer as a sound worker does."""
     connection.transport.write(answer(attempt, f"body of {attempt}".encode()))
--- a/tests/test_answers_of_others.py
+++ b/tests/test_answers_of_others.py
@@ -29,7 +29,7 @@
         assert len(worker.connections) == 2
 
     def test_a_late_answer_on_an_idle_connection_closes_the_connection(self) -> None:
-        worker = self.worker(request_path.good)
+        worker = self.worker(request_path.answer_correctly)
         self.query("a1")
         worker.connections[0].transport.write(request_path.answer("a1", b"body of a1"))
         self.go(10)
@@ -40,7 +40,7 @@
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
                 connection.transport.write(request_path.answer("a1", b"body of a1"))
-            request_path.good(connection, attempt)
+            request_path.answer_correctly(connection, attempt)
 
         worker = self.worker(script)
         for attempt in ("a1", "a2"):
@@ -53,7 +53,7 @@
                 connection.transport.write(
                     request_path.answer("a1", b"no", status=503, seal=None, more={HEADERS["not_run"]: "1"})
                 )
-            request_path.good(connection, attempt)
+            request_path.answer_correctly(connection, attempt)
 
         worker = self.worker(script)
         for attempt in ("a1", "a2"):
@@ -67,7 +67,7 @@
                     request_path.answer(None, b"no", status=503, seal=None, more={HEADERS["not_run"]: "1"})
                 )
             else:
-                request_path.good(connection, attempt)
+                request_path.answer_correctly(connection, attempt)
 
         self.worker(script)
         self.query("a1")
@@ -112,7 +112,7 @@
         self.assert_own(self.query(attempt), "a1")
 
     def test_headers_that_could_smuggle_a_header_or_request_are_refused(self) -> None:
-        self.worker(request_path.good)
+        self.worker(request_path.answer_correctly)
         for headers in (
             {"X-A": "b\nX-Attempt-Id: a9"},
             {"X-A": "b\rX-Attempt-Id: a9"},
@@ -123,13 +123,13 @@
         assert self.seen() == []
 
     def test_a_connection_header_may_hold_any_bytes(self) -> None:
-        self.worker(request_path.good)
+        self.worker(request_path.answer_correctly)
         self.assert_own(self.query("a1", Connection="\xff"), "a1")
 
     def test_interim_answers_are_not_passed_on(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             connection.transport.write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-A: b\r\n\r\n")
-            request_path.good(connection, attempt)
+            request_path.answer_correctly(connection, attempt)
 
         self.worker(script)
         for attempt in ("a1", "a2"):
@@ -152,7 +152,7 @@
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             self.world.push(
                 self.world.time + (30 if attempt == "a1" else 1) * units.MILLISECOND_US,
-                lambda: request_path.good(connection, attempt),
+                lambda: request_path.answer_correctly(connection, attempt),
             )
 
         self.worker(script)
@@ -167,7 +167,7 @@
     def test_a_connection_whose_client_disconnected_is_not_reused(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if attempt == "a2":
-                request_path.good(connection, attempt)
+                request_path.answer_correctly(connection, attempt)
 
         worker = self.worker(script)
         client = self.query("a1")
@@ -176,11 +176,9 @@
         assert worker.connections[0].closed
         self.assert_own(self.query("a2"), "a2")
 
-    def test_a_request_ends_when_its_client_disconnects_during_the_connect(
-        self, logged_errors: list[str]
-    ) -> None:
+    def test_a_request_ends_when_its_client_disconnects_during_the_connect(self, logged_errors: list[str]) -> None:
         for _ in range(2):
-            self.worker(request_path.good)
+            self.worker(request_path.answer_correctly)
         self.world.cut(["10.0.2.1"], ["10.0.3.1", "10.0.3.2"])
         client = self.query("a1")
         client.transport.abortConnection()
@@ -198,7 +196,7 @@
             if attempt == "a1":
                 connection.transport.write(request_path.answer(attempt, b"." * size))
             else:
-                request_path.good(connection, attempt)
+                request_path.answer_correctly(connection, attempt)
 
         worker = self.worker(script)
         slow = self.client()
--- a/tests/test_cold_workers.py
+++ b/tests/test_cold_workers.py
@@ -295,11 +295,11 @@
         self.follower.states = {listed.id: listed for listed in self.follower.workers}
 
     @pytest.fixture(autouse=True)
-    def bound_cold_workers(self, use_mutating_route: None) -> None:  # noqa: ARG002 - asked for so that it runs before
+    def bound_cold_workers(self, start_without_workers: None) -> None:  # noqa: ARG002 - asked for so that it runs before
         self.pool = configuration.Pool(election="node", cold_rate=RATE)
 
     def test_where_all_workers_are_cold_requests_beyond_the_rate_are_refused_at_once(self) -> None:
-        scripted = self.worker(request_path.good)
+        scripted = self.worker(request_path.answer_correctly)
         self.list_workers(True)
         clients = [self.query(f"a{number}", ms=30) for number in range(60)]
         refused = [client for client in clients if client.status == 503]
@@ -313,7 +313,7 @@
             connection.transport.write(request_path.answer(attempt, status=421))
 
         self.worker(turn_away)
-        cold = self.worker(request_path.good)
+        cold = self.worker(request_path.answer_correctly)
         self.list_workers(False, True)
         clients = [self.query(f"a{number}", ms=5) for number in range(6)]
         assert cold.seen == []
@@ -322,7 +322,7 @@
 
     def test_no_connection_is_made_to_a_cold_worker_that_is_not_due(self) -> None:
         for _ in range(5):
-            self.worker(request_path.good)
+            self.worker(request_path.answer_correctly)
         self.list_workers(False, True, True, True, True)
         self.forwarder.placement_of("desk").take([("i-1", 20, 20_000, 0)], complete=True)
         client = self.query("a1")
@@ -330,7 +330,7 @@
         assert [len(scripted.connections) for scripted in self.workers] == [1, 0, 0, 0, 0]
 
     def test_of_two_requests_that_found_a_cold_worker_free_one_is_sent(self) -> None:
-        cold = self.worker(request_path.good)
+        cold = self.worker(request_path.answer_correctly)
         self.list_workers(True)
         self.query("a0", ms=500)  # refused: the sender's first pause
         clients = [self.client() for _ in range(2)]
@@ -342,7 +342,7 @@
         assert self.forwarder.state()["cold"]["sent"] == 1
 
     def test_a_worker_that_becomes_cold_while_a_connection_is_made_is_not_sent_to(self) -> None:
-        scripted = self.worker(request_path.good)
+        scripted = self.worker(request_path.answer_correctly)
         self.list_workers(False)
         client = self.client()
         self.write(client, "a1")
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -35,7 +35,7 @@
 
     def test_a_request_ends_when_its_client_disconnects_during_the_connect(self) -> None:
         for _ in range(2):
-            self.worker(request_path.good)
+            self.worker(request_path.answer_correctly)
         self.world.cut(["10.0.2.1"], ["10.0.3.1"])
         client = self.query("a1")
         client.transport.abortConnection()
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -263,7 +263,7 @@
         assert worker.connections == []
 
     def test_a_retry_goes_to_no_evacuated_zone(self) -> None:
-        self.idempotent(sends=3)
+        self.use_idempotent_route(sends=3)
 
         def reset(connection: request_path.WorkerConnection, _attempt: str) -> None:
             self.evacuated = {"i-1", "i-2"} - {f"i-{1 + self.workers.index(connection.worker)}"}
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -39,7 +39,7 @@
     def query(self, events: int = 40) -> tuple[client_connection.PendingAnswer, client_connection.ClientConnection]:
         """Send a request for a stream; the client's connection and what comes of it."""
         call = client_connection.PendingAnswer(lambda _call: None)
-        connected = client_connection.connect(self.near.runtime(), "10.0.2.1", 80, SECOND)
+        connected = client_connection.connect(self.client_process.runtime(), "10.0.2.1", 80, SECOND)
         self.go(10)
         head = {
             "Host": "h.example",
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -73,7 +73,7 @@
     @pytest.mark.parametrize("status", [500, 503])
     @pytest.mark.parametrize("sends", [1, 2, 3])
     def test_a_request_goes_to_no_more_workers_than_its_route_allows(self, status: int, sends: int) -> None:
-        self.idempotent(sends)
+        self.use_idempotent_route(sends)
         self.retry_budget.slack = 99
         headers = {HEADERS["not_run"]: "1"} if status == 503 else {}
         for _ in range(4):
@@ -90,7 +90,7 @@
             else:
                 connection.transport.write(request_path.answer(attempt, b"id: 2\ndata: longer than before\n\n"))
 
-        self.resumable()
+        self.use_resumable_route()
         for _ in range(2):
             self.worker(script)
         client = self.query("a1", ms=200)
@@ -111,7 +111,7 @@
                 refusal = request_path.answer(attempt, b"no", status=503, seal=None, more={HEADERS["not_run"]: "1"})
                 connection.transport.write(refusal)
 
-        self.resumable()
+        self.use_resumable_route()
         for _ in range(2):
             self.worker(script)
         client = self.query("a1")
@@ -130,7 +130,7 @@
 
     def test_a_worker_that_gives_no_connection_holds_no_request_past_its_time(self) -> None:
         for number in (1, 2):
-            self.worker(request_path.good)
+            self.worker(request_path.answer_correctly)
             self.world.cut(["10.0.2.1"], [f"10.0.3.{number}"])
         client = self.query("a1", ms=130, left_ms=100)
         assert client.status == 503
--- a/tests/test_sent_once.py
+++ b/tests/test_sent_once.py
@@ -68,7 +68,9 @@
 
     def test_after_a_reset_of_a_kept_connection(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
-            request_path.good(connection, attempt) if attempt == "a0" else connection.transport.abortConnection()
+            request_path.answer_correctly(
+                connection, attempt
+            ) if attempt == "a0" else connection.transport.abortConnection()
 
         self.start_two_workers(script)
         self.assert_own(self.query("a0"), "a0")
@@ -85,7 +87,7 @@
         self.assert_once(client, 504)
 
     def test_after_a_freeze_of_the_worker(self) -> None:
-        self.start_two_workers(request_path.good)
+        self.start_two_workers(request_path.answer_correctly)
         for worker in self.workers:
             worker.process.freeze()
         client = self.query("a1", ms=1500)
@@ -106,7 +108,7 @@
                     request_path.answer(attempt, b"no", status=s, seal=None, more={HEADERS["not_run"]: "1"})
                 )
             else:
-                request_path.good(connection, attempt)
+                request_path.answer_correctly(connection, attempt)
 
         self.start_two_workers(script)
         self.assert_own(self.query("a1"), "a1")
--- a/tests/test_worker_reach.py
+++ b/tests/test_worker_reach.py
@@ -137,7 +137,7 @@
         assert len(worker.connections) == 1
 
     def test_a_request_that_has_tried_the_workers_within_reach_tries_the_others(self) -> None:
-        self.idempotent(sends=3)
+        self.use_idempotent_route(sends=3)
         for _ in range(2):
             self.worker(lambda connection, _attempt: connection.transport.abortConnection())
             self.name_zone(OWN)
