--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -1,4 +1,4 @@
-"""One node's request path in the simulator, without a core: what tests of it have in common."""
+"""The common fixture of tests that simulate one node's request path without a core."""
 
 import types
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 class NodeFixture:
-    """A node that serves one route; subclasses bring the workers."""
+    """A node that serves one route to the pool "desk"; subclasses add the workers."""
 
     @pytest.fixture(autouse=True)
     def start_node(self) -> None:
@@ -53,6 +53,7 @@
         self.pool = configuration.Pool(election="node")
 
     async def handle(self, request: http_server.Request) -> None:
+        """Forward a client's request by the fixture's route, as the gateway would."""
         routed = routed_request.RoutedRequest(request, "n1/0", self.runtime.now())
         routed.parsed, routed.raw, routed.idempotent = (
             self.node.edge_protocol.parse_request(request),
@@ -65,5 +66,5 @@
         await self.forwarder.forward(routed)
 
     def go(self, ms: int) -> None:
-        """Let simulated milliseconds pass."""
+        """Run the simulation for a number of milliseconds."""
         self.world.run(self.world.time + ms * units.MILLISECOND_US)
--- a/tests/request_path.py
+++ b/tests/request_path.py
@@ -1,6 +1,6 @@
-"""A node's request path with a client and scripted workers: what tests of it have in common.
+"""The common fixture of tests that send a client's request through a node to scripted workers.
 
-A scripted worker gets complete requests and writes whatever bytes the test wants.
+A scripted worker reads complete requests and answers each with the bytes that the test chooses.
 """
 
 from collections.abc import Callable, Mapping
@@ -30,7 +30,7 @@
     length: int | None = None,
     more: Mapping[str, str] | None = None,
 ) -> bytes:
-    """The bytes of a worker's answer; `length` may tell another length than the body has."""
+    """The bytes of a worker's answer; with `length`, Content-Length differs from the body's real length."""
     headers = {HEADERS["attempt"]: attempt, HEADERS["seal"]: seal, **(more or {})}
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value is not None)
     size = len(body) if length is None else length
@@ -65,14 +65,14 @@
 
 
 class ScriptedWorker(protocol.Factory):
-    """A worker that does with each whole request what its script says."""
+    """A worker that calls its script for each complete request."""
 
     noisy = False
 
     def __init__(self, script: Callable[..., object], process: process_model.SimulatedProcess) -> None:
         self.script = script
         self.process = process
-        self.seen: list[str] = []  # attempts, in the order in which they came
+        self.seen: list[str] = []  # ids of the received attempts, in the order of their arrival
         self.connections: list[WorkerConnection] = []
 
     def buildProtocol(self, _address: interfaces.IAddress | None) -> WorkerConnection:
@@ -81,7 +81,7 @@
 
 
 class Client(protocol.Protocol):
-    """A client that keeps all bytes that come."""
+    """A client that records all bytes that it receives."""
 
     transport: Any  # a side of a simulated connection
 
@@ -97,15 +97,17 @@
 
     @property
     def status(self) -> int:
-        """The first answer's status; 0 before there is one."""
+        """The HTTP status of the first answer; 0 before an answer has begun."""
         return int(self.raw.split(b" ", 2)[1]) if self.raw else 0
 
 
 class RequestPath(node_fixture.NodeFixture):
+    """A node, its route and its scripted workers; the default route does not allow that a request runs twice."""
+
     @pytest.fixture(autouse=True)
-    def start_without_workers(self, start_node: None) -> None:  # noqa: ARG002 - asked for so that it runs before
+    def start_without_workers(self, start_node: None) -> None:  # noqa: ARG002 - requested so that it runs first
         self.workers = []
-        self.workers_started = 0  # workers ever started: each has an address of its own
+        self.workers_started = 0  # number of workers started so far; each has its own address
         self.use_non_idempotent_route()
 
     def use_non_idempotent_route(self) -> None:
@@ -118,6 +120,7 @@
         self.route = configuration.Route("/x/", "desk", repeat="may", resume=True, sends=2, cutoff_us=9 * SECOND)
 
     def worker(self, script: Callable[..., object]) -> ScriptedWorker:
+        """Start a scripted worker and list it as ready."""
         self.workers_started += 1
         number = self.workers_started
         host = f"10.0.3.{number}"
@@ -130,6 +133,7 @@
         return worker
 
     def client(self) -> Client:
+        """Connect a client to the node."""
         client = Client()
         factory: Any = protocol.ClientFactory()
         factory.noisy = False
@@ -150,21 +154,23 @@
         client.transport.write(f"{method} /x/ HTTP/1.1\r\n{lines}\r\nhi".encode("latin-1"))
 
     def query(self, attempt: str, ms: int = 50, **more: Any) -> Client:  # noqa: ANN401 - as of `write`
-        """A request on a connection of its own; the client after some time."""
+        """Send a request on a new connection, let `ms` milliseconds pass, and return the client."""
         client = self.client()
         self.write(client, attempt, **more)
         self.go(ms)
         return client
 
     def seen(self) -> list[str]:
+        """Return the sorted ids of the attempts that all workers received."""
         return sorted(attempt for worker in self.workers for attempt in worker.seen)
 
     def assert_own(self, client: Client, attempt: str) -> None:
+        """Check that a client got the complete answer to its own attempt and no other one."""
         assert client.status == 200
         assert client.raw.endswith(f"body of {attempt}".encode()), client.raw
         assert client.raw.count(b"HTTP/1.1") == 1
 
 
 def answer_correctly(connection: WorkerConnection, attempt: str) -> None:
-    """Answer as a sound worker does."""
+    """Answer an attempt with its id in the head and in the body, as a healthy worker does."""
     connection.transport.write(answer(attempt, f"body of {attempt}".encode()))
--- a/tests/test_answers_of_others.py
+++ b/tests/test_answers_of_others.py
@@ -1,4 +1,8 @@
-"""No answer reaches another request than its own."""
+"""An answer reaches only the request to which it belongs.
+
+Workers answer late, twice, partially or with the id of another attempt, on connections that are reused. The node must
+pass none of these bytes to another client.
+"""
 
 from iriswheel.runtime import units
 from simulation import network_model, platform_names
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The request path with a worker that the pool owner selected."""
+"""The worker client `dispatch.Dispatcher`, which sends requests to workers that pool owners select."""
 
 from twisted.internet import defer
 
@@ -13,7 +13,7 @@
 
 
 class TestDispatchToASelectedWorker(request_path.RequestPath):
-    """The way of a request whose worker is elected by the owner of its pool."""
+    """A request is sent to one listed worker after another until one gives a complete answer."""
 
     async def handle(self, request: http_server.Request) -> None:
         self.outcomes = []
@@ -42,7 +42,8 @@
         self.go(2000)
         assert (self.outcomes, self.seen()) == (["cancelled"], [])
 
-    def head_alone(self, connection: request_path.WorkerConnection, attempt: str) -> None:
+    def write_head_only(self, connection: request_path.WorkerConnection, attempt: str) -> None:
+        """Send the head of an answer, and close the connection 5 ms later without a body."""
         connection.transport.write(request_path.answer(attempt, length=9, more={"X-First": "1"}))
         self.world.push(self.world.time + 5000, connection.transport.abortConnection)
 
@@ -51,7 +52,7 @@
             connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             connection.transport.write(b"a\r\nbody of a1\r\n0\r\n\r\n")
 
-        self.worker(self.head_alone)
+        self.worker(self.write_head_only)
         self.worker(chunked)
         client = self.query("a1", ms=200)
         head, _, body = client.raw.partition(b"\r\n\r\n")
@@ -60,7 +61,7 @@
         assert b"body of a1" in body
 
     def test_the_head_of_a_lost_answer_is_not_sent_with_the_nodes_own_error(self) -> None:
-        self.worker(self.head_alone)
+        self.worker(self.write_head_only)
         client = self.query("a1", ms=200)
         assert client.status == 502
         assert HEADERS["seal"].lower().encode() not in client.raw.lower()
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""One node's forwarder between a client and stand-in workers: what it makes of each fault."""
+"""How a node's forwarder handles a worker that dies, freezes or answers while its client reads slowly."""
 
 import simulation.clients.connection as client_connection
 import simulation.workers.worker as workers
@@ -12,7 +12,7 @@
 
 
 class WorkerInProcess(workers.Worker):
-    """A stand-in worker that knows the process that it runs in."""
+    """A simulated worker with a reference to the simulated process that it runs in."""
 
     process: process_model.SimulatedProcess
 
@@ -37,7 +37,7 @@
         return worker
 
     def query(self, events: int = 40) -> tuple[client_connection.PendingAnswer, client_connection.ClientConnection]:
-        """Send a request for a stream; the client's connection and what comes of it."""
+        """Send a request for a stream; returns its answer, which fills over time, and the client's connection."""
         call = client_connection.PendingAnswer(lambda _call: None)
         connected = client_connection.connect(self.client_process.runtime(), "10.0.2.1", 80, SECOND)
         self.go(10)
@@ -77,7 +77,7 @@
             self.worker()
         call, _ = self.query()
         self.go(60)
-        for w in self.workers:  # and their ports reset
+        for w in self.workers:  # the ports of killed processes reset connections
             w.process.kill()
         self.go(1000)
         assert (call.outcome, 0 < len(call.events) < 41) == ("closed", True)
--- a/tests/test_fuzz_worker_bytes.py
+++ b/tests/test_fuzz_worker_bytes.py
@@ -1,4 +1,4 @@
-"""Whatever bytes a worker's connection brings: a request gets its own answer or none."""
+"""Fuzzing of the bytes from a worker: whatever they are, a request gets its own answer or none."""
 
 import re
 
@@ -14,7 +14,7 @@
 
 
 def complete_answer(attempt: str, status: int, chunked: bool, size: int, bare: bool) -> bytes:
-    """A whole answer whose body names its attempt over and over."""
+    """A complete answer whose body repeats the id of its attempt; a bare one has no id in its head."""
     body = f"<{attempt}>".encode() * size
     head = "" if bare else f"{HEADERS['attempt']}: {attempt}\r\n{HEADERS['seal']}: s\r\n"
     if chunked:
@@ -35,23 +35,23 @@
 
 
 class RecordingReceiver:
-    """A request under way, and what was given to it."""
+    """Records what a connection gives to the receiver of one request."""
 
     bodyless = False
 
     def __init__(self, attempt: str) -> None:
         self.attempt = attempt
-        self.low: dict[str, str] | None = None
+        self.headers: dict[str, str] | None = None
         self.body = b""
         self.ends: list[str] = []
 
-    def owns(self, _status: int, low: dict[str, str], _used: int) -> bool | None:
-        got = low.get(HEADERS["attempt"].lower())
+    def owns(self, _status: int, lowercase: dict[str, str], _uses: int) -> bool | None:
+        got = lowercase.get(HEADERS["attempt"].lower())
         return None if got is None else got == self.attempt
 
-    def head_received(self, _status: int, _headers: list[tuple[bytes, bytes]], low: dict[str, str]) -> None:
-        assert self.low is None, "two answers to one request"
-        self.low = low
+    def head_received(self, _status: int, _headers: list[tuple[bytes, bytes]], lowercase: dict[str, str]) -> None:
+        assert self.headers is None, "two answers to one request"
+        self.headers = lowercase
 
     def data_received(self, data: bytes) -> None:
         self.body += data
@@ -64,31 +64,33 @@
 
 
 class TestWorkerBytes(fuzzing.LoggedErrors):
-    """Whatever a worker's connection brings, a request gets its own answer or none."""
+    """A connection to a worker, fed with answers to any request and with arbitrary bytes."""
 
     @fuzzing.QUICK
     @hypothesis.given(
         strategies.lists(strategies.lists(PIECES, max_size=4), min_size=1, max_size=4), strategies.integers(1, 400)
     )
-    def test_a_request_gets_only_its_own_answer(self, turns: list[list[bytes]], step: int) -> None:
+    def test_a_request_gets_only_its_own_answer(self, answers_by_request: list[list[bytes]], step: int) -> None:
         _, runtime = fuzzing.new_runtime()
         connection = worker_connections.WorkerConnection(runtime, "w1")
         transport = fuzzing.Transport()
         connection.makeConnection(transport)
-        flows = []
-        for attempt, pieces in zip(ATTEMPTS, turns, strict=False):
+        receivers = []
+        for attempt, pieces in zip(ATTEMPTS, answers_by_request, strict=False):
             if connection.must_close or connection.receiver is not None:
                 break
-            flows.append(RecordingReceiver(attempt))
-            connection.start(b"", flows[-1])
+            receivers.append(RecordingReceiver(attempt))
+            connection.start(b"", receivers[-1])
             raw = b"".join(pieces)
             for start in range(0, len(raw), step):
                 if not transport.aborted:
                     connection.dataReceived(raw[start : start + step])
         connection.connectionLost()
-        for flow in flows:
-            assert len(flow.ends) == 1, flow.ends
-            if flow.low is not None:
-                assert flow.low[HEADERS["attempt"].lower()] == flow.attempt
-            if "whole" in flow.ends:
-                assert ({flow.attempt.encode()} if flow.body else set()) == set(re.findall(rb"<(a\d)>", flow.body))
+        for receiver in receivers:
+            assert len(receiver.ends) == 1, receiver.ends
+            if receiver.headers is not None:
+                assert receiver.headers[HEADERS["attempt"].lower()] == receiver.attempt
+            if "whole" in receiver.ends:
+                assert ({receiver.attempt.encode()} if receiver.body else set()) == set(
+                    re.findall(rb"<(a\d)>", receiver.body)
+                )
--- a/tests/test_sent_once.py
+++ b/tests/test_sent_once.py
@@ -1,4 +1,7 @@
-"""No request that may not be repeated is sent twice."""
+"""A request that is not idempotent is sent to a second worker only if the first one reported that it did not run it.
+
+Each test lets the first attempt fail in another way. If the node sent the request again, it could run twice.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,9 +17,10 @@
 
 
 class TestSentOnce(request_path.RequestPath):
-    """What may not be repeated goes to one worker, unless that worker said that it did not run it."""
+    """Requests on a route that does not allow repetition, with two workers that both behave as the test says."""
 
     def assert_once(self, client: request_path.Client, *statuses: int) -> None:
+        """Check that one worker received the request once, and that the client got one of the statuses."""
         self.go(6000)
         assert self.seen() == ["a1"]
         assert client.status in statuses
--- a/tests/test_status_paths.py
+++ b/tests/test_status_paths.py
@@ -1,4 +1,4 @@
-"""The paths at which a node tells of itself give way to a route of the configuration."""
+"""A configured route takes precedence over the node's own status calls on the same path."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class Request:
-    """A GET, and what it was answered."""
+    """A GET request that records the node's own answers to it."""
 
     method = b"GET"
 
@@ -22,12 +22,12 @@
         self.answers: list[object] = []
 
     def answer_json(self, status: int, _document: object) -> None:
-        """Take the node's own answer."""
+        """Record the status of the node's own answer."""
         self.answers.append(status)
 
 
 def handled_by(path: bytes, routed: str, *, any_method: bool) -> str:
-    """Whether the node itself answers a request, or it goes the way of clients' requests."""
+    """Return "node" where the node itself answers a GET of `path`, or "client" where it is served as a client's."""
     formats = edge_protocol.EdgeProtocol()
     formats.accepts_any_method = any_method
     served: list[object] = []
--- a/tests/test_worker_connections.py
+++ b/tests/test_worker_connections.py
@@ -1,4 +1,8 @@
-"""Connections to workers learn how long a worker really keeps them."""
+"""The pool of connections to workers learns how long a worker keeps idle connections open.
+
+A worker may drop an idle connection without a word to the node. The next request on it is lost, and must make the node
+reuse only connections that were idle for a shorter time.
+"""
 
 import pytest
 from twisted.internet import defer
@@ -13,27 +17,27 @@
 
 
 class RecordingReceiver:
-    """A send that only notes how it ended."""
+    """Receives the answer of one request and records only how it ended."""
 
     bodyless = False
 
     def __init__(self) -> None:
-        self.how = ""
+        self.outcome = ""
 
-    def owns(self, _status: int, _low: dict[str, str], _used: int) -> bool:
+    def owns(self, _status: int, _headers: dict[str, str], _uses: int) -> bool:
         return True
 
-    def head_received(self, status: int, headers: list[tuple[bytes, bytes]], low: dict[str, str]) -> None:
+    def head_received(self, status: int, headers: list[tuple[bytes, bytes]], lowercase: dict[str, str]) -> None:
         pass
 
     def data_received(self, data: bytes) -> None:
         pass
 
     def answer_complete(self) -> None:
-        self.how = "whole"
+        self.outcome = "whole"
 
     def answer_lost(self) -> None:
-        self.how = "lost"
+        self.outcome = "lost"
 
 
 class TestIdleConnections:
@@ -53,30 +57,32 @@
         self.worker.close_share = 0
         self.worker.silent_drop = True
         process.reactor.listenTCP(8080, self.worker)
-        near = process_model.SimulatedProcess(self.world, "n1", host_model.Host(self.world, "10.0.2.1", "a"))
-        self.connections = worker_connections.ConnectionPool(near.runtime())
-        self.at = message.Worker(self.worker.id, "10.0.3.1", 8080, "desk", "ready", 0)
+        client_process = process_model.SimulatedProcess(self.world, "n1", host_model.Host(self.world, "10.0.2.1", "a"))
+        self.connections = worker_connections.ConnectionPool(client_process.runtime())
+        self.listed_worker = message.Worker(self.worker.id, "10.0.3.1", 8080, "desk", "ready", 0)
 
     def go(self, ms: int) -> None:
         self.world.run(self.world.time + ms * MILLISECOND)
 
     def send(self) -> str:
-        flow = RecordingReceiver()
+        """Send one request and return how its answer ended, "whole" or "lost"."""
+        receiver = RecordingReceiver()
 
-        async def one() -> None:
-            connection = await self.connections.get(self.at, 2 * SECOND)
+        async def send_request() -> None:
+            connection = await self.connections.get(self.listed_worker, 2 * SECOND)
             connection.start(
                 f"POST /x/ HTTP/1.1\r\nHost: h\r\n{platform_names.HEADERS['attempt']}: a{self.world.time}\r\n"
                 f"{platform_names.HEADERS['tokens']}: 1,9\r\nContent-Length: 0\r\n\r\n".encode(),
-                flow,
+                receiver,
             )
 
-        d = defer.ensureDeferred(one())
+        d = defer.ensureDeferred(send_request())
         self.go(100)
         assert d.called
-        return flow.how
+        return receiver.outcome
 
     def opened(self) -> int:
+        """Return how many connections the worker has accepted."""
         return sum(r["kind"] == "opened" for r in self.tape.rows)
 
     def test_one_lost_request_limits_how_long_idle_connections_are_reused(self) -> None:
