--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -128,7 +128,7 @@
     def stop(self, outcome: attempt_outcome.AttemptOutcome | None = None) -> None:
         """End the attempt before its answer is complete, and close the worker's connection.
 
-        Without an outcome, as at a cancellation, `done` does not fire from here.
+        `done` fires with the outcome. Without one, as when the attempt is cancelled, this method does not fire it.
         """
         if self.connection is not None:
             self.connection.drop()
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -53,7 +53,7 @@
 MAX_CONNECTING_US = 3 * worker_connections.CONNECT_TIMEOUT_US  # time a request spends on connections that failed
 MIN_RETRY_US = 150 * units.MILLISECOND_US  # shortest wait that a refused client is asked for
 OPTIONS_RELOAD_GRACE_US = 12 * units.SECOND_US  # time until requests that were under way at a reload have ended
-MISDIRECTED_STATUS = 421  # HTTP status of a worker that does not serve the model or pool of the request
+MISDIRECTED_STATUS = 421  # HTTP status of a worker that does not serve the request that was sent to it
 # HTTP statuses by which a node promises its client that the request never ran.
 NOT_RUN_STATUSES = frozenset((408, MISDIRECTED_STATUS, 429, 503))
 
--- a/tests/request_path.py
+++ b/tests/request_path.py
@@ -30,7 +30,7 @@
     length: int | None = None,
     more: Mapping[str, str] | None = None,
 ) -> bytes:
-    """The bytes of a worker's answer; with `length`, Content-Length differs from the body's real length."""
+    """The bytes of a worker's answer; `length` replaces the body's real length in Content-Length."""
     headers = {HEADERS["attempt"]: attempt, HEADERS["seal"]: seal, **(more or {})}
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items() if value is not None)
     size = len(body) if length is None else length
