--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -33,7 +33,7 @@
             errors.ServiceError: The request is malformed.
         """
         http_request, headers = request.http_request, request.http_request.requestHeaders
-        if http_request.method != b"POST" and not self.node.edge_protocol.any_method:
+        if http_request.method != b"POST" and not self.node.edge_protocol.accepts_any_method:
             raise errors.ServiceError("bad_method", "Exchanges are sent with POST.")
         if (
             http_request.method == b"POST"
@@ -42,7 +42,11 @@
         ):
             raise errors.ServiceError("length_required", "The body's length is not said.", field="Content-Length")
         parsed = request.parsed = self.node.edge_protocol.parse_request(http_request)
-        request.parts, request.request_id, request.attempt_number = parsed.parts, parsed.request_id, parsed.send
+        request.parts, request.request_id, request.attempt_number = (
+            parsed.parts,
+            parsed.request_id,
+            parsed.attempt_number,
+        )
         request.idempotent = parsed.idempotent
         assert http_request.content is not None, "the body is read before the request is handled"
         request.raw = http_request.content.read()
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The request path with a worker that the pool owner selected."""
+"""The worker client `dispatch.Dispatcher`, which sends requests to workers that pool owners select."""
 
 from twisted.internet import defer
 
@@ -13,7 +13,7 @@
 
 
 class TestDispatchToASelectedWorker(request_path.RequestPath):
-    """The way of a request whose worker is elected by the owner of its pool."""
+    """A request is sent to one listed worker after another until one gives a complete answer."""
 
     async def handle(self, request: http_server.Request) -> None:
         self.outcomes = []
@@ -33,25 +33,26 @@
                 return
         request.answer(502, b"no")
 
-    def test_a_client_that_goes_away_while_a_worker_is_connected_ends_its_request(self) -> None:
+    def test_a_request_ends_when_its_client_disconnects_during_the_connect(self) -> None:
         for _ in range(2):
-            self.worker(request_path.good)
+            self.worker(request_path.answer_correctly)
         self.world.cut(["10.0.2.1"], ["10.0.3.1"])
         client = self.query("a1")
         client.transport.abortConnection()
         self.go(2000)
         assert (self.outcomes, self.seen()) == (["cancelled"], [])
 
-    def head_alone(self, connection: request_path.WorkerConnection, attempt: str) -> None:
+    def write_head_only(self, connection: request_path.WorkerConnection, attempt: str) -> None:
+        """Send the head of an answer, and close the connection 5 ms later without a body."""
         connection.transport.write(request_path.answer(attempt, length=9, more={"X-First": "1"}))
         self.world.push(self.world.time + 5000, connection.transport.abortConnection)
 
-    def test_the_head_of_an_answer_that_never_came_is_not_given_with_another(self) -> None:
+    def test_the_head_of_a_lost_answer_is_not_sent_with_the_next_workers_answer(self) -> None:
         def chunked(connection: request_path.WorkerConnection, _attempt: str) -> None:
             connection.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             connection.transport.write(b"a\r\nbody of a1\r\n0\r\n\r\n")
 
-        self.worker(self.head_alone)
+        self.worker(self.write_head_only)
         self.worker(chunked)
         client = self.query("a1", ms=200)
         head, _, body = client.raw.partition(b"\r\n\r\n")
@@ -59,8 +60,8 @@
         assert b"content-length" not in head.lower()
         assert b"body of a1" in body
 
-    def test_the_head_of_an_answer_that_never_came_is_not_given_with_a_failure_of_our_own(self) -> None:
-        self.worker(self.head_alone)
+    def test_the_head_of_a_lost_answer_is_not_sent_with_the_nodes_own_error(self) -> None:
+        self.worker(self.write_head_only)
         client = self.query("a1", ms=200)
         assert client.status == 502
         assert HEADERS["seal"].lower().encode() not in client.raw.lower()
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -263,7 +263,7 @@
         assert worker.connections == []
 
     def test_a_retry_goes_to_no_evacuated_zone(self) -> None:
-        self.idempotent(sends=3)
+        self.use_idempotent_route(sends=3)
 
         def reset(connection: request_path.WorkerConnection, _attempt: str) -> None:
             self.evacuated = {"i-1", "i-2"} - {f"i-{1 + self.workers.index(connection.worker)}"}
@@ -334,7 +334,7 @@
         server = relay.RelayServer(self.node)
         tokens = [server.issue_token("i-1") for _ in range(2)]
         requests: list[Any] = [
-            types.SimpleNamespace(requestHeaders=http_headers.Headers({edge_protocol.PASS: [token]}))
+            types.SimpleNamespace(requestHeaders=http_headers.Headers({edge_protocol.RELAY_HEADER: [token]}))
             for token in tokens
         ]
         assert server.redeem_token(requests[0]) is self.worker
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""One node's forwarder between a client and stand-in workers: what it makes of each fault."""
+"""How a node's forwarder handles a worker that dies, freezes or answers while its client reads slowly."""
 
 import simulation.clients.connection as client_connection
 import simulation.workers.worker as workers
@@ -12,7 +12,7 @@
 
 
 class WorkerInProcess(workers.Worker):
-    """A stand-in worker that knows the process that it runs in."""
+    """A simulated worker with a reference to the simulated process that it runs in."""
 
     process: process_model.SimulatedProcess
 
@@ -37,9 +37,9 @@
         return worker
 
     def query(self, events: int = 40) -> tuple[client_connection.PendingAnswer, client_connection.ClientConnection]:
-        """Send a request for a stream; the client's connection and what comes of it."""
+        """Send a request for a stream; returns its answer, which fills over time, and the client's connection."""
         call = client_connection.PendingAnswer(lambda _call: None)
-        connected = client_connection.connect(self.near.runtime(), "10.0.2.1", 80, SECOND)
+        connected = client_connection.connect(self.client_process.runtime(), "10.0.2.1", 80, SECOND)
         self.go(10)
         head = {
             "Host": "h.example",
@@ -62,7 +62,7 @@
     def runs(self) -> list[str]:
         return [r["name"] for r in self.tape.rows if r["kind"] == "run"]
 
-    def test_a_stream_that_breaks_off_is_taken_up_elsewhere(self) -> None:
+    def test_a_stream_that_breaks_off_is_resumed_at_another_worker(self) -> None:
         for _ in range(2):
             self.worker()
         call, _ = self.query()
@@ -72,17 +72,17 @@
         assert ("whole", list(range(1, 42))) == (call.outcome, [e[0] for e in call.events])
         assert self.forwarder.counts.resumed == 1
 
-    def test_a_stream_that_nobody_can_take_up_is_broken_off(self) -> None:
+    def test_a_stream_that_no_worker_can_resume_is_broken_off(self) -> None:
         for _ in range(2):
             self.worker()
         call, _ = self.query()
         self.go(60)
-        for w in self.workers:  # and their ports reset
+        for w in self.workers:  # the ports of killed processes reset connections
             w.process.kill()
         self.go(1000)
         assert (call.outcome, 0 < len(call.events) < 41) == ("closed", True)
 
-    def test_a_silent_worker_keeps_a_stream_that_nobody_can_take_up(self) -> None:
+    def test_a_silent_worker_keeps_its_stream_where_no_other_worker_can_resume_it(self) -> None:
         w = self.worker()
         call, _ = self.query()
         self.go(60)
@@ -92,7 +92,7 @@
         self.go(1000)
         assert (self.forwarder.counts.silent, call.outcome, len(call.events)) == (0, "whole", 41)
 
-    def test_a_client_that_reads_slowly_counts_against_no_worker(self) -> None:
+    def test_a_slow_client_is_not_recorded_as_a_failure_of_its_worker(self) -> None:
         for _ in range(2):
             self.worker().parameters.step_us = 100
         call, connection = self.query(events=4000)
--- a/tests/test_sent_once.py
+++ b/tests/test_sent_once.py
@@ -1,4 +1,7 @@
-"""No request that may not be repeated is sent twice."""
+"""A request that is not idempotent is sent to a second worker only if the first one reported that it did not run it.
+
+Each test lets the first attempt fail in another way. If the node sent the request again, it could run twice.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,9 +17,10 @@
 
 
 class TestSentOnce(request_path.RequestPath):
-    """What may not be repeated goes to one worker, unless that worker said that it did not run it."""
+    """Requests on a route that does not allow repetition, with two workers that both behave as the test says."""
 
     def assert_once(self, client: request_path.Client, *statuses: int) -> None:
+        """Check that one worker received the request once, and that the client got one of the statuses."""
         self.go(6000)
         assert self.seen() == ["a1"]
         assert client.status in statuses
@@ -56,7 +60,7 @@
         self.assert_once(self.query("a1"), 502)
 
     @pytest.mark.parametrize("status", [408, 429, 503])
-    def test_after_a_status_that_would_promise_too_much(self, status: int) -> None:
+    def test_after_a_status_that_would_wrongly_promise_that_it_did_not_run(self, status: int) -> None:
         self.start_two_workers(
             lambda connection, attempt, s=status: connection.transport.write(
                 request_path.answer(attempt, b"no", status=s)
@@ -68,7 +72,9 @@
 
     def test_after_a_reset_of_a_kept_connection(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
-            request_path.good(connection, attempt) if attempt == "a0" else connection.transport.abortConnection()
+            request_path.answer_correctly(
+                connection, attempt
+            ) if attempt == "a0" else connection.transport.abortConnection()
 
         self.start_two_workers(script)
         self.assert_own(self.query("a0"), "a0")
@@ -85,7 +91,7 @@
         self.assert_once(client, 504)
 
     def test_after_a_freeze_of_the_worker(self) -> None:
-        self.start_two_workers(request_path.good)
+        self.start_two_workers(request_path.answer_correctly)
         for worker in self.workers:
             worker.process.freeze()
         client = self.query("a1", ms=1500)
@@ -94,7 +100,7 @@
         self.assert_once(client, 200)
 
     @pytest.mark.parametrize("status", [421, 429, 503])
-    def test_a_worker_that_did_not_run_it_is_followed_by_another(self, status: int) -> None:
+    def test_a_request_that_a_worker_did_not_run_goes_to_another_worker(self, status: int) -> None:
         attempts: list[str] = []
 
         def script(
@@ -106,13 +112,13 @@
                     request_path.answer(attempt, b"no", status=s, seal=None, more={HEADERS["not_run"]: "1"})
                 )
             else:
-                request_path.good(connection, attempt)
+                request_path.answer_correctly(connection, attempt)
 
         self.start_two_workers(script)
         self.assert_own(self.query("a1"), "a1")
         assert self.seen() == ["a1", "a1"]
 
-    def test_a_refusal_that_breaks_off_is_no_promise(self) -> None:
+    def test_an_incomplete_refusal_does_not_count_as_not_run(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             refusal = request_path.answer(
                 attempt, b"no", status=503, seal=None, length=9, more={HEADERS["not_run"]: "1"}
