--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -322,7 +322,7 @@
             stream.answer_failure()
             return
         if outcome is attempt_outcome.AttemptOutcome.REFUSED:
-            raise self.final_error(request, "busy", "Request refused by worker.")
+            raise self.final_error(request, "busy", "The worker turned it away.")
         raise self.final_error(request, "worker_broke", f"Worker {stream.worker} gave no answer.")
 
     def may_retry(self, request: forwarded_request.ForwardedRequest) -> bool:
--- a/tests/test_cold_workers.py
+++ b/tests/test_cold_workers.py
@@ -317,7 +317,7 @@
         self.list_workers(False, True)
         clients = [self.query(f"a{number}", ms=5) for number in range(6)]
         assert cold.seen == []
-        assert all(client.status == 503 and b"Request refused by worker." in client.raw for client in clients)
+        assert all(client.status == 503 and b"turned it away" in client.raw for client in clients)
         assert self.forwarder.counts.retried == 0
 
     def test_no_connection_is_made_to_a_cold_worker_that_is_not_due(self) -> None:
