--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -31,22 +31,22 @@
 HEAVY_TOKENS = 2_000  # to read, from which on the load is reported to other nodes at once
 REREAD_FACTOR = 15  # reading a shared part anew counts so many times its time: others wait, and parts give way
 JITTER_US = 3_000  # workers nearer than this are alike
-OTHERS_VALID_US = 1_500 * units.MILLISECOND_US  # others' sums older than this count for nothing
+REMOTE_LOAD_VALID_US = 1_500 * units.MILLISECOND_US  # others' sums older than this count for nothing
 SUSPICION_HALF_LIFE_US = 2 * units.SECOND_US
 SUSPICION_US = 1 * units.SECOND_US  # what full suspicion counts for in time
 COLD_US = 200 * units.MILLISECOND_US  # what it counts for in time that a worker is cold
 EJECTION_SUSPICION = 0.45  # from here on a worker gets nothing, as long as others are well
 SUSPICION_AFTER_ANSWER = 0.7  # the part of it that is left after a complete answer
-OTHERS_SUSPICION = 0.4  # how much another node's suspicion counts beside one's own
+REMOTE_SUSPICION_WEIGHT = 0.4  # how much another node's suspicion counts beside one's own
 MIN_FIRST_EVENT_TIMEOUT_US = 200 * units.MILLISECOND_US  # no first event is waited for less than this
 UNRESPONSIVE_US = 700 * units.MILLISECOND_US  # a worker with attempts under way that says nothing for so long
 REQUEST_COST = 100  # an open session's cost that counts like one request
 SMOOTHING = 16  # the weight of what was measured before, against one more first event
 
 LoadRow: typing.TypeAlias = tuple[str, int, int, int]  # worker, running, unread tokens, suspicion in percent
-OthersLoad: typing.TypeAlias = tuple[int, int, int]  # the same without the worker, of all other nodes together
+RemoteLoad: typing.TypeAlias = tuple[int, int, int]  # the same without the worker, of all other nodes together
 
-NO_LOAD: OthersLoad = (0, 0, 0)
+NO_LOAD: RemoteLoad = (0, 0, 0)
 
 
 class FirstTurn(typing.NamedTuple):
@@ -103,8 +103,8 @@
         self.runtime = runtime
         self.pool = pool
         self.workers: dict[str, worker_estimate.WorkerEstimate] = {}
-        self.others: dict[str, OthersLoad] = {}  # by worker
-        self.others_received_at_us = 0  # when the others' load last came
+        self.remote_loads: dict[str, RemoteLoad] = {}  # by worker
+        self.remote_loads_received_at_us = 0  # when the others' load last came
         # mean and deviation of the first events of short prompts, beyond what was expected
         self.first_event_mean_us, self.first_event_deviation_us = 60_000.0, 30_000.0
         # called when an attempt changes a worker's load by much, and when anything changes
@@ -142,13 +142,17 @@
                 self.ranks.popitem(last=False)
         return ranking
 
-    def load_of_others(self, worker: str, now: int) -> OthersLoad:
+    def recent_remote_load(self, worker: str, now: int) -> RemoteLoad:
         """Return what all other nodes together say of a worker, unless that is old.
 
-        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").load_of_others("w1", 0)
+        >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").recent_remote_load("w1", 0)
         (0, 0, 0)
         """
-        return self.others.get(worker, NO_LOAD) if now - self.others_received_at_us < OTHERS_VALID_US else NO_LOAD
+        return (
+            self.remote_loads.get(worker, NO_LOAD)
+            if now - self.remote_loads_received_at_us < REMOTE_LOAD_VALID_US
+            else NO_LOAD
+        )
 
     # ---- health -------------------------------------------------------------------------
 
@@ -159,8 +163,8 @@
         >>> placement.suspicion("w1", 0)
         0.5
         """
-        _, _, others_percent = self.load_of_others(worker, now)
-        return min(1.0, self.own_suspicion(worker, now) + OTHERS_SUSPICION * others_percent / 100)
+        _, _, remote_percent = self.recent_remote_load(worker, now)
+        return min(1.0, self.own_suspicion(worker, now) + REMOTE_SUSPICION_WEIGHT * remote_percent / 100)
 
     def own_suspicion(self, worker: str, now: int) -> float:
         """Return this node's own suspicion of a worker, which fades.
@@ -241,7 +245,7 @@
         Only real requests in flight count here: this is what admission looks at.
         """
         estimate = self.estimate(worker)
-        running, unread, _ = self.load_of_others(worker, now)
+        running, unread, _ = self.recent_remote_load(worker, now)
         running += estimate.running
         unread += estimate.unread_tokens
         batch = pool.batch or BATCH_REQUESTS
@@ -466,17 +470,17 @@
         """Take the other nodes' sums: all of them, or what changed.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
-        >>> placement.take([("w1", 3, 900, 0)], True); placement.others["w1"]
+        >>> placement.take([("w1", 3, 900, 0)], True); placement.remote_loads["w1"]
         (3, 900, 0)
         """
         if complete:
-            self.others = {}
+            self.remote_loads = {}
         for worker, running, unread, suspicion in rows:
             if running or unread or suspicion:
-                self.others[worker] = (running, unread, suspicion)
+                self.remote_loads[worker] = (running, unread, suspicion)
             else:
-                self.others.pop(worker, None)
-        self.others_received_at_us = self.runtime.now()
+                self.remote_loads.pop(worker, None)
+        self.remote_loads_received_at_us = self.runtime.now()
 
     def state(self) -> dict[str, typing.Any]:
         """Return what this placement shows of itself in the node's state.
