--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -163,14 +163,19 @@
     idle_node = node_with_workers(workers)
     place, names = idle_node.gateway.forwarder.placement_of("model-0"), idle_node.gateway.forwarder.ready("model-0")
     place.take([(name, 22, 900, 0) for name in names], True)
-    cut = placement.chain([f"{k:08x}" for k in range(4)])
+    cut = placement.prefix_keys([f"{k:08x}" for k in range(4)])
     place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())
     count = [0]
 
     def fresh() -> None:
         count[0] += 1
         place.pick(
-            shared, placement.chain([f"{count[0]:08x}", "b", "c", "d"]), 291, names, pool=pool, excluded_workers=set()
+            shared,
+            placement.prefix_keys([f"{count[0]:08x}", "b", "c", "d"]),
+            291,
+            names,
+            pool=pool,
+            excluded_workers=set(),
         )
 
     point = lines.point("workers of the pool", workers)
--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -26,7 +26,7 @@
         self.resume = routed.route.resume
         self.deadline_us = routed.deadline_us
         sizes = self.parsed.sizes
-        self.keys = placement.chain(self.parsed.parts)
+        self.keys = placement.prefix_keys(self.parsed.parts)
         self.unnamed_tokens = max(0, self.parsed.tokens_in - sum(sizes))  # of the prompt, that no part names
         self.own_tokens = self.unnamed_tokens + (sizes[-1] if sizes else 0)  # that no other request shares
         self.last_event_id = self.parsed.after
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -59,10 +59,10 @@
 NO_FIRST_TURN = FirstTurn("", 0)
 
 
-def chain(parts: list[str]) -> list[bytes]:
+def prefix_keys(parts: list[str]) -> list[bytes]:
     """Return a key for each part that stands for all parts up to it.
 
-    >>> a, b = chain(["x", "y"]), chain(["z", "y"]); a[1] == b[1], chain(["x"])[0] == a[0]
+    >>> a, b = prefix_keys(["x", "y"]), prefix_keys(["z", "y"]); a[1] == b[1], prefix_keys(["x"])[0] == a[0]
     (False, True)
     """
     keys, key = [], b""
--- a/tests/test_cold_workers.py
+++ b/tests/test_cold_workers.py
@@ -211,7 +211,7 @@
         self.play(0.01)
         self.now += SECOND  # the senders' first pauses are over
         for number in range(30):
-            keys = placement.chain([f"guide-{number}", "letter"])
+            keys = placement.prefix_keys([f"guide-{number}", "letter"])
             assert len({self.home(node, keys) for node in self.nodes}) == 1
 
     def home(self, node: FleetNode, keys: list[bytes]) -> str:
