--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -72,10 +72,10 @@
     return keys
 
 
-def weigh(key: bytes, worker: str) -> bytes:
+def rendezvous_weight(key: bytes, worker: str) -> bytes:
     """Return the weight of a worker for a key; the same on every node.
 
-    >>> weigh(b"k", "w1") == weigh(b"k", "w1"), weigh(b"k", "w1") == weigh(b"k", "w2")
+    >>> rendezvous_weight(b"k", "w1") == rendezvous_weight(b"k", "w1"), rendezvous_weight(b"k", "w1") == rendezvous_weight(b"k", "w2")
     (True, False)
     """
     return hashlib.blake2b(worker.encode(), digest_size=8, key=key).digest()
@@ -114,7 +114,7 @@
         # by last part's key, the oldest first: each may yet become a session
         self.first_turns: collections.OrderedDict[bytes, FirstTurn] = collections.OrderedDict()
         # (key, workers) -> the workers by weight
-        self.ranks: collections.OrderedDict[tuple[bytes, tuple[str, ...]], list[str]] = collections.OrderedDict()
+        self.rankings: collections.OrderedDict[tuple[bytes, tuple[str, ...]], list[str]] = collections.OrderedDict()
 
     def estimate(self, worker: str) -> worker_estimate.WorkerEstimate:
         """Return what is known of a worker.
@@ -134,12 +134,12 @@
         >>> sorted(placement.rank(b"k", ("w1", "w2")))
         ['w1', 'w2']
         """
-        ranking = self.ranks.get((key, workers))
+        ranking = self.rankings.get((key, workers))
         if ranking is None:
-            ranking = sorted(workers, key=lambda worker: weigh(key, worker), reverse=True)
-            self.ranks[key, workers] = ranking
-            if len(self.ranks) > MAX_RANKINGS:
-                self.ranks.popitem(last=False)
+            ranking = sorted(workers, key=lambda worker: rendezvous_weight(key, worker), reverse=True)
+            self.rankings[key, workers] = ranking
+            if len(self.rankings) > MAX_RANKINGS:
+                self.rankings.popitem(last=False)
         return ranking
 
     def recent_remote_load(self, worker: str, now: int) -> RemoteLoad:
