--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -339,7 +339,7 @@
         stream.unread_tokens = pool_placement.begin(
             worker.id, request.keys, request.parsed.sizes, request.unnamed_tokens
         )
-        stream.expected_us += placement.read_time_us(stream.unread_tokens)
+        stream.expected_us += placement.prefill_time_us(stream.unread_tokens)
         try:
             idle_use_us = IDEMPOTENT_IDLE_USE_US if request.idempotent else IDLE_USE_US
             try:
@@ -413,6 +413,6 @@
     if stream.done.called or stream.paused or not (overdue or stream.received_any):
         return False
     silence_us = now - stream.last_received_us
-    if stream.unread_tokens >= placement.HEAVY_TOKENS:  # the expected read time of a long prompt is less exact
+    if stream.unread_tokens >= placement.HEAVY_PREFILL_TOKENS:  # the expected read time of a long prompt is less exact
         return silence_us >= LONG_PROMPT_SILENCE_US
     return not stream.received_any or silence_us >= SILENCE_US
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -20,16 +20,16 @@
     from iriswheel.configuration import configuration
 
 
-READ_TOKENS_PER_MS = 50  # that a worker reads of a prompt
+PREFILL_TOKENS_PER_MS = 50  # that a worker reads of a prompt
 BATCH_REQUESTS = 64  # that a worker runs at once, where the configuration does not say
 RUNNING_REQUEST_US = 60  # what one more running request costs a new one, in time to its first event
 FULL_BATCH_US = 700 * units.MILLISECOND_US  # how long a request holds its place in a full batch
 MAX_FIRST_TURNS = 16_384  # first turns remembered
 MAX_RANKINGS = 1_024  # rankings remembered
-LONG_TOKENS = 4_000  # of a prompt, shared parts and all, from which on it is long
+LONG_PROMPT_TOKENS = 4_000  # of a prompt, shared parts and all, from which on it is long
 RESERVED_RATIO = 0.34  # of the workers that read no long prompts
-HEAVY_TOKENS = 2_000  # to read, from which on the load is reported to other nodes at once
-REREAD_FACTOR = 15  # reading a shared part anew counts so many times its time: others wait, and parts give way
+HEAVY_PREFILL_TOKENS = 2_000  # to read, from which on the load is reported to other nodes at once
+PREFIX_MISS_FACTOR = 15  # reading a shared part anew counts so many times its time: others wait, and parts give way
 JITTER_US = 3_000  # workers nearer than this are alike
 REMOTE_LOAD_VALID_US = 1_500 * units.MILLISECOND_US  # others' sums older than this count for nothing
 SUSPICION_HALF_LIFE_US = 2 * units.SECOND_US
@@ -81,13 +81,13 @@
     return hashlib.blake2b(worker.encode(), digest_size=8, key=key).digest()
 
 
-def read_time_us(tokens: int) -> int:
+def prefill_time_us(tokens: int) -> int:
     """Return how long a worker reads at so many tokens of a prompt.
 
-    >>> read_time_us(100)
+    >>> prefill_time_us(100)
     2000
     """
-    return tokens * 1000 // READ_TOKENS_PER_MS
+    return tokens * 1000 // PREFILL_TOKENS_PER_MS
 
 
 class SizedPrompt(typing.Protocol):
@@ -249,7 +249,7 @@
         running += estimate.running
         unread += estimate.unread_tokens
         batch = pool.batch or BATCH_REQUESTS
-        wait_us = unread * 1000 // READ_TOKENS_PER_MS + running * RUNNING_REQUEST_US
+        wait_us = unread * 1000 // PREFILL_TOKENS_PER_MS + running * RUNNING_REQUEST_US
         if running >= batch:
             wait_us += FULL_BATCH_US * (running - batch + 1) // batch
         return wait_us
@@ -268,7 +268,7 @@
             return set()
         return set(self.rank(b"spared", workers)[: round(len(workers) * RESERVED_RATIO)])
 
-    def read_us(
+    def prefill_us(
         self, worker: str, keys: list[bytes], sizes: list[int], own_tokens: int, workers: tuple[str, ...]
     ) -> int:
         """Return how long a worker would read at a prompt, less what its cache is likely to hold.
@@ -277,15 +277,15 @@
         and where this node sent them lately.
         """
         parts = self.estimate(worker).parts
-        read_us = own_tokens * 1000 // READ_TOKENS_PER_MS
+        prefill_us = own_tokens * 1000 // PREFILL_TOKENS_PER_MS
         if not keys or (workers and self.rank(keys[-1], workers)[0] == worker):
-            return read_us
+            return prefill_us
         missing = False
         for key, size in zip(keys, sizes, strict=False):
             missing = missing or key not in parts
             if missing:
-                read_us += size * 1000 * REREAD_FACTOR // READ_TOKENS_PER_MS
-        return read_us
+                prefill_us += size * 1000 * PREFIX_MISS_FACTOR // PREFILL_TOKENS_PER_MS
+        return prefill_us
 
     def pick(
         self,
@@ -328,7 +328,7 @@
         workers = tuple(worker for worker in ready if worker not in cold_workers) or tuple(ready)
         shared_keys = keys[:-1]
         reserved = self.reserved_for_short_prompts(workers)
-        if own_tokens + sum(size for _, size in zip(shared_keys, prompt.sizes, strict=False)) >= LONG_TOKENS:
+        if own_tokens + sum(size for _, size in zip(shared_keys, prompt.sizes, strict=False)) >= LONG_PROMPT_TOKENS:
             workers = tuple(worker for worker in workers if worker not in reserved)
             candidates = [worker for worker in candidates if worker not in reserved] or candidates
         return self._nearest(
@@ -360,7 +360,7 @@
         best, best_wait_us, least_us = "", 0, None
         for worker in candidates:
             wait_us = self.wait_us(worker, pool, now)
-            total_us = wait_us + self.read_us(worker, keys, sizes, own_tokens, workers)
+            total_us = wait_us + self.prefill_us(worker, keys, sizes, own_tokens, workers)
             total_us += self.session_table.load(worker) * RUNNING_REQUEST_US // REQUEST_COST  # reserved by sessions
             total_us += int(self.suspicion(worker, now) * SUSPICION_US)
             total_us += COLD_US if worker in cold_workers else 0
@@ -384,7 +384,7 @@
         estimate.running += 1
         estimate.unread_tokens += tokens
         self.on_load_change()
-        if tokens >= HEAVY_TOKENS:
+        if tokens >= HEAVY_PREFILL_TOKENS:
             self.on_heavy_load_change()
         return tokens
 
@@ -392,7 +392,7 @@
         """Note that an attempt's first event came after so long: its prompt's tokens are read."""
         self.estimate(worker).unread_tokens -= tokens
         self.on_load_change()
-        if tokens < HEAVY_TOKENS:
+        if tokens < HEAVY_PREFILL_TOKENS:
             error_us = took_us - expected_us - self.first_event_mean_us
             self.first_event_mean_us = max(0.0, self.first_event_mean_us + error_us / SMOOTHING)
             self.first_event_deviation_us += (abs(error_us) - self.first_event_deviation_us) / SMOOTHING
