--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -28,7 +28,7 @@
         sizes = self.parsed.sizes
         self.keys = placement.prefix_keys(self.parsed.parts)
         self.unnamed_tokens = max(0, self.parsed.tokens_in - sum(sizes))  # of the prompt, that no part names
-        self.own_tokens = self.unnamed_tokens + (sizes[-1] if sizes else 0)  # that no other request shares
+        self.unshared_tokens = self.unnamed_tokens + (sizes[-1] if sizes else 0)  # that no other request shares
         self.last_event_id = self.parsed.after
         self.answer_begun = False  # whether a byte went to the client
         self.may_have_run = False  # whether a worker may have run it
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -224,7 +224,7 @@
         worker_id, wait_us = request.placement.pick(
             request.parsed,
             request.keys,
-            request.own_tokens,
+            request.unshared_tokens,
             candidates.ready,
             pool=request.pool,
             excluded_workers=request.excluded_workers,
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -269,7 +269,7 @@
         return set(self.rank(b"spared", workers)[: round(len(workers) * RESERVED_RATIO)])
 
     def prefill_us(
-        self, worker: str, keys: list[bytes], sizes: list[int], own_tokens: int, workers: tuple[str, ...]
+        self, worker: str, keys: list[bytes], sizes: list[int], unshared_tokens: int, workers: tuple[str, ...]
     ) -> int:
         """Return how long a worker would read at a prompt, less what its cache is likely to hold.
 
@@ -277,7 +277,7 @@
         and where this node sent them lately.
         """
         parts = self.estimate(worker).parts
-        prefill_us = own_tokens * 1000 // PREFILL_TOKENS_PER_MS
+        prefill_us = unshared_tokens * 1000 // PREFILL_TOKENS_PER_MS
         if not keys or (workers and self.rank(keys[-1], workers)[0] == worker):
             return prefill_us
         missing = False
@@ -291,7 +291,7 @@
         self,
         prompt: SizedPrompt,
         keys: list[bytes],
-        own_tokens: int,
+        unshared_tokens: int,
         ready: list[str],
         *,
         pool: configuration.Pool,
@@ -328,11 +328,14 @@
         workers = tuple(worker for worker in ready if worker not in cold_workers) or tuple(ready)
         shared_keys = keys[:-1]
         reserved = self.reserved_for_short_prompts(workers)
-        if own_tokens + sum(size for _, size in zip(shared_keys, prompt.sizes, strict=False)) >= LONG_PROMPT_TOKENS:
+        if (
+            unshared_tokens + sum(size for _, size in zip(shared_keys, prompt.sizes, strict=False))
+            >= LONG_PROMPT_TOKENS
+        ):
             workers = tuple(worker for worker in workers if worker not in reserved)
             candidates = [worker for worker in candidates if worker not in reserved] or candidates
         return self._nearest(
-            candidates, shared_keys, prompt.sizes[:-1], own_tokens, workers, pool=pool, cold_workers=cold_workers
+            candidates, shared_keys, prompt.sizes[:-1], unshared_tokens, workers, pool=pool, cold_workers=cold_workers
         )
 
     def _candidates(self, ready: list[str], excluded_workers: set[str], now: int) -> list[str]:
@@ -349,7 +352,7 @@
         candidates: list[str],
         keys: list[bytes],
         sizes: list[int],
-        own_tokens: int,
+        unshared_tokens: int,
         workers: tuple[str, ...],
         *,
         pool: configuration.Pool,
@@ -360,7 +363,7 @@
         best, best_wait_us, least_us = "", 0, None
         for worker in candidates:
             wait_us = self.wait_us(worker, pool, now)
-            total_us = wait_us + self.prefill_us(worker, keys, sizes, own_tokens, workers)
+            total_us = wait_us + self.prefill_us(worker, keys, sizes, unshared_tokens, workers)
             total_us += self.session_table.load(worker) * RUNNING_REQUEST_US // REQUEST_COST  # reserved by sessions
             total_us += int(self.suspicion(worker, now) * SUSPICION_US)
             total_us += COLD_US if worker in cold_workers else 0
@@ -371,10 +374,10 @@
 
     # ---- attempts -----------------------------------------------------------------------
 
-    def begin(self, worker: str, keys: list[bytes], sizes: list[int], own_tokens: int) -> int:
+    def begin(self, worker: str, keys: list[bytes], sizes: list[int], unshared_tokens: int) -> int:
         """Count an attempt in its worker's load; returns the prompt tokens that the worker will likely read for it."""
         estimate = self.estimate(worker)
-        tokens = own_tokens
+        tokens = unshared_tokens
         for key, size in zip(keys, sizes, strict=False):
             if key not in estimate.parts:
                 tokens += size
