--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -217,7 +217,7 @@
 def placement_with_rankings(part_count: int, worker_count: int) -> placement.Placement:
     """A placement that has ranked its workers for so many prefix parts.
 
-    >>> len(placement_with_rankings(2, 3).ranks)
+    >>> len(placement_with_rankings(2, 3).rankings)
     2
     """
     place = samples.idle_node().gateway.forwarder.placement_of("model-0")
