--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -120,11 +120,11 @@
         place, names = loaded.gateway.forwarder.placement_of(pool), loaded.gateway.forwarder.ready(pool)
         name = names[loaded.runtime.rng.randrange(len(names))]
         is_long = loaded.runtime.rng.random() < samples.LONG_SHARE
-        tokens = place.begin(name, [], [], samples.LONG if is_long else SHORT_PROMPT_TOKENS)
+        tokens = place.begin_attempt(name, [], [], samples.LONG if is_long else SHORT_PROMPT_TOKENS)
         await loaded.runtime.sleep(FIRST_EVENT_US)
-        place.first_event(name, tokens, FIRST_EVENT_US, FIRST_EVENT_US)  # as expected, so that estimates stay
+        place.record_first_event(name, tokens, FIRST_EVENT_US, FIRST_EVENT_US)  # as expected, so that estimates stay
         await loaded.runtime.sleep(int(lasts * units.SECOND_US))
-        place.end(name, 0)
+        place.end_attempt(name, 0)
 
     def roles(self) -> dict[str, str]:
         """Each process's role now: tail, other core, lister, pool owner, node."""
--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -81,7 +81,7 @@
             return
         if not self.received_any:
             self.received_any = True
-            self.request.placement.first_event(
+            self.request.placement.record_first_event(
                 self.worker, self.unread_tokens, self.last_received_us - self.started_at_us, self.expected_us
             )
             self.unread_tokens = 0
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -336,7 +336,7 @@
         """Send a request to one worker and stream its answer; UNSENT where the worker was not reached."""
         pool_placement = request.placement
         stream.expected_us = pool_placement.wait_us(worker.id, request.pool, self.runtime.now())
-        stream.unread_tokens = pool_placement.begin(
+        stream.unread_tokens = pool_placement.begin_attempt(
             worker.id, request.keys, request.parsed.sizes, request.unnamed_tokens
         )
         stream.expected_us += placement.prefill_time_us(stream.unread_tokens)
@@ -352,7 +352,7 @@
             return await self._send_over(request, worker, stream, connection)
         finally:
             self.streams.pop(stream, None)
-            pool_placement.end(worker.id, stream.unread_tokens)
+            pool_placement.end_attempt(worker.id, stream.unread_tokens)
             if stream.connection is not None and not request.http_request.gone and not request.http_request.finished:
                 request.http_request.unregisterProducer()
 
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -374,7 +374,7 @@
 
     # ---- attempts -----------------------------------------------------------------------
 
-    def begin(self, worker: str, keys: list[bytes], sizes: list[int], unshared_tokens: int) -> int:
+    def begin_attempt(self, worker: str, keys: list[bytes], sizes: list[int], unshared_tokens: int) -> int:
         """Count an attempt in its worker's load; returns the prompt tokens that the worker will likely read for it."""
         estimate = self.estimate(worker)
         tokens = unshared_tokens
@@ -391,7 +391,7 @@
             self.on_heavy_load_change()
         return tokens
 
-    def first_event(self, worker: str, tokens: int, took_us: int, expected_us: int) -> None:
+    def record_first_event(self, worker: str, tokens: int, took_us: int, expected_us: int) -> None:
         """Note that an attempt's first event came after so long: its prompt's tokens are read."""
         self.estimate(worker).unread_tokens -= tokens
         self.on_load_change()
@@ -404,7 +404,7 @@
         """Note that a worker said something."""
         self.estimate(worker).last_contact_us = self.runtime.now()
 
-    def end(self, worker: str, tokens: int) -> None:
+    def end_attempt(self, worker: str, tokens: int) -> None:
         """Take an ended attempt out of its worker's load; `tokens` are those of its prompt that were never read."""
         estimate = self.estimate(worker)
         estimate.running -= 1
