--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -162,7 +162,7 @@
     shared = types.SimpleNamespace(sizes=[13_300, 800, 92, 291])
     idle_node = node_with_workers(workers)
     place, names = idle_node.gateway.forwarder.placement_of("model-0"), idle_node.gateway.forwarder.ready("model-0")
-    place.take([(name, 22, 900, 0) for name in names], True)
+    place.apply_remote_loads([(name, 22, 900, 0) for name in names], True)
     cut = placement.prefix_keys([f"{k:08x}" for k in range(4)])
     place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())
     count = [0]
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -469,11 +469,11 @@
         ]
         return [row for row in rows if row[1] or row[3]]
 
-    def take(self, rows: list[LoadRow], complete: bool) -> None:
+    def apply_remote_loads(self, rows: list[LoadRow], complete: bool) -> None:
         """Take the other nodes' sums: all of them, or what changed.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
-        >>> placement.take([("w1", 3, 900, 0)], True); placement.remote_loads["w1"]
+        >>> placement.apply_remote_loads([("w1", 3, 900, 0)], True); placement.remote_loads["w1"]
         (3, 900, 0)
         """
         if complete:
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -76,4 +76,4 @@
         """Take the sums of the other nodes' load."""
         for pool, placement in self.node.gateway.forwarder.placements.items():
             if report.complete or pool in report.rows:
-                placement.take(report.rows.get(pool, []), report.complete)
+                placement.apply_remote_loads(report.rows.get(pool, []), report.complete)
--- a/tests/test_cold_workers.py
+++ b/tests/test_cold_workers.py
@@ -201,7 +201,9 @@
     def test_cold_workers_are_used_where_the_others_are_busy(self) -> None:
         self.hear(self.warm_and_cold())
         for node in self.nodes:
-            node.placement.take([(f"w{number}", 500, 100_000, 0) for number in range(3, 9)], complete=True)
+            node.placement.apply_remote_loads(
+                [(f"w{number}", 500, 100_000, 0) for number in range(3, 9)], complete=True
+            )
         self.play(1)
         assert all(self.sends[f"w{number}"] for number in range(3))
 
@@ -324,7 +326,7 @@
         for _ in range(5):
             self.worker(request_path.good)
         self.list_workers(False, True, True, True, True)
-        self.forwarder.placement_of("desk").take([("i-1", 20, 20_000, 0)], complete=True)
+        self.forwarder.placement_of("desk").apply_remote_loads([("i-1", 20, 20_000, 0)], complete=True)
         client = self.query("a1")
         assert client.status == 200
         assert [len(scripted.connections) for scripted in self.workers] == [1, 0, 0, 0, 0]
