--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -61,7 +61,7 @@
         # Attempts that were sent and are under way, in the order of sending: a set would go by memory addresses.
         self.streams: dict[answer_stream.AnswerStream, None] = {}
         self.reach = worker_reach.WorkerReach(node.runtime, node.follower, self.connections, self._last_contact_us)
-        self.reach.on_back = lambda worker: self.placement_of(worker.pool).record_return(worker.id)
+        self.reach.on_reachable_again = lambda worker: self.placement_of(worker.pool).record_return(worker.id)
         self.started = scheduler.Signal()  # wakes when there is a stream again
         self.counts = request_counts.ForwarderCounts()
 
@@ -242,7 +242,7 @@
     def _candidates(self, request: forwarded_request.ForwardedRequest) -> cold_workers.Candidates:
         """Return the workers to send to that are within reach; all of them where it tried each of those."""
         candidates = self.cold_workers.candidates(request.pool_name, request.pool)
-        reached = self.reach.within_reach(candidates.ready)
+        reached = self.reach.reachable(candidates.ready)
         return candidates if request.excluded_workers.issuperset(reached) else candidates._replace(ready=reached)
 
     def _note_failure(
@@ -346,7 +346,7 @@
                 connection = await self.connections.get(worker, idle_use_us, request.deadline_us - self.runtime.now())
             except worker_connections.UnreachableError:
                 pool_placement.record_failure(worker.id, answer_stream.BROKEN_SUSPICION)
-                self.reach.note_unreached(worker)
+                self.reach.note_unreachable(worker)
                 self.counts.unreached += 1
                 return attempt_outcome.AttemptOutcome.UNSENT
             return await self._send_over(request, worker, stream, connection)
--- a/iriswheel/dataplane/worker_reach.py
+++ b/iriswheel/dataplane/worker_reach.py
@@ -61,39 +61,45 @@
         self.fleet = fleet
         self.connections = connections
         self.last_contact_us = last_contact_us
-        self.unreached: dict[str, None] = {}  # workers to which no connection could be had, the latest tried last
-        self.hidden_zones: set[str] = set()  # of which no worker was heard when one was out of reach
+        self.unreachable_workers: dict[
+            str, None
+        ] = {}  # workers to which no connection could be had, the latest tried last
+        self.unreachable_zones: set[str] = set()  # of which no worker was heard when one was out of reach
         # called with a worker that is within reach again
-        self.on_back: collections.abc.Callable[[message.Worker], object] = lambda _worker: None
+        self.on_reachable_again: collections.abc.Callable[[message.Worker], object] = lambda _worker: None
         self._checks: set[str] = set()  # workers to which a connection is being tried beside requests
         self._retried_at_us = 0
-        connections.on_connected = self.note_reached
+        connections.on_connected = self.note_reachable
 
-    def within_reach(self, workers: list[str]) -> list[str]:
+    def reachable(self, workers: list[str]) -> list[str]:
         """Those of some workers that are within reach; all of them where that would leave none."""
-        if not self.unreached and not self.hidden_zones:
+        if not self.unreachable_workers and not self.unreachable_zones:
             return workers
-        reached = [worker for worker in workers if not self._is_out_of_reach(worker)]
+        reached = [worker for worker in workers if not self._is_unreachable(worker)]
         return reached or workers
 
-    def note_reached(self, worker: str) -> None:
+    def note_reachable(self, worker: str) -> None:
         """Note that a connection to a worker was made."""
         listed = self.fleet.states.get(worker)
         if listed is None:
             return
-        self.hidden_zones.discard(listed.zone)
-        if worker in self.unreached:
-            del self.unreached[worker]
-            self.on_back(listed)
+        self.unreachable_zones.discard(listed.zone)
+        if worker in self.unreachable_workers:
+            del self.unreachable_workers[worker]
+            self.on_reachable_again(listed)
 
-    def note_unreached(self, worker: message.Worker) -> None:
+    def note_unreachable(self, worker: message.Worker) -> None:
         """Note that no connection to a worker could be had; perhaps its whole zone is out of reach."""
-        self.unreached.pop(worker.id, None)
-        self.unreached[worker.id] = None
-        if not worker.zone or worker.zone in self.hidden_zones or self._heard_of_zone(worker.zone):
+        self.unreachable_workers.pop(worker.id, None)
+        self.unreachable_workers[worker.id] = None
+        if not worker.zone or worker.zone in self.unreachable_zones or self._heard_of_zone(worker.zone):
             return
-        self.hidden_zones.add(worker.zone)
-        others = [other for other in self.fleet.workers if other.zone == worker.zone and other.id not in self.unreached]
+        self.unreachable_zones.add(worker.zone)
+        others = [
+            other
+            for other in self.fleet.workers
+            if other.zone == worker.zone and other.id not in self.unreachable_workers
+        ]
         if others:
             self.check(self.runtime.rng.choice(others))
         log.info("Zone {zone} may be out of reach: no connection to {worker}.", zone=worker.zone, worker=worker.id)
@@ -116,20 +122,20 @@
         if now - self._retried_at_us < RETRY_US:
             return
         self._retried_at_us = now
-        self.unreached = {worker: None for worker in self.unreached if worker in self.fleet.states}
-        self.hidden_zones &= {worker.zone for worker in self.fleet.workers}
+        self.unreachable_workers = {worker: None for worker in self.unreachable_workers if worker in self.fleet.states}
+        self.unreachable_zones &= {worker.zone for worker in self.fleet.workers}
         longest_ago: dict[str, message.Worker] = {}
-        for worker in self.unreached:
+        for worker in self.unreachable_workers:
             listed = self.fleet.states[worker]
             longest_ago.setdefault(listed.zone, listed)
         for listed in longest_ago.values():
             self.check(listed)
 
-    def _is_out_of_reach(self, worker: str) -> bool:
-        if worker in self.unreached:
+    def _is_unreachable(self, worker: str) -> bool:
+        if worker in self.unreachable_workers:
             return True
         listed = self.fleet.states.get(worker)
-        return listed is not None and listed.zone in self.hidden_zones
+        return listed is not None and listed.zone in self.unreachable_zones
 
     def _heard_of_zone(self, zone: str) -> bool:
         since_us = self.runtime.now() - RECENT_CONTACT_US
@@ -139,7 +145,7 @@
         try:
             connection = await self.connections.connect(worker)
         except worker_connections.UnreachableError:
-            self.note_unreached(worker)
+            self.note_unreachable(worker)
             return
         finally:
             self._checks.discard(worker.id)
@@ -148,7 +154,7 @@
 
     def _check_zone(self, zone: str) -> None:
         """Try the other workers of a zone that were out of reach: one of them is back."""
-        for other in list(self.unreached):
+        for other in list(self.unreachable_workers):
             listed = self.fleet.states.get(other)
             if listed is not None and listed.zone == zone:
                 self.check(listed)
--- a/tests/test_worker_reach.py
+++ b/tests/test_worker_reach.py
@@ -79,7 +79,7 @@
         self.start_workers()
         self.cut()
         self.send(10, wait_ms=500, pause_ms=100)
-        assert self.forwarder.reach.hidden_zones == set(OTHERS)
+        assert self.forwarder.reach.unreachable_zones == set(OTHERS)
         unreached = self.forwarder.counts.unreached
         assert unreached <= 4 * len(OTHERS)  # four are sent before the first of them has waited in vain
         assert self.send(100, wait_ms=30) == [200] * 100
@@ -91,8 +91,8 @@
         self.send(10, wait_ms=3_000)
         self.world.heal()
         self.go(worker_reach.RETRY_US // units.MILLISECOND_US + 500)
-        assert not self.forwarder.reach.unreached
-        assert not self.forwarder.reach.hidden_zones
+        assert not self.forwarder.reach.unreachable_workers
+        assert not self.forwarder.reach.unreachable_zones
         assert self.send(200, wait_ms=100) == [200] * 200
         assert all(worker.seen for worker in others)
 
@@ -105,7 +105,7 @@
         reach = self.forwarder.reach
         with unittest.mock.patch.object(reach, "check", side_effect=reach.check) as check:
             self.send(100, wait_ms=1_000)
-        assert list(reach.unreached) == [lost.id]
+        assert list(reach.unreachable_workers) == [lost.id]
         assert {call.args[0] for call in check.call_args_list} == {lost}  # no connection to a worker that is well
         before = [len(worker.seen) for worker in others]
         assert self.send(300, wait_ms=100) == [200] * 300
@@ -116,7 +116,7 @@
         assert self.send(1, wait_ms=100) == [200]
         self.cut()
         assert self.send(1, wait_ms=1_200) == [0]  # over the connection from before the cut: it may have run
-        assert list(self.forwarder.reach.unreached) == ["i-1"]
+        assert list(self.forwarder.reach.unreachable_workers) == ["i-1"]
         assert self.forwarder.counts.unreached == 0  # no request waited for a connection to find that out
 
     def test_a_zone_that_was_quiet_is_hidden_for_a_moment_only(self) -> None:
@@ -124,10 +124,10 @@
         self.go(1_000)
         lost = self.follower.workers[2]
         self.world.cut([NODE], [lost.host])
-        self.forwarder.reach.note_unreached(lost)
-        assert self.forwarder.reach.hidden_zones == {OTHERS[0]}
+        self.forwarder.reach.note_unreachable(lost)
+        assert self.forwarder.reach.unreachable_zones == {OTHERS[0]}
         self.go(20)
-        assert not self.forwarder.reach.hidden_zones
+        assert not self.forwarder.reach.unreachable_zones
 
     def test_a_connection_that_was_tried_beside_requests_is_kept_for_them(self) -> None:
         worker = self.worker_in(OWN)
@@ -142,5 +142,5 @@
             self.worker(lambda connection, _attempt: connection.transport.abortConnection())
             self.name_zone(OWN)
         self.worker_in(OTHERS[0])
-        self.forwarder.reach.note_unreached(self.follower.workers[-1])
+        self.forwarder.reach.note_unreachable(self.follower.workers[-1])
         assert self.send(1, wait_ms=100) == [200]
