--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -137,7 +137,7 @@
         fleet.advance(1)
         busy = fleet.by_role(fleet.metered(2))
         assert busy["node"]["out_bytes"] > quiet["node"]["out_bytes"] + 100, (quiet, busy)
-        others = fleet.nodes["n1"].gateway.forwarder.placement_of("model-0").others
+        others = fleet.nodes["n1"].gateway.forwarder.placement_of("model-0").remote_loads
         assert others
         assert set(others) <= set(fleet.workers), others
 
