--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -1,9 +1,13 @@
-"""Placement: a node selects the worker itself, for pools whose election is "node".
+"""Worker selection by the node that received the request, for pools whose election is "node".
 
-What decides is the time to the first event: the tokens that wait to be read at a worker, the
-batch that runs there, and how much of the prompt its cache is likely to hold. A node knows its
-own attempts at once, those of the others from the load exchange; which worker keeps a shared part
-needs no message: all nodes rank the workers alike for it (rendezvous hashing).
+A node selects the worker with the least expected time to the first event. The estimate adds up the prompt tokens
+that wait for prefill at the worker, its running batch, and the prefill of the request's own prompt as far as the
+worker's prefix cache is unlikely to hold it. A node sees its own attempts at once, and learns of the load from other
+nodes through the load exchange. No message is needed to agree which worker caches a shared prefix: all nodes rank the
+workers for a prefix alike, by rendezvous hashing.
+
+A prompt comes as a list of parts. All parts but the last may be shared with other requests; the last part, and tokens
+that belong to no part, are the request's own or those of one conversation.
 """
 
 from __future__ import annotations
@@ -20,37 +24,45 @@
     from iriswheel.configuration import configuration
 
 
-PREFILL_TOKENS_PER_MS = 50  # that a worker reads of a prompt
-BATCH_REQUESTS = 64  # that a worker runs at once, where the configuration does not say
-RUNNING_REQUEST_US = 60  # what one more running request costs a new one, in time to its first event
-FULL_BATCH_US = 700 * units.MILLISECOND_US  # how long a request holds its place in a full batch
-MAX_FIRST_TURNS = 16_384  # first turns remembered
-MAX_RANKINGS = 1_024  # rankings remembered
-LONG_PROMPT_TOKENS = 4_000  # of a prompt, shared parts and all, from which on it is long
-RESERVED_RATIO = 0.34  # of the workers that read no long prompts
-HEAVY_PREFILL_TOKENS = 2_000  # to read, from which on the load is reported to other nodes at once
-PREFIX_MISS_FACTOR = 15  # reading a shared part anew counts so many times its time: others wait, and parts give way
-JITTER_US = 3_000  # workers nearer than this are alike
-REMOTE_LOAD_VALID_US = 1_500 * units.MILLISECOND_US  # others' sums older than this count for nothing
-SUSPICION_HALF_LIFE_US = 2 * units.SECOND_US
-SUSPICION_US = 1 * units.SECOND_US  # what full suspicion counts for in time
-COLD_US = 200 * units.MILLISECOND_US  # what it counts for in time that a worker is cold
-EJECTION_SUSPICION = 0.45  # from here on a worker gets nothing, as long as others are well
-SUSPICION_AFTER_ANSWER = 0.7  # the part of it that is left after a complete answer
-REMOTE_SUSPICION_WEIGHT = 0.4  # how much another node's suspicion counts beside one's own
-MIN_FIRST_EVENT_TIMEOUT_US = 200 * units.MILLISECOND_US  # no first event is waited for less than this
-UNRESPONSIVE_US = 700 * units.MILLISECOND_US  # a worker with attempts under way that says nothing for so long
-REQUEST_COST = 100  # an open session's cost that counts like one request
-SMOOTHING = 16  # the weight of what was measured before, against one more first event
-
-LoadRow: typing.TypeAlias = tuple[str, int, int, int]  # worker, running, unread tokens, suspicion in percent
-RemoteLoad: typing.TypeAlias = tuple[int, int, int]  # the same without the worker, of all other nodes together
+PREFILL_TOKENS_PER_MS = 50  # prefill speed of a worker
+BATCH_REQUESTS = 64  # requests that a worker runs at once, if the configuration does not set it
+RUNNING_REQUEST_US = 60  # delay of a new request's first event per request running at the worker
+FULL_BATCH_US = 700 * units.MILLISECOND_US  # time for which a request occupies its slot in a full batch
+MAX_FIRST_TURNS = 16_384  # entries of `Placement.first_turns`
+MAX_RANKINGS = 1_024  # entries of the cache `Placement.rankings`
+LONG_PROMPT_TOKENS = 4_000  # least size of a long prompt, shared parts included
+RESERVED_RATIO = 0.34  # ratio of workers that are given no long prompts
+HEAVY_PREFILL_TOKENS = 2_000  # least prefill of an attempt that is reported to other nodes at once
+PREFIX_MISS_FACTOR = 15
+"""Weight of the prefill of a shared part that is not in the worker's prefix cache.
+
+It exceeds 1 because the prefill also delays other requests, and the new entry evicts other parts from the cache.
+"""
+
+JITTER_US = 3_000  # range of the random time added to each estimate; nearly equal workers share requests
+REMOTE_LOAD_VALID_US = 1_500 * units.MILLISECOND_US  # age from which on the load reported by other nodes is ignored
+SUSPICION_HALF_LIFE_US = 2 * units.SECOND_US  # time in which a suspicion decays to one half
+SUSPICION_PENALTY_US = 1 * units.SECOND_US  # time added to the estimate of a worker of suspicion 1
+COLD_PENALTY_US = 200 * units.MILLISECOND_US  # time added to the estimate of a cold worker
+EJECTION_SUSPICION = 0.45  # a worker above it gets no requests while enough other workers are healthy
+SUSPICION_AFTER_ANSWER = 0.7  # factor applied to the suspicion after a complete answer
+REMOTE_SUSPICION_WEIGHT = 0.4  # weight of the other nodes' suspicion, against 1 for this node's own
+MIN_FIRST_EVENT_TIMEOUT_US = 200 * units.MILLISECOND_US  # lower bound of the timeout for a first event
+UNRESPONSIVE_US = 700 * units.MILLISECOND_US  # silence after which a worker with attempts counts as unresponsive
+REQUEST_COST = 100  # session cost that counts as much as one running request
+SMOOTHING = 16  # divisor of a new measurement in the moving averages of first-event times
+
+LoadRow: typing.TypeAlias = tuple[str, int, int, int]
+"""A row of the load exchange: worker, running requests, unread prompt tokens, suspicion in percent."""
+
+RemoteLoad: typing.TypeAlias = tuple[int, int, int]
+"""The sums over all other nodes for one worker: running requests, unread prompt tokens, suspicion in percent."""
 
 NO_LOAD: RemoteLoad = (0, 0, 0)
 
 
 class FirstTurn(typing.NamedTuple):
-    """The first request with a prompt's last part: if another comes before it expires, they are a session."""
+    """The worker of the first request with some last part; a second request before the expiry opens a session."""
 
     worker: str
     expires_at_us: int
@@ -60,7 +72,7 @@
 
 
 def prefix_keys(parts: list[str]) -> list[bytes]:
-    """Return a key for each part that stands for all parts up to it.
+    """Return for each part the key of the prompt prefix that ends with it.
 
     >>> a, b = prefix_keys(["x", "y"]), prefix_keys(["z", "y"]); a[1] == b[1], prefix_keys(["x"])[0] == a[0]
     (False, True)
@@ -73,16 +85,17 @@
 
 
 def rendezvous_weight(key: bytes, worker: str) -> bytes:
-    """Return the weight of a worker for a key; the same on every node.
+    """Return the rendezvous weight of a worker for a key, which is the same on every node.
 
-    >>> rendezvous_weight(b"k", "w1") == rendezvous_weight(b"k", "w1"), rendezvous_weight(b"k", "w1") == rendezvous_weight(b"k", "w2")
+    >>> weight = rendezvous_weight(b"k", "w1")
+    >>> weight == rendezvous_weight(b"k", "w1"), weight == rendezvous_weight(b"k", "w2")
     (True, False)
     """
     return hashlib.blake2b(worker.encode(), digest_size=8, key=key).digest()
 
 
 def prefill_time_us(tokens: int) -> int:
-    """Return how long a worker reads at so many tokens of a prompt.
+    """Return the prefill time of a number of prompt tokens.
 
     >>> prefill_time_us(100)
     2000
@@ -91,33 +104,33 @@
 
 
 class SizedPrompt(typing.Protocol):
-    """A request as far as placement concerns it."""
+    """The sizes of a prompt's parts, which is all that placement needs of the prompt."""
 
-    sizes: list[int]  # the tokens of its parts
+    sizes: list[int]  # tokens of each part
 
 
 class Placement:
-    """One node's placement over one pool."""
+    """Selects workers of one pool for the requests of one node, and keeps the load and suspicion of each worker."""
 
     def __init__(self, runtime: scheduler.Runtime, pool: str) -> None:
         self.runtime = runtime
         self.pool = pool
         self.workers: dict[str, worker_estimate.WorkerEstimate] = {}
-        self.remote_loads: dict[str, RemoteLoad] = {}  # by worker
-        self.remote_loads_received_at_us = 0  # when the others' load last came
-        # mean and deviation of the first events of short prompts, beyond what was expected
+        self.remote_loads: dict[str, RemoteLoad] = {}  # load from all other nodes, by worker
+        self.remote_loads_received_at_us = 0  # time of the last report of the load exchange
+        # mean and mean deviation of the delay of first events beyond the expected time, for short prefills
         self.first_event_mean_us, self.first_event_deviation_us = 60_000.0, 30_000.0
-        # called when an attempt changes a worker's load by much, and when anything changes
+        # called for a load change that other nodes must learn at once, and for every load change
         self.on_heavy_load_change: collections.abc.Callable[[], object] = lambda: None
         self.on_load_change: collections.abc.Callable[[], object] = lambda: None
         self.session_table: sessions.SessionTable[bytes] = sessions.SessionTable()
-        # by last part's key, the oldest first: each may yet become a session
+        # by the key of the whole prompt, the oldest first; a second turn makes an entry a session
         self.first_turns: collections.OrderedDict[bytes, FirstTurn] = collections.OrderedDict()
-        # (key, workers) -> the workers by weight
+        # cache: (key, workers) -> the workers by descending rendezvous weight
         self.rankings: collections.OrderedDict[tuple[bytes, tuple[str, ...]], list[str]] = collections.OrderedDict()
 
     def estimate(self, worker: str) -> worker_estimate.WorkerEstimate:
-        """Return what is known of a worker.
+        """Return this node's estimate of a worker; a new one if the worker has none yet.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").estimate("w1").running
         0
@@ -128,7 +141,7 @@
         return estimate
 
     def rank(self, key: bytes, workers: tuple[str, ...]) -> list[str]:
-        """Return the workers by weight for a key, the heaviest first.
+        """Return the workers by descending rendezvous weight for a key.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
         >>> sorted(placement.rank(b"k", ("w1", "w2")))
@@ -143,7 +156,7 @@
         return ranking
 
     def recent_remote_load(self, worker: str, now: int) -> RemoteLoad:
-        """Return what all other nodes together say of a worker, unless that is old.
+        """Return the load of a worker from all other nodes; NO_LOAD if the last report is older than allowed.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").recent_remote_load("w1", 0)
         (0, 0, 0)
@@ -157,7 +170,7 @@
     # ---- health -------------------------------------------------------------------------
 
     def suspicion(self, worker: str, now: int) -> float:
-        """Return the suspicion of a worker, 0 to 1: one's own, and a part of the others'.
+        """Return the suspicion of a worker, 0 to 1: this node's own plus the weighted one of all other nodes.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.record_failure("w1", 0.5)
         >>> placement.suspicion("w1", 0)
@@ -167,7 +180,7 @@
         return min(1.0, self.own_suspicion(worker, now) + REMOTE_SUSPICION_WEIGHT * remote_percent / 100)
 
     def own_suspicion(self, worker: str, now: int) -> float:
-        """Return this node's own suspicion of a worker, which fades.
+        """Return this node's own suspicion of a worker, which decays exponentially.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.record_failure("w1", 0.5)
         >>> placement.own_suspicion("w1", 2 * units.SECOND_US)
@@ -180,7 +193,7 @@
         return estimate.suspicion * fading
 
     def record_failure(self, worker: str, suspicion: float) -> None:
-        """Trust a worker less that failed or fell silent, and let the other nodes know.
+        """Raise the suspicion of a worker that failed or fell silent, and report it to the other nodes at once.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 5), "p")
         >>> placement.record_failure("w1", 0.5); placement.is_unhealthy("w1", 5)
@@ -193,7 +206,7 @@
         self.on_heavy_load_change()
 
     def record_success(self, worker: str) -> None:
-        """Trust a worker more that gave a complete answer.
+        """Lower the suspicion of a worker that gave a complete answer.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 5), "p")
         >>> placement.record_failure("w1", 0.5); placement.record_success("w1"); placement.is_unhealthy("w1", 5)
@@ -202,7 +215,7 @@
         self.estimate(worker).suspicion *= SUSPICION_AFTER_ANSWER
 
     def record_return(self, worker: str) -> None:
-        """Trust a worker again that could not be reached for a while.
+        """Clear the suspicion of a worker that can be reached again.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 5), "p")
         >>> placement.record_failure("w1", 0.5); placement.record_return("w1"); placement.suspicion("w1", 5)
@@ -212,11 +225,11 @@
         self.on_load_change()
 
     def is_unhealthy(self, worker: str, now: int) -> bool:
-        """Whether a worker is to get nothing as long as others are well."""
+        """Whether a worker is to get no requests while enough other workers are healthy."""
         return self.suspicion(worker, now) > EJECTION_SUSPICION or self.is_unresponsive(worker, now)
 
     def is_unresponsive(self, worker: str, now: int) -> bool:
-        """Whether a worker that has attempts of this node says nothing to any of them.
+        """Whether a worker has sent nothing to this node for UNRESPONSIVE_US though it has attempts of this node.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").is_unresponsive("w1", 0)
         False
@@ -227,7 +240,7 @@
         return now - max(estimate.busy_since_us, estimate.last_contact_us) > UNRESPONSIVE_US
 
     def first_event_timeout_us(self, expected_us: int) -> int:
-        """Return how long a first event is waited for that was expected after so long.
+        """Return the timeout for a first event, given the time after which it is expected.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").first_event_timeout_us(10_000)
         200000
@@ -240,9 +253,9 @@
     # ---- selection ----------------------------------------------------------------------
 
     def wait_us(self, worker: str, pool: configuration.Pool, now: int) -> int:
-        """Return how long a new request would wait at a worker before its own prompt is read.
+        """Return how long a new request would wait at a worker before the prefill of its own prompt starts.
 
-        Only real requests in flight count here: this is what admission looks at.
+        Only requests in flight count, not open sessions or suspicion, because admission decides by this value.
         """
         estimate = self.estimate(worker)
         running, unread, _ = self.recent_remote_load(worker, now)
@@ -255,10 +268,10 @@
         return wait_us
 
     def reserved_for_short_prompts(self, workers: tuple[str, ...]) -> set[str]:
-        """Return the workers that read no long prompts; the same on every node.
+        """Return the workers that are given no long prompts; the same ones on every node.
 
-        While many shared parts are read for the first time, long prompts would fill every worker,
-        and all short ones, which are many more, would wait behind them.
+        While many shared parts need their first prefill, long prompts would occupy every worker, and the short
+        prompts, which are far more numerous, would all wait behind them.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
         >>> len(placement.reserved_for_short_prompts(tuple("abcdef")))
@@ -271,10 +284,10 @@
     def prefill_us(
         self, worker: str, keys: list[bytes], sizes: list[int], unshared_tokens: int, workers: tuple[str, ...]
     ) -> int:
-        """Return how long a worker would read at a prompt, less what its cache is likely to hold.
+        """Return the weighted prefill time of a prompt at a worker, without parts likely to be in its prefix cache.
 
-        The shared parts are kept at their home, the worker that ranks first for the last of them,
-        and where this node sent them lately.
+        Shared parts are expected in the cache of their home worker, which ranks first for the last of them, and of
+        workers to which this node sent them recently. Parts missing from the cache count PREFIX_MISS_FACTOR times.
         """
         parts = self.estimate(worker).parts
         prefill_us = unshared_tokens * 1000 // PREFILL_TOKENS_PER_MS
@@ -301,16 +314,16 @@
         """Select the worker for a request.
 
         Args:
-            prompt: The request's parts' sizes.
-            keys: The parts' chain keys.
-            own_tokens: Its tokens that no other request shares.
-            ready: The workers that may be sent to.
+            prompt: The sizes of the prompt's parts.
+            keys: The prefix keys of the prompt's parts.
+            unshared_tokens: The number of prompt tokens that no other request shares.
+            ready: The workers to which this node may send the request.
             pool: The pool's configuration.
-            excluded_workers: The workers that earlier attempts went to.
-            cold_workers: Those of the ready workers that are cold.
+            excluded_workers: The workers to which earlier attempts went.
+            cold_workers: The workers among `ready` that are cold.
 
         Returns:
-            The worker, "" where there is none, and how long the request waits there in microseconds.
+            The worker, "" if there is none, and the wait before the prefill of the request there, in microseconds.
         """
         now = self.runtime.now()
         session = self.session_table.affinity(keys[-1]) if keys else None
@@ -323,8 +336,8 @@
             first_turn = self.first_turns.get(keys[-1], NO_FIRST_TURN)
             worker = first_turn.worker
             if worker in candidates and first_turn.expires_at_us > now:
-                return worker, self.wait_us(worker, pool, now)  # a second turn: its prefix is held there
-        # No shared part has its home at a cold worker, which most nodes can't send to.
+                return worker, self.wait_us(worker, pool, now)  # a second turn: that worker has the prefix in its cache
+        # A cold worker is no home of shared parts, as most nodes may not send to it.
         workers = tuple(worker for worker in ready if worker not in cold_workers) or tuple(ready)
         shared_keys = keys[:-1]
         reserved = self.reserved_for_short_prompts(workers)
@@ -339,9 +352,9 @@
         )
 
     def _candidates(self, ready: list[str], excluded_workers: set[str], now: int) -> list[str]:
-        """Return the healthy workers not yet tried; all not yet tried where less than half of them are healthy.
+        """Return the healthy workers not yet tried, or all not yet tried if less than half of these are healthy.
 
-        So many failures at once point to this node or its network rather than to the workers.
+        So many unhealthy workers at once point to a fault of this node or its network rather than of the workers.
         """
         untried = [worker for worker in ready if worker not in excluded_workers]
         healthy = [worker for worker in untried if not self.is_unhealthy(worker, now)]
@@ -358,15 +371,17 @@
         pool: configuration.Pool,
         cold_workers: collections.abc.Set[str],
     ) -> tuple[str, int]:
-        """Return the candidate with the least time to the first event, and how long the request waits there."""
+        """Return the candidate with the least estimate, and how long the request waits there before its prefill."""
         now = self.runtime.now()
         best, best_wait_us, least_us = "", 0, None
         for worker in candidates:
             wait_us = self.wait_us(worker, pool, now)
             total_us = wait_us + self.prefill_us(worker, keys, sizes, unshared_tokens, workers)
-            total_us += self.session_table.load(worker) * RUNNING_REQUEST_US // REQUEST_COST  # reserved by sessions
-            total_us += int(self.suspicion(worker, now) * SUSPICION_US)
-            total_us += COLD_US if worker in cold_workers else 0
+            total_us += (
+                self.session_table.load(worker) * RUNNING_REQUEST_US // REQUEST_COST
+            )  # turns expected of open sessions
+            total_us += int(self.suspicion(worker, now) * SUSPICION_PENALTY_US)
+            total_us += COLD_PENALTY_US if worker in cold_workers else 0
             total_us += self.runtime.rng.randrange(JITTER_US)
             if least_us is None or total_us < least_us:
                 best, best_wait_us, least_us = worker, wait_us, total_us
@@ -375,7 +390,7 @@
     # ---- attempts -----------------------------------------------------------------------
 
     def begin_attempt(self, worker: str, keys: list[bytes], sizes: list[int], unshared_tokens: int) -> int:
-        """Count an attempt in its worker's load; returns the prompt tokens that the worker will likely read for it."""
+        """Add an attempt to its worker's load; returns the prompt tokens for which the worker likely needs prefill."""
         estimate = self.estimate(worker)
         tokens = unshared_tokens
         for key, size in zip(keys, sizes, strict=False):
@@ -392,7 +407,7 @@
         return tokens
 
     def record_first_event(self, worker: str, tokens: int, took_us: int, expected_us: int) -> None:
-        """Note that an attempt's first event came after so long: its prompt's tokens are read."""
+        """Note the time to an attempt's first event, with which the prefill of its `tokens` is complete."""
         self.estimate(worker).unread_tokens -= tokens
         self.on_load_change()
         if tokens < HEAVY_PREFILL_TOKENS:
@@ -401,11 +416,11 @@
             self.first_event_deviation_us += (abs(error_us) - self.first_event_deviation_us) / SMOOTHING
 
     def note_contact(self, worker: str) -> None:
-        """Note that a worker said something."""
+        """Note that this node just received something from a worker."""
         self.estimate(worker).last_contact_us = self.runtime.now()
 
     def end_attempt(self, worker: str, tokens: int) -> None:
-        """Take an ended attempt out of its worker's load; `tokens` are those of its prompt that were never read."""
+        """Remove an ended attempt from its worker's load; `tokens` are those still counted as unread for it."""
         estimate = self.estimate(worker)
         estimate.running -= 1
         self.on_load_change()
@@ -414,11 +429,11 @@
     # ---- sessions -----------------------------------------------------------------------
 
     def note_turn(self, key: bytes, worker: str, terms: configuration.Terms, cap: int) -> None:
-        """Note a turn: the second one with the same last part opens a session, if the cap allows.
+        """Note a turn: the second turn with the same key opens a session, if the worker's cap of sessions allows.
 
-        Nobody says whether a prompt's last part is a conversation's or one request's own, and a
-        record for each of the latter would fill every cap. So the first turn is only remembered, which
-        counts for nothing but placement.
+        A request does not say whether the last part of its prompt names a conversation or is used only once, and
+        sessions for parts used only once would fill every cap. A first turn is therefore only remembered in
+        `first_turns`: it directs the second turn to the same worker, but does not count as a session.
         """
         now = self.runtime.now()
         session = self.session_table.affinity(key)
@@ -438,7 +453,7 @@
             self.first_turns.popitem(last=False)
 
     def sweep(self, ready: set[str]) -> None:
-        """Close sessions past their lifetime, and those of workers that are ready no more.
+        """Close expired sessions and those of workers no longer ready; forget expired first turns and idle estimates.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").sweep({"w1"})
         """
@@ -456,7 +471,7 @@
     def export(self) -> list[LoadRow]:
         """Return this node's own load, for the load exchange.
 
-        Suspicion travels in steps of ten percent, so that its decay does not cause a report each time.
+        Suspicion is rounded down to steps of ten percent, so that its decay does not cause a report each time.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p"); placement.record_failure("w1", 0.5)
         >>> placement.export()
@@ -470,7 +485,7 @@
         return [row for row in rows if row[1] or row[3]]
 
     def apply_remote_loads(self, rows: list[LoadRow], complete: bool) -> None:
-        """Take the other nodes' sums: all of them, or what changed.
+        """Store the load from the other nodes: all rows if `complete`, else only the rows that changed.
 
         >>> placement = Placement(scheduler.Runtime(None, now=lambda: 0), "p")
         >>> placement.apply_remote_loads([("w1", 3, 900, 0)], True); placement.remote_loads["w1"]
@@ -486,7 +501,7 @@
         self.remote_loads_received_at_us = self.runtime.now()
 
     def state(self) -> dict[str, typing.Any]:
-        """Return what this placement shows of itself in the node's state.
+        """Return this placement's entry in the state that the node shows to operators.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").state()["sessions"]
         {}
