--- a/iriswheel/dataplane/sessions.py
+++ b/iriswheel/dataplane/sessions.py
@@ -1,8 +1,9 @@
-"""Worker sessions: a conversation stays on the worker that holds its prefix.
+"""Worker sessions: a conversation stays on the worker that has its prefix in the cache.
 
-The first turn goes where the load is least, later turns go to the same worker while it is ready. Each turn moves
-the expiry to one lifetime from then; a sweep closes expired sessions. An open session's cost counts in its worker's
-load. Pool owners and `placement.Placement` keep to the cap of sessions a worker, which is not checked here.
+The first turn goes to the worker with the least load, and later turns go to the same worker while it is ready. Each
+turn sets the session's expiry to one lifetime from then; a sweep closes expired sessions. The cost of an open session
+counts in its worker's load. The cap of sessions per worker is not checked here, but by the callers: the pool owners
+and `placement.Placement`.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 
 from iriswheel.transport import message
 
-SWEEP_US = 5_000_000
-ID_DIGITS = 24
+SWEEP_US = 5_000_000  # interval of sweeps
+ID_DIGITS = 24  # hexadecimal digits of a session id
 
 Key = typing.TypeVar("Key", bound=bytes | str)
 
@@ -38,15 +39,14 @@
         self.version = version
         self.turns = 0  # turns in flight
         self.opened_by = ""  # the attempt id of its first turn, until that reached the worker
-        self.pending = False  # until copies of its opening stand
+        self.pending = False  # whether the opening still waits to be replicated
 
 
 def derive(parts: list[str], session_part: int) -> str:
-    """Return the id of a conversation, from the session's part of the prompt's prefix; "" where it has none.
+    """Return the session id of a prompt, "" if the prompt belongs to no session.
 
-    With session_part -1 the last part names the conversation, and a list of fewer than
-    two parts names none: a prefix that everybody shares must not become one session.
-    All parts up to the session's part go into the id.
+    The id is a hash of all parts up to the one with the index `session_part`. With -1 this is the last part, and a
+    prompt of fewer than two parts belongs to no session: a prefix that everybody shares must not become one session.
 
     >>> derive(["system"], -1), derive([], 0)
     ('', '')
@@ -80,7 +80,7 @@
     def __init__(self) -> None:
         self.records: dict[Key, Session[Key]] = {}  # by id
         self.by_worker: dict[str, dict[Key, Session[Key]]] = {}  # by worker, then by id
-        self.version = 0  # the newest of all records, so that a session opened anew beats its old copies
+        self.version = 0  # highest version given out; a reopened session supersedes the copies of its former record
 
     def open(self, identifier: Key, worker: str, now: int, lifetime_us: int, cost: int) -> Session[Key]:
         """Open a session on a worker.
@@ -96,7 +96,7 @@
         return session
 
     def close(self, identifier: Key) -> Session[Key] | None:
-        """Close a session, whose cost no longer counts; None where it was not open.
+        """Close a session, whose cost then no longer counts; returns None if it was not open.
 
         >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); _ = table.close("s"); table.load("w")
         0
@@ -107,7 +107,7 @@
         return session
 
     def affinity(self, identifier: Key) -> Session[Key] | None:
-        """Return the open session of this id, or None: an unknown id is closed.
+        """Return the open session of this id, or None.
 
         >>> SessionTable().affinity("s") is None
         True
@@ -115,7 +115,7 @@
         return self.records.get(identifier)
 
     def extend(self, session: Session[Key], now: int) -> None:
-        """Note a turn or its end: one lifetime is left from now.
+        """Extend a session at the start or the end of a turn: it expires one lifetime from now.
 
         >>> table = SessionTable(); session = table.open("s", "w", 0, 60, 100); table.extend(session, 30)
         >>> session.expires_at_us
@@ -126,7 +126,7 @@
         session.version = self.version
 
     def sweep(self, now: int) -> list[Session[Key]]:
-        """Close every session past its expiry that has no turn in flight.
+        """Close and return the expired sessions that have no turn in flight.
 
         >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); len(table.sweep(61))
         1
@@ -137,7 +137,7 @@
         return expired
 
     def evict(self, worker: str) -> list[Session[Key]]:
-        """Close every session of a worker that is no longer ready.
+        """Close and return all sessions of a worker, which is no longer ready.
 
         >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); len(table.evict("w"))
         1
@@ -156,7 +156,7 @@
         return len(self.by_worker.get(worker, {}))
 
     def load(self, worker: str) -> int:
-        """Return the cost that a worker's open sessions hold.
+        """Return the total cost of a worker's open sessions.
 
         >>> SessionTable().load("w")
         0
@@ -164,7 +164,7 @@
         return sum(session.cost for session in self.by_worker.get(worker, {}).values())
 
     def earliest(self, workers: list[str]) -> int | None:
-        """Return when the first session on these workers may end, or None.
+        """Return the earliest expiry of a session on one of these workers, or None if there is no session.
 
         >>> table = SessionTable(); _ = table.open("s", "w", 0, 60, 100); table.earliest(["w"])
         60
@@ -176,7 +176,7 @@
 
 
 def to_message(session: Session[str], now: int) -> message.SessionRecord:
-    """Return the message of a session, with the time that is left of it at `now`.
+    """Return the record of a session that is sent to other processes, with the time to its expiry at `now`.
 
     >>> to_message(Session("s", "w", 100, 60, 5), now=40).left_us
     60
