--- a/iriswheel/dataplane/cold_workers.py
+++ b/iriswheel/dataplane/cold_workers.py
@@ -1,8 +1,9 @@
-"""Which requests may go to a cold worker: a bound over all nodes together that needs no message per request.
+"""The rate limit on requests to a cold worker: it holds over all nodes together without a message per request.
 
-A worker that has just started bears a small rate of requests, and all nodes select for themselves: each of them
-would find it idle and send to it at once. So a few nodes alone, which all nodes work out alike, send to a cold worker,
-and each of them leaves a pause between two requests, so that all together stay below the rate that it bears.
+A worker that has just started is cold: it sustains only a small rate of requests. As each node selects workers by
+itself, all nodes would find a cold worker idle and send to it at once. So only a few nodes, its senders, may send to
+it. All nodes compute the same senders, and each sender leaves an interval between two requests, so that the senders
+together stay below the worker's cold rate.
 """
 
 from __future__ import annotations
@@ -20,22 +21,26 @@
     from iriswheel.runtime import scheduler
 
 SENDERS = 3
-"""Nodes that send to one cold worker: where one is lost, the others go on."""
+"""Number of senders of one cold worker; if one of them fails, the other senders still send to it."""
 
 RATE_SHARE = 1 / 3
-"""The part of a cold worker's rate that its senders use: three groups of nodes may disagree about the members."""
+"""Share of a cold worker's rate that its senders use.
+
+When up to three groups of nodes disagree about the membership, each group has senders of its own, and their sum still
+stays within the rate.
+"""
 
 MAX_FIRST_PAUSE_US = 500 * units.MILLISECOND_US
-"""A new sender waits one pause, and no longer than this, before its first request."""
+"""Upper bound of the wait of a new sender before its first request, which otherwise is one interval."""
 
 READMITTED_ZONE_US = 3 * units.SECOND_US
-"""How long a readmitted zone's workers count as cold: by then the list says which of them are."""
+"""Time for which all workers of a readmitted zone count as cold; after it, the worker list tells which are cold."""
 
 SENDER_KEY_PREFIX = "cold-worker/"
 
 
 class Fleet(typing.Protocol):
-    """What is used of what the node knows of the fleet."""
+    """The part of the node's view of the fleet that is used here."""
 
     @property
     def workers(self) -> list[message.Worker]:
@@ -50,29 +55,29 @@
         """The newest membership."""
 
     def accepts_requests(self, worker: str) -> bool:
-        """Whether new requests may go to a worker at all."""
+        """Whether a worker, cold or not, accepts new requests."""
 
 
 class Candidates(typing.NamedTuple):
-    """The workers of a pool that a request may be sent to from this node now."""
+    """The workers of a pool to which this node may send a request now."""
 
     ready: list[str]
-    cold: frozenset[str]  # those of them that are cold
+    cold: frozenset[str]  # the cold ones among the ready workers
 
 
 @dataclasses.dataclass(slots=True)
 class SendSchedule:
-    """When this node, a sender of a cold worker, may send to it next."""
+    """The send schedule of this node for one cold worker of which it is a sender."""
 
     interval_us: int
     next_send_at_us: int
 
 
 def sender_names(worker: message.Worker, members: collections.abc.Iterable[message.Member]) -> list[str]:
-    """The names of the nodes that may send to a worker while it is cold; the same on all that have the same members.
+    """Return the names of a cold worker's senders; nodes that know the same members compute the same names.
 
-    They are of the worker's zone where that has any, so that both sides of a cut have senders for their own workers.
-    Names and not ids are ranked, as a node that starts anew keeps its name.
+    The senders are nodes of the worker's zone, if it has any, so that in a network partition each side has senders
+    for its own workers. Ranking uses names instead of ids because a restarted node keeps its name.
 
     >>> members = [message.Member(f"{name}-7", name, zone, "h", 1, 2) for name, zone in ("az", "bz", "cz", "dz", "ey")]
     >>> sender_names(message.ZonedWorker("w1", "h", 1, "p", "ready", zone="y"), members)
@@ -87,7 +92,7 @@
 
 
 def send_interval_us(cold_rate: float, senders: int) -> int:
-    """The pause that each of the senders leaves between two requests to a worker that bears a rate while it is cold.
+    """Return the interval that each sender leaves between two requests to a worker with this cold rate per second.
 
     >>> send_interval_us(16.0, 3)
     562500
@@ -96,36 +101,39 @@
 
 
 class ColdWorkers:
-    """The cold workers as one node knows them, and when it may send to each.
+    """One node's record of the cold workers, and of when it may send to each.
 
-    A worker is cold while the list says so, and while its zone counts as cold. Pools that don't say what a cold worker
-    bears have no bound.
+    A worker counts as cold while the worker list says so, and while its whole zone counts as cold. Cold workers of a
+    pool whose configuration sets no cold rate have no limit.
 
     Args:
-        runtime: For the time.
+        runtime: The source of the time.
         name: The node's name.
-        fleet: What the node knows of the fleet.
+        fleet: The node's view of the fleet.
     """
 
     def __init__(self, runtime: scheduler.Runtime, name: str, fleet: Fleet) -> None:
         self.runtime = runtime
         self.name = name
         self.fleet = fleet
-        self.sent = 0  # requests that went to a cold worker
-        self.held_back = 0  # times that a cold worker was no candidate, or its request was not sent after all
+        self.sent = 0  # requests sent to cold workers
+        self.held_back = (
+            0  # times a cold worker was left out of the candidates, or a request to it was stopped before the send
+        )
         self._cold_zones: dict[str, int] = {}  # zone -> until when all its workers count as cold
-        self._schedules: dict[str, SendSchedule] = {}  # by worker that is cold and has this node for a sender
-        self._members: list[message.Member] = []  # by whom the senders were ranked
-        self._senders: dict[str, list[str]] = {}  # by worker
+        self._schedules: dict[str, SendSchedule] = {}  # by cold worker of which this node is a sender
+        self._members: list[message.Member] = []  # the members from which _senders was computed
+        self._senders: dict[str, list[str]] = {}  # names of the senders, by worker
 
     def zone_readmitted(self, zone: str) -> None:
-        """Count the workers of a zone that is evacuated no more as cold until the list can say which of them are."""
+        """Treat a zone whose evacuation has ended as cold until the worker list can tell which of its workers are."""
         self.treat_zone_as_cold(zone, self.runtime.now() + READMITTED_ZONE_US)
 
     def treat_zone_as_cold(self, zone: str, until_us: int) -> None:
-        """Count all workers of a zone as cold for a while, whatever the list says.
+        """Treat all workers of a zone as cold until a time, even if they are not listed as cold.
 
-        For a zone whose workers may have become cold when the list can't say so yet.
+        This is for a zone whose workers may have become cold before the worker list can tell. An earlier call with a
+        later time stays in force.
         """
         self._cold_zones[zone] = max(until_us, self._cold_zones.get(zone, 0))
 
@@ -136,7 +144,7 @@
         return self.runtime.now() < self._cold_zones.get(worker.zone, 0)
 
     def candidates(self, pool_name: str, pool: configuration.Pool) -> Candidates:
-        """The ready workers of a pool, without the cold ones to which this node may not send now."""
+        """Return the ready workers of a pool, without the cold ones to which this node may not send now."""
         ready = [
             worker
             for worker in self.fleet.workers
@@ -151,9 +159,9 @@
         return Candidates([worker.id for worker in ready if worker.id not in held_back], usable)
 
     def start_send(self, worker: message.Worker, pool: configuration.Pool) -> bool:
-        """Note a request that is sent to a worker now; False, and it must not be sent, where that is cold and not due.
+        """Record the send of a request; returns False if the worker is cold and the request must not be sent now.
 
-        Call this where nothing can come between it and the send.
+        The caller must send at once after True, without waiting for anything in between.
         """
         if pool.cold_rate <= 0 or not self.is_cold(worker):
             return True
@@ -166,7 +174,7 @@
         return True
 
     def _may_send(self, worker: message.Worker, pool: configuration.Pool) -> bool:
-        """Whether this node is a sender of a cold worker, and its pause is over."""
+        """Whether this node is a sender of a cold worker and the interval since its last send is over."""
         senders = self._senders_of(worker)
         if self.name not in senders:
             self._schedules.pop(worker.id, None)
@@ -175,7 +183,7 @@
         interval_us = send_interval_us(pool.cold_rate, len(senders))
         schedule = self._schedules.get(worker.id)
         if schedule is None:
-            # Whoever was a sender before may have sent just now.
+            # The former sender, or this node before its restart, may have sent a request just now.
             first_at_us = now + min(interval_us, MAX_FIRST_PAUSE_US)
             schedule = self._schedules[worker.id] = SendSchedule(interval_us, first_at_us)
         schedule.interval_us = interval_us
@@ -192,7 +200,7 @@
         return senders
 
     def sweep(self) -> None:
-        """Forget workers that are listed as cold no more, and zones whose time is over."""
+        """Forget workers that are no longer cold, and zones that no longer count as cold."""
         now = self.runtime.now()
         self._cold_zones = {zone: until_us for zone, until_us in self._cold_zones.items() if now < until_us}
         cold = {worker.id for worker in self.fleet.workers if self.is_cold(worker)}
@@ -200,7 +208,7 @@
         self._senders = {worker: names for worker, names in self._senders.items() if worker in cold}
 
     def state(self) -> dict[str, typing.Any]:
-        """What the node's state shows: each cold worker with whether this node sends to it, and counts."""
+        """Return the entry for the node's state: for each cold worker whether this node is its sender, and counts."""
         cold = [worker for worker in self.fleet.workers if self.is_cold(worker)]
         return {
             "workers": {worker.id: self.name in self._senders_of(worker) for worker in cold},
