--- a/iriswheel/dataplane/worker_estimate.py
+++ b/iriswheel/dataplane/worker_estimate.py
@@ -1,14 +1,14 @@
-"""What a node knows of one worker from its own attempts: load, prompt parts in its cache, suspicion."""
+"""A node's estimate of one worker from its own attempts: load, prompt parts in the prefix cache, and suspicion."""
 
 from __future__ import annotations
 
 import collections
 
-MAX_PARTS = 512  # parts remembered per worker
+MAX_PARTS = 512  # remembered prompt parts per worker
 
 
 class WorkerEstimate:
-    """What this node knows of one worker.
+    """The load, cached parts and suspicion of one worker, as far as this node's own attempts show them.
 
     >>> estimate = WorkerEstimate(); estimate.running, estimate.unread_tokens
     (0, 0)
@@ -25,17 +25,17 @@
     )
 
     def __init__(self) -> None:
-        self.running = 0  # own requests there
-        self.unread_tokens = 0  # own prompt tokens that it has still to read
-        # chain key of a part that it is likely to hold -> tokens, the latest used last
+        self.running = 0  # attempts of this node in flight at the worker
+        self.unread_tokens = 0  # prompt tokens of these attempts that still wait for prefill
+        # prefix key of a part likely in the worker's cache -> tokens of the part, the most recently used last
         self.parts: collections.OrderedDict[bytes, int] = collections.OrderedDict()
-        self.last_contact_us = 0  # when it last said anything to this node
-        self.busy_since_us = 0  # when the first of the attempts now under way went out
-        self.suspicion = 0.0  # 0 to 1, as it was at suspected_at_us
+        self.last_contact_us = 0  # when this node last received anything from the worker
+        self.busy_since_us = 0  # when `running` last rose from 0
+        self.suspicion = 0.0  # 0 to 1, before its decay since suspected_at_us
         self.suspected_at_us = 0
 
     def note_parts(self, keys: list[bytes], sizes: list[int]) -> None:
-        """Note the parts that a prompt brings there.
+        """Note that a prompt with these parts was sent to the worker, which then likely caches them.
 
         >>> estimate = WorkerEstimate(); estimate.note_parts([b"k"], [100]); list(estimate.parts.items())
         [(b'k', 100)]
