--- a/iriswheel/dataplane/worker_reach.py
+++ b/iriswheel/dataplane/worker_reach.py
@@ -1,8 +1,9 @@
-"""Which workers a node gets connections to: those out of its reach get no request as long as others are within it.
+"""Which workers a node can connect to: unreachable workers get no requests as long as any other worker is reachable.
 
-Where zones are cut off from each other, a node may reach a small part of the workers. Each request that tried a worker
-out of reach would wait for a connection, or be refused after a few of them though others could serve it. So no request
-is used to find out whether a worker is back within reach: this is tried beside them.
+When the network between zones is partitioned, a node may reach only a small part of the workers. A request sent to an
+unreachable worker would wait for a connection, and after a few such attempts it would be refused although a reachable
+worker could serve it. So no request is used to find out whether a worker is reachable again: the node tries
+connections in the background.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
     from iriswheel.runtime import scheduler
 
 RETRY_US = 1 * units.SECOND_US
-"""One worker of each zone that has some out of reach is tried again after so long."""
+"""Interval of the background attempts to connect to one unreachable worker of each zone."""
 
 RECENT_CONTACT_US = 300 * units.MILLISECOND_US
-"""A zone of which a worker was heard within this is not cut off."""
+"""A zone does not count as unreachable if one of its workers sent anything to this node within this time."""
 
 log = loguru.logger.bind(part="worker_reach")
 
 
 class Fleet(typing.Protocol):
-    """What is used of what the node knows of the fleet."""
+    """The part of the node's view of the fleet that is used here."""
 
     @property
     def workers(self) -> list[message.Worker]:
@@ -41,13 +42,13 @@
 
 
 class WorkerReach:
-    """One node's record of the workers that are out of its reach.
+    """One node's record of the workers and zones that it cannot reach.
 
     Args:
-        runtime: For the time, tasks and random numbers.
-        fleet: What the node knows of the fleet.
+        runtime: The source of time, tasks and random numbers.
+        fleet: The node's view of the fleet.
         connections: The node's connections to workers.
-        last_contact_us: When a worker last said anything to this node.
+        last_contact_us: Returns when this node last received anything from a worker.
     """
 
     def __init__(
@@ -61,25 +62,24 @@
         self.fleet = fleet
         self.connections = connections
         self.last_contact_us = last_contact_us
-        self.unreachable_workers: dict[
-            str, None
-        ] = {}  # workers to which no connection could be had, the latest tried last
-        self.unreachable_zones: set[str] = set()  # of which no worker was heard when one was out of reach
-        # called with a worker that is within reach again
+        # workers to which connecting failed, the most recently tried last
+        self.unreachable_workers: dict[str, None] = {}
+        self.unreachable_zones: set[str] = set()  # zones with an unreachable worker and no recent contact to any other
+        # called with a worker that is reachable again
         self.on_reachable_again: collections.abc.Callable[[message.Worker], object] = lambda _worker: None
-        self._checks: set[str] = set()  # workers to which a connection is being tried beside requests
+        self._checks: set[str] = set()  # workers to which a connection is being tried in the background
         self._retried_at_us = 0
         connections.on_connected = self.note_reachable
 
     def reachable(self, workers: list[str]) -> list[str]:
-        """Those of some workers that are within reach; all of them where that would leave none."""
+        """Return the reachable ones of some workers, or all of them if none is reachable."""
         if not self.unreachable_workers and not self.unreachable_zones:
             return workers
         reached = [worker for worker in workers if not self._is_unreachable(worker)]
         return reached or workers
 
     def note_reachable(self, worker: str) -> None:
-        """Note that a connection to a worker was made."""
+        """Note that a connection to a worker was made: neither the worker nor its zone is unreachable."""
         listed = self.fleet.states.get(worker)
         if listed is None:
             return
@@ -89,7 +89,11 @@
             self.on_reachable_again(listed)
 
     def note_unreachable(self, worker: message.Worker) -> None:
-        """Note that no connection to a worker could be had; perhaps its whole zone is out of reach."""
+        """Note that connecting to a worker failed.
+
+        If no worker of its zone was heard recently, the whole zone counts as unreachable until a connection to one of
+        them is made, and a connection to another of its workers is tried at once.
+        """
         self.unreachable_workers.pop(worker.id, None)
         self.unreachable_workers[worker.id] = None
         if not worker.zone or worker.zone in self.unreachable_zones or self._heard_of_zone(worker.zone):
@@ -102,22 +106,26 @@
         ]
         if others:
             self.check(self.runtime.rng.choice(others))
-        log.info("Zone {zone} may be out of reach: no connection to {worker}.", zone=worker.zone, worker=worker.id)
+        log.info(
+            "No connection to worker {worker} could be made; zone {zone} is silent and counts as unreachable.",
+            zone=worker.zone,
+            worker=worker.id,
+        )
 
     def note_silent(self, worker: str) -> None:
-        """Note that a worker is silent: where all of its zone is, find out whether it is still within reach."""
+        """Note that a worker is silent; if its whole zone is silent, check whether the worker is still reachable."""
         listed = self.fleet.states.get(worker)
         if listed is not None and not self._heard_of_zone(listed.zone):
             self.check(listed)
 
     def check(self, worker: message.Worker) -> None:
-        """Try a connection to a worker beside the requests; one that is had is kept for them."""
+        """Try to connect to a worker in the background; a connection that is made is kept for requests."""
         if worker.id not in self._checks:
             self._checks.add(worker.id)
             self.runtime.spawn(self._try_connection(worker), log)
 
     def retry(self) -> None:
-        """Each RETRY_US, try one worker of each zone that has some out of reach; forget those listed no more."""
+        """Once per RETRY_US, check one unreachable worker of each zone; forget workers and zones no longer listed."""
         now = self.runtime.now()
         if now - self._retried_at_us < RETRY_US:
             return
@@ -153,7 +161,7 @@
         self._check_zone(worker.zone)
 
     def _check_zone(self, zone: str) -> None:
-        """Try the other workers of a zone that were out of reach: one of them is back."""
+        """Check the unreachable workers of a zone, one of whose workers has just become reachable."""
         for other in list(self.unreachable_workers):
             listed = self.fleet.states.get(other)
             if listed is not None and listed.zone == zone:
