--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -377,9 +377,8 @@
         for worker in candidates:
             wait_us = self.wait_us(worker, pool, now)
             total_us = wait_us + self.prefill_us(worker, keys, sizes, unshared_tokens, workers)
-            total_us += (
-                self.session_table.load(worker) * RUNNING_REQUEST_US // REQUEST_COST
-            )  # turns expected of open sessions
+            # open sessions are expected to send further turns
+            total_us += self.session_table.load(worker) * RUNNING_REQUEST_US // REQUEST_COST
             total_us += int(self.suspicion(worker, now) * SUSPICION_PENALTY_US)
             total_us += COLD_PENALTY_US if worker in cold_workers else 0
             total_us += self.runtime.rng.randrange(JITTER_US)
