--- a/iriswheel/dataplane/cold_workers.py
+++ b/iriswheel/dataplane/cold_workers.py
@@ -21,7 +21,7 @@
     from iriswheel.runtime import scheduler
 
 SENDERS = 3
-"""Number of senders of one cold worker; if one of them fails, the other senders still send to it."""
+"""Number of nodes that may send to one cold worker, its senders; if one of them fails, the others still send."""
 
 RATE_SHARE = 1 / 3
 """Share of a cold worker's rate that its senders use.
@@ -117,9 +117,8 @@
         self.name = name
         self.fleet = fleet
         self.sent = 0  # requests sent to cold workers
-        self.held_back = (
-            0  # times a cold worker was left out of the candidates, or a request to it was stopped before the send
-        )
+        # times that a cold worker was no candidate for a request, or that a request to it was stopped before the send
+        self.held_back = 0
         self._cold_zones: dict[str, int] = {}  # zone -> until when all its workers count as cold
         self._schedules: dict[str, SendSchedule] = {}  # by cold worker of which this node is a sender
         self._members: list[message.Member] = []  # the members from which _senders was computed
