--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -1,4 +1,4 @@
-"""Worker selection by a pool's owner, and the bypass to a session's known worker while that owner does not answer."""
+"""Worker selection through a pool's owner, and the bypass to a session's known worker while the owner is silent."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 if typing.TYPE_CHECKING:
     from iriswheel.dataplane import interfaces, owner_client, request_counts, routed_request
 
-RETRY_INTERVAL_US = 50 * units.MILLISECOND_US
-REJOIN_WAIT_US = 1 * units.SECOND_US  # a request waits so long for this node to rejoin, or for a worker after one broke
-LATE_GRANT_TOLERANCE_US = 1 * units.SECOND_US  # a grant may come so long after the request's time and still be used
+RETRY_INTERVAL_US = 50 * units.MILLISECOND_US  # between two attempts to get a worker for a request
+REJOIN_WAIT_US = 1 * units.SECOND_US
+"""Longest wait of a request for this node to rejoin, or for another worker after one failed."""
+
+LATE_GRANT_TOLERANCE_US = 1 * units.SECOND_US  # time after a request's deadline in which a grant is still used
 
 
 class SelectedWorker(typing.NamedTuple):
-    """A worker, and the member that relays to it if this node does not reach it ("" where none is known)."""
+    """A worker, and the id of the member that relays to it if this node can't reach it; "" if no relay is known."""
 
     worker: message.Worker
     relay_member: str
 
 
 class SessionAffinity(typing.NamedTuple):
-    """The worker that a session was last granted, until the session's lifetime is over."""
+    """The worker to which a session's last turn was granted, valid until the session expires."""
 
     worker: str
     expires_at_us: int
@@ -35,7 +37,7 @@
 
 
 class WorkerSelector:
-    """Selects workers by asking the pools' owners; remembers each session's worker for when an owner is silent."""
+    """Selects workers by asking the pools' owners, and remembers the sessions' workers in case an owner is silent."""
 
     def __init__(
         self,
@@ -48,18 +50,18 @@
         self.runtime = node.runtime
         self.router = router
         self.owners = owners
-        self.counts = counts  # of the gateway; `bypasses` is counted here
-        self.affinities: dict[tuple[str, str], SessionAffinity] = {}  # by pool and session
+        self.counts = counts  # the gateway's counts, of which `bypasses` is updated here
+        self.affinities: dict[tuple[str, str], SessionAffinity] = {}  # by (pool, session id)
 
     async def select_worker(self, request: routed_request.RoutedRequest, excluded_workers: list[str]) -> SelectedWorker:
-        """Get a worker for a request, waiting for one as long as the request may.
+        """Get a worker for a request, and wait for one until the request's deadline.
 
         Args:
-            request: The request; its route is found anew where the configuration changed meanwhile.
+            request: The request, which is routed again if the configuration changes during the wait.
             excluded_workers: Ids of the workers of earlier attempts.
 
         Raises:
-            errors.ServiceError: None is to be had: the owner refuses, or the time is over.
+            errors.ServiceError: The owner denied the request, or no worker was granted before the deadline.
         """
         last_error: errors.ServiceError | None = None
         while True:
@@ -91,7 +93,7 @@
             await self.runtime.sleep(RETRY_INTERVAL_US)
 
     def may_send(self, request: routed_request.RoutedRequest, worker: message.Worker) -> bool:
-        """Whether a worker is ready now and its pool still in a route for the request; the check before a send."""
+        """Whether a request may be sent to a worker now: the worker is ready, and a route leads to its pool."""
         follower = self.node.follower
         path = request_router.request_path(request)
         return (
@@ -106,17 +108,17 @@
         )
 
     def forget_sessions(self, pool: str, identifiers: list[str]) -> None:
-        """Forget where sessions were pinned: the pool's owner has closed them."""
+        """Forget the workers of sessions that the pool's owner has closed."""
         for identifier in identifiers:
             self.affinities.pop((pool, identifier), None)
 
     def forget_expired_sessions(self, now: int) -> None:
-        """Forget the sessions whose lifetime is over."""
+        """Forget the workers of expired sessions."""
         for key in [key for key, affinity in self.affinities.items() if affinity.expires_at_us < now]:
             del self.affinities[key]
 
     def export_sessions(self, pool: str, now: int) -> list[message.SessionRecord]:
-        """Return where the sessions of a pool are pinned, for the pool's new owner."""
+        """Return the known sessions of a pool with their workers, for the pool's new owner."""
         return [
             message.SessionRecord(session, affinity.worker, left_us, left_us, 0, 0)
             for (session_pool, session), affinity in sorted(self.affinities.items())
@@ -128,7 +130,7 @@
         return follower.needs_rejoin() or not follower.has_worker_update() or follower.configuration_may_be_stale()
 
     def _accept(self, request: routed_request.RoutedRequest, grant: message.SelectionGranted) -> SelectedWorker | None:
-        """Accept a grant; returns None and releases it where it came too late or the worker may no longer be used."""
+        """Accept a grant; or release it and return None if it is too late or outdated, or its worker can't be used."""
         pool_name = request.pool_name
         assignment = self.owners.assignment(pool_name)
         worker = self.node.follower.states.get(grant.worker)
@@ -157,22 +159,23 @@
         return SelectedWorker(worker, grant.relay)
 
     def _denial(self, request: routed_request.RoutedRequest, denial: message.SelectionDenied) -> errors.ServiceError:
-        """Return the error for a denial after which the owner may be asked again; raises that of a final one."""
+        """Return the error for a denial after which the owner may be asked again; raise the error of a final denial."""
         if denial.code == "no_warden":
             return errors.ServiceError("no_warden", denial.text, request.known_outcome())
         outcome = errors.ExecutionOutcome(denial.execution)
         if outcome is errors.ExecutionOutcome.NOT_RUN:
-            outcome = request.known_outcome()  # the owner knows of this attempt alone
-        code = typing.cast("errors.ErrorCode", denial.code)  # the owner's, of the same codes
+            outcome = request.known_outcome()  # the owner knows only of this attempt, not of earlier ones
+        code = typing.cast("errors.ErrorCode", denial.code)  # the owner uses the same error codes
         raise errors.ServiceError(code, denial.text, outcome, denial.retry_us)
 
     def _bypass(self, request: routed_request.RoutedRequest, excluded_workers: list[str]) -> SelectedWorker | None:
-        """While the pool owner is silent, return the worker that this node last used for the session, or None.
+        """Return the worker that the request's session last used, while the pool's owner is silent; None if it may not.
 
-        Only a first attempt of an idempotent request may go without the owner, who keeps claims and retry budget.
+        Only the first attempt of an idempotent request may bypass the owner, because the owner keeps the retry budget
+        and the claims that prevent a second run of other requests.
         """
         if not request.idempotent or not request.session or request.is_retry:
-            return None  # repeats go by the pool owner's budget
+            return None  # retries need the retry budget of the pool's owner
         key = (request.pool_name, request.session)
         affinity = self.affinities.get(key, NO_AFFINITY)
         worker = self.node.follower.states.get(affinity.worker)
