--- a/iriswheel/dataplane/retry_budget.py
+++ b/iriswheel/dataplane/retry_budget.py
@@ -1,30 +1,31 @@
-"""The retry budget: retries stay within a part of first attempts, a fifth unless told otherwise.
+"""The retry budget: it limits retries to a ratio of the first attempts, by default one fifth.
 
-A pool's owner sees every selection, so it keeps one budget for all nodes; each node keeps
-a budget of its own part, from which a new pool owner starts.
+A pool's owner sees every selection, so it keeps one budget for the requests of all nodes. Each node keeps a budget of
+its own requests too, from which a new pool owner rebuilds the common one.
 """
 
 from __future__ import annotations
 
 import bisect
 
-RETRY_WINDOW_US = 10_000_000
-RETRY_RATIO = 0.2  # retries for each first attempt
-RATIO_TOLERANCE = 1e-9  # for the product of a ratio such as 0.1
-MIN_WAIT_US = 1_000_000
-NO_RETRIES_WAIT_US = 2_000_000  # when to come back where no retry is in the window
+RETRY_WINDOW_US = 10_000_000  # window in which first attempts and retries count
+RETRY_RATIO = 0.2  # retries per first attempt
+RATIO_TOLERANCE = 1e-9  # rounding error of a product with a ratio such as 0.1, which has no exact float
+MIN_WAIT_US = 1_000_000  # least wait that a refused client is told
+NO_RETRIES_WAIT_US = 2_000_000  # wait that a refused client is told while the window holds no retry
 
 
 class Budget:
-    """The first attempts and retries over a window, the last ten seconds unless told otherwise.
+    """The first attempts and retries in a sliding window, by default the last ten seconds.
 
-    A node that keeps its own share of a fleet's budget adds its part of the fleet's `slack`.
+    `slack` retries in a window are free. A node that keeps its own part of the fleet's budget has a part of the
+    fleet's slack.
 
     >>> budget = Budget(slack=2); [budget.spend(0) for _ in range(3)]
     [True, True, False]
 
-    Where there were too few first attempts, one retry in a window is free: else a lone
-    client whose node died could never come back.
+    One retry in a window is allowed even after too few first attempts: otherwise the only client of a fleet could
+    never retry after its node crashed.
 
     >>> budget = Budget()
     >>> for number in range(10): budget.record_first_attempt(0, f"x{number}")
@@ -35,14 +36,14 @@
     """
 
     def __init__(self, slack: int = 0, ratio: float = RETRY_RATIO, window_us: int = RETRY_WINDOW_US) -> None:
-        self.slack = slack  # retries in a window that are free
+        self.slack = slack  # free retries per window
         self.ratio = ratio
         self.window_us = window_us
-        self.first_attempts: dict[str, int] = {}  # request -> when it was first seen, oldest first
-        self.retries: list[int] = []  # when, oldest first
+        self.first_attempts: dict[str, int] = {}  # request id -> time of its first attempt, the oldest first
+        self.retries: list[int] = []  # times of the retries, the oldest first
 
     def record_first_attempt(self, now: int, request_id: str) -> None:
-        """Note a request; said again under the same id, it counts once.
+        """Record the first attempt of a request; a second record under the same id does not count.
 
         >>> budget = Budget(); budget.record_first_attempt(0, "x1"); budget.record_first_attempt(1, "x1")
         >>> len(budget.first_attempts)
@@ -52,7 +53,7 @@
         self._trim(now)
 
     def has_capacity(self, now: int) -> bool:
-        """Whether there is a retry left.
+        """Whether the budget allows one more retry.
 
         >>> Budget().has_capacity(0)
         True
@@ -63,7 +64,7 @@
         return len(self.retries) + 1 - self.slack <= self.ratio * len(self.first_attempts) + RATIO_TOLERANCE
 
     def spend(self, now: int) -> bool:
-        """Take a retry from the budget; False where there is none left.
+        """Take a retry from the budget; returns False if the budget is exhausted.
 
         >>> budget = Budget(); budget.spend(0), budget.spend(0)
         (True, False)
@@ -74,7 +75,7 @@
         return True
 
     def refund(self, spent_at: int | None) -> None:
-        """Give a retry back that never went out.
+        """Give back the retry taken at a time, because it was not sent.
 
         >>> budget = Budget(); _ = budget.spend(3); budget.refund(3); budget.retries
         []
@@ -93,7 +94,7 @@
         return NO_RETRIES_WAIT_US
 
     def export(self, now: int) -> tuple[dict[str, int], list[int]]:
-        """Return what a message holds of the budget: first attempts with their ages, and the retries' ages, in µs.
+        """Return the ages in µs of the first attempts, by request id, and of the retries, for a message.
 
         >>> budget = Budget(); budget.record_first_attempt(2, "x1"); _ = budget.spend(3); budget.export(5)
         ({'x1': 3}, [2])
@@ -103,7 +104,7 @@
         return first_attempt_ages_us, [now - at for at in self.retries]
 
     def add(self, now: int, first_attempts: dict[str, int], retries: list[int]) -> None:
-        """Add what another budget exported.
+        """Add the first attempts and retries that another budget exported, given with their ages in µs.
 
         >>> budget = Budget(); budget.add(5, {"x1": 3}, [2]); budget.first_attempts, budget.retries
         ({'x1': 2}, [3])
@@ -115,7 +116,7 @@
             bisect.insort(self.retries, now - age_us)
 
     def _trim(self, now: int) -> None:
-        """Forget what is past the window."""
+        """Forget the attempts that are older than the window."""
         since = now - self.window_us
         while self.first_attempts and self.first_attempts[oldest := next(iter(self.first_attempts))] <= since:
             del self.first_attempts[oldest]
