--- a/iriswheel/dataplane/node_budgets.py
+++ b/iriswheel/dataplane/node_budgets.py
@@ -1,4 +1,4 @@
-"""This node's parts of the pools' retry budgets."""
+"""The retry budgets of one node's requests, one for each pool."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class PoolRequest(typing.Protocol):
-    """A request as far as a budget concerns it."""
+    """The fields of a request that are needed to find its budget."""
 
     pool_name: str
     pool: configuration.Pool
 
 
 class NodeBudgets:
-    """The first attempts and retries of this node, by pool.
+    """The retry budgets of this node's requests, by pool.
 
-    Where a pool owner selects the workers it keeps the budget of all nodes, and starts from these parts when it
-    is new; else each node keeps to its own part.
+    If a pool's owner selects the workers, the owner enforces one budget for all nodes, and a new owner rebuilds it
+    from the budgets that the nodes export. If nodes select the workers, each node enforces its own budget.
     """
 
     def __init__(self, node: interfaces.DataPlaneNode) -> None:
@@ -31,25 +31,26 @@
         self.runtime = node.runtime
         self.started_at = self.runtime.now()
         self.budgets: dict[str, retry_budget.Budget] = {}  # by pool name
-        # (when, members) of the fleet over the retry window, the largest first
+        # (time, member count) of the fleet within the retry window, the largest count first
         self.fleet_sizes: list[tuple[int, int]] = []
 
     def budget(self, request: PoolRequest) -> retry_budget.Budget:
-        """Return this node's part of the retry budget of a request's pool."""
+        """Return this node's retry budget for the pool of a request."""
         budget = self.budgets.get(request.pool_name)
         if budget is None:
             options = self.node.options
             budget = retry_budget.Budget(ratio=options.retry_ratio, window_us=options.retry_window_us)
             self.budgets[request.pool_name] = budget
-        if request.pool.election == schema.Election.NODE:  # no pool owner keeps the fleet's budget
+        if request.pool.election == schema.Election.NODE:  # no pool owner enforces a common budget
             budget.slack = self.slack()
         return budget
 
     def slack(self) -> int:
         """Return this node's part of the free retries that the whole fleet has in a retry window.
 
-        Members that were there within the window may have spent their parts, so the largest
-        fleet counts; and this node's former process may have spent this node's.
+        Members that left within the window may have spent their parts, so the free retries are divided by the largest
+        member count in the window. In its first window a process has no part, because the former process of this node
+        may have spent it.
         """
         options, now, members = self.node.options, self.runtime.now(), len(self.node.follower.membership.members)
         since = now - options.retry_window_us
@@ -60,6 +61,6 @@
         return int(options.retry_slack // (self.fleet_sizes[0][1] + 1))
 
     def export(self, pool_name: str, now: int) -> tuple[dict[str, int], list[int]]:
-        """Return a pool's first attempts and retries with their ages, as `Budget.export` does."""
+        """Return the first attempts and retries for a pool with their ages, as `retry_budget.Budget.export` does."""
         budget = self.budgets.get(pool_name)
         return ({}, []) if budget is None else budget.export(now)
