--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -76,7 +76,7 @@
             if self._is_disconnected():
                 last_error = errors.ServiceError(
                     "not_ready",
-                    "This node is disconnected from the core, so its worker list may be outdated.",
+                    "The configuration or the worker list of this node may be outdated.",
                     request.known_outcome(),
                 )
                 request.deadline_us = min(request.deadline_us, request.arrived_at_us + REJOIN_WAIT_US)
