--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -1,4 +1,4 @@
-"""Admission of a request: parsing, route and pool, tenant, session terms, and its count in the retry budget."""
+"""Admission of a request: parsing, route and pool, tenant, session terms, and its record in the retry budget."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from iriswheel.dataplane import interfaces, node_budgets, routed_request
 
 
-BYTES_PER_WORK_UNIT = 16
-MIN_WORK_UNITS = 20
+BYTES_PER_WORK_UNIT = 16  # of the request body
+MIN_WORK_UNITS = 20  # work units of a request with an empty body
 
 
 class RequestRouter:
-    """Sets the fields of a request that follow from this node's copy of the configuration."""
+    """Admits requests: sets their fields by this node's copy of the configuration, or refuses them."""
 
     def __init__(self, node: interfaces.DataPlaneNode, budgets: node_budgets.NodeBudgets) -> None:
         self.node = node
@@ -27,7 +27,7 @@
         self.authenticator = authentication.Authenticator(node)
 
     def parse(self, request: routed_request.RoutedRequest) -> None:
-        """Check method and length, and parse the request's id, attempt number, idempotence and body.
+        """Check the method and the length headers, and parse the request's id, attempt number, idempotence and body.
 
         Raises:
             errors.ServiceError: The request is malformed.
@@ -52,10 +52,10 @@
         request.raw = http_request.content.read()
 
     def admit(self, request: routed_request.RoutedRequest) -> None:
-        """Route a new request that was parsed, and count it as a first send.
+        """Route and authenticate a parsed request, and record a first attempt in the retry budget.
 
         Raises:
-            errors.ServiceError: The request has no route or no key, or this node takes none now.
+            errors.ServiceError: No route matches, the key is missing or unknown, or this node accepts no requests now.
         """
         self._route(request)
         self.authenticator.authenticate(request)
@@ -68,15 +68,16 @@
             )
 
     def reroute(self, request: routed_request.RoutedRequest) -> None:
-        """Find the route anew, where the configuration changed while the request waited."""
+        """Route a request again if the configuration has changed since it was routed."""
         if request.configuration_index != self.node.follower.applied_index:
             self._route(request)
             self._set_terms(request)
 
     def _route(self, request: routed_request.RoutedRequest) -> None:
-        """Find the route by host and longest matching path, then its pool.
+        """Find the route by host and longest matching path, and choose its pool.
 
-        Without a route, a node that may have missed a change answers `not_ready`: the route may exist by now.
+        If no route matches, a node that may have missed a configuration change answers `not_ready` instead of
+        `no_route`, because the route may exist by now.
         """
         follower = self.node.follower
         if follower.items is None:
@@ -85,7 +86,7 @@
         if route is None and (follower.configuration_may_be_stale() or follower.needs_rejoin()):
             raise errors.ServiceError(
                 "not_ready",
-                "This node is disconnected from the core and may not know the route yet.",
+                "No route of this node matches, but its configuration may be outdated.",
                 request.known_outcome(),
             )
         if route is None:
@@ -103,7 +104,7 @@
         request.configuration_index = follower.applied_index
 
     def _choose_pool(self, route: configuration.Route) -> str:
-        """Return the pool of a route; where the route is split, one at random by the weights."""
+        """Return the pool of a route; for a split route, one of its pools at random, by their weights."""
         if not route.split:
             return route.pool
         left = self.runtime.rng.random() * sum(share["weight"] for share in route.split)
@@ -114,7 +115,7 @@
         return str(share["pool"])
 
     def _set_terms(self, request: routed_request.RoutedRequest) -> None:
-        """Set the conversation's terms, the session's id and the time by which the request must be sent."""
+        """Set the session terms, the session id, the work units and the deadline of a request."""
         route, pool, parsed = request.route, request.pool, request.parsed
         terms = request.terms = self.node.follower.terms[route.requesters.get(parsed.client, route.terms)]
         if pool.election == schema.Election.NODE:
@@ -129,12 +130,12 @@
 
 
 def request_path(request: routed_request.RoutedRequest) -> str:
-    """Return the path of a request's target."""
+    """Return the path of a request's URI."""
     return request.http_request.path.decode("latin-1")
 
 
 def covers(path: str, requested_path: str) -> bool:
-    """Whether a route's path covers a request's: the same, or above it.
+    """Whether a route's path covers a requested path: it is the same path or a parent of it.
 
     >>> covers("/v1", "/v1/chat"), covers("/v1", "/v10"), covers("/", "/any")
     (True, False, True)
