--- a/iriswheel/dataplane/authentication.py
+++ b/iriswheel/dataplane/authentication.py
@@ -1,7 +1,7 @@
-"""Which tenant a request belongs to, by the key that it carries.
+"""Authentication: finds the tenant of a request by the API key that the request carries.
 
-A key is known here by its digest alone. It is taken off the request before anything is sent, so that no worker,
-peer, log or recording ever has it.
+A node knows only the digests of the keys. The key is removed from the request before the request is sent on, so that
+no worker, peer, log or recording ever contains it.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class Authenticator:
-    """Finds the tenants of a node's requests."""
+    """Authenticates the requests of one node."""
 
     def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
 
     def authenticate(self, request: routed_request.RoutedRequest) -> None:
-        """Set a request's tenant by its key, and put the tenant's name in the place of its credentials.
+        """Set a request's tenant by its key, and replace the credentials in its headers by the tenant's name.
 
-        Nothing is done where the configuration requires no keys.
+        If the configuration requires no keys, the request stays as it is.
 
         Raises:
             errors.ServiceError: `unauthenticated` for a missing or unknown key on a route that is not public;
-                `not_ready` where this node's configuration may be too old to know.
+                `not_ready` if this node's configuration may be too old to decide.
         """
         follower = self.node.follower
         if not follower.limits.require_key:
@@ -44,10 +44,10 @@
         )
 
     def check_freshness(self) -> None:
-        """Refuse, where a key that this node knows may have been taken away longer ago than is allowed.
+        """Refuse a request if a key known here may have been revoked longer ago than the allowed revocation time.
 
         Raises:
-            errors.ServiceError: `not_ready`.
+            errors.ServiceError: `not_ready`, as this node can't tell whether the key is still valid.
         """
         if self.node.follower.keys_may_be_revoked():
             raise errors.ServiceError("not_ready", "This node can't tell whether the key has been revoked.")
