--- a/iriswheel/dataplane/request_counts.py
+++ b/iriswheel/dataplane/request_counts.py
@@ -7,22 +7,22 @@
 
 @dataclasses.dataclass(slots=True)
 class GatewayCounts:
-    """Counts of a node's gateway; all but `requests` concern pools with an owner.
+    """Counts of a node's gateway; all but `requests` cover only pools whose owner selects the workers.
 
     >>> GatewayCounts(requests=2).state()["exchanges"]
     2
     """
 
-    requests: int = 0  # taken from clients, for pools of both kinds
-    completed: int = 0  # requests whose whole answer went to the client
-    interrupted: int = 0  # requests whose answer broke off after it had begun
-    retries: int = 0  # attempts by this node or the client after one that may have run
-    bypasses: int = 0  # attempts sent to a session's known worker, as the owner was silent
-    relayed: int = 0  # attempts sent by way of another node
-    disconnected: int = 0  # requests whose client went away before they ended
+    requests: int = 0  # requests received from clients, for all pools
+    completed: int = 0  # requests whose complete answer was sent to the client
+    interrupted: int = 0  # requests whose answer broke off after its first byte
+    retries: int = 0  # attempts, by this node or the client, after an earlier one that may have run
+    bypasses: int = 0  # attempts sent to a session's known worker because the pool's owner was silent
+    relayed: int = 0  # attempts relayed through another node
+    disconnected: int = 0  # requests whose client disconnected before the end
 
     def state(self) -> dict[str, int]:
-        """Return the counts under the names that operators know."""
+        """Return the counts under their keys in `GET /state`."""
         return {
             "exchanges": self.requests,
             "whole": self.completed,
@@ -36,25 +36,25 @@
 
 @dataclasses.dataclass(slots=True)
 class ForwarderCounts:
-    """Counts of a node's forwarder, in pools whose workers the node selects itself.
+    """Counts of a node's forwarder, which serves the pools whose workers the node selects itself.
 
     >>> ForwarderCounts(attempts=3).state()["sends"]
     3
     """
 
-    attempts: int = 0  # sent over a connection to a worker
-    completed: int = 0  # requests whose whole answer came
-    resumed: int = 0  # answers that went on from another worker after they had begun
-    retried: int = 0  # attempts at another worker before an answer had begun
-    broken: int = 0  # attempts whose connection broke off, or brought what is no answer
-    refused: int = 0  # attempts of which the worker said that it did not run them
-    unreached: int = 0  # attempts for which no connection to the worker could be had
-    silent: int = 0  # attempts ended here for their silence, to be sent to another worker
-    disconnected: int = 0  # requests whose client went away before they ended
-    late: int = 0  # requests whose time was over while an attempt was under way
+    attempts: int = 0  # attempts sent over a connection to a worker
+    completed: int = 0  # requests whose complete answer was received
+    resumed: int = 0  # answers continued by another worker after their first byte
+    retried: int = 0  # attempts at another worker before the first byte of an answer
+    broken: int = 0  # attempts whose connection broke or delivered an invalid answer
+    refused: int = 0  # attempts that the worker rejected without running them
+    unreached: int = 0  # attempts for which no connection to the worker could be made
+    silent: int = 0  # attempts cancelled because the worker was silent, so that another worker gets the request
+    disconnected: int = 0  # requests whose client disconnected before the end
+    late: int = 0  # requests whose deadline passed during an attempt
 
     def state(self) -> dict[str, int]:
-        """Return the counts under the names that operators know."""
+        """Return the counts under their keys in `GET /state`."""
         return {
             "sends": self.attempts,
             "whole": self.completed,
