--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -1,4 +1,4 @@
-"""The attempts under way at this node, and the reasons to cancel one."""
+"""The attempts in flight at this node, and their cancellation when the worker is unreachable or drained."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 if typing.TYPE_CHECKING:
     from iriswheel.dataplane import interfaces
 
-CHECK_INTERVAL_US = 500 * units.MILLISECOND_US
-HANG_TIMEOUT_US = 1 * units.SECOND_US  # an attempt that received nothing for so long hangs
+CHECK_INTERVAL_US = 500 * units.MILLISECOND_US  # between two checks for hanging attempts
+HANG_TIMEOUT_US = 1 * units.SECOND_US  # an attempt that received nothing for longer counts as hanging
 
 log = loguru.logger.bind(part="attempt_registry")
 
 
 class AttemptRegistry:
-    """The attempts under way, by attempt id."""
+    """The attempts in flight, by attempt id."""
 
     def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
@@ -28,30 +28,30 @@
         self.attempts: dict[str, dispatch.Attempt] = {}
 
     def begin(self, attempt_id: str, worker: str) -> dispatch.Attempt:
-        """Register an attempt at a worker."""
+        """Register an attempt that is about to be sent to a worker."""
         attempt = self.attempts[attempt_id] = dispatch.Attempt(worker, self.runtime.now())
         return attempt
 
     def end(self, attempt_id: str) -> None:
-        """Forget an attempt that is over; one that never began is ignored."""
+        """Forget an attempt that has ended; an unknown id is ignored."""
         self.attempts.pop(attempt_id, None)
 
     def cancel_unreachable(self, worker: str) -> None:
-        """Cancel the attempts that wait for a first byte of a worker that no node reaches."""
+        """Cancel the attempts without a first byte yet at a worker that no node can reach."""
         for attempt in [
             attempt for attempt in self.attempts.values() if attempt.worker == worker and not attempt.answer_begun
         ]:
             attempt.cancel()
 
     def cancel_drained(self) -> None:
-        """End the attempts at workers that left and whose drain time is over."""
+        """Cancel the attempts at workers that left the fleet and whose drain time is over."""
         for attempt in [attempt for attempt in self.attempts.values() if self.node.follower.drained(attempt.worker)]:
             attempt.cancel()
 
     async def watch_hangs(self) -> None:
-        """Twice a second, check the workers of attempts that hang.
+        """Periodically probe the workers of hanging attempts, and cancel these attempts at unreachable workers.
 
-        Attempts at a worker that can't be reached are ended: a connection that was cut reports no error.
+        The probe is needed because a connection across a network partition reports no error.
         """
         while not self.node.stopped:
             await self.runtime.sleep(CHECK_INTERVAL_US)
@@ -59,7 +59,7 @@
                 self.runtime.spawn(self._cancel_hanging(worker), log)
 
     async def _cancel_hanging(self, worker_id: str) -> None:
-        """End the attempts that hang at a worker, if no connection to it can be had from here."""
+        """Cancel the hanging attempts at a worker, if this node can't connect to it."""
         worker = self.node.follower.states.get(worker_id)
         if worker is not None and worker_id not in self.node.reachability.unreachable_since:
             response = await self.node.reachability.probe(worker)
