--- a/iriswheel/dataplane/work_queue.py
+++ b/iriswheel/dataplane/work_queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue with a fixed concurrency."""
+"""A bounded queue whose items are processed with a fixed concurrency."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class WorkQueue(typing.Generic[Item]):
-    """Runs a coroutine function for each item, a bounded number at once; more items wait in a bounded queue.
+    """Runs a coroutine function for each item, `concurrency` at once; up to `capacity` further items wait.
 
     >>> async def work(item): done.append(item)
     >>> done = []; queue = WorkQueue(None, capacity=1, concurrency=1, work=work)
@@ -37,7 +37,7 @@
         self.running = 0
 
     def put(self, item: Item) -> bool:
-        """Run or queue an item; returns False where there is no room.
+        """Process or queue an item; returns False if the queue is full.
 
         >>> import twisted.internet.defer as defer
         >>> async def wait(item): await defer.Deferred()
