--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -1,4 +1,4 @@
-"""A node's calls to pool owners: select a worker, release a grant."""
+"""A node's calls to the pools' owners: selection of a worker, release of a grant."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 if typing.TYPE_CHECKING:
     from iriswheel.dataplane import interfaces, routed_request
 
-OWNER_SILENCE_US = 600 * units.MILLISECOND_US  # a pool owner not heard for this long is silent
-CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
-RESPONSE_MARGIN_US = 500 * units.MILLISECOND_US  # how long an answer is waited for beyond the request's own time
-ABANDONED_REPORT_US = 10 * units.SECOND_US  # how long grant reports list an abandoned attempt
+OWNER_SILENCE_US = 600 * units.MILLISECOND_US  # time without any message after which a pool owner counts as silent
+CHECK_INTERVAL_US = 100 * units.MILLISECOND_US  # between two checks whether the asked owner is silent
+RESPONSE_MARGIN_US = 500 * units.MILLISECOND_US  # wait for the owner's answer beyond the request's deadline
+ABANDONED_REPORT_US = 10 * units.SECOND_US  # time for which grant reports list an abandoned attempt
 
 Selection: typing.TypeAlias = message.SelectionDenied | message.SelectionGranted
 
@@ -26,21 +26,21 @@
 
 
 class AbandonedAttempt(typing.NamedTuple):
-    """An attempt given up without a send; grant reports list it to its pool's owner until a time."""
+    """An attempt given up before it was sent; until a time, grant reports list it to its pool's owner."""
 
     pool_name: str
     reported_until_us: int
 
 
 class OwnerClient:
-    """This node's requests to the pools' owners; an owner may be this node itself."""
+    """Sends this node's calls to the pools' owners, one of which may be this node itself."""
 
     def __init__(self, node: interfaces.DataPlaneNode) -> None:
         self.node = node
         self.runtime = node.runtime
 
     def assignment(self, pool_name: str) -> message.RoleAssignment | None:
-        """Return the role assignment that names a pool's owner, or None where there is none."""
+        """Return the role assignment that names a pool's owner, or None if the role is not assigned."""
         return self.node.follower.assignment(f"pool/{pool_name}")
 
     async def select_worker(
@@ -55,11 +55,11 @@
         Args:
             request: The request to be sent.
             assignment: The owner's role assignment.
-            excluded_workers: Ids of workers that an earlier attempt did not reach.
-            left_us: How long the request may still wait.
+            excluded_workers: Ids of the workers of earlier attempts.
+            left_us: The time until the request's deadline.
 
         Returns:
-            The owner's decision, or None where it is silent.
+            The owner's decision, or None if it is silent.
         """
         query = self._query(request, assignment, excluded_workers, left_us)
         request.grant_requested = True
@@ -71,9 +71,9 @@
         return await self._ask_peer(owner, query, left_us)
 
     def release(self, request: routed_request.RoutedRequest, outcome: errors.ExecutionOutcome) -> None:
-        """Release a request's grant at the pool owner, with the outcome of its attempt.
+        """Release a request's grant at the pool's owner, with the outcome of its attempt.
 
-        The notice may be lost; NOT_RUN is therefore repeated in grant reports for ABANDONED_REPORT_US.
+        The notice may be lost. Therefore grant reports repeat the outcome NOT_RUN for ABANDONED_REPORT_US.
         """
         if not request.grant_requested:
             return
@@ -116,8 +116,8 @@
         owner = self.node.pool_owners.get(query.pool)
         if owner is None:
             return None
-        # The owner's step is a task of its own and is never cut short: where the request is cancelled meanwhile,
-        # the grant is released instead.
+        # The owner's selection runs as a task of its own that is never cancelled: if the request is cancelled
+        # meanwhile, its grant is released instead.
         answer: defer.Deferred[Selection | None] = defer.Deferred()
 
         def deliver(selection: Selection | None) -> None:
