--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -29,10 +29,10 @@
         )
         return node_budgets.NodeBudgets(node)
 
-    def spent(self, budgets: node_budgets.NodeBudgets, firsts: int = 0) -> int:
+    def spend_all(self, budgets: node_budgets.NodeBudgets, first_attempts: int = 0) -> int:
         """How many repeats it grants now, after some first sends."""
         request = types.SimpleNamespace(pool_name="desk", pool=configuration.Pool(election="node"))
-        for _ in range(firsts):
+        for _ in range(first_attempts):
             self.attempt_ids += 1
             budgets.budget(request).record_first_attempt(self.now, f"x{self.attempt_ids}")
         count = 0
@@ -41,20 +41,20 @@
         return count
 
     def test_ratio_and_window_are_those_of_the_options(self) -> None:
-        for more, granted in (({}, 20), ({"retry_ratio": 0.1}, 10)):
+        for more, expected_retries in (({}, 20), ({"retry_ratio": 0.1}, 10)):
             budgets = self.budgets(retry_window_us=4 * SECOND, **more)
-            assert (self.spent(budgets, 100), self.spent(budgets)) == (granted, 0)
+            assert (self.spend_all(budgets, 100), self.spend_all(budgets)) == (expected_retries, 0)
             self.now += 5 * SECOND
-            assert self.spent(budgets, 100) == granted
+            assert self.spend_all(budgets, 100) == expected_retries
 
-    def test_a_new_process_takes_none_of_what_its_former_incarnation_may_have_spent(self) -> None:
+    def test_a_new_process_has_no_free_retries_while_its_former_process_may_have_spent_them(self) -> None:
         self.now += 11 * SECOND
         budgets = self.budgets(retry_slack=50)
-        assert self.spent(budgets) == 1  # the one that is always free
+        assert self.spend_all(budgets) == 1  # the one that is always free
         self.now += 11 * SECOND
-        assert self.spent(budgets) == 5
+        assert self.spend_all(budgets) == 5
 
-    def test_nodes_that_left_within_the_window_may_have_spent_their_shares(self) -> None:
+    def test_free_retries_are_divided_by_the_largest_member_count_in_the_window(self) -> None:
         budgets = self.budgets(retry_slack=50)
         self.now += 11 * SECOND
         assert budgets.slack() == 5
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -28,7 +28,7 @@
 
 
 class TestAttemptsOfARoute:
-    def test_a_request_with_selected_workers_goes_to_no_more_than_its_route_allows(self) -> None:
+    def test_a_request_with_workers_selected_by_the_owner_has_no_more_attempts_than_its_route_allows(self) -> None:
         for sends, expected in ((0, gateway.MAX_ATTEMPTS), (1, 1), (2, 2), (9, gateway.MAX_ATTEMPTS)):
             seen: list[str] = []
 
@@ -72,7 +72,7 @@
 class TestBoundsOfARequest(request_path.RequestPath):
     @pytest.mark.parametrize("status", [500, 503])
     @pytest.mark.parametrize("sends", [1, 2, 3])
-    def test_a_request_goes_to_no_more_workers_than_its_route_allows(self, status: int, sends: int) -> None:
+    def test_a_request_has_no_more_attempts_than_its_route_allows(self, status: int, sends: int) -> None:
         self.idempotent(sends)
         self.retry_budget.slack = 99
         headers = {HEADERS["not_run"]: "1"} if status == 503 else {}
@@ -82,7 +82,7 @@
         assert len(self.seen()) == sends
         assert max(len(worker.seen) for worker in self.workers) <= 1
 
-    def test_a_stream_that_goes_on_elsewhere_does_not_announce_the_first_length(self) -> None:
+    def test_a_stream_resumed_by_another_worker_does_not_announce_the_content_length_of_the_first(self) -> None:
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if len(self.seen()) == 1:
                 connection.transport.write(request_path.answer(attempt, b"id: 1\ndata: a\n\nid: 2\nda", length=32))
@@ -119,16 +119,16 @@
         self.go(3000)
         return client.raw.endswith(b"0\r\n\r\n"), len(self.seen())
 
-    def test_a_silent_stream_is_not_cut_while_the_node_stops(self) -> None:
+    def test_a_silent_stream_is_not_moved_while_the_node_drains(self) -> None:
         assert self.silent_stream(lambda: setattr(self.node, "draining", True)) == (True, 1)
 
-    def test_a_silent_stream_is_not_cut_after_options_were_read_again(self) -> None:
+    def test_a_silent_stream_is_not_moved_right_after_an_options_reload(self) -> None:
         assert self.silent_stream(lambda: setattr(self.node, "options_reloaded_at_us", self.world.time)) == (True, 1)
 
-    def test_a_silent_stream_goes_elsewhere_at_other_times(self) -> None:
+    def test_a_silent_stream_is_moved_to_another_worker_at_other_times(self) -> None:
         assert self.silent_stream(lambda: None)[1] == 2
 
-    def test_a_worker_that_gives_no_connection_holds_no_request_past_its_time(self) -> None:
+    def test_a_request_whose_workers_are_unreachable_is_refused_at_its_deadline(self) -> None:
         for number in (1, 2):
             self.worker(request_path.good)
             self.world.cut(["10.0.2.1"], [f"10.0.3.{number}"])
