--- a/tests/test_cold_worker_groups.py
+++ b/tests/test_cold_worker_groups.py
@@ -15,10 +15,10 @@
         pool = configuration.Pool(election="node", cold_rate=rate)
         listed = test_cold_workers.worker("w1", "north", cold=True)
         for node, own in zip(self.nodes, self.members, strict=True):
-            node.hear([other for other in self.members if other.zone == own.zone], [listed])
+            node.update_view([other for other in self.members if other.zone == own.zone], [listed])
         times: list[int] = []
         for _ in range(400):
             times.extend(self.now for node in self.nodes if node.cold.start_send(listed, pool))
             self.now += test_cold_workers.STEP_US
-        most = max(sum(start <= at < start + units.SECOND_US for at in times) for start in times)
-        assert most <= rate * OVERSHOOT + MARGIN
+        max_sends = max(sum(start <= at < start + units.SECOND_US for at in times) for start in times)
+        assert max_sends <= rate * OVERSHOOT + MARGIN
--- a/tests/test_cold_workers.py
+++ b/tests/test_cold_workers.py
@@ -53,7 +53,7 @@
         self.cold = cold_workers.ColdWorkers(self.runtime, self.name, self.fleet)
         self.placement = placement.Placement(self.runtime, "desk")
 
-    def hear(self, members: list[message.Member], workers: list[message.Worker]) -> None:
+    def update_view(self, members: list[message.Member], workers: list[message.Worker]) -> None:
         self.fleet.membership = types.SimpleNamespace(members=members)
         self.fleet.workers = workers
         self.fleet.states = {listed.id: listed for listed in workers}
@@ -91,11 +91,11 @@
         self.members = [member(f"node-{number}", ZONES[number % 3]) for number in range(63)]
         self.nodes = [FleetNode(self, listed.name) for listed in self.members]
 
-    def hear(self, workers: list[message.Worker]) -> None:
+    def update_view(self, workers: list[message.Worker]) -> None:
         for node in self.nodes:
-            node.hear(self.members, workers)
+            node.update_view(self.members, workers)
 
-    def play(self, seconds: float) -> None:
+    def send_for(self, seconds: float) -> None:
         """Each node sends a request in each step of ten milliseconds."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
@@ -105,30 +105,30 @@
                     self.sends.setdefault(chosen, []).append(self.now)
             self.now += STEP_US
 
-    def most_in_a_second(self, name: str) -> int:
+    def max_sends_per_second(self, name: str) -> int:
         times = self.sends.get(name, [])
         return max((sum(start <= at < start + SECOND for at in times) for start in times), default=0)
 
 
 class TestBoundOverAllNodes(Nodes):
     def test_a_cold_worker_gets_a_third_of_its_rate_from_all_nodes_together(self) -> None:
-        self.hear([worker("w1", "north", cold=True)])
-        self.play(4)
+        self.update_view([worker("w1", "north", cold=True)])
+        self.send_for(4)
         assert 0.26 * RATE * 4 <= len(self.sends["w1"]) <= RATE / 3 * 4 + cold_workers.SENDERS
-        assert self.most_in_a_second("w1") <= RATE / 3 + cold_workers.SENDERS
+        assert self.max_sends_per_second("w1") <= RATE / 3 + cold_workers.SENDERS
 
-    def test_nodes_that_disagree_about_the_members_stay_below_the_bound(self) -> None:
+    def test_two_groups_of_nodes_that_disagree_about_the_members_stay_below_the_bound(self) -> None:
         workers = [worker("w1", "north", cold=True)]
         for node, own in zip(self.nodes, self.members, strict=True):
             side = [other for other in self.members if (other.zone == "north") == (own.zone == "north")]
-            node.hear(side, workers)
-        self.play(4)
-        assert 0.5 * RATE < self.most_in_a_second("w1") <= RATE * 2 / 3 + 2 * cold_workers.SENDERS < BOUND
+            node.update_view(side, workers)
+        self.send_for(4)
+        assert 0.5 * RATE < self.max_sends_per_second("w1") <= RATE * 2 / 3 + 2 * cold_workers.SENDERS < BOUND
 
-    def test_the_sides_of_a_cut_send_to_cold_workers_of_their_own(self) -> None:
+    def test_nodes_of_each_zone_send_to_the_cold_workers_of_their_own_zone(self) -> None:
         workers = [worker("w1", "north", cold=True), worker("w2", "south", cold=True)]
-        self.hear(workers)
-        self.play(2)
+        self.update_view(workers)
+        self.send_for(2)
         assert {zone: len(self.sends[name]) > RATE / 3 for name, zone in (("w1", "north"), ("w2", "south"))} == {
             "north": True,
             "south": True,
@@ -140,77 +140,77 @@
     def senders(self, listed: message.Worker) -> list[str]:
         return [node.name for node in self.nodes if node.cold.state()["workers"].get(listed.id)]
 
-    def test_restarts_of_nodes_add_nothing(self) -> None:
+    def test_restarts_of_all_nodes_keep_the_senders_and_the_rate(self) -> None:
         workers = [worker("w1", "north", cold=True)]
-        self.hear(workers)
-        self.play(1)
+        self.update_view(workers)
+        self.send_for(1)
         before = self.senders(workers[0])
         for _ in range(4):  # every 250 ms all nodes begin anew, under new ids
             self.members = [message.Member(f"{old.id}1", old.name, old.zone, "h", 1, 2) for old in self.members]
             for node in self.nodes:
                 node.start()
-            self.hear(workers)
-            self.play(0.25)
+            self.update_view(workers)
+            self.send_for(0.25)
         assert self.senders(workers[0]) == before
-        self.play(1)
-        assert self.most_in_a_second("w1") <= RATE / 3 + cold_workers.SENDERS
+        self.send_for(1)
+        assert self.max_sends_per_second("w1") <= RATE / 3 + cold_workers.SENDERS
 
     def test_a_sender_that_leaves_is_replaced(self) -> None:
         workers = [worker("w1", "north", cold=True)]
-        self.hear(workers)
+        self.update_view(workers)
         before = self.senders(workers[0])
         self.members = [listed for listed in self.members if listed.name != before[0]]
         self.nodes = [node for node in self.nodes if node.name != before[0]]
-        self.hear(workers)
+        self.update_view(workers)
         after = self.senders(workers[0])
         assert len(after) == cold_workers.SENDERS
         assert len(set(after) - set(before)) == 1
 
-    def test_members_that_come_back_one_by_one_stay_below_the_bound(self) -> None:
+    def test_the_rate_stays_below_the_bound_while_members_join_one_by_one(self) -> None:
         workers = [worker("w1", "north", cold=True)]
         members = self.members
         for count in range(1, len(members) + 1):
             self.members = members[:count]
-            self.hear(workers)
-            self.play(0.05)
-        assert self.most_in_a_second("w1") < BOUND
+            self.update_view(workers)
+            self.send_for(0.05)
+        assert self.max_sends_per_second("w1") < BOUND
 
     def test_a_worker_that_is_warm_again_has_no_bound(self) -> None:
-        self.hear([worker("w1", "north", cold=True)])
-        self.play(1)
-        self.hear([worker("w1", "north", cold=False)])
-        self.play(1)
-        assert self.most_in_a_second("w1") == 63 * 100
+        self.update_view([worker("w1", "north", cold=True)])
+        self.send_for(1)
+        self.update_view([worker("w1", "north", cold=False)])
+        self.send_for(1)
+        assert self.max_sends_per_second("w1") == 63 * 100
 
     def test_a_pool_whose_cold_rate_is_unknown_has_no_bound(self) -> None:
         node = self.nodes[0]
-        self.hear([worker("w1", "north", cold=True)])
+        self.update_view([worker("w1", "north", cold=True)])
         assert node.cold.candidates("desk", configuration.Pool()).ready == ["w1"]
         assert node.cold.start_send(node.fleet.states["w1"], configuration.Pool())
 
 
 class TestSelection(Nodes):
-    def warm_and_cold(self) -> list[message.Worker]:
+    def warm_and_cold_workers(self) -> list[message.Worker]:
         return [worker(f"w{number}", "north", cold=number < 3) for number in range(9)]
 
-    def test_cold_workers_are_left_alone_while_others_are_free(self) -> None:
-        self.hear(self.warm_and_cold())
-        self.play(0.5)
+    def test_cold_workers_get_no_requests_while_warm_workers_are_idle(self) -> None:
+        self.update_view(self.warm_and_cold_workers())
+        self.send_for(0.5)
         assert set(self.sends) == {f"w{number}" for number in range(3, 9)}
 
-    def test_cold_workers_are_used_where_the_others_are_busy(self) -> None:
-        self.hear(self.warm_and_cold())
+    def test_cold_workers_are_used_if_the_warm_workers_are_busy(self) -> None:
+        self.update_view(self.warm_and_cold_workers())
         for node in self.nodes:
             node.placement.apply_remote_loads(
                 [(f"w{number}", 500, 100_000, 0) for number in range(3, 9)], complete=True
             )
-        self.play(1)
+        self.send_for(1)
         assert all(self.sends[f"w{number}"] for number in range(3))
 
     def test_all_nodes_agree_on_the_home_of_a_shared_part(self) -> None:
-        workers = self.warm_and_cold()
-        self.hear(workers)
-        self.play(0.01)
+        workers = self.warm_and_cold_workers()
+        self.update_view(workers)
+        self.send_for(0.01)
         self.now += SECOND  # the senders' first pauses are over
         for number in range(30):
             keys = placement.prefix_keys([f"guide-{number}", "letter"])
@@ -230,56 +230,56 @@
         )
         return chosen
 
-    def test_a_session_at_a_worker_that_became_cold_moves_but_for_its_senders(self) -> None:
+    def test_sessions_move_from_a_worker_that_became_cold_except_at_its_senders(self) -> None:
         workers = [worker(f"w{number}", "north", cold=False) for number in range(9)]
-        self.hear(workers)
+        self.update_view(workers)
         key, terms = b"conversation", configuration.Terms()
         for node in self.nodes:
             for _ in range(2):
                 node.placement.note_turn(key, "w0", terms, 10)
         assert {node.pick(key) for node in self.nodes} == {"w0"}
-        self.hear([worker("w0", "north", cold=True), *workers[1:]])
+        self.update_view([worker("w0", "north", cold=True), *workers[1:]])
         assert not {node.pick(key) for node in self.nodes} & {"w0", ""}
         self.now += SECOND
         assert [node.send(key) for node in self.nodes].count("w0") == cold_workers.SENDERS
         assert not {node.pick(key) for node in self.nodes} & {"w0", ""}
 
-    def test_a_first_turn_at_a_worker_that_became_cold_is_held_back(self) -> None:
+    def test_a_second_turn_is_not_sent_to_a_worker_that_became_cold(self) -> None:
         workers = [worker(f"w{number}", "north", cold=False) for number in range(9)]
-        self.hear(workers)
+        self.update_view(workers)
         key = b"conversation"
         for node in self.nodes:
             node.placement.note_turn(key, "w0", configuration.Terms(), 10)
-        self.hear([worker("w0", "north", cold=True), *workers[1:]])
+        self.update_view([worker("w0", "north", cold=True), *workers[1:]])
         assert "w0" not in {node.send(key) for node in self.nodes}
 
-    def test_a_zone_that_was_evacuated_counts_as_cold_for_a_while(self) -> None:
-        self.hear([worker("w1", "north", cold=False), worker("w2", "south", cold=False)])
+    def test_workers_of_a_zone_treated_as_cold_are_limited_until_the_time_is_over(self) -> None:
+        self.update_view([worker("w1", "north", cold=False), worker("w2", "south", cold=False)])
         for node in self.nodes:
             node.cold.treat_zone_as_cold("north", self.now + 3 * SECOND)
-        self.play(2.9)
-        assert self.most_in_a_second("w1") <= RATE / 3 + cold_workers.SENDERS
+        self.send_for(2.9)
+        assert self.max_sends_per_second("w1") <= RATE / 3 + cold_workers.SENDERS
         assert len(self.sends["w2"]) > 1000
         for node in self.nodes:
             node.cold.sweep()
-        self.play(1)
-        assert self.most_in_a_second("w1") > 1000
+        self.send_for(1)
+        assert self.max_sends_per_second("w1") > 1000
 
-    def test_a_shorter_time_does_not_end_a_longer_one(self) -> None:
+    def test_a_later_call_with_a_shorter_time_does_not_shorten_the_cold_time_of_a_zone(self) -> None:
         node = self.nodes[0]
-        self.hear([worker("w1", "north", cold=False)])
+        self.update_view([worker("w1", "north", cold=False)])
         node.cold.treat_zone_as_cold("north", self.now + 3 * SECOND)
         node.cold.treat_zone_as_cold("north", self.now + 1 * SECOND)
         self.now += 2 * SECOND
         assert node.cold.is_cold(node.fleet.workers[0])
 
-    def test_the_state_tells_cold_workers_senders_and_counts(self) -> None:
-        self.hear(self.warm_and_cold())
+    def test_the_state_shows_cold_workers_their_senders_and_counts(self) -> None:
+        self.update_view(self.warm_and_cold_workers())
         states = [node.cold.state() for node in self.nodes]
         assert all(sorted(state["workers"]) == ["w0", "w1", "w2"] for state in states)
         assert sum(state["workers"]["w0"] for state in states) == cold_workers.SENDERS
-        self.hear([worker("w1", "north", cold=True)])
-        self.play(1)
+        self.update_view([worker("w1", "north", cold=True)])
+        self.send_for(1)
         assert sum(node.cold.state()["sent"] for node in self.nodes) == len(self.sends["w1"])
         assert sum(node.cold.state()["held_back"] for node in self.nodes) > 1000
 
@@ -300,7 +300,7 @@
     def bound_cold_workers(self, use_mutating_route: None) -> None:  # noqa: ARG002 - asked for so that it runs before
         self.pool = configuration.Pool(election="node", cold_rate=RATE)
 
-    def test_where_all_workers_are_cold_requests_beyond_the_rate_are_refused_at_once(self) -> None:
+    def test_if_all_workers_are_cold_requests_beyond_the_rate_are_refused_at_once(self) -> None:
         scripted = self.worker(request_path.good)
         self.list_workers(True)
         clients = [self.query(f"a{number}", ms=30) for number in range(60)]
@@ -310,7 +310,7 @@
         assert len(refused) == 60 - len(scripted.seen)
         assert all(b"Retry-After: 0." in client.raw for client in refused)
 
-    def test_a_retry_goes_to_no_cold_worker_that_is_not_due(self) -> None:
+    def test_a_retry_is_not_sent_to_a_cold_worker_before_its_interval_is_over(self) -> None:
         def turn_away(connection: request_path.WorkerConnection, attempt: str) -> None:
             connection.transport.write(request_path.answer(attempt, status=421))
 
@@ -322,7 +322,7 @@
         assert all(client.status == 503 and b"turned it away" in client.raw for client in clients)
         assert self.forwarder.counts.retried == 0
 
-    def test_no_connection_is_made_to_a_cold_worker_that_is_not_due(self) -> None:
+    def test_no_connection_is_made_to_a_cold_worker_before_its_interval_is_over(self) -> None:
         for _ in range(5):
             self.worker(request_path.good)
         self.list_workers(False, True, True, True, True)
@@ -331,7 +331,7 @@
         assert client.status == 200
         assert [len(scripted.connections) for scripted in self.workers] == [1, 0, 0, 0, 0]
 
-    def test_of_two_requests_that_found_a_cold_worker_free_one_is_sent(self) -> None:
+    def test_of_two_concurrent_requests_that_selected_a_cold_worker_only_one_is_sent(self) -> None:
         cold = self.worker(request_path.good)
         self.list_workers(True)
         self.query("a0", ms=500)  # refused: the sender's first pause
@@ -343,7 +343,7 @@
         assert sorted(client.status for client in clients) == [200, 503]
         assert self.forwarder.state()["cold"]["sent"] == 1
 
-    def test_a_worker_that_becomes_cold_while_a_connection_is_made_is_not_sent_to(self) -> None:
+    def test_a_worker_that_becomes_cold_while_its_connection_is_made_gets_no_request(self) -> None:
         scripted = self.worker(request_path.good)
         self.list_workers(False)
         client = self.client()
