--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -24,16 +24,16 @@
 
 
 class TestConfiguration:
-    def test_a_key_of_two_tenants_is_named_with_both(self) -> None:
+    def test_a_key_of_two_tenants_is_an_error_that_names_both(self) -> None:
         items = {"tenants/a": {"keys": [digest(KEY)]}, "tenants/b": {"keys": [digest(KEY)]}}
         assert configuration.find_errors(items) == ["tenants/b: has a key of tenants/a"]
 
-    def test_keys_are_digests(self) -> None:
+    def test_a_key_that_is_no_digest_is_an_error(self) -> None:
         assert configuration.find_errors({"tenants/a": {"keys": [KEY]}}) == [
             "tenants/a: keys wants SHA-256 digests in hexadecimal digits"
         ]
 
-    def test_all_that_is_wrong_is_said(self) -> None:
+    def test_all_errors_of_a_tenant_are_reported(self) -> None:
         item = {"rate_unit": "words", "rate": -1.0, "told_as": "a\r\nb", "urgency": 11}
         assert configuration.find_errors({"tenants/a": item}) == [
             "tenants/a: urgency is above 10",
@@ -42,17 +42,17 @@
             "tenants/a: rate is out of range",
         ]
 
-    def test_every_node_gets_every_tenant_but_no_label(self) -> None:
+    def test_the_slice_of_a_node_has_every_tenant_without_labels(self) -> None:
         items = {"tenants/a": {"keys": [digest(KEY)], "label": {"sent": {"api_keys": [KEY]}}}}
         assert configuration.slice_for_node(items, "north") == {"tenants/a": {"keys": [digest(KEY)]}}
 
-    def test_requests_or_tokens_are_counted(self) -> None:
+    def test_the_cost_of_a_request_is_its_tokens_or_one_by_rate_unit(self) -> None:
         assert configuration.Tenant(rate_unit="tokens", unstated_tokens=7).cost(1540) == 1540
         assert configuration.Tenant(rate_unit="tokens", unstated_tokens=7).cost(0) == 7
         assert configuration.Tenant(rate_unit="requests", unstated_tokens=7).cost(1540) == 1
 
 
-class TestKeysAtANode:
+class TestAuthentication:
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.now = 100 * SECOND
@@ -90,7 +90,7 @@
             self.authenticate(credentials)
         return caught.value.code, caught.value.status
 
-    def test_the_tenant_takes_the_place_of_the_key_whatever_the_client_says(self) -> None:
+    def test_the_tenant_header_replaces_the_key_and_a_tenant_header_forged_by_the_client(self) -> None:
         request = self.authenticate(f"Bearer {KEY}", forged="desk-9")
         assert request.tenant_name == "desk"
         assert list(request.http_request.requestHeaders.getAllRawHeaders()) == [(b"X-Tenant", [b"desk"])]
@@ -99,27 +99,27 @@
         for credentials in (None, "", "Bearer", f"Basic {KEY}", f"Bearer {OTHER_KEY}", KEY):
             assert self.refusal(credentials) == ("unauthenticated", 401)
 
-    def test_a_public_route_needs_no_key_and_names_no_tenant(self) -> None:
+    def test_a_public_route_needs_no_key_and_drops_a_forged_tenant_header(self) -> None:
         request = self.authenticate(None, public=True, forged="desk-9")
         assert request.tenant is None
         assert list(request.http_request.requestHeaders.getAllRawHeaders()) == []
 
-    def test_without_required_keys_nothing_is_touched(self) -> None:
+    def test_without_required_keys_the_request_headers_stay(self) -> None:
         self.follower.apply_items(4, {"limits/door": {}}, is_snapshot=False)
         request = self.authenticate("Bearer any", forged="mine")
         assert request.http_request.requestHeaders.hasHeader("Authorization")
         assert request.http_request.requestHeaders.hasHeader("X-Tenant")
 
-    def test_a_key_that_was_taken_away_is_refused(self) -> None:
+    def test_a_revoked_key_is_refused(self) -> None:
         self.follower.apply_items(4, {"tenants/desk": {"keys": []}}, is_snapshot=False)
         assert self.refusal(f"Bearer {KEY}") == ("unauthenticated", 401)
 
-    def test_a_key_that_went_over_to_another_tenant_is_that_one_s(self) -> None:
+    def test_a_key_moved_to_another_tenant_authenticates_as_that_tenant(self) -> None:
         moved: dict[str, Any] = {"tenants/desk": {"keys": []}, "tenants/annex": {"keys": [digest(KEY)]}}
         self.follower.apply_items(4, moved, is_snapshot=False)
         assert self.authenticate(f"Bearer {KEY}").tenant_name == "annex"
 
-    def test_a_node_serves_on_without_a_lease_as_long_as_no_key_can_have_been_taken_away_for_too_long(self) -> None:
+    def test_a_node_without_a_lease_accepts_known_keys_until_the_allowed_revocation_time_is_over(self) -> None:
         self.now += 5 * SECOND  # the lease has run out four seconds ago
         assert self.authenticate(f"Bearer {KEY}").tenant_name == "desk"
         self.now += 1 * SECOND
@@ -127,16 +127,16 @@
         self.lease_until(self.now + 1)
         assert self.authenticate(f"Bearer {KEY}").tenant_name == "desk"
 
-    def test_a_new_process_relies_on_no_key_before_its_first_lease(self) -> None:
+    def test_a_new_process_accepts_no_key_before_its_first_lease(self) -> None:
         self.now = 1 * SECOND
         self.lease_until(0)
         assert self.refusal(f"Bearer {KEY}") == ("not_ready", 503)
 
-    def test_a_node_that_may_not_know_a_new_key_does_not_deny_it(self) -> None:
+    def test_a_node_that_may_have_missed_a_new_key_answers_not_ready(self) -> None:
         self.now += 7 * SECOND
         assert self.refusal(f"Bearer {OTHER_KEY}") == ("not_ready", 503)
 
-    def test_without_the_bound_a_node_that_serves_on_takes_the_keys_that_it_knows(self) -> None:
+    def test_without_an_allowed_revocation_time_a_node_that_serves_on_accepts_known_keys(self) -> None:
         self.follower.options.revocation_us = 0
         self.now += 60 * SECOND
         assert self.authenticate(f"Bearer {KEY}").tenant_name == "desk"
