--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""What a node takes for its part of the fleet's retry budget."""
+"""A node's own retry budget: ratio and window from the options, and its part of the fleet's free retries."""
 
 import types
 from typing import Any
@@ -20,7 +20,7 @@
         self.attempt_ids = 0
 
     def budgets(self, **more: Any) -> node_budgets.NodeBudgets:  # noqa: ANN401 - fields of Options
-        """The budgets of a node whose process starts now."""
+        """Return the retry budgets of a node whose process starts now."""
         node = types.SimpleNamespace(
             runtime=scheduler.Runtime(None, now=lambda: self.now),
             edge_protocol=edge_protocol.EdgeProtocol(),
@@ -30,7 +30,7 @@
         return node_budgets.NodeBudgets(node)
 
     def spend_all(self, budgets: node_budgets.NodeBudgets, first_attempts: int = 0) -> int:
-        """How many repeats it grants now, after some first sends."""
+        """Record some first attempts, spend the whole budget, and return the number of retries it allowed."""
         request = types.SimpleNamespace(pool_name="desk", pool=configuration.Pool(election="node"))
         for _ in range(first_attempts):
             self.attempt_ids += 1
@@ -50,7 +50,7 @@
     def test_a_new_process_has_no_free_retries_while_its_former_process_may_have_spent_them(self) -> None:
         self.now += 11 * SECOND
         budgets = self.budgets(retry_slack=50)
-        assert self.spend_all(budgets) == 1  # the one that is always free
+        assert self.spend_all(budgets) == 1  # one retry per window is always allowed
         self.now += 11 * SECOND
         assert self.spend_all(budgets) == 5
 
--- a/tests/test_cold_worker_groups.py
+++ b/tests/test_cold_worker_groups.py
@@ -1,4 +1,4 @@
-"""Three groups of nodes that differ about the members, and a worker that is cold for all of them."""
+"""The rate limit of a cold worker while three groups of nodes disagree about the membership."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from iriswheel.runtime import units
 from tests import test_cold_workers
 
-OVERSHOOT, MARGIN = 1.5, 5
+OVERSHOOT, MARGIN = 1.5, 5  # allowed requests in any second: factor of the rate, and requests beyond that
 
 
 @pytest.mark.parametrize("rate", [8.0, test_cold_workers.RATE])
--- a/tests/test_cold_workers.py
+++ b/tests/test_cold_workers.py
@@ -1,4 +1,4 @@
-"""Requests to a cold worker stay below the rate that it bears, summed over all nodes, in any second."""
+"""In any second, the requests of all nodes together to a cold worker stay below the rate that it sustains."""
 
 import types
 from typing import Any
@@ -14,7 +14,7 @@
 SECOND = units.SECOND_US
 STEP_US = 10 * units.MILLISECOND_US
 RATE = 16.0
-BOUND = 29  # of the split sites: 16 a second, by 1.5, and 5
+BOUND = 29  # requests in any second allowed during a partition: 1.5 times RATE, plus 5
 ZONES = ("north", "south", "west")
 POOL = configuration.Pool(election="node", cold_rate=RATE)
 
@@ -35,7 +35,7 @@
 
 
 class FleetNode:
-    """A node's selection and its knowledge of the fleet."""
+    """The worker selection of one node, with its view of the fleet."""
 
     def __init__(self, test: "Nodes", name: str) -> None:
         self.name = name
@@ -49,7 +49,7 @@
         self.start()
 
     def start(self) -> None:
-        """Begin anew: nothing of an earlier life is known."""
+        """Start or restart the process: all state of a former process is lost."""
         self.cold = cold_workers.ColdWorkers(self.runtime, self.name, self.fleet)
         self.placement = placement.Placement(self.runtime, "desk")
 
@@ -59,7 +59,7 @@
         self.fleet.states = {listed.id: listed for listed in workers}
 
     def pick(self, key: bytes = b"") -> str:
-        """The worker that a request goes to; "" for none."""
+        """Return the worker selected for a request, "" if there is none."""
         candidates = self.cold.candidates("desk", POOL)
         chosen, _ = self.placement.pick(
             Prompt(),
@@ -73,7 +73,7 @@
         return chosen
 
     def send(self, key: bytes = b"") -> str:
-        """Send a request; the worker, or "" where none may be sent to."""
+        """Send a request; returns its worker, or "" if this node may not send to any."""
         chosen = self.pick(key)
         if not chosen or not self.cold.start_send(self.fleet.states[chosen], POOL):
             return ""
@@ -81,7 +81,7 @@
 
 
 class Nodes:
-    """Some sixty nodes over three zones, and the times at which requests went to each worker."""
+    """63 nodes in three zones, and the times at which requests were sent to each worker."""
 
     @pytest.fixture(autouse=True)
     def make_nodes(self) -> None:
@@ -96,7 +96,7 @@
             node.update_view(self.members, workers)
 
     def send_for(self, seconds: float) -> None:
-        """Each node sends a request in each step of ten milliseconds."""
+        """Let each node send one request per step of ten milliseconds."""
         until = self.now + int(seconds * SECOND)
         while self.now < until:
             for node in self.nodes:
@@ -145,7 +145,7 @@
         self.update_view(workers)
         self.send_for(1)
         before = self.senders(workers[0])
-        for _ in range(4):  # every 250 ms all nodes begin anew, under new ids
+        for _ in range(4):  # every 250 ms all nodes restart under new ids
             self.members = [message.Member(f"{old.id}1", old.name, old.zone, "h", 1, 2) for old in self.members]
             for node in self.nodes:
                 node.start()
@@ -211,7 +211,7 @@
         workers = self.warm_and_cold_workers()
         self.update_view(workers)
         self.send_for(0.01)
-        self.now += SECOND  # the senders' first pauses are over
+        self.now += SECOND  # after this the initial wait of the senders is over
         for number in range(30):
             keys = placement.prefix_keys([f"guide-{number}", "letter"])
             assert len({self.home(node, keys) for node in self.nodes}) == 1
@@ -285,10 +285,10 @@
 
 
 class TestForwarding(request_path.RequestPath):
-    """The forwarder of one node, which is a sender of each of its cold workers."""
+    """Requests through the forwarder of one node, which is a sender of each cold worker."""
 
     def list_workers(self, *cold: bool) -> None:
-        """List the scripted workers anew."""
+        """Replace the worker list by one worker for each argument, which says whether it is cold."""
         self.follower.membership = types.SimpleNamespace(members=[member("n1", "a")])
         self.follower.workers = [
             message.ZonedWorker(f"i-{number}", f"10.0.3.{number}", 80, "desk", "ready", 0, "a", is_cold)
@@ -334,7 +334,7 @@
     def test_of_two_concurrent_requests_that_selected_a_cold_worker_only_one_is_sent(self) -> None:
         cold = self.worker(request_path.good)
         self.list_workers(True)
-        self.query("a0", ms=500)  # refused: the sender's first pause
+        self.query("a0", ms=500)  # refused: it only starts the sender's initial wait
         clients = [self.client() for _ in range(2)]
         for number, client in enumerate(clients):
             self.write(client, f"b{number}")
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -1,4 +1,4 @@
-"""Attempts and streams of a request stay within the bounds of its route and its time."""
+"""The attempts of a request stay within the limit of its route and the request's deadline."""
 
 import types
 from collections.abc import Callable
@@ -57,7 +57,7 @@
                 runtime=runtime,
                 owners=types.SimpleNamespace(release=lambda _request, _outcome: None),
             )
-            received: Any = None  # nothing of it is read
+            received: Any = None  # never read in this test
             request = routed_request.RoutedRequest(received, "n1-1/0", 0)
             request.route = configuration.Route("/x/", "desk", sends=sends)
             request.idempotent = True
@@ -100,8 +100,14 @@
         assert body.endswith(b"0\r\n\r\n")
         assert (body.count(b"id: 1"), body.count(b"id: 2")) == (1, 1)
 
-    def silent_stream(self, plan: Callable[..., Any]) -> tuple[bool, int]:
-        """A stream whose worker is silent for two seconds, and what of it comes, where other workers refuse it."""
+    def silent_stream(self, change_node: Callable[..., Any]) -> tuple[bool, int]:
+        """Start a stream whose worker is silent for two seconds after its first event, and call `change_node` meanwhile.
+
+        The other worker refuses every request.
+
+        Returns:
+            Whether the client got the complete stream, and the number of attempts.
+        """
 
         def script(connection: request_path.WorkerConnection, attempt: str) -> None:
             if len(self.seen()) == 1:
@@ -115,7 +121,7 @@
         for _ in range(2):
             self.worker(script)
         client = self.query("a1")
-        plan()
+        change_node()
         self.go(3000)
         return client.raw.endswith(b"0\r\n\r\n"), len(self.seen())
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants and their keys: in a configuration, and at a node's entry."""
+"""Tenants and their keys: validation of the configuration, and authentication of requests at a node."""
 
 from __future__ import annotations
 
@@ -68,10 +68,10 @@
         self.lease_until(self.now + SECOND)
 
     def lease_until(self, until: int) -> None:
-        """The lease ends then."""
+        """Let the node's lease end at a time."""
         self.follower.session.lease.until = until
 
-    def authenticate(self, credentials: str | None, public: bool = False, forged: str = "") -> Any:  # noqa: ANN401 - it stands for a request
+    def authenticate(self, credentials: str | None, public: bool = False, forged: str = "") -> Any:  # noqa: ANN401 - a stand-in for a request
         received = http_headers.Headers({edge_protocol.TENANT: [forged]} if forged else {})
         if credentials is not None:
             received.setRawHeaders(edge_protocol.AUTHORIZATION, [credentials])
@@ -120,7 +120,7 @@
         assert self.authenticate(f"Bearer {KEY}").tenant_name == "annex"
 
     def test_a_node_without_a_lease_accepts_known_keys_until_the_allowed_revocation_time_is_over(self) -> None:
-        self.now += 5 * SECOND  # the lease has run out four seconds ago
+        self.now += 5 * SECOND  # the lease expired four seconds ago
         assert self.authenticate(f"Bearer {KEY}").tenant_name == "desk"
         self.now += 1 * SECOND
         assert self.refusal(f"Bearer {KEY}") == ("not_ready", 503)
--- a/tests/test_worker_reach.py
+++ b/tests/test_worker_reach.py
@@ -1,4 +1,4 @@
-"""A node that reaches some of the workers only: its requests go to these, at once and without a refusal."""
+"""A node that can reach only some of the workers sends its requests to these, without delays or refusals."""
 
 import unittest.mock
 
@@ -13,10 +13,14 @@
 
 
 class TestPartitionedWorkers(request_path.RequestPath):
-    """A node in a zone of two workers; three other zones have eight workers each."""
+    """A node in a zone of two workers, with eight workers in each of three other zones."""
 
     def start_workers(self, *, listening: bool = True) -> list[request_path.ScriptedWorker]:
-        """Start all workers, those of the other zones with or without a listening port; returns the others."""
+        """Start all workers; those of the other zones refuse connections unless `listening`.
+
+        Returns:
+            The listening workers of the other zones.
+        """
         for _ in range(2):
             self.worker_in(OWN_ZONE)
         if listening:
@@ -32,7 +36,7 @@
         return worker
 
     def closed_port_in(self, zone: str) -> None:
-        """List a worker at whose address connections are refused."""
+        """List a worker whose address refuses connections."""
         self.workers_started += 1
         number = self.workers_started
         host = host_model.Host(self.world, f"10.0.3.{number}", "a")
@@ -41,7 +45,7 @@
         self.set_zone(zone)
 
     def set_zone(self, zone: str) -> None:
-        """Have the worker that was listed last be of a zone."""
+        """Move the last worker of the list to a zone."""
         listed = self.follower.workers.pop()
         self.follower.workers.append(
             message.ZonedWorker(listed.id, listed.host, listed.port, listed.pool, listed.state, 0, zone)
@@ -56,7 +60,7 @@
         self.world.cut([NODE], hosts)
 
     def send(self, count: int, wait_ms: int, pause_ms: int = 20) -> list[int]:
-        """Send requests one after another, each on a connection of its own; their status after the wait, 0 for none."""
+        """Send requests, each on a connection of its own; returns their statuses after the wait, 0 for no answer."""
         clients = []
         for number in range(count):
             client = self.client()
@@ -81,7 +85,8 @@
         self.send(10, wait_ms=500, pause_ms=100)
         assert self.forwarder.reach.unreachable_zones == set(OTHER_ZONES)
         unreached = self.forwarder.counts.unreached
-        assert unreached <= 4 * len(OTHER_ZONES)  # four are sent before the first of them has waited in vain
+        # Four requests are sent before the connection attempt of the first times out and shows its zone as unreachable.
+        assert unreached <= 4 * len(OTHER_ZONES)
         assert self.send(100, wait_ms=30) == [200] * 100
         assert self.forwarder.counts.unreached == unreached
 
@@ -106,7 +111,7 @@
         with unittest.mock.patch.object(reach, "check", side_effect=reach.check) as check:
             self.send(100, wait_ms=1_000)
         assert list(reach.unreachable_workers) == [lost.id]
-        assert {call.args[0] for call in check.call_args_list} == {lost}  # no connection to a worker that is well
+        assert {call.args[0] for call in check.call_args_list} == {lost}  # no reachable worker was checked
         before = [len(worker.seen) for worker in others]
         assert self.send(300, wait_ms=100) == [200] * 300
         assert [len(worker.seen) > count for worker, count in zip(others, before, strict=True)] == [False] + [True] * 23
@@ -115,9 +120,10 @@
         self.worker_in(OTHER_ZONES[0])
         assert self.send(1, wait_ms=100) == [200]
         self.partition()
-        assert self.send(1, wait_ms=1_200) == [0]  # over the connection from before the cut: it may have run
+        # The request is sent over a connection from before the partition; it may have run, so it is not sent again.
+        assert self.send(1, wait_ms=1_200) == [0]
         assert list(self.forwarder.reach.unreachable_workers) == ["i-1"]
-        assert self.forwarder.counts.unreached == 0  # no request waited for a connection to find that out
+        assert self.forwarder.counts.unreached == 0  # no request was used to test the connection
 
     def test_a_quiet_zone_with_one_unreachable_worker_is_soon_reachable_again(self) -> None:
         self.start_workers()
