--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -62,7 +62,7 @@
 
 
 class FirstTurn(typing.NamedTuple):
-    """The worker of the first request with some last part; a second request before the expiry opens a session."""
+    """The worker of the first request with certain prompt parts; a second one before the expiry opens a session."""
 
     worker: str
     expires_at_us: int
@@ -189,8 +189,8 @@
         estimate = self.workers.get(worker)
         if estimate is None or not estimate.suspicion:
             return 0.0
-        fading: float = 0.5 ** ((now - estimate.suspected_at_us) / SUSPICION_HALF_LIFE_US)
-        return estimate.suspicion * fading
+        decay: float = 0.5 ** ((now - estimate.suspected_at_us) / SUSPICION_HALF_LIFE_US)
+        return estimate.suspicion * decay
 
     def record_failure(self, worker: str, suspicion: float) -> None:
         """Raise the suspicion of a worker that failed or fell silent, and report it to the other nodes at once.
@@ -287,7 +287,8 @@
         """Return the weighted prefill time of a prompt at a worker, without parts likely to be in its prefix cache.
 
         Shared parts are expected in the cache of their home worker, which ranks first for the last of them, and of
-        workers to which this node sent them recently. Parts missing from the cache count PREFIX_MISS_FACTOR times.
+        workers to which this node sent them recently. From the first part that is missing there, the shared parts count
+        PREFIX_MISS_FACTOR times.
         """
         parts = self.estimate(worker).parts
         prefill_us = unshared_tokens * 1000 // PREFILL_TOKENS_PER_MS
--- a/iriswheel/dataplane/worker_reach.py
+++ b/iriswheel/dataplane/worker_reach.py
@@ -96,7 +96,7 @@
         """
         self.unreachable_workers.pop(worker.id, None)
         self.unreachable_workers[worker.id] = None
-        if not worker.zone or worker.zone in self.unreachable_zones or self._heard_of_zone(worker.zone):
+        if not worker.zone or worker.zone in self.unreachable_zones or self._has_recent_contact_with_zone(worker.zone):
             return
         self.unreachable_zones.add(worker.zone)
         others = [
@@ -115,7 +115,7 @@
     def note_silent(self, worker: str) -> None:
         """Note that a worker is silent; if its whole zone is silent, check whether the worker is still reachable."""
         listed = self.fleet.states.get(worker)
-        if listed is not None and not self._heard_of_zone(listed.zone):
+        if listed is not None and not self._has_recent_contact_with_zone(listed.zone):
             self.check(listed)
 
     def check(self, worker: message.Worker) -> None:
@@ -145,7 +145,7 @@
         listed = self.fleet.states.get(worker)
         return listed is not None and listed.zone in self.unreachable_zones
 
-    def _heard_of_zone(self, zone: str) -> bool:
+    def _has_recent_contact_with_zone(self, zone: str) -> bool:
         since_us = self.runtime.now() - RECENT_CONTACT_US
         return any(worker.zone == zone and self.last_contact_us(worker) > since_us for worker in self.fleet.workers)
 
--- a/tests/test_cold_workers.py
+++ b/tests/test_cold_workers.py
@@ -14,7 +14,7 @@
 SECOND = units.SECOND_US
 STEP_US = 10 * units.MILLISECOND_US
 RATE = 16.0
-BOUND = 29  # requests in any second allowed during a partition: 1.5 times RATE, plus 5
+BOUND = 29  # requests allowed in any second of a partition: 1.5 times the rate of 16 per second, plus 5
 ZONES = ("north", "south", "west")
 POOL = configuration.Pool(election="node", cold_rate=RATE)
 
@@ -297,7 +297,7 @@
         self.follower.states = {listed.id: listed for listed in self.follower.workers}
 
     @pytest.fixture(autouse=True)
-    def bound_cold_workers(self, use_mutating_route: None) -> None:  # noqa: ARG002 - asked for so that it runs before
+    def bound_cold_workers(self, use_mutating_route: None) -> None:  # noqa: ARG002 - requested so that it runs first
         self.pool = configuration.Pool(election="node", cold_rate=RATE)
 
     def test_if_all_workers_are_cold_requests_beyond_the_rate_are_refused_at_once(self) -> None:
@@ -348,10 +348,10 @@
         self.list_workers(False)
         client = self.client()
         self.write(client, "a1")
-        start = self.forwarder.connections.get
+        get_connection = self.forwarder.connections.get
 
         async def list_as_cold_then_get(*arguments: Any) -> Any:  # noqa: ANN401 - as of ConnectionPool.get
-            connection = await start(*arguments)
+            connection = await get_connection(*arguments)
             self.list_workers(True)
             return connection
 
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -101,7 +101,7 @@
         assert (body.count(b"id: 1"), body.count(b"id: 2")) == (1, 1)
 
     def silent_stream(self, change_node: Callable[..., Any]) -> tuple[bool, int]:
-        """Start a stream whose worker is silent for two seconds after its first event, and call `change_node` meanwhile.
+        """Start a stream whose worker is silent for two seconds after its first event; call `change_node` meanwhile.
 
         The other worker refuses every request.
 
