--- a/iriswheel/dataplane/cold_workers.py
+++ b/iriswheel/dataplane/cold_workers.py
@@ -44,7 +44,7 @@
 
     @property
     def workers(self) -> list[message.Worker]:
-        """The workers as they were last listed."""
+        """The workers of the last received worker list."""
 
     @property
     def states(self) -> dict[str, message.Worker]:
@@ -52,7 +52,7 @@
 
     @property
     def membership(self) -> message.Membership:
-        """The newest membership."""
+        """The newest known membership."""
 
     def accepts_requests(self, worker: str) -> bool:
         """Whether a worker, cold or not, accepts new requests."""
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -348,7 +348,7 @@
         ):
             workers = tuple(worker for worker in workers if worker not in reserved)
             candidates = [worker for worker in candidates if worker not in reserved] or candidates
-        return self._nearest(
+        return self._select_fastest(
             candidates, shared_keys, prompt.sizes[:-1], unshared_tokens, workers, pool=pool, cold_workers=cold_workers
         )
 
@@ -361,7 +361,7 @@
         healthy = [worker for worker in untried if not self.is_unhealthy(worker, now)]
         return healthy if 2 * len(healthy) >= len(untried) else untried
 
-    def _nearest(
+    def _select_fastest(
         self,
         candidates: list[str],
         keys: list[bytes],
--- a/iriswheel/dataplane/worker_reach.py
+++ b/iriswheel/dataplane/worker_reach.py
@@ -34,7 +34,7 @@
 
     @property
     def workers(self) -> list[message.Worker]:
-        """The workers as they were last listed."""
+        """The workers of the last received worker list."""
 
     @property
     def states(self) -> dict[str, message.Worker]:
@@ -125,18 +125,21 @@
             self.runtime.spawn(self._try_connection(worker), log)
 
     def retry(self) -> None:
-        """Once per RETRY_US, check one unreachable worker of each zone; forget workers and zones no longer listed."""
+        """Every RETRY_US, check the unreachable worker of each zone that was tried least recently.
+
+        Workers and zones that are no longer listed are forgotten.
+        """
         now = self.runtime.now()
         if now - self._retried_at_us < RETRY_US:
             return
         self._retried_at_us = now
         self.unreachable_workers = {worker: None for worker in self.unreachable_workers if worker in self.fleet.states}
         self.unreachable_zones &= {worker.zone for worker in self.fleet.workers}
-        longest_ago: dict[str, message.Worker] = {}
+        least_recently_tried: dict[str, message.Worker] = {}
         for worker in self.unreachable_workers:
             listed = self.fleet.states[worker]
-            longest_ago.setdefault(listed.zone, listed)
-        for listed in longest_ago.values():
+            least_recently_tried.setdefault(listed.zone, listed)
+        for listed in least_recently_tried.values():
             self.check(listed)
 
     def _is_unreachable(self, worker: str) -> bool:
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -73,7 +73,7 @@
                     "The pool's owner granted no worker before the request's deadline.",
                     request.known_outcome(),
                 )
-            if self._is_disconnected():
+            if self._has_outdated_view():
                 last_error = errors.ServiceError(
                     "not_ready",
                     "The configuration or the worker list of this node may be outdated.",
@@ -99,7 +99,11 @@
             await self.runtime.sleep(RETRY_INTERVAL_US)
 
     def may_send(self, request: routed_request.RoutedRequest, worker: message.Worker) -> bool:
-        """Whether a request may be sent to a worker now: the worker is ready, and a route leads to its pool."""
+        """Whether a request may be sent to a worker now.
+
+        The worker must accept requests, a route for the request must lead to its pool, and this node's configuration
+        must not be outdated.
+        """
         follower = self.node.follower
         path = request_router.request_path(request)
         return (
@@ -131,7 +135,7 @@
             if session_pool == pool and (left_us := affinity.expires_at_us - now) > 0
         ]
 
-    def _is_disconnected(self) -> bool:
+    def _has_outdated_view(self) -> bool:
         follower = self.node.follower
         return follower.needs_rejoin() or not follower.has_worker_update() or follower.configuration_may_be_stale()
 
@@ -175,7 +179,7 @@
         raise errors.ServiceError(code, denial.text, outcome, denial.retry_us)
 
     def _bypass(self, request: routed_request.RoutedRequest, excluded_workers: list[str]) -> SelectedWorker | None:
-        """Return the worker that the request's session last used, while the pool's owner is silent; None if it may not.
+        """Without an answer from the pool's owner, return the worker that the request's session last used, or None.
 
         Only the first attempt of an idempotent request may bypass the owner, because the owner keeps the retry budget
         and the claims that prevent a second run of other requests.
