--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -48,7 +48,7 @@
         parsed = request.parsed = self.node.edge_protocol.parse_request(http_request)
         request.parts, request.request_id, request.attempt_number = parsed.parts, parsed.request_id, parsed.send
         request.idempotent = parsed.idempotent
-        assert http_request.content is not None, "the body is read before the request is handled"
+        assert http_request.content is not None, "The body must be read before the request is handled."
         request.raw = http_request.content.read()
 
     def admit(self, request: routed_request.RoutedRequest) -> None:
@@ -122,7 +122,7 @@
             spans_us = [span_us for span_us in (parsed.left_us, route.cutoff_us or None) if span_us is not None]
             request.deadline_us = request.arrived_at_us + min(spans_us, default=pool.long_wait_us)
             return
-        request.session = sessions.derive(request.parts, terms.session_part)
+        request.session = sessions.derive_session_id(request.parts, terms.session_part)
         request.is_long = len(request.raw) >= pool.long_bytes
         request.work_units = MIN_WORK_UNITS + len(request.raw) // BYTES_PER_WORK_UNIT
         wait_us = pool.long_wait_us if request.is_long else pool.short_wait_us
--- a/iriswheel/dataplane/sessions.py
+++ b/iriswheel/dataplane/sessions.py
@@ -42,17 +42,17 @@
         self.pending = False  # whether the opening still waits to be replicated
 
 
-def derive(parts: list[str], session_part: int) -> str:
+def derive_session_id(parts: list[str], session_part: int) -> str:
     """Return the session id of a prompt, "" if the prompt belongs to no session.
 
     The id is a hash of all parts up to the one with the index `session_part`. With -1 this is the last part, and a
     prompt of fewer than two parts belongs to no session: a prefix that everybody shares must not become one session.
 
-    >>> derive(["system"], -1), derive([], 0)
+    >>> derive_session_id(["system"], -1), derive_session_id([], 0)
     ('', '')
-    >>> derive(["system", "talk-1"], -1) == derive(["system", "talk-1", "extra"], 1)
+    >>> derive_session_id(["system", "talk-1"], -1) == derive_session_id(["system", "talk-1", "extra"], 1)
     True
-    >>> derive(["system", "talk-1"], -1) == derive(["other", "talk-1"], -1)
+    >>> derive_session_id(["system", "talk-1"], -1) == derive_session_id(["other", "talk-1"], -1)
     False
     """
     if session_part < 0:
