--- a/iriswheel/dataplane/node_budgets.py
+++ b/iriswheel/dataplane/node_budgets.py
@@ -48,9 +48,9 @@
     def slack(self) -> int:
         """Return this node's part of the free retries that the whole fleet has in a retry window.
 
-        Members that left within the window may have spent their parts, so the free retries are divided by the largest
-        member count in the window. In its first window a process has no part, because the former process of this node
-        may have spent it.
+        Members that left within the window may have spent their parts, so the free retries are divided by one more
+        than the largest member count in the window. In its first window a process has no part, because the former
+        process of this node may have spent it.
         """
         options, now, members = self.node.options, self.runtime.now(), len(self.node.follower.membership.members)
         since = now - options.retry_window_us
