--- a/iriswheel/control/submitted_changes.py
+++ b/iriswheel/control/submitted_changes.py
@@ -52,8 +52,8 @@
 
     version: int
     items: configuration.Items
-    taken_as: int  # the version under which the change was taken; 0: it is not among those remembered
-    forgotten: int  # the highest number of a change that is no longer remembered
+    accepted_version: int  # the version under which the change was taken; 0: it is not among those remembered
+    highest_dropped_number: int  # the highest number of a change that is no longer remembered
     read_at_tail: bool  # for this change, under the tail's lease; else it may be out of date
 
 
@@ -125,8 +125,8 @@
     >>> decide(KnownState(8, {"marks/operator": {"number": 4}}, 0, 0, True), change).error.code
     'base_moved'
     """
-    if known.taken_as:
-        return Committed(known.taken_as)
+    if known.accepted_version:
+        return Committed(known.accepted_version)
     current = configuration.operator_number(known.items)
     is_base = current == change.built_on
     may_stand = change.complete and current == change.number
@@ -147,7 +147,7 @@
 
     Where the id of a change may have been forgotten, nobody knows whether it was taken.
     """
-    if change.number <= known.forgotten:
+    if change.number <= known.highest_dropped_number:
         text = "Changes of that age are no longer remembered."
         return errors.ServiceError("unknown_outcome", text, errors.ExecutionOutcome.MAY_HAVE_RUN)
     return errors.ServiceError("base_moved", f"The blueprint is at number {current}.")
@@ -227,8 +227,8 @@
         return KnownState(
             version=base.version,
             items=base.items,
-            taken_as=base.taken.get(change.identifier, 0),
-            forgotten=base.forgotten,
+            accepted_version=base.accepted_changes.get(change.identifier, 0),
+            highest_dropped_number=base.highest_dropped_number,
             read_at_tail=False,
         )
 
@@ -236,7 +236,11 @@
         """What the tail says of a change, under its lease."""
         read = await self.client.read_at_tail(change.identifier_on(NO_VERSION), timeout_us)
         return KnownState(
-            version=read.version, items=read.items, taken_as=read.taken, forgotten=read.forgotten, read_at_tail=True
+            version=read.version,
+            items=read.items,
+            accepted_version=read.taken,
+            highest_dropped_number=read.forgotten,
+            read_at_tail=True,
         )
 
     async def _propose_once(self, known: KnownState, change: ReplicatedChange, until: int) -> Committed | Refused:
--- a/iriswheel/replication/proposals.py
+++ b/iriswheel/replication/proposals.py
@@ -22,7 +22,7 @@
     if request.kind == message.ChangeKind.PLAN:
         plan = state.plans.get(request.plan)
         return plan.index if plan is not None else None
-    return state.taken.get(request.plan)
+    return state.accepted_changes.get(request.plan)
 
 
 def refusal(
--- a/iriswheel/replication/replicated_state.py
+++ b/iriswheel/replication/replicated_state.py
@@ -15,8 +15,8 @@
 
 MAX_PLANS = 512  # remembered, of each sort: open, confirmed
 MAX_OPEN_PLAN_BYTES = 16 << 20  # of all open plans together
-MIN_TAKEN_CHANGES = 16_384  # ids of changes that were taken, remembered at least
-TAKEN_CHANGES_SLACK = 1_024  # and so many more before the oldest are dropped together
+MIN_ACCEPTED_CHANGES = 16_384  # ids of changes that were taken, remembered at least
+ACCEPTED_CHANGES_SLACK = 1_024  # and so many more before the oldest are dropped together
 
 Item: typing.TypeAlias = dict[str, typing.Any]  # one item of the configuration, as JSON
 Change: typing.TypeAlias = tuple[str, Item | None]  # an item's key and its new value; None removes it
@@ -51,7 +51,7 @@
         plans: The plans that are remembered, by id.
         published: `items` as nodes may have them: without the operator's labels.
         taken: The version of each change that was taken, by the change's id.
-        forgotten: The highest operator's number among those changes that were dropped from `taken`.
+        forgotten: The highest operator's number among those changes that were dropped from `accepted_changes`.
 
     >>> one = ReplicatedState().apply(message.LogEntry(1, 1, "plan", "0-a", 0, [("pools/p", {})]))
     >>> two = one.apply(message.LogEntry(2, 1, "confirm", "0-a"))
@@ -65,8 +65,8 @@
     items: immutables.Map[str, Item] = immutables.Map()
     plans: immutables.Map[str, Plan] = immutables.Map()
     published: immutables.Map[str, Item] = immutables.Map()
-    taken: immutables.Map[str, int] = immutables.Map()
-    forgotten: int = 0
+    accepted_changes: immutables.Map[str, int] = immutables.Map()
+    highest_dropped_number: int = 0
 
     @property
     def position(self) -> message.LogPosition:
@@ -87,33 +87,34 @@
             case message.ChangeKind.CONFIRM:
                 plan = self.plans[entry.plan]
                 confirmed = Plan(entry.index, plan.base, [], entry.index)
-                return state._with_plan(entry.plan, confirmed).with_taken(entry).with_changes(plan.changes)
+                return state._with_plan(entry.plan, confirmed).with_accepted_change(entry).with_changes(plan.changes)
             case message.ChangeKind.APPLY:
                 applied = Plan(entry.index, entry.base, [], entry.index)
-                return state._with_plan(entry.plan, applied).with_taken(entry).with_changes(entry.changes)
+                return state._with_plan(entry.plan, applied).with_accepted_change(entry).with_changes(entry.changes)
             case _:
                 raise ValueError(f"a log entry of the unknown kind {entry.kind!r}")
 
     def _with_plan(self, identifier: str, plan: Plan) -> ReplicatedState:
         return self._replace(plans=retain_plans(self.plans.set(identifier, plan)))
 
-    def with_taken(self, entry: message.LogEntry) -> ReplicatedState:
+    def with_accepted_change(self, entry: message.LogEntry) -> ReplicatedState:
         """The state at the version of an entry, whose change is remembered as taken.
 
         Above the bound the oldest are dropped together.
 
-        >>> ReplicatedState().with_taken(message.LogEntry(4, 1, "apply", "c5-7-0a")).taken["c5-7-0a"]
+        >>> entry = message.LogEntry(4, 1, "apply", "c5-7-0a")
+        >>> ReplicatedState().with_accepted_change(entry).accepted_changes["c5-7-0a"]
         4
         """
-        taken = self.taken.set(entry.plan, entry.index)
-        if len(taken) <= MIN_TAKEN_CHANGES + TAKEN_CHANGES_SLACK:
-            return self._replace(version=entry.index, taken=taken)
-        by_age = sorted(taken, key=lambda identifier: taken[identifier])
-        dropped, kept = by_age[:-MIN_TAKEN_CHANGES], by_age[-MIN_TAKEN_CHANGES:]
+        accepted_changes = self.accepted_changes.set(entry.plan, entry.index)
+        if len(accepted_changes) <= MIN_ACCEPTED_CHANGES + ACCEPTED_CHANGES_SLACK:
+            return self._replace(version=entry.index, accepted_changes=accepted_changes)
+        by_age = sorted(accepted_changes, key=lambda identifier: accepted_changes[identifier])
+        dropped, kept = by_age[:-MIN_ACCEPTED_CHANGES], by_age[-MIN_ACCEPTED_CHANGES:]
         return self._replace(
             version=entry.index,
-            taken=immutables.Map({identifier: taken[identifier] for identifier in kept}),
-            forgotten=max(self.forgotten, *map(differences.change_number, dropped)),
+            accepted_changes=immutables.Map({identifier: accepted_changes[identifier] for identifier in kept}),
+            highest_dropped_number=max(self.highest_dropped_number, *map(differences.change_number, dropped)),
         )
 
     def with_changes(self, changes: list[Change]) -> ReplicatedState:
--- a/iriswheel/replication/snapshot_format.py
+++ b/iriswheel/replication/snapshot_format.py
@@ -25,8 +25,8 @@
     version: int
     items: dict[str, typing.Any]
     plans: list[tuple[str, replicated_state.Plan]]
-    taken: dict[str, int] | None = None
-    forgotten: int = 0
+    accepted_changes: dict[str, int] | None = None
+    highest_dropped_number: int = 0
 
 
 _decoder = msgspec.msgpack.Decoder(Snapshot)
@@ -44,8 +44,8 @@
         state.version,
         dict(sorted(state.items.items())),
         sorted(state.plans.items()),
-        dict(sorted(state.taken.items())),
-        state.forgotten,
+        dict(sorted(state.accepted_changes.items())),
+        state.highest_dropped_number,
     )
     return msgspec.msgpack.encode(snapshot)
 
@@ -58,9 +58,9 @@
     """
     snapshot = _decoder.decode(raw)
     plans = immutables.Map(snapshot.plans)
-    taken, forgotten = snapshot.taken, snapshot.forgotten
-    if taken is None:
-        taken, forgotten = taken_in_format_2(plans)
+    accepted_changes, highest_dropped_number = snapshot.accepted_changes, snapshot.highest_dropped_number
+    if accepted_changes is None:
+        accepted_changes, highest_dropped_number = accepted_changes_in_format_2(plans)
     return replicated_state.ReplicatedState(
         index=snapshot.index,
         view=snapshot.view,
@@ -68,12 +68,12 @@
         items=immutables.Map(snapshot.items),
         plans=plans,
         published=immutables.Map({key: slices.without_label(item) for key, item in snapshot.items.items()}),
-        taken=immutables.Map(taken),
-        forgotten=forgotten,
+        accepted_changes=immutables.Map(accepted_changes),
+        highest_dropped_number=highest_dropped_number,
     )
 
 
-def taken_in_format_2(
+def accepted_changes_in_format_2(
     plans: collections.abc.Mapping[str, replicated_state.Plan],
 ) -> tuple[dict[str, int], int]:
     """The changes taken and the highest number forgotten, of a snapshot that remembers only plans.
@@ -82,11 +82,11 @@
     below the lowest that is left counts as forgotten.
 
     >>> Plan = replicated_state.Plan
-    >>> taken_in_format_2({"c0-4-0a": Plan(9, 0, [], 9), "9-0b": Plan(10, 9, [])})
+    >>> accepted_changes_in_format_2({"c0-4-0a": Plan(9, 0, [], 9), "9-0b": Plan(10, 9, [])})
     ({'c0-4-0a': 9}, 0)
     """
-    taken = {identifier: plan.version for identifier, plan in plans.items() if plan.version}
-    if len(taken) < replicated_state.MAX_PLANS:
-        return taken, 0
-    numbers = [differences.change_number(identifier) for identifier in taken]
-    return taken, max(0, min((number for number in numbers if number), default=0) - 1)
+    accepted_changes = {identifier: plan.version for identifier, plan in plans.items() if plan.version}
+    if len(accepted_changes) < replicated_state.MAX_PLANS:
+        return accepted_changes, 0
+    numbers = [differences.change_number(identifier) for identifier in accepted_changes]
+    return accepted_changes, max(0, min((number for number in numbers if number), default=0) - 1)
--- a/iriswheel/replication/tail.py
+++ b/iriswheel/replication/tail.py
@@ -45,5 +45,7 @@
         plan_fields = None
         if plan is not None:
             plan_fields = {"id": request.plan, "base": plan.base, "stamp": plan.version, "changes": plan.changes}
-        taken = state.taken.get(request.plan, 0)
-        return message.ReadResponse(True, state.version, dict(state.items), plan_fields, taken, state.forgotten)
+        accepted_version = state.accepted_changes.get(request.plan, 0)
+        return message.ReadResponse(
+            True, state.version, dict(state.items), plan_fields, accepted_version, state.highest_dropped_number
+        )
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -128,7 +128,7 @@
         refilled = self.put(replica, message.CatchUp(5, snapshot_format.encode(other), []))
         self.disk.finish()
         assert refilled.result.ok
-        assert dict(replica.committed_state.taken) == {"c0-1-0b": 1}
+        assert dict(replica.committed_state.accepted_changes) == {"c0-1-0b": 1}
 
     def test_a_change_taken_again_after_a_catch_up_by_snapshot_is_distinguished(self) -> None:
         consensus = FixedConsensus(4, "a", "b")
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -130,8 +130,8 @@
     def test_a_change_that_is_no_longer_remembered_gets_no_clear_answer(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        monkeypatch.setattr(replicated_state, "MIN_TAKEN_CHANGES", 4)
-        monkeypatch.setattr(replicated_state, "TAKEN_CHANGES_SLACK", 2)
+        monkeypatch.setattr(replicated_state, "MIN_ACCEPTED_CHANGES", 4)
+        monkeypatch.setattr(replicated_state, "ACCEPTED_CHANGES_SLACK", 2)
         cluster = quiet_cluster()
         orders = self.take(cluster, 8)
         assert [
@@ -242,7 +242,10 @@
         state = self.apply(1_100)
         assert "c0-1-0a" not in state.plans
         again = snapshot_format.decode(snapshot_format.encode(state))
-        assert (*(again.taken[f"c{number - 1}-{number}-0a"] for number in (1, 100, 1_100)), again.forgotten) == (
+        assert (
+            *(again.accepted_changes[f"c{number - 1}-{number}-0a"] for number in (1, 100, 1_100)),
+            again.highest_dropped_number,
+        ) == (
             1,
             100,
             1_100,
@@ -251,10 +254,10 @@
         assert again == state
 
     def test_their_number_is_bounded(self) -> None:
-        state = self.apply(replicated_state.MIN_TAKEN_CHANGES + replicated_state.TAKEN_CHANGES_SLACK + 2)
-        assert (len(state.taken), state.forgotten) == (
-            replicated_state.MIN_TAKEN_CHANGES + 1,
-            replicated_state.TAKEN_CHANGES_SLACK + 1,
+        state = self.apply(replicated_state.MIN_ACCEPTED_CHANGES + replicated_state.ACCEPTED_CHANGES_SLACK + 2)
+        assert (len(state.accepted_changes), state.highest_dropped_number) == (
+            replicated_state.MIN_ACCEPTED_CHANGES + 1,
+            replicated_state.ACCEPTED_CHANGES_SLACK + 1,
         )
         assert len(snapshot_format.encode(state)) < 1 << 20
         assert snapshot_format.decode(snapshot_format.encode(state)) == state
@@ -266,5 +269,9 @@
 
     def test_a_snapshot_of_format_2_is_read(self) -> None:
         few, many = (snapshot_format.decode(self.old(self.apply(count))) for count in (20, 600))
-        assert (len(few.taken), few.forgotten, few.taken["c6-7-0a"]) == (20, 0, 7)
-        assert (len(many.taken), many.forgotten, configuration.operator_number(many.items)) == (512, 88, 600)
+        assert (len(few.accepted_changes), few.highest_dropped_number, few.accepted_changes["c6-7-0a"]) == (20, 0, 7)
+        assert (len(many.accepted_changes), many.highest_dropped_number, configuration.operator_number(many.items)) == (
+            512,
+            88,
+            600,
+        )
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -28,7 +28,9 @@
 
 
 def known(items: dict[str, Any]) -> submitted_changes.KnownState:
-    return submitted_changes.KnownState(version=9, items=items, taken_as=0, forgotten=0, read_at_tail=True)
+    return submitted_changes.KnownState(
+        version=9, items=items, accepted_version=0, highest_dropped_number=0, read_at_tail=True
+    )
 
 
 class TestConfigurationsLeaveEvacuationsAlone:
--- a/tests/test_submitted_changes.py
+++ b/tests/test_submitted_changes.py
@@ -5,7 +5,9 @@
 from iriswheel import errors
 from iriswheel.control import submitted_changes
 
-FORGOTTEN = submitted_changes.KnownState(version=9, items={}, taken_as=0, forgotten=5, read_at_tail=True)
+FORGOTTEN = submitted_changes.KnownState(
+    version=9, items={}, accepted_version=0, highest_dropped_number=5, read_at_tail=True
+)
 
 
 def test_a_change_that_may_have_been_forgotten_is_unknown_and_says_why() -> None:
@@ -18,6 +20,8 @@
 
 def test_a_configuration_that_stands_already_is_proposed_so_that_it_is_remembered() -> None:
     items: dict[str, Any] = {"pools/p": {}, "marks/operator": {"number": 4}}
-    known = submitted_changes.KnownState(version=9, items=items, taken_as=0, forgotten=0, read_at_tail=True)
+    known = submitted_changes.KnownState(
+        version=9, items=items, accepted_version=0, highest_dropped_number=0, read_at_tail=True
+    )
     change = submitted_changes.SubmittedChange("c3-4-0a", 4, 3, lambda _items: {"pools/p": {}}, complete=True)
     assert submitted_changes.decide(known, change) == submitted_changes.Applicable([])
