--- a/iriswheel/replication/chain_position.py
+++ b/iriswheel/replication/chain_position.py
@@ -20,25 +20,25 @@
         """Whether this copy holds all that was acknowledged before the newest view."""
         return decisions.is_synced(self.consensus.record)
 
-    def index_in(self, number: int) -> int | None:
+    def index_in(self, view_number: int) -> int | None:
         """This replica's place in the numbered view's chain, 0 at the head; None where it does not serve in it."""
         view = self.consensus.view
-        if view is None or not self.consensus.is_serving(number):
+        if view is None or not self.consensus.is_serving(view_number):
             return None
         return [replica.id for replica in view.chain].index(self.consensus.own_voter.id)
 
-    def has_predecessor_in(self, number: int) -> bool:
+    def has_predecessor_in(self, view_number: int) -> bool:
         """Whether this replica serves in the numbered view behind another one: it is not the head."""
-        return bool(self.index_in(number))
+        return bool(self.index_in(view_number))
 
-    def serves_in(self, number: int) -> bool:
+    def serves_in(self, view_number: int) -> bool:
         """Whether this replica serves in the numbered view."""
-        return self.index_in(number) is not None
+        return self.index_in(view_number) is not None
 
-    def is_tail_of(self, number: int) -> bool:
+    def is_tail_of(self, view_number: int) -> bool:
         """Whether this replica is the tail of the numbered view's chain."""
         view = self.consensus.view
-        return view is not None and self.index_in(number) == len(view.chain) - 1
+        return view is not None and self.index_in(view_number) == len(view.chain) - 1
 
     def successor_in(self, view: message.View) -> message.Voter | None:
         """The next replica towards the tail, or None at the tail or outside the chain."""
--- a/iriswheel/replication/proposals.py
+++ b/iriswheel/replication/proposals.py
@@ -82,10 +82,10 @@
                     )
         return await self._outcome(request, index)
 
-    def _refuse_here(self, number: int) -> message.ProposeChangeResponse | None:
+    def _refuse_here(self, view_number: int) -> message.ProposeChangeResponse | None:
         """Why this machine can take no change now, or None."""
         view = self.position.consensus.view
-        if view is None or self.position.index_in(number) != 0 or not self.position.is_synced():
+        if view is None or self.position.index_in(view_number) != 0 or not self.position.is_synced():
             return refuse("no_chain", "This machine is not the head of the chain now.")
         if not self.position.has_enough_copies(view):
             copies = self.position.consensus.required_copies
@@ -114,6 +114,6 @@
             await self.log.committed.wait()
         entry = self.log.entries.get(index)
         if not self.position.serves_in(request.view) and (entry is None or entry.plan != request.plan):
-            return unknown  # another view may have made another entry of that number
+            return unknown  # another view may have made another entry of that view_number
         version = request.base if request.kind == message.ChangeKind.PLAN else index
         return message.ProposeChangeResponse("", errors.ExecutionOutcome.RAN.value, version=version)
--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -117,16 +117,16 @@
         await self.log.replace(snapshot, state, entries)
         return True
 
-    async def _wait_for_commit(self, number: int, entries: list[message.LogEntry]) -> message.AppendResponse:
+    async def _wait_for_commit(self, view_number: int, entries: list[message.LogEntry]) -> message.AppendResponse:
         """Pass on what was stored, and answer once all replicas down to the tail have it."""
-        if not self.position.has_predecessor_in(number) or not self.position.is_synced():
+        if not self.position.has_predecessor_in(view_number) or not self.position.is_synced():
             return message.AppendResponse(False)
         index = entries[-1].index if entries else self.log.last_index
         self.log.appended.wake()
-        self.tail.commit_synced(number)
-        is_tail = self.position.is_tail_of(number)
+        self.tail.commit_synced(view_number)
+        is_tail = self.position.is_tail_of(view_number)
         while not is_tail and self.log.committed_state.index < index:
             await self.log.committed.wait()
-            if not self.position.has_predecessor_in(number):
+            if not self.position.has_predecessor_in(view_number):
                 return message.AppendResponse(False)
         return message.AppendResponse(True, index)
--- a/iriswheel/replication/sender.py
+++ b/iriswheel/replication/sender.py
@@ -47,11 +47,11 @@
             elif self.position.serves_in(view.number) and self.position.has_enough_copies(view):
                 self.log.commit(stored)
 
-    async def _send(self, number: int, successor: message.Voter, stored: int | None) -> int | None:
+    async def _send(self, view_number: int, successor: message.Voter, stored: int | None) -> int | None:
         """Send what comes next; returns how far it is stored down to the tail, or None where it was refused."""
         if stored is None:
-            return await self._catch_up(number, successor)
-        return await self._deliver(successor, message.AppendRequest(number, self.log.batch(stored + 1)))
+            return await self._catch_up(view_number, successor)
+        return await self._deliver(successor, message.AppendRequest(view_number, self.log.batch(stored + 1)))
 
     async def _deliver(self, successor: message.Voter, request: message.AppendRequest | message.CatchUp) -> int | None:
         """Send entries; returns how far they are stored down to the tail, or None where they were refused."""
@@ -61,24 +61,24 @@
     async def _call(self, successor: message.Voter, request: message.Message) -> message.Message:
         return await self.peers.call(successor.host, successor.port, request, CALL_TIMEOUT_US)
 
-    async def _catch_up(self, number: int, successor: message.Voter) -> int | None:
+    async def _catch_up(self, view_number: int, successor: message.Voter) -> int | None:
         """Bring the next replica up to date; returns how far, or None where it has to be tried again."""
-        place = await self._call(successor, message.PositionRequest(number, self.position.consensus.own_voter.id))
+        place = await self._call(successor, message.PositionRequest(view_number, self.position.consensus.own_voter.id))
         if not isinstance(place, message.PositionResponse) or not place.ok:
             return None
         if not place.accepts_chunks:
-            return await self._deliver(successor, self._whole_catch_up(number, place))
+            return await self._deliver(successor, self._whole_catch_up(view_number, place))
         at = message.LogPosition(place.index, place.view)
         if self.log.continues(at):
-            return await self._send_entries(number, successor, at, "")
+            return await self._send_entries(view_number, successor, at, "")
         snapshot = self.log.pin_snapshot()
-        if not await self._send_snapshot(number, successor, snapshot, place):
+        if not await self._send_snapshot(view_number, successor, snapshot, place):
             return None
-        return await self._send_entries(number, successor, snapshot.position, snapshot.digest)
+        return await self._send_entries(view_number, successor, snapshot.position, snapshot.digest)
 
     async def _send_snapshot(
         self,
-        number: int,
+        view_number: int,
         successor: message.Voter,
         snapshot: snapshot_transfer.OutgoingSnapshot,
         place: message.PositionResponse,
@@ -86,9 +86,9 @@
         """Send a snapshot from where the next replica has it; whether all of it arrived."""
         offset = place.received if place.snapshot == snapshot.digest else 0
         while offset < len(snapshot.content):
-            if not self.position.serves_in(number):
+            if not self.position.serves_in(view_number):
                 return False
-            response = await self._call(successor, snapshot.chunk(number, offset))
+            response = await self._call(successor, snapshot.chunk(view_number, offset))
             if not isinstance(response, message.SnapshotChunkResponse):
                 return False
             if not response.ok or response.received <= offset:
@@ -97,22 +97,22 @@
         return True
 
     async def _send_entries(
-        self, number: int, successor: message.Voter, after: message.LogPosition, snapshot: str
+        self, view_number: int, successor: message.Voter, after: message.LogPosition, snapshot: str
     ) -> int | None:
         """Send all entries after a position in bounded batches; with the last one the next replica is synced."""
-        while self.position.serves_in(number) and self.log.reaches_back_to(after.index):
+        while self.position.serves_in(view_number) and self.log.reaches_back_to(after.index):
             entries = self.log.batch(after.index + 1)
             last = after.index + len(entries) >= self.log.last_index
-            request = message.CatchUp(number, None, entries, after, snapshot, last)
+            request = message.CatchUp(view_number, None, entries, after, snapshot, last)
             stored = await self._deliver(successor, request)
             if stored is None or last:
                 return stored
             after = message.LogPosition(entries[-1].index, entries[-1].view)
         return None
 
-    def _whole_catch_up(self, number: int, place: message.PositionResponse) -> message.CatchUp:
+    def _whole_catch_up(self, view_number: int, place: message.PositionResponse) -> message.CatchUp:
         """What brings a replica up to date in one message, for programs that take no chunks."""
         if self.log.continues(message.LogPosition(place.index, place.view)):
-            return message.CatchUp(number, None, self.log.entries_after(place.index))
+            return message.CatchUp(view_number, None, self.log.entries_after(place.index))
         state = self.log.committed_state
-        return message.CatchUp(number, snapshot_format.encode(state), self.log.entries_after(state.index))
+        return message.CatchUp(view_number, snapshot_format.encode(state), self.log.entries_after(state.index))
--- a/iriswheel/replication/tail.py
+++ b/iriswheel/replication/tail.py
@@ -20,16 +20,16 @@
         self._holds_recovered_entries = log.last_index > log.committed_state.index
         self._committed_view = 0  # the newest view in which this tail had committed all that it holds
 
-    def commit_synced(self, number: int) -> None:
+    def commit_synced(self, view_number: int) -> None:
         """At the synced tail of the numbered view: what is synced here is synced on all replicas, so commit it."""
         view = self.position.consensus.view
-        if view is None or not self.position.is_tail_of(number) or not self.position.is_synced():
+        if view is None or not self.position.is_tail_of(view_number) or not self.position.is_synced():
             return
         if self.position.has_enough_copies(view) or self._holds_recovered_entries:
             self._holds_recovered_entries = False
             self.log.commit(self.log.last_index)
         if self.log.committed_state.index >= self.log.last_index:
-            self._committed_view = number
+            self._committed_view = view_number
 
     def answer_read(self, request: message.ReadRequest) -> message.ReadResponse:
         """Answer a read, at the tail and under its lease only.
