--- a/iriswheel/replication/proposals.py
+++ b/iriswheel/replication/proposals.py
@@ -114,6 +114,6 @@
             await self.log.committed.wait()
         entry = self.log.entries.get(index)
         if not self.position.serves_in(request.view) and (entry is None or entry.plan != request.plan):
-            return unknown  # another view may have made another entry of that view_number
+            return unknown  # a newer view may have put another entry at this index
         version = request.base if request.kind == message.ChangeKind.PLAN else index
         return message.ProposeChangeResponse("", errors.ExecutionOutcome.RAN.value, version=version)
--- a/iriswheel/replication/replicated_log.py
+++ b/iriswheel/replication/replicated_log.py
@@ -108,7 +108,7 @@
     async def _compact(self) -> None:
         """Write a snapshot of the committed state, and drop the entries far behind it."""
         async with self.lock:
-            old = self._compactable()
+            old = self._entries_to_compact()
             snapshot: storage.Write = (SNAPSHOT_KEY, snapshot_format.encode(self.committed_state))
             removals: list[storage.Write] = [(entry_key(index), None) for index in old]
             try:
@@ -118,10 +118,12 @@
                 return
             for index in old:
                 del self.entries[index]
-            if self._pinned_snapshot is not None and not self.reaches_back_to(self._pinned_snapshot.position.index):
+            if self._pinned_snapshot is not None and not self.has_all_entries_after(
+                self._pinned_snapshot.position.index
+            ):
                 self._pinned_snapshot = None
 
-    def _compactable(self) -> list[int]:
+    def _entries_to_compact(self) -> list[int]:
         """The committed entries behind the bounds on count and bytes, newest first."""
         old: list[int] = []
         kept_bytes = 0
@@ -135,13 +137,13 @@
 
     # ---- read ----------------------------------------------------------------
 
-    def reaches_back_to(self, index: int) -> bool:
+    def has_all_entries_after(self, index: int) -> bool:
         """Whether all entries after an index are here."""
         return all(key in self.entries for key in range(index + 1, self.last_index + 1))
 
-    def continues(self, position: message.LogPosition) -> bool:
+    def can_continue_from(self, position: message.LogPosition) -> bool:
         """Whether a copy that ends at a position is a beginning of this one, and all entries after it are here."""
-        if position.index > self.last_index or not self.reaches_back_to(position.index):
+        if position.index > self.last_index or not self.has_all_entries_after(position.index):
             return False
         if position == self.committed_state.position:
             return True
@@ -166,7 +168,7 @@
     def pin_snapshot(self) -> snapshot_transfer.OutgoingSnapshot:
         """The snapshot to send: the last one as long as the log follows it, since replicas may have a part of it."""
         pinned = self._pinned_snapshot
-        if pinned is None or not self.reaches_back_to(pinned.position.index):
+        if pinned is None or not self.has_all_entries_after(pinned.position.index):
             content = snapshot_format.encode(self.committed_state)
             pinned = snapshot_transfer.OutgoingSnapshot.pin(self.committed_state.position, content)
             self._pinned_snapshot = pinned
--- a/iriswheel/replication/sender.py
+++ b/iriswheel/replication/sender.py
@@ -69,7 +69,7 @@
         if not place.accepts_chunks:
             return await self._deliver(successor, self._whole_catch_up(view_number, place))
         at = message.LogPosition(place.index, place.view)
-        if self.log.continues(at):
+        if self.log.can_continue_from(at):
             return await self._send_entries(view_number, successor, at, "")
         snapshot = self.log.pin_snapshot()
         if not await self._send_snapshot(view_number, successor, snapshot, place):
@@ -100,7 +100,7 @@
         self, view_number: int, successor: message.Voter, after: message.LogPosition, snapshot: str
     ) -> int | None:
         """Send all entries after a position in bounded batches; with the last one the next replica is synced."""
-        while self.position.serves_in(view_number) and self.log.reaches_back_to(after.index):
+        while self.position.serves_in(view_number) and self.log.has_all_entries_after(after.index):
             entries = self.log.batch(after.index + 1)
             last = after.index + len(entries) >= self.log.last_index
             request = message.CatchUp(view_number, None, entries, after, snapshot, last)
@@ -112,7 +112,7 @@
 
     def _whole_catch_up(self, view_number: int, place: message.PositionResponse) -> message.CatchUp:
         """What brings a replica up to date in one message, for programs that take no chunks."""
-        if self.log.continues(message.LogPosition(place.index, place.view)):
+        if self.log.can_continue_from(message.LogPosition(place.index, place.view)):
             return message.CatchUp(view_number, None, self.log.entries_after(place.index))
         state = self.log.committed_state
         return message.CatchUp(view_number, snapshot_format.encode(state), self.log.entries_after(state.index))
