--- a/iriswheel/replication/chain.py
+++ b/iriswheel/replication/chain.py
@@ -128,7 +128,7 @@
             case message.PositionRequest():
                 return await self.receiver.answer_position(request)
             case message.SnapshotChunk():
-                return self.receiver.take_chunk(request)
+                return self.receiver.receive_chunk(request)
             case message.CatchUp():
                 return await self.receiver.catch_up(request)
             case message.AppendRequest():
--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -41,7 +41,7 @@
                 received=len(self.incoming.content),
             )
 
-    def take_chunk(self, chunk: message.SnapshotChunk) -> message.SnapshotChunkResponse:
+    def receive_chunk(self, chunk: message.SnapshotChunk) -> message.SnapshotChunkResponse:
         """Keep one chunk of a snapshot in memory."""
         if not self.position.has_predecessor_in(chunk.view) or self.position.is_synced():
             return message.SnapshotChunkResponse(False)
@@ -81,12 +81,12 @@
         if request.frame is not None:
             return await self._restore(request.frame, snapshot_format.decode(request.frame), request.entries)
         if request.snapshot:
-            return await self._stage(request)
+            return await self._stage_entries(request)
         if request.after is not None and request.after != self.log.latest_state.position:
             return False
         return await self.log.extend(request.entries)
 
-    async def _stage(self, request: message.CatchUp) -> bool:
+    async def _stage_entries(self, request: message.CatchUp) -> bool:
         """Keep entries that follow an incoming snapshot; with the last of them the snapshot replaces this copy."""
         incoming = self.incoming
         if not incoming.complete or incoming.digest != request.snapshot:
@@ -94,7 +94,7 @@
         state = incoming.state
         if state is None:
             state = snapshot_format.decode(incoming.content)
-            incoming.decoded(state)
+            incoming.set_state(state)
         if not incoming.add_entries(request.after, request.entries):
             return False
         return not request.last or await self._restore(bytes(incoming.content), state, incoming.entries)
--- a/iriswheel/replication/sender.py
+++ b/iriswheel/replication/sender.py
@@ -63,16 +63,18 @@
 
     async def _catch_up(self, view_number: int, successor: message.Voter) -> int | None:
         """Bring the next replica up to date; returns how far, or None where it has to be tried again."""
-        place = await self._call(successor, message.PositionRequest(view_number, self.position.consensus.own_voter.id))
-        if not isinstance(place, message.PositionResponse) or not place.ok:
+        position_response = await self._call(
+            successor, message.PositionRequest(view_number, self.position.consensus.own_voter.id)
+        )
+        if not isinstance(position_response, message.PositionResponse) or not position_response.ok:
             return None
-        if not place.accepts_chunks:
-            return await self._deliver(successor, self._whole_catch_up(view_number, place))
-        at = message.LogPosition(place.index, place.view)
-        if self.log.can_continue_from(at):
-            return await self._send_entries(view_number, successor, at, "")
+        if not position_response.accepts_chunks:
+            return await self._deliver(successor, self._single_message_catch_up(view_number, position_response))
+        receiver_position = message.LogPosition(position_response.index, position_response.view)
+        if self.log.can_continue_from(receiver_position):
+            return await self._send_entries(view_number, successor, receiver_position, "")
         snapshot = self.log.pin_snapshot()
-        if not await self._send_snapshot(view_number, successor, snapshot, place):
+        if not await self._send_snapshot(view_number, successor, snapshot, position_response):
             return None
         return await self._send_entries(view_number, successor, snapshot.position, snapshot.digest)
 
@@ -81,10 +83,10 @@
         view_number: int,
         successor: message.Voter,
         snapshot: snapshot_transfer.OutgoingSnapshot,
-        place: message.PositionResponse,
+        position_response: message.PositionResponse,
     ) -> bool:
         """Send a snapshot from where the next replica has it; whether all of it arrived."""
-        offset = place.received if place.snapshot == snapshot.digest else 0
+        offset = position_response.received if position_response.snapshot == snapshot.digest else 0
         while offset < len(snapshot.content):
             if not self.position.serves_in(view_number):
                 return False
@@ -110,9 +112,11 @@
             after = message.LogPosition(entries[-1].index, entries[-1].view)
         return None
 
-    def _whole_catch_up(self, view_number: int, place: message.PositionResponse) -> message.CatchUp:
+    def _single_message_catch_up(
+        self, view_number: int, position_response: message.PositionResponse
+    ) -> message.CatchUp:
         """What brings a replica up to date in one message, for programs that take no chunks."""
-        if self.log.can_continue_from(message.LogPosition(place.index, place.view)):
-            return message.CatchUp(view_number, None, self.log.entries_after(place.index))
+        if self.log.can_continue_from(message.LogPosition(position_response.index, position_response.view)):
+            return message.CatchUp(view_number, None, self.log.entries_after(position_response.index))
         state = self.log.committed_state
         return message.CatchUp(view_number, snapshot_format.encode(state), self.log.entries_after(state.index))
--- a/iriswheel/replication/snapshot_transfer.py
+++ b/iriswheel/replication/snapshot_transfer.py
@@ -53,9 +53,9 @@
     """
 
     def __init__(self) -> None:
-        self._begin("", 0)
+        self._reset("", 0)
 
-    def _begin(self, digest: str, total: int) -> None:
+    def _reset(self, digest: str, total: int) -> None:
         """Drop what is here and begin with another snapshot."""
         self.digest = digest
         self.total = total
@@ -68,21 +68,21 @@
     def add_chunk(self, chunk: message.SnapshotChunk) -> int:
         """Take one chunk; returns how many bytes of its snapshot are here. Chunks out of order change nothing."""
         if chunk.snapshot != self.digest:
-            self._begin(chunk.snapshot, chunk.total)
+            self._reset(chunk.snapshot, chunk.total)
         if chunk.offset == len(self.content) and not self.complete:
             self.content += chunk.content
-            self._check()
+            self._verify_digest()
         return len(self.content)
 
-    def _check(self) -> None:
+    def _verify_digest(self) -> None:
         if len(self.content) < self.total:
             return
         if hashlib.sha256(self.content).hexdigest() == self.digest:
             self.complete = True
         else:
-            self._begin("", 0)
+            self._reset("", 0)
 
-    def decoded(self, state: replicated_state.ReplicatedState) -> None:
+    def set_state(self, state: replicated_state.ReplicatedState) -> None:
         """Keep the decoded state of the complete snapshot."""
         self.state = state
         self.position = state.position
