--- a/iriswheel/replication/proposals.py
+++ b/iriswheel/replication/proposals.py
@@ -17,7 +17,7 @@
     return message.ProposeChangeResponse(code, errors.ExecutionOutcome.NOT_RUN.value, text)
 
 
-def known_index(state: replicated_state.ReplicatedState, request: message.ProposeChange) -> int | None:
+def index_of_accepted(state: replicated_state.ReplicatedState, request: message.ProposeChange) -> int | None:
     """The entry that the same change became before, or None where it is new or no longer remembered."""
     if request.kind == message.ChangeKind.PLAN:
         plan = state.plans.get(request.plan)
@@ -25,7 +25,7 @@
     return state.accepted_changes.get(request.plan)
 
 
-def refusal(
+def refusal_of_new_change(
     state: replicated_state.ReplicatedState, request: message.ProposeChange
 ) -> message.ProposeChangeResponse | None:
     """Why a new change can't follow the state, or None where it can."""
@@ -66,12 +66,12 @@
     async def propose(self, request: message.ProposeChange) -> message.ProposeChangeResponse:
         """Take an operator's change; the same change again has the same answer."""
         async with self.log.lock:
-            refused = self._refuse_here(request.view)
+            refused = self._refusal_while_unavailable(request.view)
             if refused is not None:
                 return refused
-            index = known_index(self.log.latest_state, request)
+            index = index_of_accepted(self.log.latest_state, request)
             if index is None:
-                refused = refusal(self.log.latest_state, request)
+                refused = refusal_of_new_change(self.log.latest_state, request)
                 if refused is not None:
                     return refused
                 try:
@@ -80,9 +80,9 @@
                     return message.ProposeChangeResponse(
                         "no_chain", errors.ExecutionOutcome.MAY_HAVE_RUN.value, "The head's disk does not work."
                     )
-        return await self._outcome(request, index)
+        return await self._wait_for_outcome(request, index)
 
-    def _refuse_here(self, view_number: int) -> message.ProposeChangeResponse | None:
+    def _refusal_while_unavailable(self, view_number: int) -> message.ProposeChangeResponse | None:
         """Why this machine can take no change now, or None."""
         view = self.position.consensus.view
         if view is None or self.position.index_in(view_number) != 0 or not self.position.is_synced():
@@ -103,7 +103,7 @@
         self.tail.commit_synced(request.view)  # where one copy is enough, the head may be the tail
         return index
 
-    async def _outcome(self, request: message.ProposeChange, index: int) -> message.ProposeChangeResponse:
+    async def _wait_for_outcome(self, request: message.ProposeChange, index: int) -> message.ProposeChangeResponse:
         """The answer to a change that became an entry, once that is committed or its view has ended."""
         unknown = message.ProposeChangeResponse(
             "unknown_outcome", errors.ExecutionOutcome.MAY_HAVE_RUN.value, "The chain changed meanwhile."
