--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -100,7 +100,7 @@
             )
         return configuration.flatten(planned)
     except configuration.InvalidConfigurationError as error:
-        text = "; ".join(error.errors[: submitted_changes.PROBLEMS_SHOWN])
+        text = "; ".join(error.errors[: submitted_changes.MAX_PROBLEMS_SHOWN])
         raise errors.ServiceError("bad_blueprint", text, field="blueprint") from error
 
 
--- a/iriswheel/control/submitted_changes.py
+++ b/iriswheel/control/submitted_changes.py
@@ -19,7 +19,7 @@
 
 TIMEOUT_US = 900 * units.MILLISECOND_US  # a change is answered within this, known or not
 RETRY_DELAY_US = 30 * units.MILLISECOND_US
-PROBLEMS_SHOWN = 50
+MAX_PROBLEMS_SHOWN = 50
 NO_VERSION = 0  # for the id in a read before a change's base is known
 
 MakeItems: typing.TypeAlias = collections.abc.Callable[[configuration.Items], dict[str, configuration.Item]]
@@ -38,7 +38,7 @@
     make: MakeItems
     complete: bool = False
 
-    def identifier_on(self, _version: int) -> str:
+    def identifier_for_base(self, _version: int) -> str:
         """The id of the change, on whichever version it is proposed."""
         return self.identifier
 
@@ -81,7 +81,7 @@
 class ReplicatedChange(typing.Protocol):
     """A change of the replicated state that an operator asks for."""
 
-    def identifier_on(self, version: int) -> str:
+    def identifier_for_base(self, version: int) -> str:
         """The id under which the change is proposed on a version."""
 
     def decide(self, known: KnownState) -> Decision:
@@ -106,7 +106,7 @@
     except configuration.InvalidConfigurationError as error:
         problems += error.errors
     if problems:
-        raise errors.ServiceError("bad_blueprint", "; ".join(problems[:PROBLEMS_SHOWN]), field="blueprint")
+        raise errors.ServiceError("bad_blueprint", "; ".join(problems[:MAX_PROBLEMS_SHOWN]), field="blueprint")
     return {**made, configuration.OPERATOR_KEY: {**made.get(configuration.OPERATOR_KEY, {}), "number": change.number}}
 
 
@@ -128,21 +128,23 @@
     if known.accepted_version:
         return Committed(known.accepted_version)
     current = configuration.operator_number(known.items)
-    is_base = current == change.built_on
-    may_stand = change.complete and current == change.number
-    if not is_base and not may_stand:
-        return Refused(_base_passed(known, change, current))
+    has_current_base = current == change.built_on
+    may_be_in_force = change.complete and current == change.number
+    if not has_current_base and not may_be_in_force:
+        return Refused(_stale_base_error(known, change, current))
     before = configuration.without_evacuations(known.items)
     try:
         made = items_after(change, before)
     except errors.ServiceError as error:
-        return Refused(error if is_base else _base_passed(known, change, current))
+        return Refused(error if has_current_base else _stale_base_error(known, change, current))
     changes = configuration.difference(before, made)
-    already_stands = may_stand and not changes and bool(known.version)
-    return Applicable(changes) if is_base or already_stands else Refused(_base_passed(known, change, current))
+    is_in_force = may_be_in_force and not changes and bool(known.version)
+    return (
+        Applicable(changes) if has_current_base or is_in_force else Refused(_stale_base_error(known, change, current))
+    )
 
 
-def _base_passed(known: KnownState, change: SubmittedChange, current: int) -> errors.ServiceError:
+def _stale_base_error(known: KnownState, change: SubmittedChange, current: int) -> errors.ServiceError:
     """The refusal of a change whose base is not the present number.
 
     Where the id of a change may have been forgotten, nobody knows whether it was taken.
@@ -234,7 +236,7 @@
 
     async def tail_state_for(self, change: ReplicatedChange, timeout_us: int) -> KnownState:
         """What the tail says of a change, under its lease."""
-        read = await self.client.read_at_tail(change.identifier_on(NO_VERSION), timeout_us)
+        read = await self.client.read_at_tail(change.identifier_for_base(NO_VERSION), timeout_us)
         return KnownState(
             version=read.version,
             items=read.items,
@@ -257,7 +259,7 @@
         self, base: int, change: ReplicatedChange, changes: list[configuration.ItemChange], until: int
     ) -> int:
         left = max(0, until - self.parts.runtime.now())
-        identifier = change.identifier_on(base)
+        identifier = change.identifier_for_base(base)
         try:
             return (await self.client.propose(message.ChangeKind.APPLY, identifier, base, changes, left)).version
         except errors.ServiceError as error:
--- a/iriswheel/control/zone_evacuation.py
+++ b/iriswheel/control/zone_evacuation.py
@@ -32,12 +32,12 @@
 
     zone: str
     evacuated: bool
-    is_wanted: collections.abc.Callable[[], bool] = lambda: True
+    is_caller_waiting: collections.abc.Callable[[], bool] = lambda: True
 
-    def identifier_on(self, version: int) -> str:
+    def identifier_for_base(self, version: int) -> str:
         """The id of the order where it is proposed on a version: the same from each core machine.
 
-        >>> ZoneOrder("north", True).identifier_on(7)
+        >>> ZoneOrder("north", True).identifier_for_base(7)
         'z7-evacuate-dc365e79d41cfae1'
         """
         digest = hashlib.sha256(self.zone.encode()).hexdigest()[:DIGEST_CHARACTERS]
@@ -50,7 +50,7 @@
         >>> ZoneOrder("north", True).decide(known), ZoneOrder("north", False).decide(known)
         (Committed(version=7), Applicable(changes=[('evacuations/north', None)]))
         """
-        if not self.is_wanted():
+        if not self.is_caller_waiting():
             return submitted_changes.Refused(errors.ServiceError("too_late", "The caller has gone."))
         if (self.zone in configuration.evacuated_zones(known.items)) == self.evacuated:
             return submitted_changes.Committed(known.version)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -71,7 +71,7 @@
         assert decision == submitted_changes.Applicable([("evacuations/south", {})])
 
     def test_an_order_whose_caller_has_gone_is_not_carried_out(self) -> None:
-        decision = zone_evacuation.ZoneOrder("north", True, is_wanted=lambda: False).decide(known({}))
+        decision = zone_evacuation.ZoneOrder("north", True, is_caller_waiting=lambda: False).decide(known({}))
         assert isinstance(decision, submitted_changes.Refused)
 
     @pytest.mark.parametrize("name", ["", "a" * 129, "a\nb"])
@@ -87,7 +87,7 @@
         self.orders: list[tuple[str, bool, bool]] = []
 
     async def order_zone(self, order: zone_evacuation.ZoneOrder) -> int:
-        self.orders.append((order.zone, order.evacuated, order.is_wanted()))
+        self.orders.append((order.zone, order.evacuated, order.is_caller_waiting()))
         return 7
 
     async def read(self) -> dict[str, Any]:
