--- a/iriswheel/control/counter_calls.py
+++ b/iriswheel/control/counter_calls.py
@@ -21,13 +21,13 @@
     amount: int
 
 
-def read_name(quoted: str) -> str:
+def parse_name(quoted: str) -> str:
     """The name of a counter, from its part of the path.
 
     Raises:
         errors.ServiceError: `bad_request`, where it can't be a name.
 
-    >>> read_name("a%20b")
+    >>> parse_name("a%20b")
     'a b'
     """
     try:
@@ -52,16 +52,16 @@
         raise errors.ServiceError("bad_request", "The id is no text, empty or too long.", field="id")
     if type(amount) is not int or abs(amount) > MAX_AMOUNT:
         raise errors.ServiceError("bad_request", "The amount is not a whole number.", field=amount_field)
-    return AddCall(counter_state.CallId(read_name(quoted_name), identifier), amount)
+    return AddCall(counter_state.CallId(parse_name(quoted_name), identifier), amount)
 
 
-def read_add(quoted_name: str, document: typing.Any) -> AddCall:  # noqa: ANN401 - any JSON value
+def parse_add(quoted_name: str, document: typing.Any) -> AddCall:  # noqa: ANN401 - any JSON value
     """Parse an add.
 
     Raises:
         errors.ServiceError: `bad_request`, where the body is something else.
 
-    >>> read_add("n", {"id": "x", "amount": 4}).amount
+    >>> parse_add("n", {"id": "x", "amount": 4}).amount
     4
     """
     if type(document) is not dict:
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -23,13 +23,13 @@
 PLAN_FIELDS = ("blueprint", "patch", "base")
 
 
-def read_change(document: typing.Any) -> submitted_changes.SubmittedChange:  # noqa: ANN401 - any JSON value
+def parse_change(document: typing.Any) -> submitted_changes.SubmittedChange:  # noqa: ANN401 - any JSON value
     """Parse a numbered change: a complete configuration, or items to put in and to remove.
 
     Raises:
         errors.ServiceError: `bad_request`, where the body is something else.
 
-    >>> read_change({"number": 3, "built_on": 1, "remove": {"pools": ["p"]}}).number
+    >>> parse_change({"number": 3, "built_on": 1, "remove": {"pools": ["p"]}}).number
     3
     """
     match document:
@@ -61,10 +61,10 @@
     return submitted_changes.SubmittedChange(identifier, number, built_on, make, "blueprint" in document)
 
 
-def check_plan(document: typing.Any) -> None:  # noqa: ANN401 - any JSON value
+def check_plan_request(document: typing.Any) -> None:  # noqa: ANN401 - any JSON value
     """Refuse a plan's request that is malformed.
 
-    >>> check_plan({"patch": []})
+    >>> check_plan_request({"patch": []})
     """
     match document:
         case {"blueprint": _, "patch": _}:
@@ -134,13 +134,13 @@
             case (_, ["plans", *rest]):
                 await self._answer_plans(request, rest)
             case (b"POST", ["changes"]):
-                change = read_change(request.json())
+                change = parse_change(request.json())
                 version = await self.change_applier.apply_change(change)
                 request.answer_json(200, {"number": change.number, "stamp": version, "verdict": "ran"})
             case (_, ["evacuations", *names]):
                 await self._answer_evacuations(request, names)
             case (_, ["counters", name]):
-                await self.serve_counter(request, name)
+                await self.answer_counter(request, name)
             case (b"GET", ["state"]):
                 request.answer_json(200, self.state())
             case (b"GET", ["ready"]):
@@ -157,7 +157,7 @@
             case (b"POST", []):
                 request.answer_json(200, await self.plan(request.json()))
             case (b"GET", [identifier]):
-                request.answer_json(200, await self._planned(identifier))
+                request.answer_json(200, await self._stored_plan(identifier))
             case (b"POST", [identifier, "confirm"]):
                 response = await self.confirm(identifier)
                 request.answer_json(200, {"id": identifier, "stamp": response.version, "verdict": "ran"})
@@ -172,30 +172,30 @@
                 zones = sorted(configuration.evacuated_zones(read.items))
                 request.answer_json(200, {"stamp": read.version, "evacuations": zones})
             case (b"PUT" | b"DELETE", [quoted]):
-                zone = zone_evacuation.read_zone(urllib.parse.unquote(quoted))
+                zone = zone_evacuation.parse_zone(urllib.parse.unquote(quoted))
                 order = zone_evacuation.ZoneOrder(zone, request.method == b"PUT", lambda: not request.gone)
                 version = await self.change_applier.apply(order)
                 request.answer_json(200, {"zone": zone, "stamp": version, "verdict": "ran"})
             case _:
                 raise errors.ServiceError("bad_method", "This path does not take that method.")
 
-    async def serve_counter(self, request: http_server.Request, quoted_name: str) -> None:
+    async def answer_counter(self, request: http_server.Request, quoted_name: str) -> None:
         """Add to a replicated counter, or read it."""
         counters = self.core.replicated_counters
         match request.method:
             case b"POST":
-                add = counter_calls.read_add(quoted_name, request.json())
+                add = counter_calls.parse_add(quoted_name, request.json())
                 await counters.add(add.call_id, add.amount)
                 request.answer_json(200, {"id": add.call_id.id, "verdict": "ran"})
             case b"GET":
-                request.answer_json(200, {"sum": counters.sum_of(counter_calls.read_name(quoted_name))})
+                request.answer_json(200, {"sum": counters.sum_of(counter_calls.parse_name(quoted_name))})
             case _:
                 raise errors.ServiceError("bad_method", "This path does not take that method.")
 
     async def plan(self, document: typing.Any) -> dict[str, typing.Any]:  # noqa: ANN401 - any JSON value
         """Compute and store a plan: a complete configuration or a JSON Patch (RFC 6902) against the committed one."""
         self.counters.plans += 1
-        check_plan(document)
+        check_plan_request(document)
         read = await self.client.read_at_tail("")
         base = document.get("base", read.version)
         if type(base) is not int:
@@ -227,7 +227,7 @@
             )
         return response
 
-    async def _planned(self, identifier: str) -> dict[str, typing.Any]:
+    async def _stored_plan(self, identifier: str) -> dict[str, typing.Any]:
         read = await self.client.read_at_tail(identifier)
         if read.plan is None:
             raise errors.ServiceError("not_found", "No such plan is remembered.")
--- a/iriswheel/control/zone_evacuation.py
+++ b/iriswheel/control/zone_evacuation.py
@@ -58,13 +58,13 @@
         return submitted_changes.Applicable([(key, {} if self.evacuated else None)])
 
 
-def read_zone(text: str) -> str:
+def parse_zone(text: str) -> str:
     """A zone's name out of an order's path.
 
     Raises:
         errors.ServiceError: `bad_request`, where this is no name.
 
-    >>> read_zone("north")
+    >>> parse_zone("north")
     'north'
     """
     if not text or len(text) > MAX_ZONE_CHARACTERS or not text.isprintable():
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -35,7 +35,7 @@
 
 class TestConfigurationsLeaveEvacuationsAlone:
     def test_a_complete_change_does_not_readmit_a_zone(self) -> None:
-        change = operator_api.read_change({"number": 4, "built_on": 3, "blueprint": {"pools": {"p": {}}}})
+        change = operator_api.parse_change({"number": 4, "built_on": 3, "blueprint": {"pools": {"p": {}}}})
         decision = submitted_changes.decide(known({**OPERATOR, **NORTH, "pools/q": {}}), change)
         assert isinstance(decision, submitted_changes.Applicable)
         assert dict(decision.changes) == {
@@ -45,13 +45,13 @@
         }
 
     def test_a_change_of_named_items_does_not_readmit_a_zone(self) -> None:
-        change = operator_api.read_change({"number": 4, "built_on": 3, "upsert": {"pools": {"p": {}}}})
+        change = operator_api.parse_change({"number": 4, "built_on": 3, "upsert": {"pools": {"p": {}}}})
         decision = submitted_changes.decide(known({**OPERATOR, **NORTH}), change)
         assert isinstance(decision, submitted_changes.Applicable)
         assert dict(decision.changes) == {"marks/operator": {"number": 4}, "pools/p": {}}
 
     def test_a_complete_change_that_stands_already_stands_beside_an_evacuation(self) -> None:
-        change = operator_api.read_change({"number": 4, "built_on": 2, "blueprint": {"pools": {"p": {}}}})
+        change = operator_api.parse_change({"number": 4, "built_on": 2, "blueprint": {"pools": {"p": {}}}})
         stands = {"marks/operator": {"number": 4}, "pools/p": {}, **NORTH}
         assert submitted_changes.decide(known(stands), change) == submitted_changes.Applicable([])
 
@@ -77,7 +77,7 @@
     @pytest.mark.parametrize("name", ["", "a" * 129, "a\nb"])
     def test_what_is_no_name_of_a_zone_is_refused(self, name: str) -> None:
         with pytest.raises(errors.ServiceError):
-            zone_evacuation.read_zone(name)
+            zone_evacuation.parse_zone(name)
 
 
 class OrderedCore:
