--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -55,7 +55,7 @@
         self.chain = chain.Chain(runtime, self.disk, state, self.peers)
         self.consensus = self._make_consensus(state)
         self.chain.consensus = self.consensus
-        self.chain.on_commit = self._announce
+        self.chain.on_commit = self._wake_senders
         self.membership = membership_manager.MembershipManager(
             runtime, self.consensus, owned_pools.OwnedPools(self.chain).names
         )
@@ -64,10 +64,10 @@
         parts = core_parts.CoreParts(
             runtime, self.peers, self.chain, self.consensus, self.membership, self.lease, self.node_reports
         )
-        self.tail_contact = tail_contact.TailContact(parts, self._announce)
+        self.tail_contact = tail_contact.TailContact(parts, self._wake_senders)
         self.node_sessions = node_session.NodeSessions(parts, self.is_serving)
         self.tail_service = tail_service.TailService(
-            parts, options, self.tail_contact, self.node_sessions, self._announce
+            parts, options, self.tail_contact, self.node_sessions, self._wake_senders
         )
         self.consensus.tail_lease.on_obtained = self.tail_service.on_lease
         self.reporter = reports.SessionReporter(parts, self.node_sessions, self.tail_service.apply_report)
@@ -150,7 +150,7 @@
 
     def is_serving(self) -> bool:
         """Whether nodes may rely on this core machine: the tail was heard just now."""
-        return not self.stopping and self.consensus.is_serving() and self.tail_contact.is_fresh()
+        return not self.stopping and self.consensus.is_serving() and self.tail_contact.has_recent_answer()
 
     async def handle(self, request: http_server.Request) -> None:
         """Answer one operator's request."""
@@ -243,7 +243,7 @@
         self.tail_service.heartbeat_now.wake()
         self.peers.keep(self.consensus.addresses())
 
-    def _announce(self) -> None:
+    def _wake_senders(self) -> None:
         """Wake the sessions of nodes and the heartbeats to other core machines, to send new state."""
         self.node_sessions.wake_all()
         self.tail_service.heartbeat_now.wake()
@@ -255,7 +255,7 @@
         whom the others can't go on stays for the whole grace, at whose end the platform kills it.
         """
         self.node_sessions.stop()
-        self._announce()
+        self._wake_senders()
         self.consensus.announce_departure()
         self.replicated_counters.stop()
         until = self.runtime.now() + self.options.grace_us
--- a/iriswheel/control/tail_contact.py
+++ b/iriswheel/control/tail_contact.py
@@ -12,7 +12,9 @@
     from iriswheel.control import core_parts
     from iriswheel.transport import message
 
-FRESH_US = 1_100 * units.MILLISECOND_US  # without an answer of the tail for so long, a core machine does not serve
+CONTACT_TIMEOUT_US = (
+    1_100 * units.MILLISECOND_US
+)  # without an answer of the tail for so long, a core machine does not serve
 
 
 class AnsweredReport(typing.NamedTuple):
@@ -25,22 +27,22 @@
 class TailContact:
     """Receives the tail's heartbeats; wakes operators' calls that wait for a version to be applied."""
 
-    def __init__(self, parts: core_parts.CoreParts, announce: collections.abc.Callable[[], None]) -> None:
-        """Start without contact; `announce` wakes the node sessions and heartbeats that pass on new state."""
+    def __init__(self, parts: core_parts.CoreParts, wake_senders: collections.abc.Callable[[], None]) -> None:
+        """Start without contact; `wake_senders` wakes the node sessions and heartbeats that pass on new state."""
         self.parts = parts
-        self.announce = announce
+        self.wake_senders = wake_senders
         self.answered_report = AnsweredReport()
         self.session_count = 0  # members that have a session, as the tail counts them
         self.applied_by_all = 0  # every node has applied the log at least up to this index
         self._applied_by_all_changed = scheduler.Signal()
 
-    def is_fresh(self) -> bool:
+    def has_recent_answer(self) -> bool:
         """Whether the tail of the present view answered a report not longer than FRESH_US ago."""
         view = self.parts.consensus.view
         return (
             view is not None
             and self.answered_report.view == view.number
-            and self.parts.runtime.now() - self.answered_report.sent_at < FRESH_US
+            and self.parts.runtime.now() - self.answered_report.sent_at < CONTACT_TIMEOUT_US
         )
 
     def no_node_reachable(self) -> bool:
@@ -61,16 +63,16 @@
         self.parts.membership.keep_newest(heartbeat.membership)
         if self.parts.chain.is_synced():
             self.parts.chain.commit(heartbeat.index)
-        self._advance(heartbeat.applied_by_all)
+        self._raise_applied_by_all(heartbeat.applied_by_all)
         self.parts.node_reports.record_listing_unchanged(heartbeat.listing_unchanged)
         self.session_count = heartbeat.sessions
-        self.announce()
+        self.wake_senders()
 
     def record_own_heartbeat(self, view: int, echo: int, applied_by_all: int, session_count: int) -> None:
         """Record what a heartbeat would bring, where this machine is the tail itself."""
         self.parts.lease.renew(echo)
         self.answered_report = AnsweredReport(self.parts.runtime.now(), view)
-        self._advance(applied_by_all)
+        self._raise_applied_by_all(applied_by_all)
         self.session_count = session_count
 
     async def wait_until_applied(self, index: int, until: int) -> None:
@@ -89,7 +91,7 @@
                 )
             await self.parts.runtime.pause(self._applied_by_all_changed, left)
 
-    def _advance(self, index: int) -> None:
+    def _raise_applied_by_all(self, index: int) -> None:
         if index > self.applied_by_all:
             self.applied_by_all = index
             self._applied_by_all_changed.wake()
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -40,16 +40,16 @@
         options: options.Options,
         contact: tail_contact.TailContact,
         sessions: node_session.NodeSessions,
-        announce: collections.abc.Callable[[], None],
+        wake_senders: collections.abc.Callable[[], None],
     ) -> None:
-        """Count every node as a lease holder at first; `announce` wakes what passes on a new membership."""
+        """Count every node as a lease holder at first; `wake_senders` wakes what passes on a new membership."""
         self.parts = parts
         self.options = options
         self.contact = contact
         self.sessions = sessions
-        self.announce = announce
-        self.holders = lease.LeaseHolders(options.lease_us, parts.runtime.now())
-        self.received_reports: dict[str, int] = {}  # core -> `sent_at` of its newest report in this view
+        self.wake_senders = wake_senders
+        self.lease_holders = lease.LeaseHolders(options.lease_us, parts.runtime.now())
+        self.newest_report_times: dict[str, int] = {}  # core -> `sent_at` of its newest report in this view
         self.heartbeat_now = scheduler.Signal()
         self.issue_now = scheduler.Signal()
         self._announced_version: message.MembershipVersion | None = None  # of the membership that was last announced
@@ -57,12 +57,12 @@
 
     def on_view(self, view: message.View) -> None:
         """Forget the reports of the view before, and count who may hold leases from it."""
-        self.received_reports = {}
+        self.newest_report_times = {}
         previous_chain = self.parts.consensus.previous_chain
         own_replica = decisions.ReplicaIncarnation(self.parts.consensus.own_voter.id, self.parts.runtime.incarnation)
         was_tail = previous_chain is not None and previous_chain[-1:] == [own_replica]
         chain = decisions.chain_incarnations(view)
-        self.holders.on_view(previous_chain, chain, self.parts.runtime.now(), was_tail)
+        self.lease_holders.on_view(previous_chain, chain, self.parts.runtime.now(), was_tail)
 
     def on_lease(self) -> None:
         """This machine has got the tail's lease: others learn it at once, and the wait for the nodes begins."""
@@ -74,25 +74,25 @@
 
         A first report, and one that lists nodes without a lease yet, is answered at once.
         """
-        before = self.applied()
-        lists_new_nodes = report.core not in self.received_reports or any(
-            node not in self.holders.holders for node, _, _ in report.leases
+        before = self.applied_by_all()
+        lists_new_nodes = report.core not in self.newest_report_times or any(
+            node not in self.lease_holders.holders for node, _, _ in report.leases
         )
         self.parts.node_reports.record_listing_unchanged(report.listing_unchanged)
         self.parts.membership.apply_report(report)
         self._announce_membership()
         view = self.parts.consensus.view
         if self.parts.consensus.is_tail() and view is not None and report.view == view.number:
-            self.received_reports[report.core] = max(report.sent_at, self.received_reports.get(report.core, 0))
-            self.holders.record_heartbeat(report.core, report.leases, self.parts.runtime.now())
-        if self.applied() != before or lists_new_nodes:
+            self.newest_report_times[report.core] = max(report.sent_at, self.newest_report_times.get(report.core, 0))
+            self.lease_holders.record_heartbeat(report.core, report.leases, self.parts.runtime.now())
+        if self.applied_by_all() != before or lists_new_nodes:
             self.heartbeat_now.wake()
 
-    def applied(self) -> int:
+    def applied_by_all(self) -> int:
         """The index up to which every node that may hold a lease has applied the log; 0 where it is not known."""
         if not self.parts.consensus.holds_lease():
             return 0
-        return self.holders.applied(self.parts.chain.committed_state.index, self.parts.runtime.now())
+        return self.lease_holders.applied(self.parts.chain.committed_state.index, self.parts.runtime.now())
 
     async def remove_member(self, leaving: message.MemberLeaving) -> None:
         """Remove a node that says it leaves; where another machine is the tail, pass the message on."""
@@ -121,21 +121,21 @@
                 rounds += 1
                 if rounds % FULL_ROUND_INTERVAL == 0:
                     self._sent_memberships.clear()
-                self._send_round(view)
+                self._send_to_chain(view)
             await self.parts.runtime.pause(self.heartbeat_now, HEARTBEAT_INTERVAL_US)
 
-    def _send_round(self, view: message.View) -> None:
+    def _send_to_chain(self, view: message.View) -> None:
         index = self.parts.chain.committed_state.index
         latest = self.parts.membership.latest if self.parts.membership.has_issued() else None
         for replica in view.chain:
             heartbeat = message.TailHeartbeat(
                 view=view.number,
                 index=index,
-                applied_by_all=self.applied(),
+                applied_by_all=self.applied_by_all(),
                 sessions=self.parts.membership.session_count(),
                 membership=self._membership_for(replica, view.number, latest),
                 listing_unchanged=self.parts.node_reports.listing_unchanged,
-                echo=self.received_reports.get(replica.id, 0),
+                echo=self.newest_report_times.get(replica.id, 0),
             )
             if replica.id == self.parts.consensus.own_voter.id:
                 self.contact.record_own_heartbeat(
@@ -162,4 +162,4 @@
         """Have the membership passed on where it has changed."""
         if self.parts.membership.latest is not None and self.parts.membership.latest.version != self._announced_version:
             self._announced_version = self.parts.membership.latest.version
-            self.announce()
+            self.wake_senders()
