--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -229,7 +229,7 @@
         if self.stopping:
             self.node_sessions.redirect(connection)
             return
-        self.node_sessions.offer_unconfirmed(connection, join)
+        self.node_sessions.send_unconfirmed_configuration(connection, join)
         self.loads.reset_node(join.member.id)
         self.counters.joins += 1
         self.node_sessions.open(connection, join)
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -58,7 +58,7 @@
         self.heartbeat_sent_at = 0
         self.has_lease = False  # whether the last heartbeat brought the node a lease
         self.node_time = join.sent_at  # the newest time that the node put on a heartbeat, on its clock
-        self.sliced_from: SliceSource | None = None
+        self.slice_source: SliceSource | None = None
         self.changed = scheduler.Signal()
 
     def flush(self) -> None:
@@ -100,11 +100,11 @@
     def _send_configuration(self) -> None:
         base, latest = self.parts.chain.committed_state, self.parts.membership.latest
         source = SliceSource(base.index, latest.version if latest is not None else None)
-        if base.index < self.sent_index or source == self.sliced_from:
+        if base.index < self.sent_index or source == self.slice_source:
             return
         if self.sent_index < 0 and not self.is_serving():
             return  # the state may be out of date, and the node has none at all yet
-        self.sliced_from = source
+        self.slice_source = source
         current = self._slice()
         if self.sent_slice is None:
             self.connection.tell(message.ConfigurationSnapshot(base.index, current))
@@ -180,12 +180,12 @@
         self.parts.runtime.spawn(self._run(session), log)
         self.parts.node_reports.report_now.wake()
 
-    def offer_unconfirmed(self, connection: wire.Connection, join: message.JoinRequest) -> None:
+    def send_unconfirmed_configuration(self, connection: wire.Connection, join: message.JoinRequest) -> None:
         """Send what this disk holds to a node that knows nothing, while no tail is heard soon after the start."""
         parts = self.parts
         state = parts.chain.latest_state
-        early = parts.runtime.now() - parts.consensus.started_at < UNCONFIRMED_AFTER_START_US
-        if self.is_serving() or join.applied_index >= 0 or not state.index or not early:
+        started_recently = parts.runtime.now() - parts.consensus.started_at < UNCONFIRMED_AFTER_START_US
+        if self.is_serving() or join.applied_index >= 0 or not state.index or not started_recently:
             return
         items = configuration.slice_for_node(state.items, join.member.zone)
         connection.tell(message.UnconfirmedConfiguration((state.view, state.index), items))
--- a/iriswheel/control/slices.py
+++ b/iriswheel/control/slices.py
@@ -12,7 +12,7 @@
 if typing.TYPE_CHECKING:
     from iriswheel.replication import replicated_state
 
-CAPACITY = 256  # of each cache
+CACHE_CAPACITY = 256  # of each cache
 
 Slice: typing.TypeAlias = dict[str, configuration.Item]
 SliceChanges: typing.TypeAlias = dict[str, configuration.Item | None]  # None removes an item
@@ -73,7 +73,7 @@
 
 def _store(cache: dict[Key, Value], key: Key, value: Value) -> Value:
     """Put a value into a cache, in place of the oldest one where the cache is full."""
-    if len(cache) >= CAPACITY:
+    if len(cache) >= CACHE_CAPACITY:
         del cache[next(iter(cache))]
     cache[key] = value
     return value
