--- a/iriswheel/replication/__init__.py
+++ b/iriswheel/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Chain replication of the configuration: log, state, snapshots, sender, receiver, head and tail."""
+"""Chain replication of the configuration between core machines: log, state, snapshots, sender, receiver, head, tail."""
--- a/iriswheel/replication/chain.py
+++ b/iriswheel/replication/chain.py
@@ -1,6 +1,8 @@
-"""Chain replication on one core machine: changes enter at the head, are synced on every replica, and the tail reads.
+"""Chain replication on one core machine.
 
-This module puts the parts together: log, sender, receiver, proposals at the head, commits and reads at the tail.
+A change enters at the head of the chain and passes from replica to replica, each of which syncs it to disk. The tail
+commits it, since then every replica has it, and answers all reads. This module composes the parts of one replica: log,
+sender, receiver, proposals (used at the head), commits and reads (used at the tail).
 """
 
 from __future__ import annotations
@@ -40,13 +42,13 @@
 
 
 class Chain:
-    """One core machine's replica of the chain.
+    """The replica that one core machine keeps of the replicated log.
 
     Args:
-        runtime: Clock and tasks.
-        disk: Where entries and snapshots are synced.
-        records: What the disk held at the start.
-        peers: Calls to other core machines.
+        runtime: Clock and task scheduler.
+        disk: The disk that log entries and snapshots are synced to.
+        records: All keys and values that the disk held when the process started.
+        peers: Client for calls to other core machines.
     """
 
     def __init__(
@@ -66,7 +68,7 @@
 
     @property
     def consensus(self) -> view_consensus.ViewConsensus:
-        """View consensus on this machine; set once, before the first view."""
+        """The view consensus of this machine; assigned once, before the first view is installed."""
         return self.position.consensus
 
     @consensus.setter
@@ -75,7 +77,7 @@
 
     @property
     def on_commit(self) -> collections.abc.Callable[[], object]:
-        """Called after entries were committed, or a snapshot has taken their place."""
+        """The callback that runs after entries were committed or the log was replaced by a snapshot."""
         return self.log.on_commit
 
     @on_commit.setter
@@ -84,37 +86,37 @@
 
     @property
     def committed_state(self) -> replicated_state.ReplicatedState:
-        """The state after the newest entry that is known here to be committed."""
+        """The replicated state after the newest entry that this replica knows to be committed."""
         return self.log.committed_state
 
     @property
     def latest_state(self) -> replicated_state.ReplicatedState:
-        """The state after the newest entry that is synced here, committed or not."""
+        """The replicated state after the newest entry that this replica has synced, committed or not."""
         return self.log.latest_state
 
     @property
     def history(self) -> collections.abc.Mapping[int, replicated_state.ReplicatedState]:
-        """The newest committed states, by index."""
+        """The most recent committed states, by log index."""
         return self.log.history
 
     def is_synced(self) -> bool:
-        """Whether this copy holds all that was acknowledged before the newest view."""
+        """Whether this replica holds every entry that was acknowledged before the newest view."""
         return self.position.is_synced()
 
     def commit(self, index: int) -> None:
-        """Commit the entries up to an index, as far as they are here."""
+        """Commit the entries up to a log index, or up to the newest one stored where this replica has fewer."""
         self.log.commit(index)
 
     def install(self, view: message.View) -> None:
-        """Start on a new view: waiting tasks of the old one end, and the next replica is fed anew."""
+        """Install a new view: tasks that wait in the old view end, and replication to the successor starts again."""
         self.log.appended.wake()
         self.log.committed.wake()
         self.runtime.spawn(self._start(view), log)
 
     async def _start(self, view: message.View) -> None:
-        """In a new view: at the tail, commit what all replicas hold; elsewhere, feed the next replica."""
+        """Begin work in a new view: the tail commits, any other replica sends entries to its successor."""
         async with self.log.lock:
-            pass  # a write that an earlier view began ends first
+            pass  # waits for a write that was started in an earlier view
         if self.position.is_tail_of(view.number):
             self.tail.commit_synced(view.number)
             return
@@ -123,7 +125,7 @@
             await self.sender.replicate_to(view, successor)
 
     async def answer(self, request: ChainRequest) -> ChainResponse:
-        """Answer a message of the chain from another core machine, or of an operator's connection."""
+        """Answer a request to this replica, from another core machine or from this machine's own chain client."""
         match request:
             case message.PositionRequest():
                 return await self.receiver.answer_position(request)
--- a/iriswheel/replication/proposals.py
+++ b/iriswheel/replication/proposals.py
@@ -1,4 +1,4 @@
-"""Operators' changes at the head of the chain: admitted, appended, and answered once they are committed."""
+"""Operators' changes at the head of the chain: checked, appended to the log, and answered once they are committed."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def refuse(code: str, text: str) -> message.ProposeChangeResponse:
-    """The answer to a change that was not run, and never will be by this request."""
+    """A refusal: the change has not run, and this request will not cause it to run later."""
     return message.ProposeChangeResponse(code, errors.ExecutionOutcome.NOT_RUN.value, text)
 
 
 def index_of_accepted(state: replicated_state.ReplicatedState, request: message.ProposeChange) -> int | None:
-    """The entry that the same change became before, or None where it is new or no longer remembered."""
+    """The log index at which the same change was accepted before; None if it is new or its id was dropped."""
     if request.kind == message.ChangeKind.PLAN:
         plan = state.plans.get(request.plan)
         return plan.index if plan is not None else None
@@ -28,7 +28,7 @@
 def refusal_of_new_change(
     state: replicated_state.ReplicatedState, request: message.ProposeChange
 ) -> message.ProposeChangeResponse | None:
-    """Why a new change can't follow the state, or None where it can."""
+    """The refusal of a change that can't follow this state (unknown plan, outdated base); None if it can."""
     base = request.base
     if request.kind == message.ChangeKind.CONFIRM:
         plan = state.plans.get(request.plan)
@@ -42,7 +42,12 @@
 
 
 def _refuse_unknown_plan(state: replicated_state.ReplicatedState, identifier: str) -> message.ProposeChangeResponse:
-    prefix = identifier.split("-")[0]  # the version that a plan was computed on
+    """Refuse to confirm a plan that the state does not hold.
+
+    A plan's id begins with the version it is based on. A plan based on an older version may have been
+    confirmed and dropped since, so its outcome is unknown.
+    """
+    prefix = identifier.split("-")[0]
     if prefix.isdigit() and int(prefix) < state.version:
         return message.ProposeChangeResponse(
             "not_found", errors.ExecutionOutcome.MAY_HAVE_RUN.value, "The plan is no longer remembered."
@@ -64,7 +69,7 @@
         self.tail = chain_tail
 
     async def propose(self, request: message.ProposeChange) -> message.ProposeChangeResponse:
-        """Take an operator's change; the same change again has the same answer."""
+        """Append a change to the log and wait until it is committed; a repeated change gets the same answer again."""
         async with self.log.lock:
             refused = self._refusal_while_unavailable(request.view)
             if refused is not None:
@@ -83,13 +88,13 @@
         return await self._wait_for_outcome(request, index)
 
     def _refusal_while_unavailable(self, view_number: int) -> message.ProposeChangeResponse | None:
-        """Why this machine can take no change now, or None."""
+        """The refusal while this machine can't accept any change; None if it can."""
         view = self.position.consensus.view
         if view is None or self.position.index_in(view_number) != 0 or not self.position.is_synced():
-            return refuse("no_chain", "This machine is not the head of the chain now.")
+            return refuse("no_chain", "This machine is currently not the head of the chain.")
         if not self.position.has_enough_copies(view):
             copies = self.position.consensus.required_copies
-            text = f"Machines with a disk: {len(view.chain)} are there, {copies} must keep a change."
+            text = f"The chain has {len(view.chain)} replicas, but a change must be stored on {copies}."
             return refuse("too_few_copies", text)
         if not self.log.disk.ok:
             return refuse("no_chain", "The head's disk does not work.")
@@ -100,13 +105,15 @@
         entry = message.LogEntry(index, request.view, request.kind, request.plan, request.base, request.changes)
         await self.log.append([entry])
         self.log.appended.wake()
-        self.tail.commit_synced(request.view)  # where one copy is enough, the head may be the tail
+        self.tail.commit_synced(request.view)  # if one copy is enough, the head may be the tail as well
         return index
 
     async def _wait_for_outcome(self, request: message.ProposeChange, index: int) -> message.ProposeChangeResponse:
-        """The answer to a change that became an entry, once that is committed or its view has ended."""
+        """Wait until the entry of a change is committed or the view has ended, and return the answer."""
         unknown = message.ProposeChangeResponse(
-            "unknown_outcome", errors.ExecutionOutcome.MAY_HAVE_RUN.value, "The chain changed meanwhile."
+            "unknown_outcome",
+            errors.ExecutionOutcome.MAY_HAVE_RUN.value,
+            "The chain was reconfigured before the change was committed; it may or may not take effect.",
         )
         while self.log.committed_state.index < index:
             if not self.position.serves_in(request.view):
--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -1,4 +1,4 @@
-"""The receiving side between two replicas: stores what the replica before sends, and answers once it is committed."""
+"""The receiving side of replication: stores entries from the predecessor, and answers once they are committed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Receiver:
-    """Handles the calls of the replica before this one in the chain."""
+    """Handles the calls of the predecessor, the replica before this one in the chain."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self.incoming = snapshot_transfer.IncomingSnapshot()
 
     async def answer_position(self, request: message.PositionRequest) -> message.PositionResponse:
-        """Answer with the newest synced position, once no write is under way that would change it."""
+        """Answer with the position of the newest synced entry, after any write in progress has ended."""
         async with self.log.lock:
             if not self.position.has_predecessor_in(request.view):
                 return message.PositionResponse(False)
@@ -42,13 +42,13 @@
             )
 
     def receive_chunk(self, chunk: message.SnapshotChunk) -> message.SnapshotChunkResponse:
-        """Keep one chunk of a snapshot in memory."""
+        """Store one chunk of an incoming snapshot in memory; a replica that is synced refuses it."""
         if not self.position.has_predecessor_in(chunk.view) or self.position.is_synced():
             return message.SnapshotChunkResponse(False)
         return message.SnapshotChunkResponse(True, self.incoming.add_chunk(chunk))
 
     async def append(self, request: message.AppendRequest) -> message.AppendResponse:
-        """Store new entries from the replica before; answer once they are committed."""
+        """Store new entries from the predecessor, and answer once they are committed."""
         try:
             async with self.log.lock:
                 is_in_place = self.position.has_predecessor_in(request.view) and self.position.is_synced()
@@ -59,7 +59,7 @@
         return await self._wait_for_commit(request.view, request.entries)
 
     async def catch_up(self, request: message.CatchUp) -> message.AppendResponse:
-        """Store what the replica before sends to catch up; after the last of it, answer once it is committed."""
+        """Store one catch-up message of the predecessor; the last one is answered once its entries are committed."""
         try:
             async with self.log.lock:
                 if not self.position.has_predecessor_in(request.view) or not await self._store(request):
@@ -77,7 +77,11 @@
         return response
 
     async def _store(self, request: message.CatchUp) -> bool:
-        """Store one message of catching up by its kind; whether it fits what is here."""
+        """Store one catch-up message: a whole snapshot, entries after a sent snapshot, or entries only.
+
+        Returns:
+            Whether the message was stored; False if it does not continue what this replica holds.
+        """
         if request.frame is not None:
             return await self._restore(request.frame, snapshot_format.decode(request.frame), request.entries)
         if request.snapshot:
@@ -87,7 +91,7 @@
         return await self.log.extend(request.entries)
 
     async def _stage_entries(self, request: message.CatchUp) -> bool:
-        """Keep entries that follow an incoming snapshot; with the last of them the snapshot replaces this copy."""
+        """Keep entries that follow an incoming snapshot in memory; on the last message replace this replica's log."""
         incoming = self.incoming
         if not incoming.complete or incoming.digest != request.snapshot:
             return False
@@ -102,13 +106,13 @@
     async def _restore(
         self, snapshot: bytes, state: replicated_state.ReplicatedState, entries: list[message.LogEntry]
     ) -> bool:
-        """Replace this copy by a snapshot and all entries after it, unless the snapshot was held up on its way.
+        """Replace this replica's log by a snapshot and all entries after it, unless the snapshot arrived late.
 
-        A copy that is synced in this view holds what the sender held earlier in it. A snapshot that ends before
-        such a copy does was sent before the copy was synced, and would take back entries.
+        A replica that is synced in this view holds all that the sender held when it was synced. A snapshot that
+        ends before the newest entry of such a replica was sent before that moment, and would remove entries.
 
         Returns:
-            Whether the copy was replaced.
+            Whether the log was replaced.
         """
         record = self.position.consensus.record
         may_restore = decisions.may_restore(record, self.log.last_index, state.index)
@@ -118,7 +122,7 @@
         return True
 
     async def _wait_for_commit(self, view_number: int, entries: list[message.LogEntry]) -> message.AppendResponse:
-        """Pass on what was stored, and answer once all replicas down to the tail have it."""
+        """Wake the sender to forward the stored entries, and answer once all replicas up to the tail have them."""
         if not self.position.has_predecessor_in(view_number) or not self.position.is_synced():
             return message.AppendResponse(False)
         index = entries[-1].index if entries else self.log.last_index
--- a/iriswheel/replication/replicated_log.py
+++ b/iriswheel/replication/replicated_log.py
@@ -1,4 +1,4 @@
-"""One replica's log: entries and snapshot on disk, and the committed and the latest state in memory."""
+"""The log of one replica: entries and a snapshot on disk, the committed and the latest state in memory."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 ENTRY_KEY_PREFIX = b"e"
 
 MAX_BATCH_ENTRIES = 64
-KEPT_ENTRIES = 512  # entries behind the snapshot, entries until the next one, and states for nodes that resume
-MAX_BYTES_SINCE_SNAPSHOT = 32 << 20  # a snapshot after so many bytes of changes; entries are kept up to this size
+KEPT_ENTRIES = (
+    512  # old entries kept behind a snapshot, entries between snapshots, and states kept for nodes that rejoin
+)
+MAX_BYTES_SINCE_SNAPSHOT = 32 << 20  # of changes before a new snapshot is due, and of entries kept on disk
 
 log = loguru.logger.bind(part="chain")
 encode_entry = msgspec.msgpack.encode
@@ -28,7 +30,7 @@
 
 
 def entry_key(index: int) -> bytes:
-    """The disk's key of an entry.
+    """The key under which an entry is stored on disk.
 
     >>> entry_key(7)
     b'e0000000000000007'
@@ -37,12 +39,12 @@
 
 
 class ReplicatedLog:
-    """The entries that this replica has synced, and the states that they make.
+    """The entries that this replica has synced, and the states that result from them.
 
     Args:
-        runtime: Clock and tasks.
-        disk: Where entries and snapshots are synced.
-        records: What the disk held at the start.
+        runtime: Clock and task scheduler.
+        disk: The disk that entries and snapshots are synced to.
+        records: All keys and values that the disk held when the process started.
     """
 
     def __init__(
@@ -54,18 +56,18 @@
         self.runtime = runtime
         self.disk = disk
         self.lock = defer.DeferredLock()
-        """Held by whoever decides on a write until that is synced."""
+        """Held from the decision on a write until the write is synced."""
         raw = records.get(SNAPSHOT_KEY)
         self.committed_state = replicated_state.ReplicatedState() if raw is None else snapshot_format.decode(raw)
         stored = [decode_entry(value) for key, value in sorted(records.items()) if key.startswith(ENTRY_KEY_PREFIX)]
         self.entries = {entry.index: entry for entry in stored}
         self.latest_state = self.committed_state
-        """With the entries that are not committed yet."""
+        """The committed state with the uncommitted entries applied."""
         for entry in stored:
             if entry.index > self.latest_state.index:
                 self.latest_state = self.latest_state.apply(entry)
         self.history = {self.committed_state.index: self.committed_state}
-        """The newest committed states, by index."""
+        """The most recent committed states, by log index."""
         self.appended = scheduler.Signal()
         self.committed = scheduler.Signal()
         self.on_commit: collections.abc.Callable[[], object] = lambda: None
@@ -75,13 +77,13 @@
 
     @property
     def last_index(self) -> int:
-        """The newest entry that is synced here."""
+        """The index of the newest entry that this replica has synced."""
         return self.latest_state.index
 
     # ---- commit --------------------------------------------------------------
 
     def commit(self, index: int) -> None:
-        """Commit the entries up to an index, as far as they are here."""
+        """Commit the entries up to an index, or up to the newest one stored where this replica has fewer."""
         if index <= self.committed_state.index:
             return
         while self.committed_state.index < min(index, self.last_index):
@@ -106,7 +108,7 @@
             self.runtime.spawn(self._compact(), log)
 
     async def _compact(self) -> None:
-        """Write a snapshot of the committed state, and drop the entries far behind it."""
+        """Write a snapshot of the committed state, and delete old entries that exceed the bounds on count or bytes."""
         async with self.lock:
             old = self._entries_to_compact()
             snapshot: storage.Write = (SNAPSHOT_KEY, snapshot_format.encode(self.committed_state))
@@ -114,7 +116,7 @@
             try:
                 await self.disk.commit([snapshot, *removals])
             except storage.DiskError:
-                self._snapshot_index -= KEPT_ENTRIES // 2  # so that the next try is due after half as many entries
+                self._snapshot_index -= KEPT_ENTRIES // 2  # retry after half the usual number of entries
                 return
             for index in old:
                 del self.entries[index]
@@ -124,7 +126,7 @@
                 self._pinned_snapshot = None
 
     def _entries_to_compact(self) -> list[int]:
-        """The committed entries behind the bounds on count and bytes, newest first."""
+        """The indexes of committed entries that exceed the bounds on count or bytes, newest first."""
         old: list[int] = []
         kept_bytes = 0
         for index in sorted(self.entries, reverse=True):
@@ -138,11 +140,11 @@
     # ---- read ----------------------------------------------------------------
 
     def has_all_entries_after(self, index: int) -> bool:
-        """Whether all entries after an index are here."""
+        """Whether the log holds every entry after an index."""
         return all(key in self.entries for key in range(index + 1, self.last_index + 1))
 
     def can_continue_from(self, position: message.LogPosition) -> bool:
-        """Whether a copy that ends at a position is a beginning of this one, and all entries after it are here."""
+        """Whether a log that ends at a position is a prefix of this one, and this one holds all entries after it."""
         if position.index > self.last_index or not self.has_all_entries_after(position.index):
             return False
         if position == self.committed_state.position:
@@ -150,7 +152,7 @@
         return position.index in self.entries and self.entries[position.index].view == position.view
 
     def batch(self, first: int) -> list[message.LogEntry]:
-        """Entries from an index on, bounded by count and by bytes; at least one where there is any."""
+        """Entries from an index on, bounded by count and bytes; at least one if any exists."""
         entries: list[message.LogEntry] = []
         size = 0
         for index in range(first, min(self.last_index, first + MAX_BATCH_ENTRIES - 1) + 1):
@@ -166,7 +168,10 @@
         return [self.entries[key] for key in range(index + 1, self.last_index + 1)]
 
     def pin_snapshot(self) -> snapshot_transfer.OutgoingSnapshot:
-        """The snapshot to send: the last one as long as the log follows it, since replicas may have a part of it."""
+        """The snapshot to send.
+
+        The last one sent is reused while the log holds all entries after it, since a replica may have received a part.
+        """
         pinned = self._pinned_snapshot
         if pinned is None or not self.has_all_entries_after(pinned.position.index):
             content = snapshot_format.encode(self.committed_state)
@@ -174,13 +179,13 @@
             self._pinned_snapshot = pinned
         return pinned
 
-    # ---- write, under the lock -------------------------------------------------
+    # ---- write (the caller holds the lock) -------------------------------------------------
 
     async def append(self, entries: list[message.LogEntry]) -> None:
-        """Sync entries that follow the newest one here.
+        """Sync entries that follow the newest one, and apply them to the latest state.
 
         Raises:
-            storage.DiskError: The disk refused them, and they are not here.
+            storage.DiskError: The write failed, and none of the entries was appended.
         """
         await self.disk.commit([(entry_key(entry.index), encode_entry(entry)) for entry in entries])
         for entry in entries:
@@ -188,10 +193,10 @@
             self.latest_state = self.latest_state.apply(entry)
 
     async def extend(self, entries: list[message.LogEntry]) -> bool:
-        """Append those of the entries that are not here already; False where there is a gap before them.
+        """Append those entries that the log does not hold yet; False if they would leave a gap.
 
         Raises:
-            storage.DiskError: The disk refused them.
+            storage.DiskError: The write failed.
         """
         new = [entry for entry in entries if entry.index > self.last_index]
         if not snapshot_transfer.is_consecutive(self.last_index, new):
@@ -203,18 +208,18 @@
     async def replace(
         self, snapshot: bytes, state: replicated_state.ReplicatedState, entries: list[message.LogEntry]
     ) -> None:
-        """Replace all that is here by a snapshot and the entries after it, in one synced write.
+        """Replace the whole log by a snapshot and the entries after it, in one synced write.
 
-        It is one write because what was here may have been acknowledged: at any moment this replica holds
-        either that, or all that the replica before held when it sent the last entry.
+        It must be a single write, because the old log may contain acknowledged entries: at any moment this replica
+        holds either the old log, or all that its predecessor held when it sent the last entry.
 
         Args:
-            snapshot: The bytes to store.
-            state: The same snapshot decoded.
-            entries: All that follow it, without a gap.
+            snapshot: The encoded snapshot to store.
+            state: The state decoded from that snapshot.
+            entries: All entries that follow the snapshot, without a gap.
 
         Raises:
-            storage.DiskError: The disk refused it, and all is as it was.
+            storage.DiskError: The write failed, and the old log is unchanged.
         """
         writes: list[storage.Write] = [(entry_key(index), None) for index in self.entries]
         writes.append((SNAPSHOT_KEY, snapshot))
--- a/iriswheel/replication/replicated_state.py
+++ b/iriswheel/replication/replicated_state.py
@@ -1,6 +1,6 @@
-"""The replicated state: what the log entries so far make of the configuration, plans and taken changes.
+"""The replicated state that results from the log entries: configuration, plans and accepted changes.
 
-All values are immutable: a state stays as it is while newer ones share what they have in common with it.
+All states are immutable; a newer state shares its unchanged parts with the older one.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 from iriswheel.configuration import differences, slices
 from iriswheel.transport import message
 
-MAX_PLANS = 512  # remembered, of each sort: open, confirmed
-MAX_OPEN_PLAN_BYTES = 16 << 20  # of all open plans together
-MIN_ACCEPTED_CHANGES = 16_384  # ids of changes that were taken, remembered at least
-ACCEPTED_CHANGES_SLACK = 1_024  # and so many more before the oldest are dropped together
+MAX_PLANS = 512  # kept of the open plans, and as many of the confirmed ones
+MAX_OPEN_PLAN_BYTES = 16 << 20  # of the changes of all open plans together
+MIN_ACCEPTED_CHANGES = 16_384  # newest accepted changes whose ids are always kept
+ACCEPTED_CHANGES_SLACK = 1_024  # further ids that may be kept before the oldest are dropped in one batch
 
 Item: typing.TypeAlias = dict[str, typing.Any]  # one item of the configuration, as JSON
-Change: typing.TypeAlias = tuple[str, Item | None]  # an item's key and its new value; None removes it
+Change: typing.TypeAlias = tuple[str, Item | None]  # an item's key and its new value; None removes the item
 
 
 class Plan(typing.NamedTuple):
-    """A plan as the replicated state keeps it; stored as an array in snapshots.
+    """A plan in the replicated state; snapshots store it as an array.
 
     Attributes:
-        index: The log entry that made it, or that confirmed it.
-        base: The configuration version that its changes were computed on.
-        changes: What it would change; empty once it is confirmed.
-        version: The configuration version that it became; 0 until it is confirmed.
-        size: Bytes of the changes.
+        index: The log index of the entry that created the plan or, later, of the one that confirmed it.
+        base: The configuration version that the plan's changes were computed against.
+        changes: The changes of items that the plan would make; empty once it is confirmed.
+        version: The configuration version that resulted from confirming the plan; 0 until then.
+        size: The encoded size of the changes, in bytes.
     """
 
     index: int  # type: ignore[assignment]  # hides tuple.index, which has no use here
@@ -41,17 +41,17 @@
 
 
 class ReplicatedState(typing.NamedTuple):
-    """The state after the entry `index`, which was made in the view `view`.
+    """The state after a log entry.
 
     Attributes:
-        index: The newest log entry in it.
-        view: The view in which that entry was made.
-        version: The configuration version: the newest entry that changed an item.
+        index: The index of the newest log entry that is applied.
+        view: The view in which that entry was created.
+        version: The configuration version: the index of the newest entry that applied or confirmed a change.
         items: The configuration's items by key.
-        plans: The plans that are remembered, by id.
-        published: `items` as nodes may have them: without the operator's labels.
-        taken: The version of each change that was taken, by the change's id.
-        forgotten: The highest operator's number among those changes that were dropped from `accepted_changes`.
+        plans: The plans that are kept, by id.
+        published: The items as nodes receive them, without the operator's labels.
+        accepted_changes: The version of each accepted change whose id is still kept, by that id.
+        highest_dropped_number: The highest operator's number among the changes dropped from `accepted_changes`.
 
     >>> one = ReplicatedState().apply(message.LogEntry(1, 1, "plan", "0-a", 0, [("pools/p", {})]))
     >>> two = one.apply(message.LogEntry(2, 1, "confirm", "0-a"))
@@ -70,11 +70,11 @@
 
     @property
     def position(self) -> message.LogPosition:
-        """The place of the newest entry in the log."""
+        """The log position (index and view) of the newest entry that is applied."""
         return message.LogPosition(self.index, self.view)
 
     def apply(self, entry: message.LogEntry) -> ReplicatedState:
-        """The state after one more entry.
+        """The state after applying one more entry.
 
         >>> ReplicatedState().apply(message.LogEntry(1, 7, "plan", "0-a")).view
         7
@@ -92,15 +92,15 @@
                 applied = Plan(entry.index, entry.base, [], entry.index)
                 return state._with_plan(entry.plan, applied).with_accepted_change(entry).with_changes(entry.changes)
             case _:
-                raise ValueError(f"a log entry of the unknown kind {entry.kind!r}")
+                raise ValueError(f"log entry {entry.index} has the unknown kind {entry.kind!r}")
 
     def _with_plan(self, identifier: str, plan: Plan) -> ReplicatedState:
         return self._replace(plans=retain_plans(self.plans.set(identifier, plan)))
 
     def with_accepted_change(self, entry: message.LogEntry) -> ReplicatedState:
-        """The state at the version of an entry, whose change is remembered as taken.
+        """The state with the entry's index as version, and its change among the accepted ones.
 
-        Above the bound the oldest are dropped together.
+        Above the bound the oldest accepted changes are dropped in one batch.
 
         >>> entry = message.LogEntry(4, 1, "apply", "c5-7-0a")
         >>> ReplicatedState().with_accepted_change(entry).accepted_changes["c5-7-0a"]
@@ -118,7 +118,7 @@
         )
 
     def with_changes(self, changes: list[Change]) -> ReplicatedState:
-        """The state with some items changed; None removes.
+        """The state with some items changed; the value None removes an item.
 
         >>> ReplicatedState().with_changes([("pools/p", {"label": {"a": 1}})]).published["pools/p"]
         {}
@@ -135,7 +135,7 @@
 
 
 def retain_plans(plans: immutables.Map[str, Plan]) -> immutables.Map[str, Plan]:
-    """Drop the oldest open and the oldest confirmed plans above the bounds.
+    """Drop the oldest open and the oldest confirmed plans that exceed the bounds on count and bytes.
 
     >>> sorted(retain_plans(immutables.Map({str(i): Plan(i, 0, [], 0, 7 << 20) for i in range(4)})))
     ['2', '3']
--- a/iriswheel/replication/sender.py
+++ b/iriswheel/replication/sender.py
@@ -1,4 +1,4 @@
-"""The sending side between two replicas: keeps the next replica of the chain up to date."""
+"""The sending side of replication: keeps the successor, the next replica of the chain, up to date."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Sender:
-    """Sends the log to the next replica: first what it lacks (catch-up), then new entries in batches."""
+    """Sends the log to the successor: first the entries that it lacks (catch-up), then new entries in batches."""
 
     def __init__(
         self,
@@ -32,8 +32,8 @@
         self.log = log
 
     async def replicate_to(self, view: message.View, successor: message.Voter) -> None:
-        """Keep the next replica up to date, as long as the view lasts."""
-        stored: int | None = None  # how far the replicas from the next one to the tail have come
+        """Keep the successor up to date as long as this replica serves in the view."""
+        stored: int | None = None  # log index synced on all replicas from the successor to the tail; None: unknown
         while self.position.serves_in(view.number):
             if not self.position.is_synced() or (stored is not None and stored >= self.log.last_index):
                 await self.log.appended.wait()
@@ -48,13 +48,13 @@
                 self.log.commit(stored)
 
     async def _send(self, view_number: int, successor: message.Voter, stored: int | None) -> int | None:
-        """Send what comes next; returns how far it is stored down to the tail, or None where it was refused."""
+        """Send a catch-up or the next batch; returns the index synced up to the tail, None if refused."""
         if stored is None:
             return await self._catch_up(view_number, successor)
         return await self._deliver(successor, message.AppendRequest(view_number, self.log.batch(stored + 1)))
 
     async def _deliver(self, successor: message.Voter, request: message.AppendRequest | message.CatchUp) -> int | None:
-        """Send entries; returns how far they are stored down to the tail, or None where they were refused."""
+        """Send one message; returns the index synced on all replicas up to the tail, None if it was refused."""
         response = await self._call(successor, request)
         return response.index if isinstance(response, message.AppendResponse) and response.ok else None
 
@@ -62,7 +62,7 @@
         return await self.peers.call(successor.host, successor.port, request, CALL_TIMEOUT_US)
 
     async def _catch_up(self, view_number: int, successor: message.Voter) -> int | None:
-        """Bring the next replica up to date; returns how far, or None where it has to be tried again."""
+        """Bring the successor up to date; returns the index synced up to the tail, None if a retry is needed."""
         position_response = await self._call(
             successor, message.PositionRequest(view_number, self.position.consensus.own_voter.id)
         )
@@ -85,7 +85,7 @@
         snapshot: snapshot_transfer.OutgoingSnapshot,
         position_response: message.PositionResponse,
     ) -> bool:
-        """Send a snapshot from where the next replica has it; whether all of it arrived."""
+        """Send a snapshot from the offset that the successor has reached; returns whether all of it arrived."""
         offset = position_response.received if position_response.snapshot == snapshot.digest else 0
         while offset < len(snapshot.content):
             if not self.position.serves_in(view_number):
@@ -101,7 +101,7 @@
     async def _send_entries(
         self, view_number: int, successor: message.Voter, after: message.LogPosition, snapshot: str
     ) -> int | None:
-        """Send all entries after a position in bounded batches; with the last one the next replica is synced."""
+        """Send all entries after a position in bounded batches; after the last one the successor is synced."""
         while self.position.serves_in(view_number) and self.log.has_all_entries_after(after.index):
             entries = self.log.batch(after.index + 1)
             last = after.index + len(entries) >= self.log.last_index
@@ -115,7 +115,7 @@
     def _single_message_catch_up(
         self, view_number: int, position_response: message.PositionResponse
     ) -> message.CatchUp:
-        """What brings a replica up to date in one message, for programs that take no chunks."""
+        """The catch-up as a single message, for a successor with an older version that does not accept chunks."""
         if self.log.can_continue_from(message.LogPosition(position_response.index, position_response.view)):
             return message.CatchUp(view_number, None, self.log.entries_after(position_response.index))
         state = self.log.committed_state
--- a/iriswheel/replication/snapshot_format.py
+++ b/iriswheel/replication/snapshot_format.py
@@ -1,4 +1,4 @@
-"""The encoding of a replicated state as a snapshot, on disk and between replicas."""
+"""The encoding of a replicated state as a snapshot, which is stored on disk and sent between replicas."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True):
-    """A replicated state as it is stored and sent; an array, so that the order of fields is the format.
+    """A replicated state as it is stored and sent. It is encoded as an array, so the order of fields is the format.
 
-    Snapshots of format 2 end after `plans`.
+    Snapshots of data format 2 end after `plans`.
     """
 
     index: int
@@ -33,7 +33,7 @@
 
 
 def encode(state: replicated_state.ReplicatedState) -> bytes:
-    """The snapshot of a state.
+    """Encode a state as a snapshot.
 
     >>> decode(encode(replicated_state.ReplicatedState(index=3))).index
     3
@@ -51,7 +51,7 @@
 
 
 def decode(raw: bytes | bytearray) -> replicated_state.ReplicatedState:
-    """The state of a snapshot.
+    """Decode the state from a snapshot of the current format or of format 2.
 
     >>> decode(encode(replicated_state.ReplicatedState(version=2))).version
     2
@@ -76,10 +76,10 @@
 def accepted_changes_in_format_2(
     plans: collections.abc.Mapping[str, replicated_state.Plan],
 ) -> tuple[dict[str, int], int]:
-    """The changes taken and the highest number forgotten, of a snapshot that remembers only plans.
+    """The accepted changes and the highest dropped number, derived from the plans of a snapshot of format 2.
 
-    Where so many plans are confirmed that older ones may have been dropped, every number
-    below the lowest that is left counts as forgotten.
+    If the snapshot holds as many confirmed plans as the bound allows, older ones may have been dropped.
+    Then every number below the lowest remaining one counts as dropped.
 
     >>> Plan = replicated_state.Plan
     >>> accepted_changes_in_format_2({"c0-4-0a": Plan(9, 0, [], 9), "9-0b": Plan(10, 9, [])})
--- a/iriswheel/replication/snapshot_transfer.py
+++ b/iriswheel/replication/snapshot_transfer.py
@@ -1,8 +1,8 @@
-"""Snapshots between core machines, sent in chunks of bounded size that resume where they were.
+"""Transfer of snapshots between core machines, in chunks of bounded size, resumable after an interruption.
 
-The sender pins one snapshot while it is being sent, however far its own state moves on; entries after it
-follow in batches. The receiver keeps what has arrived through lost connections and new views, and replaces its
-own state only when the snapshot and all entries after it are there.
+The sender pins one snapshot until it is sent, even while its own state advances; the entries after the snapshot
+follow in batches. The receiver keeps the chunks it has received when connections break and when the view changes.
+It replaces its own state only when it has the whole snapshot and all entries after it.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
     from iriswheel.replication import replicated_state
 
 CHUNK_BYTES = 256 << 10
-BATCH_BYTES = 1 << 20  # of entries in one message; a single larger entry goes alone
+BATCH_BYTES = 1 << 20  # of entries in one message; a larger entry is sent in a message of its own
 
 
 class OutgoingSnapshot(typing.NamedTuple):
-    """A snapshot pinned by its sender.
+    """A snapshot that the sender keeps unchanged until it is sent.
 
     >>> outgoing = OutgoingSnapshot.pin(message.LogPosition(7, 2), b"state")
     >>> chunk = outgoing.chunk(4, 2); chunk.offset, chunk.total, chunk.content
@@ -33,11 +33,11 @@
 
     @classmethod
     def pin(cls, position: message.LogPosition, content: bytes) -> OutgoingSnapshot:
-        """Pin a snapshot."""
+        """Pin a snapshot whose last entry has the given position."""
         return cls(position, hashlib.sha256(content).hexdigest(), content)
 
     def chunk(self, view: int, offset: int) -> message.SnapshotChunk:
-        """The chunk that begins at an offset, as a message of a view."""
+        """The message with the chunk that begins at an offset."""
         content = self.content[offset : offset + CHUNK_BYTES]
         return message.SnapshotChunk(view, self.digest, len(self.content), offset, content)
 
@@ -56,17 +56,17 @@
         self._reset("", 0)
 
     def _reset(self, digest: str, total: int) -> None:
-        """Drop what is here and begin with another snapshot."""
+        """Discard what was received and begin to receive another snapshot."""
         self.digest = digest
         self.total = total
         self.content = bytearray()
         self.complete = False
-        self.state: replicated_state.ReplicatedState | None = None  # the snapshot decoded, once it is complete
+        self.state: replicated_state.ReplicatedState | None = None  # the decoded snapshot, once it is complete
         self.position: message.LogPosition | None = None  # of the snapshot's last entry
-        self.entries: list[message.LogEntry] = []  # that follow the snapshot
+        self.entries: list[message.LogEntry] = []  # received entries that follow the snapshot
 
     def add_chunk(self, chunk: message.SnapshotChunk) -> int:
-        """Take one chunk; returns how many bytes of its snapshot are here. Chunks out of order change nothing."""
+        """Add one chunk, ignored if out of order; returns how many bytes of its snapshot have been received."""
         if chunk.snapshot != self.digest:
             self._reset(chunk.snapshot, chunk.total)
         if chunk.offset == len(self.content) and not self.complete:
@@ -75,6 +75,7 @@
         return len(self.content)
 
     def _verify_digest(self) -> None:
+        """Mark a snapshot that has all its bytes as complete, or discard it where its digest differs."""
         if len(self.content) < self.total:
             return
         if hashlib.sha256(self.content).hexdigest() == self.digest:
@@ -88,7 +89,7 @@
         self.position = state.position
 
     def add_entries(self, after: message.LogPosition | None, entries: list[message.LogEntry]) -> bool:
-        """Keep entries that follow what is here; False where they do not. The first batch may come again.
+        """Keep entries that follow those received so far; False if they do not follow. The first batch may be repeated.
 
         >>> incoming = IncomingSnapshot(); incoming.position = message.LogPosition(7, 2)
         >>> one = [message.LogEntry(8, 3, "plan", "0-a")]
@@ -105,7 +106,7 @@
 
 
 def is_consecutive(after: int, entries: list[message.LogEntry]) -> bool:
-    """Whether entries are numbered without a gap after an index.
+    """Whether the indexes of the entries follow an index without a gap.
 
     >>> is_consecutive(7, [message.LogEntry(8, 3, "plan", "0-a")])
     True
--- a/iriswheel/replication/tail.py
+++ b/iriswheel/replication/tail.py
@@ -1,4 +1,4 @@
-"""The tail's part in the chain: it commits what all replicas have synced, and answers reads."""
+"""The tail of the chain: it commits the entries that all replicas have synced, and answers reads."""
 
 from __future__ import annotations
 
@@ -16,12 +16,16 @@
     def __init__(self, position: chain_position.ChainPosition, log: replicated_log.ReplicatedLog) -> None:
         self.position = position
         self.log = log
-        # some entries from the disk may have been acknowledged before the restart; the disk does not say which
+        # Entries found on the disk may have been acknowledged before the restart; the disk does not record which.
         self._holds_recovered_entries = log.last_index > log.committed_state.index
-        self._committed_view = 0  # the newest view in which this tail had committed all that it holds
+        self._committed_view = 0  # the newest view in which this tail had committed all its entries
 
     def commit_synced(self, view_number: int) -> None:
-        """At the synced tail of the numbered view: what is synced here is synced on all replicas, so commit it."""
+        """Commit all entries stored here, if this machine is the synced tail of a view: then all replicas have them.
+
+        A chain with too few copies commits only entries that were found on the disk at the start, since they may have
+        been acknowledged.
+        """
         view = self.position.consensus.view
         if view is None or not self.position.is_tail_of(view_number) or not self.position.is_synced():
             return
@@ -32,10 +36,10 @@
             self._committed_view = view_number
 
     def answer_read(self, request: message.ReadRequest) -> message.ReadResponse:
-        """Answer a read, at the tail and under its lease only.
+        """Answer a read, if this machine is the tail, holds the lease and has committed all its entries in this view.
 
-        A tail that is new holds entries that the one before it may have answered reads by;
-        until these are committed here, it answers none.
+        A new tail may hold uncommitted entries that the previous tail had already committed and used in answers.
+        Until it has committed them too, it refuses reads.
         """
         consensus = self.position.consensus
         if not consensus.holds_lease() or consensus.view is None or self._committed_view != consensus.view.number:
