--- a/iriswheel/control/__init__.py
+++ b/iriswheel/control/__init__.py
@@ -1,1 +1,1 @@
-"""The core process: node sessions, reports and heartbeats, the operators' API."""
+"""The core process: sessions of nodes, reports to the tail, heartbeats, and the operators' HTTP API."""
--- a/iriswheel/control/chain_client.py
+++ b/iriswheel/control/chain_client.py
@@ -1,6 +1,6 @@
-"""Calls of a core machine to the head and the tail of the chain: proposals and reads.
+"""Client for the head and the tail of the chain: it sends proposals to the head and reads to the tail.
 
-The head or the tail may be this machine itself.
+Where this machine is itself the head or the tail, the call stays in the process.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
     from iriswheel.configuration import configuration
     from iriswheel.control import core_parts, counters
 
-HEAD, TAIL = 0, -1  # positions in the chain
+HEAD, TAIL = 0, -1  # indexes of replicas in the chain
 TIMEOUT_US = 3 * units.SECOND_US  # of one call
-READ_RETRY_US = 900 * units.MILLISECOND_US  # a read is tried again for so long while the tail has no lease
+READ_RETRY_US = 900 * units.MILLISECOND_US  # retry period of a read, for example while the tail has no lease
 RETRY_DELAY_US = 30 * units.MILLISECOND_US
 
 Result = typing.TypeVar("Result")
@@ -31,9 +31,9 @@
 
 
 def shield(deferred: defer.Deferred[Result]) -> defer.Deferred[Result]:
-    """A Deferred that fires as the given one does; cancelling it lets the given one go on.
+    """A Deferred with the result of the given one; cancelling it does not cancel the given one.
 
-    A write that has begun must learn how it ended, also when nobody waits for it any more.
+    A write in progress must run to its end, even if its caller has stopped waiting for the result.
 
     >>> deferred = defer.Deferred()
     >>> shield(deferred).addErrback(lambda f: None).cancel()
@@ -46,48 +46,51 @@
         if not shielded.called:
             shielded.callback(result)
         elif isinstance(result, failure.Failure):
-            log.error("A call whose caller had given up failed: {traceback}", traceback=result.getTraceback())
+            log.error(
+                "A call to this machine's own replica failed after its caller had stopped waiting: {traceback}",
+                traceback=result.getTraceback(),
+            )
 
     deferred.addBoth(pass_on)
     return shielded
 
 
 class ChainClient:
-    """Proposes changes to the head and reads at the tail."""
+    """Proposes changes to the head and reads the committed state at the tail."""
 
     def __init__(self, parts: core_parts.CoreParts, counters: counters.Counters) -> None:
         self.parts = parts
         self.counters = counters
 
     async def read_at_tail(self, identifier: str, timeout_us: int = TIMEOUT_US) -> message.ReadResponse:
-        """Read the committed state at the tail, under its lease, with the plan or change of an id.
+        """Read the committed state at the tail, which must hold the lease, and look up a plan or a change by id.
 
         Raises:
-            errors.ServiceError: `no_chain` where the tail does not answer or has no lease.
+            errors.ServiceError: `no_chain` if the tail does not answer or has no lease.
         """
         try:
             response = await self._call(TAIL, lambda view: message.ReadRequest(view, identifier), timeout_us)
         except errors.ServiceError:
-            raise errors.ServiceError("no_chain", "The tail does not answer now.") from None
+            raise errors.ServiceError("no_chain", "The tail of the chain does not answer.") from None
         read = typing.cast(message.ReadResponse, response)  # the only answer to a ReadRequest
         if not read.ok:
-            raise errors.ServiceError("no_chain", "The tail holds no lease now.")
+            raise errors.ServiceError("no_chain", "The tail of the chain holds no lease at the moment.")
         return read
 
     def refuse_if_cut_off(self) -> None:
-        """Refuse a call that can't succeed here, so that its operator goes on to another machine.
+        """Refuse a call at once if this machine can't reach a majority, so that the operator tries another machine.
 
         Raises:
-            errors.ServiceError: `no_chain`, where this machine knows that it reaches no majority.
+            errors.ServiceError: `no_chain`, if this machine knows that it is cut off from the majority.
         """
         if self.parts.consensus.is_cut_off():
-            raise errors.ServiceError("no_chain", "This machine is cut off from the others.")
+            raise errors.ServiceError("no_chain", "This machine is cut off from the majority of the core machines.")
 
     async def read_state(self) -> message.ReadResponse:
-        """Read the committed state at the tail; tried again for READ_RETRY_US where that fails.
+        """Read the committed state at the tail, with retries for READ_RETRY_US.
 
         Raises:
-            errors.ServiceError: `no_chain`; at once where this machine knows itself cut off.
+            errors.ServiceError: `no_chain`; without retries if this machine knows that it is cut off.
         """
         until = self.parts.runtime.now() + READ_RETRY_US
         while True:
@@ -107,10 +110,10 @@
         changes: collections.abc.Sequence[configuration.ItemChange] = (),
         timeout_us: int = TIMEOUT_US,
     ) -> message.ProposeChangeResponse:
-        """Propose a change to the head, and wait until it is committed.
+        """Propose a change to the head and wait until it is committed.
 
         Raises:
-            errors.ServiceError: The change was refused, or it is not known whether it was committed.
+            errors.ServiceError: The change was refused, or it is unknown whether it was committed.
         """
         response = await self._call(
             HEAD, lambda view: message.ProposeChange(view, kind, identifier, base, list(changes)), timeout_us
@@ -118,7 +121,7 @@
         proposed = typing.cast(message.ProposeChangeResponse, response)  # the only answer to a ProposeChange
         if proposed.code:
             self.counters.refused += 1
-            code = typing.cast("errors.ErrorCode", proposed.code)  # the head's, of the same codes
+            code = typing.cast("errors.ErrorCode", proposed.code)  # the head answers with these codes only
             raise errors.ServiceError(code, proposed.text, errors.ExecutionOutcome(proposed.execution))
         return proposed
 
@@ -128,10 +131,10 @@
         make: collections.abc.Callable[[int], message.ProposeChange | message.ReadRequest],
         timeout_us: int,
     ) -> message.Message:
-        """Call the replica at a position of the chain with the message made for the view's number."""
+        """Send the request that `make` builds for the current view to the replica at a chain index."""
         view = self.parts.consensus.view
         if view is None:
-            raise errors.ServiceError("no_chain", "No view is agreed yet.")
+            raise errors.ServiceError("no_chain", "The core machines have not agreed on a view yet.")
         self.refuse_if_cut_off()
         voter = self.parts.voter_of(view.chain[position])
         request = make(view.number)
@@ -144,8 +147,10 @@
             response: message.Message = await self.parts.runtime.within(answer, timeout_us)
         except (wire.ConnectionBrokenError, scheduler.DeadlineError) as error:
             if isinstance(error, wire.ConnectionBrokenError) and not error.sent:
-                raise errors.ServiceError("no_chain", "The chain's machine can't be reached.") from error
+                raise errors.ServiceError("no_chain", "The head or tail of the chain can't be reached.") from error
             raise errors.ServiceError(
-                "unknown_outcome", "No answer came in time.", errors.ExecutionOutcome.MAY_HAVE_RUN
+                "unknown_outcome",
+                "The head or tail of the chain did not answer in time.",
+                errors.ExecutionOutcome.MAY_HAVE_RUN,
             ) from error
         return response
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -1,4 +1,4 @@
-"""A core machine: composes its parts, and hands each message to the part that it concerns."""
+"""A core machine: composes its parts, and dispatches each incoming message to the part that handles it."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     from iriswheel.runtime import options
     from iriswheel.transport import http_server
 
-STOP_NOTICE_US = 100 * units.MILLISECOND_US  # for the redirects to go out
+STOP_NOTICE_US = 100 * units.MILLISECOND_US  # lets the redirects reach the nodes
 STOP_CHECK_INTERVAL_US = 50 * units.MILLISECOND_US
 
 Answer: typing.TypeAlias = collections.abc.Coroutine[typing.Any, typing.Any, message.Message | None]
@@ -43,7 +43,7 @@
 
 
 class Core:
-    """Composes a core process; the sockets and the command line are in `cli`."""
+    """Composes a core process; the package `cli` provides the sockets and the command line."""
 
     def __init__(self, runtime: scheduler.Runtime, disk: storage.DataFolder, options: options.Options) -> None:
         self.runtime = runtime
@@ -130,18 +130,18 @@
         identifier, view = self.consensus.own_voter.id, self.consensus.view
         if view is not None:
             log.info(
-                "Core {core} starts with view {view} at log index {log_index}.",
+                "Core machine {core} starts with view {view} and log index {log_index} from its disk.",
                 core=identifier,
                 view=view.number,
                 log_index=self.chain.latest_state.index,
             )
         else:
-            log.info("Core {core} starts with no view on its disk.", core=identifier)
+            log.info("Core machine {core} starts without a stored view.", core=identifier)
 
     def reload_options(self, options: options.Options) -> None:
-        """Take in options that were read again: further seeds."""
+        """Apply reloaded options: seeds that were added."""
         self.consensus.learn_seeds(options.seed_list())
-        log.info("The options were reloaded.")
+        log.info("The options were reloaded; newly listed seeds are in use.")
 
     @property
     def stopping(self) -> bool:
@@ -149,7 +149,7 @@
         return self.node_sessions.stopping
 
     def is_serving(self) -> bool:
-        """Whether nodes may rely on this core machine: the tail was heard just now."""
+        """Whether nodes may rely on this core machine: it is in the chain and the tail answered it recently."""
         return not self.stopping and self.consensus.is_serving() and self.tail_contact.has_recent_answer()
 
     async def handle(self, request: http_server.Request) -> None:
@@ -161,11 +161,11 @@
         return (await self.client.read_state()).items
 
     async def change(self, change: submitted_changes.SubmittedChange) -> int:
-        """Bring a numbered change into force; returns its version."""
+        """Apply a numbered change; returns its version once the nodes have applied it."""
         return await self.change_applier.apply_change(change)
 
     async def order_zone(self, order: zone_evacuation.ZoneOrder) -> int:
-        """Evacuate or readmit a zone; returns the version that has it."""
+        """Evacuate or readmit a zone; returns the configuration version that contains the order."""
         return await self.change_applier.apply(order)
 
     def serve(self, connection: wire.Connection | None, received: message.Message) -> Answer | None:
@@ -199,7 +199,7 @@
         return None
 
     def _serve_node(self, connection: wire.Connection | None, received: message.Message) -> None:
-        """Take one of the messages that nodes send, partly by way of another core machine."""
+        """Handle a message from a node; some arrive through another core machine, without a session here."""
         session = connection.node_session if connection is not None else None
         match received:
             case message.JoinRequest() if connection is not None:
@@ -221,7 +221,8 @@
                 self.session_replicas.apply_records(received, from_node=session is not None)
             case _:
                 log.warning(
-                    "A core does not handle messages of type {message_type}.", message_type=type(received).__name__
+                    "The core machine ignores a message of type {message_type}, which it does not handle.",
+                    message_type=type(received).__name__,
                 )
 
     def _join(self, connection: wire.Connection, join: message.JoinRequest) -> None:
@@ -235,7 +236,7 @@
         self.node_sessions.open(connection, join)
 
     def _on_view(self, view: message.View) -> None:
-        """Let all parts start on a view that was agreed."""
+        """Install a newly agreed view in all parts."""
         self.counters.views += 1
         self.tail_service.on_view(view)
         self.chain.install(view)
@@ -244,15 +245,16 @@
         self.peers.keep(self.consensus.addresses())
 
     def _wake_senders(self) -> None:
-        """Wake the sessions of nodes and the heartbeats to other core machines, to send new state."""
+        """Wake the node sessions and the heartbeats to other core machines, so that they send new state."""
         self.node_sessions.wake_all()
         self.tail_service.heartbeat_now.wake()
 
     async def stop(self) -> None:
-        """Send the nodes elsewhere, let the others agree on a chain without this machine, give them all adds, finish.
+        """Redirect the nodes, wait for a chain without this machine and for its counter adds to be copied, then return.
 
-        The only synced copy stays until another is up to date, or until the process is killed. A voter without
-        whom the others can't go on stays for the whole grace, at whose end the platform kills it.
+        A machine with the only synced copy of the log waits until another copy is synced, or until the process is
+        killed. A voter that the other core machines need for a majority waits for the whole grace period, after which
+        the platform kills the process.
         """
         self.node_sessions.stop()
         self._wake_senders()
--- a/iriswheel/control/core_parts.py
+++ b/iriswheel/control/core_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a core machine that most of its other parts use."""
+"""The shared parts of a core machine, which most other parts depend on."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 
 
 class CoreParts(typing.NamedTuple):
-    """References only: each part owns its state."""
+    """References to the shared parts; each part owns its state."""
 
     runtime: scheduler.Runtime
     peers: peers_module.Peers
     chain: chain.Chain
     consensus: view_consensus.ViewConsensus
     membership: membership_manager.MembershipManager
-    lease: lease.CoreLease  # from the tail; what it passes on to nodes
+    lease: lease.CoreLease  # granted by the tail; the base of the leases granted to nodes
     node_reports: reports.NodeReports
 
     def voters(self) -> list[message.Voter]:
-        """The core machines as far as they are known."""
+        """The core machines that are voters of the newest known view."""
         view = self.consensus.view
         return list(view.voters) if view is not None else []
 
     def voter_of(self, replica: message.ChainReplica) -> message.Voter:
-        """The address of a replica of the present view's chain."""
+        """The voter, with its address, that runs a replica of the current chain."""
         voter = self.consensus.voter(replica.id)
         assert voter is not None  # all replicas of a chain are voters of its view
         return voter
--- a/iriswheel/control/counters.py
+++ b/iriswheel/control/counters.py
@@ -1,10 +1,10 @@
-"""Counters of one core machine, shown to operators."""
+"""Event counters of one core machine, which operators see in its state."""
 
 import msgspec
 
 
 class Counters(msgspec.Struct):
-    """How often what happened since the start; the names and their order are those that operators see."""
+    """Numbers of events since the process started. Operators see these names in this order."""
 
     plans: int = 0
     confirms: int = 0
--- a/iriswheel/control/load_exchange.py
+++ b/iriswheel/control/load_exchange.py
@@ -1,9 +1,9 @@
-"""Adds up the load that nodes report to this core machine, and exchanges the sums with the others.
+"""Aggregates the load that nodes report to this core machine, and exchanges the sums with the other core machines.
 
-A node reports its own load to its core machine; core machines add up what their nodes report
-and send each other the sums; each node is sent the sum of all others. Only what changed is
-sent, a few times a second, but a long prompt at once. So the cost grows with the number of
-nodes, not with its square.
+A node reports its own load to its core machine. A core machine adds up the load of its nodes and sends the sums to the
+other core machines. Each node receives the sum of the load of all other nodes. Only changes are sent, a few times a
+second; a large rise, from a long prompt, is sent at once. So the cost grows with the number of nodes, not with its
+square.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 if typing.TYPE_CHECKING:
     from iriswheel.control import core_parts, node_session
 
-CORE_EXPIRY_US = 2 * units.SECOND_US  # another core machine's sums count no longer without a report for so long
-FULL_REPORT_INTERVAL = 6  # every so many rounds, core machines get everything: a report may have been lost
+CORE_EXPIRY_US = 2 * units.SECOND_US  # without a report for this time, the sums of another core machine are dropped
+FULL_REPORT_INTERVAL = 6  # rounds between complete reports to core machines, since a report may be lost
 
 log = loguru.logger.bind(part="loads")
 
 
 class LoadAggregator:
-    """The load tables of one core machine."""
+    """The load tables of one core machine, and the sums over them."""
 
     def __init__(
         self,
@@ -36,15 +36,15 @@
     ) -> None:
         self.parts = parts
         self.node_sessions = node_sessions
-        self.tables: dict[str, load_table.LoadTable] = {}  # by node or core machine
-        self.last_contact: dict[str, int] = {}  # by core machine
-        self.node_sums: load_table.LoadTable = {}  # of this core machine's nodes
-        self.sums: load_table.LoadTable = {}  # of all nodes
-        # node or core machine -> the keys that changed since its last report; None: it was sent nothing yet
+        self.tables: dict[str, load_table.LoadTable] = {}  # by the id of the reporting node or core machine
+        self.last_contact: dict[str, int] = {}  # µs; when each other core machine last reported
+        self.node_sums: load_table.LoadTable = {}  # over the nodes with a session here
+        self.sums: load_table.LoadTable = {}  # over all nodes
+        # receiver (node or core machine) -> keys changed since the last report to it; None: the next is complete
         self.pending: dict[str, set[load_table.WorkerKey] | None] = {}
 
     def apply_report(self, report: message.LoadReport, from_node: bool) -> None:
-        """Take a node's own load, or another core machine's sums; a long prompt is passed on at once."""
+        """Apply a report of a node's load or of another core machine's sums; a large rise is forwarded at once."""
         if not from_node:
             self.last_contact[report.sender] = self.parts.runtime.now()
         keys = [(pool, row[0]) for pool, rows in report.rows.items() for row in rows]
@@ -56,11 +56,11 @@
                     self._send_changes(receiver, before.keys())
 
     def reset_node(self, node: str) -> None:
-        """A node opened a new session: its next report holds everything."""
+        """Send a complete report next to a node that has opened a new session."""
         self.pending.pop(node, None)
 
     async def run(self) -> None:
-        """Send what changed, a few times a second; one task."""
+        """Send the changed loads to all receivers, a few times a second; runs as a single task."""
         rounds = 0
         while True:
             await self.parts.runtime.sleep(load_table.REPORT_INTERVAL_US)
@@ -78,7 +78,7 @@
         return [*self.node_sessions, *cores]
 
     def _update(self, report: message.LoadReport, from_node: bool) -> None:
-        """Bring the sums up to date by a report."""
+        """Update the sender's table and the sums, and mark the changed keys as pending for the other receivers."""
         table = self.tables.setdefault(report.sender, {})
         old = dict(table)
         for key in load_table.update(table, report):
@@ -95,7 +95,7 @@
                     changed.add(key)
 
     def _expire(self, voters: set[str]) -> None:
-        """Drop the tables of nodes without a session and of core machines that are silent or no voters."""
+        """Drop the tables of nodes without a session, and of core machines that are silent or no longer voters."""
         now = self.parts.runtime.now()
         for sender in list(self.tables):
             is_core = sender in self.last_contact
@@ -111,7 +111,7 @@
             del self.pending[receiver]
 
     def _send_changes(self, receiver: str, only: collections.abc.Iterable[load_table.WorkerKey] | None) -> None:
-        """Send one receiver what changed for it, restricted to some keys where given; or everything at first."""
+        """Send a receiver its pending changes, limited to some keys if given; the first report is complete."""
         pending = self.pending.setdefault(receiver, None)
         complete = pending is None
         changed = set(self.sums) if pending is None else set(pending)
@@ -128,7 +128,7 @@
             self.pending[receiver] = set() if pending is None else pending - keys
 
     def _send_to_node(self, session: node_session.NodeSession, keys: set[load_table.WorkerKey], complete: bool) -> bool:
-        """Send a node the sums of all others, unless its connection does not take it now."""
+        """Send a node the load of all other nodes; False if its connection is down or its send buffer is full."""
         if not session.connection.up or session.connection.full:
             return False
         own = self.tables.get(session.member.id, {})
@@ -143,7 +143,7 @@
         return True
 
     def _send_to_core(self, receiver: str, keys: set[load_table.WorkerKey], complete: bool) -> bool:
-        """Send another core machine the sums of this one's nodes."""
+        """Send another core machine the sums over the nodes with a session here; returns False if it is no voter."""
         voter = self.parts.consensus.voter(receiver)
         if voter is None:
             return False
--- a/iriswheel/replication/replicated_state.py
+++ b/iriswheel/replication/replicated_state.py
@@ -92,7 +92,7 @@
                 applied = Plan(entry.index, entry.base, [], entry.index)
                 return state._with_plan(entry.plan, applied).with_accepted_change(entry).with_changes(entry.changes)
             case _:
-                raise ValueError(f"log entry {entry.index} has the unknown kind {entry.kind!r}")
+                raise ValueError(f"a log entry has the unknown kind {entry.kind!r}")
 
     def _with_plan(self, identifier: str, plan: Plan) -> ReplicatedState:
         return self._replace(plans=retain_plans(self.plans.set(identifier, plan)))
