--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -1,4 +1,4 @@
-"""The sessions of nodes at a core machine: what each node is sent, and which version it has applied."""
+"""The sessions of nodes at a core machine: what each node was sent, and which log index it has applied."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from iriswheel.transport import wire
 
 HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
-# A core machine that has run for longer and does not serve is cut off: its state may be out of date.
+# After running for this time without serving, a core machine counts as cut off, and its state may be out of date.
 UNCONFIRMED_AFTER_START_US = 15 * units.SECOND_US
 NO_MEMBERSHIP = (0, 0)
 
@@ -26,7 +26,7 @@
 
 
 class SliceSource(typing.NamedTuple):
-    """The versions of the state and of the membership that a slice was cut from."""
+    """The state and the membership that a node's slice was computed from."""
 
     log_index: int
     membership: message.MembershipVersion | None
@@ -56,19 +56,19 @@
         )
         self.sent_membership = join.membership.version if join.membership is not None else NO_MEMBERSHIP
         self.heartbeat_sent_at = 0
-        self.has_lease = False  # whether the last heartbeat brought the node a lease
-        self.node_time = join.sent_at  # the newest time that the node put on a heartbeat, on its clock
+        self.has_lease = False  # whether the last heartbeat granted the node a lease
+        self.node_time = join.sent_at  # newest sending time that the node reported, on its own clock
         self.slice_source: SliceSource | None = None
         self.changed = scheduler.Signal()
 
     def flush(self) -> None:
-        """Send what is new to this node, and a heartbeat where one is due."""
+        """Send the node new configuration and membership, and a heartbeat if one is due."""
         self._send_configuration()
         self._send_membership()
         self._send_heartbeat()
 
     def receive_heartbeat(self, heartbeat: message.SessionHeartbeat) -> None:
-        """Record the node's heartbeat: its time, and the log index that it has applied."""
+        """Record a heartbeat of the node: its sending time and the log index that the node has applied."""
         self.node_time = max(self.node_time, heartbeat.sent_at)
         self.parts.lease.record_heartbeat(self.member.id, heartbeat.index, self.parts.runtime.now())
         if heartbeat.index > self.applied_index:
@@ -76,11 +76,11 @@
             self.parts.node_reports.report_now.wake()
 
     async def run(self, is_stopping: collections.abc.Callable[[], bool]) -> None:
-        """Flush at every change, and every HEARTBEAT_INTERVAL_US, while the connection is up; one task a node.
+        """Flush at every change and every HEARTBEAT_INTERVAL_US while the connection is up; one task per node.
 
-        A change that is committed as far as this core machine knows goes to its nodes also while the
-        tail is not heard: it stays committed. No lease goes with it then, and nodes look for another
-        core machine.
+        Changes that this core machine knows to be committed are sent to its nodes even without contact to
+        the tail, since they stay committed. No lease is granted then, and the nodes look for another core
+        machine.
         """
         while self.connection.up and not is_stopping():
             if self.connection.full:
@@ -92,7 +92,7 @@
             self.connection.tell(message.Redirect(self.parts.voters()))
 
     def _slice(self) -> slices.Slice:
-        """The items that this node needs now."""
+        """The configuration items that this node currently needs."""
         latest = self.parts.membership.latest
         pools = assignments.owned_pools(latest.assignments, self.member.id) if latest is not None else ()
         return self.slices.slice(self.parts.chain.committed_state, self.member.zone, pools)
@@ -103,7 +103,7 @@
         if base.index < self.sent_index or source == self.slice_source:
             return
         if self.sent_index < 0 and not self.is_serving():
-            return  # the state may be out of date, and the node has none at all yet
+            return  # a node without any configuration must not start with one that may be out of date
         self.slice_source = source
         current = self._slice()
         if self.sent_slice is None:
@@ -121,7 +121,7 @@
             self.sent_membership = latest.version
 
     def _send_heartbeat(self) -> None:
-        """Send a heartbeat where one is due, or at once where the node has no lease and may have one now."""
+        """Send a heartbeat if one is due, or at once if the node has no lease and can now be granted one."""
         parts = self.parts
         now = parts.runtime.now()
         is_due = now - self.heartbeat_sent_at >= HEARTBEAT_INTERVAL_US
@@ -138,7 +138,7 @@
 
 
 class NodeSessions:
-    """All sessions of one core machine, by node."""
+    """All node sessions of one core machine."""
 
     def __init__(self, parts: core_parts.CoreParts, is_serving: collections.abc.Callable[[], bool]) -> None:
         self.parts = parts
@@ -148,29 +148,29 @@
         self.stopping = False
 
     def in_order(self) -> list[NodeSession]:
-        """The sessions, ordered by node."""
+        """The sessions, ordered by node id."""
         return [self.by_node[node] for node in sorted(self.by_node)]
 
     def wake_all(self) -> None:
-        """Wake every session, to send its node what is new."""
+        """Wake every session, so that it sends its node new configuration and membership."""
         for session in list(self.by_node.values()):
             session.changed.wake()
 
     def stop(self) -> None:
-        """From now on, redirect nodes to the other core machines; sessions that stand notice when woken."""
+        """Redirect nodes to the other core machines from now on; open sessions do so when next woken."""
         self.stopping = True
 
     def redirect(self, connection: wire.Connection) -> None:
-        """Tell a node where else the core is to be reached."""
+        """Send a node the addresses of all core machines, so that it joins another one."""
         connection.tell(message.Redirect(self.parts.voters()))
 
     def open(self, connection: wire.Connection, join: message.JoinRequest) -> None:
-        """Begin a node's session, in place of an older one of this node."""
+        """Open a session for a node, which replaces an older session of the same node."""
         node = join.member.id
         session = self.by_node[node] = NodeSession(self.parts, self._slices, self.is_serving, connection, join)
         connection.node_session = session
         log.info(
-            "Node {node} joins; it has applied log index {applied_index}; this core serves: {is_serving}.",
+            "Node {node} joined with log index {applied_index} applied; this core machine is serving: {is_serving}.",
             node=join.member.name,
             applied_index=join.applied_index,
             is_serving=self.is_serving(),
@@ -181,7 +181,10 @@
         self.parts.node_reports.report_now.wake()
 
     def send_unconfirmed_configuration(self, connection: wire.Connection, join: message.JoinRequest) -> None:
-        """Send what this disk holds to a node that knows nothing, while no tail is heard soon after the start."""
+        """Send the configuration from this machine's disk to a node that has none, shortly after the start.
+
+        This applies only while the machine does not serve yet, for example since it has no contact to the tail.
+        """
         parts = self.parts
         state = parts.chain.latest_state
         started_recently = parts.runtime.now() - parts.consensus.started_at < UNCONFIRMED_AFTER_START_US
@@ -191,7 +194,7 @@
         connection.tell(message.UnconfirmedConfiguration((state.view, state.index), items))
 
     def drop_broken(self) -> None:
-        """Drop the sessions whose connection has broken."""
+        """Remove the sessions whose connection is down, and end their leases."""
         for node in [node for node, session in self.by_node.items() if not session.connection.up]:
             del self.by_node[node]
             self.parts.lease.end_session(node)
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of a core machine for operators: the configuration, changes of it, evacuations, state."""
+"""The HTTP API of a core machine for operators: configuration, changes, plans, evacuations, counters and state."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     from iriswheel.control import chain_client, core, counters, replica_store, tail_contact
     from iriswheel.transport import http_server
 
-CONFIRM_GRACE_US = 1 * units.SECOND_US  # beyond a lease, a confirmation waits so long for nodes
+CONFIRM_GRACE_US = 1 * units.SECOND_US  # added to the lease duration: how long a confirmation waits for nodes
 CHANGE_FIELDS = ("number", "built_on", "blueprint", "upsert", "remove")
 PLAN_FIELDS = ("blueprint", "patch", "base")
 
 
 def parse_change(document: typing.Any) -> submitted_changes.SubmittedChange:  # noqa: ANN401 - any JSON value
-    """Parse a numbered change: a complete configuration, or items to put in and to remove.
+    """Parse a numbered change: a complete configuration, or items to upsert and to remove.
 
     Raises:
-        errors.ServiceError: `bad_request`, where the body is something else.
+        errors.ServiceError: `bad_request`, if the body is not a valid change.
 
     >>> parse_change({"number": 3, "built_on": 1, "remove": {"pools": ["p"]}}).number
     3
@@ -35,7 +35,7 @@
     match document:
         case {"blueprint": _, "upsert": _} | {"blueprint": _, "remove": _}:
             raise errors.ServiceError(
-                "bad_request", "Send a blueprint, or items to put in and remove.", field="blueprint"
+                "bad_request", "Send either a blueprint, or items to upsert and remove.", field="blueprint"
             )
         case (
             {"number": int(number), "built_on": int(built_on), "blueprint": _}
@@ -45,7 +45,9 @@
             pass
         case _:
             raise errors.ServiceError(
-                "bad_request", "A change wants number, built_on, and what it changes.", field="number"
+                "bad_request",
+                "A change needs number, built_on, and either a blueprint, or items to upsert and remove.",
+                field="number",
             )
     refuse_unknown_fields(document, CHANGE_FIELDS)
 
@@ -62,7 +64,7 @@
 
 
 def check_plan_request(document: typing.Any) -> None:  # noqa: ANN401 - any JSON value
-    """Refuse a plan's request that is malformed.
+    """Refuse a malformed request for a plan.
 
     >>> check_plan_request({"patch": []})
     """
@@ -77,7 +79,7 @@
 
 
 def refuse_unknown_fields(document: dict[str, typing.Any], known: collections.abc.Container[str]) -> None:
-    """Refuse a document that has other fields than the known ones.
+    """Refuse a document with unknown fields.
 
     >>> refuse_unknown_fields({"base": 1}, PLAN_FIELDS)
     """
@@ -87,7 +89,7 @@
 
 
 def planned_items(document: dict[str, typing.Any], current: configuration.Items) -> dict[str, configuration.Item]:
-    """The items that a plan's request makes of the current ones.
+    """The items that result from applying a plan request to the current ones.
 
     >>> planned_items({"patch": [{"op": "add", "path": "/pools/p", "value": {}}]}, {"terms/default": {}})
     {'pools/p': {}, 'terms/default': {}}
@@ -105,7 +107,7 @@
 
 
 class OperatorApi:
-    """Answers the operators' requests."""
+    """Answers the HTTP requests of operators."""
 
     def __init__(
         self,
@@ -125,7 +127,7 @@
         self.counters = counters
 
     async def handle(self, request: http_server.Request) -> None:
-        """Dispatch one request by method and path, and answer it."""
+        """Answer one request, dispatched by method and path."""
         path = request.path.decode("latin-1").split("?")[0].strip("/").split("/")
         match (request.method, path):
             case (b"GET", ["blueprint"]):
@@ -152,7 +154,7 @@
                 raise errors.ServiceError("not_found", "There is no such path.")
 
     async def _answer_plans(self, request: http_server.Request, rest: list[str]) -> None:
-        """Make a plan, show or confirm the one in the path."""
+        """Create a plan, or show or confirm the plan whose id is in the path."""
         match (request.method, rest):
             case (b"POST", []):
                 request.answer_json(200, await self.plan(request.json()))
@@ -165,7 +167,7 @@
                 raise errors.ServiceError("bad_method", "This path does not take that method.")
 
     async def _answer_evacuations(self, request: http_server.Request, names: list[str]) -> None:
-        """List the evacuated zones; evacuate the zone in the path, or readmit it."""
+        """List the evacuated zones, or evacuate or readmit the zone in the path."""
         match (request.method, names):
             case (b"GET", []):
                 read = await self.client.read_state()
@@ -180,7 +182,7 @@
                 raise errors.ServiceError("bad_method", "This path does not take that method.")
 
     async def answer_counter(self, request: http_server.Request, quoted_name: str) -> None:
-        """Add to a replicated counter, or read it."""
+        """Add to a replicated counter, or read its sum."""
         counters = self.core.replicated_counters
         match request.method:
             case b"POST":
@@ -193,15 +195,21 @@
                 raise errors.ServiceError("bad_method", "This path does not take that method.")
 
     async def plan(self, document: typing.Any) -> dict[str, typing.Any]:  # noqa: ANN401 - any JSON value
-        """Compute and store a plan: a complete configuration or a JSON Patch (RFC 6902) against the committed one."""
+        """Compute and store a plan from a complete configuration or a JSON Patch (RFC 6902) on the committed one."""
         self.counters.plans += 1
         check_plan_request(document)
         read = await self.client.read_at_tail("")
         base = document.get("base", read.version)
         if type(base) is not int:
-            raise errors.ServiceError("bad_request", "base is not a stamp.", field="base")
+            raise errors.ServiceError(
+                "bad_request",
+                "base must be an integer: the stamp of the blueprint that the plan is based on.",
+                field="base",
+            )
         if base != read.version:
-            raise errors.ServiceError("base_moved", f"The blueprint is at {read.version}, not at {base}.")
+            raise errors.ServiceError(
+                "base_moved", f"The blueprint is at stamp {read.version}; the plan is based on {base}."
+            )
         before = configuration.without_evacuations(read.items)
         changes = configuration.difference(before, planned_items(document, before))
         identifier = configuration.plan_id(base, changes)
@@ -215,14 +223,16 @@
         """Confirm a plan; returns once it is committed and every node has applied it."""
         self.counters.confirms += 1
         if self.contact.no_node_reachable():
-            raise errors.ServiceError("no_nodes", "No node can be reached; a change would not come into force.")
+            raise errors.ServiceError(
+                "no_nodes", "No node is connected to a core machine, so no node would apply the change."
+            )
         response = await self.client.propose(message.ChangeKind.CONFIRM, identifier)
         until = self.core.runtime.now() + self.core.options.lease_us + CONFIRM_GRACE_US
         await self.contact.wait_until_applied(response.version, until)
         if self.contact.no_node_reachable():
             raise errors.ServiceError(
                 "unknown_outcome",
-                "The change is committed, but no node can be reached.",
+                "The change is committed, but no node is connected to a core machine to apply it.",
                 errors.ExecutionOutcome.MAY_HAVE_RUN,
             )
         return response
@@ -230,11 +240,11 @@
     async def _stored_plan(self, identifier: str) -> dict[str, typing.Any]:
         read = await self.client.read_at_tail(identifier)
         if read.plan is None:
-            raise errors.ServiceError("not_found", "No such plan is remembered.")
+            raise errors.ServiceError("not_found", "No plan with this id is stored.")
         return {**read.plan, "now": read.version}
 
     def state(self) -> dict[str, typing.Any]:
-        """What this core machine shows of itself; the names and their order are those that operators see."""
+        """The state of this core machine, as operators see it: the names and their order are part of the interface."""
         core = self.core
         consensus, sessions = core.consensus, core.node_sessions.by_node.values()
         view = consensus.view
--- a/iriswheel/control/owned_pools.py
+++ b/iriswheel/control/owned_pools.py
@@ -1,4 +1,4 @@
-"""The pools whose workers are selected by a pool owner, as the committed configuration names them."""
+"""The pools of the committed configuration whose workers are selected by a pool owner."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
     from iriswheel.replication import chain
 
 POOL_PREFIX = "pools/"
-DEFAULT_ELECTION = configuration.Election.POOL_OWNER  # of a pool that names none
+DEFAULT_ELECTION = configuration.Election.POOL_OWNER  # of a pool that does not specify its election
 
 
 class OwnedPools:
-    """The names of these pools, computed once for each committed state."""
+    """The names of the pools with a pool owner, computed once per committed state."""
 
     def __init__(self, chain: chain.Chain) -> None:
         self._chain = chain
         self._names: list[str] = []
-        self._index: int | None = None  # of the state that the names were read from
+        self._index: int | None = None  # log index of the state that the names were read from
 
     def names(self) -> list[str]:
-        """The names, sorted."""
+        """The sorted names of the pools with a pool owner."""
         state = self._chain.committed_state
         if self._index != state.index:
             self._index = state.index
--- a/iriswheel/control/persistent_state.py
+++ b/iriswheel/control/persistent_state.py
@@ -1,4 +1,4 @@
-"""What a core machine finds in its data folder at the start: format, identity, the consensus record."""
+"""The contents of a core machine's data folder that are read at the start: format, identity, consensus record."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from iriswheel.consensus import acceptor, decisions
 from iriswheel.runtime import scheduler, storage
 
-FORMAT = 3  # of the data folder
+FORMAT = 3  # version of the data folder's format
 
 IDENTITY_KEY = b"identity"
 FORMAT_KEY = b"format"
 
 
 def load(runtime: scheduler.Runtime, disk: storage.DataFolder) -> dict[bytes, bytes]:
-    """Read all keys of the data folder; a new folder gets an identity, an older one the present format.
+    """Read all keys of the data folder; a new folder gets an identity, and an older one is marked as format FORMAT.
 
     Raises:
-        storage.DiskError: A newer program wrote the folder, or the disk does not work.
+        storage.DiskError: The folder has a newer format than this program supports, or the disk failed.
     """
     state = disk.read()
     found = int(state.get(FORMAT_KEY, b"0"))
     if found > FORMAT:
-        raise storage.DiskError(f"The data folder was written by a newer program (format {found}).")
+        raise storage.DiskError(f"The data folder has format {found}, which is newer than this program supports.")
     if IDENTITY_KEY not in state:
         state[IDENTITY_KEY] = runtime.rng.getrandbits(64).to_bytes(8, "big").hex().encode()
         disk.write([(IDENTITY_KEY, state[IDENTITY_KEY]), (FORMAT_KEY, b"%d" % FORMAT)])
@@ -32,7 +32,7 @@
 
 
 def identity(state: dict[bytes, bytes]) -> str:
-    """The identity of the core machine: it stays as long as the data folder does.
+    """The identity of the core machine, which is kept as long as its data folder.
 
     >>> identity({b"identity": b"c0ffee"})
     'c0ffee'
@@ -41,7 +41,7 @@
 
 
 def consensus_record(state: dict[bytes, bytes]) -> decisions.Record:
-    """The acceptor's record, a blank one where there is none yet.
+    """The consensus acceptor's record; an empty one if none is stored yet.
 
     >>> consensus_record({}) == decisions.Record()
     True
--- a/iriswheel/control/replica_store.py
+++ b/iriswheel/control/replica_store.py
@@ -1,7 +1,7 @@
-"""The replicas of pool owners' sessions that a core machine keeps, in memory and on its disk.
+"""The replicas of pool owners' session records that a core machine keeps in memory and on disk.
 
-Pool owners replicate their sessions to the core machines with some delay; a new pool owner
-collects them from there.
+Pool owners replicate their session records to the core machines asynchronously. A new pool owner collects the records
+from the core machines.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def encode_session_replica(session_replica: session_replicas.SessionReplica, now: int) -> bytes:
-    """A session replica's sessions as bytes, with the time.
+    """Encode the sessions of a session replica, with the current time.
 
     >>> decode_session_replica(encode_session_replica(session_replicas.SessionReplica(), 5), 7).export(7)
     ([], [])
@@ -36,7 +36,7 @@
 
 
 def decode_session_replica(raw: bytes, now: int) -> session_replicas.SessionReplica:
-    """A session replica from bytes. After a restart of the machine its clock has begun anew."""
+    """Decode a session replica. Stored times are capped at `now`, since the clock restarts with the machine."""
     written_at, term, sessions = msgspec.msgpack.decode(
         raw, type=tuple[int, tuple[int, int], list[message.SessionRecord]]
     )
@@ -47,7 +47,7 @@
 
 
 def storage_key(pool: str) -> bytes:
-    """The disk's key of a pool's replica.
+    """The key under which the session replica of a pool is stored on disk.
 
     >>> storage_key("desk")
     b'shelf/desk'
@@ -59,7 +59,7 @@
     """The session replicas of one core machine, by pool."""
 
     def __init__(self, parts: core_parts.CoreParts, disk: storage.MonitoredDisk, state: dict[bytes, bytes]) -> None:
-        """`state` is what the data folder held at the start."""
+        """Load the stored replicas from `state`, all keys and values of the data folder at the start."""
         self.parts = parts
         self.disk = disk
         self.by_pool: dict[str, session_replicas.SessionReplica] = {
@@ -67,14 +67,14 @@
             for key, raw in state.items()
             if key.startswith(KEY_PREFIX)
         }
-        self._unwritten: set[str] = set()  # pools whose replica is newer than that on the disk
+        self._unwritten: set[str] = set()  # pools whose replica has changed since it was last written to disk
 
     def session_count(self, pool: str) -> int | None:
-        """How many sessions of a pool are known here; None where nothing of the pool is."""
+        """The number of sessions in the replica of a pool; None if there is no replica."""
         return len(self.by_pool[pool].sessions) if pool in self.by_pool else None
 
     def apply_records(self, records: message.ReplicateRecords, from_node: bool) -> None:
-        """Take a pool owner's records; those that come from a node itself go on to the other core machines."""
+        """Apply a pool owner's records; records received from a node are forwarded to the other core machines."""
         if self._replica(records.pool).take(records, self.parts.runtime.now()):
             self._unwritten.add(records.pool)
         if from_node:
@@ -86,10 +86,10 @@
                 self.parts.runtime.spawn(self.parts.peers.tell(voter.host, voter.port, records), log)
 
     async def collect(self, request: message.RecordsRequest) -> message.RecordsResponse:
-        """What is kept here of a pool, for a new pool owner; `has_replica` says whether the pool had an owner before.
+        """The session records of a pool for a new pool owner; `has_replica`: whether the pool had an owner before.
 
-        That the pool has an owner now is on the disk before the answer, so that no later pool owner
-        takes the pool for new. A pool owner that asks again under its own term is not a later one.
+        Before the answer, the term of the new owner is synced to disk, so that a later pool owner does not mistake
+        the pool for a new one. A pool owner that repeats its request under the same term is not a later owner.
         """
         session_replica = self._replica(request.pool)
         had_owner = session_replica.term not in (NO_TERM, request.term)
@@ -103,7 +103,7 @@
         return message.RecordsResponse(True, sessions, has_replica=had_owner)
 
     async def write_periodically(self) -> None:
-        """Write the replicas that changed to the disk, every WRITE_INTERVAL_US; one task."""
+        """Write changed replicas to disk every WRITE_INTERVAL_US; runs as a single task."""
         while True:
             await self.parts.runtime.sleep(WRITE_INTERVAL_US)
             now = self.parts.runtime.now()
@@ -113,7 +113,9 @@
             puts = [self._encoded(pool, now) for pool in changed]
             self._unwritten.clear()
             if puts:
-                with contextlib.suppress(storage.DiskError):  # only a delayed copy; MonitoredDisk logs the error
+                with contextlib.suppress(
+                    storage.DiskError
+                ):  # a lost write only delays the copy; MonitoredDisk logs the error
                     await self.disk.commit(puts)
 
     def _replica(self, pool: str) -> session_replicas.SessionReplica:
--- a/iriswheel/control/reports.py
+++ b/iriswheel/control/reports.py
@@ -1,4 +1,4 @@
-"""What a core machine reports to the tail: the sessions of its nodes, their leases, and what the nodes reported."""
+"""The reports of a core machine to the tail: sessions and leases of its nodes, their worker list and their roles."""
 
 from __future__ import annotations
 
@@ -14,48 +14,48 @@
     from iriswheel.control import core_parts, node_session
 
 REPORT_INTERVAL_US = 250 * units.MILLISECOND_US
-BATCH_DELAY_US = 5 * units.MILLISECOND_US  # what else the nodes report within this goes in the same report
-LISTING_REPEAT_US = 2 * units.SECOND_US  # an unchanged worker list is sent again: a report may be lost
+BATCH_DELAY_US = 5 * units.MILLISECOND_US  # nodes' messages that arrive within this time share one report
+LISTING_REPEAT_US = 2 * units.SECOND_US  # interval for resending an unchanged worker list, since a report may be lost
 
 log = loguru.logger.bind(part="core")
 
 
 class NodeReports:
-    """What the nodes of this core machine have reported: the worker list, and roles that are active or contested."""
+    """The latest information from the nodes of this core machine: worker list, active and contested roles."""
 
     def __init__(self) -> None:
         self.report_now = scheduler.Signal()
         self.listing: message.WorkerListing | None = None
-        self.listing_unchanged: message.ListingUnchanged | None = None  # the newest, of any core machine
-        self.active: dict[str, message.Term] = {}  # role -> the newest term in which its holder was active
-        self.contested: dict[str, message.Term] = {}  # role -> the term that its holder can't use
+        self.listing_unchanged: message.ListingUnchanged | None = None  # the newest known, from any core machine
+        self.active: dict[str, message.Term] = {}  # role -> newest term in which its holder became active
+        self.contested: dict[str, message.Term] = {}  # role -> term of its holder that a newer term has superseded
 
     def record_listing(self, listing: message.WorkerListing) -> None:
-        """Keep a worker list unless a newer one is here."""
+        """Keep a worker list if it is newer than the stored one, and report it."""
         if self.listing is None or listing.version > self.listing.version:
             self.listing = listing
             self.report_now.wake()
 
     def record_listing_unchanged(self, unchanged: message.ListingUnchanged | None) -> None:
-        """Keep the newest message that the worker list is unchanged."""
+        """Keep the newest confirmation that the worker list is unchanged."""
         if unchanged is not None and (
             self.listing_unchanged is None or unchanged.version > self.listing_unchanged.version
         ):
             self.listing_unchanged = unchanged
 
     def record_role_activated(self, key: str, term: message.Term) -> None:
-        """Record the newest term in which the holder of a role has taken it up."""
+        """Record that the holder of a role has become active in a term, and report it."""
         self.active[key] = max(term, self.active.get(key, (0, 0)))
         self.report_now.wake()
 
     def record_role_contested(self, key: str, term: message.Term) -> None:
-        """Record a role whose holder met a newer term than its own: the tail has to give it a new one."""
+        """Record that the holder of a role met a term newer than its own; the tail must assign a new term."""
         self.contested[key] = term
         self.report_now.wake()
 
 
 class SentListing(typing.NamedTuple):
-    """Which worker list was sent last, to the tail of which view, and when (µs)."""
+    """The worker list that was last sent: the view of the receiving tail, the list's version, the time (µs)."""
 
     view: int
     version: message.ListingVersion
@@ -63,7 +63,7 @@
 
 
 class SessionReporter:
-    """Sends this core machine's reports to the tail of the present view."""
+    """Sends this core machine's reports to the tail of the current view."""
 
     def __init__(
         self,
@@ -71,14 +71,14 @@
         sessions: node_session.NodeSessions,
         apply_own_report: collections.abc.Callable[[message.NodeSessionsReport], None],
     ) -> None:
-        """`apply_own_report` takes the report where this machine is the tail itself."""
+        """Store the parts; `apply_own_report` receives the reports while this machine is itself the tail."""
         self.parts = parts
         self.sessions = sessions
         self.apply_own_report = apply_own_report
         self.sent_listing: SentListing | None = None
 
     async def run(self) -> None:
-        """Report at every change, and every REPORT_INTERVAL_US; one task."""
+        """Report at every change and every REPORT_INTERVAL_US; runs as a single task."""
         while True:
             view = self.parts.consensus.view
             if view is not None and self.parts.consensus.is_serving():
@@ -115,7 +115,7 @@
         )
 
     def _listing_to_send(self, view: int, now: int) -> message.WorkerListing | None:
-        """The worker list, where it is new to the tail of a view, and again every LISTING_REPEAT_US."""
+        """The worker list if it was not sent to the tail of this view within LISTING_REPEAT_US, else None."""
         listing, sent = self.parts.node_reports.listing, self.sent_listing
         if listing is None:
             return None
--- a/iriswheel/control/slices.py
+++ b/iriswheel/control/slices.py
@@ -1,6 +1,7 @@
-"""Slices: the part of the configuration that one node needs, and the differences between slices.
+"""Slices: a slice is the part of the configuration that one node needs.
 
-Both are cached, so that many nodes of a zone with the same roles cost one computation.
+Slices and the differences between them are cached, so that they are computed once for all nodes of a zone with the same
+roles.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 if typing.TYPE_CHECKING:
     from iriswheel.replication import replicated_state
 
-CACHE_CAPACITY = 256  # of each cache
+CACHE_CAPACITY = 256  # entries in each cache
 
 Slice: typing.TypeAlias = dict[str, configuration.Item]
 SliceChanges: typing.TypeAlias = dict[str, configuration.Item | None]  # None removes an item
@@ -22,16 +23,16 @@
 
 
 class SliceKey(typing.NamedTuple):
-    """What a slice is cut from and for."""
+    """The state that a slice is computed from, and the node properties that it is computed for."""
 
     log_index: int  # of the newest log entry in the state
-    view: int  # in which that entry was made
+    view: int  # in which that entry was created
     zone: str
     pools: tuple[str, ...]
 
 
 class CachedChanges(typing.NamedTuple):
-    """The changes between two slices, with the slices: while these are kept, no other object has their ids."""
+    """The changes between two slices. It refers to the slices, so that no other object gets their ids."""
 
     old: Slice
     new: Slice
@@ -39,7 +40,7 @@
 
 
 class Slices:
-    """Cuts slices out of replicated states.
+    """Computes slices of replicated states, and the changes between slices, with a cache for each.
 
     >>> import iriswheel.replication.replicated_state as replicated_state
     >>> one, two = [replicated_state.ReplicatedState(n).with_changes([("limits/door", {"head_us": n})]) for n in (1, 2)]
@@ -54,14 +55,14 @@
         self._changes: dict[tuple[int, int], CachedChanges] = {}
 
     def slice(self, state: replicated_state.ReplicatedState, zone: str, pools: tuple[str, ...]) -> Slice:
-        """What a node needs of a state: `pools` are those for which it holds the role of pool owner."""
+        """The slice of a state for a node in a zone; `pools` are the pools that the node owns."""
         key = SliceKey(state.index, state.view, zone, pools)
         return self._slices.get(key) or _store(
             self._slices, key, configuration.slice_for_node(state.published, zone, pools)
         )
 
     def delta(self, old: Slice, new: Slice) -> SliceChanges:
-        """The changes that lead from one slice to another."""
+        """The changes that turn one slice into another."""
         if old is new:
             return {}
         key = (id(old), id(new))
@@ -72,7 +73,7 @@
 
 
 def _store(cache: dict[Key, Value], key: Key, value: Value) -> Value:
-    """Put a value into a cache, in place of the oldest one where the cache is full."""
+    """Add a value to a cache; a full cache first drops its oldest entry."""
     if len(cache) >= CACHE_CAPACITY:
         del cache[next(iter(cache))]
     cache[key] = value
--- a/iriswheel/control/submitted_changes.py
+++ b/iriswheel/control/submitted_changes.py
@@ -1,7 +1,7 @@
-"""Numbered changes of operators: checked against the committed state and applied at most once.
+"""Numbered changes of operators, which are checked against the committed state and applied at most once.
 
-An operator gives each change a number, and the number that it is built on. After a lost answer
-the same change may be sent again, to any core machine, and is recognized by its identifier.
+An operator gives each change a number, and names the number of the change that it is built on. If the answer is lost,
+the operator may send the same change again to any core machine, which recognizes it by its identifier.
 """
 
 from __future__ import annotations
@@ -17,19 +17,23 @@
 if typing.TYPE_CHECKING:
     from iriswheel.control import chain_client, core_parts, counters, tail_contact
 
-TIMEOUT_US = 900 * units.MILLISECOND_US  # a change is answered within this, known or not
+TIMEOUT_US = 900 * units.MILLISECOND_US  # a change is answered within this time, with an unknown outcome if need be
 RETRY_DELAY_US = 30 * units.MILLISECOND_US
-MAX_PROBLEMS_SHOWN = 50
-NO_VERSION = 0  # for the id in a read before a change's base is known
+MAX_PROBLEMS_SHOWN = 50  # configuration errors listed in one answer
+NO_VERSION = 0  # base used for the id in a read, before the base version is known
 
 MakeItems: typing.TypeAlias = collections.abc.Callable[[configuration.Items], dict[str, configuration.Item]]
 
 
 class SubmittedChange(typing.NamedTuple):
-    """An operator's change with the number `number`, built on the number `built_on`.
-
-    make(items) gives the new items, or raises InvalidConfigurationError. `complete` says that these
-    don't depend on the old ones.
+    """A numbered change that an operator submitted.
+
+    Attributes:
+        identifier: The id that is the same each time the change is sent.
+        number: The operator's number of the change.
+        built_on: The number of the change that this one is based on.
+        make: Computes the new items from the current ones, or raises InvalidConfigurationError.
+        complete: Whether the change is a complete configuration, so that the new items don't depend on the old ones.
     """
 
     identifier: str
@@ -39,7 +43,7 @@
     complete: bool = False
 
     def identifier_for_base(self, _version: int) -> str:
-        """The id of the change, on whichever version it is proposed."""
+        """The id of the change, which does not depend on the version that it is proposed on."""
         return self.identifier
 
     def decide(self, known: KnownState) -> Decision:
@@ -48,29 +52,29 @@
 
 
 class KnownState(typing.NamedTuple):
-    """What was read of the committed state, to decide about a change."""
+    """The part of the committed state that is needed to decide on a change."""
 
     version: int
     items: configuration.Items
-    accepted_version: int  # the version under which the change was taken; 0: it is not among those remembered
-    highest_dropped_number: int  # the highest number of a change that is no longer remembered
-    read_at_tail: bool  # for this change, under the tail's lease; else it may be out of date
+    accepted_version: int  # version under which the change was accepted; 0: its id is not stored
+    highest_dropped_number: int  # highest number of a change whose id is no longer stored
+    read_at_tail: bool  # whether the tail answered under its lease; if not, it may be out of date
 
 
 class Committed(typing.NamedTuple):
-    """The change is committed, under a version."""
+    """The change is already committed, under this version."""
 
     version: int
 
 
 class Applicable(typing.NamedTuple):
-    """The change can be taken: it makes these changes."""
+    """The change can be proposed, with these changes of items."""
 
     changes: list[configuration.ItemChange]
 
 
 class Refused(typing.NamedTuple):
-    """The change can't be taken on this state."""
+    """The change is refused on this state, with this error."""
 
     error: errors.ServiceError
 
@@ -79,20 +83,20 @@
 
 
 class ReplicatedChange(typing.Protocol):
-    """A change of the replicated state that an operator asks for."""
+    """A change of the replicated state that an operator requests: a numbered change or a zone order."""
 
     def identifier_for_base(self, version: int) -> str:
-        """The id under which the change is proposed on a version."""
+        """The id under which the change is proposed on a base version."""
 
     def decide(self, known: KnownState) -> Decision:
         """Decide from a state whether the change is committed, can be proposed, or must be refused."""
 
 
 def items_after(change: SubmittedChange, items: configuration.Items) -> dict[str, configuration.Item]:
-    """The items that a change makes of others, under its number.
+    """The items that result from a change, with the change's number stored among them.
 
     Raises:
-        errors.ServiceError: `bad_blueprint`, with what is wrong.
+        errors.ServiceError: `bad_blueprint`, with the errors of the configuration or of the number.
 
     >>> items_after(SubmittedChange("c0-3-x", 3, 0, dict), {"pools/p": {}})
     {'pools/p': {}, 'marks/operator': {'number': 3}}
@@ -113,9 +117,10 @@
 def decide(known: KnownState, change: SubmittedChange) -> Decision:
     """Decide from a state whether a change is committed, can be proposed, or must be refused.
 
-    A change is committed where it is among those taken. A complete one that would make just the state that is there
-    is proposed without any change of an item, on whichever base it was sent: so it is remembered as taken, and found
-    so after later changes. Numbers rise, so a change on a number that was passed can't be taken any more.
+    A change is committed if it is among the accepted changes. A complete configuration that equals the current one,
+    number included, is proposed without any change of an item, whatever its base: then its id is stored as accepted,
+    and a repetition after later changes is still recognized. Numbers only rise, so a change that is based on an
+    earlier number than the current one can never be accepted.
 
     >>> change = SubmittedChange("c0-3-x", 3, 0, lambda items: {"pools/p": {}})
     >>> decide(KnownState(0, {}, 0, 0, True), change)
@@ -145,18 +150,18 @@
 
 
 def _stale_base_error(known: KnownState, change: SubmittedChange, current: int) -> errors.ServiceError:
-    """The refusal of a change whose base is not the present number.
+    """The refusal of a change whose base is not the current number.
 
-    Where the id of a change may have been forgotten, nobody knows whether it was taken.
+    If the id of the change may have been dropped, it is unknown whether the change was accepted.
     """
     if change.number <= known.highest_dropped_number:
-        text = "Changes of that age are no longer remembered."
+        text = "The ids of changes of that age are no longer stored, so the outcome of this one is unknown."
         return errors.ServiceError("unknown_outcome", text, errors.ExecutionOutcome.MAY_HAVE_RUN)
     return errors.ServiceError("base_moved", f"The blueprint is at number {current}.")
 
 
 class ChangeApplier:
-    """Proposes operators' changes and waits until every node has applied them."""
+    """Proposes operators' changes to the head, and waits until every node has applied them."""
 
     def __init__(
         self,
@@ -171,29 +176,29 @@
         self.counters = counters
 
     async def apply_change(self, change: SubmittedChange) -> int:
-        """Bring a numbered change into force, and wait until the nodes have applied it.
+        """Apply a numbered change, and wait until every node has applied it.
 
-        A change that comes again is found taken, also when later ones were taken since. The head
-        compares versions, so of two changes on one base just one is taken. A refusal is given only
-        after a read at the tail, under its lease, made for this change.
+        A repeated change is recognized as accepted, even if later changes were accepted since. The head compares
+        versions, so only one of two changes with the same base is accepted. A change is refused only after a read
+        for this change at the tail, under the tail's lease.
 
-        Returns and raises what `apply` does.
+        Returns and raises the same as `apply`.
         """
         return await self.apply(change, self.local_state_for(change))
 
     async def apply(self, change: ReplicatedChange, known: KnownState | None = None) -> int:
-        """Bring a change into force, and wait until the nodes have applied it.
+        """Commit a change, unless it is committed already, and wait until every node has applied it.
 
         Args:
             change: The change.
-            known: What is known of the committed state to decide on first; None for a read at the tail.
+            known: The committed state to decide on in the first attempt; None to read it at the tail.
 
         Returns:
             The version under which the change is committed.
 
         Raises:
-            errors.ServiceError: The change is refused, or after TIMEOUT_US it is not known to be applied by all nodes;
-                at once where this machine knows itself cut off.
+            errors.ServiceError: The change is refused, or is not known to be applied by all nodes after TIMEOUT_US.
+                If this machine knows that it is cut off, it raises without further attempts.
         """
         until = self.parts.runtime.now() + TIMEOUT_US
         self.counters.changes += 1
@@ -218,13 +223,13 @@
         if may_have_run or last_error is None:
             raise errors.ServiceError(
                 "unknown_outcome",
-                "It is not known yet whether the change was taken.",
+                "It is not known yet whether the change was accepted.",
                 errors.ExecutionOutcome.MAY_HAVE_RUN,
             )
-        raise errors.ServiceError("no_chain", f"The change can't be taken now: {last_error.text}")
+        raise errors.ServiceError("no_chain", f"The change can't be accepted at the moment: {last_error.text}")
 
     def local_state_for(self, change: SubmittedChange) -> KnownState:
-        """What this machine's own copy says of a change; it may be out of date."""
+        """The state to decide on, from this machine's own replica, which may be out of date."""
         base = self.parts.chain.committed_state
         return KnownState(
             version=base.version,
@@ -235,7 +240,7 @@
         )
 
     async def tail_state_for(self, change: ReplicatedChange, timeout_us: int) -> KnownState:
-        """What the tail says of a change, under its lease."""
+        """The state to decide on, read at the tail under its lease."""
         read = await self.client.read_at_tail(change.identifier_for_base(NO_VERSION), timeout_us)
         return KnownState(
             version=read.version,
@@ -246,7 +251,7 @@
         )
 
     async def _propose_once(self, known: KnownState, change: ReplicatedChange, until: int) -> Committed | Refused:
-        """Propose a change on a known state, unless it is committed already or can't be."""
+        """Decide on a known state, propose the change if it is applicable, and wait until every node has applied it."""
         decision = change.decide(known)
         if isinstance(decision, Refused):
             return decision
@@ -265,5 +270,5 @@
         except errors.ServiceError as error:
             if error.code != "base_moved":
                 raise
-            # a read at the tail will say what became of this change
-            raise errors.ServiceError("no_chain", "Another change came first.") from error
+            # The caller retries: a read at the tail then shows whether this change was accepted.
+            raise errors.ServiceError("no_chain", "Another change was accepted first.") from error
--- a/iriswheel/control/tail_contact.py
+++ b/iriswheel/control/tail_contact.py
@@ -1,4 +1,7 @@
-"""What a core machine knows from the tail's heartbeats: whether it may serve, and what all nodes have applied."""
+"""The state that a core machine learns from the tail's heartbeats.
+
+It covers whether this machine may serve, and up to which log index all nodes have applied the log.
+"""
 
 from __future__ import annotations
 
@@ -14,30 +17,30 @@
 
 CONTACT_TIMEOUT_US = (
     1_100 * units.MILLISECOND_US
-)  # without an answer of the tail for so long, a core machine does not serve
+)  # without an answer of the tail within this time, a core machine stops serving
 
 
 class AnsweredReport(typing.NamedTuple):
-    """The newest report of this core machine that the tail has answered."""
+    """The sending time and view of the newest report of this core machine that the tail has answered."""
 
     sent_at: int = 0  # µs, on this core machine's clock
     view: int = 0
 
 
 class TailContact:
-    """Receives the tail's heartbeats; wakes operators' calls that wait for a version to be applied."""
+    """Handles the tail's heartbeats, and wakes operators' calls that wait for nodes to apply a version."""
 
     def __init__(self, parts: core_parts.CoreParts, wake_senders: collections.abc.Callable[[], None]) -> None:
-        """Start without contact; `wake_senders` wakes the node sessions and heartbeats that pass on new state."""
+        """Start without contact; `wake_senders` wakes the node sessions and heartbeats that send new state."""
         self.parts = parts
         self.wake_senders = wake_senders
         self.answered_report = AnsweredReport()
-        self.session_count = 0  # members that have a session, as the tail counts them
-        self.applied_by_all = 0  # every node has applied the log at least up to this index
+        self.session_count = 0  # members with a session at any core machine, as counted by the tail
+        self.applied_by_all = 0  # log index up to which every node has applied the log
         self._applied_by_all_changed = scheduler.Signal()
 
     def has_recent_answer(self) -> bool:
-        """Whether the tail of the present view answered a report not longer than FRESH_US ago."""
+        """Whether the tail of the current view has answered a report that was sent within CONTACT_TIMEOUT_US."""
         view = self.parts.consensus.view
         return (
             view is not None
@@ -46,12 +49,12 @@
         )
 
     def no_node_reachable(self) -> bool:
-        """Whether there are nodes, and none has a session: they may all be cut off, and keep their configuration."""
+        """Whether there are members but none has a session; cut-off nodes may still use their old configuration."""
         latest = self.parts.membership.latest
         return latest is not None and bool(latest.members) and not self.session_count
 
     def receive(self, heartbeat: message.TailHeartbeat) -> None:
-        """Take a heartbeat of the present view's tail."""
+        """Handle a heartbeat; one from another view than the current one is ignored."""
         if self.parts.consensus.view is None or heartbeat.view != self.parts.consensus.view.number:
             return
         self.parts.lease.renew(heartbeat.echo)
@@ -69,7 +72,7 @@
         self.wake_senders()
 
     def record_own_heartbeat(self, view: int, echo: int, applied_by_all: int, session_count: int) -> None:
-        """Record what a heartbeat would bring, where this machine is the tail itself."""
+        """Record the content of a heartbeat to itself, while this machine is the tail."""
         self.parts.lease.renew(echo)
         self.answered_report = AnsweredReport(self.parts.runtime.now(), view)
         self._raise_applied_by_all(applied_by_all)
@@ -79,14 +82,14 @@
         """Wait until every node that may hold a lease has applied the log up to an index.
 
         Raises:
-            errors.ServiceError: `unknown_outcome`, where that is not known at the time `until` (µs).
+            errors.ServiceError: `unknown_outcome`, if this is not known by the time `until` (µs).
         """
         while self.applied_by_all < index:
             left = until - self.parts.runtime.now()
             if left <= 0:
                 raise errors.ServiceError(
                     "unknown_outcome",
-                    "The change is committed, but a node may not have applied it yet.",
+                    "The change is committed, but it is not known that every node has applied it.",
                     errors.ExecutionOutcome.MAY_HAVE_RUN,
                 )
             await self.parts.runtime.pause(self._applied_by_all_changed, left)
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -1,4 +1,4 @@
-"""The work of the tail: it takes the core machines' reports, issues the membership, and sends heartbeats."""
+"""The duties of the tail: to handle the core machines' reports, issue the membership, and send heartbeats."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
 ISSUE_INTERVAL_US = 100 * units.MILLISECOND_US
-# Every so many rounds, the membership goes to all core machines anew: it may have been lost with a connection.
+# Heartbeat rounds after which the membership is resent to all core machines, since a message may have been lost.
 FULL_ROUND_INTERVAL = 4
 
 log = loguru.logger.bind(part="core")
 
 
 class SentMembership(typing.NamedTuple):
-    """Which membership was sent to a core machine, and in which view."""
+    """The version of the membership that was last sent to a core machine, and the view in which it was sent."""
 
     view: int
     version: message.MembershipVersion
 
 
 class TailService:
-    """The tail's service; it exists on every core machine, since each may become the tail."""
+    """The duties of the tail. Every core machine has this service, since each may become the tail."""
 
     def __init__(
         self,
@@ -42,21 +42,23 @@
         sessions: node_session.NodeSessions,
         wake_senders: collections.abc.Callable[[], None],
     ) -> None:
-        """Count every node as a lease holder at first; `wake_senders` wakes what passes on a new membership."""
+        """Treat every node as a lease holder at first; `wake_senders` wakes the tasks that send a new membership."""
         self.parts = parts
         self.options = options
         self.contact = contact
         self.sessions = sessions
         self.wake_senders = wake_senders
         self.lease_holders = lease.LeaseHolders(options.lease_us, parts.runtime.now())
-        self.newest_report_times: dict[str, int] = {}  # core -> `sent_at` of its newest report in this view
+        # core machine -> `sent_at` of its newest report in this view (µs, on its clock)
+        self.newest_report_times: dict[str, int] = {}
         self.heartbeat_now = scheduler.Signal()
         self.issue_now = scheduler.Signal()
-        self._announced_version: message.MembershipVersion | None = None  # of the membership that was last announced
+        # version of the last membership that the senders were woken for
+        self._announced_version: message.MembershipVersion | None = None
         self._sent_memberships: dict[message.ChainReplica, SentMembership] = {}
 
     def on_view(self, view: message.View) -> None:
-        """Forget the reports of the view before, and count who may hold leases from it."""
+        """Discard the reports of the previous view, and update which nodes may hold leases from its core machines."""
         self.newest_report_times = {}
         previous_chain = self.parts.consensus.previous_chain
         own_replica = decisions.ReplicaIncarnation(self.parts.consensus.own_voter.id, self.parts.runtime.incarnation)
@@ -65,14 +67,15 @@
         self.lease_holders.on_view(previous_chain, chain, self.parts.runtime.now(), was_tail)
 
     def on_lease(self) -> None:
-        """This machine has got the tail's lease: others learn it at once, and the wait for the nodes begins."""
+        """React to the tail's lease: send heartbeats and check whether the membership can be issued, both at once."""
         self.heartbeat_now.wake()
         self.issue_now.wake()
 
     def apply_report(self, report: message.NodeSessionsReport) -> None:
-        """Record a core machine's report; the membership and the lease holders follow from it.
+        """Record a core machine's report, and update the membership and the lease holders from it.
 
-        A first report, and one that lists nodes without a lease yet, is answered at once.
+        The first report of a core machine, and one that lists nodes not yet known as lease holders, is answered with a
+        heartbeat at once.
         """
         before = self.applied_by_all()
         lists_new_nodes = report.core not in self.newest_report_times or any(
@@ -89,13 +92,13 @@
             self.heartbeat_now.wake()
 
     def applied_by_all(self) -> int:
-        """The index up to which every node that may hold a lease has applied the log; 0 where it is not known."""
+        """The log index up to which every node that may hold a lease has applied the log; 0 if unknown."""
         if not self.parts.consensus.holds_lease():
             return 0
         return self.lease_holders.applied(self.parts.chain.committed_state.index, self.parts.runtime.now())
 
     async def remove_member(self, leaving: message.MemberLeaving) -> None:
-        """Remove a node that says it leaves; where another machine is the tail, pass the message on."""
+        """Remove a node that announces its departure; if another machine is the tail, forward the message to it."""
         if self.parts.consensus.is_tail():
             self.parts.membership.remove_member(leaving.member)
             self._announce_membership()
@@ -105,7 +108,7 @@
                 await self.parts.peers.tell(tail.host, tail.port, leaving)
 
     async def issue_periodically(self) -> None:
-        """Issue the membership where a member's time has run out, or this machine may issue now; one task."""
+        """Issue a new membership when it has changed, for example after a member timed out; runs as a single task."""
         while True:
             await self.parts.runtime.pause(self.issue_now, ISSUE_INTERVAL_US)
             if self.parts.consensus.is_tail():
@@ -113,7 +116,7 @@
                 self._announce_membership()
 
     async def send_heartbeats(self) -> None:
-        """Under the lease, tell all core machines of the chain what is committed; one task."""
+        """Send heartbeats to the core machines of the chain while this machine holds the lease; a single task."""
         rounds = 0
         while True:
             view = self.parts.consensus.view
@@ -149,7 +152,7 @@
     def _membership_for(
         self, replica: message.ChainReplica, view: int, latest: message.Membership | None
     ) -> message.Membership | None:
-        """The membership, unless it was sent to this core machine already."""
+        """The membership to send to a core machine; None if it was sent to it already."""
         if latest is None:
             return None
         sent, self._sent_memberships[replica] = (
@@ -159,7 +162,7 @@
         return latest if sent != (view, latest.version) else None
 
     def _announce_membership(self) -> None:
-        """Have the membership passed on where it has changed."""
+        """Wake the senders if the membership has changed."""
         if self.parts.membership.latest is not None and self.parts.membership.latest.version != self._announced_version:
             self._announced_version = self.parts.membership.latest.version
             self.wake_senders()
--- a/iriswheel/control/zone_evacuation.py
+++ b/iriswheel/control/zone_evacuation.py
@@ -1,7 +1,8 @@
-"""Operators' orders to evacuate a zone and to readmit it: any number of times, at any core machine.
+"""Operators' orders to evacuate a zone and to readmit it, which may be repeated at any core machine.
 
-An order is decided on a state read at the tail, so that one which is in force already needs no log entry. Orders for
-different zones, and configurations, don't depend on each other: an order whose base has moved is decided anew.
+An order is checked against a state read at the tail, so an order that is already in force needs no log entry. Orders
+for different zones and changes of the configuration are independent: if the version has advanced since the read, the
+order is checked again on the new state.
 """
 
 from __future__ import annotations
@@ -14,20 +15,20 @@
 from iriswheel.configuration import configuration
 from iriswheel.control import submitted_changes
 
-IDENTIFIER_PREFIX = "z"  # begins the id of an order, and never that of a numbered change or of a plan
+IDENTIFIER_PREFIX = "z"  # of the ids of zone orders; ids of numbered changes and plans begin otherwise
 DIGEST_CHARACTERS = 16
 MAX_ZONE_CHARACTERS = 128
 
 
 @dataclasses.dataclass(frozen=True)
 class ZoneOrder:
-    """An operator's order that a zone be evacuated, or readmitted.
+    """An operator's order to evacuate or to readmit a zone.
 
     Attributes:
-        zone: The zone.
-        evacuated: Whether the zone is to be evacuated.
-        is_wanted: Whether the operator still waits for the answer. An order that lay unread in a machine that stood
-            still, and that was sent again elsewhere meanwhile, must not undo a later one.
+        zone: The name of the zone.
+        evacuated: True to evacuate the zone, False to readmit it.
+        is_caller_waiting: Whether the operator still waits for the answer. A core machine that was paused may read an
+            order late, after the operator has sent it to another machine; such an order must not undo a later one.
     """
 
     zone: str
@@ -35,7 +36,7 @@
     is_caller_waiting: collections.abc.Callable[[], bool] = lambda: True
 
     def identifier_for_base(self, version: int) -> str:
-        """The id of the order where it is proposed on a version: the same from each core machine.
+        """The id of the order when proposed on a base version; it is the same at each core machine.
 
         >>> ZoneOrder("north", True).identifier_for_base(7)
         'z7-evacuate-dc365e79d41cfae1'
@@ -44,14 +45,18 @@
         return f"{IDENTIFIER_PREFIX}{version}-{'evacuate' if self.evacuated else 'readmit'}-{digest}"
 
     def decide(self, known: submitted_changes.KnownState) -> submitted_changes.Decision:
-        """Decide from a state whether the order is in force, or what it changes.
+        """Decide from a state whether the order is already in force, can be proposed, or is refused.
 
         >>> known = submitted_changes.KnownState(7, {"evacuations/north": {}}, 0, 0, True)
         >>> ZoneOrder("north", True).decide(known), ZoneOrder("north", False).decide(known)
         (Committed(version=7), Applicable(changes=[('evacuations/north', None)]))
         """
         if not self.is_caller_waiting():
-            return submitted_changes.Refused(errors.ServiceError("too_late", "The caller has gone."))
+            return submitted_changes.Refused(
+                errors.ServiceError(
+                    "too_late", "The caller has closed the connection, so the order was not carried out."
+                )
+            )
         if (self.zone in configuration.evacuated_zones(known.items)) == self.evacuated:
             return submitted_changes.Committed(known.version)
         key = configuration.evacuation_key(self.zone)
@@ -59,14 +64,14 @@
 
 
 def parse_zone(text: str) -> str:
-    """A zone's name out of an order's path.
+    """Check the zone name from the path of an order.
 
     Raises:
-        errors.ServiceError: `bad_request`, where this is no name.
+        errors.ServiceError: `bad_request`, if the name is empty, too long or not printable.
 
     >>> parse_zone("north")
     'north'
     """
     if not text or len(text) > MAX_ZONE_CHARACTERS or not text.isprintable():
-        raise errors.ServiceError("bad_request", "This is no zone's name.", field="zone")
+        raise errors.ServiceError("bad_request", "The zone's name is empty, too long or not printable.", field="zone")
     return text
--- a/iriswheel/replication/proposals.py
+++ b/iriswheel/replication/proposals.py
@@ -38,7 +38,7 @@
     if base == state.version:
         return None
     subject = "change" if request.kind == message.ChangeKind.APPLY else "plan"
-    return refuse("base_moved", f"The blueprint is at {state.version}, the {subject}'s base is {base}.")
+    return refuse("base_moved", f"The blueprint is at stamp {state.version}; the {subject} is based on {base}.")
 
 
 def _refuse_unknown_plan(state: replicated_state.ReplicatedState, identifier: str) -> message.ProposeChangeResponse:
@@ -50,7 +50,9 @@
     prefix = identifier.split("-")[0]
     if prefix.isdigit() and int(prefix) < state.version:
         return message.ProposeChangeResponse(
-            "not_found", errors.ExecutionOutcome.MAY_HAVE_RUN.value, "The plan is no longer remembered."
+            "not_found",
+            errors.ExecutionOutcome.MAY_HAVE_RUN.value,
+            "The plan is no longer stored; it may have been confirmed before.",
         )
     return refuse("not_found", "There is no such plan.")
 
--- a/tests/test_submitted_changes.py
+++ b/tests/test_submitted_changes.py
@@ -15,7 +15,10 @@
     decision = submitted_changes.decide(FORGOTTEN, change)
     assert isinstance(decision, submitted_changes.Refused)
     assert decision.error.execution is errors.ExecutionOutcome.MAY_HAVE_RUN
-    assert decision.error.text == "Changes of that age are no longer remembered."
+    assert (
+        decision.error.text
+        == "The ids of changes of that age are no longer stored, so the outcome of this one is unknown."
+    )
 
 
 def test_a_configuration_that_stands_already_is_proposed_so_that_it_is_remembered() -> None:
