--- a/iriswheel/control/replica_store.py
+++ b/iriswheel/control/replica_store.py
@@ -113,9 +113,7 @@
             puts = [self._encoded(pool, now) for pool in changed]
             self._unwritten.clear()
             if puts:
-                with contextlib.suppress(
-                    storage.DiskError
-                ):  # a lost write only delays the copy; MonitoredDisk logs the error
+                with contextlib.suppress(storage.DiskError):  # a failed write delays the copy; MonitoredDisk logs it
                     await self.disk.commit(puts)
 
     def _replica(self, pool: str) -> session_replicas.SessionReplica:
--- a/iriswheel/control/tail_contact.py
+++ b/iriswheel/control/tail_contact.py
@@ -15,9 +15,7 @@
     from iriswheel.control import core_parts
     from iriswheel.transport import message
 
-CONTACT_TIMEOUT_US = (
-    1_100 * units.MILLISECOND_US
-)  # without an answer of the tail within this time, a core machine stops serving
+CONTACT_TIMEOUT_US = 1_100 * units.MILLISECOND_US  # a core machine stops serving without an answer of the tail
 
 
 class AnsweredReport(typing.NamedTuple):
--- a/iriswheel/replication/replicated_log.py
+++ b/iriswheel/replication/replicated_log.py
@@ -19,9 +19,8 @@
 ENTRY_KEY_PREFIX = b"e"
 
 MAX_BATCH_ENTRIES = 64
-KEPT_ENTRIES = (
-    512  # old entries kept behind a snapshot, entries between snapshots, and states kept for nodes that rejoin
-)
+# old entries kept behind a snapshot, entries between two snapshots, and states kept for nodes that rejoin
+KEPT_ENTRIES = 512
 MAX_BYTES_SINCE_SNAPSHOT = 32 << 20  # of changes before a new snapshot is due, and of entries kept on disk
 
 log = loguru.logger.bind(part="chain")
