--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -159,7 +159,7 @@
 
     # ---- divergent and old copies -----------------------------------------------------------
 
-    def test_entries_that_were_never_acknowledged_give_way_to_those_of_the_newer_view(self) -> None:
+    def test_unacknowledged_entries_are_replaced_by_those_of_a_newer_view(self) -> None:
         shared = [entry(k, 1) for k in (1, 2, 3)]
         for ours, theirs in ((1, 1), (1, 3), (3, 1), (2, 2)):
             head, tail = self.pair(
@@ -170,7 +170,7 @@
             self.until(tail.chain.is_synced, 5)
             self.assert_same(head, tail)
 
-    def test_a_write_started_in_an_older_view_does_not_hide_entries_of_the_newer_one(self) -> None:
+    def test_a_late_write_of_an_older_view_does_not_displace_entries_of_a_newer_view(self) -> None:
         shared = [entry(1, 1)]
         head, tail = self.pair(shared, shared)
         self.install(2, head, tail)
@@ -190,7 +190,7 @@
         self.assert_same(head, tail)
         assert "routes/new" in tail.chain.committed_state.items
 
-    def test_a_late_snapshot_takes_nothing_back_from_a_synced_copy(self) -> None:
+    def test_a_late_snapshot_removes_no_entries_from_a_synced_replica(self) -> None:
         head, tail = self.pair([entry(k, 1) for k in range(1, 9)], [])
         self.install(2, head, tail)
         self.until(tail.chain.is_synced, 5)
@@ -202,7 +202,7 @@
         assert tail.chain.log.last_index == 8
         self.assert_same(head, tail)
 
-    def test_a_snapshot_that_the_disk_refuses_leaves_the_copy_as_it_is(self) -> None:
+    def test_a_snapshot_that_the_disk_refuses_leaves_the_old_log_unchanged(self) -> None:
         head, tail = self.pair([entry(1, 3)], [entry(k, 2) for k in (1, 2)])
         tail.host.disk = "full"
         self.install(4, head, tail)
@@ -213,7 +213,7 @@
         self.until(tail.chain.is_synced, 5)
         self.assert_same(head, tail)
 
-    def test_a_restarted_member_that_leads_alone_serves_all_that_was_acknowledged(self) -> None:
+    def test_a_restarted_member_alone_in_the_chain_commits_all_entries_on_its_disk(self) -> None:
         head = Member(self.network, "head", [entry(k, 1, self.route(f"r{k}")) for k in range(1, 301)])
         self.install(2, head)
         self.go(0.1)
@@ -230,7 +230,7 @@
     def size(self, msg: ChainMessage) -> int:
         return len(wire.encoder.encode(wire.Envelope(wire.FrameKind.CALL, 1, msg)))
 
-    def test_no_message_to_catch_up_is_large(self) -> None:
+    def test_catch_up_messages_have_a_bounded_size(self) -> None:
         head, tail = self.large_pair()
         for k in range(2, 9):
             head.chain.log.entries[k] = entry(
@@ -242,7 +242,7 @@
         self.assert_same(head, tail)
         assert max(self.size(msg) for msg in self.network.sent) < 1_200_000
 
-    def test_a_snapshot_goes_on_where_it_was_when_chunks_and_answers_are_lost(self) -> None:
+    def test_a_snapshot_transfer_resumes_after_lost_chunks_and_answers(self) -> None:
         head, tail = self.large_pair()
         calls = []
 
@@ -260,7 +260,7 @@
         assert sum(len(chunk.content) for chunk in chunks) < 2.5 * total  # lost ones are sent again, others are not
         assert sorted(chunk.offset for chunk in chunks) == [chunk.offset for chunk in chunks]
 
-    def test_a_snapshot_goes_on_in_a_later_view_while_the_state_moves_on(self) -> None:
+    def test_a_snapshot_transfer_resumes_in_a_later_view_after_further_changes(self) -> None:
         head, tail = self.large_pair()
         third = Member(self.network, "third", [])
         self.network.fate_of = lambda msg: (
@@ -285,7 +285,7 @@
         offsets = [msg.offset for msg in self.network.sent if isinstance(msg, message.SnapshotChunk)]
         assert min(offsets) > 200_000
 
-    def test_a_member_that_loses_power_in_a_transfer_keeps_its_old_copy_and_begins_anew(self) -> None:
+    def test_a_member_that_loses_power_during_a_transfer_keeps_its_old_log_and_receives_a_new_transfer(self) -> None:
         head, tail = self.large_pair()
         tail.host.synced.update(
             {b"e%016d" % k: replicated_log.encode_entry(entry(k, 7, self.route(f"old{k}"))) for k in (1, 2)}
@@ -304,7 +304,7 @@
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
 
-    def test_a_corrupted_chunk_is_sent_again(self) -> None:
+    def test_a_snapshot_with_a_corrupted_chunk_is_sent_again(self) -> None:
         head, tail = self.large_pair()
         spoilt: list[message.SnapshotChunk] = []
 
@@ -321,9 +321,7 @@
         self.until(tail.chain.is_synced, 10)
         self.assert_same(head, tail)
 
-    def test_a_member_whose_program_takes_no_chunks_gets_a_single_message(
-        self, monkeypatch: pytest.MonkeyPatch
-    ) -> None:
+    def test_a_member_that_does_not_accept_chunks_gets_a_single_message(self, monkeypatch: pytest.MonkeyPatch) -> None:
         head, tail = self.large_pair()
         answer = tail.chain.answer
 
@@ -425,7 +423,7 @@
         assert cluster.advance_until(lambda: back.chain.committed_state.index >= newest, 4 * SLOW_SYNC_US / SECOND)
         return caught_up / SECOND, longest / SECOND
 
-    def test_a_member_that_was_away_for_a_thousand_changes_and_a_blank_one_catch_up(self) -> None:
+    def test_a_member_catches_up_after_a_thousand_changes_and_again_with_an_empty_disk(self) -> None:
         cluster, name = self.away_for_many_changes()
         caught_up, longest = self.catch_up(cluster, name)
         assert caught_up < 2
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -77,7 +77,7 @@
     def put(self, replica: chain.Chain, msg: chain.ChainRequest) -> Any:  # noqa: ANN401 - a deferred of any answer
         return defer.ensureDeferred(replica.answer(msg))
 
-    def test_a_new_tail_answers_no_read_before_what_it_holds_is_committed(self) -> None:
+    def test_a_new_tail_refuses_reads_until_its_entries_are_committed(self) -> None:
         consensus = FixedConsensus(4, "b", "a")
         replica = self.replica(consensus, [entry(1, 3, "c0-1-0a")])
         assert not self.put(replica, message.ReadRequest(4)).result.ok
@@ -87,7 +87,7 @@
         consensus.agree(5, "b", "a")
         assert not self.put(replica, message.ReadRequest(5)).result.ok
 
-    def test_a_read_that_comes_after_the_lease_has_ended_fails(self) -> None:
+    def test_a_tail_refuses_reads_after_its_lease_has_ended(self) -> None:
         consensus = FixedConsensus(4, "b", "a")
         replica = self.replica(consensus)
         replica.tail.commit_synced(4)
@@ -95,7 +95,7 @@
         consensus.lease_has_ended = True
         assert not self.put(replica, message.ReadRequest(4)).result.ok
 
-    def test_a_tail_that_may_not_commit_alone_answers_no_read_by_less_than_it_holds(self) -> None:
+    def test_a_tail_with_too_few_copies_refuses_reads_while_it_holds_uncommitted_entries(self) -> None:
         consensus = FixedConsensus(4, "a", "b")
         replica = self.replica(consensus)
         self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})]))
@@ -112,7 +112,7 @@
         blank.tail.commit_synced(4)
         assert self.put(blank, message.ReadRequest(4)).result.ok
 
-    def test_a_change_synced_after_its_view_ended_is_not_acknowledged_by_another_entry(self) -> None:
+    def test_a_change_synced_after_its_view_ended_is_not_acknowledged_by_another_entry_at_its_index(self) -> None:
         consensus = FixedConsensus(4, "a", "b")
         replica = self.replica(consensus)
         proposed = self.put(
@@ -130,7 +130,7 @@
         assert refilled.result.ok
         assert dict(replica.committed_state.accepted_changes) == {"c0-1-0b": 1}
 
-    def test_a_change_taken_again_after_a_catch_up_by_snapshot_is_distinguished(self) -> None:
+    def test_a_change_replaced_by_a_snapshot_gets_an_unknown_outcome(self) -> None:
         consensus = FixedConsensus(4, "a", "b")
         replica = self.replica(consensus)
         proposed = self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, []))
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -49,7 +49,9 @@
         assert cluster.advance_until(lambda: cluster.tail() is not None, 10)
         return dict(self.committed(cluster).items)
 
-    def test_one_of_two_on_the_same_number_is_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_only_one_of_two_concurrent_changes_on_the_same_base_is_accepted(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         number = 0
         for k in range(8):
@@ -61,7 +63,7 @@
             assert configuration.operator_number(items) == number
             assert tuple(f"routes/r{10 * k + j}" in items for j in (won, lost)) == (True, False)
 
-    def test_a_change_sent_again_gets_the_same_answer_after_later_ones_were_taken(
+    def test_a_repeated_change_gets_the_same_answer_after_later_changes(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
@@ -79,7 +81,7 @@
         assert self.wait(cluster, self.start(cluster, 12, 10, {"upsert": {}, "blueprint": {}})) == [400]
 
     @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-    def test_a_lone_operator_is_never_refused_while_core_machines_die(
+    def test_a_single_operator_is_never_refused_while_core_machines_are_killed(
         self, quiet_cluster: conftest.QuietCluster, seed: int
     ) -> None:
         cluster = quiet_cluster(seed=seed)
@@ -109,7 +111,7 @@
             assert self.wait(cluster, self.start(cluster, *order)) == [200]
         return orders
 
-    def test_a_taken_change_is_acknowledged_again_after_many_later_ones_and_a_crash_of_all_core_machines(
+    def test_a_repeated_change_is_acknowledged_after_many_later_ones_and_a_restart_of_all_core_machines(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(replicated_state, "MAX_PLANS", 4)
@@ -127,7 +129,7 @@
         assert self.wait(cluster, self.start(cluster, 1, 0, route(9))) == [409]
         assert configuration.operator_number(self.items(cluster)) == 24
 
-    def test_a_change_that_is_no_longer_remembered_gets_no_clear_answer(
+    def test_a_repeated_change_whose_id_was_dropped_is_neither_acknowledged_nor_refused(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(replicated_state, "MIN_ACCEPTED_CHANGES", 4)
@@ -146,9 +148,7 @@
             for order in (orders[0], orders[-2], (8, 6, route(9)))
         ] == [0, 200, 409]
 
-    def test_of_eight_concurrent_changes_equal_ones_are_acknowledged_alike(
-        self, quiet_cluster: conftest.QuietCluster
-    ) -> None:
+    def test_equal_concurrent_changes_get_the_same_answer(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         orders = [(5, 0, route(k // 2)) for k in range(8)]
         results = self.wait(cluster, *(self.start(cluster, *order) for order in orders))
@@ -169,7 +169,7 @@
         after = self.committed(cluster)
         assert (after.index, after.items) == (before.index + 1, before.items)  # one entry, by which it is remembered
 
-    def test_a_configuration_that_stood_already_is_acknowledged_again_after_a_later_change(
+    def test_a_configuration_already_in_force_is_acknowledged_again_after_a_later_change(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
@@ -181,7 +181,7 @@
             assert self.wait(cluster, self.start(cluster, 4, built_on, {"blueprint": document})) == [200]
         assert configuration.operator_number(self.items(cluster)) == 5
 
-    def test_each_of_1100_changes_is_acknowledged_again_also_after_a_crash_of_all_core_machines(
+    def test_each_of_1100_changes_is_acknowledged_again_even_after_a_restart_of_all_core_machines(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
@@ -196,7 +196,7 @@
         assert self.wait(cluster, *(self.start(cluster, *order) for order in again)) == [200] * len(again)
         assert configuration.operator_number(self.items(cluster)) == 1_100
 
-    def test_a_change_is_taken_without_nodes_once_their_leases_ran_out(
+    def test_a_change_is_acknowledged_without_nodes_once_their_leases_have_expired(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
@@ -213,7 +213,7 @@
         assert self.wait(cluster, self.start(cluster, 2, 1, route(2))) == [200]
         assert cluster.world.time - started_at < SECOND // 2
 
-    def test_a_lone_core_machine_takes_changes_where_one_copy_is_enough(
+    def test_a_single_core_machine_accepts_changes_if_one_copy_is_required(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster(cores=1, copies=1, seats=1)
@@ -228,7 +228,7 @@
         assert "routes/r1" in self.items(cluster)
 
 
-class TestTakenChanges:
+class TestAcceptedChanges:
     """The memory of changes that were taken."""
 
     def apply(self, count: int) -> replicated_state.ReplicatedState:
@@ -238,7 +238,7 @@
             state = state.apply(message.LogEntry(number, 1, "apply", f"c{number - 1}-{number}-0a", number - 1, changes))
         return state
 
-    def test_they_outlive_the_plans_and_are_in_the_snapshot(self) -> None:
+    def test_accepted_changes_outlive_the_plans_and_are_stored_in_snapshots(self) -> None:
         state = self.apply(1_100)
         assert "c0-1-0a" not in state.plans
         again = snapshot_format.decode(snapshot_format.encode(state))
@@ -253,7 +253,7 @@
         )
         assert again == state
 
-    def test_their_number_is_bounded(self) -> None:
+    def test_the_number_of_accepted_changes_is_bounded(self) -> None:
         state = self.apply(replicated_state.MIN_ACCEPTED_CHANGES + replicated_state.ACCEPTED_CHANGES_SLACK + 2)
         assert (len(state.accepted_changes), state.highest_dropped_number) == (
             replicated_state.MIN_ACCEPTED_CHANGES + 1,
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -118,7 +118,7 @@
         ("place", "inward", "outward"),
         [(HEAD, True, True), (MIDDLE, True, False), (TAIL, False, True), (TAIL, True, True)],
     )
-    def test_a_core_machine_cut_off_gives_its_operators_no_wrong_answer(
+    def test_a_cut_off_core_machine_gives_its_operators_no_wrong_answer(
         self, place: int, inward: bool, outward: bool
     ) -> None:
         case = (place, inward, outward)
@@ -128,7 +128,7 @@
         assert any(r["kind"] == "read" for r in during), case
         assert max(caller.slowest for caller in callers) < SECOND, case
 
-    def test_a_core_machine_that_knows_itself_cut_off_says_so_at_once(self) -> None:
+    def test_a_core_machine_that_knows_it_is_cut_off_refuses_at_once(self) -> None:
         cluster = ClusterWithNewest(3, "small", long_rate=0, short_rate=0, conversations=0)
         cluster.probing = False
         cluster.begin()
@@ -149,7 +149,7 @@
         cluster.advance_until_called(answered, 3)
         assert deferreds.result_of(answered) == 200
 
-    def test_without_the_lease_old_reads_are_found(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_the_checker_finds_stale_reads_if_the_tail_ignores_its_lease(self, monkeypatch: pytest.MonkeyPatch) -> None:
         lookup = tail.Tail.answer_read
 
         def look(self: tail.Tail, msg: message.ReadRequest) -> message.ReadResponse:
@@ -162,7 +162,7 @@
         cluster, _, _ = self.play(40, 2, True, True)
         assert "read number" in "".join(history.complaints(cluster.event_log.rows))
 
-    def test_without_a_read_at_the_tail_wrong_refusals_are_found(self, monkeypatch: pytest.MonkeyPatch) -> None:
+    def test_the_checker_finds_wrong_refusals_without_a_read_at_the_tail(self, monkeypatch: pytest.MonkeyPatch) -> None:
         local_state_for = submitted_changes.ChangeApplier.local_state_for
         monkeypatch.setattr(
             submitted_changes.ChangeApplier,
@@ -172,7 +172,7 @@
         cluster, _, _ = self.play(40, 2, True, True)
         assert "refused" in "".join(history.complaints(cluster.event_log.rows))
 
-    def test_five_machines_with_the_leader_cut_off(self) -> None:
+    def test_five_core_machines_give_no_wrong_answer_while_the_head_is_cut_off(self) -> None:
         cluster, _, during = self.play(50, 0, True, True, cores=5)
         assert history.complaints(cluster.event_log.rows) == []
         assert any(r["kind"] == "numbered" and r["status"] == 200 for r in during)
--- a/tests/test_submitted_changes.py
+++ b/tests/test_submitted_changes.py
@@ -10,7 +10,7 @@
 )
 
 
-def test_a_change_that_may_have_been_forgotten_is_unknown_and_says_why() -> None:
+def test_a_change_whose_id_may_have_been_dropped_has_an_unknown_outcome() -> None:
     change = submitted_changes.SubmittedChange("c4-3-0a", number=4, built_on=3, make=dict)
     decision = submitted_changes.decide(FORGOTTEN, change)
     assert isinstance(decision, submitted_changes.Refused)
@@ -21,7 +21,7 @@
     )
 
 
-def test_a_configuration_that_stands_already_is_proposed_so_that_it_is_remembered() -> None:
+def test_a_configuration_already_in_force_is_proposed_so_that_its_id_is_stored() -> None:
     items: dict[str, Any] = {"pools/p": {}, "marks/operator": {"number": 4}}
     known = submitted_changes.KnownState(
         version=9, items=items, accepted_version=0, highest_dropped_number=0, read_at_tail=True
