--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -1,4 +1,4 @@
-"""Copies that are behind, divergent or restarted: how they catch up, and that none leads before."""
+"""Catch-up of replicas that are behind, divergent or restarted; none may hold the tail's lease before it is synced."""
 
 import functools
 import hashlib
@@ -16,35 +16,35 @@
 from simulation import disk_model, host_model, process_model, server_model, simulated_cluster, world
 from tests import deferreds
 
-ChainMessage = Any  # a request of the chain or its answer: each caller knows which
-Proposal = defer.Deferred[Any]  # of the head's answer
+ChainMessage = Any  # a request to a replica or its answer; the type depends on the call
+Proposal = defer.Deferred[Any]  # fires with the head's answer
 SECOND = units.SECOND_US
 SLOW_SYNC_US = 150_000
 ROUTES = 1_400
-NO_PEERS: Any = None  # nothing is sent
-NO_DISK: Any = None  # nothing is written
+NO_PEERS: Any = None  # for a part that sends nothing
+NO_DISK: Any = None  # for a log that writes nothing
 
 
 def entry(
     index: int, view: int, changes: Sequence[tuple[str, dict[str, Any]]] = (), base: int | None = None
 ) -> message.LogEntry:
-    """A change that stands by itself."""
+    """A log entry that applies a change; by default it is based on the entry before it."""
     return message.LogEntry(index, view, "apply", f"{index}-{view}", index - 1 if base is None else base, list(changes))
 
 
 def has_result(proposal: Proposal) -> bool:
-    """Whether a proposal was answered."""
+    """Whether the head has answered a proposal."""
     return proposal.called
 
 
-def code_of(proposal: Proposal) -> str:
-    """The code of the head's answer to a proposal; empty where the change was taken."""
+def error_code_of(proposal: Proposal) -> str:
+    """The error code in the head's answer to a proposal; empty if the change was accepted."""
     answer: message.ProposeChangeResponse = deferreds.result_of(proposal)
     return answer.code
 
 
 def large_change(index: int, view: int = 1, pool: str = "p") -> message.LogEntry:
-    """A change of many routes, of which no part can be packed much smaller."""
+    """A log entry that adds many routes with labels that hardly compress."""
     text = [hashlib.sha256(b"%d" % k).hexdigest() * 8 for k in range(ROUTES)]
     return entry(
         index,
@@ -54,12 +54,12 @@
 
 
 class Network:
-    """Messages between members without connections; `fate_of` may lose each or its answer."""
+    """Delivers messages between members without connections; `fate_of` decides whether one or its answer is lost."""
 
     def __init__(self, world: world.World) -> None:
         self.world = world
         self.members: dict[str, Member] = {}
-        self.sent: list[message.Message] = []  # what was sent, in order
+        self.sent: list[message.Message] = []  # all sent requests, in order
         self.fate_of = lambda _message: "pass"
 
     async def call(self, host: str, _port: int, msg: ChainMessage, us: int) -> ChainMessage:
@@ -88,7 +88,7 @@
         self.start()
 
     def start(self) -> None:
-        """Start a new incarnation on the disk that is there."""
+        """Start a new incarnation on the existing disk."""
         self.process = process_model.SimulatedProcess(self.network.world, self.name, self.host)
         self.runtime = self.process.runtime()
         disk = disk_model.Disk(self.process)
@@ -105,19 +105,19 @@
         self.network.members[self.name] = self
 
     def install(self, number: int, order: list[str], synced_view: int | None = None) -> None:
-        """Let a view begin here."""
+        """Install a view on this member; the first member in `order` is the head and counts as synced."""
         members = [self.network.members[i] for i in order]
         voters = [message.Voter(member.name, member.name, 1, "a") for member in members]
         connections = [message.ChainReplica(member.name, member.runtime.incarnation) for member in members]
-        before = self.consensus.record.synced_view
-        synced_view = number if order[0] == self.name else synced_view or before
+        synced_before = self.consensus.record.synced_view
+        synced_view = number if order[0] == self.name else synced_view or synced_before
         view = message.View(number, voters, connections)
         self.consensus.acceptor.record = decisions.Record(view, synced_view=synced_view)
         self.chain.install(view)
 
 
 class TestChainOfTwo:
-    """Two replicas of a chain."""
+    """Replication between a head and a tail."""
 
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
@@ -131,17 +131,17 @@
         for member in reversed(members):
             member.install(number, [other.name for other in members])
 
-    def go(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.world.run(self.world.time + int(seconds * SECOND))
 
-    def until(self, condition: Callable[[], bool], seconds: float) -> float:
+    def advance_until(self, condition: Callable[[], bool], seconds: float) -> float:
         started_at = self.world.time
         while not condition() and self.world.time < started_at + seconds * SECOND:
-            self.go(0.01)
+            self.advance(0.01)
         assert condition()
         return (self.world.time - started_at) / SECOND
 
-    def assert_same(self, one: Member, other: Member) -> None:
+    def assert_equal_logs(self, one: Member, other: Member) -> None:
         assert (other.chain.log.last_index, other.chain.latest_state.view) == (
             one.chain.log.last_index,
             one.chain.latest_state.view,
@@ -157,7 +157,7 @@
     def route(self, name: str) -> list[tuple[str, dict[str, str]]]:
         return [(f"routes/{name}", {"path": "/", "pool": "p"})]
 
-    # ---- divergent and old copies -----------------------------------------------------------
+    # ---- divergent and outdated logs ----------------------------------------------------------
 
     def test_unacknowledged_entries_are_replaced_by_those_of_a_newer_view(self) -> None:
         shared = [entry(k, 1) for k in (1, 2, 3)]
@@ -167,56 +167,56 @@
                 shared + [entry(k, 2, self.route(f"old{k}")) for k in range(4, 4 + theirs)],
             )
             self.install(4, head, tail)
-            self.until(tail.chain.is_synced, 5)
-            self.assert_same(head, tail)
+            self.advance_until(tail.chain.is_synced, 5)
+            self.assert_equal_logs(head, tail)
 
     def test_a_late_write_of_an_older_view_does_not_displace_entries_of_a_newer_view(self) -> None:
         shared = [entry(1, 1)]
         head, tail = self.pair(shared, shared)
         self.install(2, head, tail)
-        self.until(tail.chain.is_synced, 5)
+        self.advance_until(tail.chain.is_synced, 5)
         tail.host.disk = "slow"
-        stale = message.AppendRequest(2, [entry(2, 2, self.route("old"))])  # by a head that is lost
+        stale = message.AppendRequest(2, [entry(2, 2, self.route("old"))])  # sent by a head that has since failed
         tail.runtime.spawn(tail.chain.answer(stale))
-        self.go(0.05)
+        self.advance(0.05)
         self.install(3, head, tail)
         proposed = head.runtime.spawn(
             head.chain.answer(
                 message.ProposeChange(3, "apply", "x", head.chain.latest_state.version, self.route("new"))
             )
         )
-        self.until(lambda: proposed.called, 10)
-        assert code_of(proposed) == ""
-        self.assert_same(head, tail)
+        self.advance_until(lambda: proposed.called, 10)
+        assert error_code_of(proposed) == ""
+        self.assert_equal_logs(head, tail)
         assert "routes/new" in tail.chain.committed_state.items
 
     def test_a_late_snapshot_removes_no_entries_from_a_synced_replica(self) -> None:
         head, tail = self.pair([entry(k, 1) for k in range(1, 9)], [])
         self.install(2, head, tail)
-        self.until(tail.chain.is_synced, 5)
+        self.advance_until(tail.chain.is_synced, 5)
         late = message.CatchUp(
             2, snapshot_format.encode(replicated_state.ReplicatedState().apply(entry(1, 1))), [entry(2, 1)]
         )
         done = tail.runtime.spawn(tail.chain.answer(late))
-        self.until(lambda: done.called, 5)
+        self.advance_until(lambda: done.called, 5)
         assert tail.chain.log.last_index == 8
-        self.assert_same(head, tail)
+        self.assert_equal_logs(head, tail)
 
     def test_a_snapshot_that_the_disk_refuses_leaves_the_old_log_unchanged(self) -> None:
         head, tail = self.pair([entry(1, 3)], [entry(k, 2) for k in (1, 2)])
         tail.host.disk = "full"
         self.install(4, head, tail)
-        self.go(1)
+        self.advance(1)
         assert (tail.chain.log.last_index, tail.chain.latest_state.index, tail.chain.is_synced()) == (2, 2, False)
         assert set(tail.chain.log.entries) == {1, 2}
         tail.host.disk = "ok"
-        self.until(tail.chain.is_synced, 5)
-        self.assert_same(head, tail)
+        self.advance_until(tail.chain.is_synced, 5)
+        self.assert_equal_logs(head, tail)
 
     def test_a_restarted_member_alone_in_the_chain_commits_all_entries_on_its_disk(self) -> None:
         head = Member(self.network, "head", [entry(k, 1, self.route(f"r{k}")) for k in range(1, 301)])
         self.install(2, head)
-        self.go(0.1)
+        self.advance(0.1)
         assert (head.chain.committed_state.index, len(head.chain.committed_state.items)) == (300, 300)
 
     # ---- snapshots in chunks ------------------------------------------------------------------
@@ -224,10 +224,10 @@
     def large_pair(self) -> tuple[Member, Member]:
         head, tail = self.pair([large_change(1)], [])
         head.chain.commit(1)
-        head.chain.log.entries.clear()  # as after a snapshot
+        head.chain.log.entries.clear()  # as after compaction
         return head, tail
 
-    def size(self, msg: ChainMessage) -> int:
+    def encoded_size(self, msg: ChainMessage) -> int:
         return len(wire.encoder.encode(wire.Envelope(wire.FrameKind.CALL, 1, msg)))
 
     def test_catch_up_messages_have_a_bounded_size(self) -> None:
@@ -238,9 +238,9 @@
             )
             head.chain.log.latest_state = head.chain.latest_state.apply(head.chain.log.entries[k])
         self.install(2, head, tail)
-        self.until(tail.chain.is_synced, 10)
-        self.assert_same(head, tail)
-        assert max(self.size(msg) for msg in self.network.sent) < 1_200_000
+        self.advance_until(tail.chain.is_synced, 10)
+        self.assert_equal_logs(head, tail)
+        assert max(self.encoded_size(msg) for msg in self.network.sent) < 1_200_000
 
     def test_a_snapshot_transfer_resumes_after_lost_chunks_and_answers(self) -> None:
         head, tail = self.large_pair()
@@ -252,12 +252,12 @@
 
         self.network.fate_of = fate_of
         self.install(2, head, tail)
-        self.until(tail.chain.is_synced, 60)
-        self.assert_same(head, tail)
+        self.advance_until(tail.chain.is_synced, 60)
+        self.assert_equal_logs(head, tail)
         total = len(snapshot_format.encode(head.chain.committed_state))
         chunks = [msg for msg in calls if isinstance(msg, message.SnapshotChunk)]
         assert total > 700_000
-        assert sum(len(chunk.content) for chunk in chunks) < 2.5 * total  # lost ones are sent again, others are not
+        assert sum(len(chunk.content) for chunk in chunks) < 2.5 * total  # only lost chunks are sent again
         assert sorted(chunk.offset for chunk in chunks) == [chunk.offset for chunk in chunks]
 
     def test_a_snapshot_transfer_resumes_in_a_later_view_after_further_changes(self) -> None:
@@ -267,21 +267,21 @@
             "lose" if isinstance(msg, message.SnapshotChunk) and msg.offset > 300_000 else "pass"
         )
         self.install(2, head, tail)
-        self.go(3)
+        self.advance(3)
         assert len(tail.chain.receiver.incoming.content) > 200_000
         self.network.fate_of = lambda _message: "pass"
         third.host.synced.update(head.host.synced)
-        self.install(3, head, third)  # the second replica is cut off
-        self.until(third.chain.is_synced, 10)
+        self.install(3, head, third)  # the tail of the view before is cut off
+        self.advance_until(third.chain.is_synced, 10)
         for k in range(5):
             msg = message.ProposeChange(3, "apply", f"x{k}", head.chain.latest_state.version, self.route(f"x{k}"))
             done = head.runtime.spawn(head.chain.answer(msg))
-            self.until(functools.partial(has_result, done), 5)
-            assert code_of(done) == ""
+            self.advance_until(functools.partial(has_result, done), 5)
+            assert error_code_of(done) == ""
         del self.network.sent[:]
         self.install(4, head, tail)
-        self.until(tail.chain.is_synced, 10)
-        self.assert_same(head, tail)
+        self.advance_until(tail.chain.is_synced, 10)
+        self.assert_equal_logs(head, tail)
         offsets = [msg.offset for msg in self.network.sent if isinstance(msg, message.SnapshotChunk)]
         assert min(offsets) > 200_000
 
@@ -293,24 +293,24 @@
         tail.start()
         self.network.fate_of = lambda msg: "lose" if isinstance(msg, message.CatchUp) else "pass"
         self.install(8, head, tail)
-        self.until(lambda: tail.chain.receiver.incoming.complete, 5)
+        self.advance_until(lambda: tail.chain.receiver.incoming.complete, 5)
         tail.host.fail()
-        self.go(1)
+        self.advance(1)
         tail.host.power = True
         tail.start()
         assert (tail.chain.log.last_index, tail.chain.latest_state.view) == (2, 7)
         self.network.fate_of = lambda _message: "pass"
         self.install(9, head, tail)
-        self.until(tail.chain.is_synced, 10)
-        self.assert_same(head, tail)
+        self.advance_until(tail.chain.is_synced, 10)
+        self.assert_equal_logs(head, tail)
 
     def test_a_snapshot_with_a_corrupted_chunk_is_sent_again(self) -> None:
         head, tail = self.large_pair()
-        spoilt: list[message.SnapshotChunk] = []
+        corrupted: list[message.SnapshotChunk] = []
 
         def fate_of(msg: message.Message) -> str:
-            if isinstance(msg, message.SnapshotChunk) and not spoilt:
-                spoilt.append(msg)
+            if isinstance(msg, message.SnapshotChunk) and not corrupted:
+                corrupted.append(msg)
                 tail.chain.receiver.incoming.add_chunk(
                     message.SnapshotChunk(msg.view, msg.snapshot, msg.total, 0, bytes(len(msg.content)))
                 )
@@ -318,14 +318,14 @@
 
         self.network.fate_of = fate_of
         self.install(2, head, tail)
-        self.until(tail.chain.is_synced, 10)
-        self.assert_same(head, tail)
+        self.advance_until(tail.chain.is_synced, 10)
+        self.assert_equal_logs(head, tail)
 
     def test_a_member_that_does_not_accept_chunks_gets_a_single_message(self, monkeypatch: pytest.MonkeyPatch) -> None:
         head, tail = self.large_pair()
         answer = tail.chain.answer
 
-        async def older(msg: ChainMessage) -> ChainMessage:
+        async def answer_without_chunks(msg: ChainMessage) -> ChainMessage:
             got = await answer(msg)
             return (
                 message.PositionResponse(got.ok, got.index, got.view)
@@ -333,31 +333,31 @@
                 else got
             )
 
-        monkeypatch.setattr(tail.chain, "answer", older)
+        monkeypatch.setattr(tail.chain, "answer", answer_without_chunks)
         self.install(2, head, tail)
-        self.until(tail.chain.is_synced, 10)
-        self.assert_same(head, tail)
+        self.advance_until(tail.chain.is_synced, 10)
+        self.assert_equal_logs(head, tail)
 
 
 class TestFleetUnderChanges:
-    """A small simulated fleet, with steady changes."""
+    """A small simulated fleet to which changes are proposed continuously."""
 
-    AWAY_CHANGES = 1_000
+    CHANGES_WHILE_DOWN = 1_000
 
     def head(self, cluster: simulated_cluster.SimulatedCluster) -> server_model.SimulatedCore:
-        """The head of the chain; there is one."""
+        """The head of the chain; fails if there is none."""
         head = cluster.head()
         assert head is not None
         return head
 
     def view(self, core: server_model.SimulatedCore) -> message.View:
-        """The newest view that a core machine knows."""
+        """The newest view that a core machine knows; fails if there is none."""
         view = core.consensus.view
         assert view is not None
         return view
 
     def has_chain_of(self, cluster: simulated_cluster.SimulatedCluster, length: int) -> bool:
-        """Whether a tail with its lease knows a chain of so many."""
+        """Whether a tail that holds its lease knows a chain of the given length."""
         tail = cluster.tail()
         return tail is not None and len(self.view(tail).chain) == length
 
@@ -371,13 +371,13 @@
         )
         return head.runtime.spawn(head.chain.answer(msg))
 
-    def away_for_many_changes(self) -> tuple[simulated_cluster.SimulatedCluster, str]:
-        """A fleet in which one member is down while many routes and changes come."""
+    def cluster_with_stale_member(self) -> tuple[simulated_cluster.SimulatedCluster, str]:
+        """A fleet with one core machine down while many changes are committed, and the name of that machine."""
         cluster = simulated_cluster.SimulatedCluster(3, "small", long_rate=0, short_rate=0, conversations=0)
         cluster.probing = False
         cluster.begin()
         cluster.advance(1)
-        for node in cluster.nodes.values():  # they only cost time here
+        for node in cluster.nodes.values():  # nodes are not needed here and slow the simulation down
             node.process.kill()
         tail = cluster.tail()
         assert tail is not None
@@ -389,20 +389,20 @@
         msg = message.ProposeChange(self.view(head).number, "apply", "many", head.chain.latest_state.version, many)
         done = head.runtime.spawn(head.chain.answer(msg))
         assert cluster.advance_until(lambda: done.called, 10)
-        for k in range(self.AWAY_CHANGES):
+        for k in range(self.CHANGES_WHILE_DOWN):
             proposal = self.propose(cluster, k)
             assert proposal is not None
             while not has_result(proposal):
                 cluster.advance(0.005)
-            assert code_of(proposal) == ""
+            assert error_code_of(proposal) == ""
         return cluster, name
 
     def catch_up(self, cluster: simulated_cluster.SimulatedCluster, name: str) -> tuple[float, float]:
-        """Seconds until the member is synced again, and the longest time in which no change was taken meanwhile."""
+        """Start the member; returns the seconds until it is synced, and the longest time without an accepted change."""
         cluster.start_core(name, *cluster.places[name])
-        back, started_at = cluster.cores[name], cluster.world.time
+        restarted, started_at = cluster.cores[name], cluster.world.time
         proposed: list[Proposal] = []
-        taken, last, longest = 0, started_at, 0
+        accepted_count, last_accepted_at, longest_gap = 0, started_at, 0
         caught_up: int | None = None
         while cluster.world.time - started_at < 4 * SECOND or caught_up is None:
             assert cluster.world.time - started_at < 40 * SECOND
@@ -410,30 +410,30 @@
             proposed += [proposal] if proposal is not None else []
             for _ in range(15):
                 cluster.advance(0.01)
-                assert not (back.consensus.holds_lease() and not back.chain.is_synced())
-                if caught_up is None and back.chain.is_synced():
+                assert not (restarted.consensus.holds_lease() and not restarted.chain.is_synced())
+                if caught_up is None and restarted.chain.is_synced():
                     caught_up = cluster.world.time - started_at
-            done = [proposal for proposal in proposed if has_result(proposal) and code_of(proposal) == ""]
-            if len(done) > taken:
-                taken, last = len(done), cluster.world.time
-            longest = max(longest, cluster.world.time - last)
-        # how many changes are under way depends on the phase of the last ones; so all must be there, in the time that
-        # four of them take at the slow disk
+            done = [proposal for proposal in proposed if has_result(proposal) and error_code_of(proposal) == ""]
+            if len(done) > accepted_count:
+                accepted_count, last_accepted_at = len(done), cluster.world.time
+            longest_gap = max(longest_gap, cluster.world.time - last_accepted_at)
+        # The number of changes in progress at the end varies. All of them must be committed within the time that four
+        # writes take on the slow disk.
         newest = self.head(cluster).chain.latest_state.index
-        assert cluster.advance_until(lambda: back.chain.committed_state.index >= newest, 4 * SLOW_SYNC_US / SECOND)
-        return caught_up / SECOND, longest / SECOND
+        assert cluster.advance_until(lambda: restarted.chain.committed_state.index >= newest, 4 * SLOW_SYNC_US / SECOND)
+        return caught_up / SECOND, longest_gap / SECOND
 
     def test_a_member_catches_up_after_a_thousand_changes_and_again_with_an_empty_disk(self) -> None:
-        cluster, name = self.away_for_many_changes()
-        caught_up, longest = self.catch_up(cluster, name)
+        cluster, name = self.cluster_with_stale_member()
+        caught_up, longest_gap = self.catch_up(cluster, name)
         assert caught_up < 2
-        assert longest < 1
+        assert longest_gap < 1
         host = cluster.cores[name].process.host
         host.fail()
         host.synced.clear()
         cluster.advance(3)
         host.disk, host.slow_us = "slow", SLOW_SYNC_US
         cluster.world.loss[host.host] = 0.05
-        caught_up, longest = self.catch_up(cluster, name)
+        caught_up, longest_gap = self.catch_up(cluster, name)
         assert caught_up < 4
-        assert longest < 3
+        assert longest_gap < 3
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -1,4 +1,4 @@
-"""One replica of the chain: what it answers while its view changes and its disk is slow."""
+"""The answers of one replica of the chain while its view changes and its disk is slow."""
 
 import types
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 
 class Disk:
-    """A disk whose writes end when the test says so."""
+    """A disk whose writes end when the test calls `finish`."""
 
     ok = True
 
@@ -26,23 +26,23 @@
         await done
 
     def finish(self) -> None:
-        """End all writes under way."""
+        """End all writes in progress."""
         writes, self.writes = self.writes, []
         for done in writes:
             done.callback(None)
 
 
 class FixedConsensus:
-    """A view that the test sets; its tail holds the lease. The replica is synced in it, unless said otherwise."""
+    """View consensus with a view that the test sets. The tail holds the lease; by default the replica is synced."""
 
     required_copies = 2
     lease_has_ended = False
 
     def __init__(self, number: int, *ids: str) -> None:
         self.own_voter = types.SimpleNamespace(id="a")
-        self.agree(number, *ids)
+        self.set_view(number, *ids)
 
-    def agree(self, number: int, *ids: str, synced: bool = True) -> None:
+    def set_view(self, number: int, *ids: str, synced: bool = True) -> None:
         self.view = message.View(number, [], [message.ChainReplica(i, "1") for i in ids])
         self.record = types.SimpleNamespace(view=self.view, synced_view=number if synced else number - 1)
 
@@ -68,76 +68,76 @@
     def replica(self, consensus: FixedConsensus, entries: Sequence[message.LogEntry] = ()) -> chain.Chain:
         state = {b"e%016d" % e.index: replicated_log.encode_entry(e) for e in entries}
         disk: Any = self.disk
-        peers: Any = None  # no replica sends anything here
+        peers: Any = None  # this replica sends nothing to others
         stand_in: Any = consensus
         replica = chain.Chain(scheduler.Runtime(None, now=lambda: 0), disk, state, peers)
         replica.consensus = stand_in
         return replica
 
-    def put(self, replica: chain.Chain, msg: chain.ChainRequest) -> Any:  # noqa: ANN401 - a deferred of any answer
+    def send(self, replica: chain.Chain, msg: chain.ChainRequest) -> Any:  # noqa: ANN401 - a Deferred of any answer
         return defer.ensureDeferred(replica.answer(msg))
 
     def test_a_new_tail_refuses_reads_until_its_entries_are_committed(self) -> None:
         consensus = FixedConsensus(4, "b", "a")
         replica = self.replica(consensus, [entry(1, 3, "c0-1-0a")])
-        assert not self.put(replica, message.ReadRequest(4)).result.ok
+        assert not self.send(replica, message.ReadRequest(4)).result.ok
         replica.tail.commit_synced(4)
-        seen = self.put(replica, message.ReadRequest(4, "c0-1-0a")).result
-        assert (seen.ok, seen.version, seen.taken) == (True, 1, 1)
-        consensus.agree(5, "b", "a")
-        assert not self.put(replica, message.ReadRequest(5)).result.ok
+        read = self.send(replica, message.ReadRequest(4, "c0-1-0a")).result
+        assert (read.ok, read.version, read.taken) == (True, 1, 1)
+        consensus.set_view(5, "b", "a")
+        assert not self.send(replica, message.ReadRequest(5)).result.ok
 
     def test_a_tail_refuses_reads_after_its_lease_has_ended(self) -> None:
         consensus = FixedConsensus(4, "b", "a")
         replica = self.replica(consensus)
         replica.tail.commit_synced(4)
-        assert self.put(replica, message.ReadRequest(4)).result.ok
+        assert self.send(replica, message.ReadRequest(4)).result.ok
         consensus.lease_has_ended = True
-        assert not self.put(replica, message.ReadRequest(4)).result.ok
+        assert not self.send(replica, message.ReadRequest(4)).result.ok
 
     def test_a_tail_with_too_few_copies_refuses_reads_while_it_holds_uncommitted_entries(self) -> None:
         consensus = FixedConsensus(4, "a", "b")
         replica = self.replica(consensus)
-        self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})]))
+        self.send(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})]))
         self.disk.finish()
-        consensus.agree(5, "a")
+        consensus.set_view(5, "a")
         replica.tail.commit_synced(5)
-        assert not self.put(replica, message.ReadRequest(5)).result.ok
+        assert not self.send(replica, message.ReadRequest(5)).result.ok
         restarted = self.replica(FixedConsensus(4, "a"), [entry(1, 3, "c0-1-0a")])
-        assert not self.put(restarted, message.ReadRequest(4)).result.ok
+        assert not self.send(restarted, message.ReadRequest(4)).result.ok
         restarted.tail.commit_synced(4)
-        seen = self.put(restarted, message.ReadRequest(4, "c0-1-0a")).result
-        assert (seen.ok, seen.version, seen.taken) == (True, 1, 1)
-        blank = self.replica(FixedConsensus(4, "a"))
-        blank.tail.commit_synced(4)
-        assert self.put(blank, message.ReadRequest(4)).result.ok
+        read = self.send(restarted, message.ReadRequest(4, "c0-1-0a")).result
+        assert (read.ok, read.version, read.taken) == (True, 1, 1)
+        empty = self.replica(FixedConsensus(4, "a"))
+        empty.tail.commit_synced(4)
+        assert self.send(empty, message.ReadRequest(4)).result.ok
 
     def test_a_change_synced_after_its_view_ended_is_not_acknowledged_by_another_entry_at_its_index(self) -> None:
         consensus = FixedConsensus(4, "a", "b")
         replica = self.replica(consensus)
-        proposed = self.put(
+        proposed = self.send(
             replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, [("marks/operator", {"number": 1})])
         )
-        consensus.agree(5, "b", "a", synced=False)
-        placed = self.put(replica, message.PositionRequest(5, "b"))
-        assert not placed.called
+        consensus.set_view(5, "b", "a", synced=False)
+        position = self.send(replica, message.PositionRequest(5, "b"))
+        assert not position.called
         self.disk.finish()
         assert proposed.result.code == "unknown_outcome"
-        assert (placed.result.index, placed.result.view) == (1, 4)
+        assert (position.result.index, position.result.view) == (1, 4)
         other = replicated_state.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
-        refilled = self.put(replica, message.CatchUp(5, snapshot_format.encode(other), []))
+        caught_up = self.send(replica, message.CatchUp(5, snapshot_format.encode(other), []))
         self.disk.finish()
-        assert refilled.result.ok
+        assert caught_up.result.ok
         assert dict(replica.committed_state.accepted_changes) == {"c0-1-0b": 1}
 
     def test_a_change_replaced_by_a_snapshot_gets_an_unknown_outcome(self) -> None:
         consensus = FixedConsensus(4, "a", "b")
         replica = self.replica(consensus)
-        proposed = self.put(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, []))
+        proposed = self.send(replica, message.ProposeChange(4, "apply", "c0-1-0a", 0, []))
         self.disk.finish()
         assert not proposed.called
-        consensus.agree(5, "b", "a", synced=False)
+        consensus.set_view(5, "b", "a", synced=False)
         other = replicated_state.ReplicatedState().apply(entry(1, 5, "c0-1-0b"))
-        self.put(replica, message.CatchUp(5, snapshot_format.encode(other), []))
+        self.send(replica, message.CatchUp(5, snapshot_format.encode(other), []))
         self.disk.finish()
         assert proposed.result.code == "unknown_outcome"
--- a/tests/test_submitted_changes.py
+++ b/tests/test_submitted_changes.py
@@ -1,4 +1,4 @@
-"""What operators are told of a change that is too old for a decision."""
+"""Decisions on changes whose id was dropped, or whose configuration is already in force."""
 
 from typing import Any
 
