--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -127,7 +127,7 @@
 
     @pytest.fixture(autouse=True)
     def start_cluster(self) -> None:
-        cluster = test_operators.ClusterWithNewest(8, "small", long_rate=0, short_rate=0, conversations=0)
+        cluster = test_operators.ClusterWithNewestNumber(8, "small", long_rate=0, short_rate=0, conversations=0)
         cluster.probing = False
         cluster.begin()
         cluster.advance(2)
@@ -135,7 +135,7 @@
         self.callers = [test_operators.Caller(cluster, name) for name in cluster.cores]
 
     def call(self, place: int, method: str, path: str) -> tuple[int, dict[str, Any]]:
-        answered = defer.ensureDeferred(self.callers[place].query(method, path))
+        answered = defer.ensureDeferred(self.callers[place].call(method, path))
         self.cluster.advance_until_called(answered, 4)
         status, document, _ = deferreds.result_of(answered)
         return status, document
@@ -148,7 +148,7 @@
         return zones
 
     def change(self, number: int, built_on: int) -> int:
-        answered = defer.ensureDeferred(self.callers[1].order(number, built_on, f"/path-{number}"))
+        answered = defer.ensureDeferred(self.callers[1].submit(number, built_on, f"/path-{number}"))
         self.cluster.advance_until_called(answered, 4)
         return deferreds.result_of(answered)
 
@@ -187,7 +187,7 @@
             {"blueprint": {**blueprint, "routes": {}}},
             {"patch": [{"op": "add", "path": "/pools/more", "value": {}}]},
         ):
-            planned = defer.ensureDeferred(self.callers[1].query("POST", "/plans", document))
+            planned = defer.ensureDeferred(self.callers[1].call("POST", "/plans", document))
             self.cluster.advance_until_called(planned, 4)
             plan = deferreds.result_of(planned)[1]
             assert not [key for kind in ("added", "changed", "removed") for key in plan[kind] if "evacuations" in key]
@@ -196,10 +196,10 @@
 
     def test_orders_and_changes_at_once_are_all_taken(self) -> None:
         orders = [
-            defer.ensureDeferred(caller.query("PUT", f"/evacuations/zone-{place}"))
+            defer.ensureDeferred(caller.call("PUT", f"/evacuations/zone-{place}"))
             for place, caller in enumerate(self.callers)
         ]
-        change = defer.ensureDeferred(self.callers[0].order(1, 0, "/r"))
+        change = defer.ensureDeferred(self.callers[0].submit(1, 0, "/r"))
         self.cluster.advance_until(lambda: change.called and all(order.called for order in orders), 4)
         assert [deferreds.result_of(order)[0] for order in orders] == [200] * 3
         assert deferreds.result_of(change) == 200
@@ -349,7 +349,7 @@
     """A simulated cluster whose pool has an owner; its workers are in two zones."""
 
     def test_a_pool_owner_grants_no_worker_of_an_evacuated_zone(self) -> None:
-        cluster = test_operators.ClusterWithNewest(9, "small")
+        cluster = test_operators.ClusterWithNewestNumber(9, "small")
         cluster.probing = False
         cluster.begin()
         zones = {}
@@ -363,7 +363,7 @@
         pool_owner = owner.pool_owners[cluster.pool]
         sessions = pool_owner.records.session_table.by_worker
         assert {zones[worker] for worker, records in sessions.items() if records} == {"north", "south"}
-        answered = defer.ensureDeferred(test_operators.Caller(cluster, "c1").query("PUT", "/evacuations/north"))
+        answered = defer.ensureDeferred(test_operators.Caller(cluster, "c1").call("PUT", "/evacuations/north"))
         cluster.advance_until_called(answered, 4)
         assert deferreds.result_of(answered)[0] == 200
         pool_owner.check_workers()  # which it does each half second
