--- a/iriswheel/control/chain_client.py
+++ b/iriswheel/control/chain_client.py
@@ -127,17 +127,17 @@
 
     async def _call(
         self,
-        position: int,
-        make: collections.abc.Callable[[int], message.ProposeChange | message.ReadRequest],
+        chain_index: int,
+        make_request: collections.abc.Callable[[int], message.ProposeChange | message.ReadRequest],
         timeout_us: int,
     ) -> message.Message:
-        """Send the request that `make` builds for the current view to the replica at a chain index."""
+        """Send the request that `make_request` builds for the current view to the replica at a chain index."""
         view = self.parts.consensus.view
         if view is None:
             raise errors.ServiceError("no_chain", "The core machines have not agreed on a view yet.")
         self.refuse_if_cut_off()
-        voter = self.parts.voter_of(view.chain[position])
-        request = make(view.number)
+        voter = self.parts.voter_of(view.chain[chain_index])
+        request = make_request(view.number)
         try:
             answer: defer.Deferred[message.Message]
             if voter.id == self.parts.consensus.own_voter.id:
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -253,8 +253,8 @@
         """Redirect the nodes, wait for a chain without this machine and for its counter adds to be copied, then return.
 
         A machine with the only synced copy of the log waits until another copy is synced, or until the process is
-        killed. A voter that the other core machines need for a majority waits for the whole grace period, after which
-        the platform kills the process.
+        killed. A voter that the other core machines need for a majority waits for the whole grace period, at the end of
+        which the platform kills the process.
         """
         self.node_sessions.stop()
         self._wake_senders()
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -51,7 +51,7 @@
             )
     refuse_unknown_fields(document, CHANGE_FIELDS)
 
-    def make(items: configuration.Items) -> dict[str, configuration.Item]:
+    def make_items(items: configuration.Items) -> dict[str, configuration.Item]:
         current = configuration.unflatten(items)
         return configuration.flatten(
             document["blueprint"]
@@ -60,7 +60,7 @@
         )
 
     identifier = configuration.change_id(number, built_on, document)
-    return submitted_changes.SubmittedChange(identifier, number, built_on, make, "blueprint" in document)
+    return submitted_changes.SubmittedChange(identifier, number, built_on, make_items, "blueprint" in document)
 
 
 def check_plan_request(document: typing.Any) -> None:  # noqa: ANN401 - any JSON value
--- a/iriswheel/control/replica_store.py
+++ b/iriswheel/control/replica_store.py
@@ -113,7 +113,7 @@
             puts = [self._encoded(pool, now) for pool in changed]
             self._unwritten.clear()
             if puts:
-                with contextlib.suppress(storage.DiskError):  # a failed write delays the copy; MonitoredDisk logs it
+                with contextlib.suppress(storage.DiskError):  # the copy is only delayed; MonitoredDisk logs it
                     await self.disk.commit(puts)
 
     def _replica(self, pool: str) -> session_replicas.SessionReplica:
--- a/iriswheel/control/submitted_changes.py
+++ b/iriswheel/control/submitted_changes.py
@@ -32,14 +32,14 @@
         identifier: The id that is the same each time the change is sent.
         number: The operator's number of the change.
         built_on: The number of the change that this one is based on.
-        make: Computes the new items from the current ones, or raises InvalidConfigurationError.
+        make_items: Computes the new items from the current ones, or raises InvalidConfigurationError.
         complete: Whether the change is a complete configuration, so that the new items don't depend on the old ones.
     """
 
     identifier: str
     number: int
     built_on: int
-    make: MakeItems
+    make_items: MakeItems
     complete: bool = False
 
     def identifier_for_base(self, _version: int) -> str:
@@ -58,7 +58,7 @@
     items: configuration.Items
     accepted_version: int  # version under which the change was accepted; 0: its id is not stored
     highest_dropped_number: int  # highest number of a change whose id is no longer stored
-    read_at_tail: bool  # whether the tail answered under its lease; if not, it may be out of date
+    read_at_tail: bool  # for this change, under the tail's lease; otherwise it may be out of date
 
 
 class Committed(typing.NamedTuple):
@@ -106,7 +106,7 @@
         problems.append(f"{configuration.OPERATOR_KEY}: number {change.number} is not above {change.built_on}")
     made: dict[str, configuration.Item] = {}
     try:
-        made = change.make(items)
+        made = change.make_items(items)
     except configuration.InvalidConfigurationError as error:
         problems += error.errors
     if problems:
--- a/iriswheel/control/tail_contact.py
+++ b/iriswheel/control/tail_contact.py
@@ -15,7 +15,8 @@
     from iriswheel.control import core_parts
     from iriswheel.transport import message
 
-CONTACT_TIMEOUT_US = 1_100 * units.MILLISECOND_US  # a core machine stops serving without an answer of the tail
+# a core machine that gets no answer of the tail for this time stops serving
+CONTACT_TIMEOUT_US = 1_100 * units.MILLISECOND_US
 
 
 class AnsweredReport(typing.NamedTuple):
@@ -70,7 +71,7 @@
         self.wake_senders()
 
     def record_own_heartbeat(self, view: int, echo: int, applied_by_all: int, session_count: int) -> None:
-        """Record the content of a heartbeat to itself, while this machine is the tail."""
+        """Record the content of the heartbeat that the tail addresses to itself, if this machine is the tail."""
         self.parts.lease.renew(echo)
         self.answered_report = AnsweredReport(self.parts.runtime.now(), view)
         self._raise_applied_by_all(applied_by_all)
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -67,7 +67,7 @@
         self.lease_holders.on_view(previous_chain, chain, self.parts.runtime.now(), was_tail)
 
     def on_lease(self) -> None:
-        """React to the tail's lease: send heartbeats and check whether the membership can be issued, both at once."""
+        """React to obtaining the tail's lease: send heartbeats at once, and begin to wait for nodes to reconnect."""
         self.heartbeat_now.wake()
         self.issue_now.wake()
 
@@ -108,7 +108,7 @@
                 await self.parts.peers.tell(tail.host, tail.port, leaving)
 
     async def issue_periodically(self) -> None:
-        """Issue a new membership when it has changed, for example after a member timed out; runs as a single task."""
+        """Issue a new membership when a member has timed out or this machine may begin to issue; a single task."""
         while True:
             await self.parts.runtime.pause(self.issue_now, ISSUE_INTERVAL_US)
             if self.parts.consensus.is_tail():
--- a/tests/test_submitted_changes.py
+++ b/tests/test_submitted_changes.py
@@ -11,7 +11,7 @@
 
 
 def test_a_change_whose_id_may_have_been_dropped_has_an_unknown_outcome() -> None:
-    change = submitted_changes.SubmittedChange("c4-3-0a", number=4, built_on=3, make=dict)
+    change = submitted_changes.SubmittedChange("c4-3-0a", number=4, built_on=3, make_items=dict)
     decision = submitted_changes.decide(FORGOTTEN, change)
     assert isinstance(decision, submitted_changes.Refused)
     assert decision.error.execution is errors.ExecutionOutcome.MAY_HAVE_RUN
