--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -79,7 +79,7 @@
         if change.number <= change.built_on:
             raise errors.ServiceError("bad_blueprint", "")
         try:
-            new = change.make(self.items)
+            new = change.make_items(self.items)
         except configuration.InvalidConfigurationError as e:
             raise errors.ServiceError("bad_blueprint", str(e)) from e
         self.items = {**new, "marks/operator": {**new["marks/operator"], "number": change.number}}
