--- a/iriswheel/control/load_exchange.py
+++ b/iriswheel/control/load_exchange.py
@@ -38,7 +38,7 @@
         self.node_sessions = node_sessions
         self.tables: dict[str, load_table.LoadTable] = {}  # by the id of the reporting node or core machine
         self.last_contact: dict[str, int] = {}  # µs; when each other core machine last reported
-        self.node_sums: load_table.LoadTable = {}  # over the nodes with a session here
+        self.node_sums: load_table.LoadTable = {}  # over the nodes with a session at this core machine
         self.sums: load_table.LoadTable = {}  # over all nodes
         # receiver (node or core machine) -> keys changed since the last report to it; None: the next is complete
         self.pending: dict[str, set[load_table.WorkerKey] | None] = {}
@@ -73,7 +73,7 @@
                 self._send_changes(receiver, None)
 
     def _receivers(self) -> list[str]:
-        """The nodes with a session here, and the other core machines."""
+        """The nodes with a session at this core machine, and the other core machines."""
         cores = [voter.id for voter in self.parts.voters() if voter.id != self.parts.consensus.own_voter.id]
         return [*self.node_sessions, *cores]
 
--- a/iriswheel/replication/chain.py
+++ b/iriswheel/replication/chain.py
@@ -104,7 +104,7 @@
         return self.position.is_synced()
 
     def commit(self, index: int) -> None:
-        """Commit the entries up to a log index, or up to the newest one stored where this replica has fewer."""
+        """Commit the entries up to a log index, or up to the newest stored one if this replica has fewer."""
         self.log.commit(index)
 
     def install(self, view: message.View) -> None:
--- a/iriswheel/replication/replicated_log.py
+++ b/iriswheel/replication/replicated_log.py
@@ -82,7 +82,7 @@
     # ---- commit --------------------------------------------------------------
 
     def commit(self, index: int) -> None:
-        """Commit the entries up to an index, or up to the newest one stored where this replica has fewer."""
+        """Commit the entries up to an index, or up to the newest stored one if this replica has fewer."""
         if index <= self.committed_state.index:
             return
         while self.committed_state.index < min(index, self.last_index):
--- a/iriswheel/replication/snapshot_transfer.py
+++ b/iriswheel/replication/snapshot_transfer.py
@@ -75,7 +75,7 @@
         return len(self.content)
 
     def _verify_digest(self) -> None:
-        """Mark a snapshot that has all its bytes as complete, or discard it where its digest differs."""
+        """Mark a snapshot that has all its bytes as complete, or discard it if its digest differs."""
         if len(self.content) < self.total:
             return
         if hashlib.sha256(self.content).hexdigest() == self.digest:
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -271,7 +271,7 @@
         assert len(tail.chain.receiver.incoming.content) > 200_000
         self.network.fate_of = lambda _message: "pass"
         third.host.synced.update(head.host.synced)
-        self.install(3, head, third)  # the tail of the view before is cut off
+        self.install(3, head, third)  # the tail of the previous view is cut off
         self.advance_until(third.chain.is_synced, 10)
         for k in range(5):
             msg = message.ProposeChange(3, "apply", f"x{k}", head.chain.latest_state.version, self.route(f"x{k}"))
@@ -417,8 +417,8 @@
             if len(done) > accepted_count:
                 accepted_count, last_accepted_at = len(done), cluster.world.time
             longest_gap = max(longest_gap, cluster.world.time - last_accepted_at)
-        # The number of changes in progress at the end varies. All of them must be committed within the time that four
-        # writes take on the slow disk.
+        # The number of changes in progress depends on when the last ones were proposed. All of them must be committed
+        # within the time that four writes take on the slow disk.
         newest = self.head(cluster).chain.latest_state.index
         assert cluster.advance_until(lambda: restarted.chain.committed_state.index >= newest, 4 * SLOW_SYNC_US / SECOND)
         return caught_up / SECOND, longest_gap / SECOND
