--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -1,4 +1,4 @@
-"""The HTTP API of a core machine for operators: the configuration, changes of it, evacuations, state."""
+"""The HTTP API of a core machine for operators: configuration, changes, plans, evacuations, counters and state."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
     from iriswheel.control import chain_client, core, counters, replica_store, tail_contact
     from iriswheel.transport import http_server
 
-CONFIRM_GRACE_US = 1 * units.SECOND_US  # beyond a lease, a confirmation waits so long for nodes
+CONFIRM_GRACE_US = 1 * units.SECOND_US  # added to the lease duration: how long a confirmation waits for nodes
 CHANGE_FIELDS = ("number", "built_on", "blueprint", "upsert", "remove")
 PLAN_FIELDS = ("blueprint", "patch", "base")
 
 
-def read_change(document: typing.Any) -> submitted_changes.SubmittedChange:  # noqa: ANN401 - any JSON value
-    """Parse a numbered change: a complete configuration, or items to put in and to remove.
+def parse_change(document: typing.Any) -> submitted_changes.SubmittedChange:  # noqa: ANN401 - any JSON value
+    """Parse a numbered change: a complete configuration, or items to upsert and to remove.
 
     Raises:
-        errors.ServiceError: `bad_request`, where the body is something else.
+        errors.ServiceError: `bad_request`, if the body is not a valid change.
 
-    >>> read_change({"number": 3, "built_on": 1, "remove": {"pools": ["p"]}}).number
+    >>> parse_change({"number": 3, "built_on": 1, "remove": {"pools": ["p"]}}).number
     3
     """
     match document:
         case {"blueprint": _, "upsert": _} | {"blueprint": _, "remove": _}:
             raise errors.ServiceError(
-                "bad_request", "Send a blueprint, or items to put in and remove.", field="blueprint"
+                "bad_request", "Send either a blueprint, or items to upsert and remove.", field="blueprint"
             )
         case (
             {"number": int(number), "built_on": int(built_on), "blueprint": _}
@@ -45,11 +45,13 @@
             pass
         case _:
             raise errors.ServiceError(
-                "bad_request", "A change wants number, built_on, and what it changes.", field="number"
+                "bad_request",
+                "A change needs number, built_on, and either a blueprint, or items to upsert and remove.",
+                field="number",
             )
     refuse_unknown_fields(document, CHANGE_FIELDS)
 
-    def make(items: configuration.Items) -> dict[str, configuration.Item]:
+    def make_items(items: configuration.Items) -> dict[str, configuration.Item]:
         current = configuration.unflatten(items)
         return configuration.flatten(
             document["blueprint"]
@@ -58,13 +60,13 @@
         )
 
     identifier = configuration.change_id(number, built_on, document)
-    return submitted_changes.SubmittedChange(identifier, number, built_on, make, "blueprint" in document)
+    return submitted_changes.SubmittedChange(identifier, number, built_on, make_items, "blueprint" in document)
 
 
-def check_plan(document: typing.Any) -> None:  # noqa: ANN401 - any JSON value
-    """Refuse a plan's request that is malformed.
+def check_plan_request(document: typing.Any) -> None:  # noqa: ANN401 - any JSON value
+    """Refuse a malformed request for a plan.
 
-    >>> check_plan({"patch": []})
+    >>> check_plan_request({"patch": []})
     """
     match document:
         case {"blueprint": _, "patch": _}:
@@ -77,7 +79,7 @@
 
 
 def refuse_unknown_fields(document: dict[str, typing.Any], known: collections.abc.Container[str]) -> None:
-    """Refuse a document that has other fields than the known ones.
+    """Refuse a document with unknown fields.
 
     >>> refuse_unknown_fields({"base": 1}, PLAN_FIELDS)
     """
@@ -87,7 +89,7 @@
 
 
 def planned_items(document: dict[str, typing.Any], current: configuration.Items) -> dict[str, configuration.Item]:
-    """The items that a plan's request makes of the current ones.
+    """The items that result from applying a plan request to the current ones.
 
     >>> planned_items({"patch": [{"op": "add", "path": "/pools/p", "value": {}}]}, {"terms/default": {}})
     {'pools/p': {}, 'terms/default': {}}
@@ -100,12 +102,12 @@
             )
         return configuration.flatten(planned)
     except configuration.InvalidConfigurationError as error:
-        text = "; ".join(error.errors[: submitted_changes.PROBLEMS_SHOWN])
+        text = "; ".join(error.errors[: submitted_changes.MAX_PROBLEMS_SHOWN])
         raise errors.ServiceError("bad_blueprint", text, field="blueprint") from error
 
 
 class OperatorApi:
-    """Answers the operators' requests."""
+    """Answers the HTTP requests of operators."""
 
     def __init__(
         self,
@@ -125,7 +127,7 @@
         self.counters = counters
 
     async def handle(self, request: http_server.Request) -> None:
-        """Dispatch one request by method and path, and answer it."""
+        """Answer one request, dispatched by method and path."""
         path = request.path.decode("latin-1").split("?")[0].strip("/").split("/")
         match (request.method, path):
             case (b"GET", ["blueprint"]):
@@ -134,13 +136,13 @@
             case (_, ["plans", *rest]):
                 await self._answer_plans(request, rest)
             case (b"POST", ["changes"]):
-                change = read_change(request.json())
+                change = parse_change(request.json())
                 version = await self.change_applier.apply_change(change)
                 request.answer_json(200, {"number": change.number, "stamp": version, "verdict": "ran"})
             case (_, ["evacuations", *names]):
                 await self._answer_evacuations(request, names)
             case (_, ["counters", name]):
-                await self.serve_counter(request, name)
+                await self.answer_counter(request, name)
             case (b"GET", ["state"]):
                 request.answer_json(200, self.state())
             case (b"GET", ["ready"]):
@@ -152,12 +154,12 @@
                 raise errors.ServiceError("not_found", "There is no such path.")
 
     async def _answer_plans(self, request: http_server.Request, rest: list[str]) -> None:
-        """Make a plan, show or confirm the one in the path."""
+        """Create a plan, or show or confirm the plan whose id is in the path."""
         match (request.method, rest):
             case (b"POST", []):
                 request.answer_json(200, await self.plan(request.json()))
             case (b"GET", [identifier]):
-                request.answer_json(200, await self._planned(identifier))
+                request.answer_json(200, await self._stored_plan(identifier))
             case (b"POST", [identifier, "confirm"]):
                 response = await self.confirm(identifier)
                 request.answer_json(200, {"id": identifier, "stamp": response.version, "verdict": "ran"})
@@ -165,43 +167,49 @@
                 raise errors.ServiceError("bad_method", "This path does not take that method.")
 
     async def _answer_evacuations(self, request: http_server.Request, names: list[str]) -> None:
-        """List the evacuated zones; evacuate the zone in the path, or readmit it."""
+        """List the evacuated zones, or evacuate or readmit the zone in the path."""
         match (request.method, names):
             case (b"GET", []):
                 read = await self.client.read_state()
                 zones = sorted(configuration.evacuated_zones(read.items))
                 request.answer_json(200, {"stamp": read.version, "evacuations": zones})
             case (b"PUT" | b"DELETE", [quoted]):
-                zone = zone_evacuation.read_zone(urllib.parse.unquote(quoted))
+                zone = zone_evacuation.parse_zone(urllib.parse.unquote(quoted))
                 order = zone_evacuation.ZoneOrder(zone, request.method == b"PUT", lambda: not request.gone)
                 version = await self.change_applier.apply(order)
                 request.answer_json(200, {"zone": zone, "stamp": version, "verdict": "ran"})
             case _:
                 raise errors.ServiceError("bad_method", "This path does not take that method.")
 
-    async def serve_counter(self, request: http_server.Request, quoted_name: str) -> None:
-        """Add to a replicated counter, or read it."""
+    async def answer_counter(self, request: http_server.Request, quoted_name: str) -> None:
+        """Add to a replicated counter, or read its sum."""
         counters = self.core.replicated_counters
         match request.method:
             case b"POST":
-                add = counter_calls.read_add(quoted_name, request.json())
+                add = counter_calls.parse_add(quoted_name, request.json())
                 await counters.add(add.call_id, add.amount)
                 request.answer_json(200, {"id": add.call_id.id, "verdict": "ran"})
             case b"GET":
-                request.answer_json(200, {"sum": counters.sum_of(counter_calls.read_name(quoted_name))})
+                request.answer_json(200, {"sum": counters.sum_of(counter_calls.parse_name(quoted_name))})
             case _:
                 raise errors.ServiceError("bad_method", "This path does not take that method.")
 
     async def plan(self, document: typing.Any) -> dict[str, typing.Any]:  # noqa: ANN401 - any JSON value
-        """Compute and store a plan: a complete configuration or a JSON Patch (RFC 6902) against the committed one."""
+        """Compute and store a plan from a complete configuration or a JSON Patch (RFC 6902) on the committed one."""
         self.counters.plans += 1
-        check_plan(document)
+        check_plan_request(document)
         read = await self.client.read_at_tail("")
         base = document.get("base", read.version)
         if type(base) is not int:
-            raise errors.ServiceError("bad_request", "base is not a stamp.", field="base")
+            raise errors.ServiceError(
+                "bad_request",
+                "base must be an integer: the stamp of the blueprint that the plan is based on.",
+                field="base",
+            )
         if base != read.version:
-            raise errors.ServiceError("base_moved", f"The blueprint is at {read.version}, not at {base}.")
+            raise errors.ServiceError(
+                "base_moved", f"The blueprint is at stamp {read.version}; the plan is based on {base}."
+            )
         before = configuration.without_evacuations(read.items)
         changes = configuration.difference(before, planned_items(document, before))
         identifier = configuration.plan_id(base, changes)
@@ -215,26 +223,28 @@
         """Confirm a plan; returns once it is committed and every node has applied it."""
         self.counters.confirms += 1
         if self.contact.no_node_reachable():
-            raise errors.ServiceError("no_nodes", "No node can be reached; a change would not come into force.")
+            raise errors.ServiceError(
+                "no_nodes", "No node is connected to a core machine, so no node would apply the change."
+            )
         response = await self.client.propose(message.ChangeKind.CONFIRM, identifier)
         until = self.core.runtime.now() + self.core.options.lease_us + CONFIRM_GRACE_US
         await self.contact.wait_until_applied(response.version, until)
         if self.contact.no_node_reachable():
             raise errors.ServiceError(
                 "unknown_outcome",
-                "The change is committed, but no node can be reached.",
+                "The change is committed, but no node is connected to a core machine to apply it.",
                 errors.ExecutionOutcome.MAY_HAVE_RUN,
             )
         return response
 
-    async def _planned(self, identifier: str) -> dict[str, typing.Any]:
+    async def _stored_plan(self, identifier: str) -> dict[str, typing.Any]:
         read = await self.client.read_at_tail(identifier)
         if read.plan is None:
-            raise errors.ServiceError("not_found", "No such plan is remembered.")
+            raise errors.ServiceError("not_found", "No plan with this id is stored.")
         return {**read.plan, "now": read.version}
 
     def state(self) -> dict[str, typing.Any]:
-        """What this core machine shows of itself; the names and their order are those that operators see."""
+        """The state of this core machine, as operators see it: the names and their order are part of the interface."""
         core = self.core
         consensus, sessions = core.consensus, core.node_sessions.by_node.values()
         view = consensus.view
--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -1,4 +1,4 @@
-"""The work of the tail: it takes the core machines' reports, issues the membership, and sends heartbeats."""
+"""The duties of the tail: to handle the core machines' reports, issue the membership, and send heartbeats."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 
 HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
 ISSUE_INTERVAL_US = 100 * units.MILLISECOND_US
-# Every so many rounds, the membership goes to all core machines anew: it may have been lost with a connection.
+# Heartbeat rounds after which the membership is resent to all core machines, since a message may have been lost.
 FULL_ROUND_INTERVAL = 4
 
 log = loguru.logger.bind(part="core")
 
 
 class SentMembership(typing.NamedTuple):
-    """Which membership was sent to a core machine, and in which view."""
+    """The version of the membership that was last sent to a core machine, and the view in which it was sent."""
 
     view: int
     version: message.MembershipVersion
 
 
 class TailService:
-    """The tail's service; it exists on every core machine, since each may become the tail."""
+    """The duties of the tail. Every core machine has this service, since each may become the tail."""
 
     def __init__(
         self,
@@ -40,62 +40,65 @@
         options: options.Options,
         contact: tail_contact.TailContact,
         sessions: node_session.NodeSessions,
-        announce: collections.abc.Callable[[], None],
+        wake_senders: collections.abc.Callable[[], None],
     ) -> None:
-        """Count every node as a lease holder at first; `announce` wakes what passes on a new membership."""
+        """Treat every node as a lease holder at first; `wake_senders` wakes the tasks that send a new membership."""
         self.parts = parts
         self.options = options
         self.contact = contact
         self.sessions = sessions
-        self.announce = announce
-        self.holders = lease.LeaseHolders(options.lease_us, parts.runtime.now())
-        self.received_reports: dict[str, int] = {}  # core -> `sent_at` of its newest report in this view
+        self.wake_senders = wake_senders
+        self.lease_holders = lease.LeaseHolders(options.lease_us, parts.runtime.now())
+        # core machine -> `sent_at` of its newest report in this view (µs, on its clock)
+        self.newest_report_times: dict[str, int] = {}
         self.heartbeat_now = scheduler.Signal()
         self.issue_now = scheduler.Signal()
-        self._announced_version: message.MembershipVersion | None = None  # of the membership that was last announced
+        # version of the last membership that the senders were woken for
+        self._announced_version: message.MembershipVersion | None = None
         self._sent_memberships: dict[message.ChainReplica, SentMembership] = {}
 
     def on_view(self, view: message.View) -> None:
-        """Forget the reports of the view before, and count who may hold leases from it."""
-        self.received_reports = {}
+        """Discard the reports of the previous view, and update which nodes may hold leases from its core machines."""
+        self.newest_report_times = {}
         previous_chain = self.parts.consensus.previous_chain
         own_replica = decisions.ReplicaIncarnation(self.parts.consensus.own_voter.id, self.parts.runtime.incarnation)
         was_tail = previous_chain is not None and previous_chain[-1:] == [own_replica]
         chain = decisions.chain_incarnations(view)
-        self.holders.on_view(previous_chain, chain, self.parts.runtime.now(), was_tail)
+        self.lease_holders.on_view(previous_chain, chain, self.parts.runtime.now(), was_tail)
 
     def on_lease(self) -> None:
-        """This machine has got the tail's lease: others learn it at once, and the wait for the nodes begins."""
+        """React to obtaining the tail's lease: send heartbeats at once, and begin to wait for nodes to reconnect."""
         self.heartbeat_now.wake()
         self.issue_now.wake()
 
     def apply_report(self, report: message.NodeSessionsReport) -> None:
-        """Record a core machine's report; the membership and the lease holders follow from it.
+        """Record a core machine's report, and update the membership and the lease holders from it.
 
-        A first report, and one that lists nodes without a lease yet, is answered at once.
+        The first report of a core machine, and one that lists nodes not yet known as lease holders, is answered with a
+        heartbeat at once.
         """
-        before = self.applied()
-        lists_new_nodes = report.core not in self.received_reports or any(
-            node not in self.holders.holders for node, _, _ in report.leases
+        before = self.applied_by_all()
+        lists_new_nodes = report.core not in self.newest_report_times or any(
+            node not in self.lease_holders.holders for node, _, _ in report.leases
         )
         self.parts.node_reports.record_listing_unchanged(report.listing_unchanged)
         self.parts.membership.apply_report(report)
         self._announce_membership()
         view = self.parts.consensus.view
         if self.parts.consensus.is_tail() and view is not None and report.view == view.number:
-            self.received_reports[report.core] = max(report.sent_at, self.received_reports.get(report.core, 0))
-            self.holders.record_report(report.core, report.leases, self.parts.runtime.now())
-        if self.applied() != before or lists_new_nodes:
+            self.newest_report_times[report.core] = max(report.sent_at, self.newest_report_times.get(report.core, 0))
+            self.lease_holders.record_report(report.core, report.leases, self.parts.runtime.now())
+        if self.applied_by_all() != before or lists_new_nodes:
             self.heartbeat_now.wake()
 
-    def applied(self) -> int:
-        """The index up to which every node that may hold a lease has applied the log; 0 where it is not known."""
+    def applied_by_all(self) -> int:
+        """The log index up to which every node that may hold a lease has applied the log; 0 if unknown."""
         if not self.parts.consensus.holds_lease():
             return 0
-        return self.holders.applied_by_holders(self.parts.chain.committed_state.index, self.parts.runtime.now())
+        return self.lease_holders.applied_by_holders(self.parts.chain.committed_state.index, self.parts.runtime.now())
 
     async def remove_member(self, leaving: message.MemberLeaving) -> None:
-        """Remove a node that says it leaves; where another machine is the tail, pass the message on."""
+        """Remove a node that announces its departure; if another machine is the tail, forward the message to it."""
         if self.parts.consensus.is_tail():
             self.parts.membership.remove_member(leaving.member)
             self._announce_membership()
@@ -105,7 +108,7 @@
                 await self.parts.peers.tell(tail.host, tail.port, leaving)
 
     async def issue_periodically(self) -> None:
-        """Issue the membership where a member's time has run out, or this machine may issue now; one task."""
+        """Issue a new membership when a member has timed out or this machine may begin to issue; a single task."""
         while True:
             await self.parts.runtime.pause(self.issue_now, ISSUE_INTERVAL_US)
             if self.parts.consensus.is_tail():
@@ -113,7 +116,7 @@
                 self._announce_membership()
 
     async def send_heartbeats(self) -> None:
-        """Under the lease, tell all core machines of the chain what is committed; one task."""
+        """Send heartbeats to the core machines of the chain while this machine holds the lease; a single task."""
         rounds = 0
         while True:
             view = self.parts.consensus.view
@@ -121,21 +124,21 @@
                 rounds += 1
                 if rounds % FULL_ROUND_INTERVAL == 0:
                     self._sent_memberships.clear()
-                self._send_round(view)
+                self._send_to_chain(view)
             await self.parts.runtime.pause(self.heartbeat_now, HEARTBEAT_INTERVAL_US)
 
-    def _send_round(self, view: message.View) -> None:
+    def _send_to_chain(self, view: message.View) -> None:
         index = self.parts.chain.committed_state.index
         latest = self.parts.membership.latest if self.parts.membership.has_issued() else None
         for replica in view.chain:
             heartbeat = message.TailHeartbeat(
                 view=view.number,
                 index=index,
-                applied_by_all=self.applied(),
+                applied_by_all=self.applied_by_all(),
                 sessions=self.parts.membership.session_count(),
                 membership=self._membership_for(replica, view.number, latest),
                 listing_unchanged=self.parts.node_reports.listing_unchanged,
-                echo=self.received_reports.get(replica.id, 0),
+                echo=self.newest_report_times.get(replica.id, 0),
             )
             if replica.id == self.parts.consensus.own_voter.id:
                 self.contact.record_own_heartbeat(
@@ -149,7 +152,7 @@
     def _membership_for(
         self, replica: message.ChainReplica, view: int, latest: message.Membership | None
     ) -> message.Membership | None:
-        """The membership, unless it was sent to this core machine already."""
+        """The membership to send to a core machine; None if it was sent to it already."""
         if latest is None:
             return None
         sent, self._sent_memberships[replica] = (
@@ -159,7 +162,7 @@
         return latest if sent != (view, latest.version) else None
 
     def _announce_membership(self) -> None:
-        """Have the membership passed on where it has changed."""
+        """Wake the senders if the membership has changed."""
         if self.parts.membership.latest is not None and self.parts.membership.latest.version != self._announced_version:
             self._announced_version = self.parts.membership.latest.version
-            self.announce()
+            self.wake_senders()
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -28,12 +28,14 @@
 
 
 def known(items: dict[str, Any]) -> submitted_changes.KnownState:
-    return submitted_changes.KnownState(version=9, items=items, taken_as=0, forgotten=0, read_at_tail=True)
+    return submitted_changes.KnownState(
+        version=9, items=items, accepted_version=0, highest_dropped_number=0, read_at_tail=True
+    )
 
 
 class TestConfigurationsLeaveEvacuationsAlone:
     def test_a_complete_change_does_not_readmit_a_zone(self) -> None:
-        change = operator_api.read_change({"number": 4, "built_on": 3, "blueprint": {"pools": {"p": {}}}})
+        change = operator_api.parse_change({"number": 4, "built_on": 3, "blueprint": {"pools": {"p": {}}}})
         decision = submitted_changes.decide(known({**OPERATOR, **NORTH, "pools/q": {}}), change)
         assert isinstance(decision, submitted_changes.Applicable)
         assert dict(decision.changes) == {
@@ -43,13 +45,13 @@
         }
 
     def test_a_change_of_named_items_does_not_readmit_a_zone(self) -> None:
-        change = operator_api.read_change({"number": 4, "built_on": 3, "upsert": {"pools": {"p": {}}}})
+        change = operator_api.parse_change({"number": 4, "built_on": 3, "upsert": {"pools": {"p": {}}}})
         decision = submitted_changes.decide(known({**OPERATOR, **NORTH}), change)
         assert isinstance(decision, submitted_changes.Applicable)
         assert dict(decision.changes) == {"marks/operator": {"number": 4}, "pools/p": {}}
 
     def test_a_complete_change_that_stands_already_stands_beside_an_evacuation(self) -> None:
-        change = operator_api.read_change({"number": 4, "built_on": 2, "blueprint": {"pools": {"p": {}}}})
+        change = operator_api.parse_change({"number": 4, "built_on": 2, "blueprint": {"pools": {"p": {}}}})
         stands = {"marks/operator": {"number": 4}, "pools/p": {}, **NORTH}
         assert submitted_changes.decide(known(stands), change) == submitted_changes.Applicable([])
 
@@ -69,13 +71,13 @@
         assert decision == submitted_changes.Applicable([("evacuations/south", {})])
 
     def test_an_order_whose_caller_has_gone_is_not_carried_out(self) -> None:
-        decision = zone_evacuation.ZoneOrder("north", True, is_wanted=lambda: False).decide(known({}))
+        decision = zone_evacuation.ZoneOrder("north", True, is_caller_waiting=lambda: False).decide(known({}))
         assert isinstance(decision, submitted_changes.Refused)
 
     @pytest.mark.parametrize("name", ["", "a" * 129, "a\nb"])
     def test_what_is_no_name_of_a_zone_is_refused(self, name: str) -> None:
         with pytest.raises(errors.ServiceError):
-            zone_evacuation.read_zone(name)
+            zone_evacuation.parse_zone(name)
 
 
 class OrderedCore:
@@ -85,7 +87,7 @@
         self.orders: list[tuple[str, bool, bool]] = []
 
     async def order_zone(self, order: zone_evacuation.ZoneOrder) -> int:
-        self.orders.append((order.zone, order.evacuated, order.is_wanted()))
+        self.orders.append((order.zone, order.evacuated, order.is_caller_waiting()))
         return 7
 
     async def read(self) -> dict[str, Any]:
@@ -125,7 +127,7 @@
 
     @pytest.fixture(autouse=True)
     def start_cluster(self) -> None:
-        cluster = test_operators.ClusterWithNewest(8, "small", long_rate=0, short_rate=0, conversations=0)
+        cluster = test_operators.ClusterWithNewestNumber(8, "small", long_rate=0, short_rate=0, conversations=0)
         cluster.probing = False
         cluster.begin()
         cluster.advance(2)
@@ -133,7 +135,7 @@
         self.callers = [test_operators.Caller(cluster, name) for name in cluster.cores]
 
     def call(self, place: int, method: str, path: str) -> tuple[int, dict[str, Any]]:
-        answered = defer.ensureDeferred(self.callers[place].query(method, path))
+        answered = defer.ensureDeferred(self.callers[place].call(method, path))
         self.cluster.advance_until_called(answered, 4)
         status, document, _ = deferreds.result_of(answered)
         return status, document
@@ -146,7 +148,7 @@
         return zones
 
     def change(self, number: int, built_on: int) -> int:
-        answered = defer.ensureDeferred(self.callers[1].order(number, built_on, f"/path-{number}"))
+        answered = defer.ensureDeferred(self.callers[1].submit(number, built_on, f"/path-{number}"))
         self.cluster.advance_until_called(answered, 4)
         return deferreds.result_of(answered)
 
@@ -185,7 +187,7 @@
             {"blueprint": {**blueprint, "routes": {}}},
             {"patch": [{"op": "add", "path": "/pools/more", "value": {}}]},
         ):
-            planned = defer.ensureDeferred(self.callers[1].query("POST", "/plans", document))
+            planned = defer.ensureDeferred(self.callers[1].call("POST", "/plans", document))
             self.cluster.advance_until_called(planned, 4)
             plan = deferreds.result_of(planned)[1]
             assert not [key for kind in ("added", "changed", "removed") for key in plan[kind] if "evacuations" in key]
@@ -194,10 +196,10 @@
 
     def test_orders_and_changes_at_once_are_all_taken(self) -> None:
         orders = [
-            defer.ensureDeferred(caller.query("PUT", f"/evacuations/zone-{place}"))
+            defer.ensureDeferred(caller.call("PUT", f"/evacuations/zone-{place}"))
             for place, caller in enumerate(self.callers)
         ]
-        change = defer.ensureDeferred(self.callers[0].order(1, 0, "/r"))
+        change = defer.ensureDeferred(self.callers[0].submit(1, 0, "/r"))
         self.cluster.advance_until(lambda: change.called and all(order.called for order in orders), 4)
         assert [deferreds.result_of(order)[0] for order in orders] == [200] * 3
         assert deferreds.result_of(change) == 200
@@ -347,7 +349,7 @@
     """A simulated cluster whose pool has an owner; its workers are in two zones."""
 
     def test_a_pool_owner_grants_no_worker_of_an_evacuated_zone(self) -> None:
-        cluster = test_operators.ClusterWithNewest(9, "small")
+        cluster = test_operators.ClusterWithNewestNumber(9, "small")
         cluster.probing = False
         cluster.begin()
         zones = {}
@@ -361,7 +363,7 @@
         pool_owner = owner.pool_owners[cluster.pool]
         sessions = pool_owner.records.session_table.by_worker
         assert {zones[worker] for worker, records in sessions.items() if records} == {"north", "south"}
-        answered = defer.ensureDeferred(test_operators.Caller(cluster, "c1").query("PUT", "/evacuations/north"))
+        answered = defer.ensureDeferred(test_operators.Caller(cluster, "c1").call("PUT", "/evacuations/north"))
         cluster.advance_until_called(answered, 4)
         assert deferreds.result_of(answered)[0] == 200
         pool_owner.check_workers()  # which it does each half second
--- a/tests/test_submitted_changes.py
+++ b/tests/test_submitted_changes.py
@@ -1,23 +1,30 @@
-"""What operators are told of a change that is too old for a decision."""
+"""Decisions on changes whose id was dropped, or whose configuration is already in force."""
 
 from typing import Any
 
 from iriswheel import errors
 from iriswheel.control import submitted_changes
 
-FORGOTTEN = submitted_changes.KnownState(version=9, items={}, taken_as=0, forgotten=5, read_at_tail=True)
+FORGOTTEN = submitted_changes.KnownState(
+    version=9, items={}, accepted_version=0, highest_dropped_number=5, read_at_tail=True
+)
 
 
-def test_a_change_that_may_have_been_forgotten_is_unknown_and_says_why() -> None:
-    change = submitted_changes.SubmittedChange("c4-3-0a", number=4, built_on=3, make=dict)
+def test_a_change_whose_id_may_have_been_dropped_has_an_unknown_outcome() -> None:
+    change = submitted_changes.SubmittedChange("c4-3-0a", number=4, built_on=3, make_items=dict)
     decision = submitted_changes.decide(FORGOTTEN, change)
     assert isinstance(decision, submitted_changes.Refused)
     assert decision.error.execution is errors.ExecutionOutcome.MAY_HAVE_RUN
-    assert decision.error.text == "Changes of that age are no longer remembered."
+    assert (
+        decision.error.text
+        == "The ids of changes of that age are no longer stored, so the outcome of this one is unknown."
+    )
 
 
-def test_a_configuration_that_stands_already_is_proposed_so_that_it_is_remembered() -> None:
+def test_a_configuration_already_in_force_is_proposed_so_that_its_id_is_stored() -> None:
     items: dict[str, Any] = {"pools/p": {}, "marks/operator": {"number": 4}}
-    known = submitted_changes.KnownState(version=9, items=items, taken_as=0, forgotten=0, read_at_tail=True)
+    known = submitted_changes.KnownState(
+        version=9, items=items, accepted_version=0, highest_dropped_number=0, read_at_tail=True
+    )
     change = submitted_changes.SubmittedChange("c3-4-0a", 4, 3, lambda _items: {"pools/p": {}}, complete=True)
     assert submitted_changes.decide(known, change) == submitted_changes.Applicable([])
