--- a/iriswheel/replicated_counters/counter_state.py
+++ b/iriswheel/replicated_counters/counter_state.py
@@ -51,7 +51,7 @@
     """Which adds a replica holds, as sorted intervals of sequence numbers by origin.
 
     >>> held = HeldAdds({"a": [(1, 3)]})
-    >>> held.lacks(HeldAdds({"a": [(1, 5)], "b": [(1, 1)]})).to_intervals()
+    >>> held.missing_of(HeldAdds({"a": [(1, 5)], "b": [(1, 1)]})).to_intervals()
     {'a': [(4, 5)], 'b': [(1, 1)]}
     """
 
@@ -89,7 +89,7 @@
         """The sequence numbers that are held of an origin."""
         return self.by_origin.get(origin, intervals.IntervalSet())
 
-    def lacks(self, other: HeldAdds) -> HeldAdds:
+    def missing_of(self, other: HeldAdds) -> HeldAdds:
         """What another replica holds and this one lacks."""
         lacking = HeldAdds()
         for origin, numbers in other.by_origin.items():
@@ -98,21 +98,21 @@
                 lacking.by_origin[origin] = difference
         return lacking
 
-    def without(self, origins: collections.abc.Collection[str]) -> HeldAdds:
+    def without_origins(self, origins: collections.abc.Collection[str]) -> HeldAdds:
         """The adds of all but some origins.
 
-        >>> HeldAdds({"a": [(1, 3)], "b": [(1, 1)]}).without({"a"}).to_intervals()
+        >>> HeldAdds({"a": [(1, 3)], "b": [(1, 1)]}).without_origins({"a"}).to_intervals()
         {'b': [(1, 1)]}
         """
         return HeldAdds({origin: held for origin, held in self.to_intervals().items() if origin not in origins})
 
-    def common(self, other: HeldAdds) -> HeldAdds:
+    def intersection(self, other: HeldAdds) -> HeldAdds:
         """The adds that another replica holds too.
 
-        >>> HeldAdds({"a": [(1, 5)]}).common(HeldAdds({"a": [(4, 9)], "b": [(1, 1)]})).to_intervals()
+        >>> HeldAdds({"a": [(1, 5)]}).intersection(HeldAdds({"a": [(4, 9)], "b": [(1, 1)]})).to_intervals()
         {'a': [(4, 5)]}
         """
-        return other.lacks(self).lacks(self)
+        return other.missing_of(self).missing_of(self)
 
     def has_all_of(self, other: HeldAdds) -> bool:
         """Whether nothing that another replica holds is lacking here."""
--- a/iriswheel/replicated_counters/peer_replica.py
+++ b/iriswheel/replicated_counters/peer_replica.py
@@ -75,7 +75,7 @@
         """The adds to send: those accepted here, and those of others that a comparison showed to be lacking."""
         candidates = self._to_forward.copy()
         candidates.by_origin[own_origin] = held.of_origin(own_origin)
-        return self.received.lacks(candidates)
+        return self.received.missing_of(candidates)
 
     def comparison_due(self, now: int) -> bool:
         """Whether the whole is to be compared with the next message."""
@@ -139,14 +139,14 @@
         self.received.update(self._sent)
         self.received.update(self.synced)
         if response.complete:
-            self._choose_to_forward(self.received.lacks(held), live_origins, now)
+            self._choose_to_forward(self.received.missing_of(held), live_origins, now)
 
     def _choose_to_forward(
         self, lacking: counter_state.HeldAdds, live_origins: collections.abc.Collection[str], now: int
     ) -> None:
-        self._to_forward = lacking.without(live_origins)
+        self._to_forward = lacking.without_origins(live_origins)
         if now - self._lacked_at_us >= FORWARD_DELAY_US:
-            self._to_forward.update(lacking.common(self._lacked))
+            self._to_forward.update(lacking.intersection(self._lacked))
             self._lacked, self._lacked_at_us = lacking, now
 
     def fail(self) -> None:
--- a/iriswheel/replicated_counters/replicator.py
+++ b/iriswheel/replicated_counters/replicator.py
@@ -99,7 +99,7 @@
 
     def lag(self, replica: peer_replica.PeerReplica) -> int:
         """How many of the adds held here a machine has not synced, as far as known."""
-        return len(replica.synced.lacks(self.counters.held))
+        return len(replica.synced.missing_of(self.counters.held))
 
     # ---- what others send ------------------------------------------------------------
 
