--- a/iriswheel/replicated_counters/counters.py
+++ b/iriswheel/replicated_counters/counters.py
@@ -16,7 +16,7 @@
     from iriswheel.runtime import scheduler, storage
     from iriswheel.transport import peer_calls
 
-SETTLE_US = 3 * units.SECOND_US  # after a start, for which silence is not taken for a cut
+REACHABILITY_DELAY_US = 3 * units.SECOND_US  # after a start, for which silence is not taken for a cut
 READ_DELAY_US = 1_500 * units.MILLISECOND_US  # after a start, for which reads wait for comparisons
 ACKNOWLEDGE_TIMEOUT_US = 2 * units.SECOND_US
 MAX_UNSYNCED = 10_000  # adds accepted here; more are refused
@@ -155,7 +155,7 @@
             self.replicator.writable() | own,
             self.copies,
             own=OWN_MACHINE,
-            settled=self.runtime.now() - self.started_at_us >= SETTLE_US,
+            reachability_known=self.runtime.now() - self.started_at_us >= REACHABILITY_DELAY_US,
         )
 
     # ---- leaving -------------------------------------------------------------------
--- a/iriswheel/replicated_counters/durability.py
+++ b/iriswheel/replicated_counters/durability.py
@@ -16,7 +16,7 @@
     copies: int,
     *,
     own: Machine,
-    settled: bool,
+    reachability_known: bool,
 ) -> bool:
     """Whether an add survives what must be borne, as far as that can be had now.
 
@@ -29,15 +29,15 @@
         settled: Whether this process has run for long enough to know who can be reached. Just after a start the
             others may be starting too, and their silence is no cut.
 
-    >>> is_durable({"a", "b"}, {"a", "b", "c"}, 3, own="a", settled=True)
+    >>> is_durable({"a", "b"}, {"a", "b", "c"}, 3, own="a", reachability_known=True)
     False
-    >>> is_durable({"a", "b"}, {"a", "b"}, 3, own="a", settled=True)  # cut off: all that can be reached hold it
+    >>> is_durable({"a", "b"}, {"a", "b"}, 3, own="a", reachability_known=True)  # cut off: all that can be reached hold it
     True
-    >>> is_durable({"b"}, {"b"}, 3, own="a", settled=True)  # its own disk does not work
+    >>> is_durable({"b"}, {"b"}, 3, own="a", reachability_known=True)  # its own disk does not work
     False
-    >>> is_durable({"a", "b"}, {"a", "b"}, 3, own="a", settled=False)
+    >>> is_durable({"a", "b"}, {"a", "b"}, 3, own="a", reachability_known=False)
     False
     """
     if len(holders) >= copies:
         return True
-    return settled and own in holders and writable <= holders
+    return reachability_known and own in holders and writable <= holders
--- a/tests/test_counter_state.py
+++ b/tests/test_counter_state.py
@@ -267,15 +267,15 @@
     @fuzzing.QUICK
     @hypothesis.given(MACHINES, MACHINES, strategies.integers(1, 3), strategies.booleans())
     def test_enough_copies_or_all_that_there_can_be(
-        self, holders: set[str], writable: set[str], copies: int, settled: bool
+        self, holders: set[str], writable: set[str], copies: int, reachability_known: bool
     ) -> None:
-        durable = durability.is_durable(holders, writable, copies, own="a", settled=settled)
+        durable = durability.is_durable(holders, writable, copies, own="a", reachability_known=reachability_known)
         if len(holders) >= copies:
             assert durable
-        elif not settled or len(writable - holders) > 0:
+        elif not reachability_known or len(writable - holders) > 0:
             assert not durable
         else:
             assert durable == ("a" in holders)
 
     def test_no_add_is_durable_that_no_machine_holds(self) -> None:
-        assert not durability.is_durable(set(), set(), 1, own="a", settled=True)
+        assert not durability.is_durable(set(), set(), 1, own="a", reachability_known=True)
