--- a/iriswheel/replicated_counters/counters.py
+++ b/iriswheel/replicated_counters/counters.py
@@ -119,7 +119,7 @@
         until it has caught up with so many others that they and itself are `copies`, however long that takes.
         """
         if self._may_lack_all:
-            self._may_lack_all = self.replicator.machines_caught_up_with() + 1 < self.copies
+            self._may_lack_all = self.replicator.count_machines_caught_up_with() + 1 < self.copies
         just_started = self.runtime.now() - self.started_at_us < READ_DELAY_US
         return self._may_lack_all or (just_started and not self.replicator.holds_what_majority_had())
 
@@ -170,7 +170,7 @@
         if not len(self._held_at_stop):
             return False
         wanted = min(self.copies, len(self.replicator.replicas))
-        if self.replicator.machines_with(self._held_at_stop) >= wanted:
+        if self.replicator.count_machines_with(self._held_at_stop) >= wanted:
             return False
         self.replicator.compare_now()
         return True
--- a/iriswheel/replicated_counters/replicator.py
+++ b/iriswheel/replicated_counters/replicator.py
@@ -81,15 +81,15 @@
 
     def holds_what_majority_had(self) -> bool:
         """Whether this machine holds what a majority of the machines, itself included, held when it compared."""
-        return self.machines_caught_up_with() + 1 >= decisions.majority(len(self.replicas) + 1)
+        return self.count_machines_caught_up_with() + 1 >= decisions.majority(len(self.replicas) + 1)
 
-    def machines_caught_up_with(self) -> int:
+    def count_machines_caught_up_with(self) -> int:
         """How many other machines this one has compared with, and holds all that they held then."""
         return sum(
             replica.compared and self.counters.held.has_all_of(replica.synced) for replica in self.replicas.values()
         )
 
-    def machines_with(self, adds: counter_state.HeldAdds) -> int:
+    def count_machines_with(self, adds: counter_state.HeldAdds) -> int:
         """How many other machines are known to have some adds synced."""
         return sum(replica.synced.has_all_of(adds) for replica in self.replicas.values())
 
