--- a/iriswheel/replicated_counters/add_log.py
+++ b/iriswheel/replicated_counters/add_log.py
@@ -16,7 +16,7 @@
 
 KEY_PREFIX = b"counter/"
 SEQUENCE_BYTES = 8
-MAX_GROUP = 2_000  # adds in one write
+MAX_GROUP_ADDS = 2_000  # adds in one write
 RETRY_INTERVAL_US = 200 * units.MILLISECOND_US
 STALL_US = 600 * units.MILLISECOND_US  # a disk whose write takes so long counts as not working
 
@@ -84,11 +84,11 @@
         self.progress = scheduler.Signal()
         self._unwritten: list[counter_state.AddId] = []
         self._writing = False
-        self._unsynced_since_us = 0  # since when the oldest write has been under way, where one is
+        self._write_started_at_us = 0  # since when the oldest write has been under way, where one is
 
     def is_working(self) -> bool:
         """Whether the disk takes writes, and no write has been under way for STALL_US."""
-        stalls = self._writing and self.runtime.now() - self._unsynced_since_us >= STALL_US
+        stalls = self._writing and self.runtime.now() - self._write_started_at_us >= STALL_US
         return self.disk.ok and not stalls
 
     @property
@@ -107,8 +107,8 @@
         """Write until nothing is left; a write that fails is tried again until it succeeds."""
         try:
             while self._unwritten:
-                self._unsynced_since_us = self.runtime.now()
-                group = self._unwritten[:MAX_GROUP]
+                self._write_started_at_us = self.runtime.now()
+                group = self._unwritten[:MAX_GROUP_ADDS]
                 try:
                     await self.disk.commit([(storage_key(each), self._encoded(each)) for each in group])
                 except storage.DiskError:  # MonitoredDisk logs it
--- a/iriswheel/replicated_counters/peer_replica.py
+++ b/iriswheel/replicated_counters/peer_replica.py
@@ -47,10 +47,12 @@
         self.silent_ticks = 0
         self.disk_ok = True
         self._to_forward = counter_state.HeldAdds()  # adds of other origins that are sent from here
-        self._lacked = counter_state.HeldAdds()  # what it lacked at a comparison FORWARD_DELAY_US ago or more
-        self._lacked_at_us = 0
-        self._sent = counter_state.HeldAdds()  # what the call under way brings
-        self._digested = counter_state.HeldAdds()  # what the digest of the call under way covers
+        self._missing_at_comparison = (
+            counter_state.HeldAdds()
+        )  # what it lacked at a comparison FORWARD_DELAY_US ago or more
+        self._missing_noted_at_us = 0
+        self._sent_adds = counter_state.HeldAdds()  # what the call under way brings
+        self._digested_adds = counter_state.HeldAdds()  # what the digest of the call under way covers
 
     # ---- reachability ------------------------------------------------------------
 
@@ -95,14 +97,14 @@
         compare = self.comparison_due(now)
         if not batches and not compare:
             return None
-        self._sent = counter_state.HeldAdds()
+        self._sent_adds = counter_state.HeldAdds()
         for batch in batches:
             for add in batch.adds:
-                self._sent.add(counter_state.AddId(batch.origin, add.sequence))
+                self._sent_adds.add(counter_state.AddId(batch.origin, add.sequence))
         digest = b""
         if compare:
-            self._digested = counters.held.copy()
-            digest = self._digested.digest()
+            self._digested_adds = counters.held.copy()
+            digest = self._digested_adds.digest()
             self.compare_now = False
             self.compared_at_us = now
         return message.ReplicateAdds(own_origin, batches, digest)
@@ -132,11 +134,11 @@
             self.synced, self.received = counter_state.HeldAdds(), counter_state.HeldAdds()
         self.disk_ok = response.disk_ok
         if response.complete:
-            self.synced = self._digested.copy() if response.same else counter_state.HeldAdds(response.held)
+            self.synced = self._digested_adds.copy() if response.same else counter_state.HeldAdds(response.held)
             self.compared = True
         else:
             self.synced.update(counter_state.HeldAdds(response.held))
-        self.received.update(self._sent)
+        self.received.update(self._sent_adds)
         self.received.update(self.synced)
         if response.complete:
             self._choose_to_forward(self.received.missing_of(held), live_origins, now)
@@ -145,9 +147,9 @@
         self, lacking: counter_state.HeldAdds, live_origins: collections.abc.Collection[str], now: int
     ) -> None:
         self._to_forward = lacking.without_origins(live_origins)
-        if now - self._lacked_at_us >= FORWARD_DELAY_US:
-            self._to_forward.update(lacking.intersection(self._lacked))
-            self._lacked, self._lacked_at_us = lacking, now
+        if now - self._missing_noted_at_us >= FORWARD_DELAY_US:
+            self._to_forward.update(lacking.intersection(self._missing_at_comparison))
+            self._missing_at_comparison, self._missing_noted_at_us = lacking, now
 
     def fail(self) -> None:
         """Note that the call under way failed: what it brought may have come or not."""
