--- a/iriswheel/replicated_counters/peer_replica.py
+++ b/iriswheel/replicated_counters/peer_replica.py
@@ -111,7 +111,7 @@
 
     # ---- what comes back ---------------------------------------------------------
 
-    def take(
+    def apply_response(
         self,
         response: message.ReplicateAddsResponse,
         held: counter_state.HeldAdds,
--- a/iriswheel/replicated_counters/replicator.py
+++ b/iriswheel/replicated_counters/replicator.py
@@ -189,6 +189,6 @@
         if not replica.reachable:
             log.info("Counters: {}:{} answers again.", *replica.address)
         answer = typing.cast("message.ReplicateAddsResponse", response)  # the only answer to ReplicateAdds
-        replica.take(answer, self.counters.held, self._live_origins(), self.runtime.now())
+        replica.apply_response(answer, self.counters.held, self._live_origins(), self.runtime.now())
         self.progress.wake()
         return answer.disk_ok
--- a/tests/test_counter_state.py
+++ b/tests/test_counter_state.py
@@ -151,7 +151,7 @@
 
     def answer(self, held: message.HeldIntervals, sender: str = "other", complete: bool = True, now: int = 1) -> None:
         response = message.ReplicateAddsResponse(sender, True, complete, held=held)
-        self.replica.take(response, self.state.held, {"live"}, now)
+        self.replica.apply_response(response, self.state.held, {"live"}, now)
 
     def sequences(self, now: int = 1) -> dict[str, list[int]]:
         request = self.request(now)
