--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -60,7 +60,7 @@
 
     async def _cancel_hanging(self, worker_id: str) -> None:
         """End the attempts that hang at a worker, if no connection to it can be had from here."""
-        worker = self.node.follower.states.get(worker_id)
+        worker = self.node.follower.workers_by_id.get(worker_id)
         if worker is not None and worker_id not in self.node.reachability.unreachable_since:
             response = await self.node.reachability.probe(worker)
             if response.outcome != message.ProbeOutcome.NOT_REACHED:
--- a/iriswheel/dataplane/cold_workers.py
+++ b/iriswheel/dataplane/cold_workers.py
@@ -42,7 +42,7 @@
         """The workers as they were last listed."""
 
     @property
-    def states(self) -> dict[str, message.Worker]:
+    def workers_by_id(self) -> dict[str, message.Worker]:
         """The listed workers, by id."""
 
     @property
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -237,7 +237,7 @@
             raise self.final_error(request, "busy", "The time is over.")
         if not request.sends and wait_us > request.deadline_us - now:
             raise self.final_error(request, "busy", "No worker would begin in time.", wait_us // 2)
-        return self.node.follower.states[worker_id]
+        return self.node.follower.workers_by_id[worker_id]
 
     def _candidates(self, request: forwarded_request.ForwardedRequest) -> cold_workers.Candidates:
         """Return the workers to send to that are within reach; all of them where it tried each of those."""
@@ -398,7 +398,7 @@
 
     def _is_due(self, request: forwarded_request.ForwardedRequest, worker: message.Worker) -> bool:
         """Whether a worker, if it is cold, may be sent to now, after the wait for a connection; notes the send."""
-        listed = self.node.follower.states.get(worker.id, worker)
+        listed = self.node.follower.workers_by_id.get(worker.id, worker)
         return self.cold_workers.start_send(listed, request.pool)
 
 
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -107,7 +107,7 @@
         """Try an unreachable worker again, until it is reached or listed no more."""
         while worker_id in self.unreachable_since and not self.node.stopped:
             await self.runtime.sleep(PROBE_INTERVAL_US)
-            worker = self.node.follower.states.get(worker_id)
+            worker = self.node.follower.workers_by_id.get(worker_id)
             if worker is None:
                 self.unreachable_since.pop(worker_id, None)
             else:
--- a/iriswheel/dataplane/interfaces.py
+++ b/iriswheel/dataplane/interfaces.py
@@ -59,7 +59,7 @@
         """The workers as they were last listed."""
 
     @property
-    def states(self) -> dict[str, message.Worker]:
+    def workers_by_id(self) -> dict[str, message.Worker]:
         """The listed workers, by id."""
 
     def find_route(self, host: str, path: str) -> configuration.Route | None:
--- a/iriswheel/dataplane/relay.py
+++ b/iriswheel/dataplane/relay.py
@@ -65,7 +65,7 @@
         """Use up the token that a peer's request carries; returns its worker while it is valid and ready."""
         name = edge_protocol.header(request.requestHeaders, edge_protocol.PASS)
         token = self.tokens.pop(name or "", NO_TOKEN)
-        worker = self.node.follower.states.get(token.worker)
+        worker = self.node.follower.workers_by_id.get(token.worker)
         if worker is None or self.runtime.now() >= token.expires_at_us:
             return None
         if not self.node.follower.accepts_requests(worker.id):
--- a/iriswheel/dataplane/worker_reach.py
+++ b/iriswheel/dataplane/worker_reach.py
@@ -36,7 +36,7 @@
         """The workers as they were last listed."""
 
     @property
-    def states(self) -> dict[str, message.Worker]:
+    def workers_by_id(self) -> dict[str, message.Worker]:
         """The listed workers, by id."""
 
 
@@ -78,7 +78,7 @@
 
     def note_reached(self, worker: str) -> None:
         """Note that a connection to a worker was made."""
-        listed = self.fleet.states.get(worker)
+        listed = self.fleet.workers_by_id.get(worker)
         if listed is None:
             return
         self.hidden_zones.discard(listed.zone)
@@ -100,7 +100,7 @@
 
     def note_silent(self, worker: str) -> None:
         """Note that a worker is silent: where all of its zone is, find out whether it is still within reach."""
-        listed = self.fleet.states.get(worker)
+        listed = self.fleet.workers_by_id.get(worker)
         if listed is not None and not self._heard_of_zone(listed.zone):
             self.check(listed)
 
@@ -116,11 +116,11 @@
         if now - self._retried_at_us < RETRY_US:
             return
         self._retried_at_us = now
-        self.unreached = {worker: None for worker in self.unreached if worker in self.fleet.states}
+        self.unreached = {worker: None for worker in self.unreached if worker in self.fleet.workers_by_id}
         self.hidden_zones &= {worker.zone for worker in self.fleet.workers}
         longest_ago: dict[str, message.Worker] = {}
         for worker in self.unreached:
-            listed = self.fleet.states[worker]
+            listed = self.fleet.workers_by_id[worker]
             longest_ago.setdefault(listed.zone, listed)
         for listed in longest_ago.values():
             self.check(listed)
@@ -128,7 +128,7 @@
     def _is_out_of_reach(self, worker: str) -> bool:
         if worker in self.unreached:
             return True
-        listed = self.fleet.states.get(worker)
+        listed = self.fleet.workers_by_id.get(worker)
         return listed is not None and listed.zone in self.hidden_zones
 
     def _heard_of_zone(self, zone: str) -> bool:
@@ -149,6 +149,6 @@
     def _check_zone(self, zone: str) -> None:
         """Try the other workers of a zone that were out of reach: one of them is back."""
         for other in list(self.unreached):
-            listed = self.fleet.states.get(other)
+            listed = self.fleet.workers_by_id.get(other)
             if listed is not None and listed.zone == zone:
                 self.check(listed)
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -131,7 +131,7 @@
         """Accept a grant; returns None and releases it where it came too late or the worker may no longer be used."""
         pool_name = request.pool_name
         assignment = self.owners.assignment(pool_name)
-        worker = self.node.follower.states.get(grant.worker)
+        worker = self.node.follower.workers_by_id.get(grant.worker)
         if (
             assignment is None
             or grant.term < assignment.term
@@ -175,7 +175,7 @@
             return None  # repeats go by the pool owner's budget
         key = (request.pool_name, request.session)
         affinity = self.affinities.get(key, NO_AFFINITY)
-        worker = self.node.follower.states.get(affinity.worker)
+        worker = self.node.follower.workers_by_id.get(affinity.worker)
         now = self.runtime.now()
         if (
             worker is None
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -101,9 +101,9 @@
         return self.worker_list.workers
 
     @property
-    def states(self) -> dict[str, message.Worker]:
+    def workers_by_id(self) -> dict[str, message.Worker]:
         """The listed workers, by id."""
-        return self.worker_list.states
+        return self.worker_list.workers_by_id
 
     @property
     def updated_at(self) -> int | None:
@@ -137,7 +137,7 @@
 
     def accepts_requests(self, worker: str) -> bool:
         """Whether new requests may go to a worker: it is listed as ready, and its zone is not evacuated."""
-        listed = self.states.get(worker)
+        listed = self.workers_by_id.get(worker)
         return (
             listed is not None and listed.state == message.WorkerState.READY and listed.zone not in self.evacuated_zones
         )
--- a/iriswheel/node/worker_list.py
+++ b/iriswheel/node/worker_list.py
@@ -10,7 +10,7 @@
 
     def __init__(self) -> None:
         self.workers: list[message.Worker] = []
-        self.states: dict[str, message.Worker] = {}  # by id
+        self.workers_by_id: dict[str, message.Worker] = {}  # by id
         self.updated_at: int | None = None  # when the list was last sent or confirmed, in µs
         self._drain_deadlines: dict[str, int] = {}  # worker that is not ready -> when its streams must have ended
         self._version: message.ListingVersion = (0, 0, 0)  # of the newest listing, full or unchanged
@@ -18,7 +18,7 @@
 
     def state(self, worker: str) -> str:
         """Return a worker's state, a `message.WorkerState`; one that is not listed is gone."""
-        listed = self.states.get(worker)
+        listed = self.workers_by_id.get(worker)
         return listed.state if listed is not None else message.WorkerState.GONE
 
     def drained(self, worker: str, now: int) -> bool:
@@ -45,13 +45,13 @@
         self.updated_at = now
         if workers == self.workers:
             return False
-        before = self.states
+        before = self.workers_by_id
         self.workers = workers
-        self.states = {worker.id: worker for worker in workers}
-        for identifier in sorted({*before, *self.states}):
+        self.workers_by_id = {worker.id: worker for worker in workers}
+        for identifier in sorted({*before, *self.workers_by_id}):
             if self.state(identifier) == message.WorkerState.READY:
                 self._drain_deadlines.pop(identifier, None)
             else:
-                worker = self.states.get(identifier) or before[identifier]
+                worker = self.workers_by_id.get(identifier) or before[identifier]
                 self._drain_deadlines.setdefault(identifier, now + worker.drain_us)
         return True
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -264,7 +264,7 @@
     async def _check_unreached(self, workers: list[str]) -> None:
         """Check the workers that the requesting node could not reach: perhaps no node reaches them."""
         for name in workers:
-            worker = self.node.follower.states.get(name)
+            worker = self.node.follower.workers_by_id.get(name)
             if worker is not None and worker.state == message.WorkerState.READY and name not in self.watch.ejected:
                 await self.watch.check(worker)
 
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -26,7 +26,10 @@
         )
         self.runtime = process.runtime()
         self.follower = types.SimpleNamespace(
-            workers=[], states={}, accepts_requests=lambda _worker: True, membership=types.SimpleNamespace(members=[])
+            workers=[],
+            workers_by_id={},
+            accepts_requests=lambda _worker: True,
+            membership=types.SimpleNamespace(members=[]),
         )
         self.retry_budget = retry_budget.Budget(slack=9)
         self.node = types.SimpleNamespace(
--- a/tests/request_path.py
+++ b/tests/request_path.py
@@ -126,7 +126,7 @@
         process.reactor.listenTCP(80, worker)
         self.workers.append(worker)
         self.follower.workers.append(message.Worker(f"i-{number}", host, 80, "desk", "ready", 0))
-        self.follower.states = {w.id: w for w in self.follower.workers}
+        self.follower.workers_by_id = {w.id: w for w in self.follower.workers}
         return worker
 
     def client(self) -> Client:
--- a/tests/test_cold_workers.py
+++ b/tests/test_cold_workers.py
@@ -41,9 +41,9 @@
         self.name = name
         self.fleet: Any = types.SimpleNamespace(
             workers=[],
-            states={},
+            workers_by_id={},
             membership=types.SimpleNamespace(members=[]),
-            accepts_requests=lambda worker: self.fleet.states[worker].state == "ready",
+            accepts_requests=lambda worker: self.fleet.workers_by_id[worker].state == "ready",
         )
         self.runtime = scheduler.Runtime(None, now=lambda: test.now, seed=len(test.nodes))
         self.start()
@@ -56,7 +56,7 @@
     def hear(self, members: list[message.Member], workers: list[message.Worker]) -> None:
         self.fleet.membership = types.SimpleNamespace(members=members)
         self.fleet.workers = workers
-        self.fleet.states = {listed.id: listed for listed in workers}
+        self.fleet.workers_by_id = {listed.id: listed for listed in workers}
 
     def pick(self, key: bytes = b"") -> str:
         """The worker that a request goes to; "" for none."""
@@ -75,7 +75,7 @@
     def send(self, key: bytes = b"") -> str:
         """Send a request; the worker, or "" where none may be sent to."""
         chosen = self.pick(key)
-        if not chosen or not self.cold.start_send(self.fleet.states[chosen], POOL):
+        if not chosen or not self.cold.start_send(self.fleet.workers_by_id[chosen], POOL):
             return ""
         return chosen
 
@@ -186,7 +186,7 @@
         node = self.nodes[0]
         self.hear([worker("w1", "north", cold=True)])
         assert node.cold.candidates("desk", configuration.Pool()).ready == ["w1"]
-        assert node.cold.start_send(node.fleet.states["w1"], configuration.Pool())
+        assert node.cold.start_send(node.fleet.workers_by_id["w1"], configuration.Pool())
 
 
 class TestSelection(Nodes):
@@ -292,7 +292,7 @@
             message.ZonedWorker(f"i-{number}", f"10.0.3.{number}", 80, "desk", "ready", 0, "a", is_cold)
             for number, is_cold in enumerate(cold, 1)
         ]
-        self.follower.states = {listed.id: listed for listed in self.follower.workers}
+        self.follower.workers_by_id = {listed.id: listed for listed in self.follower.workers}
 
     @pytest.fixture(autouse=True)
     def bound_cold_workers(self, use_mutating_route: None) -> None:  # noqa: ARG002 - asked for so that it runs before
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -309,7 +309,7 @@
         self.worker = message.Worker("i-1", "10.0.3.1", 80, "desk", "ready")
         self.accepts = True
         follower = types.SimpleNamespace(
-            states={"i-1": self.worker},
+            workers_by_id={"i-1": self.worker},
             accepts_requests=lambda _worker: self.accepts,
             needs_rejoin=lambda: False,
             has_worker_update=lambda: True,
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -33,7 +33,7 @@
         process.reactor.listenTCP(80, worker)
         self.workers.append(worker)
         self.follower.workers.append(message.Worker(worker.id, f"10.0.3.{k}", 80, "desk", "ready", 0))
-        self.follower.states = {w.id: w for w in self.follower.workers}
+        self.follower.workers_by_id = {w.id: w for w in self.follower.workers}
         return worker
 
     def query(self, events: int = 40) -> tuple[client_connection.PendingAnswer, client_connection.ClientConnection]:
--- a/tests/test_worker_reach.py
+++ b/tests/test_worker_reach.py
@@ -46,7 +46,7 @@
         self.follower.workers.append(
             message.ZonedWorker(listed.id, listed.host, listed.port, listed.pool, listed.state, 0, zone)
         )
-        self.follower.states = {worker.id: worker for worker in self.follower.workers}
+        self.follower.workers_by_id = {worker.id: worker for worker in self.follower.workers}
 
     def reply(self, connection: request_path.WorkerConnection, attempt: str) -> None:
         connection.transport.write(request_path.answer(attempt, b"ok"))
