--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -45,7 +45,9 @@
 
     def cancel_drained(self) -> None:
         """End the attempts at workers that left and whose drain time is over."""
-        for attempt in [attempt for attempt in self.attempts.values() if self.node.follower.drained(attempt.worker)]:
+        for attempt in [
+            attempt for attempt in self.attempts.values() if self.node.follower.drain_deadline_passed(attempt.worker)
+        ]:
             attempt.cancel()
 
     async def watch_hangs(self) -> None:
--- a/iriswheel/dataplane/interfaces.py
+++ b/iriswheel/dataplane/interfaces.py
@@ -80,7 +80,7 @@
     def accepts_requests(self, worker: str) -> bool:
         """Whether new requests may go to a worker: it is listed as ready, and its zone is not evacuated."""
 
-    def drained(self, worker: str) -> bool:
+    def drain_deadline_passed(self, worker: str) -> bool:
         """Whether the drain time of a worker that leaves or is gone is over."""
 
     def selected_by_owner(self, name: str) -> bool:
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -142,9 +142,9 @@
             listed is not None and listed.state == message.WorkerState.READY and listed.zone not in self.evacuated_zones
         )
 
-    def drained(self, worker: str) -> bool:
+    def drain_deadline_passed(self, worker: str) -> bool:
         """Whether a worker that leaves or is gone has had its time for streams under way."""
-        return self.worker_list.drained(worker, self.runtime.now())
+        return self.worker_list.drain_deadline_passed(worker, self.runtime.now())
 
     def core_zones(self) -> dict[core_session.Address, str]:
         """Return the core machines of the membership: address -> zone."""
--- a/iriswheel/node/worker_list.py
+++ b/iriswheel/node/worker_list.py
@@ -21,7 +21,7 @@
         listed = self.workers_by_id.get(worker)
         return listed.state if listed is not None else message.WorkerState.GONE
 
-    def drained(self, worker: str, now: int) -> bool:
+    def drain_deadline_passed(self, worker: str, now: int) -> bool:
         """Whether a worker that leaves or is gone has had its time for streams under way."""
         return now > self._drain_deadlines.get(worker, now)
 
