--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -136,17 +136,17 @@
         listing = message.WorkerListing(workers, (assignment.term[0], assignment.term[1], self._count))
         last = self.full_listing
         changed = last is None or last.workers != workers or last.version[:2] != listing.version[:2]
-        whole = listing if last is None or changed else last
-        unchanged = message.ListingUnchanged(listing.version, whole.version)
+        full_listing = listing if last is None or changed else last
+        unchanged = message.ListingUnchanged(listing.version, full_listing.version)
         if changed:
             self.follower.apply_listing(listing)
         else:
             self.follower.apply_listing_unchanged(unchanged)
-        self.full_listing = whole
+        self.full_listing = full_listing
         session = self.follower.session
         if changed or self._sent_on is not session.connection:
             self._sent_on = session.connection
-            session.tell(whole)
+            session.tell(full_listing)
         session.tell(unchanged)
         if changed:
             self._tell_peers(message.ForwardedListing(listing))
--- a/iriswheel/node/worker_list.py
+++ b/iriswheel/node/worker_list.py
@@ -13,8 +13,8 @@
         self.workers_by_id: dict[str, message.Worker] = {}  # by id
         self.updated_at: int | None = None  # when the list was last sent or confirmed, in µs
         self._drain_deadlines: dict[str, int] = {}  # worker that is not ready -> when its streams must have ended
-        self._version: message.ListingVersion = (0, 0, 0)  # of the newest listing, full or unchanged
-        self._whole_version: message.ListingVersion = (0, 0, 0)  # of the full listing that is known here
+        self._newest_version: message.ListingVersion = (0, 0, 0)  # of the newest listing, full or unchanged
+        self._full_version: message.ListingVersion = (0, 0, 0)  # of the full listing that is known here
 
     def state(self, worker: str) -> str:
         """Return a worker's state, a `message.WorkerState`; one that is not listed is gone."""
@@ -27,16 +27,16 @@
 
     def accept_listing(self, listing: message.WorkerListing) -> bool:
         """Note the version of a full listing; False where a newer one came before."""
-        if listing.version < self._version:
+        if listing.version < self._newest_version:
             return False
-        self._version = self._whole_version = listing.version
+        self._newest_version = self._full_version = listing.version
         return True
 
     def accept_unchanged(self, unchanged: message.ListingUnchanged, now: int) -> bool:
         """Note that the list is unchanged since a full listing; False where that listing never came here."""
-        if unchanged.unchanged_since != self._whole_version:
-            return self._whole_version > unchanged.unchanged_since
-        self._version = max(self._version, unchanged.version)
+        if unchanged.unchanged_since != self._full_version:
+            return self._full_version > unchanged.unchanged_since
+        self._newest_version = max(self._newest_version, unchanged.version)
         self.updated_at = now
         return True
 
