--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -64,8 +64,8 @@
         # connection -> address, of attempts that have brought no lease yet
         self.candidates: dict[wire.Connection, Address] = {}
         self.attempts: set[Address] = set()  # the addresses of all attempts under way
-        self.tried: dict[Address, int] = {}  # address -> when it was last tried, since a session last stood
-        self.hint: Address | None = None  # where a peer has its session
+        self.last_tried_at: dict[Address, int] = {}  # address -> when it was last tried, since a session last stood
+        self.address_hint: Address | None = None  # where a peer has its session
         self.own_zone_tried_at = -OWN_ZONE_INTERVAL_US
         self.moves = 0
 
@@ -113,14 +113,14 @@
         """
         zones = self.follower.core_zones()
         own = self.follower.options.zone
-        chance = {address: self.runtime.rng.random() for address in self.addresses}
+        tie_breaker = {address: self.runtime.rng.random() for address in self.addresses}
         return sorted(
             self.addresses,
             key=lambda address: (
-                self.tried.get(address, -1),
+                self.last_tried_at.get(address, -1),
                 address not in zones,
                 zones.get(address) != own,
-                chance[address],
+                tie_breaker[address],
             ),
         )
 
@@ -164,7 +164,7 @@
         old = self.connection
         self.connection, self.address = connection, self.candidates.pop(connection)
         self.moves += 1
-        self.tried.clear()
+        self.last_tried_at.clear()
         host, port = self.address
         log.info(
             "The session with the core is now with {host}:{port}; log index {applied_index} is applied.",
@@ -213,15 +213,15 @@
                 port=port,
                 applied_index=self.follower.applied_index,
             )
-            self.tried[self.address] = self.runtime.now()
+            self.last_tried_at[self.address] = self.runtime.now()
             self.connection = None
 
     def _start_next_attempt(self) -> None:
         if len(self.attempts) >= MAX_ATTEMPTS:
             return
         here = self.address if self.connection is not None else None
-        hint, self.hint = self.hint, None
-        for address in ([hint] if hint is not None else []) + self.addresses_by_preference():
+        address_hint, self.address_hint = self.address_hint, None
+        for address in ([address_hint] if address_hint is not None else []) + self.addresses_by_preference():
             if address != here and address not in self.attempts:
                 self._start_attempt(address)
                 return
@@ -246,7 +246,7 @@
 
     def _start_attempt(self, address: Address) -> None:
         self.attempts.add(address)
-        self.tried[address] = self.runtime.now()
+        self.last_tried_at[address] = self.runtime.now()
         self.runtime.spawn(self._open_candidate(address), log)
 
     async def _open_candidate(self, address: Address) -> None:
--- a/iriswheel/node/peer_status.py
+++ b/iriswheel/node/peer_status.py
@@ -93,4 +93,4 @@
         self.responses[peer.id] = ReceivedStatus(self.runtime.now(), response)
         self.follower.apply_membership(response.membership)
         if response.core_address is not None:
-            self.follower.session.hint = response.core_address
+            self.follower.session.address_hint = response.core_address
--- a/tests/test_peer_status.py
+++ b/tests/test_peer_status.py
@@ -23,7 +23,7 @@
         options=types.SimpleNamespace(serve_on=False),
         membership=message.Membership((1, 1), [], [], [], []),
         node=types.SimpleNamespace(peers=types.SimpleNamespace(call=call)),
-        session=types.SimpleNamespace(hint=None),
+        session=types.SimpleNamespace(address_hint=None),
         peers=lambda: [message.Member("n2-1", "n2", "a", "10.2.0.2", 7301, 8263)],
         apply_membership=lambda _membership: None,
     )
@@ -32,12 +32,12 @@
 def test_the_core_machine_of_a_peer_s_session_is_tried_first() -> None:
     follower = follower_whose_peer_answers(message.CoreStatusResponse(True, None, CORE, 3))
     peer_status.PeerStatus(follower).query()
-    assert follower.session.hint == CORE
+    assert follower.session.address_hint == CORE
 
 
 def test_a_peer_without_the_core_gives_no_hint() -> None:
     follower = follower_whose_peer_answers(message.CoreStatusResponse(False, None, None, 3))
     status = peer_status.PeerStatus(follower)
     status.query()
-    assert follower.session.hint is None
+    assert follower.session.address_hint is None
     assert status.without_core(3) == {"n2-1"}
