--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -209,11 +209,11 @@
         """
         if self.needs_rejoin():
             return True
-        return not self.session.lease.is_valid(self.runtime.now()) and self.peer_status.any_in_touch()
+        return not self.session.lease.is_valid(self.runtime.now()) and self.peer_status.any_reaches_core()
 
     def peer_has_newer_configuration(self) -> bool:
         """Whether a peer that is in touch with the core has a newer configuration than this node."""
-        return self.peer_status.any_ahead(self.applied_index)
+        return self.peer_status.any_has_newer_configuration(self.applied_index)
 
     def has_worker_update(self) -> bool:
         """Whether the worker list is recent enough to send requests by."""
--- a/iriswheel/node/peer_requests.py
+++ b/iriswheel/node/peer_requests.py
@@ -70,10 +70,10 @@
 
     def _core_status(self, query: message.CoreStatusQuery) -> message.CoreStatusResponse:
         follower = self.follower
-        in_touch = follower.session.has_recent_contact() and not follower.needs_rejoin()
+        reaches_core = follower.session.has_recent_contact() and not follower.needs_rejoin()
         return message.CoreStatusResponse(
-            in_touch,
+            reaches_core,
             follower.membership if follower.membership.version > query.version else None,
-            follower.session.address if in_touch else None,
+            follower.session.address if reaches_core else None,
             follower.applied_index,
         )
--- a/iriswheel/node/peer_status.py
+++ b/iriswheel/node/peer_status.py
@@ -17,7 +17,7 @@
 STATUS_VALIDITY_US = 1_200 * units.MILLISECOND_US
 """How long a peer's answer counts; peers are asked twice a second."""
 
-PEERS_ASKED_WHILE_SERVING_ON = 3
+MAX_PEERS_QUERIED_WITH_SERVE_ON = 3
 """How many peers a node asks that serves on without the core."""
 
 log = loguru.logger.bind(part="peer_status")
@@ -51,11 +51,11 @@
             if now - received_at < STATUS_VALIDITY_US
         }
 
-    def any_ahead(self, applied_index: int) -> bool:
+    def any_has_newer_configuration(self, applied_index: int) -> bool:
         """Whether a peer that is in touch with the core has a newer configuration than `applied_index`."""
         return any(response.core and response.applied_index > applied_index for response in self._valid().values())
 
-    def any_in_touch(self) -> bool:
+    def any_reaches_core(self) -> bool:
         """Whether a peer is in touch with the core."""
         return any(response.core for response in self._valid().values())
 
@@ -75,7 +75,7 @@
         """
         peers = self.follower.peers()
         if self.follower.options.serve_on:
-            peers = self.runtime.rng.sample(peers, min(PEERS_ASKED_WHILE_SERVING_ON, len(peers)))
+            peers = self.runtime.rng.sample(peers, min(MAX_PEERS_QUERIED_WITH_SERVE_ON, len(peers)))
         for peer in peers:
             self.runtime.spawn(self._query_peer(peer), log)
 
