--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -20,7 +20,7 @@
 ROLE_KEY = "list"
 """The key of the role assignment."""
 
-RETRY_US = 500 * units.MILLISECOND_US
+RETRY_INTERVAL_US = 500 * units.MILLISECOND_US
 """The base of the time that a node waits after a failure, unless the role is its own."""
 
 MAX_RETRY_DOUBLINGS = 3
@@ -46,10 +46,10 @@
         self.options = follower.options
         self.list_now = scheduler.Signal()  # woken once this node has a configuration
         self.full_listing: message.WorkerListing | None = None  # the last listing that was sent in full
-        self._sent_on: wire.Connection | None = None  # the session on which the core got it in full
-        self._missed: dict[str, int] = {}  # worker -> how many answers in a row did not list it
-        self._count = 0  # of the listings made here
-        self._failures = 0  # in a row
+        self._full_listing_connection: wire.Connection | None = None  # the session on which the core got it in full
+        self._consecutive_misses: dict[str, int] = {}  # worker -> how many answers in a row did not list it
+        self._listing_count = 0  # of the listings made here
+        self._consecutive_failures = 0  # in a row
 
     def confirm_removals(self, workers: list[message.Worker]) -> list[message.Worker]:
         """Return the platform's answer, less what it must say more than once to be believed.
@@ -60,9 +60,9 @@
         listed = {worker.id for worker in workers}
         expected = [worker for worker in self.follower.workers if worker.state != message.WorkerState.GONE]
         missing = [worker for worker in expected if worker.id not in listed]
-        self._missed = {worker.id: self._missed.get(worker.id, 0) + 1 for worker in missing}
+        self._consecutive_misses = {worker.id: self._consecutive_misses.get(worker.id, 0) + 1 for worker in missing}
         needed = ANSWERS_TO_REMOVE_WORKER if workers else ANSWERS_TO_REMOVE_ALL
-        kept = [worker for worker in missing if self._missed[worker.id] < needed]
+        kept = [worker for worker in missing if self._consecutive_misses[worker.id] < needed]
         return sorted(workers + kept, key=lambda worker: worker.id)
 
     async def run(self) -> None:
@@ -76,7 +76,7 @@
             address = self.options.platform_address()  # options that are read again may name another
             assignment = self._own_assignment()
             if assignment is None and self.follower.lacks_worker_updates() and self.follower.membership.members:
-                await self._wait_by_chance()
+                await self._wait_random_time()
             if assignment is not None or self.follower.lacks_worker_updates():
                 workers = await self._list_or_wait(address, has_role=assignment is not None)
                 if workers is None:
@@ -93,7 +93,7 @@
         mine = assignment is not None and assignment.holder == self.node.member.id and not self.follower.needs_rejoin()
         return assignment if mine else None
 
-    async def _wait_by_chance(self) -> None:
+    async def _wait_random_time(self) -> None:
         members = len(self.follower.membership.members)
         spread_us = members * units.SECOND_US / (self.options.call_rate / 2)
         wait_us = self.runtime.rng.randrange(1 + int(min(spread_us, MAX_SPREAD_US)))
@@ -109,11 +109,13 @@
             log.warning("The platform's worker list could not be fetched: {error}", error=error)
             workers = self.follower.workers
             if not has_role:
-                self._failures += 1
-                doublings = min(self._failures, MAX_RETRY_DOUBLINGS)
-                await self.runtime.sleep(RETRY_US // 4 + self.runtime.rng.randrange(RETRY_US << doublings))
+                self._consecutive_failures += 1
+                doublings = min(self._consecutive_failures, MAX_RETRY_DOUBLINGS)
+                await self.runtime.sleep(
+                    RETRY_INTERVAL_US // 4 + self.runtime.rng.randrange(RETRY_INTERVAL_US << doublings)
+                )
                 return None
-        self._failures = 0
+        self._consecutive_failures = 0
         return workers
 
     async def _fetch_all(self, host: str, port: int) -> list[message.Worker]:
@@ -132,8 +134,8 @@
 
     def _publish(self, assignment: message.RoleAssignment, workers: list[message.Worker]) -> None:
         """Send the core and the other nodes the full list where it changed, else that it is unchanged."""
-        self._count += 1
-        listing = message.WorkerListing(workers, (assignment.term[0], assignment.term[1], self._count))
+        self._listing_count += 1
+        listing = message.WorkerListing(workers, (assignment.term[0], assignment.term[1], self._listing_count))
         last = self.full_listing
         changed = last is None or last.workers != workers or last.version[:2] != listing.version[:2]
         full_listing = listing if last is None or changed else last
@@ -144,8 +146,8 @@
             self.follower.apply_listing_unchanged(unchanged)
         self.full_listing = full_listing
         session = self.follower.session
-        if changed or self._sent_on is not session.connection:
-            self._sent_on = session.connection
+        if changed or self._full_listing_connection is not session.connection:
+            self._full_listing_connection = session.connection
             session.tell(full_listing)
         session.tell(unchanged)
         if changed:
