--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -16,7 +16,7 @@
     from iriswheel.node import node
     from iriswheel.transport import wire
 
-IDLE_US = 500 * units.MILLISECOND_US  # a new session is noticed at the latest after so long
+SESSION_CHECK_INTERVAL_US = 500 * units.MILLISECOND_US  # a new session is noticed at the latest after so long
 
 
 class LoadReporter:
@@ -64,7 +64,7 @@
         """Report until the node has left; one task."""
         while not self.node.stopped:
             if not self.has_changed and self.connection is self.node.follower.session.connection:
-                await self.node.runtime.pause(self.changed, IDLE_US)
+                await self.node.runtime.pause(self.changed, SESSION_CHECK_INTERVAL_US)
                 continue
             await self.node.runtime.pause(self.report_now, load_table.REPORT_INTERVAL_US)
             self.has_changed = False
--- a/iriswheel/node/shutdown.py
+++ b/iriswheel/node/shutdown.py
@@ -12,13 +12,13 @@
 if typing.TYPE_CHECKING:
     from iriswheel.node import node
 
-IDLE_US = 300 * units.MILLISECOND_US
+IDLE_BEFORE_STOP_US = 300 * units.MILLISECOND_US
 """A node goes once no request was open for so long."""
 
-LAST_BYTES_US = 200 * units.MILLISECOND_US
+FLUSH_WAIT_US = 200 * units.MILLISECOND_US
 """How long the process stays after its last request, for the last bytes to go out."""
 
-MAX_NOTICE_US = 3 * units.SECOND_US
+MAX_NOTICE_WAIT_US = 3 * units.SECOND_US
 """The longest wait for the platform's question whether this node is ready."""
 
 CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
@@ -39,7 +39,7 @@
     stopping_node.follower.session.tell(message.MemberLeaving(stopping_node.member.id))
     await _wait_for_requests(stopping_node)
     stopping_node.refusing_requests = True
-    await stopping_node.runtime.sleep(LAST_BYTES_US)
+    await stopping_node.runtime.sleep(FLUSH_WAIT_US)
     stopping_node.stopped = True
     log.info("The node stops with {open_requests} requests open.", open_requests=gateway.open_requests)
 
@@ -48,21 +48,21 @@
     """Wait until no request was open for a moment, or most of the grace is over."""
     gateway, runtime = stopping_node.gateway, stopping_node.runtime
     started_at, grace_us = runtime.now(), stopping_node.options.grace_us
-    notice_at = started_at + min(MAX_NOTICE_US, grace_us // 2)
-    closes_at = notice_at  # what comes later may not end within the grace, and its client had time to move
+    noticed_by = started_at + min(MAX_NOTICE_WAIT_US, grace_us // 2)
+    refuses_from = noticed_by  # what comes later may not end within the grace, and its client had time to move
     ends_at = started_at + grace_us - min(grace_us // 8, units.SECOND_US)
     idle_since: int | None = None
     while (now := runtime.now()) < ends_at:
-        noticed = now >= notice_at or _platform_has_noticed(stopping_node, now)
+        noticed = now >= noticed_by or _platform_has_noticed(stopping_node, now)
         if gateway.open_requests:
             idle_since = None
         elif idle_since is None:
             idle_since = now
-        elif noticed and now - idle_since > IDLE_US:
+        elif noticed and now - idle_since > IDLE_BEFORE_STOP_US:
             break  # and what was written last has gone out
-        stopping_node.refusing_requests = noticed and now >= closes_at
+        stopping_node.refusing_requests = noticed and now >= refuses_from
         # A request that slips in between closes_at and the next check may not end within the grace.
-        wait_us = min(CHECK_INTERVAL_US, closes_at - now) if now < closes_at else CHECK_INTERVAL_US
+        wait_us = min(CHECK_INTERVAL_US, refuses_from - now) if now < refuses_from else CHECK_INTERVAL_US
         await runtime.pause(gateway.request_ended, wait_us)
 
 
--- a/iriswheel/node/startup.py
+++ b/iriswheel/node/startup.py
@@ -20,7 +20,7 @@
 MAX_HOLD_US = 500 * units.MILLISECOND_US
 """A request is held for so long at most."""
 
-HELD_PART_OF_TIME = 10
+HOLD_TIMEOUT_DIVISOR = 10
 """A request is held for at most one part in so many of the time that its client gives it."""
 
 log = loguru.logger.bind(part="node")
@@ -68,7 +68,7 @@
         """Hold a request until the start is over, within a part of the time that it has left (µs; None: not said)."""
         if self.is_complete:
             return
-        hold_us = MAX_HOLD_US if left_us is None else min(MAX_HOLD_US, left_us // HELD_PART_OF_TIME)
+        hold_us = MAX_HOLD_US if left_us is None else min(MAX_HOLD_US, left_us // HOLD_TIMEOUT_DIVISOR)
         await self.runtime.pause(self._completed, hold_us)
 
     def _has_active_owner(self, pool: str) -> bool:
