--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -260,7 +260,7 @@
             return
         self.unconfirmed_position = None
         before = self.items or {}
-        after, changes = _replace(before, items) if is_snapshot else _amend(before, items)
+        after, changes = _replace(before, items) if is_snapshot else _apply_changes(before, items)
         parsed = [_parse(key, value) for key, value in changes if key.split("/", 1)[0] in configuration.KINDS]
         self.items = after
         self.applied_index = index
@@ -268,10 +268,10 @@
             self.platform.list_now.wake()
         for kind, name, item in parsed:
             self._put_item(kind, name, item)
-        self._take_evacuations(configuration.evacuated_zones(after))
+        self._apply_evacuations(configuration.evacuated_zones(after))
         self.node.on_update()
 
-    def _take_evacuations(self, zones: frozenset[str]) -> None:
+    def _apply_evacuations(self, zones: frozenset[str]) -> None:
         """Note which zones are evacuated now, and tell the node which of them are so no more."""
         if zones == self.evacuated_zones:
             return
@@ -400,7 +400,7 @@
     return after, configuration.difference(before, after)
 
 
-def _amend(before: configuration.Items, changed: ItemUpdate) -> ItemsAndChanges:
+def _apply_changes(before: configuration.Items, changed: ItemUpdate) -> ItemsAndChanges:
     after = {key: value for key, value in {**before, **changed}.items() if value is not None}
     return after, list(changed.items())
 
--- a/tests/test_split_days.py
+++ b/tests/test_split_days.py
@@ -56,7 +56,7 @@
         ("cold_burst", 2),
         "failback",
     ),
-    "evacuated_zones": Guard([(follower.Follower, "_take_evacuations", lambda *_: None)], ("evacuate", 1), "evac"),
+    "evacuated_zones": Guard([(follower.Follower, "_apply_evacuations", lambda *_: None)], ("evacuate", 1), "evac"),
     "adds_on_disk": Guard(
         [(add_log, "load", lambda _state: counter_state.CounterState())], ("tally_kill_all", 1), "tally_lost"
     ),
