--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -54,7 +54,7 @@
                 assigned[pool] = assignment
         for pool, owner in list(self.owners.items()):
             if pool not in assigned or assigned[pool].term != owner.assignment.term:
-                self._end(owner)
+                self._end_owner(owner)
         for pool, assignment in sorted(assigned.items()):
             replica = self.replica(pool)
             if pool not in self.owners and replica.fence(assignment.term):
@@ -63,7 +63,7 @@
         for owner in list(self.owners.values()):
             owner.check_workers()
 
-    def _end(self, owner: pool_owner.PoolOwner) -> None:
+    def _end_owner(self, owner: pool_owner.PoolOwner) -> None:
         del self.owners[owner.pool]
         owner.end()
         owner.hand_over_to(self.replica(owner.pool))
@@ -127,7 +127,7 @@
         affinities = gateway.selector.export_sessions(pool, now)
         owner = self.owners.get(pool)
         if owner is not None and owner.assignment.term < request.term:
-            self._end(owner)
+            self._end_owner(owner)
         sessions, claims = replica.export(now)
         firsts, repeats = gateway.retry_budgets.export(pool, now)
         return message.RecordsResponse(
