--- a/iriswheel/replicated_counters/__init__.py
+++ b/iriswheel/replicated_counters/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated counters: each add counts once, and every machine accepts adds, also cut off from the others."""
+"""Replicated counters: each add counts once, and each core machine accepts adds even while it is partitioned."""
--- a/iriswheel/replicated_counters/add_log.py
+++ b/iriswheel/replicated_counters/add_log.py
@@ -1,4 +1,4 @@
-"""The adds to counters on this machine's disk: loaded at the start, written with a group commit."""
+"""The log of counter adds on this machine's disk, which is loaded at the start and written with group commits."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 KEY_PREFIX = b"counter/"
 SEQUENCE_BYTES = 8
-MAX_GROUP_ADDS = 2_000  # adds in one write
+MAX_GROUP_ADDS = 2_000  # most adds in one disk write
 RETRY_INTERVAL_US = 200 * units.MILLISECOND_US
-STALL_US = 600 * units.MILLISECOND_US  # a disk whose write takes so long counts as not working
+STALL_US = 600 * units.MILLISECOND_US  # duration of a write from which on the disk counts as not working
 
 log = loguru.logger.bind(part="counters")
 
 
 class AddRecord(msgspec.Struct, array_like=True, frozen=True):
-    """An add as it stands on the disk under its key."""
+    """The value that is stored on the disk under the key of an add."""
 
     name: str
     id: str
@@ -32,7 +32,7 @@
 
 
 def storage_key(add_id: counter_state.AddId) -> bytes:
-    """The disk's key of an add.
+    """Return the key under which an add is stored on the disk.
 
     >>> storage_key(counter_state.AddId("c0ffee-1", 258))
     b'counter/c0ffee-1/0000000000000102'
@@ -41,7 +41,7 @@
 
 
 def encode_add(add: message.CounterAdd) -> bytes:
-    """An add as bytes.
+    """Return the bytes that are stored on the disk for an add.
 
     >>> encode_add(message.CounterAdd(1, "n", "x", 4)).hex()
     '93a16ea17804'
@@ -50,7 +50,7 @@
 
 
 def load(state: dict[bytes, bytes]) -> counter_state.CounterState:
-    """The adds that the data folder holds.
+    """Return the counters with all adds that the data folder holds.
 
     >>> load({b"counter/a/0000000000000001": bytes.fromhex("93a16ea17804")}).sum_of("n")
     4
@@ -66,17 +66,17 @@
 
 
 class AddLog:
-    """Writes adds to the disk; those that come while a write is under way go together into the next one.
+    """Writes adds to the disk; adds that are appended during a write are written together by the next one.
 
     Attributes:
-        synced: The adds that are synced on the disk.
-        progress: Woken whenever a write has ended.
+        synced: The adds that are synced on this machine's disk.
+        progress: Woken whenever a write has succeeded or failed.
     """
 
     def __init__(
         self, runtime: scheduler.Runtime, disk: storage.MonitoredDisk, counters: counter_state.CounterState
     ) -> None:
-        """`counters` is what was loaded from the disk, and what new adds are looked up in."""
+        """Create the log for `counters`, which hold the adds loaded from the disk and receive each new add first."""
         self.runtime = runtime
         self.disk = disk
         self.counters = counters
@@ -84,34 +84,34 @@
         self.progress = scheduler.Signal()
         self._unwritten: list[counter_state.AddId] = []
         self._writing = False
-        self._write_started_at_us = 0  # since when the oldest write has been under way, where one is
+        self._write_started_at_us = 0  # start of the current write, where one is under way
 
     def is_working(self) -> bool:
-        """Whether the disk takes writes, and no write has been under way for STALL_US."""
+        """Whether the disk monitor reports no fault and no write of this log has been under way for STALL_US."""
         stalls = self._writing and self.runtime.now() - self._write_started_at_us >= STALL_US
         return self.disk.ok and not stalls
 
     @property
     def unsynced_count(self) -> int:
-        """How many adds are not on the disk yet."""
+        """The number of adds that are not synced on the disk yet."""
         return len(self._unwritten)
 
     def append(self, add_ids: collections.abc.Iterable[counter_state.AddId]) -> None:
-        """Have adds written that were inserted just now."""
+        """Start writing adds, all of which must already be inserted into `counters`."""
         self._unwritten += add_ids
         if self._unwritten and not self._writing:
             self._writing = True
             self.runtime.spawn(self._write_all(), log)
 
     async def _write_all(self) -> None:
-        """Write until nothing is left; a write that fails is tried again until it succeeds."""
+        """Write until no unwritten add is left; a failed write is retried every RETRY_INTERVAL_US until it succeeds."""
         try:
             while self._unwritten:
                 self._write_started_at_us = self.runtime.now()
                 group = self._unwritten[:MAX_GROUP_ADDS]
                 try:
                     await self.disk.commit([(storage_key(each), self._encoded(each)) for each in group])
-                except storage.DiskError:  # MonitoredDisk logs it
+                except storage.DiskError:  # logged by MonitoredDisk
                     self.progress.wake()
                     await self.runtime.sleep(RETRY_INTERVAL_US)
                     continue
@@ -126,7 +126,7 @@
         return encode_add(self.counters.add_of(add_id))
 
     async def wait_until_synced(self, wanted: counter_state.HeldAdds, timeout_us: int) -> bool:
-        """Wait until adds are synced; False where they are not in time, or the disk does not work."""
+        """Wait until all `wanted` adds are synced; return False on a timeout or when the disk does not work."""
         until = self.runtime.now() + timeout_us
         while not self.synced.has_all_of(wanted):
             left_us = until - self.runtime.now()
--- a/iriswheel/replicated_counters/counter_state.py
+++ b/iriswheel/replicated_counters/counter_state.py
@@ -1,8 +1,9 @@
-"""The state of the replicated counters: a set of immutable adds, and the sums that follow from it.
+"""The state of the replicated counters: a set of immutable adds, and the sum of each counter.
 
-An add is identified by its origin, the incarnation of the machine that accepted it, and by its sequence number there.
-Replicas merge by the union of their sets, which is commutative, associative and idempotent, so that they agree once
-they hold the same adds, in whatever order these came.
+An add is identified by its origin and its sequence number. The origin is one incarnation (process lifetime) of the
+machine that accepted the add, and the machine numbers the adds of each incarnation in sequence. Replicas merge by the
+union of their sets, which is commutative, associative and idempotent: replicas that hold the same adds have the same
+sums, in whatever order the adds arrived.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 
 
 class AddId(typing.NamedTuple):
-    """The identity of an add."""
+    """The identity of an add: the incarnation that accepted it, and its sequence number there."""
 
     origin: str
     sequence: int
 
 
 class CallId(typing.NamedTuple):
-    """The identity of a caller's add: it counts once, however many machines accepted it."""
+    """A counter's name and the id that the caller chose: adds with the same `CallId` count once on all machines."""
 
     name: str
     id: str
@@ -48,7 +49,7 @@
 
 
 class HeldAdds:
-    """Which adds a replica holds, as sorted intervals of sequence numbers by origin.
+    """The set of adds that a replica holds, as sorted intervals of sequence numbers for each origin.
 
     >>> held = HeldAdds({"a": [(1, 3)]})
     >>> held.missing_of(HeldAdds({"a": [(1, 5)], "b": [(1, 1)]})).to_intervals()
@@ -59,38 +60,38 @@
         self.by_origin = {origin: intervals.IntervalSet(found) for origin, found in (held or {}).items()}
 
     def __contains__(self, add_id: AddId) -> bool:
-        """Whether an add is held."""
+        """Whether the set contains an add."""
         return add_id.origin in self.by_origin and add_id.sequence in self.by_origin[add_id.origin]
 
     def __eq__(self, other: object) -> bool:
-        """Whether both are the same set."""
+        """Whether both sets contain the same adds."""
         return isinstance(other, HeldAdds) and self.to_intervals() == other.to_intervals()
 
-    __hash__ = None  # type: ignore[assignment]  # it changes
+    __hash__ = None  # type: ignore[assignment]  # mutable, so not hashable
 
     def __len__(self) -> int:
-        """How many adds are held."""
+        """The number of adds in the set."""
         return sum(map(len, self.by_origin.values()))
 
     def copy(self) -> HeldAdds:
-        """A copy that changes by itself."""
+        """Return an independent copy."""
         return HeldAdds(self.to_intervals())
 
     def add(self, add_id: AddId) -> bool:
-        """Note an add; False where it was held."""
+        """Add an add to the set; return False if it was there already."""
         return self.by_origin.setdefault(add_id.origin, intervals.IntervalSet()).add(add_id.sequence)
 
     def update(self, other: HeldAdds) -> None:
-        """Note all that another replica holds."""
+        """Add all adds of another set."""
         for origin, numbers in other.by_origin.items():
             self.by_origin.setdefault(origin, intervals.IntervalSet()).update(numbers)
 
     def of_origin(self, origin: str) -> intervals.IntervalSet:
-        """The sequence numbers that are held of an origin."""
+        """Return the sequence numbers of an origin's adds in the set; empty for an unknown origin."""
         return self.by_origin.get(origin, intervals.IntervalSet())
 
     def missing_of(self, other: HeldAdds) -> HeldAdds:
-        """What another replica holds and this one lacks."""
+        """Return the adds of `other` that are missing from this set."""
         lacking = HeldAdds()
         for origin, numbers in other.by_origin.items():
             difference = numbers.difference(self.of_origin(origin))
@@ -99,7 +100,7 @@
         return lacking
 
     def without_origins(self, origins: collections.abc.Collection[str]) -> HeldAdds:
-        """The adds of all but some origins.
+        """Return the set without the adds of some origins.
 
         >>> HeldAdds({"a": [(1, 3)], "b": [(1, 1)]}).without_origins({"a"}).to_intervals()
         {'b': [(1, 1)]}
@@ -107,7 +108,7 @@
         return HeldAdds({origin: held for origin, held in self.to_intervals().items() if origin not in origins})
 
     def intersection(self, other: HeldAdds) -> HeldAdds:
-        """The adds that another replica holds too.
+        """Return the adds that are in both sets.
 
         >>> HeldAdds({"a": [(1, 5)]}).intersection(HeldAdds({"a": [(4, 9)], "b": [(1, 1)]})).to_intervals()
         {'a': [(4, 5)]}
@@ -115,16 +116,16 @@
         return other.missing_of(self).missing_of(self)
 
     def has_all_of(self, other: HeldAdds) -> bool:
-        """Whether nothing that another replica holds is lacking here."""
+        """Whether this set contains all adds of another set."""
         return all(numbers.issubset(self.of_origin(origin)) for origin, numbers in other.by_origin.items())
 
     def to_intervals(self, origins: collections.abc.Collection[str] | None = None) -> message.HeldIntervals:
-        """The intervals as a message carries them, sorted by origin; all of them, or those of some origins."""
+        """Return the intervals in the format of a message, sorted by origin: of all origins, or of `origins` alone."""
         wanted = self.by_origin if origins is None else origins
         return {origin: list(self.by_origin[origin].intervals) for origin in sorted(wanted) if self.of_origin(origin)}
 
     def digest(self) -> bytes:
-        """A digest of the whole set.
+        """Return a digest of the whole set; equal sets have equal digests.
 
         >>> HeldAdds({"a": [(1, 3)]}).digest() == HeldAdds({"a": [(1, 2)]}).digest()
         False
@@ -134,7 +135,7 @@
 
 
 class CounterState:
-    """The adds that a replica holds, and the sums of the counters.
+    """The adds that a replica holds, and the sum of each counter.
 
     >>> state = CounterState()
     >>> state.insert("a", message.CounterAdd(1, "n", "x", 4)), state.insert("b", message.CounterAdd(1, "n", "x", 4))
@@ -145,12 +146,20 @@
 
     def __init__(self) -> None:
         self.held = HeldAdds()
-        self._adds: dict[str, dict[int, message.CounterAdd]] = collections.defaultdict(dict)  # by origin and sequence
-        self._counted: dict[str, dict[str, OriginAdd]] = collections.defaultdict(dict)  # by counter and id: the least
+        self._adds: dict[str, dict[int, message.CounterAdd]] = collections.defaultdict(
+            dict
+        )  # by origin, then sequence number
+        self._counted: dict[str, dict[str, OriginAdd]] = collections.defaultdict(
+            dict
+        )  # by counter and caller's id: the least add
         self._sums: dict[str, int] = collections.defaultdict(int)
 
     def insert(self, origin: str, add: message.CounterAdd) -> bool:
-        """Take one add; False where it was held."""
+        """Insert one add; return False if it was held already.
+
+        Of several adds with the same `CallId`, only the one with the least `AddId` counts towards the sum, so that
+        all replicas choose the same one.
+        """
         add_id = AddId(origin, add.sequence)
         if not self.held.add(add_id):
             return False
@@ -163,30 +172,30 @@
         return True
 
     def merge(self, other: CounterState) -> None:
-        """Take all adds that another replica holds."""
+        """Insert all adds that another replica holds."""
         for origin, adds in other._adds.items():
             for add in adds.values():
                 self.insert(origin, add)
 
     def sum_of(self, name: str) -> int:
-        """The sum of a counter's distinct adds; 0 for an unknown counter."""
+        """Return the sum of a counter's adds, each `CallId` counted once; 0 for an unknown counter."""
         return self._sums.get(name, 0)
 
     def sums(self) -> dict[str, int]:
-        """The sums of all counters."""
+        """Return the sums of all counters, by name."""
         return dict(self._sums)
 
     def counted(self, call_id: CallId) -> AddId | None:
-        """The add that counts for a caller's add; None where none is held."""
+        """Return the identity of the add that counts for a caller's add; None if no such add is held."""
         counted = self._counted.get(call_id.name, {}).get(call_id.id)
         return None if counted is None else counted.add_id()
 
     def add_of(self, add_id: AddId) -> message.CounterAdd:
-        """An add that is held."""
+        """Return an add that this replica holds; raises KeyError for any other."""
         return self._adds[add_id.origin][add_id.sequence]
 
     def newest(self, wanted: HeldAdds, limit: int) -> list[message.OriginAdds]:
-        """The newest adds of a set, by origin; at most `limit` of each origin and of all together."""
+        """Return at most `limit` adds of a set in total, origin by origin in sorted order, the newest of each first."""
         batches: list[message.OriginAdds] = []
         left = limit
         for origin in sorted(wanted.by_origin):
--- a/iriswheel/replicated_counters/counters.py
+++ b/iriswheel/replicated_counters/counters.py
@@ -1,4 +1,4 @@
-"""The replicated counters of one core machine, as the rest of the process uses them."""
+"""The interface of one core machine's replicated counters: add, read, and stop without losing adds."""
 
 from __future__ import annotations
 
@@ -16,26 +16,27 @@
     from iriswheel.runtime import scheduler, storage
     from iriswheel.transport import peer_calls
 
-REACHABILITY_DELAY_US = 3 * units.SECOND_US  # after a start, for which silence is not taken for a cut
-READ_DELAY_US = 1_500 * units.MILLISECOND_US  # after a start, for which reads wait for comparisons
+REACHABILITY_DELAY_US = 3 * units.SECOND_US  # after the start, before silence counts as a partition
+READ_DELAY_US = 1_500 * units.MILLISECOND_US  # after the start, while reads need a comparison with a majority
 ACKNOWLEDGE_TIMEOUT_US = 2 * units.SECOND_US
-MAX_UNSYNCED = 10_000  # adds accepted here; more are refused
-MAX_ADDS = 300_000  # held in memory; more are refused
-OWN_MACHINE = ("", 0)  # stands for this machine among the addresses of the others
+MAX_UNSYNCED = 10_000  # most adds accepted by this process and not synced on its disk yet
+MAX_ADDS = 300_000  # most adds held in memory
+OWN_MACHINE = ("", 0)  # placeholder for this machine in sets of addresses
 
 
 class ReplicatedCounters:
-    """Counters to which every core machine takes adds.
+    """The replicated counters as seen by one core machine; every core machine accepts adds.
 
     Args:
         runtime: Clock and tasks.
-        disk: Where adds are synced.
-        state: What the data folder held at the start.
+        disk: The disk on which adds are synced.
+        state: The stored keys and values that the data folder held at the start.
         peers: Calls to other machines.
         machine: This machine's identity.
-        copies: How many machines hold an add before it is acknowledged, as long as so many can be reached.
-        founding: Whether the whole system starts for the first time; else a disk without adds may be a new one.
-        addresses: Gives the addresses of the other core machines.
+        copies: How many machines must hold an add before it is acknowledged, while that many can be reached.
+        founding: Whether the whole system starts for the first time. At any other start a disk without adds may be a
+            replacement for one that held adds.
+        addresses: Returns the addresses of the other core machines.
     """
 
     def __init__(
@@ -53,37 +54,41 @@
         self.runtime = runtime
         self.copies = copies
         self.started_at_us = runtime.now()
-        self.origin = f"{machine}-{runtime.incarnation}"  # never that of an earlier process: no sequence comes twice
+        self.origin = f"{machine}-{runtime.incarnation}"  # new at each start, so that no AddId is used twice
         self.state = add_log.load(state)
         self.disk_log = add_log.AddLog(runtime, disk, self.state)
         self.replicator = replicator.Replicator(
             runtime, peers, self.state, self.disk_log, origin=self.origin, addresses=addresses
         )
         self.stopping = False
-        self.few_copies_count = 0  # adds acknowledged by fewer than `copies` machines
-        self._may_lack_all = not founding and not len(self.state.held)  # until enough others were compared with
+        self.few_copies_count = 0  # adds acknowledged while fewer than `copies` machines held them
+        self._may_lack_all = not founding and not len(
+            self.state.held
+        )  # a lost disk is possible until enough comparisons
         self._last_sequence = 0
         self._held_at_stop = counter_state.HeldAdds()
 
     def start(self) -> None:
-        """Replicate what was found on the disk; with nothing there, wait until counters are used."""
+        """Start replication if the disk held adds; otherwise replication starts when counters are first used."""
         if len(self.state.held):
             self.replicator.activate()
 
     async def answer(self, request: message.ReplicateAdds) -> message.ReplicateAddsResponse:
-        """Answer another core machine."""
+        """Insert the adds that another core machine sent, and return which adds are synced here."""
         return await self.replicator.answer(request)
 
     # ---- calls -------------------------------------------------------------------
 
     async def add(self, call_id: counter_state.CallId, amount: int) -> None:
-        """Add to a counter, once for each `call_id`; returns once the add is durable.
+        """Add to a counter, once for each `call_id`; return once the add is durable.
 
-        An add whose `call_id` another machine took becomes a further entry here, which does not count: so it is
-        durable by the same condition, whatever is known of the other machine.
+        If another machine accepted the same `call_id` and its add is not known to be durable, this machine accepts it
+        again as an add of its own. The sum counts only one of them, and the own add becomes durable by the usual rule,
+        whatever this machine knows of the other one.
 
         Raises:
-            errors.ServiceError: It was refused, or it is not known whether it is durable (`unknown_outcome`).
+            errors.ServiceError: The add was refused, or did not become durable within ACKNOWLEDGE_TIMEOUT_US and may
+                still do so (`unknown_outcome`).
         """
         self.replicator.activate()
         add_id = self.state.counted(call_id)
@@ -102,10 +107,10 @@
             self.few_copies_count += 1
 
     def sum_of(self, name: str) -> int:
-        """The sum of a counter, with all adds that this process acknowledged.
+        """Return the sum of a counter, including all adds that this process acknowledged.
 
         Raises:
-            errors.ServiceError: `not_ready`, where this machine has just started and may lack what others hold.
+            errors.ServiceError: `not_ready`: this machine has just started and may lack adds that other machines hold.
         """
         self.replicator.activate()
         if self._may_lack_adds():
@@ -113,10 +118,11 @@
         return self.state.sum_of(name)
 
     def _may_lack_adds(self) -> bool:
-        """Whether what others hold may be missing here, since this machine has just started.
+        """Whether this machine has just started and may lack adds that other machines hold.
 
-        A machine without any adds may have a new disk. Of `copies` machines at least one kept its disk, so it waits
-        until it has caught up with so many others that they and itself are `copies`, however long that takes.
+        A machine that starts without any adds may have a replaced disk. At least one of any `copies` machines kept its
+        disk, so this machine waits, however long that takes, until it holds all adds of so many other machines that
+        together with itself they are `copies`.
         """
         if self._may_lack_all:
             self._may_lack_all = self.replicator.count_machines_caught_up_with() + 1 < self.copies
@@ -158,15 +164,18 @@
             reachability_known=self.runtime.now() - self.started_at_us >= REACHABILITY_DELAY_US,
         )
 
-    # ---- leaving -------------------------------------------------------------------
+    # ---- stopping ------------------------------------------------------------------
 
     def stop(self) -> None:
-        """Take no more adds."""
+        """Refuse further adds from callers; adds of other machines are still replicated."""
         self.stopping = True
         self._held_at_stop = self.state.held.copy()
 
     def is_still_needed(self) -> bool:
-        """Whether fewer other machines than `copies`, or than there are, hold all that was held here at `stop`."""
+        """Whether this process must stay to replicate its adds.
+
+        It must until `copies` other machines, or all of them if there are fewer, hold all adds held here at `stop`.
+        """
         if not len(self._held_at_stop):
             return False
         wanted = min(self.copies, len(self.replicator.replicas))
@@ -178,7 +187,7 @@
     # ---- operators -----------------------------------------------------------------
 
     def show(self) -> dict[str, typing.Any]:
-        """What operators see of the counters in `GET /state`."""
+        """Return the state of the counters that operators see in `GET /state`."""
         held = self.state.held
         return {
             "entries": len(held),
--- a/iriswheel/replicated_counters/durability.py
+++ b/iriswheel/replicated_counters/durability.py
@@ -1,4 +1,4 @@
-"""When an add may be acknowledged: a pure decision over who holds it and who can be reached."""
+"""The rule for acknowledging an add, as a pure function of the machines that hold it and those that can be reached."""
 
 from __future__ import annotations
 
@@ -18,22 +18,25 @@
     own: Machine,
     reachability_known: bool,
 ) -> bool:
-    """Whether an add survives what must be borne, as far as that can be had now.
+    """Whether an add may be acknowledged as durable.
+
+    It may once `copies` machines hold it. During a partition that leaves fewer machines within reach, it may once all
+    machines that can be written to hold it, this one among them.
 
     Args:
         holders: The machines that hold the add synced on their disks.
-        writable: The machines that may sync an add now: this one with a working disk, and the others that answer.
-        copies: How many machines must hold an add.
-        own: The machine that acknowledges. Where fewer than `copies` can be had its own disk must be among them: of
-            an add that it acknowledges in a cut only the loss of its own disk is borne by nobody.
-        settled: Whether this process has run for long enough to know who can be reached. Just after a start the
-            others may be starting too, and their silence is no cut.
+        writable: The machines that can sync an add now, because they can be reached and their disks work.
+        copies: How many machines must hold an add while there is no partition.
+        own: The machine that acknowledges. With fewer than `copies` holders its own disk must be one of them: an add
+            acknowledged during a partition may be lost only if the disk of the acknowledging machine is lost.
+        reachability_known: Whether this process has run for long enough to know which machines can be reached. Just
+            after a start the other machines may be starting too, so that their silence does not mean a partition.
 
     >>> is_durable({"a", "b"}, {"a", "b", "c"}, 3, own="a", reachability_known=True)
     False
-    >>> is_durable({"a", "b"}, {"a", "b"}, 3, own="a", reachability_known=True)  # cut off: all that can be reached hold it
+    >>> is_durable({"a", "b"}, {"a", "b"}, 3, own="a", reachability_known=True)  # partition: all in reach hold it
     True
-    >>> is_durable({"b"}, {"b"}, 3, own="a", reachability_known=True)  # its own disk does not work
+    >>> is_durable({"b"}, {"b"}, 3, own="a", reachability_known=True)  # the own disk does not work
     False
     >>> is_durable({"a", "b"}, {"a", "b"}, 3, own="a", reachability_known=False)
     False
--- a/iriswheel/replicated_counters/intervals.py
+++ b/iriswheel/replicated_counters/intervals.py
@@ -14,7 +14,7 @@
 
 
 class IntervalSet:
-    """A set of whole numbers that mostly follow one another.
+    """A set of integers, compact as long as most of them are consecutive.
 
     >>> numbers = IntervalSet([(1, 3)])
     >>> numbers.add(5), numbers.add(4), numbers.intervals
@@ -24,11 +24,11 @@
     __slots__ = ("intervals",)
 
     def __init__(self, intervals: collections.abc.Iterable[Interval] = ()) -> None:
-        """`intervals` are sorted and don't touch one another."""
+        """Create a set of `intervals`, which must be sorted, disjoint and not adjacent."""
         self.intervals: list[Interval] = [(first, last) for first, last in intervals]
 
     def copy(self) -> IntervalSet:
-        """A copy that changes by itself."""
+        """Return an independent copy."""
         return IntervalSet(self.intervals)
 
     def __contains__(self, number: int) -> bool:
@@ -37,28 +37,28 @@
         return place < len(self.intervals) and self.intervals[place][0] <= number
 
     def __eq__(self, other: object) -> bool:
-        """Whether both are the same set."""
+        """Whether both sets contain the same numbers."""
         return isinstance(other, IntervalSet) and self.intervals == other.intervals
 
-    __hash__ = None  # type: ignore[assignment]  # it changes
+    __hash__ = None  # type: ignore[assignment]  # mutable, so not hashable
 
     def __bool__(self) -> bool:
-        """Whether there is any number."""
+        """Whether the set is not empty."""
         return bool(self.intervals)
 
     def __len__(self) -> int:
-        """How many numbers there are."""
+        """The number of integers in the set."""
         return sum(last - first + 1 for first, last in self.intervals)
 
     def add(self, number: int) -> bool:
-        """Add one number; False where it was there."""
+        """Add one number; return False if it was there already."""
         if number in self:
             return False
         self.add_interval((number, number))
         return True
 
     def add_interval(self, interval: Interval) -> None:
-        """Add all numbers of an interval.
+        """Add all numbers of an interval, merging it with the intervals that it overlaps or touches.
 
         >>> numbers = IntervalSet([(1, 3), (6, 7), (12, 13)])
         >>> numbers.add_interval((4, 8)); numbers.intervals
@@ -78,7 +78,7 @@
             self.add_interval(interval)
 
     def difference(self, other: IntervalSet) -> IntervalSet:
-        """The numbers that the other set lacks.
+        """Return the numbers of this set that are not in the other set.
 
         >>> IntervalSet([(1, 9)]).difference(IntervalSet([(3, 4), (9, 12)])).intervals
         [(1, 2), (5, 8)]
@@ -98,7 +98,7 @@
         return IntervalSet(found)
 
     def issubset(self, other: IntervalSet) -> bool:
-        """Whether the other set has all numbers of this one.
+        """Whether the other set contains all numbers of this one.
 
         >>> IntervalSet([(2, 3)]).issubset(IntervalSet([(1, 9)]))
         True
@@ -106,7 +106,7 @@
         return not self.difference(other)
 
     def newest_first(self) -> collections.abc.Iterator[int]:
-        """The numbers, the greatest first.
+        """Yield the numbers, the greatest first.
 
         >>> list(IntervalSet([(1, 2), (5, 6)]).newest_first())
         [6, 5, 2, 1]
--- a/iriswheel/replicated_counters/peer_replica.py
+++ b/iriswheel/replicated_counters/peer_replica.py
@@ -1,4 +1,4 @@
-"""What a core machine knows of another one's replica of the counters, and what it sends there next: no I/O."""
+"""What a core machine knows of another machine's replica, and the choice of the next request to it (no I/O)."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 
 TICK_US = 100 * units.MILLISECOND_US
 UNREACHABLE_TICKS = 6
-"""A machine that owes an answer for so many ticks is unreachable. Ticks are counted, not time: while this process
-itself is paused or starved, none passes."""
+"""The number of ticks without a due answer after which a machine counts as unreachable. Ticks are counted instead of
+time because no tick passes while this process itself is paused or gets no processor time."""
 COMPARE_INTERVAL_US = 1 * units.SECOND_US
-UNSYNCED_COMPARE_INTERVAL_US = 200 * units.MILLISECOND_US  # while the other one has adds that it has not synced
-FORWARD_DELAY_US = 500 * units.MILLISECOND_US  # for which adds of a live origin are left to that origin
-BATCH_ADDS = 500  # in one message
+UNSYNCED_COMPARE_INTERVAL_US = 200 * units.MILLISECOND_US  # while the machine has received adds that it has not synced
+FORWARD_DELAY_US = 500 * units.MILLISECOND_US  # time that a reachable origin has to send its adds itself
+BATCH_ADDS = 500  # most adds in one request
 
 
 class PeerReplica:
-    """Another core machine's replica, as far as it has told.
+    """Another core machine's replica, according to that machine's answers.
 
     Attributes:
         origin: The machine's identity and incarnation; empty until it has answered.
         synced: The adds that it has synced on its disk.
-        received: The adds that it got from here or has synced.
-        compared: Whether `synced` was compared as a whole since the last failed call.
-        awaiting: Whether a call is under way, or has failed and will be tried again.
+        received: The adds that it has synced, and those sent from here in calls that it answered.
+        compared: Whether it has answered a comparison of all adds since the last failed call.
+        compare_now: Whether the next request must contain a digest, without waiting for the interval.
+        awaiting: Whether a call is under way, or has failed and will be retried.
         disk_ok: Whether its disk works.
     """
 
@@ -46,50 +47,50 @@
         self.awaiting = False
         self.silent_ticks = 0
         self.disk_ok = True
-        self._to_forward = counter_state.HeldAdds()  # adds of other origins that are sent from here
-        self._missing_at_comparison = (
-            counter_state.HeldAdds()
-        )  # what it lacked at a comparison FORWARD_DELAY_US ago or more
+        self._to_forward = counter_state.HeldAdds()  # adds of other origins to send from here
+        # adds that this machine lacked at the comparison of `_missing_noted_at_us`
+        self._missing_at_comparison = counter_state.HeldAdds()
         self._missing_noted_at_us = 0
-        self._sent_adds = counter_state.HeldAdds()  # what the call under way brings
-        self._digested_adds = counter_state.HeldAdds()  # what the digest of the call under way covers
+        self._sent_adds = counter_state.HeldAdds()  # adds sent in the call under way
+        self._digested_adds = counter_state.HeldAdds()  # adds covered by the digest of the call under way
 
     # ---- reachability ------------------------------------------------------------
 
     def tick(self) -> None:
-        """Count TICK_US of silence, where an answer is due."""
+        """Count one tick of silence if an answer is due; called every TICK_US."""
         if self.awaiting:
             self.silent_ticks += 1
 
     @property
     def reachable(self) -> bool:
-        """Whether its silence, if any, is short."""
+        """Whether the machine has been silent for fewer than UNREACHABLE_TICKS ticks."""
         return self.silent_ticks < UNREACHABLE_TICKS
 
     @property
     def writable(self) -> bool:
-        """Whether it may sync an add now."""
+        """Whether the machine can sync an add now: it can be reached and its disk works."""
         return self.reachable and self.disk_ok
 
-    # ---- what to send ------------------------------------------------------------
+    # ---- requests ------------------------------------------------------------
 
     def lacking(self, held: counter_state.HeldAdds, own_origin: str) -> counter_state.HeldAdds:
-        """The adds to send: those accepted here, and those of others that a comparison showed to be lacking."""
+        """Return the adds to send: those accepted here, and those of other origins found missing by a comparison."""
         candidates = self._to_forward.copy()
         candidates.by_origin[own_origin] = held.of_origin(own_origin)
         return self.received.missing_of(candidates)
 
     def comparison_due(self, now: int) -> bool:
-        """Whether the whole is to be compared with the next message."""
+        """Whether the next request must contain a digest of all adds."""
         interval_us = COMPARE_INTERVAL_US if self.synced == self.received else UNSYNCED_COMPARE_INTERVAL_US
         return not self.compared or self.compare_now or now - self.compared_at_us >= interval_us
 
     def next_request(
         self, counters: counter_state.CounterState, own_origin: str, now: int
     ) -> message.ReplicateAdds | None:
-        """The next message to it; None where nothing is due.
+        """Return the next request to the machine; None if none is due.
 
-        Before a comparison nothing but the digest is sent: it may hold all from before.
+        Until the first comparison after a failed call, requests contain only the digest: the machine may already hold
+        all adds. An unreachable machine too is sent only digests.
         """
         batches = []
         if self.compared and self.reachable:
@@ -109,7 +110,7 @@
             self.compared_at_us = now
         return message.ReplicateAdds(own_origin, batches, digest)
 
-    # ---- what comes back ---------------------------------------------------------
+    # ---- answers ---------------------------------------------------------
 
     def apply_response(
         self,
@@ -118,18 +119,18 @@
         live_origins: collections.abc.Collection[str],
         now: int,
     ) -> None:
-        """Note the answer to the call under way.
+        """Record the answer to the call under way, and choose the adds of other origins to forward.
 
         Args:
             response: The answer.
-            held: What is held here; what of it is lacking there is sent from here.
-            live_origins: The origins that can be reached from here, which bring their adds there themselves: unless
-                they turn out not to.
-            now: The time.
+            held: The adds held here.
+            live_origins: The origins that can be reached from here. They are expected to send their adds themselves;
+                adds that are still missing FORWARD_DELAY_US later are forwarded from here.
+            now: The time in µs.
         """
         self.awaiting = False
         self.silent_ticks = 0
-        if response.sender != self.origin:  # another incarnation: its memory is lost, perhaps its disk too
+        if response.sender != self.origin:  # a new incarnation, which lost its memory and perhaps its disk
             self.origin = response.sender
             self.synced, self.received = counter_state.HeldAdds(), counter_state.HeldAdds()
         self.disk_ok = response.disk_ok
@@ -152,5 +153,5 @@
             self._missing_at_comparison, self._missing_noted_at_us = lacking, now
 
     def fail(self) -> None:
-        """Note that the call under way failed: what it brought may have come or not."""
+        """Record that the call under way failed, so that the adds sent in it may or may not have arrived."""
         self.compared = False
--- a/iriswheel/replicated_counters/replicator.py
+++ b/iriswheel/replicated_counters/replicator.py
@@ -1,4 +1,4 @@
-"""Replication of the counters between core machines: one task and one call at a time for each other machine."""
+"""Replication of the counters between core machines, with one task and one call at a time for each other machine."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from iriswheel.transport import peer_calls
 
 CALL_TIMEOUT_US = 1 * units.SECOND_US
-SYNC_WAIT_US = 400 * units.MILLISECOND_US  # how long an answer waits for the disk; below a peer's patience
+SYNC_WAIT_US = 400 * units.MILLISECOND_US  # longest wait of an answer for the disk; below a peer's limit for silence
 RETRY_INTERVAL_US = 200 * units.MILLISECOND_US
 ADDRESS_INTERVAL_US = 250 * units.MILLISECOND_US
 
@@ -26,17 +26,17 @@
 
 
 class Replicator:
-    """Sends what other core machines lack, takes what they send, and keeps what is known of them.
+    """Sends missing adds to the other core machines, inserts adds that they send, and tracks their replicas.
 
-    Nothing is sent before `activate`: a fleet that counts nothing sends nothing.
+    Nothing is sent before `activate`, so that a fleet that uses no counters sends no messages for them.
 
     Args:
         runtime: Clock and tasks.
         peers: Calls to other machines.
         counters: The state that is replicated.
-        disk_log: Where it is synced.
-        origin: This machine and incarnation.
-        addresses: Gives the addresses of the other core machines.
+        disk_log: The log that syncs adds on this machine's disk.
+        origin: The origin of adds accepted here: this machine and incarnation.
+        addresses: Returns the addresses of the other core machines.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
         self.origin = origin
         self.addresses = addresses
         self.replicas: dict[peer_replica.Address, peer_replica.PeerReplica] = {}
-        self.progress = disk_log.progress  # woken too whenever something was learnt of others, and at every tick
+        self.progress = disk_log.progress  # also woken at each answer of a peer, at its requests and at every tick
         self.active = False
         self._send_now = scheduler.Signal()
 
     def activate(self) -> None:
-        """Start the tasks, where they don't run yet."""
+        """Start the replication tasks unless they run already."""
         if self.active:
             return
         self.active = True
@@ -69,42 +69,45 @@
         for coroutine in (self._refresh_periodically(), self._tick_periodically()):
             self.runtime.spawn(coroutine, log)
 
-    # ---- what is known -------------------------------------------------------------
+    # ---- other machines' replicas -------------------------------------------------------------
 
     def holders(self, add_id: counter_state.AddId) -> set[peer_replica.Address]:
-        """The other machines that hold an add synced."""
+        """Return the other machines that are known to have synced an add."""
         return {address for address, replica in self.replicas.items() if add_id in replica.synced}
 
     def writable(self) -> set[peer_replica.Address]:
-        """The other machines that may sync an add now."""
+        """Return the other machines that can sync an add now."""
         return {address for address, replica in self.replicas.items() if replica.writable}
 
     def holds_what_majority_had(self) -> bool:
-        """Whether this machine holds what a majority of the machines, itself included, held when it compared."""
+        """Whether this machine holds all adds that a majority (itself included) held at the last comparisons."""
         return self.count_machines_caught_up_with() + 1 >= decisions.majority(len(self.replicas) + 1)
 
     def count_machines_caught_up_with(self) -> int:
-        """How many other machines this one has compared with, and holds all that they held then."""
+        """Return how many other machines were compared with and have no synced add that is missing here."""
         return sum(
             replica.compared and self.counters.held.has_all_of(replica.synced) for replica in self.replicas.values()
         )
 
     def count_machines_with(self, adds: counter_state.HeldAdds) -> int:
-        """How many other machines are known to have some adds synced."""
+        """Return how many other machines are known to have synced all of `adds`."""
         return sum(replica.synced.has_all_of(adds) for replica in self.replicas.values())
 
     def _live_origins(self) -> set[str]:
-        """The origins of the other machines that can be reached."""
+        """Return the origins of the other machines that can be reached."""
         return {replica.origin for replica in self.replicas.values() if replica.reachable}
 
     def lag(self, replica: peer_replica.PeerReplica) -> int:
-        """How many of the adds held here a machine has not synced, as far as known."""
+        """Return how many of the adds held here a machine is not known to have synced."""
         return len(replica.synced.missing_of(self.counters.held))
 
-    # ---- what others send ------------------------------------------------------------
+    # ---- requests of other machines ------------------------------------------------------------
 
     async def answer(self, request: message.ReplicateAdds) -> message.ReplicateAddsResponse:
-        """Take adds, and say what is synced here of them, or of all where a digest is to be compared."""
+        """Insert the adds of a request, wait for the disk, and return which adds are synced here.
+
+        The answer covers the origins of the request, or all origins if the request contains a digest.
+        """
         self.activate()
         if request.batches:
             wanted = self._insert(request.batches)
@@ -113,7 +116,7 @@
         return self._response(request)
 
     def _insert(self, batches: list[message.OriginAdds]) -> counter_state.HeldAdds:
-        """Take adds and have those written that are new here; returns all of them."""
+        """Insert adds and start writing those that are new here; return the set of all of them."""
         received, new = counter_state.HeldAdds(), []
         for batch in batches:
             for add in batch.adds:
@@ -136,17 +139,17 @@
     # ---- tasks -----------------------------------------------------------------------
 
     def send_now(self) -> None:
-        """Send what was added just now."""
+        """Send newly accepted adds without waiting for the interval."""
         self._send_now.wake()
 
     def compare_now(self) -> None:
-        """Compare with all other machines at once."""
+        """Start a comparison with each other machine now."""
         for replica in self.replicas.values():
             replica.compare_now = True
         self._send_now.wake()
 
     def _refresh(self) -> None:
-        """Keep one task for each address."""
+        """Forget replicas whose address is gone, and start one replication task for each new address."""
         addresses = self.addresses()
         for address in [known for known in self.replicas if known not in addresses]:
             del self.replicas[address]
@@ -167,18 +170,18 @@
                 was_reachable = replica.reachable
                 replica.tick()
                 if was_reachable and not replica.reachable:
-                    log.warning("Counters: {}:{} can't be reached.", *replica.address)
+                    log.warning("Counter replication: core machine {}:{} can't be reached.", *replica.address)
             self.progress.wake()
 
     async def _replicate_to(self, replica: peer_replica.PeerReplica) -> None:
-        """Send to one machine for as long as its address is known."""
+        """Send requests to one machine for as long as its address is known; one task."""
         while self.replicas.get(replica.address) is replica:
             request = replica.next_request(self.counters, self.origin, self.runtime.now())
             if request is None or not await self._exchange(replica, request):
                 await self.runtime.pause(self._send_now, RETRY_INTERVAL_US)
 
     async def _exchange(self, replica: peer_replica.PeerReplica, request: message.ReplicateAdds) -> bool:
-        """Make one call; False where it should not be followed by another one at once."""
+        """Make one call; return False if it failed or the peer's disk does not work, so that the next one must wait."""
         replica.awaiting = True
         host, port = replica.address
         try:
@@ -187,8 +190,8 @@
             replica.fail()
             return False
         if not replica.reachable:
-            log.info("Counters: {}:{} answers again.", *replica.address)
-        answer = typing.cast("message.ReplicateAddsResponse", response)  # the only answer to ReplicateAdds
+            log.info("Counter replication: core machine {}:{} answers again.", *replica.address)
+        answer = typing.cast("message.ReplicateAddsResponse", response)  # the only type of answer to ReplicateAdds
         replica.apply_response(answer, self.counters.held, self._live_origins(), self.runtime.now())
         self.progress.wake()
         return answer.disk_ok
