--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -1,10 +1,11 @@
-"""A node's session with the core: which core machine it is with, its lease, and how it finds another.
+"""A node's session with a core machine: its connection, its lease, and the move to another core machine.
 
 The established session is the one on which a core machine last renewed the node's lease.
-When heartbeats with a lease stop coming, the node opens sessions with further core
-machines beside it, a few at a time and without waiting for any one of them, and moves to
-the first that renews the lease. Configuration updates are accepted from all of them, since
-a change that any core machine sends is committed.
+When no heartbeat with a lease arrives for LEASE_OVERDUE_US, the node opens candidate sessions
+with other core machines while it keeps the established one. It opens a few at a time, waits
+for none of them in particular, and moves to the first on which the lease is renewed.
+Configuration updates are accepted on all of these sessions, since every change that a core
+machine sends is committed.
 """
 
 from __future__ import annotations
@@ -23,26 +24,27 @@
 
 
 LEASE_OVERDUE_US = 600 * units.MILLISECOND_US
-"""Without a lease renewed for so long, other core machines are tried; one comes every 250 ms."""
+"""The time without a lease renewal after which other core machines are tried; a renewal is due every 250 ms."""
 
 ATTEMPT_TIMEOUT_US = 1_500 * units.MILLISECOND_US
-"""An attempt that brought no lease by then ends."""
+"""The time after which an attempt that has brought no lease ends."""
 
 MAX_ATTEMPTS = 3
-"""Attempts at a time."""
+"""The most attempts under way at a time."""
 
 ATTEMPT_INTERVAL_US = 200 * units.MILLISECOND_US
 MAX_JITTER_US = 50 * units.MILLISECOND_US
-"""Many nodes lose one core machine at the same time; they wait differently long."""
+"""The longest random wait after a lost connection: many nodes lose a core machine at the same time and should not
+all reconnect at once."""
 
 OVERLAP_US = 1 * units.SECOND_US
-"""The old session ends so long after the new one is established."""
+"""The time for which the old session stays open after the new one is established."""
 
 OWN_ZONE_INTERVAL_US = 10 * units.SECOND_US
 """The time between attempts to move to a core machine of the node's own zone."""
 
 RECENT_CONTACT_US = 800 * units.MILLISECOND_US
-"""A lease renewed within this time counts as contact; leases come four times a second."""
+"""The longest time since the last lease renewal that counts as contact; renewals come four times a second."""
 
 log = loguru.logger.bind(part="core_session")
 
@@ -60,23 +62,23 @@
         self.connection: wire.Connection | None = None
         self.address: Address | None = None
         self.lease = lease.NodeLease()
-        self.leased_at: int | None = None  # when a lease last came on the established session
-        # connection -> address, of attempts that have brought no lease yet
+        self.leased_at: int | None = None  # time (µs) of the established session's last lease renewal
+        # connection -> address, of candidate sessions that have brought no lease yet
         self.candidates: dict[wire.Connection, Address] = {}
-        self.attempts: set[Address] = set()  # the addresses of all attempts under way
-        self.last_tried_at: dict[Address, int] = {}  # address -> when it was last tried, since a session last stood
-        self.address_hint: Address | None = None  # where a peer has its session
+        self.attempts: set[Address] = set()  # addresses of all attempts under way
+        self.last_tried_at: dict[Address, int] = {}  # address -> time (µs), cleared when a session is established
+        self.address_hint: Address | None = None  # core machine of a peer's session
         self.own_zone_tried_at = -OWN_ZONE_INTERVAL_US
         self.moves = 0
 
-    # ---- what is known ---------------------------------------------------------
+    # ---- state ---------------------------------------------------------
 
     def is_established(self) -> bool:
-        """Whether a core machine renewed the lease on this session lately."""
+        """Whether the lease was renewed on this session within wire.TIMEOUT_US."""
         return self._leased_within(wire.TIMEOUT_US)
 
     def has_recent_contact(self) -> bool:
-        """Whether the lease was renewed just now, for peers that ask."""
+        """Whether the lease was renewed on this session within RECENT_CONTACT_US, as reported to peers."""
         return self._leased_within(RECENT_CONTACT_US)
 
     def _leased_within(self, us: int) -> bool:
@@ -88,7 +90,7 @@
         )
 
     def state(self) -> dict[str, typing.Any]:
-        """What a node shows of its session."""
+        """Return the state of the session that `GET /state` shows."""
         now = self.runtime.now()
         return {
             "core": "{}:{}".format(*self.address) if self.address is not None else None,
@@ -100,16 +102,17 @@
         }
 
     def add_addresses(self, addresses: collections.abc.Iterable[Address]) -> None:
-        """Remember further addresses of core machines; they may have been replaced."""
+        """Remember further addresses of core machines, since the known machines may have been replaced."""
         for address in addresses:
             if address not in self.addresses:
                 self.addresses.append(address)
 
     def addresses_by_preference(self) -> list[Address]:
-        """The addresses of core machines in the order in which to try them.
+        """Return the addresses of core machines in the order in which to try them.
 
-        Those of the membership go before older addresses, those of this node's own zone first,
-        and what was tried a moment ago last.
+        Addresses that were not tried go first, then those tried longest ago. Among these,
+        addresses in the membership go before others, and this node's own zone before other
+        zones; the rest is random.
         """
         zones = self.follower.core_zones()
         own = self.follower.options.zone
@@ -127,17 +130,17 @@
     # ---- messages ---------------------------------------------------------------
 
     def tell(self, msg: message.Message) -> None:
-        """Send the core machine of this session a message; dropped where there is no connection."""
+        """Send a message on the established session; without a connection it is dropped."""
         if self.connection is not None:
             self.connection.tell(msg)
 
     def heartbeat(self) -> message.SessionHeartbeat:
-        """This node's heartbeat: the configuration and membership versions that it has, and its time."""
+        """Return this node's heartbeat: the versions of its configuration and membership, and the time of sending."""
         follower = self.follower
         return message.SessionHeartbeat(follower.applied(), follower.membership.version, None, self.runtime.now())
 
     def receive(self, connection: wire.Connection, msg: message.Message) -> None:
-        """Handle a message of a core machine: redirect, lease renewal, or an update for the follower."""
+        """Handle a message from a core machine: a redirect, a lease renewal, or an update for the follower."""
         if connection is not self.connection and connection not in self.candidates:
             return
         match msg:
@@ -167,7 +170,7 @@
         self.last_tried_at.clear()
         host, port = self.address
         log.info(
-            "The session with the core is now with {host}:{port}; log index {applied_index} is applied.",
+            "The node moved its session to core machine {host}:{port}; log index {applied_index} is applied.",
             host=host,
             port=port,
             applied_index=self.follower.applied_index,
@@ -180,7 +183,7 @@
     # ---- tasks --------------------------------------------------------------------
 
     def reset(self) -> None:
-        """Close all connections after a freeze: what is still buffered on them is out of date."""
+        """Close all connections after a freeze, since messages still buffered on them are out of date."""
         for connection in [self.connection, *self.candidates]:
             if connection is not None:
                 connection.close()
@@ -189,7 +192,7 @@
         self.candidates.clear()
 
     async def run(self) -> None:
-        """Keep a session with some core machine; one task."""
+        """Keep a session with a core machine until the node stops; one task."""
         while not self.follower.node.stopped:
             self.add_addresses(self.follower.core_zones())
             self._drop_lost_connection()
@@ -208,7 +211,7 @@
         if self.connection is not None and self.address is not None and not self.connection.up:
             host, port = self.address
             log.info(
-                "The session with core {host}:{port} ended; log index {applied_index} is applied.",
+                "The session with core machine {host}:{port} ended; log index {applied_index} is applied.",
                 host=host,
                 port=port,
                 applied_index=self.follower.applied_index,
@@ -227,7 +230,11 @@
                 return
 
     def _core_of_own_zone(self) -> Address | None:
-        """A core machine of this node's own zone, where the session is with one of another zone."""
+        """Return a core machine of this node's own zone to move to.
+
+        None if the session is in that zone already, an attempt is under way or was made within
+        OWN_ZONE_INTERVAL_US, or the zone has no core machine.
+        """
         zones = self.follower.core_zones()
         own = self.follower.options.zone
         now = self.runtime.now()
@@ -250,7 +257,7 @@
         self.runtime.spawn(self._open_candidate(address), log)
 
     async def _open_candidate(self, address: Address) -> None:
-        """Open a candidate session; it is closed where it brings no lease within ATTEMPT_TIMEOUT_US."""
+        """Open a candidate session, and close it if it brings no lease within ATTEMPT_TIMEOUT_US."""
         try:
             connection = await wire.connect(self.runtime, *address, self.receive, log)
             self.candidates[connection] = address
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -1,7 +1,8 @@
-"""What a node follows of the fleet: its slice of the configuration, the membership, the workers.
+"""A node's replica of the fleet's state: its slice of the configuration, the membership and the workers.
 
-The node keeps one session with a core machine and applies its snapshots and updates in the
-order of log indexes; an older one never replaces a newer one.
+The node applies the snapshots and updates that core machines send in the order of their log
+indexes; an older one never replaces a newer one. The slice is the part of the configuration
+that the node needs.
 """
 
 from __future__ import annotations
@@ -22,40 +23,40 @@
 
 
 FREEZE_THRESHOLD_US = 1 * units.SECOND_US
-"""A process that did not run for so long was frozen."""
+"""The gap between two ticks above which the process counts as having been frozen."""
 
 REJOIN_TIMEOUT_US = 1 * units.SECOND_US
-"""How long a thawed node waits for its session."""
+"""The time after which a node that was frozen may complete its rejoin without a session with the core."""
 
 WORKER_LIST_VALIDITY_US = 2_500 * units.MILLISECOND_US
-"""A worker list confirmed longer ago than this is not relied on."""
+"""The age of the last confirmation from which on a worker list is not used."""
 
 WORKER_UPDATE_TIMEOUT_US = 1_500 * units.MILLISECOND_US
-"""Without an update of the worker list for this long, a node asks the platform itself."""
+"""The time without an update of the worker list after which a node asks the platform itself."""
 
 PEER_QUERY_INTERVAL_US = 500 * units.MILLISECOND_US
 TICK_US = 400 * units.MILLISECOND_US
 TICK_WITHOUT_CORE_US = 200 * units.MILLISECOND_US
 
 CLOCK_MARGIN_US = 250 * units.MILLISECOND_US
-"""What clocks may differ in while a key is relied on without a lease, and a request's way to a worker."""
+"""A margin for the drift of clocks while keys are accepted without a lease, and for a request's time to a worker."""
 
 NO_CONFIGURATION = -1
-"""The applied version of a node before its first configuration."""
+"""The applied version that a node reports before its first confirmed configuration."""
 
 log = loguru.logger.bind(part="follower")
 
 ItemUpdate = collections.abc.Mapping[str, configuration.Item | None]
-"""Items by key; None removes one."""
+"""Items by key; None removes the item."""
 
 ItemsAndChanges = tuple[dict[str, configuration.Item], list[configuration.ItemChange]]
-"""All items after an update, and what the update changed."""
+"""All items after an update, and the changes that the update made."""
 
 ItemClass = typing.TypeVar("ItemClass")
 
 
 class Follower:
-    """A read replica of what the node needs: its slice of the configuration, the membership, the workers."""
+    """A read-only replica of the node's slice of the configuration, the membership and the worker list."""
 
     def __init__(self, node: node.Node, options: options.Options) -> None:
         self.node = node
@@ -63,8 +64,8 @@
         self.options = options
         self.session = core_session.CoreSession(self, options.seed_list())
         self.applied_index = 0
-        self.items: configuration.Items | None = None  # the slice, as it came
-        # (view, log index) of the unconfirmed configuration that is in use; None once a core has confirmed one
+        self.items: configuration.Items | None = None  # the slice, unparsed
+        # (view, log index) of the unconfirmed configuration in use; None if a serving core sent the configuration
         self.unconfirmed_position: tuple[int, int] | None = None
         self.route_index = route_index.RouteIndex()
         self.pools: dict[str, configuration.Pool] = {}
@@ -77,9 +78,9 @@
         self.platform = platform_listing.PlatformListing(self)
         self.peer_status = peer_status.PeerStatus(self)
         self.last_tick_at = self.runtime.now()
-        self.rejoining_since: int | None = None  # since when this node must rejoin after a freeze, in µs
+        self.rejoining_since: int | None = None  # time (µs) of the last freeze; None once rejoined
 
-    # ---- what the node knows ------------------------------------------------------
+    # ---- queries ------------------------------------------------------
 
     @property
     def routes(self) -> dict[str, configuration.Route]:
@@ -88,16 +89,16 @@
 
     @property
     def tenants(self) -> dict[str, configuration.Tenant]:
-        """The tenants, by name."""
+        """The tenants of the slice, by name."""
         return self.tenant_index.tenants
 
     def find_tenant(self, key_digest: str) -> tuple[str, configuration.Tenant] | None:
-        """Return the name and the item of the tenant that has a key, or None."""
+        """Return the name and the item of the tenant that has the key with this digest, or None."""
         return self.tenant_index.find(key_digest)
 
     @property
     def workers(self) -> list[message.Worker]:
-        """The workers as they were last listed."""
+        """The workers of the newest worker list."""
         return self.worker_list.workers
 
     @property
@@ -107,11 +108,11 @@
 
     @property
     def updated_at(self) -> int | None:
-        """When the worker list was last sent or confirmed, in µs; None before the first."""
+        """The time (µs) when the worker list was last received or confirmed; None before the first list."""
         return self.worker_list.updated_at
 
     def assignment(self, key: str) -> message.RoleAssignment | None:
-        """Return a role's assignment from the membership, or None."""
+        """Return the assignment of a role from the membership, or None."""
         return next((assignment for assignment in self.membership.assignments if assignment.key == key), None)
 
     def member(self, identifier: str) -> message.Member | None:
@@ -128,11 +129,11 @@
         return self.pools.get(name)
 
     def selected_by_owner(self, name: str) -> bool:
-        """Whether a pool's workers are chosen by its owner."""
+        """Whether the owner of a pool selects the worker for each of its requests."""
         return name in self.pools and self.pools[name].election == configuration.Election.POOL_OWNER
 
     def state(self, worker: str) -> str:
-        """Return a worker's state, a `message.WorkerState`; one that is not listed is gone."""
+        """Return a worker's state, a `message.WorkerState`; a worker that is not listed is GONE."""
         return self.worker_list.state(worker)
 
     def accepts_requests(self, worker: str) -> bool:
@@ -143,7 +144,7 @@
         )
 
     def drain_deadline_passed(self, worker: str) -> bool:
-        """Whether a worker that leaves or is gone has had its time for streams under way."""
+        """Whether the time that a leaving or gone worker has for its streams under way is over."""
         return self.worker_list.drain_deadline_passed(worker, self.runtime.now())
 
     def core_zones(self) -> dict[core_session.Address, str]:
@@ -155,22 +156,22 @@
         return self.route_index.find(host, path)
 
     def applied(self) -> int:
-        """Return the version of the configuration that this node has applied."""
+        """Return the log index of the confirmed configuration that this node has applied, or NO_CONFIGURATION."""
         return NO_CONFIGURATION if self.items is None or self.unconfirmed_position else self.applied_index
 
-    # ---- whether it may rely on that -----------------------------------------------
+    # ---- staleness and partitions -----------------------------------------------
 
     def needs_rejoin(self) -> bool:
-        """Whether this process did not run for a while and has not rejoined yet; what it knows may be out of date."""
+        """Whether this process was frozen and has not rejoined yet, so that its state may be out of date."""
         self.detect_freeze()
         return self.rejoining_since is not None
 
     def detect_freeze(self) -> None:
-        """Begin to rejoin where this process did not run for FREEZE_THRESHOLD_US."""
+        """Start a rejoin if this process did not run for more than FREEZE_THRESHOLD_US."""
         now = self.runtime.now()
         if now - self.last_tick_at > FREEZE_THRESHOLD_US:
             log.warning(
-                "The process did not run for {pause_ms} ms; the node rejoins.",
+                "The process did not run for {pause_ms} ms; the node closes its sessions and rejoins the core.",
                 pause_ms=(now - self.last_tick_at) // units.MILLISECOND_US,
             )
             self.rejoining_since = now
@@ -181,20 +182,20 @@
     def configuration_may_be_stale(self) -> bool:
         """Whether this node may have missed a change that is in force on other nodes.
 
-        While its lease runs, no change is acknowledged that this node has not applied. Without
-        a lease a node goes on only where is_partitioned() does not speak against it. A node that
-        serves on in any case (option `serve_on`) stops only where a peer that has its session
-        with the core shows that it missed a change.
+        While this node's lease is valid, the core acknowledges no change that this node has not
+        applied. Without a lease the answer is that of is_partitioned(). With the option
+        `serve_on`, the configuration counts as stale only if a peer that has a session with the
+        core has a newer one.
         """
         if self.session.lease.is_valid(self.runtime.now()):
             return False
         return self.peer_has_newer_configuration() if self.options.serve_on else self.is_partitioned()
 
     def keys_may_be_revoked(self) -> bool:
-        """Whether a key that this node knows may have been taken away longer ago than `revocation_us`.
+        """Whether a key that this node accepts may have been revoked longer ago than `revocation_us`.
 
-        Up to the end of its newest lease this node has applied each change before it was acknowledged. So a
-        change that it does not know was acknowledged later than that.
+        Until the end of its newest lease, this node applied each change before the core acknowledged it. So a
+        change that this node has not applied was acknowledged after that lease ended.
         """
         bound_us = self.options.revocation_us
         if not bound_us:
@@ -203,34 +204,34 @@
         return not known_until_us or self.runtime.now() >= known_until_us + bound_us - CLOCK_MARGIN_US
 
     def may_be_replaced(self) -> bool:
-        """Whether the core may have counted this node out while other nodes are in touch with it.
+        """Whether the core may have removed this node from the membership and given its roles to others.
 
-        Where nobody is in touch with the core, no role changes hands.
+        A role changes hands only while some node is in contact with the core.
         """
         if self.needs_rejoin():
             return True
         return not self.session.lease.is_valid(self.runtime.now()) and self.peer_status.any_reaches_core()
 
     def peer_has_newer_configuration(self) -> bool:
-        """Whether a peer that is in touch with the core has a newer configuration than this node."""
+        """Whether a peer that is in contact with the core has a newer configuration than this node."""
         return self.peer_status.any_has_newer_configuration(self.applied_index)
 
     def has_worker_update(self) -> bool:
-        """Whether the worker list is recent enough to send requests by."""
+        """Whether the worker list is recent enough for sending requests; with `serve_on` any list is."""
         updated_at = self.updated_at
         if self.options.serve_on:
             return updated_at is not None
         return updated_at is not None and self.runtime.now() - updated_at < WORKER_LIST_VALIDITY_US
 
     def is_partitioned(self) -> bool:
-        """Whether this node has lost the core while some member may still have it.
+        """Whether this node has lost the core while some other member may still have contact with it.
 
-        Without the core, a node goes on only if every member says that it has lost the core
-        too, or its machine says that nobody listens there any more. One that can't be
-        reached may be with a core that takes changes; one whose configuration is ahead shows that
-        this node missed a change.
+        Without the core, a node goes on serving only if every other member answers that it has
+        lost the core too, or has a machine that refuses the connection because the process is
+        gone. A member that can't be reached may be in contact with a core that accepts changes;
+        a member with a newer configuration shows that this node missed a change.
 
-        A node that is told to serve on (option `serve_on`) never counts itself as cut off.
+        With the option `serve_on`, a node never counts itself as partitioned.
         """
         if self.session.is_established() or self.options.serve_on:
             return False
@@ -238,7 +239,7 @@
         return any(peer.id not in without_core for peer in self.peers())
 
     def lacks_worker_updates(self) -> bool:
-        """Whether this node has a configuration, but no update of the worker list for WORKER_UPDATE_TIMEOUT_US."""
+        """Whether this node has a configuration but got no worker list update for WORKER_UPDATE_TIMEOUT_US."""
         return self.items is not None and self._lacks_worker_updates_for(WORKER_UPDATE_TIMEOUT_US)
 
     def _lacks_worker_updates_for(self, duration_us: int) -> bool:
@@ -248,12 +249,12 @@
     # ---- applying updates ------------------------------------------------------------
 
     def apply_items(self, index: int, items: ItemUpdate, *, is_snapshot: bool) -> None:
-        """Apply a snapshot or an update of the slice; one older than what is here is dropped.
+        """Apply a snapshot or an update of the slice, unless this node has applied a newer log index.
 
         Args:
-            index: The log index that the items stand for.
-            items: All items of a snapshot, else those that changed; None removes one.
-            is_snapshot: Whether `items` replaces all that is here.
+            index: The log index of the snapshot or update.
+            items: All items of a snapshot, or the changed items of an update; None removes an item.
+            is_snapshot: Whether `items` replaces the whole slice.
         """
         has_base = self.items is not None and not self.unconfirmed_position
         if index < self.applied_index or not (has_base or is_snapshot):
@@ -272,10 +273,10 @@
         self.node.on_update()
 
     def _apply_evacuations(self, zones: frozenset[str]) -> None:
-        """Note which zones are evacuated now, and tell the node which of them are so no more."""
+        """Store which zones are evacuated now, and tell the node which zones were readmitted."""
         if zones == self.evacuated_zones:
             return
-        log.info("Evacuated zones: {zones}.", zones=", ".join(sorted(zones)) or "none")
+        log.info("The evacuated zones are now: {zones}.", zones=", ".join(sorted(zones)) or "none")
         readmitted = self.evacuated_zones - zones
         self.evacuated_zones = zones
         for zone in sorted(readmitted):
@@ -285,7 +286,7 @@
         self,
         kind: str,
         name: str,
-        item: typing.Any,  # noqa: ANN401 - of the class that its kind has
+        item: typing.Any,  # noqa: ANN401 - an instance of the kind's class
     ) -> None:
         match kind:
             case "routes":
@@ -300,10 +301,11 @@
                 self.limits = item or configuration.Limits()
 
     def apply_unconfirmed(self, unconfirmed: message.UnconfirmedConfiguration) -> None:
-        """While this node has no configuration and no core serves: use what a core's disk holds.
+        """Use the configuration on a core machine's disk while this node has no other and no core serves.
 
-        After a loss of everything the core takes some seconds to agree; what it acknowledged
-        is on its disks all the time. The first snapshot of a serving core takes its place.
+        After a loss of all processes the core takes some seconds to form a view, but everything
+        that it acknowledged is on its disks. The first snapshot of a serving core replaces the
+        unconfirmed configuration.
         """
         in_use = self.unconfirmed_position
         is_newer = in_use is not None and in_use < unconfirmed.position
@@ -313,13 +315,13 @@
         self.unconfirmed_position = unconfirmed.position
         view, log_index = unconfirmed.position
         log.info(
-            "No core serves; using a core's unconfirmed configuration of view {view}, log index {log_index}.",
+            "No core serves yet; the node uses the unconfirmed configuration of view {view}, log index {log_index}.",
             view=view,
             log_index=log_index,
         )
 
     def apply_membership(self, membership: message.Membership | None) -> None:
-        """Take a membership, unless a newer one is here."""
+        """Apply a membership and its worker list, unless this node has the same or a newer version."""
         if membership is None or membership.version <= self.membership.version:
             return
         self.membership = membership
@@ -328,26 +330,26 @@
         self.node.on_update()
 
     def apply_listing(self, listing: message.WorkerListing) -> None:
-        """Take a worker list, unless a newer one is here."""
+        """Apply a full worker listing, unless this node has a newer one."""
         if self.worker_list.accept_listing(listing):
             self.apply_workers(listing.workers)
 
     def apply_listing_unchanged(self, unchanged: message.ListingUnchanged) -> bool:
-        """Record that the platform's list is unchanged since a full listing; False where that is not known here."""
+        """Record that the list is unchanged since a full listing; return False if this node lacks that listing."""
         return self.worker_list.accept_unchanged(unchanged, self.runtime.now())
 
     def apply_polled_workers(self, workers: list[message.Worker]) -> None:
-        """Take a list that another node polled from the platform, where this one has no recent list either."""
+        """Apply a list that another node polled from the platform, if this node has no recent list."""
         if self._lacks_worker_updates_for(WORKER_UPDATE_TIMEOUT_US // 2):
             self.apply_workers(workers)
 
     def apply_workers(self, workers: list[message.Worker]) -> None:
-        """Note the workers and their states as they are now."""
+        """Replace the worker list, and record that it is up to date."""
         if self.worker_list.replace(workers, self.runtime.now()):
             self.node.on_update()
 
     def apply_message(self, update: message.Message) -> None:
-        """Apply what a core machine sent on a session; with a lease, a rejoin after a freeze is complete."""
+        """Apply a message from a core machine; under a valid lease it completes a rejoin after a freeze."""
         match update:
             case message.ConfigurationSnapshot(index=index, items=items):
                 self.apply_items(index, items, is_snapshot=True)
@@ -369,12 +371,12 @@
     # ---- tasks -----------------------------------------------------------------------
 
     def join_request(self) -> message.JoinRequest:
-        """Return the message that begins a session: this node, and the versions that it has."""
+        """Return the message that opens a session: this node, and the versions of its configuration and membership."""
         membership = self.membership if self.membership.version > (0, 0) else None
         return message.JoinRequest(self.node.member, self.applied(), membership, self.runtime.now())
 
     async def watch_core_contact(self) -> None:
-        """Detect freezes, and ask the peers about the core while there is no contact with it; one task."""
+        """Detect freezes, and ask the peers about the core while this node has no contact with it; one task."""
         asked_at = 0
         while not self.node.stopped:
             await self.runtime.sleep(TICK_US if self.session.is_established() else TICK_WITHOUT_CORE_US)
@@ -391,12 +393,12 @@
                 and now - self.rejoining_since > REJOIN_TIMEOUT_US
                 and not self.is_partitioned()
             ):
-                self.rejoining_since = None  # the whole core is gone; peers are there
+                self.rejoining_since = None  # every other member has lost the core too
                 self.node.on_update()
 
 
 def _replace(before: configuration.Items, items: ItemUpdate) -> ItemsAndChanges:
-    after = dict(typing.cast("configuration.Items", items))  # a snapshot removes nothing
+    after = dict(typing.cast("configuration.Items", items))  # a snapshot contains no None
     return after, configuration.difference(before, after)
 
 
@@ -406,7 +408,7 @@
 
 
 def _parse(key: str, value: configuration.Item | None) -> tuple[str, str, typing.Any]:
-    """Return an item's kind, its name, and the item as its kind's class; None where it was removed."""
+    """Return an item's kind, its name, and the item as an instance of its kind's class; None if it was removed."""
     kind, name = key.split("/", 1)
     return kind, name, None if value is None else configuration.KINDS[kind].from_dict(value)
 
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -1,7 +1,7 @@
-"""Reports this node's load to its core machine, and takes in the load of the other nodes.
+"""Reports this node's load to its core machine, and applies the load of the other nodes.
 
-Only what changed is reported, a few times a second, but a long prompt at once: later requests
-should go elsewhere.
+A report contains only the loads that changed. Reports go out a few times a second, but at once
+after a long prompt, so that other nodes send their next requests to other workers.
 """
 
 from __future__ import annotations
@@ -16,15 +16,17 @@
     from iriswheel.node import node
     from iriswheel.transport import wire
 
-SESSION_CHECK_INTERVAL_US = 500 * units.MILLISECOND_US  # a new session is noticed at the latest after so long
+SESSION_CHECK_INTERVAL_US = (
+    500 * units.MILLISECOND_US
+)  # longest time until a new session is noticed while the load is unchanged
 
 
 class LoadReporter:
-    """One node's end of the load exchange."""
+    """Sends one node's load to the core, and passes the other nodes' load to the placements."""
 
     def __init__(self, node: node.Node) -> None:
         self.node = node
-        # the load last reported on this session; None: nothing yet
+        # load last reported on this session; None before the first report
         self.last_reported: load_table.LoadTable | None = None
         self.connection: wire.Connection | None = None
         self.report_now = scheduler.Signal()
@@ -32,13 +34,13 @@
         self.has_changed = True
 
     def mark_changed(self) -> None:
-        """Note that the load changed; it is reported within REPORT_INTERVAL_US."""
+        """Record that the load changed, so that it is reported within REPORT_INTERVAL_US."""
         if not self.has_changed:
             self.has_changed = True
             self.changed.wake()
 
     def own_loads(self) -> load_table.LoadTable:
-        """This node's own load."""
+        """Return this node's own load, by pool and worker."""
         return {
             (pool, worker): load_table.Load(requests, tokens, suspicion)
             for pool, placement in self.node.gateway.forwarder.placements.items()
@@ -46,7 +48,7 @@
         }
 
     def report(self) -> None:
-        """Report the changed load to the core machine; on a new session, all of it."""
+        """Report the changed loads to the core machine, or all loads on a new session."""
         session = self.node.follower.session
         if session.connection is not self.connection:
             self.connection, self.last_reported = session.connection, None
@@ -56,12 +58,12 @@
         changed = load_table.changed_keys(self.last_reported or {}, own)
         if changed or self.last_reported is None:
             rows = load_table.rows(own, changed)
-            assert self.node.member_record is not None  # known since the node started, before any session
+            assert self.node.member_record is not None  # set when the node started, before any session
             session.tell(message.LoadReport(self.node.member_record.id, self.last_reported is None, rows))
             self.last_reported = own
 
     async def run(self) -> None:
-        """Report until the node has left; one task."""
+        """Report changed loads until the node has stopped; one task."""
         while not self.node.stopped:
             if not self.has_changed and self.connection is self.node.follower.session.connection:
                 await self.node.runtime.pause(self.changed, SESSION_CHECK_INTERVAL_US)
@@ -70,10 +72,12 @@
             self.has_changed = False
             self.report()
             suspected = any(load.suspicion_percent for load in (self.last_reported or {}).values())
-            self.has_changed = self.has_changed or suspected  # a suspicion fades with time
+            self.has_changed = (
+                self.has_changed or suspected
+            )  # a suspicion decays with time, so it changes without an event
 
     def apply_sums(self, report: message.LoadReport) -> None:
-        """Take the sums of the other nodes' load."""
+        """Apply the sums of the other nodes' loads to the placement of each pool."""
         for pool, placement in self.node.gateway.forwarder.placements.items():
             if report.complete or pool in report.rows:
                 placement.take(report.rows.get(pool, []), report.complete)
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -1,4 +1,4 @@
-"""A node: the gateway towards clients, and the tasks beside it, put together."""
+"""The node process: creates and connects the gateway for clients, the follower, the pool roles and their tasks."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 REPORT_INTERVAL_US = 1 * units.SECOND_US
-"""The time between reports of the grants held here."""
+"""The time between reports of the grants that this node holds, and between clean-ups of expired state."""
 
 log = loguru.logger.bind(part="node")
 
 
 class Node:
-    """Composes a node process; the sockets and the command line are in `cli`."""
+    """The parts of a node process and their tasks; its sockets and command line are in `cli`."""
 
     def __init__(
         self, runtime: scheduler.Runtime, options: options.Options, formats: edge_protocol.EdgeProtocol | None = None
@@ -47,16 +47,16 @@
         self.pool_roles: pool_roles.PoolRoles = pool_roles.PoolRoles(self)
         self.peer_requests = peer_requests.PeerRequests(self)
         self.grants: dict[str, message.WorkerGrant] = {}  # by attempt id, of attempts under way here
-        # by attempt id: given up here without a send
+        # by attempt id: attempts that this node abandoned before it sent them to a worker
         self.abandoned_attempts: dict[str, owner_client.AbandonedAttempt] = {}
-        self.draining = False  # not ready any more, but still serving whoever comes
-        self.refusing_requests = False  # late in the drain: new requests get an error
-        self.drain_noticed_at_us: int | None = None  # when the platform first heard that this node drains
-        self.stopped = False  # ends the tasks
-        self.options_reloaded_at_us: int | None = None  # when the options were last reloaded
+        self.draining = False  # not ready any more, but still serving new requests
+        self.refusing_requests = False  # set late in the drain: new requests get an error
+        self.drain_noticed_at_us: int | None = None  # when the platform first asked and learnt that this node drains
+        self.stopped = False  # makes all tasks end
+        self.options_reloaded_at_us: int | None = None  # time of the last reload of the options
 
     def start(self, port: int, http: int) -> None:
-        """Start all tasks; the ports are those really bound."""
+        """Start all tasks; `port` and `http` are the ports that the process has bound."""
         options = self.options
         identifier = f"{options.name}-{self.runtime.incarnation}"
         self.member_record = message.Member(identifier, options.name, options.zone, options.host, port, http)
@@ -71,31 +71,31 @@
             self.loads.run(),
         ):
             self.runtime.spawn(coroutine, log)
-        log.info("Node {node} starts in zone {zone}.", node=identifier, zone=options.zone)
+        log.info("Node {node} starts its tasks in zone {zone}.", node=identifier, zone=options.zone)
 
     def reload_options(self, options: options.Options) -> None:
-        """Take in options that were read again: seeds, and where the platform is."""
+        """Apply reloaded options: the seeds and the platform's address. All other options stay as they are."""
         self.options_reloaded_at_us = self.runtime.now()
         self.options.platform = options.platform
         self.follower.session.add_addresses(options.seed_list())
-        log.info("The options were reloaded.")
+        log.info("The node applied the reloaded options: the seeds and the address of the platform.")
 
     @property
     def pool_owners(self) -> dict[str, pool_owner.PoolOwner]:
-        """The pool owners whose role is here, by pool."""
+        """The pool owners that run on this node, by pool."""
         return self.pool_roles.owners
 
     @property
     def member(self) -> message.Member:
-        """This node as a member; raises RuntimeError before it has started."""
+        """This node's member record; raises RuntimeError before `start`."""
         if self.member_record is None:
-            raise RuntimeError("The node has not started.")
+            raise RuntimeError("The node has no member record before it has started.")
         return self.member_record
 
     # ---- state ---------------------------------------------------------------------
 
     def ready(self) -> tuple[bool, str]:
-        """Whether clients should be sent here, and why not."""
+        """Return whether clients should be sent to this node, and if not, the reason."""
         follower = self.follower
         if self.draining:
             return False, "stopping"
@@ -110,7 +110,7 @@
         return True, ""
 
     def state(self) -> dict[str, typing.Any]:
-        """What this node shows of itself."""
+        """Return the state of this node that `GET /state` shows."""
         follower = self.follower
         ok, why = self.ready()
         return {
@@ -135,24 +135,24 @@
             **self.rate_limiter.state(),
         }
 
-    # ---- controllers -----------------------------------------------------------------
+    # ---- updates -----------------------------------------------------------------
 
     def on_zone_readmitted(self, zone: str) -> None:
-        """Send carefully to the workers of a zone that is evacuated no more."""
+        """Treat the workers of a zone as cold after the end of its evacuation: send them requests at a limited rate."""
         self.gateway.forwarder.cold_workers.zone_readmitted(zone)
 
     def on_update(self) -> None:
-        """The membership, the slice or the workers changed: look which role assignments are here."""
+        """Apply a change of the membership, the slice or the workers to the pool roles, the start and the peers."""
         if self.member_record is None:
             return
         self.pool_roles.update(self.member_record.id)
         self.startup.update()
-        # a question to the core machines may be under way, as a new pool owner puts it to them
+        # connections to core machines stay too: a new pool owner may be waiting for an answer on one
         members = {(member.host, member.port) for member in self.follower.membership.members}
         self.peers.keep(members | set(self.follower.core_zones()))
 
     async def _run_upkeep(self) -> None:
-        """Every second, report roles and grants, and forget what has expired; one task."""
+        """Every REPORT_INTERVAL_US, report roles and grants and remove expired state; one task."""
         while not self.stopped:
             await self.runtime.sleep(REPORT_INTERVAL_US)
             self._report_contested_roles()
@@ -174,14 +174,14 @@
         }
 
     def _report_grants(self) -> None:
-        """List to each pool's owner the grants that this node holds, so that it can free all others."""
+        """Report to each pool's owner the grants that this node holds, so that the owner can release all others."""
         for assignment in self.follower.membership.assignments:
             pool = pool_roles.pool_of(assignment)
             if pool is not None:
                 self.tell_member(assignment.holder, self._grant_report(pool))
 
     def _report_contested_roles(self) -> None:
-        """Tell the core of pools whose role is here but could not be taken up: they need a new term."""
+        """Report to the core the pools assigned to this node whose owner could not start: they need a new term."""
         for assignment in self.follower.membership.assignments:
             mine = pool_roles.pool_of(assignment) is not None and assignment.holder == self.member.id
             if mine and self.pool_roles.is_contested(assignment):
@@ -195,7 +195,7 @@
     # ---- messages -----------------------------------------------------------------------
 
     def tell_member(self, identifier: str, notice: message.Message) -> None:
-        """Send a member a notice without an answer; one to this node itself is handled at once."""
+        """Send a member a message that has no answer; a message to this node itself is handled at once."""
         if identifier == self.member.id:
             self.serve(None, notice)
             return
@@ -226,12 +226,12 @@
     async def call_members(
         self, members: list[message.Member], request: message.Message, deadline_us: int
     ) -> collections.abc.Mapping[str, message.Message | None]:
-        """Call members, this one included.
+        """Send a request to members, which may include this node, and wait for all answers.
 
         Args:
-            members: Whom to call.
+            members: The members to call.
             request: The request to each of them.
-            deadline_us: How long the others have for their answer, in µs.
+            deadline_us: The time in µs that other members have for their answer.
 
         Returns:
             The answers by member id; None where no answer came.
@@ -253,11 +253,11 @@
         return answer
 
     def serve(self, connection: wire.Connection | None, request: message.Message) -> peer_requests.Response:
-        """Answer one message from another node, or from this one where there is no connection."""
+        """Answer one message from another node, or from this node itself if `connection` is None."""
         return self.peer_requests.serve(connection, request)
 
     # ---- stopping -------------------------------------------------------------------------
 
     async def stop(self) -> None:
-        """Leave gracefully, within the grace of the options."""
+        """Stop gracefully, within the option `grace_us`."""
         await shutdown.stop_gracefully(self)
--- a/iriswheel/node/peer_requests.py
+++ b/iriswheel/node/peer_requests.py
@@ -1,4 +1,4 @@
-"""Dispatch of the messages of other nodes to the part of the node that handles each."""
+"""Dispatch of messages from other nodes to the parts of the node that handle them."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     from iriswheel.transport import wire
 
 Response = collections.abc.Coroutine[typing.Any, typing.Any, message.Message] | message.Message | None
-"""An answer, one that is still to come, or none at all."""
+"""An answer, a coroutine that returns the answer, or None for a message without an answer."""
 
 log = loguru.logger.bind(part="node")
 
 
 class PeerRequests:
-    """Passes each message on to the part of the node that it is for."""
+    """Calls the handler for the type of each message."""
 
     def __init__(self, local_node: node.Node) -> None:
         self.node = local_node
         self.follower = local_node.follower
         pool_roles, gateway = local_node.pool_roles, local_node.gateway
-        # each handler takes messages of the type that is its key
+        # message type -> handler of messages of that type
         self._handlers: dict[type[message.Message], collections.abc.Callable[[typing.Any], Response]] = {
             message.SelectWorker: pool_roles.select_worker,
             message.RevokeRequest: pool_roles.revoke,
@@ -49,7 +49,7 @@
         """Answer one message.
 
         Args:
-            connection: Where the message came from; None where this node sent it to itself.
+            connection: The connection on which the message arrived; None if this node sent it to itself.
             request: The message.
         """
         match request:
@@ -64,7 +64,10 @@
                 return None
         handler = self._handlers.get(type(request))
         if handler is None:
-            log.warning("A node does not handle messages of type {message_type}.", message_type=type(request).__name__)
+            log.warning(
+                "The node drops a message of type {message_type}, for which it has no handler.",
+                message_type=type(request).__name__,
+            )
             return None
         return handler(request)
 
--- a/iriswheel/node/peer_status.py
+++ b/iriswheel/node/peer_status.py
@@ -1,4 +1,4 @@
-"""What the peers of a node say of the core, while the node itself has lost it."""
+"""Queries to a node's peers about their contact with the core, made while the node itself has none."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 QUERY_DEADLINE_US = 700 * units.MILLISECOND_US
 STATUS_VALIDITY_US = 1_200 * units.MILLISECOND_US
-"""How long a peer's answer counts; peers are asked twice a second."""
+"""The time for which a peer's answer is valid; peers are asked twice a second."""
 
 MAX_PEERS_QUERIED_WITH_SERVE_ON = 3
-"""How many peers a node asks that serves on without the core."""
+"""The most peers that a node with the option `serve_on` asks at a time."""
 
 log = loguru.logger.bind(part="peer_status")
 
 
 class ReceivedStatus(typing.NamedTuple):
-    """A peer's newest answer, and when it came (µs)."""
+    """A peer's newest answer, and the time (µs) when it was received."""
 
     received_at: int
     response: message.CoreStatusResponse
 
 
 class PeerStatus:
-    """The newest answers of a node's peers to the question whether they hear the core."""
+    """The newest answers of a node's peers to the question whether they have contact with the core."""
 
     def __init__(self, follower: follower.Follower) -> None:
         self.follower = follower
         self.runtime = follower.runtime
-        self.responses: dict[str, ReceivedStatus] = {}  # by member
+        self.responses: dict[str, ReceivedStatus] = {}  # by member id
 
     def clear(self) -> None:
-        """Forget all answers: the node hears the core itself, or was frozen."""
+        """Forget all answers, once the node has contact with the core itself or was frozen."""
         self.responses = {}
 
     def _valid(self) -> dict[str, message.CoreStatusResponse]:
-        """The answers that still count, by member."""
+        """Return the answers that are still valid, by member id."""
         now = self.runtime.now()
         return {
             member: response
@@ -52,15 +52,15 @@
         }
 
     def any_has_newer_configuration(self, applied_index: int) -> bool:
-        """Whether a peer that is in touch with the core has a newer configuration than `applied_index`."""
+        """Whether a peer that has contact with the core has applied a newer log index than `applied_index`."""
         return any(response.core and response.applied_index > applied_index for response in self._valid().values())
 
     def any_reaches_core(self) -> bool:
-        """Whether a peer is in touch with the core."""
+        """Whether any peer has contact with the core."""
         return any(response.core for response in self._valid().values())
 
     def without_core(self, applied_index: int) -> set[str]:
-        """Return the peers that have lost the core too, and have no newer configuration than `applied_index`."""
+        """Return the ids of peers that have lost the core too and have applied no log index above `applied_index`."""
         return {
             member
             for member, response in self._valid().items()
@@ -68,10 +68,11 @@
         }
 
     def query(self) -> None:
-        """Ask the peers whether they hear the core.
+        """Ask the peers whether they have contact with the core.
 
-        All of them, since one that may be with a core that takes changes must be heard; but a
-        node that serves on in any case only wants to know where the core is, and asks a few.
+        A node asks all peers, since any of them may have contact with a core that accepts
+        changes. A node with the option `serve_on` goes on serving in any case: it only needs the
+        address of a core machine, and asks MAX_PEERS_QUERIED_WITH_SERVE_ON random peers.
         """
         peers = self.follower.peers()
         if self.follower.options.serve_on:
@@ -87,7 +88,7 @@
         except wire.ConnectionBrokenError as error:
             if not error.refused:
                 return
-            response = message.CoreStatusResponse(False, None)  # its process is dead
+            response = message.CoreStatusResponse(False, None)  # nothing listens on its port, so its process is dead
         except scheduler.DeadlineError:
             return
         self.responses[peer.id] = ReceivedStatus(self.runtime.now(), response)
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -1,6 +1,7 @@
-"""Asking the platform for its workers, and telling the other nodes.
+"""Polls of the platform's worker list, and the distribution of the list to the core and the other nodes.
 
-One node has the role to ask. Others do so only while they have had no worker list for a while.
+One node holds the role of polling the platform. Other nodes poll it only when they have had no
+update of the worker list for a while.
 """
 
 from __future__ import annotations
@@ -18,44 +19,45 @@
     from iriswheel.transport import wire
 
 ROLE_KEY = "list"
-"""The key of the role assignment."""
+"""The key of the assignment of the role of polling the platform."""
 
 RETRY_INTERVAL_US = 500 * units.MILLISECOND_US
-"""The base of the time that a node waits after a failure, unless the role is its own."""
+"""The base of the random retry delay of a node without the role; its limit doubles with each failure in a row."""
 
 MAX_RETRY_DOUBLINGS = 3
 MAX_SPREAD_US = 4 * units.SECOND_US
-"""Nodes without a recent worker list spread their polls of the platform over at most so long."""
+"""The longest time over which nodes without a recent worker list spread their polls of the platform."""
 
 PAGE_DEADLINE_US = 1 * units.SECOND_US
 MAX_PAGES = 200
 
-ANSWERS_TO_REMOVE_WORKER = 2
-ANSWERS_TO_REMOVE_ALL = 4
+ANSWERS_TO_REMOVE_WORKER = 2  # answers in a row without a worker after which it is removed
+ANSWERS_TO_REMOVE_ALL = 4  # answers in a row without any worker after which all are removed
 
 log = loguru.logger.bind(part="platform_listing")
 
 
 class PlatformListing:
-    """One node's questions to the platform."""
+    """One node's polls of the platform."""
 
     def __init__(self, follower: follower.Follower) -> None:
         self.follower = follower
         self.node = follower.node
         self.runtime = follower.runtime
         self.options = follower.options
-        self.list_now = scheduler.Signal()  # woken once this node has a configuration
-        self.full_listing: message.WorkerListing | None = None  # the last listing that was sent in full
+        self.list_now = scheduler.Signal()  # woken when this node gets its first configuration
+        self.full_listing: message.WorkerListing | None = None  # last listing that was sent in full
         self._full_listing_connection: wire.Connection | None = None  # the session on which the core got it in full
         self._consecutive_misses: dict[str, int] = {}  # worker -> how many answers in a row did not list it
-        self._listing_count = 0  # of the listings made here
-        self._consecutive_failures = 0  # in a row
+        self._listing_count = 0  # listings published by this node
+        self._consecutive_failures = 0
 
     def confirm_removals(self, workers: list[message.Worker]) -> list[message.Worker]:
-        """Return the platform's answer, less what it must say more than once to be believed.
+        """Return the platform's answer, plus the workers whose removal is not confirmed yet.
 
-        A worker that it lists no more counts as gone from the second answer in a row on, and
-        a list of nobody from the fourth: one bad answer must not empty the fleet.
+        A worker that the platform no longer lists is removed at the second such answer in a
+        row, and all workers are removed at the fourth empty answer in a row, because one wrong
+        answer must not empty the fleet.
         """
         listed = {worker.id for worker in workers}
         expected = [worker for worker in self.follower.workers if worker.state != message.WorkerState.GONE]
@@ -66,14 +68,14 @@
         return sorted(workers + kept, key=lambda worker: worker.id)
 
     async def run(self) -> None:
-        """Ask the platform for its workers, where that is this node's role or no worker list comes.
+        """Poll the platform while this node has the role or gets no updates of the worker list; one task.
 
-        Many nodes ask at once when the role's holder is lost: each first waits a while by
-        chance, as long as all members together need at half of the platform's rate, and the
-        first one that has the list tells it to the others.
+        Many nodes would poll at once when the role's holder is lost. So each node without the
+        role first waits for a random part of the time that polls by all members take at half of
+        the platform's call rate, and the first one that gets the list sends it to the others.
         """
         while not self.node.stopped:
-            address = self.options.platform_address()  # options that are read again may name another
+            address = self.options.platform_address()  # a reload of the options may have changed it
             assignment = self._own_assignment()
             if assignment is None and self.follower.lacks_worker_updates() and self.follower.membership.members:
                 await self._wait_random_time()
@@ -88,7 +90,7 @@
             await self.runtime.pause(self.list_now, self.options.list_us)
 
     def _own_assignment(self) -> message.RoleAssignment | None:
-        """Return the role's assignment where it is this node's and this node may rely on that."""
+        """Return the role's assignment if this node holds it and need not rejoin the core first; else None."""
         assignment = self.follower.assignment(ROLE_KEY)
         mine = assignment is not None and assignment.holder == self.node.member.id and not self.follower.needs_rejoin()
         return assignment if mine else None
@@ -100,13 +102,19 @@
         await self.runtime.pause(self.list_now, wait_us)
 
     async def _list_or_wait(self, address: tuple[str, int], has_role: bool) -> list[message.Worker] | None:
-        """Return the list to use; None, after a wait, where a node without the role gets none."""
+        """Return the list to use.
+
+        When the poll fails, a node with the role returns the last list, and a node without it
+        waits for a retry delay and returns None.
+        """
         try:
             workers = self.confirm_removals(await self._fetch_all(*address))
         except defer.CancelledError:
             raise
-        except Exception as error:  # whatever the platform does wrong, the last list stays in use
-            log.warning("The platform's worker list could not be fetched: {error}", error=error)
+        except Exception as error:  # on any fault of the platform the last list stays in use
+            log.warning(
+                "The platform's worker list could not be fetched; the last list stays in use: {error}", error=error
+            )
             workers = self.follower.workers
             if not has_role:
                 self._consecutive_failures += 1
@@ -119,7 +127,10 @@
         return workers
 
     async def _fetch_all(self, host: str, port: int) -> list[message.Worker]:
-        """Return the platform's whole list, page by page; raises ValueError and what fetch raises."""
+        """Return the platform's complete list, fetched page by page.
+
+        Raises ValueError if the list has more than MAX_PAGES pages, and any error of the fetch.
+        """
         workers: list[message.Worker] = []
         token = ""
         for _ in range(MAX_PAGES):
@@ -130,10 +141,10 @@
             workers += page
             if not token:
                 return sorted(workers, key=lambda worker: worker.id)
-        raise ValueError("The platform's list has no end.")
+        raise ValueError(f"The platform's worker list has more than {MAX_PAGES} pages.")
 
     def _publish(self, assignment: message.RoleAssignment, workers: list[message.Worker]) -> None:
-        """Send the core and the other nodes the full list where it changed, else that it is unchanged."""
+        """Send the full list to the core and the other nodes if it changed, otherwise a notice that it is unchanged."""
         self._listing_count += 1
         listing = message.WorkerListing(workers, (assignment.term[0], assignment.term[1], self._listing_count))
         last = self.full_listing
@@ -152,7 +163,7 @@
         session.tell(unchanged)
         if changed:
             self._tell_peers(message.ForwardedListing(listing))
-        elif not session.is_established():  # else the core tells the others that the list is unchanged
+        elif not session.is_established():  # otherwise the core notifies the other nodes
             self._tell_peers(unchanged)
 
     def _share_polled_workers(self, workers: list[message.Worker]) -> None:
--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -1,4 +1,4 @@
-"""The pools that a node owns, and the copies that it keeps of the records of others."""
+"""The pool owners that run on a node, and its replicas of the records of pools with other owners."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def pool_of(assignment: message.RoleAssignment) -> str | None:
-    """Return the pool whose owner an assignment names; None where the role is another.
+    """Return the pool whose owner an assignment names; None for an assignment of another role.
 
     >>> pool_of(message.RoleAssignment("pool/desk", (1, 1), "n", [], []))
     'desk'
@@ -31,22 +31,22 @@
 
 
 class PoolRoles:
-    """Starts and ends pool owners as the membership says, and passes them the messages for their pools."""
+    """Starts and ends pool owners as assigned by the membership, and passes messages to the owner of each pool."""
 
     def __init__(self, local_node: node.Node) -> None:
         self.node = local_node
         self.runtime = local_node.runtime
-        self.owners: dict[str, pool_owner.PoolOwner] = {}  # by pool, where the role is here
+        self.owners: dict[str, pool_owner.PoolOwner] = {}  # by pool, for roles assigned to this node
         self.replicas: dict[str, session_replicas.SessionReplica] = {}  # by pool
 
     def replica(self, pool: str) -> session_replicas.SessionReplica:
-        """Return the copies that are kept here of a pool's records."""
+        """Return this node's replica of a pool's records, created empty if there is none."""
         if pool not in self.replicas:
             self.replicas[pool] = session_replicas.SessionReplica()
         return self.replicas[pool]
 
     def update(self, member_id: str) -> None:
-        """End the owners whose role has gone elsewhere, and start those whose role came here."""
+        """End owners whose role was reassigned or got a new term, and start owners of roles assigned to this node."""
         assigned: dict[str, message.RoleAssignment] = {}
         for assignment in self.node.follower.membership.assignments:
             pool = pool_of(assignment)
@@ -69,38 +69,38 @@
         owner.hand_over_to(self.replica(owner.pool))
 
     def is_contested(self, assignment: message.RoleAssignment) -> bool:
-        """Whether this node could not take up a pool's role, since a newer term was seen."""
+        """Whether no active owner of the pool runs here, because its replica or its owner has seen a newer term."""
         owner = self.owners.get(pool_of(assignment) or "")
         return owner is None or owner.ended
 
     def sweep(self, now: int) -> None:
-        """Forget the copies that expired long ago."""
+        """Remove expired records from the replicas once their retention time is over."""
         for replica in self.replicas.values():
             replica.sweep(now)
 
     def state(self) -> list[dict[str, object]]:
-        """Return what a node shows of its pools."""
+        """Return the state of this node's pool owners that `GET /state` shows."""
         return [owner.state() for _, owner in sorted(self.owners.items())]
 
     # ---- messages ------------------------------------------------------------------
 
     def select_worker(self, request: message.SelectWorker) -> Selection | message.SelectionDenied:
-        """Have a pool's owner choose a worker."""
+        """Let a pool's owner select a worker; deny the request if no owner of the pool runs here."""
         owner = self.owners.get(request.pool)
         if owner is None:
             outcome = errors.ExecutionOutcome.NOT_RUN.value
-            return message.SelectionDenied(request.term, "no_warden", "The duty is not here.", outcome, 0)
+            return message.SelectionDenied(request.term, "no_warden", "The role is not here.", outcome, 0)
         return owner.select_worker(request)
 
     def revoke(self, request: message.RevokeRequest) -> Revocation | message.RevokeResponse:
-        """Have a pool's owner say whether a request was sent there."""
+        """Let a pool's owner revoke an attempt; without an owner here the answer is to ask again later."""
         owner = self.owners.get(request.pool)
         if owner is None:
             return message.RevokeResponse(pool_owner.RevocationState.LATER.value)
         return owner.revoke(request)
 
     def release(self, released: message.GrantReleased) -> None:
-        """Tell a pool's owner that a grant is over."""
+        """Tell a pool's owner that a node has released a grant."""
         owner = self.owners.get(released.pool)
         if owner is not None:
             owner.release(released.attempt_id, errors.ExecutionOutcome(released.execution))
@@ -112,11 +112,11 @@
             owner.take_report(report)
 
     def replicate(self, update: message.ReplicateRecords) -> message.ReplicateResponse:
-        """Keep a copy of an owner's records."""
+        """Store the records that a pool's owner sent in the replica of the pool."""
         return message.ReplicateResponse(self.replica(update.pool).take(update, self.runtime.now()))
 
     def export_records(self, request: message.RecordsRequest) -> message.RecordsResponse:
-        """Return what this node holds of a pool, for its new owner; older terms are refused from then on."""
+        """Return this node's records of a pool for the pool's new owner, and refuse older terms from then on."""
         pool = request.pool
         replica = self.replica(pool)
         now = self.runtime.now()
--- a/iriswheel/node/route_index.py
+++ b/iriswheel/node/route_index.py
@@ -1,4 +1,4 @@
-"""The routes of a node's slice, found by host and path."""
+"""An index of the routes of a node's slice by host and path."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def covering_paths(path: str, longest: int) -> collections.abc.Iterator[str]:
-    """Yield the route paths that would cover a request's path, the longest first.
+    """Yield the route paths that match a request's path as a prefix of whole segments, the longest first.
 
     Args:
         path: The request's path.
@@ -31,12 +31,12 @@
 
 
 class RouteIndex:
-    """Routes by name, and the names by host and path."""
+    """The routes by name, and an index that finds the route of a request by its host and path."""
 
     def __init__(self) -> None:
         self.routes: dict[str, configuration.Route] = {}
-        self._names: dict[tuple[str, str], list[str]] = {}  # (host, path) -> names of the routes there
-        self._longest = 0  # the length of the longest path that a route ever had here
+        self._names: dict[tuple[str, str], list[str]] = {}  # (host, path) -> names of routes for both
+        self._longest = 0  # longest path length of all routes ever added
 
     def put(self, name: str, route: configuration.Route | None) -> None:
         """Add or replace a route; None removes it."""
@@ -52,9 +52,11 @@
             self._longest = max(self._longest, len(route.path))
 
     def find(self, host: str, path: str) -> configuration.Route | None:
-        """Return the route for a host and a path, or None: the longest path that covers it.
+        """Return the route for a request's host and path, or None if no route matches.
 
-        A route for that host goes before those for any, one for some zones before one for all.
+        A route for the host with its port is preferred to one for the host alone, and that one to
+        a route for any host. For the same host the route with the longest matching path is
+        preferred, and for the same path a route limited to some zones.
         """
         host = host.lower()
         for route_host in dict.fromkeys((host, host.partition(":")[0], "")):
--- a/iriswheel/node/shutdown.py
+++ b/iriswheel/node/shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful stop of a node: leave the membership, let streams end, and go within the grace."""
+"""The graceful stop of a node: it leaves the membership and lets streams end within the option `grace_us`."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     from iriswheel.node import node
 
 IDLE_BEFORE_STOP_US = 300 * units.MILLISECOND_US
-"""A node goes once no request was open for so long."""
+"""The time without an open request after which the node stops."""
 
 FLUSH_WAIT_US = 200 * units.MILLISECOND_US
-"""How long the process stays after its last request, for the last bytes to go out."""
+"""The time for which the process stays after its last request, so that the last bytes are sent."""
 
 MAX_NOTICE_WAIT_US = 3 * units.SECOND_US
-"""The longest wait for the platform's question whether this node is ready."""
+"""The longest wait for the platform's next readiness check, by which it notices the drain."""
 
 CHECK_INTERVAL_US = 100 * units.MILLISECOND_US
 
@@ -27,11 +27,11 @@
 
 
 async def stop_gracefully(stopping_node: node.Node) -> None:
-    """Say not ready, hand the roles over, let streams end, leave; all of it within the grace.
+    """Report not ready, hand over the roles, let streams end, and stop, all within the option `grace_us`.
 
-    New requests are served until the platform has heard that this node is not ready and
-    has had a moment to send clients elsewhere, at most 3 s or half of the grace;
-    a last eighth of it is kept back.
+    New requests are served until the platform has noticed that this node is not ready and
+    has had the time `notice_us` to send clients elsewhere, but for at most 3 s or half of the
+    grace. The last eighth of the grace (at most 1 s) is a reserve.
     """
     gateway = stopping_node.gateway
     stopping_node.draining = True
@@ -45,11 +45,11 @@
 
 
 async def _wait_for_requests(stopping_node: node.Node) -> None:
-    """Wait until no request was open for a moment, or most of the grace is over."""
+    """Wait until no request was open for IDLE_BEFORE_STOP_US, or the grace without its reserve is over."""
     gateway, runtime = stopping_node.gateway, stopping_node.runtime
     started_at, grace_us = runtime.now(), stopping_node.options.grace_us
     noticed_by = started_at + min(MAX_NOTICE_WAIT_US, grace_us // 2)
-    refuses_from = noticed_by  # what comes later may not end within the grace, and its client had time to move
+    refuses_from = noticed_by  # later requests may not end within the grace, and their clients had time to move
     ends_at = started_at + grace_us - min(grace_us // 8, units.SECOND_US)
     idle_since: int | None = None
     while (now := runtime.now()) < ends_at:
@@ -59,15 +59,15 @@
         elif idle_since is None:
             idle_since = now
         elif noticed and now - idle_since > IDLE_BEFORE_STOP_US:
-            break  # and what was written last has gone out
+            break  # the last bytes have been sent too
         stopping_node.refusing_requests = noticed and now >= refuses_from
-        # A request that slips in between closes_at and the next check may not end within the grace.
+        # Check again exactly at refuses_from: a request accepted later may not end within the grace.
         wait_us = min(CHECK_INTERVAL_US, refuses_from - now) if now < refuses_from else CHECK_INTERVAL_US
         await runtime.pause(gateway.request_ended, wait_us)
 
 
 def _platform_has_noticed(stopping_node: node.Node, now: int) -> bool:
-    """Whether the platform heard a while ago that this node is not ready."""
+    """Whether the platform learnt more than `notice_us` ago that this node is not ready."""
     noticed_at_us = stopping_node.drain_noticed_at_us
     if not noticed_at_us:
         return False
--- a/iriswheel/node/startup.py
+++ b/iriswheel/node/startup.py
@@ -1,8 +1,8 @@
-"""What a node whose process has just started waits for before it serves.
+"""The start of a node: what a new process waits for before it is ready, and how it holds early requests.
 
-After a loss of all processes a node has a configuration within milliseconds, but no lease, no workers and no
-members yet. Until it has all that its requests need it does not count as ready, and holds the requests that come
-all the same for a short time: most would be refused otherwise though they can still be served in time.
+After a loss of all processes a node has a configuration within milliseconds, but no lease, no worker list and no
+members yet. Until it has everything that its requests need, it does not count as ready. It holds requests that
+arrive anyway for a short time, because most of them can still be served in time and would be refused otherwise.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
     from iriswheel.node import follower
 
 MAX_HOLD_US = 500 * units.MILLISECOND_US
-"""A request is held for so long at most."""
+"""The longest time for which a request is held."""
 
 HOLD_TIMEOUT_DIVISOR = 10
-"""A request is held for at most one part in so many of the time that its client gives it."""
+"""The client's remaining time for a request is divided by this number to limit how long the request is held."""
 
 log = loguru.logger.bind(part="node")
 
 
 class Startup:
-    """The first seconds of a node's process; over once the node has had everything that its requests need.
+    """The start of a node's process, complete as soon as the node has everything that its requests need.
 
-    What is lost again later is judged where it is used: `Node.ready`, admission, forwarding.
+    It stays complete: a later loss of one of these things is handled by `Node.ready`, admission and forwarding.
     """
 
     def __init__(self, node_follower: follower.Follower) -> None:
@@ -40,7 +40,7 @@
         self._completed = scheduler.Signal()
 
     def missing(self) -> str:
-        """What this node still waits for; empty where it has all."""
+        """Return what this node still waits for; empty if it has everything that its requests need."""
         follower = self.follower
         if follower.items is None:
             return "no blueprint yet"
@@ -54,18 +54,22 @@
         return "" if waiting is None else f"no active owner of pool {waiting} yet"
 
     def update(self) -> None:
-        """Look whether the start is over; called whenever something that it waits for may have come."""
+        """Complete the start if nothing is missing; called whenever something missing may have arrived."""
         if self.is_complete or self.missing():
             return
         self.is_complete = True
         log.info(
-            "The node has all that it serves by, {duration_ms} ms after its start.",
+            "The node's start is complete after {duration_ms} ms; it has everything that its requests need.",
             duration_ms=(self.runtime.now() - self._started_at_us) // units.MILLISECOND_US,
         )
         self._completed.wake()
 
     async def hold(self, left_us: int | None) -> None:
-        """Hold a request until the start is over, within a part of the time that it has left (µs; None: not said)."""
+        """Hold a request until the start is complete or its hold time is over.
+
+        Args:
+            left_us: The client's remaining time for the request in µs; None if the client gave none.
+        """
         if self.is_complete:
             return
         hold_us = MAX_HOLD_US if left_us is None else min(MAX_HOLD_US, left_us // HOLD_TIMEOUT_DIVISOR)
--- a/iriswheel/node/tenant_index.py
+++ b/iriswheel/node/tenant_index.py
@@ -1,4 +1,4 @@
-"""The tenants of a node's slice, found by the digests of their keys."""
+"""An index of the tenants of a node's slice by the digests of their keys."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class TenantIndex:
-    """Tenants by name, and their names by key digest.
+    """The tenants by name, and their names by key digest.
 
-    A digest is looked up in a table as it is, not compared in constant time: what the time of a look-up may tell is a
-    digest's first bits, and no key is found by these.
+    A digest is looked up in a hash table and not compared in constant time. The time of a look-up can reveal no more
+    than the first bits of a digest, and a key can't be derived from these.
 
     >>> from iriswheel.configuration import configuration
     >>> index = TenantIndex()
@@ -36,6 +36,6 @@
             self._names.update(dict.fromkeys(tenant.keys, name))
 
     def find(self, key_digest: str) -> tuple[str, configuration.Tenant] | None:
-        """Return the name and the item of the tenant that has a key, or None."""
+        """Return the name and the item of the tenant that has the key with this digest, or None."""
         name = self._names.get(key_digest)
         return None if name is None else (name, self.tenants[name])
--- a/iriswheel/node/worker_list.py
+++ b/iriswheel/node/worker_list.py
@@ -1,4 +1,4 @@
-"""The workers as the platform last listed them, and which listing that was."""
+"""The platform's newest worker list as a node knows it, and the version of its listing."""
 
 from __future__ import annotations
 
@@ -6,34 +6,34 @@
 
 
 class WorkerList:
-    """A node's worker list, with the time until which streams may go on at workers that leave."""
+    """A node's worker list, with the drain deadlines of workers that are leaving or gone."""
 
     def __init__(self) -> None:
         self.workers: list[message.Worker] = []
-        self.workers_by_id: dict[str, message.Worker] = {}  # by id
-        self.updated_at: int | None = None  # when the list was last sent or confirmed, in µs
-        self._drain_deadlines: dict[str, int] = {}  # worker that is not ready -> when its streams must have ended
-        self._newest_version: message.ListingVersion = (0, 0, 0)  # of the newest listing, full or unchanged
-        self._full_version: message.ListingVersion = (0, 0, 0)  # of the full listing that is known here
+        self.workers_by_id: dict[str, message.Worker] = {}
+        self.updated_at: int | None = None  # time (µs) when the list was last received or confirmed
+        self._drain_deadlines: dict[str, int] = {}  # id of a worker that is not ready -> end of its streams (µs)
+        self._newest_version: message.ListingVersion = (0, 0, 0)  # of the newest listing, full or confirmed
+        self._full_version: message.ListingVersion = (0, 0, 0)  # of the newest full listing
 
     def state(self, worker: str) -> str:
-        """Return a worker's state, a `message.WorkerState`; one that is not listed is gone."""
+        """Return a worker's state, a `message.WorkerState`; a worker that is not listed is GONE."""
         listed = self.workers_by_id.get(worker)
         return listed.state if listed is not None else message.WorkerState.GONE
 
     def drain_deadline_passed(self, worker: str, now: int) -> bool:
-        """Whether a worker that leaves or is gone has had its time for streams under way."""
+        """Whether the time that a leaving or gone worker has for its streams under way is over."""
         return now > self._drain_deadlines.get(worker, now)
 
     def accept_listing(self, listing: message.WorkerListing) -> bool:
-        """Note the version of a full listing; False where a newer one came before."""
+        """Record the version of a full listing; return False if a newer listing was recorded before."""
         if listing.version < self._newest_version:
             return False
         self._newest_version = self._full_version = listing.version
         return True
 
     def accept_unchanged(self, unchanged: message.ListingUnchanged, now: int) -> bool:
-        """Note that the list is unchanged since a full listing; False where that listing never came here."""
+        """Record that the list is unchanged since a full listing; return False if this node lacks that listing."""
         if unchanged.unchanged_since != self._full_version:
             return self._full_version > unchanged.unchanged_since
         self._newest_version = max(self._newest_version, unchanged.version)
@@ -41,7 +41,7 @@
         return True
 
     def replace(self, workers: list[message.Worker], now: int) -> bool:
-        """Take a list of all workers; whether it differs from the one before."""
+        """Replace the list of all workers; return whether it changed."""
         self.updated_at = now
         if workers == self.workers:
             return False
