--- a/tests/test_counter_state.py
+++ b/tests/test_counter_state.py
@@ -55,7 +55,7 @@
 class TestIntervals:
     @fuzzing.QUICK
     @hypothesis.given(NUMBERS, NUMBERS)
-    def test_they_act_as_the_sets_that_they_stand_for(self, some: set[int], others: set[int]) -> None:
+    def test_interval_sets_behave_like_plain_sets(self, some: set[int], others: set[int]) -> None:
         one, other = interval_set(some), interval_set(others)
         assert [number in one for number in range(62)] == [number in some for number in range(62)]
         assert list(one.newest_first()) == sorted(some, reverse=True)
@@ -67,7 +67,7 @@
 
     @fuzzing.QUICK
     @hypothesis.given(NUMBERS)
-    def test_they_are_sorted_and_apart(self, numbers: set[int]) -> None:
+    def test_intervals_are_sorted_disjoint_and_not_adjacent(self, numbers: set[int]) -> None:
         found = interval_set(numbers).intervals
         assert all(first <= last for first, last in found)
         assert all(one[1] + 1 < other[0] for one, other in itertools.pairwise(found))
@@ -78,7 +78,7 @@
 
     @fuzzing.QUICK
     @hypothesis.given(ENTRIES, strategies.randoms())
-    def test_replicas_agree_in_whatever_order_and_however_often_adds_come(
+    def test_replicas_agree_for_any_order_and_repetition_of_adds(
         self, entries: list[Entry], generator: random.Random
     ) -> None:
         shuffled = entries + generator.sample(entries, len(entries) // 2)
@@ -99,7 +99,7 @@
 
     @fuzzing.QUICK
     @hypothesis.given(ENTRIES)
-    def test_a_sum_is_that_of_the_least_add_of_each_id(self, entries: list[Entry]) -> None:
+    def test_a_sum_counts_the_least_add_of_each_caller_id(self, entries: list[Entry]) -> None:
         least: dict[tuple[str, str], Entry] = {}
         for entry in sorted(entries, key=lambda entry: (entry[0], entry[1].sequence)):
             least.setdefault((entry[1].name, entry[1].id), entry)
@@ -107,7 +107,7 @@
         for name in "mn":
             assert state.sum_of(name) == sum(add.amount for _, add in least.values() if add.name == name)
 
-    def test_one_id_counts_once_in_each_counter(self) -> None:
+    def test_one_caller_id_counts_once_in_each_counter(self) -> None:
         state = state_of(
             [
                 ("b", message.CounterAdd(1, "n", "x", 5)),
@@ -119,7 +119,7 @@
 
     @fuzzing.QUICK
     @hypothesis.given(ENTRIES)
-    def test_what_is_on_the_disk_is_read_back(self, entries: list[Entry]) -> None:
+    def test_adds_are_loaded_from_the_disk_as_they_were_stored(self, entries: list[Entry]) -> None:
         disk = {
             add_log.storage_key(counter_state.AddId(origin, add.sequence)): add_log.encode_add(add)
             for origin, add in entries
@@ -128,7 +128,7 @@
 
     @fuzzing.QUICK
     @hypothesis.given(ENTRIES, ENTRIES)
-    def test_digests_differ_where_the_adds_do(self, entries: list[Entry], others: list[Entry]) -> None:
+    def test_digests_are_equal_exactly_for_equal_sets_of_adds(self, entries: list[Entry], others: list[Entry]) -> None:
         one, other = state_of(entries).held, state_of(others).held
         assert (one.digest() == other.digest()) == (one == other)
 
@@ -158,7 +158,7 @@
         assert request is not None
         return {batch.origin: [add.sequence for add in batch.adds] for batch in request.batches}
 
-    def test_the_digest_goes_first_and_then_the_newest_that_is_lacking(self) -> None:
+    def test_a_digest_is_sent_first_and_then_the_missing_adds_newest_first(self) -> None:
         self.accept(5)
         first = self.request()
         assert first is not None
@@ -166,7 +166,7 @@
         self.answer({"own": [(1, 1), (4, 4)]})
         assert self.sequences() == {"own": [5, 3, 2]}
 
-    def test_messages_are_bounded(self) -> None:
+    def test_a_request_holds_a_bounded_number_of_adds(self) -> None:
         self.accept(peer_replica.BATCH_ADDS + 10)
         self.request()
         self.answer({})
@@ -174,7 +174,7 @@
         self.answer({"own": [(11, peer_replica.BATCH_ADDS + 10)]}, complete=False)
         assert self.sequences()["own"] == list(range(10, 0, -1))
 
-    def test_nothing_is_sent_where_nothing_is_lacking_until_the_next_comparison(self) -> None:
+    def test_no_request_is_sent_between_comparisons_if_no_add_is_missing(self) -> None:
         self.accept(3)
         self.request()
         self.answer({"own": [(1, 3)]})
@@ -183,7 +183,7 @@
         assert due is not None
         assert due.digest
 
-    def test_what_was_received_and_is_not_synced_yet_is_not_sent_again(self) -> None:
+    def test_adds_received_but_not_yet_synced_by_the_peer_are_not_sent_again(self) -> None:
         self.accept(2)
         self.request()
         self.answer({})
@@ -194,7 +194,7 @@
         assert again is not None
         assert (again.batches, again.digest) == ([], self.state.held.digest())
 
-    def test_adds_of_other_origins_are_sent_after_a_comparison_only(self) -> None:
+    def test_adds_of_other_origins_are_sent_only_after_a_comparison(self) -> None:
         self.request()
         self.answer({})
         self.accept(2, "third")
@@ -203,7 +203,7 @@
         self.answer({"third": [(1, 1)]})
         assert self.sequences(2 + peer_replica.COMPARE_INTERVAL_US) == {"third": [2]}
 
-    def test_adds_of_a_live_origin_are_left_to_it_until_the_next_comparison(self) -> None:
+    def test_adds_of_a_reachable_origin_are_forwarded_only_after_the_forward_delay(self) -> None:
         self.accept(2, "live")
         self.request()
         now = 1 + peer_replica.COMPARE_INTERVAL_US
@@ -219,7 +219,7 @@
         self.answer({"live": [(1, 1)]}, now=now + peer_replica.FORWARD_DELAY_US)
         assert self.sequences() == {"live": [2]}
 
-    def test_a_new_incarnation_has_what_it_says_and_no_more(self) -> None:
+    def test_a_new_incarnation_is_credited_only_with_the_adds_that_it_reports(self) -> None:
         self.accept(3)
         self.request()
         self.answer({"own": [(1, 3)]})
@@ -229,7 +229,7 @@
         assert counter_state.AddId("own", 2) not in self.replica.synced
         assert self.sequences() == {"own": [3, 2]}
 
-    def test_after_a_failed_call_the_digest_goes_first_again(self) -> None:
+    def test_after_a_failed_call_a_digest_is_sent_before_any_adds(self) -> None:
         self.accept(1)
         self.request()
         self.answer({})
@@ -249,7 +249,7 @@
         self.answer({})
         assert self.replica.writable
 
-    def test_an_unreachable_machine_gets_digests_only(self) -> None:
+    def test_an_unreachable_machine_is_sent_digests_only(self) -> None:
         self.accept(1)
         self.request()
         self.answer({})
@@ -266,7 +266,7 @@
 class TestDurability:
     @fuzzing.QUICK
     @hypothesis.given(MACHINES, MACHINES, strategies.integers(1, 3), strategies.booleans())
-    def test_enough_copies_or_all_that_there_can_be(
+    def test_durability_needs_enough_copies_or_all_writable_machines(
         self, holders: set[str], writable: set[str], copies: int, reachability_known: bool
     ) -> None:
         durable = durability.is_durable(holders, writable, copies, own="a", reachability_known=reachability_known)
--- a/tests/test_counters_on_lost_disks.py
+++ b/tests/test_counters_on_lost_disks.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("started", [WIPED, WIPED[:1]])
-def test_machines_on_new_disks_read_nothing_before_they_hear_one_that_kept_its_disk(
+def test_machines_on_new_disks_refuse_reads_until_a_machine_that_kept_its_disk_answers(
     cluster: counter_cluster.CounterCluster, started: tuple[str, ...]
 ) -> None:
     cluster.acknowledged("c1", "x", 4)
@@ -27,7 +27,7 @@
     assert {cluster.read(name) for name in started} == {"not_ready"}
 
 
-def test_an_add_acknowledged_in_a_cut_is_kept_by_the_disk_of_the_machine_that_acknowledged_it(
+def test_an_add_acknowledged_in_a_partition_is_on_the_disk_of_the_acknowledging_machine(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
     cluster.cut("c4", "c5")
@@ -44,7 +44,7 @@
     assert not call.acknowledged or cluster.sums() == {4}
 
 
-def test_a_backlog_for_a_stalled_disk_refuses_no_add_that_enough_others_can_hold(
+def test_a_backlog_for_a_stalled_disk_refuses_no_add_that_enough_other_machines_can_hold(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
     cluster.acknowledged("c1", "before", 1)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -43,19 +43,19 @@
         self.peers.close_idle()
         return self.transport.disconnected and ADDRESS not in self.peers.connections
 
-    def test_keep_alives_alone_hold_no_connection_open(self) -> None:
+    def test_a_connection_that_carries_only_keep_alives_is_closed_after_ten_seconds(self) -> None:
         self.idle(9.75)
         assert not self.is_closed()
         self.idle(0.5)
         assert self.is_closed()
 
-    def test_a_message_begins_the_time_anew(self) -> None:
+    def test_a_message_restarts_the_idle_time_of_its_connection(self) -> None:
         self.idle(8)
         self.connection.tell(message.MemberLeaving("n1"))
         self.idle(8)
         assert not self.is_closed()
 
-    def test_a_call_that_waits_for_its_answer_keeps_its_connection(self) -> None:
+    def test_a_call_that_waits_for_its_answer_keeps_its_connection_open(self) -> None:
         self.connection.call(message.ChargeRequest("t", 1.0), 60 * units.SECOND_US).addErrback(lambda _: None)
         self.idle(20)
         assert not self.is_closed()
--- a/tests/test_peer_status.py
+++ b/tests/test_peer_status.py
@@ -29,13 +29,13 @@
     )
 
 
-def test_the_core_machine_of_a_peer_s_session_is_tried_first() -> None:
+def test_a_peer_in_contact_with_the_core_gives_its_core_machine_as_address_hint() -> None:
     follower = follower_whose_peer_answers(message.CoreStatusResponse(True, None, CORE, 3))
     peer_status.PeerStatus(follower).query()
     assert follower.session.address_hint == CORE
 
 
-def test_a_peer_without_the_core_gives_no_hint() -> None:
+def test_a_peer_that_has_lost_the_core_gives_no_address_hint() -> None:
     follower = follower_whose_peer_answers(message.CoreStatusResponse(False, None, None, 3))
     status = peer_status.PeerStatus(follower)
     status.query()
--- a/tests/test_platform_listing.py
+++ b/tests/test_platform_listing.py
@@ -9,7 +9,7 @@
 from simulation import simulated_cluster
 
 
-def test_options_that_are_read_again_name_the_platform_to_ask(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_nodes_poll_the_platform_address_of_the_reloaded_options(monkeypatch: pytest.MonkeyPatch) -> None:
     cluster = simulated_cluster.SimulatedCluster(3, "small", long_rate=0, short_rate=0, conversations=0)
     cluster.probing = False
     cluster.begin()
--- a/tests/test_replicated_counters.py
+++ b/tests/test_replicated_counters.py
@@ -35,7 +35,7 @@
     assert sorted(cluster.holders("x1")) == sorted(counter_cluster.MACHINES)
 
 
-def test_adds_at_all_machines_come_to_one_sum_and_each_goes_to_each_machine_once(
+def test_adds_at_all_machines_give_one_sum_and_each_is_sent_to_each_machine_once(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
     carried: list[str] = []
@@ -63,7 +63,7 @@
     assert len(carried) == 200 * 4
 
 
-def test_a_repeat_at_the_same_and_at_another_machine_counts_once(cluster: counter_cluster.CounterCluster) -> None:
+def test_a_retried_add_counts_once_at_the_same_and_at_another_machine(cluster: counter_cluster.CounterCluster) -> None:
     cluster.add("c1", "x", 4)
     cluster.acknowledged("c1", "x", 4)
     cluster.acknowledged("c2", "x", 4)
@@ -75,7 +75,7 @@
     assert cluster.sums() == {11}
 
 
-def test_a_repeat_is_acknowledged_no_sooner_than_a_new_add(cluster: counter_cluster.CounterCluster) -> None:
+def test_a_retried_add_is_acknowledged_only_once_enough_disks_hold_it(cluster: counter_cluster.CounterCluster) -> None:
     cluster.acknowledged("c1", "before")
     for name in ("c1", "c2", "c3", "c4"):
         host = cluster.cores[name].process.host
@@ -90,7 +90,7 @@
     assert len(cluster.holders("x")) >= counter_cluster.COPIES
 
 
-def test_both_sides_of_a_cut_go_on_and_agree_in_time_after_it(cluster: counter_cluster.CounterCluster) -> None:
+def test_both_sides_of_a_partition_accept_adds_and_agree_soon_after_it(cluster: counter_cluster.CounterCluster) -> None:
     cluster.acknowledged("c1", "before", 100)
     cluster.cut("c1", "c2")
     cluster.add("c1", "at the cut", 1)
@@ -114,7 +114,9 @@
     assert cluster.cores["c1"].replicated_counters.few_copies_count > 700
 
 
-def test_a_machine_alone_goes_on_and_is_heard_after_the_cut(cluster: counter_cluster.CounterCluster) -> None:
+def test_an_isolated_machine_accepts_adds_and_replicates_them_after_the_partition(
+    cluster: counter_cluster.CounterCluster,
+) -> None:
     cluster.cut("c5")
     cluster.acknowledged("c5", "alone", 3)
     assert cluster.holders("alone") == ["c5"]
@@ -124,7 +126,9 @@
     assert len(cluster.holders("alone")) == 5
 
 
-def test_adds_pass_by_a_third_zone_while_two_can_not_reach_each_other(cluster: counter_cluster.CounterCluster) -> None:
+def test_adds_are_forwarded_by_a_third_zone_while_two_zones_cannot_reach_each_other(
+    cluster: counter_cluster.CounterCluster,
+) -> None:
     north, south = [cluster.hosts[name] for name in ("c1", "c2")], [cluster.hosts[name] for name in ("c3", "c4")]
     cluster.world.cut(north, south)
     cluster.advance(2)
@@ -134,7 +138,7 @@
     assert cluster.sums() == {3}
 
 
-def test_what_a_machine_accepted_reaches_those_that_it_did_not_reach_itself(
+def test_adds_of_a_lost_machine_are_forwarded_to_machines_that_it_never_reached(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
     cluster.cut("c1", "c2", "c3")
@@ -147,7 +151,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_was_acknowledged_outlives_two_disks_while_all_lose_power(seed: int) -> None:
+def test_acknowledged_adds_survive_two_lost_disks_when_all_machines_lose_power(seed: int) -> None:
     cluster = counter_cluster.CounterCluster(seed)
     cluster.advance(5)
     for number in range(60):
@@ -167,7 +171,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_adds_accepted_as_all_machines_start_again_outlive_two_disks(seed: int) -> None:
+def test_an_add_during_a_restart_of_all_machines_is_acknowledged_only_with_enough_copies(seed: int) -> None:
     cluster = counter_cluster.CounterCluster(seed)
     cluster.advance(5)
     cluster.acknowledged("c1", "before", 1)
@@ -185,7 +189,7 @@
     assert len(cluster.holders("early")) >= counter_cluster.COPIES
 
 
-def test_a_process_that_was_paused_does_not_take_that_for_a_cut(cluster: counter_cluster.CounterCluster) -> None:
+def test_a_paused_process_does_not_mistake_its_pause_for_a_partition(cluster: counter_cluster.CounterCluster) -> None:
     cluster.acknowledged("c1", "before", 1)
     call = cluster.add("c1", "x", 2)
     process = cluster.cores["c1"].process
@@ -198,7 +202,7 @@
     assert len(cluster.holders("x")) >= counter_cluster.COPIES
 
 
-def test_a_machine_that_has_just_started_reads_nothing_old(cluster: counter_cluster.CounterCluster) -> None:
+def test_a_machine_that_has_just_started_reads_no_outdated_sum(cluster: counter_cluster.CounterCluster) -> None:
     cluster.kill("c1")
     cluster.advance(1)
     cluster.acknowledged("c2", "meanwhile", 4)
@@ -208,7 +212,7 @@
     assert cluster.read("c1") == 4
 
 
-def test_adds_of_a_machine_that_started_again_are_none_of_its_earlier_ones(
+def test_adds_after_a_restart_reuse_no_identity_of_earlier_adds(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
     cluster.acknowledged("c1", "before", 1)
@@ -220,7 +224,7 @@
     assert cluster.sums() == {3}
 
 
-def test_a_machine_that_reaches_nobody_reads_what_it_has(cluster: counter_cluster.CounterCluster) -> None:
+def test_an_isolated_machine_reads_its_own_adds_after_the_start_delay(cluster: counter_cluster.CounterCluster) -> None:
     cluster.acknowledged("c5", "x", 4)
     cluster.kill("c5")
     cluster.cut("c5")
@@ -231,7 +235,7 @@
     assert cluster.read("c5") == 4
 
 
-def test_a_machine_on_a_new_disk_gets_everything(cluster: counter_cluster.CounterCluster) -> None:
+def test_a_machine_on_a_new_disk_receives_all_adds(cluster: counter_cluster.CounterCluster) -> None:
     for number in range(1200):
         cluster.add(f"c{number % 5 + 1}", f"x{number}")
         cluster.advance(0.002)
@@ -245,7 +249,7 @@
     assert sum(key.startswith(b"counter/") for key in cluster.cores["c2"].process.host.synced) == 1200
 
 
-def test_a_newcomer_that_does_not_vote_takes_part(cluster: counter_cluster.CounterCluster) -> None:
+def test_a_new_core_machine_that_does_not_vote_replicates_counters(cluster: counter_cluster.CounterCluster) -> None:
     cluster.acknowledged("c1", "before", 1)
     cluster.start_newcomer("c6", "10.0.1.6")
     cluster.advance(MERGE_S)
@@ -259,7 +263,9 @@
     assert len(cluster.holders("after")) == 6
 
 
-def test_packets_that_pass_one_way_only_are_a_cut(cluster: counter_cluster.CounterCluster) -> None:
+def test_a_link_that_works_in_one_direction_only_is_handled_as_a_partition(
+    cluster: counter_cluster.CounterCluster,
+) -> None:
     north = [cluster.hosts[name] for name in ("c1", "c2")]
     cluster.world.cut(north, [host for host in cluster.hosts.values() if host not in north], both=False)
     cluster.acknowledged("c1", "x", 1)
@@ -270,7 +276,7 @@
 
 
 @pytest.mark.parametrize("condition", ["full", "stalled"])
-def test_a_disk_that_does_not_work_counts_for_nothing_and_stops_no_read(
+def test_a_failed_disk_does_not_count_as_a_copy_and_does_not_stop_reads(
     cluster: counter_cluster.CounterCluster, condition: typing.Literal["full", "stalled"]
 ) -> None:
     cluster.acknowledged("c1", "before", 1)
@@ -302,7 +308,7 @@
 
 
 @pytest.mark.parametrize("condition", ["full", "stalled"])
-def test_a_side_goes_on_where_one_of_its_disks_does_not_work(
+def test_a_side_of_a_partition_accepts_adds_while_one_of_its_disks_does_not_work(
     cluster: counter_cluster.CounterCluster, condition: typing.Literal["full", "stalled"]
 ) -> None:
     cluster.cut("c1", "c2")
@@ -313,7 +319,7 @@
     assert cluster.read("c2") == 2
 
 
-def test_the_other_machine_of_a_side_is_not_enough_while_the_own_disk_stalls(
+def test_an_add_in_a_partition_is_not_acknowledged_while_the_own_disk_stalls(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
     cluster.cut("c4", "c5")
@@ -328,7 +334,7 @@
     assert call.acknowledged
 
 
-def test_a_refusal_promises_that_nothing_was_done(cluster: counter_cluster.CounterCluster) -> None:
+def test_a_refused_add_is_stored_nowhere(cluster: counter_cluster.CounterCluster) -> None:
     cluster.cut("c4", "c5")
     cluster.cores["c4"].process.host.disk = "full"
     cluster.add("c4", "first")  # finds out
@@ -341,7 +347,7 @@
     assert cluster.holders("refused") == []
 
 
-def test_a_leaving_machine_gives_what_others_lack_before_it_ends(cluster: counter_cluster.CounterCluster) -> None:
+def test_a_stopping_machine_replicates_its_adds_before_it_exits(cluster: counter_cluster.CounterCluster) -> None:
     cluster.cut("c5")
     cluster.advance(2)
     cluster.acknowledged("c5", "alone", 3)
@@ -357,7 +363,7 @@
     assert cluster.sums() == {3}
 
 
-def test_a_fleet_that_counts_nothing_sends_and_writes_nothing() -> None:
+def test_a_fleet_that_uses_no_counters_sends_and_writes_nothing_for_them() -> None:
     cluster = counter_cluster.CounterCluster()
     cluster.advance(10)
     for core in cluster.cores.values():
@@ -365,7 +371,7 @@
         assert not any(key.startswith(b"counter/") for key in core.process.host.synced)
 
 
-def test_operators_see_lag_and_reachability(cluster: counter_cluster.CounterCluster) -> None:
+def test_operators_see_the_lag_and_reachability_of_each_peer(cluster: counter_cluster.CounterCluster) -> None:
     cluster.acknowledged("c1", "x")
     cluster.cut("c1")
     cluster.advance(2)
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -26,7 +26,7 @@
     )
 
 
-def test_requests_are_refused_from_three_seconds_on_and_not_up_to_a_check_later() -> None:
+def test_a_draining_node_refuses_requests_exactly_from_three_seconds_on() -> None:
     clock = task.Clock()
     node = busy_node(clock)
     node.runtime.spawn(shutdown.stop_gracefully(node))
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -64,12 +64,14 @@
             (lambda follower: setattr(follower, "has_active_owner", False), "no active owner of pool desk yet"),
         ],
     )
-    def test_it_waits_for_each_thing_that_requests_need(self, take: Callable[[Follower], None], reason: str) -> None:
+    def test_a_start_is_incomplete_until_the_node_has_everything_that_requests_need(
+        self, take: Callable[[Follower], None], reason: str
+    ) -> None:
         take(self.follower)
         self.start.update()
         assert (self.start.missing(), self.start.is_complete) == (reason, False)
 
-    def test_without_keys_and_limits_neither_a_lease_nor_members_are_waited_for(self) -> None:
+    def test_without_required_keys_and_rate_limits_no_lease_and_no_members_are_needed(self) -> None:
         self.follower.limits = configuration.Limits()
         self.follower.tenants = {}
         self.follower.has_lease = False
@@ -77,7 +79,7 @@
         self.start.update()
         assert self.start.is_complete
 
-    def test_it_is_over_for_good(self) -> None:
+    def test_a_complete_start_stays_complete(self) -> None:
         self.start.update()
         self.follower.has_lease = False
         self.start.update()
@@ -87,7 +89,7 @@
         """Hold a request."""
         return defer.ensureDeferred(self.start.hold(left_us))
 
-    def test_a_held_request_goes_on_as_soon_as_the_start_is_over(self) -> None:
+    def test_a_held_request_continues_as_soon_as_the_start_is_complete(self) -> None:
         self.follower.updated_at = None
         held = self.held(None)
         self.clock.advance(0.1)
@@ -98,7 +100,9 @@
         assert called == [False, True, True]
 
     @pytest.mark.parametrize(("left_us", "hold_s"), [(None, 0.5), (60_000_000, 0.5), (1_500_000, 0.15)])
-    def test_a_request_is_held_for_a_part_of_its_time_at_most(self, left_us: int | None, hold_s: float) -> None:
+    def test_a_request_is_held_for_at_most_a_tenth_of_its_time_and_half_a_second(
+        self, left_us: int | None, hold_s: float
+    ) -> None:
         self.follower.items = None
         held = self.held(left_us)
         self.clock.advance(hold_s - 0.01)
@@ -136,14 +140,14 @@
             clock.advance(0.01)
         raise AssertionError("no membership was issued")
 
-    def test_it_comes_soon_where_all_have_restarted(self) -> None:
+    def test_the_first_membership_is_issued_soon_if_all_processes_have_restarted(self) -> None:
         assert self.issued_after_us(None) == membership_manager.FIRST_MEMBERSHIP_WAIT_US
 
-    def test_it_waits_for_the_nodes_where_roles_may_be_held(self) -> None:
+    def test_the_first_membership_waits_for_nodes_that_may_hold_roles(self) -> None:
         last = message.Membership((6, 2), [NODE], [], [], [])
         assert self.issued_after_us(last) == membership_manager.TAKEOVER_WAIT_US // 2
 
-    def test_it_waits_where_no_node_has_come_that_could_tell(self) -> None:
+    def test_the_first_membership_waits_while_no_node_has_reported(self) -> None:
         assert self.issued_after_us(None, with_node=False) == membership_manager.TAKEOVER_WAIT_US // 2
 
 
@@ -161,7 +165,7 @@
         return True
 
 
-class TestAfterTheLossOfAll:
+class TestRestartOfAllProcesses:
     def test_no_node_is_ready_before_its_pool_has_an_active_owner(self) -> None:
         cluster = simulated_cluster.SimulatedCluster(3, "small", long_rate=0, short_rate=0, conversations=0)
         cluster.probing = False
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -39,7 +39,7 @@
 
 
 class TestClosingServer:
-    def test_what_was_answered_goes_out_before_the_connection_ends(self) -> None:
+    def test_a_closing_server_sends_its_answers_before_it_closes_the_connection(self) -> None:
         clock = task.Clock()
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
 
@@ -59,8 +59,8 @@
         assert done.called
 
 
-class TestOptionsReadAgain:
-    def test_a_changed_file_is_read_again_and_a_bad_one_is_not(self, tmp_path: pathlib.Path) -> None:
+class TestOptionsReload:
+    def test_a_changed_options_file_is_reloaded_and_an_invalid_one_is_not(self, tmp_path: pathlib.Path) -> None:
         clock = task.Clock()
         seeds_read: list[list[str]] = []
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
@@ -90,7 +90,9 @@
 
 
 class TestStoppingInACluster:
-    def test_a_node_leaves_within_its_grace_whatever_is_open(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_node_stops_within_its_grace_while_a_request_stays_open(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster(grace_us=8 * SECOND)
         node = cluster.nodes["n1"]
         node.gateway.open_requests += 1  # a request that never ends
@@ -115,7 +117,7 @@
         cluster.world.heal()
         assert cluster.advance_until(lambda: cluster.nodes["n1"].ready()[0], 5)
 
-    def test_a_core_machine_that_stops_is_out_of_the_chain_before_it_goes(
+    def test_a_stopping_core_machine_leaves_the_chain_before_it_exits(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
@@ -151,7 +153,7 @@
         cluster.advance(3)
         assert not done.called  # two blank machines can't take it over: of the voters it is the only one
 
-    def test_a_core_machine_hands_over_to_joining_members_that_are_still_catching_up(
+    def test_a_stopping_core_machine_stays_until_joining_members_have_caught_up(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         cluster = quiet_cluster(grace_us=30 * SECOND)
@@ -259,7 +261,7 @@
         node.follower.peer_status.query()
         assert len(asked) == most
 
-    def test_nodes_without_updates_of_workers_do_not_storm_the_platform(
+    def test_nodes_without_worker_updates_do_not_overload_the_platform(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         cluster = quiet_cluster(zones=["a", "b", "c", "d"] * 6, serve_on=True)
