--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,10 +1,10 @@
-"""Timers of real processes follow the clock since boot, not the time of day."""
+"""Timers of real processes follow the monotonic clock since boot, not the time of day."""
 
 import subprocess
 import sys
 
 SCRIPT = """
-# what a process loads must not install a reactor of its own
+# importing the modules of a process must not install Twisted's default reactor
 import iriswheel.control.core, iriswheel.node.node, iriswheel.transport.http_server
 import iriswheel.runtime.scheduler as scheduler
 import iriswheel.cli.service as service
@@ -17,8 +17,8 @@
 
 class TestSteadyTimers:
     def test_a_timer_is_due_by_the_clock_since_boot(self) -> None:
-        # By the time of day, the timer would be due some 1.7e9 s after the clock since boot, and would
-        # wait for as long as that clock is set back.
+        # By the time of day, the timer would be due about 1.7e9 s later on the clock since boot, and would be
+        # delayed by each step by which the time of day is set back.
         process = subprocess.run(
             [sys.executable, "-c", SCRIPT], capture_output=True, text=True, timeout=60, check=False
         )
--- a/tests/test_counter_state.py
+++ b/tests/test_counter_state.py
@@ -1,4 +1,4 @@
-"""The replicated counters' state: merging, intervals, what an id counts, what is sent, and when an add is durable."""
+"""The replicated counters without I/O: interval sets, merging, requests to peers, and the durability rule."""
 
 import itertools
 import random
@@ -27,7 +27,7 @@
 
 
 def entries_of(values: dict[tuple[str, int], tuple[str, str, int]]) -> list[Entry]:
-    """The immutable adds: one for each origin and sequence."""
+    """Build the adds of a run, one for each origin and sequence number."""
     return [(origin, message.CounterAdd(sequence, *value)) for (origin, sequence), value in values.items()]
 
 
@@ -74,7 +74,7 @@
 
 
 class TestMerge:
-    """The entries of a run are drawn once; each replica holds a part of them."""
+    """Replicas that hold different parts of the same drawn entries, and the merges of these replicas."""
 
     @fuzzing.QUICK
     @hypothesis.given(ENTRIES, strategies.randoms())
@@ -134,7 +134,7 @@
 
 
 class TestPeerReplica:
-    """What is sent to another machine, after what it has told."""
+    """The requests sent to another machine, depending on its answers."""
 
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
--- a/tests/test_counters_on_lost_disks.py
+++ b/tests/test_counters_on_lost_disks.py
@@ -1,16 +1,16 @@
-"""Replicated counters where disks are lost or stall: what may be read and acknowledged then."""
+"""Replicated counters while disks are lost or stall: which reads and which adds are refused."""
 
 import pytest
 
 from simulation import counter_cluster
 
 WIPED = ("c1", "c2")
-BACKLOG = 11_000
+BACKLOG = 11_000  # adds; above the limit of unsynced adds that a machine accepts itself
 
 
 @pytest.fixture
 def cluster() -> counter_cluster.CounterCluster:
-    """A cluster that has run for long enough."""
+    """A cluster that has run for long enough after its start to accept and read adds as usual."""
     return counter_cluster.settled_cluster()
 
 
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections between processes that carry nothing are closed; what is used stays open."""
+"""Connections between processes that carry no messages are closed; connections in use stay open."""
 
 from typing import Any
 
@@ -14,10 +14,10 @@
 
 
 class Transport(StringTransport):
-    """A transport that notes how its connection ended."""
+    """A transport that records whether its connection was closed."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Take the option of a TCP transport."""
+        """Accept the option of a TCP transport and ignore it."""
 
 
 class TestIdleConnections:
@@ -33,13 +33,13 @@
         self.peers.connections[ADDRESS] = self.connection
 
     def idle(self, seconds: float) -> None:
-        """Let time pass in which the other side sends keep-alives alone."""
+        """Let time pass while the other side sends only keep-alives."""
         for _ in range(round(seconds * 4)):
             self.clock.advance(0.25)
             self.connection.last_received = self.connection.runtime.now()
 
     def is_closed(self) -> bool:
-        """Whether the connection is closed now, after a look for idle ones."""
+        """Close idle connections, and return whether this connection was closed."""
         self.peers.close_idle()
         return self.transport.disconnected and ADDRESS not in self.peers.connections
 
--- a/tests/test_peer_status.py
+++ b/tests/test_peer_status.py
@@ -1,4 +1,4 @@
-"""What a node that lost the core learns from its peers."""
+"""The queries by which a node that has lost the core learns from its peers whether and where the core serves."""
 
 import types
 from typing import Any
@@ -12,8 +12,8 @@
 CORE = ("10.1.0.2", 7300)
 
 
-def follower_whose_peer_answers(response: message.CoreStatusResponse) -> Any:  # noqa: ANN401 - it stands for one
-    """A stand-in for the follower of a node with one peer."""
+def follower_whose_peer_answers(response: message.CoreStatusResponse) -> Any:  # noqa: ANN401 - a stand-in for a follower
+    """Return a stand-in for the follower of a node with one peer."""
 
     async def call(_host: str, _port: int, _query: message.Message, _timeout_us: int) -> message.CoreStatusResponse:
         return response
--- a/tests/test_platform_listing.py
+++ b/tests/test_platform_listing.py
@@ -1,4 +1,4 @@
-"""Which address a node asks for the workers."""
+"""The address of the platform that nodes poll for the worker list."""
 
 import dataclasses
 
--- a/tests/test_replicated_counters.py
+++ b/tests/test_replicated_counters.py
@@ -1,4 +1,4 @@
-"""Replicated counters on five simulated core machines: cuts, lost disks, kills, repeats, and what is kept."""
+"""Replicated counters on five simulated core machines: partitions, lost and failed disks, restarts and retries."""
 
 import collections.abc
 import json
@@ -12,14 +12,14 @@
 from simulation import addresses, counter_cluster, process_model
 from tests import outside
 
-MERGE_S = 3
-AIM_US = 100 * units.MILLISECOND_US
-CALLER_PATIENCE_US = 1 * units.SECOND_US
+MERGE_S = 3  # time within which replicas must agree after a fault
+ACKNOWLEDGE_LIMIT_US = 100 * units.MILLISECOND_US  # for an add without a fault
+ACKNOWLEDGE_LIMIT_AT_PARTITION_US = 1 * units.SECOND_US  # for an add as a partition begins
 
 
 @pytest.fixture
 def cluster() -> counter_cluster.CounterCluster:
-    """A cluster that has run for long enough."""
+    """A cluster that has run for long enough after its start to accept and read adds as usual."""
     return counter_cluster.settled_cluster()
 
 
@@ -28,7 +28,7 @@
     while not call.outcome:
         cluster.advance(0.0005)
     assert call.acknowledged
-    assert call.outcome[0][0] - call.started_at_us < AIM_US
+    assert call.outcome[0][0] - call.started_at_us < ACKNOWLEDGE_LIMIT_US
     assert len(cluster.holders("x1")) >= counter_cluster.COPIES
     cluster.advance(0.3)
     assert cluster.sums() == {4}
@@ -38,19 +38,19 @@
 def test_adds_at_all_machines_give_one_sum_and_each_is_sent_to_each_machine_once(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
-    carried: list[str] = []
+    sent_ids: list[str] = []
     for core in cluster.cores.values():
-        take = core.replicated_counters.replicator.answer
+        answer = core.replicated_counters.replicator.answer
 
         def counting(
             request: message.ReplicateAdds,
-            take: collections.abc.Callable[
+            answer: collections.abc.Callable[
                 [message.ReplicateAdds],
                 collections.abc.Coroutine[typing.Any, typing.Any, message.ReplicateAddsResponse],
-            ] = take,
+            ] = answer,
         ) -> collections.abc.Coroutine[typing.Any, typing.Any, message.ReplicateAddsResponse]:
-            carried.extend(add.id for batch in request.batches for add in batch.adds)
-            return take(request)
+            sent_ids.extend(add.id for batch in request.batches for add in batch.adds)
+            return answer(request)
 
         core.replicated_counters.replicator.answer = counting  # type: ignore[method-assign]
     for number in range(200):
@@ -58,9 +58,9 @@
         cluster.advance(0.01)
     cluster.advance(1.5)
     assert all(call.acknowledged for call in cluster.calls)
-    assert max(call.outcome[0][0] - call.started_at_us for call in cluster.calls) < AIM_US
+    assert max(call.outcome[0][0] - call.started_at_us for call in cluster.calls) < ACKNOWLEDGE_LIMIT_US
     assert cluster.sums() == {cluster.owed()} == {sum(range(200))}
-    assert len(carried) == 200 * 4
+    assert len(sent_ids) == 200 * 4
 
 
 def test_a_retried_add_counts_once_at_the_same_and_at_another_machine(cluster: counter_cluster.CounterCluster) -> None:
@@ -70,7 +70,7 @@
     cluster.add("c3", "y", 7)
     cluster.advance(0.005)
     again = cluster.acknowledged("c5", "y", 7)
-    assert again.outcome[0][0] - again.started_at_us < AIM_US
+    assert again.outcome[0][0] - again.started_at_us < ACKNOWLEDGE_LIMIT_US
     cluster.advance(1)
     assert cluster.sums() == {11}
 
@@ -97,7 +97,7 @@
     cluster.add("c5", "on the other side", 2)
     cluster.advance(1)
     assert all(call.acknowledged for call in cluster.calls)
-    assert all(call.outcome[0][0] - call.started_at_us < CALLER_PATIENCE_US for call in cluster.calls)
+    assert all(call.outcome[0][0] - call.started_at_us < ACKNOWLEDGE_LIMIT_AT_PARTITION_US for call in cluster.calls)
     cluster.advance(1)
     for number in range(1500):
         cluster.add("c1" if number % 2 else "c4", f"cut-{number}", 1)
@@ -182,7 +182,7 @@
     cluster.advance(0.2)
     call = cluster.add(early, "early", 2)
     cluster.advance(1)
-    assert call.is_open()  # the others are starting too: their silence is no cut
+    assert call.is_open()  # the others are starting too, so their silence does not mean a partition
     cluster.start(*(name for name in counter_cluster.MACHINES if name != early))
     cluster.advance(1)
     assert call.acknowledged
@@ -337,7 +337,7 @@
 def test_a_refused_add_is_stored_nowhere(cluster: counter_cluster.CounterCluster) -> None:
     cluster.cut("c4", "c5")
     cluster.cores["c4"].process.host.disk = "full"
-    cluster.add("c4", "first")  # finds out
+    cluster.add("c4", "first")  # its write detects that the disk is full
     cluster.advance(3)
     call = cluster.add("c4", "refused")
     assert call.outcome[0][1] == "too_few_copies"
@@ -396,7 +396,7 @@
         self.runtime = caller.runtime()
 
     def call(self, method: str, path: str, body: str = "", port: int = addresses.HTTP_PORT) -> tuple[int, typing.Any]:
-        """Send one request: the status and the document of the answer."""
+        """Send one request; return the status and the JSON body of the answer."""
         text = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}"
         raw = outside.exchange(self.cluster, self.runtime, self.host, port, text)
         head, _, document = raw.partition(b"\r\n\r\n")
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""When a node that stops refuses new requests."""
+"""The time from which a node that stops refuses new requests."""
 
 import types
 from typing import Any
@@ -11,8 +11,8 @@
 GRACE_US = 8_100 * units.MILLISECOND_US
 
 
-def busy_node(clock: task.Clock) -> Any:  # noqa: ANN401 - it stands for a node
-    """A stand-in for a node with one request open, whose platform has not asked since the stop."""
+def busy_node(clock: task.Clock) -> Any:  # noqa: ANN401 - a stand-in for a node
+    """Return a stand-in for a node with one open request, whose platform has not noticed the drain."""
     return types.SimpleNamespace(
         runtime=scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US)),
         gateway=types.SimpleNamespace(open_requests=1, request_ended=scheduler.Signal()),
--- a/tests/test_startup.py
+++ b/tests/test_startup.py
@@ -1,4 +1,4 @@
-"""A node whose process has just started: when it counts as ready, and for how long it holds requests."""
+"""The start of a node: when it counts as ready, how long it holds requests, and the first membership."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 class Follower:
-    """What the start asks of a node's view of the fleet, all of it there at first."""
+    """A stand-in for a node's follower that at first has everything a node's start waits for."""
 
     def __init__(self, runtime: scheduler.Runtime) -> None:
         self.runtime = runtime
@@ -30,15 +30,15 @@
         self.has_lease = self.has_active_owner = True
 
     def keys_may_be_revoked(self) -> bool:
-        """Whether there has been no lease."""
+        """Whether the node never had a lease."""
         return not self.has_lease
 
     def selected_by_owner(self, _name: str) -> bool:
-        """The one pool has an owner."""
+        """Return True, since the only pool is served by an owner."""
         return True
 
     def assignment(self, key: str) -> message.RoleAssignment:
-        """The role of the pool's owner."""
+        """Return the role assignment of the pool's owner."""
         return message.RoleAssignment(key, (1, 1), "n1", [], [], active=self.has_active_owner)
 
 
@@ -86,7 +86,7 @@
         assert self.start.is_complete
 
     def held(self, left_us: int | None) -> defer.Deferred[None]:
-        """Hold a request."""
+        """Hold a request that has `left_us` left."""
         return defer.ensureDeferred(self.start.hold(left_us))
 
     def test_a_held_request_continues_as_soon_as_the_start_is_complete(self) -> None:
@@ -112,10 +112,10 @@
 
 
 class TestFirstMembership:
-    """A tail whose fleet has restarted issues the membership soon; one that may hear of roles waits for it."""
+    """A tail issues its first membership soon, but waits for nodes as long as some may still hold roles."""
 
     def issued_after_us(self, last: message.Membership | None, *, with_node: bool = True) -> int:
-        """How long after the lease the membership is issued."""
+        """Return how long after getting the lease the tail issues the membership."""
         clock = task.Clock()
         runtime = scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US))
         consensus = HeldLease()
@@ -152,16 +152,16 @@
 
 
 class HeldLease:
-    """View consensus of a machine that is the tail and holds the lease."""
+    """A stand-in for the view consensus of a machine that is the tail and holds the lease."""
 
     view = message.View(7, [], [message.ChainReplica("c1", "1")])
 
     def is_tail(self) -> bool:
-        """It is the tail."""
+        """Return True."""
         return True
 
     def holds_lease(self) -> bool:
-        """It holds the lease."""
+        """Return True."""
         return True
 
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""How processes stop, go on, and take in options that changed while they run; where nodes keep their sessions."""
+"""The graceful stop of processes, the reload of options, and nodes without the core or away from their own zone."""
 
 import functools
 import os
@@ -20,21 +20,21 @@
 
 
 def chain_length(cluster: simulated_cluster.SimulatedCluster) -> int:
-    """The replicas in the chain as the tail knows it; 0 where there is no tail."""
+    """Return the number of replicas in the chain according to the tail; 0 without a tail."""
     tail = cluster.tail()
     return 0 if tail is None else len(optional.present(tail.consensus.view).chain)
 
 
 class UnbrokenTransport(testing.StringTransport):
-    """A connection's far side that must not be broken off."""
+    """A transport that fails the test if its connection is aborted."""
 
     def abortConnection(self) -> None:
         """Fail the test."""
-        pytest.fail("broken off")
+        pytest.fail("the server aborted the connection before its answer was sent")
 
 
 def build_channel(server: http_server.Server, port: int) -> Any:  # noqa: ANN401 - the interface lacks the types
-    """The server's protocol for a connection from a local port; None where the server takes none."""
+    """Return the server's protocol for a connection from a local port; None if the server accepts none."""
     return server.buildProtocol(cast("interfaces.IAddress", address.IPv4Address("TCP", "127.0.0.1", port)))
 
 
@@ -53,7 +53,7 @@
         channel.dataReceived(b"GET /state HTTP/1.1\r\nHost: x\r\n\r\n")
         done = defer.ensureDeferred(server.finish(SECOND))
         assert b'{"whole": true}' in wire.value()
-        assert (wire.disconnecting, done.called) == (True, False)  # disconnecting: after what was written
+        assert (wire.disconnecting, done.called) == (True, False)  # closing once the answer is sent
         assert build_channel(server, 2) is None
         channel.connectionLost(failure.Failure(error.ConnectionDone()))
         assert done.called
@@ -151,7 +151,7 @@
         for machine in others:
             cluster.start_core(machine.options.name, *cluster.places[machine.options.name])
         cluster.advance(3)
-        assert not done.called  # two blank machines can't take it over: of the voters it is the only one
+        assert not done.called  # the head is the only voter left: two machines with empty disks can't replace it
 
     def test_a_stopping_core_machine_stays_until_joining_members_have_caught_up(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
@@ -274,7 +274,7 @@
             await handle(request)
 
         monkeypatch.setattr(cluster.platform_process.ports[9000], "handle", counted)
-        for machine in cluster.cores.values():  # nobody can hand the role on
+        for machine in cluster.cores.values():  # so that nobody reassigns the role of polling
             machine.process.kill()
         holder = next(
             node
