--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -141,7 +141,7 @@
             workers += page
             if not token:
                 return sorted(workers, key=lambda worker: worker.id)
-        raise ValueError(f"The platform's worker list has more than {MAX_PAGES} pages.")
+        raise ValueError("The platform's worker list has too many pages.")
 
     def _publish(self, assignment: message.RoleAssignment, workers: list[message.Worker]) -> None:
         """Send the full list to the core and the other nodes if it changed, otherwise a notice that it is unchanged."""
