--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -266,7 +266,7 @@
         self.items = after
         self.applied_index = index
         if not before:
-            self.platform.list_now.wake()
+            self.platform.poll_now.wake()
         for kind, name, item in parsed:
             self._put_item(kind, name, item)
         self._apply_evacuations(configuration.evacuated_zones(after))
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -45,7 +45,7 @@
         self.node = follower.node
         self.runtime = follower.runtime
         self.options = follower.options
-        self.list_now = scheduler.Signal()  # woken when this node gets its first configuration
+        self.poll_now = scheduler.Signal()  # woken when this node gets its first configuration
         self.full_listing: message.WorkerListing | None = None  # last listing that was sent in full
         self._full_listing_connection: wire.Connection | None = None  # the session on which the core got it in full
         self._consecutive_misses: dict[str, int] = {}  # worker -> how many answers in a row did not list it
@@ -87,7 +87,7 @@
                     self._publish(assignment, workers)
                 else:
                     self._share_polled_workers(workers)
-            await self.runtime.pause(self.list_now, self.options.list_us)
+            await self.runtime.pause(self.poll_now, self.options.list_us)
 
     def _own_assignment(self) -> message.RoleAssignment | None:
         """Return the role's assignment if this node holds it and need not rejoin the core first; else None."""
@@ -99,7 +99,7 @@
         members = len(self.follower.membership.members)
         spread_us = members * units.SECOND_US / (self.options.call_rate / 2)
         wait_us = self.runtime.rng.randrange(1 + int(min(spread_us, MAX_SPREAD_US)))
-        await self.runtime.pause(self.list_now, wait_us)
+        await self.runtime.pause(self.poll_now, wait_us)
 
     async def _list_or_wait(self, address: tuple[str, int], has_role: bool) -> list[message.Worker] | None:
         """Return the list to use.
--- a/iriswheel/replicated_counters/counter_state.py
+++ b/iriswheel/replicated_counters/counter_state.py
@@ -185,7 +185,7 @@
         """Return the sums of all counters, by name."""
         return dict(self._sums)
 
-    def counted(self, call_id: CallId) -> AddId | None:
+    def counted_add_id(self, call_id: CallId) -> AddId | None:
         """Return the identity of the add that counts for a caller's add; None if no such add is held."""
         counted = self._counted.get(call_id.name, {}).get(call_id.id)
         return None if counted is None else counted.add_id()
--- a/iriswheel/replicated_counters/counters.py
+++ b/iriswheel/replicated_counters/counters.py
@@ -62,9 +62,8 @@
         )
         self.stopping = False
         self.few_copies_count = 0  # adds acknowledged while fewer than `copies` machines held them
-        self._may_lack_all = not founding and not len(
-            self.state.held
-        )  # a lost disk is possible until enough comparisons
+        # whether the disk may have replaced one that held adds; cleared by enough comparisons with other machines
+        self._may_have_new_disk = not founding and not len(self.state.held)
         self._last_sequence = 0
         self._held_at_stop = counter_state.HeldAdds()
 
@@ -91,7 +90,7 @@
                 still do so (`unknown_outcome`).
         """
         self.replicator.activate()
-        add_id = self.state.counted(call_id)
+        add_id = self.state.counted_add_id(call_id)
         if add_id is None or not (add_id.origin == self.origin or self._is_durable(add_id)):
             self._refuse_if_unable()
             add_id = self._accept(call_id, amount)
@@ -124,10 +123,10 @@
         disk, so this machine waits, however long that takes, until it holds all adds of so many other machines that
         together with itself they are `copies`.
         """
-        if self._may_lack_all:
-            self._may_lack_all = self.replicator.count_machines_caught_up_with() + 1 < self.copies
+        if self._may_have_new_disk:
+            self._may_have_new_disk = self.replicator.count_machines_caught_up_with() + 1 < self.copies
         just_started = self.runtime.now() - self.started_at_us < READ_DELAY_US
-        return self._may_lack_all or (just_started and not self.replicator.holds_what_majority_had())
+        return self._may_have_new_disk or (just_started and not self.replicator.has_caught_up_with_majority())
 
     def _refuse_if_unable(self) -> None:
         if self.stopping:
--- a/iriswheel/replicated_counters/replicator.py
+++ b/iriswheel/replicated_counters/replicator.py
@@ -79,7 +79,7 @@
         """Return the other machines that can sync an add now."""
         return {address for address, replica in self.replicas.items() if replica.writable}
 
-    def holds_what_majority_had(self) -> bool:
+    def has_caught_up_with_majority(self) -> bool:
         """Whether this machine holds all adds that a majority (itself included) held at the last comparisons."""
         return self.count_machines_caught_up_with() + 1 >= decisions.majority(len(self.replicas) + 1)
 
