--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -45,7 +45,9 @@
 
     def cancel_drained(self) -> None:
         """Cancel the attempts at workers that left the fleet and whose drain time is over."""
-        for attempt in [attempt for attempt in self.attempts.values() if self.node.follower.drained(attempt.worker)]:
+        for attempt in [
+            attempt for attempt in self.attempts.values() if self.node.follower.drain_deadline_passed(attempt.worker)
+        ]:
             attempt.cancel()
 
     async def watch_hangs(self) -> None:
@@ -60,7 +62,7 @@
 
     async def _cancel_hanging(self, worker_id: str) -> None:
         """Cancel the hanging attempts at a worker, if this node can't connect to it."""
-        worker = self.node.follower.states.get(worker_id)
+        worker = self.node.follower.workers_by_id.get(worker_id)
         if worker is not None and worker_id not in self.node.reachability.unreachable_since:
             response = await self.node.reachability.probe(worker)
             if response.outcome != message.ProbeOutcome.NOT_REACHED:
--- a/iriswheel/dataplane/cold_workers.py
+++ b/iriswheel/dataplane/cold_workers.py
@@ -47,7 +47,7 @@
         """The workers of the last received worker list."""
 
     @property
-    def states(self) -> dict[str, message.Worker]:
+    def workers_by_id(self) -> dict[str, message.Worker]:
         """The listed workers, by id."""
 
     @property
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -256,7 +256,7 @@
             raise self.final_error(request, "busy", "Deadline expired.")
         if not request.sends and wait_us > request.deadline_us - now:
             raise self.final_error(request, "busy", "No worker would begin in time.", wait_us // 2)
-        return self.node.follower.states[worker_id]
+        return self.node.follower.workers_by_id[worker_id]
 
     def _candidates(self, request: forwarded_request.ForwardedRequest) -> cold_workers.Candidates:
         """Return the candidates that are within reach; all candidates where the request has tried each of those."""
@@ -429,7 +429,7 @@
 
         Only sends to cold workers are limited.
         """
-        listed = self.node.follower.states.get(worker.id, worker)
+        listed = self.node.follower.workers_by_id.get(worker.id, worker)
         return self.cold_workers.start_send(listed, request.pool)
 
 
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -108,7 +108,7 @@
         """Probe an unreachable worker until it is reached or no longer listed."""
         while worker_id in self.unreachable_since and not self.node.stopped:
             await self.runtime.sleep(PROBE_INTERVAL_US)
-            worker = self.node.follower.states.get(worker_id)
+            worker = self.node.follower.workers_by_id.get(worker_id)
             if worker is None:
                 self.unreachable_since.pop(worker_id, None)
             else:
--- a/iriswheel/dataplane/interfaces.py
+++ b/iriswheel/dataplane/interfaces.py
@@ -59,7 +59,7 @@
         """The workers of the last received worker list."""
 
     @property
-    def states(self) -> dict[str, message.Worker]:
+    def workers_by_id(self) -> dict[str, message.Worker]:
         """The listed workers, by id."""
 
     def find_route(self, host: str, path: str) -> configuration.Route | None:
@@ -80,7 +80,7 @@
     def accepts_requests(self, worker: str) -> bool:
         """Whether new requests may go to a worker: it is listed as ready, and its zone is not evacuated."""
 
-    def drained(self, worker: str) -> bool:
+    def drain_deadline_passed(self, worker: str) -> bool:
         """Whether a worker is leaving or gone and its drain time is over."""
 
     def selected_by_owner(self, name: str) -> bool:
--- a/iriswheel/dataplane/worker_reach.py
+++ b/iriswheel/dataplane/worker_reach.py
@@ -37,7 +37,7 @@
         """The workers of the last received worker list."""
 
     @property
-    def states(self) -> dict[str, message.Worker]:
+    def workers_by_id(self) -> dict[str, message.Worker]:
         """The listed workers, by id."""
 
 
@@ -80,7 +80,7 @@
 
     def note_reachable(self, worker: str) -> None:
         """Note that a connection to a worker was made: neither the worker nor its zone is unreachable."""
-        listed = self.fleet.states.get(worker)
+        listed = self.fleet.workers_by_id.get(worker)
         if listed is None:
             return
         self.unreachable_zones.discard(listed.zone)
@@ -114,7 +114,7 @@
 
     def note_silent(self, worker: str) -> None:
         """Note that a worker is silent; if its whole zone is silent, check whether the worker is still reachable."""
-        listed = self.fleet.states.get(worker)
+        listed = self.fleet.workers_by_id.get(worker)
         if listed is not None and not self._has_recent_contact_with_zone(listed.zone):
             self.check(listed)
 
@@ -133,11 +133,13 @@
         if now - self._retried_at_us < RETRY_US:
             return
         self._retried_at_us = now
-        self.unreachable_workers = {worker: None for worker in self.unreachable_workers if worker in self.fleet.states}
+        self.unreachable_workers = {
+            worker: None for worker in self.unreachable_workers if worker in self.fleet.workers_by_id
+        }
         self.unreachable_zones &= {worker.zone for worker in self.fleet.workers}
         least_recently_tried: dict[str, message.Worker] = {}
         for worker in self.unreachable_workers:
-            listed = self.fleet.states[worker]
+            listed = self.fleet.workers_by_id[worker]
             least_recently_tried.setdefault(listed.zone, listed)
         for listed in least_recently_tried.values():
             self.check(listed)
@@ -145,7 +147,7 @@
     def _is_unreachable(self, worker: str) -> bool:
         if worker in self.unreachable_workers:
             return True
-        listed = self.fleet.states.get(worker)
+        listed = self.fleet.workers_by_id.get(worker)
         return listed is not None and listed.zone in self.unreachable_zones
 
     def _has_recent_contact_with_zone(self, zone: str) -> bool:
@@ -166,6 +168,6 @@
     def _check_zone(self, zone: str) -> None:
         """Check the unreachable workers of a zone, one of whose workers has just become reachable."""
         for other in list(self.unreachable_workers):
-            listed = self.fleet.states.get(other)
+            listed = self.fleet.workers_by_id.get(other)
             if listed is not None and listed.zone == zone:
                 self.check(listed)
--- a/iriswheel/dataplane/worker_selection.py
+++ b/iriswheel/dataplane/worker_selection.py
@@ -143,7 +143,7 @@
         """Accept a grant; or release it and return None if it is too late or outdated, or its worker can't be used."""
         pool_name = request.pool_name
         assignment = self.owners.assignment(pool_name)
-        worker = self.node.follower.states.get(grant.worker)
+        worker = self.node.follower.workers_by_id.get(grant.worker)
         if (
             assignment is None
             or grant.term < assignment.term
@@ -188,7 +188,7 @@
             return None  # retries need the retry budget of the pool's owner
         key = (request.pool_name, request.session)
         affinity = self.affinities.get(key, NO_AFFINITY)
-        worker = self.node.follower.states.get(affinity.worker)
+        worker = self.node.follower.workers_by_id.get(affinity.worker)
         now = self.runtime.now()
         if (
             worker is None
--- a/iriswheel/pools/interfaces.py
+++ b/iriswheel/pools/interfaces.py
@@ -38,7 +38,7 @@
         """The workers of the newest worker list."""
 
     @property
-    def states(self) -> dict[str, message.Worker]:
+    def workers_by_id(self) -> dict[str, message.Worker]:
         """The workers of the newest worker list, by id."""
 
     @property
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -273,7 +273,7 @@
     async def _check_excluded_workers(self, workers: list[str]) -> None:
         """Have the workers that the requesting node could not reach probed, since perhaps no node reaches them."""
         for name in workers:
-            worker = self.node.follower.states.get(name)
+            worker = self.node.follower.workers_by_id.get(name)
             if worker is not None and worker.state == message.WorkerState.READY and name not in self.watch.ejected:
                 await self.watch.check(worker)
 
--- a/tests/test_peer_status.py
+++ b/tests/test_peer_status.py
@@ -1,4 +1,4 @@
-"""What a node that lost the core learns from its peers."""
+"""The queries by which a node that has lost the core learns from its peers whether and where the core serves."""
 
 import types
 from typing import Any
@@ -12,8 +12,8 @@
 CORE = ("10.1.0.2", 7300)
 
 
-def follower_whose_peer_answers(response: message.CoreStatusResponse) -> Any:  # noqa: ANN401 - it stands for one
-    """A stand-in for the follower of a node with one peer."""
+def follower_whose_peer_answers(response: message.CoreStatusResponse) -> Any:  # noqa: ANN401 - a stand-in for a follower
+    """Return a stand-in for the follower of a node with one peer."""
 
     async def call(_host: str, _port: int, _query: message.Message, _timeout_us: int) -> message.CoreStatusResponse:
         return response
@@ -23,21 +23,21 @@
         options=types.SimpleNamespace(serve_on=False),
         membership=message.Membership((1, 1), [], [], [], []),
         node=types.SimpleNamespace(peers=types.SimpleNamespace(call=call)),
-        session=types.SimpleNamespace(hint=None),
+        session=types.SimpleNamespace(address_hint=None),
         peers=lambda: [message.Member("n2-1", "n2", "a", "10.2.0.2", 7301, 8263)],
         apply_membership=lambda _membership: None,
     )
 
 
-def test_the_core_machine_of_a_peer_s_session_is_tried_first() -> None:
+def test_a_peer_in_contact_with_the_core_gives_its_core_machine_as_address_hint() -> None:
     follower = follower_whose_peer_answers(message.CoreStatusResponse(True, None, CORE, 3))
     peer_status.PeerStatus(follower).query()
-    assert follower.session.hint == CORE
+    assert follower.session.address_hint == CORE
 
 
-def test_a_peer_without_the_core_gives_no_hint() -> None:
+def test_a_peer_that_has_lost_the_core_gives_no_address_hint() -> None:
     follower = follower_whose_peer_answers(message.CoreStatusResponse(False, None, None, 3))
     status = peer_status.PeerStatus(follower)
     status.query()
-    assert follower.session.hint is None
+    assert follower.session.address_hint is None
     assert status.without_core(3) == {"n2-1"}
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""How processes stop, go on, and take in options that changed while they run; where nodes keep their sessions."""
+"""The graceful stop of processes, the reload of options, and nodes without the core or away from their own zone."""
 
 import functools
 import os
@@ -20,26 +20,26 @@
 
 
 def chain_length(cluster: simulated_cluster.SimulatedCluster) -> int:
-    """The replicas in the chain as the tail knows it; 0 where there is no tail."""
+    """Return the number of replicas in the chain according to the tail; 0 without a tail."""
     tail = cluster.tail()
     return 0 if tail is None else len(optional.present(tail.consensus.view).chain)
 
 
 class UnbrokenTransport(testing.StringTransport):
-    """A connection's far side that must not be broken off."""
+    """A transport that fails the test if its connection is aborted."""
 
     def abortConnection(self) -> None:
         """Fail the test."""
-        pytest.fail("broken off")
+        pytest.fail("the server aborted the connection before its answer was sent")
 
 
 def build_channel(server: http_server.Server, port: int) -> Any:  # noqa: ANN401 - the interface lacks the types
-    """The server's protocol for a connection from a local port; None where the server takes none."""
+    """Return the server's protocol for a connection from a local port; None if the server accepts none."""
     return server.buildProtocol(cast("interfaces.IAddress", address.IPv4Address("TCP", "127.0.0.1", port)))
 
 
 class TestClosingServer:
-    def test_what_was_answered_goes_out_before_the_connection_ends(self) -> None:
+    def test_a_closing_server_sends_its_answers_before_it_closes_the_connection(self) -> None:
         clock = task.Clock()
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
 
@@ -53,14 +53,14 @@
         channel.dataReceived(b"GET /state HTTP/1.1\r\nHost: x\r\n\r\n")
         done = defer.ensureDeferred(server.finish(SECOND))
         assert b'{"whole": true}' in wire.value()
-        assert (wire.disconnecting, done.called) == (True, False)  # disconnecting: after what was written
+        assert (wire.disconnecting, done.called) == (True, False)  # closing once the answer is sent
         assert build_channel(server, 2) is None
         channel.connectionLost(failure.Failure(error.ConnectionDone()))
         assert done.called
 
 
-class TestOptionsReadAgain:
-    def test_a_changed_file_is_read_again_and_a_bad_one_is_not(self, tmp_path: pathlib.Path) -> None:
+class TestOptionsReload:
+    def test_a_changed_options_file_is_reloaded_and_an_invalid_one_is_not(self, tmp_path: pathlib.Path) -> None:
         clock = task.Clock()
         seeds_read: list[list[str]] = []
         runtime = scheduler.Runtime(clock, now=lambda: int(clock.seconds() * SECOND), seed=1)
@@ -90,7 +90,9 @@
 
 
 class TestStoppingInACluster:
-    def test_a_node_leaves_within_its_grace_whatever_is_open(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_node_stops_within_its_grace_while_a_request_stays_open(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster(grace_us=8 * SECOND)
         node = cluster.nodes["n1"]
         node.gateway.open_requests += 1  # a request that never ends
@@ -115,7 +117,7 @@
         cluster.world.heal()
         assert cluster.advance_until(lambda: cluster.nodes["n1"].ready()[0], 5)
 
-    def test_a_core_machine_that_stops_is_out_of_the_chain_before_it_goes(
+    def test_a_stopping_core_machine_leaves_the_chain_before_it_exits(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
@@ -149,9 +151,9 @@
         for machine in others:
             cluster.start_core(machine.options.name, *cluster.places[machine.options.name])
         cluster.advance(3)
-        assert not done.called  # two blank machines can't take it over: of the voters it is the only one
+        assert not done.called  # the head is the only voter left: two machines with empty disks can't replace it
 
-    def test_a_core_machine_hands_over_to_joining_members_that_are_still_catching_up(
+    def test_a_stopping_core_machine_stays_until_joining_members_have_caught_up(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         cluster = quiet_cluster(grace_us=30 * SECOND)
@@ -259,7 +261,7 @@
         node.follower.peer_status.query()
         assert len(asked) == most
 
-    def test_nodes_without_updates_of_workers_do_not_storm_the_platform(
+    def test_nodes_without_worker_updates_do_not_overload_the_platform(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         cluster = quiet_cluster(zones=["a", "b", "c", "d"] * 6, serve_on=True)
@@ -272,7 +274,7 @@
             await handle(request)
 
         monkeypatch.setattr(cluster.platform_process.ports[9000], "handle", counted)
-        for machine in cluster.cores.values():  # nobody can hand the role on
+        for machine in cluster.cores.values():  # so that nobody reassigns the role of polling
             machine.process.kill()
         holder = next(
             node
