--- a/iriswheel/verification/availability.py
+++ b/iriswheel/verification/availability.py
@@ -10,15 +10,15 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-LONG_FIRST_US = 1_000_000  # to the first byte of a long request
-SHORT_FIRST_US = 500_000  # to the first byte of a short one
-PAUSE_US = 1_000_000  # between two events of a stream
-CHANGE_US = 5_000_000  # from the operator's wish for a change to its acknowledgement
+LONG_FIRST_BYTE_MAX_US = 1_000_000  # to the first byte of a long request
+SHORT_FIRST_BYTE_MAX_US = 500_000  # to the first byte of a short one
+STREAM_PAUSE_MAX_US = 1_000_000  # between two events of a stream
+ACKNOWLEDGEMENT_MAX_US = 5_000_000  # from the operator's wish for a change to its acknowledgement
 REFUSAL_SLACK_US = 500_000  # a refusal may come this long after the pool's wait is over
 DEFAULT_LONG_WAIT_US = 10_000_000
 DEFAULT_SHORT_WAIT_US = 5_000_000
-RECOVERED_US = 5_000_000  # the requests of this span, once service must be back, show whether it is
-RECOVERED_SHARE = 0.9
+RECOVERY_WINDOW_US = 5_000_000  # the requests of this span, once service must be back, show whether it is
+RECOVERY_SHARE_MIN = 0.9
 
 
 def served(log: event_log.EventLog) -> collections.abc.Iterator[str]:
@@ -97,11 +97,11 @@
     for row in log.rows_of("whole"):
         sent = log.sent[event_log.attempt_key(row)]
         log.rows_judged["served"] += 1
-        bound_us = LONG_FIRST_US if sent["sort"] == "long" else SHORT_FIRST_US
+        bound_us = LONG_FIRST_BYTE_MAX_US if sent["sort"] == "long" else SHORT_FIRST_BYTE_MAX_US
         if row["first"] > bound_us:
             yield from late_first_byte(log, row, sent)
         at_fault = log.met_fault(sent["at"], row["at"], sent.get("node"), row["worker"])
-        if row["pause"] > PAUSE_US and not at_fault:
+        if row["pause"] > STREAM_PAUSE_MAX_US and not at_fault:
             yield f"{row['exchange']} paused for {row['pause'] / units.SECOND_US:.2f} s"
 
 
@@ -135,7 +135,7 @@
     acknowledged = {(row["who"], row["probe"]): row["at"] for row in reversed(log.rows_of("confirmed"))}
     core_faults = [fault for fault in log.faults if fault.role in ("core", "all", "") or fault.large]
     for row in log.rows_of("wanted"):
-        until = row["at"] + CHANGE_US
+        until = row["at"] + ACKNOWLEDGEMENT_MAX_US
         since = row["at"] - event_log.LARGE_FAULT_US
         if until >= log.end or any(fault.overlaps(since, until) for fault in core_faults):
             continue
@@ -151,16 +151,16 @@
     complete = {event_log.attempt_key(row) for row in log.rows_of("whole")}
     for fault in log.faults:
         first = fault.at + event_log.LARGE_FAULT_US
-        until = first + RECOVERED_US
+        until = first + RECOVERY_WINDOW_US
         if not fault.large or any(fault.at < other.at <= until for other in log.faults) or until > log.end:
             continue
-        asked = [row for row in log.rows_of("sent") if first <= row["at"] <= until and row["send"] == 1]
-        if not asked:
+        first_attempts = [row for row in log.rows_of("sent") if first <= row["at"] <= until and row["send"] == 1]
+        if not first_attempts:
             continue
         log.rows_judged["back"] += 1
-        count = sum((row["exchange"], 1) in complete for row in asked)
-        if count < RECOVERED_SHARE * len(asked):
+        count = sum((row["exchange"], 1) in complete for row in first_attempts)
+        if count < RECOVERY_SHARE_MIN * len(first_attempts):
             yield (
                 f"{fault.what} of {fault.target} at {fault.at / units.SECOND_US:.1f} s: "
-                f"12 s later only {count} of {len(asked)} came through"
+                f"12 s later only {count} of {len(first_attempts)} came through"
             )
--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -17,8 +17,8 @@
 from iriswheel.runtime import units
 
 NEVER = 1 << 62
-TRAVEL_US = 500_000  # from a node's routing decision to the arrival at a worker, also over a slow link
-APPLY_US = 2_000_000  # a configuration that was replaced may be in force for so long
+ROUTING_TO_RUN_MAX_US = 500_000  # from a node's routing decision to the arrival at a worker, also over a slow link
+CONFIGURATION_APPLY_MAX_US = 2_000_000  # a configuration that was replaced may be in force for so long
 LARGE_FAULT_US = 12_000_000  # a large fault excuses all requests for so long
 # How long a small fault may affect requests that did not meet it:
 ROLE_FAULT_US = 4_000_000  # a pool owner or its replica is lost: others may start late
@@ -261,7 +261,7 @@
             later = [
                 answer["at"] for other, answer in acknowledged.items() if other != plan and answer["stamp"] > version
             ]
-            until = min(later) + APPLY_US if later else NEVER
+            until = min(later) + CONFIGURATION_APPLY_MAX_US if later else NEVER
             documents.append(ActiveConfiguration(row["at"], until, row["blueprint"]))
         return documents
 
@@ -325,8 +325,8 @@
         """
         return [
             worker
-            for worker, its_pool in sorted(self.worker_pools.items())
-            if its_pool == pool
+            for worker, worker_pool in sorted(self.worker_pools.items())
+            if worker_pool == pool
             and self.listed_state(worker, since).state == "ready"
             and not any(since < row["at"] <= until for row in self.listed[worker])
             and not any(
--- a/iriswheel/verification/refusals.py
+++ b/iriswheel/verification/refusals.py
@@ -99,7 +99,7 @@
 
 def sessions_full(log: event_log.EventLog, refusal: Refusal) -> str | None:
     """Reason: no worker may take one more session."""
-    slack_us = session_checks.SWEEP_US + session_checks.LIFETIME_SLACK_US
+    slack_us = session_checks.ENDED_SESSION_COUNTED_US + session_checks.LIFETIME_SLACK_US
     for pool in refusal.pools:
         cap = min(session_checks.session_caps(refusal.documents, pool), default=0)
         held = session_checks.open_conversations(log, refusal.until, slack_us)
--- a/iriswheel/verification/routing_checks.py
+++ b/iriswheel/verification/routing_checks.py
@@ -84,7 +84,7 @@
             pool, until = None, seen.done
         elif run is not None:
             pool = log.worker_pools.get(run["worker"])
-            routed_at = run["at"] - event_log.TRAVEL_US
+            routed_at = run["at"] - event_log.ROUTING_TO_RUN_MAX_US
             until = routed_at if routed_at > seen.at else run["at"]
         else:
             continue
@@ -109,7 +109,7 @@
             for fault in log.faults
         )
         # A worker at fault may wake and run a request long after it was routed.
-        since = sent["at"] if sent is not None and delayed else row["at"] - event_log.TRAVEL_US
+        since = sent["at"] if sent is not None and delayed else row["at"] - event_log.ROUTING_TO_RUN_MAX_US
         documents = log.configurations_between(since, row["at"])
         log.rows_judged["allowed"] += 1
         pool = log.worker_pools.get(row["worker"])
--- a/iriswheel/verification/session_checks.py
+++ b/iriswheel/verification/session_checks.py
@@ -13,10 +13,10 @@
     import collections.abc
 
 LIFETIME_SLACK_US = 2_000_000  # clocks and travel, at the end of a session's lifetime
-SWEEP_US = 5_000_000  # an ended session may be counted for so long
+ENDED_SESSION_COUNTED_US = 5_000_000  # an ended session may be counted for so long
 DEFAULT_LIFETIME_US = 60_000_000
 DEFAULT_CAP = 10
-REPLICATION_US = 1_000_000  # a session that is younger may be lost with three processes
+SESSION_STORED_US = 1_000_000  # a session that is younger may be lost with three processes
 REPLICAS = 3
 
 
@@ -78,7 +78,7 @@
     worker, since = run["worker"], run["at"]
     if any(since - units.SECOND_US <= row["at"] <= until for row in log.listed[worker]):
         return True
-    if sum(since <= end <= since + REPLICATION_US for end in process_ends) >= REPLICAS:
+    if sum(since <= end <= since + SESSION_STORED_US for end in process_ends) >= REPLICAS:
         return True
     if log.listed_state(worker, since).state != "ready":
         return True
@@ -151,7 +151,7 @@
         for before, run in zip([None, *runs], runs, strict=False):
             if before is not None and not may_open(log, before, run):
                 continue
-            documents = log.configurations_between(run["at"] - event_log.TRAVEL_US, run["at"])
+            documents = log.configurations_between(run["at"] - event_log.ROUTING_TO_RUN_MAX_US, run["at"])
             caps = session_caps(documents, name.pool)
             if not caps or 0 in caps:
                 continue
@@ -170,7 +170,7 @@
     if quiet_us <= units.SECOND_US:
         return False
     lifetime_us = lifetimes(log, before["at"], run["at"])[-1]
-    return quiet_us >= lifetime_us + SWEEP_US
+    return quiet_us >= lifetime_us + ENDED_SESSION_COUNTED_US
 
 
 def session_caps(documents: list[event_log.Document], pool: str | None) -> list[int]:
