--- a/iriswheel/verification/availability.py
+++ b/iriswheel/verification/availability.py
@@ -47,7 +47,7 @@
         if row.get("took", 0) > bound_us and not log.met_fault(sent["at"], row["at"], sent.get("node"), worker):
             took_s = row["took"] / units.SECOND_US
             yield f"{row['exchange']} was refused only after {took_s:.1f} s ({row['code']})"
-        why = refusals.unfounded(log, row, sent)
+        why = refusals.contradiction(log, row, sent)
         if why is not None:
             at_s = sent["at"] / units.SECOND_US
             yield f"{row['exchange']} send {row['send']} was turned away ({row['code']}) at {at_s:.1f} s: {why}"
@@ -86,7 +86,7 @@
         log.rows_judged["served"] += 1
         if row["status"] in (200, 404):
             continue
-        why = refusals.unfounded(log, {**row, "at": row["done"], "send": 0}, {**row, "sort": "short"})
+        why = refusals.contradiction(log, {**row, "at": row["done"], "send": 0}, {**row, "sort": "short"})
         if why is not None:
             at_s = row["at"] / units.SECOND_US
             yield f"a probe at {row['node']} was turned away ({row['code']}) at {at_s:.1f} s: {why}"
--- a/iriswheel/verification/history.py
+++ b/iriswheel/verification/history.py
@@ -75,17 +75,17 @@
                 valid[row["send"]] = row["valid"]
                 events.append(Invocation(row["at"], row["send"], change))
             case {"kind": "config_answer"} if row["send"] in valid:
-                result = judged_outcome(change_outcome(row["code"]), valid[row["send"]])
+                result = outcome_given_validity(change_outcome(row["code"]), valid[row["send"]])
                 events.append(ChangeResponse(row["at"], row["send"], result))
             case {"kind": "config_read", "doc": dict(document), "version": int(version)}:
                 events += read_events(row, version, content_digest(document))
     return events
 
 
-def judged_outcome(answered: linearizability.Outcome, valid: bool) -> linearizability.Outcome:
+def outcome_given_validity(answered: linearizability.Outcome, valid: bool) -> linearizability.Outcome:
     """The outcome of a change, given whether its document is valid: only a valid one can be refused for its number.
 
-    >>> judged_outcome(Outcome.INVALID, True).value
+    >>> outcome_given_validity(Outcome.INVALID, True).value
     'refused'
     """
     if answered in (Outcome.INVALID, Outcome.REFUSED):
@@ -234,9 +234,9 @@
     []
     """
     found = []
-    for name, find in HISTORIES.items():
+    for name, convert in HISTORIES.items():
         try:
-            judged = linearizability.check(find(rows))
+            judged = linearizability.check(convert(rows))
         except linearizability.SearchLimitError as error:
             found.append(f"{name}: not judged: {error}")
             continue
@@ -254,4 +254,4 @@
     >>> call_count([{"at": 1, "kind": "ended"}])
     0
     """
-    return sum(isinstance(event, Invocation) for find in HISTORIES.values() for event in find(rows))
+    return sum(isinstance(event, Invocation) for convert in HISTORIES.values() for event in convert(rows))
--- a/iriswheel/verification/refusals.py
+++ b/iriswheel/verification/refusals.py
@@ -46,7 +46,7 @@
 Check = collections.abc.Callable[[event_log.EventLog, Refusal], str | None]
 
 
-def unfounded(log: event_log.EventLog, row: event_log.Row, sent: event_log.Row) -> str | None:
+def contradiction(log: event_log.EventLog, row: event_log.Row, sent: event_log.Row) -> str | None:
     """What speaks against the reason of a refusal, or None where the log supports it.
 
     Args:
--- a/iriswheel/verification/session_checks.py
+++ b/iriswheel/verification/session_checks.py
@@ -20,10 +20,10 @@
 REPLICAS = 3
 
 
-def values_of_terms(log: event_log.EventLog, field: str, default: int, since: int, until: int) -> list[int]:
+def terms_values(log: event_log.EventLog, field: str, default: int, since: int, until: int) -> list[int]:
     """The values that a field of any terms may have in a span of time, in rising order.
 
-    >>> values_of_terms(event_log.EventLog([]), "lifetime_us", 60, 0, 5)
+    >>> terms_values(event_log.EventLog([]), "lifetime_us", 60, 0, 5)
     [60]
     """
     values = {
@@ -40,7 +40,7 @@
     >>> lifetimes(event_log.EventLog([]), 0, 5)
     [60000000]
     """
-    return values_of_terms(log, "lifetime_us", DEFAULT_LIFETIME_US, since, until)
+    return terms_values(log, "lifetime_us", DEFAULT_LIFETIME_US, since, until)
 
 
 def pinned(log: event_log.EventLog) -> collections.abc.Iterator[str]:
@@ -99,12 +99,12 @@
     open_by_worker: collections.defaultdict[str, set[event_log.Conversation]] = collections.defaultdict(set)
     for name, runs in log.conversations.items():
         last = next((run for run in reversed(runs) if run["at"] <= at), None)
-        if last is not None and still_open(log, last, at, slack_us):
+        if last is not None and may_be_open(log, last, at, slack_us):
             open_by_worker[last["worker"]].add(name)
     return dict(open_by_worker)
 
 
-def still_open(log: event_log.EventLog, run: event_log.Row, at: int, slack_us: int) -> bool:
+def may_be_open(log: event_log.EventLog, run: event_log.Row, at: int, slack_us: int) -> bool:
     """Whether the conversation whose last run this is may be open at a time, as `open_conversations` counts it."""
     certain = slack_us < 0
     worker = run["worker"]
