--- a/iriswheel/verification/linearizability.py
+++ b/iriswheel/verification/linearizability.py
@@ -204,34 +204,34 @@
     unexplained: list[str]
 
 
-class Point(typing.NamedTuple):
+class SearchNode(typing.NamedTuple):
     """A place in the search: the state, and which answered calls are explained."""
 
     state: State
-    low: int = 0  # all calls of lower indexes are explained
-    beyond: frozenset[int] = frozenset()  # higher indexes of explained calls
+    explained_below: int = 0  # all calls of lower indexes are explained
+    explained_above: frozenset[int] = frozenset()  # higher indexes of explained calls
 
     @property
     def explained(self) -> int:
         """How many answered calls are explained.
 
-        >>> Point(State(), 3, frozenset({5})).explained
+        >>> SearchNode(State(), 3, frozenset({5})).explained
         4
         """
-        return self.low + len(self.beyond)
+        return self.explained_below + len(self.explained_above)
 
-    def after(self, index: int, state: State) -> Point:
+    def after(self, index: int, state: State) -> SearchNode:
         """The place after the answered call of this index, which left a state.
 
-        >>> Point(State(), 0, frozenset({1})).after(0, State()).low
+        >>> SearchNode(State(), 0, frozenset({1})).after(0, State()).explained_below
         2
         """
-        beyond = set(self.beyond) | {index}
-        low = self.low
-        while low in beyond:
-            beyond.remove(low)
-            low += 1
-        return Point(state, low, frozenset(beyond))
+        explained_above = set(self.explained_above) | {index}
+        explained_below = self.explained_below
+        while explained_below in explained_above:
+            explained_above.remove(explained_below)
+            explained_below += 1
+        return SearchNode(state, explained_below, frozenset(explained_above))
 
 
 class Window(typing.NamedTuple):
@@ -252,26 +252,26 @@
     True
     """
 
-    def __init__(self, calls: list[Operation], bound: int) -> None:
+    def __init__(self, calls: list[Operation], step_limit: int) -> None:
         calls = sorted(calls, key=lambda call: (call.sent, call.answered, call.call))
         self.answered = [call for call in calls if call.outcome in (Outcome.ACKNOWLEDGED, Outcome.REFUSED)]
         self.unknown = [
             call for call in calls if call.outcome is Outcome.UNKNOWN and isinstance(call.operation, Change)
         ]
         self.steps = 0
-        self.bound = bound
+        self.step_limit = step_limit
 
     def run(self, initial: State) -> CheckResult:
         """Search from a state; raises SearchLimitError."""
-        best = Point(initial)
+        best = SearchNode(initial)
         frontier, seen = [best], {best}
         while frontier:
-            point = self.after_calls_without_effect(frontier.pop())
-            if point.explained > best.explained:
-                best = point
-            if point.low == len(self.answered):
-                return CheckResult(True, point.low, [])
-            for after in self.successors(point):
+            node = self.after_calls_without_effect(frontier.pop())
+            if node.explained > best.explained:
+                best = node
+            if node.explained_below == len(self.answered):
+                return CheckResult(True, node.explained_below, [])
+            for after in self.successors(node):
                 self.count_step()
                 if after not in seen:
                     seen.add(after)
@@ -282,60 +282,60 @@
     def count_step(self) -> None:
         """Count one step; raises SearchLimitError above the bound."""
         self.steps += 1
-        if self.steps > self.bound:
-            raise SearchLimitError(f"{len(self.answered)} calls, given up after {self.bound} steps")
+        if self.steps > self.step_limit:
+            raise SearchLimitError(f"{len(self.answered)} calls, given up after {self.step_limit} steps")
 
-    def window(self, point: Point) -> Window:
+    def window(self, node: SearchNode) -> Window:
         """The calls that may be next: those sent before any of them was answered."""
         first_answer = NEVER
         sent_before: list[int] = []
-        for index in range(point.low, len(self.answered)):
+        for index in range(node.explained_below, len(self.answered)):
             if self.answered[index].sent > first_answer:
                 break
-            if index not in point.beyond:
+            if index not in node.explained_above:
                 sent_before.append(index)
                 first_answer = min(first_answer, self.answered[index].answered)
         indexes = [index for index in sent_before if self.answered[index].sent <= first_answer]
         return Window(indexes, first_answer)
 
-    def after_calls_without_effect(self, point: Point) -> Point:
+    def after_calls_without_effect(self, node: SearchNode) -> SearchNode:
         """The place after all calls that may be next and leave the state as it is.
 
         Taking them at once loses nothing: what follows may follow all the same.
         """
         while True:
-            fixed = [
+            without_effect = [
                 index
-                for index in self.window(point).indexes
-                if next_states(point.state, self.answered[index]) == [point.state]
+                for index in self.window(node).indexes
+                if next_states(node.state, self.answered[index]) == [node.state]
             ]
-            if not fixed:
-                return point
-            for index in fixed:
+            if not without_effect:
+                return node
+            for index in without_effect:
                 self.count_step()
-                point = point.after(index, point.state)
+                node = node.after(index, node.state)
 
-    def successors(self, point: Point) -> collections.abc.Iterator[Point]:
+    def successors(self, node: SearchNode) -> collections.abc.Iterator[SearchNode]:
         """The places after one more call that changes the state."""
-        window = self.window(point)
+        window = self.window(node)
         for call in self.unknown:
             if call.sent <= window.first_answer:
-                yield from (point._replace(state=state) for state in next_states(point.state, call))
+                yield from (node._replace(state=state) for state in next_states(node.state, call))
         for index in window.indexes:
-            yield from (point.after(index, state) for state in next_states(point.state, self.answered[index]))
+            yield from (node.after(index, state) for state in next_states(node.state, self.answered[index]))
 
 
 def check(
     events: list[Event],
     initial: State = State(),  # noqa: B008, a frozen value
-    bound: int = SEARCH_STEPS_MAX,
+    step_limit: int = SEARCH_STEPS_MAX,
 ) -> CheckResult:
     """Judge a history; raises HistoryError, or SearchLimitError after so many steps.
 
     >>> check([Invocation(1, "a", Read()), ReadResponse(3, "a", 4)]).unexplained
     ['call a, sent at 1: read number 4']
     """
-    return Search(operations(events), bound).run(initial)
+    return Search(operations(events), step_limit).run(initial)
 
 
 def describe(call: Operation) -> str:
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -153,7 +153,7 @@
         with pytest.raises(linearizability.HistoryError):
             linearizability.check([first[0], first[0]])
         with pytest.raises(linearizability.SearchLimitError):
-            linearizability.check(first, bound=0)
+            linearizability.check(first, step_limit=0)
 
 
 class TestEventLogs:
