--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -23,12 +23,12 @@
 LONG_BYTES = 48_000
 SHORT_BYTES = 600
 MAX_ATTEMPTS = 4
-GIVE_UP_US = 20 * units.SECOND_US  # until the head of an answer
-RETRY_WAIT_US = 500 * units.MILLISECOND_US  # where the answer names no time
-QUICK_WAIT_US = 50 * units.MILLISECOND_US
-QUICK_SHARE = 0.2  # of clients that retry at once
+HEAD_TIMEOUT_US = 20 * units.SECOND_US  # until the head of an answer
+DEFAULT_RETRY_WAIT_US = 500 * units.MILLISECOND_US  # where the answer names no time
+IMPATIENT_RETRY_WAIT_US = 50 * units.MILLISECOND_US
+IMPATIENT_SHARE = 0.2  # of clients that retry at once
 IDEMPOTENT_SHARE = 0.5
-FOLLOW_US = 200 * units.MILLISECOND_US  # between two questions for the ready nodes
+NODE_LIST_INTERVAL_US = 200 * units.MILLISECOND_US  # between two questions for the ready nodes
 
 Address: typing.TypeAlias = tuple[str, int]  # host, port
 RequestKind: typing.TypeAlias = typing.Literal["long", "short", "talk"]  # as in event logs
@@ -121,7 +121,7 @@
                 raise
             except Exception as error:  # whatever is wrong there, the nodes of before stay
                 log.warning("The platform names no nodes: {}", error)
-            await runtime.sleep(FOLLOW_US)
+            await runtime.sleep(NODE_LIST_INTERVAL_US)
 
 
 class Attempt(typing.NamedTuple):
@@ -189,7 +189,7 @@
         self.agent = dispatch.Dispatcher(runtime).unpooled_agent  # clients come on fresh connections
         self.started_at = runtime.now()
         self.max_attempts = MAX_ATTEMPTS
-        self.quick_share = QUICK_SHARE
+        self.impatient_share = IMPATIENT_SHARE
         self.request_count = 0
         self.answers: list[CompleteAnswer] = []
         self.refusals_by_code: dict[str, int] = {}
@@ -250,7 +250,7 @@
         self.request_count += 1
         request_id = f"x{self.request_count}"
         idempotent = self.runtime.rng.random() < IDEMPOTENT_SHARE
-        quick = self.runtime.rng.random() < self.quick_share
+        impatient = self.runtime.rng.random() < self.impatient_share
         size = LONG_BYTES if kind == "long" else SHORT_BYTES
         body = (f"{request_id} ".encode() * (size // (len(request_id) + 1) + 1))[:size]
         for number in range(1, self.max_attempts + 1):
@@ -259,7 +259,7 @@
                 return result.worker
             if result.end == "final":
                 break
-            await self.runtime.sleep(QUICK_WAIT_US if quick else result.wait_us)
+            await self.runtime.sleep(IMPATIENT_RETRY_WAIT_US if impatient else result.wait_us)
         self.ends["gave_up"] += 1
         return None
 
@@ -271,13 +271,13 @@
         url = f"http://{host}:{port}{self.path}".encode()
         try:
             response = await self.runtime.within(
-                self.agent.request(b"POST", url, _headers(attempt), dispatch.Body(attempt.body)), GIVE_UP_US
+                self.agent.request(b"POST", url, _headers(attempt), dispatch.Body(attempt.body)), HEAD_TIMEOUT_US
             )
         except Exception as error:  # for a client all errors of the connection are alike
             self.ends["lost"] += 1
             name = type(error).__name__
             self.events.put(self.runtime.now(), "lost", exchange=attempt.request_id, send=attempt.number, why=name)
-            return AttemptResult("lost", None, RETRY_WAIT_US)
+            return AttemptResult("lost", None, DEFAULT_RETRY_WAIT_US)
         done: defer.Deferred[bool] = defer.Deferred()
         collector = AnswerCollector(self.runtime, done)
         response.deliverBody(collector)
@@ -321,7 +321,7 @@
             pause=collector.longest_pause_us,
             text=b"".join(collector.parts).decode("latin-1"),
         )
-        return AttemptResult(end, worker, RETRY_WAIT_US)
+        return AttemptResult(end, worker, DEFAULT_RETRY_WAIT_US)
 
     def _take_refusal(
         self, attempt: Attempt, started_at: int, response: dispatch.Response, raw: bytes
@@ -344,9 +344,9 @@
             took=now - started_at,
         )
         if execution != "not_run" and not attempt.idempotent:
-            return AttemptResult("final", None, RETRY_WAIT_US)
+            return AttemptResult("final", None, DEFAULT_RETRY_WAIT_US)
         after_s = response.headers.getRawHeaders("Retry-After")
-        return AttemptResult("refused", None, int(after_s[0]) * units.SECOND_US if after_s else RETRY_WAIT_US)
+        return AttemptResult("refused", None, int(after_s[0]) * units.SECOND_US if after_s else DEFAULT_RETRY_WAIT_US)
 
     def report(self) -> dict[str, typing.Any]:
         """Counts, and times in milliseconds, as JSON values."""
--- a/simulation/scenarios/load.py
+++ b/simulation/scenarios/load.py
@@ -68,7 +68,7 @@
 def retriers(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A node dies while clients retry at once and without end."""
     actions.confirm_changes(cluster, 4, 5)
-    cluster.load.max_attempts, cluster.load.quick_share = 40, 0.8
+    cluster.load.max_attempts, cluster.load.impatient_share = 40, 0.8
     cluster.advance(5)
     target = actions.some_node(cluster, owner=False)
     actions.kill(cluster, target.options.name, restart_after=5)
