--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -18,8 +18,8 @@
 from twisted.web import http_headers
 
 import iriswheel.runtime.options as options_reader
-import iriswheel.verification.history as operators_history
-import iriswheel.verification.replay as judge
+import iriswheel.verification.history as operator_history
+import iriswheel.verification.replay as replay_checks
 from iriswheel.cli import load_generator, service
 from iriswheel.configuration import configuration
 from iriswheel.dataplane import dispatch
@@ -335,10 +335,10 @@
     for path in paths:
         try:
             with open(path) as file:  # noqa: PTH123 - Path("") would be the current folder
-                file_rows, truncated = judge.read(file)
+                file_rows, truncated = replay_checks.read(file)
         except OSError as error:
             service.fail(service.ExitCode.BAD_INPUT, [f"{path}: {error.strerror}"])
-        except (judge.DamagedLogError, UnicodeDecodeError) as error:
+        except (replay_checks.DamagedLogError, UnicodeDecodeError) as error:
             service.fail(service.ExitCode.BAD_INPUT, [f"{path}: damaged: {error}"])
         rows += file_rows
         if truncated:
@@ -355,13 +355,15 @@
     :param files: event logs of one run, merged by their times
     """
     rows = read_logs(files)
-    complaints = judge.judge(rows)
+    complaints = replay_checks.replay_checks(rows)
     for name, texts in complaints.items():
         for text in texts:
             print(f"{name}: {text}")
-    for line in judge.recovery_lines(rows):
+    for line in replay_checks.recovery_lines(rows):
         print(line)
-    print(f"{len(rows)} events, {len(judge.CHECKERS)} checkers, {sum(map(len, complaints.values()))} complaints")
+    print(
+        f"{len(rows)} events, {len(replay_checks.CHECKERS)} checkers, {sum(map(len, complaints.values()))} complaints"
+    )
     sys.exit(service.ExitCode.COMPLAINTS if complaints else 0)
 
 
@@ -371,10 +373,10 @@
     :param files: event logs of one run, merged by their times
     """
     rows = read_logs(files)
-    complaints = operators_history.complaints(rows)
+    complaints = operator_history.complaints(rows)
     for text in complaints:
         print(text)
-    print(f"{operators_history.call_count(rows)} calls, {len(complaints)} complaints")
+    print(f"{operator_history.call_count(rows)} calls, {len(complaints)} complaints")
     sys.exit(service.ExitCode.COMPLAINTS if complaints else 0)
 
 
--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -152,7 +152,7 @@
     return front
 
 
-def _own_handler(process: core.Core) -> http_server.Handler:
+def _default_handler(process: core.Core) -> http_server.Handler:
     return process.handle
 
 
@@ -160,7 +160,7 @@
     process_options: options.Options,
     path: str,
     read_options: ReadOptions,
-    make_handler: collections.abc.Callable[[core.Core], http_server.Handler] = _own_handler,
+    make_handler: collections.abc.Callable[[core.Core], http_server.Handler] = _default_handler,
 ) -> None:
     """Run a core with these options.
 
