--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -355,7 +355,7 @@
     :param files: event logs of one run, merged by their times
     """
     rows = read_logs(files)
-    complaints = replay_checks.replay_checks(rows)
+    complaints = replay_checks.judge(rows)
     for name, texts in complaints.items():
         for text in texts:
             print(f"{name}: {text}")
