--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -14,39 +14,39 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MOST = 3
+MAX_LISTED_TESTS = 3
 
 
-class Known(NamedTuple):
+class KnownFailure(NamedTuple):
     """Why a test fails."""
 
     cause: str
     issue: str
 
 
-def parse(text: str) -> dict[str, Known]:
+def parse(text: str) -> dict[str, KnownFailure]:
     r"""The tests known to fail, by node id; raises ValueError for a line that is none, and for too many lines.
 
     >>> parse("tests/test_a.py::test_b | late by one beat | 12\n\n")
     {'tests/test_a.py::test_b': Known(cause='late by one beat', issue='12')}
     """
-    known: dict[str, Known] = {}
+    known: dict[str, KnownFailure] = {}
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip():
             continue
         row = [cell.strip() for cell in line.split("|")]
         if len(row) != 3 or not all(row) or row[0] in known:
             raise ValueError(f"line {number} is not `node id | cause | issue`, or names a test again: {line}")
-        known[row[0]] = Known(row[1], row[2])
-    if len(known) > MOST:
-        raise ValueError(f"{len(known)} tests are listed, {MOST} at most may be")
+        known[row[0]] = KnownFailure(row[1], row[2])
+    if len(known) > MAX_LISTED_TESTS:
+        raise ValueError(f"{len(known)} tests are listed, {MAX_LISTED_TESTS} at most may be")
     return known
 
 
 class KnownRed:
     """Marks the listed tests, notes what came of them, and judges the list."""
 
-    def __init__(self, config: pytest.Config, known: Mapping[str, Known]) -> None:
+    def __init__(self, config: pytest.Config, known: Mapping[str, KnownFailure]) -> None:
         self.config = config
         self.known = known
         self.collected: set[str] = set()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -30,7 +30,7 @@
 IN_ONE_PROCESS, IN_TWO_PROCESSES = "0", "2"
 
 
-class Play:
+class SampleRunner:
     """Runs some of the sample's tests in a process of their own."""
 
     def __init__(self, pytester: pytest.Pytester) -> None:
@@ -47,26 +47,26 @@
 
 
 @pytest.fixture
-def play(pytester: pytest.Pytester, pytestconfig: pytest.Config, monkeypatch: pytest.MonkeyPatch) -> Play:
+def run_sample(pytester: pytest.Pytester, pytestconfig: pytest.Config, monkeypatch: pytest.MonkeyPatch) -> SampleRunner:
     """The function that runs tests of the sample."""
     monkeypatch.syspath_prepend(pytestconfig.rootpath)
     monkeypatch.setenv("PYTHONPATH", str(pytestconfig.rootpath))
-    return Play(pytester)
+    return SampleRunner(pytester)
 
 
-def test_without_a_list_good_tests_pass(play: Play) -> None:
-    assert play(["test_good"])[0]
+def test_without_a_list_good_tests_pass(run_sample: SampleRunner) -> None:
+    assert run_sample(["test_good"])[0]
 
 
 @pytest.mark.parametrize("name", FAILING)
-def test_without_a_list_a_failure_fails(play: Play, name: str) -> None:
-    assert not play(["test_good", name])[0], name
+def test_without_a_list_a_failure_fails(run_sample: SampleRunner, name: str) -> None:
+    assert not run_sample(["test_good", name])[0], name
 
 
 @pytest.mark.parametrize("processes", [IN_ONE_PROCESS, IN_TWO_PROCESSES])
 @pytest.mark.parametrize("name", FAILING)
-def test_listed_failures_are_passed_over_with_their_cause(play: Play, name: str, processes: str) -> None:
-    good, text = play(["test_good", name], f"{HERE}{name} | the sum is off | 7\n", processes)
+def test_listed_failures_are_passed_over_with_their_cause(run_sample: SampleRunner, name: str, processes: str) -> None:
+    good, text = run_sample(["test_good", name], f"{HERE}{name} | the sum is off | 7\n", processes)
     assert good, text
     assert f"{HERE}{name} fails: the sum is off (7)" in text
     assert "1 known to fail\n" in text
@@ -74,37 +74,37 @@
     assert " failed" not in text.splitlines()[-1]
 
 
-def test_another_failure_still_fails(play: Play) -> None:
-    assert not play(["test_bad", "test_breaks"], f"{HERE}test_bad | the sum is off | 7")[0]
+def test_another_failure_still_fails(run_sample: SampleRunner) -> None:
+    assert not run_sample(["test_bad", "test_breaks"], f"{HERE}test_bad | the sum is off | 7")[0]
 
 
 @pytest.mark.parametrize("processes", [IN_ONE_PROCESS, IN_TWO_PROCESSES])
 @pytest.mark.parametrize("name", ["test_good", "test_skipped"])
-def test_listed_test_that_does_not_fail_fails(play: Play, name: str, processes: str) -> None:
-    good, text = play([name], f"{HERE}{name} | the sum is off | 7", processes)
+def test_listed_test_that_does_not_fail_fails(run_sample: SampleRunner, name: str, processes: str) -> None:
+    good, text = run_sample([name], f"{HERE}{name} | the sum is off | 7", processes)
     assert not good
     assert f"{HERE}{name} did not fail" in text
 
 
 @pytest.mark.parametrize("processes", [IN_ONE_PROCESS, IN_TWO_PROCESSES])
-def test_listed_test_that_does_not_exist_fails(play: Play, processes: str) -> None:
-    good, text = play(["test_good"], "test_none.py::Sample::test_b | gone | 7", processes)
+def test_listed_test_that_does_not_exist_fails(run_sample: SampleRunner, processes: str) -> None:
+    good, text = run_sample(["test_good"], "test_none.py::Sample::test_b | gone | 7", processes)
     assert not good
     assert "does not exist" in text
 
 
-def test_listed_test_that_was_not_chosen_is_left_alone(play: Play) -> None:
-    assert play(["test_good"], f"{HERE}test_bad | the sum is off | 7")[0]
+def test_listed_test_that_was_not_chosen_is_left_alone(run_sample: SampleRunner) -> None:
+    assert run_sample(["test_good"], f"{HERE}test_bad | the sum is off | 7")[0]
 
 
 @pytest.mark.parametrize("listed", ["tests.test_a", "a | b", "a | | c", "a | b | c\na | b | c"])
-def test_a_line_that_is_none_fails(play: Play, listed: str) -> None:
-    good, text = play(["test_good"], listed)
+def test_a_line_that_is_none_fails(run_sample: SampleRunner, listed: str) -> None:
+    good, text = run_sample(["test_good"], listed)
     assert not good, listed
     assert "is not `node id | cause | issue`" in text
 
 
-def test_more_than_three_lines_fail(play: Play) -> None:
-    good, text = play(["test_good"], "".join(f"{HERE}{name} | off | 7\n" for name in (*FAILING, "test_good")))
+def test_more_than_three_lines_fail(run_sample: SampleRunner) -> None:
+    good, text = run_sample(["test_good"], "".join(f"{HERE}{name} | off | 7\n" for name in (*FAILING, "test_good")))
     assert not good
     assert "3 at most" in text
