--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -28,7 +28,7 @@
     r"""The tests known to fail, by node id; raises ValueError for a line that is none, and for too many lines.
 
     >>> parse("tests/test_a.py::test_b | late by one beat | 12\n\n")
-    {'tests/test_a.py::test_b': Known(cause='late by one beat', issue='12')}
+    {'tests/test_a.py::test_b': KnownFailure(cause='late by one beat', issue='12')}
     """
     known: dict[str, KnownFailure] = {}
     for number, line in enumerate(text.splitlines(), 1):
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -80,7 +80,7 @@
         rows = sorted(BASE + rows, key=lambda r: r["at"])
         assert name in replay.judge(rows)
 
-    def test_good_log_has_no_complaint(self) -> None:
+    def test_a_log_of_a_correct_run_has_no_complaint(self) -> None:
         rows = (
             BASE
             + good()
@@ -187,7 +187,7 @@
         rows[3].update(kind="torn")
         self.assert_complaint("served", rows)
 
-    def test_served_excuses_who_is_at_a_fault_and_nobody_else(self) -> None:
+    def test_served_excuses_requests_at_a_failed_node_and_no_others(self) -> None:
         kill = dict(at=20 * SECOND - 5, kind="fault", what="kill", target="n1", role="node", addr="h:1", duty=False)
         here, there = self.refused("not_ready"), self.refused("not_ready")
         here[0]["node"], there[0]["node"] = "h:1", "h:2"
@@ -217,7 +217,7 @@
         wanted = dict(at=20 * SECOND, kind="wanted", probe=1, who="boss")
         self.assert_complaint("back", [wanted, dict(at=60 * SECOND, kind="read", stamp=2, blueprint=DOC)])
 
-    def test_damaged_and_cut_logs(self) -> None:
+    def test_a_truncated_log_is_read_up_to_there_and_a_damaged_one_is_refused(self) -> None:
         line = json.dumps(BASE[0])
         assert replay.read([line, line[:9]]) == ([BASE[0]], True)
         with pytest.raises(replay.DamagedLogError):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -54,18 +54,20 @@
     return SampleRunner(pytester)
 
 
-def test_without_a_list_good_tests_pass(run_sample: SampleRunner) -> None:
+def test_without_a_list_a_passing_test_passes_the_run(run_sample: SampleRunner) -> None:
     assert run_sample(["test_good"])[0]
 
 
 @pytest.mark.parametrize("name", FAILING)
-def test_without_a_list_a_failure_fails(run_sample: SampleRunner, name: str) -> None:
+def test_without_a_list_a_failing_test_fails_the_run(run_sample: SampleRunner, name: str) -> None:
     assert not run_sample(["test_good", name])[0], name
 
 
 @pytest.mark.parametrize("processes", [IN_ONE_PROCESS, IN_TWO_PROCESSES])
 @pytest.mark.parametrize("name", FAILING)
-def test_listed_failures_are_passed_over_with_their_cause(run_sample: SampleRunner, name: str, processes: str) -> None:
+def test_a_listed_failure_passes_the_run_and_its_cause_is_printed(
+    run_sample: SampleRunner, name: str, processes: str
+) -> None:
     good, text = run_sample(["test_good", name], f"{HERE}{name} | the sum is off | 7\n", processes)
     assert good, text
     assert f"{HERE}{name} fails: the sum is off (7)" in text
@@ -74,37 +76,37 @@
     assert " failed" not in text.splitlines()[-1]
 
 
-def test_another_failure_still_fails(run_sample: SampleRunner) -> None:
+def test_a_failure_that_is_not_listed_fails_the_run(run_sample: SampleRunner) -> None:
     assert not run_sample(["test_bad", "test_breaks"], f"{HERE}test_bad | the sum is off | 7")[0]
 
 
 @pytest.mark.parametrize("processes", [IN_ONE_PROCESS, IN_TWO_PROCESSES])
 @pytest.mark.parametrize("name", ["test_good", "test_skipped"])
-def test_listed_test_that_does_not_fail_fails(run_sample: SampleRunner, name: str, processes: str) -> None:
+def test_a_listed_test_that_does_not_fail_fails_the_run(run_sample: SampleRunner, name: str, processes: str) -> None:
     good, text = run_sample([name], f"{HERE}{name} | the sum is off | 7", processes)
     assert not good
     assert f"{HERE}{name} did not fail" in text
 
 
 @pytest.mark.parametrize("processes", [IN_ONE_PROCESS, IN_TWO_PROCESSES])
-def test_listed_test_that_does_not_exist_fails(run_sample: SampleRunner, processes: str) -> None:
+def test_a_listed_test_that_does_not_exist_fails_the_run(run_sample: SampleRunner, processes: str) -> None:
     good, text = run_sample(["test_good"], "test_none.py::Sample::test_b | gone | 7", processes)
     assert not good
     assert "does not exist" in text
 
 
-def test_listed_test_that_was_not_chosen_is_left_alone(run_sample: SampleRunner) -> None:
+def test_a_listed_test_that_was_not_selected_does_not_fail_the_run(run_sample: SampleRunner) -> None:
     assert run_sample(["test_good"], f"{HERE}test_bad | the sum is off | 7")[0]
 
 
 @pytest.mark.parametrize("listed", ["tests.test_a", "a | b", "a | | c", "a | b | c\na | b | c"])
-def test_a_line_that_is_none_fails(run_sample: SampleRunner, listed: str) -> None:
+def test_a_malformed_line_fails_the_run(run_sample: SampleRunner, listed: str) -> None:
     good, text = run_sample(["test_good"], listed)
     assert not good, listed
     assert "is not `node id | cause | issue`" in text
 
 
-def test_more_than_three_lines_fail(run_sample: SampleRunner) -> None:
+def test_more_than_three_lines_fail_the_run(run_sample: SampleRunner) -> None:
     good, text = run_sample(["test_good"], "".join(f"{HERE}{name} | off | 7\n" for name in (*FAILING, "test_good")))
     assert not good
     assert "3 at most" in text
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -72,10 +72,10 @@
 
 
 class TestHistories:
-    def good(self, *parts: list[linearizability.Event]) -> None:
+    def assert_linearizable(self, *parts: list[linearizability.Event]) -> None:
         assert linearizability.check([event for part in parts for event in part]).linearizable
 
-    def bad(self, *parts: list[linearizability.Event]) -> None:
+    def assert_not_linearizable(self, *parts: list[linearizability.Event]) -> None:
         assert not linearizability.check([event for part in parts for event in part]).linearizable
 
     def test_correct_histories_pass(self) -> None:
@@ -116,37 +116,47 @@
 
     def test_each_wrong_answer_fails(self) -> None:
         first = change("a", 1, 2, 5, 0)
-        self.good(first, read("r", 3, 4, 5, "x"))
-        self.bad(first, read("r", 3, 4, 0))  # a stale read
-        self.bad(first, read("r", 3, 4, 5, "y"))  # another content
-        self.bad(first, change("b", 1, 4, 7, 0))  # two winners on one base
-        self.bad(first, change("b", 1, 4, 5, 0, "y"))  # and under one number
-        self.bad(first, change("b", 3, 4, 7, 5), read("r", 5, 6, 5))  # an acknowledged change was lost
-        self.bad(first, change("b", 3, 4, 5, 0, outcome=Outcome.REFUSED))  # a refusal of what was taken
-        self.bad(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED))  # a refusal though the base is in place
-        self.bad(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED), read("r", 3, 4, 5, "x"))
-        self.bad(first, read("r", 3, 6, 0), read("s", 4, 5, 5))
-        self.bad(change("a", 1, 9, 5, 0), read("r", 2, 3, 5), read("s", 4, 5, 0))  # back to an older state
-
-    def test_what_may_happen_passes(self) -> None:
+        self.assert_linearizable(first, read("r", 3, 4, 5, "x"))
+        self.assert_not_linearizable(first, read("r", 3, 4, 0))  # a stale read
+        self.assert_not_linearizable(first, read("r", 3, 4, 5, "y"))  # another content
+        self.assert_not_linearizable(first, change("b", 1, 4, 7, 0))  # two winners on one base
+        self.assert_not_linearizable(first, change("b", 1, 4, 5, 0, "y"))  # and under one number
+        self.assert_not_linearizable(
+            first, change("b", 3, 4, 7, 5), read("r", 5, 6, 5)
+        )  # an acknowledged change was lost
+        self.assert_not_linearizable(
+            first, change("b", 3, 4, 5, 0, outcome=Outcome.REFUSED)
+        )  # a refusal of what was taken
+        self.assert_not_linearizable(
+            change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED)
+        )  # a refusal though the base is in place
+        self.assert_not_linearizable(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED), read("r", 3, 4, 5, "x"))
+        self.assert_not_linearizable(first, read("r", 3, 6, 0), read("s", 4, 5, 5))
+        self.assert_not_linearizable(
+            change("a", 1, 9, 5, 0), read("r", 2, 3, 5), read("s", 4, 5, 0)
+        )  # back to an older state
+
+    def test_lost_answers_repeats_and_concurrent_calls_pass(self) -> None:
         lost = change("a", 1, 2, 5, 0, outcome=Outcome.UNKNOWN)
-        self.good(lost, read("r", 3, 4, 0), read("s", 5, 6, 5))  # takes effect after its answer was lost
-        self.good(lost, change("b", 3, 4, 7, 0))  # or never
-        self.good(lost, change("b", 3, 4, 5, 0), change("c", 5, 6, 8, 5), change("d", 7, 8, 5, 0))
-        self.good(lost, change("b", 3, 4, 7, 0, outcome=Outcome.REFUSED), read("r", 5, 6, 5))
-        self.good(change("a", 1, 4, 5, 0), read("r", 2, 3, 0), read("s", 2, 3, 5))
-        self.good(change("a", 1, 9, 5, 0), change("b", 1, 9, 5, 0), change("c", 1, 9, 6, 0, outcome=Outcome.REFUSED))
-
-    def test_hundreds_of_changes_with_eight_at_once_are_judged(self) -> None:
+        self.assert_linearizable(lost, read("r", 3, 4, 0), read("s", 5, 6, 5))  # takes effect after its answer was lost
+        self.assert_linearizable(lost, change("b", 3, 4, 7, 0))  # or never
+        self.assert_linearizable(lost, change("b", 3, 4, 5, 0), change("c", 5, 6, 8, 5), change("d", 7, 8, 5, 0))
+        self.assert_linearizable(lost, change("b", 3, 4, 7, 0, outcome=Outcome.REFUSED), read("r", 5, 6, 5))
+        self.assert_linearizable(change("a", 1, 4, 5, 0), read("r", 2, 3, 0), read("s", 2, 3, 5))
+        self.assert_linearizable(
+            change("a", 1, 9, 5, 0), change("b", 1, 9, 5, 0), change("c", 1, 9, 6, 0, outcome=Outcome.REFUSED)
+        )
+
+    def test_a_history_of_hundreds_of_changes_eight_at_a_time_is_judged(self) -> None:
         events: list[linearizability.Event] = []
         for k in range(300):
             events += change(f"w{k}", 10 * k, 10 * k + 9, k + 1, k, "w")
             for j in range(7):
                 events += change(f"l{k}-{j}", 10 * k, 10 * k + 9, k + 1, k, f"l{j}", Outcome.REFUSED)
-        self.good(events)
-        self.bad(events, read("r", 4_000, 4_001, 299))
+        self.assert_linearizable(events)
+        self.assert_not_linearizable(events, read("r", 4_000, 4_001, 299))
 
-    def test_events_that_are_no_history_are_named(self) -> None:
+    def test_malformed_histories_and_exceeded_step_limits_raise_errors(self) -> None:
         first = change("a", 1, 2, 5, 0)
         with pytest.raises(linearizability.HistoryError):
             linearizability.check(first[1:])
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -123,7 +123,7 @@
         handled.addErrback(answer_error)
         return out[0]
 
-    def test_what_was_sent_comes_back(self) -> None:
+    def test_a_read_returns_the_configuration_exactly_as_it_was_put(self) -> None:
         assert self.call(b"PUT", COMPLETE, "0") == (200, {"version": 7})
         assert self.call(b"GET") == (200, COMPLETE)
         assert self.call(b"PUT", COMPLETE, "0") == (200, {"version": 7})
@@ -141,11 +141,11 @@
         ) == ("node", 370, 64, 443888, 4)
         assert self.core.items["limits/door"]["idle_us"] == 15_000_000
 
-    def test_a_channel_without_retries_goes_to_one_worker(self) -> None:
+    def test_a_channel_with_0_retries_is_sent_to_one_worker_only(self) -> None:
         self.call(b"PUT", {**COMPLETE, "channels": [{**CHANNEL, "retries": 0}]}, "0")
         assert self.core.items["routes/r-a"]["sends"] == 1
 
-    def test_a_patch_is_laid_over_what_was_sent(self) -> None:
+    def test_a_patch_is_applied_to_the_sent_configuration_and_may_be_repeated(self) -> None:
         self.call(b"PUT", COMPLETE, "0")
         new = {**CHANNEL, "name": "r-c", "path_prefix": "/c/", "resumable": True}
         change = {
@@ -164,13 +164,13 @@
         }
         assert (self.core.items["routes/r-c"]["repeat"], self.core.items["routes/r-c"]["resume"]) == ("may", True)
 
-    def test_a_patch_touches_only_what_it_names(self) -> None:
+    def test_a_patch_leaves_unnamed_items_unchanged(self) -> None:
         self.call(b"PUT", COMPLETE, "0")
         had = self.core.items
         self.call(b"PATCH", {"version": 8, "remove": {"channels": ["r-a"]}}, "7")
         assert {k for k, _ in configuration.difference(had, self.core.items)} == {"routes/r-a", "marks/operator"}
 
-    def test_invalid_ones_are_refused(self) -> None:
+    def test_invalid_configurations_are_refused_and_change_nothing(self) -> None:
         def spoiled(spoil: Callable[..., Any]) -> dict[str, Any]:
             document = copy.deepcopy(COMPLETE)
             spoil(document)
@@ -203,7 +203,7 @@
         assert self.call(b"PUT", COMPLETE, "5")[0] == 412
         assert self.call(b"PUT", COMPLETE, "6")[0] == 200
 
-    def test_accounts_come_back_as_they_were_sent(self) -> None:
+    def test_a_read_returns_accounts_exactly_as_they_were_put(self) -> None:
         assert self.call(b"PUT", WITH_ACCOUNTS, "0") == (200, {"version": 7})
         assert self.call(b"GET") == (200, WITH_ACCOUNTS)
         tenant = configuration.Tenant.from_dict(self.core.items["tenants/huka270"])
@@ -217,13 +217,13 @@
         other = next(key for key in self.core.items if key.startswith("tenants/x-"))
         assert self.core.items[other]["told_as"] == "a tenant"
 
-    def test_nodes_get_no_key(self) -> None:
+    def test_nodes_get_digests_of_api_keys_and_no_key(self) -> None:
         self.call(b"PUT", WITH_ACCOUNTS, "0")
         sent = json.dumps(configuration.slice_for_node(self.core.items, "north"))
         assert digest(KEY) in sent
         assert KEY not in sent
 
-    def test_keys_are_required_where_there_are_accounts_be_it_none(self) -> None:
+    def test_keys_are_required_where_the_list_of_accounts_is_sent_even_empty(self) -> None:
         self.call(b"PUT", {**COMPLETE, "accounts": []}, "0")
         assert self.core.items["limits/door"]["require_key"] is True
         assert self.call(b"GET")[1] == {**COMPLETE, "accounts": []}
@@ -231,7 +231,7 @@
         assert "require_key" not in self.core.items["limits/door"]
         assert self.call(b"GET")[1] == {**COMPLETE, "version": 8}
 
-    def test_a_patch_takes_a_key_away(self) -> None:
+    def test_a_patch_removes_a_key_and_an_account(self) -> None:
         self.call(b"PUT", WITH_ACCOUNTS, "0")
         fewer = {**ACCOUNT, "api_keys": [OTHER_KEY]}
         assert self.call(b"PATCH", {"version": 9, "upsert": {"accounts": [fewer]}}, "7")[0] == 200
@@ -239,7 +239,7 @@
         assert self.call(b"PATCH", {"version": 10, "remove": {"accounts": ["huka270"]}}, "9")[0] == 200
         assert "tenants/huka270" not in self.core.items
 
-    def test_mistakes_are_refused(self) -> None:
+    def test_invalid_accounts_are_refused(self) -> None:
         refused: tuple[Any, ...] = (
             [ACCOUNT, {**ACCOUNT, "name": "b"}],  # a key of two
             [{**ACCOUNT, "api_keys": "k"}],
@@ -252,6 +252,6 @@
         for accounts in refused:
             assert self.call(b"PUT", {**WITH_ACCOUNTS, "accounts": accounts}, "0")[0] == 400, accounts
 
-    def test_public_routes(self) -> None:
+    def test_a_public_channel_becomes_a_public_route(self) -> None:
         self.call(b"PUT", {**WITH_ACCOUNTS, "channels": [{**CHANNEL, "public": True}]}, "0")
         assert configuration.Route.from_dict(self.core.items["routes/r-a"]).public
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -54,20 +54,20 @@
 
 
 class TestCommandLine:
-    def test_all_mistakes_at_once_with_exit_2(self) -> None:
+    def test_all_option_errors_are_printed_at_once_with_exit_code_2(self) -> None:
         code, _, err = program("node", "--host", "nowhere", "--seeds", "127.0.0.1")
         assert code == 2
         for name in ("name: missing", "zone: missing", "host: 'nowhere'", "seeds: '127.0.0.1'", "platform: ''"):
             assert name in err
 
-    def test_unknown_option_in_a_file(self, tmp_path: pathlib.Path) -> None:
+    def test_an_unknown_option_in_the_file_ends_with_exit_code_2(self, tmp_path: pathlib.Path) -> None:
         path = tmp_path / "core.toml"
         path.write_text('name = "n"\ncolour = "red"\n')
         code, _, err = program("core", "--options", str(path))
         assert code == 2
         assert "colour: unknown option" in err
 
-    def test_check(self, tmp_path: pathlib.Path) -> None:
+    def test_check_accepts_the_examples_and_prints_every_error(self, tmp_path: pathlib.Path) -> None:
         for name in ("magnolia.json", "swan.json"):
             assert program("check", str(fleet.EXAMPLES / name))[0] == 0
         document = {"pools": {"p": {"cap": -1, "size": 3}}, "routes": {"r": {"path": "x", "pool": "q"}}}
@@ -75,14 +75,14 @@
         assert code == 2
         assert len(err.splitlines()) == 4
 
-    def test_replay_of_bad_files(self, tmp_path: pathlib.Path) -> None:
+    def test_replay_of_a_damaged_or_missing_log_ends_with_exit_code_2(self, tmp_path: pathlib.Path) -> None:
         path = tmp_path / "run.events"
         path.write_text('{"at": 1, "kind": "sent"\n{"at": 2, "kind": "ended"}\n')
         code, _, err = program("replay", str(path))
         assert (code, len(err.splitlines())) == (2, 1)
         assert program("replay", "/nowhere/at/all")[0] == 2
 
-    def test_sweep_of_an_unknown_scenario(self) -> None:
+    def test_a_sweep_of_an_unknown_scenario_ends_with_exit_code_2(self) -> None:
         process = subprocess.run(
             [sys.executable, "-m", "simulation.sweep", "--scenarios", "nonsense"],
             capture_output=True,
@@ -91,7 +91,7 @@
         )
         assert (process.returncode, len(process.stderr.splitlines())) == (2, 1)
 
-    def test_a_data_folder_has_one_process(self, tmp_path: pathlib.Path) -> None:
+    def test_a_second_process_on_one_data_folder_does_not_start(self, tmp_path: pathlib.Path) -> None:
         options = [
             "--name",
             "c",
@@ -137,7 +137,7 @@
             f"POST {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
         ).encode() + body
 
-    def test_bad_input_is_named(self) -> None:
+    def test_bad_requests_are_refused_with_a_code_and_the_field_at_fault(self) -> None:
         self.refused(self.post_request(path="/nowhere"), 404, "no_route", "path")
         self.refused(self.post_request("X-May-Repeat: perhaps\r\n"), 400, "bad_request", "X-May-Repeat")
         self.refused(self.post_request("X-Send-Number: 0\r\n"), 400, "bad_request", "X-Send-Number")
@@ -156,7 +156,7 @@
         self.refused(b"POST /v1/complete HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", 413, "too_large")
         self.refused(b"nonsense\r\n\r\n", 400, "bad_request", "head")
 
-    def test_an_answer_streams_back_with_its_worker(self) -> None:
+    def test_an_answer_is_streamed_and_names_its_worker(self) -> None:
         head, body = raw(self.port, self.post_request("X-Target-Worker: w9\r\nX-Exchange-Id: s1\r\n"))
         assert "200" in head.splitlines()[0]
         headers = head.lower()
@@ -164,14 +164,14 @@
         assert "transfer-encoding: chunked" in headers
         assert b"[DONE]" in body
 
-    def test_a_second_send_of_what_may_not_be_repeated(self) -> None:
+    def test_a_second_attempt_of_a_non_idempotent_request_is_refused_at_another_node(self) -> None:
         headers = "X-Exchange-Id: once\r\nX-Send-Number: 1\r\n"
         assert "200" in raw(self.port, self.post_request(headers))[0].splitlines()[0]
         head, body = raw(self.fleet.nodes["n2"][1], self.post_request(headers.replace("Number: 1", "Number: 2")))
         assert "409" in head.splitlines()[0]
         assert json.loads(body)["verdict"] in ("ran", "may_have_run")  # the word of its end may be under way
 
-    def test_numbered_changes(self, tmp_path: pathlib.Path) -> None:
+    def test_a_numbered_change_is_taken_once_and_refused_on_another_base(self, tmp_path: pathlib.Path) -> None:
         document = {"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": "desk"}}}}
         path = write_document(tmp_path, document)
         args = ("change", path, "--number", "3", "--built-on", "0", "--core", self.core)
@@ -183,7 +183,7 @@
         document = json.loads(program("show", "--core", self.core)[1])["blueprint"]
         assert (document["marks"]["operator"]["number"], document["routes"]["numbered"]["path"]) == (3, "/numbered")
 
-    def test_plan_confirm_show(self, tmp_path: pathlib.Path) -> None:
+    def test_a_confirmed_plan_is_read_back_and_a_stale_one_is_refused(self, tmp_path: pathlib.Path) -> None:
         document = json.loads((fleet.EXAMPLES / "magnolia.json").read_text())
         document["pools"]["desk"]["cap"] = 7
         code, out, _ = program("plan", write_document(tmp_path, document), "--core", self.core)
@@ -200,7 +200,7 @@
         code, out, _ = program("plan", path, "--patch", "--core", self.core)
         assert (code, json.loads(out)["changed"]) == (0, ["pools/desk"])
 
-    def test_unknown_plans_and_paths(self) -> None:
+    def test_unknown_plans_and_paths_are_refused_with_an_execution_outcome(self) -> None:
         http = self.fleet.cores["c1"][1]
         status, document = fleet.query(http, "POST", "/plans/99-0000/confirm", {})
         assert (status, document["verdict"]) == (404, "not_run")
@@ -213,7 +213,7 @@
 
 
 class TestFaultTrial:
-    def test_a_short_trial_is_clean(self) -> None:
+    def test_the_checkers_have_no_complaint_of_a_short_trial_with_faults(self) -> None:
         with fleet.Fleet("small") as running:
             trial = process_trial.Trial(running, 16, ["--short-rate", "15", "--long-rate", "1", "--talks", "3"])
             trial.served(10)
@@ -247,7 +247,7 @@
 
 class TestCases:
     @pytest.mark.parametrize("case", [process_trial.warden, process_trial.freeze])
-    def test_a_fault_of_the_pool_owner_strikes_the_node_that_is_it(
+    def test_a_fault_of_the_pool_owner_is_recorded_for_the_node_that_is_the_owner(
         self, case: Callable[[process_trial.Trial], None], monkeypatch: pytest.MonkeyPatch
     ) -> None:
         monkeypatch.setattr(time, "sleep", lambda _seconds: None)
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -33,7 +33,7 @@
             assert set() == checkers - {c.__name__ for c in replay.CHECKERS}
             assert set() == outs - set(mutation_checks.GUARDS)
 
-    def test_nothing_is_missing(self) -> None:
+    def test_all_scenarios_guards_and_checkers_are_on_the_page(self) -> None:
         named = set().union(*(row[1] for row in self.points)) | self.fails
         assert set() == set(registry.SCENARIOS) - named
         assert set() == set(mutation_checks.GUARDS) - set().union(*(row[3] for row in self.points))
@@ -41,7 +41,7 @@
 
 
 class TestRulesOfThePlatform:
-    def test_each_rule_has_days_and_a_checker_and_none_is_missing(self) -> None:
+    def test_each_rule_of_the_platform_has_days_and_a_checker_and_all_are_on_the_page(self) -> None:
         text = PAGE.read_text().split("# The users' platform")[1]
         rows = [
             [set(re.findall(r"`(\w+)`", cell)) for cell in line.split("|")[1:-1]]
