--- a/iriswheel/cli/__init__.py
+++ b/iriswheel/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: the programs, and the tools for operators."""
+"""The command line: starts cores and nodes, and holds the tools for operators."""
--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -1,4 +1,4 @@
-"""The command line: one program, with a subcommand for each role and each tool."""
+"""The command line: one program with subcommands that run a core or a node, call a core, or check event logs."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 
 class Answer(typing.NamedTuple):
-    """The answer of a core to an operator."""
+    """A core's answer to a call of an operator."""
 
-    status: int  # of HTTP
+    status: int  # HTTP status
     document: Document
 
 
 def read_options(role: str, path: str, flags: collections.abc.Mapping[str, typing.Any]) -> options_reader.Options:
-    """The checked options of a process; with mistakes in them, print these and exit."""
+    """Read and check the options of a process; if there are errors, print all of them and exit."""
     try:
         return options_reader.read(role, path, flags)
     except options_reader.OptionsError as error:
@@ -60,17 +60,17 @@
     data: str | None = None,
     log_level: str | None = None,
 ) -> None:
-    """Run a core, which keeps the configuration, with a data folder.
+    """Run a core, which stores the configuration in its data folder and serves operators.
 
     :param options: options file (TOML); flags go over it
     :param name: this machine's name
-    :param host: IP number to listen on and to be reached at
-    :param port: port for iriswheel's own processes
-    :param http_port: port for operators
-    :param zone: zone of this machine
-    :param seeds: IP:port of the three core machines; the first starts a new fleet
-    :param data: data folder
-    :param log_level: DEBUG, INFO, WARNING or ERROR
+    :param host: IP address to listen on, at which the other machines reach this one
+    :param port: port for connections between iriswheel's processes
+    :param http_port: port for HTTP calls of operators
+    :param zone: zone (failure domain) of this machine
+    :param seeds: IP:port of the three core machines; the first creates a new fleet if all data folders are empty
+    :param data: path of the data folder
+    :param log_level: lowest level to log: DEBUG, INFO, WARNING or ERROR
     """
     flags = dict(
         name=name, host=host, port=port, http_port=http_port, zone=zone, seeds=seeds, data=data, log_level=log_level
@@ -90,17 +90,17 @@
     platform: str | None = None,
     log_level: str | None = None,
 ) -> None:
-    """Run a node, which takes the requests of clients.
+    """Run a node, which accepts the requests of clients and forwards them to workers.
 
     :param options: options file (TOML); flags go over it
-    :param name: this node's name; a newer process of that name replaces the one before
-    :param host: IP number to listen on and to be reached at
-    :param port: port for iriswheel's own processes; 0 lets the system pick
-    :param http_port: port for clients; 0 lets the system pick
-    :param zone: zone of this node
+    :param name: this node's name; a newer process of the same name replaces the older one in the fleet
+    :param host: IP address to listen on, at which clients and other machines reach this node
+    :param port: port for connections between iriswheel's processes; 0 for any free port
+    :param http_port: port for clients; 0 for any free port
+    :param zone: zone (failure domain) of this node
     :param seeds: IP:port of core machines
-    :param platform: IP:port at which the platform lists the workers
-    :param log_level: DEBUG, INFO, WARNING or ERROR
+    :param platform: IP:port at which the platform serves the list of workers
+    :param log_level: lowest level to log: DEBUG, INFO, WARNING or ERROR
     """
     flags = dict(
         name=name,
@@ -118,17 +118,17 @@
 async def send_request(
     runtime: scheduler.Runtime, cores: list[str], method: str, path: str, document: object = None
 ) -> Answer:
-    """Send a call to the first core that can be reached.
+    """Send an HTTP call to the first core that accepts a connection.
 
     Args:
-        runtime: for the connections.
-        cores: IP:port of the cores' HTTP ports, tried in turn.
-        method: of HTTP.
-        path: of the request.
-        document: the body, as JSON values; None for no body.
+        runtime: Opens the connections.
+        cores: IP:port of the cores' HTTP ports, tried in this order.
+        method: The HTTP method.
+        path: The path of the call.
+        document: The body, as a JSON value; None for no body.
 
     Raises:
-        ValueError: where the answer broke off or is no JSON.
+        ValueError: the connection was lost before the end of the answer, or the answer is not JSON.
     """
     agent = dispatch.Dispatcher(runtime).unpooled_agent
     for text in cores:
@@ -143,27 +143,27 @@
         response.deliverBody(dispatch.BodyCollector(collected.callback))
         raw = await collected
         if raw is None:
-            raise ValueError("the answer broke off")
+            raise ValueError("The connection was lost before the end of the answer.")
         return Answer(response.code, json.loads(raw))
     return Answer(503, {"code": "no_chain", "verdict": "not_run", "text": "No core machine can be reached."})
 
 
 def call_core(cores: list[str], method: str, path: str, document: object = None) -> None:
-    """Call a core, print its answer as JSON, and exit by whether the call ran."""
+    """Call a core and print its answer as JSON; if the call failed, exit with REFUSED or UNKNOWN."""
     service.set_logs("ERROR")
     for core_address in cores:
         try:
             options_reader.parse_address(core_address)
         except ValueError:
-            service.fail(service.ExitCode.BAD_INPUT, [f"--core: {core_address!r} is no IP:port"])
+            service.fail(service.ExitCode.BAD_INPUT, [f"--core: {core_address!r} is not of the form IP:port"])
     reactor = service.install_reactor()
     answers: list[Answer] = []
 
     async def call() -> None:
         try:
             answers.append(await send_request(scheduler.Runtime(reactor), cores, method, path, document))
-        except Exception as error:  # whatever went wrong after sending, the request may have run
-            text = f"No answer: {error}"
+        except Exception as error:  # the call was sent: after any error, the core may have carried it out
+            text = f"No valid answer came from the core; the call may have run: {error}"
             answers.append(Answer(504, {"code": "unknown_outcome", "verdict": "may_have_run", "text": text}))
         reactor.stop()
 
@@ -177,19 +177,19 @@
 
 
 def read_json(path: str) -> object:
-    """Read a JSON file; where that fails, say why and exit."""
+    """Read a JSON file; if that fails, print the reason and exit."""
     try:
         with open(path) as file:  # noqa: PTH123 - Path("") would be the current folder
             content: object = json.load(file)
     except OSError as error:
         service.fail(service.ExitCode.BAD_INPUT, [f"{path}: {error.strerror}"])
     except ValueError as error:
-        service.fail(service.ExitCode.BAD_INPUT, [f"{path}: not JSON: {error}"])
+        service.fail(service.ExitCode.BAD_INPUT, [f"{path}: the file is not valid JSON: {error}"])
     return content
 
 
 def check(blueprint_file: str) -> None:
-    """Check a configuration file and say all that is wrong with it.
+    """Check a configuration file and print every error in it.
 
     :param blueprint_file: the configuration, as JSON
     """
@@ -197,16 +197,16 @@
         items = configuration.flatten(read_json(blueprint_file))
     except configuration.InvalidConfigurationError as error:
         service.fail(service.ExitCode.BAD_INPUT, error.errors)
-    print(f"{blueprint_file}: {len(items)} items, no mistakes.")
+    print(f"{blueprint_file}: the configuration is valid and has {len(items)} items.")
 
 
 def plan(file: str, *, core: list[str], patch: bool = False, base: int | None = None) -> None:
-    """Send a configuration or a JSON Patch and get a plan of what would change.
+    """Send a configuration or a JSON Patch, and print a plan of what it would change.
 
     :param file: the configuration, or the patch, as JSON
     :param core: IP:port of core machines' HTTP ports, tried in turn
     :param patch: the file is a JSON Patch (RFC 6902)
-    :param base: the version that the change was made for; refused where it has moved
+    :param base: the version that the change is based on; if it is no longer the current one, the call is refused
     """
     document = {"patch" if patch else "blueprint": read_json(file)}
     if base is not None:
@@ -215,25 +215,25 @@
 
 
 def confirm(plan_id: str, *, core: list[str]) -> None:
-    """Confirm a plan; it is in force everywhere shortly after the answer.
+    """Confirm a plan; shortly after the answer, its configuration is in effect at all nodes.
 
-    Saying it again gives the same answer and changes nothing more.
+    Confirming it again gives the same answer and changes nothing more.
 
-    :param plan_id: the id that the plan came with
+    :param plan_id: the id that the answer to `plan` contains
     :param core: IP:port of core machines' HTTP ports, tried in turn
     """
     call_core(core, "POST", f"/plans/{plan_id}/confirm", {})
 
 
 def change(file: str, *, number: int, built_on: int, core: list[str]) -> None:
-    """Have a change taken under a number of your own, in one step and without a plan.
+    """Change the configuration in one step, without a plan, under a number that the operator chooses.
 
     The file holds a whole configuration, or {"upsert": {"routes": {...}}, "remove": {"routes": [...]}}.
-    Saying the same again gives the same answer and changes nothing more.
+    Sending the same change again gives the same answer and changes nothing more.
 
     :param file: the change, as JSON
-    :param number: your number for what stands after it, above the one in place
-    :param built_on: the number in place that it is made for; 0 before the first
+    :param number: number of the configuration after the change; must be greater than the current number
+    :param built_on: the current number, on which the change is based; 0 before the first change
     :param core: IP:port of core machines' HTTP ports, tried in turn
     """
     document = read_json(file)
@@ -245,9 +245,9 @@
 
 
 def evacuate(zone: str, *, core: list[str]) -> None:
-    """Have no new request sent to the workers of a zone, from the answer on; requests under way go on.
+    """Evacuate a zone: after the answer, no new requests go to its workers; requests in progress continue.
 
-    Saying it again changes nothing more.
+    Evacuating an evacuated zone again changes nothing.
 
     :param zone: the zone, as the platform's worker list names it
     :param core: IP:port of core machines' HTTP ports, tried in turn
@@ -256,18 +256,18 @@
 
 
 def readmit(zone: str, *, core: list[str]) -> None:
-    """Take an evacuation back: requests go to the zone's workers again.
+    """Cancel the evacuation of a zone: requests go to its workers again.
 
-    :param zone: the zone; one that is not evacuated stays as it is
+    :param zone: the zone; if it is not evacuated, nothing changes
     :param core: IP:port of core machines' HTTP ports, tried in turn
     """
     call_core(core, "DELETE", f"/evacuations/{urllib.parse.quote(zone, safe='')}")
 
 
 def show(what: str = "blueprint", *, core: list[str]) -> None:
-    """Read the configuration back, or a plan by its id, the evacuated zones, or the state of a process.
+    """Print the current configuration, a plan, the evacuated zones, or the state of a process.
 
-    :param what: configuration, evacuations, state, or a plan's id
+    :param what: blueprint (the configuration), evacuations, state, or the id of a plan
     :param core: IP:port of core machines' HTTP ports (for state: of any process)
     """
     call_core(core, "GET", f"/{what}" if what in ("blueprint", "evacuations", "state") else f"/plans/{what}")
@@ -285,17 +285,17 @@
     events: str = "",
     seed: int = 1,
 ) -> None:
-    """Send a mix of requests to nodes and report what came of them; SIGINT ends it early.
+    """Send a mix of requests to nodes, and print how they ended; SIGINT ends it early.
 
     :param nodes: IP:port of nodes' HTTP ports
-    :param platform: IP:port of a platform that names the ready nodes (the stand-in does)
-    :param seconds: how long to go on
-    :param long_rate: long prompts per second
-    :param short_rate: short prompts per second
-    :param talks: conversations kept going
-    :param path: the path to send to
-    :param events: file for the event log, one JSON object a line
-    :param seed: seed of the mix
+    :param platform: IP:port of a platform that lists the ready nodes at /nodes, as the benchmarks' stand-in does
+    :param seconds: how long to send requests
+    :param long_rate: requests with long prompts per second
+    :param short_rate: requests with short prompts per second
+    :param talks: number of concurrent conversations
+    :param path: path of the requests
+    :param events: file for the event log, with one JSON object per line
+    :param seed: seed of the random choices
     """
     service.set_logs("ERROR")
     try:
@@ -323,13 +323,13 @@
 
 
 def _stop(result: object, reactor: epollreactor.EPollReactor) -> object:
-    """Stop the reactor, and pass a failure on, which is then logged."""
+    """Stop the reactor; returns the result, so that Twisted logs it if it is a failure."""
     reactor.stop()
     return result
 
 
 def read_logs(paths: collections.abc.Sequence[str]) -> list[Document]:
-    """Merge the rows of event logs by time; where one can't be read, say why and exit."""
+    """Merge the rows of event logs by time; if a log can't be read, print the reason and exit."""
     rows: list[Document] = []
     truncated_paths = []
     for path in paths:
@@ -339,20 +339,20 @@
         except OSError as error:
             service.fail(service.ExitCode.BAD_INPUT, [f"{path}: {error.strerror}"])
         except (replay_checks.DamagedLogError, UnicodeDecodeError) as error:
-            service.fail(service.ExitCode.BAD_INPUT, [f"{path}: damaged: {error}"])
+            service.fail(service.ExitCode.BAD_INPUT, [f"{path}: the event log is damaged: {error}"])
         rows += file_rows
         if truncated:
             truncated_paths.append(path)
     rows.sort(key=lambda row: row["at"])
     for path in truncated_paths:
-        print(f"{path}: cut short; judged up to there")
+        print(f"{path}: the last line is incomplete; the log is checked without it")
     return rows
 
 
 def replay(*files: str) -> typing.NoReturn:
-    """Check event logs by all checkers; exit 1 where there is a complaint.
+    """Check event logs with all checkers; exit with code 1 if there is a complaint.
 
-    :param files: event logs of one run, merged by their times
+    :param files: event logs of one run, which are merged by time
     """
     rows = read_logs(files)
     complaints = replay_checks.judge(rows)
@@ -368,9 +368,9 @@
 
 
 def history(*files: str) -> typing.NoReturn:
-    """Check operators' calls in event logs: whether one order explains every answer; exit 1 where none does.
+    """Check that the operators' calls in event logs are linearizable; exit with code 1 if they are not.
 
-    :param files: event logs of one run, merged by their times
+    :param files: event logs of one run, which are merged by time
     """
     rows = read_logs(files)
     complaints = operator_history.complaints(rows)
--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -1,6 +1,7 @@
-"""The load generator: a mix of requests as clients would send them, with their retries.
+"""The load generator: sends a mix of requests as clients would, with retries, and writes an event log.
 
-Event logs call a request `exchange`, its attempt `send`, its kind `sort`, and a complete answer `whole`.
+In event logs, a request is named `exchange`, an attempt `send`, the request's kind `sort`, a complete answer `whole`
+and one that ended early `torn`.
 """
 
 from __future__ import annotations
@@ -20,32 +21,34 @@
     from twisted.python import failure
 
 
-LONG_BYTES = 48_000
-SHORT_BYTES = 600
-MAX_ATTEMPTS = 4
-HEAD_TIMEOUT_US = 20 * units.SECOND_US  # until the head of an answer
-DEFAULT_RETRY_WAIT_US = 500 * units.MILLISECOND_US  # where the answer names no time
-IMPATIENT_RETRY_WAIT_US = 50 * units.MILLISECOND_US
-IMPATIENT_SHARE = 0.2  # of clients that retry at once
-IDEMPOTENT_SHARE = 0.5
-NODE_LIST_INTERVAL_US = 200 * units.MILLISECOND_US  # between two questions for the ready nodes
+LONG_BYTES = 48_000  # body of a long request
+SHORT_BYTES = 600  # body of a short request or of a conversation's turn
+MAX_ATTEMPTS = 4  # of one request
+HEAD_TIMEOUT_US = 20 * units.SECOND_US  # from sending an attempt to the head of its answer
+DEFAULT_RETRY_WAIT_US = 500 * units.MILLISECOND_US  # before the next attempt, if the answer has no Retry-After
+IMPATIENT_RETRY_WAIT_US = 50 * units.MILLISECOND_US  # before the next attempt of an impatient client
+IMPATIENT_SHARE = 0.2  # of requests whose client is impatient: it retries almost at once and ignores Retry-After
+IDEMPOTENT_SHARE = 0.5  # of requests that may run more than once
+NODE_LIST_INTERVAL_US = 200 * units.MILLISECOND_US  # between two reads of the platform's list of ready nodes
 
 Address: typing.TypeAlias = tuple[str, int]  # host, port
-RequestKind: typing.TypeAlias = typing.Literal["long", "short", "talk"]  # as in event logs
-AttemptEnd: typing.TypeAlias = typing.Literal["whole", "torn", "lost", "refused", "final"]  # "final": not to be retried
+RequestKind: typing.TypeAlias = typing.Literal["long", "short", "talk"]  # the values of `sort` in event logs
+AttemptEnd: typing.TypeAlias = typing.Literal[
+    "whole", "torn", "lost", "refused", "final"
+]  # "final": refused, must not be retried
 
 log = loguru.logger.bind(part="load")
 
 
 class EventSink(typing.Protocol):
-    """Where the events of a run go."""
+    """Receives the events of a run."""
 
     def put(self, at: int, kind: str, **more: object) -> None:
         """Write one event: its time in µs, its kind and the fields of that kind."""
 
 
 class Events:
-    r"""An event log: one JSON object a line, for `iriswheel replay`.
+    r"""Writes an event log, one JSON object per line, which `iriswheel replay` reads.
 
     >>> import io
     >>> out = io.StringIO(); Events(out).put(5, "sent", exchange="e1"); out.getvalue()
@@ -56,7 +59,7 @@
         self.out = out
 
     def put(self, at: int, kind: str, **more: object) -> None:
-        """Write one event, or nothing where there is no file.
+        """Write one event; does nothing if there is no file.
 
         >>> Events().put(1, "sent")
         """
@@ -65,23 +68,23 @@
 
 
 class AnswerCollector(protocol.Protocol):
-    """Takes a streamed answer and notes when its parts came.
+    """Collects a streamed answer and records when its parts arrived.
 
     Args:
-        runtime: gives the time.
-        done: fires at the end, with whether the answer is complete.
+        runtime: The clock.
+        done: Fires at the end of the answer, with True if the answer is complete.
     """
 
     def __init__(self, runtime: scheduler.Runtime, done: defer.Deferred[bool]) -> None:
         self.runtime = runtime
         self.done = done
         self.parts: list[bytes] = []
-        self.first_at: int | None = None  # when the first part came, in µs
-        self.last_at = 0  # when the newest part came, in µs
-        self.longest_pause_us = 0  # between two parts
+        self.first_at: int | None = None  # when the first part arrived, in µs
+        self.last_at = 0  # when the latest part arrived, in µs
+        self.longest_pause_us = 0  # between the arrivals of two parts
 
     def dataReceived(self, data: bytes) -> None:
-        """Take a part of the answer."""
+        """Collect a part of the answer."""
         now = self.runtime.now()
         if self.first_at is None:
             self.first_at = now
@@ -91,13 +94,13 @@
         self.parts.append(data)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
-        """Report the end of the answer."""
+        """Report the end of the answer, and whether it is complete."""
         if not self.done.called:
             self.done.callback(isinstance(reason.value, client.ResponseDone))
 
 
 class NodeAddresses:
-    """The nodes that clients are handed to: a fixed list, or what the platform says now.
+    """The nodes to which requests are sent: a fixed list, or the ready nodes that the platform lists.
 
     >>> NodeAddresses([("127.0.0.1", 8101)])()
     [('127.0.0.1', 8101)]
@@ -107,11 +110,11 @@
         self.current = fixed
 
     def __call__(self) -> list[Address]:
-        """Return the nodes to send to now."""
+        """Return the nodes to which requests are sent now."""
         return self.current
 
     async def follow(self, runtime: scheduler.Runtime, host: str, port: int) -> None:
-        """Ask the platform for the ready nodes, a few times a second."""
+        """Read the platform's list of ready nodes every NODE_LIST_INTERVAL_US; an empty list is ignored."""
         web = dispatch.Dispatcher(runtime)
         while True:
             try:
@@ -119,8 +122,8 @@
                 self.current = [(name, number) for name, number in json.loads(raw)["nodes"]] or self.current
             except defer.CancelledError:
                 raise
-            except Exception as error:  # whatever is wrong there, the nodes of before stay
-                log.warning("The platform names no nodes: {}", error)
+            except Exception as error:  # after any error, the nodes read before stay in use
+                log.warning("The platform's list of nodes can't be read; the nodes known so far stay in use: {}", error)
             await runtime.sleep(NODE_LIST_INTERVAL_US)
 
 
@@ -131,12 +134,12 @@
     request_id: str
     number: int  # from 1
     idempotent: bool
-    parts: list[str]  # of the prompt's prefix, outermost first
+    parts: list[str]  # names of the parts of the prompt's prefix, outermost first
     body: bytes
 
 
 class AttemptResult(typing.NamedTuple):
-    """How an attempt ended, at which worker, and when to come back."""
+    """How an attempt ended, on which worker, and how long to wait before the next attempt."""
 
     end: AttemptEnd
     worker: str | None
@@ -144,7 +147,7 @@
 
 
 class CompleteAnswer(typing.NamedTuple):
-    """The times of an answer that came in full."""
+    """The times of a complete answer."""
 
     kind: RequestKind
     first_byte_us: int
@@ -152,23 +155,23 @@
 
 
 class LoadMix(typing.NamedTuple):
-    """What the load consists of: long prompts that share a prefix, short ones, and conversations."""
+    """What the load consists of: long prompts that share a prefix, short prompts, and conversations."""
 
-    path: str  # of the requests
+    path: str  # HTTP path of all requests
     duration_us: int
-    long_rate: float  # per second
-    short_rate: float  # per second
-    conversations: int  # kept going
+    long_rate: float  # long requests per second
+    short_rate: float  # short requests per second
+    conversations: int  # number of concurrent conversations
 
 
 class LoadGenerator:
-    """Sends a mix of requests as clients would, some of which retry at once.
+    """Sends a mix of requests as clients would, some of which retry almost at once.
 
     Args:
-        runtime: clock, reactor and randomness.
-        node_addresses: gives the nodes that clients are handed to now.
-        mix: what to send, and for how long.
-        events: takes what happens.
+        runtime: The clock, the reactor and the random numbers.
+        node_addresses: Returns the nodes to which requests are sent now.
+        mix: What to send, and for how long.
+        events: Receives the events of the run.
     """
 
     def __init__(
@@ -186,7 +189,7 @@
         self.short_rate = mix.short_rate
         self.conversations = mix.conversations
         self.events = events
-        self.agent = dispatch.Dispatcher(runtime).unpooled_agent  # clients come on fresh connections
+        self.agent = dispatch.Dispatcher(runtime).unpooled_agent  # clients open a connection for each attempt
         self.started_at = runtime.now()
         self.max_attempts = MAX_ATTEMPTS
         self.impatient_share = IMPATIENT_SHARE
@@ -194,28 +197,30 @@
         self.answers: list[CompleteAnswer] = []
         self.refusals_by_code: dict[str, int] = {}
         self.ends = {"whole": 0, "torn": 0, "refused": 0, "lost": 0, "gave_up": 0}
-        self.last_workers: dict[str, str] = {}  # conversation -> worker of its last turn
-        self.kept_turns = 0  # later turns that went to the worker of the turn before
-        self.later_turns = 0
-        self.under_way: list[defer.Deferred[typing.Any]] = []  # of requests, and in simulations of single attempts
+        self.last_workers: dict[str, str] = {}  # the worker of the last turn, by conversation
+        self.kept_turns = 0  # turns that ran on the worker of the conversation's previous turn
+        self.later_turns = 0  # turns that follow another turn of their conversation
+        self.under_way: list[
+            defer.Deferred[typing.Any]
+        ] = []  # requests in progress; in simulations also single attempts
 
     async def run(self) -> None:
-        """Go on until the time is over, then wait for the requests under way."""
+        """Send requests until the duration of the run is over, then wait for those in progress."""
         loops = [self.send_at_rate("long", self.long_rate), self.send_at_rate("short", self.short_rate)]
         loops += [self.converse(number) for number in range(self.conversations)]
         await defer.DeferredList([defer.ensureDeferred(loop) for loop in loops], consumeErrors=False)
         await defer.DeferredList(self.under_way)
 
     def end(self) -> None:
-        """Send nothing new from now on."""
+        """Start no new requests from now on."""
         self.duration_us = 0
 
     def is_over(self) -> bool:
-        """Whether the time is over."""
+        """Whether the duration of the run is over."""
         return self.runtime.now() - self.started_at >= self.duration_us
 
     async def send_at_rate(self, kind: RequestKind, rate: float) -> None:
-        """Send requests of one kind at a rate per second, whatever becomes of them."""
+        """Send requests of one kind at a mean rate per second, without waiting for their answers."""
         due = self.runtime.now()
         while rate > 0 and not self.is_over():
             due += int(self.runtime.rng.expovariate(rate) * units.SECOND_US)
@@ -225,11 +230,11 @@
             self.under_way.append(sending)
 
     async def converse(self, number: int) -> None:
-        """One conversation after the other, each of several turns."""
+        """Hold one conversation after the other, each of 5 to 24 turns."""
         turn = 0
         while not self.is_over():
             await self.runtime.sleep(self.runtime.rng.randrange(300, 2500) * units.MILLISECOND_US)
-            if number >= self.conversations:  # fewer are wanted now
+            if number >= self.conversations:  # the number of conversations was lowered meanwhile
                 break
             if turn == 0:
                 name = f"talk-{number}-{self.request_count}"
@@ -246,7 +251,7 @@
         self.last_workers[name] = worker
 
     async def send_request(self, kind: RequestKind, parts: list[str]) -> str | None:
-        """One request with its client's retries; the worker's name where it came through."""
+        """Send one request, with retries; returns the worker's name after a complete answer, else None."""
         self.request_count += 1
         request_id = f"x{self.request_count}"
         idempotent = self.runtime.rng.random() < IDEMPOTENT_SHARE
@@ -264,7 +269,7 @@
         return None
 
     async def send_attempt(self, attempt: Attempt) -> AttemptResult:
-        """Send one attempt on a fresh connection, and wait for the end of its answer."""
+        """Send one attempt on a new connection, and wait for the end of its answer."""
         host, port = self.runtime.rng.choice(self.node_addresses())
         started_at = self.runtime.now()
         self._log_sent(attempt, started_at, f"{host}:{port}")
@@ -273,7 +278,7 @@
             response = await self.runtime.within(
                 self.agent.request(b"POST", url, _headers(attempt), dispatch.Body(attempt.body)), HEAD_TIMEOUT_US
             )
-        except Exception as error:  # for a client all errors of the connection are alike
+        except Exception as error:  # a client treats all connection errors alike
             self.ends["lost"] += 1
             name = type(error).__name__
             self.events.put(self.runtime.now(), "lost", exchange=attempt.request_id, send=attempt.number, why=name)
@@ -349,7 +354,7 @@
         return AttemptResult("refused", None, int(after_s[0]) * units.SECOND_US if after_s else DEFAULT_RETRY_WAIT_US)
 
     def report(self) -> dict[str, typing.Any]:
-        """Counts, and times in milliseconds, as JSON values."""
+        """The counts of the run, and its times in milliseconds, as JSON values."""
         report: dict[str, typing.Any] = {
             "exchanges": self.request_count,
             "ends": self.ends,
@@ -387,7 +392,7 @@
 
 
 def quantile_ms(sorted_us: list[int], share: float) -> float:
-    """The duration below which a share of the durations lies, in milliseconds.
+    """The quantile of sorted durations below which the given share of them lies, in milliseconds.
 
     >>> quantile_ms([1000, 2000, 3000], 0.5)
     2.0
--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -1,7 +1,7 @@
-"""How a process is set up, run and ended: logs, ports, signals, options read again.
+"""Sets up, runs and stops a process: log output, ports, signals, and reloading of options.
 
-A role loads only what it needs, here and not while this module loads: a process often starts
-while requests wait for it, and the time that it spends on loading is time in which it does not serve.
+Each role imports the modules that it needs in its own function, not at the head of this file: a process often starts
+while requests wait for it, and it does not serve while it imports modules of the other role.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
     from iriswheel.node import node
 
 
-LAST_BYTES_TIMEOUT_US = 500 * units.MILLISECOND_US  # for the last bytes of a node's answers
-PEER_BACKLOG = 512  # connections that wait to be accepted, by port
-HTTP_BACKLOG = 1024
-READY_BACKLOG = 128
-READY_CONNECTION_LIMIT = 64
+LAST_BYTES_TIMEOUT_US = 500 * units.MILLISECOND_US  # for a stopping node to send the last bytes of its answers
+PEER_BACKLOG = 512  # TCP listen backlog of the port for iriswheel's processes
+HTTP_BACKLOG = 1024  # TCP listen backlog of the HTTP port
+READY_BACKLOG = 128  # TCP listen backlog of the port for readiness polls
+READY_CONNECTION_LIMIT = 64  # open connections on the port for readiness polls
 
 ReadOptions: typing.TypeAlias = collections.abc.Callable[[], options.Options]
 
@@ -38,18 +38,18 @@
 
 
 class ExitCode(enum.IntEnum):
-    """With what a process ends, where it does not end well."""
+    """The exit codes of a process that failed."""
 
-    COMPLAINTS = 1  # a checker found a fault in a log
-    BAD_INPUT = 2
-    NO_START = 3
-    REFUSED = 4  # the call did not run
-    UNKNOWN = 5  # the call may have run
-    INTERRUPTED = 130
+    COMPLAINTS = 1  # a checker found a fault in an event log
+    BAD_INPUT = 2  # wrong options, settings or input files
+    NO_START = 3  # a port or the data folder is not available
+    REFUSED = 4  # a core did not carry out the call
+    UNKNOWN = 5  # a core may have carried out the call
+    INTERRUPTED = 130  # SIGINT
 
 
 def set_logs(level: str) -> None:
-    """Logs go to standard error: time, level, part of the program, message."""
+    """Write log lines of this level and above to standard error: time, level, part of the program, message."""
     loguru.logger.remove()
     loguru.logger.configure(extra={"part": "main"})
     line_format = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level:<7} {extra[part]}: {message}"
@@ -64,16 +64,15 @@
 
 
 def install_reactor() -> epollreactor.EPollReactor:
-    """Make and install the process's reactor, which is loaded here and not while this module loads.
+    """Create and install the process's reactor, whose module is imported only here.
 
-    Twisted's reactors time their calls by the time of day, so that a clock set back by some
-    seconds would hold up every timer of the process for as long. This one goes by the clock
-    since boot, as `scheduler.Runtime` does.
+    Twisted's reactors schedule timers by the time of day, so setting the system clock back by some seconds would delay
+    every timer of the process by as much. This reactor uses the clock since boot, as `scheduler.Runtime` does.
     """
     from twisted.internet import epollreactor, main
 
     class SteadyReactor(epollreactor.EPollReactor):
-        """An epoll reactor whose timers follow the clock since boot."""
+        """An epoll reactor whose timers use the clock since boot."""
 
         seconds = staticmethod(lambda: scheduler.boottime() / units.SECOND_US)
 
@@ -88,13 +87,13 @@
     stop: collections.abc.Callable[[], collections.abc.Coroutine[typing.Any, typing.Any, object]],
     reload_options: collections.abc.Callable[[], object],
 ) -> None:
-    """Run the reactor until a signal; SIGTERM and SIGINT stop it in good order, SIGHUP has the options read again.
+    """Run the reactor until SIGTERM or SIGINT, which stop the process gracefully; SIGHUP reloads the options.
 
     Args:
-        reactor: of the process.
-        process_options: for the log.
-        stop: ends the work of the process; the reactor stops once that is done, or has failed.
-        reload_options: called on SIGHUP.
+        reactor: The process's reactor.
+        process_options: The process's options; its role, name and addresses are logged.
+        stop: Ends the work of the process; the reactor stops once this has finished or failed.
+        reload_options: Called on SIGHUP.
     """
     stopping = False
 
@@ -131,10 +130,10 @@
     http: http_server.Server,
     ready: http_server.Server | None = None,
 ) -> tcp.Port:
-    """Bind the ports, or exit where one can't be bound; the options then hold the real ones.
+    """Bind the ports, and write their numbers into the options; exit if a port can't be bound.
 
     Returns:
-        The port where HTTP is served.
+        The HTTP port.
     """
     host = process_options.host
     try:
@@ -148,7 +147,7 @@
             ready_host, ready_port = options.parse_address(process_options.ready)
             reactor.listenTCP(ready_port, ready, interface=ready_host, backlog=READY_BACKLOG)
     except error.CannotListenError as cause:
-        fail(ExitCode.NO_START, [f"The port can't be had: {cause}"])
+        fail(ExitCode.NO_START, [f"The process can't listen on a port and does not start: {cause}"])
     return front
 
 
@@ -162,13 +161,13 @@
     read_options: ReadOptions,
     make_handler: collections.abc.Callable[[core.Core], http_server.Handler] = _default_handler,
 ) -> None:
-    """Run a core with these options.
+    """Run a core until it is stopped.
 
     Args:
-        process_options: checked.
-        path: of the options file, which is watched for changes.
-        read_options: reads the options again.
-        make_handler: gives what answers HTTP.
+        process_options: The options, already checked.
+        path: The path of the options file, which is watched for changes.
+        read_options: Reads the options again.
+        make_handler: Makes the HTTP handler of the core; by default the core's own.
     """
     from iriswheel.control import core
     from iriswheel.runtime import storage
@@ -198,14 +197,14 @@
     ready: collections.abc.Callable[[node.Node], http_server.Handler] | None = None,
     formats: edge_protocol.EdgeProtocol | None = None,
 ) -> None:
-    """Run a node with these options.
+    """Run a node until it is stopped.
 
     Args:
-        process_options: checked.
-        path: of the options file, which is watched for changes.
-        read_options: reads the options again.
-        ready: gives what answers at the address at which only readiness is served; by default as at the front.
-        formats: of clients, workers and the platform; by default iriswheel's own.
+        process_options: The options, already checked.
+        path: The path of the options file, which is watched for changes.
+        read_options: Reads the options again.
+        ready: Makes the HTTP handler of the address for readiness polls; by default the handler of the HTTP port.
+        formats: The edge protocol towards clients, workers and the platform; by default iriswheel's own.
     """
     from iriswheel.node import node
 
--- a/iriswheel/verification/__init__.py
+++ b/iriswheel/verification/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers of event logs: the product's guarantees, histories, linearizability."""
+"""Checkers that judge from event logs whether a run kept the product's guarantees, among them linearizability."""
--- a/iriswheel/verification/availability.py
+++ b/iriswheel/verification/availability.py
@@ -1,4 +1,4 @@
-"""Checkers of availability: proper requests are served in time, and service is back soon after a large fault."""
+"""Checkers of availability: valid requests are served in time, and service recovers soon after a large fault."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-LONG_FIRST_BYTE_MAX_US = 1_000_000  # to the first byte of a long request
-SHORT_FIRST_BYTE_MAX_US = 500_000  # to the first byte of a short one
-STREAM_PAUSE_MAX_US = 1_000_000  # between two events of a stream
-ACKNOWLEDGEMENT_MAX_US = 5_000_000  # from the operator's wish for a change to its acknowledgement
-REFUSAL_SLACK_US = 500_000  # a refusal may come this long after the pool's wait is over
-DEFAULT_LONG_WAIT_US = 10_000_000
-DEFAULT_SHORT_WAIT_US = 5_000_000
-RECOVERY_WINDOW_US = 5_000_000  # the requests of this span, once service must be back, show whether it is
-RECOVERY_SHARE_MIN = 0.9
+LONG_FIRST_BYTE_MAX_US = 1_000_000  # from sending a long request to the first byte of its answer
+SHORT_FIRST_BYTE_MAX_US = 500_000  # from sending a short request to the first byte of its answer
+STREAM_PAUSE_MAX_US = 1_000_000  # between two events of a streamed answer
+ACKNOWLEDGEMENT_MAX_US = 5_000_000  # from the time that an operator wants a change to its acknowledgement
+REFUSAL_SLACK_US = 500_000  # from the end of the longest wait for a worker to the refusal
+DEFAULT_LONG_WAIT_US = 10_000_000  # wait of a long request for a worker, if the pool gives none
+DEFAULT_SHORT_WAIT_US = 5_000_000  # wait of a short request for a worker, if the pool gives none
+RECOVERY_WINDOW_US = 5_000_000  # span after the recovery deadline whose requests show whether service has recovered
+RECOVERY_SHARE_MIN = 0.9  # of these requests that must be answered in full
 
 
 def served(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """11: the fleet refuses no proper request without a reason, and refuses at once.
+    """11: the fleet refuses no valid request without a reason, and refuses it at once.
 
-    Requests that meet a fault are excused: at a dead, frozen or partitioned node, on a lost worker. After a large
-    fault all are for 12 s. Where a pool owner or its replica is lost, other requests may start late for
-    ROLE_FAULT_US, but may not be refused.
+    Requests that meet a fault are excused: at a dead, frozen or partitioned node, or on a lost worker. After a large
+    fault, all requests are excused for 12 s. After the loss of a pool owner or of its replica, other requests may start
+    late for ROLE_FAULT_US, but may not be refused.
     """
     yield from refused_requests(log)
     yield from broken_requests(log)
@@ -35,7 +35,7 @@
 
 
 def refused_requests(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Refusals that come late, or without a reason."""
+    """Complaints of refusals that come too late or have no reason."""
     for row in log.rows_of("refused"):
         attempt = event_log.attempt_key(row)
         sent = log.sent.get(attempt)
@@ -54,7 +54,7 @@
 
 
 def longest_wait_us(log: event_log.EventLog, sent: event_log.Row, until: int) -> int:
-    """How long a request may wait for a worker, by any pool of the configurations in force."""
+    """The longest wait for a worker that any pool allows, in the configurations in effect at the time."""
     field, default = ("short_wait_us", DEFAULT_SHORT_WAIT_US)
     if sent["sort"] == "long":
         field, default = ("long_wait_us", DEFAULT_LONG_WAIT_US)
@@ -67,7 +67,7 @@
 
 
 def broken_requests(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Requests that were lost or torn although neither their node nor their worker was at fault."""
+    """Complaints of requests that got no answer or an incomplete one though node and worker were not at fault."""
     for row in log.rows_of("lost") + log.rows_of("torn"):
         attempt = event_log.attempt_key(row)
         sent = log.sent.get(attempt)
@@ -77,11 +77,11 @@
         worker = log.runs.get(attempt, {}).get("worker")
         if not log.met_fault(sent["at"], row["at"], sent.get("node"), worker):
             at_s = row["at"] / units.SECOND_US
-            yield f"{row['exchange']} was {row['kind']} at {at_s:.1f} s, neither its node nor its worker at fault"
+            yield f"{row['exchange']} was {row['kind']} at {at_s:.1f} s, though neither its node nor its worker was at fault"
 
 
 def refused_probes(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Probes that were refused without a reason."""
+    """Complaints of probes that were refused without a reason."""
     for row in log.rows_of("probe"):
         log.rows_judged["served"] += 1
         if row["status"] in (200, 404):
@@ -93,7 +93,7 @@
 
 
 def slow_answers(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Answers whose first byte came late, or that paused."""
+    """Complaints of answers whose first byte came late, or that paused too long."""
     for row in log.rows_of("whole"):
         sent = log.sent[event_log.attempt_key(row)]
         log.rows_judged["served"] += 1
@@ -106,7 +106,7 @@
 
 
 def late_first_byte(log: event_log.EventLog, row: event_log.Row, sent: event_log.Row) -> collections.abc.Iterator[str]:
-    """A first byte that came late although nothing was at fault and slots were free."""
+    """A complaint of a first byte that came late though no fault can explain it and slots were free."""
     since, first_at = sent["at"], sent["at"] + row["first"]
     if log.met_fault(since, first_at, sent.get("node"), row["worker"]) or log.may_be_delayed(since, first_at):
         return
@@ -122,16 +122,16 @@
 
 
 def back(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """12: within about 12 s after a large failure, service is back, and changes are taken.
+    """12: within about 12 s after a large fault, requests are served and changes of the configuration are accepted.
 
-    From then on `served` excuses nothing any more; here at least something must have come through.
+    After that time `served` no longer excuses requests. This checker demands that most requests are answered.
     """
     yield from late_changes(log)
     yield from lasting_failures(log)
 
 
 def late_changes(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Changes that were not acknowledged in time although no core machine was at fault."""
+    """Complaints of changes that were not acknowledged in time though no core machine was at fault."""
     acknowledged = {(row["who"], row["probe"]): row["at"] for row in reversed(log.rows_of("confirmed"))}
     core_faults = [fault for fault in log.faults if fault.role in ("core", "all", "") or fault.large]
     for row in log.rows_of("wanted"):
@@ -147,7 +147,7 @@
 
 
 def lasting_failures(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Large faults after which too few requests came through."""
+    """Complaints of large faults after which too few first attempts got a complete answer."""
     complete = {event_log.attempt_key(row) for row in log.rows_of("whole")}
     for fault in log.faults:
         first = fault.at + event_log.LARGE_FAULT_US
--- a/iriswheel/verification/configuration_checks.py
+++ b/iriswheel/verification/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Checkers of operators' calls: what was acknowledged stays, and one order explains all answers."""
+"""Checkers of operators' calls: acknowledged changes are kept, and the calls are linearizable."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def kept(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """6: what was acknowledged is there when it is read back."""
+    """6: a read returns the last acknowledged configuration or a later one that an operator sent."""
     versions: dict[str, int] = {}
     for row in log.rows_of("confirmed"):
         if versions.setdefault(row["plan"], row["stamp"]) != row["stamp"]:
@@ -32,12 +32,12 @@
 
 
 def read_complaint(log: event_log.EventLog, read: event_log.Row, versions: dict[str, int]) -> str | None:
-    """What is wrong with what was read back, or None.
+    """A complaint if a read returned an older or an unknown configuration, else None.
 
     Args:
-        log: The log.
+        log: The log of the run.
         read: The row of the read.
-        versions: The version of each acknowledged plan.
+        versions: The versions of the acknowledged plans, by plan id.
     """
     before = [row for row in log.rows_of("confirmed") if row["at"] < read["at"]]
     if not before:
@@ -56,7 +56,7 @@
 
 
 def same_content(one: event_log.Document, other: event_log.Document) -> bool:
-    """Whether two configurations say the same; empty sections don't count.
+    """Whether two configurations have the same content; an empty section equals a missing one.
 
     >>> same_content({"pools": {}}, {})
     True
@@ -65,6 +65,6 @@
 
 
 def linearizable(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """6: one order of all operators' calls explains what each was told."""
+    """6: the operators' calls are linearizable: one order of them explains every answer."""
     log.rows_judged["linearizable"] += history.call_count(log.rows)
     yield from history.complaints(log.rows)
--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -1,9 +1,9 @@
-"""Event logs: reading them, and the indexes over their rows that the checkers share.
+"""Reads event logs, and builds the indexes over their rows that the checkers share.
 
-A log holds what clients, workers, the platform and operators noted, never the fleet's own counters. Times are whole
-microseconds. The kinds of rows and their fields keep the words of the file format: `exchange` is a request, `send` an
-attempt, `stamp` a version, `blueprint` a configuration, `duty` a pool owner's or a replica's role, `mend` a repair,
-`whole` a complete answer and `torn` one that broke off (docs/glossary.md).
+A log holds what clients, workers, the platform and operators observed, never the fleet's own counters. Times are whole
+microseconds. The kinds of rows and their fields have the names of the file format: `exchange` is a request, `send` the
+number of an attempt, `stamp` a version, `blueprint` a configuration, `duty` the role of a pool's owner or replica,
+`mend` a repair, `whole` a complete answer and `torn` an incomplete one (docs/glossary.md).
 """
 
 from __future__ import annotations
@@ -16,26 +16,30 @@
 
 from iriswheel.runtime import units
 
-NEVER = 1 << 62
-ROUTING_TO_RUN_MAX_US = 500_000  # from a node's routing decision to the arrival at a worker, also over a slow link
-CONFIGURATION_APPLY_MAX_US = 2_000_000  # a configuration that was replaced may be in force for so long
-LARGE_FAULT_US = 12_000_000  # a large fault excuses all requests for so long
-# How long a small fault may affect requests that did not meet it:
-ROLE_FAULT_US = 4_000_000  # a pool owner or its replica is lost: others may start late
-SILENT_FAULT_US = 3_000_000  # a worker is lost and its connections stay open: others may start late
-REJOIN_US = 2_000_000  # a node that was frozen, partitioned or restarted serves again within this
-CROWDED_SHARE = 0.9  # of a pool's slots; with so many in use, requests may have to wait
-
-DEFAULT_SLOTS = 16
-DEFAULT_LONG_SLOTS = 4
+NEVER = 1 << 62  # a time later than all others
+ROUTING_TO_RUN_MAX_US = (
+    500_000  # at most, from a node's routing decision to the start of the run at a worker, even over a slow link
+)
+CONFIGURATION_APPLY_MAX_US = (
+    2_000_000  # at most, from the acknowledgement of a change until no node uses the former configuration
+)
+LARGE_FAULT_US = 12_000_000  # time from a large fault within which all requests are excused
+# How long a small fault may affect requests whose own node and worker were not at fault:
+ROLE_FAULT_US = 4_000_000  # requests may start late after the loss of a pool's owner or replica
+SILENT_FAULT_US = 3_000_000  # requests may start late after the loss of a worker whose connections stay open
+REJOIN_US = 2_000_000  # for a node that was frozen, partitioned or restarted to serve again
+CROWDED_SHARE = 0.9  # share of a pool's slots in use from which on requests may have to wait
+
+DEFAULT_SLOTS = 16  # requests at once on a worker, if the pool gives no number
+DEFAULT_LONG_SLOTS = 4  # long requests at once on a worker, if the pool gives no number
 
 Row = dict[str, typing.Any]  # one event: "at" (microseconds), "kind", and the kind's own fields
 Document = dict[str, typing.Any]  # a configuration, as sent by an operator
-AttemptKey = tuple[str, int]  # a request's id and the number of the client's attempt
+AttemptKey = tuple[str, int]  # a request's id and the number of the attempt, from 1; 0 for a probe
 
 
 class DamagedLogError(ValueError):
-    """The log can't be read; the text says where.
+    """A line of the log is not an event; the text names the line.
 
     >>> DamagedLogError("line 3").code
     'damaged_log'
@@ -45,17 +49,17 @@
 
 
 def read(lines: collections.abc.Iterable[str]) -> tuple[list[Row], bool]:
-    """The rows of a log, in time order, and whether it was cut short.
+    """The rows of a log, sorted by time, and whether the log is truncated: its last line is incomplete.
 
     Raises:
-        DamagedLogError: a line before the last one is no event.
+        DamagedLogError: a line before the last one is not an event.
 
     >>> read(['{"at": 1, "kind": "sent"}', '{"at": 2, "ki'])
     ([{'at': 1, 'kind': 'sent'}], True)
     >>> read(['{"at": 1}', '{"at": 2, "kind": "sent"}'])
     Traceback (most recent call last):
     ...
-    iriswheel.verification.event_log.DamagedLogError: line 1 is no event
+    iriswheel.verification.event_log.DamagedLogError: line 1 is not an event
     """
     rows: list[Row] = []
     truncated = False
@@ -69,13 +73,13 @@
         elif number == len(lines):
             truncated = True
         else:
-            raise DamagedLogError(f"line {number} is no event")
+            raise DamagedLogError(f"line {number} is not an event")
     rows.sort(key=lambda row: row["at"])
     return rows, truncated
 
 
 def parse_row(line: str) -> Row | None:
-    """The event that a line holds, or None.
+    """Parse a line; None if it is not an event, a JSON object with the fields `at` and `kind`.
 
     >>> parse_row('{"at": 1, "kind": "sent"}'), parse_row('{"at": "soon", "kind": "sent"}')
     ({'at': 1, 'kind': 'sent'}, None)
@@ -90,19 +94,19 @@
 
 
 class Fault:
-    """A fault: when it began and ended, and what it affects.
+    """An injected fault: when it began and ended, and what it affects.
 
-    A row of kind "fault" begins it, a row of kind "mend" for the same target (or for "all") ends it.
+    A fault begins with a row of kind "fault" and ends with a row of kind "mend" for the same target or for "all".
 
     Attributes:
-        at: When it began.
-        end: When it ended, or NEVER.
-        what: The kind of fault.
-        target: The name of the machine, process or link.
+        at: When it began, in µs.
+        end: When it ended, in µs, or NEVER.
+        what: The kind of fault, for example "kill".
+        target: The name of the machine, process or link at fault.
         role: What the target is: "node", "worker", "link", "core", "all" or "".
-        address: Where clients reach the target.
-        assignment: Whether the target was a pool's owner or kept its replica.
-        large: Whether it excuses all requests.
+        address: Where clients reach the target, as host:port.
+        assignment: Whether the target was the owner of a pool or held a replica of one.
+        large: Whether it excuses all requests for LARGE_FAULT_US.
 
     >>> f = Fault({"at": 5, "what": "kill", "target": "n1", "role": "node", "addr": "h:1"}, 9)
     >>> f.overlaps(8, 12), f.overlaps(10, 12), f.overlaps(10, 12, after=2)
@@ -120,7 +124,7 @@
         self.large: bool = row.get("large", False)
 
     def overlaps(self, since: int, until: int, after: int = 0) -> bool:
-        """Whether a span of time overlaps this fault, prolonged by `after` microseconds.
+        """Whether a span of time overlaps this fault, extended at its end by `after` microseconds.
 
         >>> Fault({"at": 5, "what": "kill", "target": "n1"}, 9).overlaps(0, 4)
         False
@@ -128,7 +132,7 @@
         return since <= self.end + after and until >= self.at
 
     def stops_request(self, since: int, until: int, node: str | None, worker: str | None) -> bool:
-        """Whether a request at a node, on a worker, in a span of time met this fault."""
+        """Whether this fault excuses a request that was at this node and on this worker in a span of time."""
         if self.large and since <= self.at + LARGE_FAULT_US and until >= self.at:
             return True
         match self.role:
@@ -137,12 +141,14 @@
             case "worker":
                 return self.target == worker and self.overlaps(since, until, units.SECOND_US)
             case "link":
-                return self.address == node and since <= self.at <= until  # it was under way when the link broke
+                return (
+                    self.address == node and since <= self.at <= until
+                )  # the request was in progress when the link broke
             case _:
                 return False
 
     def delays_others(self, since: int, until: int) -> bool:
-        """Whether this fault may have made a request elsewhere start late in a span of time."""
+        """Whether this fault may have delayed the start of requests at other nodes in a span of time."""
         if until < self.at:
             return False
         slow = self.what in ("slow", "lossy", "flap") and self.end != NEVER
@@ -153,14 +159,14 @@
 
 
 class ListedState(typing.NamedTuple):
-    """How the platform lists a worker, and since when."""
+    """The state in which the platform lists a worker, and since when."""
 
     state: str
     since: int
 
 
 class ActiveConfiguration(typing.NamedTuple):
-    """A configuration, and the span of time within which a node may go by it."""
+    """A configuration, and the span of time in which a node may use it."""
 
     since: int
     until: int
@@ -168,10 +174,10 @@
 
 
 class Conversation(typing.NamedTuple):
-    """What names a conversation."""
+    """The identity of a conversation."""
 
-    pool: str | None  # None where the platform never listed its worker
-    parts: tuple[str, ...]  # of the prompt's prefix, outermost first
+    pool: str | None  # None if the platform never listed its worker
+    parts: tuple[str, ...]  # names of the parts of the prompt's prefix, outermost first
 
 
 class Span(typing.NamedTuple):
@@ -182,7 +188,7 @@
 
 
 class RetryTimes(typing.NamedTuple):
-    """When repeats ran, and when requests were first sent or probes were answered, by time."""
+    """The sorted times at which retries ran, and at which requests were first sent or probes got an answer."""
 
     repeats: list[int]
     requests: list[int]
@@ -192,19 +198,19 @@
     """The rows of a log, indexed for the checkers.
 
     Attributes:
-        rows: All rows, by time.
+        rows: All rows, sorted by time.
         end: The time of the last row.
-        rows_judged: How many rows each checker judged, by its name.
-        sent: The row of each attempt of a client.
-        attempts_and_probes: These, and the probes as attempt 0.
-        idempotent: Whether a request may run more than once, by its id.
-        runs: The first run of each attempt.
-        run_ends: When a run ended, by its id.
-        listed: What the platform listed of each worker, by time.
+        rows_judged: The number of rows that each checker judged, by the checker's name.
+        sent: The row of the sending of each attempt.
+        attempts_and_probes: The rows of `sent`, and those of probes as attempt 0.
+        idempotent: Whether a request may run more than once, by request id.
+        runs: The row of the first run of each attempt at a worker.
+        run_ends: When a run ended, by run id.
+        listed: The rows in which the platform listed each worker, sorted by time.
         worker_pools: The pool of each worker.
         faults: All faults.
         node_zones: The zone of each node, by its address.
-        configurations: The configurations that may have been in force.
+        configurations: The configurations that may have been in effect, with their times.
 
     >>> EventLog([{"at": 1, "kind": "asked"}]).rows_of("asked")
     [{'at': 1, 'kind': 'asked'}]
@@ -274,7 +280,7 @@
         return self.kinds.get(kind, [])
 
     def configurations_between(self, since: int, until: int) -> list[Document]:
-        """The configurations that may be in force at some node in a span of time.
+        """The configurations that may be in effect at some node in a span of time.
 
         >>> EventLog([]).configurations_between(0, 5)
         []
@@ -282,7 +288,7 @@
         return [active.document for active in self.configurations if active.since <= until and since <= active.until]
 
     def met_fault(self, since: int, until: int, node: str | None = None, worker: str | None = None) -> bool:
-        """Whether a request at a node, on a worker, met a fault of one of them, or a large one.
+        """Whether a request met a fault of its node or its worker, a large fault, or its worker left the list.
 
         >>> log = EventLog([{"at": 5, "kind": "fault", "what": "kill", "target": "w1", "role": "worker"}])
         >>> log.met_fault(6, 7, worker="w1"), log.met_fault(6, 7, worker="w2")
@@ -294,7 +300,7 @@
         return any(row["state"] != "ready" and since <= row["at"] <= until for row in listed)
 
     def may_be_delayed(self, since: int, until: int) -> bool:
-        """Whether a small fault elsewhere may have made a request start late.
+        """Whether a small fault of another node or worker may have delayed the start of a request.
 
         >>> log = EventLog([{"at": 5, "kind": "fault", "what": "kill", "target": "n1", "role": "node", "duty": True}])
         >>> log.may_be_delayed(6, 7), log.may_be_delayed(6 * units.SECOND_US, 7 * units.SECOND_US)
@@ -303,7 +309,7 @@
         return any(fault.delays_others(since, until) for fault in self.faults)
 
     def listed_state(self, worker: str, at: int) -> ListedState:
-        """How the platform listed a worker at a time, and since when.
+        """The state in which the platform listed a worker at a time, and since when; "gone" if it never did.
 
         >>> EventLog([]).listed_state("w1", 5)
         ListedState(state='gone', since=0)
@@ -317,7 +323,7 @@
         return state
 
     def ready_workers(self, pool: str | None, since: int, until: int) -> list[str]:
-        """The workers of a pool that were listed as ready, and at no fault, in a span of time.
+        """The workers of a pool that were listed as ready and were not at fault during a whole span of time.
 
         >>> log = EventLog([{"at": 1, "kind": "listed", "worker": "w1", "state": "ready", "pool": "p"}])
         >>> log.ready_workers("p", 5, 6)
@@ -335,14 +341,14 @@
         ]
 
     def is_crowded(self, pool: str | None, since: int, until: int, long: bool, documents: list[Document]) -> bool:
-        """Whether at some time in a span nearly all slots of the pool's ready workers were taken.
+        """Whether at some time in a span nearly all slots of the pool's ready workers were in use.
 
         Args:
             pool: The pool.
-            since: Where the span begins.
-            until: Where it ends.
-            long: Whether the slots for long requests are meant.
-            documents: The configurations in force.
+            since: The beginning of the span.
+            until: The end of the span.
+            long: Whether to count long requests and their slots only.
+            documents: The configurations in effect in the span.
         """
         workers = set(self.ready_workers(pool, since, until))
         if not workers:
@@ -363,10 +369,10 @@
 
     @functools.cached_property
     def conversations(self) -> dict[Conversation, list[Row]]:
-        """The runs of each conversation: a prefix of two parts and more names one.
+        """The runs of each conversation: the requests that share a prompt prefix of two or more parts.
 
-        In the order in which they were sent, and each attempt once: a worker that froze may run a request long after
-        it was given up there and went elsewhere.
+        The runs of a conversation are sorted by the time of sending, and each attempt counts once: a worker that froze
+        may run an attempt long after the node gave up on that worker and sent the attempt to another one.
         """
         found: collections.defaultdict[Conversation, list[Row]] = collections.defaultdict(list)
         for row in self.rows_of("run"):
@@ -380,7 +386,7 @@
 
     @functools.cached_property
     def retry_times(self) -> RetryTimes:
-        """The times of repeats and of requests."""
+        """The times of retries and of requests, for the check of the retry budget."""
         first_sent = {row["exchange"]: row["at"] for row in reversed(self.rows_of("sent"))}
         probes = [row["at"] for row in self.rows_of("probe") if row["status"] != 404]
         repeats: list[int] = []
@@ -403,7 +409,7 @@
 
 
 def most_at_once(spans: list[Span], until: int) -> int:
-    """The most spans that overlap at any time up to `until`.
+    """The largest number of spans that overlap at any one time up to `until`.
 
     >>> most_at_once([Span(1, 5), Span(2, 6), Span(5, 9)], 7)
     2
