--- a/iriswheel/verification/availability.py
+++ b/iriswheel/verification/availability.py
@@ -50,7 +50,7 @@
         why = refusals.contradiction(log, row, sent)
         if why is not None:
             at_s = sent["at"] / units.SECOND_US
-            yield f"{row['exchange']} send {row['send']} was turned away ({row['code']}) at {at_s:.1f} s: {why}"
+            yield f"{row['exchange']} send {row['send']} was refused ({row['code']}) at {at_s:.1f} s, but {why}"
 
 
 def longest_wait_us(log: event_log.EventLog, sent: event_log.Row, until: int) -> int:
@@ -77,7 +77,7 @@
         worker = log.runs.get(attempt, {}).get("worker")
         if not log.met_fault(sent["at"], row["at"], sent.get("node"), worker):
             at_s = row["at"] / units.SECOND_US
-            yield f"{row['exchange']} was {row['kind']} at {at_s:.1f} s, though neither its node nor its worker was at fault"
+            yield f"{row['exchange']} was {row['kind']} at {at_s:.1f} s, but node and worker were not at fault"
 
 
 def refused_probes(log: event_log.EventLog) -> collections.abc.Iterator[str]:
@@ -89,7 +89,7 @@
         why = refusals.contradiction(log, {**row, "at": row["done"], "send": 0}, {**row, "sort": "short"})
         if why is not None:
             at_s = row["at"] / units.SECOND_US
-            yield f"a probe at {row['node']} was turned away ({row['code']}) at {at_s:.1f} s: {why}"
+            yield f"a probe at {row['node']} was refused ({row['code']}) at {at_s:.1f} s, but {why}"
 
 
 def slow_answers(log: event_log.EventLog) -> collections.abc.Iterator[str]:
@@ -162,5 +162,5 @@
         if count < RECOVERY_SHARE_MIN * len(first_attempts):
             yield (
                 f"{fault.what} of {fault.target} at {fault.at / units.SECOND_US:.1f} s: "
-                f"12 s later only {count} of {len(first_attempts)} came through"
+                f"12 s later only {count} of {len(first_attempts)} requests got a complete answer"
             )
--- a/iriswheel/verification/configuration_checks.py
+++ b/iriswheel/verification/configuration_checks.py
@@ -16,19 +16,19 @@
     versions: dict[str, int] = {}
     for row in log.rows_of("confirmed"):
         if versions.setdefault(row["plan"], row["stamp"]) != row["stamp"]:
-            yield f"plan {row['plan']} was acknowledged under two stamps"
+            yield f"plan {row['plan']} was acknowledged with two versions"
     counts: collections.Counter[int] = collections.Counter()
     for version in versions.values():
         counts[version] += 1
         if counts[version] > 1:
-            yield f"two plans were acknowledged under stamp {version}"
+            yield f"two plans were acknowledged with version {version}"
     log.rows_judged["kept"] += len(log.rows_of("read"))
     for row in log.rows_of("read"):
         complaint = read_complaint(log, row, versions)
         if complaint is not None:
             yield complaint
     if log.rows_of("ended") and not log.rows_of("read"):
-        yield "the blueprint could not be read back at the day's end"
+        yield "the configuration could not be read at the end of the run"
 
 
 def read_complaint(log: event_log.EventLog, read: event_log.Row, versions: dict[str, int]) -> str | None:
@@ -46,12 +46,12 @@
     documents = {row["plan"]: row["blueprint"] for row in log.rows_of("confirm_sent")}
     unanswered = [row["blueprint"] for row in log.rows_of("confirm_sent") if row["plan"] not in versions]
     if read["stamp"] < last["stamp"]:
-        return f"read back at {read['stamp']}, though {last['stamp']} was acknowledged"
+        return f"a read returned version {read['stamp']} after version {last['stamp']} had been acknowledged"
     if read["stamp"] == last["stamp"]:
         if not same_content(read["blueprint"], documents[last["plan"]]):
-            return f"read back at {read['stamp']} something else than was acknowledged"
+            return f"a read returned version {read['stamp']} with another content than was acknowledged"
     elif not any(same_content(read["blueprint"], document) for document in [*unanswered, *documents.values()]):
-        return f"read back at {read['stamp']} something that nobody confirmed"
+        return f"a read returned version {read['stamp']} with a content that no operator confirmed"
     return None
 
 
--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -288,7 +288,7 @@
         return [active.document for active in self.configurations if active.since <= until and since <= active.until]
 
     def met_fault(self, since: int, until: int, node: str | None = None, worker: str | None = None) -> bool:
-        """Whether a request met a fault of its node or its worker, a large fault, or its worker left the list.
+        """Whether a request met a fault of its node or worker or a large fault, or its worker became not ready.
 
         >>> log = EventLog([{"at": 5, "kind": "fault", "what": "kill", "target": "w1", "role": "worker"}])
         >>> log.met_fault(6, 7, worker="w1"), log.met_fault(6, 7, worker="w2")
--- a/iriswheel/verification/exactly_once.py
+++ b/iriswheel/verification/exactly_once.py
@@ -1,4 +1,4 @@
-"""Checkers of single requests: they run at most as often as allowed, and answers are the worker's own and complete."""
+"""Checkers of single requests: non-idempotent ones run at most once, and answers are correct and complete."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-MALFORMED_REQUEST_US = 6_000_000  # a malformed request takes at most so long
-STREAM_END = "data: [DONE]"
+MALFORMED_REQUEST_US = 6_000_000  # at most, from sending a malformed request to its end
+STREAM_END = "data: [DONE]"  # last event of a complete answer
 EVENT_PREFIX = "data: "
 
 
 def answer_events(text: str) -> list[dict[str, typing.Any]] | None:
-    r"""The events of an answer, as documents; None where one is missing or out of order.
+    r"""Parse the events of an answer; None if one is missing, repeated or out of order.
 
     >>> answer_events('data: {"k": 0, "of": 1}\n\ndata: [DONE]\n\n')
     [{'k': 0, 'of': 1}]
@@ -37,7 +37,7 @@
 
 
 def once(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """1: what may not be repeated runs once; no answer has gaps, doubles or splices."""
+    """1: a non-idempotent request runs at most once; no answer has missing, repeated or foreign events."""
     runs = collections.Counter(row["exchange"] for row in log.rows_of("run") if row["exchange"])
     log.rows_judged["once"] += sum(1 for identifier in runs if log.idempotent.get(identifier) is False)
     for identifier, count in sorted(runs.items()):
@@ -46,15 +46,15 @@
     for row in log.rows_of("whole"):
         documents = answer_events(row["text"])
         if documents is None:
-            yield f"{row['exchange']}: the answer has a gap or a double"
+            yield f"{row['exchange']}: an event of the answer is missing or repeated"
             continue
         sources = {document["run"] for document in documents}
         if len(sources) != 1:
-            yield f"{row['exchange']}: the answer is spliced from {sorted(sources)}"
+            yield f"{row['exchange']}: the answer mixes events of the runs {sorted(sources)}"
 
 
 def not_run(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """2: a refusal that says "not run" is true, then and later."""
+    """2: an attempt that was refused with the verdict "not_run" never runs, neither before the refusal nor later."""
     for row in log.rows_of("refused"):
         log.rows_judged["not_run"] += row["verdict"] == "not_run"
         if row["verdict"] == "not_run" and event_log.attempt_key(row) in log.runs:
@@ -62,7 +62,7 @@
 
 
 def own(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """3: an answer is the worker's own complete answer to this very request."""
+    """3: a complete answer is the full output of one run of this request, on the worker that the answer names."""
     runs = {row["run"]: row for row in log.rows_of("run")}
     finished = {row["run"] for row in log.rows_of("ran")}
     for row in log.rows_of("whole"):
@@ -74,17 +74,20 @@
             elif run["worker"] != row["worker"]:
                 yield f"{row['exchange']} ran on {run['worker']}, the answer names {row['worker']}"
             elif document["run"] not in finished:
-                yield f"{row['exchange']}: run {document['run']} was never finished, the answer passed for whole"
+                yield f"{row['exchange']}: run {document['run']} never finished, but the answer was taken for complete"
 
 
 def answered(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """11, for bad input: a named 4xx with its verdict, never a hung connection or a dead process."""
+    """11, for malformed requests: a 4xx answer with the verdict "not_run", never a hung connection or a crash.
+
+    A client that only reads slowly must get its complete answer.
+    """
     for row in log.rows_of("rude"):
         log.rows_judged["answered"] += 1
         if log.met_fault(row["at"] - MALFORMED_REQUEST_US, row["at"], row["host"]):
             continue
         if row["how"] == "reads slowly":
             if row["status"] != "200" or not row["text"].rstrip().endswith("0"):
-                yield f"a requester that {row['how']} got {row['status']}: {row['text'][-40:]!r}"
+                yield f"a client that {row['how']} got {row['status']}: {row['text'][-40:]!r}"
         elif not row["status"].startswith("4") or '"verdict": "not_run"' not in row["text"]:
-            yield f"a requester with {row['how']} got {row['status']!r}: {row['text'][-60:]!r}"
+            yield f"a client that sent {row['how']} got {row['status']!r}: {row['text'][-60:]!r}"
--- a/iriswheel/verification/history.py
+++ b/iriswheel/verification/history.py
@@ -1,10 +1,10 @@
-"""Operators' histories in event logs: turns rows of calls and answers into events for the linearizability checker.
+"""Converts the operators' calls and answers in event logs to histories for the linearizability checker.
 
-Three kinds of call are found in logs, each a history of its own:
+Logs contain three kinds of call. Each is checked as a separate history:
 
 - configurations of the users' platform: `config_sent`, `config_answer`, `config_read`;
-- numbered changes of iriswheel's own interface: `number_sent`, `numbered`, `read`;
-- plans and their confirmation, under versions: `confirm_sent`, `confirmed`, `confirm_refused`, `read`.
+- numbered changes of iriswheel's own API: `number_sent`, `numbered`, `read`;
+- confirmations of plans, which get versions: `confirm_sent`, `confirmed`, `confirm_refused`, `read`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from iriswheel.verification import event_log, linearizability
 
-STALE_NUMBER = -1  # of a plan that was never taken
+STALE_NUMBER = -1  # number of a plan that never took effect
 
 Change = linearizability.Change
 ChangeResponse = linearizability.ChangeResponse
@@ -26,7 +26,7 @@
 
 
 def change_outcome(code: int | None) -> linearizability.Outcome:
-    """What an answer's status says of a change.
+    """The outcome of a change that an HTTP status stands for; None or 0 is a missing answer.
 
     >>> [change_outcome(c).value for c in (200, 409, 412, 422, 504, 0, None)]
     ['acknowledged', 'refused', 'refused', 'invalid', 'unknown', 'unknown', 'unknown']
@@ -43,7 +43,7 @@
 
 
 def content_digest(document: dict[str, typing.Any]) -> str:
-    """A short name for a document, whatever the order of the items in its lists.
+    """A digest of a document that does not depend on the order of the items in its lists.
 
     >>> content_digest({"routes": [1, 2]}) == content_digest({"routes": [2, 1]})
     True
@@ -58,9 +58,9 @@
 def platform_configurations(
     rows: list[event_log.Row],
 ) -> list[linearizability.Event]:
-    """The history of the platform's calls.
+    """The history of the platform's configuration calls.
 
-    A valid document that was refused in any way counts as refused for its number.
+    A refusal of a valid document, whatever its status, counts as a refusal because of the document's number.
 
     >>> row = {"send": "boss-1", "version": 1, "base": 0, "doc": {"version": 1}, "valid": True}
     >>> len(platform_configurations([{"at": 1, "kind": "config_sent", **row}]))
@@ -83,7 +83,9 @@
 
 
 def outcome_given_validity(answered: linearizability.Outcome, valid: bool) -> linearizability.Outcome:
-    """The outcome of a change, given whether its document is valid: only a valid one can be refused for its number.
+    """The outcome of a change, given whether its document is valid.
+
+    The refusal of a valid document must be due to its number; the refusal of an invalid one says nothing of the state.
 
     >>> outcome_given_validity(Outcome.INVALID, True).value
     'refused'
@@ -94,7 +96,7 @@
 
 
 def read_events(row: event_log.Row, number: int, text: str = "") -> list[linearizability.Event]:
-    """The two events of a read; one whose beginning is not known may have begun at any time.
+    """The two events of a read; a read whose start is not in the log may have started at any time.
 
     >>> [e.at for e in read_events({"at": 9, "began": 4}, 7)]
     [4, 9]
@@ -106,7 +108,7 @@
 def numbered_changes(
     rows: list[event_log.Row],
 ) -> list[linearizability.Event]:
-    """The history of numbered changes; none where plans are confirmed between them, which have no number.
+    """The history of numbered changes; empty if a plan, which has none, is confirmed after the first.
 
     >>> row = {"call": "a", "number": 1, "built_on": 0, "content": "x"}
     >>> numbered_changes([{"at": 5, "kind": "number_sent", **row}])[0].at
@@ -133,10 +135,10 @@
 def confirmed_plans(
     rows: list[event_log.Row],
 ) -> list[linearizability.Event]:
-    """The history of confirmed plans, under the versions that the chain gave them.
+    """The history of confirmed plans, with the versions that the core machines gave them.
 
-    A plan that was never acknowledged may have been taken under any version that somebody saw and
-    that no other plan has. None where numbered changes are among them: their versions are not in logs.
+    A plan that was never acknowledged may have taken effect with any version that an operator saw and that no other plan
+    has. The history is empty if the log has numbered changes too, since their versions are not in the log.
 
     >>> row = {"plan": "0-a", "base": 0, "blueprint": {}}
     >>> confirmed_plans([{"at": 1, "kind": "confirm_sent", **row}])
@@ -157,13 +159,13 @@
 
 
 class ConfirmedPlans:
-    """What a log says of plans that operators had confirmed.
+    """The rows of a log about plans that operators confirmed.
 
     Attributes:
-        sent: The first call for each plan.
-        versions: The version under which a plan was acknowledged.
-        refused: When a plan was refused since another version was in place.
-        seen: All versions that somebody saw.
+        sent: The row of the first confirmation of each plan, by plan id.
+        versions: The version with which a plan was acknowledged, by plan id.
+        refused: When a plan was refused because its base was no longer the current version, by plan id.
+        seen: All versions that a read returned or a plan was based on.
 
     >>> ConfirmedPlans().events({})
     []
@@ -176,7 +178,7 @@
         self.seen: set[int] = set()
 
     def add(self, row: event_log.Row) -> None:
-        """Take in a call for a plan, its acknowledgement, or its refusal; answers to unknown calls are ignored."""
+        """Add a confirmation, an acknowledgement or a refusal; answers to confirmations not in the log are ignored."""
         plan = row["plan"]
         if row["kind"] == "confirm_sent":
             self.sent.setdefault(plan, row)
@@ -189,7 +191,11 @@
             self.refused[plan].append(row["at"])
 
     def events(self, answered: dict[str, int]) -> list[linearizability.Event]:
-        """The calls and answers, given when each plan was acknowledged first."""
+        """The calls and answers as events.
+
+        Args:
+            answered: When each plan was acknowledged first, by plan id.
+        """
         events: list[linearizability.Event] = []
         free = sorted(self.seen - set(self.versions.values()))
         for plan, row in self.sent.items():
@@ -208,7 +214,7 @@
 
 
 def first_answers(rows: list[event_log.Row]) -> dict[str, int]:
-    """When each plan was acknowledged first.
+    """When each plan was acknowledged first, by plan id.
 
     >>> first_answers([{"at": 4, "kind": "confirmed", "plan": "0-a"}])
     {'0-a': 4}
@@ -228,7 +234,7 @@
 
 
 def complaints(rows: list[event_log.Row]) -> list[str]:
-    """What of a log's operators' calls no order explains, in words.
+    """A text for each history of a log that is not linearizable, is malformed or took too many steps to check.
 
     >>> complaints([{"at": 1, "kind": "ended"}])
     []
@@ -238,18 +244,21 @@
         try:
             judged = linearizability.check(convert(rows))
         except linearizability.SearchLimitError as error:
-            found.append(f"{name}: not judged: {error}")
+            found.append(f"{name}: neither confirmed nor refuted as linearizable: {error}")
             continue
         except linearizability.HistoryError as error:
-            found.append(f"{name}: no history: {error}")
+            found.append(f"{name}: the log holds no valid history: {error}")
             continue
         if not judged.linearizable:
-            found.append(f"{name}: after {judged.longest} calls, no order explains: {'; '.join(judged.unexplained)}")
+            found.append(
+                f"{name}: no order explains more than {judged.longest} calls; after these, none of the following fits: "
+                f"{'; '.join(judged.unexplained)}"
+            )
     return found
 
 
 def call_count(rows: list[event_log.Row]) -> int:
-    """How many calls of operators a log holds.
+    """The number of operators' calls in a log.
 
     >>> call_count([{"at": 1, "kind": "ended"}])
     0
--- a/iriswheel/verification/linearizability.py
+++ b/iriswheel/verification/linearizability.py
@@ -1,12 +1,13 @@
-"""Linearizability of operators' histories: a search for an order of all calls that explains every answer.
+"""Checks histories of operators' calls for linearizability: searches for an order that explains all answers.
 
-The object is a configuration under a number. A change replaces it where the current number is the one that the
-change builds on. The same change may be sent again, and is acknowledged again. A read gives the current
-configuration. An answer may be lost; a change without an answer may have taken effect at any moment after it was
-sent, or never.
+The object is a configuration with a number. A change replaces the configuration if the current number is the one that
+the change is based on. The same change may be sent again, and is then acknowledged again. A read returns the current
+configuration. Answers may be lost; a change without an answer may have taken effect at any time after it was sent, or
+never.
 
-The search is that of Wing and Gong, with Lowe's memory of visited states: it takes calls one by one, each sent before
-the first answer among the calls left, and backtracks where no call fits.
+The algorithm is that of Wing and Gong with Lowe's cache of visited states. It extends an order call by call. The next
+call must have been sent before the first answer to any call that is not in the order yet. If no call fits, the search
+backtracks.
 """
 
 from __future__ import annotations
@@ -20,30 +21,30 @@
 import msgspec
 
 NEVER = 1 << 62  # a time after all others
-SEARCH_STEPS_MAX = 200_000  # steps of the search, then it gives up
+SEARCH_STEPS_MAX = 200_000  # default limit on the steps of a search, which is then abandoned
 
-INITIAL = "initial"  # the content before the first change
+INITIAL = "initial"  # content of the configuration before the first change
 
 
 class Outcome(enum.Enum):
-    """What the answer to a change says of it."""
+    """What the answer to a change says about its effect."""
 
     ACKNOWLEDGED = "acknowledged"
-    REFUSED = "refused"  # another number is in place
-    INVALID = "invalid"  # says nothing of the state
-    UNKNOWN = "unknown"
+    REFUSED = "refused"  # the current number is not the one that the change is based on
+    INVALID = "invalid"  # the change is malformed; the answer says nothing about the state
+    UNKNOWN = "unknown"  # there is no answer, or one that does not tell
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A change of the configuration; two changes with the same fields are the same change."""
+    """A change of the configuration; two changes with equal fields are the same change."""
 
-    number: int  # of the configuration that it makes
-    base: int  # the number that it builds on
-    content: str  # a digest
+    number: int  # of the configuration after the change
+    base: int  # number of the configuration that the change is based on
+    content: str  # digest of the configuration after the change
 
     @property
     def valid_number(self) -> bool:
-        """Whether the change raises the number, without which it is refused.
+        """Whether the change raises the number; one that does not is always refused.
 
         >>> Change(7, 5, "a").valid_number
         True
@@ -52,7 +53,7 @@
 
 
 class Read(msgspec.Struct, frozen=True):
-    """A read; what it gave stands in its response."""
+    """A read of the configuration; its result is in the response."""
 
 
 class Invocation(msgspec.Struct, frozen=True):
@@ -72,7 +73,7 @@
 
 
 class ReadResponse(msgspec.Struct, frozen=True):
-    """The answer to a read: the current number and content, or content "" where only the number is known."""
+    """The answer to a read: the current number and content; the content is "" if only the number is known."""
 
     at: int
     call: str
@@ -84,25 +85,25 @@
 
 
 class SeenState(typing.NamedTuple):
-    """What a read gave of the current configuration."""
+    """The number and content that a read returned; the content is "" if only the number is known."""
 
     number: int
     content: str
 
 
 class Operation(msgspec.Struct, frozen=True):
-    """A call from its sending to its answer, which never comes for an unknown outcome."""
+    """A call with the times of its sending and its answer; `answered` is NEVER if the outcome is unknown."""
 
     sent: int
     answered: int
     call: str
     operation: Change | Read
     outcome: Outcome = Outcome.ACKNOWLEDGED
-    seen: SeenState | None = None  # of a read
+    seen: SeenState | None = None  # result of a read; None for a change
 
 
 class State(typing.NamedTuple):
-    """The current configuration, and the changes that led to it."""
+    """The current configuration, and the changes that took effect before."""
 
     number: int = 0
     content: str = INITIAL
@@ -110,15 +111,15 @@
 
 
 class HistoryError(ValueError):
-    """Events that are no history: a response without its call, or a call under a name in use."""
+    """The events form no valid history: a response has no call, or two calls have the same name."""
 
 
 class SearchLimitError(Exception):
-    """The search was given up; the history is neither judged good nor bad."""
+    """The search exceeded its step limit; it is unknown whether the history is linearizable."""
 
 
 def operations(events: list[Event]) -> list[Operation]:
-    """The calls of a history, each with its answer; raises HistoryError.
+    """Pair the calls of a history with their answers; raises HistoryError.
 
     >>> operations([Invocation(1, "a", Read()), ReadResponse(3, "a", 0)])[0].answered
     3
@@ -132,14 +133,14 @@
             case Invocation(call=call):
                 calls[call] = event
             case _ if event.call not in calls or event.call in responses:
-                raise HistoryError(f"call {event.call} is answered without being under way")
+                raise HistoryError(f"call {event.call} is answered without being in progress")
             case _:
                 responses[event.call] = event
     return [operation(invocation, responses.get(call)) for call, invocation in calls.items()]
 
 
 def operation(invocation: Invocation, response: ChangeResponse | ReadResponse | None) -> Operation:
-    """One call with its answer, or without.
+    """Pair one call with its answer, if it has one.
 
     >>> operation(Invocation(1, "a", Change(7, 5, "x")), None).outcome
     <Outcome.UNKNOWN: 'unknown'>
@@ -155,7 +156,7 @@
 
 
 def next_states(state: State, operation: Operation) -> list[State]:
-    """The states that a call may leave, given its answer; none where the answer doesn't fit.
+    """The possible states after a call, given its answer; none if the answer contradicts the state before the call.
 
     >>> next_states(State(5), Operation(0, 1, "a", Change(7, 5, "x"), Outcome.REFUSED))
     []
@@ -179,7 +180,7 @@
 
 
 def can_apply(state: State, change: Change) -> bool:
-    """Whether a change takes effect on a state.
+    """Whether a change takes effect in a state.
 
     >>> can_apply(State(5), Change(7, 5, "x")), can_apply(State(6), Change(7, 5, "x"))
     (True, False)
@@ -188,7 +189,7 @@
 
 
 def apply(state: State, change: Change) -> State:
-    """The state after a change.
+    """The state after a change took effect.
 
     >>> apply(State(), Change(7, 0, "x")).number
     7
@@ -197,23 +198,26 @@
 
 
 class CheckResult(msgspec.Struct, frozen=True):
-    """Whether a history is linearizable, and the calls that could not be next where the longest order ended."""
+    """Whether a history is linearizable; if not, the calls none of which could extend the longest order found."""
 
     linearizable: bool
-    longest: int  # answered calls explained at most
-    unexplained: list[str]
+    longest: int  # the number of answered calls in the longest order found
+    unexplained: list[str]  # descriptions of the calls that could have come next in time but contradict the state
 
 
 class SearchNode(typing.NamedTuple):
-    """A place in the search: the state, and which answered calls are explained."""
+    """A node of the search: the state after the calls in the order so far, and which answered calls these are.
+
+    A call in the order is called explained. The answered calls are numbered by the time of their sending.
+    """
 
     state: State
-    explained_below: int = 0  # all calls of lower indexes are explained
-    explained_above: frozenset[int] = frozenset()  # higher indexes of explained calls
+    explained_below: int = 0  # all answered calls with lower indexes are explained
+    explained_above: frozenset[int] = frozenset()  # the explained calls with higher indexes
 
     @property
     def explained(self) -> int:
-        """How many answered calls are explained.
+        """The number of explained calls.
 
         >>> SearchNode(State(), 3, frozenset({5})).explained
         4
@@ -221,7 +225,11 @@
         return self.explained_below + len(self.explained_above)
 
     def after(self, index: int, state: State) -> SearchNode:
-        """The place after the answered call of this index, which left a state.
+        """The search node after the answered call with this index is added to the order.
+
+        Args:
+            index: The index of the call.
+            state: The state after the call.
 
         >>> SearchNode(State(), 0, frozenset({1})).after(0, State()).explained_below
         2
@@ -235,18 +243,18 @@
 
 
 class Window(typing.NamedTuple):
-    """The calls that may be next in an order."""
+    """The answered calls that may come next in the order."""
 
-    indexes: list[int]  # into the answered calls
-    first_answer: int  # before which all of them were sent
+    indexes: list[int]  # indexes of these calls
+    first_answer: int  # time of the first answer to a call that is not yet in the order
 
 
 class Search:
-    """The search through one history.
+    """The search for an order of the calls of one history.
 
     Args:
-        calls: of the history.
-        bound: the most steps, after which the search is given up.
+        calls: The calls of the history.
+        step_limit: The maximum number of steps; the search is abandoned after them.
 
     >>> Search([Operation(1, 2, "a", Read(), seen=SeenState(0, ""))], 10).run(State()).linearizable
     True
@@ -262,7 +270,7 @@
         self.step_limit = step_limit
 
     def run(self, initial: State) -> CheckResult:
-        """Search from a state; raises SearchLimitError."""
+        """Search for an order that starts from a state; raises SearchLimitError."""
         best = SearchNode(initial)
         frontier, seen = [best], {best}
         while frontier:
@@ -280,13 +288,15 @@
         return CheckResult(False, best.explained, unexplained)
 
     def count_step(self) -> None:
-        """Count one step; raises SearchLimitError above the bound."""
+        """Count one step; raises SearchLimitError above the step limit."""
         self.steps += 1
         if self.steps > self.step_limit:
-            raise SearchLimitError(f"{len(self.answered)} calls, given up after {self.step_limit} steps")
+            raise SearchLimitError(
+                f"the search through {len(self.answered)} calls was abandoned after {self.step_limit} steps"
+            )
 
     def window(self, node: SearchNode) -> Window:
-        """The calls that may be next: those sent before any of them was answered."""
+        """The answered calls that may come next: those sent before the first answer to a call not yet in the order."""
         first_answer = NEVER
         sent_before: list[int] = []
         for index in range(node.explained_below, len(self.answered)):
@@ -299,9 +309,10 @@
         return Window(indexes, first_answer)
 
     def after_calls_without_effect(self, node: SearchNode) -> SearchNode:
-        """The place after all calls that may be next and leave the state as it is.
+        """The search node after adding all calls that may come next and do not change the state.
 
-        Taking them at once loses nothing: what follows may follow all the same.
+        Adding them without trying other orders loses no solution: any order that continues from the search node before
+        them also continues from the one after them.
         """
         while True:
             without_effect = [
@@ -316,7 +327,7 @@
                 node = node.after(index, node.state)
 
     def successors(self, node: SearchNode) -> collections.abc.Iterator[SearchNode]:
-        """The places after one more call that changes the state."""
+        """The search nodes after one more call, which changes the state."""
         window = self.window(node)
         for call in self.unknown:
             if call.sent <= window.first_answer:
@@ -327,10 +338,10 @@
 
 def check(
     events: list[Event],
-    initial: State = State(),  # noqa: B008, a frozen value
+    initial: State = State(),  # noqa: B008, an immutable value
     step_limit: int = SEARCH_STEPS_MAX,
 ) -> CheckResult:
-    """Judge a history; raises HistoryError, or SearchLimitError after so many steps.
+    """Check whether a history is linearizable; raises HistoryError, or SearchLimitError beyond the step limit.
 
     >>> check([Invocation(1, "a", Read()), ReadResponse(3, "a", 4)]).unexplained
     ['call a, sent at 1: read number 4']
@@ -339,7 +350,7 @@
 
 
 def describe(call: Operation) -> str:
-    """A call in words.
+    """A readable description of a call.
 
     >>> describe(Operation(2, 3, "a", Read(), seen=SeenState(4, "x")))
     'call a, sent at 2: read number 4'
@@ -353,7 +364,7 @@
 
 
 def digest(document: dict[str, typing.Any]) -> str:
-    """A short name of a document's content.
+    """A short digest of a document.
 
     >>> digest({"a": 1, "b": 2}) == digest({"b": 2, "a": 1})
     True
--- a/iriswheel/verification/recovery_times.py
+++ b/iriswheel/verification/recovery_times.py
@@ -1,4 +1,4 @@
-"""How long first attempts failed after each fault of a log."""
+"""Measures how long clients' first attempts kept failing after each fault of an event log."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Recovery(typing.NamedTuple):
-    """What came of clients' first attempts after a fault or its mending.
+    """The results of clients' first attempts after the beginning or the end of a fault.
 
     Attributes:
         fault: Kind and target of the fault.
-        last_failed_ms: From the fault to the sending of the last attempt that failed before the next fault.
-        failed: How many failed.
-        sent: How many were sent, within 12 s at most.
+        last_failed_ms: The time from the fault to the sending of the last attempt that failed before the next fault.
+        failed: The number of first attempts that failed.
+        sent: The number of first attempts that were sent before the next fault, within at most 12 s.
     """
 
     fault: str
@@ -25,7 +25,7 @@
 
 
 def recovery(rows: list[event_log.Row]) -> list[Recovery]:
-    """The recoveries of a log; refusals because of the cap are no failures.
+    """The recoveries of a log; refusals because of the limit on sessions do not count as failures.
 
     >>> recovery([{"at": 1, "kind": "fault", "what": "kill", "target": "n1", "large": False}])
     [Recovery(fault='kill n1', last_failed_ms=0, failed=0, sent=0)]
@@ -50,7 +50,7 @@
 
 
 def recovery_lines(rows: list[event_log.Row]) -> list[str]:
-    """The recoveries as lines to print.
+    """The recoveries of a log, as the lines that `iriswheel replay` prints.
 
     >>> recovery_lines([{"at": 1, "kind": "fault", "what": "kill", "target": "n1", "large": False}])
     ['recovery: kill n1: 0 first sends failed, the last one sent after 0 ms; 0 sent']
--- a/iriswheel/verification/replay.py
+++ b/iriswheel/verification/replay.py
@@ -1,6 +1,7 @@
-"""Runs all checkers over an event log: one or more for each of the twelve points of docs/proof.md.
+"""Runs all checkers over an event log: one or more for each of the twelve guarantees of docs/proof.md.
 
-Each checker yields its complaints as texts; its function's name is the name that `iriswheel replay` prints.
+Each checker yields its complaints as texts, and its docstring begins with the number of its guarantee. `iriswheel
+replay` prints the checker's function name before each complaint.
 """
 
 from __future__ import annotations
@@ -44,7 +45,7 @@
 
 
 def examine(rows: list[event_log.Row]) -> tuple[dict[str, list[str]], dict[str, int]]:
-    """All complaints by checker, and how many rows each checker had to judge.
+    """All complaints by checker name, and the number of rows that each checker judged.
 
     >>> examine([])[1]["once"]
     0
@@ -56,7 +57,7 @@
 
 
 def judge(rows: list[event_log.Row]) -> dict[str, list[str]]:
-    """All complaints, by checker.
+    """All complaints by checker name, without checkers that have none.
 
     >>> judge([])
     {}
--- a/iriswheel/verification/retry_checks.py
+++ b/iriswheel/verification/retry_checks.py
@@ -1,4 +1,4 @@
-"""Checker of retries: they stay within a share of real demand."""
+"""Checker of retries: they stay within a share of the requests that clients send."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-WINDOW_US = 10_000_000
-RETRY_SHARE_MAX = 0.22  # a fifth, and what nodes may spend before they hear of each other
+WINDOW_US = 10_000_000  # span over which retries and requests are compared
+RETRY_SHARE_MAX = 0.22  # retries per request: a fifth, and what nodes may add before they learn each other's counts
 
 
 class Demand(typing.NamedTuple):
-    """How many retries ran and how many requests came within the window."""
+    """The numbers of retries that ran and of requests that came within the window."""
 
     repeats: int
     requests: int
 
 
 def count_in_window(times: list[int], at: int) -> int:
-    """How many of the sorted times lie within the window up to a time.
+    """The number of sorted times that lie within the window that ends at a time.
 
     >>> count_in_window([1, 2, WINDOW_US + 1], WINDOW_US + 1)
     2
@@ -32,7 +32,7 @@
 
 
 def demand(log: event_log.EventLog, at: int) -> Demand:
-    """Repeats and requests in the ten seconds up to a time.
+    """The retries and requests within the window that ends at a time.
 
     >>> demand(event_log.EventLog([]), 5)
     Demand(repeats=0, requests=0)
@@ -42,7 +42,7 @@
 
 
 def budget(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """10: retries stay within about a fifth of real demand over any ten seconds."""
+    """10: within any ten seconds, there are at most about a fifth as many retries as requests."""
     for at in log.retry_times.repeats:
         repeats, requests = demand(log, at)
         log.rows_judged["budget"] += 1
--- a/iriswheel/verification/routing_checks.py
+++ b/iriswheel/verification/routing_checks.py
@@ -1,4 +1,4 @@
-"""Checkers of where requests go: to pools that a configuration in force names, and to workers that are listed."""
+"""Checkers of routing: requests go to pools of a configuration in effect, and to workers that are listed as ready."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-LISTING_DELAY_US = 3_600_000  # 3 s, and the platform's list is asked every half second
+LISTING_DELAY_US = 3_600_000  # 3 s, plus a read of the platform's list every 0.5 s and the travel of a request
 
 
 class Observation(typing.NamedTuple):
-    """Where one request or probe went, as its client and the worker saw it."""
+    """The routing of one request or probe, as its client and the worker observed it."""
 
-    at: int
-    done: int
-    node: str
-    zone: str
-    path: str
+    at: int  # when it was sent, in µs
+    done: int  # when its answer ended, in µs
+    node: str  # address of the node
+    zone: str  # zone of the node
+    path: str  # path of the request
     attempt: event_log.AttemptKey
-    no_route: bool
+    no_route: bool  # whether the node answered that it knows no route
 
 
 def resolve_pool(document: event_log.Document, path: str, zone: str) -> str | None:
-    """The pool to which a configuration sends a path in a zone, or None.
+    """The pool to which a configuration routes a path at nodes of a zone; None if no route matches.
 
     >>> resolve_pool({"routes": {"r": {"path": "/v1", "pool": "p", "zones": ["a"]}}}, "/v1/x", "a")
     'p'
@@ -47,17 +47,17 @@
 
 
 def leaving(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """4: nothing reaches a worker more than about 3 s after it was listed as leaving or gone."""
+    """4: no request reaches a worker more than about 3 s after the platform listed it as leaving or gone."""
     for row in log.rows_of("run"):
         state, since = log.listed_state(row["worker"], row["at"])
         log.rows_judged["leaving"] += any(listed["state"] != "ready" for listed in log.listed.get(row["worker"], []))
         if state != "ready" and row["at"] - since > LISTING_DELAY_US:
             late_s = (row["at"] - since) / units.SECOND_US
-            yield f"{row['worker']} got {row['exchange']} {late_s:.1f} s after it was {state}"
+            yield f"{row['worker']} got {row['exchange']} {late_s:.1f} s after it was listed as {state}"
 
 
 def observations(log: event_log.EventLog) -> collections.abc.Iterator[Observation]:
-    """What probes and clients' requests show of routes."""
+    """The routing of all probes, and of all requests at nodes whose zone is known."""
     for row in log.rows_of("probe"):
         yield Observation(
             row["at"], row["done"], row["node"], row["zone"], row["path"], (row["exchange"], 0), row["status"] == 404
@@ -73,10 +73,10 @@
 
 
 def in_force(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """5: a change is in force everywhere within 2 s of its acknowledgement, and never slips back.
+    """5: a change is in effect at all nodes within 2 s of its acknowledgement, and is never undone.
 
-    Each probe's and each request's way (the pool, or that no route is known) must be that of a
-    configuration which could be in force at that node then: one not yet replaced for 2 s.
+    The pool of each probe and request, or the answer that there is no route, must match a configuration that could be
+    in effect at that node at the time: one that was not replaced more than 2 s before.
     """
     for seen in observations(log):
         run = log.runs.get(seen.attempt)
@@ -95,12 +95,12 @@
         if pool not in allowed_pools:
             yield (
                 f"{seen.node} sent {seen.path} to {pool} at {seen.at / units.SECOND_US:.1f} s; "
-                f"in force could be {sorted(map(str, allowed_pools))}"
+                f"the configurations that could be in force allow {sorted(map(str, allowed_pools))}"
             )
 
 
 def allowed(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """7: nothing goes to a pool that no configuration in force allows for its path."""
+    """7: no request goes to a pool unless a configuration in effect routes its path there."""
     zones = set(log.node_zones.values()) or {""}
     for row in log.rows_of("run"):
         sent = log.attempts_and_probes.get(event_log.attempt_key(row))
@@ -108,7 +108,7 @@
             fault.target == row["worker"] and fault.overlaps(row["at"] - units.SECOND_US, row["at"], units.SECOND_US)
             for fault in log.faults
         )
-        # A worker at fault may wake and run a request long after it was routed.
+        # A worker that was frozen or cut off may run a request long after the request was routed.
         since = sent["at"] if sent is not None and delayed else row["at"] - event_log.ROUTING_TO_RUN_MAX_US
         documents = log.configurations_between(since, row["at"])
         log.rows_judged["allowed"] += 1
--- a/iriswheel/verification/session_checks.py
+++ b/iriswheel/verification/session_checks.py
@@ -1,4 +1,4 @@
-"""Checkers of sessions: a conversation stays on its worker, and no worker holds too many."""
+"""Checkers of sessions: a conversation stays on its worker, and no worker holds more sessions than allowed."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-LIFETIME_SLACK_US = 2_000_000  # clocks and travel, at the end of a session's lifetime
-ENDED_SESSION_COUNTED_US = 5_000_000  # an ended session may be counted for so long
-DEFAULT_LIFETIME_US = 60_000_000
-DEFAULT_CAP = 10
-SESSION_STORED_US = 1_000_000  # a session that is younger may be lost with three processes
-REPLICAS = 3
+LIFETIME_SLACK_US = 2_000_000  # tolerance for clocks and message delays at the end of a session's lifetime
+ENDED_SESSION_COUNTED_US = 5_000_000  # from the end of a session until the fleet stops counting it
+DEFAULT_LIFETIME_US = 60_000_000  # of a session, if the terms give none
+DEFAULT_CAP = 10  # open sessions on a worker, if the pool gives no limit
+SESSION_STORED_US = 1_000_000  # from the first turn of a session until a core has stored it on disk
+REPLICAS = 3  # nodes that know a session from its first turn
 
 
 def terms_values(log: event_log.EventLog, field: str, default: int, since: int, until: int) -> list[int]:
-    """The values that a field of any terms may have in a span of time, in rising order.
+    """The values of a field in all terms of the configurations in effect in a span of time, in ascending order.
 
     >>> terms_values(event_log.EventLog([]), "lifetime_us", 60, 0, 5)
     [60]
@@ -35,7 +35,7 @@
 
 
 def lifetimes(log: event_log.EventLog, since: int, until: int) -> list[int]:
-    """The lifetimes in microseconds that sessions may have in a span of time, in rising order.
+    """The lifetimes in microseconds that sessions may have in a span of time, in ascending order.
 
     >>> lifetimes(event_log.EventLog([]), 0, 5)
     [60000000]
@@ -44,10 +44,10 @@
 
 
 def pinned(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """8, the first half: a conversation stays on its worker while that is ready.
+    """8, first half: a conversation stays on its worker while the worker is ready.
 
-    Three nodes know a conversation from its first turn, a core's disk within a second: so
-    one that is younger than that may be lost where three processes and more end at once.
+    Three nodes know a conversation from its first turn on, and a core stores it on disk within a second. A conversation
+    that is younger than a second may therefore be lost if three or more processes end at once.
     """
     process_ends = [
         fault.at for fault in log.faults if fault.what.split()[0] in ("kill", "power") and fault.role != "worker"
@@ -67,13 +67,13 @@
 
 
 def may_move(log: event_log.EventLog, run: event_log.Row, until: int, process_ends: list[int]) -> bool:
-    """Whether a conversation may have lost its worker between a run and a later time.
+    """Whether a conversation may move to another worker after a run.
 
     Args:
-        log: The log.
-        run: The earlier run.
-        until: When the conversation ran elsewhere.
-        process_ends: When processes of the fleet were ended.
+        log: The log of the run.
+        run: The row of the earlier run.
+        until: When the conversation ran on another worker.
+        process_ends: When processes of the fleet were killed.
     """
     worker, since = run["worker"], run["at"]
     if any(since - units.SECOND_US <= row["at"] <= until for row in log.listed[worker]):
@@ -86,12 +86,12 @@
 
 
 def open_conversations(log: event_log.EventLog, at: int, slack_us: int) -> dict[str, set[event_log.Conversation]]:
-    """The conversations that may be open at a time, by worker: those without a turn for less than their lifetime.
+    """The conversations that may be open at a time, by worker: those whose last turn is within their lifetime.
 
     Args:
-        log: The log.
+        log: The log of the run.
         at: The time.
-        slack_us: Added to the lifetimes. Below 0, only conversations count that are surely open.
+        slack_us: Added to the lifetimes. If negative, only conversations that are certainly open are counted.
 
     >>> open_conversations(event_log.EventLog([]), 5, 0)
     {}
@@ -105,7 +105,7 @@
 
 
 def may_be_open(log: event_log.EventLog, run: event_log.Row, at: int, slack_us: int) -> bool:
-    """Whether the conversation whose last run this is may be open at a time, as `open_conversations` counts it."""
+    """Whether `open_conversations` counts the conversation whose last run is `run` as open at a time."""
     certain = slack_us < 0
     worker = run["worker"]
     known_lifetimes = lifetimes(log, run["at"], at)
@@ -119,7 +119,7 @@
 
 
 def conversations_being_opened(log: event_log.EventLog, at: int) -> int:
-    """Conversations that are being opened at a time, or that a node at fault may have opened, without a run so far.
+    """The number of conversations without a run so far that are being opened, or that a failed node may have opened.
 
     >>> conversations_being_opened(event_log.EventLog([]), 5)
     0
@@ -143,9 +143,9 @@
 
 
 def capped(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """9: no worker holds more open conversations than allowed; one that left or crashed holds none.
+    """9: no worker holds more open conversations than allowed; a worker that left or crashed holds none.
 
-    Judged where a conversation opens: a cap that is lowered closes nobody's.
+    The check is made only when a conversation opens, since a lowered limit closes no open conversation.
     """
     for name, runs in sorted(log.conversations.items(), key=str):
         for before, run in zip([None, *runs], runs, strict=False):
@@ -163,7 +163,7 @@
 
 
 def may_open(log: event_log.EventLog, before: event_log.Row, run: event_log.Row) -> bool:
-    """Whether a run may open its conversation anew, given the run before: elsewhere, or after its lifetime."""
+    """Whether a run may open its conversation again: it is on another worker than the run before, or came too late."""
     if before["worker"] != run["worker"]:
         return True
     quiet_us: int = run["at"] - before["at"]
@@ -174,7 +174,7 @@
 
 
 def session_caps(documents: list[event_log.Document], pool: str | None) -> list[int]:
-    """The caps on a worker's open sessions in those configurations that have the pool.
+    """The limits on a worker's open sessions in those configurations that contain the pool.
 
     >>> session_caps([{"pools": {"p": {"cap": 3}}}, {"pools": {}}], "p")
     [3]
