--- a/iriswheel/verification/history.py
+++ b/iriswheel/verification/history.py
@@ -137,8 +137,8 @@
 ) -> list[linearizability.Event]:
     """The history of confirmed plans, with the versions that the core machines gave them.
 
-    A plan that was never acknowledged may have taken effect with any version that an operator saw and that no other plan
-    has. The history is empty if the log has numbered changes too, since their versions are not in the log.
+    A plan that was never acknowledged may have taken effect with any version that an operator saw and that no other
+    plan has. The history is empty if the log has numbered changes too, since their versions are not in the log.
 
     >>> row = {"plan": "0-a", "base": 0, "blueprint": {}}
     >>> confirmed_plans([{"at": 1, "kind": "confirm_sent", **row}])
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -191,7 +191,9 @@
         started = self.nodes[name] = server_model.SimulatedNode(process, runtime, options, formats)
         front = http_server.Server(runtime, started.gateway.handle, connection_limit=options.connections)
         ready = http_server.Server(
-            runtime, platform_programs.entry_points.readiness(started), connection_limit=READINESS_CONNECTIONS
+            runtime,
+            platform_programs.entry_points.make_readiness_handler(started),
+            connection_limit=READINESS_CONNECTIONS,
         )
         process.reactor.listenTCP(options.port, wire.Listener(runtime, started.serve, log))
         process.reactor.listenTCP(settings_files.FRONT_PORT, front)
