--- a/conftest.py
+++ b/conftest.py
@@ -1,3 +1,3 @@
-"""What holds for all tests: those of tests/ and the doctests of the packages."""
+"""Pytest plugins for all tests: those in tests/, and the doctests of the packages."""
 
 pytest_plugins = ["tests.known_red", "pytester"]
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Set-ups that several test files share."""
+"""Fixtures that several test files share."""
 
 from collections.abc import Iterator
 from typing import Any, Protocol
@@ -8,12 +8,12 @@
 
 from simulation import simulated_cluster
 
-# Modules with assertions that test files share.
+# Helper modules with assertions, which pytest rewrites only in registered modules.
 pytest.register_assert_rewrite("tests.deferreds", "tests.request_path")
 
 
 class QuietCluster(Protocol):
-    """Starts a simulated cluster without any load of its own, and lets it run until it serves."""
+    """Starts a simulated cluster without load, and advances it until it serves."""
 
     def __call__(
         self,
@@ -23,18 +23,18 @@
         seconds: float = 1,
         **options: Any,  # noqa: ANN401 - those of SimulatedCluster
     ) -> simulated_cluster.SimulatedCluster:
-        """Start a cluster; `options` are those of SimulatedCluster."""
+        """Start a cluster and advance it by `seconds`; `options` are passed to SimulatedCluster."""
 
 
 @pytest.fixture(autouse=True)
 def quiet_log() -> None:
-    """Print no log lines: most tests cause some of the complaints that they look for."""
+    """Suppress log output: many tests cause the warnings and errors that they check for."""
     loguru.logger.remove()
 
 
 @pytest.fixture
-def logged_errors(quiet_log: None) -> Iterator[list[str]]:  # noqa: ARG001 - asked for so that it runs before
-    """The lines of level ERROR that were logged during the test."""
+def logged_errors(quiet_log: None) -> Iterator[list[str]]:  # noqa: ARG001 - requested so that it runs first
+    """The log lines of level ERROR and above that the test causes."""
     lines: list[str] = []
     sink = loguru.logger.add(lambda line: lines.append(str(line)), level="ERROR")
     yield lines
@@ -43,7 +43,7 @@
 
 @pytest.fixture
 def quiet_cluster() -> QuietCluster:
-    """The function that starts a cluster without load."""
+    """A function that starts a simulated cluster without load."""
 
     def start(
         *,
--- a/tests/deferreds.py
+++ b/tests/deferreds.py
@@ -1,4 +1,4 @@
-"""Results of Twisted's deferreds, with their types."""
+"""Typed access to the results of Twisted's deferreds."""
 
 from typing import TypeVar, cast
 
@@ -8,7 +8,7 @@
 
 
 def result_of(deferred: defer.Deferred[Result]) -> Result:
-    """The result of a deferred that has fired.
+    """The result of a deferred, which must have fired already.
 
     >>> result_of(defer.succeed(7))
     7
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""A plugin of pytest for tests that are known to fail.
+"""A pytest plugin for tests that are known to fail.
 
-They stand in KNOWN-RED.txt, one a line: `node id | cause | issue`, three at most. They run, are marked as expected
-failures, and are printed at the end. One that passes, is skipped or does not exist fails the whole run; one that was
-not chosen is left alone.
+KNOWN-RED.txt lists up to three of them, one per line: `node id | cause | issue`. They are run as expected failures and
+printed at the end. A listed test that passes, is skipped or does not exist fails the whole run; a listed test that was
+not selected for the run has no effect.
 """
 
 import pathlib
@@ -18,17 +18,17 @@
 
 
 class KnownFailure(NamedTuple):
-    """Why a test fails."""
+    """Why a listed test fails, and the issue about it."""
 
     cause: str
     issue: str
 
 
 def parse(text: str) -> dict[str, KnownFailure]:
-    r"""The tests known to fail, by node id; raises ValueError for a line that is none, and for too many lines.
+    r"""Parse the list of known failures, by node id; raises ValueError for a malformed line or too many lines.
 
-    >>> parse("tests/test_a.py::test_b | late by one beat | 12\n\n")
-    {'tests/test_a.py::test_b': KnownFailure(cause='late by one beat', issue='12')}
+    >>> parse("tests/test_a.py::test_b | one heartbeat late | 12\n\n")
+    {'tests/test_a.py::test_b': KnownFailure(cause='one heartbeat late', issue='12')}
     """
     known: dict[str, KnownFailure] = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -44,33 +44,33 @@
 
 
 class KnownRed:
-    """Marks the listed tests, notes what came of them, and judges the list."""
+    """Marks the listed tests, records their results, and fails the run if the list is wrong."""
 
     def __init__(self, config: pytest.Config, known: Mapping[str, KnownFailure]) -> None:
         self.config = config
         self.known = known
         self.collected: set[str] = set()
         self.reported: set[str] = set()
-        self.failed: set[str] = set()  # the listed ones that failed
-        self.mistakes: list[str] = []
+        self.failed: set[str] = set()  # listed tests that failed
+        self.mistakes: list[str] = []  # errors in the list
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Mark the listed tests, before any are deselected."""
+        """Mark the listed tests as expected failures, before any tests are deselected."""
         for item in items:
             self.collected.add(item.nodeid)
             if item.nodeid in self.known:
                 cause, issue = self.known[item.nodeid]
-                # Not strict: a part of a test that passes is no mistake. Whether the test failed is judged at the end.
+                # Not strict, since single subtests may pass. pytest_sessionfinish checks whether the test failed.
                 item.add_marker(pytest.mark.xfail(reason=f"{cause} ({issue})", strict=False))
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, ids: list[str]) -> None:
-        """Note what a worker process collected: the process that judges collects nothing then."""
+        """Record the tests that an xdist worker collected; the controlling process collects none itself."""
         self.collected.update(ids)
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Note which tests ran, and which of the listed ones failed."""
+        """Record which tests ran, and which listed tests failed."""
         self.reported.add(report.nodeid)
         if report.nodeid in self.known and hasattr(report, "wasxfail") and report.skipped:
             self.failed.add(report.nodeid)
@@ -89,29 +89,29 @@
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Print the listed tests that failed, and what is wrong with the list."""
+        """Print the listed tests that failed, and the errors in the list."""
         for name in sorted(self.failed):
             cause, issue = self.known[name]
             terminalreporter.write_line(f"KNOWN-RED: {name} fails: {cause} ({issue})")
         for line in self.mistakes:
-            terminalreporter.write_line(f"KNOWN-RED: {line}: mend the list", red=True)
+            terminalreporter.write_line(f"KNOWN-RED: {line}: correct the list", red=True)
         if self.known:
             terminalreporter.write_line(f"{len(self.failed)} known to fail")
 
 
 def is_worker(config: pytest.Config) -> bool:
-    """Whether this process only runs tests for another one that judges."""
+    """Whether this process is an xdist worker, which runs tests for the controlling process."""
     return hasattr(config, "workerinput")
 
 
 def exists(folder: pathlib.Path, name: str) -> bool:
-    """Whether there is a test of this node id, though it was not chosen for this run."""
+    """Whether a test with this node id exists, although it was not selected for this run."""
     command = [sys.executable, "-m", "pytest", "--collect-only", "--quiet", "-n", "0", name]
     return subprocess.run(command, cwd=folder, capture_output=True, check=False).returncode == 0
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list."""
+    """Read the list, and register the plugin; a malformed list ends the run at once."""
     path = config.rootpath / FILE_NAME
     try:
         known = parse(path.read_text() if path.exists() else "")
--- a/tests/optional.py
+++ b/tests/optional.py
@@ -1,4 +1,4 @@
-"""Values that may be None, where a test relies on it that they are not."""
+"""Narrowing of optional values that are not None at this point of a test."""
 
 from typing import TypeVar
 
@@ -6,7 +6,7 @@
 
 
 def present(value: Value | None) -> Value:
-    """The value, which must not be None.
+    """Return the value, and fail the test if it is None.
 
     >>> present(7)
     7
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker complains of a log that breaks its point, and is content with a good one."""
+"""Each checker complains of a log that violates its guarantee; the log of a correct run gets no complaint."""
 
 import json
 from typing import Any
@@ -29,7 +29,7 @@
     send: int = 1,
     repeat: bool = False,
 ) -> list[dict[str, Any]]:
-    """The rows of one request that went well."""
+    """The rows of one request that was answered in full."""
     run = f"{worker}-{identifier}"
     return [
         dict(
@@ -89,10 +89,11 @@
         assert replay.judge(rows) == {}
 
     def test_once(self) -> None:
+        """A second run, an answer with a missing, repeated or swapped event, and an answer mixed from two runs."""
         twice = good()
         twice.insert(2, {**twice[1], "run": "w2-x1", "worker": "w2"})
         self.assert_complaint("once", twice)
-        for ks in ((0,), (0, 0), (1, 0)):
+        for ks in ((0,), (0, 0), (1, 0)):  # the answer's second event is missing, repeated, or out of order
             rows = good()
             rows[3]["text"] = answer("x1", "w1-x1", ks)
             self.assert_complaint("once", rows)
@@ -101,6 +102,7 @@
         self.assert_complaint("once", rows)
 
     def test_not_run(self) -> None:
+        """An attempt that ran although it was refused with the verdict "not_run"."""
         rows = good()[:3]
         rows.append(
             dict(at=20 * SECOND + 3, kind="refused", exchange="x1", send=1, code="busy", verdict="not_run", took=3)
@@ -108,6 +110,7 @@
         self.assert_complaint("not_run", rows)
 
     def test_own(self) -> None:
+        """Answers of two requests swapped, and an answer taken for complete although its run was cut off."""
         rows = good("x1") + good("x2", at=21 * SECOND)
         rows[3]["text"], rows[7]["text"] = rows[7]["text"], rows[3]["text"]
         self.assert_complaint("own", rows)
@@ -116,11 +119,13 @@
         self.assert_complaint("own", rows)
 
     def test_leaving(self) -> None:
+        """A request that reached a worker long after the platform listed it as leaving."""
         self.assert_complaint(
             "leaving", [dict(at=10 * SECOND, kind="listed", worker="w1", state="leaving", pool="desk"), *good()]
         )
 
     def test_in_force(self) -> None:
+        """A probe 3 s after a change that is still routed by the former configuration."""
         later = {**DOC, "routes": {**DOC["routes"], "probe": {"path": "/p/1", "pool": "desk"}}}
         change = [
             dict(at=10 * SECOND, kind="confirm_sent", plan="2-b", base=2, probe=1, who="boss", blueprint=later),
@@ -142,25 +147,30 @@
         self.assert_complaint("allowed", [*change, {**probe, "path": "/p/0", "status": 200}, run])
 
     def test_kept(self) -> None:
+        """Reads of an older or different configuration, a plan with two versions, and no final read."""
         self.assert_complaint("kept", [dict(at=9 * SECOND, kind="read", stamp=0, blueprint={})])
         self.assert_complaint("kept", [dict(at=9 * SECOND, kind="read", stamp=2, blueprint={"pools": {"other": {}}})])
         self.assert_complaint("kept", [dict(at=9 * SECOND, kind="confirmed", plan="0-a", stamp=7, probe=0, who="boss")])
         self.assert_complaint("kept", [dict(at=9 * SECOND, kind="ended")])
 
     def test_allowed(self) -> None:
+        """A request on a path that no route sends to the worker's pool."""
         rows = good()
         rows[1]["path"] = "/v2"
         self.assert_complaint("allowed", rows)
 
     def test_pinned(self) -> None:
+        """A conversation whose next turn ran on another worker although its worker stayed ready."""
         parts = ("system", "talk-1")
         self.assert_complaint("pinned", good("x1", parts=parts) + good("x2", at=30 * SECOND, worker="w2", parts=parts))
 
     def test_capped(self) -> None:
+        """Eleven open conversations on a worker, where 10 are allowed by default."""
         rows = [r for k in range(11) for r in good(f"x{k}", at=(20 + k) * SECOND, parts=("system", f"talk-{k}"))]
         self.assert_complaint("capped", rows)
 
     def test_budget(self) -> None:
+        """Retries without any requests to earn them."""
         rows = [r for k in range(4) for r in good(f"x{k}", at=(20 + k) * SECOND, send=2, repeat=True)]
         self.assert_complaint("budget", rows)
 
@@ -171,6 +181,7 @@
         ]
 
     def test_served(self) -> None:
+        """Refusals without a reason or too late, a late first byte, and a torn answer without a fault."""
         for code in ("busy", "no_worker", "sessions_full", "not_ready", "no_warden", "already_sent", "worker_broke"):
             self.assert_complaint("served", self.refused(code))
         self.assert_complaint(
@@ -205,10 +216,12 @@
         )
 
     def test_answered(self) -> None:
+        """A malformed request that got no answer."""
         row = dict(at=20 * SECOND, kind="rude", how="bad head", host="h:1", status="", text="")
         self.assert_complaint("answered", [row])
 
     def test_back(self) -> None:
+        """No complete answer 12 s after a large fault, and a change that was never acknowledged."""
         rows = [
             dict(at=20 * SECOND, kind="fault", what="kill", target="n1", large=True),
             dict(at=60 * SECOND, kind="ended"),
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests known to fail passes over just these, and only while they fail."""
+"""The plugin for known failures: only the listed tests may fail, and only as long as they fail."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 
 
 class SampleRunner:
-    """Runs some of the sample's tests in a process of their own."""
+    """Runs tests of the sample file with the plugin, in a pytest process of their own."""
 
     def __init__(self, pytester: pytest.Pytester) -> None:
         self.pytester = pytester
@@ -39,7 +39,7 @@
         pytester.makeconftest(f'pytest_plugins = ["{known_red.__name__}"]')
 
     def __call__(self, tests: list[str], listed: str = "", processes: str = IN_ONE_PROCESS) -> tuple[bool, str]:
-        """Whether the run is as it should be, and what it prints."""
+        """Run tests with this content of the list; returns whether the run passed, and its output."""
         (self.pytester.path / known_red.FILE_NAME).write_text(listed)
         names = [HERE + name for name in tests]
         result = self.pytester.runpytest_subprocess("-p", "no:cacheprovider", "-n", processes, *names)
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def run_sample(pytester: pytest.Pytester, pytestconfig: pytest.Config, monkeypatch: pytest.MonkeyPatch) -> SampleRunner:
-    """The function that runs tests of the sample."""
+    """The runner for tests of the sample file."""
     monkeypatch.syspath_prepend(pytestconfig.rootpath)
     monkeypatch.setenv("PYTHONPATH", str(pytestconfig.rootpath))
     return SampleRunner(pytester)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checker of operators' histories: correct ones pass, each kind of wrong answer fails."""
+"""The linearizability checker accepts correct histories of operators' calls and rejects each kind of wrong answer."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,7 +16,7 @@
 CALM = hypothesis.settings(derandomize=True, database=None, max_examples=60, deadline=None)
 
 
-def change(  # noqa: PLR0917 - histories are written as tables, a call a line
+def change(  # noqa: PLR0917 - histories are written as tables, one call per line
     call: str,
     sent: int,
     answered: int,
@@ -25,7 +25,7 @@
     content: str = "x",
     outcome: linearizability.Outcome = Outcome.ACKNOWLEDGED,
 ) -> list[linearizability.Event]:
-    """The events of one change."""
+    """The sending and the answer of one change."""
     return [
         linearizability.Invocation(sent, call, Change(number, base, content)),
         linearizability.ChangeResponse(answered, call, outcome),
@@ -33,7 +33,7 @@
 
 
 def read(call: str, sent: int, answered: int, number: int, content: str = "") -> list[linearizability.Event]:
-    """The events of one read."""
+    """The sending and the answer of one read."""
     return [
         linearizability.Invocation(sent, call, linearizability.Read()),
         linearizability.ReadResponse(answered, call, number, content),
@@ -44,7 +44,7 @@
 def correct_histories(
     draw: Callable[..., Any],
 ) -> list[linearizability.Event]:
-    """What callers of a correct register may see: it acts at one moment of each call."""
+    """Histories of a correct register: each call takes effect at one moment between its sending and its answer."""
     state = linearizability.State()
     events: list[linearizability.Event] = []
     sent: list[Change] = []
@@ -118,28 +118,30 @@
         first = change("a", 1, 2, 5, 0)
         self.assert_linearizable(first, read("r", 3, 4, 5, "x"))
         self.assert_not_linearizable(first, read("r", 3, 4, 0))  # a stale read
-        self.assert_not_linearizable(first, read("r", 3, 4, 5, "y"))  # another content
-        self.assert_not_linearizable(first, change("b", 1, 4, 7, 0))  # two winners on one base
-        self.assert_not_linearizable(first, change("b", 1, 4, 5, 0, "y"))  # and under one number
+        self.assert_not_linearizable(first, read("r", 3, 4, 5, "y"))  # a read of a content that nobody wrote
+        self.assert_not_linearizable(first, change("b", 1, 4, 7, 0))  # two acknowledged changes on one base
+        self.assert_not_linearizable(first, change("b", 1, 4, 5, 0, "y"))  # two acknowledged changes with one number
         self.assert_not_linearizable(
             first, change("b", 3, 4, 7, 5), read("r", 5, 6, 5)
         )  # an acknowledged change was lost
         self.assert_not_linearizable(
             first, change("b", 3, 4, 5, 0, outcome=Outcome.REFUSED)
-        )  # a refusal of what was taken
+        )  # a change that took effect is refused when repeated
         self.assert_not_linearizable(
             change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED)
-        )  # a refusal though the base is in place
+        )  # a refusal although the base is the current number
         self.assert_not_linearizable(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED), read("r", 3, 4, 5, "x"))
         self.assert_not_linearizable(first, read("r", 3, 6, 0), read("s", 4, 5, 5))
         self.assert_not_linearizable(
             change("a", 1, 9, 5, 0), read("r", 2, 3, 5), read("s", 4, 5, 0)
-        )  # back to an older state
+        )  # a later read returns an older state
 
     def test_lost_answers_repeats_and_concurrent_calls_pass(self) -> None:
         lost = change("a", 1, 2, 5, 0, outcome=Outcome.UNKNOWN)
-        self.assert_linearizable(lost, read("r", 3, 4, 0), read("s", 5, 6, 5))  # takes effect after its answer was lost
-        self.assert_linearizable(lost, change("b", 3, 4, 7, 0))  # or never
+        self.assert_linearizable(
+            lost, read("r", 3, 4, 0), read("s", 5, 6, 5)
+        )  # a change takes effect after its answer was lost
+        self.assert_linearizable(lost, change("b", 3, 4, 7, 0))  # a change whose answer was lost never takes effect
         self.assert_linearizable(lost, change("b", 3, 4, 5, 0), change("c", 5, 6, 8, 5), change("d", 7, 8, 5, 0))
         self.assert_linearizable(lost, change("b", 3, 4, 7, 0, outcome=Outcome.REFUSED), read("r", 5, 6, 5))
         self.assert_linearizable(change("a", 1, 4, 5, 0), read("r", 2, 3, 0), read("s", 2, 3, 5))
@@ -167,7 +169,7 @@
 
 
 class TestEventLogs:
-    """Rows of event logs."""
+    """The conversion of event log rows to histories."""
 
     def config(
         self, at: int, version: int, base: int, code: int, document: dict[str, Any] | None = None, *, valid: bool = True
@@ -191,10 +193,10 @@
         back = dict(at=9, began=8, kind="config_read", code=200, doc=first[0]["doc"], version=1)
         assert history.complaints([*first, back]) == []
         for wrong in (
-            self.config(3, 1, 0, 412),  # said again, and refused
-            self.config(3, 2, 1, 400),  # proper, and called invalid
+            self.config(3, 1, 0, 412),  # a repeated change is refused
+            self.config(3, 2, 1, 400),  # a valid change is called invalid
             self.config(3, 2, 0, 200, {"a": 1}),
-            self.config(3, 2, 1, 200),  # and then an old one is read
+            self.config(3, 2, 1, 200),  # an older configuration is read after it
         ):
             rows = [*first, *wrong, back]
             assert history.complaints(rows), wrong
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's words: settings, and the operator's configuration there and back."""
+"""The platform's configuration API: translating what an operator sends, reading it back, and refusing invalid calls."""
 
 import copy
 import hashlib
@@ -65,7 +65,7 @@
 
 
 class InMemoryCore:
-    """Stands for a core: takes changes at once."""
+    """A stub of a core that applies each valid change at once."""
 
     def __init__(self) -> None:
         self.items: dict[str, Any] = {}
@@ -142,6 +142,7 @@
         assert self.core.items["limits/door"]["idle_us"] == 15_000_000
 
     def test_a_channel_with_0_retries_is_sent_to_one_worker_only(self) -> None:
+        """A route whose `sends` is 0 has no limit on attempts, so 0 retries must not be copied."""
         self.call(b"PUT", {**COMPLETE, "channels": [{**CHANNEL, "retries": 0}]}, "0")
         assert self.core.items["routes/r-a"]["sends"] == 1
 
@@ -241,7 +242,7 @@
 
     def test_invalid_accounts_are_refused(self) -> None:
         refused: tuple[Any, ...] = (
-            [ACCOUNT, {**ACCOUNT, "name": "b"}],  # a key of two
+            [ACCOUNT, {**ACCOUNT, "name": "b"}],  # two accounts with the same key
             [{**ACCOUNT, "api_keys": "k"}],
             [{**ACCOUNT, "api_keys": [7]}],
             [{**ACCOUNT, "rate_per_s": "many"}],
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Real processes: the command line, the outside surface, and one short trial under faults."""
+"""Real processes: the command line, the HTTP interfaces, and one short trial with injected faults."""
 
 import json
 import pathlib
@@ -16,7 +16,7 @@
 
 
 def program(*args: str) -> tuple[int, str, str]:
-    """Run the program: exit code, standard output, standard error."""
+    """Run the command line; returns the exit code, standard output and standard error."""
     process = subprocess.run(
         [sys.executable, "-m", "iriswheel", *args], capture_output=True, text=True, timeout=60, check=False
     )
@@ -24,14 +24,14 @@
 
 
 def write_document(folder: pathlib.Path, document: object) -> str:
-    """Write a JSON file into a folder; its path."""
+    """Write a JSON file into a folder, and return its path."""
     path = folder / "document.json"
     path.write_text(json.dumps(document))
     return str(path)
 
 
 def raw(port: int, text: bytes) -> tuple[str, bytes]:
-    """Send bytes to a port and read all that comes: head and body."""
+    """Send bytes to a port and read until the connection closes; returns the answer's head and body."""
     with socket.create_connection((fleet.HOST, port), timeout=20) as connection:
         connection.sendall(text)
         got = b""
@@ -46,7 +46,7 @@
 
 @pytest.fixture(scope="module")
 def small_fleet() -> Iterator[fleet.Fleet]:
-    """A small fleet of processes, shared by all tests that alter only its configuration."""
+    """A small fleet of processes, shared by all tests that change nothing but its configuration."""
     started = fleet.Fleet("small")
     started.begin()
     yield started
@@ -169,7 +169,10 @@
         assert "200" in raw(self.port, self.post_request(headers))[0].splitlines()[0]
         head, body = raw(self.fleet.nodes["n2"][1], self.post_request(headers.replace("Number: 1", "Number: 2")))
         assert "409" in head.splitlines()[0]
-        assert json.loads(body)["verdict"] in ("ran", "may_have_run")  # the word of its end may be under way
+        assert json.loads(body)["verdict"] in (
+            "ran",
+            "may_have_run",
+        )  # the other node may not have heard yet that the first attempt ended
 
     def test_a_numbered_change_is_taken_once_and_refused_on_another_base(self, tmp_path: pathlib.Path) -> None:
         document = {"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": "desk"}}}}
@@ -190,7 +193,7 @@
         plan = json.loads(out)
         assert (code, plan["changed"], plan["pools"]) == (0, ["pools/desk"], ["desk"])
         first = program("confirm", plan["id"], "--core", self.core)
-        assert first[0] == 0, first  # with the answer's text: an unclear one came once, on a machine that was too busy
+        assert first[0] == 0, first  # prints the answer: on an overloaded machine the outcome may be unknown
         assert program("confirm", plan["id"], "--core", self.core) == first
         shown = json.loads(program("show", "--core", self.core)[1])
         assert (7, json.loads(first[1])["stamp"]) == (shown["blueprint"]["pools"]["desk"]["cap"], shown["stamp"])
@@ -220,7 +223,7 @@
             name = running.owner()
             trial.fault("kill", name)
             running.kill(name)
-            running.until(lambda: running.owner() not in ("", name), "another warden is seated", 30)
+            running.until(lambda: running.owner() not in ("", name), "another node is the pool owner", 30)
             trial.served(10)
             trial.restart(name)
             running.until(lambda: running.ready(name), "the node is ready again", 30)
@@ -234,12 +237,12 @@
             trial.fault("freeze", name)
             running.signal(name, signal.SIGSTOP)
             other = next(n for n in running.nodes if n != name)
-            running.until(lambda: running.owner_of(other), "the other node is the warden", 30)
+            running.until(lambda: running.owner_of(other), "the other node is the pool owner", 30)
             running.signal(name, signal.SIGCONT)
             trial.repair("wake", name)
             trial.served(5)
             report, found, _ = trial.finish()
-            # how fast a shared machine answers is for benchmarks.process_trial to say, not for a test
+            # Response times depend on the load of the machine; benchmarks.process_trial judges them.
             lines = [line for ls in found.values() for line in ls if " waited " not in line and " paused " not in line]
             assert lines == []
             assert report["ends"]["whole"] > 30
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -1,4 +1,4 @@
-"""The names in docs/proof.md are those in the code, and none of the code's is missing there."""
+"""The tables of docs/proof.md name exactly the scenarios, checkers, guards and rules that exist in the code."""
 
 import pathlib
 import re
