--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -17,12 +17,8 @@
 from iriswheel.runtime import units
 
 NEVER = 1 << 62  # a time later than all others
-ROUTING_TO_RUN_MAX_US = (
-    500_000  # at most, from a node's routing decision to the start of the run at a worker, even over a slow link
-)
-CONFIGURATION_APPLY_MAX_US = (
-    2_000_000  # at most, from the acknowledgement of a change until no node uses the former configuration
-)
+ROUTING_TO_RUN_MAX_US = 500_000  # from a node's routing decision to the run at a worker, even over a slow link
+CONFIGURATION_APPLY_MAX_US = 2_000_000  # from a change's acknowledgement until no node uses the old configuration
 LARGE_FAULT_US = 12_000_000  # time from a large fault within which all requests are excused
 # How long a small fault may affect requests whose own node and worker were not at fault:
 ROLE_FAULT_US = 4_000_000  # requests may start late after the loss of a pool's owner or replica
@@ -141,9 +137,8 @@
             case "worker":
                 return self.target == worker and self.overlaps(since, until, units.SECOND_US)
             case "link":
-                return (
-                    self.address == node and since <= self.at <= until
-                )  # the request was in progress when the link broke
+                # The request was in progress when the link broke.
+                return self.address == node and since <= self.at <= until
             case _:
                 return False
 
