--- a/iriswheel/verification/exactly_once.py
+++ b/iriswheel/verification/exactly_once.py
@@ -37,7 +37,7 @@
 
 
 def once(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """1: a non-idempotent request runs at most once; no answer has missing or repeated events, or events of two runs."""
+    """1: a non-idempotent request runs at most once; no answer has missing, repeated or mixed events."""
     runs = collections.Counter(row["exchange"] for row in log.rows_of("run") if row["exchange"])
     log.rows_judged["once"] += sum(1 for identifier in runs if log.idempotent.get(identifier) is False)
     for identifier, count in sorted(runs.items()):
--- a/iriswheel/verification/linearizability.py
+++ b/iriswheel/verification/linearizability.py
@@ -133,7 +133,7 @@
             case Invocation(call=call):
                 calls[call] = event
             case _ if event.call not in calls or event.call in responses:
-                raise HistoryError(f"call {event.call} is answered without being in progress")
+                raise HistoryError(f"call {event.call} is answered twice or was never sent")
             case _:
                 responses[event.call] = event
     return [operation(invocation, responses.get(call)) for call, invocation in calls.items()]
--- a/iriswheel/verification/refusals.py
+++ b/iriswheel/verification/refusals.py
@@ -7,7 +7,7 @@
 
 from iriswheel.verification import event_log, retry_checks, routing_checks, session_checks
 
-RETRY_SHARE_WITHIN_BUDGET = 0.15  # retries per request that exceed the retry budget of no node
+RETRY_SHARE_WITHIN_BUDGET = 0.15  # so few retries per request exceed no node's retry budget
 
 
 class Refusal(typing.NamedTuple):
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -72,10 +72,10 @@
 
 
 class TestHistories:
-    def assert_linearizable(self, *parts: list[linearizability.Event]) -> None:
+    def accepts(self, *parts: list[linearizability.Event]) -> None:
         assert linearizability.check([event for part in parts for event in part]).linearizable
 
-    def assert_not_linearizable(self, *parts: list[linearizability.Event]) -> None:
+    def rejects(self, *parts: list[linearizability.Event]) -> None:
         assert not linearizability.check([event for part in parts for event in part]).linearizable
 
     def test_correct_histories_pass(self) -> None:
@@ -116,38 +116,26 @@
 
     def test_each_wrong_answer_fails(self) -> None:
         first = change("a", 1, 2, 5, 0)
-        self.assert_linearizable(first, read("r", 3, 4, 5, "x"))
-        self.assert_not_linearizable(first, read("r", 3, 4, 0))  # a stale read
-        self.assert_not_linearizable(first, read("r", 3, 4, 5, "y"))  # a read of a content that nobody wrote
-        self.assert_not_linearizable(first, change("b", 1, 4, 7, 0))  # two acknowledged changes on one base
-        self.assert_not_linearizable(first, change("b", 1, 4, 5, 0, "y"))  # two acknowledged changes with one number
-        self.assert_not_linearizable(
-            first, change("b", 3, 4, 7, 5), read("r", 5, 6, 5)
-        )  # an acknowledged change was lost
-        self.assert_not_linearizable(
-            first, change("b", 3, 4, 5, 0, outcome=Outcome.REFUSED)
-        )  # a change that took effect is refused when repeated
-        self.assert_not_linearizable(
-            change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED)
-        )  # a refusal although the base is the current number
-        self.assert_not_linearizable(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED), read("r", 3, 4, 5, "x"))
-        self.assert_not_linearizable(first, read("r", 3, 6, 0), read("s", 4, 5, 5))
-        self.assert_not_linearizable(
-            change("a", 1, 9, 5, 0), read("r", 2, 3, 5), read("s", 4, 5, 0)
-        )  # a later read returns an older state
+        self.accepts(first, read("r", 3, 4, 5, "x"))
+        self.rejects(first, read("r", 3, 4, 0))  # a stale read
+        self.rejects(first, read("r", 3, 4, 5, "y"))  # a read of a content that nobody wrote
+        self.rejects(first, change("b", 1, 4, 7, 0))  # two acknowledged changes on one base
+        self.rejects(first, change("b", 1, 4, 5, 0, "y"))  # two acknowledged changes with one number
+        self.rejects(first, change("b", 3, 4, 7, 5), read("r", 5, 6, 5))  # an acknowledged change was lost
+        self.rejects(first, change("b", 3, 4, 5, 0, outcome=Outcome.REFUSED))  # a change that took effect is refused
+        self.rejects(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED))  # a refusal although its base is current
+        self.rejects(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED), read("r", 3, 4, 5, "x"))
+        self.rejects(first, read("r", 3, 6, 0), read("s", 4, 5, 5))
+        self.rejects(change("a", 1, 9, 5, 0), read("r", 2, 3, 5), read("s", 4, 5, 0))  # the second read is stale
 
     def test_lost_answers_repeats_and_concurrent_calls_pass(self) -> None:
         lost = change("a", 1, 2, 5, 0, outcome=Outcome.UNKNOWN)
-        self.assert_linearizable(
-            lost, read("r", 3, 4, 0), read("s", 5, 6, 5)
-        )  # a change takes effect after its answer was lost
-        self.assert_linearizable(lost, change("b", 3, 4, 7, 0))  # a change whose answer was lost never takes effect
-        self.assert_linearizable(lost, change("b", 3, 4, 5, 0), change("c", 5, 6, 8, 5), change("d", 7, 8, 5, 0))
-        self.assert_linearizable(lost, change("b", 3, 4, 7, 0, outcome=Outcome.REFUSED), read("r", 5, 6, 5))
-        self.assert_linearizable(change("a", 1, 4, 5, 0), read("r", 2, 3, 0), read("s", 2, 3, 5))
-        self.assert_linearizable(
-            change("a", 1, 9, 5, 0), change("b", 1, 9, 5, 0), change("c", 1, 9, 6, 0, outcome=Outcome.REFUSED)
-        )
+        self.accepts(lost, read("r", 3, 4, 0), read("s", 5, 6, 5))  # the change takes effect late
+        self.accepts(lost, change("b", 3, 4, 7, 0))  # the change whose answer was lost never takes effect
+        self.accepts(lost, change("b", 3, 4, 5, 0), change("c", 5, 6, 8, 5), change("d", 7, 8, 5, 0))
+        self.accepts(lost, change("b", 3, 4, 7, 0, outcome=Outcome.REFUSED), read("r", 5, 6, 5))
+        self.accepts(change("a", 1, 4, 5, 0), read("r", 2, 3, 0), read("s", 2, 3, 5))
+        self.accepts(change("a", 1, 9, 5, 0), change("b", 1, 9, 5, 0), change("c", 1, 9, 6, 0, outcome=Outcome.REFUSED))
 
     def test_a_history_of_hundreds_of_changes_eight_at_a_time_is_judged(self) -> None:
         events: list[linearizability.Event] = []
@@ -155,8 +143,8 @@
             events += change(f"w{k}", 10 * k, 10 * k + 9, k + 1, k, "w")
             for j in range(7):
                 events += change(f"l{k}-{j}", 10 * k, 10 * k + 9, k + 1, k, f"l{j}", Outcome.REFUSED)
-        self.assert_linearizable(events)
-        self.assert_not_linearizable(events, read("r", 4_000, 4_001, 299))
+        self.accepts(events)
+        self.rejects(events, read("r", 4_000, 4_001, 299))
 
     def test_malformed_histories_and_exceeded_step_limits_raise_errors(self) -> None:
         first = change("a", 1, 2, 5, 0)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -169,10 +169,8 @@
         assert "200" in raw(self.port, self.post_request(headers))[0].splitlines()[0]
         head, body = raw(self.fleet.nodes["n2"][1], self.post_request(headers.replace("Number: 1", "Number: 2")))
         assert "409" in head.splitlines()[0]
-        assert json.loads(body)["verdict"] in (
-            "ran",
-            "may_have_run",
-        )  # the other node may not have heard yet that the first attempt ended
+        # The other node may not have heard yet that the first attempt has ended.
+        assert json.loads(body)["verdict"] in ("ran", "may_have_run")
 
     def test_a_numbered_change_is_taken_once_and_refused_on_another_base(self, tmp_path: pathlib.Path) -> None:
         document = {"upsert": {"routes": {"numbered": {"path": "/numbered", "pool": "desk"}}}}
