--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -62,7 +62,7 @@
 ) -> None:
     """Run a core, which stores the configuration in its data folder and serves operators.
 
-    :param options: options file (TOML); flags go over it
+    :param options: options file (TOML); flags override it
     :param name: this machine's name
     :param host: IP address to listen on, at which the other machines reach this one
     :param port: port for connections between iriswheel's processes
@@ -92,7 +92,7 @@
 ) -> None:
     """Run a node, which accepts the requests of clients and forwards them to workers.
 
-    :param options: options file (TOML); flags go over it
+    :param options: options file (TOML); flags override it
     :param name: this node's name; a newer process of the same name replaces the older one in the fleet
     :param host: IP address to listen on, at which clients and other machines reach this node
     :param port: port for connections between iriswheel's processes; 0 for any free port
--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -33,9 +33,8 @@
 
 Address: typing.TypeAlias = tuple[str, int]  # host, port
 RequestKind: typing.TypeAlias = typing.Literal["long", "short", "talk"]  # the values of `sort` in event logs
-AttemptEnd: typing.TypeAlias = typing.Literal[
-    "whole", "torn", "lost", "refused", "final"
-]  # "final": refused, must not be retried
+# "whole" to "refused" are kinds of rows in event logs; "final" is a refusal after which the client must not retry.
+AttemptEnd: typing.TypeAlias = typing.Literal["whole", "torn", "lost", "refused", "final"]
 
 log = loguru.logger.bind(part="load")
 
@@ -200,9 +199,8 @@
         self.last_workers: dict[str, str] = {}  # the worker of the last turn, by conversation
         self.kept_turns = 0  # turns that ran on the worker of the conversation's previous turn
         self.later_turns = 0  # turns that follow another turn of their conversation
-        self.under_way: list[
-            defer.Deferred[typing.Any]
-        ] = []  # requests in progress; in simulations also single attempts
+        # Requests in progress; in simulations also single attempts.
+        self.under_way: list[defer.Deferred[typing.Any]] = []
 
     async def run(self) -> None:
         """Send requests until the duration of the run is over, then wait for those in progress."""
