--- a/iriswheel/verification/availability.py
+++ b/iriswheel/verification/availability.py
@@ -1,4 +1,4 @@
-"""Checkers of availability: proper requests are served in time, and service is back soon after a large fault."""
+"""Checkers of availability: valid requests are served in time, and service recovers soon after a large fault."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-LONG_FIRST_US = 1_000_000  # to the first byte of a long request
-SHORT_FIRST_US = 500_000  # to the first byte of a short one
-PAUSE_US = 1_000_000  # between two events of a stream
-CHANGE_US = 5_000_000  # from the operator's wish for a change to its acknowledgement
-REFUSAL_SLACK_US = 500_000  # a refusal may come this long after the pool's wait is over
-DEFAULT_LONG_WAIT_US = 10_000_000
-DEFAULT_SHORT_WAIT_US = 5_000_000
-RECOVERED_US = 5_000_000  # the requests of this span, once service must be back, show whether it is
-RECOVERED_SHARE = 0.9
+LONG_FIRST_BYTE_MAX_US = 1_000_000  # from sending a long request to the first byte of its answer
+SHORT_FIRST_BYTE_MAX_US = 500_000  # from sending a short request to the first byte of its answer
+STREAM_PAUSE_MAX_US = 1_000_000  # between two events of a streamed answer
+ACKNOWLEDGEMENT_MAX_US = 5_000_000  # from the time that an operator wants a change to its acknowledgement
+REFUSAL_SLACK_US = 500_000  # from the end of the longest wait for a worker to the refusal
+DEFAULT_LONG_WAIT_US = 10_000_000  # wait of a long request for a worker, if the pool gives none
+DEFAULT_SHORT_WAIT_US = 5_000_000  # wait of a short request for a worker, if the pool gives none
+RECOVERY_WINDOW_US = 5_000_000  # span after the recovery deadline whose requests show whether service has recovered
+RECOVERY_SHARE_MIN = 0.9  # of these requests that must be answered in full
 
 
 def served(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """11: the fleet refuses no proper request without a reason, and refuses at once.
+    """11: the fleet refuses no valid request without a reason, and refuses it at once.
 
-    Requests that meet a fault are excused: at a dead, frozen or partitioned node, on a lost worker. After a large
-    fault all are for 12 s. Where a pool owner or its replica is lost, other requests may start late for
-    ROLE_FAULT_US, but may not be refused.
+    Requests that meet a fault are excused: at a dead, frozen or partitioned node, or on a lost worker. After a large
+    fault, all requests are excused for 12 s. After the loss of a pool owner or of its replica, other requests may start
+    late for ROLE_FAULT_US, but may not be refused.
     """
     yield from refused_requests(log)
     yield from broken_requests(log)
@@ -35,7 +35,7 @@
 
 
 def refused_requests(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Refusals that come late, or without a reason."""
+    """Complaints of refusals that come too late or have no reason."""
     for row in log.rows_of("refused"):
         attempt = event_log.attempt_key(row)
         sent = log.sent.get(attempt)
@@ -47,14 +47,14 @@
         if row.get("took", 0) > bound_us and not log.met_fault(sent["at"], row["at"], sent.get("node"), worker):
             took_s = row["took"] / units.SECOND_US
             yield f"{row['exchange']} was refused only after {took_s:.1f} s ({row['code']})"
-        why = refusals.unfounded(log, row, sent)
+        why = refusals.contradiction(log, row, sent)
         if why is not None:
             at_s = sent["at"] / units.SECOND_US
-            yield f"{row['exchange']} send {row['send']} was turned away ({row['code']}) at {at_s:.1f} s: {why}"
+            yield f"{row['exchange']} send {row['send']} was refused ({row['code']}) at {at_s:.1f} s, but {why}"
 
 
 def longest_wait_us(log: event_log.EventLog, sent: event_log.Row, until: int) -> int:
-    """How long a request may wait for a worker, by any pool of the configurations in force."""
+    """The longest wait for a worker that any pool allows, in the configurations in effect at the time."""
     field, default = ("short_wait_us", DEFAULT_SHORT_WAIT_US)
     if sent["sort"] == "long":
         field, default = ("long_wait_us", DEFAULT_LONG_WAIT_US)
@@ -67,7 +67,7 @@
 
 
 def broken_requests(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Requests that were lost or torn although neither their node nor their worker was at fault."""
+    """Complaints of requests that got no answer or an incomplete one though node and worker were not at fault."""
     for row in log.rows_of("lost") + log.rows_of("torn"):
         attempt = event_log.attempt_key(row)
         sent = log.sent.get(attempt)
@@ -77,36 +77,36 @@
         worker = log.runs.get(attempt, {}).get("worker")
         if not log.met_fault(sent["at"], row["at"], sent.get("node"), worker):
             at_s = row["at"] / units.SECOND_US
-            yield f"{row['exchange']} was {row['kind']} at {at_s:.1f} s, neither its node nor its worker at fault"
+            yield f"{row['exchange']} was {row['kind']} at {at_s:.1f} s, but node and worker were not at fault"
 
 
 def refused_probes(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Probes that were refused without a reason."""
+    """Complaints of probes that were refused without a reason."""
     for row in log.rows_of("probe"):
         log.rows_judged["served"] += 1
         if row["status"] in (200, 404):
             continue
-        why = refusals.unfounded(log, {**row, "at": row["done"], "send": 0}, {**row, "sort": "short"})
+        why = refusals.contradiction(log, {**row, "at": row["done"], "send": 0}, {**row, "sort": "short"})
         if why is not None:
             at_s = row["at"] / units.SECOND_US
-            yield f"a probe at {row['node']} was turned away ({row['code']}) at {at_s:.1f} s: {why}"
+            yield f"a probe at {row['node']} was refused ({row['code']}) at {at_s:.1f} s, but {why}"
 
 
 def slow_answers(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Answers whose first byte came late, or that paused."""
+    """Complaints of answers whose first byte came late, or that paused too long."""
     for row in log.rows_of("whole"):
         sent = log.sent[event_log.attempt_key(row)]
         log.rows_judged["served"] += 1
-        bound_us = LONG_FIRST_US if sent["sort"] == "long" else SHORT_FIRST_US
+        bound_us = LONG_FIRST_BYTE_MAX_US if sent["sort"] == "long" else SHORT_FIRST_BYTE_MAX_US
         if row["first"] > bound_us:
             yield from late_first_byte(log, row, sent)
         at_fault = log.met_fault(sent["at"], row["at"], sent.get("node"), row["worker"])
-        if row["pause"] > PAUSE_US and not at_fault:
+        if row["pause"] > STREAM_PAUSE_MAX_US and not at_fault:
             yield f"{row['exchange']} paused for {row['pause'] / units.SECOND_US:.2f} s"
 
 
 def late_first_byte(log: event_log.EventLog, row: event_log.Row, sent: event_log.Row) -> collections.abc.Iterator[str]:
-    """A first byte that came late although nothing was at fault and slots were free."""
+    """A complaint of a first byte that came late though no fault can explain it and slots were free."""
     since, first_at = sent["at"], sent["at"] + row["first"]
     if log.met_fault(since, first_at, sent.get("node"), row["worker"]) or log.may_be_delayed(since, first_at):
         return
@@ -122,20 +122,20 @@
 
 
 def back(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """12: within about 12 s after a large failure, service is back, and changes are taken.
+    """12: within about 12 s after a large fault, requests are served and changes of the configuration are accepted.
 
-    From then on `served` excuses nothing any more; here at least something must have come through.
+    After that time `served` no longer excuses requests. This checker demands that most requests are answered.
     """
     yield from late_changes(log)
     yield from lasting_failures(log)
 
 
 def late_changes(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Changes that were not acknowledged in time although no core machine was at fault."""
+    """Complaints of changes that were not acknowledged in time though no core machine was at fault."""
     acknowledged = {(row["who"], row["probe"]): row["at"] for row in reversed(log.rows_of("confirmed"))}
     core_faults = [fault for fault in log.faults if fault.role in ("core", "all", "") or fault.large]
     for row in log.rows_of("wanted"):
-        until = row["at"] + CHANGE_US
+        until = row["at"] + ACKNOWLEDGEMENT_MAX_US
         since = row["at"] - event_log.LARGE_FAULT_US
         if until >= log.end or any(fault.overlaps(since, until) for fault in core_faults):
             continue
@@ -147,20 +147,20 @@
 
 
 def lasting_failures(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """Large faults after which too few requests came through."""
+    """Complaints of large faults after which too few first attempts got a complete answer."""
     complete = {event_log.attempt_key(row) for row in log.rows_of("whole")}
     for fault in log.faults:
         first = fault.at + event_log.LARGE_FAULT_US
-        until = first + RECOVERED_US
+        until = first + RECOVERY_WINDOW_US
         if not fault.large or any(fault.at < other.at <= until for other in log.faults) or until > log.end:
             continue
-        asked = [row for row in log.rows_of("sent") if first <= row["at"] <= until and row["send"] == 1]
-        if not asked:
+        first_attempts = [row for row in log.rows_of("sent") if first <= row["at"] <= until and row["send"] == 1]
+        if not first_attempts:
             continue
         log.rows_judged["back"] += 1
-        count = sum((row["exchange"], 1) in complete for row in asked)
-        if count < RECOVERED_SHARE * len(asked):
+        count = sum((row["exchange"], 1) in complete for row in first_attempts)
+        if count < RECOVERY_SHARE_MIN * len(first_attempts):
             yield (
                 f"{fault.what} of {fault.target} at {fault.at / units.SECOND_US:.1f} s: "
-                f"12 s later only {count} of {len(asked)} came through"
+                f"12 s later only {count} of {len(first_attempts)} requests got a complete answer"
             )
--- a/iriswheel/verification/configuration_checks.py
+++ b/iriswheel/verification/configuration_checks.py
@@ -1,4 +1,4 @@
-"""Checkers of operators' calls: what was acknowledged stays, and one order explains all answers."""
+"""Checkers of operators' calls: acknowledged changes are kept, and the calls are linearizable."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 def kept(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """6: what was acknowledged is there when it is read back."""
+    """6: a read returns the last acknowledged configuration or a later one that an operator sent."""
     versions: dict[str, int] = {}
     for row in log.rows_of("confirmed"):
         if versions.setdefault(row["plan"], row["stamp"]) != row["stamp"]:
-            yield f"plan {row['plan']} was acknowledged under two stamps"
+            yield f"plan {row['plan']} was acknowledged with two versions"
     counts: collections.Counter[int] = collections.Counter()
     for version in versions.values():
         counts[version] += 1
         if counts[version] > 1:
-            yield f"two plans were acknowledged under stamp {version}"
+            yield f"two plans were acknowledged with version {version}"
     log.rows_judged["kept"] += len(log.rows_of("read"))
     for row in log.rows_of("read"):
         complaint = read_complaint(log, row, versions)
         if complaint is not None:
             yield complaint
     if log.rows_of("ended") and not log.rows_of("read"):
-        yield "the blueprint could not be read back at the day's end"
+        yield "the configuration could not be read at the end of the run"
 
 
 def read_complaint(log: event_log.EventLog, read: event_log.Row, versions: dict[str, int]) -> str | None:
-    """What is wrong with what was read back, or None.
+    """A complaint if a read returned an older or an unknown configuration, else None.
 
     Args:
-        log: The log.
+        log: The log of the run.
         read: The row of the read.
-        versions: The version of each acknowledged plan.
+        versions: The versions of the acknowledged plans, by plan id.
     """
     before = [row for row in log.rows_of("confirmed") if row["at"] < read["at"]]
     if not before:
@@ -46,17 +46,17 @@
     documents = {row["plan"]: row["blueprint"] for row in log.rows_of("confirm_sent")}
     unanswered = [row["blueprint"] for row in log.rows_of("confirm_sent") if row["plan"] not in versions]
     if read["stamp"] < last["stamp"]:
-        return f"read back at {read['stamp']}, though {last['stamp']} was acknowledged"
+        return f"a read returned version {read['stamp']} after version {last['stamp']} had been acknowledged"
     if read["stamp"] == last["stamp"]:
         if not same_content(read["blueprint"], documents[last["plan"]]):
-            return f"read back at {read['stamp']} something else than was acknowledged"
+            return f"a read returned version {read['stamp']} with another content than was acknowledged"
     elif not any(same_content(read["blueprint"], document) for document in [*unanswered, *documents.values()]):
-        return f"read back at {read['stamp']} something that nobody confirmed"
+        return f"a read returned version {read['stamp']} with a content that no operator confirmed"
     return None
 
 
 def same_content(one: event_log.Document, other: event_log.Document) -> bool:
-    """Whether two configurations say the same; empty sections don't count.
+    """Whether two configurations have the same content; an empty section equals a missing one.
 
     >>> same_content({"pools": {}}, {})
     True
@@ -65,6 +65,6 @@
 
 
 def linearizable(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """6: one order of all operators' calls explains what each was told."""
+    """6: the operators' calls are linearizable: one order of them explains every answer."""
     log.rows_judged["linearizable"] += history.call_count(log.rows)
     yield from history.complaints(log.rows)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checker of operators' histories: correct ones pass, each kind of wrong answer fails."""
+"""The linearizability checker accepts correct histories of operators' calls and rejects each kind of wrong answer."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,7 +16,7 @@
 CALM = hypothesis.settings(derandomize=True, database=None, max_examples=60, deadline=None)
 
 
-def change(  # noqa: PLR0917 - histories are written as tables, a call a line
+def change(  # noqa: PLR0917 - histories are written as tables, one call per line
     call: str,
     sent: int,
     answered: int,
@@ -25,7 +25,7 @@
     content: str = "x",
     outcome: linearizability.Outcome = Outcome.ACKNOWLEDGED,
 ) -> list[linearizability.Event]:
-    """The events of one change."""
+    """The sending and the answer of one change."""
     return [
         linearizability.Invocation(sent, call, Change(number, base, content)),
         linearizability.ChangeResponse(answered, call, outcome),
@@ -33,7 +33,7 @@
 
 
 def read(call: str, sent: int, answered: int, number: int, content: str = "") -> list[linearizability.Event]:
-    """The events of one read."""
+    """The sending and the answer of one read."""
     return [
         linearizability.Invocation(sent, call, linearizability.Read()),
         linearizability.ReadResponse(answered, call, number, content),
@@ -44,7 +44,7 @@
 def correct_histories(
     draw: Callable[..., Any],
 ) -> list[linearizability.Event]:
-    """What callers of a correct register may see: it acts at one moment of each call."""
+    """Histories of a correct register: each call takes effect at one moment between its sending and its answer."""
     state = linearizability.State()
     events: list[linearizability.Event] = []
     sent: list[Change] = []
@@ -72,10 +72,10 @@
 
 
 class TestHistories:
-    def good(self, *parts: list[linearizability.Event]) -> None:
+    def accepts(self, *parts: list[linearizability.Event]) -> None:
         assert linearizability.check([event for part in parts for event in part]).linearizable
 
-    def bad(self, *parts: list[linearizability.Event]) -> None:
+    def rejects(self, *parts: list[linearizability.Event]) -> None:
         assert not linearizability.check([event for part in parts for event in part]).linearizable
 
     def test_correct_histories_pass(self) -> None:
@@ -116,48 +116,48 @@
 
     def test_each_wrong_answer_fails(self) -> None:
         first = change("a", 1, 2, 5, 0)
-        self.good(first, read("r", 3, 4, 5, "x"))
-        self.bad(first, read("r", 3, 4, 0))  # a stale read
-        self.bad(first, read("r", 3, 4, 5, "y"))  # another content
-        self.bad(first, change("b", 1, 4, 7, 0))  # two winners on one base
-        self.bad(first, change("b", 1, 4, 5, 0, "y"))  # and under one number
-        self.bad(first, change("b", 3, 4, 7, 5), read("r", 5, 6, 5))  # an acknowledged change was lost
-        self.bad(first, change("b", 3, 4, 5, 0, outcome=Outcome.REFUSED))  # a refusal of what was taken
-        self.bad(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED))  # a refusal though the base is in place
-        self.bad(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED), read("r", 3, 4, 5, "x"))
-        self.bad(first, read("r", 3, 6, 0), read("s", 4, 5, 5))
-        self.bad(change("a", 1, 9, 5, 0), read("r", 2, 3, 5), read("s", 4, 5, 0))  # back to an older state
-
-    def test_what_may_happen_passes(self) -> None:
+        self.accepts(first, read("r", 3, 4, 5, "x"))
+        self.rejects(first, read("r", 3, 4, 0))  # a stale read
+        self.rejects(first, read("r", 3, 4, 5, "y"))  # a read of a content that nobody wrote
+        self.rejects(first, change("b", 1, 4, 7, 0))  # two acknowledged changes on one base
+        self.rejects(first, change("b", 1, 4, 5, 0, "y"))  # two acknowledged changes with one number
+        self.rejects(first, change("b", 3, 4, 7, 5), read("r", 5, 6, 5))  # an acknowledged change was lost
+        self.rejects(first, change("b", 3, 4, 5, 0, outcome=Outcome.REFUSED))  # a change that took effect is refused
+        self.rejects(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED))  # a refusal although its base is current
+        self.rejects(change("a", 1, 2, 5, 0, outcome=Outcome.REFUSED), read("r", 3, 4, 5, "x"))
+        self.rejects(first, read("r", 3, 6, 0), read("s", 4, 5, 5))
+        self.rejects(change("a", 1, 9, 5, 0), read("r", 2, 3, 5), read("s", 4, 5, 0))  # the second read is stale
+
+    def test_lost_answers_repeats_and_concurrent_calls_pass(self) -> None:
         lost = change("a", 1, 2, 5, 0, outcome=Outcome.UNKNOWN)
-        self.good(lost, read("r", 3, 4, 0), read("s", 5, 6, 5))  # takes effect after its answer was lost
-        self.good(lost, change("b", 3, 4, 7, 0))  # or never
-        self.good(lost, change("b", 3, 4, 5, 0), change("c", 5, 6, 8, 5), change("d", 7, 8, 5, 0))
-        self.good(lost, change("b", 3, 4, 7, 0, outcome=Outcome.REFUSED), read("r", 5, 6, 5))
-        self.good(change("a", 1, 4, 5, 0), read("r", 2, 3, 0), read("s", 2, 3, 5))
-        self.good(change("a", 1, 9, 5, 0), change("b", 1, 9, 5, 0), change("c", 1, 9, 6, 0, outcome=Outcome.REFUSED))
-
-    def test_hundreds_of_changes_with_eight_at_once_are_judged(self) -> None:
+        self.accepts(lost, read("r", 3, 4, 0), read("s", 5, 6, 5))  # the change takes effect late
+        self.accepts(lost, change("b", 3, 4, 7, 0))  # the change whose answer was lost never takes effect
+        self.accepts(lost, change("b", 3, 4, 5, 0), change("c", 5, 6, 8, 5), change("d", 7, 8, 5, 0))
+        self.accepts(lost, change("b", 3, 4, 7, 0, outcome=Outcome.REFUSED), read("r", 5, 6, 5))
+        self.accepts(change("a", 1, 4, 5, 0), read("r", 2, 3, 0), read("s", 2, 3, 5))
+        self.accepts(change("a", 1, 9, 5, 0), change("b", 1, 9, 5, 0), change("c", 1, 9, 6, 0, outcome=Outcome.REFUSED))
+
+    def test_a_history_of_hundreds_of_changes_eight_at_a_time_is_judged(self) -> None:
         events: list[linearizability.Event] = []
         for k in range(300):
             events += change(f"w{k}", 10 * k, 10 * k + 9, k + 1, k, "w")
             for j in range(7):
                 events += change(f"l{k}-{j}", 10 * k, 10 * k + 9, k + 1, k, f"l{j}", Outcome.REFUSED)
-        self.good(events)
-        self.bad(events, read("r", 4_000, 4_001, 299))
+        self.accepts(events)
+        self.rejects(events, read("r", 4_000, 4_001, 299))
 
-    def test_events_that_are_no_history_are_named(self) -> None:
+    def test_malformed_histories_and_exceeded_step_limits_raise_errors(self) -> None:
         first = change("a", 1, 2, 5, 0)
         with pytest.raises(linearizability.HistoryError):
             linearizability.check(first[1:])
         with pytest.raises(linearizability.HistoryError):
             linearizability.check([first[0], first[0]])
         with pytest.raises(linearizability.SearchLimitError):
-            linearizability.check(first, bound=0)
+            linearizability.check(first, step_limit=0)
 
 
 class TestEventLogs:
-    """Rows of event logs."""
+    """The conversion of event log rows to histories."""
 
     def config(
         self, at: int, version: int, base: int, code: int, document: dict[str, Any] | None = None, *, valid: bool = True
@@ -181,10 +181,10 @@
         back = dict(at=9, began=8, kind="config_read", code=200, doc=first[0]["doc"], version=1)
         assert history.complaints([*first, back]) == []
         for wrong in (
-            self.config(3, 1, 0, 412),  # said again, and refused
-            self.config(3, 2, 1, 400),  # proper, and called invalid
+            self.config(3, 1, 0, 412),  # a repeated change is refused
+            self.config(3, 2, 1, 400),  # a valid change is called invalid
             self.config(3, 2, 0, 200, {"a": 1}),
-            self.config(3, 2, 1, 200),  # and then an old one is read
+            self.config(3, 2, 1, 200),  # an older configuration is read after it
         ):
             rows = [*first, *wrong, back]
             assert history.complaints(rows), wrong
