--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -220,7 +220,7 @@
         formats=process.edge_protocol,
         limits=lambda: process.follower.limits,
     )
-    runtime.spawn(server.close_late_heads(), log)
+    runtime.spawn(server.close_overdue_heads(), log)
     handle_ready = process.gateway.handle if ready is None else ready(process)
     front = bind(
         reactor,
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -29,8 +29,8 @@
 
 log = loguru.logger.bind(part="http_server")
 
-Answering: typing.TypeAlias = "collections.abc.Coroutine[typing.Any, typing.Any, object]"
-Handler: typing.TypeAlias = "collections.abc.Callable[[Request], Answering]"
+HandlerCoroutine: typing.TypeAlias = "collections.abc.Coroutine[typing.Any, typing.Any, object]"
+Handler: typing.TypeAlias = "collections.abc.Callable[[Request], HandlerCoroutine]"
 
 
 class ErrorFormat(typing.Protocol):
@@ -79,7 +79,7 @@
     raise ValueError(f"nested more than {MAX_JSON_DEPTH} deep")
 
 
-def final_answer(error: errors.ServiceError) -> bytes:
+def closing_error_response(error: errors.ServiceError) -> bytes:
     """An answer as bytes for the connection, which ends after it."""
     body = error.body()
     head = (
@@ -105,21 +105,21 @@
         super().gotLength(length)
         self.content = io.BytesIO()  # bounded by body_bytes; never a file
         if length is not None and length > self.channel.factory.limits().body_bytes:
-            self.refuse_early("too_large", "The body is too large.")
+            self.refuse_before_body("too_large", "The body is too large.")
 
     def handleContentChunk(self, data: bytes) -> None:
         """Take a part of the body, and refuse the request once that becomes too large."""
         self.received_bytes += len(data)
         if self.received_bytes > self.channel.factory.limits().body_bytes:
             if self.refused is None:
-                self.refuse_early("too_large", "The body is too large.")
+                self.refuse_before_body("too_large", "The body is too large.")
             return
         super().handleContentChunk(data)
 
-    def refuse_early(self, code: errors.ErrorCode, text: str) -> None:
+    def refuse_before_body(self, code: errors.ErrorCode, text: str) -> None:
         """Answer before the body came in, and close."""
         self.refused = errors.ServiceError(code, text)
-        self.channel.transport.write(final_answer(self.refused))
+        self.channel.transport.write(closing_error_response(self.refused))
         self.channel.loseConnection()
 
     def process(self) -> None:
@@ -192,7 +192,7 @@
     factory: Server
     transport: typing.Any  # Any: Twisted describes transports by zope interfaces, which mypy can't check
     requestFactory = Request
-    head_since: int | None  # when the head that is coming began to, in µs
+    head_started_at: int | None  # when the head that is coming began to, in µs
     idle_since: int  # when something last came or was answered, in µs
 
     def connectionMade(self) -> None:
@@ -203,20 +203,20 @@
         self.totalHeadersSize = limits.head_bytes
         # ignored: declared as int, but used as the seconds of a delayed call
         self.timeOut = (limits.idle_us + CLOCK_ALLOWANCE_US) / units.SECOND_US  # type: ignore[assignment]
-        self.head_since = None
+        self.head_started_at = None
         self.idle_since = self.factory.runtime.now()
         super().connectionMade()
 
     def dataReceived(self, data: bytes) -> None:
         """Note since when a head is coming."""
-        if self.head_since is None and not self.requests:
-            self.head_since = self.factory.runtime.now()
+        if self.head_started_at is None and not self.requests:
+            self.head_started_at = self.factory.runtime.now()
         self.idle_since = self.factory.runtime.now()
         super().dataReceived(data)
 
     def allHeadersReceived(self) -> None:
         """Note that the head is complete."""
-        self.head_since = None
+        self.head_started_at = None
         super().allHeadersReceived()
 
     def requestDone(self, request: http.Request) -> None:
@@ -237,22 +237,22 @@
         if self.requests[-1].refused is None:  # after a final answer nothing may follow
             super()._send100Continue()
 
-    def is_head_late(self, now: int) -> bool:
+    def is_head_overdue(self, now: int) -> bool:
         """Whether a head has been coming for longer than it may."""
         limit_us = self.factory.limits().head_us + CLOCK_ALLOWANCE_US
-        return self.head_since is not None and now - self.head_since > limit_us
+        return self.head_started_at is not None and now - self.head_started_at > limit_us
 
     def connectionLost(self, reason: failure.Failure = twisted_protocol.connectionDone) -> None:
         """Count the connection as ended."""
         self.factory.open_count -= 1
         self.factory.channels.pop(self, None)
-        self.factory.ended.wake()
+        self.factory.connection_closed.wake()
         super().connectionLost(reason)
 
     def _respondToBadRequestAndDisconnect(self) -> None:
         # Twisted's answer has no body; this one tells the code
         error = errors.ServiceError("bad_request", "The head of the exchange is malformed.", field="head")
-        self.transport.write(final_answer(error))
+        self.transport.write(closing_error_response(error))
         self.loseConnection()
 
 
@@ -286,7 +286,7 @@
         self.connection_limit = connection_limit
         self.open_count = 0
         self.channels: dict[Channel, None] = {}  # those that are open, in the order in which they came
-        self.ended = scheduler.Signal()  # woken when a connection has ended
+        self.connection_closed = scheduler.Signal()  # woken when a connection has ended
 
     def startFactory(self) -> None:
         """Open no access log: the counters tell more."""
@@ -301,12 +301,12 @@
         """A channel for a connection; None, which closes it, where too many are open."""
         return super().buildProtocol(addr) if self.open_count < self.connection_limit else None
 
-    async def close_late_heads(self) -> None:
+    async def close_overdue_heads(self) -> None:
         """Close connections whose head takes too long, for as long as the process runs."""
         while True:
             await self.runtime.sleep(units.SECOND_US)
             now = self.runtime.now()
-            for channel in [channel for channel in self.channels if channel.is_head_late(now)]:
+            for channel in [channel for channel in self.channels if channel.is_head_overdue(now)]:
                 channel.loseConnection()
 
     async def finish(self, timeout_us: int) -> None:
@@ -316,4 +316,4 @@
         for channel in list(self.channels):
             channel.loseConnection()
         while self.open_count and self.runtime.now() < deadline:
-            await self.runtime.pause(self.ended, deadline - self.runtime.now())
+            await self.runtime.pause(self.connection_closed, deadline - self.runtime.now())
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -26,7 +26,7 @@
             request.answer_json(200, {})
 
         self.server = http_server.Server(runtime, handle, limits=lambda: self.limits)
-        look = runtime.spawn(self.server.close_late_heads())
+        look = runtime.spawn(self.server.close_overdue_heads())
         yield
         look.cancel()
 
