--- a/benchmarks/stand_in_worker.py
+++ b/benchmarks/stand_in_worker.py
@@ -177,7 +177,7 @@
             request.break_off()
             return
         answering = defer.ensureDeferred(self._answer(request, run, request_id, parts, size))
-        lost = request.lost.wait()
+        lost = request.client_lost.wait()
         lost.addCallback(lambda _: answering.cancel())
         self._count_requests(1)
         try:
--- a/iriswheel/control/operator_api.py
+++ b/iriswheel/control/operator_api.py
@@ -173,7 +173,9 @@
                 request.answer_json(200, {"stamp": read.version, "evacuations": zones})
             case (b"PUT" | b"DELETE", [quoted]):
                 zone = zone_evacuation.read_zone(urllib.parse.unquote(quoted))
-                order = zone_evacuation.ZoneOrder(zone, request.method == b"PUT", lambda: not request.gone)
+                order = zone_evacuation.ZoneOrder(
+                    zone, request.method == b"PUT", lambda: not request.client_disconnected
+                )
                 version = await self.change_applier.apply(order)
                 request.answer_json(200, {"zone": zone, "stamp": version, "verdict": "ran"})
             case _:
--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -144,7 +144,7 @@
     def answer_failure(self) -> None:
         """Pass the worker's failure on to the client, with its status, headers and body."""
         body, client_request = b"".join(self.held_back), self.request.http_request
-        if client_request.gone:
+        if client_request.client_disconnected:
             return
         self._set_head()
         client_request.setHeader("Content-Length", str(len(body)))
@@ -163,7 +163,7 @@
     def _write(self, data: bytes) -> None:
         """Write a piece of the body to the client; the first call also sets the answer's head."""
         request, client_request = self.request, self.request.http_request
-        if client_request.gone or client_request.finished:
+        if client_request.client_disconnected or client_request.finished:
             return
         if not request.answer_begun:
             request.answer_begun = True
--- a/iriswheel/dataplane/client_disconnect.py
+++ b/iriswheel/dataplane/client_disconnect.py
@@ -22,7 +22,7 @@
         defer.CancelledError: The client disconnected first.
     """
     task = defer.ensureDeferred(work)
-    lost = request.lost.wait()
+    lost = request.client_lost.wait()
     lost.addCallback(lambda _: task.cancel())
     try:
         return await task
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -356,7 +356,7 @@
                 raise
             return attempt_outcome.AttemptOutcome.BROKE
         except Exception as reason:  # any failure after the request was sent: it may have run
-            if request.gone:
+            if request.client_disconnected:
                 raise defer.CancelledError() from reason  # the client disconnected while the connection was made
             log.warning(
                 "Worker {worker} gave no answer to a request that may have run: {error}.",
@@ -407,7 +407,7 @@
                 raise
             complete = False
         finally:
-            if not request.gone and not request.finished:
+            if not request.client_disconnected and not request.finished:
                 request.unregisterProducer()
         return end_answer(request, complete)
 
@@ -427,7 +427,7 @@
     Where no byte has been sent to the client, the prepared head is discarded, so that another attempt may answer.
     """
     if complete:
-        if not request.gone:
+        if not request.client_disconnected:
             request.finish()
         return attempt_outcome.AttemptOutcome.COMPLETE
     if request.startedWriting:
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -219,7 +219,7 @@
                     continue
                 case attempt_outcome.AttemptOutcome.COMPLETE:
                     self.counts.completed += 1
-                    if not request.http_request.gone:
+                    if not request.http_request.client_disconnected:
                         request.http_request.finish()
                     return
                 case attempt_outcome.AttemptOutcome.LATE:
@@ -381,7 +381,11 @@
         finally:
             self.streams.pop(stream, None)
             pool_placement.end(worker.id, stream.unread_tokens)
-            if stream.connection is not None and not request.http_request.gone and not request.http_request.finished:
+            if (
+                stream.connection is not None
+                and not request.http_request.client_disconnected
+                and not request.http_request.finished
+            ):
                 request.http_request.unregisterProducer()
 
     async def _send_on_connection(
--- a/iriswheel/dataplane/gateway.py
+++ b/iriswheel/dataplane/gateway.py
@@ -101,7 +101,7 @@
         request = routed_request.RoutedRequest(http_request, attempt_id, self.runtime.now())
         self.router.parse(request)
         await self.node.startup.hold(request.parsed.left_us)
-        if http_request.gone:
+        if http_request.client_disconnected:
             self.counts.disconnected += 1
             return
         self.router.admit(request)
@@ -133,7 +133,7 @@
 
         A request whose client has disconnected is not sent, or cancelled where it is under way.
         """
-        if request.http_request.gone:
+        if request.http_request.client_disconnected:
             self.counts.disconnected += 1
             request.done.callback(None)
             return
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -96,9 +96,9 @@
     channel: Channel
     content: io.BytesIO
     refused: errors.ServiceError | None = None  # what it was answered with before its body came in
-    gone = False  # whether the client went away
+    client_disconnected = False
     received_bytes = 0  # of the body
-    lost: scheduler.Signal  # woken when the client goes away
+    client_lost: scheduler.Signal  # woken when the client disconnects
 
     def gotLength(self, length: int | None) -> None:
         """Refuse a body that is announced as too large; None stands for a chunked one."""
@@ -126,13 +126,13 @@
         """Start the server's handler for a request whose body is complete."""
         if self.refused is not None:
             return
-        self.lost = scheduler.Signal()
+        self.client_lost = scheduler.Signal()
         self.notifyFinish().addErrback(self._gone)
         self.channel.factory.runtime.spawn(self._serve(self.channel.factory.handle), log)
 
     def _gone(self, _: failure.Failure) -> None:
-        self.gone = True
-        self.lost.wake()
+        self.client_disconnected = True
+        self.client_lost.wake()
 
     async def _serve(self, handle: Handler) -> None:
         try:
@@ -149,7 +149,7 @@
 
     def answer_error(self, error: errors.ServiceError) -> None:
         """Give the final answer that an error asks for; an answer that has begun is broken off."""
-        if self.gone:
+        if self.client_disconnected:
             return
         if self.startedWriting:
             self.break_off()
@@ -163,7 +163,7 @@
 
     def answer(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
         """Send a complete answer; nothing is sent to a client that has disconnected."""
-        if self.gone or self.finished or self.startedWriting:
+        if self.client_disconnected or self.finished or self.startedWriting:
             return
         self.setResponseCode(status, http_status.HTTPStatus(status).phrase.encode())
         self.setHeader("Content-Type", "application/json")
@@ -175,7 +175,7 @@
 
     def break_off(self) -> None:
         """Abort an answer that has begun, so that the client does not take it for complete."""
-        if not self.gone and not self.finished:
+        if not self.client_disconnected and not self.finished:
             self.channel.transport.abortConnection()
 
     def json(self) -> typing.Any:  # noqa: ANN401 - any JSON value
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -18,7 +18,7 @@
     async def handle(self, request: http_server.Request) -> None:
         self.outcomes = []
         work = defer.ensureDeferred(self.send_to_all(request))
-        request.lost.wait().addCallback(lambda _: work.cancel())
+        request.client_lost.wait().addCallback(lambda _: work.cancel())
         try:
             await work
         except defer.CancelledError:
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -97,7 +97,7 @@
         core: Any = OrderedCore()
         answers: list[tuple[int, Any]] = []
         request: Any = types.SimpleNamespace(
-            method=method, path=path, gone=False, answer_json=lambda *answer: answers.append(answer)
+            method=method, path=path, client_disconnected=False, answer_json=lambda *answer: answers.append(answer)
         )
         refused: list[failure.Failure] = []
         defer.ensureDeferred(core_api.make_handler(core)(request)).addErrback(refused.append)
