--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -217,7 +217,7 @@
         runtime,
         process.gateway.handle,
         connection_limit=process_options.connections,
-        formats=process.edge_protocol,
+        error_format=process.edge_protocol,
         limits=lambda: process.follower.limits,
     )
     runtime.spawn(server.close_overdue_heads(), log)
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -480,10 +480,10 @@
             (TARGET_WORKER_HEADER.encode(), worker.encode()),
         ]
 
-    def refusal(self, error: errors.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
+    def error_response(self, error: errors.ServiceError) -> tuple[int, list[tuple[str, str]], bytes]:
         """The answer that reports an error to the client: HTTP status, headers and body.
 
-        >>> EdgeProtocol().refusal(errors.ServiceError("busy", "Full."))[:2]
+        >>> EdgeProtocol().error_response(errors.ServiceError("busy", "Full."))[:2]
         (503, [('Retry-After', '1')])
         """
         return error.status, error.headers(), error.body()
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -36,14 +36,14 @@
 class ErrorFormat(typing.Protocol):
     """How errors are answered."""
 
-    def refusal(self, error: errors.ServiceError, /) -> tuple[int, list[tuple[str, str]], bytes]:
+    def error_response(self, error: errors.ServiceError, /) -> tuple[int, list[tuple[str, str]], bytes]:
         """The answer to an error: HTTP status, headers, body."""
 
 
 class JsonErrorFormat:
     """Errors as they are answered where the server is given no other format."""
 
-    def refusal(self, error: errors.ServiceError, /) -> tuple[int, list[tuple[str, str]], bytes]:
+    def error_response(self, error: errors.ServiceError, /) -> tuple[int, list[tuple[str, str]], bytes]:
         """The answer to an error: HTTP status, headers, body."""
         return error.status, error.headers(), error.body()
 
@@ -95,7 +95,7 @@
 
     channel: Channel
     content: io.BytesIO
-    refused: errors.ServiceError | None = None  # what it was answered with before its body came in
+    early_error: errors.ServiceError | None = None  # the error sent before the body was received
     client_disconnected = False
     received_bytes = 0  # of the body
     client_lost: scheduler.Signal  # woken when the client disconnects
@@ -105,26 +105,26 @@
         super().gotLength(length)
         self.content = io.BytesIO()  # bounded by body_bytes; never a file
         if length is not None and length > self.channel.factory.limits().body_bytes:
-            self.refuse_before_body("too_large", "The body is too large.")
+            self.send_error_early("too_large", "The body is too large.")
 
     def handleContentChunk(self, data: bytes) -> None:
         """Take a part of the body, and refuse the request once that becomes too large."""
         self.received_bytes += len(data)
         if self.received_bytes > self.channel.factory.limits().body_bytes:
-            if self.refused is None:
-                self.refuse_before_body("too_large", "The body is too large.")
+            if self.early_error is None:
+                self.send_error_early("too_large", "The body is too large.")
             return
         super().handleContentChunk(data)
 
-    def refuse_before_body(self, code: errors.ErrorCode, text: str) -> None:
+    def send_error_early(self, code: errors.ErrorCode, text: str) -> None:
         """Answer before the body came in, and close."""
-        self.refused = errors.ServiceError(code, text)
-        self.channel.transport.write(closing_error_response(self.refused))
+        self.early_error = errors.ServiceError(code, text)
+        self.channel.transport.write(closing_error_response(self.early_error))
         self.channel.loseConnection()
 
     def process(self) -> None:
         """Start the server's handler for a request whose body is complete."""
-        if self.refused is not None:
+        if self.early_error is not None:
             return
         self.client_lost = scheduler.Signal()
         self.notifyFinish().addErrback(self._gone)
@@ -154,7 +154,7 @@
         if self.startedWriting:
             self.break_off()
             return
-        status, headers, body = self.channel.factory.error_format.refusal(error)
+        status, headers, body = self.channel.factory.error_format.error_response(error)
         self.answer(status, body, dict(headers))
 
     def answer_json(self, status: int, document: object) -> None:
@@ -234,7 +234,7 @@
             super().timeoutConnection()
 
     def _send100Continue(self) -> None:
-        if self.requests[-1].refused is None:  # after a final answer nothing may follow
+        if self.requests[-1].early_error is None:  # after a final answer nothing may follow
             super()._send100Continue()
 
     def is_head_overdue(self, now: int) -> bool:
@@ -275,13 +275,13 @@
         runtime: scheduler.Runtime,
         handle: Handler,
         connection_limit: int = CONNECTION_LIMIT,
-        formats: ErrorFormat | None = None,
+        error_format: ErrorFormat | None = None,
         limits: collections.abc.Callable[[], configuration.Limits] = configuration.Limits,
     ) -> None:
         super().__init__(timeout=limits().idle_us / units.SECOND_US, reactor=runtime.reactor)
         self.runtime = runtime
         self.handle = handle
-        self.error_format = formats or JsonErrorFormat()
+        self.error_format = error_format or JsonErrorFormat()
         self.limits = limits
         self.connection_limit = connection_limit
         self.open_count = 0
--- a/tests/node_fixture.py
+++ b/tests/node_fixture.py
@@ -43,7 +43,9 @@
             ),
         )
         self.forwarder = forwarding.Forwarder(self.node)
-        process.reactor.listenTCP(80, http_server.Server(self.runtime, self.handle, formats=self.node.edge_protocol))
+        process.reactor.listenTCP(
+            80, http_server.Server(self.runtime, self.handle, error_format=self.node.edge_protocol)
+        )
         self.runtime.spawn(self.forwarder.watch(), None)
         self.client_process = process_model.SimulatedProcess(
             self.world, "near", host_model.Host(self.world, "10.9.0.1", "a")
