--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -73,7 +73,7 @@
 
     def is_established(self) -> bool:
         """Whether a core machine renewed the lease on this session lately."""
-        return self._leased_within(wire.TIMEOUT_US)
+        return self._leased_within(wire.SILENCE_TIMEOUT_US)
 
     def has_recent_contact(self) -> bool:
         """Whether the lease was renewed just now, for peers that ask."""
--- a/iriswheel/transport/peers.py
+++ b/iriswheel/transport/peers.py
@@ -14,7 +14,7 @@
 
     from iriswheel.transport import message
 
-IDLE_US = 10 * units.SECOND_US
+IDLE_TIMEOUT_US = 10 * units.SECOND_US
 
 Address: typing.TypeAlias = tuple[str, int]  # host, port
 
@@ -86,7 +86,7 @@
         >>> import loguru
         >>> Peers(scheduler.Runtime(None, now=lambda: 0), lambda connection, content: None, loguru.logger).close_idle()
         """
-        for address in [known for known, connection in self.connections.items() if connection.is_idle(IDLE_US)]:
+        for address in [known for known, connection in self.connections.items() if connection.is_idle(IDLE_TIMEOUT_US)]:
             self.connections.pop(address).close()
 
     def keep(self, addresses: collections.abc.Set[Address]) -> None:
--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -25,9 +25,9 @@
     from iriswheel.control import node_session
 
 
-PING_US = 300 * units.MILLISECOND_US
-TIMEOUT_US = 1_500 * units.MILLISECOND_US
-CONNECT_US = 700 * units.MILLISECOND_US
+KEEP_ALIVE_INTERVAL_US = 300 * units.MILLISECOND_US
+SILENCE_TIMEOUT_US = 1_500 * units.MILLISECOND_US
+CONNECT_TIMEOUT_US = 700 * units.MILLISECOND_US
 MAX_FRAME_BYTES = 1 << 25
 LENGTH_BYTES = 4  # of the length before each frame
 
@@ -110,7 +110,7 @@
         self.last_received = self.last_sent = self.runtime.now()
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.heartbeat_timer = self.runtime.later(PING_US, self._ping)
+        self.heartbeat_timer = self.runtime.later(KEEP_ALIVE_INTERVAL_US, self._check_alive)
         self._send(FrameKind.TELL, 0, message.VersionHandshake(self.runtime.protocol_version))
 
     def pauseProducing(self) -> None:
@@ -126,14 +126,14 @@
         """Note that nothing waits for room any more, as the connection ends."""
         self.full = False
 
-    def _ping(self) -> None:
+    def _check_alive(self) -> None:
         now = self.runtime.now()
-        if now - self.last_received > TIMEOUT_US:
+        if now - self.last_received > SILENCE_TIMEOUT_US:
             self.transport.abortConnection()
             return
-        if now - self.last_sent >= PING_US and not self.full:
+        if now - self.last_sent >= KEEP_ALIVE_INTERVAL_US and not self.full:
             self._send(FrameKind.TELL, 0, message.KeepAlive())
-        self.heartbeat_timer = self.runtime.later(PING_US, self._ping)
+        self.heartbeat_timer = self.runtime.later(KEEP_ALIVE_INTERVAL_US, self._check_alive)
 
     def _send(self, kind: int, sequence: int, content: message.Message) -> None:
         # the type of `content` in an envelope matters only where one is decoded
@@ -270,7 +270,7 @@
         ConnectionBrokenError: with sent=False, where nobody answers within CONNECT_US.
     """
     factory = Listener(runtime, serve, log)
-    endpoint = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=CONNECT_US / units.SECOND_US)
+    endpoint = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=CONNECT_TIMEOUT_US / units.SECOND_US)
     try:
         # ignored: Factory implements the zope interface, which mypy can't see
         connection: Connection = await endpoint.connect(factory)  # type: ignore[arg-type]
