--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -292,7 +292,9 @@
     lines, runtime = measuring.Measurements(), scheduler.Runtime(reactor)
     port = reactor.listenTCP(
         0,
-        wire.Listener(runtime, lambda _connection, _message: message.ReplicateResponse(True), simulated_cluster.log),
+        wire.ConnectionFactory(
+            runtime, lambda _connection, _message: message.ReplicateResponse(True), simulated_cluster.log
+        ),
         interface=LOOPBACK,
     )
 
--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -127,7 +127,7 @@
 def bind(
     reactor: epollreactor.EPollReactor,
     process_options: options.Options,
-    peers: wire.Listener,
+    peers: wire.ConnectionFactory,
     http: http_server.Server,
     ready: http_server.Server | None = None,
 ) -> tcp.Port:
@@ -183,7 +183,7 @@
     except storage.DiskError as cause:
         fail(ExitCode.NO_START, [str(cause)])
     http = http_server.Server(runtime, make_handler(process), connection_limit=process_options.connections)
-    bind(reactor, process_options, wire.Listener(runtime, process.serve, log), http)
+    bind(reactor, process_options, wire.ConnectionFactory(runtime, process.serve, log), http)
     process.start()
     watch = options.OptionsWatch(runtime, path, read_options, process.reload_options)
     runtime.spawn(watch.run(), log)
@@ -225,7 +225,7 @@
     front = bind(
         reactor,
         process_options,
-        wire.Listener(runtime, process.serve, log),
+        wire.ConnectionFactory(runtime, process.serve, log),
         server,
         http_server.Server(runtime, handle_ready, connection_limit=READY_CONNECTION_LIMIT),
     )
--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -248,7 +248,7 @@
         self.lost.wake()
 
 
-class Listener(protocol.Factory):
+class ConnectionFactory(protocol.Factory):
     """Makes a `Connection` of every TCP connection, on either side."""
 
     noisy = False
@@ -269,7 +269,7 @@
     Raises:
         ConnectionBrokenError: with sent=False, where nobody answers within CONNECT_US.
     """
-    factory = Listener(runtime, serve, log)
+    factory = ConnectionFactory(runtime, serve, log)
     endpoint = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=CONNECT_TIMEOUT_US / units.SECOND_US)
     try:
         # ignored: Factory implements the zope interface, which mypy can't see
--- a/simulation/counter_cluster.py
+++ b/simulation/counter_cluster.py
@@ -73,7 +73,9 @@
                 found=founding,
             )
             core = self.cores[name] = server_model.SimulatedCore(process, runtime, core_options)
-            process.reactor.listenTCP(addresses.PEER_PORT, wire.Listener(runtime, core.serve, simulated_cluster.log))
+            process.reactor.listenTCP(
+                addresses.PEER_PORT, wire.ConnectionFactory(runtime, core.serve, simulated_cluster.log)
+            )
             process.reactor.listenTCP(addresses.HTTP_PORT, http_server.Server(runtime, core.handle))
             core.start()
 
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -170,7 +170,7 @@
         runtime.spawn(self.prober.run(runtime), log)
 
     def listen(
-        self, process: process_model.SimulatedProcess, port: int, factory: http_server.Server | wire.Listener
+        self, process: process_model.SimulatedProcess, port: int, factory: http_server.Server | wire.ConnectionFactory
     ) -> None:
         """Let a process listen."""
         process.reactor.listenTCP(port, factory)
@@ -204,7 +204,7 @@
         """Start a core's process, on the disk that is there."""
         process, runtime, core_options = self._new_server("core", name, host, zone, data="sim")
         started = self.cores[name] = server_model.SimulatedCore(process, runtime, core_options)
-        self.listen(process, addresses.PEER_PORT, wire.Listener(runtime, started.serve, log))
+        self.listen(process, addresses.PEER_PORT, wire.ConnectionFactory(runtime, started.serve, log))
         self.listen(process, addresses.HTTP_PORT, http_server.Server(runtime, started.handle))
         started.start()
 
@@ -213,7 +213,7 @@
         platform = f"{addresses.PLATFORM_HOST}:{addresses.PLATFORM_PORT}"
         process, runtime, node_options = self._new_server("node", name, host, zone, platform=platform)
         started = self.nodes[name] = server_model.SimulatedNode(process, runtime, node_options)
-        self.listen(process, addresses.PEER_PORT, wire.Listener(runtime, started.serve, log))
+        self.listen(process, addresses.PEER_PORT, wire.ConnectionFactory(runtime, started.serve, log))
         self.listen(process, addresses.HTTP_PORT, http_server.Server(runtime, started.gateway.handle))
         started.start(addresses.PEER_PORT, addresses.HTTP_PORT)
         self.platform.nodes[name] = (host, addresses.HTTP_PORT)
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -178,7 +178,7 @@
         started = self.cores[name] = server_model.SimulatedCore(process, process.runtime(), options)
         handle = platform_programs.core_api.make_handler(started)
         control = http_server.Server(started.runtime, handle, connection_limit=options.connections)
-        process.reactor.listenTCP(options.port, wire.Listener(started.runtime, started.serve, log))
+        process.reactor.listenTCP(options.port, wire.ConnectionFactory(started.runtime, started.serve, log))
         process.reactor.listenTCP(settings_files.CONTROL_PORT, control)
         started.start()
 
@@ -193,7 +193,7 @@
         ready = http_server.Server(
             runtime, platform_programs.entry_points.readiness(started), connection_limit=READINESS_CONNECTIONS
         )
-        process.reactor.listenTCP(options.port, wire.Listener(runtime, started.serve, log))
+        process.reactor.listenTCP(options.port, wire.ConnectionFactory(runtime, started.serve, log))
         process.reactor.listenTCP(settings_files.FRONT_PORT, front)
         process.reactor.listenTCP(settings_files.READY_PORT, ready)
         started.start(options.port, settings_files.FRONT_PORT)
--- a/tests/test_zone_cuts.py
+++ b/tests/test_zone_cuts.py
@@ -148,7 +148,7 @@
         self.outcome = "refused" if reason.check(error.ConnectionRefusedError) else "failed"
 
 
-class Listener(protocol.Factory):
+class ConnectionFactory(protocol.Factory):
     """Takes all connections."""
 
     def buildProtocol(self, _address: object) -> protocol.Protocol:
@@ -162,7 +162,7 @@
         hosts = [host_model.Host(self.world, host, zone) for host, zone in (("h1", "a"), ("h2", "b"), ("h3", "far"))]
         self.processes = [process_model.SimulatedProcess(self.world, host.host, host) for host in hosts]
         for process in self.processes:
-            process.reactor.listenTCP(80, Listener())
+            process.reactor.listenTCP(80, ConnectionFactory())
 
     def outcome(self, sender: int, receiver: str) -> str:
         """How a connection from a process to a host ends within three seconds."""
