--- a/iriswheel/control/load_exchange.py
+++ b/iriswheel/control/load_exchange.py
@@ -129,7 +129,7 @@
 
     def _send_to_node(self, session: node_session.NodeSession, keys: set[load_table.WorkerKey], complete: bool) -> bool:
         """Send a node the sums of all others, unless its connection does not take it now."""
-        if not session.connection.up or session.connection.full:
+        if not session.connection.up or session.connection.buffer_full:
             return False
         own = self.tables.get(session.member.id, {})
         table = {
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -83,7 +83,7 @@
         core machine.
         """
         while self.connection.up and not is_stopping():
-            if self.connection.full:
+            if self.connection.buffer_full:
                 await self.connection.writable.wait()
                 continue
             self.flush()
--- a/iriswheel/transport/peers.py
+++ b/iriswheel/transport/peers.py
@@ -32,7 +32,7 @@
     {}
     """
 
-    def __init__(self, runtime: scheduler.Runtime, serve: wire.Serve, log: loguru.Logger) -> None:
+    def __init__(self, runtime: scheduler.Runtime, serve: wire.MessageHandler, log: loguru.Logger) -> None:
         self.runtime = runtime
         self.serve = serve
         self.log = log
@@ -81,7 +81,7 @@
         connection.tell(content)
 
     def close_idle(self) -> None:
-        """Close the connections that carried nothing for IDLE_US: each costs both sides its keep-alives.
+        """Close the connections that carried nothing for IDLE_TIMEOUT_US: each costs both sides its keep-alives.
 
         >>> import loguru
         >>> Peers(scheduler.Runtime(None, now=lambda: 0), lambda connection, content: None, loguru.logger).close_idle()
--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -33,7 +33,7 @@
 
 # Answers a message from the other side: at once, by a coroutine, or not at all.
 Response: typing.TypeAlias = "collections.abc.Coroutine[typing.Any, typing.Any, typing.Any] | message.Message | None"
-Serve: typing.TypeAlias = "collections.abc.Callable[[Connection, typing.Any], Response]"
+MessageHandler: typing.TypeAlias = "collections.abc.Callable[[Connection, typing.Any], Response]"
 
 
 class FrameKind:
@@ -88,7 +88,7 @@
 
     transport: typing.Any  # Any: Twisted describes transports by zope interfaces, which mypy can't check
 
-    def __init__(self, runtime: scheduler.Runtime, serve: Serve, log: loguru.Logger) -> None:
+    def __init__(self, runtime: scheduler.Runtime, serve: MessageHandler, log: loguru.Logger) -> None:
         self.runtime = runtime
         self.serve = serve
         self.log = log
@@ -98,10 +98,10 @@
         self.up = False
         self.last_received = self.last_sent = self.last_used = runtime.now()
         self.sent_bytes = 0
-        self.full = False  # whether the transport's buffer is full
+        self.buffer_full = False  # whether the transport's buffer is full
         self.writable = scheduler.Signal()
         self.version = 0  # of the other side's protocol, once it said
-        self.refused = False  # whether that is a version that this process does not speak
+        self.version_refused = False  # whether that is a version that this process does not speak
         self.node_session: node_session.NodeSession | None = None  # where a core serves a node on it
 
     def connectionMade(self) -> None:
@@ -115,23 +115,23 @@
 
     def pauseProducing(self) -> None:
         """Note that the transport's buffer is full."""
-        self.full = True
+        self.buffer_full = True
 
     def resumeProducing(self) -> None:
         """Note that the transport's buffer has room again."""
-        self.full = False
+        self.buffer_full = False
         self.writable.wake()
 
     def stopProducing(self) -> None:
         """Note that nothing waits for room any more, as the connection ends."""
-        self.full = False
+        self.buffer_full = False
 
     def _check_alive(self) -> None:
         now = self.runtime.now()
         if now - self.last_received > SILENCE_TIMEOUT_US:
             self.transport.abortConnection()
             return
-        if now - self.last_sent >= KEEP_ALIVE_INTERVAL_US and not self.full:
+        if now - self.last_sent >= KEEP_ALIVE_INTERVAL_US and not self.buffer_full:
             self._send(FrameKind.TELL, 0, message.KeepAlive())
         self.heartbeat_timer = self.runtime.later(KEEP_ALIVE_INTERVAL_US, self._check_alive)
 
@@ -160,10 +160,10 @@
         self.sequence += 1
         sequence = self.sequence
 
-        def forget(_: defer.Deferred[typing.Any]) -> None:
+        def drop_pending_call(_: defer.Deferred[typing.Any]) -> None:
             self.pending.pop(sequence, None)
 
-        answer: defer.Deferred[typing.Any] = defer.Deferred(forget)
+        answer: defer.Deferred[typing.Any] = defer.Deferred(drop_pending_call)
         self.pending[sequence] = answer
         self._send(FrameKind.CALL, sequence, content)
         return self.runtime.within(answer, timeout_us)
@@ -184,7 +184,7 @@
                 pass
             case Envelope(kind=FrameKind.TELL, content=message.VersionHandshake(version=version)):
                 self._take_version(version)
-            case _ if self.refused:
+            case _ if self.version_refused:
                 pass  # what came right behind the handshake
             case Envelope(kind=FrameKind.REPLY, sequence=sequence, content=content):
                 answer = self.pending.pop(sequence, None)
@@ -201,7 +201,7 @@
                 peer_version=version,
                 version=self.runtime.protocol_version,
             )
-            self.refused = True
+            self.version_refused = True
             self.transport.abortConnection()
 
     def _serve(self, frame: Envelope) -> None:
@@ -253,7 +253,7 @@
 
     noisy = False
 
-    def __init__(self, runtime: scheduler.Runtime, serve: Serve, log: loguru.Logger) -> None:
+    def __init__(self, runtime: scheduler.Runtime, serve: MessageHandler, log: loguru.Logger) -> None:
         self.runtime = runtime
         self.serve = serve
         self.log = log
@@ -263,11 +263,13 @@
         return Connection(self.runtime, self.serve, self.log)
 
 
-async def connect(runtime: scheduler.Runtime, host: str, port: int, serve: Serve, log: loguru.Logger) -> Connection:
+async def connect(
+    runtime: scheduler.Runtime, host: str, port: int, serve: MessageHandler, log: loguru.Logger
+) -> Connection:
     """Open a connection to an address.
 
     Raises:
-        ConnectionBrokenError: with sent=False, where nobody answers within CONNECT_US.
+        ConnectionBrokenError: with sent=False, where nobody answers within CONNECT_TIMEOUT_US.
     """
     factory = ConnectionFactory(runtime, serve, log)
     endpoint = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=CONNECT_TIMEOUT_US / units.SECOND_US)
