--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -27,7 +27,7 @@
 Write: typing.TypeAlias = tuple[bytes, bytes | None]  # a key and its value; None removes the key
 
 INITIAL_MAP_BYTES = 1 << 28
-STALL_US = 1 * units.SECOND_US
+STALL_TIMEOUT_US = 1 * units.SECOND_US
 WATCH_INTERVAL_US = 250 * units.MILLISECOND_US
 RETRY_INTERVAL_US = units.SECOND_US
 PROBE_KEY = b"probe"
@@ -41,14 +41,14 @@
     code = "disk"
 
 
-class SyncedWrites(typing.Protocol):
+class DiskWriter(typing.Protocol):
     """A data folder as the running process writes to it."""
 
     def commit(self, writes: list[Write], /) -> collections.abc.Awaitable[object]:
         """Write pairs in order; done once they are synced, fails with DiskError where they are not."""
 
 
-class DataFolder(SyncedWrites, typing.Protocol):
+class DataFolder(DiskWriter, typing.Protocol):
     """A data folder as a process reads and writes it while it starts."""
 
     def read(self) -> dict[bytes, bytes]:
@@ -79,10 +79,10 @@
             return
 
 
-def nearest_folder(path: pathlib.Path) -> pathlib.Path:
+def nearest_existing_folder(path: pathlib.Path) -> pathlib.Path:
     """The folder next above an absolute path that is there.
 
-    >>> nearest_folder(pathlib.Path("/proc/none/at/all"))
+    >>> nearest_existing_folder(pathlib.Path("/proc/none/at/all"))
     PosixPath('/proc')
     """
     path = path.parent
@@ -136,7 +136,7 @@
         iriswheel.runtime.storage.DiskError: The data folder can't be used: ...
         """
         try:
-            top = nearest_folder(absolute(self.folder))
+            top = nearest_existing_folder(absolute(self.folder))
             self.folder.mkdir(parents=True, exist_ok=True)
             self.lock = (self.folder / "lock").open("w")  # stays open as long as the process
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -221,7 +221,7 @@
         ok: False from a write that failed or took longer than STALL_US until a later write succeeded.
     """
 
-    def __init__(self, runtime: scheduler.Runtime, disk: SyncedWrites) -> None:
+    def __init__(self, runtime: scheduler.Runtime, disk: DiskWriter) -> None:
         self.runtime = runtime
         self.disk = disk
         self.ok = True
@@ -250,7 +250,7 @@
         while True:
             await self.runtime.sleep(WATCH_INTERVAL_US)
             if self._started_at_us:
-                if self.ok and self.runtime.now() - self._started_at_us[0] > STALL_US:
+                if self.ok and self.runtime.now() - self._started_at_us[0] > STALL_TIMEOUT_US:
                     log.warning("The disk stalls.")
                     self.ok = False
             elif not self.ok:
