--- a/iriswheel/configuration/items.py
+++ b/iriswheel/configuration/items.py
@@ -47,14 +47,16 @@
 
     Args:
         items: All items.
-        with_all_kinds: Whether the document has a section also for a kind of `schema.LATER_KINDS` without items.
+        with_all_kinds: Whether kinds of `schema.KINDS_OMITTED_WHEN_EMPTY` without items get an empty section too.
 
     >>> unflatten({"pools/desk": {"cap": 3}})
     {'pools': {'desk': {'cap': 3}}, 'routes': {}, 'terms': {}, 'limits': {}, 'marks': {}}
     >>> list(unflatten({}, with_all_kinds=True))[-1], list(unflatten({"tenants/desk": {}}))[-1]
     ('tenants', 'tenants')
     """
-    document: schema.Document = {kind: {} for kind in schema.KINDS if with_all_kinds or kind not in schema.LATER_KINDS}
+    document: schema.Document = {
+        kind: {} for kind in schema.KINDS if with_all_kinds or kind not in schema.KINDS_OMITTED_WHEN_EMPTY
+    }
     for key in sorted(evacuations.without_evacuations(items)):
         kind, name = key.split("/", 1)
         document.setdefault(kind, {})[name] = items[key]
--- a/iriswheel/configuration/schema.py
+++ b/iriswheel/configuration/schema.py
@@ -19,7 +19,7 @@
 KEY_DIGEST = re.compile(r"[0-9a-f]{64}\Z")  # SHA-256 in hexadecimal digits
 INTEGER_BOUND = 1 << 53  # JSON numbers are exact below it
 URGENCY_MAX = 9
-ROUTE_URGENCY = URGENCY_MAX + 1  # a tenant's urgency that leaves the choice to the route
+URGENCY_FROM_ROUTE = URGENCY_MAX + 1  # a tenant's urgency that leaves the choice to the route
 
 # JSON objects: an item's fields by name; the flat map of items by `kind/name`; items by kind and name.
 Item = dict[str, typing.Any]
@@ -256,7 +256,7 @@
 
     Attributes:
         keys: SHA-256 digests of its keys, in hexadecimal digits; the keys themselves are not part of a configuration.
-        urgency: Of its requests, before the route's; `ROUTE_URGENCY` leaves it to the route.
+        urgency: Of its requests, before the route's; `URGENCY_FROM_ROUTE` leaves it to the route.
         rate_unit: What the limit counts, one of `RateUnit`.
         rate: Units a second; 0 for no limit.
         burst: Units above the rate that may come at once.
@@ -269,7 +269,7 @@
     """
 
     keys: list[str] = dataclasses.field(default_factory=list)
-    urgency: int = ROUTE_URGENCY
+    urgency: int = URGENCY_FROM_ROUTE
     rate_unit: str = "requests"
     rate: float = 0.0
     burst: float = 0.0
@@ -313,7 +313,9 @@
     "marks": Marks,
     "tenants": Tenant,
 }
-LATER_KINDS = {"tenants"}  # a document without such items has no section for them, as before there were any
+KINDS_OMITTED_WHEN_EMPTY = {
+    "tenants"
+}  # a document without such items has no section for them, as before there were any
 SINGLETONS = {"limits": "door", "marks": "operator"}  # the kinds that have a single item, and its name
 LIMITS_KEY = "limits/door"
 OPERATOR_KEY = "marks/operator"
--- a/iriswheel/configuration/validation.py
+++ b/iriswheel/configuration/validation.py
@@ -176,8 +176,8 @@
         owner = owners.setdefault(digest, key)
         if owner != key:
             yield f"{key}: has a key of {owner}"
-    if tenant.urgency > schema.ROUTE_URGENCY:
-        yield f"{key}: urgency is above {schema.ROUTE_URGENCY}"
+    if tenant.urgency > schema.URGENCY_FROM_ROUTE:
+        yield f"{key}: urgency is above {schema.URGENCY_FROM_ROUTE}"
     if tenant.told_as and not schema.HEADER_TEXT.match(tenant.told_as):
         yield f"{key}: told_as can't stand in a header"
     if tenant.rate_unit not in tuple(schema.RateUnit):
--- a/iriswheel/dataplane/routed_request.py
+++ b/iriswheel/dataplane/routed_request.py
@@ -77,7 +77,7 @@
     @property
     def urgency(self) -> int:
         """The urgency set for the tenant, or else the route's; 0 is the most urgent."""
-        if self.tenant is None or self.tenant.urgency == schema.ROUTE_URGENCY:
+        if self.tenant is None or self.tenant.urgency == schema.URGENCY_FROM_ROUTE:
             return self.route.urgency
         return self.tenant.urgency
 
--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -218,7 +218,7 @@
     """A data folder, and whether writes to it succeed in time.
 
     Attributes:
-        ok: False from a write that failed or took longer than STALL_US until a later write succeeded.
+        ok: False from a write that failed or took longer than STALL_TIMEOUT_US until a later write succeeded.
     """
 
     def __init__(self, runtime: scheduler.Runtime, disk: DiskWriter) -> None:
