--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -241,7 +241,7 @@
         self.chain.install(view)
         self.node_reports.report_now.wake()
         self.tail_service.heartbeat_now.wake()
-        self.peers.keep(self.consensus.addresses())
+        self.peers.close_all_except(self.consensus.addresses())
 
     def _announce(self) -> None:
         """Wake the sessions of nodes and the heartbeats to other core machines, to send new state."""
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -149,7 +149,7 @@
         self.startup.update()
         # a question to the core machines may be under way, as a new pool owner puts it to them
         members = {(member.host, member.port) for member in self.follower.membership.members}
-        self.peers.keep(members | set(self.follower.core_zones()))
+        self.peers.close_all_except(members | set(self.follower.core_zones()))
 
     async def _run_upkeep(self) -> None:
         """Every second, report roles and grants, and forget what has expired; one task."""
--- a/iriswheel/transport/peers.py
+++ b/iriswheel/transport/peers.py
@@ -89,11 +89,12 @@
         for address in [known for known, connection in self.connections.items() if connection.is_idle(IDLE_TIMEOUT_US)]:
             self.connections.pop(address).close()
 
-    def keep(self, addresses: collections.abc.Set[Address]) -> None:
+    def close_all_except(self, addresses: collections.abc.Set[Address]) -> None:
         """Close the connections to all but these addresses.
 
         >>> import loguru
-        >>> Peers(scheduler.Runtime(None, now=lambda: 0), lambda connection, content: None, loguru.logger).keep(set())
+        >>> peers = Peers(scheduler.Runtime(None, now=lambda: 0), lambda connection, content: None, loguru.logger)
+        >>> peers.close_all_except(set())
         """
         for address in [known for known in self.connections if known not in addresses]:
             self.connections.pop(address).close()
