--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -72,14 +72,16 @@
         if not request.last:
             return message.AppendResponse(True, request.entries[-1].index)
         response = await self._wait_for_commit(request.view, request.entries)
-        if response.ok and (request.snapshot or request.frame is not None):
+        if response.ok and (request.snapshot or request.whole_snapshot is not None):
             self.log.on_commit()
         return response
 
     async def _store(self, request: message.CatchUp) -> bool:
         """Store one message of catching up by its kind; whether it fits what is here."""
-        if request.frame is not None:
-            return await self._restore(request.frame, snapshot_format.decode(request.frame), request.entries)
+        if request.whole_snapshot is not None:
+            return await self._restore(
+                request.whole_snapshot, snapshot_format.decode(request.whole_snapshot), request.entries
+            )
         if request.snapshot:
             return await self._stage(request)
         if request.after is not None and request.after != self.log.latest_state.position:
--- a/iriswheel/transport/messages/replication.py
+++ b/iriswheel/transport/messages/replication.py
@@ -73,11 +73,11 @@
     received: int = 0
 
 
-class CatchUp(message_base.Message, tag="Refill", frozen=True):
+class CatchUp(message_base.Message, tag="Refill", frozen=True, rename={"whole_snapshot": "frame"}):
     """Bring the next replica up to date: entries after its newest one, or after a snapshot sent before in chunks."""
 
     view: int
-    frame: bytes | None  # a whole snapshot, for programs that take none in chunks
+    whole_snapshot: bytes | None  # for programs that take no snapshot in chunks
     entries: list[LogEntry]
     after: LogPosition | None = None  # the entry that these follow
     snapshot: str = ""  # digest of the snapshot that these follow
