--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -21,12 +21,12 @@
     return follower.Follower(node, options.Options("node"))
 
 
-def longest(routes: dict[str, configuration.Route], host: str, path: str) -> configuration.Route | None:
+def longest_matching_route(routes: dict[str, configuration.Route], host: str, path: str) -> configuration.Route | None:
     """The look-up as it is meant, over all routes."""
     for h in (host, ""):
-        fits = [r for r in routes.values() if r.host == h and request_router.covers(r.path, path)]
-        if fits:
-            return max(fits, key=lambda r: (len(r.path), bool(r.zones)))
+        matching = [r for r in routes.values() if r.host == h and request_router.covers(r.path, path)]
+        if matching:
+            return max(matching, key=lambda r: (len(r.path), bool(r.zones)))
     return None
 
 
@@ -39,7 +39,7 @@
             return e.errors
         return []
 
-    def test_what_is_wrong_is_named(self) -> None:
+    def test_each_mistake_is_reported_with_the_key_of_its_item(self) -> None:
         route = {"path": "/a", "pool": "p"}
         assert self.errors({"r": route, "s": {**route, "host": "h"}}) == []
         assert self.errors({"r": {**route, "host": "h"}, "s": {**route, "host": "H"}}) == [
@@ -57,8 +57,8 @@
         assert self.errors({}, marks={"other": {}}) == ["marks/other: bad name"]
         assert self.errors({}, limits={"door": {"idle_us": 0}}) == ["limits/door: idle_us must be above 0"]
 
-    def test_a_slice_has_all_that_its_routes_use_and_no_label(self) -> None:
-        ledger = replicated_state.ReplicatedState().with_changes(
+    def test_a_node_slice_has_all_items_that_its_routes_use_and_no_label(self) -> None:
+        state = replicated_state.ReplicatedState().with_changes(
             [
                 (
                     "routes/r",
@@ -77,14 +77,14 @@
                 ("marks/operator", {"number": 4}),
             ]
         )
-        cut = slices.Slices().slice(snapshot_format.decode(snapshot_format.encode(ledger)), "north", ())
-        assert set(cut) == {"routes/r", "pools/p", "pools/q", "terms/default", "limits/door"}
-        assert "label" not in str(cut)
-        assert ledger.items["routes/r"]["label"] == {"a": 1}
+        node_slice = slices.Slices().slice(snapshot_format.decode(snapshot_format.encode(state)), "north", ())
+        assert set(node_slice) == {"routes/r", "pools/p", "pools/q", "terms/default", "limits/door"}
+        assert "label" not in str(node_slice)
+        assert state.items["routes/r"]["label"] == {"a": 1}
 
 
 class TestRouteLookup:
-    def test_find_agrees_with_a_look_at_all_routes(self) -> None:
+    def test_find_route_agrees_with_a_search_of_all_routes(self) -> None:
         rng = random.Random(7)
 
         def part() -> str:
@@ -105,9 +105,12 @@
             assert {k[7:]: configuration.Route.from_dict(v) for k, v in items.items()} == follower.routes
             for _ in range(20):
                 host, path = rng.choice(["x", "z"]), part()
-                assert longest(follower.routes, host, path) == follower.find_route(host, path), (host, path)
+                assert longest_matching_route(follower.routes, host, path) == follower.find_route(host, path), (
+                    host,
+                    path,
+                )
 
-    def test_host_by_any_case_and_port(self) -> None:
+    def test_a_host_matches_in_any_case_and_with_any_port(self) -> None:
         follower = make_follower()
         follower.apply_items(1, {"routes/r": {"path": "/", "pool": "p", "host": "Desk.example"}}, is_snapshot=True)
         route = follower.find_route("desk.EXAMPLE:8080", "/x")
@@ -115,16 +118,16 @@
         assert route.pool == "p"
         assert follower.find_route("other", "/x") is None
 
-    def test_only_what_changed_is_parsed(self) -> None:
+    def test_only_changed_items_are_parsed_again(self) -> None:
         follower = make_follower()
         items = {f"routes/r{k}": {"path": f"/{k}", "pool": "p"} for k in range(50)}
         follower.apply_items(1, items, is_snapshot=True)
-        had = dict(follower.routes)
+        routes_before = dict(follower.routes)
         follower.apply_items(
             2, {"routes/r7": {"path": "/7", "pool": "q"}, "limits/door": {"head_us": 5}}, is_snapshot=False
         )
-        assert [k for k in had if follower.routes[k] is not had[k]] == ["r7"]
+        assert [k for k in routes_before if follower.routes[k] is not routes_before[k]] == ["r7"]
         assert follower.limits.head_us == 5
         follower.apply_items(3, items, is_snapshot=True)
-        assert [k for k in had if follower.routes[k] is not had[k]] == ["r7"]
+        assert [k for k in routes_before if follower.routes[k] is not routes_before[k]] == ["r7"]
         assert configuration.Limits() == follower.limits
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -26,9 +26,9 @@
             request.answer_json(200, {})
 
         self.server = http_server.Server(runtime, handle, limits=lambda: self.limits)
-        look = runtime.spawn(self.server.close_overdue_heads())
+        closing_overdue_heads = runtime.spawn(self.server.close_overdue_heads())
         yield
-        look.cancel()
+        closing_overdue_heads.cancel()
 
     def connect(self) -> tuple[http_server.Channel, testing.StringTransportWithDisconnection]:
         channel: Any = self.server.buildProtocol(None)
@@ -41,7 +41,7 @@
     def wait(self, seconds: int) -> None:
         self.clock.pump([0.5] * int(2 * seconds))
 
-    def test_a_body_above_the_bound_is_refused_and_not_served(self) -> None:
+    def test_a_body_above_the_limit_is_refused_and_not_served(self) -> None:
         channel, transport = self.connect()
         channel.dataReceived(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 11\r\n\r\n")
         assert transport.value().startswith(b"HTTP/1.1 413")
@@ -50,7 +50,7 @@
         channel.dataReceived(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 11\r\n\r\n01234567890")
         assert self.served == [b"01234567890"]
 
-    def test_a_head_above_the_bound_is_malformed(self) -> None:
+    def test_a_head_above_the_limit_is_answered_with_400(self) -> None:
         channel, transport = self.connect()
         channel.dataReceived(b"POST / HTTP/1.1\r\nX-A: " + b"a" * 400 + b"\r\nContent-Length: 0\r\n\r\n")
         assert transport.value().startswith(b"HTTP/1.1 400")
@@ -63,7 +63,7 @@
             self.wait(1)
         assert not transport.connected
 
-    def test_a_refusal_for_a_client_that_has_gone_away_is_dropped(self, logged_errors: list[str]) -> None:
+    def test_an_error_for_a_disconnected_client_is_dropped_without_a_log_line(self, logged_errors: list[str]) -> None:
         answer: defer.Deferred[None] = defer.Deferred()
 
         async def handle(_request: http_server.Request) -> None:
@@ -76,7 +76,7 @@
         answer.errback(errors.ServiceError("no_chain", "The tail holds no lease now."))
         assert logged_errors == []
 
-    def test_an_idle_connection_may_stay_for_its_time(self) -> None:
+    def test_an_idle_connection_is_closed_only_after_the_idle_time(self) -> None:
         channel, transport = self.connect()
         channel.dataReceived(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
         self.wait(15)
@@ -86,7 +86,7 @@
         self.wait(20)
         assert not transport.connected
 
-    def test_a_longer_idle_time_holds_for_connections_that_are_there(self) -> None:
+    def test_a_longer_idle_time_applies_to_open_connections(self) -> None:
         self.limits = configuration.Limits(idle_us=5_000_000)
         channel, transport = self.connect()
         channel.dataReceived(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
@@ -96,7 +96,7 @@
         self.wait(5)
         assert not transport.connected
 
-    def test_nothing_follows_a_refusal_of_what_was_announced(self) -> None:
+    def test_no_100_continue_follows_the_refusal_of_a_content_length(self) -> None:
         channel, transport = self.connect()
         channel.dataReceived(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 11\r\n\r\n")
         assert transport.value().count(b"HTTP/1.1") == 1
