--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -60,4 +60,4 @@
 
     @pytest.fixture(autouse=True)
     def keep_logged_errors(self, logged_errors: list[str]) -> None:
-        self.broken = logged_errors
+        self.task_errors = logged_errors
--- a/tests/test_fuzz_documents.py
+++ b/tests/test_fuzz_documents.py
@@ -40,7 +40,7 @@
         return await self.change(change)
 
 
-ODD_JSON: list[Any] = [
+UNUSUAL_JSON: list[Any] = [
     None,
     True,
     -1,
@@ -124,7 +124,7 @@
     },
 )
 PLANT = strategies.fixed_dictionaries({"name": strategies.just("p") | fuzzing.SCALARS}, optional={"engine": DOCUMENTS})
-COMPLETE = strategies.fixed_dictionaries(
+COMPLETE_CONFIGURATION = strategies.fixed_dictionaries(
     {
         "version": strategies.integers(1, 9) | fuzzing.SCALARS,
         "channels": strategies.lists(CHANNEL, max_size=2) | DOCUMENTS,
@@ -132,7 +132,7 @@
     },
     optional={"constraints": DOCUMENTS, "upsert": DOCUMENTS, "remove": DOCUMENTS, "else": DOCUMENTS},
 )
-CHANGE = strategies.fixed_dictionaries(
+NUMBERED_CHANGE = strategies.fixed_dictionaries(
     {"number": strategies.integers(1, 9) | fuzzing.SCALARS, "built_on": strategies.just(0) | fuzzing.SCALARS},
     optional={"upsert": DOCUMENTS, "remove": DOCUMENTS, "blueprint": DOCUMENTS},
 )
@@ -151,27 +151,27 @@
         channel.dataReceived(head.encode() + body)
         status = int(transport.value().split(b" ")[1])
         channel.connectionLost(testing.Failure(Exception()) if hasattr(testing, "Failure") else None)
-        assert 200 <= status < 300 or 400 <= status < 500, (status, body, self.broken)
-        assert self.broken == []
+        assert 200 <= status < 300 or 400 <= status < 500, (status, body, self.task_errors)
+        assert self.task_errors == []
         return status
 
     @fuzzing.QUICK
-    @hypothesis.given(COMPLETE | DOCUMENTS, strategies.sampled_from(["PUT", "PATCH"]))
-    def test_any_configuration(self, document: object, method: str) -> None:
+    @hypothesis.given(COMPLETE_CONFIGURATION | DOCUMENTS, strategies.sampled_from(["PUT", "PATCH"]))
+    def test_any_configuration_is_accepted_or_refused(self, document: object, method: str) -> None:
         self.call(method, "/configuration", json.dumps(document).encode())
 
     @fuzzing.QUICK
-    @hypothesis.given(CHANGE | DOCUMENTS)
-    def test_any_numbered_change(self, document: object) -> None:
+    @hypothesis.given(NUMBERED_CHANGE | DOCUMENTS)
+    def test_any_numbered_change_is_accepted_or_refused(self, document: object) -> None:
         self.call("POST", "/changes", json.dumps(document).encode())
 
     @fuzzing.QUICK
     @hypothesis.given(strategies.binary(max_size=30))
-    def test_any_bytes(self, raw: bytes) -> None:
+    def test_a_body_of_any_bytes_is_accepted_or_refused(self, raw: bytes) -> None:
         for method, path in (("PUT", "/configuration"), ("PATCH", "/configuration"), ("POST", "/changes")):
             self.call(method, path, raw)
 
-    def test_deep_and_great_values(self) -> None:
+    def test_deeply_nested_and_very_large_values_are_accepted_or_refused(self) -> None:
         for depth in (50, 300, *range(880, 1000, 3), 100_000):
             for text in ("[" * depth + "]" * depth, '{"a":' * depth + "1" + "}" * depth):
                 document = f'{{"version":1,"channels":[],"plants":[],"else":{text}}}'
@@ -182,26 +182,29 @@
             document = f'{{"version":1,"channels":[],"plants":[],"else":{text}}}'
             assert self.call("PUT", "/configuration", document.encode()) == 400, text
 
-    def test_each_odd_value_in_each_field(self) -> None:
+    def test_each_unusual_value_of_each_field_is_accepted_or_refused(self) -> None:
         channel = {"name": "r", "path_prefix": "/a/", "mode": "streaming", "cutoff_ms": 5, "plant": "p"}
         fields = [*channel, "urgency", "retries", "authority", "partition", "later"]
         for field in fields:
-            for value in ODD_JSON:
+            for value in UNUSUAL_JSON:
                 document = {"version": 1, "channels": [{**channel, field: value}], "plants": [{"name": "p"}]}
                 self.call("PUT", "/configuration", json.dumps(document).encode())
         for field in ("name", "probe", "conn_limit", "engine", "later"):
-            for value in [*ODD_JSON, *({"capacity": value, "stride": value} for value in ODD_JSON)]:
+            for value in [*UNUSUAL_JSON, *({"capacity": value, "stride": value} for value in UNUSUAL_JSON)]:
                 document = {"version": 1, "channels": [], "plants": [{"name": "p", field: value}]}
                 self.call("PUT", "/configuration", json.dumps(document).encode())
         for field in ("header_bytes", "body_bytes", "header_deadline_ms", "idle_ms", "later"):
-            for value in ODD_JSON:
+            for value in UNUSUAL_JSON:
                 document = {"version": 1, "channels": [], "plants": [], "constraints": {field: value}}
                 self.call("PUT", "/configuration", json.dumps(document).encode())
         for field in ("number", "built_on", "upsert", "remove", "blueprint", "later"):
-            for value in [*ODD_JSON, *({"pools": {"p": {"cap": value, "label": {"a": value}}}} for value in ODD_JSON)]:
+            for value in [
+                *UNUSUAL_JSON,
+                *({"pools": {"p": {"cap": value, "label": {"a": value}}}} for value in UNUSUAL_JSON),
+            ]:
                 document = {"number": 1, "built_on": 0, "upsert": {}, field: value}
                 self.call("POST", "/changes", json.dumps(document).encode())
 
-    def test_a_proper_one_is_taken(self) -> None:
+    def test_a_valid_configuration_and_a_valid_change_are_accepted(self) -> None:
         assert self.call("PUT", "/configuration", b'{"version":1,"channels":[],"plants":[]}') == 200
         assert self.call("POST", "/changes", b'{"number":1,"built_on":0,"upsert":{"pools":{"p":{}}}}') == 200
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -19,8 +19,8 @@
 
     def connection(self) -> tuple[wire.Connection, fuzzing.Transport]:
         self.clock, runtime = fuzzing.new_runtime()
-        self.got: list[message.Message] = []
-        connection = wire.Connection(runtime, lambda _connection, msg: self.got.append(msg), loguru.logger)
+        self.received: list[message.Message] = []
+        connection = wire.Connection(runtime, lambda _connection, msg: self.received.append(msg), loguru.logger)
         transport = fuzzing.Transport()
         connection.makeConnection(transport)
         return connection, transport
@@ -31,18 +31,18 @@
         for start, end in itertools.pairwise(places):
             if not transport.aborted:
                 connection.dataReceived(raw[start:end])
-        assert all(isinstance(msg, message.Message) for msg in self.got), self.got
-        assert [line for line in self.broken if "speaks version" not in line] == []
+        assert all(isinstance(msg, message.Message) for msg in self.received), self.received
+        assert [line for line in self.task_errors if "speaks version" not in line] == []
         return transport
 
     @fuzzing.QUICK
     @hypothesis.given(strategies.binary(max_size=200), strategies.lists(strategies.integers(0, 200), max_size=3))
-    def test_any_bytes(self, raw: bytes, cuts: list[int]) -> None:
+    def test_any_byte_stream_breaks_no_task(self, raw: bytes, cuts: list[int]) -> None:
         self.feed(raw, cuts)
 
     @fuzzing.QUICK
     @hypothesis.given(strategies.binary(max_size=60))
-    def test_any_bytes_in_a_frame_end_the_connection_or_are_a_message(self, raw: bytes) -> None:
+    def test_a_frame_of_any_bytes_is_a_message_or_ends_the_connection(self, raw: bytes) -> None:
         transport = self.feed(struct.pack("!I", len(raw)) + raw)
         try:
             wire.decoder.decode(raw)
@@ -63,14 +63,14 @@
         ),
         strategies.integers(0, 3),
     )
-    def test_values_of_wrong_types(self, value: object, kind: int) -> None:
+    def test_frames_with_values_of_wrong_types_break_no_task(self, value: object, kind: int) -> None:
         for document in (value, [kind, 1, value], [kind, value, ["Ping"]], [kind, 1, [value, value, value]]):
             raw = msgspec.msgpack.encode(document)
             self.feed(struct.pack("!I", len(raw)) + raw)
 
     @fuzzing.QUICK
     @hypothesis.given(strategies.integers(wire.Connection.MAX_LENGTH + 1, (1 << 32) - 1), strategies.binary(max_size=9))
-    def test_lengths_beyond_the_bound_end_the_connection(self, length: int, raw: bytes) -> None:
+    def test_an_announced_length_above_the_limit_ends_the_connection(self, length: int, raw: bytes) -> None:
         assert self.feed(struct.pack("!I", length) + raw).aborted
 
     def test_deep_nesting_ends_the_connection(self) -> None:
@@ -80,7 +80,7 @@
 
     @fuzzing.QUICK
     @hypothesis.given(strategies.data())
-    def test_messages_with_bytes_changed(self, data: strategies.DataObject) -> None:
+    def test_frames_with_corrupted_bytes_break_no_task(self, data: strategies.DataObject) -> None:
         part: Any = message.Worker("w", "h", 1, "p", "ready", 0)  # of a message, and none itself
         good = wire.encoder.encode(wire.Envelope(0, 0, part))
         good = (
--- a/tests/test_fuzz_settings.py
+++ b/tests/test_fuzz_settings.py
@@ -28,7 +28,7 @@
     "bounds": "{grace_s = 8, retry_ratio = 0.2}",
     "constraints": "{file_limit = 1000}",
 }
-ODD_VALUES = [
+UNUSUAL_VALUES = [
     "inf",
     "-inf",
     "nan",
@@ -83,21 +83,21 @@
     @fuzzing.QUICK
     @hypothesis.given(
         strategies.dictionaries(
-            strategies.sampled_from(sorted(GOOD_SETTINGS)), strategies.sampled_from(ODD_VALUES), max_size=3
+            strategies.sampled_from(sorted(GOOD_SETTINGS)), strategies.sampled_from(UNUSUAL_VALUES), max_size=3
         ),
         strategies.sets(strategies.sampled_from(sorted(GOOD_SETTINGS)), max_size=2),
     )
-    def test_odd_values(self, odd: dict[str, str], missing: set[str]) -> None:
-        document = {name: value for name, value in {**GOOD_SETTINGS, **odd}.items() if name not in missing}
+    def test_unusual_values_and_missing_keys_break_no_task(self, unusual: dict[str, str], missing: set[str]) -> None:
+        document = {name: value for name, value in {**GOOD_SETTINGS, **unusual}.items() if name not in missing}
         self.read("".join(f"{name} = {value}\n" for name, value in document.items()).encode())
 
-    def test_each_odd_value_in_each_place(self) -> None:
+    def test_each_unusual_value_of_each_key_breaks_no_task(self) -> None:
         for name in GOOD_SETTINGS:
-            for value in ODD_VALUES:
+            for value in UNUSUAL_VALUES:
                 document = {**GOOD_SETTINGS, name: value}
                 self.read("".join(f"{key} = {text}\n" for key, text in document.items()).encode())
 
-    def test_a_rate_is_a_finite_number(self, tmp_path: pathlib.Path) -> None:
+    def test_a_rate_that_is_not_finite_is_refused(self, tmp_path: pathlib.Path) -> None:
         path = tmp_path / "settings.toml"
         for rate in ("nan", "inf"):
             document = {**GOOD_SETTINGS, "provider_api": f'{{address = "10.0.0.3:80", rate_per_s = {rate}}}'}
@@ -107,8 +107,8 @@
 
     @fuzzing.QUICK
     @hypothesis.given(strategies.binary(max_size=60))
-    def test_any_bytes(self, raw: bytes) -> None:
+    def test_a_file_of_any_bytes_breaks_no_task(self, raw: bytes) -> None:
         self.read(raw)
 
-    def test_deep_nesting(self) -> None:
+    def test_a_deeply_nested_file_breaks_no_task(self) -> None:
         self.read(b"a = " + b"[" * 50_000 + b"]" * 50_000)
