--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -19,7 +19,9 @@
 from tests import frozen_codec, recorded
 
 
-def filtered(name: str, old: set[str], codec: frozen_codec.FrozenCodec) -> typing.Callable[..., None]:
+def method_dropping_mismatched_frames(
+    name: str, old: set[str], codec: frozen_codec.FrozenCodec
+) -> typing.Callable[..., None]:
     """A connection's method that drops the frames which an old process could not have said or read."""
     original = getattr(wire.Connection, name)
 
@@ -36,12 +38,12 @@
     codec = frozen_codec.FrozenCodec()
     with contextlib.ExitStack() as stack:
         for name in ("sendString", "stringReceived"):
-            instead = filtered(name, old, codec)
-            stack.enter_context(mock.patch.object(wire.Connection, name, instead))
+            replacement = method_dropping_mismatched_frames(name, old, codec)
+            stack.enter_context(mock.patch.object(wire.Connection, name, replacement))
         yield codec
 
 
-def test_each_recorded_frame_comes_out_unchanged() -> None:
+def test_each_recorded_frame_is_reencoded_unchanged_by_the_frozen_messages() -> None:
     codec = frozen_codec.FrozenCodec()
     for record in recorded.load("wire.json")["messages"].values():
         for sample in record.values():
@@ -61,7 +63,7 @@
         frozen_codec.FrozenCodec().repeat(bytes.fromhex(text))
 
 
-def play(cluster: simulated_cluster.SimulatedCluster) -> None:
+def run_with_changes_and_restarts(cluster: simulated_cluster.SimulatedCluster) -> None:
     """Changes, and a core machine, a node and the pool's owner that end and come back."""
     cluster.begin()
     actions.confirm_changes(cluster, 6, 3)
@@ -83,10 +85,10 @@
         pytest.param({"c2", "c3", "n4", "n5", "n6"}, 6, id="the other half"),
     ],
 )
-def test_half_of_the_fleet_speaks_by_the_messages_of_e746a15(old: set[str], seed: int) -> None:
+def test_a_fleet_serves_while_half_of_its_processes_use_the_messages_of_e746a15(old: set[str], seed: int) -> None:
     cluster = simulated_cluster.SimulatedCluster(seed, "magnolia", seconds=50)
     with mixed_fleet(old) as codec:
-        play(cluster)
+        run_with_changes_and_restarts(cluster)
     assert codec.failures == []
     assert replay.judge(cluster.event_log.rows) == {}
     kinds = collections.Counter(row["kind"] for row in cluster.event_log.rows)
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -25,26 +25,26 @@
 from tests import deferreds, recorded
 
 RECORDS = recorded.load("disk.json")["records"]
-TYPES = {"entry": message.LogEntry, "frame": snapshot_format.Snapshot, "council": decisions.Record}
+RECORD_TYPES = {"entry": message.LogEntry, "frame": snapshot_format.Snapshot, "council": decisions.Record}
 FOLDERS = ("folder-e746a15", "folder-format-2")
 NAMES = ("c1", "c2", "c3")
 
 
-def content(folder: str) -> dict[str, typing.Any]:
+def recorded_content(folder: str) -> dict[str, typing.Any]:
     """What a recorded folder holds, and what was answered before."""
     recording: dict[str, typing.Any] = recorded.load(f"{folder}/content.json")
     return recording
 
 
-def disks(folder: str) -> dict[str, dict[bytes, bytes]]:
+def recorded_disks(folder: str) -> dict[str, dict[bytes, bytes]]:
     """The keys and values of each core machine's recorded data folder."""
     return {
         name: {key.encode(): base64.b64decode(value) for key, value in disk.items()}
-        for name, disk in content(folder)["disks"].items()
+        for name, disk in recorded_content(folder)["disks"].items()
     }
 
 
-def rewrite(key: bytes, raw: bytes) -> bytes:
+def decode_and_encode(key: bytes, raw: bytes) -> bytes:
     """Read a record from the disk with the present program, and write it again."""
     if key == b"council":
         return msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=decisions.Record))
@@ -58,7 +58,7 @@
     return raw
 
 
-@pytest.mark.parametrize(("name", "cls"), TYPES.items())
+@pytest.mark.parametrize(("name", "cls"), RECORD_TYPES.items())
 class TestRecords:
     """Records on the disk are read and written byte for byte as recorded."""
 
@@ -83,12 +83,12 @@
 @pytest.mark.parametrize(
     ("name", "key"), [("entry", b"e0000000000000007"), ("frame", b"frame"), ("shelf", b"shelf/desk")]
 )
-def test_records_pass_unchanged_through_the_code_that_reads_and_writes_them(name: str, key: bytes) -> None:
+def test_the_code_for_the_disk_decodes_and_encodes_records_unchanged(name: str, key: bytes) -> None:
     raw = bytes.fromhex(RECORDS[name]["full"]["hex"])
-    assert rewrite(key, raw) == raw
+    assert decode_and_encode(key, raw) == raw
 
 
-def test_entries_are_kept_under_keys_that_sort_by_number() -> None:
+def test_log_entry_keys_sort_by_index() -> None:
     assert [replicated_log.entry_key(n) for n in (9, 12_345)] == [b"e0000000000000009", b"e0000000000012345"]
 
 
@@ -102,46 +102,47 @@
         shutil.copytree(recorded.DATA / folder / name, copy)
         disk = storage.Disk(str(copy))
         disk.open()
-        assert disk.read() == disks(folder)[name]
+        assert disk.read() == recorded_disks(folder)[name]
         disk.close()
 
     @pytest.mark.parametrize("folder", FOLDERS)
     def test_each_core_machine_has_a_recorded_disk(self, folder: str) -> None:
-        assert set(disks(folder)) == set(NAMES)
+        assert set(recorded_disks(folder)) == set(NAMES)
 
     @pytest.mark.parametrize("folder", FOLDERS)
-    def test_every_sort_of_record_is_there(self, folder: str) -> None:
-        sorts = {key.split(b"/")[0] if not key.startswith(b"e") else b"e" for key in disks(folder)["c1"]}
+    def test_every_kind_of_record_is_in_the_recorded_folder(self, folder: str) -> None:
+        sorts = {key.split(b"/")[0] if not key.startswith(b"e") else b"e" for key in recorded_disks(folder)["c1"]}
         assert sorts == {b"identity", b"format", b"council", b"frame", b"e", b"shelf"}
 
-    def test_every_record_is_written_again_unchanged(self) -> None:
-        for disk in disks("folder-e746a15").values():
+    def test_every_record_is_encoded_again_unchanged(self) -> None:
+        for disk in recorded_disks("folder-e746a15").values():
             for key, raw in disk.items():
-                assert rewrite(key, raw) == raw, key
-        for disk in disks("folder-format-2").values():
+                assert decode_and_encode(key, raw) == raw, key
+        for disk in recorded_disks("folder-format-2").values():
             for key, raw in disk.items():
                 if key != b"frame":
-                    assert rewrite(key, raw) == raw, key
+                    assert decode_and_encode(key, raw) == raw, key
 
-    def test_the_folder_is_one_of_a_half_done_transfer_and_a_change_that_one_machine_has(self) -> None:
-        was = content("folder-e746a15")
+    def test_one_recorded_replica_lacks_its_snapshot_and_one_alone_has_the_newest_entry(self) -> None:
+        recording = recorded_content("folder-e746a15")
         newest = {
-            name: max(key for key in disk if key.startswith(b"e")) for name, disk in disks("folder-e746a15").items()
+            name: max(key for key in disk if key.startswith(b"e"))
+            for name, disk in recorded_disks("folder-e746a15").items()
         }
-        behind, head = was["left_behind"], was["head"]
+        behind, head = recording["left_behind"], recording["head"]
         other = next(name for name in NAMES if name not in (behind, head))
-        assert b"frame" not in disks("folder-e746a15")[behind]
+        assert b"frame" not in recorded_disks("folder-e746a15")[behind]
         assert newest[behind] < newest[other] < newest[head]
 
-    def test_a_snapshot_of_format_2_says_which_changes_were_taken(self) -> None:
-        was, raw = content("folder-format-2"), disks("folder-format-2")["c1"][b"frame"]
+    def test_a_snapshot_of_format_2_gets_the_versions_of_its_accepted_changes(self) -> None:
+        recording, raw = recorded_content("folder-format-2"), recorded_disks("folder-format-2")["c1"][b"frame"]
         assert len(msgspec.msgpack.decode(raw)) == 5
-        rewritten = msgspec.msgpack.decode(rewrite(b"frame", raw))
+        rewritten = msgspec.msgpack.decode(decode_and_encode(b"frame", raw))
         assert rewritten[:5] == msgspec.msgpack.decode(raw)
         confirmed = [plan[3] for _, plan in rewritten[4] if plan[3]]
         assert sorted(rewritten[5].values()) == sorted(confirmed)
         assert rewritten[6] == 0
-        assert len(was["changes"]) > 10
+        assert len(recording["changes"]) > 10
 
 
 class ClusterOnRecordedDisks(simulated_cluster.SimulatedCluster):
@@ -185,7 +186,7 @@
 
 def start_on_recorded_disks(folder: str, missing: str | None = None) -> ClusterOnRecordedDisks:
     """Start a fleet on recorded disks; `missing` stays down."""
-    cluster = ClusterOnRecordedDisks(disks(folder), missing)
+    cluster = ClusterOnRecordedDisks(recorded_disks(folder), missing)
     cluster.probing = False
     cluster.begin()
     return cluster
@@ -203,22 +204,22 @@
     return answered
 
 
-def take(
+def submit_numbered_change(
     cluster: simulated_cluster.SimulatedCluster, number: int, built_on: int, what: dict[str, typing.Any]
 ) -> tuple[int, dict[str, typing.Any]]:
     """Have a numbered change taken: the status and the answer."""
     return query(cluster, "POST", "/changes", {"number": number, "built_on": built_on, **what})
 
 
-def check_what_was_answered(cluster: simulated_cluster.SimulatedCluster, was: dict[str, typing.Any]) -> None:
+def check_acknowledged_changes(cluster: simulated_cluster.SimulatedCluster, recording: dict[str, typing.Any]) -> None:
     """All that was answered before still stands: items, taken changes, plans."""
-    for number, built_on, what in was["changes"]:
-        status, answer = take(cluster, number, built_on, what)
+    for number, built_on, what in recording["changes"]:
+        status, answer = submit_numbered_change(cluster, number, built_on, what)
         assert (status, answer["number"]) == (200, number)
-        assert answer["stamp"] <= was["stamp"]
-    status, answer = query(cluster, "POST", f"/plans/{was['confirmed']['id']}/confirm", {})
-    assert (status, answer["stamp"]) == (200, was["confirmed"]["stamp"])
-    assert query(cluster, "GET", f"/plans/{was['open_plan']['id']}")[0] == 200
+        assert answer["stamp"] <= recording["stamp"]
+    status, answer = query(cluster, "POST", f"/plans/{recording['confirmed']['id']}/confirm", {})
+    assert (status, answer["stamp"]) == (200, recording["confirmed"]["stamp"])
+    assert query(cluster, "GET", f"/plans/{recording['open_plan']['id']}")[0] == 200
 
 
 def check_a_further_change(cluster: simulated_cluster.SimulatedCluster, folder: str) -> None:
@@ -226,7 +227,7 @@
     status, now = query(cluster, "GET", "/blueprint")
     number = now["blueprint"]["marks"]["operator"]["number"]
     what = {"upsert": {"routes": {"further": {"path": "/further", "pool": cluster.pool}}}}
-    assert take(cluster, number + 1, number, what)[0] == 200
+    assert submit_numbered_change(cluster, number + 1, number, what)[0] == 200
     status, after = query(cluster, "GET", "/blueprint")
     now["blueprint"]["routes"].update(what["upsert"]["routes"])
     now["blueprint"]["marks"]["operator"]["number"] = number + 1
@@ -236,7 +237,7 @@
         keys = {re.sub(rb"^e[0-9]{16}$|^shelf/desk$", b"", key) for key in synced}
         assert keys - {b"", b"identity", b"format", b"council", b"frame"} == set()
         assert synced[b"format"] == b"3"
-        assert synced[b"identity"] in [disk[b"identity"] for disk in disks(folder).values()]
+        assert synced[b"identity"] in [disk[b"identity"] for disk in recorded_disks(folder).values()]
 
 
 class TestFleetOnRecordedFolders:
@@ -250,26 +251,28 @@
             ("folder-format-2", None),
         ],
     )
-    def test_a_fleet_goes_on_from_all_folders_and_from_two_of_three(self, folder: str, missing: str | None) -> None:
-        was, cluster = content(folder), start_on_recorded_disks(folder, missing)
-        standing = cluster.first_read["blueprint"]
-        late = was.get("late", (0, 0, {"upsert": {"routes": {}}}))
-        with_late = {**was["blueprint"]["routes"], **late[2]["upsert"]["routes"]}
-        assert standing["routes"] in (was["blueprint"]["routes"], with_late)
-        assert standing["pools"] == was["blueprint"]["pools"]
-        check_what_was_answered(cluster, was)
+    def test_a_fleet_keeps_acknowledged_changes_on_all_three_folders_and_on_two_of_them(
+        self, folder: str, missing: str | None
+    ) -> None:
+        recording, cluster = recorded_content(folder), start_on_recorded_disks(folder, missing)
+        configuration_at_start = cluster.first_read["blueprint"]
+        late = recording.get("late", (0, 0, {"upsert": {"routes": {}}}))
+        with_late = {**recording["blueprint"]["routes"], **late[2]["upsert"]["routes"]}
+        assert configuration_at_start["routes"] in (recording["blueprint"]["routes"], with_late)
+        assert configuration_at_start["pools"] == recording["blueprint"]["pools"]
+        check_acknowledged_changes(cluster, recording)
         check_a_further_change(cluster, folder)
 
     @pytest.mark.parametrize("folder", FOLDERS)
-    def test_the_sessions_are_there_after_the_start(self, folder: str) -> None:
+    def test_recorded_sessions_are_loaded_at_the_start(self, folder: str) -> None:
         cluster = start_on_recorded_disks(folder)
-        for name, disk in disks(folder).items():
+        for name, disk in recorded_disks(folder).items():
             kept = {session[1] for session in msgspec.msgpack.decode(disk[b"shelf/desk"])[2]}
             assert kept
             assert cluster.sessions_at_start[name] == kept
 
     def test_a_folder_of_a_newer_format_is_refused(self) -> None:
-        newer = disks("folder-e746a15")
+        newer = recorded_disks("folder-e746a15")
         for disk in newer.values():
             disk[b"format"] = b"4"
         with pytest.raises(storage.DiskError):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -20,7 +20,7 @@
 
 
 class TestEnvironment:
-    def test_a_panicked_environment_is_opened_anew_and_keeps_what_it_held(self, tmp_path: pathlib.Path) -> None:
+    def test_an_environment_that_panicked_is_reopened_with_its_data(self, tmp_path: pathlib.Path) -> None:
         disk = storage.Disk(str(tmp_path))
         disk.open()
         disk.write([(b"a", b"1")])
