--- a/tests/outside.py
+++ b/tests/outside.py
@@ -93,7 +93,7 @@
 )
 
 
-class Client(protocol.Protocol):
+class ResponseCollector(protocol.Protocol):
     """Keeps all that comes back."""
 
     def __init__(self) -> None:
@@ -103,28 +103,28 @@
         self.received += data
 
 
-def shape(value: object) -> object:
+def json_shape(value: object) -> object:
     """The names in a JSON value, and the types of what is under them.
 
-    >>> shape({"a": [{"b": 1}, {"b": 2}], "c": None})
+    >>> json_shape({"a": [{"b": 1}, {"b": 2}], "c": None})
     {'a': [{'b': 'int'}], 'c': 'NoneType'}
     """
     match value:
         case dict():
-            return {key: shape(item) for key, item in sorted(value.items())}
+            return {key: json_shape(item) for key, item in sorted(value.items())}
         case list():
             shapes: list[object] = []
-            for item in map(shape, value):
+            for item in map(json_shape, value):
                 if item not in shapes:
                     shapes.append(item)
             return shapes
     return type(value).__name__
 
 
-def answer(raw: bytes) -> dict[str, typing.Any]:
+def comparable_response(raw: bytes) -> dict[str, typing.Any]:
     r"""What is kept of an HTTP answer: status, headers, the names in its body, and the text of a refusal.
 
-    >>> answer(b'HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{"a": 1}')["body"]
+    >>> comparable_response(b'HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{"a": 1}')["body"]
     {'a': 'int'}
     """
     head, _, body = raw.partition(b"\r\n\r\n")
@@ -138,15 +138,15 @@
         return {**out, "text": re.sub(r"[0-9a-f-]{3,}|w[0-9]", "#", body.decode("latin-1"))[:200]}
     if isinstance(document, dict) and "code" in document:
         return {**out, "refusal": document}
-    return {**out, "body": shape(document)}
+    return {**out, "body": json_shape(document)}
 
 
-def exchange(
+def send_raw_request(
     simulated: deployment_model.Deployment, runtime: scheduler.Runtime, host: str, port: int, text: str
 ) -> bytes:
     """Send a request as it stands, from a simulated process; all that came back within three seconds."""
     point: typing.Any = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=2)
-    opened = point.connect(protocol.Factory.forProtocol(Client))
+    opened = point.connect(protocol.Factory.forProtocol(ResponseCollector))
     simulated.advance_until(lambda: opened.called, 3)
     client: typing.Any = deferreds.result_of(opened)
     client.transport.write(text.encode())
@@ -155,7 +155,7 @@
     return bytes(client.received)
 
 
-class Outside:
+class QuietFleet:
     """A quiet simulated fleet, asked over bare connections."""
 
     def __init__(self) -> None:
@@ -163,22 +163,22 @@
         self.cluster = simulated_cluster.SimulatedCluster(5, "small", long_rate=0, short_rate=0, conversations=0)
         self.cluster.probing = False
 
-    def note(self, label: str, owner: type[StandIn]) -> contextlib.AbstractContextManager[object]:
+    def collect_request_headers(self, label: str, owner: type[StandIn]) -> contextlib.AbstractContextManager[object]:
         """Replace a stand-in's handler by one that notes the requests' headers under a label."""
         handle: typing.Any = owner.handle
         requests = self.requests
 
-        async def noting(stand_in: StandIn, request: http_server.Request) -> None:
+        async def handle_and_collect(stand_in: StandIn, request: http_server.Request) -> None:
             names = {name.decode() for name, _ in request.requestHeaders.getAllRawHeaders()}
             key = f"{label}: {request.method.decode()} {request.path.decode()}"
             requests[key] = sorted(names | set(requests.get(key, ())))
             await handle(stand_in, request)
 
-        return mock.patch.object(owner, "handle", noting)
+        return mock.patch.object(owner, "handle", handle_and_collect)
 
     def query(self, host: str, port: int, text: str) -> bytes:
         """Send a request as it stands; all that came back within three seconds."""
-        return exchange(self.cluster, self.cluster.operator_runtime, host, port, text)
+        return send_raw_request(self.cluster, self.cluster.operator_runtime, host, port, text)
 
     def core_answers(self) -> list[typing.Any]:
         """The answers of a core machine to all calls."""
@@ -189,7 +189,7 @@
             raw = self.query("10.0.1.1", addresses.HTTP_PORT, text)
             if path == "/plans" and not plan:
                 plan = json.loads(raw.partition(b"\r\n\r\n")[2])["id"]
-            out.append([f"{method} {path}", answer(raw)])
+            out.append([f"{method} {path}", comparable_response(raw)])
         return out
 
     def node_answers(self) -> list[typing.Any]:
@@ -199,12 +199,15 @@
             length = "" if body is None else f"Content-Length: {len(body)}\r\n"
             head = f"{method} {path} HTTP/1.1\r\nHost: x\r\n{headers.format(place, place)}{length}\r\n"
             raw = self.query("10.0.2.1", addresses.HTTP_PORT, head + (body or ""))
-            out.append([f"{method} {path} {place}", answer(raw)])
+            out.append([f"{method} {path} {place}", comparable_response(raw)])
         return out
 
     def gather(self) -> dict[str, typing.Any]:
         """All requests."""
-        with self.note("worker", stand_in_worker.Worker), self.note("platform", stand_in_platform.Platform):
+        with (
+            self.collect_request_headers("worker", stand_in_worker.Worker),
+            self.collect_request_headers("platform", stand_in_platform.Platform),
+        ):
             self.cluster.begin()
             self.cluster.advance(2)
             found = {"core": self.core_answers(), "node": self.node_answers()}
@@ -290,7 +293,7 @@
     return cluster.event_log.rows
 
 
-def judged(rows: list[dict[str, typing.Any]]) -> dict[str, typing.Any]:
+def printed_verdicts(rows: list[dict[str, typing.Any]]) -> dict[str, typing.Any]:
     """What the program prints of an event log, and how many rows each of its checks judged."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "run.events"
@@ -317,7 +320,7 @@
     return {kind: sorted(names) for kind, names in sorted(found.items())}
 
 
-def damaged(rows: list[dict[str, typing.Any]]) -> list[dict[str, typing.Any]]:
+def with_faults(rows: list[dict[str, typing.Any]]) -> list[dict[str, typing.Any]]:
     """The rows with faults that the judge must name: second runs, runs after a refusal, a lost configuration."""
     out = []
     any_run = next(row for row in rows if row["kind"] == "run")
@@ -339,7 +342,7 @@
 
 def http_sections() -> dict[str, typing.Any]:
     """The requests over HTTP, by section."""
-    found = Outside().gather()
+    found = QuietFleet().gather()
     return {
         "core answers": {f"{k:02} {name}": seen for k, (name, seen) in enumerate(found["core"])},
         "node answers": {f"{k:02} {name}": seen for k, (name, seen) in enumerate(found["node"])},
@@ -369,7 +372,7 @@
     rows = event_rows()
     with gzip.GzipFile(recorded.DATA / "run.events.gz", "wb", mtime=0) as log:
         log.write("".join(json.dumps(row) + "\n" for row in rows).encode())
-    verdicts = {"as it was": judged(rows), "with faults": judged(damaged(rows))}
+    verdicts = {"as it was": printed_verdicts(rows), "with faults": printed_verdicts(with_faults(rows))}
     recorded.save("outside.json", {**gather(), "events": event_fields(rows), "verdicts": verdicts})
 
 
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -16,9 +16,9 @@
 from tests import recorded
 
 RECORDING = recorded.load("wire.json")
-SENT = {**RECORDING["messages"], **RECORDING["added"]}
+SENDABLE = {**RECORDING["messages"], **RECORDING["added"]}
 CALL = 1
-HELLO = "0000000b93000092a548656c6c6f03"  # what a process says first: its version, 3
+VERSION_HANDSHAKE = "0000000b93000092a548656c6c6f03"  # what a process says first: its version, 3
 
 
 class Transport(testing.StringTransport):
@@ -36,18 +36,20 @@
             world.World(1), "receiver", host_model.Host(world.World(1), "10.0.0.1", "zone")
         )
         self.received: list[str] = []
-        self.connection = wire.Connection(process.runtime(), self.keep, loguru.logger)
+        self.connection = wire.Connection(process.runtime(), self.record_message, loguru.logger)
         self.transport = Transport()
         self.connection.makeConnection(self.transport)
 
-    def keep(self, _connection: wire.Connection, received: message.Message) -> None:
+    def record_message(self, _connection: wire.Connection, received: message.Message) -> None:
         """Take one message."""
         self.received.append(wire.encoder.encode(received).hex())
 
 
 def frames() -> list[tuple[str, bytes]]:
     """All recorded frames, each with the message in it as hexadecimal digits."""
-    return [(sample["hex"], bytes.fromhex(sample["frame"])) for record in SENT.values() for sample in record.values()]
+    return [
+        (sample["hex"], bytes.fromhex(sample["frame"])) for record in SENDABLE.values() for sample in record.values()
+    ]
 
 
 @pytest.fixture(scope="module")
@@ -70,7 +72,7 @@
 def test_the_tags_are_those_recorded(types: dict[str, msgspec.inspect.StructType]) -> None:
     envelope: typing.Any = msgspec.inspect.type_info(wire.Envelope)
     sendable = {info.tag for info in envelope.fields[2].type.types}
-    assert sorted(sendable) == sorted(SENT)
+    assert sorted(sendable) == sorted(SENDABLE)
     assert sorted(set(types) - sendable) == sorted(RECORDING["parts"])
 
 
@@ -101,7 +103,7 @@
             assert msgspec.msgpack.encode(made).hex() == record["defaults"]["hex"], tag
 
 
-def test_further_fields_of_a_newer_peer_are_passed_over(
+def test_additional_fields_of_a_newer_peer_are_ignored(
     samples: list[tuple[str, type, dict[str, typing.Any]]],
 ) -> None:
     for tag, cls, sample in samples:
@@ -112,14 +114,14 @@
 
 def test_frames_are_read_and_written_unchanged() -> None:
     for text, frame in frames():
-        parcel = wire.decoder.decode(frame[4:])
-        assert wire.encoder.encode(parcel) == frame[4:]
+        envelope = wire.decoder.decode(frame[4:])
+        assert wire.encoder.encode(envelope) == frame[4:]
         assert msgspec.msgpack.decode(frame[4:])[0] == CALL
         assert text in frame.hex()
 
 
-def test_a_connection_begins_with_the_version() -> None:
-    assert Receiver().transport.value().hex() == HELLO
+def test_a_connection_begins_with_the_version_handshake() -> None:
+    assert Receiver().transport.value().hex() == VERSION_HANDSHAKE
 
 
 def test_a_frame_split_at_any_place_arrives() -> None:
@@ -143,7 +145,7 @@
 
 
 def test_what_a_connection_sends_is_what_was_recorded(types: dict[str, msgspec.inspect.StructType]) -> None:
-    for tag, record in SENT.items():
+    for tag, record in SENDABLE.items():
         for sample in record.values():
             receiver = Receiver()
             receiver.transport.clear()
--- a/tests/test_replicated_counters.py
+++ b/tests/test_replicated_counters.py
@@ -392,7 +392,7 @@
     def call(self, method: str, path: str, body: str = "", port: int = addresses.HTTP_PORT) -> tuple[int, typing.Any]:
         """Send one request: the status and the document of the answer."""
         text = f"{method} {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}\r\n\r\n{body}"
-        raw = outside.exchange(self.cluster, self.runtime, self.host, port, text)
+        raw = outside.send_raw_request(self.cluster, self.runtime, self.host, port, text)
         head, _, document = raw.partition(b"\r\n\r\n")
         return int(head.split()[1]), json.loads(document)
 
--- a/tests/test_tenants_in_fleet.py
+++ b/tests/test_tenants_in_fleet.py
@@ -19,7 +19,7 @@
 class TestTenantsInAFleet:
     @pytest.fixture(autouse=True)
     def start_fleet(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.outside = outside.Outside()
+        self.outside = outside.QuietFleet()
         self.cluster = self.outside.cluster
         self.worker_request_headers: list[dict[str, str]] = []  # headers of the requests that reached a worker
         handle: Any = stand_in_worker.Worker.handle
