--- a/iriswheel/transport/__init__.py
+++ b/iriswheel/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between processes, their framing and connections, and the HTTP server."""
+"""The messages between iriswheel's processes, their framing and connections, and the HTTP server."""
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of iriswheel's processes: Twisted's, with bounds, and one task per request."""
+"""The HTTP server of iriswheel's processes: Twisted's server with limits on size and time, and one task per request."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
     from twisted.python import failure
 
 
-CLOCK_ALLOWANCE_US = 2 * units.SECOND_US  # beyond what a client may take: its clock is not ours
-MAX_JSON_DEPTH = 100  # of lists and objects in each other: what reads them later has less of the stack left
-CONNECTION_LIMIT = 2048
+CLOCK_ALLOWANCE_US = 2 * units.SECOND_US  # added to a client's time limits, since its clock may run differently
+MAX_JSON_DEPTH = 100  # nested lists and objects; recursive code that reads them later has less of the stack left
+CONNECTION_LIMIT = 2048  # simultaneous connections of one server
 
 log = loguru.logger.bind(part="http_server")
 
@@ -34,25 +34,25 @@
 
 
 class ErrorFormat(typing.Protocol):
-    """How errors are answered."""
+    """The format in which a server answers errors."""
 
     def error_response(self, error: errors.ServiceError, /) -> tuple[int, list[tuple[str, str]], bytes]:
-        """The answer to an error: HTTP status, headers, body."""
+        """Return the HTTP status, headers and body of the response to an error."""
 
 
 class JsonErrorFormat:
-    """Errors as they are answered where the server is given no other format."""
+    """The default error format: `ServiceError` with its own status, headers and JSON body."""
 
     def error_response(self, error: errors.ServiceError, /) -> tuple[int, list[tuple[str, str]], bytes]:
-        """The answer to an error: HTTP status, headers, body."""
+        """Return the HTTP status, headers and body of the response to an error."""
         return error.status, error.headers(), error.body()
 
 
 def parse_json(raw: bytes) -> typing.Any:  # noqa: ANN401 - any JSON value
-    """JSON as it can be kept and passed on; raises ValueError for all other bytes.
+    """Decode JSON that can be stored and sent on as msgpack; raises ValueError for all other bytes.
 
-    Refused are also numbers beyond 64 bits, infinite or no numbers, lone surrogates, and more than MAX_JSON_DEPTH
-    containers in each other.
+    JSON is refused too if it has an integer beyond 64 bits, an infinity or NaN, a lone surrogate, or more than
+    MAX_JSON_DEPTH nested lists and objects.
 
     >>> parse_json(b'{"a": [1.5]}')
     {'a': [1.5]}
@@ -80,7 +80,7 @@
 
 
 def closing_error_response(error: errors.ServiceError) -> bytes:
-    """An answer as bytes for the connection, which ends after it."""
+    """Return the bytes of an error response after which the server closes the connection."""
     body = error.body()
     head = (
         f"HTTP/1.1 {error.status} {http_status.HTTPStatus(error.status).phrase}\r\n"
@@ -91,24 +91,24 @@
 
 
 class Request(http.Request):
-    """One request, on the side that answers."""
+    """One HTTP request, on the server's side."""
 
     channel: Channel
     content: io.BytesIO
     early_error: errors.ServiceError | None = None  # the error sent before the body was received
     client_disconnected = False
-    received_bytes = 0  # of the body
+    received_bytes = 0  # length of the body so far
     client_lost: scheduler.Signal  # woken when the client disconnects
 
     def gotLength(self, length: int | None) -> None:
-        """Refuse a body that is announced as too large; None stands for a chunked one."""
+        """Refuse a body whose announced length is above the limit; the length of a chunked body is None."""
         super().gotLength(length)
-        self.content = io.BytesIO()  # bounded by body_bytes; never a file
+        self.content = io.BytesIO()  # in memory, not in a file: `Limits.body_bytes` bounds it
         if length is not None and length > self.channel.factory.limits().body_bytes:
             self.send_error_early("too_large", "The body is too large.")
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Take a part of the body, and refuse the request once that becomes too large."""
+        """Add a chunk to the body; refuse the request once the body is above the limit."""
         self.received_bytes += len(data)
         if self.received_bytes > self.channel.factory.limits().body_bytes:
             if self.early_error is None:
@@ -117,7 +117,7 @@
         super().handleContentChunk(data)
 
     def send_error_early(self, code: errors.ErrorCode, text: str) -> None:
-        """Answer before the body came in, and close."""
+        """Answer with an error before the body is complete, and close the connection."""
         self.early_error = errors.ServiceError(code, text)
         self.channel.transport.write(closing_error_response(self.early_error))
         self.channel.loseConnection()
@@ -141,14 +141,14 @@
             self.answer_error(error)
         except defer.CancelledError:
             raise
-        except Exception:  # whatever a handler raises, the client is answered
-            log.exception("A request handler failed.")
+        except Exception:  # the client gets an answer whatever the handler raises
+            log.exception("A request handler raised an unexpected exception; the client is answered worker_broke.")
             self.answer_error(
-                errors.ServiceError("worker_broke", "A defect of ours.", errors.ExecutionOutcome.MAY_HAVE_RUN)
+                errors.ServiceError("worker_broke", "Internal error.", errors.ExecutionOutcome.MAY_HAVE_RUN)
             )
 
     def answer_error(self, error: errors.ServiceError) -> None:
-        """Give the final answer that an error asks for; an answer that has begun is broken off."""
+        """Answer with an error; if an answer has begun already, abort the connection instead."""
         if self.client_disconnected:
             return
         if self.startedWriting:
@@ -158,7 +158,7 @@
         self.answer(status, body, dict(headers))
 
     def answer_json(self, status: int, document: object) -> None:
-        """Give a JSON answer."""
+        """Send a complete JSON answer."""
         self.answer(status, json.dumps(document).encode() + b"\n")
 
     def answer(self, status: int, body: bytes, headers: dict[str, str] | None = None) -> None:
@@ -179,7 +179,7 @@
             self.channel.transport.abortConnection()
 
     def json(self) -> typing.Any:  # noqa: ANN401 - any JSON value
-        """The body as JSON; raises ServiceError where it is none."""
+        """Return the body decoded from JSON; raises ServiceError if it is not valid JSON."""
         try:
             return parse_json(self.content.read())
         except ValueError:
@@ -187,45 +187,45 @@
 
 
 class Channel(http.HTTPChannel):
-    """One HTTP connection, counted by its server."""
+    """One HTTP connection, which its server counts and whose time limits it enforces."""
 
     factory: Server
     transport: typing.Any  # Any: Twisted describes transports by zope interfaces, which mypy can't check
     requestFactory = Request
-    head_started_at: int | None  # when the head that is coming began to, in µs
-    idle_since: int  # when something last came or was answered, in µs
+    head_started_at: int | None  # arrival of the first byte of the incomplete request head, in µs; None without one
+    idle_since: int  # time of the last received data or completed answer, in µs
 
     def connectionMade(self) -> None:
-        """Count the connection and set its bounds by the limits that hold now."""
+        """Count the connection, and set its limits to those in force now."""
         self.factory.open_count += 1
         self.factory.channels[self] = None
         limits = self.factory.limits()
         self.totalHeadersSize = limits.head_bytes
-        # ignored: declared as int, but used as the seconds of a delayed call
+        # type ignored: Twisted declares an int, but passes it as the seconds of a delayed call
         self.timeOut = (limits.idle_us + CLOCK_ALLOWANCE_US) / units.SECOND_US  # type: ignore[assignment]
         self.head_started_at = None
         self.idle_since = self.factory.runtime.now()
         super().connectionMade()
 
     def dataReceived(self, data: bytes) -> None:
-        """Note since when a head is coming."""
+        """Record the arrival of data, and the start of a request head."""
         if self.head_started_at is None and not self.requests:
             self.head_started_at = self.factory.runtime.now()
         self.idle_since = self.factory.runtime.now()
         super().dataReceived(data)
 
     def allHeadersReceived(self) -> None:
-        """Note that the head is complete."""
+        """Record that the request head is complete."""
         self.head_started_at = None
         super().allHeadersReceived()
 
     def requestDone(self, request: http.Request) -> None:
-        """Note that the connection is idle from now on."""
+        """Record that the connection is idle from now on."""
         self.idle_since = self.factory.runtime.now()
         super().requestDone(request)
 
     def timeoutConnection(self) -> None:
-        """End an idle connection, unless longer idle times are allowed since its timer was set."""
+        """Close an idle connection, unless the limit was raised after its timer was set and has not been reached."""
         idle_end = self.idle_since + self.factory.limits().idle_us + CLOCK_ALLOWANCE_US
         left_us = idle_end - self.factory.runtime.now()
         if left_us > 0:
@@ -234,37 +234,37 @@
             super().timeoutConnection()
 
     def _send100Continue(self) -> None:
-        if self.requests[-1].early_error is None:  # after a final answer nothing may follow
+        if self.requests[-1].early_error is None:  # nothing may be sent after the final answer
             super()._send100Continue()
 
     def is_head_overdue(self, now: int) -> bool:
-        """Whether a head has been coming for longer than it may."""
+        """Return whether a request head has been incomplete for longer than the limit."""
         limit_us = self.factory.limits().head_us + CLOCK_ALLOWANCE_US
         return self.head_started_at is not None and now - self.head_started_at > limit_us
 
     def connectionLost(self, reason: failure.Failure = twisted_protocol.connectionDone) -> None:
-        """Count the connection as ended."""
+        """Remove the connection from the server's count."""
         self.factory.open_count -= 1
         self.factory.channels.pop(self, None)
         self.factory.connection_closed.wake()
         super().connectionLost(reason)
 
     def _respondToBadRequestAndDisconnect(self) -> None:
-        # Twisted's answer has no body; this one tells the code
-        error = errors.ServiceError("bad_request", "The head of the exchange is malformed.", field="head")
+        # Twisted's own answer has no body; this one has the error code
+        error = errors.ServiceError("bad_request", "The head of the request is malformed.", field="head")
         self.transport.write(closing_error_response(error))
         self.loseConnection()
 
 
 class Server(http.HTTPFactory):
-    """Takes HTTP connections, up to a bound.
+    """Accepts HTTP connections, up to a limit.
 
     Args:
         runtime: clock and reactor of this process.
-        handle: answers one request.
+        handle: answers one request; runs as a task of its own.
         connection_limit: how many connections may be open at a time.
-        formats: how errors are answered; JsonErrorFormat by default.
-        limits: gives the limits that hold now.
+        error_format: the format of error responses; JsonErrorFormat by default.
+        limits: returns the limits in force now, which a new configuration may change.
     """
 
     noisy = False
@@ -285,11 +285,11 @@
         self.limits = limits
         self.connection_limit = connection_limit
         self.open_count = 0
-        self.channels: dict[Channel, None] = {}  # those that are open, in the order in which they came
-        self.connection_closed = scheduler.Signal()  # woken when a connection has ended
+        self.channels: dict[Channel, None] = {}  # open connections, oldest first
+        self.connection_closed = scheduler.Signal()  # woken when a connection has closed
 
     def startFactory(self) -> None:
-        """Open no access log: the counters tell more."""
+        """Open no access log: the process's counters of requests serve in its place."""
 
     def stopFactory(self) -> None:
         """Close no access log."""
@@ -298,11 +298,11 @@
         """Write no access log."""
 
     def buildProtocol(self, addr: interfaces.IAddress | None) -> interfaces.IProtocol | None:
-        """A channel for a connection; None, which closes it, where too many are open."""
+        """Return a channel for a new connection, or None, which closes it, if too many are open."""
         return super().buildProtocol(addr) if self.open_count < self.connection_limit else None
 
     async def close_overdue_heads(self) -> None:
-        """Close connections whose head takes too long, for as long as the process runs."""
+        """Every second, close the connections whose request head is overdue, for as long as the process runs."""
         while True:
             await self.runtime.sleep(units.SECOND_US)
             now = self.runtime.now()
@@ -310,7 +310,7 @@
                 channel.loseConnection()
 
     async def finish(self, timeout_us: int) -> None:
-        """Close all connections, each once what was written to it has gone out; at most so long."""
+        """Accept no more connections, close each open one once its data is sent, and wait timeout_us at most."""
         self.connection_limit = 0
         deadline = self.runtime.now() + timeout_us
         for channel in list(self.channels):
--- a/iriswheel/transport/message.py
+++ b/iriswheel/transport/message.py
@@ -1,4 +1,4 @@
-"""The index of all messages between iriswheel's own processes, and the union of those that a frame may hold."""
+"""Index of the messages between iriswheel's own processes, and `AnyMessage`, the union of those a frame may hold."""
 
 import typing
 
--- a/iriswheel/transport/peers.py
+++ b/iriswheel/transport/peers.py
@@ -1,4 +1,4 @@
-"""Connections to other processes by their addresses, opened when first needed and kept."""
+"""A process's connections to other processes, by address: opened on first use and kept open."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
     from iriswheel.transport import message
 
-IDLE_TIMEOUT_US = 10 * units.SECOND_US
+IDLE_TIMEOUT_US = 10 * units.SECOND_US  # time without messages after which a connection is closed
 
 Address: typing.TypeAlias = tuple[str, int]  # host, port
 
 
 class Peers:
-    """Connections to other processes.
+    """The connections that this process opened to other processes.
 
     Args:
         runtime: clock and reactor of this process.
-        serve: answers what the other processes send.
-        log: for what goes wrong on the connections.
+        serve: handles the messages that other processes send on these connections.
+        log: takes the warnings and errors of the connections.
 
     >>> import loguru
     >>> Peers(scheduler.Runtime(None, now=lambda: 0), lambda connection, content: None, loguru.logger).connections
@@ -40,10 +40,10 @@
         self.opening: dict[Address, scheduler.Signal] = {}  # woken once the attempt to connect has ended
 
     async def connection_to(self, host: str, port: int) -> wire.Connection:
-        """The connection to an address, opened if need be; concurrent calls share one attempt.
+        """Return the connection to an address, and open it if there is none; concurrent calls share one attempt.
 
         Raises:
-            ConnectionBrokenError: where it can't be opened.
+            ConnectionBrokenError: The connection can't be opened.
         """
         address = (host, port)
         connection = self.connections.get(address)
@@ -73,7 +73,7 @@
         return await connection.call(content, timeout_us)
 
     async def tell(self, host: str, port: int, content: message.Message) -> None:
-        """Send a message that wants no answer; it is dropped where nobody can be reached."""
+        """Send a message that needs no answer; it is dropped if the connection can't be opened."""
         try:
             connection = await self.connection_to(host, port)
         except wire.ConnectionBrokenError:
@@ -81,7 +81,7 @@
         connection.tell(content)
 
     def close_idle(self) -> None:
-        """Close the connections that carried nothing for IDLE_TIMEOUT_US: each costs both sides its keep-alives.
+        """Close the connections without messages for IDLE_TIMEOUT_US, since each costs both sides its keep-alives.
 
         >>> import loguru
         >>> Peers(scheduler.Runtime(None, now=lambda: 0), lambda connection, content: None, loguru.logger).close_idle()
@@ -90,7 +90,7 @@
             self.connections.pop(address).close()
 
     def close_all_except(self, addresses: collections.abc.Set[Address]) -> None:
-        """Close the connections to all but these addresses.
+        """Close the connections to all addresses except these.
 
         >>> import loguru
         >>> peers = Peers(scheduler.Runtime(None, now=lambda: 0), lambda connection, content: None, loguru.logger)
--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -1,7 +1,8 @@
 """Connections between iriswheel's own processes: framed msgpack messages over TCP.
 
-A connection carries messages that want no answer and calls with one answer each. It sends
-keep-alives when it is quiet, and breaks itself off when nothing has been heard for a while.
+A connection carries calls, which get one answer each, and messages that need no answer. Each side sends a
+keep-alive when it has sent nothing for KEEP_ALIVE_INTERVAL_US, and aborts the connection when it has received
+nothing for SILENCE_TIMEOUT_US.
 """
 
 from __future__ import annotations
@@ -29,26 +30,26 @@
 SILENCE_TIMEOUT_US = 1_500 * units.MILLISECOND_US
 CONNECT_TIMEOUT_US = 700 * units.MILLISECOND_US
 MAX_FRAME_BYTES = 1 << 25
-LENGTH_BYTES = 4  # of the length before each frame
+LENGTH_BYTES = 4  # size of the length field before each frame
 
-# Answers a message from the other side: at once, by a coroutine, or not at all.
+# The answer to a message from the peer: the message itself, a coroutine that returns it, or None for no answer.
 Response: typing.TypeAlias = "collections.abc.Coroutine[typing.Any, typing.Any, typing.Any] | message.Message | None"
 MessageHandler: typing.TypeAlias = "collections.abc.Callable[[Connection, typing.Any], Response]"
 
 
 class FrameKind:
-    """What a frame is; a frame of a kind that is not known is taken as TELL.
+    """The kinds of frames; a frame of any other kind is treated as TELL.
 
-    Plain integers, since encoding the member of an enumeration takes a message 0.3 µs longer.
+    They are plain integers, since encoding an enumeration member takes 0.3 µs longer for each message.
     """
 
-    TELL = 0  # wants no answer
-    CALL = 1  # wants one REPLY with its sequence number
+    TELL = 0  # message that needs no answer
+    CALL = 1  # message that needs one REPLY with the same sequence number
     REPLY = 2
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """What one frame holds; `sequence` joins a reply to its call and is 0 where there is none."""
+    """The content of one frame; `sequence` is the number of a call, repeated in its reply, and 0 in a TELL."""
 
     kind: int
     sequence: int
@@ -60,28 +61,28 @@
 
 
 class ConnectionBrokenError(Exception):
-    """The connection broke off, or could not be opened.
+    """The connection broke, or could not be opened.
 
     Args:
-        sent: whether the call may have reached the other side.
-        refused: whether the other machine itself said that nobody listens there.
+        sent: whether the call may have reached the peer.
+        refused: whether the peer's machine refused the connection because no process listens on the port.
     """
 
     code = "link_broken"
 
     def __init__(self, sent: bool, refused: bool = False) -> None:
-        super().__init__("The link broke off.")
+        super().__init__("The connection broke or could not be opened.")
         self.sent = sent
         self.refused = refused
 
 
 class Connection(basic.Int32StringReceiver):
-    """One connection, seen from one side.
+    """One side of a connection between two processes.
 
     Args:
         runtime: clock and reactor of this process.
-        serve: answers the messages of the other side.
-        log: for what goes wrong on the connection.
+        serve: handles the messages of the peer and returns their answers.
+        log: takes the warnings and errors of the connection.
     """
 
     MAX_LENGTH = MAX_FRAME_BYTES
@@ -92,20 +93,20 @@
         self.runtime = runtime
         self.serve = serve
         self.log = log
-        self.sequence = 0  # of the newest call
-        self.pending: dict[int, defer.Deferred[typing.Any]] = {}  # sequence -> the answer to come
-        self.lost = scheduler.Signal()
+        self.sequence = 0  # sequence number of the newest call
+        self.pending: dict[int, defer.Deferred[typing.Any]] = {}  # sequence number -> the awaited answer
+        self.lost = scheduler.Signal()  # woken when the connection has ended
         self.up = False
         self.last_received = self.last_sent = self.last_used = runtime.now()
         self.sent_bytes = 0
-        self.buffer_full = False  # whether the transport's buffer is full
-        self.writable = scheduler.Signal()
-        self.version = 0  # of the other side's protocol, once it said
-        self.version_refused = False  # whether that is a version that this process does not speak
-        self.node_session: node_session.NodeSession | None = None  # where a core serves a node on it
+        self.buffer_full = False  # whether the transport's send buffer is full
+        self.writable = scheduler.Signal()  # woken when the buffer has room again, or the connection has ended
+        self.version = 0  # the peer's protocol version; 0 before its handshake
+        self.version_refused = False  # whether this process does not support the peer's protocol version
+        self.node_session: node_session.NodeSession | None = None  # the session of the node that connected, on a core
 
     def connectionMade(self) -> None:
-        """Begin with the handshake, and keep the connection alive from now on."""
+        """Send the version handshake, and start the timer of the keep-alives."""
         self.up = True
         self.last_received = self.last_sent = self.runtime.now()
         self.transport.setTcpNoDelay(True)
@@ -114,16 +115,16 @@
         self._send(FrameKind.TELL, 0, message.VersionHandshake(self.runtime.protocol_version))
 
     def pauseProducing(self) -> None:
-        """Note that the transport's buffer is full."""
+        """Record that the transport's send buffer is full."""
         self.buffer_full = True
 
     def resumeProducing(self) -> None:
-        """Note that the transport's buffer has room again."""
+        """Record that the transport's send buffer has room again."""
         self.buffer_full = False
         self.writable.wake()
 
     def stopProducing(self) -> None:
-        """Note that nothing waits for room any more, as the connection ends."""
+        """Record that nothing waits for the send buffer any more, since the connection ends."""
         self.buffer_full = False
 
     def _check_alive(self) -> None:
@@ -136,14 +137,14 @@
         self.heartbeat_timer = self.runtime.later(KEEP_ALIVE_INTERVAL_US, self._check_alive)
 
     def _send(self, kind: int, sequence: int, content: message.Message) -> None:
-        # the type of `content` in an envelope matters only where one is decoded
+        # type ignored: the declared type of `content` matters only for decoding
         raw = encoder.encode(Envelope(kind, sequence, content))  # type: ignore[arg-type]
         self.last_sent = self.runtime.now()
         self.sent_bytes += len(raw) + LENGTH_BYTES
         self.sendString(raw)
 
     def tell(self, content: message.Message) -> None:
-        """Send a message that wants no answer; it is dropped where the connection is broken."""
+        """Send a message that needs no answer; it is dropped if the connection has ended."""
         if self.up:
             self.last_used = self.runtime.now()
             self._send(FrameKind.TELL, 0, content)
@@ -169,14 +170,16 @@
         return self.runtime.within(answer, timeout_us)
 
     def stringReceived(self, string: bytes) -> None:
-        """Take one frame; a frame that can't be read ends the connection, save for those of a newer protocol."""
+        """Handle one frame; one that can't be decoded ends the connection, unless the peer's protocol is newer."""
         self.last_received = self.runtime.now()
         try:
             frame = decoder.decode(string)
         except msgspec.MsgspecError as decode_error:
             if self.version > self.runtime.protocol_version:
-                return  # a newer peer may say what is not known here; a call of it ends by its own time
-            self.log.warning("A peer's message can't be decoded; the connection ends: {error}", error=decode_error)
+                return  # a newer peer may send messages that are unknown here; its calls end by their own timeouts
+            self.log.warning(
+                "A frame from a peer can't be decoded; the connection is aborted: {error}", error=decode_error
+            )
             self.transport.abortConnection()
             return
         match frame:
@@ -185,7 +188,7 @@
             case Envelope(kind=FrameKind.TELL, content=message.VersionHandshake(version=version)):
                 self._take_version(version)
             case _ if self.version_refused:
-                pass  # what came right behind the handshake
+                pass  # a frame that the peer sent right after its handshake
             case Envelope(kind=FrameKind.REPLY, sequence=sequence, content=content):
                 answer = self.pending.pop(sequence, None)
                 if answer is not None and not answer.called:
@@ -197,7 +200,7 @@
         self.version = version
         if abs(version - self.runtime.protocol_version) > 1:
             self.log.error(
-                "A peer speaks protocol version {peer_version}, this process {version}; the connection ends.",
+                "A peer speaks protocol version {peer_version}, this process {version}; the connection is aborted.",
                 peer_version=version,
                 version=self.runtime.protocol_version,
             )
@@ -209,7 +212,9 @@
         if inspect.iscoroutine(response):
             self.runtime.spawn(self._reply_later(response, frame), self.log)
         elif frame.kind == FrameKind.CALL and response is not None:
-            self._send(FrameKind.REPLY, frame.sequence, typing.cast("message.Message", response))  # no coroutine
+            self._send(
+                FrameKind.REPLY, frame.sequence, typing.cast("message.Message", response)
+            )  # not a coroutine here
 
     async def _reply_later(
         self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, message.Message | None], frame: Envelope
@@ -219,24 +224,27 @@
             self._send(FrameKind.REPLY, frame.sequence, response)
 
     def lengthLimitExceeded(self, length: int) -> None:
-        """End a connection on which a frame above the bound is announced."""
-        self.log.warning("A peer's message of {length} bytes is too long; the connection ends.", length=length)
+        """Abort the connection, since the peer announced a frame longer than MAX_FRAME_BYTES."""
+        self.log.warning(
+            "A peer announced a frame of {length} bytes, which is above the limit; the connection is aborted.",
+            length=length,
+        )
         self.transport.abortConnection()
 
     def is_idle(self, duration_us: int) -> bool:
-        """Whether this side sent no message, and waited for no answer, for so long (µs); keep-alives don't count."""
+        """Return whether this side sent no message for duration_us and awaits no answer; keep-alives don't count."""
         return not self.pending and self.runtime.now() - self.last_used >= duration_us
 
     def close(self) -> None:
-        """Break the connection off at once."""
+        """Abort the connection."""
         if self.up:
             self.transport.abortConnection()
 
     def connectionLost(
         self,
-        reason: failure.Failure = protocol.connectionDone,  # noqa: ARG002 - Twisted's name; no reason matters here
+        reason: failure.Failure = protocol.connectionDone,  # noqa: ARG002 - Twisted's parameter name; the reason is not used
     ) -> None:
-        """Fail the calls that wait for answers, and wake all that wait on the connection."""
+        """Fail the calls that await answers, and wake all tasks that wait for the connection."""
         self.up = False
         if self.heartbeat_timer.active():
             self.heartbeat_timer.cancel()
@@ -249,7 +257,7 @@
 
 
 class ConnectionFactory(protocol.Factory):
-    """Makes a `Connection` of every TCP connection, on either side."""
+    """Makes a `Connection` for each TCP connection, accepted or opened by this process."""
 
     noisy = False
 
@@ -259,7 +267,7 @@
         self.log = log
 
     def buildProtocol(self, addr: interfaces.IAddress | None) -> Connection:  # noqa: ARG002 - Twisted's name
-        """Make a connection, whatever the address."""
+        """Make a connection, for any address."""
         return Connection(self.runtime, self.serve, self.log)
 
 
@@ -269,15 +277,15 @@
     """Open a connection to an address.
 
     Raises:
-        ConnectionBrokenError: with sent=False, where nobody answers within CONNECT_TIMEOUT_US.
+        ConnectionBrokenError: The connection was not established within CONNECT_TIMEOUT_US; `sent` is False.
     """
     factory = ConnectionFactory(runtime, serve, log)
     endpoint = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=CONNECT_TIMEOUT_US / units.SECOND_US)
     try:
-        # ignored: Factory implements the zope interface, which mypy can't see
+        # type ignored: Factory implements the zope interface, which mypy can't see
         connection: Connection = await endpoint.connect(factory)  # type: ignore[arg-type]
     except defer.CancelledError:
         raise
-    except Exception as cause:  # whatever it is, there is no connection
+    except Exception as cause:  # any failure means that there is no connection
         raise ConnectionBrokenError(sent=False, refused=isinstance(cause, error.ConnectionRefusedError)) from cause
     return connection
