--- a/iriswheel/transport/messages/__init__.py
+++ b/iriswheel/transport/messages/__init__.py
@@ -1,4 +1,4 @@
-"""The messages between iriswheel's own processes, a module per subsystem.
+"""The messages between iriswheel's own processes, one module per subsystem.
 
-Other packages name them through the index `iriswheel.transport.message`.
+Other packages import them from the index `iriswheel.transport.message`.
 """
--- a/iriswheel/transport/messages/base.py
+++ b/iriswheel/transport/messages/base.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-# What several messages carry as plain tuples. Tuples compare in order, the newest last.
+# Types of fields that several messages share. The tuples sort by age: a later one compares as greater.
 Ballot: typing.TypeAlias = tuple[int, str]  # round, id of the proposing core
 Term: typing.TypeAlias = tuple[int, int]  # view of the tail that issued it, count within that view
 MembershipVersion: typing.TypeAlias = tuple[int, int]  # view of the tail that issued it, count within that view
@@ -17,15 +17,15 @@
     """The base of all messages.
 
     A message is encoded as an array: its tag, then its fields in order. So fields may be renamed but not reordered,
-    and a new field is appended with a default. Durations are sent as what remains of them, never as points in time,
+    and a new field is appended with a default. Deadlines are sent as remaining durations, never as points in time,
     since processes share no clock.
     """
 
 
 def plain(value: object) -> typing.Any:  # noqa: ANN401 - any JSON value
-    """Turn a message into JSON values, under the names that its fields have outside.
+    """Convert a message, also nested in lists or tuples, to JSON values, with the public names of its fields.
 
-    A field that is renamed in the code keeps its name outside by `rename=` of its class.
+    A field that was renamed in the code keeps its public name by the argument `rename=` of its class.
 
     >>> import iriswheel.transport.messages.consensus as consensus_messages
     >>> plain([consensus_messages.Voter("c0ffee", "127.0.0.1", 7001, "a")])
--- a/iriswheel/transport/messages/connection.py
+++ b/iriswheel/transport/messages/connection.py
@@ -1,13 +1,13 @@
-"""Messages that the connection itself sends and takes: the handshake and the keep-alive."""
+"""Messages that a connection itself sends and handles: the version handshake and the keep-alive."""
 
 import iriswheel.transport.messages.base as message_base
 
 
 class VersionHandshake(message_base.Message, tag="Hello", frozen=True):
-    """The first message on a connection, both ways: the protocol version of the sender."""
+    """The first message of each side on a connection: its protocol version."""
 
     version: int
 
 
 class KeepAlive(message_base.Message, tag="Ping", frozen=True):
-    """A sign of life on a quiet connection."""
+    """The message that a side sends when it has sent nothing for the keep-alive interval."""
--- a/iriswheel/transport/messages/consensus.py
+++ b/iriswheel/transport/messages/consensus.py
@@ -1,10 +1,10 @@
-"""Messages by which the voting cores agree on the view: heartbeats and the ballots of the consensus."""
+"""Messages by which the voting core machines agree on the view: heartbeats, and the ballots of the consensus."""
 
 import iriswheel.transport.messages.base as message_base
 
 
 class Voter(message_base.Message, tag="Seat", frozen=True):
-    """A core that votes: its identity, address and zone."""
+    """A core machine that votes: its identity, address and zone."""
 
     id: str
     host: str
@@ -13,14 +13,14 @@
 
 
 class ChainReplica(message_base.Message, tag="ChainLink", frozen=True):
-    """A replica of the chain: a voter in one of its incarnations."""
+    """A replica of the chain: a voter and the incarnation of its process."""
 
     id: str
     incarnation: str
 
 
 class View(message_base.Message, tag="View", frozen=True):
-    """The agreed view: its number, who votes, and the chain from head to tail."""
+    """A view: its number, the voters, and the chain of replicas from head to tail."""
 
     number: int
     voters: list[Voter]
@@ -28,7 +28,7 @@
 
 
 class Heartbeat(message_base.Message, tag="Pulse", frozen=True):
-    """The heartbeat between cores, and the answer to one."""
+    """The heartbeat between core machines, and the answer to one."""
 
     id: str
     incarnation: str
@@ -37,13 +37,13 @@
     port: int
     view: View | None  # the newest view that the sender knows
     synced_view: int  # number of the newest view in which the sender's replica was in sync
-    disk_ok: bool
-    leaving: bool = False
-    sealed: bool = False  # whether a promise closed the view there, so that nothing is acknowledged in it
+    disk_ok: bool  # whether the sender's disk accepts writes in time
+    leaving: bool = False  # whether the sender is shutting down
+    sealed: bool = False  # whether the sender made a promise that ends the view, so it acknowledges nothing in it
 
 
 class Prepare(message_base.Message, tag="Prepare", frozen=True):
-    """Ask a voter to promise that it takes part in no older ballot for view `number`."""
+    """Ask a voter to promise that it will accept nothing under an older ballot for view `number`."""
 
     number: int
     ballot: message_base.Ballot
@@ -51,7 +51,7 @@
 
 
 class Promise(message_base.Message, tag="Promise", frozen=True):
-    """The answer to `Prepare`: what the voter has accepted, and how far its replica has come."""
+    """The answer to `Prepare`: the view that the voter has accepted, and the state of its replica."""
 
     ok: bool
     ballot: message_base.Ballot
@@ -61,7 +61,7 @@
     incarnation: str
     synced_view: int
     disk_ok: bool
-    last_entry: tuple[int, int] = (0, 0)  # of its newest log entry: the view that made it, its index
+    last_entry: tuple[int, int] = (0, 0)  # view and index of its newest log entry
 
 
 class Accept(message_base.Message, tag="Accept", frozen=True):
@@ -80,6 +80,6 @@
 
 
 class Decided(message_base.Message, tag="Decided", frozen=True):
-    """A majority has accepted this view."""
+    """Announces that a majority of the voters has accepted a view."""
 
     view: View
--- a/iriswheel/transport/messages/counters.py
+++ b/iriswheel/transport/messages/counters.py
@@ -1,4 +1,4 @@
-"""Messages by which core machines replicate the adds to counters."""
+"""Messages by which core machines replicate the increments (adds) of counters."""
 
 import typing
 
@@ -6,39 +6,39 @@
 
 import iriswheel.transport.messages.base as message_base
 
-Interval: typing.TypeAlias = tuple[int, int]  # of sequence numbers: the first and the last
-HeldIntervals: typing.TypeAlias = dict[str, list[Interval]]  # by origin
+Interval: typing.TypeAlias = tuple[int, int]  # first and last sequence number, both included
+HeldIntervals: typing.TypeAlias = dict[str, list[Interval]]  # origin -> intervals of the adds held
 
 
 class CounterAdd(message_base.Message, tag="Add", frozen=True, gc=False):
-    """One add to a counter, the `sequence`-th that its origin accepted."""
+    """One add to a counter; `sequence` numbers the adds that one origin accepted."""
 
     sequence: int
-    name: str  # of the counter
-    id: str  # chosen by the caller; it counts once for each counter
+    name: str  # name of the counter
+    id: str  # chosen by the caller; an add repeated under the same id counts once per counter
     amount: int
 
 
 class OriginAdds(message_base.Message, tag="Adds", frozen=True):
-    """Adds of one origin: the incarnation of a core machine that accepted them."""
+    """Adds of one origin, which is the core machine, in one incarnation, that accepted them."""
 
     origin: str
     adds: list[CounterAdd]
 
 
 class ReplicateAdds(message_base.Message, tag="CountOn", frozen=True):
-    """Adds that the receiver lacks, as far as the sender knows; and perhaps a digest to compare."""
+    """The adds that the receiver lacks according to the sender, and optionally a digest for anti-entropy."""
 
-    sender: str  # its origin: machine and incarnation
+    sender: str  # origin of the sender: machine and incarnation
     batches: list[OriginAdds]
-    digest: bytes = b""  # of all that the sender holds; empty where nothing is to be compared
+    digest: bytes = b""  # digest of all adds that the sender holds; empty if nothing is to be compared
 
 
 class ReplicateAddsResponse(message_base.Message, tag="CountedOn", frozen=True):
-    """The answer to `ReplicateAdds`: what its sender holds, synced on its disk."""
+    """The answer to `ReplicateAdds`: the adds that the answering machine holds synced on its disk."""
 
-    sender: str  # its origin: machine and incarnation
+    sender: str  # origin of the sender: machine and incarnation
     disk_ok: bool
-    complete: bool  # whether `held` is all that is held there, and not only the origins of the request
-    same: bool = False  # whether the digest was the same as here; `held` is then empty
+    complete: bool  # whether `held` covers all origins, not only those of the request
+    same: bool = False  # whether the digest matched the own one; `held` is then empty
     held: HeldIntervals = msgspec.field(default_factory=dict)
--- a/iriswheel/transport/messages/load.py
+++ b/iriswheel/transport/messages/load.py
@@ -1,20 +1,20 @@
-"""The message that carries the load of workers between nodes and cores."""
+"""The message that carries the load of workers between nodes and core machines."""
 
 import typing
 
 import iriswheel.transport.messages.base as message_base
 
-# Worker, requests running there, prompt tokens not read yet, suspicion in percent.
+# Worker, requests running there, prompt tokens that it has not read yet, suspicion in percent.
 LoadRow: typing.TypeAlias = tuple[str, int, int, int]
 
 
 class LoadReport(message_base.Message, tag="Loads", frozen=True):
-    """Load in flight.
+    """The load of requests in flight, by pool and worker.
 
-    From a node to its core: its own. Between cores: the sum of a core's nodes. From a core to a
-    node: the sum of all other nodes. Only what changed, unless `complete`.
+    A node sends its core machine the node's own load. Core machines send each other the sum over their nodes. A core
+    machine sends a node the sum over all other nodes. Unless `complete`, only rows that changed are sent.
     """
 
     sender: str
     complete: bool
-    rows: dict[str, list[LoadRow]]  # by pool
+    rows: dict[str, list[LoadRow]]  # pool -> rows
--- a/iriswheel/transport/messages/membership.py
+++ b/iriswheel/transport/messages/membership.py
@@ -1,4 +1,4 @@
-"""Messages of the membership: nodes, workers, role assignments, the tail's lease, and what cores report to the tail."""
+"""Messages of the membership: nodes, workers, role assignments, the tail's lease, and core machines' reports to it."""
 
 import enum
 import typing
@@ -13,18 +13,18 @@
     """The state of a worker; the field on the wire stays a plain string."""
 
     READY = "ready"
-    LEAVING = "leaving"  # it takes no new requests; those under way go on for `Worker.drain_us`
+    LEAVING = "leaving"  # it gets no new requests; running ones may go on for `Worker.drain_us`
     GONE = "gone"
 
 
 class Member(message_base.Message, tag="Member", frozen=True):
-    """A node in one of its incarnations."""
+    """A node and the incarnation of its process."""
 
     id: str
     name: str
     zone: str
     host: str
-    port: int  # for iriswheel's own processes
+    port: int  # port for iriswheel's own processes
     http: int  # port for clients
 
 
@@ -36,24 +36,24 @@
     port: int
     pool: str
     state: str  # a `WorkerState`
-    drain_us: int = 0  # how long its requests may go on once it leaves
+    drain_us: int = 0  # drain time: how long its running requests may go on once it leaves
 
     @property
     def zone(self) -> str:
-        """The worker's zone; "" where the platform names none."""
+        """The worker's zone; "" if the platform names none."""
         return ""
 
     @property
     def cold(self) -> bool:
-        """Whether the worker bears only a small rate of requests, as after its start."""
+        """Whether the worker can take only a low rate of requests, as after its start."""
         return False
 
 
 class ZonedWorker(Worker, tag="ZonedWorker", frozen=True):
-    """A worker of which the platform says more than a `Worker` has.
+    """A worker for which the platform's list has a zone or says that it is cold.
 
-    It is a message of its own since a further field of `Worker` would change every frame that holds one. `cold` is a
-    flag and not the time left: a list that changes with each second would be sent in full each second.
+    It is a message of its own since another field of `Worker` would change every frame that holds one. `cold` is a
+    flag, not the remaining cold time: a list that changes every second would be sent in full every second.
     """
 
     zone: str = ""
@@ -64,18 +64,18 @@
 
 
 class RoleAssignment(message_base.Message, tag="Duty", frozen=True, rename={"active": "seated"}):
-    """A role that one live node has under a term.
+    """A role that one live node holds under a term.
 
-    `base` names the nodes of the last group that was active: one of them must be
-    heard before the new holder may say that it knows everything.
+    `base` names the holder and the replicas of the last assignment that was active: a new holder must have an answer
+    from one of them before it can be sure to have all records.
     """
 
     key: str
     term: message_base.Term
     holder: str
-    copies: list[str]  # the nodes that keep replicas of the holder's records
+    copies: list[str]  # nodes that keep replicas of the holder's records
     base: list[str]
-    active: bool = False
+    active: bool = False  # whether the holder has taken up the role under this term
 
 
 class Membership(
@@ -84,32 +84,32 @@
     frozen=True,
     rename={"version": "stamp", "assignments": "duties", "listing_version": "listed"},
 ):
-    """The soft state that the tail issues."""
+    """The membership, soft state that the tail issues: members, workers, role assignments and core machines."""
 
     version: message_base.MembershipVersion
     members: list[Member]
     workers: list[ListedWorker]
     assignments: list[RoleAssignment]
     cores: list[consensus_messages.Voter]
-    listing_version: message_base.ListingVersion = (0, 0, 0)  # of `workers`
+    listing_version: message_base.ListingVersion = (0, 0, 0)  # version of `workers`
 
 
 class WorkerListing(message_base.Message, tag="Listing", frozen=True):
-    """The platform's worker list, from the node whose role it is to ask."""
+    """The platform's worker list, from the node whose role is to fetch it."""
 
     workers: list[ListedWorker]
     version: message_base.ListingVersion
 
 
 class ListingUnchanged(message_base.Message, tag="Same", frozen=True):
-    """The worker list of `version` is the one that was sent in full under `unchanged_since`."""
+    """States that the worker list of `version` equals the one that was sent in full as version `unchanged_since`."""
 
     version: message_base.ListingVersion
     unchanged_since: message_base.ListingVersion
 
 
 class LeaseRequest(message_base.Message, tag="LeaseAsk", frozen=True):
-    """The tail of a view asks a voter to renew its lease."""
+    """The tail of a view asks a voter to renew the tail's lease."""
 
     view: int
     tail: str
@@ -123,46 +123,46 @@
 
 
 class NodeSessionsReport(message_base.Message, tag="Sessions", frozen=True):
-    """What a core reports to the tail: its nodes' sessions and what these nodes reported."""
+    """A core machine's report to the tail: the sessions of its nodes, and what these nodes reported."""
 
     core: str
     view: int
     members: list[Member]
-    applied_indexes: list[int]  # log index that each of the members has applied
+    applied_indexes: list[int]  # log index that each member has applied, in the order of `members`
     listing: WorkerListing | None
-    active: list[tuple[str, message_base.Term]]  # role assignments that their holders have taken up
+    active: list[tuple[str, message_base.Term]]  # role assignments that their holders have taken up: key, term
     membership: Membership | None
     contested: list[tuple[str, message_base.Term]] = msgspec.field(
         default_factory=list
-    )  # role assignments whose holder met a newer term than its own
+    )  # role assignments whose holder met a newer term than its own: key, term
     listing_unchanged: ListingUnchanged | None = None
-    sent_at: int = 0  # on the core's clock, in µs; the tail sends it back
+    sent_at: int = 0  # sending time on the core machine's clock, in µs; the tail sends it back
     leases: list[tuple[str, int, int]] = msgspec.field(
         default_factory=list
-    )  # node, log index applied, how long it may hold a lease (µs)
+    )  # node, log index that it has applied, remaining time for which it may hold a lease (µs)
 
 
 class TailHeartbeat(message_base.Message, tag="Beat", frozen=True):
-    """The heartbeat from the tail to the cores; a core sends its nodes a `SessionHeartbeat`."""
+    """The heartbeat from the tail to the core machines; they in turn send their nodes a `SessionHeartbeat`."""
 
     view: int
     index: int
-    applied_by_all: int  # every node that may hold a lease has applied the log up to here
-    sessions: int  # members that have a session
+    applied_by_all: int  # log index up to which every node that may hold a lease has applied the log
+    sessions: int  # number of members that have a session
     membership: Membership | None
     listing_unchanged: ListingUnchanged | None = None
-    echo: int = 0  # `sent_at` of the newest report that came from the addressed core in this view
+    echo: int = 0  # `sent_at` of the newest report received from the addressed core machine in this view
 
 
 class RoleActivated(message_base.Message, tag="Seated", frozen=True):
-    """The holder of a role has taken it up under this term."""
+    """Announces that the holder of a role has taken it up under a term."""
 
     key: str
     term: message_base.Term
 
 
 class RoleContested(message_base.Message, tag="Contested", frozen=True):
-    """A role's holder met a newer term than its own, of a membership that was lost: it needs a new term."""
+    """A role's holder met a newer term, from a membership that was lost, and needs a term above that one."""
 
     key: str
     term: message_base.Term
