--- a/iriswheel/errors.py
+++ b/iriswheel/errors.py
@@ -1,7 +1,7 @@
-"""The errors that stop a request or a change, and whether it may have run.
+"""The errors of requests and of configuration changes, and whether the request or change may have run.
 
-One type goes through every layer, from a refused connection up to the answer that the client reads. The codes and
-the field `verdict` are part of the interface: docs/interface.md lists them.
+One error type passes through every layer, from a refused connection up to the answer that the client reads. The
+codes and the field `verdict` are part of the public interface: docs/interface.md lists them.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 DEFAULT_RETRY_US = 1_000_000
 
 
-class ExecutionOutcome(str, enum.Enum):  # noqa: UP042 - a StrEnum formats otherwise, and formatted values are answered
-    """What is known of whether a request has run at a worker.
+class ExecutionOutcome(str, enum.Enum):  # noqa: UP042 - StrEnum formats differently, and answers hold formatted values
+    """Whether a request has run at a worker, as far as is known.
 
     >>> ExecutionOutcome.NOT_RUN.value
     'not_run'
@@ -54,10 +54,10 @@
 
 
 class CodeMeaning(typing.NamedTuple):
-    """What an error code tells a client."""
+    """The HTTP status of an error code, and whether a retry makes sense."""
 
-    status: int  # of HTTP
-    retryable: bool  # whether the same may be answered otherwise after a wait
+    status: int  # HTTP status
+    retryable: bool  # whether the same request may succeed after a wait
 
 
 CODES: dict[ErrorCode, CodeMeaning] = {
@@ -89,19 +89,19 @@
 
 
 class ServiceError(Exception):
-    """Something that stops a request or a change.
+    """An error that ends a request or a configuration change.
 
     Args:
-        code: what went wrong, as programs read it.
-        text: what went wrong, in one sentence for people.
+        code: the error code, for programs.
+        text: a sentence that describes the error, for people.
         execution: whether the request or the change may have run.
-        retry_us: how long to wait before the next attempt; without effect where the code is not retryable.
-        field: the header or field of the request that is wrong, where it is just one.
+        retry_us: how long to wait before the next attempt; ignored if the code is not retryable.
+        field: the header or field of the request that is wrong, if it is a single one.
 
     Attributes:
         status: the HTTP status of the answer.
-        retry_us: as above; None where the code is not retryable.
-        retry_after: the same in whole seconds, rounded up, for the header Retry-After.
+        retry_us: the argument `retry_us`; None if the code is not retryable.
+        retry_after: `retry_us` in whole seconds, rounded up, for the header Retry-After.
 
     >>> error = ServiceError("busy", "All slots are taken.", retry_us=1_500_000)
     >>> error.status, error.execution.value, error.retry_after
@@ -126,7 +126,7 @@
         self.retry_after = max(1, -(-retry_us // 1_000_000)) if retryable else None
 
     def headers(self) -> list[tuple[str, str]]:
-        """The HTTP headers of the answer, besides those that describe its body.
+        """Return the HTTP headers of the answer, except those that describe its body.
 
         >>> ServiceError("busy", "All slots are taken.").headers()
         [('Retry-After', '1')]
@@ -136,7 +136,7 @@
         return [] if self.retry_after is None else [("Retry-After", str(self.retry_after))]
 
     def body(self) -> bytes:
-        r"""The body of the answer, as JSON.
+        r"""Return the body of the answer, as JSON.
 
         >>> ServiceError("no_route", "No route fits.").body()
         b'{"code": "no_route", "verdict": "not_run", "text": "No route fits."}\n'
--- a/iriswheel/runtime/__init__.py
+++ b/iriswheel/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Clock, timers, tasks and options of a process; nothing here knows the messages of the product."""
+"""Clock, timers, tasks, data folder and options of a process; nothing here depends on iriswheel's messages."""
--- a/iriswheel/runtime/protocol.py
+++ b/iriswheel/runtime/protocol.py
@@ -1,3 +1,3 @@
-"""The version of the protocol between iriswheel's processes, apart from the messages that make it up."""
+"""The version of the protocol between iriswheel's processes; the messages are in `iriswheel.transport.messages`."""
 
-PROTOCOL_VERSION = 3  # a process talks to those of its own version and of the two beside it
+PROTOCOL_VERSION = 3  # a process accepts peers of its own version, the one before and the one after
--- a/iriswheel/runtime/queues.py
+++ b/iriswheel/runtime/queues.py
@@ -1,4 +1,4 @@
-"""A bounded queue between two stages of a pipeline."""
+"""A bounded first-in, first-out queue between two stages of a pipeline."""
 
 import collections
 import typing
@@ -19,11 +19,11 @@
         self.items: collections.deque[Item] = collections.deque()
 
     def __len__(self) -> int:
-        """Return how many items wait."""
+        """Return the number of queued items."""
         return len(self.items)
 
     def put(self, item: Item) -> bool:
-        """Add an item; returns False, and drops it, where the queue is full.
+        """Add an item; if the queue is full, drop it and return False.
 
         >>> BoundedQueue(0).put("a")
         False
@@ -34,7 +34,7 @@
         return True
 
     def take(self) -> Item:
-        """Remove and return the item that came first; raises IndexError where there is none.
+        """Remove and return the oldest item; raises IndexError if the queue is empty.
 
         >>> queue = BoundedQueue(2); _ = queue.put("one"), queue.put("two"); queue.take()
         'one'
--- a/iriswheel/runtime/scheduler.py
+++ b/iriswheel/runtime/scheduler.py
@@ -1,7 +1,7 @@
-"""Timers, tasks and deadlines of a process, over the reactor, the clock and the randomness that it is given.
+"""Timers, tasks and deadlines of a process, on top of an injected reactor, clock and random seed.
 
-Everything else in the package asks a `Runtime` for the time, for timers and for random numbers,
-so that the simulator can pass in its own. Times are whole microseconds.
+All other modules get the time, timers and random numbers from a `Runtime`, so that the simulator can replace them.
+Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 
 
 class DeadlineError(Exception):
-    """A result did not come within its time limit."""
+    """A result was not available within its time limit."""
 
     code = "late"
 
 
 class Timer(typing.Protocol):
-    """A call that the reactor will make, as of `twisted.internet.interfaces.IDelayedCall`."""
+    """A delayed call of the reactor: the used part of `twisted.internet.interfaces.IDelayedCall`."""
 
     def cancel(self) -> None:
-        """Have the call not made; it must still be pending."""
+        """Cancel the call, which must still be pending."""
 
     def active(self) -> bool:
-        """Whether the call is still pending."""
+        """Return whether the call is still pending."""
 
 
 def boottime() -> int:
-    """Microseconds since boot, sleep included; a jump of the wall clock does not change them.
+    """Return the microseconds since boot, time in suspension included; independent of changes of the wall clock.
 
     >>> boottime() <= boottime()
     True
@@ -48,12 +48,12 @@
 
 
 class Runtime:
-    """Reactor, clock and randomness of one process.
+    """The reactor, clock and random number generator of one process.
 
     Args:
-        reactor: Twisted's reactor, or what stands in for it in tests and simulations.
-        now: gives the time in microseconds; it never goes back.
-        seed: of the random numbers; None for one that differs at every start.
+        reactor: Twisted's reactor, or a replacement in tests and simulations.
+        now: returns the time in microseconds, which never goes back.
+        seed: seed of the random numbers; None for a different one at every start.
 
     >>> import twisted.internet.task as task
     >>> clock = task.Clock()
@@ -67,23 +67,23 @@
 
     def __init__(
         self,
-        reactor: typing.Any,  # noqa: ANN401 - zope interfaces describe reactors; stand-ins don't inherit from these
+        reactor: typing.Any,  # noqa: ANN401 - reactors are typed by zope interfaces, which replacements don't inherit
         now: collections.abc.Callable[[], int] = boottime,
         seed: int | str | None = None,
     ) -> None:
         self.reactor = reactor
         self.now = now
         self.rng = random.Random(seed)
-        self.protocol_version = protocol.PROTOCOL_VERSION  # that this process speaks; simulations set others
+        self.protocol_version = protocol.PROTOCOL_VERSION  # of this process; simulations set others
         self.incarnation = f"{self.rng.getrandbits(48):012x}"
 
     def later(self, delay_us: int, function: collections.abc.Callable[..., object], *arguments: object) -> Timer:
-        """Call function(*arguments) after delay_us microseconds, at once where that is negative."""
+        """Call function(*arguments) after delay_us microseconds, or in the next reactor turn if that is negative."""
         timer: Timer = self.reactor.callLater(max(0, delay_us) / units.SECOND_US, function, *arguments)
         return timer
 
     def sleep(self, duration_us: int) -> defer.Deferred[None]:
-        """A Deferred that fires after duration_us microseconds, and may be cancelled.
+        """Return a Deferred that fires after duration_us microseconds; it may be cancelled.
 
         >>> import twisted.internet.task as task
         >>> clock = task.Clock()
@@ -96,7 +96,7 @@
         return sleeping
 
     def pause(self, signal: Signal, timeout_us: int) -> defer.Deferred[None]:
-        """A Deferred that fires at the signal's next wake, or after timeout_us microseconds.
+        """Return a Deferred that fires at the signal's next wake, or after timeout_us microseconds.
 
         >>> import twisted.internet.task as task
         >>> clock = task.Clock()
@@ -115,7 +115,10 @@
         return paused.addBoth(stop_timer)
 
     def within(self, deferred: defer.Deferred[Result], timeout_us: int) -> defer.Deferred[Result]:
-        """Pass a result on, but cancel what it comes from and fail with DeadlineError after timeout_us microseconds.
+        """Limit the time of a Deferred: after timeout_us microseconds cancel it and fail with DeadlineError.
+
+        Returns:
+            A new Deferred with the result of the given one, or the DeadlineError.
 
         >>> import twisted.internet.task as task
         >>> clock = task.Clock()
@@ -145,7 +148,7 @@
     def spawn(
         self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, Result], log: loguru.Logger | None = None
     ) -> defer.Deferred[Result | None]:
-        """Run a coroutine as a task of its own; an error in it is logged, and the result is then None.
+        """Run a coroutine as a task of its own; if it raises, the error is logged and the result is None.
 
         >>> async def answer():
         ...     return 42
@@ -159,11 +162,11 @@
     def _log_failure(error: failure.Failure, log: loguru.Logger) -> None:
         if isinstance(error.value, defer.CancelledError):
             return
-        log.error("A task failed: {}", error.getTraceback())
+        log.error("A background task raised an exception and has ended: {}", error.getTraceback())
 
 
 class Signal:
-    """A condition that tasks wait for: every wake resumes all that wait.
+    """An event that tasks wait for; each `wake` resumes all tasks that wait at that time.
 
     >>> signal = Signal()
     >>> waiting = signal.wait()
@@ -175,7 +178,7 @@
         self.waiting: list[defer.Deferred[None]] = []
 
     def wait(self) -> defer.Deferred[None]:
-        """A Deferred that fires at the next wake.
+        """Return a Deferred that fires at the next wake.
 
         >>> signal = Signal(); signal.wait().cancel(); signal.waiting
         []
@@ -189,7 +192,7 @@
             self.waiting.remove(deferred)
 
     def resume_one(self, deferred: defer.Deferred[None]) -> None:
-        """Resume one task that waits, by the Deferred that `wait` gave it.
+        """Resume the one waiting task whose Deferred `wait` returned.
 
         >>> signal = Signal(); waiting = signal.wait(); signal.resume_one(waiting); waiting.called, signal.waiting
         (True, [])
@@ -199,7 +202,7 @@
             deferred.callback(None)
 
     def wake(self) -> None:
-        """Resume all that wait now; those that begin to wait meanwhile wait for the next wake.
+        """Resume all waiting tasks; those that begin to wait during this call wait for the next wake.
 
         >>> Signal().wake()
         """
--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -1,7 +1,7 @@
-"""The data folder: a small synced map of keys to bytes, on lmdb.
+"""The data folder: a small key-value store on lmdb, each of whose writes is synced to the disk.
 
-Reads happen once, at the start; the process then keeps what it needs in memory.
-Writes run in a thread of their own, so that a slow disk never stops the reactor.
+The process reads it once, at its start, and then keeps what it needs in memory. Writes run in a thread of their own,
+so that a slow disk never blocks the reactor.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 Write: typing.TypeAlias = tuple[bytes, bytes | None]  # a key and its value; None removes the key
 
 INITIAL_MAP_BYTES = 1 << 28
-STALL_TIMEOUT_US = 1 * units.SECOND_US
-WATCH_INTERVAL_US = 250 * units.MILLISECOND_US
-RETRY_INTERVAL_US = units.SECOND_US
-PROBE_KEY = b"probe"
+STALL_TIMEOUT_US = 1 * units.SECOND_US  # duration of a write from which the disk counts as failed
+WATCH_INTERVAL_US = 250 * units.MILLISECOND_US  # time between two checks for a stalled write
+RETRY_INTERVAL_US = units.SECOND_US  # wait before the test write to a failed disk
+PROBE_KEY = b"probe"  # key of the test write
 
 log = loguru.logger.bind(part="disk")
 
@@ -42,24 +42,24 @@
 
 
 class DiskWriter(typing.Protocol):
-    """A data folder as the running process writes to it."""
+    """The part of a data folder that a running process uses: synced writes."""
 
     def commit(self, writes: list[Write], /) -> collections.abc.Awaitable[object]:
-        """Write pairs in order; done once they are synced, fails with DiskError where they are not."""
+        """Write the pairs in order; the result arrives once they are synced, or is a DiskError."""
 
 
 class DataFolder(DiskWriter, typing.Protocol):
-    """A data folder as a process reads and writes it while it starts."""
+    """A data folder with the blocking reads and writes that a process does at its start."""
 
     def read(self) -> dict[bytes, bytes]:
-        """All keys and their values."""
+        """Return all keys and their values."""
 
     def write(self, writes: list[Write], /) -> None:
-        """Write pairs at once; they are synced when this returns."""
+        """Write the pairs; they are synced when this returns."""
 
 
 def absolute(path: pathlib.Path) -> pathlib.Path:
-    """The path from the root, without `..`.
+    """Return the absolute path, without `..`; symbolic links stay as they are.
 
     >>> absolute(pathlib.Path("/srv/../data"))
     PosixPath('/data')
@@ -68,7 +68,7 @@
 
 
 def sync_folders(path: pathlib.Path, top: pathlib.Path) -> None:
-    """Sync a folder and those above it up to `top`: files made in them then outlive a loss of power."""
+    """Sync a folder and its parents up to `top`, so that files created in them survive a loss of power."""
     for folder in (path, *path.parents):
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
@@ -80,7 +80,7 @@
 
 
 def nearest_existing_folder(path: pathlib.Path) -> pathlib.Path:
-    """The folder next above an absolute path that is there.
+    """Return the nearest existing parent folder of an absolute path.
 
     >>> nearest_existing_folder(pathlib.Path("/proc/none/at/all"))
     PosixPath('/proc')
@@ -95,9 +95,9 @@
     """A data folder on a real disk.
 
     Args:
-        folder: Made by `open` where it is missing.
-        reactor: Whose thread must not wait for the disk; None where nothing is written by `commit`.
-        size: Bytes that the database may hold before its map grows.
+        folder: Path of the folder; `open` creates it if it is missing.
+        reactor: The reactor whose thread must not wait for the disk; None if `commit` is not used.
+        size: Bytes that the database may hold before its memory map grows.
 
     >>> import tempfile
     >>> with tempfile.TemporaryDirectory() as d:
@@ -111,7 +111,7 @@
     def __init__(
         self,
         folder: str,
-        reactor: typing.Any = None,  # noqa: ANN401 - zope interfaces describe reactors; stand-ins don't inherit from these
+        reactor: typing.Any = None,  # noqa: ANN401 - reactors are typed by zope interfaces, which replacements don't inherit
         size: int = INITIAL_MAP_BYTES,
     ) -> None:
         self.folder = pathlib.Path(folder)
@@ -122,13 +122,13 @@
         self.env: lmdb.Environment | None = None
 
     def open(self) -> None:
-        """Open the folder, made where it is missing; a second process is refused.
+        """Open the folder, and create it if it is missing; a lock keeps a second process out.
 
-        All that is made here is synced with its folders before anything is written: the database's own
-        sync does not cover the names of its files.
+        All files and folders created here are synced together with their parent folders before anything is written,
+        since the database's own sync does not cover the directory entries of its files.
 
         Raises:
-            DiskError: The folder can't be made or opened, or another process has it.
+            DiskError: The folder can't be created or opened, or another process holds its lock.
 
         >>> Disk("/proc/none").open()
         Traceback (most recent call last):
@@ -138,9 +138,9 @@
         try:
             top = nearest_existing_folder(absolute(self.folder))
             self.folder.mkdir(parents=True, exist_ok=True)
-            self.lock = (self.folder / "lock").open("w")  # stays open as long as the process
+            self.lock = (self.folder / "lock").open("w")  # stays open while the process runs
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            with contextlib.suppress(FileNotFoundError):  # it may have grown in an earlier incarnation
+            with contextlib.suppress(FileNotFoundError):  # the map may have grown in an earlier incarnation
                 self.size = max(self.size, 2 * (self.database / "data.mdb").stat().st_size)
             self._environment().sync(True)  # an earlier process may have been killed between a write and its sync
             sync_folders(absolute(self.database), top)
@@ -155,14 +155,14 @@
         return self.env
 
     def read(self) -> dict[bytes, bytes]:
-        """All keys with their values."""
+        """Return all keys with their values."""
         with self._environment().begin() as transaction:
             return {bytes(key): bytes(value) for key, value in transaction.cursor()}
 
     def write(self, writes: list[Write]) -> None:
-        """Write pairs in one synced transaction; a value of None removes.
+        """Write the pairs in one synced transaction; a value of None removes its key.
 
-        The map grows with what is in it: only the disk itself can be full.
+        The memory map grows when it is full, so that only the size of the disk limits the database.
 
         >>> import tempfile
         >>> with tempfile.TemporaryDirectory() as d:
@@ -176,7 +176,7 @@
             except lmdb.MapFullError:
                 self.size *= 2
                 self._environment().set_mapsize(self.size)
-                log.info("The map grows to {} MiB.", self.size >> 20)
+                log.info("The memory map of the data folder's database was full; it grows to {} MiB.", self.size >> 20)
             else:
                 return
 
@@ -191,7 +191,7 @@
         except lmdb.MapFullError:
             raise  # `write` lets the map grow
         except lmdb.PanicError as error:
-            # a commit that failed at its last page leaves the environment unusable until it is opened anew
+            # a commit that failed while its meta page was written leaves the environment unusable until it is reopened
             self._close_environment()
             raise DiskError(str(error)) from error
         except (OSError, lmdb.Error) as error:
@@ -203,11 +203,11 @@
             self.env = None
 
     def commit(self, writes: list[Write]) -> defer.Deferred[None]:
-        """Write off the reactor's thread; the Deferred fires once it is synced."""
+        """Write the pairs in the disk's own thread; the Deferred fires once they are synced."""
         return threads.deferToThreadPool(self.reactor, self.pool, self.write, writes)
 
     def close(self) -> None:
-        """Finish the writes under way and release the folder."""
+        """Finish the pending writes and release the folder."""
         if self.pool.started:
             self.pool.stop()
         self._close_environment()
@@ -215,10 +215,10 @@
 
 
 class MonitoredDisk:
-    """A data folder, and whether writes to it succeed in time.
+    """A data folder that records whether writes to it succeed in time.
 
     Attributes:
-        ok: False from a write that failed or took longer than STALL_TIMEOUT_US until a later write succeeded.
+        ok: False from a write that failed or took longer than STALL_TIMEOUT_US until a later test write succeeded.
     """
 
     def __init__(self, runtime: scheduler.Runtime, disk: DiskWriter) -> None:
@@ -228,7 +228,7 @@
         self._started_at_us: list[int] = []  # when each unfinished write began
 
     async def commit(self, writes: list[Write]) -> None:
-        """Write pairs; returns once they are synced.
+        """Write the pairs; returns once they are synced.
 
         Raises:
             DiskError: The disk refused the writes.
@@ -239,25 +239,27 @@
             await self.disk.commit(writes)
         except DiskError as error:
             if self.ok:
-                log.error("The disk refuses a write: {}", error)  # noqa: TRY400 - the cause says enough
+                log.error("A write to the data folder failed; the disk counts as failed: {}", error)  # noqa: TRY400 - the cause suffices
             self.ok = False
             raise
         finally:
             self._started_at_us.remove(started_at)
 
     async def watch(self) -> None:
-        """Note writes that stall, and probe a failed disk every RETRY_INTERVAL_US, for as long as the process runs."""
+        """Detect stalled writes, and test a failed disk every RETRY_INTERVAL_US, for as long as the process runs."""
         while True:
             await self.runtime.sleep(WATCH_INTERVAL_US)
             if self._started_at_us:
                 if self.ok and self.runtime.now() - self._started_at_us[0] > STALL_TIMEOUT_US:
-                    log.warning("The disk stalls.")
+                    log.warning(
+                        "A write to the data folder has stalled; the disk counts as failed until a test write succeeds."
+                    )
                     self.ok = False
             elif not self.ok:
                 await self.runtime.sleep(RETRY_INTERVAL_US)
                 try:
                     await self.commit([(PROBE_KEY, b"%d" % self.runtime.now())])
                     self.ok = True
-                    log.info("The disk works again.")
+                    log.info("A test write to the data folder succeeded; the disk counts as working again.")
                 except DiskError:
-                    pass  # it is tried again at the next round
+                    pass  # the next round tries again
--- a/iriswheel/transport/messages/pools.py
+++ b/iriswheel/transport/messages/pools.py
@@ -6,30 +6,30 @@
 
 
 class SessionRecord(message_base.Message, tag="Session", frozen=True):
-    """A client's session on a worker."""
+    """A client's session, which binds its requests to a worker."""
 
     id: str
     worker: str
-    left_us: int  # until it expires, counted from when the message was sent
+    left_us: int  # time until it expires, counted from the sending of the message
     lifetime_us: int
     cost: int
     version: int
-    attempt_id: str = ""  # the attempt that opened it, until that reached the worker
+    attempt_id: str = ""  # the attempt that opened it; "" once that has reached the worker
 
 
 class Claim(message_base.Message, tag="Claim", frozen=True):
-    """The claim on a request that may not be repeated."""
+    """The claim on a request that may run only once; it records which attempt may send it."""
 
     request_id: str
     attempt: int  # number of the client's attempt, from 1
     node: str
     attempt_id: str
     state: str  # a `pools.claims.ClaimState`: "claimed" or "ran"
-    left_us: int  # until it expires, counted from when the message was sent
+    left_us: int  # time until it expires, counted from the sending of the message
 
 
 class WorkerGrant(message_base.Message, tag="Grant", frozen=True):
-    """A grant that a node holds: enough for a new pool owner to count it."""
+    """A grant that a node holds: what a new pool owner needs to count it against the worker's capacity."""
 
     pool: str
     attempt_id: str
@@ -37,52 +37,56 @@
     worker: str
     session: str
     work: int
-    long: bool  # whether it counts as a long prompt
+    long: bool  # whether the request counts as long
 
 
 class SelectWorker(message_base.Message, tag="Elect", frozen=True):
     """Ask the pool owner for a worker for one request."""
 
     pool: str
-    term: message_base.Term  # of the pool owner as the node knows it
+    term: message_base.Term  # the pool owner's term as the node knows it
     node: str
-    attempt_id: str  # of this attempt, made by the node
+    attempt_id: str  # id of this attempt, made by the node
     request_id: str
     attempt: int  # number of the client's attempt, from 1
     idempotent: bool
     session: str
     prefix: list[str]
     work: int
-    long: bool  # whether it counts as a long prompt
-    excluded_workers: list[str]  # those that this request has tried
+    long: bool  # whether the request counts as long
+    excluded_workers: list[str]  # workers that this request has tried already
     terms: dict[str, int]
     wait_us: int
-    is_retry: bool = False  # whether this would repeat an earlier attempt
+    is_retry: bool = False  # whether this attempt repeats an earlier one, and so uses the retry budget
 
 
 class SelectionGranted(message_base.Message, tag="Granted", frozen=True):
-    """The answer to `SelectWorker`: the worker that was selected, under the term of the pool owner."""
+    """The answer to `SelectWorker`: the selected worker, under the pool owner's term."""
 
     term: message_base.Term
     worker: str
     left_us: int
     affinity: bool
     session_us: int  # lifetime of the session
-    relay: str = ""  # a member that hears the worker, should the asking node not reach it
+    relay: str = ""  # a member that reaches the worker, in case the asking node does not
 
 
 class SelectionDenied(message_base.Message, tag="Denied", frozen=True):
-    """The answer to `SelectWorker` where no worker was selected, with the error for the client."""
+    """The answer to `SelectWorker` if no worker was selected, with the error for the client."""
 
     term: message_base.Term
-    code: str  # of `errors.ServiceError`
+    code: str  # an `errors.ErrorCode`
     text: str
-    execution: str  # of `errors.ExecutionOutcome`
+    execution: str  # an `errors.ExecutionOutcome`
     retry_us: int
 
 
 class RevokeRequest(message_base.Message, tag="Forbid", frozen=True):
-    """A retry came to another pool, as its route moved: was it sent here? If not, it never will be."""
+    """Asks a pool owner whether a request was sent to its pool, and if not, never to send it.
+
+    The requesting pool sends this when it gets a retry whose earlier attempt may have gone to the other pool, since
+    the route has changed in between.
+    """
 
     pool: str
     requesting_pool: str
@@ -92,31 +96,33 @@
 class RevokeResponse(message_base.Message, tag="Forbidden", frozen=True):
     """The answer to `RevokeRequest`."""
 
-    state: str  # "" where it was never sent, else "claimed", "ran", "unknown", or "later": ask again
+    state: str  # "" if the request was never sent; else "claimed", "ran", "unknown", or "later" to ask again later
 
 
 class GrantReleased(message_base.Message, tag="Done", frozen=True):
-    """A grant has ended; `execution` says whether its attempt ran."""
+    """Reports that a grant has ended; `execution` says whether its attempt ran."""
 
     pool: str
     attempt_id: str
-    execution: str  # of `errors.ExecutionOutcome`
+    execution: str  # an `errors.ExecutionOutcome`
 
 
 class GrantReport(message_base.Message, tag="Running", frozen=True):
-    """All grants that this node holds in a pool, sent every second."""
+    """All grants that a node holds in a pool, sent to the pool owner every second."""
 
     pool: str
     node: str
     attempt_ids: list[str]
-    reachable_workers: list[str] = msgspec.field(default_factory=list)  # workers that it heard in the last second
+    reachable_workers: list[str] = msgspec.field(
+        default_factory=list
+    )  # workers from which the node received anything in the last second
     abandoned_attempts: list[str] = msgspec.field(
         default_factory=list
-    )  # attempts that it gave up lately without sending them
+    )  # attempts that the node recently gave up without sending them
 
 
 class RecordsRequest(message_base.Message, tag="Gather", frozen=True):
-    """A new pool owner asks for all that is known of a pool."""
+    """A new pool owner asks for all records of its pool."""
 
     pool: str
     term: message_base.Term
@@ -124,42 +130,42 @@
 
 
 class RecordsResponse(message_base.Message, tag="Gathered", frozen=True):
-    """The answer to `RecordsRequest`: a core's or a node's records of the pool."""
+    """The answer to `RecordsRequest`: the records of the pool that a core machine or a node has."""
 
     ok: bool
     sessions: list[SessionRecord] = msgspec.field(default_factory=list)
     claims: list[Claim] = msgspec.field(default_factory=list)
     grants: list[WorkerGrant] = msgspec.field(default_factory=list)
     affinities: list[SessionRecord] = msgspec.field(default_factory=list)
-    has_replica: bool = False  # whether a complete replica was ever kept there
-    claims_missing_us: int = 0  # for how long earlier claims may still be missing
+    has_replica: bool = False  # whether the answering machine ever had a complete replica of the records
+    claims_missing_us: int = 0  # remaining time for which earlier claims may be missing from the records
     first_attempts: dict[str, int] = msgspec.field(
         default_factory=dict
-    )  # the node's part of the retry budget: requests and their ages in µs
-    retries: list[int] = msgspec.field(default_factory=list)  # ages in µs
+    )  # first attempts that the answering node's retry budget counts: request id -> age in µs
+    retries: list[int] = msgspec.field(default_factory=list)  # ages in µs of the retries that the same budget counts
 
 
 class ReplicateRecords(message_base.Message, tag="Copy", frozen=True):
-    """A pool owner's records for those that keep replicas: the changed ones, or all where `complete`."""
+    """A pool owner's records, sent to their replicas: only the changed ones, or all if `complete`."""
 
     pool: str
     term: message_base.Term
     owner: str
     sessions: list[SessionRecord]
     claims: list[Claim]
-    closed: list[str]  # ids of sessions that are closed
+    closed: list[str]  # ids of closed sessions
     complete: bool = False
-    claims_missing_us: int = 0  # for how long earlier claims may still be missing
+    claims_missing_us: int = 0  # remaining time for which earlier claims may be missing from the records
 
 
 class ReplicateResponse(message_base.Message, tag="Copied", frozen=True):
-    """The answer to `ReplicateRecords`: whether they were taken."""
+    """The answer to `ReplicateRecords`: whether the records were stored."""
 
     ok: bool
 
 
 class SessionsClosed(message_base.Message, tag="Unpin", frozen=True):
-    """Sessions that were closed or moved: no node may go by what it remembers of them."""
+    """Announces sessions that were closed or moved, so that nodes drop what they cached of them."""
 
     pool: str
     sessions: list[str]
