--- a/iriswheel/configuration/__init__.py
+++ b/iriswheel/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration: schema, validation, differences and slices."""
+"""The operators' configuration: its schema, validation, differences, and the slices that nodes get."""
--- a/iriswheel/configuration/configuration.py
+++ b/iriswheel/configuration/configuration.py
@@ -1,4 +1,4 @@
-"""Index of the package: what other subsystems use of the operators' configuration."""
+"""Index of the package: the names of the operators' configuration that other packages use."""
 
 from iriswheel.configuration.differences import (
     ItemChange,
--- a/iriswheel/configuration/differences.py
+++ b/iriswheel/configuration/differences.py
@@ -11,15 +11,15 @@
 
 from iriswheel.configuration import schema, validation
 
-CHANGE_PREFIX = "c"  # begins the id of a change, and never that of a plan
+CHANGE_PREFIX = "c"  # first letter of a change's id; a plan's id begins with a digit
 CHANGE_DIGEST_CHARACTERS = 16
 PLAN_DIGEST_CHARACTERS = 12
 
-ItemChange = tuple[str, schema.Item | None]  # a key with its new item; None removes it
+ItemChange = tuple[str, schema.Item | None]  # a key and its new item; None removes the item
 
 
 def difference(old: schema.Items, new: schema.Items) -> list[ItemChange]:
-    """The changes that lead from old items to new ones, by key.
+    """Return the changes that turn the old items into the new ones, sorted by key.
 
     >>> difference({"a": {"cap": 1}, "b": {"cap": 2}}, {"b": {"cap": 3}, "c": {"cap": 4}})
     [('a', None), ('b', {'cap': 3}), ('c', {'cap': 4})]
@@ -45,15 +45,15 @@
 
 
 def amend(document: schema.Document, upsert: object, remove: object) -> schema.Document:
-    """A document with items put in or replaced, and others removed.
+    """Return a copy of a document with some items added or replaced, and others removed.
 
     Args:
-        document: The document, which stays as it is.
-        upsert: From the operator's JSON: items by kind and name.
-        remove: From the operator's JSON: lists of names by kind. Unknown names are ignored.
+        document: The document, which is not modified.
+        upsert: Items to add or replace, by kind and name, from the operator's JSON.
+        remove: Lists of names of items to remove, by kind, from the operator's JSON. Unknown names are ignored.
 
     Raises:
-        InvalidConfigurationError: one of the two has another form.
+        InvalidConfigurationError: `upsert` or `remove` has another form.
 
     >>> amend({"pools": {"a": {}, "b": {}}}, {"pools": {"c": {"cap": 3}}}, {"pools": ["a"]})
     {'pools': {'b': {}, 'c': {'cap': 3}}}
@@ -74,12 +74,12 @@
 
 
 def change_id(number: int, built_on: int, content: dict[str, typing.Any] | list[typing.Any]) -> str:
-    """The id of a numbered change, which is the same whenever the change is sent again.
+    """Return the id of a numbered change, which stays the same when the operator sends the change again.
 
     Args:
         number: The operator's number of the new configuration.
         built_on: The operator's number of the configuration that it replaces.
-        content: What the operator sent.
+        content: The change as the operator sent it.
 
     >>> change_id(7, 5, {"remove": {}})
     'c5-7-2f63a8da44f9e5d5'
@@ -90,7 +90,7 @@
 
 
 def change_number(identifier: str) -> int:
-    """The operator's number in a change's id; 0 for the id of a plan.
+    """Return the operator's number in the id of a change, or 0 for the id of a plan.
 
     >>> change_number("c5-7-2f63a8da44f9e5d5"), change_number("3-ca06da3a935a")
     (7, 0)
@@ -100,7 +100,7 @@
 
 
 def plan_id(base: int, changes: collections.abc.Sequence[ItemChange]) -> str:
-    """The id of a plan: its base version and a digest of its changes.
+    """Return the id of a plan: its base version and a digest of its changes.
 
     >>> plan_id(3, [("a", None)])
     '3-ca06da3a935a'
@@ -110,11 +110,11 @@
 
 
 def describe(old: schema.Items, changes: collections.abc.Iterable[ItemChange]) -> dict[str, list[str]]:
-    """What a plan will do, for the operator to read.
+    """Return a summary of a plan's effects, for the operator.
 
     Returns:
-        Keys of items that are `added`, `changed` and `removed`; the `pools` whose requests the plan concerns; and
-        the pools of which it `closes_sessions_of`.
+        The keys of items that are `added`, `changed` and `removed`; the `pools` whose requests the plan affects; and
+        under `closes_sessions_of` the pools whose sessions it closes.
 
     >>> describe({}, [("pools/desk", {})])["added"]
     ['pools/desk']
@@ -144,7 +144,7 @@
 
 
 def pools_of_routes(items: schema.Items, touched: set[str]) -> set[str]:
-    """The pools of those routes that are touched, or whose terms are.
+    """Return the pools of the routes that changed, or whose session terms changed; `touched` holds changed keys.
 
     >>> pools_of_routes({"routes/r": {"path": "/", "pool": "p"}}, {"terms/default"})
     {'p'}
--- a/iriswheel/configuration/evacuations.py
+++ b/iriswheel/configuration/evacuations.py
@@ -1,7 +1,7 @@
 """Evacuated zones: items of the replicated state that are not part of the operators' configuration.
 
-The item `evacuations/ZONE` says that no new request may be sent to the workers of a zone. Documents of the
-configuration don't hold such items, so that no configuration, however complete, adds or removes one.
+The item `evacuations/ZONE` says that no new request may be sent to the workers of a zone. Configuration documents
+do not contain such items, so that no configuration, not even one that replaces all items, adds or removes one.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def evacuation_key(zone: str) -> str:
-    """The key of the item that says that a zone is evacuated.
+    """Return the key of the item that marks a zone as evacuated.
 
     >>> evacuation_key("north")
     'evacuations/north'
@@ -24,7 +24,7 @@
 
 
 def is_evacuation(key: str) -> bool:
-    """Whether a key is that of an evacuation.
+    """Return whether a key is that of an evacuation.
 
     >>> is_evacuation("evacuations/north"), is_evacuation("pools/desk")
     (True, False)
@@ -33,7 +33,7 @@
 
 
 def evacuated_zones(items: schema.Items) -> frozenset[str]:
-    """The zones that are evacuated.
+    """Return the zones that are evacuated.
 
     >>> evacuated_zones({"evacuations/north": {}, "pools/desk": {}})
     frozenset({'north'})
@@ -42,7 +42,7 @@
 
 
 def without_evacuations(items: schema.Items) -> schema.Items:
-    """The items of the operators' configuration alone.
+    """Return the items without evacuations: those of the operators' configuration.
 
     >>> without_evacuations({"evacuations/north": {}, "pools/desk": {}})
     {'pools/desk': {}}
--- a/iriswheel/configuration/items.py
+++ b/iriswheel/configuration/items.py
@@ -1,6 +1,6 @@
-"""The flat map of items, such as `pools/desk` or `routes/clerk`, in which a configuration is sent and stored.
+"""The flat map of items by key, such as `pools/desk` or `routes/clerk`, in which a configuration is sent and stored.
 
-A change then names just the items that it changes.
+With it, a change contains only the items that it changes.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 
 def flatten(document: object) -> dict[str, schema.Item]:
-    """Turn a configuration document into items, after checking all of it.
+    """Convert a configuration document to items, and validate all of it.
 
     Raises:
-        InvalidConfigurationError: with everything that is wrong.
+        InvalidConfigurationError: the document has mistakes; the error lists all of them.
 
     >>> flatten({"pools": {"desk": {}}, "terms": {"default": {}}})
     {'pools/desk': {}, 'terms/default': {}}
@@ -43,7 +43,7 @@
 
 
 def unflatten(items: schema.Items, *, with_all_kinds: bool = False) -> schema.Document:
-    """Turn items back into a document; evacuations are not part of it.
+    """Convert items back to a document, which leaves evacuations out.
 
     Args:
         items: All items.
@@ -64,7 +64,7 @@
 
 
 def operator_number(items: schema.Items) -> int:
-    """The operator's own number of the configuration; 0 where there is none yet.
+    """Return the operator's own number of the configuration, or 0 if there is none yet.
 
     >>> operator_number({"marks/operator": {"number": 7}}), operator_number({})
     (7, 0)
--- a/iriswheel/configuration/schema.py
+++ b/iriswheel/configuration/schema.py
@@ -1,7 +1,7 @@
 """The schema of the operators' configuration: a dataclass for each kind of item.
 
-The field names are those of the JSON documents. mashumaro reads the annotations at run time, so that this module
-does not postpone their evaluation.
+The field names are those of the JSON documents. This module does not postpone the evaluation of annotations, since
+mashumaro reads them at run time.
 """
 
 import collections.abc
@@ -17,25 +17,25 @@
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}\Z")
 HEADER_TEXT = re.compile(r"[\x21-\x7e](?:[\x20-\x7e]{0,254}[\x21-\x7e])?\Z")
 KEY_DIGEST = re.compile(r"[0-9a-f]{64}\Z")  # SHA-256 in hexadecimal digits
-INTEGER_BOUND = 1 << 53  # JSON numbers are exact below it
+INTEGER_BOUND = 1 << 53  # integers below it are exact as JSON numbers, which many programs read as floats
 URGENCY_MAX = 9
-URGENCY_FROM_ROUTE = URGENCY_MAX + 1  # a tenant's urgency that leaves the choice to the route
+URGENCY_FROM_ROUTE = URGENCY_MAX + 1  # tenant's urgency that lets the route's urgency apply
 
-# JSON objects: an item's fields by name; the flat map of items by `kind/name`; items by kind and name.
+# JSON objects: the fields of one item by name; the flat map of items by key `kind/name`; items by kind, then name.
 Item = dict[str, typing.Any]
 Items = collections.abc.Mapping[str, Item]
 Document = dict[str, dict[str, Item]]
 
 
 class Election(enum.StrEnum):
-    """Where the worker for a request is chosen: at the pool's owner, or at each node for itself."""
+    """Where the worker for a request is selected: at the pool's owner, or at the node that has the request."""
 
     POOL_OWNER = "warden"
     NODE = "node"
 
 
 class RepeatPolicy(enum.StrEnum):
-    """Whether a route's requests may run more than once; ASKED leaves it to the client's header."""
+    """Whether a route's requests may run more than once; with ASKED the client's header decides."""
 
     ASKED = "asked"
     MAY = "may"
@@ -43,7 +43,7 @@
 
 
 class RateUnit(enum.StrEnum):
-    """What a tenant's rate limit counts."""
+    """The unit that a tenant's rate limit counts."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -51,24 +51,26 @@
 
 @dataclasses.dataclass(eq=False)
 class StrictItem(mashumaro.mixins.dict.DataClassDictMixin):
-    """An item that refuses unknown fields and does not convert between strings and numbers."""
+    """An item of the configuration; unknown fields and values of other types are refused, not converted."""
 
     class Config(mashumaro.config.BaseConfig):
-        """Refuses unknown keys."""
+        """Options of mashumaro: refuse unknown fields, and compile a class at its first use."""
 
         forbid_extra_keys = True
-        lazy_compilation = True  # each process compiles the few that it reads, not all of them at its start
+        lazy_compilation = True  # a process compiles only the classes that it reads, not all at its start
 
     @classmethod
     def __pre_deserialize__(cls, document: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
-        """Refuse a value of another type than its field's, or out of range.
+        """Check that each value has its field's type and is in range.
 
         Raises:
-            ValueError: the text names the field.
+            ValueError: a value is refused; the text names the field.
         """
         if not isinstance(document, dict):
-            raise ValueError("not an object")  # noqa: TRY004 - a mistake in the configuration, as those below
-        for name, expected in field_types(typing.cast("collections.abc.Hashable", cls)):  # mypy: classes are hashable
+            raise ValueError("not an object")  # noqa: TRY004 - a mistake in the configuration, like those below
+        for name, expected in field_types(
+            typing.cast("collections.abc.Hashable", cls)
+        ):  # mypy does not see that classes are hashable
             if name not in document:
                 continue
             if type(document[name]) is not expected:
@@ -80,18 +82,20 @@
 
 @functools.cache
 def field_types(cls: collections.abc.Hashable) -> list[tuple[str, type[object]]]:
-    """The fields of an item and the plain type that each one has in JSON.
+    """Return the names of an item's fields, each with the type that its values have after JSON decoding.
 
     >>> field_types(Marks)
     [('number', <class 'int'>), ('label', <class 'dict'>)]
     """
     fields = dataclasses.fields(typing.cast("type[StrictItem]", cls))
     types = {field.name: typing.get_origin(field.type) or field.type for field in fields}
-    return list(typing.cast("dict[str, type[object]]", types).items())  # annotations are not strings in this module
+    return list(
+        typing.cast("dict[str, type[object]]", types).items()
+    )  # annotations in this module are types, not strings
 
 
 def with_floats(document: object, names: tuple[str, ...]) -> typing.Any:  # noqa: ANN401 - whatever the operator sent
-    """The document with whole numbers of some fields as floats.
+    """Return the document with integers converted to floats in the named fields.
 
     >>> with_floats({"rate": 5, "keys": 5}, ("rate",))
     {'rate': 5.0, 'keys': 5}
@@ -106,20 +110,20 @@
     """A pool: the workers that the platform lists under its name, and their capacity.
 
     Attributes:
-        cap: Open sessions that a worker may hold; 0 for no bound.
+        cap: Open sessions that a worker may hold; 0 for no limit.
         slots: Requests that a worker may run at once.
-        long_slots: How many of these may be long requests.
+        long_slots: How many of these slots long requests may use.
         long_bytes: Body length from which a request counts as long.
         long_wait_us: How long a long request may wait for a worker.
         short_wait_us: How long a short request may wait for a worker.
         waiting: Requests that may wait for a worker at once.
-        election: Where a worker is chosen, one of `Election`.
-        conns: Connections that a worker takes from all nodes together; 0 for no known bound.
+        election: Where a worker is selected, one of `Election`.
+        conns: Connections that a worker accepts from all nodes together; 0 for no known limit.
         probe: Path of the worker's health check; "" for none.
-        batch: Requests that a worker runs at once; 0 if unknown.
-        memory_tokens: Tokens that a worker's memory holds; 0 if unknown.
+        batch: Largest batch of requests that a worker runs at once; 0 if unknown.
+        memory_tokens: Tokens that fit into a worker's memory; 0 if unknown.
         event_tokens: Tokens in one event of a stream.
-        cold_rate: Requests a second that a cold worker bears; 0 if unknown.
+        cold_rate: Requests per second that a cold worker can take; 0 if unknown.
         label: The operator's own data, which stays on the core machines.
 
     >>> Pool.from_dict({"cap": 4}).cap
@@ -144,7 +148,7 @@
 
     @classmethod
     def __pre_deserialize__(cls, document: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
-        """Take a whole number for the rate too."""
+        """Accept an integer for the rate too."""
         return super().__pre_deserialize__(with_floats(document, ("cold_rate",)))
 
 
@@ -154,9 +158,9 @@
 
     Attributes:
         lifetime_us: How long a session stays open without a request.
-        cost: The session's weight in the choice of a worker.
-        session_part: Place of the session's part in X-Prompt-Prefix; -1 is the last one, and then a list of a single
-            part, which all clients share, opens no session.
+        cost: The session's weight in the selection of a worker.
+        session_part: Index in X-Prompt-Prefix of the part that identifies the session. -1 stands for the last part;
+            a header with a single part, which all clients share, then opens no session.
 
     >>> Terms().lifetime_us
     60000000
@@ -182,19 +186,19 @@
         path: Path prefix, beginning with "/".
         pool: The pool; where `split` is given, the first of its pools.
         terms: Name of the terms for requesters that `requesters` does not name.
-        zones: Zones in which the route holds; empty for all.
-        requesters: Names of terms by requester.
+        zones: Zones in which the route applies; empty for all.
+        requesters: Names of terms, by requester.
         host: Host name; "" for any.
-        split: Pools with weights, over which the requests are shared out.
+        split: Pools with weights, among which the requests are divided.
         repeat: Whether requests may run more than once, one of `RepeatPolicy`.
         resume: Whether a stream may be resumed at another worker.
-        sends: Workers to which one attempt may go; 0 for no bound of its own.
-        cutoff_us: The longest that a request is held; 0 for no bound.
+        sends: Number of workers to which one attempt may be sent; 0 for no limit of the route's own.
+        cutoff_us: Longest time for which a request is held; 0 for no limit.
         aim_us: The operator's target for the time to the first byte; 0 for none.
-        gap_us: The longest pause between events; 0 for no bound.
-        urgency: 0 goes first, 9 last.
+        gap_us: Longest pause between two events of a stream; 0 for no limit.
+        urgency: Priority in queues, from 0, which is served first, to 9.
         label: The operator's own data, which stays on the core machines.
-        public: Whether requests need no tenant's key, where the configuration requires keys.
+        public: Whether requests need no tenant's key even if the configuration requires keys.
 
     >>> Route.from_dict({"path": "/v1", "pool": "desk"}).zones
     []
@@ -228,15 +232,15 @@
 
 @dataclasses.dataclass
 class Limits(StrictItem):
-    """What a client may send, and how long it may take over it; the only item is `limits/door`.
+    """Limits on the size and duration of what a client sends; the only item of this kind is `limits/door`.
 
     Attributes:
-        head_bytes: Length of a request's head.
-        body_bytes: Length of a request's body.
-        head_us: Time within which the head must be complete.
+        head_bytes: Largest length of a request's head.
+        body_bytes: Largest length of a request's body.
+        head_us: Time within which a request's head must be complete.
         idle_us: Time after which an idle connection is closed.
         label: The operator's own data, which stays on the core machines.
-        require_key: Whether each request needs a tenant's key, but for those on public routes.
+        require_key: Whether each request needs a tenant's key, except on public routes.
 
     >>> Limits().head_bytes
     16384
@@ -252,16 +256,16 @@
 
 @dataclasses.dataclass
 class Tenant(StrictItem):
-    """A tenant: the keys of its requests, and the rate limit that holds over all nodes together.
+    """A tenant: the keys that identify its requests, and its rate limit, which counts over all nodes.
 
     Attributes:
         keys: SHA-256 digests of its keys, in hexadecimal digits; the keys themselves are not part of a configuration.
-        urgency: Of its requests, before the route's; `URGENCY_FROM_ROUTE` leaves it to the route.
+        urgency: Urgency of its requests in place of the route's; with `URGENCY_FROM_ROUTE` the route's applies.
         rate_unit: What the limit counts, one of `RateUnit`.
-        rate: Units a second; 0 for no limit.
-        burst: Units above the rate that may come at once.
-        unstated_tokens: Tokens that a request counts which does not state its own.
-        told_as: The name that workers are told; "" for the item's own.
+        rate: Units per second; 0 for no limit.
+        burst: Units above the rate that may arrive at once.
+        unstated_tokens: Tokens charged for a request that does not state its number of tokens.
+        told_as: The tenant name sent to workers; "" for the item's own name.
         label: The operator's own data, which stays on the core machines.
 
     >>> Tenant.from_dict({"rate": 5, "burst": 2.5})
@@ -279,11 +283,11 @@
 
     @classmethod
     def __pre_deserialize__(cls, document: dict[typing.Any, typing.Any]) -> dict[typing.Any, typing.Any]:
-        """Take whole numbers for rate and burst too."""
+        """Accept integers for rate and burst too."""
         return super().__pre_deserialize__(with_floats(document, ("rate", "burst")))
 
     def cost(self, tokens: int) -> float:
-        """What a request counts in the limit's unit; `tokens` are those that it states, 0 for none.
+        """Return the cost of a request in the limit's unit; `tokens` is the number that it states, or 0.
 
         >>> Tenant(unstated_tokens=200).cost(50), Tenant(rate_unit="tokens", unstated_tokens=200).cost(0)
         (1, 200)
@@ -295,7 +299,7 @@
 
 @dataclasses.dataclass
 class Marks(StrictItem):
-    """The operator's own number of the configuration; the only item is `marks/operator`.
+    """The operator's own number of the configuration; the only item of this kind is `marks/operator`.
 
     >>> Marks(7).number
     7
@@ -315,7 +319,7 @@
 }
 KINDS_OMITTED_WHEN_EMPTY = {
     "tenants"
-}  # a document without such items has no section for them, as before there were any
-SINGLETONS = {"limits": "door", "marks": "operator"}  # the kinds that have a single item, and its name
+}  # without such items a document has no section for them, as before this kind existed
+SINGLETONS = {"limits": "door", "marks": "operator"}  # kind with a single item -> that item's name
 LIMITS_KEY = "limits/door"
 OPERATOR_KEY = "marks/operator"
--- a/iriswheel/configuration/slices.py
+++ b/iriswheel/configuration/slices.py
@@ -1,4 +1,4 @@
-"""Slices of a configuration: the items that one node needs, without what only operators need."""
+"""Slices of a configuration: the items that one node needs, without the operators' labels."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def without_label(item: schema.Item) -> schema.Item:
-    """An item as nodes get it: without the operator's label.
+    """Return an item as nodes get it: without the operator's label.
 
     >>> without_label({"cap": 3, "label": {"team": "night"}})
     {'cap': 3}
@@ -17,12 +17,12 @@
 
 
 def slice_for_node(items: schema.Items, zone: str, pools: collections.abc.Sequence[str] = ()) -> dict[str, schema.Item]:
-    """The items that a node needs: its zone's routes, their pools and terms, the limits, all tenants, evacuated zones.
+    """Return a node's items: its zone's routes with their pools and terms, limits, all tenants and evacuated zones.
 
     Args:
         items: The whole configuration.
         zone: The node's zone.
-        pools: Further pools, of which the node is owner or replica.
+        pools: Other pools that the node needs, as their owner or replica.
 
     >>> slice_for_node({"routes/a": {"path": "/", "pool": "p", "zones": ["north"]}, "pools/p": {}}, "south")
     {}
--- a/iriswheel/configuration/validation.py
+++ b/iriswheel/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Validation of a configuration's items: every mistake is reported at once, with the item's key."""
+"""Validation of a configuration's items: all mistakes are reported together, each with the item's key."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 POSITIVE_POOL_FIELDS = ("slots", "long_slots", "waiting", "event_tokens")
 POSITIVE_LIMITS_FIELDS = ("head_bytes", "head_us", "idle_us")
 
-RouteOwners = dict[tuple[str, str, str], str]  # (host, path, zone) -> the key of the route that has it
-KeyOwners = dict[str, str]  # a tenant's key digest -> the key of the tenant that has it
+RouteOwners = dict[tuple[str, str, str], str]  # (host, path, zone) -> key of the route that matches it
+KeyOwners = dict[str, str]  # digest of a tenant's key -> key of the tenant's item
 
 
 class InvalidConfigurationError(ValueError):
-    """All that is wrong with a configuration.
+    """All mistakes in a configuration.
 
     >>> InvalidConfigurationError(["a", "b"]).errors
     ['a', 'b']
@@ -31,7 +31,7 @@
 
 
 def find_errors(items: schema.Items) -> list[str]:
-    """Every mistake in the items, in the order of their keys.
+    """Return all mistakes in the items, sorted by the items' keys.
 
     >>> find_errors({"pools/p": {"cap": "4"}})
     ['pools/p: cap: wants int, not str']
@@ -60,7 +60,7 @@
 
 
 def parse_item(key: str, fields: schema.Item) -> schema.StrictItem:
-    """One item as its dataclass.
+    """Convert one item to the dataclass of its kind.
 
     Raises:
         InvalidConfigurationError: a field is missing, unknown, or of another type.
@@ -83,7 +83,7 @@
 def route_errors(
     key: str, route: schema.Route, items: schema.Items, owners: RouteOwners
 ) -> collections.abc.Iterator[str]:
-    """What is wrong with a route; what it matches is added to `owners`.
+    """Yield the mistakes of a route; add the hosts, paths and zones that it matches to `owners`.
 
     >>> list(route_errors("routes/r", schema.Route("x", "p"), {"pools/p": {}, "terms/default": {}}, {}))
     ["routes/r: path must begin with '/'"]
@@ -103,7 +103,7 @@
 
 
 def reference_errors(key: str, route: schema.Route, items: schema.Items) -> collections.abc.Iterator[str]:
-    """The pools and terms that a route names and that do not exist.
+    """Yield a mistake for each pool and each terms that a route names and that do not exist.
 
     >>> list(reference_errors("routes/r", schema.Route("/", "p"), {"terms/default": {}}))
     ["routes/r: no pool 'p'"]
@@ -117,7 +117,7 @@
 
 
 def split_errors(key: str, route: schema.Route) -> collections.abc.Iterator[str]:
-    """What is wrong with a route's split.
+    """Yield the mistakes of a route's split.
 
     >>> list(split_errors("routes/r", schema.Route("/", "p", split=[{"pool": "p", "weight": 0}])))
     ['routes/r: the weights sum to 0']
@@ -134,7 +134,7 @@
 
 
 def is_share(share: dict[str, typing.Any]) -> bool:
-    """Whether this is a pool with its weight.
+    """Return whether an element of a split is a pool with its weight.
 
     >>> is_share({"pool": "p", "weight": 0.5}), is_share({"pool": "p", "weight": True})
     (True, False)
@@ -148,7 +148,7 @@
 
 
 def pool_errors(key: str, pool: schema.Pool) -> collections.abc.Iterator[str]:
-    """What is wrong with a pool.
+    """Yield the mistakes of a pool.
 
     >>> list(pool_errors("pools/p", schema.Pool(slots=1, cold_rate=-1.0)))
     ['pools/p: long_slots is above slots', 'pools/p: cold_rate is out of range']
@@ -158,12 +158,12 @@
     yield from positive_errors(key, pool, POSITIVE_POOL_FIELDS)
     if pool.long_slots > pool.slots:
         yield f"{key}: long_slots is above slots"
-    if not 0 <= pool.cold_rate < schema.INTEGER_BOUND:  # also false for what is no number
+    if not 0 <= pool.cold_rate < schema.INTEGER_BOUND:  # also true for NaN
         yield f"{key}: cold_rate is out of range"
 
 
 def tenant_errors(key: str, tenant: schema.Tenant, owners: KeyOwners) -> collections.abc.Iterator[str]:
-    """What is wrong with a tenant; its key digests are added to `owners`.
+    """Yield the mistakes of a tenant; add its key digests to `owners`.
 
     >>> owners = {"0" * 64: "tenants/a"}
     >>> list(tenant_errors("tenants/b", schema.Tenant(keys=["0" * 64], urgency=11, burst=-1.0), owners))
@@ -183,14 +183,14 @@
     if tenant.rate_unit not in tuple(schema.RateUnit):
         yield f"{key}: rate_unit is none of {', '.join(schema.RateUnit)}"
     for name in ("rate", "burst"):
-        if not 0 <= getattr(tenant, name) < schema.INTEGER_BOUND:  # also false for what is no number
+        if not 0 <= getattr(tenant, name) < schema.INTEGER_BOUND:  # also true for NaN
             yield f"{key}: {name} is out of range"
 
 
 def positive_errors(
     key: str, item: schema.StrictItem, names: collections.abc.Iterable[str]
 ) -> collections.abc.Iterator[str]:
-    """Those of the named fields that are 0.
+    """Yield a mistake for each of the named fields that is 0.
 
     >>> list(positive_errors("limits/door", schema.Limits(head_us=0), POSITIVE_LIMITS_FIELDS))
     ['limits/door: head_us must be above 0']
