--- a/iriswheel/configuration/differences.py
+++ b/iriswheel/configuration/differences.py
@@ -59,11 +59,11 @@
     {'pools': {'b': {}, 'c': {'cap': 3}}}
     """
     if not isinstance(upsert, dict) or not all(isinstance(section, dict) for section in upsert.values()):
-        raise validation.InvalidConfigurationError(["upsert: wants items by kind and name"])
+        raise validation.InvalidConfigurationError(["upsert: must be an object of items by kind and name"])
     if not isinstance(remove, dict) or not all(
         isinstance(names, list) and all(isinstance(name, str) for name in names) for names in remove.values()
     ):
-        raise validation.InvalidConfigurationError(["remove: wants lists of names by kind"])
+        raise validation.InvalidConfigurationError(["remove: must be an object of lists of names by kind"])
     amended = {kind: dict(section) for kind, section in document.items()}
     for kind, names in remove.items():
         for name in names:
--- a/iriswheel/configuration/items.py
+++ b/iriswheel/configuration/items.py
@@ -34,7 +34,7 @@
             continue
         for name, item in section.items():
             if not schema.NAME.match(name) or name != schema.SINGLETONS.get(kind, name):
-                errors.append(f"{kind}/{name}: bad name")
+                errors.append(f"{kind}/{name}: invalid name")
             items[f"{kind}/{name}"] = item
     errors += validation.find_errors(items)
     if errors:
--- a/iriswheel/configuration/schema.py
+++ b/iriswheel/configuration/schema.py
@@ -74,7 +74,7 @@
             if name not in document:
                 continue
             if type(document[name]) is not expected:
-                raise ValueError(f"{name}: wants {expected.__name__}, not {type(document[name]).__name__}")
+                raise ValueError(f"{name}: must be {expected.__name__}, not {type(document[name]).__name__}")
             if expected is int and not 0 <= document[name] < INTEGER_BOUND:
                 raise ValueError(f"{name}: out of range")
         return document
--- a/iriswheel/configuration/validation.py
+++ b/iriswheel/configuration/validation.py
@@ -34,7 +34,7 @@
     """Return all mistakes in the items, sorted by the items' keys.
 
     >>> find_errors({"pools/p": {"cap": "4"}})
-    ['pools/p: cap: wants int, not str']
+    ['pools/p: cap: must be int, not str']
     """
     errors: list[str] = []
     owners: RouteOwners = {}
@@ -97,7 +97,7 @@
         if owner != key:
             yield f"{key}: same host, path and zone as {owner}"
     if route.repeat not in tuple(schema.RepeatPolicy):
-        yield f"{key}: repeat is none of {', '.join(schema.RepeatPolicy)}"
+        yield f"{key}: repeat must be one of {', '.join(schema.RepeatPolicy)}"
     if route.urgency > schema.URGENCY_MAX:
         yield f"{key}: urgency is above {schema.URGENCY_MAX}"
 
@@ -125,12 +125,12 @@
     if not route.split:
         return
     if not all(is_share(share) for share in route.split):
-        yield f"{key}: split wants pools and weights"
+        yield f"{key}: split must list pools with their weights"
         return
     if not sum(share["weight"] for share in route.split):
         yield f"{key}: the weights sum to 0"
     if route.split[0]["pool"] != route.pool:
-        yield f"{key}: pool is not the split's first"
+        yield f"{key}: pool is not the first pool of split"
 
 
 def is_share(share: dict[str, typing.Any]) -> bool:
@@ -154,7 +154,7 @@
     ['pools/p: long_slots is above slots', 'pools/p: cold_rate is out of range']
     """
     if pool.election not in tuple(schema.Election):
-        yield f"{key}: election is none of {', '.join(schema.Election)}"
+        yield f"{key}: election must be one of {', '.join(schema.Election)}"
     yield from positive_errors(key, pool, POSITIVE_POOL_FIELDS)
     if pool.long_slots > pool.slots:
         yield f"{key}: long_slots is above slots"
@@ -167,21 +167,21 @@
 
     >>> owners = {"0" * 64: "tenants/a"}
     >>> list(tenant_errors("tenants/b", schema.Tenant(keys=["0" * 64], urgency=11, burst=-1.0), owners))
-    ['tenants/b: has a key of tenants/a', 'tenants/b: urgency is above 10', 'tenants/b: burst is out of range']
+    ['tenants/b: shares a key with tenants/a', 'tenants/b: urgency is above 10', 'tenants/b: burst is out of range']
     """
     for digest in tenant.keys:
         if not isinstance(digest, str) or not schema.KEY_DIGEST.match(digest):
-            yield f"{key}: keys wants SHA-256 digests in hexadecimal digits"
+            yield f"{key}: keys must be SHA-256 digests in hexadecimal digits"
             break
         owner = owners.setdefault(digest, key)
         if owner != key:
-            yield f"{key}: has a key of {owner}"
+            yield f"{key}: shares a key with {owner}"
     if tenant.urgency > schema.URGENCY_FROM_ROUTE:
         yield f"{key}: urgency is above {schema.URGENCY_FROM_ROUTE}"
     if tenant.told_as and not schema.HEADER_TEXT.match(tenant.told_as):
-        yield f"{key}: told_as can't stand in a header"
+        yield f"{key}: told_as is not a valid header value"
     if tenant.rate_unit not in tuple(schema.RateUnit):
-        yield f"{key}: rate_unit is none of {', '.join(schema.RateUnit)}"
+        yield f"{key}: rate_unit must be one of {', '.join(schema.RateUnit)}"
     for name in ("rate", "burst"):
         if not 0 <= getattr(tenant, name) < schema.INTEGER_BOUND:  # also true for NaN
             yield f"{key}: {name} is out of range"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -47,14 +47,14 @@
         ]
         for split, why in (
             ([{"pool": "p", "weight": 0}, {"pool": "q", "weight": 0}], "the weights sum to 0"),
-            ([{"pool": "p", "weight": -1}], "split wants pools and weights"),
-            ([{"pool": "p", "weight": True}], "split wants pools and weights"),
-            ([{"pool": "q", "weight": 1}], "pool is not the split's first"),
+            ([{"pool": "p", "weight": -1}], "split must list pools with their weights"),
+            ([{"pool": "p", "weight": True}], "split must list pools with their weights"),
+            ([{"pool": "q", "weight": 1}], "pool is not the first pool of split"),
             ([{"pool": "p", "weight": 1}, {"pool": "x", "weight": 1}], "no pool 'x'"),
         ):
             assert self.errors({"r": {**route, "split": split}}) == [f"routes/r: {why}"]
-        assert self.errors({"r": {**route, "repeat": "x"}}) == ["routes/r: repeat is none of asked, may, never"]
-        assert self.errors({}, marks={"other": {}}) == ["marks/other: bad name"]
+        assert self.errors({"r": {**route, "repeat": "x"}}) == ["routes/r: repeat must be one of asked, may, never"]
+        assert self.errors({}, marks={"other": {}}) == ["marks/other: invalid name"]
         assert self.errors({}, limits={"door": {"idle_us": 0}}) == ["limits/door: idle_us must be above 0"]
 
     def test_a_node_slice_has_all_items_that_its_routes_use_and_no_label(self) -> None:
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -26,19 +26,19 @@
 class TestConfiguration:
     def test_a_key_of_two_tenants_is_named_with_both(self) -> None:
         items = {"tenants/a": {"keys": [digest(KEY)]}, "tenants/b": {"keys": [digest(KEY)]}}
-        assert configuration.find_errors(items) == ["tenants/b: has a key of tenants/a"]
+        assert configuration.find_errors(items) == ["tenants/b: shares a key with tenants/a"]
 
     def test_keys_are_digests(self) -> None:
         assert configuration.find_errors({"tenants/a": {"keys": [KEY]}}) == [
-            "tenants/a: keys wants SHA-256 digests in hexadecimal digits"
+            "tenants/a: keys must be SHA-256 digests in hexadecimal digits"
         ]
 
     def test_all_that_is_wrong_is_said(self) -> None:
         item = {"rate_unit": "words", "rate": -1.0, "told_as": "a\r\nb", "urgency": 11}
         assert configuration.find_errors({"tenants/a": item}) == [
             "tenants/a: urgency is above 10",
-            "tenants/a: told_as can't stand in a header",
-            "tenants/a: rate_unit is none of requests, tokens",
+            "tenants/a: told_as is not a valid header value",
+            "tenants/a: rate_unit must be one of requests, tokens",
             "tenants/a: rate is out of range",
         ]
 
