--- a/iriswheel/__main__.py
+++ b/iriswheel/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line: `python -m iriswheel`."""
+"""Entry point of `python -m iriswheel`: runs the command line."""
 
 import iriswheel.cli.command
 
--- a/iriswheel/runtime/options.py
+++ b/iriswheel/runtime/options.py
@@ -1,4 +1,4 @@
-"""The options of a process: an options file with flags over it, all checked at once."""
+"""The options of a process: those of its options file, overridden by command-line flags, and checked together."""
 
 import collections.abc
 import dataclasses
@@ -15,7 +15,7 @@
     from iriswheel.runtime import scheduler
 
 
-POLL_INTERVAL_US = 2_000_000
+POLL_INTERVAL_US = 2_000_000  # time between two checks whether the options file has changed
 MAX_PORT = 65535
 LOG_LEVELS = ("DEBUG", "INFO", "WARNING", "ERROR")
 PORT_OPTIONS = ("port", "http_port")
@@ -44,7 +44,7 @@
 
 
 class OptionsError(ValueError):
-    """All mistakes in the options, by name.
+    """All mistakes in the options, each with the option's name.
 
     >>> OptionsError(["host: missing"]).errors
     ['host: missing']
@@ -61,7 +61,7 @@
     """Split an address "IP:port" into host and port.
 
     Raises:
-        ValueError: the text is no such address.
+        ValueError: the text is not an address of this form.
 
     >>> parse_address("127.0.0.1:7001")
     ('127.0.0.1', 7001)
@@ -79,36 +79,37 @@
 
     Attributes:
         role: "core" or "node".
-        name: Of the machine; a newer process of that name replaces the one before.
-        host: IP number to listen on and to be reached at.
-        port: For messages between processes; 0 lets the system pick.
-        http_port: For clients, or on a core for operators; 0 lets the system pick.
-        zone: The failure domain that the machine is in.
-        seeds: IP:port of core machines.
+        name: Name of the machine; a newer process with the same name replaces the older one.
+        host: IP address on which the process listens and at which other processes reach it.
+        port: Port for messages between processes; 0 lets the operating system choose.
+        http_port: Port for clients, or on a core machine for operators; 0 lets the operating system choose.
+        zone: The failure domain of the machine.
+        seeds: IP:port of core machines, at which a process first connects.
         platform: IP:port at which the platform lists the workers; for nodes.
-        data: Path of the data folder; for cores.
+        data: Path of the data folder; for core machines.
         log_level: One of `LOG_LEVELS`.
-        front: IP:port at which HTTP is served, where that is not host:http_port.
-        ready: IP:port of a further port at which a node answers only whether it is ready.
-        grace_us: The time from a signal to the process's end.
-        lease_us: The length of a node's lease, which cores grant; the same on all of these.
-        notice_us: How long clients may still be sent to a node after the platform first learnt that it is not ready.
-        connections: The most connections from clients at once.
-        copies: Synced replicas that keep a change before it is answered.
-        seats: Voting cores, once so many are there.
-        found: Whether a blank core may start a new fleet.
-        serve_on: Whether a node that lost the core goes on by the configuration that it has.
-        call_rate: Calls a second that the platform takes from all nodes together.
-        drain_us: How long a worker drains, where the platform's list doesn't say.
-        hold_us: How long the address of a worker that is gone is kept from another pool's use.
-        retry_ratio: Retries by requests, of the retry budget.
-        retry_window_us: The time over which the retry budget counts.
-        retry_slack: Retries that the budget allows beyond its ratio.
-        list_us: The time between two requests for the platform's list.
-        revocation_us: The time from the acknowledgement of a configuration without a tenant's key until no node, cut
-            off or not, takes a request with it; 0 for no bound on a node that serves on without the core.
-        rate_window_us: The time over which tenants' rate limits count; the same on all nodes.
-        rate_overshoot: The part of a rate limit by which a tenant may pass it in such a time, all nodes together.
+        front: IP:port at which HTTP is served, if that is not host:http_port.
+        ready: IP:port of a separate port at which a node answers only whether it is ready.
+        grace_us: Time between the signal to stop and the end of the process.
+        lease_us: Duration of a node's lease, which core machines grant; the same on all core machines.
+        notice_us: Time for which clients may still be sent to a node after the platform first sees it as not ready.
+        connections: Largest number of simultaneous connections from clients.
+        copies: Number of replicas that must have synced a change before it is acknowledged.
+        seats: Number of voting core machines, once there are enough core machines.
+        found: Whether a core machine with an empty data folder may start a new fleet.
+        serve_on: Whether a node that lost the core machines goes on serving with its last configuration.
+        call_rate: Calls per second that the platform accepts from all nodes together.
+        drain_us: Drain time of a worker if the platform's list gives none.
+        hold_us: Time for which the address of a removed worker is kept from use by another pool.
+        retry_ratio: Ratio of retries to requests that the retry budget allows.
+        retry_window_us: Time over which the retry budget counts.
+        retry_slack: Retries that the retry budget allows beyond its ratio.
+        list_us: Time between two requests for the platform's list.
+        revocation_us: Time from the acknowledgement of a configuration without a tenant's key until no node, even one
+            that is cut off, accepts a request with it; with 0 there is no such bound on a node that serves on without
+            the core machines.
+        rate_window_us: Time over which tenants' rate limits count; the same on all nodes.
+        rate_overshoot: Fraction of its rate limit by which a tenant may exceed it in that time, over all nodes.
 
     >>> options = Options(role="node", name="n1", host="127.0.0.1", zone="north",
     ...                   seeds=["127.0.0.1:7001"], platform="127.0.0.1:9000")
@@ -148,7 +149,7 @@
     rate_overshoot: float = 0.1
 
     def front_address(self) -> tuple[str, int]:
-        """Where HTTP is served, as a pair.
+        """Return the host and port at which HTTP is served.
 
         >>> Options("node", host="127.0.0.1", http_port=8101).front_address()
         ('127.0.0.1', 8101)
@@ -156,7 +157,7 @@
         return parse_address(self.front) if self.front else (self.host, self.http_port)
 
     def seed_list(self) -> list[tuple[str, int]]:
-        """The seeds as pairs.
+        """Return the seeds as pairs of host and port.
 
         >>> Options("core", seeds=["127.0.0.1:1"]).seed_list()
         [('127.0.0.1', 1)]
@@ -164,7 +165,7 @@
         return [parse_address(seed) for seed in self.seeds]
 
     def platform_address(self) -> tuple[str, int]:
-        """The platform's address as a pair.
+        """Return the platform's host and port.
 
         >>> Options("node", platform="127.0.0.1:9000").platform_address()
         ('127.0.0.1', 9000)
@@ -172,15 +173,15 @@
         return parse_address(self.platform)
 
     def check(self) -> None:
-        """Raise OptionsError with every mistake.
+        """Check all options; raises OptionsError with all mistakes.
 
         >>> Options("node").check()
         Traceback (most recent call last):
         ...
-        iriswheel.runtime.options.OptionsError: name: missing; zone: missing; host: '' is no IP number; ...
+        iriswheel.runtime.options.OptionsError: name: missing; zone: missing; host: '' is not an IP address; ...
         """
         mistakes = list(self._type_mistakes())
-        if mistakes:  # values of other types can't be checked further
+        if mistakes:  # the further checks need values of the right types
             raise OptionsError(mistakes)
         mistakes += self._identity_mistakes()
         mistakes += self._address_mistakes()
@@ -189,7 +190,7 @@
             raise OptionsError(mistakes)
 
     def _type_mistakes(self) -> collections.abc.Iterator[str]:
-        """Make whole numbers floats where these are expected, and name the values of other types."""
+        """Convert integers to floats where floats are expected, and yield the options of other types."""
         for field in dataclasses.fields(self):
             expected: typing.Any = typing.get_origin(field.type) or field.type
             value = getattr(self, field.name)
@@ -197,9 +198,9 @@
                 value = float(value)
                 setattr(self, field.name, value)
             if type(value) is not expected:
-                yield f"{field.name}: wants {expected.__name__}, not {type(value).__name__}"
+                yield f"{field.name}: must be {expected.__name__}, not {type(value).__name__}"
             elif isinstance(value, float) and not math.isfinite(value):
-                yield f"{field.name}: {value} is no finite number"
+                yield f"{field.name}: {value} is not a finite number"
 
     def _identity_mistakes(self) -> collections.abc.Iterator[str]:
         required = ["name", "zone"] + (["data"] if self.role == "core" else [])
@@ -207,18 +208,18 @@
         try:
             ipaddress.ip_address(self.host)
         except ValueError:
-            yield f"host: {self.host!r} is no IP number"
+            yield f"host: {self.host!r} is not an IP address"
         for name in PORT_OPTIONS:
             if not 0 <= getattr(self, name) <= MAX_PORT:
-                yield f"{name}: {getattr(self, name)} is no port"
+                yield f"{name}: {getattr(self, name)} is not a port number"
         if self.role == "core" and self.port == 0:
-            yield "port: a core's port must be fixed, since the seeds name it"
+            yield "port: a core machine's port must not be 0, since the seeds of other processes name it"
 
     def _address_mistakes(self) -> collections.abc.Iterator[str]:
         if not self.seeds:
             yield "seeds: missing"
         if len(set(map(str, self.seeds))) != len(self.seeds):
-            yield "seeds: one is named twice"
+            yield "seeds: an address is listed twice"
         addresses = [("seeds", seed) for seed in self.seeds]
         if self.role == "node":
             addresses.append(("platform", self.platform))
@@ -226,16 +227,16 @@
         for name, text in addresses:
             try:
                 parse_address(text)
-            except (ValueError, AttributeError):  # AttributeError: an element of the seeds that is no string
-                yield f"{name}: {text!r} is no IP:port"
+            except (ValueError, AttributeError):  # AttributeError: an element of the seeds is not a string
+                yield f"{name}: {text!r} is not of the form IP:port"
 
     def _range_mistakes(self) -> collections.abc.Iterator[str]:
         yield from (f"{name}: must be above 0" for name in POSITIVE_OPTIONS if getattr(self, name) <= 0)
         yield from (f"{name}: must not be below 0" for name in NON_NEGATIVE_OPTIONS if getattr(self, name) < 0)
         if self.copies > self.seats:
-            yield "copies: is above seats"
+            yield "copies: must not be above seats"
         if self.log_level not in LOG_LEVELS:
-            yield f"log_level: {self.log_level!r} is none of {', '.join(LOG_LEVELS)}"
+            yield f"log_level: {self.log_level!r} is not one of {', '.join(LOG_LEVELS)}"
 
 
 def _read_file(path: str) -> dict[str, typing.Any]:
@@ -249,15 +250,15 @@
 
 
 def read(role: str, path: str, flags: collections.abc.Mapping[str, typing.Any]) -> Options:
-    """The options of a file with flags over them, checked.
+    """Read the options from a file, override them by flags, and check them.
 
     Args:
         role: "core" or "node".
-        path: of the file (TOML); "" for none.
-        flags: values that go over those of the file; None stands for a flag that is not given.
+        path: path of the options file (TOML); "" for none.
+        flags: values that override those of the file; None for a flag that was not given.
 
     Raises:
-        OptionsError: with all mistakes, those of unknown names first.
+        OptionsError: the options have mistakes; the error lists all, unknown options first.
     """
     values = _read_file(path) if path else {}
     known = {field.name for field in dataclasses.fields(Options)} - {"role"}
@@ -275,13 +276,13 @@
 
 
 class OptionsWatch:
-    """Reads a process's options again when their file has changed, or when told to.
+    """Reloads a process's options when their file has changed, or on request.
 
     Args:
-        runtime: for the time between two looks at the file.
-        path: of the file.
+        runtime: runtime of the process, for the time between two checks of the file.
+        path: path of the options file.
         read_options: reads and checks the options; raises OptionsError.
-        apply_options: takes the new options over.
+        apply_options: puts the new options into force.
     """
 
     def __init__(
@@ -298,7 +299,7 @@
         self.last_version = self.file_version()
 
     def file_version(self) -> tuple[int, int, int] | None:
-        """Modification time, length and inode of the file, which a change alters; None where there is no file."""
+        """Return the file's modification time, length and inode, which a change alters; None if there is no file."""
         try:
             status = os.stat(self.path)  # noqa: PTH116 - Path("") would be the current folder
         except OSError:
@@ -306,17 +307,17 @@
         return status.st_mtime_ns, status.st_size, status.st_ino
 
     def reload(self) -> None:
-        """Read the options now; where they can't be read the old ones stay."""
+        """Read the options now; if they are invalid, the previous ones stay in force."""
         self.last_version = self.file_version()
         try:
             options = self.read_options()
         except OptionsError as error:
-            log.warning("The options can't be read again: {}", error)
+            log.warning("The options could not be reloaded, so the previous ones stay in force: {}", error)
             return
         self.apply_options(options)
 
     async def run(self) -> None:
-        """Look at the file every POLL_INTERVAL_US, for as long as the process runs."""
+        """Check every POLL_INTERVAL_US whether the file has changed, for as long as the process runs."""
         while True:
             await self.runtime.sleep(POLL_INTERVAL_US)
             version = self.file_version()
