--- a/tests/frozen_codec.py
+++ b/tests/frozen_codec.py
@@ -1,6 +1,6 @@
-"""The messages of e746a15 as types of their own, made from tests/data/messages-e746a15.json.
+"""The messages of an earlier version, commit e746a15, as types built from tests/data/messages-e746a15.json.
 
-They share nothing with the program's messages but the bytes. Fields are known by their places alone.
+They share no code with the program's present messages, only the encoding. Fields are identified by position alone.
 """
 
 import collections
@@ -15,11 +15,11 @@
 
 
 class MismatchError(Exception):
-    """The messages of e746a15 do not make the same bytes of a frame."""
+    """A frame that the messages of e746a15 can't decode, or encode to other bytes."""
 
 
 class FrozenCodec:
-    """Reads and writes frames as e746a15 does.
+    """Decodes and encodes frames as the program of commit e746a15 did.
 
     >>> FrozenCodec().repeat(bytes.fromhex("93000092a548656c6c6f03")).hex()
     '93000092a548656c6c6f03'
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         schema = recorded.load("messages-e746a15.json")
         self.types: dict[str, type] = {}
-        for tag, fields in schema["messages"].items():  # those that others hold come first
+        for tag, fields in schema["messages"].items():  # sorted: a message follows the messages that it contains
             self.types[tag] = self._struct(tag, fields)
         sent = self._type(["union", *(["message", tag] for tag in schema["sent"])])
         frame = msgspec.defstruct("Frame", [("a", int), ("b", int), ("c", sent)], array_like=True)
@@ -61,7 +61,7 @@
         raise TypeError(f"no type is described by {description}")
 
     def repeat(self, raw: bytes) -> bytes:
-        """Read a frame and write it again; raises MismatchError where that is another one.
+        """Decode a frame and encode it again; raises MismatchError if the result differs.
 
         >>> FrozenCodec().repeat(b"nonsense")
         Traceback (most recent call last):
@@ -71,15 +71,15 @@
         try:
             frame = self.decoder.decode(raw)
         except msgspec.MsgspecError as error:
-            raise MismatchError(f"{raw[:60]!r} can't be read: {error}") from error
+            raise MismatchError(f"{raw[:60]!r} can't be decoded by the messages of e746a15: {error}") from error
         again = msgspec.msgpack.encode(frame)
         if again != raw:
-            raise MismatchError(f"{raw[:60]!r} became {again[:60]!r}")
+            raise MismatchError(f"{raw[:60]!r} is encoded as {again[:60]!r} by the messages of e746a15")
         self.seen[frame.c.__struct_config__.tag] += 1
         return again
 
     def passes(self, raw: bytes) -> bool:
-        """Whether a frame is the same for e746a15; keeps why where it is not.
+        """Return whether a frame is unchanged by the messages of e746a15; if not, add the reason to `failures`.
 
         >>> FrozenCodec().passes(b"")
         False
--- a/tests/fuzzing.py
+++ b/tests/fuzzing.py
@@ -1,6 +1,6 @@
-"""What the fuzz tests have in common: strategies, a transport, and a look at logged errors.
+"""Common parts of the fuzz tests: strategies, a stand-in transport, and access to logged errors.
 
-The examples are derandomized, so that a run repeats.
+The examples are derandomized, so that each run tests the same ones.
 """
 
 from typing import Any
@@ -25,7 +25,7 @@
 def nested(
     scalars: strategies.SearchStrategy[Any], keys: strategies.SearchStrategy[str]
 ) -> strategies.SearchStrategy[Any]:
-    """Values nested in lists and maps."""
+    """A strategy for values that are nested in lists and dictionaries."""
     return strategies.recursive(
         scalars,
         lambda inner: strategies.lists(inner, max_size=4) | strategies.dictionaries(keys, inner, max_size=4),
@@ -34,7 +34,7 @@
 
 
 class Transport(testing.StringTransport):
-    """A transport as a socket's, that can be reset."""
+    """A stand-in for a socket's transport, which can be aborted."""
 
     aborted = False
     disconnected = False
@@ -50,13 +50,13 @@
 
 
 def new_runtime() -> tuple[task.Clock, scheduler.Runtime]:
-    """A clock and the machine on it."""
+    """Return a manual clock and a runtime that uses it."""
     clock = task.Clock()
     return clock, scheduler.Runtime(clock, now=lambda: int(clock.seconds() * units.SECOND_US), seed=1)
 
 
 class LoggedErrors:
-    """Tests whose expected complaints are not printed; what breaks a task is kept."""
+    """Base of tests that keep logged errors, such as those of failed tasks, in `task_errors` and print nothing."""
 
     @pytest.fixture(autouse=True)
     def keep_logged_errors(self, logged_errors: list[str]) -> None:
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -1,4 +1,4 @@
-"""What the outside sees of the program, gathered for the comparison with tests/data/outside.json."""
+"""The program's external interfaces, gathered for comparison with the recording tests/data/outside.json."""
 
 import contextlib
 import dataclasses
@@ -94,7 +94,7 @@
 
 
 class ResponseCollector(protocol.Protocol):
-    """Keeps all that comes back."""
+    """Keeps all bytes of a response."""
 
     def __init__(self) -> None:
         self.received = b""
@@ -104,7 +104,7 @@
 
 
 def json_shape(value: object) -> object:
-    """The names in a JSON value, and the types of what is under them.
+    """Return the keys in a JSON value, each with the types of its values.
 
     >>> json_shape({"a": [{"b": 1}, {"b": 2}], "c": None})
     {'a': [{'b': 'int'}], 'c': 'NoneType'}
@@ -122,7 +122,7 @@
 
 
 def comparable_response(raw: bytes) -> dict[str, typing.Any]:
-    r"""What is kept of an HTTP answer: status, headers, the names in its body, and the text of a refusal.
+    r"""Return the compared parts of an HTTP response: status, headers, the keys in its body, and an error's full body.
 
     >>> comparable_response(b'HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n{"a": 1}')["body"]
     {'a': 'int'}
@@ -144,7 +144,7 @@
 def send_raw_request(
     simulated: deployment_model.Deployment, runtime: scheduler.Runtime, host: str, port: int, text: str
 ) -> bytes:
-    """Send a request as it stands, from a simulated process; all that came back within three seconds."""
+    """Send a request's raw text from a simulated process; return the bytes received within three seconds."""
     point: typing.Any = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=2)
     opened = point.connect(protocol.Factory.forProtocol(ResponseCollector))
     simulated.advance_until(lambda: opened.called, 3)
@@ -156,15 +156,17 @@
 
 
 class QuietFleet:
-    """A quiet simulated fleet, asked over bare connections."""
+    """A simulated fleet without load, which gets raw requests over plain connections."""
 
     def __init__(self) -> None:
-        self.requests: dict[str, typing.Any] = {}  # of the program to others, by method and path
+        self.requests: dict[
+            str, typing.Any
+        ] = {}  # the program's own requests to workers and platform, by method and path
         self.cluster = simulated_cluster.SimulatedCluster(5, "small", long_rate=0, short_rate=0, conversations=0)
         self.cluster.probing = False
 
     def collect_request_headers(self, label: str, owner: type[StandIn]) -> contextlib.AbstractContextManager[object]:
-        """Replace a stand-in's handler by one that notes the requests' headers under a label."""
+        """Patch a stand-in's handler to also collect the names of the requests' headers under a label."""
         handle: typing.Any = owner.handle
         requests = self.requests
 
@@ -177,11 +179,11 @@
         return mock.patch.object(owner, "handle", handle_and_collect)
 
     def query(self, host: str, port: int, text: str) -> bytes:
-        """Send a request as it stands; all that came back within three seconds."""
+        """Send a request's raw text; return the bytes received within three seconds."""
         return send_raw_request(self.cluster, self.cluster.operator_runtime, host, port, text)
 
     def core_answers(self) -> list[typing.Any]:
-        """The answers of a core machine to all calls."""
+        """Return the answers of a core machine to all `CORE_CALLS`."""
         out, plan = [], ""
         for method, path, document in CORE_CALLS:
             body = "" if document is None else json.dumps(document)
@@ -193,7 +195,7 @@
         return out
 
     def node_answers(self) -> list[typing.Any]:
-        """The answers of a node to all calls."""
+        """Return the answers of a node to all `NODE_CALLS`."""
         out = []
         for place, (method, path, headers, body) in enumerate(NODE_CALLS):
             length = "" if body is None else f"Content-Length: {len(body)}\r\n"
@@ -203,7 +205,7 @@
         return out
 
     def gather(self) -> dict[str, typing.Any]:
-        """All requests."""
+        """Send all requests; return the answers, and the requests that the program itself sent meanwhile."""
         with (
             self.collect_request_headers("worker", stand_in_worker.Worker),
             self.collect_request_headers("platform", stand_in_platform.Platform),
@@ -215,7 +217,7 @@
 
 
 def run(*arguments: str) -> tuple[str, int]:
-    """Run the program: what it printed, and its exit code."""
+    """Run the program; return its standard output and exit code."""
     environment = {**os.environ, "COLUMNS": "100", "PYTHONPATH": str(ROOT)}
     command = [sys.executable, "-m", "iriswheel", *arguments]
     done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, env=environment, check=False)
@@ -223,7 +225,7 @@
 
 
 def command_arguments(name: str) -> list[str]:
-    """The arguments of a subcommand, from its help: names, and defaults where they have one."""
+    """Return the arguments of a subcommand from its help: their names, and defaults if they have any."""
     text, _ = run(name, "--help")
     usage, _, rest = text.partition("\n\n")
     lines = [" ".join(usage.split()).partition(" ")[2].partition(" ")[2]]
@@ -237,14 +239,14 @@
 
 
 def command_list() -> list[str]:
-    """The subcommands, in their order."""
+    """Return the subcommands, in the order of the help."""
     listed = re.search(r"\{(.*?)\}", run("--help")[0])
     assert listed is not None
     return listed.group(1).split(",")
 
 
 def option_defaults() -> dict[str, typing.Any]:
-    """The keys of an options file, with their types and defaults."""
+    """Return the keys of an options file, with their types and defaults."""
     blank = options.Options("core")
     return {
         f.name: [getattr(f.type, "__name__", f.type), getattr(blank, f.name)]
@@ -254,13 +256,13 @@
 
 
 def configuration_defaults() -> dict[str, typing.Any]:
-    """The keys of each sort of item of the configuration, with what is there where one is not given."""
+    """Return the keys of each kind of configuration item, with their defaults."""
     given = {"routes": {"path": "/", "pool": "p"}}
     return {kind: cls.from_dict(given.get(kind, {})).to_dict() for kind, cls in configuration.KINDS.items()}
 
 
 def refusals() -> dict[str, typing.Any]:
-    """Each error code with its status and whether waiting helps."""
+    """Return each error code with its HTTP status and Retry-After."""
     return {
         code: [errors.ServiceError(code, "").status, errors.ServiceError(code, "").retry_after]
         for code in sorted(errors.CODES)
@@ -268,14 +270,14 @@
 
 
 def deployment() -> dict[str, typing.Any]:
-    """What the platform is told of the program, and the digest of the platform's own words."""
+    """Return the deployment file that the platform reads, and a digest of the table of the platform's names."""
     words = (ROOT / "platform" / "words.toml").read_bytes()
     system = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     return {"system": system, "words": hashlib.sha256(words).hexdigest()}
 
 
 def event_rows() -> list[dict[str, typing.Any]]:
-    """The event log of a short simulated run with changes and faults."""
+    """Return the event log of a short simulated run with changes and faults."""
     cluster = simulated_cluster.SimulatedCluster(13, "small", long_rate=0.5, short_rate=3, conversations=2, seconds=24)
     cluster.begin()
     actions.confirm_changes(cluster, 3, 3)
@@ -294,7 +296,7 @@
 
 
 def printed_verdicts(rows: list[dict[str, typing.Any]]) -> dict[str, typing.Any]:
-    """What the program prints of an event log, and how many rows each of its checks judged."""
+    """Return what the program prints about an event log, and how many rows each of its checks examined."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "run.events"
         path.write_text("".join(json.dumps(row) + "\n" for row in rows))
@@ -303,13 +305,13 @@
 
 
 def recorded_rows() -> list[dict[str, typing.Any]]:
-    """The recorded event log."""
+    """Return the rows of the recorded event log."""
     with gzip.open(recorded.DATA / "run.events.gz", "rt") as lines:
         return [json.loads(line) for line in lines]
 
 
 def event_fields(rows: list[dict[str, typing.Any]]) -> dict[str, list[str]]:
-    """The kinds of event rows, with the names of their fields.
+    """Return the kinds of event rows, each with the names of its fields.
 
     >>> event_fields([{"at": 1, "kind": "sent"}, {"at": 2, "kind": "sent", "send": 1}])
     {'sent': ['at', 'kind', 'send']}
@@ -321,7 +323,7 @@
 
 
 def with_faults(rows: list[dict[str, typing.Any]]) -> list[dict[str, typing.Any]]:
-    """The rows with faults that the judge must name: second runs, runs after a refusal, a lost configuration."""
+    """Return the rows with faults that the checks must report: repeated runs, runs after a refusal, lost changes."""
     out = []
     any_run = next(row for row in rows if row["kind"] == "run")
     for original in rows:
@@ -341,7 +343,7 @@
 
 
 def http_sections() -> dict[str, typing.Any]:
-    """The requests over HTTP, by section."""
+    """Return the HTTP answers and the program's own requests, by section."""
     found = QuietFleet().gather()
     return {
         "core answers": {f"{k:02} {name}": seen for k, (name, seen) in enumerate(found["core"])},
@@ -351,12 +353,12 @@
 
 
 def command_sections() -> dict[str, typing.Any]:
-    """The subcommands, and the arguments of each."""
+    """Return the subcommands, and the arguments of each."""
     return {name: command_arguments(name) for name in COMMANDS} | {"all": command_list()}
 
 
 def gather() -> dict[str, typing.Any]:
-    """All that is compared but for the event log, as sections of named records."""
+    """Return all that is compared, except the event log, as sections of named records."""
     return {
         **http_sections(),
         "commands": command_sections(),
@@ -368,7 +370,7 @@
 
 
 def record() -> None:
-    """Record all anew, for a change that is meant to be seen outside."""
+    """Make a new recording, after an intended change of an external interface."""
     rows = event_rows()
     with gzip.GzipFile(recorded.DATA / "run.events.gz", "wb", mtime=0) as log:
         log.write("".join(json.dumps(row) + "\n" for row in rows).encode())
--- a/tests/recorded.py
+++ b/tests/recorded.py
@@ -1,7 +1,7 @@
 """Recorded bytes of messages and records: reading the recordings, and building values by tag and position.
 
-Nothing here names a message or a field: messages are found by their tag on the wire, fields by their place, so
-that a renaming of classes and fields needs no change here.
+Nothing here names a message class or a field: messages are found by their tag on the wire, fields by their position,
+so that a renamed class or field needs no change here.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 
 def to_plain(value: object) -> object:
-    """Turn untyped msgpack content into what JSON can hold; bytes become {"hex": ...}.
+    """Convert untyped msgpack content to JSON values; bytes become {"hex": ...}.
 
     >>> to_plain([b"ab", {"a": b""}])
     [{'hex': '6162'}, {'a': {'hex': ''}}]
@@ -31,8 +31,8 @@
     return value
 
 
-def from_plain(value: object) -> typing.Any:  # noqa: ANN401 - JSON's values, of any depth
-    """Undo `to_plain`.
+def from_plain(value: object) -> typing.Any:  # noqa: ANN401 - nested JSON values
+    """Convert JSON values back to msgpack content: the inverse of `to_plain`.
 
     >>> from_plain([{"hex": "6162"}, 7])
     [b'ab', 7]
@@ -47,13 +47,13 @@
     return value
 
 
-def load(name: str) -> typing.Any:  # noqa: ANN401 - JSON's values, of any depth
+def load(name: str) -> typing.Any:  # noqa: ANN401 - nested JSON values
     """Read a recording from the data folder."""
     return json.loads((DATA / name).read_text())
 
 
 def save(name: str, sections: dict[str, typing.Any]) -> None:
-    """Write a recording, one record a line."""
+    """Write a recording, with one record per line."""
     parts = []
     for section, records in sections.items():
         lines = ",\n".join(f"  {json.dumps(key)}: {json.dumps(record)}" for key, record in sorted(records.items()))
@@ -62,7 +62,7 @@
 
 
 def struct_types(root: object) -> dict[str, msgspec.inspect.StructType]:
-    """All tagged structs that a type reaches, by their tag."""
+    """Return all tagged structs that a type contains, at any depth, by their tag."""
     found: dict[str, msgspec.inspect.StructType] = {}
     _collect(msgspec.inspect.type_info(root), found, set())
     return found
@@ -86,13 +86,13 @@
 
 
 def build(cls: type[Struct], values: list[typing.Any]) -> Struct:
-    """Build a struct from plain values by position; fields beyond them get their defaults."""
+    """Build a struct from plain values by position; the fields after the last value get their defaults."""
     hints = [field.type for field in msgspec.structs.fields(cls)]
     return cls(*(msgspec.convert(value, hint) for value, hint in zip(values, hints, strict=False)))
 
 
 class Sampler:
-    """Makes a value for every field of a struct, each unlike its default and unlike the others.
+    """Makes a sample value for every field of a struct, different from the default and from the other values.
 
     >>> class Example(msgspec.Struct, array_like=True):
     ...     name: str
@@ -101,13 +101,13 @@
     ['text 1', [502, 70002]]
     """
 
-    INTEGERS = (1, 500, 70_000, 5_000_000_000)  # of each size that msgpack has
+    INTEGERS = (1, 500, 70_000, 5_000_000_000)  # one for each encoded size of msgpack
 
     def __init__(self) -> None:
         self.count = 0
 
-    def plain(self, info: msgspec.inspect.Type) -> typing.Any:  # noqa: ANN401, PLR0911 - a return for each sort of type
-        """A value of a type, as plain data.
+    def plain(self, info: msgspec.inspect.Type) -> typing.Any:  # noqa: ANN401, PLR0911 - a return for each kind of type
+        """Return a sample value of a type, as plain data.
 
         >>> Sampler().plain(msgspec.inspect.type_info(dict[str, int]))
         {'text 1': 502}
@@ -152,5 +152,5 @@
         raise TypeError(f"no sample for {info}")
 
     def field(self, field: msgspec.inspect.Field) -> object:
-        """A value of a field, as plain data: a switch that is on by default is off."""
+        """Return a sample value of a field, as plain data; False for a field that is True by default."""
         return False if field.default is True else self.plain(field.type)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration items, the slices of nodes, and a node's look-up of routes."""
+"""Validation of configuration items, the slices that nodes get, and a node's look-up of routes."""
 
 import random
 import types
@@ -15,14 +15,14 @@
 
 
 def make_follower() -> follower.Follower:
-    """A follower whose node only counts updates."""
+    """Return a follower of a stand-in node, which ignores updates."""
     runtime = scheduler.Runtime(task.Clock(), now=lambda: 0, seed=1)
     node: Any = types.SimpleNamespace(runtime=runtime, on_update=lambda: None)
     return follower.Follower(node, options.Options("node"))
 
 
 def longest_matching_route(routes: dict[str, configuration.Route], host: str, path: str) -> configuration.Route | None:
-    """The look-up as it is meant, over all routes."""
+    """Look a route up by a search of all routes: an exact host before any host, then the longest path prefix."""
     for h in (host, ""):
         matching = [r for r in routes.values() if r.host == h and request_router.covers(r.path, path)]
         if matching:
--- a/tests/test_encoding.py
+++ b/tests/test_encoding.py
@@ -1,4 +1,4 @@
-"""The bytes of messages and records that other versions read: they stay as they are when a class is renamed."""
+"""The encoding of messages and records that other versions read does not change when a class is renamed."""
 
 import msgspec
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""The error codes that mypy knows are those that have a status."""
+"""The error codes of the type `ErrorCode`, which mypy checks, are those with an entry in the table `CODES`."""
 
 import typing
 
--- a/tests/test_fuzz_documents.py
+++ b/tests/test_fuzz_documents.py
@@ -1,4 +1,4 @@
-"""Whatever documents operators send are taken or refused, and no task breaks."""
+"""Whatever documents operators send, they are accepted or refused with a client error, and no task fails."""
 
 import json
 from typing import Any
@@ -16,12 +16,12 @@
 
 
 class InMemoryCore(core.Core):
-    """A core that keeps its items in memory, and takes a change as the chain would: encoded."""
+    """A core machine that keeps its items in memory, and encodes a change as the replication chain would."""
 
     def __init__(self) -> None:
         self.items: dict[str, Any] = {}
         stand_in: Any = self
-        missing: Any = None  # what no document reaches
+        missing: Any = None  # parts that no document reaches
         self.operator_api = operator_api.OperatorApi(
             self, missing, stand_in, missing, replicas=missing, counters=counters.Counters()
         )
@@ -139,7 +139,7 @@
 
 
 class TestDocuments(fuzzing.LoggedErrors):
-    """Operators' documents are taken or refused."""
+    """Operators' documents are answered with 2xx or 4xx, and nothing is logged as an error."""
 
     def call(self, method: str, path: str, body: bytes) -> int:
         _, runtime = fuzzing.new_runtime()
--- a/tests/test_fuzz_frames.py
+++ b/tests/test_fuzz_frames.py
@@ -1,4 +1,4 @@
-"""Whatever bytes come as frames from another process: a connection may end, no task breaks."""
+"""Whatever bytes another process sends as frames, the connection may be aborted, but no task fails."""
 
 import itertools
 import struct
@@ -15,7 +15,7 @@
 
 
 class TestFrames(fuzzing.LoggedErrors):
-    """Frames between processes."""
+    """Frames with arbitrary, invalid or corrupted content."""
 
     def connection(self) -> tuple[wire.Connection, fuzzing.Transport]:
         self.clock, runtime = fuzzing.new_runtime()
@@ -81,7 +81,9 @@
     @fuzzing.QUICK
     @hypothesis.given(strategies.data())
     def test_frames_with_corrupted_bytes_break_no_task(self, data: strategies.DataObject) -> None:
-        part: Any = message.Worker("w", "h", 1, "p", "ready", 0)  # of a message, and none itself
+        part: Any = message.Worker(
+            "w", "h", 1, "p", "ready", 0
+        )  # a part of other messages, which can't be sent by itself
         good = wire.encoder.encode(wire.Envelope(0, 0, part))
         good = (
             wire.encoder.encode(wire.Envelope(1, 1, message.WorkerListing([], (3, 1, 40))))
--- a/tests/test_fuzz_settings.py
+++ b/tests/test_fuzz_settings.py
@@ -1,4 +1,4 @@
-"""Whatever a settings file holds: options come of it, or what is wrong is said."""
+"""Whatever a settings file contains, reading it gives options or raises OptionsError, and nothing else."""
 
 import contextlib
 import pathlib
@@ -66,7 +66,7 @@
 
 
 class TestSettingsFiles(fuzzing.LoggedErrors):
-    """A settings file gives options, or says what is wrong."""
+    """Reading a settings or options file gives `Options` or raises `OptionsError`."""
 
     def read(self, raw: bytes) -> None:
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -1,7 +1,8 @@
-"""Half of a fleet's processes speak through the frozen messages of e746a15, and the fleet goes on serving.
+"""A fleet serves while half of its processes run an earlier version: that of commit e746a15.
 
-Every frame that such a process sends or gets is read and written by the frozen messages first. One that does not
-come out byte for byte is dropped, as a process of that version could not have taken it, and the test fails.
+The processes of the earlier version are simulated by its frozen messages: each frame that such a process sends or
+receives is first decoded and encoded by them. A frame that does not come out byte for byte is dropped, since a process
+of that version could not have read it, and the test fails.
 """
 
 import collections
@@ -22,7 +23,7 @@
 def method_dropping_mismatched_frames(
     name: str, old: set[str], codec: frozen_codec.FrozenCodec
 ) -> typing.Callable[..., None]:
-    """A connection's method that drops the frames which an old process could not have said or read."""
+    """Wrap a method of connections so that it drops frames which an old process could not have sent or read."""
     original = getattr(wire.Connection, name)
 
     def method(connection: wire.Connection, raw: bytes) -> None:
@@ -34,7 +35,7 @@
 
 @contextlib.contextmanager
 def mixed_fleet(old: set[str]) -> collections.abc.Iterator[frozen_codec.FrozenCodec]:
-    """Let some processes of the simulator speak through the frozen messages."""
+    """Let the named simulated processes use the frozen messages."""
     codec = frozen_codec.FrozenCodec()
     with contextlib.ExitStack() as stack:
         for name in ("sendString", "stringReceived"):
@@ -64,7 +65,7 @@
 
 
 def run_with_changes_and_restarts(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Changes, and a core machine, a node and the pool's owner that end and come back."""
+    """Make changes, and kill and restart two core machines and the pool's owner."""
     cluster.begin()
     actions.confirm_changes(cluster, 6, 3)
     cluster.advance(6)
--- a/tests/test_recorded_disk.py
+++ b/tests/test_recorded_disk.py
@@ -1,9 +1,9 @@
-"""What stands on the disk, as recorded: it is read and written as then, and a fleet goes on from an old data folder.
+"""Disk data of earlier versions is read, and written again as recorded; a fleet starts from old data folders.
 
 tests/data/disk.json holds each record with a value in every field. tests/data/folder-e746a15 holds the data folders
-of three core machines, as the program at e746a15 left them at a loss of power: one had received a whole snapshot,
-but not the word that it counts, and one had synced a change that no other had. tests/data/folder-format-2 holds
-those that the last program of format 2 wrote.
+of three core machines, as the program of commit e746a15 left them at a loss of power: one had received a whole
+snapshot but not the message that makes it valid, and one had synced a change that no other had.
+tests/data/folder-format-2 holds the folders that the last program of disk format 2 wrote.
 """
 
 import base64
@@ -31,13 +31,13 @@
 
 
 def recorded_content(folder: str) -> dict[str, typing.Any]:
-    """What a recorded folder holds, and what was answered before."""
+    """Return the recorded content of a folder, with the answers that operators had got before it was recorded."""
     recording: dict[str, typing.Any] = recorded.load(f"{folder}/content.json")
     return recording
 
 
 def recorded_disks(folder: str) -> dict[str, dict[bytes, bytes]]:
-    """The keys and values of each core machine's recorded data folder."""
+    """Return the keys and values of each core machine's recorded data folder."""
     return {
         name: {key.encode(): base64.b64decode(value) for key, value in disk.items()}
         for name, disk in recorded_content(folder)["disks"].items()
@@ -45,7 +45,7 @@
 
 
 def decode_and_encode(key: bytes, raw: bytes) -> bytes:
-    """Read a record from the disk with the present program, and write it again."""
+    """Decode a record from the disk with the present code, and encode it again."""
     if key == b"council":
         return msgspec.msgpack.encode(msgspec.msgpack.decode(raw, type=decisions.Record))
     if key == b"frame":
@@ -60,7 +60,7 @@
 
 @pytest.mark.parametrize(("name", "cls"), RECORD_TYPES.items())
 class TestRecords:
-    """Records on the disk are read and written byte for byte as recorded."""
+    """Records on the disk are decoded and encoded byte for byte as recorded."""
 
     def test_recorded_bytes_are_read_and_written_unchanged(self, name: str, cls: type) -> None:
         for sample in RECORDS[name].values():
@@ -93,7 +93,7 @@
 
 
 class TestFolders:
-    """The recorded data folders hold what they were recorded to hold, and the program reads all of it."""
+    """The recorded data folders contain the cases that they were recorded for, and the program reads all of it."""
 
     @pytest.mark.parametrize("name", NAMES)
     @pytest.mark.parametrize("folder", FOLDERS)
@@ -146,12 +146,12 @@
 
 
 class ClusterOnRecordedDisks(simulated_cluster.SimulatedCluster):
-    """A simulated fleet whose core machines find recorded data on their disks."""
+    """A simulated fleet whose core machines start with recorded data on their disks."""
 
     def __init__(self, disks_by_name: dict[str, dict[bytes, bytes]], missing: str | None = None) -> None:
         super().__init__(11, "small", long_rate=0, short_rate=0, conversations=0)
         self.disks_by_name, self.missing = disks_by_name, missing
-        self.first_read: typing.Any = None  # the configuration that stood before the first change
+        self.first_read: typing.Any = None  # the configuration as read before the first change
         self.sessions_at_start: dict[str, set[str]] = {}
 
     def start_core(self, name: str, host: str, zone: str) -> None:
@@ -166,7 +166,7 @@
         self.sessions_at_start[name] = {identifier for replica in replicas.values() for identifier in replica.sessions}
 
     def with_probe(self, k: int, _more: dict[str, typing.Any] | None = None) -> dict[str, typing.Any]:
-        """The configuration that stands with a probe route, in place of the example's."""
+        """Return the recorded configuration with a probe route, where the base class uses an example configuration."""
         if self.first_read is None:
             operator = operator_model.Operator(self, self.operator_runtime, "reader")
             for _ in range(60):
@@ -185,7 +185,7 @@
 
 
 def start_on_recorded_disks(folder: str, missing: str | None = None) -> ClusterOnRecordedDisks:
-    """Start a fleet on recorded disks; `missing` stays down."""
+    """Start a fleet on recorded disks; the core machine `missing` stays down."""
     cluster = ClusterOnRecordedDisks(recorded_disks(folder), missing)
     cluster.probing = False
     cluster.begin()
@@ -195,7 +195,7 @@
 def query(
     cluster: simulated_cluster.SimulatedCluster, method: str, path: str, document: dict[str, typing.Any] | None = None
 ) -> tuple[int, dict[str, typing.Any]]:
-    """Send one request of an operator: the status and the answer."""
+    """Send one request as an operator; return the status and the answer."""
     operator = operator_model.Operator(cluster, cluster.operator_runtime, "boss")
     done = cluster.operator_runtime.spawn(operator.query(method, path, document), simulated_cluster.log)
     assert cluster.advance_until(lambda: done.called, 20)
@@ -207,12 +207,12 @@
 def submit_numbered_change(
     cluster: simulated_cluster.SimulatedCluster, number: int, built_on: int, what: dict[str, typing.Any]
 ) -> tuple[int, dict[str, typing.Any]]:
-    """Have a numbered change taken: the status and the answer."""
+    """Submit a numbered change; return the status and the answer."""
     return query(cluster, "POST", "/changes", {"number": number, "built_on": built_on, **what})
 
 
 def check_acknowledged_changes(cluster: simulated_cluster.SimulatedCluster, recording: dict[str, typing.Any]) -> None:
-    """All that was answered before still stands: items, taken changes, plans."""
+    """Check that all changes and plans that were acknowledged before the recording still hold."""
     for number, built_on, what in recording["changes"]:
         status, answer = submit_numbered_change(cluster, number, built_on, what)
         assert (status, answer["number"]) == (200, number)
@@ -223,7 +223,7 @@
 
 
 def check_a_further_change(cluster: simulated_cluster.SimulatedCluster, folder: str) -> None:
-    """A further change is taken, and a started core machine's folder says the present format."""
+    """Check that another change is accepted, and that the folders of running core machines have the present format."""
     status, now = query(cluster, "GET", "/blueprint")
     number = now["blueprint"]["marks"]["operator"]["number"]
     what = {"upsert": {"routes": {"further": {"path": "/further", "pool": cluster.pool}}}}
@@ -241,7 +241,7 @@
 
 
 class TestFleetOnRecordedFolders:
-    """A fleet that starts on recorded folders keeps to all that was answered, and goes on."""
+    """A fleet that starts on recorded folders keeps all acknowledged changes, and accepts new ones."""
 
     @pytest.mark.parametrize(
         ("folder", "missing"),
--- a/tests/test_recorded_outside.py
+++ b/tests/test_recorded_outside.py
@@ -1,6 +1,6 @@
-"""What the outside sees is as recorded in tests/data/outside.json: HTTP, command line, options, event logs.
+"""The external interfaces are as recorded in tests/data/outside.json: HTTP, command line, options, event logs.
 
-`python -m tests.outside` records it anew, for a change that is meant to be seen outside.
+After an intended change of an external interface, `python -m tests.outside` makes a new recording.
 """
 
 import typing
@@ -11,7 +11,7 @@
 
 
 def assert_as_recorded(section: str, found: dict[str, typing.Any]) -> None:
-    """Compare a section record by record, so that a failure names the one that differs."""
+    """Compare a section record by record, so that a failure names the record that differs."""
     assert sorted(found) == sorted(RECORDING[section])
     for name, expected in RECORDING[section].items():
         assert found[name] == expected, f"{section}: {name}"
--- a/tests/test_recorded_wire.py
+++ b/tests/test_recorded_wire.py
@@ -1,6 +1,6 @@
-"""Every frame between processes, as recorded in tests/data/wire.json: it is read and written as then.
+"""Every message between processes is decoded and encoded as recorded in tests/data/wire.json.
 
-Its section "messages" was recorded at e746a15; "added" has what came later.
+Its section "messages" was recorded at commit e746a15; "added" has the messages added since, "parts" their parts.
 """
 
 import random
@@ -18,18 +18,18 @@
 RECORDING = recorded.load("wire.json")
 SENDABLE = {**RECORDING["messages"], **RECORDING["added"]}
 CALL = 1
-VERSION_HANDSHAKE = "0000000b93000092a548656c6c6f03"  # what a process says first: its version, 3
+VERSION_HANDSHAKE = "0000000b93000092a548656c6c6f03"  # the first frame of a connection, with protocol version 3
 
 
 class Transport(testing.StringTransport):
-    """A connection's far side that keeps what is written."""
+    """A stand-in transport that keeps the written bytes."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:
         """Do nothing: there is no socket."""
 
 
 class Receiver:
-    """A real connection that keeps the messages it hands on, encoded again."""
+    """A connection that keeps each message it delivers, encoded again, as hexadecimal digits."""
 
     def __init__(self) -> None:
         process = process_model.SimulatedProcess(
@@ -41,12 +41,12 @@
         self.connection.makeConnection(self.transport)
 
     def record_message(self, _connection: wire.Connection, received: message.Message) -> None:
-        """Take one message."""
+        """Encode a delivered message and keep it."""
         self.received.append(wire.encoder.encode(received).hex())
 
 
 def frames() -> list[tuple[str, bytes]]:
-    """All recorded frames, each with the message in it as hexadecimal digits."""
+    """Return all recorded frames, each with its message as hexadecimal digits."""
     return [
         (sample["hex"], bytes.fromhex(sample["frame"])) for record in SENDABLE.values() for sample in record.values()
     ]
@@ -54,13 +54,13 @@
 
 @pytest.fixture(scope="module")
 def types() -> dict[str, msgspec.inspect.StructType]:
-    """The present program's messages and parts of messages, by tag."""
+    """The present types of messages and their parts, by tag."""
     return recorded.struct_types(wire.Envelope)
 
 
 @pytest.fixture
 def samples(types: dict[str, msgspec.inspect.StructType]) -> list[tuple[str, type, dict[str, typing.Any]]]:
-    """Each recorded message, with its tag and its present class."""
+    """Each recorded sample of a message or part, with its tag and its present class."""
     return [
         (tag, types[tag].cls, sample)
         for section in RECORDING.values()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The data folder on lmdb: what a failed commit leaves behind."""
+"""The data folder on lmdb is usable again after a commit that failed."""
 
 import pathlib
 from typing import Any
@@ -10,7 +10,7 @@
 
 
 class PanickedEnvironment:
-    """An environment after a commit that failed while its meta page was written."""
+    """An lmdb environment as a commit leaves it that failed while the meta page was written: all calls fail."""
 
     def begin(self, write: bool = False) -> None:  # noqa: ARG002 - lmdb's signature, called by keyword
         raise lmdb.PanicError("mdb_txn_begin", -30795)
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -1,4 +1,4 @@
-"""What a client may send, and how long it may take over it: the configuration's limits at the door."""
+"""The HTTP server enforces the configuration's limits (`limits/door`) on the size and duration of what clients send."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -34,7 +34,7 @@
         channel: Any = self.server.buildProtocol(None)
         transport: Any = testing.StringTransportWithDisconnection()
         transport.protocol = channel
-        transport.unregisterProducer = lambda: None  # as a socket's, which takes it at any time
+        transport.unregisterProducer = lambda: None  # a socket accepts this call at any time
         channel.makeConnection(transport)
         return channel, transport
 
