--- a/iriswheel/configuration/differences.py
+++ b/iriswheel/configuration/differences.py
@@ -123,17 +123,17 @@
     changed: list[str] = []
     removed: list[str] = []
     new = dict(old)
-    touched = set()
+    changed_keys = set()
     for key, item in changes:
-        touched.add(key)
+        changed_keys.add(key)
         if item is None:
             removed.append(key)
             new.pop(key, None)
         else:
             (changed if key in old else added).append(key)
             new[key] = item
-    pools = {key.removeprefix("pools/") for key in touched if key.startswith("pools/")}
-    pools |= pools_of_routes(old, touched) | pools_of_routes(new, touched)
+    pools = {key.removeprefix("pools/") for key in changed_keys if key.startswith("pools/")}
+    pools |= pools_of_routes(old, changed_keys) | pools_of_routes(new, changed_keys)
     return {
         "added": added,
         "changed": changed,
@@ -143,8 +143,8 @@
     }
 
 
-def pools_of_routes(items: schema.Items, touched: set[str]) -> set[str]:
-    """Return the pools of the routes that changed, or whose session terms changed; `touched` holds changed keys.
+def pools_of_routes(items: schema.Items, changed_keys: set[str]) -> set[str]:
+    """Return the pools of the routes whose own item or terms are among the changed keys.
 
     >>> pools_of_routes({"routes/r": {"path": "/", "pool": "p"}}, {"terms/default"})
     {'p'}
@@ -155,6 +155,6 @@
             continue
         used = {key, f"terms/{item.get('terms', 'default')}"}
         used |= {f"terms/{terms}" for terms in item.get("requesters", {}).values()}
-        if used & touched:
+        if used & changed_keys:
             pools |= {share["pool"] for share in item.get("split", [])} | {item["pool"]}
     return pools
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -323,7 +323,7 @@
 
 
 def with_faults(rows: list[dict[str, typing.Any]]) -> list[dict[str, typing.Any]]:
-    """Return the rows with faults that the checks must report: repeated runs, runs after a refusal, lost changes."""
+    """Return the rows with faults that checks must report: second runs, runs after a refusal, a lost configuration."""
     out = []
     any_run = next(row for row in rows if row["kind"] == "run")
     for original in rows:
