--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -127,10 +127,10 @@
         if self.early_error is not None:
             return
         self.client_lost = scheduler.Signal()
-        self.notifyFinish().addErrback(self._gone)
+        self.notifyFinish().addErrback(self._record_disconnection)
         self.channel.factory.runtime.spawn(self._serve(self.channel.factory.handle), log)
 
-    def _gone(self, _: failure.Failure) -> None:
+    def _record_disconnection(self, _: failure.Failure) -> None:
         self.client_disconnected = True
         self.client_lost.wake()
 
