--- a/iriswheel/configuration/schema.py
+++ b/iriswheel/configuration/schema.py
@@ -68,9 +68,8 @@
         """
         if not isinstance(document, dict):
             raise ValueError("not an object")  # noqa: TRY004 - a mistake in the configuration, like those below
-        for name, expected in field_types(
-            typing.cast("collections.abc.Hashable", cls)
-        ):  # mypy does not see that classes are hashable
+        # cast: mypy does not see that classes are hashable
+        for name, expected in field_types(typing.cast("collections.abc.Hashable", cls)):
             if name not in document:
                 continue
             if type(document[name]) is not expected:
@@ -89,9 +88,8 @@
     """
     fields = dataclasses.fields(typing.cast("type[StrictItem]", cls))
     types = {field.name: typing.get_origin(field.type) or field.type for field in fields}
-    return list(
-        typing.cast("dict[str, type[object]]", types).items()
-    )  # annotations in this module are types, not strings
+    # cast: annotations in this module are types, not strings
+    return list(typing.cast("dict[str, type[object]]", types).items())
 
 
 def with_floats(document: object, names: tuple[str, ...]) -> typing.Any:  # noqa: ANN401 - whatever the operator sent
@@ -317,9 +315,8 @@
     "marks": Marks,
     "tenants": Tenant,
 }
-KINDS_OMITTED_WHEN_EMPTY = {
-    "tenants"
-}  # without such items a document has no section for them, as before this kind existed
+# Kinds that have no section in a document without such items, as before these kinds existed.
+KINDS_OMITTED_WHEN_EMPTY = {"tenants"}
 SINGLETONS = {"limits": "door", "marks": "operator"}  # kind with a single item -> that item's name
 LIMITS_KEY = "limits/door"
 OPERATOR_KEY = "marks/operator"
--- a/iriswheel/transport/messages/load.py
+++ b/iriswheel/transport/messages/load.py
@@ -4,7 +4,7 @@
 
 import iriswheel.transport.messages.base as message_base
 
-# Worker, requests running there, prompt tokens that it has not read yet, suspicion in percent.
+# Worker id, requests running there, prompt tokens that it has not read yet, suspicion that it is faulty in percent.
 LoadRow: typing.TypeAlias = tuple[str, int, int, int]
 
 
