--- a/iriswheel/transport/messages/membership.py
+++ b/iriswheel/transport/messages/membership.py
@@ -132,14 +132,12 @@
     listing: WorkerListing | None
     active: list[tuple[str, message_base.Term]]  # role assignments that their holders have taken up: key, term
     membership: Membership | None
-    contested: list[tuple[str, message_base.Term]] = msgspec.field(
-        default_factory=list
-    )  # role assignments whose holder met a newer term than its own: key, term
+    # role assignments whose holder met a newer term than its own: key, term
+    contested: list[tuple[str, message_base.Term]] = msgspec.field(default_factory=list)
     listing_unchanged: ListingUnchanged | None = None
     sent_at: int = 0  # sending time on the core machine's clock, in µs; the tail sends it back
-    leases: list[tuple[str, int, int]] = msgspec.field(
-        default_factory=list
-    )  # node, log index that it has applied, remaining time for which it may hold a lease (µs)
+    # node, log index that it has applied, remaining time for which it may hold a lease (µs)
+    leases: list[tuple[str, int, int]] = msgspec.field(default_factory=list)
 
 
 class TailHeartbeat(message_base.Message, tag="Beat", frozen=True):
--- a/iriswheel/transport/messages/pools.py
+++ b/iriswheel/transport/messages/pools.py
@@ -113,12 +113,10 @@
     pool: str
     node: str
     attempt_ids: list[str]
-    reachable_workers: list[str] = msgspec.field(
-        default_factory=list
-    )  # workers from which the node received anything in the last second
-    abandoned_attempts: list[str] = msgspec.field(
-        default_factory=list
-    )  # attempts that the node recently gave up without sending them
+    # workers from which the node received anything in the last second
+    reachable_workers: list[str] = msgspec.field(default_factory=list)
+    # attempts that the node recently gave up without sending them
+    abandoned_attempts: list[str] = msgspec.field(default_factory=list)
 
 
 class RecordsRequest(message_base.Message, tag="Gather", frozen=True):
@@ -139,9 +137,8 @@
     affinities: list[SessionRecord] = msgspec.field(default_factory=list)
     has_replica: bool = False  # whether the answering machine ever had a complete replica of the records
     claims_missing_us: int = 0  # remaining time for which earlier claims may be missing from the records
-    first_attempts: dict[str, int] = msgspec.field(
-        default_factory=dict
-    )  # first attempts that the answering node's retry budget counts: request id -> age in µs
+    # first attempts that the answering node's retry budget counts: request id -> age in µs
+    first_attempts: dict[str, int] = msgspec.field(default_factory=dict)
     retries: list[int] = msgspec.field(default_factory=list)  # ages in µs of the retries that the same budget counts
 
 
--- a/tests/outside.py
+++ b/tests/outside.py
@@ -159,9 +159,8 @@
     """A simulated fleet without load, which gets raw requests over plain connections."""
 
     def __init__(self) -> None:
-        self.requests: dict[
-            str, typing.Any
-        ] = {}  # the program's own requests to workers and platform, by method and path
+        # the program's own requests to workers and platform, by method and path
+        self.requests: dict[str, typing.Any] = {}
         self.cluster = simulated_cluster.SimulatedCluster(5, "small", long_rate=0, short_rate=0, conversations=0)
         self.cluster.probing = False
 
