--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -126,7 +126,7 @@
 def bind(
     reactor: epollreactor.EPollReactor,
     process_options: options.Options,
-    peers: wire.Listener,
+    peers: wire.ConnectionFactory,
     http: http_server.Server,
     ready: http_server.Server | None = None,
 ) -> tcp.Port:
@@ -182,7 +182,7 @@
     except storage.DiskError as cause:
         fail(ExitCode.NO_START, [str(cause)])
     http = http_server.Server(runtime, make_handler(process), connection_limit=process_options.connections)
-    bind(reactor, process_options, wire.Listener(runtime, process.serve, log), http)
+    bind(reactor, process_options, wire.ConnectionFactory(runtime, process.serve, log), http)
     process.start()
     watch = options.OptionsWatch(runtime, path, read_options, process.reload_options)
     runtime.spawn(watch.run(), log)
@@ -216,15 +216,15 @@
         runtime,
         process.gateway.handle,
         connection_limit=process_options.connections,
-        formats=process.edge_protocol,
+        error_format=process.edge_protocol,
         limits=lambda: process.follower.limits,
     )
-    runtime.spawn(server.close_late_heads(), log)
+    runtime.spawn(server.close_overdue_heads(), log)
     handle_ready = process.gateway.handle if ready is None else ready(process)
     front = bind(
         reactor,
         process_options,
-        wire.Listener(runtime, process.serve, log),
+        wire.ConnectionFactory(runtime, process.serve, log),
         server,
         http_server.Server(runtime, handle_ready, connection_limit=READY_CONNECTION_LIMIT),
     )
--- a/iriswheel/configuration/differences.py
+++ b/iriswheel/configuration/differences.py
@@ -11,15 +11,15 @@
 
 from iriswheel.configuration import schema, validation
 
-CHANGE_PREFIX = "c"  # begins the id of a change, and never that of a plan
+CHANGE_PREFIX = "c"  # first letter of a change's id; a plan's id begins with a digit
 CHANGE_DIGEST_CHARACTERS = 16
 PLAN_DIGEST_CHARACTERS = 12
 
-ItemChange = tuple[str, schema.Item | None]  # a key with its new item; None removes it
+ItemChange = tuple[str, schema.Item | None]  # a key and its new item; None removes the item
 
 
 def difference(old: schema.Items, new: schema.Items) -> list[ItemChange]:
-    """The changes that lead from old items to new ones, by key.
+    """Return the changes that turn the old items into the new ones, sorted by key.
 
     >>> difference({"a": {"cap": 1}, "b": {"cap": 2}}, {"b": {"cap": 3}, "c": {"cap": 4}})
     [('a', None), ('b', {'cap': 3}), ('c', {'cap': 4})]
@@ -45,25 +45,25 @@
 
 
 def amend(document: schema.Document, upsert: object, remove: object) -> schema.Document:
-    """A document with items put in or replaced, and others removed.
+    """Return a copy of a document with some items added or replaced, and others removed.
 
     Args:
-        document: The document, which stays as it is.
-        upsert: From the operator's JSON: items by kind and name.
-        remove: From the operator's JSON: lists of names by kind. Unknown names are ignored.
+        document: The document, which is not modified.
+        upsert: Items to add or replace, by kind and name, from the operator's JSON.
+        remove: Lists of names of items to remove, by kind, from the operator's JSON. Unknown names are ignored.
 
     Raises:
-        InvalidConfigurationError: one of the two has another form.
+        InvalidConfigurationError: `upsert` or `remove` has another form.
 
     >>> amend({"pools": {"a": {}, "b": {}}}, {"pools": {"c": {"cap": 3}}}, {"pools": ["a"]})
     {'pools': {'b': {}, 'c': {'cap': 3}}}
     """
     if not isinstance(upsert, dict) or not all(isinstance(section, dict) for section in upsert.values()):
-        raise validation.InvalidConfigurationError(["upsert: wants items by kind and name"])
+        raise validation.InvalidConfigurationError(["upsert: must be an object of items by kind and name"])
     if not isinstance(remove, dict) or not all(
         isinstance(names, list) and all(isinstance(name, str) for name in names) for names in remove.values()
     ):
-        raise validation.InvalidConfigurationError(["remove: wants lists of names by kind"])
+        raise validation.InvalidConfigurationError(["remove: must be an object of lists of names by kind"])
     amended = {kind: dict(section) for kind, section in document.items()}
     for kind, names in remove.items():
         for name in names:
@@ -74,12 +74,12 @@
 
 
 def change_id(number: int, built_on: int, content: dict[str, typing.Any] | list[typing.Any]) -> str:
-    """The id of a numbered change, which is the same whenever the change is sent again.
+    """Return the id of a numbered change, which stays the same when the operator sends the change again.
 
     Args:
         number: The operator's number of the new configuration.
         built_on: The operator's number of the configuration that it replaces.
-        content: What the operator sent.
+        content: The change as the operator sent it.
 
     >>> change_id(7, 5, {"remove": {}})
     'c5-7-2f63a8da44f9e5d5'
@@ -90,7 +90,7 @@
 
 
 def change_number(identifier: str) -> int:
-    """The operator's number in a change's id; 0 for the id of a plan.
+    """Return the operator's number in the id of a change, or 0 for the id of a plan.
 
     >>> change_number("c5-7-2f63a8da44f9e5d5"), change_number("3-ca06da3a935a")
     (7, 0)
@@ -100,7 +100,7 @@
 
 
 def plan_id(base: int, changes: collections.abc.Sequence[ItemChange]) -> str:
-    """The id of a plan: its base version and a digest of its changes.
+    """Return the id of a plan: its base version and a digest of its changes.
 
     >>> plan_id(3, [("a", None)])
     '3-ca06da3a935a'
@@ -110,11 +110,11 @@
 
 
 def describe(old: schema.Items, changes: collections.abc.Iterable[ItemChange]) -> dict[str, list[str]]:
-    """What a plan will do, for the operator to read.
+    """Return a summary of a plan's effects, for the operator.
 
     Returns:
-        Keys of items that are `added`, `changed` and `removed`; the `pools` whose requests the plan concerns; and
-        the pools of which it `closes_sessions_of`.
+        The keys of items that are `added`, `changed` and `removed`; the `pools` whose requests the plan affects; and
+        under `closes_sessions_of` the pools whose sessions it closes.
 
     >>> describe({}, [("pools/desk", {})])["added"]
     ['pools/desk']
@@ -123,17 +123,17 @@
     changed: list[str] = []
     removed: list[str] = []
     new = dict(old)
-    touched = set()
+    changed_keys = set()
     for key, item in changes:
-        touched.add(key)
+        changed_keys.add(key)
         if item is None:
             removed.append(key)
             new.pop(key, None)
         else:
             (changed if key in old else added).append(key)
             new[key] = item
-    pools = {key.removeprefix("pools/") for key in touched if key.startswith("pools/")}
-    pools |= pools_of_routes(old, touched) | pools_of_routes(new, touched)
+    pools = {key.removeprefix("pools/") for key in changed_keys if key.startswith("pools/")}
+    pools |= pools_of_routes(old, changed_keys) | pools_of_routes(new, changed_keys)
     return {
         "added": added,
         "changed": changed,
@@ -143,8 +143,8 @@
     }
 
 
-def pools_of_routes(items: schema.Items, touched: set[str]) -> set[str]:
-    """The pools of those routes that are touched, or whose terms are.
+def pools_of_routes(items: schema.Items, changed_keys: set[str]) -> set[str]:
+    """Return the pools of the routes whose own item or terms are among the changed keys.
 
     >>> pools_of_routes({"routes/r": {"path": "/", "pool": "p"}}, {"terms/default"})
     {'p'}
@@ -155,6 +155,6 @@
             continue
         used = {key, f"terms/{item.get('terms', 'default')}"}
         used |= {f"terms/{terms}" for terms in item.get("requesters", {}).values()}
-        if used & touched:
+        if used & changed_keys:
             pools |= {share["pool"] for share in item.get("split", [])} | {item["pool"]}
     return pools
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -242,7 +242,7 @@
         self.chain.install(view)
         self.node_reports.report_now.wake()
         self.tail_service.heartbeat_now.wake()
-        self.peers.keep(self.consensus.addresses())
+        self.peers.close_all_except(self.consensus.addresses())
 
     def _wake_senders(self) -> None:
         """Wake the node sessions and the heartbeats to other core machines, so that they send new state."""
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -75,7 +75,7 @@
 
     def is_established(self) -> bool:
         """Whether the lease was renewed on this session within wire.TIMEOUT_US."""
-        return self._leased_within(wire.TIMEOUT_US)
+        return self._leased_within(wire.SILENCE_TIMEOUT_US)
 
     def has_recent_contact(self) -> bool:
         """Whether the lease was renewed on this session within RECENT_CONTACT_US, as reported to peers."""
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -149,7 +149,7 @@
         self.startup.update()
         # connections to core machines stay too: a new pool owner may be waiting for an answer on one
         members = {(member.host, member.port) for member in self.follower.membership.members}
-        self.peers.keep(members | set(self.follower.core_zones()))
+        self.peers.close_all_except(members | set(self.follower.core_zones()))
 
     async def _run_upkeep(self) -> None:
         """Every REPORT_INTERVAL_US, report roles and grants and remove expired state; one task."""
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -1,7 +1,8 @@
-"""Half of a fleet's processes speak through the frozen messages of e746a15, and the fleet goes on serving.
+"""A fleet serves while half of its processes run an earlier version: that of commit e746a15.
 
-Every frame that such a process sends or gets is read and written by the frozen messages first. One that does not
-come out byte for byte is dropped, as a process of that version could not have taken it, and the test fails.
+The processes of the earlier version are simulated by its frozen messages: each frame that such a process sends or
+receives is first decoded and encoded by them. A frame that does not come out byte for byte is dropped, since a process
+of that version could not have read it, and the test fails.
 """
 
 import collections
@@ -19,8 +20,10 @@
 from tests import frozen_codec, recorded
 
 
-def filtered(name: str, old: set[str], codec: frozen_codec.FrozenCodec) -> typing.Callable[..., None]:
-    """A connection's method that drops the frames which an old process could not have said or read."""
+def method_dropping_mismatched_frames(
+    name: str, old: set[str], codec: frozen_codec.FrozenCodec
+) -> typing.Callable[..., None]:
+    """Wrap a method of connections so that it drops frames which an old process could not have sent or read."""
     original = getattr(wire.Connection, name)
 
     def method(connection: wire.Connection, raw: bytes) -> None:
@@ -32,16 +35,16 @@
 
 @contextlib.contextmanager
 def mixed_fleet(old: set[str]) -> collections.abc.Iterator[frozen_codec.FrozenCodec]:
-    """Let some processes of the simulator speak through the frozen messages."""
+    """Let the named simulated processes use the frozen messages."""
     codec = frozen_codec.FrozenCodec()
     with contextlib.ExitStack() as stack:
         for name in ("sendString", "stringReceived"):
-            instead = filtered(name, old, codec)
-            stack.enter_context(mock.patch.object(wire.Connection, name, instead))
+            replacement = method_dropping_mismatched_frames(name, old, codec)
+            stack.enter_context(mock.patch.object(wire.Connection, name, replacement))
         yield codec
 
 
-def test_each_recorded_frame_comes_out_unchanged() -> None:
+def test_each_recorded_frame_is_reencoded_unchanged_by_the_frozen_messages() -> None:
     codec = frozen_codec.FrozenCodec()
     for record in recorded.load("wire.json")["messages"].values():
         for sample in record.values():
@@ -61,8 +64,8 @@
         frozen_codec.FrozenCodec().repeat(bytes.fromhex(text))
 
 
-def play(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Changes, and a core machine, a node and the pool's owner that end and come back."""
+def run_with_changes_and_restarts(cluster: simulated_cluster.SimulatedCluster) -> None:
+    """Make changes, and kill and restart two core machines and the pool's owner."""
     cluster.begin()
     actions.confirm_changes(cluster, 6, 3)
     cluster.advance(6)
@@ -83,10 +86,10 @@
         pytest.param({"c2", "c3", "n4", "n5", "n6"}, 6, id="the other half"),
     ],
 )
-def test_half_of_the_fleet_speaks_by_the_messages_of_e746a15(old: set[str], seed: int) -> None:
+def test_a_fleet_serves_while_half_of_its_processes_use_the_messages_of_e746a15(old: set[str], seed: int) -> None:
     cluster = simulated_cluster.SimulatedCluster(seed, "magnolia", seconds=50)
     with mixed_fleet(old) as codec:
-        play(cluster)
+        run_with_changes_and_restarts(cluster)
     assert codec.failures == []
     assert replay.judge(cluster.event_log.rows) == {}
     kinds = collections.Counter(row["kind"] for row in cluster.event_log.rows)
