--- a/simulation/disk_model.py
+++ b/simulation/disk_model.py
@@ -69,15 +69,17 @@
         if self.host.disk == "full":
             self.process.call(lambda: synced.errback(storage.DiskError("No space is left.")))
             return
-        trap, self.host.trap = self.host.trap, None
-        if trap == "before sync":
-            self.host.spring(trap)
+        power_loss_step, self.host.power_loss_step = self.host.power_loss_step, None
+        if power_loss_step == "before sync":
+            self.host.lose_power_at_step(power_loss_step)
             return
         self.write(writes)
-        if trap == "after sync":
-            self.host.spring(trap)
+        if power_loss_step == "after sync":
+            self.host.lose_power_at_step(power_loss_step)
             return
         self.process.call(lambda: synced.callback(None))
-        if trap is not None:
+        if power_loss_step is not None:
             delay = self.process.world.rng.randrange(TRAP_DELAY_US)
-            self.process.world.push(self.process.world.time + delay, lambda: self.host.spring(trap))
+            self.process.world.push(
+                self.process.world.time + delay, lambda: self.host.lose_power_at_step(power_loss_step)
+            )
--- a/simulation/host_model.py
+++ b/simulation/host_model.py
@@ -28,8 +28,8 @@
         self.slow_us = 400_000  # what each sync takes more on a slow disk
         self.time_of_day_error = 0  # microseconds by which the time of day has jumped
         self.held: collections.deque[world.Callback] = collections.deque()  # writes held up by a stalled disk
-        self.trap: WriteStep | None = None  # at which step of the next write power is lost
-        self.trap_sprung: WriteStep | None = None
+        self.power_loss_step: WriteStep | None = None  # at which step of the next write power is lost
+        self.power_lost_at_step: WriteStep | None = None
         simulated_world.machines[host] = self
 
     def fail(self) -> None:
@@ -46,10 +46,10 @@
                     side.state = "closed"
                     connection.forget()
 
-    def spring(self, trap: WriteStep) -> None:
+    def lose_power_at_step(self, power_loss_step: WriteStep) -> None:
         """Lose power at a chosen step of a write."""
         if self.power:
-            self.trap_sprung = trap
+            self.power_lost_at_step = power_loss_step
             self.fail()
 
     def time_of_day(self) -> int:
--- a/simulation/scenarios/disks.py
+++ b/simulation/scenarios/disks.py
@@ -44,13 +44,13 @@
         cluster.advance(4)
         target = _core_at(cluster, position) or actions.some_core(cluster)
         host = target.process.host
-        host.trap = cluster.rng.choice(["before sync", "after sync", "after answer"])
+        host.power_loss_step = cluster.rng.choice(["before sync", "after sync", "after answer"])
         change = actions.begin_change(cluster)
         if _loses_power(cluster, host, 5):
-            cluster.fault(f"power {host.trap_sprung}", target.options.name)
+            cluster.fault(f"power {host.power_lost_at_step}", target.options.name)
             if cluster.rng.random() < 0.4:
                 host.synced.clear()
-        host.trap = None
+        host.power_loss_step = None
         cluster.advance(2 + cluster.rng.random() * 4)
         if not host.power:
             actions.restart(cluster, target.options.name)
