--- a/simulation/disk_model.py
+++ b/simulation/disk_model.py
@@ -64,7 +64,7 @@
         if not self.process.alive:
             return
         if self.host.disk == "stalled":
-            self.host.held.append(lambda: self._sync(writes, synced))
+            self.host.stalled_writes.append(lambda: self._sync(writes, synced))
             return
         if self.host.disk == "full":
             self.process.call(lambda: synced.errback(storage.DiskError("No space is left.")))
--- a/simulation/host_model.py
+++ b/simulation/host_model.py
@@ -27,7 +27,7 @@
         self.disk: DiskCondition = "ok"
         self.slow_us = 400_000  # what each sync takes more on a slow disk
         self.time_of_day_error = 0  # microseconds by which the time of day has jumped
-        self.held: collections.deque[world.Callback] = collections.deque()  # writes held up by a stalled disk
+        self.stalled_writes: collections.deque[world.Callback] = collections.deque()  # writes held up by a stalled disk
         self.power_loss_step: WriteStep | None = None  # at which step of the next write power is lost
         self.power_lost_at_step: WriteStep | None = None
         simulated_world.machines[host] = self
@@ -35,7 +35,7 @@
     def fail(self) -> None:
         """Lose power: all processes end, and no peer is told."""
         self.power = False
-        self.held.clear()
+        self.stalled_writes.clear()
         for process in self.world.processes.values():
             if process.host is self:
                 process.alive = False
@@ -74,6 +74,6 @@
     def repair(self) -> None:
         """Let a full, slow or stalled disk work again, and carry out the writes that it held up."""
         self.disk = "ok"
-        held, self.held = self.held, collections.deque()
-        for write in held:
+        stalled_writes, self.stalled_writes = self.stalled_writes, collections.deque()
+        for write in stalled_writes:
             self.world.push(self.world.time + REPAIR_US, write)
