--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -112,7 +112,7 @@
 
 def _cut(cluster: hollow_fleet.Fleet) -> None:
     """A third of the nodes is cut off from the core and from the rest for ten seconds."""
-    some = [node.process.host.host for node in cluster.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
+    some = [node.process.host.address for node in cluster.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
     rest = [host for host in cluster.world.machines if host not in some]
     cluster.world.cut(some, rest)
     cluster.advance(CUT_S)
--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -322,7 +322,7 @@
     core_hosts = {deployment.places[name].host for name in deployment.cores}
     struck: set[str] = set()
     for connection in list(deployment.world.connections.values()):
-        hosts = {side.process.host.host for side in connection.sides}
+        hosts = {side.process.host.address for side in connection.sides}
         if hosts & core_hosts and deployment.rng.random() < 0.5:
             struck |= {names[host] for host in hosts if host in names}
             for side in connection.sides:
--- a/simulation/host_model.py
+++ b/simulation/host_model.py
@@ -20,8 +20,8 @@
     True
     """
 
-    def __init__(self, simulated_world: world.World, host: str, zone: str) -> None:
-        self.world, self.host, self.zone = simulated_world, host, zone
+    def __init__(self, simulated_world: world.World, address: str, zone: str) -> None:
+        self.world, self.address, self.zone = simulated_world, address, zone
         self.power = True
         self.synced: dict[bytes, bytes] = {}
         self.disk: DiskCondition = "ok"
@@ -30,7 +30,7 @@
         self.stalled_writes: collections.deque[world.Callback] = collections.deque()  # writes held up by a stalled disk
         self.power_loss_step: WriteStep | None = None  # at which step of the next write power is lost
         self.power_lost_at_step: WriteStep | None = None
-        simulated_world.machines[host] = self
+        simulated_world.machines[address] = self
 
     def fail(self) -> None:
         """Lose power: all processes end, and no peer is told."""
--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -100,7 +100,7 @@
         """Send the opening packet, again and again while the network is cut."""
         if self.done or not self.process.alive:
             return
-        here = self.process.host.host
+        here = self.process.host.address
         if self.world.refused_zone_links and self.world.is_refused(here, self.host):
             refused_at = self.world.time + world.NEAR_US
             self.world.push(refused_at, lambda: self.process.call(lambda: self.fail(error.ConnectionRefusedError())))
@@ -114,7 +114,7 @@
         """The opening packet has arrived: the far kernel accepts or refuses it."""
         if self.done or not self.process.alive:
             return
-        here = self.process.host.host
+        here = self.process.host.address
         far = self._listener()
         if not self.world.is_open(self.host, here):
             self.world.push(self.world.time + world.RESEND_US, self.send_syn)
@@ -127,7 +127,7 @@
 
     def _listener(self) -> process_model.SimulatedProcess | None:
         for process in self.world.processes.values():
-            if process.alive and process.host.host == self.host and self.port in process.ports:
+            if process.alive and process.host.address == self.host and self.port in process.ports:
                 return process
         return None
 
@@ -153,7 +153,7 @@
         if self.port not in far.ports:
             side.reset()
             return
-        far_protocol = far.ports[self.port].buildProtocol(address.IPv4Address("TCP", self.process.host.host, 1))
+        far_protocol = far.ports[self.port].buildProtocol(address.IPv4Address("TCP", self.process.host.address, 1))
         if far_protocol is None:
             side.abortConnection()
         else:
@@ -240,11 +240,11 @@
 
     def getPeer(self) -> address.IPv4Address:
         """The address of the other side."""
-        return address.IPv4Address("TCP", self.peer.process.host.host, self.port)
+        return address.IPv4Address("TCP", self.peer.process.host.address, self.port)
 
     def getHost(self) -> address.IPv4Address:
         """The address of this side."""
-        return address.IPv4Address("TCP", self.process.host.host, self.port)
+        return address.IPv4Address("TCP", self.process.host.address, self.port)
 
     def setTcpNoDelay(self, on: bool) -> None:
         """Do nothing: segments are sent at once."""
@@ -350,7 +350,7 @@
 
     def flush(self) -> None:
         """Send what was written, if the network is not cut."""
-        here, there = self.process.host.host, self.peer.process.host.host
+        here, there = self.process.host.address, self.peer.process.host.address
         if not self.outgoing or not self.world.is_open(here, there):
             return
         outgoing, self.outgoing = self.outgoing, []
@@ -366,7 +366,7 @@
             return
         if not self.process.host.power:
             return
-        if not self.world.is_open(self.peer.process.host.host, self.process.host.host):
+        if not self.world.is_open(self.peer.process.host.address, self.process.host.address):
             if self.peer.aborted:
                 return  # nobody is left to send it again
             self.peer.outgoing = sorted([*self.peer.outgoing, segment], key=lambda waiting: waiting.number)
@@ -409,7 +409,7 @@
 
     def send_reset(self) -> None:
         """Tell the peer that the connection is lost, if the network is not cut."""
-        here, there = self.process.host.host, self.peer.process.host.host
+        here, there = self.process.host.address, self.peer.process.host.address
         if self.world.is_open(here, there):
             at = max(self.last_arrival_at, self.world.time + self.world.delay(here, there))
             self.world.push(at, lambda: self.peer.process.call(lambda: self.peer.close(error.ConnectionLost())))
--- a/simulation/reactor_model.py
+++ b/simulation/reactor_model.py
@@ -24,7 +24,7 @@
 
     def getHost(self) -> address.IPv4Address:
         """The address that is listened on."""
-        return address.IPv4Address("TCP", self.reactor.process.host.host, self.port)
+        return address.IPv4Address("TCP", self.reactor.process.host.address, self.port)
 
 
 class Reactor:
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -45,7 +45,7 @@
     ) -> None:
         super().__init__(runtime, identifier, events)
         self.process = process
-        self.host = process.host.host
+        self.host = process.host.address
 
 
 class NewServer(typing.NamedTuple):
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -218,7 +218,7 @@
         names = {self.site.places[name].host: name for name in [*self.site.nodes, *self.site.cores]}
         struck: set[str] = set()
         for connection in list(self.world.connections.values()):
-            ends = [names.get(side.process.host.host, "") for side in connection.sides]
+            ends = [names.get(side.process.host.address, "") for side in connection.sides]
             if all(ends) and self.site.rng.random() < share:
                 struck.update(ends)
                 for side in connection.sides:
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -75,7 +75,7 @@
             cold_bounds=cold_bounds,
         )
         self.process = process
-        self.host, self.zone = process.host.host, process.host.zone
+        self.host, self.zone = process.host.address, process.host.zone
 
 
 class Site(deployment.Deployment):
--- a/simulation/site/zone_faults.py
+++ b/simulation/site/zone_faults.py
@@ -115,7 +115,7 @@
             hosts = [side.process.host for side in connection.sides]
             zones = (hosts[0].zone, hosts[1].zone)
             if zones in links or zones[::-1] in links:
-                struck.update(names[host.host] for host in hosts if host.host in names)
+                struck.update(names[host.address] for host in hosts if host.address in names)
                 for side in connection.sides:
                     side.reset()
         self.site.faults.note_reset(struck)
--- a/tests/test_worker_reach.py
+++ b/tests/test_worker_reach.py
@@ -41,7 +41,7 @@
         number = self.workers_started
         host = host_model.Host(self.world, f"10.0.3.{number}", "a")
         process_model.SimulatedProcess(self.world, f"w{number}", host)
-        self.follower.workers.append(message.Worker(f"i-{number}", host.host, 80, "desk", "ready", 0))
+        self.follower.workers.append(message.Worker(f"i-{number}", host.address, 80, "desk", "ready", 0))
         self.set_zone(zone)
 
     def set_zone(self, zone: str) -> None:
--- a/tests/test_zone_cuts.py
+++ b/tests/test_zone_cuts.py
@@ -160,7 +160,7 @@
     def set_up(self) -> None:
         self.world = world.World(1)
         hosts = [host_model.Host(self.world, host, zone) for host, zone in (("h1", "a"), ("h2", "b"), ("h3", "far"))]
-        self.processes = [process_model.SimulatedProcess(self.world, host.host, host) for host in hosts]
+        self.processes = [process_model.SimulatedProcess(self.world, host.address, host) for host in hosts]
         for process in self.processes:
             process.reactor.listenTCP(80, Listener())
 
