--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -272,7 +272,7 @@
         """Send bytes; a producer that is further ahead of its reader than the window is paused."""
         self.enqueue(bytes(data))
         self.bytes_in_flight += len(data)
-        if self.world.held_writes:
+        if self.world.sends_writes_after_turn:
             self.world.push(self.world.time, self.send_held)
         else:
             self.flush()
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -104,7 +104,7 @@
         """
         super().__init__(seed)
         self.shape = shapes.SHAPES[shape]
-        self.world.held_writes = True
+        self.world.sends_writes_after_turn = True
         self.event_log = event_log.EventLog()
         self.seconds, self.load = seconds, load
         self.engine_parameters = engine_parameters or inference_engine.EngineParameters(**self.shape.engine_parameters)
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -71,7 +71,9 @@
         self.refused_zone_links: set[tuple[str, str]] = set()  # of those, the ones that refuse new connections at once
         self.slow: dict[str, int] = {}  # host -> extra delay each way, microseconds
         self.loss: dict[str, float] = {}  # host -> share of its packets that are lost and sent again
-        self.held_writes = False  # whether what is written waits for the process's next turn, and dies with it
+        self.sends_writes_after_turn = (
+            False  # whether what is written waits for the process's next turn, and dies with it
+        )
         self.connections: dict[int, network_model.SimulatedConnection] = {}  # by identifier, in the order opened
         self.next_connection = 0
         self.meter: Meter | None = None  # set while processor time and traffic are counted
