--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -266,7 +266,7 @@
             return
         if self.world.meter is not None:
             self.world.meter.count(self.process.name, self.peer.process.name, len(data))
-        self.world.play(NETWORK, self.put, data)
+        self.world.call_metered(NETWORK, self.put, data)
 
     def put(self, data: bytes) -> None:
         """Send bytes; a producer that is further ahead of its reader than the window is paused."""
--- a/simulation/process_model.py
+++ b/simulation/process_model.py
@@ -48,7 +48,7 @@
     def call(self, function: world.Callback) -> None:
         """Run a function in this process, now or when it wakes."""
         if self.may_run(function):
-            self.world.play(self, function)
+            self.world.call_metered(self, function)
 
     def kill(self) -> None:
         """End the process at once; its host's kernel resets its connections."""
--- a/simulation/virtual_timer.py
+++ b/simulation/virtual_timer.py
@@ -77,4 +77,4 @@
         if self.process is not None and not self.process.may_run(self._fire):
             return
         self.state = "done"
-        self.world.play(self.process, self.function, *self.arguments)
+        self.world.call_metered(self.process, self.function, *self.arguments)
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -98,7 +98,7 @@
             event.function()
         self.time = max(self.time, until)
 
-    def play(
+    def call_metered(
         self,
         account: Account | None,
         function: Callback,
@@ -106,7 +106,7 @@
     ) -> None:
         """Call a function now, and charge its processor time to an account where a meter is set.
 
-        >>> World(1).play(None, print, "x")
+        >>> World(1).call_metered(None, print, "x")
         x
         """
         if self.meter is None or account is None:
