--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -213,7 +213,7 @@
 
     def heal() -> None:
         deployment.world.cuts -= pairs
-        deployment.world.retry()
+        deployment.world.resend_all()
         deployment.faults.note_repair(name, "cut")
 
     deployment.schedule(seconds, heal)
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -208,7 +208,7 @@
 
         def heal() -> None:
             self.world.cuts = {pair for pair in self.world.cuts if host not in pair}
-            self.world.retry()
+            self.world.resend_all()
             self.note_repair(name, "cut")
 
         self.site.schedule(seconds, heal)
--- a/simulation/site/zone_faults.py
+++ b/simulation/site/zone_faults.py
@@ -103,7 +103,7 @@
         def join() -> None:
             self.world.zone_cuts.difference_update(cut_links)
             self.world.refused_zone_links.difference_update(cut_links)
-            self.world.retry()
+            self.world.resend_all()
             self.site.event_log.put(self.world.time, "zones_joined", cut=name)
 
         self.site.schedule(seconds, join)
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -177,9 +177,9 @@
     def heal(self) -> None:
         """Remove all cuts; data that was held up is sent again after the time of a TCP resend."""
         self.cuts.clear()
-        self.retry()
+        self.resend_all()
 
-    def retry(self) -> None:
+    def resend_all(self) -> None:
         """Let all connections resend what they hold, as TCP does."""
         for connection in list(self.connections.values()):
             for side in connection.sides:
