--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -336,8 +336,8 @@
     def lose(name: str) -> int:
         host = day.site.places[name].host
         day.site.faults.note_fault(name, "slow")
-        day.site.world.slow[host] = SLOW_LINK_US
-        day.site.schedule(8, day.site.world.slow.pop, host, None)
+        day.site.world.extra_delay_us[host] = SLOW_LINK_US
+        day.site.schedule(8, day.site.world.extra_delay_us.pop, host, None)
         day.site.schedule(8, day.site.faults.note_repair, name, "slow")
         return 8
 
--- a/simulation/scenarios/network.py
+++ b/simulation/scenarios/network.py
@@ -131,12 +131,12 @@
 
 def slow_link(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A node's link and a core's link grow slow."""
-    _impair_links(cluster, "slow", cluster.world.slow, lambda: 80_000 + cluster.rng.randrange(120_000))
+    _impair_links(cluster, "slow", cluster.world.extra_delay_us, lambda: 80_000 + cluster.rng.randrange(120_000))
 
 
 def lossy_link(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A node's link and a core's link lose a fifth of all packets."""
-    _impair_links(cluster, "lossy", cluster.world.loss, lambda: 0.2)
+    _impair_links(cluster, "lossy", cluster.world.loss_share, lambda: 0.2)
 
 
 def _impair_links(
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -238,11 +238,11 @@
         ]
         for name in names:
             self.note_fault(name, "lossy")
-            self.world.loss[self.site.places[name].host] = share
+            self.world.loss_share[self.site.places[name].host] = share
 
         def recover() -> None:
             for name in names:
-                self.world.loss.pop(self.site.places[name].host, None)
+                self.world.loss_share.pop(self.site.places[name].host, None)
                 self.note_repair(name, "lossy")
 
         self.site.schedule(seconds, recover)
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -69,8 +69,8 @@
         self.cuts: set[tuple[str, str]] = set()  # (host, host): what the first sends does not reach the second
         self.zone_cuts: set[tuple[str, str]] = set()  # (zone, zone): likewise for all hosts of two zones
         self.refused_zone_links: set[tuple[str, str]] = set()  # of those, the ones that refuse new connections at once
-        self.slow: dict[str, int] = {}  # host -> extra delay each way, microseconds
-        self.loss: dict[str, float] = {}  # host -> share of its packets that are lost and sent again
+        self.extra_delay_us: dict[str, int] = {}  # host -> extra delay each way, microseconds
+        self.loss_share: dict[str, float] = {}  # host -> share of its packets that are lost and sent again
         self.sends_writes_after_turn = (
             False  # whether what is written waits for the process's next turn, and dies with it
         )
@@ -147,9 +147,15 @@
             return LOOPBACK_US
         zones = (self.zone(sender), self.zone(receiver))
         base = FAR_US if "far" in zones else NEAR_US if zones[0] == zones[1] else ZONE_LATENCY_US
-        loss = max(self.loss.get(sender, 0), self.loss.get(receiver, 0))
+        loss = max(self.loss_share.get(sender, 0), self.loss_share.get(receiver, 0))
         resend = RESEND_US if loss and self.rng.random() < loss else 0
-        return base + self.rng.randrange(base // 4) + self.slow.get(sender, 0) + self.slow.get(receiver, 0) + resend
+        return (
+            base
+            + self.rng.randrange(base // 4)
+            + self.extra_delay_us.get(sender, 0)
+            + self.extra_delay_us.get(receiver, 0)
+            + resend
+        )
 
     def zone(self, host: str) -> str:
         """The zone of a host; "far" for one outside the cluster.
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -433,7 +433,7 @@
         host.synced.clear()
         cluster.advance(3)
         host.disk, host.slow_us = "slow", SLOW_SYNC_US
-        cluster.world.loss[host.address] = 0.05
+        cluster.world.loss_share[host.address] = 0.05
         caught_up, longest_gap = self.catch_up(cluster, name)
         assert caught_up < 4
         assert longest_gap < 3
