--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -218,7 +218,7 @@
         self.aborted = False
         self.outgoing: list[Segment] = []  # not yet on the network
         self.last_number = 0
-        self.early: dict[int, bytes | None] = {}  # segments that arrived before one that was held up
+        self.out_of_order: dict[int, bytes | None] = {}  # segments that arrived before one that was held up
         self.expected_number = 1
         self.bytes_in_flight = 0  # written here and not yet read by the peer
         self.last_arrival_at = 0
@@ -236,7 +236,7 @@
             return
         self.peer_protocol = peer_protocol
         peer_protocol.makeConnection(self)
-        self.drain()
+        self.deliver()
 
     def getPeer(self) -> address.IPv4Address:
         """The address of the other side."""
@@ -330,7 +330,7 @@
     def resumeProducing(self) -> None:
         """Hand to the protocol what has arrived, from the process's next turn on."""
         self.paused = False
-        self.world.push(self.world.time, lambda: self.process.call(self.drain))
+        self.world.push(self.world.time, lambda: self.process.call(self.deliver))
 
     def stopProducing(self) -> None:
         """Close the connection: its consumer wants no more."""
@@ -371,13 +371,13 @@
                 return  # nobody is left to send it again
             self.peer.outgoing = sorted([*self.peer.outgoing, segment], key=lambda waiting: waiting.number)
             return
-        self.early[segment.number] = segment.data
-        while self.expected_number in self.early:
-            self.inbox.append(self.early.pop(self.expected_number))
+        self.out_of_order[segment.number] = segment.data
+        while self.expected_number in self.out_of_order:
+            self.inbox.append(self.out_of_order.pop(self.expected_number))
             self.expected_number += 1
-        self.process.call(self.drain)
+        self.process.call(self.deliver)
 
-    def drain(self) -> None:
+    def deliver(self) -> None:
         """Hand what arrived to the protocol, unless the protocol has paused this transport."""
         while self.inbox and self.peer_protocol is not None and self.state == "open" and not self.paused:
             data = self.inbox.popleft()
