--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -21,9 +21,9 @@
 
 NOT_RUN = (408, 421, 429, 503)  # the request has not run and never will
 FINAL = (400, 401, 404, 413, 431)
-HASTY_ATTEMPTS = 3  # times as many attempts of a hasty client
+EAGER_RETRY_FACTOR = 3  # times as many attempts of a hasty client
 RETRY_WAIT_US = 50 * units.MILLISECOND_US
-HASTY_RETRY_WAIT_US = 1
+EAGER_RETRY_WAIT_US = 1
 DEADLINE_SLACK_US = 50 * units.MILLISECOND_US
 IDLE_MARGIN_US = 200 * units.MILLISECOND_US
 MAX_BODY_BYTES = 200_000
@@ -112,11 +112,11 @@
         *,
         keep_alive: bool = True,
         chunked: bool = False,
-        hasty: bool = False,
+        retries_eagerly: bool = False,
     ) -> None:
         self.runtime, self.event_log, self.virtual_address = runtime, event_log, address
         self.name, self.zone = name, zone
-        self.keep_alive, self.chunked, self.hasty = keep_alive, chunked, hasty
+        self.keep_alive, self.chunked, self.retries_eagerly = keep_alive, chunked, retries_eagerly
         self.idle: dict[str, list[connection.ClientConnection]] = {}  # node -> its idle connections
         self.requests = 0
 
@@ -194,11 +194,11 @@
             return False
         if not (kind.is_idempotent or row["how"] == "unconnected" or (is_complete and code in NOT_RUN)):
             return False
-        return attempts <= kind.more_attempts * (HASTY_ATTEMPTS if self.hasty else 1)
+        return attempts <= kind.more_attempts * (EAGER_RETRY_FACTOR if self.retries_eagerly else 1)
 
     def _retry_wait_us(self, row: Row, until: int) -> int:
-        if self.hasty:
-            return HASTY_RETRY_WAIT_US
+        if self.retries_eagerly:
+            return EAGER_RETRY_WAIT_US
         if row["retry_after"] is None:
             return RETRY_WAIT_US
         return min(int(row["retry_after"] * units.SECOND_US), (until - self.runtime.now()) // 3)
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -314,7 +314,7 @@
             zone,
             keep_alive=number % 3 > 0,
             chunked=number % 4 == 1,
-            hasty=number % 7 == 6,
+            retries_eagerly=number % 7 == 6,
         )
 
     def note_core_movements(self, names: collections.abc.Iterable[str]) -> None:
