--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -194,7 +194,7 @@
             return False
         if not (kind.is_idempotent or row["how"] == "unconnected" or (is_complete and code in NOT_RUN)):
             return False
-        return attempts <= kind.more_attempts * (EAGER_RETRY_FACTOR if self.retries_eagerly else 1)
+        return attempts <= kind.max_retries * (EAGER_RETRY_FACTOR if self.retries_eagerly else 1)
 
     def _retry_wait_us(self, row: Row, until: int) -> int:
         if self.retries_eagerly:
--- a/simulation/clients/request_kinds.py
+++ b/simulation/clients/request_kinds.py
@@ -74,8 +74,8 @@
     aim_ms: int = 400
     pause_ms: int = 200
     deadline_ms: int = 5_000
-    sends: int = 2
-    more_attempts: int = 1
+    max_sends: int = 2
+    max_retries: int = 1
     value: float = 3.0
     late_value: float = 0.9
     share: float = 1.0
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -73,7 +73,7 @@
             names["aim_ms"]: kind.aim_ms,
             names["urgency"]: kind.urgency,
             names["pool"]: self.site.pool,
-            names["sends"]: kind.sends,
+            names["sends"]: kind.max_sends,
             names["pinned"]: True,
             names["resumable"]: kind.resumable,
         }
