--- a/simulation/clients/request_kinds.py
+++ b/simulation/clients/request_kinds.py
@@ -44,7 +44,7 @@
         name: Its name in the event log.
         host: The host that requests name.
         path: The path of the route.
-        sort: Whether an answer is a stream; otherwise whether a request may run more than once.
+        category: Whether an answer is a stream; otherwise whether a request may run more than once.
         resumable: Whether a stream may be resumed after its last event.
         urgency: The urgency of the route.
         aim_ms: Within what time the first bytes of an answer are worth the full value.
@@ -61,14 +61,14 @@
         event_tokens: Tokens of an event.
         body_bytes: Mean length of the request's body.
 
-    >>> RequestKind("desk").sort
+    >>> RequestKind("desk").category
     'stream'
     """
 
     name: str
     host: str = "desk.example"
     path: str = "/desk/"
-    sort: typing.Literal["stream", "may", "once"] = "stream"
+    category: typing.Literal["stream", "may", "once"] = "stream"
     resumable: bool = False
     urgency: int = 0
     aim_ms: int = 400
@@ -88,12 +88,12 @@
     @property
     def is_stream(self) -> bool:
         """Whether its answer is a stream of events."""
-        return self.sort == "stream"
+        return self.category == "stream"
 
     @property
     def is_idempotent(self) -> bool:
         """Whether a client may send it again though it may have run."""
-        return self.sort == "may" or self.resumable
+        return self.category == "may" or self.resumable
 
 
 def draw(rng: random.Random, mean: float, spread: float, maximum: float = 1e9) -> int:
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -68,7 +68,7 @@
             names["name"]: name,
             names["host"]: kind.host,
             names["path"]: kind.path,
-            names["sort"]: platform_names.TERMS[kind.sort],
+            names["sort"]: platform_names.TERMS[kind.category],
             names["cutoff_ms"]: kind.deadline_ms,
             names["aim_ms"]: kind.aim_ms,
             names["urgency"]: kind.urgency,
@@ -77,7 +77,7 @@
             names["pinned"]: True,
             names["resumable"]: kind.resumable,
         }
-        if kind.sort == "stream":
+        if kind.category == "stream":
             route[names["pause_ms"]] = kind.pause_ms
         return route
 
--- a/simulation/site/shapes.py
+++ b/simulation/site/shapes.py
@@ -25,7 +25,7 @@
     body_bytes=34_000,
 )
 SHORT = request_kinds.RequestKind("phrase", host="short.example", path="/pufi/", resumable=True, share=86.0)
-DIRECT = request_kinds.RequestKind("direct", sort="may", deadline_ms=3_000, aim_ms=3_000, body_bytes=8)
+DIRECT = request_kinds.RequestKind("direct", category="may", deadline_ms=3_000, aim_ms=3_000, body_bytes=8)
 
 
 @dataclasses.dataclass
