--- a/simulation/clients/virtual_address.py
+++ b/simulation/clients/virtual_address.py
@@ -17,7 +17,7 @@
 
 CHECK_INTERVAL_US = units.SECOND_US
 CHECK_TIMEOUT_US = 900 * units.MILLISECOND_US
-MISSES_TO_LEAVE = 2  # in a row
+FAILED_CHECKS_TO_REMOVE = 2  # in a row
 
 Address = tuple[str, int]
 
@@ -38,7 +38,7 @@
     def __init__(self, runtime: scheduler.Runtime, event_log: event_log.EventLog) -> None:
         self.runtime, self.event_log = runtime, event_log
         self.nodes: dict[str, NodeAddresses] = {}
-        self.misses: dict[str, int] = {}  # name -> failed checks in a row
+        self.failed_checks: dict[str, int] = {}  # name -> failed checks in a row
 
     async def run(self) -> None:
         """Check all nodes each second."""
@@ -49,14 +49,14 @@
 
     async def check(self, name: str, host: str, port: int) -> None:
         """Check whether one node is ready."""
-        was_in = self.is_in(name)
+        received_before = self.receives_new_connections(name)
         ready = await self._is_ready(host, port)
         if name not in self.nodes:
             return
-        self.misses[name] = 0 if ready else self.misses.get(name, MISSES_TO_LEAVE) + 1
+        self.failed_checks[name] = 0 if ready else self.failed_checks.get(name, FAILED_CHECKS_TO_REMOVE) + 1
         self.event_log.put(self.runtime.now(), "asked", node=name, ok=ready)
-        if self.is_in(name) != was_in:
-            self.event_log.put(self.runtime.now(), "entry", node=name, into=not was_in)
+        if self.receives_new_connections(name) != received_before:
+            self.event_log.put(self.runtime.now(), "entry", node=name, into=not received_before)
 
     async def _is_ready(self, host: str, port: int) -> bool:
         try:
@@ -76,14 +76,14 @@
             return False
         return ready
 
-    def is_in(self, name: str) -> bool:
+    def receives_new_connections(self, name: str) -> bool:
         """Whether a node gets new connections."""
-        return self.misses.get(name, MISSES_TO_LEAVE) < MISSES_TO_LEAVE
+        return self.failed_checks.get(name, FAILED_CHECKS_TO_REMOVE) < FAILED_CHECKS_TO_REMOVE
 
     def zone_nodes(self, zone: str) -> list[str]:
         """The nodes that a zone's clients are passed to: its ready ones, or all of them where most are not ready."""
         names = [name for name in sorted(self.nodes) if self.nodes[name].zone == zone]
-        ready = [name for name in names if self.is_in(name)]
+        ready = [name for name in names if self.receives_new_connections(name)]
         if not ready:
             return []
         return ready if 2 * len(ready) >= len(names) else names
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -255,7 +255,9 @@
         for wait_ms in ROUTE_CHECK_WAITS_MS:
             await self.site.client_runtime.sleep(wait_ms * units.MILLISECOND_US)
             for name in sorted(
-                name for name in self.site.virtual_address.nodes if self.site.virtual_address.is_in(name)
+                name
+                for name in self.site.virtual_address.nodes
+                if self.site.virtual_address.receives_new_connections(name)
             ):
                 for path in paths:
                     self._check_route(name, path)
