--- a/simulation/rude_clients.py
+++ b/simulation/rude_clients.py
@@ -32,10 +32,10 @@
 BEHAVIOURS = tuple(REQUESTS)
 
 
-class RudeConnection(protocol.Protocol):
+class RecordingConnection(protocol.Protocol):
     """Keeps what comes back to a rude client.
 
-    >>> RudeConnection().received
+    >>> RecordingConnection().received
     []
     """
 
@@ -61,7 +61,7 @@
     """
     endpoint = endpoints.TCP4ClientEndpoint(runtime.reactor, host, port, timeout=CONNECT_TIMEOUT_SECONDS)
     try:
-        factory = protocol.Factory.forProtocol(RudeConnection)
+        factory = protocol.Factory.forProtocol(RecordingConnection)
         connection = await endpoint.connect(factory)  # type: ignore[arg-type]  # Twisted's is a zope interface
     except Exception:  # however the node can't be reached, there is nobody to be rude to
         return
