--- a/simulation/counter_cluster.py
+++ b/simulation/counter_cluster.py
@@ -31,7 +31,7 @@
         """Whether it was acknowledged."""
         return bool(self.outcome) and not self.outcome[0][1]
 
-    def is_open(self) -> bool:
+    def is_pending(self) -> bool:
         """Whether it has no answer yet."""
         return not self.outcome
 
@@ -46,7 +46,7 @@
         self.calls: list[Call] = []
         self.start(*MACHINES, founding=True)
 
-    def start_newcomer(self, name: str, host: str) -> None:
+    def start_additional_core(self, name: str, host: str) -> None:
         """Start a core machine that the seeds of the others don't name."""
         self.hosts[name] = host
         self.start(name)
@@ -115,7 +115,7 @@
         core.process.call(lambda: defer.ensureDeferred(run()))
         return call
 
-    def acknowledged(self, name: str, identifier: str, amount: int = 1, seconds: float = 1) -> Call:
+    def add_acknowledged(self, name: str, identifier: str, amount: int = 1, seconds: float = 1) -> Call:
         """Add at a machine, and wait for the acknowledgement."""
         call = self.add(name, identifier, amount)
         self.advance_until(lambda: call.outcome, seconds)
@@ -133,7 +133,7 @@
         """What all machines read."""
         return {self.read(name) for name in self.cores if self.cores[name].process.alive}
 
-    def owed(self) -> int:
+    def acknowledged_sum(self) -> int:
         """The sum of all that was acknowledged, each id once."""
         return sum({call.identifier: call.amount for call in self.calls if call.acknowledged}.values())
 
--- a/tests/test_counters_on_lost_disks.py
+++ b/tests/test_counters_on_lost_disks.py
@@ -18,7 +18,7 @@
 def test_machines_on_new_disks_read_nothing_before_they_hear_one_that_kept_its_disk(
     cluster: counter_cluster.CounterCluster, started: tuple[str, ...]
 ) -> None:
-    cluster.acknowledged("c1", "x", 4)
+    cluster.add_acknowledged("c1", "x", 4)
     cluster.advance(4)
     cluster.lose_power(*counter_cluster.MACHINES, wiped=WIPED)
     cluster.advance(1)
@@ -47,7 +47,7 @@
 def test_a_backlog_for_a_stalled_disk_refuses_no_add_that_enough_others_can_hold(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
-    cluster.acknowledged("c1", "before", 1)
+    cluster.add_acknowledged("c1", "before", 1)
     cluster.cut("c1", "c2")
     cluster.advance(1)
     for number in range(BACKLOG):
--- a/tests/test_replicated_counters.py
+++ b/tests/test_replicated_counters.py
@@ -59,24 +59,24 @@
     cluster.advance(1.5)
     assert all(call.acknowledged for call in cluster.calls)
     assert max(call.outcome[0][0] - call.started_at_us for call in cluster.calls) < AIM_US
-    assert cluster.sums() == {cluster.owed()} == {sum(range(200))}
+    assert cluster.sums() == {cluster.acknowledged_sum()} == {sum(range(200))}
     assert len(carried) == 200 * 4
 
 
 def test_a_repeat_at_the_same_and_at_another_machine_counts_once(cluster: counter_cluster.CounterCluster) -> None:
     cluster.add("c1", "x", 4)
-    cluster.acknowledged("c1", "x", 4)
-    cluster.acknowledged("c2", "x", 4)
+    cluster.add_acknowledged("c1", "x", 4)
+    cluster.add_acknowledged("c2", "x", 4)
     cluster.add("c3", "y", 7)
     cluster.advance(0.005)
-    again = cluster.acknowledged("c5", "y", 7)
+    again = cluster.add_acknowledged("c5", "y", 7)
     assert again.outcome[0][0] - again.started_at_us < AIM_US
     cluster.advance(1)
     assert cluster.sums() == {11}
 
 
 def test_a_repeat_is_acknowledged_no_sooner_than_a_new_add(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "before")
+    cluster.add_acknowledged("c1", "before")
     for name in ("c1", "c2", "c3", "c4"):
         host = cluster.cores[name].process.host
         host.disk, host.slow_us = "slow", 450 * units.MILLISECOND_US
@@ -91,7 +91,7 @@
 
 
 def test_both_sides_of_a_cut_go_on_and_agree_in_time_after_it(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "before", 100)
+    cluster.add_acknowledged("c1", "before", 100)
     cluster.cut("c1", "c2")
     cluster.add("c1", "at the cut", 1)
     cluster.add("c5", "on the other side", 2)
@@ -102,21 +102,21 @@
     for number in range(1500):
         cluster.add("c1" if number % 2 else "c4", f"cut-{number}", 1)
         cluster.advance(0.005)
-    cluster.acknowledged("c2", "at both", 5)
-    cluster.acknowledged("c3", "at both", 5)
+    cluster.add_acknowledged("c2", "at both", 5)
+    cluster.add_acknowledged("c3", "at both", 5)
     late = [call for call in cluster.calls if not call.acknowledged]
     cluster.advance(0.3)
     assert all(call.acknowledged for call in late)
     assert cluster.read("c1") != cluster.read("c3")
     cluster.world.heal()
     cluster.advance(MERGE_S - 1)
-    assert cluster.sums() == {cluster.owed()} == {100 + 1 + 2 + 1500 + 5}
+    assert cluster.sums() == {cluster.acknowledged_sum()} == {100 + 1 + 2 + 1500 + 5}
     assert cluster.cores["c1"].replicated_counters.few_copies_count > 700
 
 
 def test_a_machine_alone_goes_on_and_is_heard_after_the_cut(cluster: counter_cluster.CounterCluster) -> None:
     cluster.cut("c5")
-    cluster.acknowledged("c5", "alone", 3)
+    cluster.add_acknowledged("c5", "alone", 3)
     assert cluster.holders("alone") == ["c5"]
     cluster.world.heal()
     cluster.advance(MERGE_S - 1)
@@ -128,7 +128,7 @@
     north, south = [cluster.hosts[name] for name in ("c1", "c2")], [cluster.hosts[name] for name in ("c3", "c4")]
     cluster.world.cut(north, south)
     cluster.advance(2)
-    cluster.acknowledged("c1", "x", 3)
+    cluster.add_acknowledged("c1", "x", 3)
     assert sorted(cluster.holders("x")) == ["c1", "c2", "c5"]
     cluster.advance(MERGE_S)
     assert cluster.sums() == {3}
@@ -139,7 +139,7 @@
 ) -> None:
     cluster.cut("c1", "c2", "c3")
     cluster.advance(2)
-    cluster.acknowledged("c1", "x", 3)
+    cluster.add_acknowledged("c1", "x", 3)
     cluster.lose_power("c1")
     cluster.world.heal()
     cluster.advance(MERGE_S)
@@ -155,14 +155,14 @@
         cluster.advance(0.003)
     wiped = cluster.rng.sample(sorted(counter_cluster.MACHINES), 2)
     cluster.lose_power(*counter_cluster.MACHINES, wiped=wiped)
-    owed = cluster.owed()
-    assert owed
+    acknowledged_sum = cluster.acknowledged_sum()
+    assert acknowledged_sum
     cluster.advance(0.7)
     cluster.start(*counter_cluster.MACHINES)
     cluster.advance(MERGE_S)
     (found,) = cluster.sums()
     assert isinstance(found, int)
-    assert found & owed == owed
+    assert found & acknowledged_sum == acknowledged_sum
     assert found < 1 << 60
 
 
@@ -170,7 +170,7 @@
 def test_adds_accepted_as_all_machines_start_again_outlive_two_disks(seed: int) -> None:
     cluster = counter_cluster.CounterCluster(seed)
     cluster.advance(5)
-    cluster.acknowledged("c1", "before", 1)
+    cluster.add_acknowledged("c1", "before", 1)
     cluster.kill(*counter_cluster.MACHINES)
     cluster.advance(0.3)
     early = cluster.rng.choice(sorted(counter_cluster.MACHINES))
@@ -186,7 +186,7 @@
 
 
 def test_a_process_that_was_paused_does_not_take_that_for_a_cut(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "before", 1)
+    cluster.add_acknowledged("c1", "before", 1)
     call = cluster.add("c1", "x", 2)
     process = cluster.cores["c1"].process
     process.freeze()
@@ -201,7 +201,7 @@
 def test_a_machine_that_has_just_started_reads_nothing_old(cluster: counter_cluster.CounterCluster) -> None:
     cluster.kill("c1")
     cluster.advance(1)
-    cluster.acknowledged("c2", "meanwhile", 4)
+    cluster.add_acknowledged("c2", "meanwhile", 4)
     cluster.start("c1")
     assert cluster.read("c1") == "not_ready"
     cluster.advance_until(lambda: cluster.read("c1") != "not_ready", 1)
@@ -211,17 +211,17 @@
 def test_adds_of_a_machine_that_started_again_are_none_of_its_earlier_ones(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
-    cluster.acknowledged("c1", "before", 1)
+    cluster.add_acknowledged("c1", "before", 1)
     cluster.kill("c1")
     cluster.start("c1")
     cluster.advance(1)
-    cluster.acknowledged("c1", "after", 2)
+    cluster.add_acknowledged("c1", "after", 2)
     cluster.advance(0.5)
     assert cluster.sums() == {3}
 
 
 def test_a_machine_that_reaches_nobody_reads_what_it_has(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c5", "x", 4)
+    cluster.add_acknowledged("c5", "x", 4)
     cluster.kill("c5")
     cluster.cut("c5")
     cluster.start("c5")
@@ -246,14 +246,14 @@
 
 
 def test_a_newcomer_that_does_not_vote_takes_part(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "before", 1)
-    cluster.start_newcomer("c6", "10.0.1.6")
+    cluster.add_acknowledged("c1", "before", 1)
+    cluster.start_additional_core("c6", "10.0.1.6")
     cluster.advance(MERGE_S)
     view = cluster.cores["c1"].consensus.view
     assert view is not None
     assert "10.0.1.6" not in {voter.host for voter in view.voters}
-    cluster.acknowledged("c6", "its own", 2)
-    cluster.acknowledged("c1", "after", 4)
+    cluster.add_acknowledged("c6", "its own", 2)
+    cluster.add_acknowledged("c1", "after", 4)
     cluster.advance(0.5)
     assert cluster.sums() == {7}
     assert len(cluster.holders("after")) == 6
@@ -262,8 +262,8 @@
 def test_packets_that_pass_one_way_only_are_a_cut(cluster: counter_cluster.CounterCluster) -> None:
     north = [cluster.hosts[name] for name in ("c1", "c2")]
     cluster.world.cut(north, [host for host in cluster.hosts.values() if host not in north], both=False)
-    cluster.acknowledged("c1", "x", 1)
-    cluster.acknowledged("c3", "y", 2)
+    cluster.add_acknowledged("c1", "x", 1)
+    cluster.add_acknowledged("c3", "y", 2)
     cluster.world.heal()
     cluster.advance(MERGE_S)
     assert cluster.sums() == {3}
@@ -273,14 +273,14 @@
 def test_a_disk_that_does_not_work_counts_for_nothing_and_stops_no_read(
     cluster: counter_cluster.CounterCluster, condition: typing.Literal["full", "stalled"]
 ) -> None:
-    cluster.acknowledged("c1", "before", 1)
+    cluster.add_acknowledged("c1", "before", 1)
     cluster.cores["c1"].process.host.disk = condition
-    cluster.acknowledged("c1", "x", 2)
+    cluster.add_acknowledged("c1", "x", 2)
     assert "c1" not in cluster.holders("x")
     assert len(cluster.holders("x")) >= counter_cluster.COPIES
     assert cluster.read("c1") == 3
     cluster.advance(2)
-    cluster.acknowledged("c2", "y", 4)
+    cluster.add_acknowledged("c2", "y", 4)
     cluster.advance(0.5)
     assert cluster.sums() == {7}
     cluster.cores["c1"].process.host.repair()
@@ -290,7 +290,7 @@
 
 @pytest.mark.parametrize("slow", [["c1"], ["c2", "c3", "c4", "c5"], ["c1", "c4", "c5"]])
 def test_an_add_counts_as_held_only_once_it_is_synced(cluster: counter_cluster.CounterCluster, slow: list[str]) -> None:
-    cluster.acknowledged("c1", "before")
+    cluster.add_acknowledged("c1", "before")
     for name in slow:
         host = cluster.cores[name].process.host
         host.disk, host.slow_us = "slow", 450 * units.MILLISECOND_US
@@ -308,7 +308,7 @@
     cluster.cut("c1", "c2")
     cluster.advance(2)
     cluster.cores["c2"].process.host.disk = condition
-    cluster.acknowledged("c1", "x", 2)
+    cluster.add_acknowledged("c1", "x", 2)
     assert cluster.holders("x") == ["c1"]
     assert cluster.read("c2") == 2
 
@@ -344,7 +344,7 @@
 def test_a_leaving_machine_gives_what_others_lack_before_it_ends(cluster: counter_cluster.CounterCluster) -> None:
     cluster.cut("c5")
     cluster.advance(2)
-    cluster.acknowledged("c5", "alone", 3)
+    cluster.add_acknowledged("c5", "alone", 3)
     stopped: typing.Any = cluster.cores["c5"].runtime.spawn(cluster.cores["c5"].stop())
     cluster.advance(2)
     assert not stopped.called
@@ -366,10 +366,10 @@
 
 
 def test_operators_see_lag_and_reachability(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "x")
+    cluster.add_acknowledged("c1", "x")
     cluster.cut("c1")
     cluster.advance(2)
-    cluster.acknowledged("c1", "y")
+    cluster.add_acknowledged("c1", "y")
     shown = cluster.cores["c1"].operator_api.state()["counters"]
     assert (shown["entries"], shown["origins"], shown["unsynced"], shown["few_copies"]) == (2, 1, 0, 1)
     assert shown["peers"]["10.0.1.2:7001"] == {"reachable": False, "lag": 1}
