--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -19,8 +19,8 @@
     from iriswheel.runtime import scheduler
     from simulation.clients import virtual_address
 
-NOT_RUN = (408, 421, 429, 503)  # the request has not run and never will
-FINAL = (400, 401, 404, 413, 431)
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # the request has not run and never will
+FINAL_STATUSES = (400, 401, 404, 413, 431)
 EAGER_RETRY_FACTOR = 3  # times as many attempts of a hasty client
 RETRY_WAIT_US = 50 * units.MILLISECOND_US
 EAGER_RETRY_WAIT_US = 1
@@ -190,9 +190,9 @@
 
     def _may_retry(self, kind: request_kinds.RequestKind, row: Row, attempts: int) -> bool:
         code, is_complete = row["code"], row["how"] == "whole"
-        if is_complete and (200 <= code < 300 or code in FINAL):
+        if is_complete and (200 <= code < 300 or code in FINAL_STATUSES):
             return False
-        if not (kind.is_idempotent or row["how"] == "unconnected" or (is_complete and code in NOT_RUN)):
+        if not (kind.is_idempotent or row["how"] == "unconnected" or (is_complete and code in NOT_RUN_STATUSES)):
             return False
         return attempts <= kind.max_retries * (EAGER_RETRY_FACTOR if self.retries_eagerly else 1)
 
@@ -307,7 +307,7 @@
         """Wait for the answer; give up at the deadline, after the idle time-out, or where the request is not read."""
         until = attempt.request.until + DEADLINE_SLACK_US
         idle_timeout_us, read_timeout_us = attempt.idle_timeout_us(), attempt.read_timeout_us()
-        while not answer.over:
+        while not answer.is_over:
             now = self.runtime.now()
             last_at = answer.last_at or sent_at
             if now >= until:
@@ -323,7 +323,7 @@
                 await self.first_of(ended, min(wakes) - now)
 
     def _release(self, node: str, opened: connection.ClientConnection, answer: connection.PendingAnswer) -> None:
-        if opened.up and opened.keep and self.keep_alive and answer.outcome == "whole":
+        if opened.up and opened.reusable and self.keep_alive and answer.outcome == "whole":
             self.idle[node].append(opened)
         else:
             opened.drop("used")
@@ -359,7 +359,7 @@
             got=served_http.digest(answer.body),
             events=answer.events,
             bad_events=answer.bad_events,
-            rest=bool(answer.rest),
+            rest=bool(answer.incomplete_event),
             first=answer.first_at,
             pause=answer.longest_pause_us,
             encoding=answer.header("content-encoding"),
--- a/simulation/clients/connection.py
+++ b/simulation/clients/connection.py
@@ -47,14 +47,14 @@
         self.headers: dict[str, str] = {}
         self.body = b""
         self.events: list[ReceivedEvent] = []
-        self.rest = b""  # of an event that is not complete
+        self.incomplete_event = b""  # of an event that is not complete
         self.bad_events = 0
         self.first_at: int | None = None
         self.last_at: int | None = None
         self.longest_pause_us = 0
 
     @property
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether it has ended in any way."""
         return bool(self.outcome)
 
@@ -65,7 +65,7 @@
 
     def end(self, outcome: str) -> None:
         """Note how it ended, once."""
-        if not self.over:
+        if not self.is_over:
             self.outcome = outcome
             self.ended(self)
 
@@ -83,8 +83,8 @@
         self.body += data
         if not (self.header("content-type") or "").startswith(EVENT_STREAM):
             return
-        self.rest += data
-        *pieces, self.rest = self.rest.split(b"\n\n")
+        self.incomplete_event += data
+        *pieces, self.incomplete_event = self.incomplete_event.split(b"\n\n")
         for piece in pieces:
             try:
                 self.events.append(parse_event(piece, now))
@@ -125,7 +125,7 @@
         self.parser = httptools.HttpResponseParser(self)
         self.pending: PendingAnswer | None = None
         self.up = False
-        self.keep = True
+        self.reusable = True
         self.idle_until: int | None = None  # when the other side ends it if idle
         self.headers: dict[str, str] = {}
         self.informational = False  # whether what comes is no final answer
@@ -145,11 +145,11 @@
 
     def is_usable(self, now: int, margin_us: int) -> bool:
         """Whether it may carry another request: it stands, and the other side won't end it within the margin."""
-        return self.up and self.keep and (self.idle_until is None or self.idle_until - margin_us >= now)
+        return self.up and self.reusable and (self.idle_until is None or self.idle_until - margin_us >= now)
 
     def drop(self, outcome: str) -> None:
         """Give the request up, and the connection with it."""
-        pending, self.pending, self.keep = self.pending, None, False
+        pending, self.pending, self.reusable = self.pending, None, False
         if self.up:
             self.transport.abortConnection()
         if pending is not None:
@@ -159,9 +159,9 @@
         """Parse what came."""
         pending = self.pending
         if pending is None:
-            if self.keep:
+            if self.reusable:
                 self.stray(self, data)
-            self.keep = False
+            self.reusable = False
             self.transport.abortConnection()
             return
         try:
@@ -169,14 +169,14 @@
         except httptools.HttpParserError:
             if self.pending is None and pending.outcome == "whole":
                 self.stray(self, data)  # more bytes in one piece with a whole answer
-                self.keep = False
+                self.reusable = False
                 self.transport.abortConnection()
             else:
                 self.drop("garbage")
 
     def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
         """End the request that is under way."""
-        self.up = self.keep = False
+        self.up = self.reusable = False
         pending, self.pending = self.pending, None
         if pending is not None:
             pending.end("closed")
@@ -219,7 +219,7 @@
         if self.informational:
             return
         pending, self.pending = self._expected(), None
-        self.keep = self.keep and self.parser.should_keep_alive()
+        self.reusable = self.reusable and self.parser.should_keep_alive()
         keep_alive = self.headers.get("keep-alive", "")
         self.idle_until = None
         if "timeout=" in keep_alive:
