--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -284,12 +284,12 @@
         """
         worker = self.site.workers[name]
         worker.leaving = True
-        self.site.listing.show(worker.id, state=platform_names.TERMS["draining"])
+        self.site.listing.put(worker.id, state=platform_names.TERMS["draining"])
 
         def end() -> None:
             worker.process.kill()
             worker.stop()
-            self.site.listing.drop(worker.id)
+            self.site.listing.remove(worker.id)
 
         drain_s = self.site.shape.bounds.get("drain_deadline_ms", DEFAULT_DRAIN_MS) / 1000
         self.site.schedule(drain_s + WORKER_DRAIN_SLACK_S + self.site.listing.lag_us / units.SECOND_US, end)
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -221,7 +221,7 @@
         worker.engine.prefilled_parts = self.prefilled_parts
         self.workers[name] = worker
         process.reactor.listenTCP(settings_files.SERVE_PORT, worker)
-        self.listing.show(
+        self.listing.put(
             worker.id,
             pool=worker.pool,
             address=f"{host}:{settings_files.SERVE_PORT}",
--- a/simulation/workers/listing.py
+++ b/simulation/workers/listing.py
@@ -50,12 +50,12 @@
         super().__init__(runtime)
         self.event_log, self.lag_us, self.rate, self.page = event_log, lag_us, rate, page
         self.rows: Rows = {}
-        self.past: collections.deque[FormerList] = collections.deque([FormerList(0, {})])
+        self.history: collections.deque[FormerList] = collections.deque([FormerList(0, {})])
         self.calls: collections.deque[int] = collections.deque()
         self.cold_until: dict[str, int] = {}  # worker -> until when it is cold, for those that ever were
         self.down = False
 
-    def show(self, identifier: str, **changed: object) -> None:
+    def put(self, identifier: str, **changed: object) -> None:
         """List a worker, or change how it is listed; it is seen when the lag has gone."""
         new = dict(
             state=platform_names.TERMS["ready"],
@@ -69,7 +69,7 @@
         self.rows = {**self.rows, identifier: row}
         self._note_change(identifier, row["state"], row["pool"])
 
-    def drop(self, identifier: str) -> None:
+    def remove(self, identifier: str) -> None:
         """List a worker no more."""
         pool = self.rows[identifier]["pool"]
         self.rows = {other: row for other, row in self.rows.items() if other != identifier}
@@ -77,9 +77,9 @@
 
     def _note_change(self, identifier: str, state: str, pool: str) -> None:
         now = self.runtime.now()
-        self.past.append(FormerList(now, self.rows))
-        while len(self.past) > 1 and self.past[1].since <= now - HISTORY_US:
-            self.past.popleft()
+        self.history.append(FormerList(now, self.rows))
+        while len(self.history) > 1 and self.history[1].since <= now - HISTORY_US:
+            self.history.popleft()
         self.event_log.put(now, "listed", worker=identifier, state=state, pool=pool, seen=now + self.lag_us)
 
     def handle(self, request: served_http.ServedRequest) -> None:
@@ -101,7 +101,7 @@
     def seen_rows(self) -> Rows:
         """The list as it stood a lag ago."""
         then = self.runtime.now() - self.lag_us
-        return next((former.rows for former in reversed(self.past) if former.since <= then), self.past[0].rows)
+        return next((former.rows for former in reversed(self.history) if former.since <= then), self.history[0].rows)
 
     def _timed_row(self, rows: Rows, identifier: str) -> list[tuple[str, typing.Any]]:
         """The fields of a worker, with how long it stayed cold a lag ago."""
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -271,7 +271,7 @@
         listing = workers_listing.Listing(process.runtime(), self.tape, page=2, rate=4)
         process.reactor.listenTCP(9000, listing)
         for k in range(5):
-            listing.show(f"i-{k}", pool="desk", address=f"10.0.3.{k}:80", zone="ab"[k % 2])
+            listing.put(f"i-{k}", pool="desk", address=f"10.0.3.{k}:80", zone="ab"[k % 2])
         client = self.dial("10.0.4.1", 9000)
 
         def page(query: str = "") -> dict[str, Any]:
@@ -293,8 +293,8 @@
         page()
         assert client.answers[-1].code == 429
         self.go(1000)
-        listing.show("i-0", state="draining")
-        listing.drop("i-1")
+        listing.put("i-0", state="draining")
+        listing.remove("i-1")
         self.go(500)
         assert [r["id"] for r in page()["worker_pool"]] == ["i-0", "i-1"]
         self.go(1500)
