--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -109,9 +109,9 @@
         self.on_overrun: collections.abc.Callable[[], object] | None = None
         self.runs: dict[served_http.ServedRequest, Run] = {}
         self.accepted = 0
-        self.note("born", pool=pool)
+        self.log_event("born", pool=pool)
 
-    def note(self, kind: str, **fields: object) -> None:
+    def log_event(self, kind: str, **fields: object) -> None:
         """Note an event in the log."""
         self.event_log.put(self.runtime.now(), kind, worker=self.id, name=self.name, **fields)
 
@@ -125,7 +125,7 @@
         """Take a connection, unless there are too many; half as many are taken while the queue is long."""
         is_crowded = len(self.engine.waiting) >= self.parameters.capacity
         limit = self.connection_limit // 2 if is_crowded else self.connection_limit
-        self.note("opened", peer=connection.peer)
+        self.log_event("opened", peer=connection.peer)
         if len(self.connections) >= limit:
             return False
         return super().opened(connection)
@@ -149,7 +149,7 @@
 
     def received_garbage(self, connection: served_http.ServedConnection) -> None:
         """Note that bytes came that are no request."""
-        self.note("bad_request", peer=connection.peer)
+        self.log_event("bad_request", peer=connection.peer)
 
     # ---- requests -----------------------------------------------------------------------
 
@@ -180,7 +180,7 @@
 
     def answer_probe(self, request: served_http.ServedRequest) -> None:
         """Answer a health check, which waits for a place in the batch as a request does."""
-        self.note("probed")
+        self.log_event("probed")
         is_healthy = not self.leaving and not any(self.faults.values())
         is_healthy = {"good": True, "bad": False}.get(self.health, is_healthy)
 
@@ -206,16 +206,16 @@
         refusal = [(names["not_run"], "1"), *([(names["attempt"], attempt)] if attempt else [])]
         code = self._refusal_code(request, attempt)
         if code:
-            self.note("arrived", verdict=code, **row)
+            self.log_event("arrived", verdict=code, **row)
             request.reply(code, refusal)
             return
         self._count_while_cold()
         run = self._new_run(request, attempt)
         if left_ms <= 0 or not self.engine.offer(run.job):
-            self.note("arrived", verdict=503, **row)
+            self.log_event("arrived", verdict=503, **row)
             request.reply(503, [*refusal, ("Retry-After", RETRY_AFTER_S)])
             return
-        self.note("arrived", verdict=0, **row)
+        self.log_event("arrived", verdict=0, **row)
         self.runs[request] = run
         if run.tokens_before(self.parameters.event_tokens) >= run.tokens(self.parameters.event_tokens):
             self._answer_without_event(run)
@@ -303,7 +303,7 @@
         """Note that a request runs, from its first token on."""
         run.started = True
         after = run.request.header(platform_names.HEADERS["after"])
-        self.note("run", attempt=run.attempt, seal=run.seal, pool=self.pool, after=after)
+        self.log_event("run", attempt=run.attempt, seal=run.seal, pool=self.pool, after=after)
 
     def expire(self, run: Run) -> None:
         """Act on the deadline: a request that has not begun never runs; another ends."""
@@ -326,7 +326,7 @@
         if run.timer is not None and run.timer.active():
             run.timer.cancel()
         if run.started:
-            self.note(
+            self.log_event(
                 "ran",
                 attempt=run.attempt,
                 seal=run.seal,
