--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -35,7 +35,7 @@
 
     capacity: int = 64  # requests in the batch
     waiting_limit: int = 192  # requests that may wait for it
-    enter_us: int = 45_000  # before a request is in the queue
+    enqueue_delay_us: int = 45_000  # before a request is in the queue
     step_us: int = 5_000
     step_us_per_request: float = 30.0
     step_us_per_kilotoken: float = 3.4  # of all context that the batch holds
@@ -58,7 +58,7 @@
 
     name: str
     tokens: int
-    left_tokens: int
+    remaining_tokens: int
 
 
 @dataclasses.dataclass
@@ -140,7 +140,7 @@
     >>> import twisted.internet.task as task
     >>> clock = task.Clock()
     >>> runtime = scheduler.Runtime(clock, now=lambda: round(clock.seconds() * units.SECOND_US))
-    >>> engine = Engine(runtime, EngineParameters(enter_us=0))
+    >>> engine = Engine(runtime, EngineParameters(enqueue_delay_us=0))
     >>> out = []
     >>> engine.offer(Job("x", [("a", 100)], 6, on_event=lambda number, last: out.append((number, last))))
     True
@@ -180,8 +180,8 @@
         self.offered += 1
         job.number, job.state = self.offered, "entering"
         self.entering += 1
-        if parameters.enter_us:
-            self.runtime.later(parameters.enter_us, self.enter, job)
+        if parameters.enqueue_delay_us:
+            self.runtime.later(parameters.enqueue_delay_us, self.enter, job)
         else:
             self.enter(job)
         return True
@@ -391,10 +391,10 @@
         """Count tokens as read; parts that are read through are cached."""
         while tokens and job.pending_parts:
             part = job.pending_parts[0]
-            read = min(tokens, part.left_tokens)
+            read = min(tokens, part.remaining_tokens)
             tokens -= read
-            part.left_tokens -= read
-            if part.left_tokens:
+            part.remaining_tokens -= read
+            if part.remaining_tokens:
                 return
             job.pending_parts.pop(0)
             self.prefilled_parts.add(part.name)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -15,7 +15,7 @@
     def make(self, **figures: Any) -> inference_engine.Engine:  # noqa: ANN401 - fields of EngineParameters
         self.clock = task.Clock()
         base = dict(
-            enter_us=0,
+            enqueue_delay_us=0,
             step_us=5_000,
             step_us_per_request=0,
             step_us_per_kilotoken=0,
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -26,7 +26,7 @@
             f"w{k}",
             "desk",
             self.tape,
-            inference_engine.EngineParameters(enter_us=0),
+            inference_engine.EngineParameters(enqueue_delay_us=0),
             connection_limit=50,
         )
         worker.process, worker.faults, worker.close_share, worker.linger_share = process, faults, 0, 0
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -78,7 +78,7 @@
             "w1",
             "desk",
             self.tape,
-            inference_engine.EngineParameters(enter_us=0),
+            inference_engine.EngineParameters(enqueue_delay_us=0),
             connection_limit=5,
         )
         self.worker.close_share = self.worker.linger_share = 0
--- a/tests/test_worker_connections.py
+++ b/tests/test_worker_connections.py
@@ -51,7 +51,7 @@
             "w1",
             "desk",
             self.tape,
-            inference_engine.EngineParameters(enter_us=0),
+            inference_engine.EngineParameters(enqueue_delay_us=0),
             idle_us=700 * MILLISECOND,
         )
         self.worker.close_share = 0
