--- a/simulation/scenarios/processes.py
+++ b/simulation/scenarios/processes.py
@@ -104,7 +104,7 @@
     upgrades = [(name, next_version) for name in half]
     downgrades = [(name, next_version - 1) for name in half[::2]]
     for name, version in upgrades + downgrades:
-        cluster.versions[name] = version
+        cluster.protocol_versions[name] = version
         actions.stop(cluster, name, 40)
         cluster.advance(0.5)
         if name in cluster.nodes:
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -105,7 +105,9 @@
         self.newest_probe = 0  # the number of the probe route that was confirmed last
         self.probing = True
         self.prober = prober.Prober(self)
-        self.versions: dict[str, int] = {}  # process -> version of our messages that it speaks, where not this one
+        self.protocol_versions: dict[
+            str, int
+        ] = {}  # process -> version of our messages that it speaks, where not this one
         self.extra_probe_paths: list[str] = []  # that probes try at every node too
 
     # ---- building -----------------------------------------------------------------
@@ -197,7 +199,7 @@
             **{**self.extra_options, **extra_options},
         )
         runtime = process.runtime()
-        runtime.protocol_version = self.versions.get(name, runtime.protocol_version)
+        runtime.protocol_version = self.protocol_versions.get(name, runtime.protocol_version)
         return NewServer(process, runtime, process_options)
 
     def start_core(self, name: str, host: str, zone: str) -> None:
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -380,7 +380,7 @@
         cluster = quiet_cluster()
         ours = cluster.nodes["n1"].runtime.protocol_version
         for name, version in (("n8", ours + 1), ("n9", ours + 2)):
-            cluster.versions[name] = version
+            cluster.protocol_versions[name] = version
             cluster.start_node(name, f"10.0.2.{name[1]}", "a")
         cluster.advance(5)
         assert (cluster.platform.readiness["n8"], cluster.platform.readiness["n9"]) == (True, False)
