--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -271,7 +271,7 @@
         else:
             worker.process.kill()
         worker.stop()
-        self.site.schedule(listed, self.site.listing.drop, worker.id)
+        self.site.schedule(listed, self.site.listing.remove, worker.id)
         if back is not None:
             self.site.schedule(back, self.site.start_worker, name, worker.host, worker.zone)
 
--- a/tests/test_replicated_counters.py
+++ b/tests/test_replicated_counters.py
@@ -178,7 +178,7 @@
     cluster.advance(0.2)
     call = cluster.add(early, "early", 2)
     cluster.advance(1)
-    assert call.is_open()  # the others are starting too: their silence is no cut
+    assert call.is_pending()  # the others are starting too: their silence is no cut
     cluster.start(*(name for name in counter_cluster.MACHINES if name != early))
     cluster.advance(1)
     assert call.acknowledged
