--- a/simulation/__init__.py
+++ b/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator: a virtual network, a simulated cluster with its faults, and the checks over many seeds."""
+"""The simulator: it runs the product on a virtual network, injects faults, and checks runs of many random seeds."""
--- a/simulation/addresses.py
+++ b/simulation/addresses.py
@@ -1,4 +1,4 @@
-"""Hosts and ports of a simulated cluster."""
+"""IP addresses and ports that a simulated cluster uses."""
 
 PEER_PORT, HTTP_PORT = 7001, 8001
 PLATFORM_PORT, WORKER_PORT = 9000, 9001
--- a/simulation/deployment.py
+++ b/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""What simulated deployments have in common: a virtual world, its machines, and the passing of virtual time."""
+"""The base of simulated deployments: a world with machines, and methods that advance its virtual time."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from iriswheel.runtime import units
 from simulation import host_model, world
 
-POLL_S = 0.05  # how often a condition is checked
+POLL_S = 0.05  # virtual time between two checks of a condition
 
 
 class Place(typing.NamedTuple):
-    """Where a process runs."""
+    """The host and zone in which a process runs."""
 
     host: str
     zone: str
 
 
 class Deployment:
-    """A deployment in a world of its own.
+    """A deployment in its own simulated world.
 
     >>> deployment = Deployment(1)
     >>> deployment.advance(2), deployment.world.time
@@ -31,21 +31,21 @@
         self.rng = self.world.rng
 
     def machine(self, host: str, zone: str) -> host_model.Host:
-        """The machine at an address, made when first named."""
+        """The machine at an address, created on first use."""
         return self.world.machines.get(host) or host_model.Host(self.world, host, zone)
 
     def powered_machine(self, host: str, zone: str) -> host_model.Host:
-        """The machine at an address, with its power on."""
+        """The machine at an address, switched on."""
         machine = self.machine(host, zone)
         machine.power = True
         return machine
 
     def advance(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time by a number of seconds, and run all events that become due."""
         self.world.run(self.world.time + int(seconds * units.SECOND_US))
 
     def advance_until(self, condition: collections.abc.Callable[[], object], seconds: float) -> bool:
-        """Let time pass until a condition holds; False where it did not in time."""
+        """Advance virtual time until a condition holds; returns False if it does not within a number of seconds."""
         end = self.world.time + int(seconds * units.SECOND_US)
         while not condition():
             if self.world.time >= end:
--- a/simulation/disk_model.py
+++ b/simulation/disk_model.py
@@ -1,4 +1,4 @@
-"""Disks of simulated processes."""
+"""The disk of a simulated process, with the delays and faults of its host's disk."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 if typing.TYPE_CHECKING:
     from simulation import process_model, world
 
-SYNC_US = 2_000  # the least time of a sync, and how much it varies
-TRAP_DELAY_US = 3_000  # within what time after a write's answer power is lost
+SYNC_US = 2_000  # minimum duration of a sync, and the upper limit of the random time added to it
+MAX_POWER_LOSS_DELAY_US = 3_000  # maximum delay of a power loss "after answer" once the write was acknowledged
 
 
 class Disk:
-    """A host's disk as one process has it: its writes are synced in order, or lost with the process.
+    """One process's access to its host's disk: writes are synced in order; unsynced ones are lost with the process.
 
     >>> import simulation.host_model, simulation.process_model, simulation.world
     >>> world = simulation.world.World(1); host = simulation.host_model.Host(world, "h", "a")
@@ -33,11 +33,11 @@
         self.busy_until = 0
 
     def read(self) -> dict[bytes, bytes]:
-        """All records that were synced, in the order of their keys."""
+        """All synced records, ordered by key."""
         return dict(sorted(self.host.synced.items()))
 
     def write(self, writes: list[storage.Write]) -> None:
-        """Sync records at once, as a process does while it starts."""
+        """Sync records without delay, as a process does while it starts."""
         for key, value in writes:
             if value is None:
                 self.host.synced.pop(key, None)
@@ -45,13 +45,13 @@
                 self.host.synced[key] = value
 
     def commit(self, writes: list[storage.Write]) -> defer.Deferred[None]:
-        """Sync records after the time that the disk needs.
+        """Sync records after the time that the disk takes.
 
         Args:
-            writes: The records by key; a value of None deletes one.
+            writes: Pairs of key and value; a value of None deletes the record.
 
         Returns:
-            Fires once the records are synced, or fails with `storage.DiskError` where the disk is full.
+            Fires once the records are synced, or fails with `storage.DiskError` if the disk is full.
         """
         simulated_world: world.World = self.process.world
         synced: defer.Deferred[None] = defer.Deferred()
@@ -79,7 +79,7 @@
             return
         self.process.call(lambda: synced.callback(None))
         if power_loss_step is not None:
-            delay = self.process.world.rng.randrange(TRAP_DELAY_US)
+            delay = self.process.world.rng.randrange(MAX_POWER_LOSS_DELAY_US)
             self.process.world.push(
                 self.process.world.time + delay, lambda: self.host.lose_power_at_step(power_loss_step)
             )
--- a/simulation/host_model.py
+++ b/simulation/host_model.py
@@ -1,4 +1,4 @@
-"""Machines of a simulation."""
+"""Simulated machines: power, disk contents and time of day."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 DiskCondition = typing.Literal["ok", "full", "slow", "stalled"]
 WriteStep = typing.Literal["before sync", "after sync", "after answer"]
 
-REPAIR_US = 1_000  # until a write that a stalled disk held up is carried out
+REPAIR_US = 1_000  # delay between the repair of a stalled disk and the writes that it held back
 
 
 class Host:
-    """A machine: its power, zone, time of day, and the records on its disk.
+    """A simulated machine: its power, zone, time of day, and the records on its disk.
 
     >>> Host(world.World(1), "10.0.0.1", "a").power
     True
@@ -25,15 +25,17 @@
         self.power = True
         self.synced: dict[bytes, bytes] = {}
         self.disk: DiskCondition = "ok"
-        self.slow_us = 400_000  # what each sync takes more on a slow disk
-        self.time_of_day_error = 0  # microseconds by which the time of day has jumped
-        self.stalled_writes: collections.deque[world.Callback] = collections.deque()  # writes held up by a stalled disk
-        self.power_loss_step: WriteStep | None = None  # at which step of the next write power is lost
+        self.slow_us = 400_000  # extra time of each sync on a slow disk
+        self.time_of_day_error = 0  # microseconds by which the time of day is ahead of the simulation's time
+        self.stalled_writes: collections.deque[world.Callback] = (
+            collections.deque()
+        )  # writes held back while the disk is stalled
+        self.power_loss_step: WriteStep | None = None  # step of the next write at which power fails
         self.power_lost_at_step: WriteStep | None = None
         simulated_world.machines[address] = self
 
     def fail(self) -> None:
-        """Lose power: all processes end, and no peer is told."""
+        """Lose power: all processes end, and the peers of their connections get no reset."""
         self.power = False
         self.stalled_writes.clear()
         for process in self.world.processes.values():
@@ -47,13 +49,13 @@
                     connection.forget()
 
     def lose_power_at_step(self, power_loss_step: WriteStep) -> None:
-        """Lose power at a chosen step of a write."""
+        """Lose power at a chosen step of a write, and record the step."""
         if self.power:
             self.power_lost_at_step = power_loss_step
             self.fail()
 
     def time_of_day(self) -> int:
-        """The machine's time of day in microseconds since the simulation's start; it may jump.
+        """The machine's time of day in microseconds since the start of the simulation; it may jump.
 
         >>> host = Host(world.World(1), "h", "a"); host.set_time_of_day(-2_000_000); host.time_of_day()
         -2000000
@@ -61,7 +63,10 @@
         return self.world.time + self.time_of_day_error
 
     def set_time_of_day(self, error: int) -> None:
-        """Set how far the time of day is off; timers that go by it become due early or late."""
+        """Set the error of the time of day in microseconds, and reschedule the timers of this host's processes.
+
+        A process whose reactor reads the time of day then fires its timers early or late.
+        """
         self.time_of_day_error = error
         events = sorted(self.world.heap, key=lambda event: (event.at, event.number))
         timers = [getattr(event.function, "__self__", None) for event in events]
@@ -72,7 +77,7 @@
                 timer.schedule()
 
     def repair(self) -> None:
-        """Let a full, slow or stalled disk work again, and carry out the writes that it held up."""
+        """Let a full, slow or stalled disk work again, and carry out the writes that it held back."""
         self.disk = "ok"
         stalled_writes, self.stalled_writes = self.stalled_writes, collections.deque()
         for write in stalled_writes:
--- a/simulation/process_model.py
+++ b/simulation/process_model.py
@@ -1,4 +1,4 @@
-"""Processes of a simulation."""
+"""Simulated processes: they run, freeze, wake and are killed."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
     def __init__(self, simulated_world: world.World, name: str, host: host_model.Host) -> None:
         self.world, self.name, self.host = simulated_world, name, host
         self.alive, self.frozen = True, False
-        self.backlog: list[world.Callback] = []  # what became due while frozen
+        self.backlog: list[world.Callback] = []  # calls that became due while the process was frozen
         self.ports: dict[int, network_model.ListeningFactory] = {}
         self.reactor = reactor_model.Reactor(self)
         self.incarnations: int = getattr(simulated_world.processes.get(name), "incarnations", 0) + 1
         simulated_world.processes[name] = self
 
     def runtime(self) -> scheduler.Runtime:
-        """A runtime for the code under test; its clock does not follow jumps of the time of day. Draws randomness."""
+        """A runtime for the code under test, whose clock ignores jumps of the time of day; draws a random seed."""
         seed = f"{self.world.rng.random()}-{self.name}-{self.incarnations}"
         return scheduler.Runtime(self.reactor, now=lambda: self.world.time, seed=seed)
 
     def may_run(self, function: world.Callback) -> bool:
-        """Whether the process runs now; where it is frozen the function is kept until it wakes."""
+        """Whether the process can run a function now; a frozen process keeps the function until it wakes."""
         if not self.alive:
             return False
         if self.frozen:
@@ -46,12 +46,12 @@
         return True
 
     def call(self, function: world.Callback) -> None:
-        """Run a function in this process, now or when it wakes."""
+        """Run a function in this process: now, or when the process wakes if it is frozen."""
         if self.may_run(function):
             self.world.call_metered(self, function)
 
     def kill(self) -> None:
-        """End the process at once; its host's kernel resets its connections."""
+        """End the process at once; its host's kernel closes its ports and resets its connections."""
         self.alive = False
         self.ports.clear()
         for connection in list(self.world.connections.values()):
@@ -60,11 +60,11 @@
                     side.reset()
 
     def freeze(self) -> None:
-        """Stop the process without ending it."""
+        """Suspend the process: its timers and incoming data wait until it wakes."""
         self.frozen = True
 
     def wake(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process, which first runs the calls that became due meanwhile."""
         self.frozen = False
         backlog, self.backlog = self.backlog, []
         for function in backlog:
--- a/simulation/processor_meter.py
+++ b/simulation/processor_meter.py
@@ -1,4 +1,4 @@
-"""Processor time that each simulated process takes, and the traffic between them."""
+"""Measures the processor time of each simulated process and the traffic between processes."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Step:
-    """Code of a process that is running now; time of steps nested in it is not its own."""
+    """A call of a process's code that has not returned; `own_ns` excludes the calls nested in it."""
 
     process: str
     own_ns: int = 0
 
 
 class Meter:
-    """Real processor time of each process's own code, and what each sent to which other.
+    """Real processor time of each process's own code, and the traffic from each process to each other one.
 
-    Time inside the simulated network counts for nobody, and so does what one process's
-    code does while another's runs inside it.
+    Code of the simulated network, and code of another process that runs within a process's call, is not charged to
+    that process.
 
     >>> meter = Meter(); meter.enter("n1"); meter.enter("n2"); meter.leave(); meter.leave(); sorted(meter.spent)
     ['n1', 'n2']
@@ -28,14 +28,16 @@
     """
 
     def __init__(self) -> None:
-        self.spent: collections.Counter[str] = collections.Counter()  # process -> nanoseconds
-        self.longest: collections.Counter[str] = collections.Counter()  # process -> its longest step, nanoseconds
-        self.sent: dict[tuple[str, str], list[int]] = {}  # (from, to) -> [writes, bytes]
+        self.spent: collections.Counter[str] = collections.Counter()  # process -> processor time in nanoseconds
+        self.longest: collections.Counter[str] = (
+            collections.Counter()
+        )  # process -> processor time of its longest step in nanoseconds
+        self.sent: dict[tuple[str, str], list[int]] = {}  # (sender, receiver) -> [writes, bytes]
         self.stack: list[Step] = []
         self.since = 0
 
     def enter(self, name: str) -> None:
-        """Record that code of a process begins to run."""
+        """Record that code charged to a name begins to run."""
         now = time.thread_time_ns()
         if self.stack:
             self.stack[-1].own_ns += now - self.since
@@ -43,7 +45,7 @@
         self.since = time.thread_time_ns()
 
     def leave(self) -> None:
-        """Record that the code that began last has returned."""
+        """Record that the code that was entered last has returned."""
         now = time.thread_time_ns()
         step = self.stack.pop()
         step.own_ns += now - self.since
@@ -52,7 +54,7 @@
         self.since = time.thread_time_ns()
 
     def count(self, sender: str, receiver: str, size: int) -> None:
-        """Count one write to the network and its bytes."""
+        """Count one write of `size` bytes from one process to another."""
         writes_and_bytes = self.sent.setdefault((sender, receiver), [0, 0])
         writes_and_bytes[0] += 1
         writes_and_bytes[1] += size
--- a/simulation/reactor_model.py
+++ b/simulation/reactor_model.py
@@ -1,4 +1,4 @@
-"""The reactor that the code under test runs on; its methods have the names and the contract of Twisted's."""
+"""The reactor that the code under test runs on: it implements the methods of Twisted's reactor that are used."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         self.reactor, self.port, self.factory = reactor, port, factory
 
     def getHost(self) -> address.IPv4Address:
-        """The address that is listened on."""
+        """The address that this port listens on."""
         return address.IPv4Address("TCP", self.reactor.process.host.address, self.port)
 
 
@@ -35,20 +35,20 @@
         self.next_port = FIRST_EPHEMERAL_PORT
 
     def clock(self) -> int:
-        """The time that timers go by, in microseconds: since boot, as in `service.install_reactor`.
+        """The time in microseconds that timers are due by: monotonic, as in `service.install_reactor`.
 
-        A guard test puts the time of day in its place.
+        A test replaces it by the time of day to show that the checks detect timers that follow its jumps.
         """
         return self.process.world.time
 
     def seconds(self) -> float:
-        """The time that timers go by, in seconds."""
+        """The time in seconds that timers are due by."""
         return self.clock() / units.SECOND_US
 
     def callLater(
         self, seconds: float, function: world.Callback, *arguments: object, **keywords: object
     ) -> virtual_timer.Timer:
-        """Call a function after so many seconds, unless the process has ended by then."""
+        """Call a function after a number of seconds, unless the process has ended by then."""
         due_at = self.clock() + int(seconds * units.SECOND_US)
         if keywords:
             function, arguments = functools.partial(function, *arguments, **keywords), ()
@@ -64,7 +64,7 @@
         backlog: int = 50,  # noqa: ARG002 - Twisted's endpoints pass it by name
         interface: str = "",  # noqa: ARG002 - Twisted's endpoints pass it by name
     ) -> Port:
-        """Take connections at a port; 0 stands for any free one."""
+        """Accept connections on a port; port 0 stands for any free one."""
         if port == 0:
             self.next_port += 1
             port = self.next_port
@@ -80,5 +80,5 @@
         timeout: float = 30,
         bindAddress: None = None,  # noqa: ARG002 - Twisted's endpoints pass it by name
     ) -> network_model.Connector:
-        """Open a connection to an address; the factory hears how that went."""
+        """Open a connection to an address; the factory is told whether that succeeded."""
         return network_model.Connector(self.process, host, port, factory, timeout)
--- a/simulation/server_model.py
+++ b/simulation/server_model.py
@@ -1,4 +1,4 @@
-"""The product's servers as a simulation runs them: each knows the simulated process that it runs in."""
+"""The product's core and node servers, each with a reference to the simulated process that it runs in."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SimulatedCore(core.Core):
-    """A core on the disk of its process's host."""
+    """A core that stores its data on the disk of its process's host."""
 
     def __init__(
         self, process: process_model.SimulatedProcess, runtime: scheduler.Runtime, core_options: options.Options
@@ -25,7 +25,7 @@
 
 
 class SimulatedNode(node.Node):
-    """A node in a simulated process."""
+    """A node that runs in a simulated process."""
 
     def __init__(
         self,
--- a/simulation/virtual_timer.py
+++ b/simulation/virtual_timer.py
@@ -1,4 +1,4 @@
-"""Delayed calls of a simulated reactor."""
+"""The delayed calls of a simulated reactor."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self.process: process_model.SimulatedProcess | None = None
 
     def active(self) -> bool:
-        """Whether the call is still due.
+        """Whether the call has been neither made nor cancelled.
 
         >>> import simulation.world as world
         >>> Timer(world.World(1), 5, print, ()).active()
@@ -40,11 +40,11 @@
         return self.state == "due"
 
     def cancel(self) -> None:
-        """Withdraw the call.
+        """Cancel the call.
 
         Raises:
-            twisted.internet.error.AlreadyCalled: the call was made.
-            twisted.internet.error.AlreadyCancelled: the call was cancelled before.
+            twisted.internet.error.AlreadyCalled: The call was already made.
+            twisted.internet.error.AlreadyCancelled: The call was already cancelled.
         """
         if self.state != "due":
             raise error.AlreadyCalled() if self.state == "done" else error.AlreadyCancelled()
@@ -65,7 +65,7 @@
         self.schedule()
 
     def schedule(self) -> None:
-        """Ask the world to try the call at the time it is due by the reactor's clock, which may jump until then."""
+        """Schedule an attempt at the call for when it is due; the reactor's clock may jump in the meantime."""
         self.world.push(self.world.time + max(0, self.due_at - self._now()), self._fire)
 
     def _now(self) -> int:
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -1,7 +1,7 @@
-"""The virtual clock of a simulation, and which packets its network delivers and when.
+"""The virtual clock of a simulation and its network: which packets are delivered, and when.
 
-The real core and node code runs in it unchanged, and one seed always gives the same run. Nothing here knows about
-clusters: `simulation.simulated_cluster` builds them out of hosts, processes and connections.
+The product's core and node code runs unchanged on this clock and network, and the same seed always gives the same run.
+This module has no notion of a cluster: `simulation.simulated_cluster` builds one from hosts, processes and connections.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
     from simulation import host_model, network_model, process_model
 
 
-LOOPBACK_US = 30  # within a host
-NEAR_US = 200  # within a zone
-ZONE_LATENCY_US = 1_500  # between zones, one way
-FAR_US = 4_000  # to and from clients
-RESEND_US = 200_000  # how long TCP needs to notice that a cut has healed
+LOOPBACK_US = 30  # one-way latency within a host
+NEAR_US = 200  # one-way latency within a zone
+ZONE_LATENCY_US = 1_500  # one-way latency between two zones
+FAR_US = 4_000  # one-way latency between the cluster and clients or operators
+RESEND_US = 200_000  # delay until TCP sends a packet again that was lost or held back by a cut
 
 Callback = collections.abc.Callable[..., object]
 
 
 class Account(typing.Protocol):
-    """To whom processor time is charged: a process, or the simulated network."""
+    """What processor time is charged to: a process, or the simulated network."""
 
     name: str
 
 
 class Meter(typing.Protocol):
-    """What a world tells about the code that it runs; `simulation.processor_meter.Meter` keeps processor time."""
+    """What a world reports the code that it runs to; `simulation.processor_meter.Meter` implements it."""
 
     def enter(self, name: str) -> None:
-        """Record that code of a process begins to run."""
+        """Record that code charged to an account begins to run."""
 
     def leave(self) -> None:
-        """Record that the code that began last has returned."""
+        """Record that the code that was entered last has returned."""
 
     def count(self, sender: str, receiver: str, size: int, /) -> None:
-        """Count one write to the network and its bytes."""
+        """Count one write of `size` bytes from one process to another."""
 
 
 class Event(typing.NamedTuple):
-    """A function that is due; events compare by time, then by the order in which they were scheduled."""
+    """A function scheduled at a time; events are ordered by time, then by the order in which they were scheduled."""
 
     at: int
     number: int
@@ -60,15 +60,17 @@
     """
 
     def __init__(self, seed: int) -> None:
-        self.time = 0  # microseconds since the start
+        self.time = 0  # microseconds since the start of the simulation
         self.rng = random.Random(seed)
         self.heap: list[Event] = []
-        self.pushed = 0  # events so far; those of one time run in the order pushed
+        self.pushed = 0  # number of events scheduled so far
         self.processes: dict[str, process_model.SimulatedProcess] = {}
         self.machines: dict[str, host_model.Host] = {}
-        self.cuts: set[tuple[str, str]] = set()  # (host, host): what the first sends does not reach the second
-        self.zone_cuts: set[tuple[str, str]] = set()  # (zone, zone): likewise for all hosts of two zones
-        self.refused_zone_links: set[tuple[str, str]] = set()  # of those, the ones that refuse new connections at once
+        self.cuts: set[tuple[str, str]] = set()  # (sender, receiver): hosts whose packets are not delivered
+        self.zone_cuts: set[tuple[str, str]] = set()  # (sender, receiver): zones whose packets are not delivered
+        self.refused_zone_links: set[tuple[str, str]] = (
+            set()
+        )  # those of `zone_cuts` that refuse new connections at once
         self.extra_delay_us: dict[str, int] = {}  # host -> extra delay each way, microseconds
         self.loss_share: dict[str, float] = {}  # host -> share of its packets that are lost and sent again
         self.sends_writes_after_turn = (
@@ -79,7 +81,7 @@
         self.meter: Meter | None = None  # set while processor time and traffic are counted
 
     def push(self, at: int, function: Callback) -> None:
-        """Schedule a function at a time, in microseconds since the start.
+        """Schedule a function at a time in microseconds since the start of the simulation.
 
         >>> World(1).push(5, print)
         """
@@ -87,7 +89,7 @@
         heapq.heappush(self.heap, Event(at, self.pushed, function))
 
     def run(self, until: int) -> None:
-        """Run all events that are due until a time, and advance the clock to it.
+        """Run all events that are due up to a time, and advance the clock to that time.
 
         >>> world = World(1); world.run(5); world.time
         5
@@ -104,7 +106,7 @@
         function: Callback,
         *arguments: object,
     ) -> None:
-        """Call a function now, and charge its processor time to an account where a meter is set.
+        """Call a function now, and charge its processor time to an account if a meter is set.
 
         >>> World(1).call_metered(None, print, "x")
         x
@@ -121,7 +123,7 @@
     # ---- the network -----------------------------------------------------------
 
     def is_open(self, sender: str, receiver: str) -> bool:
-        """Whether what one host sends reaches another now.
+        """Whether a packet that one host sends now is delivered to another.
 
         >>> world = World(1); world.cuts.add(("a", "b")); world.is_open("a", "b"), world.is_open("b", "a")
         (False, True)
@@ -134,11 +136,11 @@
         return (sender, receiver) not in self.cuts
 
     def is_refused(self, sender: str, receiver: str) -> bool:
-        """Whether a cut between the zones of two hosts refuses a new connection at once."""
+        """Whether a cut between the zones of two hosts refuses a new connection at once instead of letting it time out."""
         return (self.zone(sender), self.zone(receiver)) in self.refused_zone_links
 
     def delay(self, sender: str, receiver: str) -> int:
-        """How long a packet takes from one host to another, in microseconds; draws randomness.
+        """The time in microseconds that a packet takes from one host to another; draws random numbers.
 
         >>> World(1).delay("a", "a")
         30
@@ -158,7 +160,7 @@
         )
 
     def zone(self, host: str) -> str:
-        """The zone of a host; "far" for one outside the cluster.
+        """The zone of a host; "far" for a host that is not part of the simulation.
 
         >>> World(1).zone("10.0.0.1")
         'far'
@@ -169,9 +171,9 @@
         """Cut the network between two groups of hosts.
 
         Args:
-            some: The hosts whose packets to `others` are lost.
-            others: The hosts that are cut off from `some`.
-            both: Whether packets from `others` to `some` are lost too.
+            some: The hosts whose packets to `others` are not delivered.
+            others: The hosts that no longer receive packets from `some`.
+            both: Whether packets from `others` to `some` are not delivered either.
         """
         for sender in some:
             for receiver in others:
@@ -181,12 +183,12 @@
                         self.cuts.add((receiver, sender))
 
     def heal(self) -> None:
-        """Remove all cuts; data that was held up is sent again after the time of a TCP resend."""
+        """Remove all cuts between hosts; data that they held back is sent again after the delay of a TCP resend."""
         self.cuts.clear()
         self.resend_all()
 
     def resend_all(self) -> None:
-        """Let all connections resend what they hold, as TCP does."""
+        """Let all connections send undelivered data again after the delay of a TCP resend."""
         for connection in list(self.connections.values()):
             for side in connection.sides:
                 self.push(self.time + RESEND_US, side.flush)
