--- a/simulation/counter_cluster.py
+++ b/simulation/counter_cluster.py
@@ -1,4 +1,4 @@
-"""Five simulated core machines that tolerate the loss of two, without nodes, and calls to their replicated counters."""
+"""A simulated cluster of five cores without nodes, which tolerates the loss of two, and calls to its counters."""
 
 from __future__ import annotations
 
@@ -18,26 +18,28 @@
 
 
 class Call(typing.NamedTuple):
-    """An add under way."""
+    """A call that adds to a counter, and its outcome."""
 
     identifier: str
     amount: int
     machine: str
     started_at_us: int
-    outcome: list[tuple[int, str]]  # when it ended, and with which error code; empty for an acknowledgement
+    outcome: list[
+        tuple[int, str]
+    ]  # end time and error code of an ended call; the code is empty for an acknowledged add
 
     @property
     def acknowledged(self) -> bool:
-        """Whether it was acknowledged."""
+        """Whether the add was acknowledged."""
         return bool(self.outcome) and not self.outcome[0][1]
 
     def is_pending(self) -> bool:
-        """Whether it has no answer yet."""
+        """Whether the call has no answer yet."""
         return not self.outcome
 
 
 class CounterCluster(deployment.Deployment):
-    """Five core machines that tolerate the loss of two, without nodes."""
+    """Five cores without nodes; the cluster tolerates the loss of two cores."""
 
     def __init__(self, seed: int = 1) -> None:
         super().__init__(seed)
@@ -47,12 +49,12 @@
         self.start(*MACHINES, founding=True)
 
     def start_additional_core(self, name: str, host: str) -> None:
-        """Start a core machine that the seeds of the others don't name."""
+        """Start a core that is not among the seeds of the other cores."""
         self.hosts[name] = host
         self.start(name)
 
     def start(self, *names: str, founding: bool = False) -> None:
-        """Start core machines on the disks that are there; `founding` for the whole fleet's first start."""
+        """Start cores with the data on their hosts' disks; `founding` marks the first start of the whole fleet."""
         for name in names:
             process = process_model.SimulatedProcess(
                 self.world, name, self.powered_machine(self.hosts[name], MACHINES.get(name, "west"))
@@ -80,7 +82,7 @@
     # ---- faults ------------------------------------------------------------------
 
     def cut(self, *names: str) -> None:
-        """Cut some machines off from the others."""
+        """Cut the network between some machines and all others."""
         some = [self.hosts[name] for name in names]
         self.world.cut(some, [host for host in self.hosts.values() if host not in some])
 
@@ -90,7 +92,7 @@
             self.cores[name].process.kill()
 
     def lose_power(self, *names: str, wiped: collections.abc.Collection[str] = ()) -> None:
-        """Cut the power of some machines; the disks of those in `wiped` are lost too."""
+        """Cut the power of some machines, and erase the disks of those in `wiped`."""
         for name in names:
             self.cores[name].process.host.fail()
             if name in wiped:
@@ -99,7 +101,7 @@
     # ---- calls -------------------------------------------------------------------
 
     def add(self, name: str, identifier: str, amount: int = 1) -> Call:
-        """Begin an add at a machine."""
+        """Start an add at a machine, without waiting for its outcome."""
         core = self.cores[name]
         call = Call(identifier, amount, name, self.world.time, [])
         self.calls.append(call)
@@ -123,22 +125,22 @@
         return call
 
     def read(self, name: str) -> int | str:
-        """What a machine reads: the sum, or the code of its refusal."""
+        """The sum of the counter that a machine returns, or the error code if it refuses the read."""
         try:
             return self.cores[name].replicated_counters.sum_of("n")
         except errors.ServiceError as error:
             return error.code
 
     def sums(self) -> set[int | str]:
-        """What all machines read."""
+        """The distinct results of reading the counter at all running machines."""
         return {self.read(name) for name in self.cores if self.cores[name].process.alive}
 
     def acknowledged_sum(self) -> int:
-        """The sum of all that was acknowledged, each id once."""
+        """The sum of all acknowledged adds, with each id counted once."""
         return sum({call.identifier: call.amount for call in self.calls if call.acknowledged}.values())
 
     def holders(self, identifier: str) -> list[str]:
-        """The machines on whose disks an add is."""
+        """The machines that have an add on their disks."""
         raw = identifier.encode()
         return [
             name
@@ -148,7 +150,7 @@
 
 
 def settled_cluster() -> CounterCluster:
-    """A cluster that has run for long enough for silence to count as a cut, and whose counters are in use."""
+    """A cluster whose cores detect cut-off peers by their missing messages, and whose counters have been read once."""
     started = CounterCluster()
     started.advance(5)
     started.sums()
--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -1,4 +1,4 @@
-"""TCP connections between simulated processes: opening, ordered delivery, flow control, resets."""
+"""Simulated TCP connections between processes: opening, ordered delivery, flow control and resets."""
 
 from __future__ import annotations
 
@@ -19,47 +19,47 @@
 
     from simulation import process_model
 
-WINDOW_BYTES = 65_536  # how far a producer may be ahead of its reader
-DEFAULT_TIMEOUT_SECONDS = 30  # of opening a connection
-NETWORK = types.SimpleNamespace(name="wire")  # the account of the simulated network's own work
+WINDOW_BYTES = 65_536  # unread bytes above which a producer is paused
+DEFAULT_TIMEOUT_SECONDS = 30  # time limit for opening a connection
+NETWORK = types.SimpleNamespace(name="wire")  # account for the processor time of the simulated network itself
 
 
 class Producer(typing.Protocol):
-    """What a transport asks of the source of its data: Twisted's push and pull producers."""
+    """The methods that a transport calls on a Twisted push or pull producer."""
 
     def pauseProducing(self) -> None:
         """Stop writing until resumed."""
 
     def resumeProducing(self) -> None:
-        """Write on, or, as a pull producer, once more."""
+        """Resume writing; a pull producer writes once."""
 
     def stopProducing(self) -> None:
-        """Write nothing more: the connection is lost."""
+        """Stop writing for good: the connection is lost."""
 
 
 class ListeningFactory(typing.Protocol):
-    """What a listening port asks of Twisted's factories."""
+    """The methods that a listening port calls on a Twisted factory."""
 
     def doStart(self) -> None:
-        """Begin to be used."""
+        """Prepare the factory for its first use."""
 
     def buildProtocol(
         self,
         address: typing.Any,  # noqa: ANN401 - Twisted's type is a zope interface, which mypy can't check
         /,
     ) -> protocol.Protocol | None:
-        """The protocol of a new connection, or None where the connection is refused."""
+        """The protocol for a new connection, or None to refuse the connection."""
 
 
 class ConnectingFactory(ListeningFactory, typing.Protocol):
-    """What opening a connection asks of Twisted's client factories."""
+    """The methods that a connector calls on a Twisted client factory."""
 
     def startedConnecting(
         self,
         connector: typing.Any,  # noqa: ANN401 - Twisted's type is a zope interface, which mypy can't check
         /,
     ) -> None:
-        """The connection is being opened."""
+        """Called when the connection is being opened."""
 
     def clientConnectionFailed(
         self,
@@ -67,18 +67,18 @@
         reason: failure.Failure,
         /,
     ) -> None:
-        """The connection could not be opened."""
+        """Called when the connection could not be opened."""
 
 
 class Segment(typing.NamedTuple):
-    """A numbered part of a stream; data of None is its end."""
+    """A numbered part of a byte stream; data of None marks the end of the stream."""
 
     number: int
     data: bytes | None
 
 
 class Connector:
-    """A connection that is being opened, as a reactor's `connectTCP` returns it."""
+    """An attempt to open a connection, as returned by a reactor's `connectTCP`."""
 
     def __init__(
         self,
@@ -97,7 +97,7 @@
         self.send_syn()
 
     def send_syn(self) -> None:
-        """Send the opening packet, again and again while the network is cut."""
+        """Send the opening packet; send it again after a delay while the network is cut or the host does not exist."""
         if self.done or not self.process.alive:
             return
         here = self.process.host.address
@@ -111,7 +111,7 @@
         self.world.push(self.world.time + self.world.delay(here, self.host), self.receive_syn)
 
     def receive_syn(self) -> None:
-        """The opening packet has arrived: the far kernel accepts or refuses it."""
+        """Let the far host accept or refuse the opening packet that arrived, and send its answer back."""
         if self.done or not self.process.alive:
             return
         here = self.process.host.address
@@ -132,7 +132,7 @@
         return None
 
     def succeed(self, far: process_model.SimulatedProcess) -> None:
-        """Give both sides their connection."""
+        """Connect the protocols of both sides."""
         if self.done:
             return
         self.done = True
@@ -160,7 +160,7 @@
             side.attach(far_protocol)
 
     def fail(self, reason: Exception) -> None:
-        """Report that the connection could not be opened."""
+        """Report to the factory that the connection could not be opened."""
         if self.done:
             return
         self.done = True
@@ -173,14 +173,14 @@
         return address.IPv4Address("TCP", self.host, self.port)
 
     def stopConnecting(self) -> None:
-        """Give the attempt up."""
+        """Cancel the attempt."""
         self.fail(error.UserError())
 
     disconnect = stopConnecting
 
 
 class SimulatedConnection:
-    """A TCP connection between two processes."""
+    """A simulated TCP connection between two processes."""
 
     def __init__(
         self,
@@ -198,14 +198,17 @@
         simulated_world.connections[self.id] = self
 
     def forget(self) -> None:
-        """Drop the connection once both sides have closed it."""
+        """Remove the connection from the world if both sides have closed it."""
         if all(side.state == "closed" for side in self.sides):
             self.world.connections.pop(self.id, None)
 
 
 @interface.implementer(interfaces.ITCPTransport, interfaces.IPushProducer, interfaces.IConsumer)
 class ConnectionSide:
-    """One side's transport: a stream in order; cuts of the network hold it up, and a kill of the process resets it."""
+    """The transport of one side of a connection.
+
+    Data arrives in order. It is held back while the network is cut. A kill of the process resets the connection.
+    """
 
     disconnecting = False
 
@@ -216,9 +219,9 @@
         self.peer_protocol: protocol.Protocol | None = None
         self.state: typing.Literal["open", "closed"] = "open"
         self.aborted = False
-        self.outgoing: list[Segment] = []  # not yet on the network
+        self.outgoing: list[Segment] = []  # segments written but not yet sent
         self.last_number = 0
-        self.out_of_order: dict[int, bytes | None] = {}  # segments that arrived before one that was held up
+        self.out_of_order: dict[int, bytes | None] = {}  # segment number -> data that arrived before an earlier segment
         self.expected_number = 1
         self.bytes_in_flight = 0  # written here and not yet read by the peer
         self.last_arrival_at = 0
@@ -231,7 +234,7 @@
     # ---- transport ------------------------------------------------------------
 
     def attach(self, peer_protocol: protocol.Protocol) -> None:
-        """Connect the protocol of this side."""
+        """Connect the protocol of this side, and deliver what has already arrived."""
         if self.state == "closed":
             return
         self.peer_protocol = peer_protocol
@@ -247,7 +250,7 @@
         return address.IPv4Address("TCP", self.process.host.address, self.port)
 
     def setTcpNoDelay(self, on: bool) -> None:
-        """Do nothing: segments are sent at once."""
+        """Do nothing: segments are always sent at once."""
 
     def getTcpNoDelay(self) -> bool:
         """Whether small segments are sent at once."""
@@ -261,7 +264,7 @@
         return False
 
     def write(self, data: bytes) -> None:
-        """Send bytes."""
+        """Send bytes, unless this side is closed or closing."""
         if self.state != "open" or self.disconnecting or not data:
             return
         if self.world.meter is not None:
@@ -269,7 +272,7 @@
         self.world.call_metered(NETWORK, self.put, data)
 
     def put(self, data: bytes) -> None:
-        """Send bytes; a producer that is further ahead of its reader than the window is paused."""
+        """Enqueue and send bytes; pause the producer if more unread bytes are in flight than the window allows."""
         self.enqueue(bytes(data))
         self.bytes_in_flight += len(data)
         if self.world.sends_writes_after_turn:
@@ -290,7 +293,7 @@
         self.write(b"".join(pieces))
 
     def loseConnection(self, _: None = None) -> None:
-        """Close the connection once all that was written is sent and no producer is left."""
+        """Close the connection once all written data is sent and no producer is registered."""
         if self.state == "open" and not self.disconnecting:
             self.disconnecting = True
             if self.producer is None:
@@ -308,7 +311,7 @@
             self.world.push(self.world.time, lambda: self.reset(error.ConnectionAborted()))
 
     def registerProducer(self, producer: Producer, streaming: bool) -> None:
-        """Let a producer write, which is paused while it is far ahead of its reader."""
+        """Register a producer; it is paused while too many of its bytes are unread."""
         if self.state != "open":
             producer.stopProducing()
             return
@@ -317,39 +320,39 @@
             producer.resumeProducing()
 
     def unregisterProducer(self) -> None:
-        """The producer has written all; a close that waited for it is carried out."""
+        """Remove the producer, which has written all its data, and close the connection if that was requested."""
         self.producer = None
         if self.disconnecting and self.state == "open":
             self.enqueue(None)
             self.flush()
 
     def pauseProducing(self) -> None:
-        """Hand nothing more to the protocol until resumed."""
+        """Stop delivering data to the protocol until resumed."""
         self.paused = True
 
     def resumeProducing(self) -> None:
-        """Hand to the protocol what has arrived, from the process's next turn on."""
+        """Deliver data to the protocol again, from the next event of the process on."""
         self.paused = False
         self.world.push(self.world.time, lambda: self.process.call(self.deliver))
 
     def stopProducing(self) -> None:
-        """Close the connection: its consumer wants no more."""
+        """Close the connection: the consumer of its data needs no more."""
         self.loseConnection()
 
     # ---- the network ------------------------------------------------------------
 
     def enqueue(self, data: bytes | None) -> None:
-        """Give data, or None for the end of the stream, the next number and keep it until it is sent."""
+        """Number data, or None for the end of the stream, and queue it for sending."""
         self.last_number += 1
         self.outgoing.append(Segment(self.last_number, data))
 
     def send_held(self) -> None:
-        """Send what the process wrote in its last turn, unless it has ended since."""
+        """Send what the process wrote in its last turn, unless the process has ended since."""
         if self.process.alive:
             self.flush()
 
     def flush(self) -> None:
-        """Send what was written, if the network is not cut."""
+        """Send all queued segments, unless the network is cut."""
         here, there = self.process.host.address, self.peer.process.host.address
         if not self.outgoing or not self.world.is_open(here, there):
             return
@@ -359,7 +362,10 @@
             self.world.push(self.last_arrival_at, functools.partial(self.peer.receive, segment))
 
     def receive(self, segment: Segment) -> None:
-        """A segment arrives: where the network is cut it is sent again later, and order is restored here."""
+        """Receive a segment, and deliver all segments that are now in order.
+
+        While the network is cut, the segment returns to the sender's queue. A closed side answers with a reset.
+        """
         if self.state == "closed":
             if segment.data is not None and self.peer.state == "open":
                 self.send_reset()
@@ -368,7 +374,7 @@
             return
         if not self.world.is_open(self.peer.process.host.address, self.process.host.address):
             if self.peer.aborted:
-                return  # nobody is left to send it again
+                return  # the sender was reset and sends nothing again
             self.peer.outgoing = sorted([*self.peer.outgoing, segment], key=lambda waiting: waiting.number)
             return
         self.out_of_order[segment.number] = segment.data
@@ -378,7 +384,7 @@
         self.process.call(self.deliver)
 
     def deliver(self) -> None:
-        """Hand what arrived to the protocol, unless the protocol has paused this transport."""
+        """Deliver what arrived to the protocol, unless the protocol has paused this transport."""
         while self.inbox and self.peer_protocol is not None and self.state == "open" and not self.paused:
             data = self.inbox.popleft()
             if data is None:
@@ -388,7 +394,7 @@
             self.peer_protocol.dataReceived(data)
 
     def acknowledge(self, size: int) -> None:
-        """The peer has read a number of bytes: a paused producer may go on."""
+        """Note that the peer has read a number of bytes, and resume a paused producer if few bytes are left unread."""
         self.bytes_in_flight -= size
         if self.bytes_in_flight < WINDOW_BYTES // 4 and self.producer_paused and self.producer is not None:
             self.producer_paused = False
@@ -401,21 +407,21 @@
             self.producer.resumeProducing()
 
     def reset(self, reason: Exception | None = None) -> None:
-        """Close this side at once, and tell the peer if the network is not cut."""
+        """Close this side at once, and send the peer a reset unless the network is cut."""
         if self.state == "closed":
             return
         self.close(reason or error.ConnectionLost())
         self.send_reset()
 
     def send_reset(self) -> None:
-        """Tell the peer that the connection is lost, if the network is not cut."""
+        """Send the peer a reset, which ends its side of the connection, unless the network is cut."""
         here, there = self.process.host.address, self.peer.process.host.address
         if self.world.is_open(here, there):
             at = max(self.last_arrival_at, self.world.time + self.world.delay(here, there))
             self.world.push(at, lambda: self.peer.process.call(lambda: self.peer.close(error.ConnectionLost())))
 
     def close(self, reason: Exception) -> None:
-        """End this side of the connection, and tell its protocol and producer."""
+        """Close this side of the connection, and notify its protocol and producer of the reason."""
         if self.state == "closed":
             return
         self.state = "closed"
--- a/simulation/operator_model.py
+++ b/simulation/operator_model.py
@@ -18,21 +18,21 @@
 
 HTTP_OK = 200
 HTTP_SERVER_ERROR = 500
-HTTP_GATEWAY_TIMEOUT = 504  # logged where a request got no answer
+HTTP_GATEWAY_TIMEOUT = 504  # logged for a request that got no answer
 
 QUERY_TIMEOUT_US = 6 * units.SECOND_US
-RETRY_US = 300 * units.MILLISECOND_US  # between attempts at a plan or a confirmation
+RETRY_US = 300 * units.MILLISECOND_US  # wait between attempts to plan or confirm
 NUMBERED_RETRY_US = 100 * units.MILLISECOND_US
 READ_RETRY_US = 500 * units.MILLISECOND_US
 STALE_PLAN_ATTEMPTS = 40
 
-PLAN_IS_OVER = ("base_moved", "not_found")  # codes after which a plan can't be confirmed any more
+PLAN_IS_OVER = ("base_moved", "not_found")  # error codes after which a plan can no longer be confirmed
 
 Document = dict[str, typing.Any]  # a configuration, or an answer, as JSON
 
 
 class Operator:
-    """A person who changes the configuration by the HTTP interface of the cores."""
+    """A person who changes the configuration through the HTTP interface of the cores."""
 
     def __init__(self, cluster: simulated_cluster.SimulatedCluster, runtime: scheduler.Runtime, name: str) -> None:
         self.cluster, self.runtime, self.name = cluster, runtime, name
@@ -40,15 +40,15 @@
     # ---- plans -------------------------------------------------------------------------------------
 
     async def change(self, document: Document, attempts: int = 40, patch: bool = False) -> int:
-        """Have a configuration confirmed.
+        """Plan a configuration and confirm the plan, with retries.
 
         Args:
-            document: The configuration wanted; its route `probe` carries the number of the change.
-            attempts: How often to plan, and how often to confirm each plan.
-            patch: Whether to send the difference to the present configuration as a JSON Patch.
+            document: The configuration to apply; the path of its route `probe` contains the number of the change.
+            attempts: The maximum number of plans, and of attempts to confirm each plan.
+            patch: Whether to send the difference to the current configuration as a JSON Patch.
 
         Returns:
-            The configuration version, or 0 where it was not confirmed.
+            The version of the confirmed configuration, or 0 if no plan was confirmed.
         """
         probe = _probe_number(document)
         self.cluster.event_log.put(self.runtime.now(), "wanted", probe=probe, who=self.name)
@@ -75,7 +75,7 @@
         }
 
     async def _confirm(self, plan: Document, document: Document, attempts: int) -> int | None:
-        """The configuration version, or None where the plan was not confirmed."""
+        """Confirm a plan: the version of the configuration, or None if the plan was not confirmed."""
         probe = _probe_number(document)
         self._log_confirm_sent(plan, document)
         for _ in range(attempts):
@@ -99,7 +99,10 @@
         return None
 
     async def stale_plans(self, document: Document) -> None:
-        """Plan twice on one base; confirm one at one core and again at another, then the other plan, late."""
+        """Make two plans on the same base, then confirm each of them twice.
+
+        Only the first confirmed plan can succeed; the other plan's base is then out of date.
+        """
         other = json.loads(json.dumps(document))
         other["routes"]["late"] = {"path": "/late", "pool": self.cluster.pool}
         plans = []
@@ -150,7 +153,7 @@
             who=self.name,
         )
 
-    # ---- numbered changes, reads, requests -------------------------------------------------------------
+    # ---- numbered changes, reads and requests -------------------------------------------------------------
 
     async def submit_numbered(
         self,
@@ -160,17 +163,17 @@
         attempts: int = 60,
         answer_timeout_us: int = units.SECOND_US,
     ) -> int:
-        """Submit a numbered change, and go on to another core after a 5xx or no answer.
+        """Submit a numbered change; after a 5xx status or no answer, send it to the next core.
 
         Args:
             number: The change's number.
-            built_on: The number of the change that it builds on.
-            content: What it changes.
-            attempts: How often to send it.
-            answer_timeout_us: How long to wait for each answer.
+            built_on: The number of the change that this change is based on.
+            content: The changed part of the configuration.
+            attempts: The maximum number of times to send the change.
+            answer_timeout_us: The time limit of each answer.
 
         Returns:
-            The last status: 200, a 4xx that ended the call, or 0 where no answer was clear.
+            The last status: 200, a 4xx status that ended the call, or 0 if no attempt got a definite answer.
         """
         document = {"number": number, "built_on": built_on, **content}
         core_addresses = self._core_addresses()
@@ -187,7 +190,7 @@
         return 0
 
     async def read(self, attempts: int = 60) -> None:
-        """Read the configuration back, and log it."""
+        """Read the current configuration, and log it."""
         started_at = self.runtime.now()
         for _ in range(attempts):
             status, document = await self.query("GET", "/blueprint")
@@ -198,7 +201,7 @@
             await self.runtime.sleep(READ_RETRY_US)
 
     async def query(self, method: str, path: str, document: Document | None = None) -> tuple[int, Document]:
-        """Send a request to any core, in a random order: the status and the JSON of its answer."""
+        """Send a request to the cores in random order until one answers: the status and the JSON of the answer."""
         return await self._send(self._core_addresses(), method, path, document, QUERY_TIMEOUT_US)
 
     def _core_addresses(self) -> list[str]:
@@ -213,11 +216,11 @@
         request = command.send_request(self.runtime, core_addresses, method, path, document)
         try:
             return await self.runtime.within(defer.ensureDeferred(request), timeout_us)
-        except Exception as error:  # whatever failed, the operator does not know whether the request was carried out
+        except Exception as error:  # after any failure the operator does not know whether the request was executed
             code = {"code": "unknown_outcome", "verdict": "may_have_run", "text": repr(error)}
             return HTTP_GATEWAY_TIMEOUT, code
 
 
 def _probe_number(document: Document) -> int:
-    """The number of a change, which the path of its route `probe` ends in."""
+    """The number of a change: the end of the path of its route `probe`."""
     return int(document["routes"]["probe"]["path"].removeprefix("/p/"))
--- a/simulation/prober.py
+++ b/simulation/prober.py
@@ -1,4 +1,4 @@
-"""Probes: requests for the newest routes at every ready node, which show what configuration it serves."""
+"""Probes: requests for the newest probe routes at each ready node, which show the configuration that it serves."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class Prober:
-    """Sends probes to the nodes of a cluster and logs their answers."""
+    """Sends probes to the nodes of a cluster, and logs their answers."""
 
     def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         self.cluster = cluster
         self.sent = 0
 
     async def run(self, runtime: scheduler.Runtime) -> None:
-        """Every second, try the newest probe route, the one before, and the cluster's `paths` at every ready node."""
+        """Each second, request the newest two probe routes and the cluster's `extra_probe_paths` at all ready nodes."""
         cluster = self.cluster
         agent = dispatch.Dispatcher(runtime).unpooled_agent
         while cluster.probing:
@@ -41,7 +41,7 @@
                     runtime.spawn(self.probe(runtime, agent, name, path), log)
 
     async def probe(self, runtime: scheduler.Runtime, agent: dispatch.HttpAgent, name: str, path: str) -> None:
-        """Try one path at one node, and log the answer."""
+        """Request one path at one node, and log the answer."""
         started_at = runtime.now()
         self.sent += 1
         identifier = f"p{self.sent}"
@@ -53,7 +53,7 @@
         url = f"http://{host}:{port}{path}".encode()
         try:
             response = await runtime.within(agent.request(b"POST", url, headers, dispatch.Body(b"probe")), TIMEOUT_US)
-        except Exception:  # whatever became of it, the probe has no answer
+        except Exception:  # any failure means that the probe got no answer
             self.cluster.event_log.put(
                 started_at, "probe", **row, status=0, worker=None, done=runtime.now(), code="lost"
             )
--- a/simulation/rude_clients.py
+++ b/simulation/rude_clients.py
@@ -1,4 +1,4 @@
-"""Clients that misbehave: they leave, read slowly, or send bad HTTP."""
+"""Misbehaving clients: they disconnect early, read slowly, or send invalid HTTP."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     from simulation import event_log
 
 CONNECT_TIMEOUT_SECONDS = 2
-LEAVE_AFTER_US = 40 * units.MILLISECOND_US
-PAUSE_US = 3 * units.SECOND_US
-ANSWER_US = 2 * units.SECOND_US  # how long a client waits for what comes back
-STATUS = slice(9, 12)  # of an answer's first line
-LOGGED_LENGTH = 300
+LEAVE_AFTER_US = 40 * units.MILLISECOND_US  # time from the request to the disconnect of a client that leaves
+PAUSE_US = 3 * units.SECOND_US  # time for which a slow client does not read
+ANSWER_US = 2 * units.SECOND_US  # time for which a client collects the answer
+STATUS = slice(9, 12)  # position of the status code in the first line of an answer
+LOGGED_LENGTH = 300  # characters from the end of an answer that are logged
 
 _HEAD = b"POST /v1/complete HTTP/1.1\r\nHost: x\r\nX-May-Repeat: yes\r\n"
 
@@ -33,7 +33,7 @@
 
 
 class RecordingConnection(protocol.Protocol):
-    """Keeps what comes back to a rude client.
+    """Records the answer to a misbehaving client.
 
     >>> RecordingConnection().received
     []
@@ -43,18 +43,18 @@
         self.received: list[bytes] = []
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep a part of the answer."""
+        """Record a part of the answer."""
         self.received.append(data)
 
 
 async def misbehave(
     runtime: scheduler.Runtime, events: event_log.EventLog, host: str, port: int, behaviour: str
 ) -> None:
-    """Send one bad request to a node, and log what comes back; a client that leaves logs nothing.
+    """Send one request to a node in a misbehaving way, and log the answer; a client that leaves logs nothing.
 
     Args:
         runtime: The client's runtime.
-        events: Where the answer is logged.
+        events: The event log.
         host: The node's host.
         port: The node's HTTP port.
         behaviour: One of `BEHAVIOURS`.
@@ -63,7 +63,7 @@
     try:
         factory = protocol.Factory.forProtocol(RecordingConnection)
         connection = await endpoint.connect(factory)  # type: ignore[arg-type]  # Twisted's is a zope interface
-    except Exception:  # however the node can't be reached, there is nobody to be rude to
+    except Exception:  # no connection to the node, whatever the reason: there is nothing to test
         return
     connection.transport.write(REQUESTS[behaviour])
     match behaviour:
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster: cores, nodes, workers, a platform and clients in the shape of a deployment, and its faults."""
+"""A simulated cluster: cores, nodes, workers, a platform and clients of a deployment shape, and a log of its faults."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
     from iriswheel.runtime import scheduler
 
-SEED_COUNT = 3  # cores that the seeds name, however many there are
-DEFAULT_CAP = 10
-LIFETIME_US = 60 * units.SECOND_US
+SEED_COUNT = 3  # maximum number of cores listed as seeds
+DEFAULT_CAP = 10  # open sessions per worker if the configuration states no cap
+LIFETIME_US = 60 * units.SECOND_US  # session lifetime that the event log states for the checkers
 START_TIMEOUT_SECONDS = 30
-LOAD_END_SECONDS = 120  # within which the requests under way end
-LAST_PROBES_SECONDS = 2
-PROBE_ANSWERS_SECONDS = 9  # within which the last probes are answered
-READ_BACK_SECONDS = 40
+LOAD_END_SECONDS = 120  # time limit for open requests to end after clients stop sending
+LAST_PROBES_SECONDS = 2  # duration of probing after the last client request has ended
+PROBE_ANSWERS_SECONDS = 9  # time limit for answers to the last probes
+READ_BACK_SECONDS = 40  # time limit for reading the configuration back at the end
 
 Group = typing.Literal["cores", "nodes", "workers", "platform", "outside"]
 
@@ -49,7 +49,7 @@
 
 
 class NewServer(typing.NamedTuple):
-    """What a core or node is made of: its process, the process's runtime, and its options."""
+    """What the server object of a core or node is created from: its process, the process's runtime, and its options."""
 
     process: process_model.SimulatedProcess
     runtime: scheduler.Runtime
@@ -60,16 +60,16 @@
     """One simulated run of a whole cluster.
 
     Args:
-        seed: What all draws of randomness follow from.
+        seed: The seed of all random numbers.
         shape: The deployment's shape, a key of `benchmarks.fleet.SHAPES`.
-        long_rate: Long requests a second.
-        short_rate: Short requests a second.
-        conversations: How many go on at a time.
-        seconds: How long clients send requests.
-        configuration: The configuration in place of the shape's example.
-        zones: The zone of each node in place of the shape's.
-        cores: How many cores.
-        extra_options: Further options of all cores and nodes.
+        long_rate: Long requests per second.
+        short_rate: Short requests per second.
+        conversations: The number of conversations that clients hold at the same time.
+        seconds: The time for which clients send requests.
+        configuration: A configuration that replaces the example of the shape.
+        zones: The zone of each node, replacing those of the shape.
+        cores: The number of cores.
+        extra_options: Additional options of all cores and nodes.
     """
 
     def __init__(
@@ -101,19 +101,17 @@
         self.workers: dict[str, SimulatedWorker] = {}
         self.places: dict[str, deployment.Place] = {}
         self.seeds: list[str] = []
-        self.numbered_calls = 0  # calls with a numbered change so far
-        self.newest_probe = 0  # the number of the probe route that was confirmed last
+        self.numbered_calls = 0  # number of calls so far that submit a numbered change
+        self.newest_probe = 0  # number of the probe route in the newest confirmed configuration
         self.probing = True
         self.prober = prober.Prober(self)
-        self.protocol_versions: dict[
-            str, int
-        ] = {}  # process -> version of our messages that it speaks, where not this one
-        self.extra_probe_paths: list[str] = []  # that probes try at every node too
+        self.protocol_versions: dict[str, int] = {}  # process -> version of peer messages, if not the current one
+        self.extra_probe_paths: list[str] = []  # paths that probes request at every node besides the probe routes
 
     # ---- building -----------------------------------------------------------------
 
     def begin(self) -> None:
-        """Start everything and wait until a first configuration is confirmed and all nodes are ready."""
+        """Start all processes; once a first configuration is confirmed and all nodes are ready, start the load."""
         self._start_platform()
         self._start_servers()
         self.platform.runtime.spawn(self.platform.poll_nodes(), log)
@@ -174,7 +172,7 @@
     def listen(
         self, process: process_model.SimulatedProcess, port: int, factory: http_server.Server | wire.Listener
     ) -> None:
-        """Let a process listen."""
+        """Let a process listen on a port."""
         process.reactor.listenTCP(port, factory)
 
     def _new_server(
@@ -185,7 +183,7 @@
         zone: str,
         **extra_options: typing.Any,  # noqa: ANN401 - each field of options.Options has a type of its own
     ) -> NewServer:
-        """A new process for a core or node, on a machine with power."""
+        """Create a process for a core or node, and switch its machine on."""
         process = process_model.SimulatedProcess(self.world, name, self.powered_machine(host, zone))
         self.places[name] = deployment.Place(host, zone)
         process_options = options.Options(
@@ -203,7 +201,7 @@
         return NewServer(process, runtime, process_options)
 
     def start_core(self, name: str, host: str, zone: str) -> None:
-        """Start a core's process, on the disk that is there."""
+        """Start a core's process with the data on its host's disk."""
         process, runtime, core_options = self._new_server("core", name, host, zone, data="sim")
         started = self.cores[name] = server_model.SimulatedCore(process, runtime, core_options)
         self.listen(process, addresses.PEER_PORT, wire.Listener(runtime, started.serve, log))
@@ -221,7 +219,7 @@
         self.platform.nodes[name] = (host, addresses.HTTP_PORT)
 
     def start_worker(self, name: str, host: str) -> None:
-        """Start a worker and have the platform list it."""
+        """Start a worker, and add it to the platform's list of workers."""
         process = process_model.SimulatedProcess(self.world, name, self.machine(host, sorted(set(self.zones))[0]))
         runtime = process.runtime()
         worker = self.workers[name] = SimulatedWorker(process, runtime, name, self.event_log)
@@ -229,7 +227,7 @@
         self.platform.put(name, host=host, port=addresses.WORKER_PORT, pool=self.pool, state="ready")
 
     def with_probe(self, number: int, routes: dict[str, typing.Any] | None = None) -> dict[str, typing.Any]:
-        """A copy of the configuration with a probe route, and perhaps more routes."""
+        """A copy of the configuration with a probe route of a number, and optionally more routes."""
         document: dict[str, typing.Any] = json.loads(json.dumps(self.configuration))
         document["routes"]["probe"] = {"path": f"/p/{number}", "pool": self.pool}
         document["routes"].update(routes or {})
@@ -238,23 +236,23 @@
     # ---- time ---------------------------------------------------------------------------
 
     def advance_until_called(self, deferred: defer.Deferred[typing.Any], seconds: float) -> bool:
-        """Let time pass until a deferred has fired; False where it did not in time."""
+        """Advance virtual time until a Deferred has fired; returns False if it does not within a number of seconds."""
         return self.advance_until(lambda: deferred.called, seconds)
 
     def advance_until_ready(self, name: str, seconds: float) -> bool:
-        """Let time pass until a node is ready; False where it was not in time."""
+        """Advance virtual time until a node is ready; returns False if it is not within a number of seconds."""
         return self.advance_until(lambda: self.is_ready(name), seconds)
 
     def end(self) -> None:
-        """End the run: let what is open end, and read the configuration back."""
+        """End the run: wait for open requests and the last probes, and read the configuration back."""
         self.advance_until_called(self.load_done, self.seconds + LOAD_END_SECONDS)
-        self.advance(LAST_PROBES_SECONDS)  # each ready node gets a fresh request after the last fault
+        self.advance(LAST_PROBES_SECONDS)  # so that each ready node gets a new request after the last fault
         self.probing = False
         self.advance(PROBE_ANSWERS_SECONDS)
         self.advance_until_called(self.operator_runtime.spawn(self.operator.read(), log), READ_BACK_SECONDS)
         self.event_log.put(self.world.time, "ended")
 
-    # ---- what the faults aim at -------------------------------------------------------------
+    # ---- targets of faults -------------------------------------------------------------
 
     def servers(self) -> dict[str, server_model.SimulatedCore | server_model.SimulatedNode]:
         """All cores and nodes by name."""
@@ -265,15 +263,15 @@
         return [name for name in sorted(self.servers()) if self.places[name].zone == zone]
 
     def is_ready(self, name: str) -> bool:
-        """Whether a node told the platform last that it is ready."""
+        """Whether the platform's last readiness check of a node succeeded."""
         return self.platform.readiness.get(name, False)
 
     def tail(self) -> server_model.SimulatedCore | None:
-        """The core that is the leased tail, or None."""
+        """The core that is the tail of the chain and holds its lease, or None."""
         return next((each for each in self.cores.values() if each.process.alive and each.consensus.holds_lease()), None)
 
     def head(self) -> server_model.SimulatedCore | None:
-        """The core that is the head of the newest view, or None."""
+        """The core that is the head of the chain in the newest view of a running core, or None."""
         views = {
             name: each.consensus.view
             for name, each in self.cores.items()
@@ -287,7 +285,7 @@
         )
 
     def owner(self) -> server_model.SimulatedNode | None:
-        """The node that is the active pool owner, or None."""
+        """The node that is the active owner of the cluster's pool, or None."""
         for candidate in self.nodes.values():
             pool_owner = candidate.pool_owners.get(self.pool)
             if candidate.process.alive and pool_owner is not None and pool_owner.is_active():
@@ -295,7 +293,7 @@
         return None
 
     def assigned_owners(self) -> set[str]:
-        """The nodes that own a pool or keep its copies, by the newest membership."""
+        """The nodes that own a pool or hold copies of its records, according to the newest membership."""
         memberships = (each.follower.membership for each in self.nodes.values())
         newest = max(memberships, key=lambda membership: membership.version)
         return {
@@ -305,7 +303,7 @@
         }
 
     def hosts(self, *groups: Group) -> list[str]:
-        """The hosts of some groups."""
+        """The addresses of all hosts in some groups."""
         found: list[str] = []
         for group in groups:
             match group:
@@ -327,10 +325,10 @@
         """Log a fault.
 
         Args:
-            what: Its kind.
-            target: The process that it hits, or another name that its repair is logged under.
-            large: Whether it is one of many at once, which the checkers judge by other bounds.
-            role: Of the target; by default that of the process of this name.
+            what: The kind of fault.
+            target: The affected process, or another name under which the repair of the fault is logged.
+            large: Whether many faults occur at once; the checkers then apply other limits.
+            role: The role of the target; by default the role of the process of this name.
         """
         role = role or self._role(target)
         address = f"{self.places[target].host}:{addresses.HTTP_PORT}" if role in ("node", "link") else ""
@@ -352,5 +350,5 @@
         return "all"
 
     def repair(self, what: str, target: str) -> None:
-        """Log that a fault of this target, or of "all", is over."""
+        """Log that a fault of a target, or of "all", has been repaired."""
         self.event_log.put(self.world.time, "mend", what=what, target=target)
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -136,7 +136,7 @@
         return (sender, receiver) not in self.cuts
 
     def is_refused(self, sender: str, receiver: str) -> bool:
-        """Whether a cut between the zones of two hosts refuses a new connection at once instead of letting it time out."""
+        """Whether a cut between the zones of two hosts refuses a new connection at once, instead of losing it."""
         return (self.zone(sender), self.zone(receiver)) in self.refused_zone_links
 
     def delay(self, sender: str, receiver: str) -> int:
