--- a/simulation/clients/__init__.py
+++ b/simulation/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for who calls the fleet on the users' platform: clients, their virtual address, and operators."""
+"""Simulated callers of the fleet: clients, the virtual address that they connect to, applications and operators."""
--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -1,4 +1,4 @@
-"""Clients: they draw requests, retry them as their kind allows, and log each attempt as one row `tried`."""
+"""Simulated clients: they send random requests, retry as the request kind allows, and log each attempt as `tried`."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     from iriswheel.runtime import scheduler
     from simulation.clients import virtual_address
 
-NOT_RUN_STATUSES = (408, 421, 429, 503)  # the request has not run and never will
-FINAL_STATUSES = (400, 401, 404, 413, 431)
-EAGER_RETRY_FACTOR = 3  # times as many attempts of a hasty client
-RETRY_WAIT_US = 50 * units.MILLISECOND_US
+NOT_RUN_STATUSES = (408, 421, 429, 503)  # the request was not and will not be executed
+FINAL_STATUSES = (400, 401, 404, 413, 431)  # errors that no retry can resolve
+EAGER_RETRY_FACTOR = 3  # factor on the retries of a client that retries eagerly
+RETRY_WAIT_US = 50 * units.MILLISECOND_US  # if the answer has no Retry-After header
 EAGER_RETRY_WAIT_US = 1
-DEADLINE_SLACK_US = 50 * units.MILLISECOND_US
-IDLE_MARGIN_US = 200 * units.MILLISECOND_US
+DEADLINE_SLACK_US = 50 * units.MILLISECOND_US  # time after the deadline for which a client still waits
+IDLE_MARGIN_US = 200 * units.MILLISECOND_US  # least remaining idle time of a connection that is reused
 MAX_BODY_BYTES = 200_000
-LOGGED_BYTES = 80
-LOGGED_TEXT = 120
-NEVER_US = 10**12
+LOGGED_BYTES = 80  # of unexpected data
+LOGGED_TEXT = 120  # bytes of the body of an error
+NEVER_US = 10**12  # a time-out that is never reached
 
 Headers = list[tuple[str, str]]
 Row = dict[str, typing.Any]
@@ -38,21 +38,21 @@
 
 
 class HotKey(typing.NamedTuple):
-    """Makes the first variants of a kind's parts popular: the share of requests that have them."""
+    """A popular prompt: the share of requests of a kind whose prompt parts are all the first variant."""
 
     kind: str
     share: float
 
 
 class Request(typing.NamedTuple):
-    """A request that a client sends, perhaps several times.
+    """A request that a client sends in one or more attempts.
 
     Attributes:
         identifier: Its name in the event log.
-        path: What it asks for.
-        headers: Its headers, without those that differ from attempt to attempt.
+        path: The path of its URL.
+        headers: The headers that are the same in all attempts.
         body: Its body.
-        until: The deadline, in microseconds.
+        until: The time of its deadline, in microseconds.
     """
 
     identifier: str
@@ -68,10 +68,10 @@
     Attributes:
         kind: The kind of the request.
         request: The request.
-        identifier: The random name of this attempt.
-        number: How many attempts came before.
-        after: The last event that is already there, for a stream that is resumed.
-        started_at: When it began.
+        identifier: The random id of this attempt.
+        number: The number of earlier attempts.
+        after: The number of the last event received so far, after which a stream is resumed.
+        started_at: The time at which the attempt began, in microseconds.
     """
 
     kind: request_kinds.RequestKind
@@ -82,24 +82,24 @@
     started_at: int
 
     def idle_timeout_us(self) -> int:
-        """After how long without a byte the client gives up."""
+        """The time without a received byte after which the client gives up."""
         if not self.kind.is_stream:
             return NEVER_US
         aim_us, pause_us = self.kind.aim_ms * units.MILLISECOND_US, self.kind.pause_ms * units.MILLISECOND_US
         return max(2 * units.SECOND_US, 4 * aim_us, 8 * pause_us)
 
     def read_timeout_us(self) -> int:
-        """Within how long the other side must have read the request."""
+        """The time within which the other side must have read the whole request."""
         return min(units.SECOND_US, (self.request.until - self.started_at) // 3)
 
 
 class Client:
-    """One client, with its own connections.
+    """One client with its own connections.
 
     Attributes:
-        keep_alive: Whether it keeps connections for further requests.
-        chunked: Whether it sends bodies in chunks.
-        hasty: Whether it retries at once, and more often.
+        keep_alive: Whether it reuses connections for further requests.
+        chunked: Whether it sends bodies with chunked transfer encoding.
+        retries_eagerly: Whether it retries without delay and more often.
     """
 
     def __init__(
@@ -120,10 +120,10 @@
         self.idle: dict[str, list[connection.ClientConnection]] = {}  # node -> its idle connections
         self.requests = 0
 
-    # ---- contents -----------------------------------------------------------------------
+    # ---- contents of requests -----------------------------------------------------------------------
 
     def content(self, kind: request_kinds.RequestKind, hot: HotKey | None = None) -> tuple[Headers, bytes]:
-        """Random headers and body of a request."""
+        """The headers and body of a random request."""
         rng = self.runtime.rng
         parts = self._parts(kind, hot)
         tokens_out = kind.event_tokens * (request_kinds.draw(rng, *kind.events) - 1) + 1
@@ -144,15 +144,15 @@
             is_hot = hot is not None and hot.kind == kind.name and rng.random() < hot.share
             variant = 0 if is_hot else request_kinds.draw_variant(rng, variants, skew)
             identifier = zlib.crc32(f"{kind.name} {level} {variant}".encode())
-            sizes = random.Random(identifier)  # the same size for the same part
+            sizes = random.Random(identifier)  # gives the same size each time the part is drawn
             parts.append((f"{identifier:08x}", request_kinds.draw(sizes, mean, spread, 3 * mean)))
         parts.append((f"{rng.getrandbits(32):08x}", request_kinds.draw(rng, *kind.own)))
         return parts
 
-    # ---- a request ----------------------------------------------------------------------
+    # ---- requests ----------------------------------------------------------------------
 
     async def send(self, kind: request_kinds.RequestKind, hot: HotKey | None = None) -> None:
-        """Send a random request, with its retries."""
+        """Send a random request, and retry it as its kind allows."""
         runtime = self.runtime
         headers, body = self.content(kind, hot)
         self.requests += 1
@@ -203,7 +203,7 @@
             return RETRY_WAIT_US
         return min(int(row["retry_after"] * units.SECOND_US), (until - self.runtime.now()) // 3)
 
-    # ---- one attempt ------------------------------------------------------------------------
+    # ---- attempts ------------------------------------------------------------------------
 
     async def send_attempt(
         self,
@@ -213,14 +213,14 @@
         after: int = 0,
         node: str | None = None,
     ) -> Row:
-        """Send one attempt of a request: its row of the event log.
+        """Send one attempt of a request; returns its row of the event log.
 
         Args:
             kind: The kind of the request.
             request: The request.
-            number: How many attempts came before.
-            after: The last event that is already there.
-            node: The node to send it to; the virtual address picks one where None.
+            number: The number of earlier attempts.
+            after: The number of the last event received so far.
+            node: The node to send the attempt to; if None, the virtual address picks one.
         """
         identifier = f"{self.runtime.rng.getrandbits(64):016x}"
         if node is None:
@@ -247,7 +247,7 @@
         return row
 
     def encode(self, attempt: Attempt) -> bytes:
-        """The bytes of an attempt."""
+        """The HTTP request of an attempt."""
         names, request = platform_names.HEADERS, attempt.request
         left_ms = max(1, (request.until - attempt.started_at) // units.MILLISECOND_US)
         headers = [
@@ -271,7 +271,7 @@
         return connection.encode_head("POST", request.path, headers) + body
 
     def acquire_idle(self, node: str) -> connection.ClientConnection | None:
-        """An idle connection to a node that may carry a request, or None."""
+        """Take an idle connection to a node that can be reused; None if there is none."""
         idle = self.idle.setdefault(node, [])
         while idle:
             candidate = idle.pop()
@@ -286,7 +286,7 @@
             return await connection.connect(self.runtime, host, port, timeout_us, self._stray(node))
         except defer.CancelledError:
             raise
-        except Exception:  # whatever the network says, there is no connection
+        except Exception:  # any failure means that there is no connection
             return None
 
     def _stray(self, node: str) -> connection.StrayHandler:
@@ -304,7 +304,7 @@
         ended: defer.Deferred[None],
         sent_at: int,
     ) -> None:
-        """Wait for the answer; give up at the deadline, after the idle time-out, or where the request is not read."""
+        """Wait for the answer; give up at the deadline, after the idle time-out, or if the request is not read."""
         until = attempt.request.until + DEADLINE_SLACK_US
         idle_timeout_us, read_timeout_us = attempt.idle_timeout_us(), attempt.read_timeout_us()
         while not answer.is_over:
@@ -368,7 +368,7 @@
         )
 
     def first_of(self, ended: defer.Deferred[None], wait_us: int) -> defer.Deferred[None]:
-        """A Deferred that fires when `ended` has, or after some time."""
+        """A Deferred that fires when `ended` does, or after a time."""
         fired: defer.Deferred[None] = defer.Deferred()
 
         def expire() -> None:
@@ -392,9 +392,9 @@
     """The requests of all clients of a zone.
 
     Attributes:
-        rate_factors: Kinds that come so many times as often as usual.
-        hot_key: A key that is popular for now.
-        in_flight: How many requests are in flight.
+        rate_factors: Kind of request -> factor on its usual rate.
+        hot_key: The prompt that is popular at present.
+        in_flight: The number of requests that have not ended.
     """
 
     def __init__(
@@ -408,11 +408,11 @@
         """Prepare traffic.
 
         Args:
-            runtime: The clock, and the source of random numbers.
-            clients: Who sends.
-            kinds: What they send.
-            rate: Requests a second, on the average.
-            phase: Where in its wave of 11 s the rate begins, from 0 to 1.
+            runtime: The clock and the source of random numbers.
+            clients: The clients that send the requests.
+            kinds: The kinds of requests that they send.
+            rate: The average number of requests per second.
+            phase: The phase, from 0 to 1, at which the rate starts its sine wave with a period of 11 s.
         """
         self.runtime, self.clients, self.kinds, self.rate, self.phase = runtime, clients, kinds, rate, phase
         self.rate_factors: dict[str, float] = {}
@@ -420,7 +420,7 @@
         self.in_flight = 0
 
     async def run(self, until: int) -> None:
-        """Send random requests until a time."""
+        """Send random requests until a time in microseconds."""
         runtime, rng = self.runtime, self.runtime.rng
         while runtime.now() < until:
             weights = [kind.share * self.rate_factors.get(kind.name, 1) for kind in self.kinds]
--- a/simulation/clients/connection.py
+++ b/simulation/clients/connection.py
@@ -1,4 +1,4 @@
-"""A client's HTTP/1.1 connection, parsed by hand so that every odd byte of an answer is seen."""
+"""A client's HTTP/1.1 connection, with its own parsing so that every invalid or unexpected byte is detected."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class ReceivedEvent(typing.NamedTuple):
-    """One event of a stream: its number, the run's seal, when it came, whether it was the last, and its attempt."""
+    """One event of a stream: number, seal of the run, arrival time, whether it is the last, and attempt id."""
 
     number: int
     seal: str
@@ -33,21 +33,21 @@
 
 
 class PendingAnswer:
-    """One request on a connection, and what came back.
+    """The answer to one request, received so far.
 
     Attributes:
-        outcome: "whole", "closed", "garbage", "unconnected", or why the client gave up; empty while it waits.
+        outcome: "whole", "closed", "garbage", "unconnected", or the reason why the client gave up; empty until the end.
     """
 
     def __init__(self, ended: collections.abc.Callable[[PendingAnswer], object]) -> None:
-        """Wait for an answer; `ended` is called once, with this object."""
+        """Wait for an answer; `ended` is called with this object once it has ended."""
         self.ended = ended
         self.outcome = ""
         self.code = 0
         self.headers: dict[str, str] = {}
         self.body = b""
         self.events: list[ReceivedEvent] = []
-        self.incomplete_event = b""  # of an event that is not complete
+        self.incomplete_event = b""  # received part of the event after the complete ones
         self.bad_events = 0
         self.first_at: int | None = None
         self.last_at: int | None = None
@@ -55,26 +55,26 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether it has ended in any way."""
+        """Whether the answer has ended, completely or not."""
         return bool(self.outcome)
 
     @property
     def is_success(self) -> bool:
-        """Whether a whole answer with a status of success came."""
+        """Whether the answer is complete and its status is 2xx."""
         return self.outcome == "whole" and 200 <= self.code < 300
 
     def end(self, outcome: str) -> None:
-        """Note how it ended, once."""
+        """Set the outcome and call `ended`, unless the answer has ended before."""
         if not self.is_over:
             self.outcome = outcome
             self.ended(self)
 
     def header(self, name: str) -> str | None:
-        """A header of the answer, or None."""
+        """The value of a header of the answer, or None."""
         return self.headers.get(name.lower())
 
     def receive(self, data: bytes, now: int) -> None:
-        """Receive bytes of the body, and the events that they complete."""
+        """Receive bytes of the body, and parse the events that they complete."""
         if self.first_at is None:
             self.first_at = now
         else:
@@ -93,14 +93,14 @@
 
 
 def parse_event(piece: bytes, now: int) -> ReceivedEvent:
-    r"""The event in a piece of a stream that came at a time.
+    r"""Parse one event of a stream that arrived at a time.
 
     >>> parse_event(b"id: 3\ndata: s1 a1 3 last", 9)
     ReceivedEvent(number=3, seal='s1', at_us=9, is_last=True, attempt='a1')
 
     Raises:
-        ValueError: Where it is no event of a worker.
-        KeyError: Where a field is missing.
+        ValueError: The bytes are not an event of a worker.
+        KeyError: A field is missing.
     """
     fields = dict(line.split(": ", 1) for line in piece.decode().split("\n"))
     seal, attempt, number, *last = fields["data"].split(" ")
@@ -110,45 +110,45 @@
 
 
 def ignore_stray(connection: ClientConnection, data: bytes) -> None:
-    """Ignore bytes that nobody asked for."""
+    """Ignore bytes that belong to no request."""
 
 
 class ClientConnection(protocol.Protocol):
-    """A client's connection: one request at a time, kept for the next one if both sides allow it."""
+    """A client's connection: it carries one request at a time, and is reused if both sides allow it."""
 
-    # Set by `makeConnection`, before anything else is called.
+    # Set by `makeConnection` before any other method is called.
     transport: network_model.ConnectionSide  # type: ignore[assignment]  # Twisted's is a zope interface
 
     def __init__(self, runtime: scheduler.Runtime, stray: StrayHandler = ignore_stray) -> None:
-        """Make a connection; `stray` is called with bytes that nobody asked for."""
+        """Create a connection; `stray` is called with received bytes that belong to no request."""
         self.runtime, self.stray = runtime, stray
         self.parser = httptools.HttpResponseParser(self)
         self.pending: PendingAnswer | None = None
         self.up = False
         self.reusable = True
-        self.idle_until: int | None = None  # when the other side ends it if idle
+        self.idle_until: int | None = None  # time at which the other side closes the connection if it stays idle
         self.headers: dict[str, str] = {}
-        self.informational = False  # whether what comes is no final answer
+        self.informational = False  # whether the answer being parsed has a 1xx status
 
     def connectionMade(self) -> None:
-        """Note that it is open."""
+        """Note that the connection is open."""
         self.up = True
 
     def start(self, pending: PendingAnswer, raw: bytes) -> None:
-        """Send a request."""
+        """Send a request, whose answer goes to `pending`."""
         self.pending = pending
         self.transport.write(raw)
 
     def is_unread(self) -> bool:
-        """Whether the other side has not read all that was sent."""
+        """Whether the other side has not yet read everything that was sent."""
         return self.transport.bytes_in_flight > 0
 
     def is_usable(self, now: int, margin_us: int) -> bool:
-        """Whether it may carry another request: it stands, and the other side won't end it within the margin."""
+        """Whether another request can be sent: the peer keeps the connection open for at least the margin."""
         return self.up and self.reusable and (self.idle_until is None or self.idle_until - margin_us >= now)
 
     def drop(self, outcome: str) -> None:
-        """Give the request up, and the connection with it."""
+        """Close the connection, and end its pending request with an outcome."""
         pending, self.pending, self.reusable = self.pending, None, False
         if self.up:
             self.transport.abortConnection()
@@ -156,7 +156,7 @@
             pending.end(outcome)
 
     def dataReceived(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes; bytes that belong to no request close the connection."""
         pending = self.pending
         if pending is None:
             if self.reusable:
@@ -168,42 +168,42 @@
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             if self.pending is None and pending.outcome == "whole":
-                self.stray(self, data)  # more bytes in one piece with a whole answer
+                self.stray(self, data)  # extra bytes in the same segment as a complete answer
                 self.reusable = False
                 self.transport.abortConnection()
             else:
                 self.drop("garbage")
 
     def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
-        """End the request that is under way."""
+        """End the pending request."""
         self.up = self.reusable = False
         pending, self.pending = self.pending, None
         if pending is not None:
             pending.end("closed")
 
     def _expected(self) -> PendingAnswer:
-        """The answer that is expected.
+        """The answer that is being received.
 
         Raises:
-            ValueError: None is; the parser then fails on what came.
+            ValueError: No request is pending; the parser then fails, and the bytes count as invalid.
         """
         if self.pending is None:
-            raise ValueError("an answer that nobody asked for")
+            raise ValueError("An answer arrived while no request was pending.")
         return self.pending
 
     # ---- callbacks of the parser --------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Start an answer."""
         self.headers = {}
         self._expected()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Hand over the status and headers of a final answer."""
+        """Pass the status and headers of a final answer to the pending request."""
         code = self.parser.get_status_code()
         self.informational = 100 <= code < 200
         if not self.informational:
@@ -211,11 +211,11 @@
             pending.code, pending.headers = code, self.headers
 
     def on_body(self, data: bytes) -> None:
-        """Hand over bytes of the body."""
+        """Pass bytes of the body to the pending request."""
         self._expected().receive(data, self.runtime.now())
 
     def on_message_complete(self) -> None:
-        """End the request as whole."""
+        """End the pending request with a complete answer, and note how long the peer keeps the connection."""
         if self.informational:
             return
         pending, self.pending = self._expected(), None
@@ -229,7 +229,7 @@
 
 
 class _ConnectionFactory(protocol.ClientFactory):
-    """Makes one connection, and tells whoever waits for it."""
+    """Creates one connection, and fires a Deferred with it."""
 
     noisy = False
 
@@ -255,7 +255,7 @@
 def connect(
     runtime: scheduler.Runtime, host: str, port: int, timeout_us: int, stray: StrayHandler = ignore_stray
 ) -> defer.Deferred[ClientConnection]:
-    """Open a connection; the Deferred fails as the network says."""
+    """Open a connection; the Deferred fails with the error of the network."""
     opened: defer.Deferred[ClientConnection] = defer.Deferred()
     factory = _ConnectionFactory(runtime, stray, opened)
     runtime.reactor.connectTCP(host, port, factory, timeout=timeout_us / units.SECOND_US)
@@ -263,7 +263,7 @@
 
 
 def encode_head(method: str, path: str, headers: collections.abc.Iterable[tuple[str, str]]) -> bytes:
-    r"""The head of a request.
+    r"""The request line and headers of a request.
 
     >>> encode_head("GET", "/a", [("Host", "h")])
     b'GET /a HTTP/1.1\r\nHost: h\r\n\r\n'
--- a/simulation/clients/control_call.py
+++ b/simulation/clients/control_call.py
@@ -1,4 +1,4 @@
-"""Calls to the control addresses of core machines, as operators and applications make them."""
+"""HTTP calls from operators and applications to the control addresses of cores."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 if typing.TYPE_CHECKING:
     from iriswheel.runtime import scheduler
 
-MAX_REDIRECTS = 3  # that one call follows
+MAX_REDIRECTS = 3  # number of machines that one call tries, redirects included
 CONNECT_TIMEOUT_US = units.SECOND_US
 ANSWER_TIMEOUT_US = units.SECOND_US
-ANSWER_TIMEOUT_PER_BYTE_US = 5
+ANSWER_TIMEOUT_PER_BYTE_US = 5  # added for each byte of the request body
 
 Address = tuple[str, int]
 Headers = list[tuple[str, str]]
 
 
 class Call(typing.NamedTuple):
-    """What is sent to a control address."""
+    """A request to a control address."""
 
     method: str
     path: str
@@ -31,26 +31,26 @@
 
 
 class Answer(typing.NamedTuple):
-    """What came of a call: a status and a body, or status 0 without a clear answer; and the host asked last."""
+    """The result of a call: status and body, with status 0 if no complete answer came, and the last host called."""
 
     status: int
     body: bytes
     host: str = ""
-    was_sent: bool = True  # whether a connection stood on which the call went out
+    was_sent: bool = True  # whether a connection was opened and the request sent
 
 
 UNCLEAR = Answer(0, b"")
 
 
 class Redirect(typing.NamedTuple):
-    """Where an answer 307 sends a call."""
+    """The target of a redirect with status 307."""
 
     address: Address
     path: str
 
 
 def parse_redirect(location: str) -> Redirect | None:
-    """The address and path that a Location header names, or None where it names no port.
+    """The address and path in a Location header, or None if it contains no port.
 
     >>> parse_redirect("http://10.1.0.2:8262/config")
     Redirect(address=('10.1.0.2', 8262), path='/config')
@@ -61,7 +61,7 @@
 
 
 async def send(runtime: scheduler.Runtime, call: Call, address: Address) -> Answer:
-    """Call one core machine, and those that it passes the call on to."""
+    """Call one core, and follow its redirects to other cores."""
     was_sent = False
     for _ in range(MAX_REDIRECTS):
         host = address[0]
@@ -79,7 +79,7 @@
 
 
 async def _send_once(runtime: scheduler.Runtime, call: Call, address: Address) -> connection.PendingAnswer | None:
-    """One call on a connection of its own; None where no connection came up."""
+    """Send a call on a new connection; None if no connection could be opened."""
     host, port = address
     headers = [
         ("Host", f"{host}:{port}"),
@@ -92,7 +92,7 @@
         opened = await connection.connect(runtime, host, port, CONNECT_TIMEOUT_US)
     except defer.CancelledError:
         raise
-    except Exception:  # whatever the network says, there is no connection
+    except Exception:  # any failure means that there is no connection
         return None
     answered: defer.Deferred[connection.PendingAnswer] = defer.Deferred()
     head = connection.encode_head(call.method, call.path, headers)
--- a/simulation/clients/operator.py
+++ b/simulation/clients/operator.py
@@ -1,4 +1,4 @@
-"""Operators: they send configurations until they have a clear answer, and read them back."""
+"""Simulated operators: they send configurations until they get a definite answer, and read them back."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 FIRST_RETRY_WAIT_US = 100 * units.MILLISECOND_US
 MAX_RETRY_WAIT_US = units.SECOND_US
-CLEAR_ERRORS = (400, 409, 412, 413, 422)
+CLEAR_ERRORS = (400, 409, 412, 413, 422)  # statuses that mean the change was definitely not made
 TEMPORARY_ERRORS = (408, 429)
-MAX_UNEXPECTED_ERRORS = 3  # other answers 4xx until an operator gives up
-LOGGED_BYTES = 200
+MAX_UNEXPECTED_ERRORS = 3  # number of other 4xx answers after which an operator gives up
+LOGGED_BYTES = 200  # of an answer's body
 
 Document = dict[str, typing.Any]
 Hook = collections.abc.Callable[[], object]
@@ -29,14 +29,14 @@
 
 
 class Operator:
-    """Someone who changes the configuration.
+    """An operator who changes the configuration.
 
     Attributes:
-        first_address: The address that the next change is sent to first.
-        lost_share: The share of acknowledgements that are lost on their way.
-        last_address: The address that acknowledged last.
-        on_send: Called once each, at the next change.
-        on_acknowledged: Called once each, at the next acknowledgement.
+        first_address: The address that the next call is sent to first; None for a random one.
+        lost_share: The share of acknowledgements that are lost before they reach the operator.
+        last_address: The address that sent the last acknowledgement.
+        on_send: Hooks that are called once each, when the next change is sent.
+        on_acknowledged: Hooks that are called once each, at the next acknowledgement.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         addresses: collections.abc.Callable[[], list[control_call.Address]],
         name: str,
     ) -> None:
-        """Make an operator who calls at these addresses of core machines."""
+        """Create an operator who calls the control addresses of cores that `addresses` returns."""
         self.runtime, self.event_log, self.addresses, self.name = runtime, event_log, addresses, name
         self.changes = 0
         self.orders = 0
@@ -61,11 +61,11 @@
     async def call_until_clear(
         self, call: control_call.Call, seconds: float = 60, send: str = ""
     ) -> control_call.Answer:
-        """Call one core machine after the other until an answer is clear, or the time is up.
+        """Call one core after the other until an answer is definite or the time is up.
 
         Args:
-            call: What is sent.
-            seconds: How long to try.
+            call: The call to send.
+            seconds: The time limit.
             send: The name of the change in the event log.
         """
         until, wait_us, unexpected_errors = self.runtime.now() + seconds * units.SECOND_US, FIRST_RETRY_WAIT_US, 0
@@ -90,7 +90,7 @@
         return control_call.UNCLEAR
 
     def _acknowledged(self, status: int, send: str) -> int:
-        """The status that the operator sees of an acknowledgement: 0 where it is lost on its way."""
+        """The status that the operator gets for an acknowledgement: 0 if the acknowledgement is lost."""
         if self.lost_share and self.runtime.rng.random() < self.lost_share:
             self.event_log.put(self.runtime.now(), "acknowledgement_lost", send=send)
             return 0
@@ -102,13 +102,13 @@
     # ---- changes ------------------------------------------------------------------------
 
     async def put(self, document: Document, base: int, valid: bool = True, seconds: float = 60) -> int:
-        """Send a whole configuration on top of a version: the status, 0 without a clear answer."""
+        """Replace the configuration of version `base`: the status, or 0 without a definite answer."""
         return await self._send("PUT", document, document, base, valid=valid, seconds=seconds)
 
     async def patch(
         self, change: Document, document: Document, base: int, valid: bool = True, seconds: float = 60
     ) -> int:
-        """Send a change, which makes `document` out of the version `base`: the status, 0 without a clear answer."""
+        """Send a patch that turns version `base` into `document`: the status, or 0 without a definite answer."""
         return await self._send("PATCH", change, document, base, valid=valid, seconds=seconds)
 
     async def _send(
@@ -129,7 +129,7 @@
         return status
 
     async def order_evacuation(self, zone: str, *, begins: bool, seconds: float) -> int:
-        """Let a zone be evacuated, or take that back: the status, 0 without a clear answer."""
+        """Order or cancel the evacuation of a zone: the status, or 0 without a definite answer."""
         self.orders += 1
         fields = dict(zone=zone, begins=begins, send=f"{self.name}-order-{self.orders}")
         self.event_log.put(self.runtime.now(), "evacuation_sent", **fields)
@@ -140,7 +140,7 @@
         return answer.status
 
     async def read(self, seconds: float = 20) -> Document | None:
-        """Read the newest configuration back; None without a clear answer."""
+        """Read the current configuration; None without a definite answer."""
         started_at = self.runtime.now()
         call = control_call.Call("GET", platform_names.PATHS["blueprint"], [])
         answer = await self.call_until_clear(call, seconds)
--- a/simulation/clients/request_kinds.py
+++ b/simulation/clients/request_kinds.py
@@ -9,13 +9,13 @@
 
 
 class PartKind(typing.NamedTuple):
-    """A level of a prompt that requests share.
+    """One level of the prompt prefixes that requests share.
 
     Attributes:
         mean_tokens: Mean length of a part.
-        spread: Standard deviation of the length's logarithm.
-        variants: How many different parts there are.
-        skew: From 0 (all alike) to 1 (only the first): how much more often the first variants come.
+        spread: Standard deviation of the logarithm of the length.
+        variants: The number of different parts on this level.
+        skew: The preference for the first variants, from 0 (all equally frequent) to 1 (only the first).
     """
 
     mean_tokens: int
@@ -25,7 +25,7 @@
 
 
 class SizeKind(typing.NamedTuple):
-    """A random size: its mean, the standard deviation of its logarithm, and its upper limit."""
+    """A log-normal distribution of sizes: mean, standard deviation of the logarithm, and upper limit."""
 
     mean: int
     spread: float
@@ -38,28 +38,28 @@
 
 @dataclasses.dataclass
 class RequestKind:
-    """A kind of request.
+    """A kind of request, and the route that serves it.
 
     Attributes:
         name: Its name in the event log.
-        host: The host that requests name.
+        host: The value of the Host header.
         path: The path of the route.
-        category: Whether an answer is a stream; otherwise whether a request may run more than once.
+        category: "stream" for a streamed answer; otherwise "may" or "once": it may run repeatedly, or only once.
         resumable: Whether a stream may be resumed after its last event.
         urgency: The urgency of the route.
-        aim_ms: Within what time the first bytes of an answer are worth the full value.
-        pause_ms: The longest pause between events that is worth it.
-        deadline_ms: After what time an answer is worth nothing.
-        sends: How often the fleet may send a request to workers.
-        more_attempts: How often a client tries again.
-        value: What a request is worth whose answer is in aim.
-        late_value: What it is worth when late.
-        share: The share of this kind among all requests, against the shares of others.
-        parts: The shared parts of a prompt, from the outermost on.
-        own: The tokens of the part that a request shares with no other.
-        events: How many events an answer has.
-        event_tokens: Tokens of an event.
-        body_bytes: Mean length of the request's body.
+        aim_ms: The time limit for the first bytes of an answer that earns the full value.
+        pause_ms: The longest pause between two events of an answer that earns the full value.
+        deadline_ms: The time after which an answer earns nothing.
+        max_sends: How many times the fleet may send a request to a worker.
+        max_retries: How many times a client retries a request.
+        value: The value earned by an answer that keeps `aim_ms` and `pause_ms`.
+        late_value: The value earned by an answer that does not, but comes before the deadline.
+        share: The weight of this kind among all requests.
+        parts: The shared prefixes of a prompt, the first one first.
+        own: The size in tokens of the last part of a prompt, which no other request shares.
+        events: The number of events of an answer.
+        event_tokens: The number of tokens in an event.
+        body_bytes: The mean length of the request body.
 
     >>> RequestKind("desk").category
     'stream'
@@ -87,17 +87,17 @@
 
     @property
     def is_stream(self) -> bool:
-        """Whether its answer is a stream of events."""
+        """Whether the answer is a stream of events."""
         return self.category == "stream"
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a client may send it again though it may have run."""
+        """Whether a client may retry a request that may already have run."""
         return self.category == "may" or self.resumable
 
 
 def draw(rng: random.Random, mean: float, spread: float, maximum: float = 1e9) -> int:
-    """A random size, log-normal round a mean, at least 1.
+    """A random size of at least 1, log-normally distributed with a mean.
 
     >>> import random
     >>> draw(random.Random(1), 50, 0)
@@ -109,7 +109,7 @@
 
 
 def draw_variant(rng: random.Random, variants: int, skew: float) -> int:
-    """One of so many variants, the first ones more often.
+    """The index of a random variant; the larger the skew, the more frequent the first ones are.
 
     >>> import random
     >>> draw_variant(random.Random(1), 1, 0.3)
--- a/simulation/clients/tally_caller.py
+++ b/simulation/clients/tally_caller.py
@@ -1,4 +1,4 @@
-"""Applications within a zone that add to tallies and read them at the control addresses, nearest first."""
+"""Simulated applications that add to tallies and read them at the control addresses, the nearest one first."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 if typing.TYPE_CHECKING:
     from iriswheel.runtime import scheduler
 
-CALL_TIMEOUT_US = 6 * units.SECOND_US  # after which a call is given up
+CALL_TIMEOUT_US = 6 * units.SECOND_US  # time limit of a call with all its retries
 RETRY_WAIT_US = 100 * units.MILLISECOND_US
-MEAN_PAUSE_US = 250 * units.MILLISECOND_US  # of one caller between two calls
-READ_SHARE = 0.4
+MEAN_PAUSE_US = 250 * units.MILLISECOND_US  # between two calls of one application
+READ_SHARE = 0.4  # share of reads among all calls
 LARGEST_AMOUNT = 9
-NEXT_ADDRESS_STATUSES = (0, 429)  # besides all 5xx
+NEXT_ADDRESS_STATUSES = (0, 429)  # statuses, besides all 5xx, after which the next address is tried
 
 Hook = collections.abc.Callable[[str], object]
 Addresses = collections.abc.Callable[[], list[control_call.Address]]
@@ -29,9 +29,9 @@
 
 
 class TallyCaller:
-    """One application: it adds to some tallies and reads them, one call after the other.
+    """One application: it adds to some tallies and reads them, one call at a time.
 
-    Each try of a call is one row `tally_try` of the event log.
+    Each attempt of a call is logged as an event `tally_try`.
     """
 
     def __init__(
@@ -42,22 +42,22 @@
         name: str,
         tallies: collections.abc.Sequence[str],
     ) -> None:
-        """Make an application.
+        """Create an application.
 
         Args:
-            runtime: The clock, and the source of random numbers.
-            event_log: Where each try is noted.
-            addresses: The control addresses now, the nearest first.
-            name: Its name in the event log.
+            runtime: The clock and the source of random numbers.
+            event_log: The event log.
+            addresses: Returns the current control addresses, the nearest first.
+            name: The name of the application in the event log.
             tallies: The names of the tallies that it uses.
         """
         self.runtime, self.event_log, self.addresses = runtime, event_log, addresses
         self.name, self.tallies = name, tallies
         self.calls = 0
-        self.on_acknowledged: list[Hook] = []  # called once each, with the host that acknowledges the next add
+        self.on_acknowledged: list[Hook] = []  # each called once with the host that acknowledges the next add
 
     async def run(self, until: int) -> None:
-        """Call until a time."""
+        """Make random calls until a time in microseconds."""
         rng = self.runtime.rng
         while self.runtime.now() < until:
             await self.runtime.sleep(int(rng.expovariate(1 / MEAN_PAUSE_US)))
@@ -68,7 +68,7 @@
                 await self.add(tally, 1 + rng.randrange(LARGEST_AMOUNT))
 
     async def add(self, tally: str, amount: int) -> bool:
-        """Add to a tally, sent again with the same id until it is acknowledged: whether it was."""
+        """Add to a tally, with retries under the same id; returns whether the add was acknowledged."""
         names = platform_names.TALLY
         identifier = f"{self.runtime.rng.getrandbits(64):016x}"
         raw = json.dumps({names["id"]: identifier, names["amount"]: amount}).encode()
@@ -77,19 +77,19 @@
         return await self._send(call, fields, CALL_TIMEOUT_US) is not None
 
     async def read(self, tally: str, timeout_us: int = CALL_TIMEOUT_US, purpose: str = "read") -> int | None:
-        """Read a tally: its sum, or None where none came in time.
+        """Read the sum of a tally; None if no answer came in time.
 
         Args:
             tally: The name of the tally.
-            timeout_us: After what time the call is given up.
-            purpose: "read", or "final" at the end of the day.
+            timeout_us: The time limit of the call with all its retries.
+            purpose: "read", or "final" for the reads at the end of the simulated day.
         """
         call = control_call.Call("GET", _path(tally), [])
         body = await self._send(call, dict(op=purpose, tally=tally), timeout_us)
         return None if body is None else _sum_of(body)
 
     async def _send(self, call: control_call.Call, fields: dict[str, typing.Any], timeout_us: int) -> bytes | None:
-        """Call one machine after the other until one answers; the answer's body, or None."""
+        """Call one address after the other until one answers; returns the body of the answer, or None."""
         until, turn = self.runtime.now() + timeout_us, 0
         self.calls += 1
         while self.runtime.now() < until:
@@ -128,7 +128,7 @@
 
 
 def _sum_of(body: bytes) -> int | None:
-    """The sum that an answer holds, or None where it holds none.
+    """The sum in an answer, or None if the answer contains no sum.
 
     >>> _sum_of(b'{"sum": 1873}'), _sum_of(b"[]")
     (1873, None)
--- a/simulation/clients/virtual_address.py
+++ b/simulation/clients/virtual_address.py
@@ -1,4 +1,4 @@
-"""The platform's virtual address: checks whether nodes are ready, and picks one for a new connection."""
+"""The platform's virtual address: a load balancer that checks nodes and picks one for each new connection."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 CHECK_INTERVAL_US = units.SECOND_US
 CHECK_TIMEOUT_US = 900 * units.MILLISECOND_US
-FAILED_CHECKS_TO_REMOVE = 2  # in a row
+FAILED_CHECKS_TO_REMOVE = 2  # consecutive failed checks after which a node gets no new connections
 
 Address = tuple[str, int]
 
@@ -25,7 +25,7 @@
 
 
 class NodeAddresses(typing.NamedTuple):
-    """Where a node is: its zone, and the addresses for requests and for readiness checks."""
+    """The zone of a node, and its addresses for requests and for readiness checks."""
 
     zone: str
     front: Address
@@ -38,17 +38,17 @@
     def __init__(self, runtime: scheduler.Runtime, event_log: event_log.EventLog) -> None:
         self.runtime, self.event_log = runtime, event_log
         self.nodes: dict[str, NodeAddresses] = {}
-        self.failed_checks: dict[str, int] = {}  # name -> failed checks in a row
+        self.failed_checks: dict[str, int] = {}  # node -> number of consecutive failed checks
 
     async def run(self) -> None:
-        """Check all nodes each second."""
+        """Check the readiness of all nodes each second."""
         while True:
             for name in sorted(self.nodes):
                 self.runtime.spawn(self.check(name, *self.nodes[name].ready), log)
             await self.runtime.sleep(CHECK_INTERVAL_US)
 
     async def check(self, name: str, host: str, port: int) -> None:
-        """Check whether one node is ready."""
+        """Check the readiness of one node, and log whether the node now gets new connections."""
         received_before = self.receives_new_connections(name)
         ready = await self._is_ready(host, port)
         if name not in self.nodes:
@@ -72,7 +72,7 @@
             opened.drop("done")
         except defer.CancelledError:
             raise
-        except Exception:  # however a check fails, the node is not ready
+        except Exception:  # any failure means that the node is not ready
             return False
         return ready
 
@@ -81,7 +81,7 @@
         return self.failed_checks.get(name, FAILED_CHECKS_TO_REMOVE) < FAILED_CHECKS_TO_REMOVE
 
     def zone_nodes(self, zone: str) -> list[str]:
-        """The nodes that a zone's clients are passed to: its ready ones, or all of them where most are not ready."""
+        """The nodes of a zone that get connections: the ready ones, or all if some but fewer than half are ready."""
         names = [name for name in sorted(self.nodes) if self.nodes[name].zone == zone]
         ready = [name for name in names if self.receives_new_connections(name)]
         if not ready:
@@ -89,12 +89,12 @@
         return ready if 2 * len(ready) >= len(names) else names
 
     def pick(self, zone: str, client: str, attempts: int) -> tuple[str, Address]:
-        """The node of a new connection: its name and address.
+        """Pick the node for a new connection: its name and address.
 
         Args:
-            zone: The client's zone; other zones' nodes are taken where it has none that are ready.
-            client: The client's name, which says where in the list of nodes it begins.
-            attempts: How often the client has tried; each time the next node is taken.
+            zone: The client's zone; a node of another zone is picked only if this one has no ready node.
+            client: The client's name, whose hash selects the first node to try.
+            attempts: The number of earlier attempts; each one moves on to the next node.
         """
         others = sorted({addresses.zone for addresses in self.nodes.values()} - {zone})
         candidates = (self.zone_nodes(candidate) for candidate in [zone, *others])
