--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -1,11 +1,12 @@
 """A model of an inference engine: continuous batching, chunked prefill, a prefix cache, and a KV cache of limited size.
 
-All requests of the batch decode a token each step. A step also prefills a chunk of the prompts that are not read yet,
-and all others wait for it. A prompt is made of parts; a cached part is not read again as long as all parts before it
-are cached too. Parts that no request uses are evicted, the least recently used first. Where memory still runs out, the
-newest request among the least urgent is preempted and prefilled anew later, even in the middle of its stream.
+In each step, all requests of the batch decode one token. A step also prefills a chunk of the pending prompts, which
+delays the tokens of all other requests. A prompt consists of parts; a cached part is not prefilled again if all parts
+before it are cached too. Parts that no request uses are evicted, the least recently used first. If memory still runs
+out, the newest among the least urgent requests is preempted, even in the middle of its stream, and prefilled again
+later.
 
-The model does work only while there are requests: one timer of its machine's clock for each step.
+The model is idle while there are no requests; otherwise it sets one timer per step.
 """
 
 from __future__ import annotations
@@ -22,30 +23,30 @@
     from iriswheel.runtime import scheduler
 
 
-DEFAULT_URGENCY = 5  # of a request that names none; 0 comes first
+DEFAULT_URGENCY = 5  # of a request that states none; 0 is the most urgent
 
 
 @dataclasses.dataclass
 class EngineParameters:
-    """What an engine can do. Times are in microseconds; the rest counts tokens or requests.
+    """The capacity and speed of an engine.
 
     >>> EngineParameters(capacity=8).capacity
     8
     """
 
-    capacity: int = 64  # requests in the batch
-    waiting_limit: int = 192  # requests that may wait for it
-    enqueue_delay_us: int = 45_000  # before a request is in the queue
-    step_us: int = 5_000
-    step_us_per_request: float = 30.0
-    step_us_per_kilotoken: float = 3.4  # of all context that the batch holds
+    capacity: int = 64  # maximum number of requests in the batch
+    waiting_limit: int = 192  # maximum number of requests waiting for a place in the batch
+    enqueue_delay_us: int = 45_000  # delay before an offered request enters the queue
+    step_us: int = 5_000  # base duration of a step
+    step_us_per_request: float = 30.0  # added per request in the batch
+    step_us_per_kilotoken: float = 3.4  # added per 1000 tokens of context in the batch
     prefill_tokens_per_ms: float = 51.0
-    prefill_us_per_megapair: float = 320.0  # each token read looks at all before it
-    prefill_chunk_tokens: int = 1024  # prompt tokens read in one step
-    kv_capacity: int = 440_000  # tokens kept, those of running requests included
-    event_tokens: int = 4  # in one event of a stream, but for the first one, which goes out with the first token
-    report_lag_us: int = 200_000
-    speed: float = 1.0  # below 1 is slower
+    prefill_us_per_megapair: float = 320.0  # attention cost per million pairs of a prefilled and an earlier token
+    prefill_chunk_tokens: int = 1024  # prompt tokens prefilled in one step
+    kv_capacity: int = 440_000  # size of the KV cache in tokens, for running requests and cached parts
+    event_tokens: int = 4  # tokens per event of a stream; the first event has only the first token
+    report_lag_us: int = 200_000  # age of the load in reports
+    speed: float = 1.0  # divisor of the duration of steps
     model: str = "m"
 
 
@@ -54,7 +55,7 @@
 
 @dataclasses.dataclass
 class PendingPart:
-    """A part of a prompt under prefill: its tokens, and how many of them are still to be read."""
+    """A part of a prompt being prefilled: its number of tokens, and how many of them remain."""
 
     name: str
     tokens: int
@@ -63,29 +64,29 @@
 
 @dataclasses.dataclass
 class CachedPart:
-    """A part in the prefix cache: its tokens, and how many requests of the batch use it."""
+    """A part in the prefix cache: its number of tokens, and how many requests of the batch use it."""
 
     tokens: int
     references: int
 
 
 class Load(typing.NamedTuple):
-    """The load of an engine."""
+    """The load of an engine: waiting requests, running requests, and tokens in use."""
 
     waiting: int
     running: int
-    used_tokens: int  # that can't be evicted
+    used_tokens: int  # tokens in the KV cache that can't be evicted
 
 
 class TimedLoad(typing.NamedTuple):
-    """The load of an engine from a time on, in microseconds."""
+    """The load of an engine since a time in microseconds."""
 
     at: int
     load: Load
 
 
 class PrefillChunk(typing.NamedTuple):
-    """How many tokens of a request's prompt a step reads."""
+    """The number of tokens of a request that a step prefills."""
 
     job: Job
     tokens: int
@@ -93,10 +94,10 @@
 
 @dataclasses.dataclass(eq=False)
 class Job:
-    """One request as an engine has it.
+    """One request to an engine.
 
     Attributes:
-        on_event: Called with the number of an event, from 1, and whether it is the last.
+        on_event: Called for each event with its number, from 1, and whether it is the last.
         on_first_token: Called when the first token is decoded.
 
     >>> Job("x", [("a", 10), ("b", 5)], 8).prompt_tokens
@@ -104,27 +105,27 @@
     """
 
     identifier: str
-    parts: list[tuple[str, int]]  # (part, tokens), in order
+    parts: list[tuple[str, int]]  # (name, tokens) of the parts of the prompt, in order
     output_tokens: int
     urgency: int = DEFAULT_URGENCY
     on_event: collections.abc.Callable[[int, bool], object] = lambda _number, _last: None
     on_first_token: collections.abc.Callable[[], object] = lambda: None
-    decoded: int = 0  # tokens decoded so far; above 0 at the start for a stream that is resumed
-    number: int = 0
-    prefill_left: int = 0  # tokens still to read before the next token
-    private_tokens: int = 0  # of the KV cache, held by this request alone
+    decoded: int = 0  # tokens decoded so far; a resumed stream starts above 0
+    number: int = 0  # order of arrival at the engine
+    prefill_left: int = 0  # tokens still to be prefilled
+    private_tokens: int = 0  # tokens in the KV cache that only this request uses
     state: JobState = "new"
     preemptions: int = 0
 
     def __post_init__(self) -> None:
-        """Derive the size of the prompt and start the counts of its parts."""
+        """Compute the size of the prompt, and start without any used or pending parts."""
         self.prompt_tokens = sum(tokens for _, tokens in self.parts)
         self.resumed_at = self.decoded
-        self.used: list[str] = []  # cached parts that it references
-        self.pending_parts: list[PendingPart] = []  # those that it prefills itself
+        self.used: list[str] = []  # cached parts that this request references
+        self.pending_parts: list[PendingPart] = []  # parts that this request prefills
 
     def rank(self) -> tuple[int, int]:
-        """The place in the queue: the most urgent first, then the oldest.
+        """The sort key in the queue: the most urgent first, then the oldest.
 
         >>> Job("x", [], 1, urgency=2).rank()
         (2, 0)
@@ -133,7 +134,7 @@
 
 
 class Engine:
-    """One engine on a machine's clock.
+    """One inference engine, driven by a runtime's timers.
 
     >>> import iriswheel.runtime.units as units
     >>> import iriswheel.runtime.scheduler as scheduler
@@ -144,21 +145,21 @@
     >>> out = []
     >>> engine.offer(Job("x", [("a", 100)], 6, on_event=lambda number, last: out.append((number, last))))
     True
-    >>> clock.pump([0.001] * 60); out  # the first event has the first token alone
+    >>> clock.pump([0.001] * 60); out  # the first event has only the first token
     [(1, False), (2, False), (3, True)]
     """
 
     def __init__(self, runtime: scheduler.Runtime, parameters: EngineParameters | None = None) -> None:
         self.runtime = runtime
         self.parameters = parameters or EngineParameters()
-        self.waiting: list[Job] = []  # by rank
+        self.waiting: list[Job] = []  # sorted by rank
         self.running: list[Job] = []  # in the order of admission
         self.entering = 0
         self.cached: collections.OrderedDict[str, CachedPart] = (
             collections.OrderedDict()
         )  # the least recently used first
         self.cached_tokens = 0
-        self.evictable_tokens = 0  # of cached parts that no request references
+        self.evictable_tokens = 0  # tokens of cached parts that no request references
         self.private_tokens = 0
         self.context_tokens = 0
         self.offered = 0
@@ -166,12 +167,12 @@
         self.stopped = False
         self.load_history: collections.deque[TimedLoad] = collections.deque([TimedLoad(0, Load(0, 0, 0))])
         self.prefilled = self.prefilled_again = self.steps = self.preemptions = 0
-        self.prefilled_parts: set[str] = set()  # by any engine of the site
+        self.prefilled_parts: set[str] = set()  # parts that any engine of the site has prefilled
 
     # ---- admission -------------------------------------------------------------------
 
     def offer(self, job: Job) -> bool:
-        """Take a request; False where there is no room for it now or ever."""
+        """Accept a request; returns False if the queue is full or the request exceeds the KV cache."""
         parameters = self.parameters
         if job.prompt_tokens + job.output_tokens > parameters.kv_capacity:
             return False
@@ -187,7 +188,7 @@
         return True
 
     def enter(self, job: Job) -> None:
-        """A request is ready for the queue."""
+        """Move a request into the queue after its delay, unless it was cancelled."""
         self.entering -= 1
         if job.state != "entering" or self.stopped:
             return
@@ -201,7 +202,7 @@
         self.record_load()
 
     def cancel(self, job: Job) -> None:
-        """Forget a request; its parts that were read stay cached."""
+        """Cancel a request; its prefilled parts stay cached."""
         match job.state:
             case "waiting":
                 self.waiting.remove(job)
@@ -211,7 +212,7 @@
         self.record_load()
 
     def stop(self) -> None:
-        """End for good: nothing more is told."""
+        """Stop the engine for good: no more callbacks are made."""
         self.stopped = True
         if self.step_timer is not None and self.step_timer.active():
             self.step_timer.cancel()
@@ -221,11 +222,11 @@
     # ---- memory ------------------------------------------------------------------------
 
     def available_tokens(self) -> int:
-        """Tokens of the KV cache that are free once all that can be evicted is."""
+        """The tokens of the KV cache that are free or can be evicted."""
         return self.parameters.kv_capacity - self.private_tokens - self.cached_tokens + self.evictable_tokens
 
     def evict(self, tokens: int) -> bool:
-        """Evict unreferenced parts until so many tokens are free; whether they are."""
+        """Evict unreferenced parts until a number of tokens is free; if too few can be freed, return False."""
         if self.available_tokens() < tokens:
             return False
         unused = self.parameters.kv_capacity - self.private_tokens - self.cached_tokens
@@ -243,18 +244,18 @@
         return True
 
     def acquire(self, part: str) -> None:
-        """Count one more request that uses a cached part."""
+        """Add a reference to a cached part."""
         cached = self.cached[part]
         self.evictable_tokens -= 0 if cached.references else cached.tokens
         cached.references += 1
 
     def cached_prefix(self, job: Job) -> list[str]:
-        """The cached parts that a request need not read again."""
+        """The leading parts of a request that are cached and need no prefill."""
         parts = (part for part, _ in job.parts)
         return list(itertools.takewhile(self.cached.__contains__, parts))
 
     def admit(self, job: Job) -> bool:
-        """Give a request its place in the batch and its memory; False where there is too little memory."""
+        """Add a request to the batch and allocate its memory; returns False if there is too little memory."""
         known = self.cached_prefix(job)
         for part in known:
             self.acquire(part)
@@ -273,7 +274,7 @@
         return True
 
     def release(self, parts: list[str]) -> None:
-        """Drop references to cached parts, the last first, so that the first is kept the longest."""
+        """Drop references to cached parts, the last part first, so that the first part is evicted last."""
         for part in reversed(parts):
             cached = self.cached[part]
             cached.references -= 1
@@ -281,7 +282,7 @@
             self.cached.move_to_end(part)
 
     def remove(self, job: Job) -> None:
-        """Take a request out of the batch."""
+        """Remove a request from the batch, and free its memory."""
         self.running.remove(job)
         self.release(job.used)
         self.private_tokens -= job.private_tokens
@@ -289,20 +290,20 @@
         job.used, job.pending_parts, job.private_tokens = [], [], 0
 
     def preempt(self, job: Job) -> None:
-        """Put a running request back in the queue; it is prefilled anew."""
+        """Put a running request back in the queue; it has to be prefilled again."""
         self.remove(job)
         job.preemptions += 1
         self.preemptions += 1
         self.wait(job)
 
     def lowest_priority(self) -> Job:
-        """The newest request among the least urgent of the batch."""
+        """The newest among the least urgent requests of the batch."""
         return max(self.running, key=Job.rank)
 
     # ---- steps -------------------------------------------------------------------------
 
     def start_step(self) -> None:
-        """Begin a step, unless one is under way or there is nothing to do."""
+        """Start a step, unless one is running or the batch is empty."""
         if self.stopped or (self.step_timer is not None and self.step_timer.active()):
             return
         self._admit_waiting()
@@ -314,7 +315,7 @@
         self.step_timer = self.runtime.later(round(cost_us / self.parameters.speed), self.step, chunks)
 
     def _admit_waiting(self) -> None:
-        """Fill the batch from the queue; a more urgent request takes the place of a less urgent one."""
+        """Fill the batch from the queue; a more urgent request preempts a less urgent one."""
         while self.waiting:
             job = self.waiting[0]
             if len(self.running) < self.parameters.capacity and self.admit(job):
@@ -325,7 +326,7 @@
             self.preempt(self.lowest_priority())
 
     def _plan_prefill(self) -> list[PrefillChunk]:
-        """What the next step reads of the prompts, by rank."""
+        """The chunks of prompts that the next step prefills, in the order of rank."""
         left, chunks = self.parameters.prefill_chunk_tokens, []
         for job in sorted((job for job in self.running if job.prefill_left), key=Job.rank):
             tokens = min(left, job.prefill_left)
@@ -336,7 +337,7 @@
         return chunks
 
     def _step_cost_us(self, chunks: list[PrefillChunk]) -> float:
-        """How long a step takes at speed 1."""
+        """The duration of a step at speed 1, in microseconds."""
         parameters = self.parameters
         cost = parameters.step_us + parameters.step_us_per_request * len(self.running)
         cost += parameters.step_us_per_kilotoken * self.context_tokens / 1000
@@ -347,7 +348,7 @@
         return cost
 
     def step(self, chunks: list[PrefillChunk]) -> None:
-        """End a step: chunks are read, and each request whose prompt is read has a token more."""
+        """End a step: its chunks are prefilled, and each request with a prefilled prompt gets another token."""
         self.steps += 1
         for job, tokens in chunks:
             if job.state == "running":
@@ -364,13 +365,13 @@
         self.start_step()
 
     def _preempt_until_room(self, job: Job) -> bool:
-        """Preempt requests until there is memory for a token; whether this one still runs."""
+        """Preempt requests until there is memory for a token; returns whether the given request still runs."""
         while job.state == "running" and not self.evict(1):
             self.preempt(self.lowest_priority())
         return job.state == "running"
 
     def _decode(self, job: Job) -> list[collections.abc.Callable[[], object]]:
-        """Decode a token of a request: what is to be called at the end of the step."""
+        """Decode one token of a request; returns the callbacks to call at the end of the step."""
         notices: list[collections.abc.Callable[[], object]] = []
         job.decoded += 1
         job.private_tokens += 1
@@ -388,7 +389,7 @@
         return notices
 
     def finish_prefill(self, job: Job, tokens: int) -> None:
-        """Count tokens as read; parts that are read through are cached."""
+        """Count tokens of a request as prefilled; completely prefilled parts enter the cache."""
         while tokens and job.pending_parts:
             part = job.pending_parts[0]
             read = min(tokens, part.remaining_tokens)
@@ -401,7 +402,7 @@
             self.private_tokens -= part.tokens
             job.private_tokens -= part.tokens
             job.used.append(part.name)
-            if part.name in self.cached:  # another has read it meanwhile: one copy stays
+            if part.name in self.cached:  # another request has prefilled it meanwhile: only one copy is kept
                 self.acquire(part.name)
             else:
                 self.cached[part.name] = CachedPart(part.tokens, 1)
@@ -410,7 +411,7 @@
     # ---- reports ------------------------------------------------------------------------
 
     def record_load(self) -> None:
-        """Record the load, for reports."""
+        """Record the current load for later reports."""
         now = self.runtime.now()
         used = self.private_tokens + self.cached_tokens - self.evictable_tokens
         load = Load(len(self.waiting) + self.entering, len(self.running), used)
@@ -421,6 +422,6 @@
             self.load_history.popleft()
 
     def report(self) -> Load:
-        """The load as a report gives it: that of a while ago."""
+        """The load that a report shows: that of `report_lag_us` ago."""
         then = self.runtime.now() - self.parameters.report_lag_us
         return next((past.load for past in reversed(self.load_history) if past.at <= then), self.load_history[0].load)
--- a/simulation/workers/__init__.py
+++ b/simulation/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the users' platform runs: workers round an engine's model, and its list of workers."""
+"""Simulated parts of the platform: workers, each with a model of an inference engine, and the list of workers."""
--- a/simulation/workers/cold_start.py
+++ b/simulation/workers/cold_start.py
@@ -1,4 +1,4 @@
-"""The warm-up of a worker that has just started: for how long it is cold, and how many requests it bears meanwhile."""
+"""The warm-up of a worker after its start: how long the worker is cold, and how many requests it can take meanwhile."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from iriswheel.runtime import units
 
-WINDOW_US = units.SECOND_US
-COLLAPSE_FACTOR = 1.5  # a cold worker's process ends at so many times the requests that a rule allows
+WINDOW_US = units.SECOND_US  # window in which requests are counted
+COLLAPSE_FACTOR = 1.5  # a cold worker crashes above this multiple of the allowed requests
 
 
 class ColdBounds(typing.NamedTuple):
-    """How workers of a deployment warm up.
+    """The warm-up of the workers of a deployment, and the limit of requests until they are warm.
 
     Attributes:
-        warmup_s: For how many seconds a worker is cold after its start.
-        requests_per_s: How many requests a second a cold worker bears.
-        overshoot: How many times as many one second may hold.
-        margin: How many requests more one second may hold.
+        warmup_s: The time in seconds for which a worker is cold after its start.
+        requests_per_s: The rate of requests that a cold worker can take.
+        overshoot: The factor by which the requests of any one second may exceed that rate.
+        margin: The number of further requests allowed in any one second.
     """
 
     warmup_s: float
@@ -28,7 +28,7 @@
 
     @property
     def limit(self) -> float:
-        """The most requests to a cold worker that any second may hold.
+        """The maximum number of requests to a cold worker in any one second.
 
         >>> ColdBounds(3.0, 16.0).limit
         29.0
@@ -37,20 +37,20 @@
 
 
 class ColdStart:
-    """Whether one worker is cold, and the requests that it got in the last second.
+    """The warm-up of one worker, and the requests that it got in the last second while cold.
 
     >>> cold = ColdStart(ColdBounds(3.0, 1.0)); cold.begin(0); cold.left_ms(units.SECOND_US)
     2000
     """
 
     def __init__(self, bounds: ColdBounds) -> None:
-        """Make the warm-up of a worker that is warm."""
+        """Create the state of a worker that is warm."""
         self.bounds = bounds
         self.until = 0
-        self.requests: collections.deque[int] = collections.deque()  # when each came, while cold
+        self.requests: collections.deque[int] = collections.deque()  # arrival times of requests while cold
 
     def begin(self, now: int) -> None:
-        """Become cold for the warm-up time."""
+        """Start the warm-up."""
         self.until = now + int(self.bounds.warmup_s * units.SECOND_US)
 
     def is_cold(self, now: int) -> bool:
@@ -58,16 +58,16 @@
         return now < self.until
 
     def left_ms(self, now: int) -> int:
-        """For how many milliseconds the worker stays cold."""
+        """The remaining warm-up time in milliseconds."""
         return max(0, self.until - now) // units.MILLISECOND_US
 
     def note_request(self, now: int) -> None:
-        """Count a request, where the worker is cold."""
+        """Count a request if the worker is cold."""
         while self.requests and self.requests[0] <= now - WINDOW_US:
             self.requests.popleft()
         if self.is_cold(now):
             self.requests.append(now)
 
     def is_overrun(self) -> bool:
-        """Whether the last second held far more requests than a cold worker bears."""
+        """Whether a cold worker got so many requests in the last second that it crashes."""
         return len(self.requests) > COLLAPSE_FACTOR * self.bounds.limit
--- a/simulation/workers/listing.py
+++ b/simulation/workers/listing.py
@@ -1,4 +1,4 @@
-"""The platform's list of workers: late, in pages, and limited to a rate of calls."""
+"""The platform's list of workers: changes appear with a delay, answers are paged, and the rate of calls is limited."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if typing.TYPE_CHECKING:
     from iriswheel.runtime import scheduler
 
-HISTORY_US = 30 * units.SECOND_US  # for which former lists are kept
+HISTORY_US = 30 * units.SECOND_US  # age up to which former lists are kept
 RATE_WINDOW_US = units.SECOND_US
 
 WorkerRow = dict[str, typing.Any]
@@ -21,14 +21,14 @@
 
 
 class FormerList(typing.NamedTuple):
-    """The list as it stood from a time on."""
+    """The content of the list since a time in microseconds."""
 
     since: int
     rows: Rows
 
 
 class Listing(served_http.Server):
-    """The list of workers."""
+    """The HTTP server of the list of workers."""
 
     def __init__(
         self,
@@ -38,25 +38,25 @@
         rate: float = 40.0,
         page: int = 3,
     ) -> None:
-        """Make an empty list.
+        """Create an empty list.
 
         Args:
-            runtime: The clock to go by.
-            event_log: Where changes and calls are noted.
-            lag_us: How late a change is seen.
-            rate: How many calls a second are answered.
-            page: How many workers a page has.
+            runtime: The clock.
+            event_log: The event log, which records changes and calls.
+            lag_us: The delay after which a change appears in answers.
+            rate: The number of calls answered per second; further ones get status 429.
+            page: The number of workers on a page.
         """
         super().__init__(runtime)
         self.event_log, self.lag_us, self.rate, self.page = event_log, lag_us, rate, page
         self.rows: Rows = {}
         self.history: collections.deque[FormerList] = collections.deque([FormerList(0, {})])
         self.calls: collections.deque[int] = collections.deque()
-        self.cold_until: dict[str, int] = {}  # worker -> until when it is cold, for those that ever were
+        self.cold_until: dict[str, int] = {}  # worker -> end of its warm-up, for workers that were ever cold
         self.down = False
 
     def put(self, identifier: str, **changed: object) -> None:
-        """List a worker, or change how it is listed; it is seen when the lag has gone."""
+        """Add a worker or change its fields; answers show the change after the lag."""
         new = dict(
             state=platform_names.TERMS["ready"],
             version="v1",
@@ -70,7 +70,7 @@
         self._note_change(identifier, row["state"], row["pool"])
 
     def remove(self, identifier: str) -> None:
-        """List a worker no more."""
+        """Remove a worker; answers show the change after the lag."""
         pool = self.rows[identifier]["pool"]
         self.rows = {other: row for other, row in self.rows.items() if other != identifier}
         self._note_change(identifier, "gone", pool)
@@ -83,7 +83,7 @@
         self.event_log.put(now, "listed", worker=identifier, state=state, pool=pool, seen=now + self.lag_us)
 
     def handle(self, request: served_http.ServedRequest) -> None:
-        """Answer a call, unless the list is down."""
+        """Answer a call; while the list is down, leave it without an answer."""
         now = self.runtime.now()
         while self.calls and self.calls[0] <= now - RATE_WINDOW_US:
             self.calls.popleft()
@@ -99,12 +99,12 @@
             request.reply_json(200, self.page_of(dict(urllib.parse.parse_qsl(request.query))))
 
     def seen_rows(self) -> Rows:
-        """The list as it stood a lag ago."""
+        """The list as it was one lag ago."""
         then = self.runtime.now() - self.lag_us
         return next((former.rows for former in reversed(self.history) if former.since <= then), self.history[0].rows)
 
     def _timed_row(self, rows: Rows, identifier: str) -> list[tuple[str, typing.Any]]:
-        """The fields of a worker, with how long it stayed cold a lag ago."""
+        """The fields of a worker, with its remaining warm-up time as it was one lag ago."""
         row = rows[identifier]
         if identifier not in self.cold_until:
             return list(row.items())
@@ -113,7 +113,7 @@
         return list({**row, "cold": cold_left_ms}.items())
 
     def page_of(self, query: dict[str, str]) -> dict[str, typing.Any]:
-        """The page that a call asks for, in the platform's words."""
+        """The page that a query requests, with the platform's field names."""
         names, rows = platform_names.LISTING, self.seen_rows()
         chosen = [
             identifier
--- a/simulation/workers/served_http.py
+++ b/simulation/workers/served_http.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server by hand, which can also break off an answer or send bytes that are none."""
+"""A simple HTTP/1.1 server that can also send incomplete answers and invalid bytes, as faulty workers do."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-UNKNOWN_PHRASE = "Some"
+UNKNOWN_PHRASE = "Some"  # reason phrase of all other statuses
 
 Headers = list[tuple[str, str]]
 
@@ -43,7 +43,7 @@
 
 
 def encode_headers(headers: collections.abc.Iterable[tuple[str, str]]) -> str:
-    r"""Headers as lines, each with its end.
+    r"""Headers as lines, each ending with CRLF.
 
     >>> encode_headers([("A", "1")])
     'A: 1\r\n'
@@ -52,7 +52,7 @@
 
 
 def encode_answer(code: int, headers: collections.abc.Iterable[tuple[str, str]], body: bytes = b"") -> bytes:
-    r"""A whole answer as bytes.
+    r"""A complete answer as bytes.
 
     >>> encode_answer(404, [("X-A", "1")], b"no")
     b'HTTP/1.1 404 Not Found\r\nX-A: 1\r\nContent-Length: 2\r\n\r\nno'
@@ -62,9 +62,9 @@
 
 
 class ServedConnection(protocol.Protocol):
-    """One connection to a server, which serves one request at a time."""
+    """One connection to a server; its requests are served one at a time."""
 
-    # Set by `makeConnection`, before anything else is called.
+    # Set by `makeConnection` before any other method is called.
     transport: network_model.ConnectionSide  # type: ignore[assignment]  # Twisted's is a zope interface
 
     def __init__(self, server: Server) -> None:
@@ -73,17 +73,17 @@
         self.parser = httptools.HttpRequestParser(self)
         self.up = False
         self.peer = ""
-        self.current: ServedRequest | None = None  # what the server works on
+        self.current: ServedRequest | None = None  # request that the server is handling
         self.queued: collections.deque[ServedRequest] = collections.deque()
         self.idle_timer: scheduler.Timer | None = None
         self.closing = False
-        self.dropped = False  # silently: what comes next is reset
+        self.dropped = False  # whether it was dropped silently: the next received byte resets it
         self.headers: Headers = []
         self.body: list[bytes] = []
         self.url = b""
 
     def connectionMade(self) -> None:
-        """Let the server take the connection or reset it."""
+        """Let the server accept the connection; reset it otherwise."""
         self.up = True
         self.peer = self.transport.getPeer().host
         if not self.server.opened(self):
@@ -93,13 +93,13 @@
         self.start_idle()
 
     def connectionLost(self, _reason: failure.Failure = protocol.connectionDone) -> None:
-        """Tell the server."""
+        """Tell the server that the connection is lost."""
         self.up = False
         self.stop_idle()
         self.server.lost(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes; invalid ones reset the connection."""
         if self.dropped:
             self.transport.abortConnection()
             return
@@ -112,23 +112,23 @@
     # ---- callbacks of the parser --------------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start a new request."""
         self.headers, self.body, self.url = [], [], b""
 
     def on_url(self, url: bytes) -> None:
-        """Keep a piece of the URL."""
+        """Append a piece of the URL."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         self.headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_body(self, data: bytes) -> None:
-        """Keep a piece of the body."""
+        """Append a piece of the body."""
         self.body.append(data)
 
     def on_message_complete(self) -> None:
-        """Serve the request, or let it wait for the one before it."""
+        """Serve the request, or queue it behind the one being served."""
         method, url = self.parser.get_method().decode(), self.url.decode("latin-1")
         request = ServedRequest(self, method, url, self.headers, b"".join(self.body))
         if self.current is not None:
@@ -139,18 +139,18 @@
     # ---- serving ------------------------------------------------------------------------
 
     def begin(self, request: ServedRequest) -> None:
-        """Let the server work on a request."""
+        """Let the server handle a request."""
         self.stop_idle()
         self.current = request
         self.server.handle(request)
 
     def send(self, raw: bytes) -> None:
-        """Write bytes, where the connection still stands."""
+        """Write bytes if the connection is open."""
         if self.up:
             self.transport.write(raw)
 
     def finish(self, close: bool = False) -> None:
-        """Go on after an answer: with the next request, or close."""
+        """End the current request: close the connection, serve the next queued request, or wait for one."""
         self.current = None
         if close or self.closing:
             self.closing = True
@@ -162,26 +162,26 @@
             self.start_idle()
 
     def start_idle(self) -> None:
-        """Wait for the next request, as long as the server's idle time."""
+        """Start the idle time-out of the connection."""
         self.stop_idle()
         if self.server.idle_us:
             self.idle_timer = self.runtime.later(self.server.idle_us, self.end_idle)
 
     def end_idle(self) -> None:
-        """Close after the idle time, or drop the connection without a word."""
+        """End an idle connection: close it, or drop it silently."""
         if self.server.silent_drop:
             self.dropped = True
         elif self.up:
             self.transport.loseConnection()
 
     def stop_idle(self) -> None:
-        """Stop waiting."""
+        """Cancel the idle time-out."""
         if self.idle_timer is not None and self.idle_timer.active():
             self.idle_timer.cancel()
 
 
 class ServedRequest:
-    """One request as a server got it.
+    """One request that a server received.
 
     >>> ServedRequest(None, "GET", "/a?b=c", [("X-A", "1")], b"").header("x-a")
     '1'
@@ -200,13 +200,13 @@
     def header(self, name: str, default: str) -> str: ...
 
     def header(self, name: str, default: str | None = None) -> str | None:
-        """A header's value; names have no case."""
+        """The value of a header, whose name is not case-sensitive."""
         return next((value for key, value in self.headers if key.lower() == name.lower()), default)
 
     def reply(
         self, code: int, headers: collections.abc.Sequence[tuple[str, str]] = (), body: bytes = b"", close: bool = False
     ) -> None:
-        """Answer at once and whole."""
+        """Send a complete answer, unless the request was already answered."""
         if self.over:
             return
         self.over = True
@@ -215,16 +215,16 @@
         self.connection.finish(close)
 
     def reply_json(self, code: int, document: dict[str, typing.Any]) -> None:
-        """Answer with JSON."""
+        """Send a complete answer with a JSON body."""
         self.reply(code, [("Content-Type", "application/json")], json.dumps(document).encode())
 
 
 class Server(protocol.Factory):
-    """Takes connections; subclasses handle requests.
+    """Accepts connections; subclasses handle requests.
 
     Attributes:
-        idle_us: After what time an idle connection is closed; never where 0.
-        silent_drop: Whether it is dropped without a word instead.
+        idle_us: The time after which an idle connection is closed; 0 means never.
+        silent_drop: Whether an idle connection is dropped without notice instead of closed.
     """
 
     noisy = False
@@ -236,7 +236,7 @@
         self.connections: list[ServedConnection] = []
 
     def buildProtocol(self, _address: interfaces.IAddress | None) -> ServedConnection:
-        """Serve a new connection."""
+        """Create the protocol of a new connection."""
         return ServedConnection(self)
 
     def handle(self, request: ServedRequest) -> None:
@@ -244,14 +244,14 @@
         raise NotImplementedError
 
     def opened(self, connection: ServedConnection) -> bool:
-        """Whether a new connection is taken."""
+        """Accept a new connection; returns False to reset it."""
         self.connections.append(connection)
         return True
 
     def lost(self, connection: ServedConnection) -> None:
-        """Note that a connection is no more."""
+        """Forget a lost connection."""
         if connection in self.connections:
             self.connections.remove(connection)
 
     def received_garbage(self, connection: ServedConnection) -> None:
-        """Note that bytes came that are no request."""
+        """Called when received bytes are not valid HTTP."""
--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in worker: it runs requests on a model of an engine, and fails in the ways that it is told to."""
+"""A simulated worker: it runs requests on a model of an inference engine, with configurable faults."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
     from iriswheel.runtime import scheduler
 
-DEFAULT_LEFT_MS = "60000"
+DEFAULT_LEFT_MS = "60000"  # time to the deadline of a request that states none
 RETRY_AFTER_S = "0.2"
-CLOSE_SHARE = 0.005
-LINGER_SHARE = 0.1
-LINGER_US = 1_500 * units.MILLISECOND_US
-IDLE_US = 5 * units.SECOND_US
-MAX_PADDING_BYTES = 2000  # of a short answer
-MIN_LATE_US, LATE_SPREAD_US = 5 * units.MILLISECOND_US, 400 * units.MILLISECOND_US
-EVENTS_BEFORE_BREAK = 2
+CLOSE_SHARE = 0.005  # share of answers after which the connection is closed
+LINGER_SHARE = 0.1  # share of requests that run on after their connection is lost
+LINGER_US = 1_500 * units.MILLISECOND_US  # time for which such a request runs on
+IDLE_US = 5 * units.SECOND_US  # default idle time-out of connections
+MAX_PADDING_BYTES = 2000  # of an answer that is not a stream
+MIN_LATE_US, LATE_SPREAD_US = 5 * units.MILLISECOND_US, 400 * units.MILLISECOND_US  # delay of a second answer
+EVENTS_BEFORE_BREAK = 2  # the last of which is sent in part
 LAST_CHUNK = b"0\r\n\r\n"
 
 Headers = list[tuple[str, str]]
@@ -31,13 +31,13 @@
     """One request at a worker, from its arrival to its end."""
 
     def __init__(self, request: served_http.ServedRequest, attempt: str, seal: str, fault: str) -> None:
-        """Make a run that the engine does not have yet.
+        """Create a run that has not been offered to the engine.
 
         Args:
             request: The request.
-            attempt: The name of the attempt.
-            seal: A random text that marks what this run sends.
-            fault: How it fails; empty where it does not.
+            attempt: The id of the attempt.
+            seal: A random text that identifies this run in its answer.
+            fault: The way in which the run fails; empty if it does not fail.
         """
         self.request, self.attempt, self.seal, self.fault = request, attempt, seal, fault
         counts = request.header(platform_names.HEADERS["tokens"])
@@ -45,39 +45,42 @@
         self.token_counts = counts
         self.started = False
         self.over = False
-        self.close = False  # whether the connection ends with the answer
-        self.timer: scheduler.Timer | None = None  # of its deadline
-        self.job: inference_engine.Job  # what the engine runs, set by the worker before it offers the job
+        self.close = False  # whether the connection is closed after the answer
+        self.timer: scheduler.Timer | None = None  # fires at the deadline
+        self.job: inference_engine.Job  # job of the engine; the worker sets it before it offers the job
         self.events = 0
         self.sent: list[bytes] = []
         self.times: list[int] = []
 
     @property
     def connection(self) -> served_http.ServedConnection:
-        """The connection that it came on."""
+        """The connection on which the request came."""
         return self.request.connection
 
     def tokens(self, tokens_per_event: int) -> int:
-        """How many tokens its answer has."""
+        """The number of tokens of the whole answer."""
         return int(self.token_counts.split(",")[1]) if self.token_counts else tokens_per_event
 
     def tokens_before(self, tokens_per_event: int) -> int:
-        """How many tokens came before, where a stream is resumed after its last event."""
+        """The number of tokens that the client already has of a stream that it resumes."""
         after = self.request.header(platform_names.HEADERS["after"])
         events = int(after) if after and after.isdigit() else 0
         return max(0, events - 1) * tokens_per_event + bool(after)
 
 
 class Worker(served_http.Server):
-    """One instance of a stand-in worker.
+    """One instance of a simulated worker.
 
     Attributes:
-        faults: How requests fail, and how often (0 to 1): garble, surplus, late, lost, break, errors, hang, mute.
-        health: What it answers to health checks: "good", "bad", or the truth where empty.
-        close_share: How often an answer says that the connection ends.
-        linger_share: How often a request runs on for a while after its connection is lost.
-        cold: Its warm-up, where workers of its deployment have one.
-        on_overrun: Called once where it gets far more requests than it bears while cold.
+        faults: Fault -> share of requests (0 to 1) that fail in this way. The faults are garble (invalid HTTP),
+            surplus and late (a second answer, at once or after a delay), lost (the last event or short answer is
+            replaced by a reset), break (a reset after a partial event or body), errors (status 500), hang (silence
+            after the first event) and mute (no answer).
+        health: The answer to health checks: "good", "bad", or empty for the actual state.
+        close_share: The share of answers after which the connection is closed.
+        linger_share: The share of requests that run on for LINGER_US after their connection is lost.
+        cold: The state of the warm-up, or None if workers of the deployment have no warm-up.
+        on_overrun: Called once if the cold worker gets so many requests that it crashes.
     """
 
     def __init__(
@@ -112,17 +115,17 @@
         self.log_event("born", pool=pool)
 
     def log_event(self, kind: str, **fields: object) -> None:
-        """Note an event in the log."""
+        """Append an event of this worker to the event log."""
         self.event_log.put(self.runtime.now(), kind, worker=self.id, name=self.name, **fields)
 
     def stop(self) -> None:
-        """End this instance."""
+        """Stop the engine of this instance."""
         self.engine.stop()
 
     # ---- connections --------------------------------------------------------------------
 
     def opened(self, connection: served_http.ServedConnection) -> bool:
-        """Take a connection, unless there are too many; half as many are taken while the queue is long."""
+        """Accept a connection, up to the limit of connections; a long queue of requests halves the limit."""
         is_crowded = len(self.engine.waiting) >= self.parameters.capacity
         limit = self.connection_limit // 2 if is_crowded else self.connection_limit
         self.log_event("opened", peer=connection.peer)
@@ -131,7 +134,7 @@
         return super().opened(connection)
 
     def lost(self, connection: served_http.ServedConnection) -> None:
-        """Drop the request of a lost connection, now or after a while."""
+        """Cancel the request of a lost connection, at once or after LINGER_US."""
         super().lost(connection)
         run = None if connection.current is None else self.runs.get(connection.current)
         if run is None or run.over:
@@ -142,19 +145,19 @@
             self.abandon(run)
 
     def abandon(self, run: Run) -> None:
-        """Drop a request whose connection is lost."""
+        """Cancel a request whose connection is lost."""
         if not run.over:
             self.engine.cancel(run.job)
             self.end(run, "cut")
 
     def received_garbage(self, connection: served_http.ServedConnection) -> None:
-        """Note that bytes came that are no request."""
+        """Log that invalid HTTP was received."""
         self.log_event("bad_request", peer=connection.peer)
 
     # ---- requests -----------------------------------------------------------------------
 
     def handle(self, request: served_http.ServedRequest) -> None:
-        """Answer a report, a probe or a request."""
+        """Answer a load report, a health check or a request."""
         if (request.method, request.path) == ("GET", platform_names.PATHS["report"]):
             request.reply_json(200, self.report())
         elif (request.method, request.path) == ("GET", self.probe_path):
@@ -163,7 +166,7 @@
             self.serve(request)
 
     def report(self) -> dict[str, typing.Any]:
-        """The report of how things stood some time ago."""
+        """The load report, with the load of the engine as it was some time ago."""
         load = self.engine.report()
         names = platform_names.REPORT
         return {
@@ -179,7 +182,7 @@
         }
 
     def answer_probe(self, request: served_http.ServedRequest) -> None:
-        """Answer a health check, which waits for a place in the batch as a request does."""
+        """Answer a health check once the engine has run a job of one token for it; refuse it if the queue is full."""
         self.log_event("probed")
         is_healthy = not self.leaving and not any(self.faults.values())
         is_healthy = {"good": True, "bad": False}.get(self.health, is_healthy)
@@ -198,7 +201,7 @@
         return headers
 
     def serve(self, request: served_http.ServedRequest) -> None:
-        """Run a request, or refuse it as one that has not run."""
+        """Run a request, or refuse it with a header that says that it has not run."""
         names = platform_names.HEADERS
         attempt = request.header(names["attempt"], "")
         left_ms = int(request.header(names["left"], DEFAULT_LEFT_MS))
@@ -251,7 +254,7 @@
             collapse()
 
     def _refusal_code(self, request: served_http.ServedRequest, attempt: str) -> int:
-        """The status of a request that is not for this instance, or 0."""
+        """The status that refuses a request without an attempt id or for other weights or another instance; else 0."""
         names = platform_names.HEADERS
         if not attempt:
             return 400
@@ -280,7 +283,7 @@
         return run
 
     def _answer_without_event(self, run: Run) -> None:
-        """Answer where all events have come before."""
+        """Send an empty stream to a client that already has all events."""
         self.engine.cancel(run.job)
         self.on_started(run)
         self.begin_stream(run)
@@ -289,7 +292,7 @@
 
     @staticmethod
     def parts(text: str) -> list[tuple[str, int]]:
-        """The parts that a header names, as (id, tokens).
+        """The prompt parts in a header, as pairs of id and number of tokens.
 
         >>> Worker.parts("5c:800,91:410")
         [('5c', 800), ('91', 410)]
@@ -300,13 +303,16 @@
     # ---- runs ---------------------------------------------------------------------------
 
     def on_started(self, run: Run) -> None:
-        """Note that a request runs, from its first token on."""
+        """Log that a request runs, at its first token."""
         run.started = True
         after = run.request.header(platform_names.HEADERS["after"])
         self.log_event("run", attempt=run.attempt, seal=run.seal, pool=self.pool, after=after)
 
     def expire(self, run: Run) -> None:
-        """Act on the deadline: a request that has not begun never runs; another ends."""
+        """End a request at its deadline.
+
+        The status is 503 if it has not run, 504 if no event was sent; a stream with events is reset.
+        """
         if run.over:
             return
         self.engine.cancel(run.job)
@@ -320,7 +326,7 @@
             run.connection.transport.abortConnection()
 
     def end(self, run: Run, how: str) -> None:
-        """Note that a request is over."""
+        """End a request, and log how it ended if it has run."""
         run.over = True
         self.runs.pop(run.request, None)
         if run.timer is not None and run.timer.active():
@@ -347,7 +353,7 @@
         return headers
 
     def on_event(self, run: Run, number: int, last: bool) -> None:
-        """Send one event of a stream, or a whole short answer, unless the run fails here."""
+        """Send one event of a stream, or a complete answer that is not a stream, with the fault of the run if any."""
         if run.over or self._is_silent(run, last):
             return
         if run.fault in ("errors", "garble") and not run.events:
@@ -358,7 +364,7 @@
             self.finish_short(run)
 
     def _is_silent(self, run: Run, last: bool) -> bool:
-        """Whether a run sends nothing (mute), or nothing after its first event (hang)."""
+        """Whether the fault of a run suppresses an event: all events (mute), or all but the first (hang)."""
         if run.fault not in ("hang", "mute") or run.events < (0 if run.fault == "mute" else 1):
             return False
         run.events += 1
@@ -400,7 +406,7 @@
         return self.leaving or self.runtime.rng.random() < self.close_share
 
     def begin_stream(self, run: Run) -> None:
-        """Send the head of a stream."""
+        """Send the status line and headers of a stream."""
         run.close = self._draw_close()
         headers = [
             *self.headers(run, run.close),
@@ -410,7 +416,7 @@
         run.connection.send(f"HTTP/1.1 200 OK\r\n{served_http.encode_headers(headers)}\r\n".encode())
 
     def finish_short(self, run: Run) -> None:
-        """Send a whole short answer."""
+        """Send an answer that is not a stream, complete unless the run's fault is "lost" or "break"."""
         run.close = self._draw_close()
         body = f"{run.seal} {run.attempt} whole".encode() + b"." * self.runtime.rng.randrange(MAX_PADDING_BYTES)
         run.sent.append(body)
@@ -426,7 +432,7 @@
         self.finish(run)
 
     def finish(self, run: Run) -> None:
-        """End a run whose whole answer is out; one that fails may send more, now or in place of the next one."""
+        """End a run whose answer is complete; with the fault "surplus" or "late", send a second answer."""
         self.end(run, "ran")
         again = f"{run.seal} {run.attempt} again".encode()
         extra = served_http.encode_answer(200, self.headers(run, False), again)
