--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -71,13 +71,13 @@
     @pytest.fixture(autouse=True)
     def set_up(self) -> None:
         self.world = world.World(5)
-        self.tape = event_log.EventLog()
+        self.event_log = event_log.EventLog()
         self.process = process_model.SimulatedProcess(self.world, "w1", host_model.Host(self.world, "10.0.3.1", "a"))
         self.worker = workers.Worker(
             self.process.runtime(),
             "w1",
             "desk",
-            self.tape,
+            self.event_log,
             inference_engine.EngineParameters(enqueue_delay_us=0),
             connection_limit=5,
         )
@@ -85,16 +85,16 @@
         self.process.reactor.listenTCP(8080, self.worker)
         self.near = process_model.SimulatedProcess(self.world, "near", host_model.Host(self.world, "10.0.2.1", "a"))
 
-    def go(self, ms: int) -> None:
+    def advance_ms(self, ms: int) -> None:
         self.world.run(self.world.time + ms * MILLISECOND)
 
-    def dial(self, host: str = "10.0.3.1", port: int = 8080) -> Client:
+    def connect(self, host: str = "10.0.3.1", port: int = 8080) -> Client:
         client = Client()
         factory: Any = protocol.ClientFactory()
         factory.noisy = False
         factory.buildProtocol = lambda _address: client
         self.near.reactor.connectTCP(host, port, factory)
-        self.go(2)
+        self.advance_ms(2)
         return client
 
     def request(
@@ -120,13 +120,13 @@
         lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items() if v is not None)
         client.transport.write(f"POST {path} HTTP/1.1\r\n{lines}\r\nhi".encode())
 
-    def kinds(self, *kinds: str) -> list[dict[str, Any]]:
-        return [r for r in self.tape.rows if r["kind"] in kinds]
+    def events_of(self, *events_of: str) -> list[dict[str, Any]]:
+        return [r for r in self.event_log.rows if r["kind"] in events_of]
 
-    def test_a_stream_has_seal_attempt_and_rising_events(self) -> None:
-        client = self.dial()
+    def test_a_stream_has_the_seal_the_attempt_id_and_numbered_events(self) -> None:
+        client = self.connect()
         self.request(client, target=self.worker.id)
-        self.go(300)
+        self.advance_ms(300)
         (answer,) = client.answers
         seal = answer.headers[HEADERS["seal"].lower()]
         assert (
@@ -144,79 +144,79 @@
             "".join(f"id: {k}\ndata: {seal} a1 {k}{' last' if k == 3 else ''}\n\n" for k in (1, 2, 3))
             == answer.body.decode()
         )
-        assert [r["kind"] for r in self.kinds("arrived", "run", "ran")] == ["arrived", "run", "ran"]
+        assert [r["kind"] for r in self.events_of("arrived", "run", "ran")] == ["arrived", "run", "ran"]
         self.request(client, attempt="a2")
-        self.go(300)
+        self.advance_ms(300)
         assert [x.headers[HEADERS["attempt"].lower()] for x in client.answers] == ["a1", "a2"]
 
-    def test_what_does_not_run_says_so(self) -> None:
-        client = self.dial()
+    def test_a_refused_request_is_marked_as_not_run(self) -> None:
+        client = self.connect()
         self.request(client, attempt="a1", target="i-other")
         self.request(client, attempt=None)
         self.request(client, attempt="a3", left=0)
         self.request(client, attempt="a4", weights_wanted="2")
         self.request(client, attempt="a5", tokens="10,99000000")
-        self.go(50)
+        self.advance_ms(50)
         assert [answer.code for answer in client.answers] == [421, 400, 503, 421, 503]
         assert all(HEADERS["not_run"].lower() in answer.headers for answer in client.answers)
-        assert self.kinds("run") == []
+        assert self.events_of("run") == []
 
     def test_a_deadline_that_passes_in_the_queue_is_answered_as_not_run(self) -> None:
         self.worker.engine.parameters.capacity = 1
-        client, other = self.dial(), self.dial()
+        client, other = self.connect(), self.connect()
         self.request(client, attempt="a1", tokens="10,400")
-        self.go(20)
+        self.advance_ms(20)
         self.request(other, attempt="a2", left=100)
-        self.go(200)
+        self.advance_ms(200)
         assert [answer.code for answer in other.answers] == [503]
         assert HEADERS["not_run"].lower() in other.answers[0].headers
-        assert [r["attempt"] for r in self.kinds("run")] == ["a1"]
+        assert [r["attempt"] for r in self.events_of("run")] == ["a1"]
 
-    def test_a_deadline_in_the_middle_of_a_stream_cuts_it(self) -> None:
-        client = self.dial()
+    def test_a_deadline_during_a_stream_resets_the_connection(self) -> None:
+        client = self.connect()
         self.request(client, tokens="10,400", left=200)
-        self.go(400)
+        self.advance_ms(400)
         assert (client.answers[0].complete, client.closed) == (False, "ConnectionLost")
 
-    def test_a_stream_is_taken_up_after_its_last_event(self) -> None:
-        client = self.dial()
+    def test_a_stream_resumes_after_the_last_received_event(self) -> None:
+        client = self.connect()
         self.request(client, tokens="10,17", after="3")
-        self.go(300)
+        self.advance_ms(300)
         assert [p.split(b"\n")[0] for p in client.answers[0].body.split(b"\n\n") if p] == [b"id: 4", b"id: 5"]
 
-    def test_nothing_is_left_to_take_up_after_the_last_event(self) -> None:
-        client = self.dial()
+    def test_resuming_after_the_final_event_gives_an_empty_stream(self) -> None:
+        client = self.connect()
         self.request(client, tokens="10,17", after="5")
-        self.go(300)
+        self.advance_ms(300)
         assert (client.answers[0].code, client.answers[0].complete, client.answers[0].body) == (200, True, b"")
 
-    def test_a_request_is_dropped_with_its_connection(self) -> None:
-        client = self.dial()
+    def test_a_request_is_cancelled_when_its_connection_is_lost(self) -> None:
+        client = self.connect()
         self.request(client, tokens="10,400")
-        self.go(100)
+        self.advance_ms(100)
         client.transport.abortConnection()
-        self.go(50)
-        assert [r["how"] for r in self.kinds("ran")] == ["cut"]
+        self.advance_ms(50)
+        assert [r["how"] for r in self.events_of("ran")] == ["cut"]
         assert self.worker.engine.running == []
 
     def test_too_many_connections_are_reset(self) -> None:
-        callers = [self.dial() for _ in range(7)]
-        self.go(10)
+        callers = [self.connect() for _ in range(7)]
+        self.advance_ms(10)
         assert [client.closed for client in callers] == [None] * 5 + ["ConnectionLost"] * 2
 
-    def test_idle_connections_end_in_time_or_silently(self) -> None:
-        client = self.dial()
-        self.go(6000)
+    def test_idle_connections_are_closed_or_dropped_silently(self) -> None:
+        client = self.connect()
+        self.advance_ms(6000)
         assert client.closed == "ConnectionDone"
         self.worker.silent_drop = True
-        client = self.dial()
-        self.go(6000)
+        client = self.connect()
+        self.advance_ms(6000)
         assert client.ended_by() is None
         self.request(client)
-        self.go(50)
+        self.advance_ms(50)
         assert (client.ended_by(), client.answers) == ("ConnectionLost", [])
 
-    def test_each_fault_shows(self) -> None:
+    def test_each_fault_is_visible_to_the_client(self) -> None:
         want = {
             "garble": lambda client: client.garbage and not any(answer.complete for answer in client.answers),
             "errors": lambda client: [answer.code for answer in client.answers] == [500],
@@ -231,16 +231,16 @@
         }
         for way, seen in want.items():
             self.worker.faults = {way: 1.0}
-            client = self.dial()
+            client = self.connect()
             self.request(client, attempt=way)
-            self.go(800)
+            self.advance_ms(800)
             assert seen(client), (way, client.raw)
             client.transport.abortConnection()
-            self.go(50)
-        assert sorted(want) == sorted({r["attempt"] for r in self.kinds("run")}), "all of these have run"
+            self.advance_ms(50)
+        assert sorted(want) == sorted({r["attempt"] for r in self.events_of("run")}), "all of these have run"
 
-    def test_health_is_reported_truly_or_falsely(self) -> None:
-        client = self.dial()
+    def test_a_health_check_reports_the_actual_or_the_configured_state(self) -> None:
+        client = self.connect()
         cases: tuple[tuple[str, dict[str, float], int], ...] = (
             ("", {}, 200),
             ("", {"mute": 1}, 503),
@@ -250,38 +250,38 @@
         for health, faults, code in cases:
             self.worker.health, self.worker.faults = health, faults
             client.transport.write(b"GET /health HTTP/1.1\r\nHost: x\r\n\r\n")
-            self.go(50)
+            self.advance_ms(50)
             assert (client.answers[-1].code, client.answers[-1].headers[HEADERS["worker"].lower()]) == (
                 code,
                 self.worker.id,
             )
 
-    def test_the_report_is_old(self) -> None:
-        client, other = self.dial(), self.dial()
-        self.go(300)
+    def test_the_load_report_is_delayed(self) -> None:
+        client, other = self.connect(), self.connect()
+        self.advance_ms(300)
         self.request(client, tokens="10,400")
         for ms, running in ((50, 0), (250, 1)):
-            self.go(ms)
+            self.advance_ms(ms)
             other.transport.write(b"GET /report HTTP/1.1\r\nHost: x\r\n\r\n")
-            self.go(5)
+            self.advance_ms(5)
             assert json.loads(other.answers[-1].body)[platform_names.REPORT["running"]] == running
 
-    def test_the_list_comes_late_in_pages_and_at_a_rate(self) -> None:
+    def test_the_worker_list_is_delayed_paged_and_rate_limited(self) -> None:
         process = process_model.SimulatedProcess(self.world, "list", host_model.Host(self.world, "10.0.4.1", "a"))
-        listing = workers_listing.Listing(process.runtime(), self.tape, page=2, rate=4)
+        listing = workers_listing.Listing(process.runtime(), self.event_log, page=2, rate=4)
         process.reactor.listenTCP(9000, listing)
         for k in range(5):
             listing.put(f"i-{k}", pool="desk", address=f"10.0.3.{k}:80", zone="ab"[k % 2])
-        client = self.dial("10.0.4.1", 9000)
+        client = self.connect("10.0.4.1", 9000)
 
         def page(query: str = "") -> dict[str, Any]:
             client.transport.write(f"GET /workers{query} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
-            self.go(5)
+            self.advance_ms(5)
             listed: dict[str, Any] = json.loads(client.answers[-1].body or b"{}")
             return listed
 
         assert page()["worker_pool"] == []
-        self.go(1500)
+        self.advance_ms(1500)
         got: list[str] = []
         token: str | None = ""
         for _ in range(3):
@@ -292,11 +292,11 @@
         assert [r["id"] for r in page("?zone=b")["worker_pool"]] == ["i-1", "i-3"]
         page()
         assert client.answers[-1].code == 429
-        self.go(1000)
+        self.advance_ms(1000)
         listing.put("i-0", state="draining")
         listing.remove("i-1")
-        self.go(500)
+        self.advance_ms(500)
         assert [r["id"] for r in page()["worker_pool"]] == ["i-0", "i-1"]
-        self.go(1500)
+        self.advance_ms(1500)
         rows = page()["worker_pool"]
         assert [(r["id"], r["state"]) for r in rows] == [("i-0", "draining"), ("i-2", "ready")]
