--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -110,12 +110,16 @@
         cluster.advance(10)
         assert self.open_sessions(cluster) == 0
 
-    def test_a_prefix_that_everybody_shares_opens_no_session(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_prompt_of_only_the_shared_system_prefix_opens_no_session(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         self.answer(cluster, parts=("system",))
         assert self.open_sessions(cluster) == 0
 
-    def test_the_cap_refuses_at_once_until_the_earliest_expiry(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_reached_session_cap_refuses_at_once_with_retry_after_until_the_earliest_expiry(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         document = {
             "pools": {"desk": {"cap": 1}},
             "terms": {"default": {"lifetime_us": 30 * SECOND}},
@@ -131,7 +135,9 @@
         assert b"sessions_full" in body
         assert 25 <= int(optional.present(headers.getRawHeaders("Retry-After"))[0]) <= 31
 
-    def test_a_client_that_goes_away_ends_the_run_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_disconnecting_client_ends_the_run_at_the_worker_at_once(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         request = self.query(cluster)
         assert cluster.advance_until(request.has_begun, 5)
@@ -141,7 +147,7 @@
         cluster.advance(1)
         assert optional.present(cluster.owner()).pool_owners[cluster.pool].records.grants == {}
 
-    def test_a_slow_client_slows_the_worker(
+    def test_a_client_that_does_not_read_applies_back_pressure_to_the_worker(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         cluster = quiet_cluster()
@@ -174,7 +180,7 @@
         assert sum(len(part) for part in request.body_parts()) == 200 * 16_384
 
     def test_jumps_of_the_wall_clock_change_nothing(self) -> None:
-        tapes = []
+        event_logs = []
         for jump in (0, 10**6, -(10**6)):
             real = time.time
 
@@ -185,12 +191,14 @@
                 cluster = simulated_cluster.SimulatedCluster(5, "small", seconds=5)
                 cluster.begin()
                 cluster.end()
-            tapes.append(cluster.event_log.text())
-        assert len(tapes[0]) > 1000
-        differ = tapes != [tapes[0]] * 3  # not compared within the assertion: a report of the difference takes minutes
+            event_logs.append(cluster.event_log.text())
+        assert len(event_logs[0]) > 1000
+        differ = (
+            event_logs != [event_logs[0]] * 3
+        )  # not compared within the assertion: a report of the difference takes minutes
         assert not differ
 
-    def test_new_terms_hold_for_an_open_session(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_new_terms_apply_to_an_open_session(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         self.answer(cluster, parts=("system", "talk"))
         document = cluster.with_probe(1)
@@ -201,7 +209,7 @@
         cluster.advance(17)
         assert self.open_sessions(cluster) == 0
 
-    def test_a_route_of_another_zone_is_not_known_here(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_node_does_not_serve_a_route_of_another_zone(self, quiet_cluster: conftest.QuietCluster) -> None:
         document = {
             "pools": {"desk": {}},
             "terms": {"default": {}},
@@ -223,7 +231,9 @@
         code, _, body = self.answer(cluster, node="n7")
         assert (code, b"not_ready" in body, b"not_run" in body) == (503, True, True)
 
-    def test_one_working_disk_takes_no_change(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_no_change_is_confirmed_while_only_one_core_has_a_working_disk(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         for name in ("c2", "c3"):
             cluster.cores[name].process.host.disk = "full"
@@ -237,7 +247,7 @@
         assert cluster.advance_until(lambda: done.called, 20)
         assert optional.present(deferreds.result_of(done)) > 0
 
-    def test_a_machine_that_alone_promised_does_not_break_the_chain_for_good(
+    def test_a_promise_by_a_single_core_does_not_stop_the_chain_for_good(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
@@ -265,7 +275,9 @@
         assert cluster.advance_until(lambda: done.called, 10)
         return got
 
-    def test_a_late_selection_that_was_given_up_gets_no_grant(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_selection_that_arrives_after_its_release_gets_no_grant(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         node = optional.present(cluster.owner())
         pool_owner = node.pool_owners[cluster.pool]
@@ -293,7 +305,9 @@
         assert answer.code == "no_warden"
         assert pool_owner.records.claims == {}
 
-    def test_a_claim_of_a_grant_that_came_too_late_is_given_back(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_release_as_not_run_removes_the_claim_collected_for_the_same_grant(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         node = optional.present(cluster.owner())
         pool_owner = node.pool_owners[cluster.pool]
@@ -305,7 +319,9 @@
         code, _, body = self.answer(cluster, identifier="e1", repeat=False, send=2, node="n2")
         assert (code, b'"ran"' in body) == (409, True)
 
-    def test_a_former_pool_owner_gets_no_copy_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_fenced_replica_rejects_records_of_a_former_pool_owner(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster(shape="magnolia")
         node = optional.present(cluster.owner())
         old = node.pool_owners[cluster.pool]
@@ -324,7 +340,7 @@
         cluster.advance(1)
         assert (done.result, old.is_live()) == (False, False)
 
-    def test_a_pool_is_new_to_its_first_owner_however_often_it_queries(
+    def test_repeated_queries_of_the_first_pool_owner_find_no_earlier_owner(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
@@ -353,7 +369,9 @@
         node.on_update()
         assert node.peers.connections[(core.options.host, core.options.port)].up
 
-    def test_a_term_that_a_lost_membership_had_passed_is_replaced(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_pool_serves_again_after_a_node_saw_a_newer_term_of_a_lost_membership(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster(shape="magnolia")
         for who in ("copy", "holder"):
             assignment = optional.present(cluster.owner()).pool_owners[cluster.pool].assignment
@@ -366,7 +384,9 @@
             node.serve(None, message.RecordsRequest(cluster.pool, newer, "somebody"))
             assert self.answer(cluster, identifier=who, repeat=False, node="n1")[0] == 200
 
-    def test_a_thawed_tail_answers_nothing_on_its_old_lease(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_tail_that_was_frozen_answers_nothing_on_its_expired_lease(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         tail = optional.present(cluster.tail())
         tail.process.freeze()
@@ -376,7 +396,9 @@
         assert not tail.chain.tail.answer_read(message.ReadRequest(1)).ok
         assert not tail.is_serving()
 
-    def test_versions_that_are_two_steps_apart_do_not_talk(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_nodes_whose_protocol_versions_differ_by_two_do_not_communicate(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         ours = cluster.nodes["n1"].runtime.protocol_version
         for name, version in (("n8", ours + 1), ("n9", ours + 2)):
@@ -387,7 +409,7 @@
         assert self.answer(cluster, node="n8")[0] == 200
         assert "n9" not in [m.name for m in cluster.nodes["n1"].follower.membership.members]
 
-    def test_an_older_program_refuses_a_newer_data_folder(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_core_refuses_to_start_on_data_of_a_newer_format(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         core = cluster.cores["c1"]
         core.process.kill()
@@ -395,7 +417,7 @@
         with pytest.raises(storage.DiskError):
             cluster.start_core("c1", *cluster.places["c1"])
 
-    def test_open_plans_are_bounded_by_their_bytes(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_the_total_size_of_open_plans_is_limited(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         chain = optional.present(cluster.head()).chain
         pad = [("terms/t", {"pad": "x" * (1 << 20)})]
@@ -417,7 +439,9 @@
         assert sum(p.size for p in chain.latest_state.plans.values()) <= 16 << 20
         assert sum(len(value) for value in optional.present(cluster.head()).process.host.synced.values()) < 120 << 20
 
-    def test_a_thawed_node_selects_nothing_before_it_has_rejoined(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_node_that_was_frozen_is_not_ready_before_it_has_rejoined(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         node = cluster.nodes["n1"]
         node.process.freeze()
