--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine's model does what an engine does: batches, pieces, kept parts, memory, urgency."""
+"""The engine model behaves like an inference engine: batching, chunked prefill, prefix cache, memory and urgency."""
 
 import itertools
 from typing import Any
@@ -79,7 +79,9 @@
         self.advance_ms(500)
         times = [t[2] for t in self.events["x"]]
         assert round((times[1] - times[0]) / MILLISECOND) == 20
-        assert round(max(b - a for a, b in itertools.pairwise(times)) / MILLISECOND) == 100  # four pieces of 20 ms
+        assert (
+            round(max(b - a for a, b in itertools.pairwise(times)) / MILLISECOND) == 100
+        )  # four steps, each with a chunk of 20 ms
 
     def test_a_cached_part_is_not_prefilled_again(self) -> None:
         engine = self.make_engine()
@@ -129,7 +131,7 @@
         for make_job in jobs:
             engine.offer(make_job)
         self.advance_ms(100)
-        assert self.events["x2"], "it streams before it is put back"
+        assert self.events["x2"], "x2 streams before it is preempted"
         self.advance_ms(900)
         assert [jobs[0].preemptions, jobs[1].preemptions, jobs[2].preemptions > 0] == [0, 0, True]
         for make_job in jobs:
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -1,4 +1,4 @@
-"""The stand-ins of workers and of their listing keep to the platform's pages, and show each fault."""
+"""The simulated worker and worker list behave as the platform specifies, and each fault is visible to clients."""
 
 import json
 from typing import Any
@@ -24,7 +24,7 @@
 
 
 class Client(protocol.Protocol):
-    """Parses whatever comes back."""
+    """An HTTP client that records all answers, raw bytes and the end of its connection."""
 
     transport: Any  # a side of a simulated connection
 
@@ -48,7 +48,7 @@
         self.closed = reason.type.__name__
 
     def ended_by(self) -> str | None:
-        """The name of what ended the connection; None while it is up."""
+        """The name of the error that ended the connection; None while it is open."""
         return self.closed
 
     def on_message_begin(self) -> None:
@@ -237,7 +237,9 @@
             assert seen(client), (way, client.raw)
             client.transport.abortConnection()
             self.advance_ms(50)
-        assert sorted(want) == sorted({r["attempt"] for r in self.events_of("run")}), "all of these have run"
+        assert sorted(want) == sorted({r["attempt"] for r in self.events_of("run")}), (
+            "each request has run at the worker"
+        )
 
     def test_a_health_check_reports_the_actual_or_the_configured_state(self) -> None:
         client = self.connect()
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -1,4 +1,4 @@
-"""Small simulated clusters, one matter each."""
+"""Behaviour of the whole fleet in small simulated clusters, one rule per test."""
 
 import time
 from collections.abc import Callable
@@ -23,12 +23,12 @@
 
 
 class SentRequest:
-    """A request under way; what has come of its answer."""
+    """A request that was sent, and the part of its answer that has arrived."""
 
     def __init__(self) -> None:
-        self.code = 0  # until the answer's head has come
+        self.code = 0  # 0 until the head of the answer has arrived
         self.headers = http_headers.Headers()
-        self.receiver: load_generator.AnswerCollector | None = None  # until then
+        self.receiver: load_generator.AnswerCollector | None = None  # None until the head of the answer has arrived
         self.done: defer.Deferred[bool] = defer.Deferred()
 
     def transport(self) -> Any:  # noqa: ANN401 - Twisted describes transports by interfaces
@@ -36,11 +36,11 @@
         return optional.present(self.receiver).transport
 
     def body_parts(self) -> list[bytes]:
-        """The parts of the answer's body that have come."""
+        """The parts of the answer's body that have arrived."""
         return optional.present(self.receiver).parts
 
     def has_begun(self) -> bool:
-        """Whether a part of the answer's body has come."""
+        """Whether a part of the answer's body has arrived."""
         return self.receiver is not None and bool(self.receiver.first_at)
 
 
@@ -57,7 +57,7 @@
         repeat: bool = True,
         identifier: str = "x",
     ) -> SentRequest:
-        """Send one request."""
+        """Send one request to a node, without waiting for the answer."""
         sent = SentRequest()
         agent = dispatch.Dispatcher(cluster.load.runtime).unpooled_agent
         headers = http_headers.Headers(
@@ -86,7 +86,7 @@
         cluster: simulated_cluster.SimulatedCluster,
         **more: Any,  # noqa: ANN401 - those of `query`
     ) -> tuple[int, http_headers.Headers, bytes]:
-        """Send one request and wait for its end: status, headers, body."""
+        """Send one request and wait for the whole answer: status, headers, body."""
         sent = self.query(cluster, **more)
         assert cluster.advance_until(lambda: sent.done.called, 30)
         return sent.code, sent.headers, b"".join(sent.body_parts())
@@ -193,9 +193,8 @@
                 cluster.end()
             event_logs.append(cluster.event_log.text())
         assert len(event_logs[0]) > 1000
-        differ = (
-            event_logs != [event_logs[0]] * 3
-        )  # not compared within the assertion: a report of the difference takes minutes
+        # Compared outside the assertion: pytest's report of a difference takes minutes.
+        differ = event_logs != [event_logs[0]] * 3
         assert not differ
 
     def test_new_terms_apply_to_an_open_session(self, quiet_cluster: conftest.QuietCluster) -> None:
@@ -254,7 +253,7 @@
         head = optional.present(cluster.head())
         number = optional.present(head.consensus.view).number + 1
         consensus = head.consensus
-        consensus.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a short cut, in which its grant ran out
+        consensus.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a cut in which its lease grant expired
         prepare = message.Prepare(number, (1, consensus.own_voter.id), consensus.own_voter.id)
         cluster.operator_runtime.spawn(consensus.answer(prepare), simulated_cluster.log)
         cluster.advance(0.1)
@@ -264,7 +263,7 @@
         assert optional.present(deferreds.result_of(done)) > 0
 
     def plan_refused(self, cluster: simulated_cluster.SimulatedCluster) -> list[str]:
-        """Code and verdict that a plan gets now."""
+        """Submit a plan that is refused; the error code and verdict of the refusal."""
         got = []
 
         async def go() -> None:
@@ -311,9 +310,8 @@
         cluster = quiet_cluster()
         node = optional.present(cluster.owner())
         pool_owner = node.pool_owners[cluster.pool]
-        pool_owner.records.claims["e1"] = claims.Claim(
-            "e1", 1, "n1", "old-ask", cluster.world.time + 600 * SECOND
-        )  # as gathered
+        # The claim is entered as a new pool owner collects it from the replicas.
+        pool_owner.records.claims["e1"] = claims.Claim("e1", 1, "n1", "old-ask", cluster.world.time + 600 * SECOND)
         pool_owner.release("old-ask", errors.ExecutionOutcome.NOT_RUN)
         assert self.answer(cluster, identifier="e1", repeat=False)[0] == 200
         code, _, body = self.answer(cluster, identifier="e1", repeat=False, send=2, node="n2")
@@ -377,10 +375,11 @@
             assignment = optional.present(cluster.owner()).pool_owners[cluster.pool].assignment
             name = assignment.holder if who == "holder" else assignment.copies[0]
             node = next(m for m in cluster.nodes.values() if optional.present(m.member_record).id == name)
+            # The term of a newer membership that no core stored.
             newer = (
                 assignment.term[0],
                 optional.present(optional.present(cluster.tail()).membership.latest).version[1] + 1,
-            )  # of a membership that nobody kept
+            )
             node.serve(None, message.RecordsRequest(cluster.pool, newer, "somebody"))
             assert self.answer(cluster, identifier=who, repeat=False, node="n1")[0] == 200
 
@@ -391,7 +390,7 @@
         tail = optional.present(cluster.tail())
         tail.process.freeze()
         cluster.advance(4)
-        tail.process.frozen = False  # it runs again, before it has heard anything
+        tail.process.frozen = False  # the process runs again, but has not received any message yet
         assert not tail.consensus.holds_lease()
         assert not tail.chain.tail.answer_read(message.ReadRequest(1)).ok
         assert not tail.is_serving()
