--- a/simulation/disk_model.py
+++ b/simulation/disk_model.py
@@ -55,7 +55,11 @@
         """
         simulated_world: world.World = self.process.world
         synced: defer.Deferred[None] = defer.Deferred()
-        cost = SYNC_US + simulated_world.rng.randrange(SYNC_US) + (self.host.slow_us if self.host.disk == "slow" else 0)
+        cost = (
+            SYNC_US
+            + simulated_world.rng.randrange(SYNC_US)
+            + (self.host.slow_disk_delay_us if self.host.disk_condition == "slow" else 0)
+        )
         self.busy_until = max(self.busy_until, simulated_world.time) + cost
         simulated_world.push(self.busy_until, lambda: self._sync(writes, synced))
         return synced
@@ -63,10 +67,10 @@
     def _sync(self, writes: list[storage.Write], synced: defer.Deferred[None]) -> None:
         if not self.process.alive:
             return
-        if self.host.disk == "stalled":
+        if self.host.disk_condition == "stalled":
             self.host.stalled_writes.append(lambda: self._sync(writes, synced))
             return
-        if self.host.disk == "full":
+        if self.host.disk_condition == "full":
             self.process.call(lambda: synced.errback(storage.DiskError("No space is left.")))
             return
         power_loss_step, self.host.power_loss_step = self.host.power_loss_step, None
--- a/simulation/host_model.py
+++ b/simulation/host_model.py
@@ -24,8 +24,8 @@
         self.world, self.address, self.zone = simulated_world, address, zone
         self.power = True
         self.synced: dict[bytes, bytes] = {}
-        self.disk: DiskCondition = "ok"
-        self.slow_us = 400_000  # extra time of each sync on a slow disk
+        self.disk_condition: DiskCondition = "ok"
+        self.slow_disk_delay_us = 400_000  # extra time of each sync on a slow disk
         self.time_of_day_error = 0  # microseconds by which the time of day is ahead of the simulation's time
         self.stalled_writes: collections.deque[world.Callback] = (
             collections.deque()
@@ -78,7 +78,7 @@
 
     def repair(self) -> None:
         """Let a full, slow or stalled disk work again, and carry out the writes that it held back."""
-        self.disk = "ok"
+        self.disk_condition = "ok"
         stalled_writes, self.stalled_writes = self.stalled_writes, collections.deque()
         for write in stalled_writes:
             self.world.push(self.world.time + REPAIR_US, write)
--- a/simulation/scenarios/disks.py
+++ b/simulation/scenarios/disks.py
@@ -31,7 +31,7 @@
         cluster.advance(4 + cluster.rng.random())
         target = actions.some_core(cluster)
         cluster.fault(f"disk {condition}", target.options.name)
-        target.process.host.disk = condition
+        target.process.host.disk_condition = condition
         cluster.advance(4 + cluster.rng.random() * 5)
         target.process.host.repair()
         cluster.repair("disk mended", target.options.name)
--- a/simulation/scenarios/mixed_faults.py
+++ b/simulation/scenarios/mixed_faults.py
@@ -77,7 +77,7 @@
             actions.restart(cluster, name)
         case "disk full":
             cluster.fault("disk full", name)
-            cluster.cores[name].process.host.disk = "full"
+            cluster.cores[name].process.host.disk_condition = "full"
         case "new address":
             actions.replace_core(cluster, name, "c4", "10.0.1.4")
 
@@ -132,7 +132,7 @@
 def _stall_some_disk(cluster: simulated_cluster.SimulatedCluster) -> None:
     target = actions.some_core(cluster)
     cluster.fault("disk stalled", target.options.name)
-    target.process.host.disk = "stalled"
+    target.process.host.disk_condition = "stalled"
     actions.repair_later(cluster, 3, "disk mended", target.options.name, target.process.host.repair)
 
 
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -174,7 +174,7 @@
         if host not in self.site.world.machines:
             host_model.Host(self.site.world, host, zone).power = False
         disk = self.site.world.machines[host]
-        disk.disk, disk.slow_us = "slow", SLOW_SYNC_US
+        disk.disk_condition, disk.slow_disk_delay_us = "slow", SLOW_SYNC_US
 
     # ---- steps -------------------------------------------------------------------------
 
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -175,7 +175,7 @@
         head, tail = self.pair(shared, shared)
         self.install(2, head, tail)
         self.advance_until(tail.chain.is_synced, 5)
-        tail.host.disk = "slow"
+        tail.host.disk_condition = "slow"
         stale = message.AppendRequest(2, [entry(2, 2, self.route("old"))])  # sent by a head that has since failed
         tail.runtime.spawn(tail.chain.answer(stale))
         self.advance(0.05)
@@ -204,12 +204,12 @@
 
     def test_a_snapshot_that_the_disk_refuses_leaves_the_old_log_unchanged(self) -> None:
         head, tail = self.pair([entry(1, 3)], [entry(k, 2) for k in (1, 2)])
-        tail.host.disk = "full"
+        tail.host.disk_condition = "full"
         self.install(4, head, tail)
         self.advance(1)
         assert (tail.chain.log.last_index, tail.chain.latest_state.index, tail.chain.is_synced()) == (2, 2, False)
         assert set(tail.chain.log.entries) == {1, 2}
-        tail.host.disk = "ok"
+        tail.host.disk_condition = "ok"
         self.advance_until(tail.chain.is_synced, 5)
         self.assert_equal_logs(head, tail)
 
@@ -432,7 +432,7 @@
         host.fail()
         host.synced.clear()
         cluster.advance(3)
-        host.disk, host.slow_us = "slow", SLOW_SYNC_US
+        host.disk_condition, host.slow_disk_delay_us = "slow", SLOW_SYNC_US
         cluster.world.loss_share[host.address] = 0.05
         caught_up, longest_gap = self.catch_up(cluster, name)
         assert caught_up < 4
--- a/tests/test_counters_on_lost_disks.py
+++ b/tests/test_counters_on_lost_disks.py
@@ -32,7 +32,7 @@
 ) -> None:
     cluster.cut("c4", "c5")
     cluster.advance(2)
-    cluster.cores["c4"].process.host.disk = "stalled"
+    cluster.cores["c4"].process.host.disk_condition = "stalled"
     call = cluster.add("c4", "x", 4)
     cluster.advance(3)
     cluster.cores["c4"].process.host.repair()
@@ -55,7 +55,7 @@
         if number % 100 == 0:
             cluster.advance(0.05)
     cluster.advance(2)
-    cluster.cores["c1"].process.host.disk = "stalled"
+    cluster.cores["c1"].process.host.disk_condition = "stalled"
     cluster.world.heal()
     cluster.advance(8)
     call = cluster.add("c1", "new", 1)
--- a/tests/test_disk_errors.py
+++ b/tests/test_disk_errors.py
@@ -53,27 +53,27 @@
         return done.result
 
     def test_a_promise_that_cannot_be_synced_is_refused_and_leaves_the_view_open(self) -> None:
-        self.host.disk = "full"
+        self.host.disk_condition = "full"
         answer = self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a")))
         assert (answer.ok, answer.ballot) == (False, (0, ""))
         assert not self.consensus.is_sealed()
-        self.host.disk = "ok"
+        self.host.disk_condition = "ok"
         assert self.wait(self.consensus.answer(message.Prepare(2, (4, "c"), "c"))).ok
 
     def test_an_acceptance_that_the_disk_refuses_is_not_acknowledged(self) -> None:
         assert self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a"))).ok
-        self.host.disk = "full"
+        self.host.disk_condition = "full"
         answer = self.wait(self.consensus.answer(message.Accept((5, "a"), self.make_view(2, "ab"), "a")))
         assert not answer.ok
-        self.host.disk = "ok"
+        self.host.disk_condition = "ok"
         promise = self.wait(self.consensus.answer(message.Prepare(2, (6, "c"), "c")))
         assert (promise.ok, promise.accepted) == (True, None)
 
     def test_an_earlier_promise_survives_a_failed_write_and_a_restart(self) -> None:
         assert self.wait(self.consensus.answer(message.Prepare(2, (5, "a"), "a"))).ok
-        self.host.disk = "full"
+        self.host.disk_condition = "full"
         assert not self.wait(self.consensus.answer(message.Prepare(2, (9, "c"), "c"))).ok
-        self.host.disk = "ok"
+        self.host.disk_condition = "ok"
         assert self.wait(self.consensus.answer(message.Accept((5, "a"), self.make_view(2, "ab"), "a"))).ok
         self.start()
         self.world.run(self.world.time + 2 * SECOND)
@@ -82,18 +82,18 @@
         assert (promise.accepted[0], "".join(x.id for x in promise.accepted[1].chain)) == ((5, "a"), "ab")
 
     def test_a_copy_counts_as_synced_only_once_the_record_is_on_disk(self) -> None:
-        self.host.disk = "full"
+        self.host.disk_condition = "full"
         done = defer.ensureDeferred(self.consensus.mark_synced(1))
         done.addErrback(lambda f: f.trap(storage.DiskError))
         self.world.run(self.world.time + SECOND)
         assert (done.called, self.consensus.record.synced_view) == (True, 0)
 
     def test_a_head_whose_disk_refused_the_view_is_synced_once_the_disk_works(self) -> None:
-        self.host.disk = "full"
+        self.host.disk_condition = "full"
         self.wait(self.consensus.adopt(self.make_view(2, "bac")))
         assert self.consensus.view is not None
         assert (self.consensus.view.number, self.consensus.record.synced_view) == (2, 0)
-        self.host.disk = "ok"
+        self.host.disk_condition = "ok"
         installed = len(self.installed)
         self.world.run(self.world.time + SECOND)
         assert self.consensus.record.synced_view == 2
--- a/tests/test_replicated_counters.py
+++ b/tests/test_replicated_counters.py
@@ -79,7 +79,7 @@
     cluster.add_acknowledged("c1", "before")
     for name in ("c1", "c2", "c3", "c4"):
         host = cluster.cores[name].process.host
-        host.disk, host.slow_us = "slow", 450 * units.MILLISECOND_US
+        host.disk_condition, host.slow_disk_delay_us = "slow", 450 * units.MILLISECOND_US
     cluster.add("c3", "x", 7)
     cluster.advance(0.05)
     assert cluster.holders("x") == ["c5"]
@@ -274,7 +274,7 @@
     cluster: counter_cluster.CounterCluster, condition: typing.Literal["full", "stalled"]
 ) -> None:
     cluster.add_acknowledged("c1", "before", 1)
-    cluster.cores["c1"].process.host.disk = condition
+    cluster.cores["c1"].process.host.disk_condition = condition
     cluster.add_acknowledged("c1", "x", 2)
     assert "c1" not in cluster.holders("x")
     assert len(cluster.holders("x")) >= counter_cluster.COPIES
@@ -293,7 +293,7 @@
     cluster.add_acknowledged("c1", "before")
     for name in slow:
         host = cluster.cores[name].process.host
-        host.disk, host.slow_us = "slow", 450 * units.MILLISECOND_US
+        host.disk_condition, host.slow_disk_delay_us = "slow", 450 * units.MILLISECOND_US
     call = cluster.add("c1", "x", 2)
     while not call.outcome:
         cluster.advance(0.0005)
@@ -307,7 +307,7 @@
 ) -> None:
     cluster.cut("c1", "c2")
     cluster.advance(2)
-    cluster.cores["c2"].process.host.disk = condition
+    cluster.cores["c2"].process.host.disk_condition = condition
     cluster.add_acknowledged("c1", "x", 2)
     assert cluster.holders("x") == ["c1"]
     assert cluster.read("c2") == 2
@@ -318,7 +318,7 @@
 ) -> None:
     cluster.cut("c4", "c5")
     cluster.advance(2)
-    cluster.cores["c4"].process.host.disk = "stalled"
+    cluster.cores["c4"].process.host.disk_condition = "stalled"
     call = cluster.add("c4", "x", 2)
     cluster.advance(1.5)
     assert cluster.holders("x") == ["c5"]
@@ -330,7 +330,7 @@
 
 def test_a_refusal_promises_that_nothing_was_done(cluster: counter_cluster.CounterCluster) -> None:
     cluster.cut("c4", "c5")
-    cluster.cores["c4"].process.host.disk = "full"
+    cluster.cores["c4"].process.host.disk_condition = "full"
     cluster.add("c4", "first")  # finds out
     cluster.advance(3)
     call = cluster.add("c4", "refused")
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -235,7 +235,7 @@
     ) -> None:
         cluster = quiet_cluster()
         for name in ("c2", "c3"):
-            cluster.cores[name].process.host.disk = "full"
+            cluster.cores[name].process.host.disk_condition = "full"
         done = cluster.operator_runtime.spawn(cluster.operator.change(cluster.with_probe(1)), simulated_cluster.log)
         cluster.advance(8)
         assert not done.called
