--- a/simulation/host_model.py
+++ b/simulation/host_model.py
@@ -68,7 +68,7 @@
         A process whose reactor reads the time of day then fires its timers early or late.
         """
         self.time_of_day_error = error
-        events = sorted(self.world.heap, key=lambda event: (event.at, event.number))
+        events = sorted(self.world.events, key=lambda event: (event.at, event.number))
         timers = [getattr(event.function, "__self__", None) for event in events]
         for timer in timers:
             if not isinstance(timer, virtual_timer.Timer) or not timer.active():
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -62,8 +62,8 @@
     def __init__(self, seed: int) -> None:
         self.time = 0  # microseconds since the start of the simulation
         self.rng = random.Random(seed)
-        self.heap: list[Event] = []
-        self.pushed = 0  # number of events scheduled so far
+        self.events: list[Event] = []
+        self.events_scheduled = 0  # number of events scheduled so far
         self.processes: dict[str, process_model.SimulatedProcess] = {}
         self.machines: dict[str, host_model.Host] = {}
         self.cuts: set[tuple[str, str]] = set()  # (sender, receiver): hosts whose packets are not delivered
@@ -85,8 +85,8 @@
 
         >>> World(1).push(5, print)
         """
-        self.pushed += 1
-        heapq.heappush(self.heap, Event(at, self.pushed, function))
+        self.events_scheduled += 1
+        heapq.heappush(self.events, Event(at, self.events_scheduled, function))
 
     def run(self, until: int) -> None:
         """Run all events that are due up to a time, and advance the clock to that time.
@@ -94,8 +94,8 @@
         >>> world = World(1); world.run(5); world.time
         5
         """
-        while self.heap and self.heap[0].at <= until:
-            event = heapq.heappop(self.heap)
+        while self.events and self.events[0].at <= until:
+            event = heapq.heappop(self.events)
             self.time = max(self.time, event.at)
             event.function()
         self.time = max(self.time, until)
