--- a/simulation/workers/cold_start.py
+++ b/simulation/workers/cold_start.py
@@ -39,35 +39,35 @@
 class ColdStart:
     """The warm-up of one worker, and the requests that it got in the last second while cold.
 
-    >>> cold = ColdStart(ColdBounds(3.0, 1.0)); cold.begin(0); cold.left_ms(units.SECOND_US)
+    >>> cold = ColdStart(ColdBounds(3.0, 1.0)); cold.begin(0); cold.remaining_ms(units.SECOND_US)
     2000
     """
 
     def __init__(self, bounds: ColdBounds) -> None:
         """Create the state of a worker that is warm."""
         self.bounds = bounds
-        self.until = 0
-        self.requests: collections.deque[int] = collections.deque()  # arrival times of requests while cold
+        self.cold_until = 0
+        self.request_times: collections.deque[int] = collections.deque()  # arrival times of requests while cold
 
     def begin(self, now: int) -> None:
         """Start the warm-up."""
-        self.until = now + int(self.bounds.warmup_s * units.SECOND_US)
+        self.cold_until = now + int(self.bounds.warmup_s * units.SECOND_US)
 
     def is_cold(self, now: int) -> bool:
         """Whether the worker is cold at a time."""
-        return now < self.until
+        return now < self.cold_until
 
-    def left_ms(self, now: int) -> int:
+    def remaining_ms(self, now: int) -> int:
         """The remaining warm-up time in milliseconds."""
-        return max(0, self.until - now) // units.MILLISECOND_US
+        return max(0, self.cold_until - now) // units.MILLISECOND_US
 
     def note_request(self, now: int) -> None:
         """Count a request if the worker is cold."""
-        while self.requests and self.requests[0] <= now - WINDOW_US:
-            self.requests.popleft()
+        while self.request_times and self.request_times[0] <= now - WINDOW_US:
+            self.request_times.popleft()
         if self.is_cold(now):
-            self.requests.append(now)
+            self.request_times.append(now)
 
     def is_overrun(self) -> bool:
         """Whether a cold worker got so many requests in the last second that it crashes."""
-        return len(self.requests) > COLLAPSE_FACTOR * self.bounds.limit
+        return len(self.request_times) > COLLAPSE_FACTOR * self.bounds.limit
--- a/simulation/workers/listing.py
+++ b/simulation/workers/listing.py
@@ -51,9 +51,9 @@
         self.event_log, self.lag_us, self.rate, self.page = event_log, lag_us, rate, page
         self.rows: Rows = {}
         self.history: collections.deque[FormerList] = collections.deque([FormerList(0, {})])
-        self.calls: collections.deque[int] = collections.deque()
+        self.call_times: collections.deque[int] = collections.deque()
         self.cold_until: dict[str, int] = {}  # worker -> end of its warm-up, for workers that were ever cold
-        self.down = False
+        self.is_down = False
 
     def put(self, identifier: str, **changed: object) -> None:
         """Add a worker or change its fields; answers show the change after the lag."""
@@ -85,17 +85,17 @@
     def handle(self, request: served_http.ServedRequest) -> None:
         """Answer a call; while the list is down, leave it without an answer."""
         now = self.runtime.now()
-        while self.calls and self.calls[0] <= now - RATE_WINDOW_US:
-            self.calls.popleft()
+        while self.call_times and self.call_times[0] <= now - RATE_WINDOW_US:
+            self.call_times.popleft()
         self.event_log.put(now, "platform_call", peer=request.connection.peer)
-        if self.down:
+        if self.is_down:
             return
         if request.method != "GET" or request.path != platform_names.PATHS["workers"]:
             request.reply(404)
-        elif len(self.calls) >= self.rate:
+        elif len(self.call_times) >= self.rate:
             request.reply(429)
         else:
-            self.calls.append(now)
+            self.call_times.append(now)
             request.reply_json(200, self.page_of(dict(urllib.parse.parse_qsl(request.query))))
 
     def seen_rows(self) -> Rows:
--- a/simulation/workers/served_http.py
+++ b/simulation/workers/served_http.py
@@ -191,7 +191,7 @@
         self.connection, self.method, self.url, self.body = connection, method, url, body
         self.path, _, self.query = url.partition("?")
         self.headers = headers
-        self.over = False
+        self.is_over = False
 
     @typing.overload
     def header(self, name: str) -> str | None: ...
@@ -207,9 +207,9 @@
         self, code: int, headers: collections.abc.Sequence[tuple[str, str]] = (), body: bytes = b"", close: bool = False
     ) -> None:
         """Send a complete answer, unless the request was already answered."""
-        if self.over:
+        if self.is_over:
             return
-        self.over = True
+        self.is_over = True
         more = [("Connection", "close")] if close else []
         self.connection.send(encode_answer(code, [*headers, *more], body))
         self.connection.finish(close)
--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -44,7 +44,7 @@
         self.is_stream = bool(counts)
         self.token_counts = counts
         self.started = False
-        self.over = False
+        self.is_over = False
         self.close = False  # whether the connection is closed after the answer
         self.timer: scheduler.Timer | None = None  # fires at the deadline
         self.job: inference_engine.Job  # job of the engine; the worker sets it before it offers the job
@@ -111,7 +111,7 @@
         self.cold = None if cold_bounds is None else cold_start.ColdStart(cold_bounds)
         self.on_overrun: collections.abc.Callable[[], object] | None = None
         self.runs: dict[served_http.ServedRequest, Run] = {}
-        self.accepted = 0
+        self.accepted_count = 0
         self.log_event("born", pool=pool)
 
     def log_event(self, kind: str, **fields: object) -> None:
@@ -137,7 +137,7 @@
         """Cancel the request of a lost connection, at once or after LINGER_US."""
         super().lost(connection)
         run = None if connection.current is None else self.runs.get(connection.current)
-        if run is None or run.over:
+        if run is None or run.is_over:
             return
         if self.runtime.rng.random() < self.linger_share:
             self.runtime.later(LINGER_US, self.abandon, run)
@@ -146,7 +146,7 @@
 
     def abandon(self, run: Run) -> None:
         """Cancel a request whose connection is lost."""
-        if not run.over:
+        if not run.is_over:
             self.engine.cancel(run.job)
             self.end(run, "cut")
 
@@ -197,7 +197,7 @@
         names = platform_names.HEADERS
         headers = [(names["worker"], self.id)]
         if self.cold is not None:
-            headers.append((names["cold_left"], str(self.cold.left_ms(self.runtime.now()))))
+            headers.append((names["cold_left"], str(self.cold.remaining_ms(self.runtime.now()))))
         return headers
 
     def serve(self, request: served_http.ServedRequest) -> None:
@@ -266,8 +266,8 @@
     def _new_run(self, request: served_http.ServedRequest, attempt: str) -> Run:
         names, rng = platform_names.HEADERS, self.runtime.rng
         parts = self.parts(request.header(names["parts"], ""))
-        self.accepted += 1
-        seal = f"{self.id[2:6]}.{self.accepted:02x}.{rng.getrandbits(32):08x}"
+        self.accepted_count += 1
+        seal = f"{self.id[2:6]}.{self.accepted_count:02x}.{rng.getrandbits(32):08x}"
         faults = [fault for fault, share in sorted(self.faults.items()) if rng.random() < share]
         run = Run(request, attempt, seal, faults[0] if faults else "")
         tokens = run.tokens(self.parameters.event_tokens)
@@ -313,7 +313,7 @@
 
         The status is 503 if it has not run, 504 if no event was sent; a stream with events is reset.
         """
-        if run.over:
+        if run.is_over:
             return
         self.engine.cancel(run.job)
         self.end(run, "expired")
@@ -327,7 +327,7 @@
 
     def end(self, run: Run, how: str) -> None:
         """End a request, and log how it ended if it has run."""
-        run.over = True
+        run.is_over = True
         self.runs.pop(run.request, None)
         if run.timer is not None and run.timer.active():
             run.timer.cancel()
@@ -354,7 +354,7 @@
 
     def on_event(self, run: Run, number: int, last: bool) -> None:
         """Send one event of a stream, or a complete answer that is not a stream, with the fault of the run if any."""
-        if run.over or self._is_silent(run, last):
+        if run.is_over or self._is_silent(run, last):
             return
         if run.fault in ("errors", "garble") and not run.events:
             self._fail_at_once(run)
@@ -441,5 +441,5 @@
         if run.fault == "late":
             delay_us = MIN_LATE_US + self.runtime.rng.randrange(LATE_SPREAD_US)
             self.runtime.later(delay_us, run.connection.send, extra)
-        run.request.over = True
+        run.request.is_over = True
         run.connection.finish(run.close)
