--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -52,14 +52,14 @@
         path: The path of its URL.
         headers: The headers that are the same in all attempts.
         body: Its body.
-        until: The time of its deadline, in microseconds.
+        deadline_at: The time of its deadline, in microseconds.
     """
 
     identifier: str
     path: str
     headers: Headers
     body: bytes
-    until: int
+    deadline_at: int
 
 
 class Attempt(typing.NamedTuple):
@@ -90,7 +90,7 @@
 
     def read_timeout_us(self) -> int:
         """The time within which the other side must have read the whole request."""
-        return min(units.SECOND_US, (self.request.until - self.started_at) // 3)
+        return min(units.SECOND_US, (self.request.deadline_at - self.started_at) // 3)
 
 
 class Client:
@@ -118,7 +118,7 @@
         self.name, self.zone = name, zone
         self.keep_alive, self.chunked, self.retries_eagerly = keep_alive, chunked, retries_eagerly
         self.idle: dict[str, list[connection.ClientConnection]] = {}  # node -> its idle connections
-        self.requests = 0
+        self.request_count = 0
 
     # ---- contents of requests -----------------------------------------------------------------------
 
@@ -146,7 +146,7 @@
             identifier = zlib.crc32(f"{kind.name} {level} {variant}".encode())
             sizes = random.Random(identifier)  # gives the same size each time the part is drawn
             parts.append((f"{identifier:08x}", request_kinds.draw(sizes, mean, spread, 3 * mean)))
-        parts.append((f"{rng.getrandbits(32):08x}", request_kinds.draw(rng, *kind.own)))
+        parts.append((f"{rng.getrandbits(32):08x}", request_kinds.draw(rng, *kind.unique_tokens)))
         return parts
 
     # ---- requests ----------------------------------------------------------------------
@@ -155,10 +155,10 @@
         """Send a random request, and retry it as its kind allows."""
         runtime = self.runtime
         headers, body = self.content(kind, hot)
-        self.requests += 1
+        self.request_count += 1
         started_at = runtime.now()
         request = Request(
-            f"{self.name}-{self.requests}",
+            f"{self.name}-{self.request_count}",
             f"{kind.path}{runtime.rng.getrandbits(8):02x}",
             headers,
             body,
@@ -172,10 +172,10 @@
             attempts += 1
             if kind.resumable:
                 after = max([after, *(event[0] for event in row["events"])])
-            if not self._may_retry(kind, row, attempts) or runtime.now() >= request.until:
+            if not self._may_retry(kind, row, attempts) or runtime.now() >= request.deadline_at:
                 break
-            await runtime.sleep(self._retry_wait_us(row, request.until))
-            if runtime.now() >= request.until:
+            await runtime.sleep(self._retry_wait_us(row, request.deadline_at))
+            if runtime.now() >= request.deadline_at:
                 break
         self.event_log.put(
             runtime.now(),
@@ -234,7 +234,7 @@
         opened = self.acquire_idle(name)
         row = dict(self._row_of_attempt(attempt), node=name, direct=node is not None)
         if opened is None:
-            opened = await self._connect(name, host, port, request.until - attempt.started_at)
+            opened = await self._connect(name, host, port, request.deadline_at - attempt.started_at)
         if opened is None:
             answer.end("unconnected")
         else:
@@ -249,7 +249,7 @@
     def encode(self, attempt: Attempt) -> bytes:
         """The HTTP request of an attempt."""
         names, request = platform_names.HEADERS, attempt.request
-        left_ms = max(1, (request.until - attempt.started_at) // units.MILLISECOND_US)
+        left_ms = max(1, (request.deadline_at - attempt.started_at) // units.MILLISECOND_US)
         headers = [
             ("Host", attempt.kind.host),
             (names["attempt"], attempt.identifier),
@@ -305,7 +305,7 @@
         sent_at: int,
     ) -> None:
         """Wait for the answer; give up at the deadline, after the idle time-out, or if the request is not read."""
-        until = attempt.request.until + DEADLINE_SLACK_US
+        until = attempt.request.deadline_at + DEADLINE_SLACK_US
         idle_timeout_us, read_timeout_us = attempt.idle_timeout_us(), attempt.read_timeout_us()
         while not answer.is_over:
             now = self.runtime.now()
@@ -343,7 +343,7 @@
             body=served_http.digest(request.body),
             zone=self.zone,
             sent=attempt.started_at,
-            until=request.until,
+            until=request.deadline_at,
             after=attempt.after,
         )
 
--- a/simulation/clients/operator.py
+++ b/simulation/clients/operator.py
@@ -48,8 +48,8 @@
     ) -> None:
         """Create an operator who calls the control addresses of cores that `addresses` returns."""
         self.runtime, self.event_log, self.addresses, self.name = runtime, event_log, addresses, name
-        self.changes = 0
-        self.orders = 0
+        self.change_count = 0
+        self.order_count = 0
         self.first_address: control_call.Address | None = None
         self.last_address: control_call.Address | None = None
         self.lost_share = 0.0
@@ -115,11 +115,11 @@
         self, method: str, body: Document, document: Document, base: int, *, valid: bool, seconds: float
     ) -> int:
         version = document[platform_names.CONFIGURATION["version"]]
-        self.changes += 1
+        self.change_count += 1
         hooks, self.on_send = self.on_send, []
         for hook in hooks:
             hook()
-        names = dict(version=version, base=base, send=f"{self.name}-{self.changes}")
+        names = dict(version=version, base=base, send=f"{self.name}-{self.change_count}")
         self.event_log.put(self.runtime.now(), "config_sent", doc=document, valid=valid, **names)
         headers, raw = [("If-Match", str(base))], json.dumps(body).encode()
         call = control_call.Call(method, platform_names.PATHS["blueprint"], headers, raw)
@@ -130,12 +130,12 @@
 
     async def order_evacuation(self, zone: str, *, begins: bool, seconds: float) -> int:
         """Order or cancel the evacuation of a zone: the status, or 0 without a definite answer."""
-        self.orders += 1
-        fields = dict(zone=zone, begins=begins, send=f"{self.name}-order-{self.orders}")
+        self.order_count += 1
+        fields = dict(zone=zone, begins=begins, send=f"{self.name}-order-{self.order_count}")
         self.event_log.put(self.runtime.now(), "evacuation_sent", **fields)
         path = platform_names.PATHS["evacuation"] + zone
         call = control_call.Call("POST" if begins else "DELETE", path, [])
-        answer = await self.call_until_clear(call, seconds, f"{self.name}-order-{self.orders}")
+        answer = await self.call_until_clear(call, seconds, f"{self.name}-order-{self.order_count}")
         self.event_log.put(self.runtime.now(), "evacuation_answer", code=answer.status, **fields)
         return answer.status
 
--- a/simulation/clients/request_kinds.py
+++ b/simulation/clients/request_kinds.py
@@ -32,7 +32,7 @@
     maximum: int
 
 
-OWN_TOKENS = SizeKind(290, 1.4, 1800)
+UNIQUE_TOKENS = SizeKind(290, 1.4, 1800)
 EVENT_COUNT = SizeKind(11, 1.4, 45)
 
 
@@ -56,7 +56,7 @@
         late_value: The value earned by an answer that does not, but comes before the deadline.
         share: The weight of this kind among all requests.
         parts: The shared prefixes of a prompt, the first one first.
-        own: The size in tokens of the last part of a prompt, which no other request shares.
+        unique_tokens: The size in tokens of the last part of a prompt, which no other request shares.
         events: The number of events of an answer.
         event_tokens: The number of tokens in an event.
         body_bytes: The mean length of the request body.
@@ -80,7 +80,7 @@
     late_value: float = 0.9
     share: float = 1.0
     parts: tuple[PartKind, ...] = (PartKind(55, 0.4, 40, 0.0), PartKind(37, 0.7, 1400, 0.3))
-    own: SizeKind = OWN_TOKENS
+    unique_tokens: SizeKind = UNIQUE_TOKENS
     events: SizeKind = EVENT_COUNT
     event_tokens: int = 4
     body_bytes: int = 770
--- a/simulation/clients/tally_caller.py
+++ b/simulation/clients/tally_caller.py
@@ -53,7 +53,7 @@
         """
         self.runtime, self.event_log, self.addresses = runtime, event_log, addresses
         self.name, self.tallies = name, tallies
-        self.calls = 0
+        self.call_count = 0
         self.on_acknowledged: list[Hook] = []  # each called once with the host that acknowledges the next add
 
     async def run(self, until: int) -> None:
@@ -91,7 +91,7 @@
     async def _send(self, call: control_call.Call, fields: dict[str, typing.Any], timeout_us: int) -> bytes | None:
         """Call one address after the other until one answers; returns the body of the answer, or None."""
         until, turn = self.runtime.now() + timeout_us, 0
-        self.calls += 1
+        self.call_count += 1
         while self.runtime.now() < until:
             addresses = self.addresses()
             began = self.runtime.now()
@@ -99,7 +99,7 @@
             self.event_log.put(
                 self.runtime.now(),
                 "tally_try",
-                call=f"{self.name}-{self.calls}",
+                call=f"{self.name}-{self.call_count}",
                 began=began,
                 host=answer.host,
                 code=answer.status,
--- a/simulation/site/shapes.py
+++ b/simulation/site/shapes.py
@@ -20,7 +20,7 @@
     late_value=0.6,
     share=5.9,
     parts=(request_kinds.PartKind(13_300, 0.7, 44, 0.3),),
-    own=request_kinds.SizeKind(3_720, 1.1, 53_000),
+    unique_tokens=request_kinds.SizeKind(3_720, 1.1, 53_000),
     events=request_kinds.SizeKind(30, 1.4, 120),
     body_bytes=34_000,
 )
