--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -121,7 +121,7 @@
         """Compute the size of the prompt, and start without any used or pending parts."""
         self.prompt_tokens = sum(tokens for _, tokens in self.parts)
         self.resumed_at = self.decoded
-        self.used: list[str] = []  # cached parts that this request references
+        self.used_parts: list[str] = []  # cached parts that this request references
         self.pending_parts: list[PendingPart] = []  # parts that this request prefills
 
     def rank(self) -> tuple[int, int]:
@@ -162,7 +162,7 @@
         self.evictable_tokens = 0  # tokens of cached parts that no request references
         self.private_tokens = 0
         self.context_tokens = 0
-        self.offered = 0
+        self.offered_count = 0
         self.step_timer: scheduler.Timer | None = None
         self.stopped = False
         self.load_history: collections.deque[TimedLoad] = collections.deque([TimedLoad(0, Load(0, 0, 0))])
@@ -178,8 +178,8 @@
             return False
         if len(self.running) + len(self.waiting) + self.entering >= parameters.capacity + parameters.waiting_limit:
             return False
-        self.offered += 1
-        job.number, job.state = self.offered, "entering"
+        self.offered_count += 1
+        job.number, job.state = self.offered_count, "entering"
         self.entering += 1
         if parameters.enqueue_delay_us:
             self.runtime.later(parameters.enqueue_delay_us, self.enter, job)
@@ -192,10 +192,10 @@
         self.entering -= 1
         if job.state != "entering" or self.stopped:
             return
-        self.wait(job)
+        self.enqueue(job)
         self.start_step()
 
-    def wait(self, job: Job) -> None:
+    def enqueue(self, job: Job) -> None:
         """Put a request in the queue."""
         job.state = "waiting"
         bisect.insort(self.waiting, job, key=Job.rank)
@@ -264,7 +264,7 @@
         if not self.evict(need + 1):
             self.release(known)
             return False
-        job.used, job.private_tokens, job.prefill_left = known, need, need
+        job.used_parts, job.private_tokens, job.prefill_left = known, need, need
         job.pending_parts = [PendingPart(part, tokens, tokens) for part, tokens in unknown]
         self.private_tokens += need
         job.state = "running"
@@ -284,17 +284,17 @@
     def remove(self, job: Job) -> None:
         """Remove a request from the batch, and free its memory."""
         self.running.remove(job)
-        self.release(job.used)
+        self.release(job.used_parts)
         self.private_tokens -= job.private_tokens
         self.context_tokens -= job.prompt_tokens + job.decoded
-        job.used, job.pending_parts, job.private_tokens = [], [], 0
+        job.used_parts, job.pending_parts, job.private_tokens = [], [], 0
 
     def preempt(self, job: Job) -> None:
         """Put a running request back in the queue; it has to be prefilled again."""
         self.remove(job)
         job.preemptions += 1
         self.preemptions += 1
-        self.wait(job)
+        self.enqueue(job)
 
     def lowest_priority(self) -> Job:
         """The newest among the least urgent requests of the batch."""
@@ -401,7 +401,7 @@
             self.prefilled_parts.add(part.name)
             self.private_tokens -= part.tokens
             job.private_tokens -= part.tokens
-            job.used.append(part.name)
+            job.used_parts.append(part.name)
             if part.name in self.cached:  # another request has prefilled it meanwhile: only one copy is kept
                 self.acquire(part.name)
             else:
