--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -104,7 +104,7 @@
         """Let a core machine's disk be slow, full or stalled for a while."""
         self.note_fault(name, f"disk {state}")
         machine = self.site.process_of(name).host
-        machine.disk = state
+        machine.disk_condition = state
 
         def recover() -> None:
             machine.repair()
--- a/simulation/site/zone_faults.py
+++ b/simulation/site/zone_faults.py
@@ -49,7 +49,7 @@
         worker, now = self.site.workers[name], self.world.time
         if worker.cold is not None:
             worker.cold.begin(now)
-            self.site.listing.cold_until[worker.id] = worker.cold.until
+            self.site.listing.cold_until[worker.id] = worker.cold.cold_until
 
     def watch_overrun(self, name: str) -> None:
         """End a worker's process as soon as it is overrun while cold."""
