--- a/simulation/host_model.py
+++ b/simulation/host_model.py
@@ -27,9 +27,7 @@
         self.disk_condition: DiskCondition = "ok"
         self.slow_disk_delay_us = 400_000  # extra time of each sync on a slow disk
         self.time_of_day_error = 0  # microseconds by which the time of day is ahead of the simulation's time
-        self.stalled_writes: collections.deque[world.Callback] = (
-            collections.deque()
-        )  # writes held back while the disk is stalled
+        self.stalled_writes: collections.deque[world.Callback] = collections.deque()  # held back by a stalled disk
         self.power_loss_step: WriteStep | None = None  # step of the next write at which power fails
         self.power_lost_at_step: WriteStep | None = None
         simulated_world.machines[address] = self
--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -347,7 +347,7 @@
         self.outgoing.append(Segment(self.last_number, data))
 
     def send_held(self) -> None:
-        """Send what the process wrote in its last turn, unless the process has ended since."""
+        """Send what the process wrote in its last event, unless the process has ended since."""
         if self.process.alive:
             self.flush()
 
--- a/simulation/processor_meter.py
+++ b/simulation/processor_meter.py
@@ -16,7 +16,7 @@
 
 
 class Meter:
-    """Real processor time of each process's own code, and the traffic from each process to each other one.
+    """Real processor time of each process's own code, and the traffic between each pair of processes.
 
     Code of the simulated network, and code of another process that runs within a process's call, is not charged to
     that process.
@@ -29,9 +29,7 @@
 
     def __init__(self) -> None:
         self.spent: collections.Counter[str] = collections.Counter()  # process -> processor time in nanoseconds
-        self.longest: collections.Counter[str] = (
-            collections.Counter()
-        )  # process -> processor time of its longest step in nanoseconds
+        self.longest: collections.Counter[str] = collections.Counter()  # process -> nanoseconds of its longest step
         self.sent: dict[tuple[str, str], list[int]] = {}  # (sender, receiver) -> [writes, bytes]
         self.stack: list[Step] = []
         self.since = 0
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -34,7 +34,7 @@
 
 
 class SimulatedWorker(stand_in_worker.Worker):
-    """A stand-in worker in a simulated process."""
+    """The benchmarks' worker model, running in a simulated process."""
 
     def __init__(
         self,
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -68,14 +68,11 @@
         self.machines: dict[str, host_model.Host] = {}
         self.cuts: set[tuple[str, str]] = set()  # (sender, receiver): hosts whose packets are not delivered
         self.zone_cuts: set[tuple[str, str]] = set()  # (sender, receiver): zones whose packets are not delivered
-        self.refused_zone_links: set[tuple[str, str]] = (
-            set()
-        )  # those of `zone_cuts` that refuse new connections at once
-        self.extra_delay_us: dict[str, int] = {}  # host -> extra delay each way, microseconds
+        self.refused_zone_links: set[tuple[str, str]] = set()  # those in `zone_cuts` that refuse connections at once
+        self.extra_delay_us: dict[str, int] = {}  # host -> extra delay of its packets in each direction
         self.loss_share: dict[str, float] = {}  # host -> share of its packets that are lost and sent again
-        self.sends_writes_after_turn = (
-            False  # whether what is written waits for the process's next turn, and dies with it
-        )
+        # Whether written data is sent only after the current event, and is lost if the process ends in that event.
+        self.sends_writes_after_turn = False
         self.connections: dict[int, network_model.SimulatedConnection] = {}  # by identifier, in the order opened
         self.next_connection = 0
         self.meter: Meter | None = None  # set while processor time and traffic are counted
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -79,9 +79,8 @@
         self.advance_ms(500)
         times = [t[2] for t in self.events["x"]]
         assert round((times[1] - times[0]) / MILLISECOND) == 20
-        assert (
-            round(max(b - a for a, b in itertools.pairwise(times)) / MILLISECOND) == 100
-        )  # four steps, each with a chunk of 20 ms
+        # Four steps of 5 ms, each with a chunk of 20 ms.
+        assert round(max(b - a for a, b in itertools.pairwise(times)) / MILLISECOND) == 100
 
     def test_a_cached_part_is_not_prefilled_again(self) -> None:
         engine = self.make_engine()
