--- a/simulation/clients/control_call.py
+++ b/simulation/clients/control_call.py
@@ -12,7 +12,7 @@
 if typing.TYPE_CHECKING:
     from iriswheel.runtime import scheduler
 
-MAX_REDIRECTS = 3  # number of machines that one call tries, redirects included
+MAX_MACHINES_PER_CALL = 3  # number of machines that one call tries, redirects included
 CONNECT_TIMEOUT_US = units.SECOND_US
 ANSWER_TIMEOUT_US = units.SECOND_US
 ANSWER_TIMEOUT_PER_BYTE_US = 5  # added for each byte of the request body
@@ -39,7 +39,7 @@
     was_sent: bool = True  # whether a connection was opened and the request sent
 
 
-UNCLEAR = Answer(0, b"")
+NO_DEFINITE_ANSWER = Answer(0, b"")
 
 
 class Redirect(typing.NamedTuple):
@@ -63,7 +63,7 @@
 async def send(runtime: scheduler.Runtime, call: Call, address: Address) -> Answer:
     """Call one core, and follow its redirects to other cores."""
     was_sent = False
-    for _ in range(MAX_REDIRECTS):
+    for _ in range(MAX_MACHINES_PER_CALL):
         host = address[0]
         answer = await _send_once(runtime, call, address)
         was_sent = was_sent or answer is not None
@@ -75,7 +75,7 @@
         if redirect is None:
             return Answer(0, b"", host)
         address, call = redirect.address, call._replace(path=redirect.path)
-    return UNCLEAR
+    return NO_DEFINITE_ANSWER
 
 
 async def _send_once(runtime: scheduler.Runtime, call: Call, address: Address) -> connection.PendingAnswer | None:
--- a/simulation/clients/operator.py
+++ b/simulation/clients/operator.py
@@ -17,7 +17,7 @@
 
 FIRST_RETRY_WAIT_US = 100 * units.MILLISECOND_US
 MAX_RETRY_WAIT_US = units.SECOND_US
-CLEAR_ERRORS = (400, 409, 412, 413, 422)  # statuses that mean the change was definitely not made
+DEFINITE_ERRORS = (400, 409, 412, 413, 422)  # statuses that mean the change was definitely not made
 TEMPORARY_ERRORS = (408, 429)
 MAX_UNEXPECTED_ERRORS = 3  # number of other 4xx answers after which an operator gives up
 LOGGED_BYTES = 200  # of an answer's body
@@ -58,7 +58,7 @@
 
     # ---- calls --------------------------------------------------------------------------
 
-    async def call_until_clear(
+    async def call_until_definite(
         self, call: control_call.Call, seconds: float = 60, send: str = ""
     ) -> control_call.Answer:
         """Call one core after the other until an answer is definite or the time is up.
@@ -78,7 +78,7 @@
             if status == 200 and call.method != "GET":
                 self.last_address = address
                 status = self._acknowledged(status, send)
-            if status == 200 or status in CLEAR_ERRORS:
+            if status == 200 or status in DEFINITE_ERRORS:
                 return control_call.Answer(status, body)
             if 400 <= status < 500 and status not in TEMPORARY_ERRORS:
                 unexpected_errors += 1
@@ -87,7 +87,7 @@
             turn += 1
             await self.runtime.sleep(wait_us)
             wait_us = min(MAX_RETRY_WAIT_US, wait_us * 3 // 2)
-        return control_call.UNCLEAR
+        return control_call.NO_DEFINITE_ANSWER
 
     def _acknowledged(self, status: int, send: str) -> int:
         """The status that the operator gets for an acknowledgement: 0 if the acknowledgement is lost."""
@@ -123,7 +123,7 @@
         self.event_log.put(self.runtime.now(), "config_sent", doc=document, valid=valid, **names)
         headers, raw = [("If-Match", str(base))], json.dumps(body).encode()
         call = control_call.Call(method, platform_names.PATHS["blueprint"], headers, raw)
-        answer = await self.call_until_clear(call, seconds, names["send"])
+        answer = await self.call_until_definite(call, seconds, names["send"])
         status, text = answer.status, answer.body[:LOGGED_BYTES].decode("latin-1")
         self.event_log.put(self.runtime.now(), "config_answer", code=status, text=text, **names)
         return status
@@ -135,7 +135,7 @@
         self.event_log.put(self.runtime.now(), "evacuation_sent", **fields)
         path = platform_names.PATHS["evacuation"] + zone
         call = control_call.Call("POST" if begins else "DELETE", path, [])
-        answer = await self.call_until_clear(call, seconds, f"{self.name}-order-{self.order_count}")
+        answer = await self.call_until_definite(call, seconds, f"{self.name}-order-{self.order_count}")
         self.event_log.put(self.runtime.now(), "evacuation_answer", code=answer.status, **fields)
         return answer.status
 
@@ -143,7 +143,7 @@
         """Read the current configuration; None without a definite answer."""
         started_at = self.runtime.now()
         call = control_call.Call("GET", platform_names.PATHS["blueprint"], [])
-        answer = await self.call_until_clear(call, seconds)
+        answer = await self.call_until_definite(call, seconds)
         status, raw = answer.status, answer.body
         document = json.loads(raw) if status == 200 else None
         version = document.get(platform_names.CONFIGURATION["version"]) if document is not None else None
