--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -120,8 +120,8 @@
         lines = "".join(f"{k}: {v}\r\n" for k, v in headers.items() if v is not None)
         client.transport.write(f"POST {path} HTTP/1.1\r\n{lines}\r\nhi".encode())
 
-    def events_of(self, *events_of: str) -> list[dict[str, Any]]:
-        return [r for r in self.event_log.rows if r["kind"] in events_of]
+    def events_of(self, *kinds: str) -> list[dict[str, Any]]:
+        return [r for r in self.event_log.rows if r["kind"] in kinds]
 
     def test_a_stream_has_the_seal_the_attempt_id_and_numbered_events(self) -> None:
         client = self.connect()
