--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -213,7 +213,7 @@
 
     def heal() -> None:
         deployment.world.cuts -= pairs
-        deployment.world.retry()
+        deployment.world.resend_all()
         deployment.faults.note_repair(name, "cut")
 
     deployment.schedule(seconds, heal)
@@ -322,7 +322,7 @@
     core_hosts = {deployment.places[name].host for name in deployment.cores}
     struck: set[str] = set()
     for connection in list(deployment.world.connections.values()):
-        hosts = {side.process.host.host for side in connection.sides}
+        hosts = {side.process.host.address for side in connection.sides}
         if hosts & core_hosts and deployment.rng.random() < 0.5:
             struck |= {names[host] for host in hosts if host in names}
             for side in connection.sides:
@@ -336,8 +336,8 @@
     def lose(name: str) -> int:
         host = day.site.places[name].host
         day.site.faults.note_fault(name, "slow")
-        day.site.world.slow[host] = SLOW_LINK_US
-        day.site.schedule(8, day.site.world.slow.pop, host, None)
+        day.site.world.extra_delay_us[host] = SLOW_LINK_US
+        day.site.schedule(8, day.site.world.extra_delay_us.pop, host, None)
         day.site.schedule(8, day.site.faults.note_repair, name, "slow")
         return 8
 
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -68,16 +68,16 @@
             names["name"]: name,
             names["host"]: kind.host,
             names["path"]: kind.path,
-            names["sort"]: platform_names.TERMS[kind.sort],
+            names["sort"]: platform_names.TERMS[kind.category],
             names["cutoff_ms"]: kind.deadline_ms,
             names["aim_ms"]: kind.aim_ms,
             names["urgency"]: kind.urgency,
             names["pool"]: self.site.pool,
-            names["sends"]: kind.sends,
+            names["sends"]: kind.max_sends,
             names["pinned"]: True,
             names["resumable"]: kind.resumable,
         }
-        if kind.sort == "stream":
+        if kind.category == "stream":
             route[names["pause_ms"]] = kind.pause_ms
         return route
 
@@ -255,7 +255,9 @@
         for wait_ms in ROUTE_CHECK_WAITS_MS:
             await self.site.client_runtime.sleep(wait_ms * units.MILLISECOND_US)
             for name in sorted(
-                name for name in self.site.virtual_address.nodes if self.site.virtual_address.is_in(name)
+                name
+                for name in self.site.virtual_address.nodes
+                if self.site.virtual_address.receives_new_connections(name)
             ):
                 for path in paths:
                     self._check_route(name, path)
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -104,7 +104,7 @@
         """Let a core machine's disk be slow, full or stalled for a while."""
         self.note_fault(name, f"disk {state}")
         machine = self.site.process_of(name).host
-        machine.disk = state
+        machine.disk_condition = state
 
         def recover() -> None:
             machine.repair()
@@ -208,7 +208,7 @@
 
         def heal() -> None:
             self.world.cuts = {pair for pair in self.world.cuts if host not in pair}
-            self.world.retry()
+            self.world.resend_all()
             self.note_repair(name, "cut")
 
         self.site.schedule(seconds, heal)
@@ -218,7 +218,7 @@
         names = {self.site.places[name].host: name for name in [*self.site.nodes, *self.site.cores]}
         struck: set[str] = set()
         for connection in list(self.world.connections.values()):
-            ends = [names.get(side.process.host.host, "") for side in connection.sides]
+            ends = [names.get(side.process.host.address, "") for side in connection.sides]
             if all(ends) and self.site.rng.random() < share:
                 struck.update(ends)
                 for side in connection.sides:
@@ -238,11 +238,11 @@
         ]
         for name in names:
             self.note_fault(name, "lossy")
-            self.world.loss[self.site.places[name].host] = share
+            self.world.loss_share[self.site.places[name].host] = share
 
         def recover() -> None:
             for name in names:
-                self.world.loss.pop(self.site.places[name].host, None)
+                self.world.loss_share.pop(self.site.places[name].host, None)
                 self.note_repair(name, "lossy")
 
         self.site.schedule(seconds, recover)
@@ -271,7 +271,7 @@
         else:
             worker.process.kill()
         worker.stop()
-        self.site.schedule(listed, self.site.listing.drop, worker.id)
+        self.site.schedule(listed, self.site.listing.remove, worker.id)
         if back is not None:
             self.site.schedule(back, self.site.start_worker, name, worker.host, worker.zone)
 
@@ -284,12 +284,12 @@
         """
         worker = self.site.workers[name]
         worker.leaving = True
-        self.site.listing.show(worker.id, state=platform_names.TERMS["draining"])
+        self.site.listing.put(worker.id, state=platform_names.TERMS["draining"])
 
         def end() -> None:
             worker.process.kill()
             worker.stop()
-            self.site.listing.drop(worker.id)
+            self.site.listing.remove(worker.id)
 
         drain_s = self.site.shape.bounds.get("drain_deadline_ms", DEFAULT_DRAIN_MS) / 1000
         self.site.schedule(drain_s + WORKER_DRAIN_SLACK_S + self.site.listing.lag_us / units.SECOND_US, end)
--- a/simulation/site/shapes.py
+++ b/simulation/site/shapes.py
@@ -14,18 +14,18 @@
     path="/lohu/",
     aim_ms=800,
     deadline_ms=10_000,
-    sends=1,
+    max_sends=1,
     urgency=1,
     value=2.0,
     late_value=0.6,
     share=5.9,
     parts=(request_kinds.PartKind(13_300, 0.7, 44, 0.3),),
-    own=request_kinds.SizeKind(3_720, 1.1, 53_000),
+    unique_tokens=request_kinds.SizeKind(3_720, 1.1, 53_000),
     events=request_kinds.SizeKind(30, 1.4, 120),
     body_bytes=34_000,
 )
 SHORT = request_kinds.RequestKind("phrase", host="short.example", path="/pufi/", resumable=True, share=86.0)
-DIRECT = request_kinds.RequestKind("direct", sort="may", deadline_ms=3_000, aim_ms=3_000, body_bytes=8)
+DIRECT = request_kinds.RequestKind("direct", category="may", deadline_ms=3_000, aim_ms=3_000, body_bytes=8)
 
 
 @dataclasses.dataclass
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -75,7 +75,7 @@
             cold_bounds=cold_bounds,
         )
         self.process = process
-        self.host, self.zone = process.host.host, process.host.zone
+        self.host, self.zone = process.host.address, process.host.zone
 
 
 class Site(deployment.Deployment):
@@ -104,7 +104,7 @@
         """
         super().__init__(seed)
         self.shape = shapes.SHAPES[shape]
-        self.world.held_writes = True
+        self.world.sends_writes_after_turn = True
         self.event_log = event_log.EventLog()
         self.seconds, self.load = seconds, load
         self.engine_parameters = engine_parameters or inference_engine.EngineParameters(**self.shape.engine_parameters)
@@ -223,7 +223,7 @@
         worker.engine.prefilled_parts = self.prefilled_parts
         self.workers[name] = worker
         process.reactor.listenTCP(settings_files.SERVE_PORT, worker)
-        self.listing.show(
+        self.listing.put(
             worker.id,
             pool=worker.pool,
             address=f"{host}:{settings_files.SERVE_PORT}",
@@ -316,7 +316,7 @@
             zone,
             keep_alive=number % 3 > 0,
             chunked=number % 4 == 1,
-            hasty=number % 7 == 6,
+            retries_eagerly=number % 7 == 6,
         )
 
     def note_core_movements(self, names: collections.abc.Iterable[str]) -> None:
--- a/simulation/site/zone_faults.py
+++ b/simulation/site/zone_faults.py
@@ -49,7 +49,7 @@
         worker, now = self.site.workers[name], self.world.time
         if worker.cold is not None:
             worker.cold.begin(now)
-            self.site.listing.cold_until[worker.id] = worker.cold.until
+            self.site.listing.cold_until[worker.id] = worker.cold.cold_until
 
     def watch_overrun(self, name: str) -> None:
         """End a worker's process as soon as it is overrun while cold."""
@@ -103,7 +103,7 @@
         def join() -> None:
             self.world.zone_cuts.difference_update(cut_links)
             self.world.refused_zone_links.difference_update(cut_links)
-            self.world.retry()
+            self.world.resend_all()
             self.site.event_log.put(self.world.time, "zones_joined", cut=name)
 
         self.site.schedule(seconds, join)
@@ -115,7 +115,7 @@
             hosts = [side.process.host for side in connection.sides]
             zones = (hosts[0].zone, hosts[1].zone)
             if zones in links or zones[::-1] in links:
-                struck.update(names[host.host] for host in hosts if host.host in names)
+                struck.update(names[host.address] for host in hosts if host.address in names)
                 for side in connection.sides:
                     side.reset()
         self.site.faults.note_reset(struck)
--- a/tests/test_counters_on_lost_disks.py
+++ b/tests/test_counters_on_lost_disks.py
@@ -18,7 +18,7 @@
 def test_machines_on_new_disks_refuse_reads_until_a_machine_that_kept_its_disk_answers(
     cluster: counter_cluster.CounterCluster, started: tuple[str, ...]
 ) -> None:
-    cluster.acknowledged("c1", "x", 4)
+    cluster.add_acknowledged("c1", "x", 4)
     cluster.advance(4)
     cluster.lose_power(*counter_cluster.MACHINES, wiped=WIPED)
     cluster.advance(1)
@@ -32,7 +32,7 @@
 ) -> None:
     cluster.cut("c4", "c5")
     cluster.advance(2)
-    cluster.cores["c4"].process.host.disk = "stalled"
+    cluster.cores["c4"].process.host.disk_condition = "stalled"
     call = cluster.add("c4", "x", 4)
     cluster.advance(3)
     cluster.cores["c4"].process.host.repair()
@@ -47,7 +47,7 @@
 def test_a_backlog_for_a_stalled_disk_refuses_no_add_that_enough_other_machines_can_hold(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
-    cluster.acknowledged("c1", "before", 1)
+    cluster.add_acknowledged("c1", "before", 1)
     cluster.cut("c1", "c2")
     cluster.advance(1)
     for number in range(BACKLOG):
@@ -55,7 +55,7 @@
         if number % 100 == 0:
             cluster.advance(0.05)
     cluster.advance(2)
-    cluster.cores["c1"].process.host.disk = "stalled"
+    cluster.cores["c1"].process.host.disk_condition = "stalled"
     cluster.world.heal()
     cluster.advance(8)
     call = cluster.add("c1", "new", 1)
--- a/tests/test_replicated_counters.py
+++ b/tests/test_replicated_counters.py
@@ -59,27 +59,27 @@
     cluster.advance(1.5)
     assert all(call.acknowledged for call in cluster.calls)
     assert max(call.outcome[0][0] - call.started_at_us for call in cluster.calls) < ACKNOWLEDGE_LIMIT_US
-    assert cluster.sums() == {cluster.owed()} == {sum(range(200))}
+    assert cluster.sums() == {cluster.acknowledged_sum()} == {sum(range(200))}
     assert len(sent_ids) == 200 * 4
 
 
 def test_a_retried_add_counts_once_at_the_same_and_at_another_machine(cluster: counter_cluster.CounterCluster) -> None:
     cluster.add("c1", "x", 4)
-    cluster.acknowledged("c1", "x", 4)
-    cluster.acknowledged("c2", "x", 4)
+    cluster.add_acknowledged("c1", "x", 4)
+    cluster.add_acknowledged("c2", "x", 4)
     cluster.add("c3", "y", 7)
     cluster.advance(0.005)
-    again = cluster.acknowledged("c5", "y", 7)
+    again = cluster.add_acknowledged("c5", "y", 7)
     assert again.outcome[0][0] - again.started_at_us < ACKNOWLEDGE_LIMIT_US
     cluster.advance(1)
     assert cluster.sums() == {11}
 
 
 def test_a_retried_add_is_acknowledged_only_once_enough_disks_hold_it(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "before")
+    cluster.add_acknowledged("c1", "before")
     for name in ("c1", "c2", "c3", "c4"):
         host = cluster.cores[name].process.host
-        host.disk, host.slow_us = "slow", 450 * units.MILLISECOND_US
+        host.disk_condition, host.slow_disk_delay_us = "slow", 450 * units.MILLISECOND_US
     cluster.add("c3", "x", 7)
     cluster.advance(0.05)
     assert cluster.holders("x") == ["c5"]
@@ -91,7 +91,7 @@
 
 
 def test_both_sides_of_a_partition_accept_adds_and_agree_soon_after_it(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "before", 100)
+    cluster.add_acknowledged("c1", "before", 100)
     cluster.cut("c1", "c2")
     cluster.add("c1", "at the cut", 1)
     cluster.add("c5", "on the other side", 2)
@@ -102,15 +102,15 @@
     for number in range(1500):
         cluster.add("c1" if number % 2 else "c4", f"cut-{number}", 1)
         cluster.advance(0.005)
-    cluster.acknowledged("c2", "at both", 5)
-    cluster.acknowledged("c3", "at both", 5)
+    cluster.add_acknowledged("c2", "at both", 5)
+    cluster.add_acknowledged("c3", "at both", 5)
     late = [call for call in cluster.calls if not call.acknowledged]
     cluster.advance(0.3)
     assert all(call.acknowledged for call in late)
     assert cluster.read("c1") != cluster.read("c3")
     cluster.world.heal()
     cluster.advance(MERGE_S - 1)
-    assert cluster.sums() == {cluster.owed()} == {100 + 1 + 2 + 1500 + 5}
+    assert cluster.sums() == {cluster.acknowledged_sum()} == {100 + 1 + 2 + 1500 + 5}
     assert cluster.cores["c1"].replicated_counters.few_copies_count > 700
 
 
@@ -118,7 +118,7 @@
     cluster: counter_cluster.CounterCluster,
 ) -> None:
     cluster.cut("c5")
-    cluster.acknowledged("c5", "alone", 3)
+    cluster.add_acknowledged("c5", "alone", 3)
     assert cluster.holders("alone") == ["c5"]
     cluster.world.heal()
     cluster.advance(MERGE_S - 1)
@@ -132,7 +132,7 @@
     north, south = [cluster.hosts[name] for name in ("c1", "c2")], [cluster.hosts[name] for name in ("c3", "c4")]
     cluster.world.cut(north, south)
     cluster.advance(2)
-    cluster.acknowledged("c1", "x", 3)
+    cluster.add_acknowledged("c1", "x", 3)
     assert sorted(cluster.holders("x")) == ["c1", "c2", "c5"]
     cluster.advance(MERGE_S)
     assert cluster.sums() == {3}
@@ -143,7 +143,7 @@
 ) -> None:
     cluster.cut("c1", "c2", "c3")
     cluster.advance(2)
-    cluster.acknowledged("c1", "x", 3)
+    cluster.add_acknowledged("c1", "x", 3)
     cluster.lose_power("c1")
     cluster.world.heal()
     cluster.advance(MERGE_S)
@@ -159,14 +159,14 @@
         cluster.advance(0.003)
     wiped = cluster.rng.sample(sorted(counter_cluster.MACHINES), 2)
     cluster.lose_power(*counter_cluster.MACHINES, wiped=wiped)
-    owed = cluster.owed()
-    assert owed
+    acknowledged_sum = cluster.acknowledged_sum()
+    assert acknowledged_sum
     cluster.advance(0.7)
     cluster.start(*counter_cluster.MACHINES)
     cluster.advance(MERGE_S)
     (found,) = cluster.sums()
     assert isinstance(found, int)
-    assert found & owed == owed
+    assert found & acknowledged_sum == acknowledged_sum
     assert found < 1 << 60
 
 
@@ -174,7 +174,7 @@
 def test_an_add_during_a_restart_of_all_machines_is_acknowledged_only_with_enough_copies(seed: int) -> None:
     cluster = counter_cluster.CounterCluster(seed)
     cluster.advance(5)
-    cluster.acknowledged("c1", "before", 1)
+    cluster.add_acknowledged("c1", "before", 1)
     cluster.kill(*counter_cluster.MACHINES)
     cluster.advance(0.3)
     early = cluster.rng.choice(sorted(counter_cluster.MACHINES))
@@ -182,7 +182,7 @@
     cluster.advance(0.2)
     call = cluster.add(early, "early", 2)
     cluster.advance(1)
-    assert call.is_open()  # the others are starting too, so their silence does not mean a partition
+    assert call.is_pending()  # the others are starting too, so their silence does not mean a partition
     cluster.start(*(name for name in counter_cluster.MACHINES if name != early))
     cluster.advance(1)
     assert call.acknowledged
@@ -190,7 +190,7 @@
 
 
 def test_a_paused_process_does_not_mistake_its_pause_for_a_partition(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "before", 1)
+    cluster.add_acknowledged("c1", "before", 1)
     call = cluster.add("c1", "x", 2)
     process = cluster.cores["c1"].process
     process.freeze()
@@ -205,7 +205,7 @@
 def test_a_machine_that_has_just_started_reads_no_outdated_sum(cluster: counter_cluster.CounterCluster) -> None:
     cluster.kill("c1")
     cluster.advance(1)
-    cluster.acknowledged("c2", "meanwhile", 4)
+    cluster.add_acknowledged("c2", "meanwhile", 4)
     cluster.start("c1")
     assert cluster.read("c1") == "not_ready"
     cluster.advance_until(lambda: cluster.read("c1") != "not_ready", 1)
@@ -215,17 +215,17 @@
 def test_adds_after_a_restart_reuse_no_identity_of_earlier_adds(
     cluster: counter_cluster.CounterCluster,
 ) -> None:
-    cluster.acknowledged("c1", "before", 1)
+    cluster.add_acknowledged("c1", "before", 1)
     cluster.kill("c1")
     cluster.start("c1")
     cluster.advance(1)
-    cluster.acknowledged("c1", "after", 2)
+    cluster.add_acknowledged("c1", "after", 2)
     cluster.advance(0.5)
     assert cluster.sums() == {3}
 
 
 def test_an_isolated_machine_reads_its_own_adds_after_the_start_delay(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c5", "x", 4)
+    cluster.add_acknowledged("c5", "x", 4)
     cluster.kill("c5")
     cluster.cut("c5")
     cluster.start("c5")
@@ -250,14 +250,14 @@
 
 
 def test_a_new_core_machine_that_does_not_vote_replicates_counters(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "before", 1)
-    cluster.start_newcomer("c6", "10.0.1.6")
+    cluster.add_acknowledged("c1", "before", 1)
+    cluster.start_additional_core("c6", "10.0.1.6")
     cluster.advance(MERGE_S)
     view = cluster.cores["c1"].consensus.view
     assert view is not None
     assert "10.0.1.6" not in {voter.host for voter in view.voters}
-    cluster.acknowledged("c6", "its own", 2)
-    cluster.acknowledged("c1", "after", 4)
+    cluster.add_acknowledged("c6", "its own", 2)
+    cluster.add_acknowledged("c1", "after", 4)
     cluster.advance(0.5)
     assert cluster.sums() == {7}
     assert len(cluster.holders("after")) == 6
@@ -268,8 +268,8 @@
 ) -> None:
     north = [cluster.hosts[name] for name in ("c1", "c2")]
     cluster.world.cut(north, [host for host in cluster.hosts.values() if host not in north], both=False)
-    cluster.acknowledged("c1", "x", 1)
-    cluster.acknowledged("c3", "y", 2)
+    cluster.add_acknowledged("c1", "x", 1)
+    cluster.add_acknowledged("c3", "y", 2)
     cluster.world.heal()
     cluster.advance(MERGE_S)
     assert cluster.sums() == {3}
@@ -279,14 +279,14 @@
 def test_a_failed_disk_does_not_count_as_a_copy_and_does_not_stop_reads(
     cluster: counter_cluster.CounterCluster, condition: typing.Literal["full", "stalled"]
 ) -> None:
-    cluster.acknowledged("c1", "before", 1)
-    cluster.cores["c1"].process.host.disk = condition
-    cluster.acknowledged("c1", "x", 2)
+    cluster.add_acknowledged("c1", "before", 1)
+    cluster.cores["c1"].process.host.disk_condition = condition
+    cluster.add_acknowledged("c1", "x", 2)
     assert "c1" not in cluster.holders("x")
     assert len(cluster.holders("x")) >= counter_cluster.COPIES
     assert cluster.read("c1") == 3
     cluster.advance(2)
-    cluster.acknowledged("c2", "y", 4)
+    cluster.add_acknowledged("c2", "y", 4)
     cluster.advance(0.5)
     assert cluster.sums() == {7}
     cluster.cores["c1"].process.host.repair()
@@ -296,10 +296,10 @@
 
 @pytest.mark.parametrize("slow", [["c1"], ["c2", "c3", "c4", "c5"], ["c1", "c4", "c5"]])
 def test_an_add_counts_as_held_only_once_it_is_synced(cluster: counter_cluster.CounterCluster, slow: list[str]) -> None:
-    cluster.acknowledged("c1", "before")
+    cluster.add_acknowledged("c1", "before")
     for name in slow:
         host = cluster.cores[name].process.host
-        host.disk, host.slow_us = "slow", 450 * units.MILLISECOND_US
+        host.disk_condition, host.slow_disk_delay_us = "slow", 450 * units.MILLISECOND_US
     call = cluster.add("c1", "x", 2)
     while not call.outcome:
         cluster.advance(0.0005)
@@ -313,8 +313,8 @@
 ) -> None:
     cluster.cut("c1", "c2")
     cluster.advance(2)
-    cluster.cores["c2"].process.host.disk = condition
-    cluster.acknowledged("c1", "x", 2)
+    cluster.cores["c2"].process.host.disk_condition = condition
+    cluster.add_acknowledged("c1", "x", 2)
     assert cluster.holders("x") == ["c1"]
     assert cluster.read("c2") == 2
 
@@ -324,7 +324,7 @@
 ) -> None:
     cluster.cut("c4", "c5")
     cluster.advance(2)
-    cluster.cores["c4"].process.host.disk = "stalled"
+    cluster.cores["c4"].process.host.disk_condition = "stalled"
     call = cluster.add("c4", "x", 2)
     cluster.advance(1.5)
     assert cluster.holders("x") == ["c5"]
@@ -336,7 +336,7 @@
 
 def test_a_refused_add_is_stored_nowhere(cluster: counter_cluster.CounterCluster) -> None:
     cluster.cut("c4", "c5")
-    cluster.cores["c4"].process.host.disk = "full"
+    cluster.cores["c4"].process.host.disk_condition = "full"
     cluster.add("c4", "first")  # its write detects that the disk is full
     cluster.advance(3)
     call = cluster.add("c4", "refused")
@@ -350,7 +350,7 @@
 def test_a_stopping_machine_replicates_its_adds_before_it_exits(cluster: counter_cluster.CounterCluster) -> None:
     cluster.cut("c5")
     cluster.advance(2)
-    cluster.acknowledged("c5", "alone", 3)
+    cluster.add_acknowledged("c5", "alone", 3)
     stopped: typing.Any = cluster.cores["c5"].runtime.spawn(cluster.cores["c5"].stop())
     cluster.advance(2)
     assert not stopped.called
@@ -372,10 +372,10 @@
 
 
 def test_operators_see_the_lag_and_reachability_of_each_peer(cluster: counter_cluster.CounterCluster) -> None:
-    cluster.acknowledged("c1", "x")
+    cluster.add_acknowledged("c1", "x")
     cluster.cut("c1")
     cluster.advance(2)
-    cluster.acknowledged("c1", "y")
+    cluster.add_acknowledged("c1", "y")
     shown = cluster.cores["c1"].operator_api.state()["counters"]
     assert (shown["entries"], shown["origins"], shown["unsynced"], shown["few_copies"]) == (2, 1, 0, 1)
     assert shown["peers"]["10.0.1.2:7001"] == {"reachable": False, "lag": 1}
--- a/tests/test_simulated_cluster.py
+++ b/tests/test_simulated_cluster.py
@@ -1,4 +1,4 @@
-"""Small simulated clusters, one matter each."""
+"""Behaviour of the whole fleet in small simulated clusters, one rule per test."""
 
 import time
 from collections.abc import Callable
@@ -23,12 +23,12 @@
 
 
 class SentRequest:
-    """A request under way; what has come of its answer."""
+    """A request that was sent, and the part of its answer that has arrived."""
 
     def __init__(self) -> None:
-        self.code = 0  # until the answer's head has come
+        self.code = 0  # 0 until the head of the answer has arrived
         self.headers = http_headers.Headers()
-        self.receiver: load_generator.AnswerCollector | None = None  # until then
+        self.receiver: load_generator.AnswerCollector | None = None  # None until the head of the answer has arrived
         self.done: defer.Deferred[bool] = defer.Deferred()
 
     def transport(self) -> Any:  # noqa: ANN401 - Twisted describes transports by interfaces
@@ -36,11 +36,11 @@
         return optional.present(self.receiver).transport
 
     def body_parts(self) -> list[bytes]:
-        """The parts of the answer's body that have come."""
+        """The parts of the answer's body that have arrived."""
         return optional.present(self.receiver).parts
 
     def has_begun(self) -> bool:
-        """Whether a part of the answer's body has come."""
+        """Whether a part of the answer's body has arrived."""
         return self.receiver is not None and bool(self.receiver.first_at)
 
 
@@ -57,7 +57,7 @@
         repeat: bool = True,
         identifier: str = "x",
     ) -> SentRequest:
-        """Send one request."""
+        """Send one request to a node, without waiting for the answer."""
         sent = SentRequest()
         agent = dispatch.Dispatcher(cluster.load.runtime).unpooled_agent
         headers = http_headers.Headers(
@@ -86,7 +86,7 @@
         cluster: simulated_cluster.SimulatedCluster,
         **more: Any,  # noqa: ANN401 - those of `query`
     ) -> tuple[int, http_headers.Headers, bytes]:
-        """Send one request and wait for its end: status, headers, body."""
+        """Send one request and wait for the whole answer: status, headers, body."""
         sent = self.query(cluster, **more)
         assert cluster.advance_until(lambda: sent.done.called, 30)
         return sent.code, sent.headers, b"".join(sent.body_parts())
@@ -110,12 +110,16 @@
         cluster.advance(10)
         assert self.open_sessions(cluster) == 0
 
-    def test_a_prefix_that_everybody_shares_opens_no_session(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_prompt_of_only_the_shared_system_prefix_opens_no_session(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         self.answer(cluster, parts=("system",))
         assert self.open_sessions(cluster) == 0
 
-    def test_the_cap_refuses_at_once_until_the_earliest_expiry(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_reached_session_cap_refuses_at_once_with_retry_after_until_the_earliest_expiry(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         document = {
             "pools": {"desk": {"cap": 1}},
             "terms": {"default": {"lifetime_us": 30 * SECOND}},
@@ -131,7 +135,9 @@
         assert b"sessions_full" in body
         assert 25 <= int(optional.present(headers.getRawHeaders("Retry-After"))[0]) <= 31
 
-    def test_a_client_that_goes_away_ends_the_run_at_once(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_disconnecting_client_ends_the_run_at_the_worker_at_once(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         request = self.query(cluster)
         assert cluster.advance_until(request.has_begun, 5)
@@ -141,7 +147,7 @@
         cluster.advance(1)
         assert optional.present(cluster.owner()).pool_owners[cluster.pool].records.grants == {}
 
-    def test_a_slow_client_slows_the_worker(
+    def test_a_client_that_does_not_read_applies_back_pressure_to_the_worker(
         self, quiet_cluster: conftest.QuietCluster, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         cluster = quiet_cluster()
@@ -174,7 +180,7 @@
         assert sum(len(part) for part in request.body_parts()) == 200 * 16_384
 
     def test_jumps_of_the_wall_clock_change_nothing(self) -> None:
-        tapes = []
+        event_logs = []
         for jump in (0, 10**6, -(10**6)):
             real = time.time
 
@@ -185,12 +191,13 @@
                 cluster = simulated_cluster.SimulatedCluster(5, "small", seconds=5)
                 cluster.begin()
                 cluster.end()
-            tapes.append(cluster.event_log.text())
-        assert len(tapes[0]) > 1000
-        differ = tapes != [tapes[0]] * 3  # not compared within the assertion: a report of the difference takes minutes
+            event_logs.append(cluster.event_log.text())
+        assert len(event_logs[0]) > 1000
+        # Compared outside the assertion: pytest's report of a difference takes minutes.
+        differ = event_logs != [event_logs[0]] * 3
         assert not differ
 
-    def test_new_terms_hold_for_an_open_session(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_new_terms_apply_to_an_open_session(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         self.answer(cluster, parts=("system", "talk"))
         document = cluster.with_probe(1)
@@ -201,7 +208,7 @@
         cluster.advance(17)
         assert self.open_sessions(cluster) == 0
 
-    def test_a_route_of_another_zone_is_not_known_here(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_node_does_not_serve_a_route_of_another_zone(self, quiet_cluster: conftest.QuietCluster) -> None:
         document = {
             "pools": {"desk": {}},
             "terms": {"default": {}},
@@ -223,10 +230,12 @@
         code, _, body = self.answer(cluster, node="n7")
         assert (code, b"not_ready" in body, b"not_run" in body) == (503, True, True)
 
-    def test_one_working_disk_takes_no_change(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_no_change_is_confirmed_while_only_one_core_has_a_working_disk(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         for name in ("c2", "c3"):
-            cluster.cores[name].process.host.disk = "full"
+            cluster.cores[name].process.host.disk_condition = "full"
         done = cluster.operator_runtime.spawn(cluster.operator.change(cluster.with_probe(1)), simulated_cluster.log)
         cluster.advance(8)
         assert not done.called
@@ -237,14 +246,14 @@
         assert cluster.advance_until(lambda: done.called, 20)
         assert optional.present(deferreds.result_of(done)) > 0
 
-    def test_a_machine_that_alone_promised_does_not_break_the_chain_for_good(
+    def test_a_promise_by_a_single_core_does_not_stop_the_chain_for_good(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
         head = optional.present(cluster.head())
         number = optional.present(head.consensus.view).number + 1
         consensus = head.consensus
-        consensus.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a short cut, in which its grant ran out
+        consensus.acceptor.lease_grant = acceptor.LeaseGrant("", 0)  # as after a cut in which its lease grant expired
         prepare = message.Prepare(number, (1, consensus.own_voter.id), consensus.own_voter.id)
         cluster.operator_runtime.spawn(consensus.answer(prepare), simulated_cluster.log)
         cluster.advance(0.1)
@@ -254,7 +263,7 @@
         assert optional.present(deferreds.result_of(done)) > 0
 
     def plan_refused(self, cluster: simulated_cluster.SimulatedCluster) -> list[str]:
-        """Code and verdict that a plan gets now."""
+        """Submit a plan that is refused; the error code and verdict of the refusal."""
         got = []
 
         async def go() -> None:
@@ -265,7 +274,9 @@
         assert cluster.advance_until(lambda: done.called, 10)
         return got
 
-    def test_a_late_selection_that_was_given_up_gets_no_grant(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_selection_that_arrives_after_its_release_gets_no_grant(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         node = optional.present(cluster.owner())
         pool_owner = node.pool_owners[cluster.pool]
@@ -293,19 +304,22 @@
         assert answer.code == "no_warden"
         assert pool_owner.records.claims == {}
 
-    def test_a_claim_of_a_grant_that_came_too_late_is_given_back(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_release_as_not_run_removes_the_claim_collected_for_the_same_grant(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         node = optional.present(cluster.owner())
         pool_owner = node.pool_owners[cluster.pool]
-        pool_owner.records.claims["e1"] = claims.Claim(
-            "e1", 1, "n1", "old-ask", cluster.world.time + 600 * SECOND
-        )  # as gathered
+        # The claim is entered as a new pool owner collects it from the replicas.
+        pool_owner.records.claims["e1"] = claims.Claim("e1", 1, "n1", "old-ask", cluster.world.time + 600 * SECOND)
         pool_owner.release("old-ask", errors.ExecutionOutcome.NOT_RUN)
         assert self.answer(cluster, identifier="e1", repeat=False)[0] == 200
         code, _, body = self.answer(cluster, identifier="e1", repeat=False, send=2, node="n2")
         assert (code, b'"ran"' in body) == (409, True)
 
-    def test_a_former_pool_owner_gets_no_copy_taken(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_fenced_replica_rejects_records_of_a_former_pool_owner(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster(shape="magnolia")
         node = optional.present(cluster.owner())
         old = node.pool_owners[cluster.pool]
@@ -324,7 +338,7 @@
         cluster.advance(1)
         assert (done.result, old.is_live()) == (False, False)
 
-    def test_a_pool_is_new_to_its_first_owner_however_often_it_queries(
+    def test_repeated_queries_of_the_first_pool_owner_find_no_earlier_owner(
         self, quiet_cluster: conftest.QuietCluster
     ) -> None:
         cluster = quiet_cluster()
@@ -353,41 +367,48 @@
         node.on_update()
         assert node.peers.connections[(core.options.host, core.options.port)].up
 
-    def test_a_term_that_a_lost_membership_had_passed_is_replaced(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_pool_serves_again_after_a_node_saw_a_newer_term_of_a_lost_membership(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster(shape="magnolia")
         for who in ("copy", "holder"):
             assignment = optional.present(cluster.owner()).pool_owners[cluster.pool].assignment
             name = assignment.holder if who == "holder" else assignment.copies[0]
             node = next(m for m in cluster.nodes.values() if optional.present(m.member_record).id == name)
+            # The term of a newer membership that no core stored.
             newer = (
                 assignment.term[0],
                 optional.present(optional.present(cluster.tail()).membership.latest).version[1] + 1,
-            )  # of a membership that nobody kept
+            )
             node.serve(None, message.RecordsRequest(cluster.pool, newer, "somebody"))
             assert self.answer(cluster, identifier=who, repeat=False, node="n1")[0] == 200
 
-    def test_a_thawed_tail_answers_nothing_on_its_old_lease(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_tail_that_was_frozen_answers_nothing_on_its_expired_lease(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         tail = optional.present(cluster.tail())
         tail.process.freeze()
         cluster.advance(4)
-        tail.process.frozen = False  # it runs again, before it has heard anything
+        tail.process.frozen = False  # the process runs again, but has not received any message yet
         assert not tail.consensus.holds_lease()
         assert not tail.chain.tail.answer_read(message.ReadRequest(1)).ok
         assert not tail.is_serving()
 
-    def test_versions_that_are_two_steps_apart_do_not_talk(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_nodes_whose_protocol_versions_differ_by_two_do_not_communicate(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         ours = cluster.nodes["n1"].runtime.protocol_version
         for name, version in (("n8", ours + 1), ("n9", ours + 2)):
-            cluster.versions[name] = version
+            cluster.protocol_versions[name] = version
             cluster.start_node(name, f"10.0.2.{name[1]}", "a")
         cluster.advance(5)
         assert (cluster.platform.readiness["n8"], cluster.platform.readiness["n9"]) == (True, False)
         assert self.answer(cluster, node="n8")[0] == 200
         assert "n9" not in [m.name for m in cluster.nodes["n1"].follower.membership.members]
 
-    def test_an_older_program_refuses_a_newer_data_folder(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_core_refuses_to_start_on_data_of_a_newer_format(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         core = cluster.cores["c1"]
         core.process.kill()
@@ -395,7 +416,7 @@
         with pytest.raises(storage.DiskError):
             cluster.start_core("c1", *cluster.places["c1"])
 
-    def test_open_plans_are_bounded_by_their_bytes(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_the_total_size_of_open_plans_is_limited(self, quiet_cluster: conftest.QuietCluster) -> None:
         cluster = quiet_cluster()
         chain = optional.present(cluster.head()).chain
         pad = [("terms/t", {"pad": "x" * (1 << 20)})]
@@ -417,7 +438,9 @@
         assert sum(p.size for p in chain.latest_state.plans.values()) <= 16 << 20
         assert sum(len(value) for value in optional.present(cluster.head()).process.host.synced.values()) < 120 << 20
 
-    def test_a_thawed_node_selects_nothing_before_it_has_rejoined(self, quiet_cluster: conftest.QuietCluster) -> None:
+    def test_a_node_that_was_frozen_is_not_ready_before_it_has_rejoined(
+        self, quiet_cluster: conftest.QuietCluster
+    ) -> None:
         cluster = quiet_cluster()
         node = cluster.nodes["n1"]
         node.process.freeze()
