--- a/iriswheel/pools/worker_watch.py
+++ b/iriswheel/pools/worker_watch.py
@@ -104,11 +104,11 @@
             return
         done = self.running_checks[worker.id] = scheduler.Signal()
         try:
-            witnesses = self._witnesses()
-            responses = await self._probe_from(witnesses, worker)
+            members = self._probing_members()
+            responses = await self._probe_from(members, worker)
             for member, response in responses.items():
                 self._record_response(worker.id, member, response)
-            if not self._proves_unreachable(worker.id, responses, alone=len(witnesses) < 2):
+            if not self._proves_unreachable(worker.id, responses, alone=len(members) < 2):
                 return
             if worker.id not in self.ejected:
                 self._log_ejection(worker.id, responses)
@@ -138,7 +138,7 @@
                 reason=reason,
             )
 
-    def _witnesses(self) -> list[message.Member]:
+    def _probing_members(self) -> list[message.Member]:
         """Return this node and the nodes that keep replicas of the pool's records."""
         own_id, copies = local_member.member_id(self.node), self.owner.assignment.copies
         return [
@@ -146,10 +146,10 @@
         ]
 
     async def _probe_from(
-        self, witnesses: list[message.Member], worker: message.Worker
+        self, members: list[message.Member], worker: message.Worker
     ) -> dict[str, message.ProbeResponse]:
         """Have members probe a worker, and return the results by member id, of those that answer in time."""
-        responses = await self.node.call_members(witnesses, message.ProbeRequest(worker), WITNESS_TIMEOUT_US)
+        responses = await self.node.call_members(members, message.ProbeRequest(worker), WITNESS_TIMEOUT_US)
         return {
             member: response for member, response in responses.items() if isinstance(response, message.ProbeResponse)
         }
