--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -116,22 +116,24 @@
             owner.end()  # a member that has seen a newer term refuses this one
             return False
         now = self.runtime.now()
-        base = [member for member in owner.assignment.base if member in answers and answers[member].has_replica]
-        if not base and self._may_wait_for_replicas(members, answers, now):
+        replica_holders = [
+            member for member in owner.assignment.base if member in answers and answers[member].has_replica
+        ]
+        if not replica_holders and self._may_wait_for_replicas(members, answers, now):
             return False
-        if base:  # claims that the previous owner had lost are missing from its replicas as well
-            owner.claims_missing_until_us = max(now + answers[member].claims_missing_us for member in base)
-        merged = merge_answers(answers, use_affinities=not base)
+        if replica_holders:  # claims that the previous owner had lost are missing from its replicas as well
+            owner.claims_missing_until_us = max(now + answers[member].claims_missing_us for member in replica_holders)
+        merged = merge_answers(answers, use_affinities=not replica_holders)
         for member in sorted(answers):
             owner.records.budget.add(now, answers[member].first_attempts, answers[member].retries)
-        if not base:
+        if not replica_holders:
             for session in await self._gather_from_cores():
                 merged.sessions.setdefault(session.id, session)
         grants = [grant for answer in answers.values() for grant in answer.grants]
         owner.records.load_merged(
             list(merged.sessions.values()), merged.claims.values(), grants, answered_at=now, now=self.runtime.now()
         )
-        return await self._replicate_all(bool(base))
+        return await self._replicate_all(bool(replica_holders))
 
     def _request(self) -> message.RecordsRequest:
         return message.RecordsRequest(self.owner.pool, self.owner.assignment.term, self.owner.member_id)
