--- a/iriswheel/rate_limits/rate_limiter.py
+++ b/iriswheel/rate_limits/rate_limiter.py
@@ -28,7 +28,7 @@
 class Charge(typing.NamedTuple):
     """A charge for a request, with what is needed to refund it."""
 
-    owner: message.Member  # the member that made the charge: the tenant's owner or a backup
+    member: message.Member  # the member that charged its bucket: the tenant's owner or a backup
     tenant: str
     cost: float
 
@@ -71,10 +71,10 @@
     def refund(self, charge: Charge) -> None:
         """Refund the charge of a request that did not run."""
         refund = message.ChargeRefund(charge.tenant, charge.cost)
-        if charge.owner.id == local_member.member_id(self.node):
+        if charge.member.id == local_member.member_id(self.node):
             self.owner.refund(refund)
         else:
-            self.runtime.spawn(self.node.peers.tell(charge.owner.host, charge.owner.port, refund), None)
+            self.runtime.spawn(self.node.peers.tell(charge.member.host, charge.member.port, refund), None)
 
     def sweep(self) -> None:
         """Remove expired entries of skipped members, and buckets of removed tenants; called periodically."""
