--- a/iriswheel/dataplane/answer_stream.py
+++ b/iriswheel/dataplane/answer_stream.py
@@ -12,7 +12,8 @@
 if typing.TYPE_CHECKING:
     from iriswheel.dataplane import forwarded_request, interfaces, request_counts, worker_connections
 
-BROKEN_SUSPICION = 0.5  # added to a worker's suspicion (0 to 1) by a broken connection
+# Added to a worker's suspicion (0 to 1) by a connection that broke or could not be made, or by a misdirected request.
+BROKEN_SUSPICION = 0.5
 
 EVENT_ID = re.compile(rb"(?:^|\n)id: ?([^\r\n]*)")
 EVENT_END = re.compile(rb"\r?\n\r?\n")
@@ -21,7 +22,7 @@
 class AnswerStream:
     """Receives an answer from a worker's connection and is, for the client's connection, the producer of its body.
 
-    Where the route allows that a stream is resumed at another worker, only whole events are written to the client.
+    If the route allows a stream to be resumed at another worker, only whole events are written to the client.
     The body of a refusal or a failure is held back, since the request may still be sent to another worker.
     """
 
@@ -33,7 +34,7 @@
         worker: str,
     ) -> None:
         self.node = node
-        self.counts = counts  # the forwarder's counts, of which this class counts `broken`
+        self.counts = counts  # the forwarder's counts, of which this class increases `broken`
         self.request = request
         self.worker = worker
         self.runtime = node.runtime
@@ -128,7 +129,8 @@
     def stop(self, outcome: attempt_outcome.AttemptOutcome | None = None) -> None:
         """End the attempt before its answer is complete, and close the worker's connection.
 
-        `done` fires with the outcome. Without one, as when the attempt is cancelled, this method does not fire it.
+        If an outcome is given, `done` fires with it. The canceller of `done` gives none, since `done` then fires with
+        the cancellation.
         """
         if self.connection is not None:
             self.connection.drop()
@@ -198,7 +200,7 @@
             self.connection.resume()
 
     def stopProducing(self) -> None:
-        """Do nothing: the signal `lost` of the request reports that the client has disconnected."""
+        """Do nothing: the request's signal `client_lost` reports that the client has disconnected."""
 
 
 def complete_events(raw: bytes) -> tuple[bytes, bytes]:
--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -37,7 +37,7 @@
         self.attempts.pop(attempt_id, None)
 
     def cancel_unreachable(self, worker: str) -> None:
-        """Cancel the attempts without a first byte yet at a worker that no node can reach."""
+        """Cancel the attempts at a worker that no node can reach, except those whose answer has begun."""
         for attempt in [
             attempt for attempt in self.attempts.values() if attempt.worker == worker and not attempt.answer_begun
         ]:
--- a/iriswheel/dataplane/cold_workers.py
+++ b/iriswheel/dataplane/cold_workers.py
@@ -31,7 +31,7 @@
 """
 
 MAX_FIRST_PAUSE_US = 500 * units.MILLISECOND_US
-"""Upper bound of the wait of a new sender before its first request, which otherwise is one interval."""
+"""Longest wait of a new sender before its first request; the wait is one send interval if that is shorter."""
 
 READMITTED_ZONE_US = 3 * units.SECOND_US
 """Time for which all workers of a readmitted zone count as cold; after it, the worker list tells which are cold."""
--- a/iriswheel/dataplane/dispatch.py
+++ b/iriswheel/dataplane/dispatch.py
@@ -1,4 +1,4 @@
-"""The HTTP client towards workers that pool owners select, other nodes and the platform.
+"""The HTTP client for requests to other nodes, to the platform, and to workers in pools whose owner selects them.
 
 One attempt sends a client's request to a worker and streams the answer back to the client.
 """
@@ -25,7 +25,7 @@
 CONNECT_TIMEOUT_US = 700 * units.MILLISECOND_US
 HEAD_TIMEOUT_US = 10 * units.SECOND_US  # from the start of the request to the answer's head
 READ_TIMEOUT_US = 10 * units.SECOND_US  # longest silence between two pieces of an answer
-IDLE_CONNECTION_S = 4  # idle time of a pooled connection, well below the time after which workers close it
+IDLE_CONNECTION_S = 4  # idle time after which a pooled connection is closed, well before a worker would close it
 MAX_POOLED_PER_HOST = 32  # idle connections
 MAX_COLLECTED_BYTES = 1 << 20  # size of a body that is collected in memory
 
@@ -240,12 +240,13 @@
         self.worker = worker
         self.last_received_us = now  # time of the last bytes of the answer; the start before there are any
         self.is_relayed = False  # whether another node relays it to the worker
-        self.waiting: defer.Deferred[typing.Any] | None = None  # fires with the answer's head, later with its end
+        # the Deferred that the attempt awaits now: first for the answer's head, then for the answer's end
+        self.waiting: defer.Deferred[typing.Any] | None = None
         self.was_cancelled = False  # whether this node has cancelled it
         self.answer_begun = False  # whether the answer's head has been received
 
     def cancel(self) -> None:
-        """Cancel the attempt because its worker hangs, is unreachable or has drained, while its client still waits.
+        """Cancel the attempt because its worker hangs, is unreachable or has drained; its client still waits.
 
         >>> attempt = Attempt("w1", 0); attempt.cancel(); attempt.was_cancelled
         True
@@ -256,7 +257,7 @@
 
 
 class Dispatcher:
-    """This node's HTTP client towards workers that pool owners select, other nodes and the platform."""
+    """This node's HTTP client for other nodes, the platform, and workers in pools whose owner selects them."""
 
     def __init__(
         self, runtime: scheduler.Runtime, on_answer: collections.abc.Callable[[str], None] = lambda _worker: None
--- a/iriswheel/dataplane/edge_protocol.py
+++ b/iriswheel/dataplane/edge_protocol.py
@@ -33,12 +33,13 @@
 AUTHORIZATION_HEADER = "Authorization"
 TENANT_HEADER = "X-Tenant"
 BEARER_SCHEME = b"bearer"  # authentication scheme of API keys, in lower case
-# Only between nodes: in a relayed request its one-time token, in the answer the outcome of an attempt without answer
+# Sent only between nodes: a relayed request names its one-time relay token in it; the answer to a relayed request names
+# the outcome of the attempt in it if no answer came from the worker.
 RELAY_HEADER = "X-Iriswheel-Pass"
 
-PART_PATTERN = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,128}\Z")
+PART_PATTERN = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,128}\Z")  # printable ASCII without space and comma
 PART_COUNT_MAX = 32
-ID_PATTERN = re.compile(r"[\x21-\x7e]{1,128}\Z")
+ID_PATTERN = re.compile(r"[\x21-\x7e]{1,128}\Z")  # printable ASCII without space
 SEND_NUMBER_MAX = 1_000_000
 SEND_DIGITS_MAX = 7
 
@@ -489,7 +490,7 @@
         return error.status, error.headers(), error.body()
 
     def worker_list_path(self, _token: str) -> str:
-        """The path of the platform's worker list; with a page token, of that page of it.
+        """The path of the platform's worker list, or of the page of that list that a page token names.
 
         >>> EdgeProtocol().worker_list_path("")
         '/workers'
--- a/iriswheel/dataplane/forwarded_request.py
+++ b/iriswheel/dataplane/forwarded_request.py
@@ -37,5 +37,5 @@
         self.excluded_workers: set[str] = set()  # ids of workers to which it is not sent again
 
     def known_outcome(self) -> errors.ExecutionOutcome:
-        """Return whether the request may have run at a worker, for the error that answers it if it is given up now."""
+        """Return the execution outcome to report to the client if the request is given up now."""
         return errors.ExecutionOutcome.MAY_HAVE_RUN if self.may_have_run else errors.ExecutionOutcome.NOT_RUN
--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -37,21 +37,20 @@
 CHECK_INTERVAL_US = 100 * units.MILLISECOND_US  # between two checks of all streams for silence
 SWEEP_INTERVAL_US = 1 * units.SECOND_US  # between two sweeps of idle connections and expired sessions
 # Silence is the time since the worker last sent a byte on a stream.
-SILENCE_US = 300 * units.MILLISECOND_US  # silence after the first event that is a failure of the worker
-LONG_PROMPT_SILENCE_US = (
-    1 * units.SECOND_US
-)  # silence during the prefill of a long prompt that is a failure of the worker
-RESUME_SILENCE_US = (
-    500 * units.MILLISECOND_US
-)  # silence after the first event until the request is resumed at another worker
-# Silence before the first event until the request is sent to another worker, while the workers are overloaded.
+# Least silence after the first event that counts as a failure of the worker.
+SILENCE_US = 300 * units.MILLISECOND_US
+# Least silence during the prefill of a long prompt that counts as a failure of the worker.
+LONG_PROMPT_SILENCE_US = 1 * units.SECOND_US
+# Silence after the first event, beyond which the request is resumed at another worker.
+RESUME_SILENCE_US = 500 * units.MILLISECOND_US
+# Silence before the first event, beyond which the request is sent to another worker while the workers are overloaded.
 OVERLOADED_SILENCE_US = 1_200 * units.MILLISECOND_US
 SILENCE_SUSPICION = 0.3  # added to a worker's suspicion (0 to 1) by a silence or a failed answer
-# The workers are overloaded where more than one stream is overdue, and more than one in this many of those that
-# wait for their first event.
+# The workers count as overloaded if at least two streams are overdue with their first event, and if these are more than
+# one in this many of all streams that wait for their first event.
 WAITING_PER_OVERDUE = 3
-MAX_CONNECTING_US = 3 * worker_connections.CONNECT_TIMEOUT_US  # time a request spends on connections that failed
-MIN_RETRY_US = 150 * units.MILLISECOND_US  # shortest wait that a refused client is asked for
+MAX_CONNECTING_US = 3 * worker_connections.CONNECT_TIMEOUT_US  # longest time for failed tries to connect, per request
+MIN_RETRY_US = 150 * units.MILLISECOND_US  # shortest wait before a retry that a refused client is told
 OPTIONS_RELOAD_GRACE_US = 12 * units.SECOND_US  # time until requests that were under way at a reload have ended
 MISDIRECTED_STATUS = 421  # HTTP status of a worker that does not serve the request that was sent to it
 # HTTP statuses by which a node promises its client that the request never ran.
@@ -127,7 +126,7 @@
                 self._sweep()
 
     def handle_silent_streams(self, now: int) -> None:
-        """Record a failure of each worker whose stream is silent, and end the streams to be sent to another worker.
+        """Record a failure of each worker with a silent stream, and end streams whose requests go to another worker.
 
         Where many attempts are overdue with their first event, the workers are overloaded. Retries would add load
         then, so a request is sent to another worker only after a longer silence of an unresponsive worker.
@@ -204,7 +203,7 @@
 
     async def send_with_retries(self, request: forwarded_request.ForwardedRequest) -> None:
         """Send a request to one worker after another until one has answered or the request must be given up."""
-        failed_connect_us = 0  # time spent on connections that failed
+        failed_connect_us = 0  # time spent on failed tries to connect
         while True:
             worker = self._choose_worker(request)
             began_us = self.runtime.now()
@@ -259,7 +258,7 @@
         return self.node.follower.workers_by_id[worker_id]
 
     def _candidates(self, request: forwarded_request.ForwardedRequest) -> cold_workers.Candidates:
-        """Return the candidates that are within reach; all candidates where the request has tried each of those."""
+        """Return the reachable candidates, or all candidates if the request has already tried every reachable one."""
         candidates = self.cold_workers.candidates(request.pool_name, request.pool)
         reached = self.reach.reachable(candidates.ready)
         return candidates if request.excluded_workers.issuperset(reached) else candidates._replace(ready=reached)
@@ -341,7 +340,7 @@
             request: The request that is given up.
             code: The error code where the request did not run at any worker; where it may have, it is worker_broke.
             text: The error text for people.
-            retry_us: The wait before the client's retry, in microseconds; at least MIN_RETRY_US is asked for.
+            retry_us: The wait before a retry that the client is told, in microseconds; MIN_RETRY_US at least.
         """
         if request.may_have_run:
             return errors.ServiceError("worker_broke", text, errors.ExecutionOutcome.MAY_HAVE_RUN)
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -74,7 +74,7 @@
         return sorted(self.last_contact_us)
 
     async def probe(self, worker: message.Worker) -> message.ProbeResponse:
-        """Ask a worker for its load: the outcome is that it answered, only accepted the connection, or neither."""
+        """Ask a worker for its load; the outcome tells if it answered, only accepted a connection, or did neither."""
         response = await self._ask_load(worker)
         if response.outcome == message.ProbeOutcome.NOT_REACHED.value:
             self.note_unreachable(worker.id)
--- a/iriswheel/dataplane/node_budgets.py
+++ b/iriswheel/dataplane/node_budgets.py
@@ -46,9 +46,9 @@
         return budget
 
     def slack(self) -> int:
-        """Return this node's part of the free retries that the whole fleet has in a retry window.
+        """Return this node's part of the slack, the retries that the fleet may send in a window beyond the ratio.
 
-        Members that left within the window may have spent their parts, so the free retries are divided by one more
+        Members that left within the window may have spent their parts, so the fleet's slack is divided by one more
         than the largest member count in the window. In its first window a process has no part, because the former
         process of this node may have spent it.
         """
--- a/iriswheel/dataplane/owner_client.py
+++ b/iriswheel/dataplane/owner_client.py
@@ -26,7 +26,7 @@
 
 
 class AbandonedAttempt(typing.NamedTuple):
-    """An attempt given up before it was sent; until a time, grant reports list it to its pool's owner."""
+    """An attempt given up before it was sent; grant reports to its pool's owner list it until `reported_until_us`."""
 
     pool_name: str
     reported_until_us: int
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -1,8 +1,8 @@
 """Worker selection by the node that received the request, for pools whose election is "node".
 
 A node selects the worker with the least expected time to the first event. The estimate adds up the prompt tokens
-that wait for prefill at the worker, its running batch, and the prefill of the request's own prompt as far as the
-worker's prefix cache is unlikely to hold it. A node sees its own attempts at once, and learns of the load from other
+that wait for prefill at the worker, its running batch, and the prefill of those parts of the request's prompt that the
+worker's prefix cache probably does not hold. A node sees its own attempts at once, and learns of the load from other
 nodes through the load exchange. No message is needed to agree which worker caches a shared prefix: all nodes rank the
 workers for a prefix alike, by rendezvous hashing.
 
@@ -31,7 +31,7 @@
 MAX_FIRST_TURNS = 16_384  # entries of `Placement.first_turns`
 MAX_RANKINGS = 1_024  # entries of the cache `Placement.rankings`
 LONG_PROMPT_TOKENS = 4_000  # least size of a long prompt, shared parts included
-RESERVED_RATIO = 0.34  # ratio of workers that are given no long prompts
+RESERVED_RATIO = 0.34  # share of the ready workers that are given no long prompts
 HEAVY_PREFILL_TOKENS = 2_000  # least prefill of an attempt that is reported to other nodes at once
 PREFIX_MISS_FACTOR = 15
 """Weight of the prefill of a shared part that is not in the worker's prefix cache.
@@ -39,7 +39,7 @@
 It exceeds 1 because the prefill also delays other requests, and the new entry evicts other parts from the cache.
 """
 
-JITTER_US = 3_000  # range of the random time added to each estimate; nearly equal workers share requests
+JITTER_US = 3_000  # range of the random time added to each estimate, so that nearly equal workers share requests
 REMOTE_LOAD_VALID_US = 1_500 * units.MILLISECOND_US  # age from which on the load reported by other nodes is ignored
 SUSPICION_HALF_LIFE_US = 2 * units.SECOND_US  # time in which a suspicion decays to one half
 SUSPICION_PENALTY_US = 1 * units.SECOND_US  # time added to the estimate of a worker of suspicion 1
@@ -47,7 +47,7 @@
 EJECTION_SUSPICION = 0.45  # a worker above it gets no requests while enough other workers are healthy
 SUSPICION_AFTER_ANSWER = 0.7  # factor applied to the suspicion after a complete answer
 REMOTE_SUSPICION_WEIGHT = 0.4  # weight of the other nodes' suspicion, against 1 for this node's own
-MIN_FIRST_EVENT_TIMEOUT_US = 200 * units.MILLISECOND_US  # lower bound of the timeout for a first event
+MIN_FIRST_EVENT_TIMEOUT_US = 200 * units.MILLISECOND_US  # lower bound of the time-out for a first event
 UNRESPONSIVE_US = 700 * units.MILLISECOND_US  # silence after which a worker with attempts counts as unresponsive
 REQUEST_COST = 100  # session cost that counts as much as one running request
 SMOOTHING = 16  # divisor of a new measurement in the moving averages of first-event times
@@ -62,7 +62,7 @@
 
 
 class FirstTurn(typing.NamedTuple):
-    """The worker of the first request with certain prompt parts; a second one before the expiry opens a session."""
+    """The worker of the first request with a list of prompt parts; a second one before the expiry opens a session."""
 
     worker: str
     expires_at_us: int
@@ -240,7 +240,7 @@
         return now - max(estimate.busy_since_us, estimate.last_contact_us) > UNRESPONSIVE_US
 
     def first_event_timeout_us(self, expected_us: int) -> int:
-        """Return the timeout for a first event, given the time after which it is expected.
+        """Return the time-out for a first event, given the time after which it is expected.
 
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").first_event_timeout_us(10_000)
         200000
--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -117,7 +117,11 @@
         return str(share["pool"])
 
     def _set_terms(self, request: routed_request.RoutedRequest) -> None:
-        """Set the session terms, the session id, the work units and the deadline of a request."""
+        """Set the session terms and the deadline of a request.
+
+        In a pool whose owner selects the workers, also set the session id, whether the request is long, and its work
+        units.
+        """
         route, pool, parsed = request.route, request.pool, request.parsed
         terms = request.terms = self.node.follower.terms[route.requesters.get(parsed.client, route.terms)]
         if pool.election == schema.Election.NODE:
--- a/iriswheel/dataplane/retry_budget.py
+++ b/iriswheel/dataplane/retry_budget.py
@@ -18,14 +18,14 @@
 class Budget:
     """The first attempts and retries in a sliding window, by default the last ten seconds.
 
-    `slack` retries in a window are free. A node that keeps its own part of the fleet's budget has a part of the
+    `slack` retries in a window are allowed beyond the ratio. A node that enforces a budget of its own has a part of the
     fleet's slack.
 
     >>> budget = Budget(slack=2); [budget.spend(0) for _ in range(3)]
     [True, True, False]
 
-    One retry in a window is allowed even after too few first attempts: otherwise the only client of a fleet could
-    never retry after its node crashed.
+    While the window holds no retry, one is allowed however few first attempts it holds: otherwise the only client of a
+    fleet could never retry after its node crashed.
 
     >>> budget = Budget()
     >>> for number in range(10): budget.record_first_attempt(0, f"x{number}")
@@ -36,7 +36,7 @@
     """
 
     def __init__(self, slack: int = 0, ratio: float = RETRY_RATIO, window_us: int = RETRY_WINDOW_US) -> None:
-        self.slack = slack  # free retries per window
+        self.slack = slack  # retries per window beyond the ratio
         self.ratio = ratio
         self.window_us = window_us
         self.first_attempts: dict[str, int] = {}  # request id -> time of its first attempt, the oldest first
--- a/iriswheel/dataplane/routed_request.py
+++ b/iriswheel/dataplane/routed_request.py
@@ -87,7 +87,7 @@
         return self.may_have_run or self.attempt_number > 1
 
     def known_outcome(self) -> errors.ExecutionOutcome:
-        """Return whether the request may have run at a worker, for the error that answers it if it is given up now."""
+        """Return the execution outcome to report to the client if the request is given up now."""
         return errors.ExecutionOutcome.MAY_HAVE_RUN if self.may_have_run else errors.ExecutionOutcome.NOT_RUN
 
     def renew_attempt_id(self) -> None:
--- a/iriswheel/dataplane/sessions.py
+++ b/iriswheel/dataplane/sessions.py
@@ -38,7 +38,7 @@
         self.cost = cost
         self.version = version
         self.turns = 0  # turns in flight
-        self.opened_by = ""  # the attempt id of its first turn, until that reached the worker
+        self.opened_by = ""  # the attempt id of its first turn; "" once a turn has run or may have run
         self.pending = False  # whether the opening still waits to be replicated
 
 
@@ -80,7 +80,7 @@
     def __init__(self) -> None:
         self.records: dict[Key, Session[Key]] = {}  # by id
         self.by_worker: dict[str, dict[Key, Session[Key]]] = {}  # by worker, then by id
-        self.version = 0  # highest version given out; a reopened session supersedes the copies of its former record
+        self.version = 0  # highest version given out; a reopened session supersedes the replicas of its former record
 
     def open(self, identifier: Key, worker: str, now: int, lifetime_us: int, cost: int) -> Session[Key]:
         """Open a session on a worker.
--- a/iriswheel/dataplane/worker_connections.py
+++ b/iriswheel/dataplane/worker_connections.py
@@ -2,7 +2,7 @@
 
 Twisted's HTTP agent takes the first answer on a connection as the answer to the request under way. A failing worker may
 first send the answer to another request, or send more than one answer. This module therefore has its own connections,
-which ask for each answer whether it belongs to the request; `httptools` parses the answers.
+which check whether each answer belongs to the request; `httptools` parses the answers.
 """
 
 from __future__ import annotations
@@ -403,7 +403,7 @@
         self.idle.setdefault(connection.worker, []).append(connection)
 
     def _shorten_idle_limit(self, connection: WorkerConnection) -> None:
-        """Halve the idle limit of a worker that had closed an idle connection by the time it was reused."""
+        """Limit the idle time of a worker's connections to half that of one that the worker closed before its reuse."""
         if connection.idle_us > MIN_IDLE_LIMIT_US:
             worker = connection.worker
             limit_us = max(MIN_IDLE_LIMIT_US, min(connection.idle_us // 2, self.idle_limit_us(worker)))
--- a/iriswheel/dataplane/worker_reach.py
+++ b/iriswheel/dataplane/worker_reach.py
@@ -91,8 +91,8 @@
     def note_unreachable(self, worker: message.Worker) -> None:
         """Note that connecting to a worker failed.
 
-        If no worker of its zone was heard recently, the whole zone counts as unreachable until a connection to one of
-        them is made, and a connection to another of its workers is tried at once.
+        If no worker of its zone sent anything recently, the whole zone counts as unreachable until a connection to one
+        of its workers is made, and a connection to another of them is tried at once.
         """
         self.unreachable_workers.pop(worker.id, None)
         self.unreachable_workers[worker.id] = None
--- a/iriswheel/pools/claims.py
+++ b/iriswheel/pools/claims.py
@@ -30,7 +30,7 @@
 
     Args:
         request_id: The request that must not run twice.
-        attempt_number: The number of the attempt, as counted by the client or the node that it calls.
+        attempt_number: The client's number of the attempt, from 1; 0 if it is unknown or the claim is a revocation.
         node: The member that holds the grant.
         attempt_id: The attempt that was granted a worker.
         expires_at_us: When the claim expires, in µs on this process's clock.
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -271,7 +271,7 @@
             self.waiting -= 1
 
     async def _check_excluded_workers(self, workers: list[str]) -> None:
-        """Have the workers that the requesting node could not reach probed, since perhaps no node reaches them."""
+        """Have the workers of the request's failed attempts probed, since perhaps no node reaches them."""
         for name in workers:
             worker = self.node.follower.workers_by_id.get(name)
             if worker is not None and worker.state == message.WorkerState.READY and name not in self.watch.ejected:
--- a/iriswheel/pools/pool_records.py
+++ b/iriswheel/pools/pool_records.py
@@ -36,7 +36,7 @@
         self.grants: dict[str, in_flight.HeldGrant] = {}  # by attempt id
         self.load_by_worker: dict[str, in_flight.InFlightLoad] = {}
         self.abandoned: dict[str, int] = {}  # attempt id -> time until which it gets no grant, in µs
-        self.budget = retry_budget.Budget()  # for the attempts of all nodes in this pool
+        self.budget = retry_budget.Budget()  # for the requests of all nodes to this pool
         # by session id or request id: the records changed, and those closed or removed, since the last replication
         self.changed_sessions_and_claims: dict[str, claims.Claim | sessions.Session[str]] = {}
         self.closed_ids: dict[str, None] = {}
--- a/iriswheel/pools/worker_watch.py
+++ b/iriswheel/pools/worker_watch.py
@@ -20,7 +20,8 @@
 
 
 WITNESS_TIMEOUT_US = 1 * units.SECOND_US  # time limit for the answers of the witnesses
-UNRESPONSIVE_US = 2 * units.SECOND_US  # silence after which a worker that once answered but only connects is ejected
+# Silence after which a worker is ejected that answered before, and now only accepts connections.
+UNRESPONSIVE_US = 2 * units.SECOND_US
 RECHECK_INTERVAL_US = 2 * units.SECOND_US  # time between two checks of an ejected worker
 NEVER_HEARD_SILENCE_US = 3600 * units.SECOND_US  # silence assumed for a worker that never answered
 
--- a/iriswheel/rate_limits/limit_owner.py
+++ b/iriswheel/rate_limits/limit_owner.py
@@ -121,7 +121,7 @@
         return {name: round(bucket.balance, 1) for name, bucket in sorted(self.buckets.items())}
 
     def _rank(self, tenant: str) -> int | None:
-        """Return this node's rank for a tenant: 0 as owner, more as backup, None if it is neither."""
+        """Return this node's rank for a tenant: 0 as owner, 1 or more as backup, None if it is neither."""
         owners = self.ranking.owners(tenant, self.node.follower.membership.members)
         own_id = local_member.member_id(self.node)
         return next((rank for rank, owner in enumerate(owners) if owner.id == own_id), None)
--- a/iriswheel/rate_limits/token_bucket.py
+++ b/iriswheel/rate_limits/token_bucket.py
@@ -8,7 +8,7 @@
 from iriswheel.runtime import units
 
 MAX_WAIT_US = 3 * units.SECOND_US
-"""Longest wait that a refused request is given, since the load may have fallen by then."""
+"""Longest wait before a retry that a refused request is told, since the load may have fallen by then."""
 
 
 class BucketParameters(typing.NamedTuple):
