--- a/iriswheel/dataplane/forwarding.py
+++ b/iriswheel/dataplane/forwarding.py
@@ -97,7 +97,7 @@
     def _last_contact_us(self, worker: message.Worker) -> int:
         """Return when this node last received bytes of an answer from a worker; 0 for never."""
         pool_placement = self.placements.get(worker.pool)
-        estimate = pool_placement.workers.get(worker.id) if pool_placement is not None else None
+        estimate = pool_placement.estimates.get(worker.id) if pool_placement is not None else None
         return estimate.last_contact_us if estimate is not None else 0
 
     def state(self) -> dict[str, typing.Any]:
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -115,7 +115,7 @@
     def __init__(self, runtime: scheduler.Runtime, pool: str) -> None:
         self.runtime = runtime
         self.pool = pool
-        self.workers: dict[str, worker_estimate.WorkerEstimate] = {}
+        self.estimates: dict[str, worker_estimate.WorkerEstimate] = {}  # by worker id
         self.remote_loads: dict[str, RemoteLoad] = {}  # load from all other nodes, by worker
         self.remote_loads_received_at_us = 0  # time of the last report of the load exchange
         # mean and mean deviation of the delay of first events beyond the expected time, for short prefills
@@ -135,9 +135,9 @@
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").estimate("w1").running
         0
         """
-        estimate = self.workers.get(worker)
+        estimate = self.estimates.get(worker)
         if estimate is None:
-            estimate = self.workers[worker] = worker_estimate.WorkerEstimate()
+            estimate = self.estimates[worker] = worker_estimate.WorkerEstimate()
         return estimate
 
     def rank(self, key: bytes, workers: tuple[str, ...]) -> list[str]:
@@ -186,7 +186,7 @@
         >>> placement.own_suspicion("w1", 2 * units.SECOND_US)
         0.25
         """
-        estimate = self.workers.get(worker)
+        estimate = self.estimates.get(worker)
         if estimate is None or not estimate.suspicion:
             return 0.0
         decay: float = 0.5 ** ((now - estimate.suspected_at_us) / SUSPICION_HALF_LIFE_US)
@@ -234,7 +234,7 @@
         >>> Placement(scheduler.Runtime(None, now=lambda: 0), "p").is_unresponsive("w1", 0)
         False
         """
-        estimate = self.workers.get(worker)
+        estimate = self.estimates.get(worker)
         if estimate is None or not estimate.running:
             return False
         return now - max(estimate.busy_since_us, estimate.last_contact_us) > UNRESPONSIVE_US
@@ -463,8 +463,8 @@
             self.session_table.evict(worker)
         while self.first_turns and next(iter(self.first_turns.values())).expires_at_us < now:
             self.first_turns.popitem(last=False)
-        for worker in [name for name, estimate in self.workers.items() if name not in ready and not estimate.running]:
-            del self.workers[worker]
+        for worker in [name for name, estimate in self.estimates.items() if name not in ready and not estimate.running]:
+            del self.estimates[worker]
 
     # ---- load exchange ------------------------------------------------------------------
 
@@ -480,7 +480,7 @@
         now = self.runtime.now()
         rows = [
             (worker, estimate.running, max(0, estimate.unread_tokens), int(self.own_suspicion(worker, now) * 10) * 10)
-            for worker, estimate in sorted(self.workers.items())
+            for worker, estimate in sorted(self.estimates.items())
         ]
         return [row for row in rows if row[1] or row[3]]
 
@@ -512,5 +512,5 @@
                 worker: len(records) for worker, records in sorted(self.session_table.by_worker.items()) if records
             },
             "trials": len(self.first_turns),
-            "running": {worker: estimate.running for worker, estimate in sorted(self.workers.items())},
+            "running": {worker: estimate.running for worker, estimate in sorted(self.estimates.items())},
         }
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -144,7 +144,7 @@
     def test_a_hollow_send_is_counted_until_its_first_event_and_its_end(self) -> None:
         fleet = self.made(nodes=4, listed=9, election="node")
         node = fleet.nodes["n1"]
-        estimates = node.gateway.forwarder.placement_of("model-0").workers
+        estimates = node.gateway.forwarder.placement_of("model-0").estimates
         node.runtime.spawn(fleet.stream(node, 0.5), simulated_cluster.log)
 
         def counted() -> tuple[int, bool]:
