--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -53,7 +53,8 @@
     async def watch_hangs(self) -> None:
         """Periodically probe the workers of hanging attempts, and cancel these attempts at unreachable workers.
 
-        The probe is needed because a connection across a network partition reports no error.
+        The probe is needed because a connection across a network partition reports no error. Attempts that another node
+        relays are left out, since this node can't reach their workers in any case.
         """
         while not self.node.stopped:
             await self.runtime.sleep(CHECK_INTERVAL_US)
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -1,6 +1,7 @@
 """Reachability of workers from one node: the last contact with each, and the workers to which connecting fails.
 
-The pool's owner decides whether a worker counts as unreachable for the whole fleet (`pools.worker_watch`).
+The pool's owner decides whether a worker counts as unreachable for the whole fleet (`pools.worker_watch`). For pools
+whose workers the node itself selects, `worker_reach` keeps a record of its own.
 """
 
 from __future__ import annotations
--- a/iriswheel/dataplane/placement.py
+++ b/iriswheel/dataplane/placement.py
@@ -8,6 +8,9 @@
 
 A prompt comes as a list of parts. All parts but the last may be shared with other requests; the last part, and tokens
 that belong to no part, are the request's own or those of one conversation.
+
+The suspicion of a worker, from 0 to 1, rises with its failures and decays with time. It adds to the worker's estimate,
+and a worker with a high suspicion gets no requests while enough other workers are healthy.
 """
 
 from __future__ import annotations
--- a/iriswheel/dataplane/worker_reach.py
+++ b/iriswheel/dataplane/worker_reach.py
@@ -4,6 +4,8 @@
 unreachable worker would wait for a connection, and after a few such attempts it would be refused although a reachable
 worker could serve it. So no request is used to find out whether a worker is reachable again: the node tries
 connections in the background.
+
+This record serves pools whose workers the node itself selects; `health` keeps that for the other pools.
 """
 
 from __future__ import annotations
--- a/iriswheel/pools/takeover.py
+++ b/iriswheel/pools/takeover.py
@@ -116,6 +116,7 @@
             owner.end()  # a member that has seen a newer term refuses this one
             return False
         now = self.runtime.now()
+        # `base` names the members of the last active replica group
         replica_holders = [
             member for member in owner.assignment.base if member in answers and answers[member].has_replica
         ]
