--- a/iriswheel/dataplane/attempt_registry.py
+++ b/iriswheel/dataplane/attempt_registry.py
@@ -37,7 +37,7 @@
         self.attempts.pop(attempt_id, None)
 
     def cancel_unreachable(self, worker: str) -> None:
-        """Cancel the attempts without a first byte yet at a worker that no node can reach."""
+        """Cancel the attempts at a worker that no node can reach, except those whose answer has begun."""
         for attempt in [
             attempt for attempt in self.attempts.values() if attempt.worker == worker and not attempt.answer_begun
         ]:
@@ -53,7 +53,8 @@
     async def watch_hangs(self) -> None:
         """Periodically probe the workers of hanging attempts, and cancel these attempts at unreachable workers.
 
-        The probe is needed because a connection across a network partition reports no error.
+        The probe is needed because a connection across a network partition reports no error. Attempts that another node
+        relays are left out, since this node can't reach their workers in any case.
         """
         while not self.node.stopped:
             await self.runtime.sleep(CHECK_INTERVAL_US)
--- a/iriswheel/dataplane/health.py
+++ b/iriswheel/dataplane/health.py
@@ -1,6 +1,7 @@
 """Reachability of workers from one node: the last contact with each, and the workers to which connecting fails.
 
-The pool's owner decides whether a worker counts as unreachable for the whole fleet (`pools.worker_watch`).
+The pool's owner decides whether a worker counts as unreachable for the whole fleet (`pools.worker_watch`). For pools
+whose workers the node itself selects, `worker_reach` keeps a record of its own.
 """
 
 from __future__ import annotations
@@ -74,7 +75,7 @@
         return sorted(self.last_contact_us)
 
     async def probe(self, worker: message.Worker) -> message.ProbeResponse:
-        """Ask a worker for its load: the outcome is that it answered, only accepted the connection, or neither."""
+        """Ask a worker for its load; the outcome tells if it answered, only accepted a connection, or did neither."""
         response = await self._ask_load(worker)
         if response.outcome == message.ProbeOutcome.NOT_REACHED.value:
             self.note_unreachable(worker.id)
--- a/iriswheel/dataplane/worker_reach.py
+++ b/iriswheel/dataplane/worker_reach.py
@@ -4,6 +4,8 @@
 unreachable worker would wait for a connection, and after a few such attempts it would be refused although a reachable
 worker could serve it. So no request is used to find out whether a worker is reachable again: the node tries
 connections in the background.
+
+This record serves pools whose workers the node itself selects; `health` keeps that for the other pools.
 """
 
 from __future__ import annotations
@@ -91,8 +93,8 @@
     def note_unreachable(self, worker: message.Worker) -> None:
         """Note that connecting to a worker failed.
 
-        If no worker of its zone was heard recently, the whole zone counts as unreachable until a connection to one of
-        them is made, and a connection to another of its workers is tried at once.
+        If no worker of its zone sent anything recently, the whole zone counts as unreachable until a connection to one
+        of its workers is made, and a connection to another of them is tried at once.
         """
         self.unreachable_workers.pop(worker.id, None)
         self.unreachable_workers[worker.id] = None
