--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -18,7 +18,7 @@
     from iriswheel.node import follower
     from iriswheel.transport import wire
 
-ROLE_KEY = "list"
+LISTING_ROLE = "list"
 """The key of the assignment of the role of polling the platform."""
 
 RETRY_INTERVAL_US = 500 * units.MILLISECOND_US
@@ -91,7 +91,7 @@
 
     def _own_assignment(self) -> message.RoleAssignment | None:
         """Return the role's assignment if this node holds it and need not rejoin the core first; else None."""
-        assignment = self.follower.assignment(ROLE_KEY)
+        assignment = self.follower.assignment(LISTING_ROLE)
         mine = assignment is not None and assignment.holder == self.node.member.id and not self.follower.needs_rejoin()
         return assignment if mine else None
 
--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -26,7 +26,7 @@
     >>> pool_of(message.RoleAssignment("pool/desk", (1, 1), "n", [], []))
     'desk'
     """
-    prefix = pool_owner.ROLE_KEY_PREFIX
+    prefix = pool_owner.POOL_ROLE_PREFIX
     return assignment.key.removeprefix(prefix) if assignment.key.startswith(prefix) else None
 
 
--- a/iriswheel/pools/pool_owner.py
+++ b/iriswheel/pools/pool_owner.py
@@ -33,7 +33,7 @@
 SWEEPS_PER_SNAPSHOT = 6
 """Number of sweeps after which all records are replicated again, in case a replica has missed an update."""
 
-ROLE_KEY_PREFIX = "pool/"
+POOL_ROLE_PREFIX = "pool/"
 
 log = loguru.logger.bind(part="pool_owner")
 
@@ -83,7 +83,7 @@
         It may once it has gathered its records, the membership lists it as active under its term, this node has a
         worker list, and this node does not have to rejoin the fleet.
         """
-        assignment = self.node.follower.assignment(f"{ROLE_KEY_PREFIX}{self.pool}")
+        assignment = self.node.follower.assignment(f"{POOL_ROLE_PREFIX}{self.pool}")
         return (
             self.is_live()
             and self.gathered
@@ -216,10 +216,10 @@
         """
         state = ""
         for assignment in self.node.follower.membership.assignments:
-            if not assignment.key.startswith(ROLE_KEY_PREFIX) or assignment.key == self.assignment.key:
+            if not assignment.key.startswith(POOL_ROLE_PREFIX) or assignment.key == self.assignment.key:
                 continue
             holders = [member for member in self.node.follower.membership.members if member.id == assignment.holder]
-            other_pool = assignment.key.removeprefix(ROLE_KEY_PREFIX)
+            other_pool = assignment.key.removeprefix(POOL_ROLE_PREFIX)
             revocation = message.RevokeRequest(other_pool, self.pool, request.request_id)
             responses = await self.node.call_members(holders, revocation, replication.REPLICATION_DEADLINE_US)
             response = responses.get(assignment.holder)
