--- a/iriswheel/control/submitted_changes.py
+++ b/iriswheel/control/submitted_changes.py
@@ -245,8 +245,8 @@
         return KnownState(
             version=read.version,
             items=read.items,
-            accepted_version=read.taken,
-            highest_dropped_number=read.forgotten,
+            accepted_version=read.accepted_version,
+            highest_dropped_number=read.highest_dropped_number,
             read_at_tail=True,
         )
 
--- a/iriswheel/transport/messages/replication.py
+++ b/iriswheel/transport/messages/replication.py
@@ -124,12 +124,17 @@
     plan: str = ""
 
 
-class ReadResponse(message_base.Message, tag="Seen", frozen=True):
+class ReadResponse(
+    message_base.Message,
+    tag="Seen",
+    frozen=True,
+    rename={"accepted_version": "taken", "highest_dropped_number": "forgotten"},
+):
     """The answer to `ReadRequest`: the configuration's version and items, and the requested plan."""
 
     ok: bool
     version: int = 0
     items: message_base.Items = msgspec.field(default_factory=dict)
     plan: dict[str, typing.Any] | None = None
-    taken: int = 0  # version that the change of the requested id made; 0 if unknown
-    forgotten: int = 0  # highest number of an accepted change whose id is no longer stored
+    accepted_version: int = 0  # version that the change of the requested id made; 0 if unknown
+    highest_dropped_number: int = 0  # highest number of an accepted change whose id is no longer stored
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -83,7 +83,7 @@
         assert not self.send(replica, message.ReadRequest(4)).result.ok
         replica.tail.commit_synced(4)
         read = self.send(replica, message.ReadRequest(4, "c0-1-0a")).result
-        assert (read.ok, read.version, read.taken) == (True, 1, 1)
+        assert (read.ok, read.version, read.accepted_version) == (True, 1, 1)
         consensus.set_view(5, "b", "a")
         assert not self.send(replica, message.ReadRequest(5)).result.ok
 
@@ -107,7 +107,7 @@
         assert not self.send(restarted, message.ReadRequest(4)).result.ok
         restarted.tail.commit_synced(4)
         read = self.send(restarted, message.ReadRequest(4, "c0-1-0a")).result
-        assert (read.ok, read.version, read.taken) == (True, 1, 1)
+        assert (read.ok, read.version, read.accepted_version) == (True, 1, 1)
         empty = self.replica(FixedConsensus(4, "a"))
         empty.tail.commit_synced(4)
         assert self.send(empty, message.ReadRequest(4)).result.ok
