--- a/iriswheel/consensus/view_consensus.py
+++ b/iriswheel/consensus/view_consensus.py
@@ -70,7 +70,7 @@
         self.required_copies = copies
         self.last_entry: collections.abc.Callable[[], decisions.LastEntry] = lambda: decisions.NO_ENTRY
         """Returns the newest log entry of this machine's copy; set by the component that owns the log."""
-        self.started_at = runtime.now()
+        self.started_at_us = runtime.now()
         self.acceptor = acceptor.Acceptor(
             runtime, disk, record, own_voter, on_view=on_view, last_entry=self._last_entry
         )
@@ -137,7 +137,7 @@
         False until PEER_TIMEOUT_US after the start, before the other machines have had time to be heard.
         """
         view = self.view
-        has_listened = self.runtime.now() - self.started_at >= timing.PEER_TIMEOUT_US
+        has_listened = self.runtime.now() - self.started_at_us >= timing.PEER_TIMEOUT_US
         return view is not None and has_listened and not self.peer_heartbeats.hears_majority(view)
 
     def voter(self, identifier: str) -> message.Voter | None:
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -187,7 +187,7 @@
         """
         parts = self.parts
         state = parts.chain.latest_state
-        started_recently = parts.runtime.now() - parts.consensus.started_at < UNCONFIRMED_AFTER_START_US
+        started_recently = parts.runtime.now() - parts.consensus.started_at_us < UNCONFIRMED_AFTER_START_US
         if self.is_serving() or join.applied_index >= 0 or not state.index or not started_recently:
             return
         items = configuration.slice_for_node(state.items, join.member.zone)
