--- a/iriswheel/control/tail_service.py
+++ b/iriswheel/control/tail_service.py
@@ -78,7 +78,7 @@
         heartbeat at once.
         """
         before = self.applied_by_all()
-        lists_new_nodes = report.core not in self.newest_report_times or any(
+        is_answered_at_once = report.core not in self.newest_report_times or any(
             node not in self.lease_holders.holders for node, _, _ in report.leases
         )
         self.parts.node_reports.record_listing_unchanged(report.listing_unchanged)
@@ -88,7 +88,7 @@
         if self.parts.consensus.is_tail() and view is not None and report.view == view.number:
             self.newest_report_times[report.core] = max(report.sent_at, self.newest_report_times.get(report.core, 0))
             self.lease_holders.record_report(report.core, report.leases, self.parts.runtime.now())
-        if self.applied_by_all() != before or lists_new_nodes:
+        if self.applied_by_all() != before or is_answered_at_once:
             self.heartbeat_now.wake()
 
     def applied_by_all(self) -> int:
