--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -192,7 +192,7 @@
 
     def on_view(
         self,
-        before: collections.abc.Sequence[decisions.ReplicaIncarnation] | None,
+        previous_chain: collections.abc.Sequence[decisions.ReplicaIncarnation] | None,
         chain: collections.abc.Sequence[decisions.ReplicaIncarnation],
         now: int,
         was_tail: bool = False,
@@ -204,14 +204,14 @@
         on which a lease was granted; any other waits until such leases have expired.
 
         Args:
-            before: The chain of the previous view; empty if this is the first view, None if it is not known here.
+            previous_chain: The chain of the previous view; empty if this is the first view, None if it is not known here.
             chain: The chain of the new view.
             now: The time in µs on this machine's clock.
             was_tail: Whether this machine was the tail of the previous view.
         """
-        if before == []:
+        if previous_chain == []:
             self.unknown_grants_until = now
-        elif before is None or not (was_tail or set(before) <= set(chain)):
+        elif previous_chain is None or not (was_tail or set(previous_chain) <= set(chain)):
             self.unknown_grants_until = now + self.duration_us + DRIFT_US
         self.unreported_cores = {core for core, _ in chain}
 
