--- a/iriswheel/consensus/timing.py
+++ b/iriswheel/consensus/timing.py
@@ -27,6 +27,7 @@
 VIEW_CHECK_INTERVAL_US = 200 * units.MILLISECOND_US
 
 VIEW_CHECK_JITTER_US = 50 * units.MILLISECOND_US
+"""Upper limit of the random time that is added to VIEW_CHECK_INTERVAL_US."""
 
 CALL_TIMEOUT_US = 1 * units.SECOND_US
 
--- a/iriswheel/consensus/view_change.py
+++ b/iriswheel/consensus/view_change.py
@@ -126,7 +126,7 @@
     # ---- agreement on the next view --------------------------------------------
 
     async def _bootstrap(self) -> None:
-        """Make view 1, if this machine has the first initial address and all its machines are live and know no view."""
+        """Make view 1, if this machine has its first address and all machines of view 1 are live without a view."""
         own_address = (self.own_voter.host, self.own_voter.port)
         without_view = self.heartbeats.recent_without_view() | {own_address}
         if self._initial_addresses[:1] != [own_address] or not set(self._initial_addresses) <= without_view:
--- a/iriswheel/consensus/view_consensus.py
+++ b/iriswheel/consensus/view_consensus.py
@@ -179,7 +179,7 @@
 
     @property
     def heartbeat_now(self) -> scheduler.Signal:
-        """Makes the heartbeat tasks send at once, without waiting for their interval."""
+        """The signal that, when woken, makes the heartbeat tasks send at once, without waiting for their interval."""
         return self.peer_heartbeats.send_now
 
     def addresses(self) -> set[peer_heartbeats.Address]:
--- a/iriswheel/consensus/view_formation.py
+++ b/iriswheel/consensus/view_formation.py
@@ -132,7 +132,7 @@
 def is_handing_over(
     view: message.View, alive: decisions.Incarnations, leaving: decisions.Incarnations, synced: set[str]
 ) -> bool:
-    """Whether no synced replica of the chain stays, but one is leaving, which must first sync another machine.
+    """Whether all live synced replicas of the chain are leaving, so that one must first bring another machine in sync.
 
     >>> chain = [message.ChainReplica("a", "1"), message.ChainReplica("b", "1")]
     >>> view = message.View(4, [], chain)
@@ -160,8 +160,9 @@
         view: The present view.
         promises: The promises of a majority of its voters, by voter id.
         voters: The voters that the next view should have.
-        alive: The incarnations of the live machines that are not leaving; a promise takes precedence over this.
-        leaving: The incarnations of the live machines that are leaving.
+        alive: The live machines that are not leaving, or are still needed, with their incarnations. Where a promise
+            gives another incarnation, that one is used.
+        leaving: The live machines that are leaving, with their incarnations.
 
     >>> a, b = message.ChainReplica("a", "1"), message.ChainReplica("b", "1")
     >>> old = message.View(4, [message.Voter(i, i, 1, "zone") for i in "ab"], [a, b])
--- a/iriswheel/control/chain_client.py
+++ b/iriswheel/control/chain_client.py
@@ -21,8 +21,8 @@
     from iriswheel.control import core_parts, counters
 
 HEAD, TAIL = 0, -1  # indexes of replicas in the chain
-TIMEOUT_US = 3 * units.SECOND_US  # of one call
-READ_RETRY_US = 900 * units.MILLISECOND_US  # retry period of a read, for example while the tail has no lease
+TIMEOUT_US = 3 * units.SECOND_US  # longest duration of one call to the head or the tail
+READ_RETRY_US = 900 * units.MILLISECOND_US  # time for which a failed read is retried, as while the tail has no lease
 RETRY_DELAY_US = 30 * units.MILLISECOND_US
 
 Result = typing.TypeVar("Result")
--- a/iriswheel/control/core.py
+++ b/iriswheel/control/core.py
@@ -34,7 +34,7 @@
     from iriswheel.runtime import options
     from iriswheel.transport import http_server
 
-STOP_NOTICE_US = 100 * units.MILLISECOND_US  # lets the redirects reach the nodes
+STOP_NOTICE_US = 100 * units.MILLISECOND_US  # wait in which the redirects reach the nodes
 STOP_CHECK_INTERVAL_US = 50 * units.MILLISECOND_US
 
 Answer: typing.TypeAlias = collections.abc.Coroutine[typing.Any, typing.Any, message.Message | None]
--- a/iriswheel/control/load_exchange.py
+++ b/iriswheel/control/load_exchange.py
@@ -37,7 +37,7 @@
         self.parts = parts
         self.node_sessions = node_sessions
         self.tables: dict[str, load_table.LoadTable] = {}  # by the id of the reporting node or core machine
-        self.last_contact: dict[str, int] = {}  # µs; when each other core machine last reported
+        self.last_contact: dict[str, int] = {}  # time (µs) of the last report of each other core machine
         self.node_sums: load_table.LoadTable = {}  # over the nodes with a session at this core machine
         self.sums: load_table.LoadTable = {}  # over all nodes
         # receiver (node or core machine) -> keys changed since the last report to it; None: the next is complete
@@ -56,7 +56,7 @@
                     self._send_changes(receiver, before.keys())
 
     def reset_node(self, node: str) -> None:
-        """Send a complete report next to a node that has opened a new session."""
+        """Make the next report to a node complete, since the node has opened a new session."""
         self.pending.pop(node, None)
 
     async def run(self) -> None:
--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -18,7 +18,8 @@
     from iriswheel.transport import wire
 
 HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
-# After running for this time without serving, a core machine counts as cut off, and its state may be out of date.
+# Time after the start for which a core machine that does not serve sends nodes its unconfirmed configuration. Later it
+# counts as cut off, and its state may be out of date.
 UNCONFIRMED_AFTER_START_US = 15 * units.SECOND_US
 NO_MEMBERSHIP = (0, 0)
 
--- a/iriswheel/control/owned_pools.py
+++ b/iriswheel/control/owned_pools.py
@@ -10,7 +10,7 @@
     from iriswheel.replication import chain
 
 POOL_PREFIX = "pools/"
-DEFAULT_ELECTION = configuration.Election.POOL_OWNER  # of a pool that does not specify its election
+DEFAULT_ELECTION = configuration.Election.POOL_OWNER  # election of a pool that specifies none
 
 
 class OwnedPools:
--- a/iriswheel/control/replica_store.py
+++ b/iriswheel/control/replica_store.py
@@ -86,10 +86,11 @@
                 self.parts.runtime.spawn(self.parts.peers.tell(voter.host, voter.port, records), log)
 
     async def collect(self, request: message.RecordsRequest) -> message.RecordsResponse:
-        """The session records of a pool for a new pool owner; `has_replica`: whether the pool had an owner before.
+        """Answer a new pool owner with the session records of its pool.
 
-        Before the answer, the term of the new owner is synced to disk, so that a later pool owner does not mistake
-        the pool for a new one. A pool owner that repeats its request under the same term is not a later owner.
+        `has_replica` in the answer says whether the pool had an owner before. If it had none, the term of the new owner
+        is synced to disk before the answer, so that a later pool owner does not mistake the pool for a new one.
+        A pool owner that repeats its request under the same term is not a later owner.
         """
         session_replica = self._replica(request.pool)
         had_owner = session_replica.term not in (NO_TERM, request.term)
--- a/iriswheel/control/slices.py
+++ b/iriswheel/control/slices.py
@@ -32,7 +32,10 @@
 
 
 class CachedChanges(typing.NamedTuple):
-    """The changes between two slices. It refers to the slices, so that no other object gets their ids."""
+    """The changes between two slices, which are cached under the `id()` of both slices.
+
+    The entry keeps both slices alive, so that no other object can get the same `id()`.
+    """
 
     old: Slice
     new: Slice
--- a/iriswheel/control/submitted_changes.py
+++ b/iriswheel/control/submitted_changes.py
@@ -20,7 +20,7 @@
 TIMEOUT_US = 900 * units.MILLISECOND_US  # a change is answered within this time, with an unknown outcome if need be
 RETRY_DELAY_US = 30 * units.MILLISECOND_US
 MAX_PROBLEMS_SHOWN = 50  # configuration errors listed in one answer
-NO_VERSION = 0  # base used for the id in a read, before the base version is known
+NO_VERSION = 0  # base version in the id for a read that is made before the base version is known
 
 MakeItems: typing.TypeAlias = collections.abc.Callable[[configuration.Items], dict[str, configuration.Item]]
 
--- a/iriswheel/control/tail_contact.py
+++ b/iriswheel/control/tail_contact.py
@@ -39,7 +39,7 @@
         self._applied_by_all_changed = scheduler.Signal()
 
     def has_recent_answer(self) -> bool:
-        """Whether the tail of the current view has answered a report that was sent within CONTACT_TIMEOUT_US."""
+        """Whether the tail of the current view has answered a report sent within the last CONTACT_TIMEOUT_US."""
         view = self.parts.consensus.view
         return (
             view is not None
@@ -60,7 +60,7 @@
         if heartbeat.echo:
             sent_at = max(heartbeat.echo, self.answered_report.sent_at)
             self.answered_report = AnsweredReport(sent_at, heartbeat.view)
-        else:
+        else:  # the tail has no report of this machine in this view yet
             self.parts.node_reports.report_now.wake()
         self.parts.membership.keep_newest(heartbeat.membership)
         if self.parts.chain.is_synced():
--- a/iriswheel/membership/assignments.py
+++ b/iriswheel/membership/assignments.py
@@ -1,7 +1,7 @@
 """Assignment of roles to nodes, as pure functions of the live members and the previous assignments.
 
-A role is a task that one node has for the whole fleet: the holder of role "list" keeps the worker list, and the holder
-of role "pool/<name>" is the owner of that pool.
+A role is a task that one node has for the whole fleet: the holder of role "list" polls the platform for the worker
+list, and the holder of role "pool/<name>" is the owner of that pool.
 """
 
 from __future__ import annotations
--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -31,7 +31,7 @@
     from iriswheel.consensus import decisions
 
 DRIFT_US = 50 * units.MILLISECOND_US  # largest drift between two clocks during one lease
-# A node that was not heard for this time gets no lease until a report to the tail lists it again.
+# A node that was not heard for this time gets no lease until the tail has answered a report that lists it again.
 NODE_SILENCE_LIMIT_US = 700 * units.MILLISECOND_US
 
 
@@ -75,7 +75,7 @@
 
     applied: int  # the log index up to which the node has applied the configuration, -1 before its first configuration
     last_contact_at: int  # arrival time of the node's newest heartbeat
-    listed_at: int | None = None  # send time of the first of the latest reports that all list the node
+    listed_at: int | None = None  # send time of the report since which each report lists the node
 
 
 class CoreLease:
@@ -204,7 +204,7 @@
         on which a lease was granted; any other waits until such leases have expired.
 
         Args:
-            previous_chain: The chain of the previous view; empty if this is the first view, None if it is not known here.
+            previous_chain: The chain of the previous view; empty if this is the first view, None if not known here.
             chain: The chain of the new view.
             now: The time in µs on this machine's clock.
             was_tail: Whether this machine was the tail of the previous view.
--- a/iriswheel/membership/membership_manager.py
+++ b/iriswheel/membership/membership_manager.py
@@ -20,7 +20,7 @@
 # Time for which a new tail waits before it issues, if no node has reported a membership: all nodes have restarted, so
 # no role has a holder.
 FIRST_MEMBERSHIP_WAIT_US = 100 * units.MILLISECOND_US
-REPORT_VALIDITY_US = 1 * units.SECOND_US  # age from which a core machine's report no longer shows that it has sessions
+REPORT_VALIDITY_US = 1 * units.SECOND_US  # age above which the sessions in a core machine's report count as ended
 ENDED_SESSION_GRACE_US = 500 * units.MILLISECOND_US  # time for which a node stays a member after its session has ended
 LOST_SESSION_GRACE_US = 3_500 * units.MILLISECOND_US  # the same, for a node whose core machine is silent
 REMOVED_POOL_RETENTION_US = 600 * units.SECOND_US  # time for which a removed pool keeps its owner, as claims are kept
@@ -34,7 +34,7 @@
 
     @property
     def now(self) -> collections.abc.Callable[[], int]:
-        """The time in µs."""
+        """The function that returns the time in µs."""
 
 
 class Consensus(typing.Protocol):
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -74,7 +74,7 @@
     # ---- state ---------------------------------------------------------
 
     def is_established(self) -> bool:
-        """Whether the lease was renewed on this session within wire.TIMEOUT_US."""
+        """Whether the lease was renewed on this session within wire.SILENCE_TIMEOUT_US."""
         return self._leased_within(wire.SILENCE_TIMEOUT_US)
 
     def has_recent_contact(self) -> bool:
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -29,7 +29,7 @@
 """The time after which a node that was frozen may complete its rejoin without a session with the core."""
 
 WORKER_LIST_VALIDITY_US = 2_500 * units.MILLISECOND_US
-"""The age of the last confirmation from which on a worker list is not used."""
+"""The age of its last confirmation from which on a worker list is no longer used."""
 
 WORKER_UPDATE_TIMEOUT_US = 1_500 * units.MILLISECOND_US
 """The time without an update of the worker list after which a node asks the platform itself."""
@@ -39,10 +39,11 @@
 TICK_WITHOUT_CORE_US = 200 * units.MILLISECOND_US
 
 CLOCK_MARGIN_US = 250 * units.MILLISECOND_US
-"""A margin for the drift of clocks while keys are accepted without a lease, and for a request's time to a worker."""
+"""A margin for the drift of clocks while keys are accepted without a lease, and for the time that a request takes to
+reach a worker."""
 
 NO_CONFIGURATION = -1
-"""The applied version that a node reports before its first confirmed configuration."""
+"""The applied log index that a node reports before its first confirmed configuration."""
 
 log = loguru.logger.bind(part="follower")
 
@@ -393,7 +394,7 @@
                 and now - self.rejoining_since > REJOIN_TIMEOUT_US
                 and not self.is_partitioned()
             ):
-                self.rejoining_since = None  # every other member has lost the core too
+                self.rejoining_since = None  # every other member has lost the core too, or `serve_on` is set
                 self.node.on_update()
 
 
--- a/iriswheel/node/load_reporter.py
+++ b/iriswheel/node/load_reporter.py
@@ -16,9 +16,8 @@
     from iriswheel.node import node
     from iriswheel.transport import wire
 
-SESSION_CHECK_INTERVAL_US = (
-    500 * units.MILLISECOND_US
-)  # longest time until a new session is noticed while the load is unchanged
+# longest time until a new session is noticed while the load is unchanged
+SESSION_CHECK_INTERVAL_US = 500 * units.MILLISECOND_US
 
 
 class LoadReporter:
@@ -72,9 +71,8 @@
             self.has_changed = False
             self.report()
             suspected = any(load.suspicion_percent for load in (self.last_reported or {}).values())
-            self.has_changed = (
-                self.has_changed or suspected
-            )  # a suspicion decays with time, so it changes without an event
+            # a suspicion decays with time, so it changes without an event
+            self.has_changed = self.has_changed or suspected
 
     def apply_sums(self, report: message.LoadReport) -> None:
         """Apply the sums of the other nodes' loads to the placement of each pool."""
--- a/iriswheel/node/node.py
+++ b/iriswheel/node/node.py
@@ -51,7 +51,7 @@
         self.abandoned_attempts: dict[str, owner_client.AbandonedAttempt] = {}
         self.draining = False  # not ready any more, but still serving new requests
         self.refusing_requests = False  # set late in the drain: new requests get an error
-        self.drain_noticed_at_us: int | None = None  # when the platform first asked and learnt that this node drains
+        self.drain_noticed_at_us: int | None = None  # time of the first "not ready" answer while draining
         self.stopped = False  # makes all tasks end
         self.options_reloaded_at_us: int | None = None  # time of the last reload of the options
 
--- a/iriswheel/node/platform_listing.py
+++ b/iriswheel/node/platform_listing.py
@@ -22,7 +22,8 @@
 """The key of the assignment of the role of polling the platform."""
 
 RETRY_INTERVAL_US = 500 * units.MILLISECOND_US
-"""The base of the random retry delay of a node without the role; its limit doubles with each failure in a row."""
+"""The base of the random retry delay of a node without the role; the longest delay doubles with each failure in a row,
+at most MAX_RETRY_DOUBLINGS times."""
 
 MAX_RETRY_DOUBLINGS = 3
 MAX_SPREAD_US = 4 * units.SECOND_US
--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -93,7 +93,7 @@
         return owner.select_worker(request)
 
     def revoke(self, request: message.RevokeRequest) -> Revocation | message.RevokeResponse:
-        """Let a pool's owner say whether it sent a request, and revoke it if not; LATER if no owner runs here."""
+        """Let a pool's owner say whether it sent a request, and revoke it if not; RETRY_LATER if none runs here."""
         owner = self.owners.get(request.pool)
         if owner is None:
             return message.RevokeResponse(pool_owner.RevocationState.RETRY_LATER.value)
--- a/iriswheel/node/shutdown.py
+++ b/iriswheel/node/shutdown.py
@@ -29,9 +29,10 @@
 async def stop_gracefully(stopping_node: node.Node) -> None:
     """Report not ready, hand over the roles, let streams end, and stop, all within the option `grace_us`.
 
-    New requests are served until the platform has noticed that this node is not ready and
-    has had the time `notice_us` to send clients elsewhere, but for at most 3 s or half of the
-    grace. The last eighth of the grace (at most 1 s) is a reserve.
+    New requests are served for 3 s or half of the grace, whichever is shorter, and refused later. The node stops once
+    no request is open, but not before that time is over or the platform has noticed that this node is not ready and has
+    had the time `notice_us` to send clients elsewhere. The last eighth of the grace (at most 1 s) is a reserve, before
+    which the node stops in any case.
     """
     gateway = stopping_node.gateway
     stopping_node.draining = True
--- a/iriswheel/node/worker_list.py
+++ b/iriswheel/node/worker_list.py
@@ -33,7 +33,10 @@
         return True
 
     def accept_unchanged(self, unchanged: message.ListingUnchanged, now: int) -> bool:
-        """Record that the list is unchanged since a full listing; return False if this node lacks that listing."""
+        """Record that the list is unchanged since a full listing; return False if this node lacks that listing.
+
+        A notice about an older full listing than this node's is ignored.
+        """
         if unchanged.unchanged_since != self._full_version:
             return self._full_version > unchanged.unchanged_since
         self._newest_version = max(self._newest_version, unchanged.version)
--- a/iriswheel/replicated_counters/add_log.py
+++ b/iriswheel/replicated_counters/add_log.py
@@ -84,7 +84,7 @@
         self.progress = scheduler.Signal()
         self._unwritten: list[counter_state.AddId] = []
         self._writing = False
-        self._write_started_at_us = 0  # start of the current write, where one is under way
+        self._write_started_at_us = 0  # start time of the write under way, if there is one
 
     def is_working(self) -> bool:
         """Whether the disk monitor reports no fault and no write of this log has been under way for STALL_US."""
--- a/iriswheel/replicated_counters/counter_state.py
+++ b/iriswheel/replicated_counters/counter_state.py
@@ -146,12 +146,10 @@
 
     def __init__(self) -> None:
         self.held = HeldAdds()
-        self._adds: dict[str, dict[int, message.CounterAdd]] = collections.defaultdict(
-            dict
-        )  # by origin, then sequence number
-        self._counted: dict[str, dict[str, OriginAdd]] = collections.defaultdict(
-            dict
-        )  # by counter and caller's id: the least add
+        # by origin, then sequence number
+        self._adds: dict[str, dict[int, message.CounterAdd]] = collections.defaultdict(dict)
+        # by counter, then the caller's id: the add that counts towards the sum
+        self._counted: dict[str, dict[str, OriginAdd]] = collections.defaultdict(dict)
         self._sums: dict[str, int] = collections.defaultdict(int)
 
     def insert(self, origin: str, add: message.CounterAdd) -> bool:
--- a/iriswheel/replicated_counters/counters.py
+++ b/iriswheel/replicated_counters/counters.py
@@ -16,8 +16,8 @@
     from iriswheel.runtime import scheduler, storage
     from iriswheel.transport import peer_calls
 
-REACHABILITY_DELAY_US = 3 * units.SECOND_US  # after the start, before silence counts as a partition
-READ_DELAY_US = 1_500 * units.MILLISECOND_US  # after the start, while reads need a comparison with a majority
+REACHABILITY_DELAY_US = 3 * units.SECOND_US  # time after the start in which silence does not count as a partition
+READ_DELAY_US = 1_500 * units.MILLISECOND_US  # time after the start in which reads need a comparison with a majority
 ACKNOWLEDGE_TIMEOUT_US = 2 * units.SECOND_US
 MAX_UNSYNCED = 10_000  # most adds accepted by this process and not synced on its disk yet
 MAX_ADDS = 300_000  # most adds held in memory
--- a/iriswheel/replicated_counters/peer_replica.py
+++ b/iriswheel/replicated_counters/peer_replica.py
@@ -48,7 +48,7 @@
         self.silent_ticks = 0
         self.disk_ok = True
         self._to_forward = counter_state.HeldAdds()  # adds of other origins to send from here
-        # adds that this machine lacked at the comparison of `_missing_noted_at_us`
+        # adds that the peer lacked at the comparison made at `_missing_noted_at_us`
         self._missing_at_comparison = counter_state.HeldAdds()
         self._missing_noted_at_us = 0
         self._sent_adds = counter_state.HeldAdds()  # adds sent in the call under way
--- a/iriswheel/replicated_counters/replicator.py
+++ b/iriswheel/replicated_counters/replicator.py
@@ -18,7 +18,9 @@
     from iriswheel.transport import peer_calls
 
 CALL_TIMEOUT_US = 1 * units.SECOND_US
-SYNC_WAIT_US = 400 * units.MILLISECOND_US  # longest wait of an answer for the disk; below a peer's limit for silence
+# Longest time for which an answer waits for the disk; shorter than the silence of `peer_replica.UNREACHABLE_TICKS`, so
+# that a peer does not count this machine as unreachable while its disk is slow.
+SYNC_WAIT_US = 400 * units.MILLISECOND_US
 RETRY_INTERVAL_US = 200 * units.MILLISECOND_US
 ADDRESS_INTERVAL_US = 250 * units.MILLISECOND_US
 
--- a/iriswheel/replication/receiver.py
+++ b/iriswheel/replication/receiver.py
@@ -77,7 +77,7 @@
         return response
 
     async def _store(self, request: message.CatchUp) -> bool:
-        """Store one catch-up message: a whole snapshot, entries after a sent snapshot, or entries only.
+        """Store one catch-up message: with a whole snapshot, for a snapshot that came in chunks, or with entries only.
 
         Returns:
             Whether the message was stored; False if it does not continue what this replica holds.
--- a/iriswheel/replication/replicated_log.py
+++ b/iriswheel/replication/replicated_log.py
@@ -19,9 +19,10 @@
 ENTRY_KEY_PREFIX = b"e"
 
 MAX_BATCH_ENTRIES = 64
-# old entries kept behind a snapshot, entries between two snapshots, and states kept for nodes that rejoin
+# Number of entries between two snapshots, number of newest committed entries kept on disk, and number of newest states
+# kept for nodes that rejoin.
 KEPT_ENTRIES = 512
-MAX_BYTES_SINCE_SNAPSHOT = 32 << 20  # of changes before a new snapshot is due, and of entries kept on disk
+MAX_BYTES_SINCE_SNAPSHOT = 32 << 20  # most bytes of changes between two snapshots, and of entries on disk
 
 log = loguru.logger.bind(part="chain")
 encode_entry = msgspec.msgpack.encode
--- a/iriswheel/replication/replicated_state.py
+++ b/iriswheel/replication/replicated_state.py
@@ -13,8 +13,8 @@
 from iriswheel.configuration import differences, slices
 from iriswheel.transport import message
 
-MAX_PLANS = 512  # kept of the open plans, and as many of the confirmed ones
-MAX_OPEN_PLAN_BYTES = 16 << 20  # of the changes of all open plans together
+MAX_PLANS = 512  # most open plans that are kept, and most confirmed plans that are kept
+MAX_OPEN_PLAN_BYTES = 16 << 20  # largest total size of the changes of all open plans
 MIN_ACCEPTED_CHANGES = 16_384  # newest accepted changes whose ids are always kept
 ACCEPTED_CHANGES_SLACK = 1_024  # further ids that may be kept before the oldest are dropped in one batch
 
@@ -46,7 +46,7 @@
     Attributes:
         index: The index of the newest log entry that is applied.
         view: The view in which that entry was created.
-        version: The configuration version: the index of the newest entry that applied or confirmed a change.
+        version: The configuration version: the index of the newest entry that applied a change or confirmed a plan.
         items: The configuration's items by key.
         plans: The plans that are kept, by id.
         published: The items as nodes receive them, without the operator's labels.
