--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -67,13 +67,15 @@
     """A lease that one node may hold."""
 
     expires_at_us: int  # on the clock of the machine that keeps this record
-    applied: int  # the log index up to which the node has applied the configuration
+    applied_index: int  # the log index up to which the node has applied the configuration
 
 
 class SessionLease(msgspec.Struct):
     """A node that has a session with this core machine; times in µs on the core machine's clock."""
 
-    applied: int  # the log index up to which the node has applied the configuration, -1 before its first configuration
+    applied_index: (
+        int  # the log index up to which the node has applied the configuration, -1 before its first configuration
+    )
     last_contact_at: int  # arrival time of the node's newest heartbeat
     listed_at: int | None = None  # send time of the report since which each report lists the node
 
@@ -114,15 +116,15 @@
             self.answered_report_at = sent_at
             self.expires_at_us = sent_at + self.duration_us
 
-    def record_heartbeat(self, node: str, applied: int, now: int) -> None:
+    def record_heartbeat(self, node: str, applied_index: int, now: int) -> None:
         """Record a node's heartbeat that arrived at `now` (µs), and the log index up to which the node has applied."""
         session = self.sessions.get(node)
         if session is None:
-            self.sessions[node] = SessionLease(applied, now)
+            self.sessions[node] = SessionLease(applied_index, now)
         else:
-            session.applied, session.last_contact_at = max(applied, session.applied), now
+            session.applied_index, session.last_contact_at = max(applied_index, session.applied_index), now
         if node in self.grants:
-            self.grants[node].applied = max(applied, self.grants[node].applied)
+            self.grants[node].applied_index = max(applied_index, self.grants[node].applied_index)
 
     def end_session(self, node: str) -> None:
         """Forget a node's session, which has ended; a lease that was granted to the node may still run."""
@@ -141,7 +143,7 @@
         expires_at_us = min(self.expires_at_us, session.last_contact_at + self.duration_us)
         old = self.grants.get(node)
         self.grants[node] = GrantedLease(
-            max(expires_at_us, old.expires_at_us if old is not None else 0), session.applied
+            max(expires_at_us, old.expires_at_us if old is not None else 0), session.applied_index
         )
         return self.expires_at_us - now
 
@@ -154,16 +156,16 @@
         rows = {}
         self.grants = {node: grant for node, grant in self.grants.items() if grant.expires_at_us > now}
         for node, grant in self.grants.items():
-            rows[node] = (node, grant.applied, grant.expires_at_us - now)
+            rows[node] = (node, grant.applied_index, grant.expires_at_us - now)
         for node, session in self.sessions.items():
-            if session.applied < 0:
+            if session.applied_index < 0:
                 continue
             if now - session.last_contact_at > NODE_SILENCE_LIMIT_US:
                 session.listed_at = None
                 continue
             if session.listed_at is None:
                 session.listed_at = now
-            rows[node] = (node, session.applied, self.duration_us)
+            rows[node] = (node, session.applied_index, self.duration_us)
         return [row for _, row in sorted(rows.items())]
 
 
@@ -218,11 +220,11 @@
     def record_report(self, core: str, leases: list[LeaseRow], now: int) -> None:
         """Record the leases that a core machine lists in a report in the present view."""
         self.unreported_cores.discard(core)
-        for node, applied, remaining_us in leases:
-            reported = GrantedLease(now + remaining_us + DRIFT_US, applied)
+        for node, applied_index, remaining_us in leases:
+            reported = GrantedLease(now + remaining_us + DRIFT_US, applied_index)
             known = self.holders.get(node, reported)
             self.holders[node] = GrantedLease(
-                max(reported.expires_at_us, known.expires_at_us), max(reported.applied, known.applied)
+                max(reported.expires_at_us, known.expires_at_us), max(reported.applied_index, known.applied_index)
             )
 
     def applied_by_holders(self, index: int, now: int) -> int:
@@ -233,4 +235,4 @@
         if self.unreported_cores or now < self.unknown_grants_until:
             return 0
         self.holders = {node: grant for node, grant in self.holders.items() if grant.expires_at_us > now}
-        return min([index] + [grant.applied for grant in self.holders.values()])
+        return min([index] + [grant.applied_index for grant in self.holders.values()])
