--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -137,7 +137,9 @@
     def heartbeat(self) -> message.SessionHeartbeat:
         """Return this node's heartbeat: the versions of its configuration and membership, and the time of sending."""
         follower = self.follower
-        return message.SessionHeartbeat(follower.applied(), follower.membership.version, None, self.runtime.now())
+        return message.SessionHeartbeat(
+            follower.confirmed_index(), follower.membership.version, None, self.runtime.now()
+        )
 
     def receive(self, connection: wire.Connection, msg: message.Message) -> None:
         """Handle a message from a core machine: a redirect, a lease renewal, or an update for the follower."""
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -156,7 +156,7 @@
         """Return the route for a host and a path, or None."""
         return self.route_index.find(host, path)
 
-    def applied(self) -> int:
+    def confirmed_index(self) -> int:
         """Return the log index of the confirmed configuration that this node has applied, or NO_CONFIGURATION."""
         return NO_CONFIGURATION if self.items is None or self.unconfirmed_position else self.applied_index
 
@@ -374,7 +374,7 @@
     def join_request(self) -> message.JoinRequest:
         """Return the message that opens a session: this node, and the versions of its configuration and membership."""
         membership = self.membership if self.membership.version > (0, 0) else None
-        return message.JoinRequest(self.node.member, self.applied(), membership, self.runtime.now())
+        return message.JoinRequest(self.node.member, self.confirmed_index(), membership, self.runtime.now())
 
     async def watch_core_contact(self) -> None:
         """Detect freezes, and ask the peers about the core while this node has no contact with it; one task."""
