--- a/iriswheel/membership/lease.py
+++ b/iriswheel/membership/lease.py
@@ -35,7 +35,7 @@
 NODE_SILENCE_LIMIT_US = 700 * units.MILLISECOND_US
 
 
-LeaseRow: typing.TypeAlias = tuple[str, int, int]  # node id, log index applied, longest remaining time of a lease (µs)
+LeaseRow: typing.TypeAlias = tuple[str, int, int]  # node id, applied log index, longest remaining time of a lease (µs)
 
 
 class NodeLease:
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -69,7 +69,7 @@
         self.last_tried_at: dict[Address, int] = {}  # address -> time (µs), cleared when a session is established
         self.address_hint: Address | None = None  # core machine of a peer's session
         self.own_zone_tried_at = -OWN_ZONE_INTERVAL_US
-        self.moves = 0
+        self.moves = 0  # number of sessions established so far
 
     # ---- state ---------------------------------------------------------
 
