--- a/iriswheel/control/node_session.py
+++ b/iriswheel/control/node_session.py
@@ -18,7 +18,8 @@
     from iriswheel.transport import wire
 
 HEARTBEAT_INTERVAL_US = 250 * units.MILLISECOND_US
-# After running for this time without serving, a core machine counts as cut off, and its state may be out of date.
+# Time after the start for which a core machine that does not serve sends nodes its unconfirmed configuration. Later it
+# counts as cut off, and its state may be out of date.
 UNCONFIRMED_AFTER_START_US = 15 * units.SECOND_US
 NO_MEMBERSHIP = (0, 0)
 
@@ -187,7 +188,7 @@
         """
         parts = self.parts
         state = parts.chain.latest_state
-        started_recently = parts.runtime.now() - parts.consensus.started_at < UNCONFIRMED_AFTER_START_US
+        started_recently = parts.runtime.now() - parts.consensus.started_at_us < UNCONFIRMED_AFTER_START_US
         if self.is_serving() or join.applied_index >= 0 or not state.index or not started_recently:
             return
         items = configuration.slice_for_node(state.items, join.member.zone)
--- a/iriswheel/node/core_session.py
+++ b/iriswheel/node/core_session.py
@@ -69,12 +69,12 @@
         self.last_tried_at: dict[Address, int] = {}  # address -> time (µs), cleared when a session is established
         self.address_hint: Address | None = None  # core machine of a peer's session
         self.own_zone_tried_at = -OWN_ZONE_INTERVAL_US
-        self.moves = 0
+        self.moves = 0  # number of sessions established so far
 
     # ---- state ---------------------------------------------------------
 
     def is_established(self) -> bool:
-        """Whether the lease was renewed on this session within wire.TIMEOUT_US."""
+        """Whether the lease was renewed on this session within wire.SILENCE_TIMEOUT_US."""
         return self._leased_within(wire.SILENCE_TIMEOUT_US)
 
     def has_recent_contact(self) -> bool:
@@ -137,7 +137,9 @@
     def heartbeat(self) -> message.SessionHeartbeat:
         """Return this node's heartbeat: the versions of its configuration and membership, and the time of sending."""
         follower = self.follower
-        return message.SessionHeartbeat(follower.applied(), follower.membership.version, None, self.runtime.now())
+        return message.SessionHeartbeat(
+            follower.confirmed_index(), follower.membership.version, None, self.runtime.now()
+        )
 
     def receive(self, connection: wire.Connection, msg: message.Message) -> None:
         """Handle a message from a core machine: a redirect, a lease renewal, or an update for the follower."""
--- a/iriswheel/node/follower.py
+++ b/iriswheel/node/follower.py
@@ -29,7 +29,7 @@
 """The time after which a node that was frozen may complete its rejoin without a session with the core."""
 
 WORKER_LIST_VALIDITY_US = 2_500 * units.MILLISECOND_US
-"""The age of the last confirmation from which on a worker list is not used."""
+"""The age of its last confirmation from which on a worker list is no longer used."""
 
 WORKER_UPDATE_TIMEOUT_US = 1_500 * units.MILLISECOND_US
 """The time without an update of the worker list after which a node asks the platform itself."""
@@ -39,10 +39,11 @@
 TICK_WITHOUT_CORE_US = 200 * units.MILLISECOND_US
 
 CLOCK_MARGIN_US = 250 * units.MILLISECOND_US
-"""A margin for the drift of clocks while keys are accepted without a lease, and for a request's time to a worker."""
+"""A margin for the drift of clocks while keys are accepted without a lease, and for the time that a request takes to
+reach a worker."""
 
 NO_CONFIGURATION = -1
-"""The applied version that a node reports before its first confirmed configuration."""
+"""The applied log index that a node reports before its first confirmed configuration."""
 
 log = loguru.logger.bind(part="follower")
 
@@ -155,7 +156,7 @@
         """Return the route for a host and a path, or None."""
         return self.route_index.find(host, path)
 
-    def applied(self) -> int:
+    def confirmed_index(self) -> int:
         """Return the log index of the confirmed configuration that this node has applied, or NO_CONFIGURATION."""
         return NO_CONFIGURATION if self.items is None or self.unconfirmed_position else self.applied_index
 
@@ -373,7 +374,7 @@
     def join_request(self) -> message.JoinRequest:
         """Return the message that opens a session: this node, and the versions of its configuration and membership."""
         membership = self.membership if self.membership.version > (0, 0) else None
-        return message.JoinRequest(self.node.member, self.applied(), membership, self.runtime.now())
+        return message.JoinRequest(self.node.member, self.confirmed_index(), membership, self.runtime.now())
 
     async def watch_core_contact(self) -> None:
         """Detect freezes, and ask the peers about the core while this node has no contact with it; one task."""
@@ -393,7 +394,7 @@
                 and now - self.rejoining_since > REJOIN_TIMEOUT_US
                 and not self.is_partitioned()
             ):
-                self.rejoining_since = None  # every other member has lost the core too
+                self.rejoining_since = None  # every other member has lost the core too, or `serve_on` is set
                 self.node.on_update()
 
 
--- a/iriswheel/node/pool_roles.py
+++ b/iriswheel/node/pool_roles.py
@@ -26,7 +26,7 @@
     >>> pool_of(message.RoleAssignment("pool/desk", (1, 1), "n", [], []))
     'desk'
     """
-    prefix = pool_owner.ROLE_KEY_PREFIX
+    prefix = pool_owner.POOL_ROLE_PREFIX
     return assignment.key.removeprefix(prefix) if assignment.key.startswith(prefix) else None
 
 
@@ -93,7 +93,7 @@
         return owner.select_worker(request)
 
     def revoke(self, request: message.RevokeRequest) -> Revocation | message.RevokeResponse:
-        """Let a pool's owner say whether it sent a request, and revoke it if not; LATER if no owner runs here."""
+        """Let a pool's owner say whether it sent a request, and revoke it if not; RETRY_LATER if none runs here."""
         owner = self.owners.get(request.pool)
         if owner is None:
             return message.RevokeResponse(pool_owner.RevocationState.RETRY_LATER.value)
