--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -32,7 +32,7 @@
 ACKNOWLEDGED_LOSS_S = 0.004  # an acknowledging machine is lost within this time
 MAX_REFUSALS = 3  # after so many in a row an operator reads the configuration
 COMPLETE_AGAIN_S = 40  # within which all core machines are back
-AFTER_CLOSING_S = 15
+AFTER_OUTAGE_S = 15
 DISK_STATES: tuple[faults.DiskState, ...] = ("full", "slow", "stalled")  # in the order that draws follow
 REPLACEMENT_S = 9  # until a replaced or restarted machine is back
 
@@ -168,17 +168,17 @@
             deployment.schedule(at, self.rng.choice(FAULTS), self)
             at += self.rng.choice(FAULT_GAPS_S)
         deployment.advance(seconds)
-        self.close()
+        self.cause_fleet_outage()
 
-    def close(self) -> None:
+    def cause_fleet_outage(self) -> None:
         """Wait until no machine is lost, and let the closing fault strike."""
         deployment = self.site
         deployment.advance_until(lambda: not self.lost, COMPLETE_AGAIN_S)
         self.lost.add("all")
         days.acknowledged_change(deployment)
-        deployment.faults.close(self.rng.choice(faults.CLOSING_FAULTS), 0.9)
-        deployment.traffic_until = deployment.world.time + AFTER_CLOSING_S * units.SECOND_US
-        deployment.advance(AFTER_CLOSING_S)
+        deployment.faults.cause_fleet_outage(self.rng.choice(faults.FLEET_OUTAGES), 0.9)
+        deployment.traffic_until = deployment.world.time + AFTER_OUTAGE_S * units.SECOND_US
+        deployment.advance(AFTER_OUTAGE_S)
 
 
 # ---- faults -----------------------------------------------------------------------------
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -288,27 +288,27 @@
         deployment.advance(8)
 
 
-def _closing(deployment: site.Site, how: faults.ClosingFault) -> None:
+def _play_fleet_outage(deployment: site.Site, how: faults.FleetOutage) -> None:
     deployment.advance(5)
     acknowledged_change(deployment)
-    deployment.faults.close(how, 0.7 + deployment.rng.random() * 0.7)
+    deployment.faults.cause_fleet_outage(how, 0.7 + deployment.rng.random() * 0.7)
     deployment.traffic_until = deployment.world.time + 22 * units.SECOND_US
     deployment.advance(22)
 
 
 def closing_kill(deployment: site.Site) -> None:
     """Right after an acknowledgement every process is killed."""
-    _closing(deployment, "kill_all")
+    _play_fleet_outage(deployment, "kill_all")
 
 
 def closing_power(deployment: site.Site) -> None:
     """Right after an acknowledgement every machine loses power."""
-    _closing(deployment, "power_off_all")
+    _play_fleet_outage(deployment, "power_off_all")
 
 
 def closing_wipe(deployment: site.Site) -> None:
     """Right after an acknowledgement every machine loses power, and a core machine its disk."""
-    _closing(deployment, "wipe")
+    _play_fleet_outage(deployment, "wipe")
 
 
 # ---- network and load ----------------------------------------------------------------------
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -19,8 +19,8 @@
 CHANGE_TIMES_S = (3, 9, 20)
 FAULT_GAP_S = 11  # within which a machine that had a fault gets no other
 RAISED_LOAD_S = 4
-CLOSING_SHARE = 0.5  # of the days, which end with a closing fault
-AFTER_CLOSING_S = 18
+OUTAGE_SHARE = 0.5  # of the days, which end with a closing fault
+AFTER_OUTAGE_S = 18
 DISK_STATES: tuple[faults.DiskState, ...] = ("slow", "full", "stalled")  # in the order that draws follow
 FEWEST_WORKERS = 2  # that a crash leaves
 
@@ -182,16 +182,16 @@
         for seconds in CHANGE_TIMES_S:
             self.site.schedule(seconds, self.site.configurations.begin_change, "idle")
         self.site.advance(DAY_S)
-        if self.rng.random() < CLOSING_SHARE:
-            self.close()
+        if self.rng.random() < OUTAGE_SHARE:
+            self.cause_fleet_outage()
 
-    def close(self) -> None:
+    def cause_fleet_outage(self) -> None:
         """End the day with a closing fault right after an acknowledgement."""
         days.acknowledged_change(self.site)
-        how = self.rng.choice(faults.CLOSING_FAULTS)
-        self.faults.close(how, 0.7 + self.rng.random())
-        self.site.traffic_until = self.site.world.time + AFTER_CLOSING_S * units.SECOND_US
-        self.site.advance(AFTER_CLOSING_S)
+        how = self.rng.choice(faults.FLEET_OUTAGES)
+        self.faults.cause_fleet_outage(how, 0.7 + self.rng.random())
+        self.site.traffic_until = self.site.world.time + AFTER_OUTAGE_S * units.SECOND_US
+        self.site.advance(AFTER_OUTAGE_S)
 
 
 def drawn(deployment: site.Site) -> None:
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -27,8 +27,8 @@
 DEFAULT_DRAIN_MS = 3000
 WORKER_DRAIN_SLACK_S = 1
 
-ClosingFault = typing.Literal["kill_all", "power_off_all", "wipe"]
-CLOSING_FAULTS: tuple[ClosingFault, ...] = ("kill_all", "power_off_all", "wipe")  # in the order that draws follow
+FleetOutage = typing.Literal["kill_all", "power_off_all", "wipe"]
+FLEET_OUTAGES: tuple[FleetOutage, ...] = ("kill_all", "power_off_all", "wipe")  # in the order that draws follow
 DiskState = typing.Literal["slow", "full", "stalled"]
 
 log = loguru.logger.bind(part="site")
@@ -162,7 +162,7 @@
         self.note_fault(new, "new")
         return new
 
-    def close(self, how: ClosingFault, down: float, wiped_count: int = 1) -> None:
+    def cause_fleet_outage(self, how: FleetOutage, down: float, wiped_count: int = 1) -> None:
         """Kill every process, or let every machine lose power, or also let core machines lose their disks.
 
         Args:
--- a/simulation/site/split_days.py
+++ b/simulation/site/split_days.py
@@ -142,20 +142,22 @@
     deployment.rng.choice(deployment.applications.callers).on_acknowledged.append(lose)
 
 
-def _close_tallies(deployment: site.Site, how: faults.ClosingFault) -> None:
+def _tallies_through_outage(deployment: site.Site, how: faults.FleetOutage) -> None:
     deployment.applications.start()
     deployment.advance(6 + deployment.rng.random())
-    deployment.faults.close(how, 0.7 + deployment.rng.random() * 0.7, wiped_count=deployment.shape.tolerated_losses)
+    deployment.faults.cause_fleet_outage(
+        how, 0.7 + deployment.rng.random() * 0.7, wiped_count=deployment.shape.tolerated_losses
+    )
 
 
 def tally_wipe(deployment: site.Site) -> None:
     """As many machines as may be lost lose their disks, while all others lose power."""
-    _close_tallies(deployment, "wipe")
+    _tallies_through_outage(deployment, "wipe")
 
 
 def tally_kill_all(deployment: site.Site) -> None:
     """Every process is killed."""
-    _close_tallies(deployment, "kill_all")
+    _tallies_through_outage(deployment, "kill_all")
 
 
 # ---- evacuations ---------------------------------------------------------------------------
@@ -195,7 +197,9 @@
     deployment.advance(4)
     status = deployment.operator_runtime.spawn(deployment.zone_faults.evacuate(_random_zone(deployment)), log)
     deployment.advance_until(lambda: status.called, EVACUATED_S)
-    deployment.faults.close(deployment.rng.choice(faults.CLOSING_FAULTS), 0.7 + deployment.rng.random() * 0.7)
+    deployment.faults.cause_fleet_outage(
+        deployment.rng.choice(faults.FLEET_OUTAGES), 0.7 + deployment.rng.random() * 0.7
+    )
 
 
 DAYS: tuple[days.Day, ...] = (
--- a/simulation/site/split_drawn_day.py
+++ b/simulation/site/split_drawn_day.py
@@ -77,16 +77,16 @@
         for seconds in CHANGE_TIMES_S:
             self.site.schedule(seconds, self.site.configurations.begin_change, "idle")
         self.site.advance(DAY_S)
-        if self.rng.random() < drawn_day.CLOSING_SHARE:
-            self.close()
+        if self.rng.random() < drawn_day.OUTAGE_SHARE:
+            self.cause_fleet_outage()
 
-    def close(self) -> None:
+    def cause_fleet_outage(self) -> None:
         """End the day with a closing fault right after an acknowledgement."""
         days.acknowledged_change(self.site)
-        how = self.rng.choice(faults.CLOSING_FAULTS)
+        how = self.rng.choice(faults.FLEET_OUTAGES)
         down = 0.7 + self.rng.random()
-        self.site.faults.close(how, down, wiped_count=self.site.shape.tolerated_losses)
-        self.site.advance(drawn_day.AFTER_CLOSING_S)
+        self.site.faults.cause_fleet_outage(how, down, wiped_count=self.site.shape.tolerated_losses)
+        self.site.advance(drawn_day.AFTER_OUTAGE_S)
 
 
 def split_drawn(deployment: site.Site) -> None:
