--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -139,7 +139,7 @@
                 return name
             case second_loss_cases.Loss.GONE:
                 self.site.faults.replace_core(name)
-                return self.site.core_movements[-1].name
+                return self.site.core_membership_changes[-1].name
             case second_loss_cases.Loss.PLANNED:
                 return self.replace_planned(name)
 
@@ -156,7 +156,7 @@
     def terminate(self, name: str) -> None:
         """Stop a machine by SIGTERM, for good."""
         site, old = self.site, self.site.cores.pop(name)
-        site.note_core_movements([name])
+        site.note_core_membership_changes([name])
         site.faults.note_fault(name, "term")
         for other in [*site.nodes, *site.cores]:
             site.reload(other)
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -151,12 +151,15 @@
             old: The core machine that it succeeds.
             removed: The core machines that go at this moment.
         """
-        numbers = [int(name[1:]) for name in [old, *self.site.cores, *(move.name for move in self.site.core_movements)]]
+        numbers = [
+            int(name[1:])
+            for name in [old, *self.site.cores, *(change.name for change in self.site.core_membership_changes)]
+        ]
         number = 1 + max(numbers)
         new = f"c{number}"
         host = f"{settings_files.CORE_HOST_PREFIX}{number}"
         self.site.places[new] = self.site.places[old]._replace(host=host)
-        self.site.note_core_movements([*removed, new])
+        self.site.note_core_membership_changes([*removed, new])
         zone = self.site.zone_field(new)
         self.site.event_log.put(self.world.time, "machine", name=new, host=host, role="core", **zone)
         self.note_fault(new, "new")
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -31,7 +31,7 @@
 from simulation.site import applications, configurations, faults, settings_files, shapes, zone_faults
 from simulation.workers import cold_start, listing
 
-SEED_LIST_LAG_US = 3 * units.SECOND_US  # after which operators see which core machines came or went
+CORE_LIST_LAG_US = 3 * units.SECOND_US  # after which operators see which core machines came or went
 FAR_ZONE = "far"  # of clients and operators
 CLIENTS_PER_ZONE = 11
 READINESS_CONNECTIONS = 64
@@ -45,7 +45,7 @@
 log = loguru.logger.bind(part="site")
 
 
-class Movement(typing.NamedTuple):
+class CoreMembershipChange(typing.NamedTuple):
     """A core machine that came or went."""
 
     at_us: int
@@ -114,7 +114,7 @@
         self.places: dict[str, deployment.Place] = {}
         self.pool = f"p{self.rng.getrandbits(16):04x}"
         self.started = False  # whether the first start is over
-        self.core_movements: list[Movement] = []
+        self.core_membership_changes: list[CoreMembershipChange] = []
         self.prefilled_parts: set[str] = set()  # parts of prompts that some worker has read
         self.seed_names: list[str] | None = None  # the core machines that the settings name, where not all
         self.traffics: list[client.Traffic] = []
@@ -317,15 +317,15 @@
             hasty=number % 7 == 6,
         )
 
-    def note_core_movements(self, names: collections.abc.Iterable[str]) -> None:
+    def note_core_membership_changes(self, names: collections.abc.Iterable[str]) -> None:
         """Note that core machines come or go at this moment."""
-        self.core_movements += [Movement(self.world.time, name) for name in names]
+        self.core_membership_changes += [CoreMembershipChange(self.world.time, name) for name in names]
 
     def control_addresses(self) -> list[tuple[str, int]]:
         """Where operators call: the core machines, those that came or went with a lag."""
         hosts = {name: self.places[name].host for name in self.cores}
-        for moved_at, name in self.core_movements:
-            if self.world.time < moved_at + SEED_LIST_LAG_US:
+        for changed_at, name in self.core_membership_changes:
+            if self.world.time < changed_at + CORE_LIST_LAG_US:
                 if name in self.cores:
                     hosts.pop(name)
                 else:
