--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -146,7 +146,7 @@
     def replace_planned(self, name: str) -> str:
         """Start an empty machine at another address, and stop the old one after that: the new one's name."""
         site = self.site
-        new = site.faults.add_core_place(name)
+        new = site.faults.register_replacement_core(name)
         site.start_core(new)
         site.faults.note_repair(new)
         self.leaving.add(name)
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -133,7 +133,7 @@
             self.site.schedule(TERMINATION_GRACE_S, end)
         else:
             old.process.host.fail()
-        new = self.add_core_place(name, [name])
+        new = self.register_replacement_core(name, [name])
 
         def start() -> None:
             self.site.start_core(new)
@@ -144,7 +144,7 @@
         self.site.cores[new] = old  # its name and place stand in the settings from now on
         self.site.schedule(REPLACEMENT_DELAY_S, start)
 
-    def add_core_place(self, old: str, removed: collections.abc.Sequence[str] = ()) -> str:
+    def register_replacement_core(self, old: str, removed: collections.abc.Sequence[str] = ()) -> str:
         """Note the place of a core machine that succeeds another one in its zone: its name.
 
         Args:
