--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -19,7 +19,7 @@
     from simulation import world
     from simulation.site import site
 
-FAR_ZONE = "far"  # of clients and operators
+EXTERNAL_ZONE = "far"  # of clients and operators
 TERMINATION_GRACE_S = 8.0  # from SIGTERM to SIGKILL
 TERMINATION_DOWN_S = 0.5  # from a process's end to its next start
 REPLACEMENT_DELAY_S = 1  # until the successor of a core machine starts
@@ -205,7 +205,9 @@
         self.note_fault(name, "cut")
         host = self.site.places[name].host
         others = [
-            other for other in self.world.machines if other != host and (clients or self.world.zone(other) != FAR_ZONE)
+            other
+            for other in self.world.machines
+            if other != host and (clients or self.world.zone(other) != EXTERNAL_ZONE)
         ]
         self.world.cut([host], others, both)
 
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -32,7 +32,7 @@
 from simulation.workers import cold_start, listing
 
 CORE_LIST_LAG_US = 3 * units.SECOND_US  # after which operators see which core machines came or went
-FAR_ZONE = "far"  # of clients and operators
+EXTERNAL_ZONE = "far"  # of clients and operators
 CLIENTS_PER_ZONE = 11
 READINESS_CONNECTIONS = 64
 FIRST_CONFIGURATION_S = 60  # within which the first configuration is acknowledged
@@ -258,7 +258,7 @@
         self.operator_runtime = self._outside_process("office", "10.9.0.2").runtime()
 
     def _outside_process(self, name: str, host: str) -> process_model.SimulatedProcess:
-        return process_model.SimulatedProcess(self.world, name, host_model.Host(self.world, host, FAR_ZONE))
+        return process_model.SimulatedProcess(self.world, name, host_model.Host(self.world, host, EXTERNAL_ZONE))
 
     def _start_fleet(self) -> None:
         for number, zone in enumerate(self.shape.workers, 1):
