--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -175,7 +175,7 @@
         deployment = self.site
         deployment.advance_until(lambda: not self.lost, COMPLETE_AGAIN_S)
         self.lost.add("all")
-        days.acknowledged_change(deployment)
+        days.send_acknowledged_change(deployment)
         deployment.faults.cause_fleet_outage(self.rng.choice(faults.FLEET_OUTAGES), 0.9)
         deployment.traffic_until = deployment.world.time + AFTER_OUTAGE_S * units.SECOND_US
         deployment.advance(AFTER_OUTAGE_S)
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -31,7 +31,7 @@
     return sample_share(deployment, names, 0)[0]
 
 
-def acknowledged_change(deployment: site.Site) -> None:
+def send_acknowledged_change(deployment: site.Site) -> None:
     """Send a change, and let time pass until it has its answer."""
     answer = deployment.configurations.begin_change("idle")
     deployment.advance_until(lambda: answer.called, 20)
@@ -79,7 +79,7 @@
 # ---- workers -------------------------------------------------------------------------------
 
 
-def _crash(deployment: site.Site, how: typing.Literal["reset", "dark"]) -> None:
+def _crash_one_worker(deployment: site.Site, how: typing.Literal["reset", "dark"]) -> None:
     deployment.advance(4)
     deployment.configurations.begin_change("idle")
     deployment.advance(1)
@@ -88,12 +88,12 @@
 
 def crash_reset(deployment: site.Site) -> None:
     """A worker's process dies: its connections are reset, its port refuses."""
-    _crash(deployment, "reset")
+    _crash_one_worker(deployment, "reset")
 
 
 def crash_dark(deployment: site.Site) -> None:
     """A worker's machine goes dark: its connections stay silent."""
-    _crash(deployment, "dark")
+    _crash_one_worker(deployment, "dark")
 
 
 def crash_lost(deployment: site.Site) -> None:
@@ -144,29 +144,29 @@
         deployment.start_worker(f"other{worker.host}", worker.host, worker.zone, pool="other")
 
 
-def _unhealthy(deployment: site.Site, **faults: float) -> None:
+def _make_workers_unhealthy(deployment: site.Site, **faults: float) -> None:
     deployment.advance(3)
     deployment.faults.make_unhealthy(sample_share(deployment, deployment.live_workers(), 0.6), 5, "", **faults)
 
 
 def garble(deployment: site.Site) -> None:
     """Workers send bytes that are no answer."""
-    _unhealthy(deployment, garble=0.05)
+    _make_workers_unhealthy(deployment, garble=0.05)
 
 
 def surplus(deployment: site.Site) -> None:
     """Workers send more after a whole answer, at once or in the place of the next one."""
-    _unhealthy(deployment, surplus=0.1, late=0.1)
+    _make_workers_unhealthy(deployment, surplus=0.1, late=0.1)
 
 
 def answers_lost(deployment: site.Site) -> None:
     """Workers run requests and lose the answers."""
-    _unhealthy(deployment, lost=0.05)
+    _make_workers_unhealthy(deployment, lost=0.05)
 
 
 def broken_off(deployment: site.Site) -> None:
     """Workers break streams off midway."""
-    _unhealthy(deployment, **{"break": 0.05})
+    _make_workers_unhealthy(deployment, **{"break": 0.05})
 
 
 def grey(deployment: site.Site) -> None:
@@ -283,14 +283,14 @@
     """A core machine loses power and its disk right after an acknowledgement."""
     for _ in range(2):
         deployment.advance(3)
-        acknowledged_change(deployment)
+        send_acknowledged_change(deployment)
         deployment.faults.power_off(choose_one(deployment, deployment.cores), 3, wipe=True)
         deployment.advance(8)
 
 
 def _play_fleet_outage(deployment: site.Site, how: faults.FleetOutage) -> None:
     deployment.advance(5)
-    acknowledged_change(deployment)
+    send_acknowledged_change(deployment)
     deployment.faults.cause_fleet_outage(how, 0.7 + deployment.rng.random() * 0.7)
     deployment.traffic_until = deployment.world.time + 22 * units.SECOND_US
     deployment.advance(22)
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -110,7 +110,7 @@
 
     def load_changes(self) -> list[Action]:
         """How the load may change, and connections break."""
-        return [self.raise_load, self.heat_keys, lambda: self.faults.reset_connections(0.4)]
+        return [self.raise_load, self.make_keys_hot, lambda: self.faults.reset_connections(0.4)]
 
     def worker_faults(self) -> list[Action]:
         """How workers may fail requests."""
@@ -152,7 +152,7 @@
         for traffic in self.site.traffics:
             traffic.rate_factors.clear()
 
-    def heat_keys(self) -> None:
+    def make_keys_hot(self) -> None:
         """Let one key get much of each zone's traffic."""
         for traffic in self.site.traffics:
             traffic.hot_key = client.HotKey(self.rng.choice(self.site.shape.kinds).name, 0.3)
@@ -187,7 +187,7 @@
 
     def cause_fleet_outage(self) -> None:
         """End the day with a closing fault right after an acknowledgement."""
-        days.acknowledged_change(self.site)
+        days.send_acknowledged_change(self.site)
         how = self.rng.choice(faults.FLEET_OUTAGES)
         self.faults.cause_fleet_outage(how, 0.7 + self.rng.random())
         self.site.traffic_until = self.site.world.time + AFTER_OUTAGE_S * units.SECOND_US
--- a/simulation/site/split_drawn_day.py
+++ b/simulation/site/split_drawn_day.py
@@ -82,7 +82,7 @@
 
     def cause_fleet_outage(self) -> None:
         """End the day with a closing fault right after an acknowledgement."""
-        days.acknowledged_change(self.site)
+        days.send_acknowledged_change(self.site)
         how = self.rng.choice(faults.FLEET_OUTAGES)
         down = 0.7 + self.rng.random()
         self.site.faults.cause_fleet_outage(how, down, wiped_count=self.site.shape.tolerated_losses)
