--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -71,7 +71,7 @@
     def _wipe(self, name: str) -> None:
         """Let a core machine lose its disk; the log of a site whose rules regard that tells it."""
         self.site.process_of(name).host.synced.clear()
-        if self.site.shape.is_split:
+        if self.site.shape.tolerates_zone_loss:
             self.site.event_log.put(self.world.time, "disk_lost", name=name)
 
     def freeze(self, name: str, seconds: float) -> None:
@@ -119,7 +119,7 @@
             name: The core machine to remove.
             gently: Whether it gets a SIGTERM; it loses power otherwise.
         """
-        if self.site.shape.is_split:
+        if self.site.shape.tolerates_zone_loss:
             self.site.event_log.put(self.world.time, "disk_lost", name=name)
         old = self.site.cores.pop(name)
         self.note_fault(name, "term" if gently else "gone")
--- a/simulation/site/settings_files.py
+++ b/simulation/site/settings_files.py
@@ -70,11 +70,11 @@
 
 def invariants(shape: shapes.Shape) -> list[str]:
     """The parts of the rules that are in force."""
-    of_split_sites = ["health", "pool", "places", "apart"] if shape.is_split else []
-    return ["base", "drain", "config", "cost", "retry", "recover", *of_split_sites, "engine", "stream"]
+    zone_loss_rules = ["health", "pool", "places", "apart"] if shape.tolerates_zone_loss else []
+    return ["base", "drain", "config", "cost", "retry", "recover", *zone_loss_rules, "engine", "stream"]
 
 
-def bounds_of_rules(shape: shapes.Shape) -> dict[str, int | float]:
+def rule_bounds(shape: shapes.Shape) -> dict[str, int | float]:
     """The bounds that the rules of `platform_rules` go by, in microseconds where they are times."""
     settings = bounds(shape)
     return dict(
@@ -90,11 +90,11 @@
         recovery=settings["recovery_s"] * units.SECOND_US,
         late=settings["pass_ms"] * units.MILLISECOND_US,
         ack=settings["ack_deadline_ms"] * units.MILLISECOND_US,
-        **(bounds_of_split_sites(shape) if shape.is_split else {}),
+        **(zone_loss_bounds(shape) if shape.tolerates_zone_loss else {}),
     )
 
 
-def bounds_of_split_sites(shape: shapes.Shape) -> dict[str, int | float]:
+def zone_loss_bounds(shape: shapes.Shape) -> dict[str, int | float]:
     """Those bounds of the rules that only sites have whose zones may be lost or cut off."""
     settings = bounds(shape)
     found: dict[str, int | float] = dict(
--- a/simulation/site/shapes.py
+++ b/simulation/site/shapes.py
@@ -64,7 +64,7 @@
     tolerated_zones: int = 0
 
     @property
-    def is_split(self) -> bool:
+    def tolerates_zone_loss(self) -> bool:
         """Whether its zones may be lost or cut off from each other."""
         return self.tolerated_zones > 0
 
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -228,7 +228,7 @@
             zone=zone,
             models=[{"name": "m", "version": 1, "adapters": []}],
         )
-        if self.shape.is_split:
+        if self.shape.tolerates_zone_loss:
             self.event_log.put(self.world.time, "placed", worker=worker.id, zone=zone)
         if self.shape.cold is not None:
             self.zone_faults.watch_overrun(name)
@@ -286,13 +286,13 @@
             )
             for name in [*self.nodes, *self.cores]
         }
-        bounds = settings_files.bounds_of_rules(self.shape)
-        more = dict(platform_zone=self.shape.cores[0]) if self.shape.is_split else {}
+        bounds = settings_files.rule_bounds(self.shape)
+        more = dict(platform_zone=self.shape.cores[0]) if self.shape.tolerates_zone_loss else {}
         self.event_log.put(self.world.time, "begun", machines=machines, bounds=bounds, **more)
 
     def zone_field(self, name: str) -> dict[str, str]:
         """The zone of a machine, for the event log of a site whose zones may be cut off from each other."""
-        return dict(zone=self.places[name].zone) if self.shape.is_split else {}
+        return dict(zone=self.places[name].zone) if self.shape.tolerates_zone_loss else {}
 
     def _start_traffic(self) -> None:
         self.traffic_until = self.world.time + int(self.seconds * units.SECOND_US)
