--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -231,9 +231,9 @@
         if self.shape.tolerates_zone_loss:
             self.event_log.put(self.world.time, "placed", worker=worker.id, zone=zone)
         if self.shape.cold is not None:
-            self.zone_faults.watch_overrun(name)
+            self.zone_faults.crash_on_overrun(name)
         if self.traffics:  # a start during traffic
-            self.zone_faults.cool(name)
+            self.zone_faults.mark_cold(name)
         return worker
 
     # ---- the beginning of a run ---------------------------------------------------------
--- a/simulation/site/split_days.py
+++ b/simulation/site/split_days.py
@@ -43,13 +43,13 @@
 def cold_return(deployment: site.Site) -> None:
     """The workers of a zone are down, and come back together."""
     deployment.advance(4)
-    deployment.zone_faults.return_workers(_random_zone(deployment), WORKERS_DOWN_S, how="dark")
+    deployment.zone_faults.crash_and_return_workers(_random_zone(deployment), WORKERS_DOWN_S, how="dark")
 
 
 def cold_burst(deployment: site.Site) -> None:
     """The workers of a zone come back together while one kind of request comes far more often."""
     deployment.advance(4)
-    deployment.zone_faults.return_workers(_random_zone(deployment), WORKERS_DOWN_S)
+    deployment.zone_faults.crash_and_return_workers(_random_zone(deployment), WORKERS_DOWN_S)
     deployment.advance(WORKERS_DOWN_S - 1)
     kind = deployment.rng.choice(deployment.shape.kinds).name
     for traffic in deployment.traffics:
@@ -62,7 +62,7 @@
 # ---- cuts and losses of zones --------------------------------------------------------------
 
 
-def _change_and_release(deployment: site.Site) -> None:
+def _change_and_replace_worker(deployment: site.Site) -> None:
     """Send a change during the cut that has just begun, and release a worker just after its end."""
     deployment.advance(1)
     deployment.configurations.begin_change("idle")
@@ -77,7 +77,7 @@
     """A zone is cut off from the others: silently, or connections are reset, or new ones are refused as well."""
     deployment.advance(4)
     deployment.zone_faults.isolate(_random_zone(deployment), CUT_S, deployment.rng.choice(zone_faults.CUT_KINDS))
-    _change_and_release(deployment)
+    _change_and_replace_worker(deployment)
 
 
 def zone_one_way(deployment: site.Site) -> None:
@@ -85,7 +85,7 @@
     deployment.advance(4)
     outward = deployment.rng.random() < 0.5
     deployment.zone_faults.cut_one_way(_random_zone(deployment), CUT_S, outward=outward)
-    _change_and_release(deployment)
+    _change_and_replace_worker(deployment)
 
 
 def zone_bridge(deployment: site.Site) -> None:
@@ -93,7 +93,7 @@
     deployment.advance(4)
     one, other = deployment.rng.sample(deployment.shape.zones(), 2)
     deployment.zone_faults.cut_pair(one, other, CUT_S)
-    _change_and_release(deployment)
+    _change_and_replace_worker(deployment)
 
 
 def zone_power(deployment: site.Site) -> None:
@@ -126,11 +126,11 @@
     deployment.applications.start()
     for _ in range(3):
         deployment.advance(2)
-        _lose_who_acknowledges(deployment)
+        _lose_acknowledging_machine(deployment)
         deployment.advance(TALLY_LOSS_GAP_S)
 
 
-def _lose_who_acknowledges(deployment: site.Site) -> None:
+def _lose_acknowledging_machine(deployment: site.Site) -> None:
     strike = deployment.rng.choice([deployment.faults.kill, deployment.faults.power_off])
     wait = deployment.rng.uniform(0, ACKNOWLEDGED_LOSS_S)
 
@@ -163,15 +163,17 @@
 # ---- evacuations ---------------------------------------------------------------------------
 
 
-def _order(deployment: site.Site, order: collections.abc.Coroutine[typing.Any, typing.Any, int]) -> None:
+def _spawn_order(deployment: site.Site, order: collections.abc.Coroutine[typing.Any, typing.Any, int]) -> None:
     deployment.operator_runtime.spawn(order, log)
 
 
 def _evacuate(deployment: site.Site, *, warm: bool) -> None:
     """Have a zone evacuated in the next seconds, and taken back at their end."""
     zone = _random_zone(deployment)
-    _order(deployment, deployment.zone_faults.evacuate(zone))
-    deployment.schedule(EVACUATED_S, lambda: _order(deployment, deployment.zone_faults.take_back(zone, warm=warm)))
+    _spawn_order(deployment, deployment.zone_faults.evacuate(zone))
+    deployment.schedule(
+        EVACUATED_S, lambda: _spawn_order(deployment, deployment.zone_faults.end_evacuation(zone, warm=warm))
+    )
 
 
 def evacuate(deployment: site.Site) -> None:
--- a/simulation/site/split_drawn_day.py
+++ b/simulation/site/split_drawn_day.py
@@ -40,7 +40,7 @@
             lambda: strikes.cut_one_way(self.random_zone(), seconds, outward=self.rng.random() < 0.5),
             lambda: self._cut_random_pair(seconds),
             lambda: strikes.power_off(self.random_zone(), seconds),
-            lambda: strikes.return_workers(self.random_zone(), seconds, how="dark"),
+            lambda: strikes.crash_and_return_workers(self.random_zone(), seconds, how="dark"),
         ]
 
     def _cut_random_pair(self, seconds: float) -> None:
@@ -52,7 +52,7 @@
         zone, warm = self.random_zone(), self.rng.random() < 0.5
         strikes, spawn = self.site.zone_faults, self.site.operator_runtime.spawn
         spawn(strikes.evacuate(zone), log)
-        self.site.schedule(EVACUATED_S, lambda: spawn(strikes.take_back(zone, warm=warm), log))
+        self.site.schedule(EVACUATED_S, lambda: spawn(strikes.end_evacuation(zone, warm=warm), log))
 
     def play(self) -> None:
         """Play the day; half of the days end with a closing fault."""
--- a/simulation/site/zone_faults.py
+++ b/simulation/site/zone_faults.py
@@ -39,19 +39,19 @@
         """The names of the live workers in a zone."""
         return [name for name in self.site.live_workers() if self.site.workers[name].zone == zone]
 
-    def return_workers(self, zone: str, down: float, how: typing.Literal["reset", "dark"] = "reset") -> None:
+    def crash_and_return_workers(self, zone: str, down: float, how: typing.Literal["reset", "dark"] = "reset") -> None:
         """Crash all workers of a zone; they come back together, cold, after so many seconds."""
         for name in self.workers_of(zone):
             self.site.faults.crash_worker(name, how, back=down, listed=min(down, 3.0))
 
-    def cool(self, name: str) -> None:
+    def mark_cold(self, name: str) -> None:
         """Let a worker become cold."""
         worker, now = self.site.workers[name], self.world.time
         if worker.cold is not None:
             worker.cold.begin(now)
             self.site.listing.cold_until[worker.id] = worker.cold.until
 
-    def watch_overrun(self, name: str) -> None:
+    def crash_on_overrun(self, name: str) -> None:
         """End a worker's process as soon as it is overrun while cold."""
         worker = self.site.workers[name]
 
@@ -66,16 +66,16 @@
 
     async def evacuate(self, zone: str) -> int:
         """Let the operator evacuate a zone: the status."""
-        return await self._order(zone, begins=True)
+        return await self._send_evacuation_order(zone, begins=True)
 
-    async def take_back(self, zone: str, *, warm: bool) -> int:
+    async def end_evacuation(self, zone: str, *, warm: bool) -> int:
         """Let the operator take a zone's evacuation back: the status. The zone's workers are cold by then, or warm."""
         if not warm:
             for name in self.workers_of(zone):
-                self.cool(name)
-        return await self._order(zone, begins=False)
+                self.mark_cold(name)
+        return await self._send_evacuation_order(zone, begins=False)
 
-    async def _order(self, zone: str, *, begins: bool) -> int:
+    async def _send_evacuation_order(self, zone: str, *, begins: bool) -> int:
         seconds = settings_files.bounds(self.site.shape)["ack_deadline_ms"] / 1000
         return await self.site.operator.order_evacuation(zone, begins=begins, seconds=seconds)
 
