--- a/simulation/rules/answers.py
+++ b/simulation/rules/answers.py
@@ -103,8 +103,8 @@
         return False
     begin = attempt["sent"] - log.bounds["contact"]
     has_other_fault = any(
-        fault.what != "term" and fault.touches(begin, attempt["done"]) for fault in log.faults[attempt["node"]]
-    ) or log.cuts.touch_zone(log.zones[attempt["node"]], int(begin), attempt["done"])
+        fault.what != "term" and fault.overlaps(begin, attempt["done"]) for fault in log.faults[attempt["node"]]
+    ) or log.cuts.has_cut_of_zone_during(log.zones[attempt["node"]], int(begin), attempt["done"])
     is_at_work = any(end["at"] > term_at + grace // 2 for end in log.run_ends[name])
     return not has_other_fault and not is_at_work
 
--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -60,20 +60,20 @@
         service = shown_service(log, attempt)
         if service == "":
             continue
-        fitting = _fitting(possible, attempt, service)
-        if not fitting:
-            if _fitting(refused, attempt, service):
+        matching = _matching(possible, attempt, service)
+        if not matching:
+            if _matching(refused, attempt, service):
                 yield f"try {attempt['attempt']} was handled as only a configuration that was refused allows"
             continue
-        newest = max(sent["version"] for sent in fitting)
+        newest = max(sent["version"] for sent in matching)
         yield from _late(log, attempt, newest)
         yield from _gone_back(log, attempt, newest, shown[attempt["node"]])
         if service is not None:
-            oldest = min(sent["version"] for sent in fitting)
+            oldest = min(sent["version"] for sent in matching)
             shown[attempt["node"]].append(Shown(attempt["done"], oldest))
 
 
-def _fitting(configurations: event_log.Rows, attempt: event_log.Row, service: str | None) -> event_log.Rows:
+def _matching(configurations: event_log.Rows, attempt: event_log.Row, service: str | None) -> event_log.Rows:
     """Those configurations that let an attempt go to a service."""
     return [
         sent
@@ -112,10 +112,10 @@
         return
     document = reads[-1]["doc"]
     version = document.get(platform_names.CONFIGURATION["version"])
-    fitting = [sent for sent in log.configurations if sent["version"] == version and sent["valid"]]
+    matching = [sent for sent in log.configurations if sent["version"] == version and sent["valid"]]
     if version < newest:
         yield f"version {version} was read back, though {newest} was acknowledged"
-    elif not any(is_same(document, sent["doc"]) for sent in fitting):
+    elif not any(is_same(document, sent["doc"]) for sent in matching):
         yield f"what was read back as version {version} is not what was sent"
 
 
@@ -144,7 +144,7 @@
         # A row says when the first acknowledgement was given, where that was lost on its way to the operator.
         end: int = sent.get("acknowledged", answered_at)
         begin = max([sent["sent"], log.started_at, *(change for change in log.core_changes if change < end)])
-        if end - begin > bound and log.is_settled(end) and not log.cuts.touch(begin, end):
+        if end - begin > bound and log.is_settled(end) and not log.cuts.has_cut_during(begin, end):
             yield f"version {sent['version']} was not acknowledged for {(end - begin) // units.MILLISECOND_US} ms"
 
 
--- a/simulation/rules/evacuations.py
+++ b/simulation/rules/evacuations.py
@@ -78,7 +78,7 @@
             due_at <= log.ended_at
             and not has_change
             and log.is_settled(due_at)
-            and not log.cuts.touch(sent["at"], due_at)
+            and not log.cuts.has_cut_during(sent["at"], due_at)
         ):
             code = None if answer is None else answer["code"]
             yield f"the order about zone {sent['zone']} was not acknowledged in time, the answer was {code}"
--- a/simulation/rules/log.py
+++ b/simulation/rules/log.py
@@ -41,7 +41,7 @@
     def __init__(self, begin: int, end: int, what: str) -> None:
         self.begin, self.end, self.what = begin, end, what
 
-    def touches(self, begin: int, end: int) -> bool:
+    def overlaps(self, begin: int, end: int) -> bool:
         """Whether it lies in a span, at least in part."""
         return self.begin <= end and self.end >= begin
 
@@ -57,12 +57,12 @@
     >>> pop_ended_fault(faults, None).what, pop_ended_fault(faults, "cut").what, pop_ended_fault(faults, "cut")
     ('kill', 'cut', None)
     """
-    fitting = [fault for fault in open_faults if (fault.what == what if what else fault.what in PROCESS_ENDS)]
-    if not fitting and not what:
-        fitting = open_faults
-    if not fitting:
+    matching = [fault for fault in open_faults if (fault.what == what if what else fault.what in PROCESS_ENDS)]
+    if not matching and not what:
+        matching = open_faults
+    if not matching:
         return None
-    newest = fitting[-1]
+    newest = matching[-1]
     open_faults.remove(newest)
     return newest
 
@@ -120,7 +120,7 @@
         for row in self.kinds["disk_lost"]:
             self.disk_losses[row["name"]].append(row["at"])
         self.faults: collections.defaultdict[str, list[Fault]] = collections.defaultdict(list)
-        self.core_changes = self.cuts.changes_between({self.zones[name] for name in self.core})
+        self.core_changes = self.cuts.change_times_within({self.zones[name] for name in self.core})
         self._read_faults()
         self.configurations = self._read_configurations()
         acknowledged = (sent for sent in self.configurations if sent["code"] == 200)
@@ -174,17 +174,17 @@
 
     def is_faulted(self, name: str, begin: int, end: int) -> bool:
         """Whether a machine had a fault in a span."""
-        return any(fault.touches(begin, end) for fault in self.faults[name])
+        return any(fault.overlaps(begin, end) for fault in self.faults[name])
 
     def is_one_life(self, name: str, begin: int, end: int) -> bool:
         """Whether no process of a machine ended in a span."""
-        return not any(fault.what in LIFE_ENDS and fault.touches(begin, end) for fault in self.faults[name])
+        return not any(fault.what in LIFE_ENDS and fault.overlaps(begin, end) for fault in self.faults[name])
 
     def cut_off_until(self, name: str, at: int) -> int | None:
         """When the last cut healed that a machine was behind at a time, or None where it was behind none."""
         zone = self.zones.get(name, "")
-        ends = [cut.end for cut in self.cuts.cuts if cut.touches(at, at) and any(zone in link for link in cut.links)]
-        ends += [fault.end for fault in self.faults[name] if fault.what == "cut" and fault.touches(at, at)]
+        ends = [cut.end for cut in self.cuts.cuts if cut.overlaps(at, at) and any(zone in link for link in cut.links)]
+        ends += [fault.end for fault in self.faults[name] if fault.what == "cut" and fault.overlaps(at, at)]
         return max(ends, default=None)
 
     def is_settled(self, at: int) -> bool:
--- a/simulation/rules/routing.py
+++ b/simulation/rules/routing.py
@@ -39,10 +39,10 @@
     """
     names = platform_names.ROUTE
     routes = document[platform_names.CONFIGURATION["routes"]]
-    fitting = [route for route in routes if route[names["host"]] == host and covers(route[names["path"]], path)]
-    if not fitting:
+    matching = [route for route in routes if route[names["host"]] == host and covers(route[names["path"]], path)]
+    if not matching:
         return {None}
-    route = max(fitting, key=lambda candidate: len(candidate[names["path"]]))
+    route = max(matching, key=lambda candidate: len(candidate[names["path"]]))
     if route.get(names["split"]):
         return {part[names["pool"]] for part in route[names["split"]] if part[names["weight"]]}
     return {route[names["pool"]]}
@@ -93,7 +93,7 @@
         if row["verdict"] == 421 or seen_at is None or attempt is None or log.is_held_up(row):
             continue
         node = attempt["node"]
-        unseen = log.cuts.time_cut(log.zones.get(node, ""), log.platform_zone, seen_at, row["at"])
+        unseen = log.cuts.cut_duration(log.zones.get(node, ""), log.platform_zone, seen_at, row["at"])
         if row["at"] <= seen_at + log.bounds["drain"] + unseen:
             continue
         if log.is_in_touch(node, row["at"]) and not log.is_faulted(node, seen_at, row["at"]):
--- a/simulation/rules/tallies.py
+++ b/simulation/rules/tallies.py
@@ -86,7 +86,7 @@
         """Whether no core machine and no link had trouble in the merge time before a read."""
         since = int(read["began"] - self.log.bounds["merge"])
         has_fault = any(self.log.is_faulted(name, since, read["began"]) for name in self.log.core)
-        return not has_fault and not self.log.cuts.touch(since, read["began"])
+        return not has_fault and not self.log.cuts.has_cut_during(since, read["began"])
 
     def _sum(self, tally: str, is_owed: collections.abc.Callable[[Acknowledgement], bool]) -> int:
         adds = self.adds[tally].values()
--- a/simulation/rules/zone_cuts.py
+++ b/simulation/rules/zone_cuts.py
@@ -13,15 +13,15 @@
     def __init__(self, begin: int, end: int, links: set[tuple[str, str]]) -> None:
         self.begin, self.end, self.links = begin, end, links
 
-    def touches(self, begin: int, end: int) -> bool:
+    def overlaps(self, begin: int, end: int) -> bool:
         """Whether it lies in a span, at least in part.
 
-        >>> ZoneCut(5, 9, set()).touches(9, 12), ZoneCut(5, 9, set()).touches(1, 4)
+        >>> ZoneCut(5, 9, set()).overlaps(9, 12), ZoneCut(5, 9, set()).overlaps(1, 4)
         (True, False)
         """
         return self.begin <= end and self.end >= begin
 
-    def parts(self, zone: str, other: str) -> bool:
+    def separates(self, zone: str, other: str) -> bool:
         """Whether something that one of two zones sends does not reach the other."""
         return (zone, other) in self.links or (other, zone) in self.links
 
@@ -48,27 +48,27 @@
 
     def has_path(self, zone: str, other: str, begin: int, end: int) -> bool:
         """Whether two zones reached each other both ways through a span."""
-        return zone == other or not any(cut.touches(begin, end) and cut.parts(zone, other) for cut in self.cuts)
+        return zone == other or not any(cut.overlaps(begin, end) and cut.separates(zone, other) for cut in self.cuts)
 
-    def touch(self, begin: int, end: int) -> bool:
+    def has_cut_during(self, begin: int, end: int) -> bool:
         """Whether any link between zones was cut in a span."""
-        return any(cut.touches(begin, end) for cut in self.cuts)
+        return any(cut.overlaps(begin, end) for cut in self.cuts)
 
-    def touch_zone(self, zone: str, begin: int, end: int) -> bool:
+    def has_cut_of_zone_during(self, zone: str, begin: int, end: int) -> bool:
         """Whether any link of a zone was cut in a span."""
-        return any(cut.touches(begin, end) and any(zone in link for link in cut.links) for cut in self.cuts)
+        return any(cut.overlaps(begin, end) and any(zone in link for link in cut.links) for cut in self.cuts)
 
-    def changes_between(self, zones: set[str]) -> list[int]:
+    def change_times_within(self, zones: set[str]) -> list[int]:
         """When cuts of links among some zones began or ended."""
-        fitting = [cut for cut in self.cuts if any(set(link) <= zones for link in cut.links)]
-        return [moment for cut in fitting for moment in (cut.begin, cut.end)]
+        matching = [cut for cut in self.cuts if any(set(link) <= zones for link in cut.links)]
+        return [moment for cut in matching for moment in (cut.begin, cut.end)]
 
-    def time_cut(self, zone: str, other: str, begin: int, end: int) -> int:
+    def cut_duration(self, zone: str, other: str, begin: int, end: int) -> int:
         """For how long of a span two zones did not reach each other both ways."""
         spans = sorted(
             (max(begin, cut.begin), min(end, cut.end))
             for cut in self.cuts
-            if zone != other and cut.touches(begin, end) and cut.parts(zone, other)
+            if zone != other and cut.overlaps(begin, end) and cut.separates(zone, other)
         )
         total, covered_to = 0, begin
         for since, until in spans:
