--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -84,7 +84,7 @@
 
 def _late(log: event_log.Log, attempt: event_log.Row, newest: int) -> Complaints:
     must = max(log.versions_in_force(attempt["sent"]), default=newest)
-    if newest < must and log.is_in_touch(attempt["node"], attempt["done"]):
+    if newest < must and log.is_connected_to_core(attempt["node"], attempt["done"]):
         yield (
             f"try {attempt['attempt']} at {attempt['node']} was handled as only version {newest} or older allows, "
             f"{must} being in force"
@@ -144,7 +144,7 @@
         # A row says when the first acknowledgement was given, where that was lost on its way to the operator.
         end: int = sent.get("acknowledged", answered_at)
         begin = max([sent["sent"], log.started_at, *(change for change in log.core_changes if change < end)])
-        if end - begin > bound and log.is_settled(end) and not log.cuts.has_cut_during(begin, end):
+        if end - begin > bound and log.is_core_stable(end) and not log.cuts.has_cut_during(begin, end):
             yield f"version {sent['version']} was not acknowledged for {(end - begin) // units.MILLISECOND_US} ms"
 
 
--- a/simulation/rules/evacuations.py
+++ b/simulation/rules/evacuations.py
@@ -50,7 +50,7 @@
     for evacuation in _evacuations(log):
         for row in _arrivals(log, evacuation, evacuation.acknowledged_at + log.bounds["evacuate"]):
             node = log.nodes_by_host.get(row["peer"])
-            if node is not None and log.is_in_touch(node, row["at"]):
+            if node is not None and log.is_connected_to_core(node, row["at"]):
                 after_ms = (row["at"] - evacuation.acknowledged_at) // units.MILLISECOND_US
                 yield f"{row['attempt']} reached zone {evacuation.zone} {after_ms} ms after its evacuation, from {node}"
 
@@ -77,7 +77,7 @@
         if (
             due_at <= log.ended_at
             and not has_change
-            and log.is_settled(due_at)
+            and log.is_core_stable(due_at)
             and not log.cuts.has_cut_during(sent["at"], due_at)
         ):
             code = None if answer is None else answer["code"]
--- a/simulation/rules/log.py
+++ b/simulation/rules/log.py
@@ -187,7 +187,7 @@
         ends += [fault.end for fault in self.faults[name] if fault.what == "cut" and fault.overlaps(at, at)]
         return max(ends, default=None)
 
-    def is_settled(self, at: int) -> bool:
+    def is_core_stable(self, at: int) -> bool:
         """Whether the core was settled through the contact time before a moment."""
         since = at - self.bounds["contact"]
         if any(since <= change <= at for change in self.core_changes):
@@ -211,7 +211,7 @@
     def _is_gone(self, name: str, begin: int, end: int) -> bool:
         return any(fault.what in ("gone", "term") and fault.covers(begin, end) for fault in self.faults[name])
 
-    def is_in_touch(self, name: str, at: int) -> bool:
+    def is_connected_to_core(self, name: str, at: int) -> bool:
         """Whether a machine is expected to keep time limits.
 
         It has no fault, the core was settled lately, and it reached each core machine that reaches most of the core.
@@ -219,7 +219,7 @@
         since = at - self.bounds["contact"]
         return (
             not self.is_faulted(name, since, at)
-            and self.is_settled(at)
+            and self.is_core_stable(at)
             and all(self.has_path(name, other, since, at) for other in self._connected_core(since, at))
         )
 
--- a/simulation/rules/routing.py
+++ b/simulation/rules/routing.py
@@ -65,7 +65,7 @@
     return (
         is_refused
         and not attempt["direct"]
-        and log.is_in_touch(attempt["node"], attempt["done"])
+        and log.is_connected_to_core(attempt["node"], attempt["done"])
         and all(services_of(sent, attempt) != {None} for sent in log.in_force(attempt))
     )
 
@@ -96,7 +96,7 @@
         unseen = log.cuts.cut_duration(log.zones.get(node, ""), log.platform_zone, seen_at, row["at"])
         if row["at"] <= seen_at + log.bounds["drain"] + unseen:
             continue
-        if log.is_in_touch(node, row["at"]) and not log.is_faulted(node, seen_at, row["at"]):
+        if log.is_connected_to_core(node, row["at"]) and not log.is_faulted(node, seen_at, row["at"]):
             after_ms = (row["at"] - seen_at) // units.MILLISECOND_US
             yield f"{row['attempt']} reached worker {row['worker']} {after_ms} ms after it was shown as leaving"
 
--- a/tests/test_zone_cuts.py
+++ b/tests/test_zone_cuts.py
@@ -37,10 +37,10 @@
     return platform_rules.examine(sorted(copy.deepcopy(every), key=lambda row: row["at"]))
 
 
-def in_touch_at(links: Links, at: int) -> set[str]:
+def connected_at(links: Links, at: int) -> set[str]:
     """The machines in touch at a time, where a cut lasts from second 10 to second 40."""
     log = event_log.Log([BEGUN, *cut_rows(links), dict(at=60 * SECOND, kind="ended")])
-    return {name for name in MACHINES if log.is_in_touch(name, at)}
+    return {name for name in MACHINES if log.is_connected_to_core(name, at)}
 
 
 @pytest.mark.parametrize(
@@ -53,23 +53,23 @@
     ],
 )
 def test_machines_with_a_path_to_each_core_machine_of_the_majority_are_in_touch(
-    links: Links, in_touch: set[str]
+    links: Links, connected: set[str]
 ) -> None:
-    assert in_touch_at(links, 20 * SECOND) == in_touch
+    assert connected_at(links, 20 * SECOND) == connected
 
 
 @pytest.mark.parametrize("moment", [10 * SECOND, 40 * SECOND])
 def test_nobody_is_in_touch_for_the_contact_time_after_a_cut_of_the_core_begins_or_ends(moment: int) -> None:
-    assert in_touch_at(ISOLATED, moment - 1 if moment < 20 * SECOND else moment + 4 * SECOND) == set(MACHINES)
-    assert in_touch_at(ISOLATED, moment + 2 * SECOND) == set()
+    assert connected_at(ISOLATED, moment - 1 if moment < 20 * SECOND else moment + 4 * SECOND) == set(MACHINES)
+    assert connected_at(ISOLATED, moment + 2 * SECOND) == set()
 
 
 def test_a_cut_of_a_zone_without_core_machines_leaves_the_core_settled() -> None:
     machines = {name: machine for name, machine in MACHINES.items() if name != "c1"}
     rows = [dict(BEGUN, machines=machines), *cut_rows(ISOLATED), dict(at=60 * SECOND, kind="ended")]
     log = event_log.Log(rows)
-    assert log.is_in_touch("n2", 11 * SECOND)
-    assert not log.is_in_touch("n1", 11 * SECOND)
+    assert log.is_connected_to_core("n2", 11 * SECOND)
+    assert not log.is_connected_to_core("n1", 11 * SECOND)
 
 
 def test_a_machine_in_touch_is_bound_and_one_behind_a_cut_is_not() -> None:
