--- a/simulation/rules/answers.py
+++ b/simulation/rules/answers.py
@@ -22,14 +22,14 @@
 
 def mixed(log: event_log.Log) -> Complaints:
     """Answers that are another's, are not the worker's, or lack its seal."""
-    for attempt in log.kinds["tried"]:
+    for attempt in log.rows_by_kind["tried"]:
         name = attempt["attempt"]
         is_broken = any(end["how"] in BROKEN_RUNS for end in log.run_ends[name])
         if attempt["how"] == "garbage" and not is_broken:
             yield f"try {name} got bytes that are no answer"
         if _is_success(attempt):
             yield from _mixed_success(log, name, attempt)
-    for row in log.kinds["stray"]:
+    for row in log.rows_by_kind["stray"]:
         yield f"client {row['client']} got bytes that it did not ask for from {row['node']}"
 
 
@@ -53,7 +53,7 @@
 
 def unasked(log: event_log.Log) -> Complaints:
     """Runs that nobody asked for, or asked for otherwise."""
-    for row in log.kinds["arrived"]:
+    for row in log.rows_by_kind["arrived"]:
         if row["verdict"]:
             continue
         attempt = log.attempts.get(row["attempt"])
@@ -62,7 +62,7 @@
                 yield f"worker {row['worker']} got {row['attempt']}, which no client sent"
         elif any(row[field] != attempt[field] for field in ("method", "url", "body")):
             yield f"worker {row['worker']} got {row['attempt']} changed"
-    for _ in log.kinds["bad_request"]:
+    for _ in log.rows_by_kind["bad_request"]:
         yield "a worker got bytes that are no request"
 
 
@@ -90,7 +90,7 @@
             continue
         if any(end["how"] in (*BROKEN_RUNS, "expired") for end in log.run_ends[name]):
             continue
-        for row in log.kinds["term"]:
+        for row in log.rows_by_kind["term"]:
             if row["name"] == attempt["node"] and _is_lost_by(log, name, attempt, row["at"]):
                 after_ms = (attempt["done"] - row["at"]) // units.MILLISECOND_US
                 yield f"try {name} was cut off {after_ms} ms after {attempt['node']} was told to end"
@@ -147,8 +147,8 @@
 
 def recover(log: event_log.Log) -> Complaints:
     """Service does not come back after the closing fault."""
-    answered = log.kinds["answered"]
-    for closing in log.kinds["closing"]:
+    answered = log.rows_by_kind["answered"]
+    for closing in log.rows_by_kind["closing"]:
         before = [row for row in answered if row["at"] < closing["at"]]
         after = [row for row in answered if row["began"] > closing["back"] + log.bounds["recovery"]]
         if before and _is_served(before) and after and not _is_served(after):
--- a/simulation/rules/cold_workers.py
+++ b/simulation/rules/cold_workers.py
@@ -21,7 +21,7 @@
     What counts was sent and arrived inside that second: a request that a cut held up for longer does not.
     """
     arrivals: collections.defaultdict[str, list[int]] = collections.defaultdict(list)
-    for row in log.kinds["arrived"]:
+    for row in log.rows_by_kind["arrived"]:
         if row.get("cold") and row["verdict"] != NOT_FOR_THIS_WORKER and _sent_within_window(log, row):
             arrivals[row["worker"]].append(row["at"])
     limit = log.bounds["cold_limit"]
@@ -34,7 +34,7 @@
 def _sent_within_window(log: event_log.Log, row: event_log.Row) -> bool:
     """Whether a request came within a second of the client's try, or came over a link that was not cut lately."""
     tried = log.attempts.get(row["attempt"])
-    return tried is None or row["at"] - tried["sent"] < WINDOW_US or not log.is_held_up(row)
+    return tried is None or row["at"] - tried["sent"] < WINDOW_US or not log.is_delayed_by_cut(row)
 
 
 def _most_in_a_second(times: list[int]) -> int:
--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -53,7 +53,11 @@
 
 
 def _wrongly_applied(log: event_log.Log) -> Complaints:
-    refused = [sent for sent in log.configurations if sent["code"] not in event_log.UNCLEAR_CODES or not sent["valid"]]
+    refused = [
+        sent
+        for sent in log.configurations
+        if sent["code"] not in event_log.POSSIBLY_IN_FORCE_CODES or not sent["valid"]
+    ]
     possible = log.possibly_in_force()
     shown: collections.defaultdict[str, list[Shown]] = collections.defaultdict(list)
     for attempt in sorted(log.attempts.values(), key=lambda row: row["sent"]):
@@ -103,10 +107,10 @@
 
 
 def _wrongly_read_back(log: event_log.Log) -> Complaints:
-    if not log.acknowledged or not log.kinds["ended"]:
+    if not log.acknowledged or not log.rows_by_kind["ended"]:
         return
     newest = max(sent["version"] for sent in log.acknowledged)
-    reads = log.kinds["config_read"]
+    reads = log.rows_by_kind["config_read"]
     if not reads or reads[-1]["doc"] is None:
         yield "the configuration did not come when read back"
         return
--- a/simulation/rules/earned_value.py
+++ b/simulation/rules/earned_value.py
@@ -85,7 +85,7 @@
         lambda: dict(asked=0, in_aim=0, late=0, none=0, earned=0.0, owed=0.0)
     )
     windows: collections.defaultdict[int, Totals] = collections.defaultdict(lambda: dict(earned=0.0, owed=0.0))
-    for answered in log.kinds["answered"]:
+    for answered in log.rows_by_kind["answered"]:
         kind_name, started_at = answered["sort"], answered["began"]
         if kind_name not in kinds or started_at < log.started_at:
             continue
--- a/simulation/rules/evacuations.py
+++ b/simulation/rules/evacuations.py
@@ -25,12 +25,12 @@
 
 def _evacuations(log: event_log.Log) -> list[Evacuation]:
     found = []
-    for answer in log.kinds["evacuation_answer"]:
+    for answer in log.rows_by_kind["evacuation_answer"]:
         if not answer["begins"] or answer["code"] != 200:
             continue
         ends = [
             sent["at"]
-            for sent in log.kinds["evacuation_sent"]
+            for sent in log.rows_by_kind["evacuation_sent"]
             if not sent["begins"] and sent["zone"] == answer["zone"] and sent["at"] > answer["at"]
         ]
         found.append(Evacuation(answer["zone"], answer["at"], min(ends, default=log.ended_at + 1)))
@@ -39,9 +39,9 @@
 
 def _arrivals(log: event_log.Log, evacuation: Evacuation, begin: float) -> collections.abc.Iterator[event_log.Row]:
     """The requests that reached workers of an evacuated zone after some time."""
-    for row in log.kinds["arrived"]:
+    for row in log.rows_by_kind["arrived"]:
         is_there = log.worker_zones.get(row["worker"]) == evacuation.zone and begin < row["at"] < evacuation.until
-        if is_there and row["verdict"] != NOT_FOR_THIS_WORKER and not log.is_held_up(row):
+        if is_there and row["verdict"] != NOT_FOR_THIS_WORKER and not log.is_delayed_by_cut(row):
             yield row
 
 
@@ -57,7 +57,7 @@
 
 def evac_lost(log: event_log.Log) -> Complaints:
     """Requests that reach an evacuated zone although all machines are back from the closing fault for long."""
-    for closing in log.kinds["closing"]:
+    for closing in log.rows_by_kind["closing"]:
         begin = closing["back"] + log.bounds["recovery"]
         for evacuation in _evacuations(log):
             if evacuation.acknowledged_at < closing["at"] < evacuation.until:
@@ -68,8 +68,8 @@
 
 def evac_acks(log: event_log.Log) -> Complaints:
     """Orders to evacuate a zone or take it back that were not acknowledged in time in a settled stretch."""
-    answers = {answer["send"]: answer for answer in log.kinds["evacuation_answer"]}
-    for sent in log.kinds["evacuation_sent"]:
+    answers = {answer["send"]: answer for answer in log.rows_by_kind["evacuation_answer"]}
+    for sent in log.rows_by_kind["evacuation_sent"]:
         answer, due_at = answers.get(sent["send"]), int(sent["at"] + log.bounds["ack"])
         if answer is not None and answer["code"] == 200 and answer["at"] <= due_at:
             continue
--- a/simulation/rules/log.py
+++ b/simulation/rules/log.py
@@ -28,8 +28,8 @@
     cold_limit=29,
 )
 PROCESS_ENDS = ("kill", "power", "term", "closing", "new")  # faults that a process's next start ends
-LIFE_ENDS = (*PROCESS_ENDS, "gone")
-UNCLEAR_CODES = (200, 0, None)  # of a configuration that is in force, or may be
+INCARNATION_ENDS = (*PROCESS_ENDS, "gone")
+POSSIBLY_IN_FORCE_CODES = (200, 0, None)  # of a configuration that is in force, or may be
 
 Row = dict[str, typing.Any]
 Rows = list[Row]
@@ -94,30 +94,32 @@
 
     def __init__(self, rows: Rows) -> None:
         self.rows = rows
-        self.kinds: collections.defaultdict[str, Rows] = collections.defaultdict(list)
+        self.rows_by_kind: collections.defaultdict[str, Rows] = collections.defaultdict(list)
         for row in rows:
-            self.kinds[row["kind"]].append(row)
-        begun = (self.kinds["begun"] or [{}])[0]
+            self.rows_by_kind[row["kind"]].append(row)
+        begun = (self.rows_by_kind["begun"] or [{}])[0]
         self.bounds = {**BOUNDS, **begun.get("bounds", {})}
         self.started_at: int = begun.get("at", 0)
         self.ended_at: int = rows[-1]["at"] if rows else 0
-        self.attempts = {row["attempt"]: row for row in self.kinds["tried"]}
+        self.attempts = {row["attempt"]: row for row in self.rows_by_kind["tried"]}
         self.attempts_by_request = self._by("tried", "request")
         self.arrivals = self._by("arrived", "attempt")
         self.runs = self._by("run", "attempt")
         self.run_ends = self._by("ran", "attempt")
-        self.run_by_seal = {row["seal"]: row for row in self.kinds["run"]}
-        self.run_end_by_seal = {row["seal"]: row for row in self.kinds["ran"]}
-        machines = {**begun.get("machines", {}), **{row["name"]: row for row in self.kinds["machine"]}}
+        self.run_by_seal = {row["seal"]: row for row in self.rows_by_kind["run"]}
+        self.run_end_by_seal = {row["seal"]: row for row in self.rows_by_kind["ran"]}
+        machines = {**begun.get("machines", {}), **{row["name"]: row for row in self.rows_by_kind["machine"]}}
         self.core = {name for name, machine in machines.items() if machine["role"] == "core"}
         self.zones = {name: machine.get("zone", "") for name, machine in machines.items()}
         self.nodes_by_host = {machine["host"]: name for name, machine in machines.items() if machine["role"] == "edge"}
         self.cores_by_host = {machine["host"]: name for name, machine in machines.items() if machine["role"] == "core"}
-        self.worker_zones = {row["worker"]: row["zone"] for row in self.kinds["placed"]}
+        self.worker_zones = {row["worker"]: row["zone"] for row in self.rows_by_kind["placed"]}
         self.platform_zone: str = begun.get("platform_zone", "")
-        self.cuts = zone_cuts.ZoneCuts([*self.kinds["zones_cut"], *self.kinds["zones_joined"]], self.ended_at)
+        self.cuts = zone_cuts.ZoneCuts(
+            [*self.rows_by_kind["zones_cut"], *self.rows_by_kind["zones_joined"]], self.ended_at
+        )
         self.disk_losses: collections.defaultdict[str, list[int]] = collections.defaultdict(list)
-        for row in self.kinds["disk_lost"]:
+        for row in self.rows_by_kind["disk_lost"]:
             self.disk_losses[row["name"]].append(row["at"])
         self.faults: collections.defaultdict[str, list[Fault]] = collections.defaultdict(list)
         self.core_changes = self.cuts.change_times_within({self.zones[name] for name in self.core})
@@ -128,7 +130,7 @@
 
     def _by(self, kind: str, field: str) -> collections.defaultdict[str, Rows]:
         found: collections.defaultdict[str, Rows] = collections.defaultdict(list)
-        for row in self.kinds[kind]:
+        for row in self.rows_by_kind[kind]:
             found[row[field]].append(row)
         return found
 
@@ -161,12 +163,12 @@
                 code=None,
                 answered=None,
             )
-            for row in self.kinds["config_sent"]
+            for row in self.rows_by_kind["config_sent"]
         }
-        for row in reversed(self.kinds["acknowledgement_lost"]):
+        for row in reversed(self.rows_by_kind["acknowledgement_lost"]):
             if row["send"] in found:  # other orders are acknowledged too
                 found[row["send"]]["acknowledged"] = row["at"]
-        for row in self.kinds["config_answer"]:
+        for row in self.rows_by_kind["config_answer"]:
             found[row["send"]].update(code=row["code"], answered=row["at"])
         return list(found.values())
 
@@ -176,9 +178,9 @@
         """Whether a machine had a fault in a span."""
         return any(fault.overlaps(begin, end) for fault in self.faults[name])
 
-    def is_one_life(self, name: str, begin: int, end: int) -> bool:
+    def is_same_incarnation(self, name: str, begin: int, end: int) -> bool:
         """Whether no process of a machine ended in a span."""
-        return not any(fault.what in LIFE_ENDS and fault.overlaps(begin, end) for fault in self.faults[name])
+        return not any(fault.what in INCARNATION_ENDS and fault.overlaps(begin, end) for fault in self.faults[name])
 
     def cut_off_until(self, name: str, at: int) -> int | None:
         """When the last cut healed that a machine was behind at a time, or None where it was behind none."""
@@ -196,7 +198,7 @@
 
     def _connected_core(self, begin: int, end: int) -> set[str]:
         """The core machines that ran through a span and reached over half of the core both ways."""
-        members = {name for name in self.core if not self._is_gone(name, begin, end)}
+        members = {name for name in self.core if not self._is_removed(name, begin, end)}
         running = {name for name in members if not self.is_faulted(name, begin, end)}
         return {
             name
@@ -208,7 +210,7 @@
         """Whether no cut between zones lay between two machines in a span."""
         return not self.cuts.cuts or self.cuts.has_path(self.zones[name], self.zones[other], begin, end)
 
-    def _is_gone(self, name: str, begin: int, end: int) -> bool:
+    def _is_removed(self, name: str, begin: int, end: int) -> bool:
         return any(fault.what in ("gone", "term") and fault.covers(begin, end) for fault in self.faults[name])
 
     def is_connected_to_core(self, name: str, at: int) -> bool:
@@ -223,7 +225,7 @@
             and all(self.has_path(name, other, since, at) for other in self._connected_core(since, at))
         )
 
-    def is_held_up(self, arrival: Row) -> bool:
+    def is_delayed_by_cut(self, arrival: Row) -> bool:
         """Whether the link on which a request came to a worker was cut lately."""
         node, zone = self.nodes_by_host.get(arrival["peer"]), self.worker_zones.get(arrival["worker"])
         if node is None or zone is None:
@@ -239,7 +241,7 @@
 
     def possibly_in_force(self) -> Rows:
         """The valid configurations that were not refused."""
-        return [sent for sent in self.configurations if sent["valid"] and sent["code"] in UNCLEAR_CODES]
+        return [sent for sent in self.configurations if sent["valid"] and sent["code"] in POSSIBLY_IN_FORCE_CODES]
 
     def in_force(self, attempt: Row) -> Rows:
         """What may be in force for an attempt: the newest that must be, and all later ones that may be."""
--- a/simulation/rules/routing.py
+++ b/simulation/rules/routing.py
@@ -72,7 +72,7 @@
 
 def route(log: event_log.Log) -> Complaints:
     """Runs at a service that no configuration ever sent allows."""
-    for row in log.kinds["run"]:
+    for row in log.rows_by_kind["run"]:
         attempt = log.attempts.get(row["attempt"])
         if attempt is None:
             continue
@@ -84,13 +84,13 @@
 def drain(log: event_log.Log) -> Complaints:
     """Requests that reached a leaving worker too late."""
     shown: dict[str, int] = {}  # worker -> when it was seen as leaving
-    for row in log.kinds["listed"]:
+    for row in log.rows_by_kind["listed"]:
         if row["state"] in (platform_names.TERMS["draining"], "gone"):
             shown.setdefault(row["worker"], row["seen"])
-    for row in log.kinds["arrived"]:
+    for row in log.rows_by_kind["arrived"]:
         seen_at = shown.get(row["worker"])
         attempt = log.attempts.get(row["attempt"])
-        if row["verdict"] == 421 or seen_at is None or attempt is None or log.is_held_up(row):
+        if row["verdict"] == 421 or seen_at is None or attempt is None or log.is_delayed_by_cut(row):
             continue
         node = attempt["node"]
         unseen = log.cuts.cut_duration(log.zones.get(node, ""), log.platform_zone, seen_at, row["at"])
--- a/simulation/rules/tallies.py
+++ b/simulation/rules/tallies.py
@@ -51,7 +51,7 @@
         self.log = log
         self.adds: collections.defaultdict[str, dict[str, Add]] = collections.defaultdict(dict)
         self.reads: event_log.Rows = []
-        for row in log.kinds["tally_try"]:
+        for row in log.rows_by_kind["tally_try"]:
             if row["op"] == "add":
                 add = self.adds[row["tally"]].setdefault(row["id"], Add(row["amount"]))
                 add.take_in(row, log.cores_by_host.get(row["host"], ""))
@@ -71,7 +71,7 @@
             lambda acknowledgement: (
                 acknowledgement.machine == machine
                 and acknowledgement.at <= read["began"]
-                and self.log.is_one_life(machine, acknowledgement.at, read["began"])
+                and self.log.is_same_incarnation(machine, acknowledgement.at, read["began"])
             ),
         )
 
@@ -127,7 +127,7 @@
     """A tally that can't be read at the end of the day, or lacks an add that was acknowledged before."""
     tallies = Tallies(log)
     final_tries: collections.defaultdict[str, event_log.Rows] = collections.defaultdict(list)
-    for row in log.kinds["tally_try"]:
+    for row in log.rows_by_kind["tally_try"]:
         if row["op"] == "final":
             final_tries[row["call"]].append(row)
     for tries in final_tries.values():
