--- a/simulation/rules/answers.py
+++ b/simulation/rules/answers.py
@@ -28,12 +28,12 @@
         if attempt["how"] == "garbage" and not is_broken:
             yield f"try {name} got bytes that are no answer"
         if _is_success(attempt):
-            yield from _mixed_success(log, name, attempt)
+            yield from _mixed_success_complaints(log, name, attempt)
     for row in log.rows_by_kind["stray"]:
         yield f"client {row['client']} got bytes that it did not ask for from {row['node']}"
 
 
-def _mixed_success(log: event_log.Log, name: str, attempt: event_log.Row) -> Complaints:
+def _mixed_success_complaints(log: event_log.Log, name: str, attempt: event_log.Row) -> Complaints:
     own_seals = {run["seal"] for run in log.runs[name]}
     seal = attempt["seal"]
     if seal is None or seal not in log.run_by_seal:
@@ -113,10 +113,10 @@
     """Streams with an event missing or doubled, joined from two runs, or ended early."""
     for name, attempt in log.attempts.items():
         if attempt["stream"] and _is_success(attempt):
-            yield from _disordered(log, name, attempt)
+            yield from _stream_complaints(log, name, attempt)
 
 
-def _disordered(log: event_log.Log, name: str, attempt: event_log.Row) -> Complaints:
+def _stream_complaints(log: event_log.Log, name: str, attempt: event_log.Row) -> Complaints:
     events = event_log.events_of(attempt)
     numbers = [event.number for event in events]
     first = attempt["after"] + 1
@@ -124,7 +124,7 @@
         yield f"try {name} got events {numbers}, beginning after {attempt['after']}"
         return
     if attempt["how"] == "whole":
-        is_complete = events[-1].is_last if events else _had_last(log, attempt)
+        is_complete = events[-1].is_last if events else _had_received_last_event(log, attempt)
         if not is_complete:
             yield f"try {name} ended as whole ahead of its last event"
         if attempt["rest"]:
@@ -136,7 +136,7 @@
                 yield f"try {name} joins two runs after event {event.number}"
 
 
-def _had_last(log: event_log.Log, attempt: event_log.Row) -> bool:
+def _had_received_last_event(log: event_log.Log, attempt: event_log.Row) -> bool:
     """Whether the event after which a stream was taken up was its last."""
     return any(
         event.number == attempt["after"] and event.is_last
--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -20,7 +20,7 @@
 REVERT_FACTOR_OF_FAULTED = 8
 
 
-class Shown(typing.NamedTuple):
+class ObservedVersion(typing.NamedTuple):
     """That a machine showed the effect of a version at a time."""
 
     at: int
@@ -44,7 +44,7 @@
             yield f"{len(rivals)} changes on top of version {base} were acknowledged"
 
 
-def shown_service(log: event_log.Log, attempt: event_log.Row) -> str | None:
+def observed_service(log: event_log.Log, attempt: event_log.Row) -> str | None:
     """What an attempt shows of the configuration: a service, None for a node's own 404, or "" for nothing."""
     pools: list[str] = [row["pool"] for row in log.arrivals[attempt["attempt"]] if not row["verdict"]]
     if pools:
@@ -59,9 +59,9 @@
         if sent["code"] not in event_log.POSSIBLY_IN_FORCE_CODES or not sent["valid"]
     ]
     possible = log.possibly_in_force()
-    shown: collections.defaultdict[str, list[Shown]] = collections.defaultdict(list)
+    observed: collections.defaultdict[str, list[ObservedVersion]] = collections.defaultdict(list)
     for attempt in sorted(log.attempts.values(), key=lambda row: row["sent"]):
-        service = shown_service(log, attempt)
+        service = observed_service(log, attempt)
         if service == "":
             continue
         matching = _matching(possible, attempt, service)
@@ -71,10 +71,10 @@
             continue
         newest = max(sent["version"] for sent in matching)
         yield from _late(log, attempt, newest)
-        yield from _gone_back(log, attempt, newest, shown[attempt["node"]])
+        yield from _reverted(log, attempt, newest, observed[attempt["node"]])
         if service is not None:
             oldest = min(sent["version"] for sent in matching)
-            shown[attempt["node"]].append(Shown(attempt["done"], oldest))
+            observed[attempt["node"]].append(ObservedVersion(attempt["done"], oldest))
 
 
 def _matching(configurations: event_log.Rows, attempt: event_log.Row, service: str | None) -> event_log.Rows:
@@ -95,12 +95,12 @@
         )
 
 
-def _gone_back(log: event_log.Log, attempt: event_log.Row, newest: int, shown: list[Shown]) -> Complaints:
+def _reverted(log: event_log.Log, attempt: event_log.Row, newest: int, observed: list[ObservedVersion]) -> Complaints:
     node, sent_at = attempt["node"], attempt["sent"]
     repaired_at = max((fault.end for fault in log.faults[node] if fault.end <= sent_at), default=-1)
     is_faulted = log.is_faulted(node, sent_at - log.bounds["contact"], sent_at)
     slack = log.bounds["revert"] * (REVERT_FACTOR_OF_FAULTED if is_faulted else 1)
-    versions = (seen.version for seen in shown if repaired_at < seen.at and seen.at + slack < sent_at)
+    versions = (seen.version for seen in observed if repaired_at < seen.at and seen.at + slack < sent_at)
     floor = max(versions, default=0)
     if newest < floor:
         yield f"try {attempt['attempt']}: {node} went back from version {floor} to {newest}"
@@ -119,20 +119,20 @@
     matching = [sent for sent in log.configurations if sent["version"] == version and sent["valid"]]
     if version < newest:
         yield f"version {version} was read back, though {newest} was acknowledged"
-    elif not any(is_same(document, sent["doc"]) for sent in matching):
+    elif not any(is_equivalent(document, sent["doc"]) for sent in matching):
         yield f"what was read back as version {version} is not what was sent"
 
 
-def is_same(document: Document, other: Document) -> bool:
+def is_equivalent(document: Document, other: Document) -> bool:
     """Whether two configurations say the same, whatever the order of their items.
 
-    >>> is_same({"routes": [{"name": "a"}, {"name": "b"}]}, {"routes": [{"name": "b"}, {"name": "a"}]})
+    >>> is_equivalent({"routes": [{"name": "a"}, {"name": "b"}]}, {"routes": [{"name": "b"}, {"name": "a"}]})
     True
     """
-    return _ordered(document) == _ordered(other)
+    return _with_sorted_items(document) == _with_sorted_items(other)
 
 
-def _ordered(document: Document) -> Document:
+def _with_sorted_items(document: Document) -> Document:
     return {
         key: sorted(value, key=lambda item: json.dumps(item, sort_keys=True)) if isinstance(value, list) else value
         for key, value in document.items()
--- a/simulation/rules/routing.py
+++ b/simulation/rules/routing.py
@@ -19,10 +19,10 @@
 TOLERATED_DENIALS, ATTEMPTS_PER_DENIAL = 5, 500
 
 
-def covers(prefix: str, path: str) -> bool:
+def has_prefix(prefix: str, path: str) -> bool:
     """Whether a route's prefix begins a path.
 
-    >>> covers("/a/", "/a/b"), covers("/a/", "/ab")
+    >>> has_prefix("/a/", "/a/b"), has_prefix("/a/", "/ab")
     (True, False)
     """
     return path.startswith(prefix)
@@ -39,7 +39,7 @@
     """
     names = platform_names.ROUTE
     routes = document[platform_names.CONFIGURATION["routes"]]
-    matching = [route for route in routes if route[names["host"]] == host and covers(route[names["path"]], path)]
+    matching = [route for route in routes if route[names["host"]] == host and has_prefix(route[names["path"]], path)]
     if not matching:
         return {None}
     route = max(matching, key=lambda candidate: len(candidate[names["path"]]))
@@ -83,12 +83,12 @@
 
 def drain(log: event_log.Log) -> Complaints:
     """Requests that reached a leaving worker too late."""
-    shown: dict[str, int] = {}  # worker -> when it was seen as leaving
+    listed_leaving_at: dict[str, int] = {}  # worker -> when it was seen as leaving
     for row in log.rows_by_kind["listed"]:
         if row["state"] in (platform_names.TERMS["draining"], "gone"):
-            shown.setdefault(row["worker"], row["seen"])
+            listed_leaving_at.setdefault(row["worker"], row["seen"])
     for row in log.rows_by_kind["arrived"]:
-        seen_at = shown.get(row["worker"])
+        seen_at = listed_leaving_at.get(row["worker"])
         attempt = log.attempts.get(row["attempt"])
         if row["verdict"] == 421 or seen_at is None or attempt is None or log.is_delayed_by_cut(row):
             continue
