--- a/simulation/rules/__init__.py
+++ b/simulation/rules/__init__.py
@@ -1,1 +1,1 @@
-"""The rules of the users' platform, over an event log of what clients, workers, operators and the platform saw."""
+"""The rules of the users' platform, checked on an event log of what clients, workers and operators saw."""
--- a/simulation/rules/cold_workers.py
+++ b/simulation/rules/cold_workers.py
@@ -1,4 +1,7 @@
-"""The rule about cold workers: no second holds more requests to one of them than it bears."""
+"""The rule about cold workers: none gets more requests within any one second than its limit.
+
+A worker is cold for some seconds after its start, and can take only few requests meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +15,14 @@
     import simulation.rules.log as event_log
 
 WINDOW_US = units.SECOND_US
-NOT_FOR_THIS_WORKER = 421
+NOT_FOR_THIS_WORKER = 421  # a worker's status for a request that names another worker
 
 
 def failback(log: event_log.Log) -> collections.abc.Iterator[str]:
-    """More requests to a cold worker in one second than its limit, over all machines, in touch or not.
+    """Complain of a cold worker that got more requests within one second than its limit.
 
-    What counts was sent and arrived inside that second: a request that a cut held up for longer does not.
+    Requests of all nodes count, also of those that are not connected to the core. Requests that a network cut delayed
+    by a second or more don't count: they arrive together, although they were sent at an allowed rate.
     """
     arrivals: collections.defaultdict[str, list[int]] = collections.defaultdict(list)
     for row in log.rows_by_kind["arrived"]:
@@ -28,17 +32,17 @@
     for worker, times in sorted(arrivals.items()):
         most = _most_in_a_second(times)
         if most > limit:
-            yield f"cold worker {worker} got {most} requests in one second, {limit:.0f} at most are allowed"
+            yield f"cold worker {worker} got {most} requests within one second, at most {limit:.0f} are allowed"
 
 
 def _sent_within_window(log: event_log.Log, row: event_log.Row) -> bool:
-    """Whether a request came within a second of the client's try, or came over a link that was not cut lately."""
+    """Whether a request reached the worker within a second of its sending, or over a link without a recent cut."""
     tried = log.attempts.get(row["attempt"])
     return tried is None or row["at"] - tried["sent"] < WINDOW_US or not log.is_delayed_by_cut(row)
 
 
 def _most_in_a_second(times: list[int]) -> int:
-    """The most arrivals that a second holds; times rise.
+    """The largest number of arrivals within one second, of arrival times in ascending order.
 
     >>> _most_in_a_second([0, 1, units.SECOND_US])
     2
--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -1,4 +1,7 @@
-"""The rules about configurations: acknowledged in time, in force in time and for good, and read back as sent."""
+"""The rules about configurations: acknowledged in time, applied in time, never reverted, and read back as sent.
+
+Each public function that takes only a log checks the rule of its name and yields one complaint per violation.
+"""
 
 from __future__ import annotations
 
@@ -16,19 +19,23 @@
 Complaints = collections.abc.Iterator[str]
 Document = dict[str, typing.Any]
 
-ACK_PER_ROUTE_US = 3 * units.MILLISECOND_US
-REVERT_FACTOR_OF_FAULTED = 8
+ACK_PER_ROUTE_US = 3 * units.MILLISECOND_US  # added to the time limit of an acknowledgement for each route
+REVERT_FACTOR_OF_FAULTED = 8  # times the usual slack, for a node that recently had a fault
 
 
 class ObservedVersion(typing.NamedTuple):
-    """That a machine showed the effect of a version at a time."""
+    """When a node handled a request by a configuration, and the oldest version by which it may have."""
 
     at: int
     version: int
 
 
 def config(log: event_log.Log) -> Complaints:
-    """Configurations handled wrongly: late, slipped back, not to be in force, or not read back."""
+    """Complain of configurations that were wrongly acknowledged, applied or read back.
+
+    A configuration is wrongly applied where a node applies it late, goes back to an older one, or applies one that was
+    refused.
+    """
     yield from _wrongly_acknowledged(log)
     yield from _wrongly_applied(log)
     yield from _wrongly_read_back(log)
@@ -37,15 +44,15 @@
 def _wrongly_acknowledged(log: event_log.Log) -> Complaints:
     for sent in log.acknowledged:
         if not sent["valid"]:
-            yield f"version {sent['version']} is invalid, and was acknowledged"
+            yield f"version {sent['version']} is invalid, but was acknowledged"
     for base in {sent["base"] for sent in log.acknowledged}:
         rivals = {json.dumps(sent["doc"], sort_keys=True) for sent in log.acknowledged if sent["base"] == base}
         if len(rivals) > 1:
-            yield f"{len(rivals)} changes on top of version {base} were acknowledged"
+            yield f"{len(rivals)} different configurations based on version {base} were acknowledged"
 
 
 def observed_service(log: event_log.Log, attempt: event_log.Row) -> str | None:
-    """What an attempt shows of the configuration: a service, None for a node's own 404, or "" for nothing."""
+    """The service that the node chose for an attempt: None where it answered 404 itself, "" where that is unknown."""
     pools: list[str] = [row["pool"] for row in log.arrivals[attempt["attempt"]] if not row["verdict"]]
     if pools:
         return pools[0]
@@ -67,7 +74,7 @@
         matching = _matching(possible, attempt, service)
         if not matching:
             if _matching(refused, attempt, service):
-                yield f"try {attempt['attempt']} was handled as only a configuration that was refused allows"
+                yield f"attempt {attempt['attempt']} was handled as only a refused or invalid configuration allows"
             continue
         newest = max(sent["version"] for sent in matching)
         yield from _late(log, attempt, newest)
@@ -78,7 +85,7 @@
 
 
 def _matching(configurations: event_log.Rows, attempt: event_log.Row, service: str | None) -> event_log.Rows:
-    """Those configurations that let an attempt go to a service."""
+    """Those configurations that were sent before the end of an attempt and route it to a service."""
     return [
         sent
         for sent in configurations
@@ -90,8 +97,8 @@
     must = max(log.versions_in_force(attempt["sent"]), default=newest)
     if newest < must and log.is_connected_to_core(attempt["node"], attempt["done"]):
         yield (
-            f"try {attempt['attempt']} at {attempt['node']} was handled as only version {newest} or older allows, "
-            f"{must} being in force"
+            f"node {attempt['node']} handled attempt {attempt['attempt']} by version {newest} or older, "
+            f"though it must have applied version {must}"
         )
 
 
@@ -103,7 +110,10 @@
     versions = (seen.version for seen in observed if repaired_at < seen.at and seen.at + slack < sent_at)
     floor = max(versions, default=0)
     if newest < floor:
-        yield f"try {attempt['attempt']}: {node} went back from version {floor} to {newest}"
+        yield (
+            f"node {node} handled attempt {attempt['attempt']} by version {newest}, "
+            f"after it had applied version {floor}"
+        )
 
 
 def _wrongly_read_back(log: event_log.Log) -> Complaints:
@@ -112,19 +122,19 @@
     newest = max(sent["version"] for sent in log.acknowledged)
     reads = log.rows_by_kind["config_read"]
     if not reads or reads[-1]["doc"] is None:
-        yield "the configuration did not come when read back"
+        yield "the configuration could not be read back at the end of the run"
         return
     document = reads[-1]["doc"]
     version = document.get(platform_names.CONFIGURATION["version"])
     matching = [sent for sent in log.configurations if sent["version"] == version and sent["valid"]]
     if version < newest:
-        yield f"version {version} was read back, though {newest} was acknowledged"
+        yield f"version {version} was read back, though version {newest} had been acknowledged"
     elif not any(is_equivalent(document, sent["doc"]) for sent in matching):
-        yield f"what was read back as version {version} is not what was sent"
+        yield f"version {version} was read back with another content than was sent"
 
 
 def is_equivalent(document: Document, other: Document) -> bool:
-    """Whether two configurations say the same, whatever the order of their items.
+    """Whether two configurations are the same but for the order of the items in their lists.
 
     >>> is_equivalent({"routes": [{"name": "a"}, {"name": "b"}]}, {"routes": [{"name": "b"}, {"name": "a"}]})
     True
@@ -140,18 +150,21 @@
 
 
 def acks(log: event_log.Log) -> Complaints:
-    """Proper configurations that were not acknowledged in time although the core was settled."""
+    """Complain of valid configurations that were not acknowledged in time although the core was stable."""
     for sent in log.possibly_in_force():
         routes = len(sent["doc"][platform_names.CONFIGURATION["routes"]])
         bound = log.bounds["ack"] + ACK_PER_ROUTE_US * routes
         answered_at: int = sent["answered"] if sent["answered"] is not None else log.ended_at
-        # A row says when the first acknowledgement was given, where that was lost on its way to the operator.
+        # "acknowledged" is the time of the first acknowledgement, where that was lost on its way to the operator.
         end: int = sent.get("acknowledged", answered_at)
         begin = max([sent["sent"], log.started_at, *(change for change in log.core_changes if change < end)])
         if end - begin > bound and log.is_core_stable(end) and not log.cuts.has_cut_during(begin, end):
-            yield f"version {sent['version']} was not acknowledged for {(end - begin) // units.MILLISECOND_US} ms"
+            yield (
+                f"version {sent['version']} was not acknowledged for {(end - begin) // units.MILLISECOND_US} ms, "
+                f"though the core was stable"
+            )
 
 
 def linearizable(log: event_log.Log) -> Complaints:
-    """Operators' calls and reads that no order explains."""
+    """Complain of operators' calls and reads whose results no sequential order of them explains."""
     yield from history.complaints(log.rows)
--- a/simulation/rules/earned_value.py
+++ b/simulation/rules/earned_value.py
@@ -1,4 +1,8 @@
-"""What a run earned: shares of requests in aim, late and not served, and the worth of what was served."""
+"""The value that a run earned: the numbers of requests served in time, late or not at all, and their worth.
+
+A request has an aim: the time limit for the first event of its response. Each kind of request has a value, and a
+smaller one for requests that are served late. The worth is the earned value as a share of the possible value.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +14,14 @@
 from iriswheel.runtime import units
 
 WINDOW_US = 2 * units.SECOND_US
-WORST_WINDOWS = 2
+WORST_WINDOWS = 2  # how many of the windows with the least worth are reported
 
 State = typing.Literal["in_aim", "late", "none"]
 Totals = dict[str, typing.Any]
 
 
 class RequestValue(typing.NamedTuple):
-    """What a kind of request is worth: its aim and longest pause in microseconds, its value, and that of a late one."""
+    """What a kind of request is worth: its aim and longest pause between events, its value, and the value when late."""
 
     aim_us: int
     pause_us: int
@@ -26,14 +30,14 @@
 
 
 class Earned(typing.NamedTuple):
-    """What one request earned."""
+    """Whether one request was served in time, late or not at all, and the value that it earned."""
 
     state: State
     value: float
 
 
 def first_event(attempts: event_log.Rows) -> int:
-    """When the first event of a served request came, or its whole answer.
+    """When the first event of a served request reached the client, or its whole response where it has no events.
 
     >>> first_event([dict(events=[], done=7)])
     7
@@ -43,7 +47,11 @@
 
 
 def is_in_time(log: event_log.Log, answered: event_log.Row, attempts: event_log.Rows, kind: RequestValue) -> bool:
-    """Whether a served request was inside its aim, without a long pause, each event passed on at once."""
+    """Whether a served request met its aim.
+
+    Its first event came within the aim, no pause between events was too long, and the fleet delayed no event by more
+    than the bound `late` after the worker sent it.
+    """
     if first_event(attempts) - answered["began"] > kind.aim_us:
         return False
     events = [event for attempt in attempts for event in event_log.events_of(attempt)]
@@ -59,7 +67,7 @@
 
 
 def earned_by(log: event_log.Log, answered: event_log.Row, kind: RequestValue) -> Earned:
-    """What a request earned."""
+    """What a request earned, by its row `answered`."""
     attempts = log.attempts_by_request[answered["request"]]
     if not answered["ok"] or not attempts:
         return Earned("none", 0.0)
@@ -69,12 +77,12 @@
 
 
 def earned_value(rows: event_log.Rows, kinds: dict[str, RequestValue], window: int = WINDOW_US) -> dict[str, Totals]:
-    """What was earned in all, by kind and by zone.
+    """The numbers of requests and the value earned: of all requests, by kind and by zone.
 
     Args:
         rows: The event log.
-        kinds: What each kind of request is worth; others are left out.
-        window: The length in microseconds of the windows of which the worst are told.
+        kinds: What each kind of request is worth; requests of other kinds are left out.
+        window: The length in microseconds of the windows whose worst worths are reported.
 
     >>> earned_value([], {})["all"]["asked"]
     0
@@ -105,7 +113,7 @@
 def _summary(
     totals: collections.defaultdict[str, Totals], windows: dict[int, Totals], waits: dict[str, list[int]]
 ) -> dict[str, Totals]:
-    totals["all"]  # stands there also where nothing was asked
+    totals["all"]  # creates the entry where there was no request
     summary = {
         name: {**group, "worth": group["earned"] / group["owed"] if group["owed"] else 0.0}
         for name, group in totals.items()
--- a/simulation/rules/evacuations.py
+++ b/simulation/rules/evacuations.py
@@ -1,4 +1,7 @@
-"""The rules about evacuations: acknowledged in time, in force in time, and kept through a closing fault."""
+"""The rules about evacuations of zones: acknowledged and applied in time, and kept through a fleet outage.
+
+An operator evacuates a zone, so that no more requests go to its workers, and later ends the evacuation.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +15,11 @@
 
 Complaints = collections.abc.Iterator[str]
 
-NOT_FOR_THIS_WORKER = 421
+NOT_FOR_THIS_WORKER = 421  # a worker's status for a request that names another worker
 
 
 class Evacuation(typing.NamedTuple):
-    """An evacuation that was acknowledged, and when it was taken back."""
+    """An evacuation that was acknowledged, and when the operator began to end it."""
 
     zone: str
     acknowledged_at: int
@@ -38,7 +41,7 @@
 
 
 def _arrivals(log: event_log.Log, evacuation: Evacuation, begin: float) -> collections.abc.Iterator[event_log.Row]:
-    """The requests that reached workers of an evacuated zone after some time."""
+    """The requests that reached workers of an evacuated zone after a time, without a delay by a network cut."""
     for row in log.rows_by_kind["arrived"]:
         is_there = log.worker_zones.get(row["worker"]) == evacuation.zone and begin < row["at"] < evacuation.until
         if is_there and row["verdict"] != NOT_FOR_THIS_WORKER and not log.is_delayed_by_cut(row):
@@ -46,28 +49,38 @@
 
 
 def evac(log: event_log.Log) -> Complaints:
-    """Requests that machines in touch sent to workers of a zone too long after its evacuation was acknowledged."""
+    """Complain of requests to workers of an evacuated zone.
+
+    They break the rule where the evacuation was acknowledged longer ago than the bound `evacuate`, and the node that
+    sent them was connected to the core.
+    """
     for evacuation in _evacuations(log):
         for row in _arrivals(log, evacuation, evacuation.acknowledged_at + log.bounds["evacuate"]):
             node = log.nodes_by_host.get(row["peer"])
             if node is not None and log.is_connected_to_core(node, row["at"]):
                 after_ms = (row["at"] - evacuation.acknowledged_at) // units.MILLISECOND_US
-                yield f"{row['attempt']} reached zone {evacuation.zone} {after_ms} ms after its evacuation, from {node}"
+                yield (
+                    f"node {node} sent attempt {row['attempt']} to zone {evacuation.zone}, "
+                    f"whose evacuation had been acknowledged {after_ms} ms before"
+                )
 
 
 def evac_lost(log: event_log.Log) -> Complaints:
-    """Requests that reach an evacuated zone although all machines are back from the closing fault for long."""
+    """Complain of requests to a zone evacuated before a fleet outage, once the time for recovery from it is over."""
     for closing in log.rows_by_kind["closing"]:
         begin = closing["back"] + log.bounds["recovery"]
         for evacuation in _evacuations(log):
             if evacuation.acknowledged_at < closing["at"] < evacuation.until:
                 count = sum(1 for _ in _arrivals(log, evacuation, begin))
                 if count:
-                    yield f"{count} requests reached zone {evacuation.zone}, evacuated before the closing fault"
+                    yield (
+                        f"{count} requests reached zone {evacuation.zone} after the fleet outage, "
+                        f"though it had been evacuated before"
+                    )
 
 
 def evac_acks(log: event_log.Log) -> Complaints:
-    """Orders to evacuate a zone or take it back that were not acknowledged in time in a settled stretch."""
+    """Complain of orders to begin or end an evacuation that were not acknowledged in time while the core was stable."""
     answers = {answer["send"]: answer for answer in log.rows_by_kind["evacuation_answer"]}
     for sent in log.rows_by_kind["evacuation_sent"]:
         answer, due_at = answers.get(sent["send"]), int(sent["at"] + log.bounds["ack"])
@@ -81,4 +94,4 @@
             and not log.cuts.has_cut_during(sent["at"], due_at)
         ):
             code = None if answer is None else answer["code"]
-            yield f"the order about zone {sent['zone']} was not acknowledged in time, the answer was {code}"
+            yield f"the evacuation order for zone {sent['zone']} was not acknowledged in time, the status was {code}"
--- a/simulation/rules/log.py
+++ b/simulation/rules/log.py
@@ -1,4 +1,7 @@
-"""An event log of one run, by kind and by attempt, with its configurations and faults."""
+"""The event log of one run, indexed for the rules: its rows by kind and by attempt, its configurations and faults.
+
+All times are microseconds of virtual time.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,8 @@
 from simulation.clients import connection
 from simulation.rules import zone_cuts
 
-# The bounds of the small sites, in microseconds where they are times; a log's `begun` row may name others.
+# The default bounds, those of the smaller deployments, in microseconds where they are times. The row `begun` of a log
+# may name others.
 BOUNDS: dict[str, int | float] = dict(
     contact=3_000 * units.MILLISECOND_US,
     drain=3_000 * units.MILLISECOND_US,
@@ -27,31 +31,34 @@
     merge=3 * units.SECOND_US,
     cold_limit=29,
 )
-PROCESS_ENDS = ("kill", "power", "term", "closing", "new")  # faults that a process's next start ends
-INCARNATION_ENDS = (*PROCESS_ENDS, "gone")
-POSSIBLY_IN_FORCE_CODES = (200, 0, None)  # of a configuration that is in force, or may be
+PROCESS_ENDS = ("kill", "power", "term", "closing", "new")  # faults that last until the machine's process starts again
+INCARNATION_ENDS = (*PROCESS_ENDS, "gone")  # faults that end a process
+POSSIBLY_IN_FORCE_CODES = (200, 0, None)  # acknowledged, without a clear answer, or without any answer yet
 
 Row = dict[str, typing.Any]
 Rows = list[Row]
 
 
 class Fault:
-    """A fault of a machine: when it began and ended, and what it was."""
+    """A fault of a machine: when it began and ended, and its kind, such as "kill" or "cut"."""
 
     def __init__(self, begin: int, end: int, what: str) -> None:
         self.begin, self.end, self.what = begin, end, what
 
     def overlaps(self, begin: int, end: int) -> bool:
-        """Whether it lies in a span, at least in part."""
+        """Whether the fault lasted during a part of a time span."""
         return self.begin <= end and self.end >= begin
 
     def covers(self, begin: int, end: int) -> bool:
-        """Whether it lasts through a span."""
+        """Whether the fault lasted throughout a time span."""
         return self.begin <= begin and self.end >= end
 
 
 def pop_ended_fault(open_faults: list[Fault], what: str | None) -> Fault | None:
-    """Take out the fault that a repair ends: the newest of its kind, or of a process's end where it names none.
+    """Remove the fault that a repair ends from a machine's open faults, and return it.
+
+    It is the newest fault of the kind that the repair names. A repair that names none is the start of a process: it
+    ends the newest fault in `PROCESS_ENDS`, or without one the newest fault.
 
     >>> faults = [Fault(1, 99, "kill"), Fault(2, 99, "cut")]
     >>> pop_ended_fault(faults, None).what, pop_ended_fault(faults, "cut").what, pop_ended_fault(faults, "cut")
@@ -68,7 +75,7 @@
 
 
 def events_of(attempt: Row) -> list[connection.ReceivedEvent]:
-    """The events of a stream that an attempt got."""
+    """The events that the client received in the response of an attempt."""
     return [connection.ReceivedEvent(*event) for event in attempt["events"]]
 
 
@@ -76,20 +83,24 @@
     """The rows of one run.
 
     Attributes:
-        kinds: Rows by their kind.
-        attempts: Rows `tried` by the name of the attempt.
-        attempts_by_request: Rows `tried` by the request.
-        arrivals: Rows of workers that got an attempt, by its name; `runs` and `run_ends` likewise.
-        run_by_seal: Rows `run` by the seal; `run_end_by_seal` likewise rows `ran`.
-        zones: The zone of each machine, where the log tells it; `worker_zones` likewise by a worker's instance.
+        rows_by_kind: All rows by their kind.
+        attempts: The clients' attempts to send a request (rows `tried`), by the attempt's name.
+        attempts_by_request: The same rows by the name of the request.
+        arrivals: Arrivals of an attempt at workers (rows `arrived`), by its name.
+        runs: Starts of an attempt's execution at workers (rows `run`), by its name.
+        run_ends: Ends of an attempt's execution at workers (rows `ran`), by its name.
+        run_by_seal: Rows `run` by the seal, the token that is unique to one execution; `run_end_by_seal`
+            likewise rows `ran`.
+        zones: The zone of each machine, empty where the log does not tell it; `worker_zones` likewise by the
+            identifier of a worker's instance.
         nodes_by_host: The name of the node at each address; `cores_by_host` likewise of core machines.
         platform_zone: The zone of the platform's list of workers.
-        cuts: Cuts between zones.
+        cuts: Network cuts between zones.
         disk_losses: When each machine lost its disk.
         faults: The faults of each machine.
-        core_changes: When faults of core machines or cuts between them began or ended.
-        configurations: What operators sent, in its order.
-        acknowledged: Those that were acknowledged, the oldest acknowledgement first.
+        core_changes: When faults of core machines or network cuts between their zones began or ended.
+        configurations: The configurations that operators sent, in the order of sending.
+        acknowledged: The configurations that were acknowledged, the oldest acknowledgement first.
     """
 
     def __init__(self, rows: Rows) -> None:
@@ -152,7 +163,7 @@
                 self.core_changes.append(row["at"])
 
     def _read_configurations(self) -> Rows:
-        """Each configuration sent: its document, when it was sent, and what was answered."""
+        """Each configuration that an operator sent: its document, when it was sent, and its answer, where one came."""
         found = {
             row["send"]: dict(
                 version=row["version"],
@@ -166,7 +177,7 @@
             for row in self.rows_by_kind["config_sent"]
         }
         for row in reversed(self.rows_by_kind["acknowledgement_lost"]):
-            if row["send"] in found:  # other orders are acknowledged too
+            if row["send"] in found:  # the others are acknowledgements of evacuation orders
                 found[row["send"]]["acknowledged"] = row["at"]
         for row in self.rows_by_kind["config_answer"]:
             found[row["send"]].update(code=row["code"], answered=row["at"])
@@ -175,29 +186,33 @@
     # ---- machines -----------------------------------------------------------------------
 
     def is_faulted(self, name: str, begin: int, end: int) -> bool:
-        """Whether a machine had a fault in a span."""
+        """Whether a machine had a fault during a part of a time span."""
         return any(fault.overlaps(begin, end) for fault in self.faults[name])
 
     def is_same_incarnation(self, name: str, begin: int, end: int) -> bool:
-        """Whether no process of a machine ended in a span."""
+        """Whether the same process ran on a machine throughout a time span."""
         return not any(fault.what in INCARNATION_ENDS and fault.overlaps(begin, end) for fault in self.faults[name])
 
     def cut_off_until(self, name: str, at: int) -> int | None:
-        """When the last cut healed that a machine was behind at a time, or None where it was behind none."""
+        """When the last of the network cuts ended that a machine was behind at a time; None where there was none."""
         zone = self.zones.get(name, "")
         ends = [cut.end for cut in self.cuts.cuts if cut.overlaps(at, at) and any(zone in link for link in cut.links)]
         ends += [fault.end for fault in self.faults[name] if fault.what == "cut" and fault.overlaps(at, at)]
         return max(ends, default=None)
 
     def is_core_stable(self, at: int) -> bool:
-        """Whether the core was settled through the contact time before a moment."""
+        """Whether the core was stable at a time.
+
+        It was where, throughout the contact time before, no core machine's fault or cut between their zones began or
+        ended, and a majority of the core machines was running and connected.
+        """
         since = at - self.bounds["contact"]
         if any(since <= change <= at for change in self.core_changes):
             return False
         return not self.core or bool(self._connected_core(since, at))
 
     def _connected_core(self, begin: int, end: int) -> set[str]:
-        """The core machines that ran through a span and reached over half of the core both ways."""
+        """The core machines that ran without a fault throughout a time span and reached a majority of the core."""
         members = {name for name in self.core if not self._is_removed(name, begin, end)}
         running = {name for name in members if not self.is_faulted(name, begin, end)}
         return {
@@ -207,16 +222,17 @@
         }
 
     def has_path(self, name: str, other: str, begin: int, end: int) -> bool:
-        """Whether no cut between zones lay between two machines in a span."""
+        """Whether no cut between zones separated two machines during any part of a time span."""
         return not self.cuts.cuts or self.cuts.has_path(self.zones[name], self.zones[other], begin, end)
 
     def _is_removed(self, name: str, begin: int, end: int) -> bool:
         return any(fault.what in ("gone", "term") and fault.covers(begin, end) for fault in self.faults[name])
 
     def is_connected_to_core(self, name: str, at: int) -> bool:
-        """Whether a machine is expected to keep time limits.
+        """Whether a machine was connected to a stable core, so that it must keep the time limits.
 
-        It has no fault, the core was settled lately, and it reached each core machine that reaches most of the core.
+        Throughout the contact time before, the machine had no fault, the core was stable, and the machine reached each
+        core machine that reached a majority of the core.
         """
         since = at - self.bounds["contact"]
         return (
@@ -226,7 +242,7 @@
         )
 
     def is_delayed_by_cut(self, arrival: Row) -> bool:
-        """Whether the link on which a request came to a worker was cut lately."""
+        """Whether the link on which a request came to a worker was cut at any time in the contact time before."""
         node, zone = self.nodes_by_host.get(arrival["peer"]), self.worker_zones.get(arrival["worker"])
         if node is None or zone is None:
             return False
@@ -236,15 +252,18 @@
     # ---- configurations -----------------------------------------------------------------
 
     def versions_in_force(self, at: int) -> list[int]:
-        """The versions that must be applied by a time."""
+        """The versions that all machines must have applied by a time."""
         return [sent["version"] for sent in self.acknowledged if sent["answered"] + self.bounds["apply"] < at]
 
     def possibly_in_force(self) -> Rows:
-        """The valid configurations that were not refused."""
+        """The valid configurations that were acknowledged or had no clear answer."""
         return [sent for sent in self.configurations if sent["valid"] and sent["code"] in POSSIBLY_IN_FORCE_CODES]
 
     def in_force(self, attempt: Row) -> Rows:
-        """What may be in force for an attempt: the newest that must be, and all later ones that may be."""
+        """The configurations that may be in force for an attempt.
+
+        They are the newest that must have been applied when it was sent, and all later ones that may have been.
+        """
         floor = max(self.versions_in_force(attempt["sent"]), default=0)
         return [
             sent for sent in self.possibly_in_force() if sent["version"] >= floor and sent["sent"] <= attempt["done"]
--- a/simulation/rules/routing.py
+++ b/simulation/rules/routing.py
@@ -1,4 +1,8 @@
-"""Which services a configuration lets a request go to, and the rules about routes, leaving workers and retries."""
+"""The rules about routes, draining workers and retry budgets, and the services to which a configuration routes.
+
+A service is the name of a pool of workers. Each public function that takes only a log checks the rule of its name and
+yields one complaint per violation.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +19,12 @@
 
 Complaints = collections.abc.Iterator[str]
 
-TEMPORARY_CODES = (408, 421, 429)
-TOLERATED_DENIALS, ATTEMPTS_PER_DENIAL = 5, 500
+TEMPORARY_CODES = (408, 421, 429)  # statuses after which a client may send the request again
+TOLERATED_DENIALS, ATTEMPTS_PER_DENIAL = 5, 500  # tolerated are 5, and one more for each 500 attempts
 
 
 def has_prefix(prefix: str, path: str) -> bool:
-    """Whether a route's prefix begins a path.
+    """Whether a path begins with a route's prefix.
 
     >>> has_prefix("/a/", "/a/b"), has_prefix("/a/", "/ab")
     (True, False)
@@ -29,7 +33,7 @@
 
 
 def services(document: dict[str, typing.Any], host: str, path: str) -> set[str | None]:
-    """The services that a configuration lets a request go to; None stands for no route.
+    """The services to which a configuration routes a request; None where no route matches.
 
     >>> names = platform_names.ROUTE
     >>> route = {names["host"]: "h", names["path"]: "/a/", names["pool"]: "p"}
@@ -49,15 +53,18 @@
 
 
 def services_of(sent: event_log.Row, attempt: event_log.Row) -> set[str | None]:
-    """The services that a configuration that was sent lets an attempt go to."""
+    """The services to which a configuration that an operator sent routes an attempt; None where no route matches."""
     return services(sent["doc"], attempt["host"], attempt["url"])
 
 
 def denied(log: event_log.Log) -> Complaints:
-    """Proper requests that machines in touch refused for good."""
+    """Complain where nodes connected to the core refused too many valid requests with a permanent error."""
     names = [name for name, attempt in log.attempts.items() if _is_denied(log, name, attempt)]
     if len(names) > TOLERATED_DENIALS + len(log.attempts) / ATTEMPTS_PER_DENIAL:
-        yield f"{len(names)} proper requests were denied, as {names[0]} with {log.attempts[names[0]]['code']}"
+        yield (
+            f"{len(names)} valid requests were refused, "
+            f"for example attempt {names[0]} with status {log.attempts[names[0]]['code']}"
+        )
 
 
 def _is_denied(log: event_log.Log, name: str, attempt: event_log.Row) -> bool:
@@ -71,19 +78,22 @@
 
 
 def route(log: event_log.Log) -> Complaints:
-    """Runs at a service that no configuration ever sent allows."""
+    """Complain of runs at a service to which no configuration sent so far routes the request."""
     for row in log.rows_by_kind["run"]:
         attempt = log.attempts.get(row["attempt"])
         if attempt is None:
             continue
         earlier = (sent for sent in log.configurations if sent["sent"] <= row["at"])
         if not any(row["pool"] in services_of(sent, attempt) for sent in earlier):
-            yield f"service {row['pool']} ran {row['attempt']}, which no configuration lets go there"
+            yield f"service {row['pool']} ran attempt {row['attempt']}, which no configuration routes there"
 
 
 def drain(log: event_log.Log) -> Complaints:
-    """Requests that reached a leaving worker too late."""
-    listed_leaving_at: dict[str, int] = {}  # worker -> when it was seen as leaving
+    """Complain of requests that reached a draining or removed worker after the time limit for draining.
+
+    The time during which a cut separated the node's zone from the platform's list of workers does not count.
+    """
+    listed_leaving_at: dict[str, int] = {}  # by worker: when the list first showed it as draining or gone
     for row in log.rows_by_kind["listed"]:
         if row["state"] in (platform_names.TERMS["draining"], "gone"):
             listed_leaving_at.setdefault(row["worker"], row["seen"])
@@ -98,23 +108,30 @@
             continue
         if log.is_connected_to_core(node, row["at"]) and not log.is_faulted(node, seen_at, row["at"]):
             after_ms = (row["at"] - seen_at) // units.MILLISECOND_US
-            yield f"{row['attempt']} reached worker {row['worker']} {after_ms} ms after it was shown as leaving"
+            yield (
+                f"attempt {row['attempt']} reached worker {row['worker']} {after_ms} ms after it was listed "
+                f"as draining or gone"
+            )
 
 
 class _Arrivals:
-    """When requests came for a service, and when they came to it again."""
+    """When clients sent requests for a service (`firsts`), and when a request reached a worker again (`repeats`)."""
 
     def __init__(self) -> None:
         self.firsts: list[int] = []
         self.repeats: list[int] = []
 
     def count_firsts(self, begin: int, end: int) -> int:
-        """How many requests came in a span."""
+        """How many requests clients sent in a time span, of which both ends belong to it."""
         return bisect.bisect_right(self.firsts, end) - bisect.bisect_left(self.firsts, begin)
 
 
 def budget(log: event_log.Log) -> Complaints:
-    """More arrivals past the first than the retry budget of a service allows in a window."""
+    """Complain where a service got more repeated requests within a window than its retry budget allows.
+
+    The budget goes by the number of requests in the same window, or in one half a window or a window before,
+    whichever is larger.
+    """
     window = log.bounds["retry_window"]
     for pool, arrivals in sorted(_arrivals(log).items()):
         arrivals.firsts.sort()
@@ -124,7 +141,7 @@
             asked = max(arrivals.count_firsts(at - window - back, at - back) for back in (0, window // 2, window))
             if repeats > log.bounds["retry_ratio"] * asked + log.bounds["retry_slack"]:
                 yield (
-                    f"service {pool} got {repeats} repeats of {asked} requests in the window that ends at "
+                    f"service {pool} got {repeats} repeats for {asked} requests in the window that ends at "
                     f"{at / units.SECOND_US:.1f} s"
                 )
                 break
@@ -134,7 +151,7 @@
     found: collections.defaultdict[str, _Arrivals] = collections.defaultdict(_Arrivals)
     for name, attempt in log.attempts.items():
         rows = sorted(log.arrivals[name], key=lambda row: row["at"])
-        if not rows:  # a request that did not arrive is one for its route's services
+        if not rows:  # it reached no worker, so that it counts for the services of its route
             newest = log.in_force(attempt)[-1:]
             for pool in {pool for sent in newest for pool in services_of(sent, attempt) if pool}:
                 found[pool].firsts.append(attempt["sent"])
--- a/simulation/site/applications.py
+++ b/simulation/site/applications.py
@@ -1,4 +1,4 @@
-"""The applications of a simulated site: callers within each zone that use the tallies."""
+"""The applications of a simulated site: clients within each zone that add to tallies and read them."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 CALLERS_PER_ZONE = 2
 TALLIES = ("t1", "t2", "t3")
-FINAL_READ_S = 40
+FINAL_READ_S = 40  # time limit for all reads at the end of the run
 HOST_PREFIX = "10.8.0."
 
 log = loguru.logger.bind(part="site")
 
 
 class Applications:
-    """The callers of a site, none until they are started."""
+    """The applications of a site; there are none until `start`."""
 
     def __init__(self, deployment: site.Site) -> None:
         self.site = deployment
         self.callers: list[tally_caller.TallyCaller] = []
 
     def start(self) -> None:
-        """Let callers in each zone add to the tallies and read them, as long as the traffic lasts."""
+        """Start applications in each zone, which add to the tallies and read them while the traffic lasts."""
         for number, zone in enumerate(self.site.shape.zones(), 1):
             host = host_model.Host(self.site.world, f"{HOST_PREFIX}{number}", zone)
             for caller_number in range(CALLERS_PER_ZONE):
@@ -43,11 +43,11 @@
                 runtime.spawn(caller.run(self.site.traffic_until), log)
 
     def nearest_addresses(self, zone: str) -> list[control_call.Address]:
-        """The control addresses, those in a zone first."""
+        """The control addresses of all core machines, those in a given zone first."""
         return sorted(self.site.control_addresses(), key=lambda address: self.site.world.zone(address[0]) != zone)
 
     def read_final(self) -> None:
-        """Let one caller of each zone read each tally at the end of the day, and time pass until they have."""
+        """Let one application of each zone read each tally at the end of the run, and wait until all reads are done."""
         reads = [caller.runtime.spawn(self._read_all(caller), log) for caller in self.callers[::CALLERS_PER_ZONE]]
         done = defer.DeferredList(reads)
         self.site.advance_until(lambda: done.called, FINAL_READ_S)
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -1,4 +1,7 @@
-"""The configurations that a simulated site's operators send: their documents, changes, races and invalid ones."""
+"""The configurations that a simulated site's operators send: valid, concurrent and invalid ones.
+
+Field names are those of the users' platform, see `simulation/platform_names.py`.
+"""
 
 from __future__ import annotations
 
@@ -21,11 +24,11 @@
 FIRST_IDLE_ROUTES = 3
 IDLE_HOST = "idle.example"
 IDLE_NAME_PREFIX = "r-idle"
-BOUND_VALUES = (16384, 4194304, 3000, 15000)
-ROUTE_CHECK_WAITS_MS = (300, 700, 1_100, 900)  # before each check of a change's routes
-UNKNOWN_PATH = "/never/"
-INVALID_TIMEOUT_S = 15  # for how long an operator sends a configuration that is invalid
-VERSION_GAP_OF_RIVAL = 10
+BOUND_VALUES = (16384, 4194304, 3000, 15000)  # in the order of `platform_names.BOUNDS`
+ROUTE_CHECK_WAITS_MS = (300, 700, 1_100, 900)  # waiting time before each check of the changed routes
+UNKNOWN_PATH = "/never/"  # has a route in no configuration
+INVALID_TIMEOUT_S = 15  # for which an operator retries an invalid configuration without a clear answer
+VERSION_GAP_OF_RIVAL = 10  # makes the version of the second of two concurrent changes different
 
 Document = dict[str, typing.Any]
 ChangeKind = typing.Literal["idle", "timeout", "big"]
@@ -38,9 +41,9 @@
 
     Attributes:
         document: The whole configuration after the change.
-        patch: The change alone, as a PATCH says it.
-        added: Paths of routes that the change adds.
-        removed: Paths of routes that it removes.
+        patch: The body of a PATCH request that makes the same change.
+        added: Paths of some routes that the change adds.
+        removed: Paths of routes that the change removes.
     """
 
     document: Document
@@ -50,19 +53,22 @@
 
 
 class Configurations:
-    """What a site's operators send; owns the newest acknowledged document and its version."""
+    """Sends configurations in the name of a site's operators.
+
+    It holds the newest configuration that is known to be acknowledged, on which the next change is based.
+    """
 
     def __init__(self, deployment: site.Site) -> None:
         self.site = deployment
         self.document: Document = {}
         self.version = 0
-        self.idle_routes = 0  # how many were ever added
+        self.idle_routes = 0  # how many idle routes were ever added
         self.direct_requests = 0
 
     # ---- documents ----------------------------------------------------------------------
 
     def route(self, kind: request_kinds.RequestKind, name: str) -> Document:
-        """A route of a kind of request, in the platform's words."""
+        """A route for a kind of request, with the platform's field names."""
         names = platform_names.ROUTE
         route = {
             names["name"]: name,
@@ -82,7 +88,7 @@
         return route
 
     def idle_route(self, number: int) -> Document:
-        """An idle route: only direct requests go there."""
+        """An idle route: it gets no client traffic, only the requests by which `check_routes` tests a change."""
         kind = dataclasses.replace(shapes.DIRECT, path=f"/idle{number}/", host=IDLE_HOST)
         return self.route(kind, f"{IDLE_NAME_PREFIX}{number}")
 
@@ -123,7 +129,7 @@
         }
 
     def new_idle_routes(self, count: int) -> list[Document]:
-        """So many idle routes that were never configured before."""
+        """A number of idle routes that were in no configuration before."""
         routes = [self.idle_route(self.idle_routes + offset) for offset in range(count)]
         self.idle_routes += count
         return routes
@@ -132,8 +138,9 @@
         """A change of the newest configuration.
 
         Args:
-            how: One idle route for another, a changed time-out, or (big) many idle routes more.
-            count: How many routes a big change adds.
+            how: "idle" replaces one idle route by another, "timeout" changes the time-out of a route, and "big" adds
+                many idle routes.
+            count: How many routes a "big" change adds.
         """
         names = platform_names.CONFIGURATION
         document = copy.deepcopy(self.document)
@@ -171,7 +178,7 @@
     # ---- sending ------------------------------------------------------------------------
 
     def adopt_newer(self, document: Document | None) -> None:
-        """Build the next changes on a configuration that was read, where it is newer."""
+        """Base the next changes on a configuration that was read, if it is newer."""
         if document is None:
             return
         version = document[platform_names.CONFIGURATION["version"]]
@@ -179,20 +186,20 @@
             self.document, self.version = document, version
 
     def adopt_acknowledged(self, document: Document) -> None:
-        """Build the next changes on a configuration that was acknowledged."""
+        """Base the next changes on a configuration that was acknowledged."""
         self.document, self.version = document, document[platform_names.CONFIGURATION["version"]]
 
     async def put_first(self, seconds: int) -> int:
-        """Send the first configuration: the status."""
+        """Send the first configuration, and return the status of the answer."""
         self.adopt_acknowledged(self.first())
         return await self.site.operator.put(self.document, 0, seconds=seconds)
 
     def begin_change(self, how: ChangeKind = "idle", wait: int = 60) -> defer.Deferred[int | None]:
-        """Begin to send the next configuration, for so many seconds at most: a Deferred of the status."""
+        """Start to send the next change, with a time limit in seconds, and return a Deferred of the status."""
         return self.site.operator_runtime.spawn(self.send_next(how, wait), log)
 
     async def send_next(self, how: ChangeKind, wait: int, count: int = 100) -> int:
-        """Send the next configuration and try its routes at each node: the status."""
+        """Send the next change as a PUT or PATCH, check its routes at each node if acknowledged, and return the status."""
         change = self.next_change(how, count)
         base = self.version
         if self.site.rng.random() < 0.5:
@@ -206,7 +213,7 @@
         return status
 
     async def race(self) -> list[int | None]:
-        """Let two operators send at once on top of the same version: the statuses."""
+        """Let two operators concurrently send changes based on the same version, and return both statuses."""
         base, documents, answers = self.version, [], []
         for operator in (self.site.operator, self.site.rival):
             document = self.next_change("idle").document
@@ -221,7 +228,7 @@
         return statuses
 
     async def send_invalid(self) -> None:
-        """Send configurations that are invalid; none may be acknowledged."""
+        """Send several invalid configurations, none of which may be acknowledged."""
         for invalidate in (
             self._unknown_pool,
             self._double_route,
@@ -251,7 +258,10 @@
         route[names["split"]] = [{names["pool"]: self.site.pool, names["weight"]: 0}]
 
     async def check_routes(self, paths: list[str]) -> None:
-        """Request each path at each node that takes connections, soon after a change and when it must be in force."""
+        """Request each path at each node that takes connections, several times after a change.
+
+        The first checks come before the change must be applied, the last ones after.
+        """
         for wait_ms in ROUTE_CHECK_WAITS_MS:
             await self.site.client_runtime.sleep(wait_ms * units.MILLISECOND_US)
             for name in sorted(
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -1,4 +1,8 @@
-"""Days of the users' platform with one kind of fault each, and one with several of them at once."""
+"""Days of the users' platform with one kind of fault each, and one day with several kinds.
+
+A day is a scenario: a function that gets a site on which traffic has begun, lets virtual time pass, and causes faults.
+The name of the function is the name of the day.
+"""
 
 from __future__ import annotations
 
@@ -15,24 +19,24 @@
 
 Day = collections.abc.Callable[["site.Site"], None]
 
-EARLY_IDLE_DROP_US = 700 * units.MILLISECOND_US
+EARLY_IDLE_DROP_US = 700 * units.MILLISECOND_US  # idle time after which workers drop connections on `idle_drops`
 
 log = loguru.logger.bind(part="site")
 
 
 def sample_share(deployment: site.Site, names: collections.abc.Iterable[str], share: float) -> list[str]:
-    """A random share of these names, at least one."""
+    """A random sample of the names, of the given share but at least one."""
     ordered = sorted(names)
     return deployment.rng.sample(ordered, max(1, round(share * len(ordered))))
 
 
 def choose_one(deployment: site.Site, names: collections.abc.Iterable[str]) -> str:
-    """A random one of these names."""
+    """One of the names, chosen at random."""
     return sample_share(deployment, names, 0)[0]
 
 
 def send_acknowledged_change(deployment: site.Site) -> None:
-    """Send a change, and let time pass until it has its answer."""
+    """Send a change, and let time pass until it is answered."""
     answer = deployment.configurations.begin_change("idle")
     deployment.advance_until(lambda: answer.called, 20)
 
@@ -41,20 +45,20 @@
 
 
 def calm(deployment: site.Site) -> None:
-    """Nothing happens, but for one change of the configuration."""
+    """There are no faults, only one change of the configuration."""
     deployment.advance(3)
     deployment.configurations.begin_change("idle")
 
 
 def changes(deployment: site.Site) -> None:
-    """Idle routes, a time-out, and many routes at once."""
+    """The configuration changes several times: idle routes, a time-out, and many routes at once."""
     for how in ("idle", "timeout", "big", "idle"):
         deployment.advance(3.5)
         deployment.configurations.begin_change(how)
 
 
 def storm(deployment: site.Site) -> None:
-    """Configurations in quick succession."""
+    """Twelve changes of the configuration follow each other without a pause."""
 
     async def send_all() -> None:
         for number in range(12):
@@ -65,7 +69,7 @@
 
 
 def race(deployment: site.Site) -> None:
-    """Two operators send at once, on top of the same version; invalid configurations come too."""
+    """Two operators send concurrent changes based on the same version, and invalid configurations."""
 
     async def send_all() -> None:
         for _ in range(3):
@@ -87,24 +91,24 @@
 
 
 def crash_reset(deployment: site.Site) -> None:
-    """A worker's process dies: its connections are reset, its port refuses."""
+    """A worker's process dies: its connections are reset, and new ones are refused."""
     _crash_one_worker(deployment, "reset")
 
 
 def crash_dark(deployment: site.Site) -> None:
-    """A worker's machine goes dark: its connections stay silent."""
+    """A worker's machine fails: its connections become silent without being closed."""
     _crash_one_worker(deployment, "dark")
 
 
 def crash_lost(deployment: site.Site) -> None:
-    """Two workers are lost for good, one after the other."""
+    """Two workers crash one after the other and never come back."""
     for how in ("dark", "reset"):
         deployment.advance(4)
         deployment.faults.crash_worker(deployment.rng.choice(deployment.live_workers()), how)
 
 
 def flap(deployment: site.Site) -> None:
-    """A worker crashes and comes back, again and again."""
+    """A worker crashes and comes back four times."""
     name = deployment.rng.choice(deployment.live_workers())
     for _ in range(4):
         deployment.advance(2)
@@ -113,7 +117,7 @@
 
 
 def release(deployment: site.Site) -> None:
-    """Workers are replaced one after the other."""
+    """A part of the workers are replaced one after the other, as in a rolling release."""
     deployment.advance(3)
     for name in sample_share(deployment, deployment.live_workers(), 0.45):
         deployment.faults.replace_worker(name)
@@ -122,7 +126,7 @@
 
 
 def release_all(deployment: site.Site) -> None:
-    """All workers are replaced, and addresses are used again after a while."""
+    """All workers are replaced one after the other, and the addresses of ended ones are reused."""
     deployment.advance(2)
     hosts: list[str] = []
     for name in deployment.live_workers():
@@ -134,7 +138,7 @@
 
 
 def other_service(deployment: site.Site) -> None:
-    """The address of a worker that crashed goes to another service, while nodes still know it as the old one."""
+    """A crashed worker's address is given to a worker of another service, while the old worker is still listed."""
     for _ in range(2):
         deployment.advance(3)
         name = deployment.rng.choice(deployment.live_workers())
@@ -150,27 +154,27 @@
 
 
 def garble(deployment: site.Site) -> None:
-    """Workers send bytes that are no answer."""
+    """Workers send bytes that are no HTTP response."""
     _make_workers_unhealthy(deployment, garble=0.05)
 
 
 def surplus(deployment: site.Site) -> None:
-    """Workers send more after a whole answer, at once or in the place of the next one."""
+    """Workers send surplus bytes after a complete response, at once or in place of the next response."""
     _make_workers_unhealthy(deployment, surplus=0.1, late=0.1)
 
 
 def answers_lost(deployment: site.Site) -> None:
-    """Workers run requests and lose the answers."""
+    """Workers run requests and lose the responses."""
     _make_workers_unhealthy(deployment, lost=0.05)
 
 
 def broken_off(deployment: site.Site) -> None:
-    """Workers break streams off midway."""
+    """Workers close streams before their end."""
     _make_workers_unhealthy(deployment, **{"break": 0.05})
 
 
 def grey(deployment: site.Site) -> None:
-    """Workers fail part of their requests while their health checks are answered as good."""
+    """Workers fail a part of their requests (grey failure), while they pass their health checks."""
     way = deployment.rng.choice(["errors", "hang", "mute"])
     deployment.advance(3)
     deployment.faults.make_unhealthy(
@@ -179,13 +183,13 @@
 
 
 def lying(deployment: site.Site) -> None:
-    """Healthy workers fail their health checks."""
+    """Workers that serve requests correctly fail their health checks."""
     deployment.advance(3)
     deployment.faults.make_unhealthy(sample_share(deployment, deployment.live_workers(), 0.3), 6, health="bad")
 
 
 def idle_drops(deployment: site.Site) -> None:
-    """Workers drop idle connections early and without a word."""
+    """Workers drop idle connections early, without closing them."""
     for worker in deployment.workers.values():
         worker.silent_drop, worker.idle_us = True, EARLY_IDLE_DROP_US
 
@@ -194,7 +198,7 @@
 
 
 def kill_node(deployment: site.Site) -> None:
-    """A node is killed and comes back."""
+    """A sixth of the nodes are killed, and start again."""
     deployment.advance(3)
     deployment.configurations.begin_change("idle")
     deployment.advance(1)
@@ -203,14 +207,14 @@
 
 
 def power_node(deployment: site.Site) -> None:
-    """A node loses power and comes back."""
+    """A sixth of the nodes lose power, and start again."""
     deployment.advance(4)
     for name in sample_share(deployment, deployment.nodes, 0.17):
         deployment.faults.power_off(name, 3)
 
 
 def kill_core(deployment: site.Site) -> None:
-    """Core machines are killed, one after the other, while the configuration changes."""
+    """Core machines are killed one after the other, each just after a change was sent, and start again."""
     for name in sample_share(deployment, deployment.cores, 0.6):
         deployment.advance(2)
         deployment.configurations.begin_change("idle")
@@ -220,7 +224,7 @@
 
 
 def kill_cores(deployment: site.Site) -> None:
-    """All of the core is killed at the same moment, and is back within a second."""
+    """All core machines are killed at the same time, just after a change was sent, and start again within a second."""
     deployment.advance(4)
     deployment.configurations.begin_change("idle")
     deployment.advance(0.01)
@@ -229,14 +233,14 @@
 
 
 def herd(deployment: site.Site) -> None:
-    """Many nodes are killed at the same moment."""
+    """Over half of the nodes are killed at the same time, so that they all reconnect at once."""
     deployment.advance(4)
     for name in sample_share(deployment, deployment.nodes, 0.55):
         deployment.faults.kill(name, 2)
 
 
 def freeze(deployment: site.Site) -> None:
-    """A node and then a core machine freeze, and wake again."""
+    """A node's process and then a core machine's freeze for some seconds."""
     deployment.advance(3)
     deployment.faults.freeze(choose_one(deployment, deployment.nodes), 4)
     deployment.advance(3)
@@ -245,7 +249,7 @@
 
 
 def roll(deployment: site.Site) -> None:
-    """Nodes are stopped by SIGTERM and started, one after the other, under load."""
+    """Nodes are restarted one after the other with SIGTERM, under load."""
     deployment.advance(3)
     for name in sample_share(deployment, deployment.nodes, 0.45):
         deployment.faults.terminate(name)
@@ -253,7 +257,7 @@
 
 
 def roll_cores(deployment: site.Site) -> None:
-    """Core machines are stopped by SIGTERM and started, one after the other."""
+    """Core machines are restarted one after the other with SIGTERM, while changes are sent."""
     for name in sample_share(deployment, deployment.cores, 1):
         deployment.advance(2)
         deployment.configurations.begin_change("idle")
@@ -262,7 +266,7 @@
 
 
 def replace_core(deployment: site.Site) -> None:
-    """A core machine is replaced by an empty one at another address, gently or not; then another."""
+    """Two core machines are replaced by empty ones at other addresses, one after SIGTERM and one after a power loss."""
     for gently in deployment.rng.sample([True, False], 2):
         deployment.advance(3)
         deployment.faults.replace_core(choose_one(deployment, deployment.cores), gently)
@@ -272,7 +276,7 @@
 
 
 def disks(deployment: site.Site) -> None:
-    """Core machines' disks are slow, full and stalled, one after the other."""
+    """The disks of core machines are slow, then full, then stalled, while changes are sent."""
     for state in ("slow", "full", "stalled"):
         deployment.advance(3)
         deployment.faults.degrade_disk(choose_one(deployment, deployment.cores), state, 3)
@@ -280,7 +284,7 @@
 
 
 def ack_wipe(deployment: site.Site) -> None:
-    """A core machine loses power and its disk right after an acknowledgement."""
+    """A core machine loses power and its disk right after a change was acknowledged, twice."""
     for _ in range(2):
         deployment.advance(3)
         send_acknowledged_change(deployment)
@@ -297,17 +301,17 @@
 
 
 def closing_kill(deployment: site.Site) -> None:
-    """Right after an acknowledgement every process is killed."""
+    """Right after a change was acknowledged, the processes of all nodes and core machines are killed."""
     _play_fleet_outage(deployment, "kill_all")
 
 
 def closing_power(deployment: site.Site) -> None:
-    """Right after an acknowledgement every machine loses power."""
+    """Right after a change was acknowledged, all nodes and core machines lose power."""
     _play_fleet_outage(deployment, "power_off_all")
 
 
 def closing_wipe(deployment: site.Site) -> None:
-    """Right after an acknowledgement every machine loses power, and a core machine its disk."""
+    """Right after a change was acknowledged, all nodes and core machines lose power, and one core machine its disk."""
     _play_fleet_outage(deployment, "wipe")
 
 
@@ -315,7 +319,7 @@
 
 
 def cut_node(deployment: site.Site) -> None:
-    """A node is cut off from all other machines; a change comes meanwhile."""
+    """A node is cut off from all other machines while a change is sent; on half of the days also from clients."""
     deployment.advance(4)
     deployment.faults.isolate(choose_one(deployment, deployment.nodes), 5, clients=deployment.rng.random() < 0.5)
     deployment.advance(1)
@@ -323,14 +327,14 @@
 
 
 def cut_core(deployment: site.Site) -> None:
-    """A core machine is cut off, while two operators send."""
+    """A core machine is cut off from the fleet, while two operators send concurrent changes."""
     deployment.advance(3)
     deployment.faults.isolate(choose_one(deployment, deployment.cores), 5)
     deployment.operator_runtime.spawn(deployment.configurations.race(), log)
 
 
 def reset_conns(deployment: site.Site) -> None:
-    """Connections between the fleet's machines are reset, twice."""
+    """Half of the connections between the fleet's machines are reset, twice, each time while a change is sent."""
     for _ in range(2):
         deployment.advance(4)
         deployment.configurations.begin_change("idle")
@@ -338,7 +342,7 @@
 
 
 def lossy(deployment: site.Site) -> None:
-    """The links of a zone lose packets."""
+    """The links of one zone's machines lose packets while a change is sent."""
     deployment.advance(3)
     deployment.faults.lose_packets(deployment.rng.choice(deployment.shape.zones()), 0.025, 6)
     deployment.advance(1)
@@ -346,7 +350,7 @@
 
 
 def burst(deployment: site.Site) -> None:
-    """One kind of request comes far more often for a while."""
+    """The rate of one kind of request rises by 60 % for some seconds."""
     deployment.advance(4)
     kind = deployment.rng.choice(deployment.shape.kinds).name
     for traffic in deployment.traffics:
@@ -360,13 +364,13 @@
 
 
 def hot_key(deployment: site.Site) -> None:
-    """One key gets much of the traffic."""
+    """A third of one kind of request uses the same key."""
     deployment.advance(3)
     for traffic in deployment.traffics:
         traffic.hot_key = client.HotKey(deployment.shape.kinds[0].name, 0.35)
 
 
-# ---- several at once -----------------------------------------------------------------------
+# ---- several kinds of faults -----------------------------------------------------------------------
 
 MIXED_DAYS = (
     crash_reset,
@@ -388,7 +392,7 @@
 
 
 def mixed(deployment: site.Site) -> None:
-    """Several faults drawn at random, one after the other."""
+    """Four of the days above, chosen at random, are played one after the other."""
     for day in deployment.rng.sample(MIXED_DAYS, MIXED_COUNT):
         day(deployment)
 
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -1,4 +1,4 @@
-"""A day of several faults of all kinds at random times, over one another."""
+"""A randomly drawn day: several faults of all kinds at random times, which may overlap."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
     from simulation.site import site
 
 DAY_S = 24
-FIRST_FAULT_S, FAULTS_S = 1.5, 14  # faults begin within this time
+FIRST_FAULT_S, FAULTS_S = 1.5, 14  # faults begin within 14 s after the first 1.5 s
 CHANGE_TIMES_S = (3, 9, 20)
-FAULT_GAP_S = 11  # within which a machine that had a fault gets no other
-RAISED_LOAD_S = 4
-OUTAGE_SHARE = 0.5  # of the days, which end with a closing fault
-AFTER_OUTAGE_S = 18
-DISK_STATES: tuple[faults.DiskState, ...] = ("slow", "full", "stalled")  # in the order that draws follow
-FEWEST_WORKERS = 2  # that a crash leaves
+FAULT_GAP_S = 11  # after the beginning of a machine's fault, until it may get another
+RAISED_LOAD_S = 4  # duration of a raised load
+OUTAGE_SHARE = 0.5  # share of the days that end with a fleet outage
+AFTER_OUTAGE_S = 18  # duration of the traffic after a fleet outage
+DISK_STATES: tuple[faults.DiskState, ...] = ("slow", "full", "stalled")  # in the order that random choices depend on
+FEWEST_WORKERS = 2  # live workers that a crash must leave
 
 Action = collections.abc.Callable[[], object]
 ActionOnMachine = collections.abc.Callable[[str], object]
@@ -31,16 +31,16 @@
 
 
 class DrawnDay:
-    """A drawn day under way: the site, and the machines that have a fault."""
+    """A randomly drawn day on a site."""
 
     def __init__(self, deployment: site.Site) -> None:
         self.site, self.faults, self.rng = deployment, deployment.faults, deployment.rng
-        self.faulty: set[str] = set()  # machines that get no other fault now
+        self.faulty: set[str] = set()  # nodes and core machines that get no other fault for now
 
     # ---- targets ------------------------------------------------------------------
 
     def workers(self, share: float) -> list[str]:
-        """A random share of the live workers."""
+        """A random sample of the live workers, of the given share but at least one."""
         return days.sample_share(self.site, self.site.live_workers(), share)
 
     def for_each(
@@ -51,7 +51,7 @@
             self.site.schedule(index * gap, action, name)
 
     def on_random_machine(self, names: collections.abc.Iterable[str], action: ActionOnMachine) -> None:
-        """Let an action hit a random machine that has no fault; it gets no other fault for a while."""
+        """Apply an action to a random running machine without a fault, which then gets no other fault for a while."""
         free = [name for name in sorted(names) if self.site.process_of(name).alive and name not in self.faulty]
         if free:
             name = self.rng.choice(free)
@@ -60,7 +60,10 @@
             action(name)
 
     def on_machines_in_turn(self, names: collections.abc.Iterable[str], gap: float, action: ActionOnMachine) -> None:
-        """Let an action hit the machines that have no fault, one by one; they get no other for the rest of the day."""
+        """Apply an action to the running machines without a fault, one after the other, with a gap in seconds.
+
+        They get no other fault for the rest of the day.
+        """
 
         def act_if_free(name: str) -> None:
             if name not in self.faulty:
@@ -73,7 +76,7 @@
     # ---- faults -------------------------------------------------------------------------
 
     def core_faults(self) -> list[ActionOnMachine]:
-        """What may happen to a core machine."""
+        """The faults that may strike a core machine."""
         return [
             lambda name: self.faults.kill(name, 3),
             lambda name: self.faults.power_off(name, 3),
@@ -86,7 +89,7 @@
         ]
 
     def node_faults(self) -> list[Action]:
-        """What may happen to nodes."""
+        """The faults that may strike nodes."""
         nodes = self.site.nodes
         return [
             lambda: self.on_random_machine(nodes, lambda name: self.faults.kill(name, 3)),
@@ -100,7 +103,7 @@
         ]
 
     def worker_losses(self) -> list[Action]:
-        """How workers may come and go."""
+        """The ways in which workers may be replaced or crash."""
         return [
             lambda: self.for_each(self.workers(0.45), 1, self.faults.replace_worker),
             lambda: self.crash_one("reset", 4),
@@ -109,11 +112,11 @@
         ]
 
     def load_changes(self) -> list[Action]:
-        """How the load may change, and connections break."""
+        """The changes of load that may occur, and resets of connections."""
         return [self.raise_load, self.make_keys_hot, lambda: self.faults.reset_connections(0.4)]
 
     def worker_faults(self) -> list[Action]:
-        """How workers may fail requests."""
+        """The ways in which workers may fail requests."""
         make_unhealthy = self.faults.make_unhealthy
         return [
             lambda: make_unhealthy(self.workers(0.6), 5, garble=0.04),
@@ -125,7 +128,7 @@
         ]
 
     def configuration_changes(self) -> list[Action]:
-        """How operators may press the fleet."""
+        """The ways in which operators may send many, concurrent, invalid or large changes."""
         configurations, spawn = self.site.configurations, self.site.operator_runtime.spawn
         return [
             lambda: spawn(configurations.race(), log),
@@ -137,12 +140,12 @@
         ]
 
     def crash_one(self, how: typing.Literal["reset", "dark"], back: float | None) -> None:
-        """Crash a random worker, unless few are left."""
+        """Crash a random worker, unless too few would be left; it comes back after `back` seconds, or never for None."""
         if len(self.site.live_workers()) > FEWEST_WORKERS:
             self.faults.crash_worker(self.rng.choice(self.site.live_workers()), how, back=back)
 
     def raise_load(self) -> None:
-        """Let one kind of request come more often for a while."""
+        """Raise the rate of a random kind of request for a while."""
         kind, factor = self.rng.choice(self.site.shape.kinds).name, 1.4 + 0.4 * self.rng.random()
         for traffic in self.site.traffics:
             traffic.rate_factors[kind] = factor
@@ -153,7 +156,7 @@
             traffic.rate_factors.clear()
 
     def make_keys_hot(self) -> None:
-        """Let one key get much of each zone's traffic."""
+        """Let 30 % of a random kind of request in each zone use the same key."""
         for traffic in self.site.traffics:
             traffic.hot_key = client.HotKey(self.rng.choice(self.site.shape.kinds).name, 0.3)
 
@@ -164,7 +167,7 @@
         return FIRST_FAULT_S + FAULTS_S * self.rng.random()
 
     def play(self) -> None:
-        """Play the day; half of the days end with a closing fault."""
+        """Play the day; half of the days end with a fleet outage."""
         core_faults = self.core_faults()
         actions = [
             *self.node_faults(),
@@ -175,7 +178,7 @@
         ]
         for action in self.rng.sample(actions, self.rng.randrange(3, 7)):
             self.site.schedule(self.fault_time(), action)
-        # One fault of a core machine: no more than the deployment tolerates at once.
+        # Only one fault of a core machine, since some deployments tolerate the loss of only one at a time.
         self.site.schedule(
             self.fault_time(), lambda: self.on_random_machine(self.site.cores, self.rng.choice(core_faults))
         )
@@ -186,7 +189,7 @@
             self.cause_fleet_outage()
 
     def cause_fleet_outage(self) -> None:
-        """End the day with a closing fault right after an acknowledgement."""
+        """End the day with a fleet outage right after a change was acknowledged."""
         days.send_acknowledged_change(self.site)
         how = self.rng.choice(faults.FLEET_OUTAGES)
         self.faults.cause_fleet_outage(how, 0.7 + self.rng.random())
@@ -195,5 +198,5 @@
 
 
 def drawn(deployment: site.Site) -> None:
-    """Four to eight faults at random times, over one another; half of these days end with a closing fault."""
+    """Four to seven faults and changes at random times, which may overlap; half of the days end with a fleet outage."""
     DrawnDay(deployment).play()
--- a/tests/test_zone_cuts.py
+++ b/tests/test_zone_cuts.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("links", "in_touch"),
+    ("links", "connected"),
     [
         (ISOLATED, {"n2", "n3", "c2", "c3"}),  # zone a's core machine does not reach over half of the core
         (OUTWARD, {"n2", "n3", "c2", "c3"}),
