--- a/simulation/platform_days.py
+++ b/simulation/platform_days.py
@@ -1,9 +1,10 @@
-"""Days of the users' platform on the simulator: each brings about some faults, and is judged by the platform's rules.
+"""Plays simulated days of the users' platform, and checks their event logs by the platform's rules.
 
     python -m simulation.platform_days --seeds 10 --shape swan
     python -m simulation.platform_days --days crash_dark roll --first 7 --seeds 1 --log day.events
 
-A day gets a site that has begun; it lets time pass and brings its faults about. `DAYS` lists them by name.
+A day is a scenario: a function that gets a site on which traffic has begun, lets virtual time pass, and causes faults.
+`DAYS` lists all days by name.
 """
 
 from __future__ import annotations
@@ -40,9 +41,9 @@
         split_drawn_day.split_drawn,
     )
 }
-# Those for a deployment of their own.
+# Days that are always played on the deployment `split_days.SHAPE`, which tolerates the loss of a zone.
 SPLIT_DAYS = frozenset(day.__name__ for day in (*split_days.DAYS, split_drawn_day.split_drawn))
-LENGTHS_S = {  # of the traffic
+LENGTHS_S = {  # duration of the traffic
     "closing_kill": 30,
     "closing_power": 30,
     "closing_wipe": 30,
@@ -63,13 +64,22 @@
     "evacuate": 18,
     "evacuate_closing": 26,
 }
-USUAL_LENGTH_S = 16
-LINES_PER_RULE = 3  # of complaints that are printed
-DAYS_PER_PROCESS = 8
+USUAL_LENGTH_S = 16  # duration of the traffic on all other days
+LINES_PER_RULE = 3  # complaints of each rule that are printed
+DAYS_PER_PROCESS = 8  # days after which a worker process of the pool is replaced
 
 
 class Job(typing.NamedTuple):
-    """A day to play: its name, seed, shape, load, seconds of traffic (0: as usual), and a path for its event log."""
+    """A day to play.
+
+    Attributes:
+        name: The name of the day.
+        seed: The seed of its random choices.
+        shape: The name of the deployment.
+        load: The load, as a multiple of the usual request rate.
+        seconds: The duration of the traffic; the usual one of the day if 0.
+        path: The file for its event log; none is written if empty.
+    """
 
     name: str
     seed: int
@@ -80,7 +90,7 @@
 
 
 class Result(typing.NamedTuple):
-    """What a played day showed."""
+    """The complaints about a played day, by rule, and its totals."""
 
     job: Job
     complaints: Complaints
@@ -88,7 +98,7 @@
 
 
 def shape_of(name: str, shape: str) -> str:
-    """The shape that a day is played on: the one that was asked for, unless the day has its own.
+    """The name of the deployment on which a day is played: the given one, unless the day has one of its own.
 
     >>> shape_of("calm", "swan"), shape_of("zone_cut", "swan")
     ('swan', 'apart')
@@ -97,7 +107,7 @@
 
 
 def play(name: str, seed: int, shape: str = "magnolia", load: float = 1.0, seconds: float | None = None) -> site.Site:
-    """Play a day to its end: the site."""
+    """Play a day to its end, and return its site."""
     deployment = site.Site(seed, shape_of(name, shape), seconds or LENGTHS_S.get(name, USUAL_LENGTH_S), load)
     deployment.begin()
     DAYS[name](deployment)
@@ -106,7 +116,7 @@
 
 
 def totals(deployment: site.Site) -> Totals:
-    """What a day came to: shares of requests, their value, and what it cost."""
+    """The totals of a day: numbers of requests, the worth that they earned, and costs such as calls and connections."""
     rows = deployment.event_log.rows
     earned = earned_value.earned_value(rows, deployment.request_values())
     kinds = collections.Counter(row["kind"] for row in rows)
@@ -134,11 +144,11 @@
 
 
 def play_job(job: Job) -> Result:
-    """Play and judge one day in this process."""
+    """Play one day in this process, and check its event log."""
     loguru.logger.remove()
     try:
         deployment = play(job.name, job.seed, job.shape, job.load, job.seconds)
-    except Exception as error:  # a day that can't go on is a finding too
+    except Exception as error:  # an exception in a day is reported like a broken rule
         return Result(job, {"crash": [repr(error)]}, {})
     if job.path:
         pathlib.Path(job.path).write_text(deployment.event_log.text())
@@ -149,7 +159,7 @@
 
 
 def print_complaints(result: Result) -> None:
-    """Print how to repeat a day that broke rules, and the first complaints of each rule."""
+    """Print the command that repeats a day that broke rules, and the first complaints of each rule."""
     job = result.job
     print(
         f"FAILED {job.name} seed {job.seed}: python -m simulation.platform_days --days {job.name} "
@@ -164,7 +174,7 @@
 
 
 def print_table(names: list[str], totals_by_name: dict[str, list[Totals]]) -> None:
-    """Print a line for each day."""
+    """Print a table with a row for each day, over all its seeds."""
     print(
         f"{'day':16}{'asked':>8}{'in aim':>9}{'late':>8}{'none':>8}{'worth':>8}{'worst 2 s':>10}{'conns':>7}"
         f"{'calls':>7}{'probes':>7}{'read again':>11}"
@@ -187,7 +197,7 @@
 
 
 def print_kinds(shape: str, rows_of_day: list[Totals]) -> None:
-    """Print a line for each kind of request of one day."""
+    """Print a line for each kind of request of one day, with the means over all its seeds."""
     for kind in shapes.SHAPES[shape].kinds:
         rows = [row for row in rows_of_day if f"worth {kind.name}" in row]
         means = ", ".join(
@@ -208,16 +218,16 @@
     log: str = "",
     processes: int = 0,
 ) -> typing.NoReturn:
-    """Play days over seeds and judge them; say how to repeat what failed.
+    """Play days with several seeds, check them by the rules, and print how to repeat those that failed.
 
-    :param days: days by name; all where none is named
-    :param seeds: how many seeds for each
+    :param days: names of days; all days if none is given
+    :param seeds: how many seeds to play for each day
     :param first: the first seed
-    :param shape: magnolia, swan, grown or apart; days of split sites are always played on apart
-    :param load: how many times the usual load
-    :param seconds: how long the traffic lasts; what the day wants where 0
-    :param log: write the event log of the one run here
-    :param processes: processes to use; all cores where 0
+    :param shape: magnolia, swan, grown or apart; days with faults of zones are always played on apart
+    :param load: the load, as a multiple of the usual request rate
+    :param seconds: duration of the traffic; the usual one of each day if 0
+    :param log: file for the event log, where only one day with one seed is played
+    :param processes: how many processes to use; as many as there are processors if 0
     """
     names = list(days) or list(DAYS)
     unknown = [name for name in names if name not in DAYS]
--- a/simulation/platform_programs.py
+++ b/simulation/platform_programs.py
@@ -1,6 +1,7 @@
-"""The modules of platform/, which is no package: importing this one puts that directory on the module path.
+"""The modules of the directory platform/, which is no package.
 
-Simulations and tests reach them through here, for example as `platform_programs.formats`.
+Importing this module adds that directory to the module search path. Simulations and tests use the modules through it,
+for example as `platform_programs.formats`.
 """
 
 import sys
--- a/simulation/platform_rules.py
+++ b/simulation/platform_rules.py
@@ -1,10 +1,10 @@
-"""Judges an event log of the users' side by the rules of their platform.
+"""Checks an event log of a simulated run by the rules of the users' platform.
 
     python -m simulation.platform_rules day.events
 
-Only what clients, workers, operators and the platform saw is looked at. Each rule is a function that yields
-complaints; `examine` runs them all. Rows are those that simulation/clients/, simulation/workers/ and
-simulation/site/ write.
+The rules go only by what clients, workers, operators and the platform observed, and not by the fleet's internal state.
+Each rule is a function that yields one complaint per violation; `examine` runs them all. The rows of the log are those
+that simulation/clients/, simulation/workers/ and simulation/site/ write.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 def examine(rows: event_log.Rows) -> dict[str, list[str]]:
-    """Complaints by rule; rules without one are left out.
+    """Run all rules on the rows of an event log, and return the complaints by rule; kept rules are left out.
 
     >>> examine([])
     {}
@@ -59,9 +59,9 @@
 
 
 def main(*, log: str) -> typing.NoReturn:
-    """Judge an event log.
+    """Check an event log, and print all complaints.
 
-    :param log: the log's file
+    :param log: the file of the event log
     """
     complaints = examine([json.loads(line) for line in pathlib.Path(log).read_text().splitlines()])
     for name, lines in complaints.items():
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -199,7 +199,7 @@
         return self.site.operator_runtime.spawn(self.send_next(how, wait), log)
 
     async def send_next(self, how: ChangeKind, wait: int, count: int = 100) -> int:
-        """Send the next change as a PUT or PATCH, check its routes at each node if acknowledged, and return the status."""
+        """Send the next change as a PUT or PATCH, and return the status; check the routes of an acknowledged change."""
         change = self.next_change(how, count)
         base = self.version
         if self.site.rng.random() < 0.5:
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -198,7 +198,7 @@
 
 
 def kill_node(deployment: site.Site) -> None:
-    """A sixth of the nodes are killed, and start again."""
+    """About a sixth of the nodes, at least one, are killed and start again."""
     deployment.advance(3)
     deployment.configurations.begin_change("idle")
     deployment.advance(1)
@@ -207,7 +207,7 @@
 
 
 def power_node(deployment: site.Site) -> None:
-    """A sixth of the nodes lose power, and start again."""
+    """About a sixth of the nodes, at least one, lose power and start again."""
     deployment.advance(4)
     for name in sample_share(deployment, deployment.nodes, 0.17):
         deployment.faults.power_off(name, 3)
@@ -364,7 +364,7 @@
 
 
 def hot_key(deployment: site.Site) -> None:
-    """A third of one kind of request uses the same key."""
+    """A third of the requests of one kind have the same prompt prefix."""
     deployment.advance(3)
     for traffic in deployment.traffics:
         traffic.hot_key = client.HotKey(deployment.shape.kinds[0].name, 0.35)
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -14,9 +14,9 @@
 if typing.TYPE_CHECKING:
     from simulation.site import site
 
-DAY_S = 24
+DAY_S = 24  # duration of the day up to a fleet outage
 FIRST_FAULT_S, FAULTS_S = 1.5, 14  # faults begin within 14 s after the first 1.5 s
-CHANGE_TIMES_S = (3, 9, 20)
+CHANGE_TIMES_S = (3, 9, 20)  # times of changes of the configuration
 FAULT_GAP_S = 11  # after the beginning of a machine's fault, until it may get another
 RAISED_LOAD_S = 4  # duration of a raised load
 OUTAGE_SHARE = 0.5  # share of the days that end with a fleet outage
@@ -140,7 +140,7 @@
         ]
 
     def crash_one(self, how: typing.Literal["reset", "dark"], back: float | None) -> None:
-        """Crash a random worker, unless too few would be left; it comes back after `back` seconds, or never for None."""
+        """Crash a random worker, unless too few are left; it comes back after `back` seconds, or never if None."""
         if len(self.site.live_workers()) > FEWEST_WORKERS:
             self.faults.crash_worker(self.rng.choice(self.site.live_workers()), how, back=back)
 
@@ -156,7 +156,7 @@
             traffic.rate_factors.clear()
 
     def make_keys_hot(self) -> None:
-        """Let 30 % of a random kind of request in each zone use the same key."""
+        """Let 30 % of the requests of a random kind in each zone have the same prompt prefix."""
         for traffic in self.site.traffics:
             traffic.hot_key = client.HotKey(self.rng.choice(self.site.shape.kinds).name, 0.3)
 
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -1,6 +1,7 @@
-"""Faults of a simulated site: lost, frozen, cut off and replaced machines, failing disks, links and workers.
+"""Faults of a simulated site: killed, frozen, isolated and replaced machines, failing disks, links and workers.
 
-Each fault of a node or core machine is noted in the event log as `trouble`, and its end as `mend`, for the rules.
+Each fault of a node or core machine is written to the event log as a row `trouble`, and its end as a row `mend`, so
+that the rules of the platform can excuse what the fault makes impossible.
 """
 
 from __future__ import annotations
@@ -19,23 +20,30 @@
     from simulation import world
     from simulation.site import site
 
-EXTERNAL_ZONE = "far"  # of clients and operators
+EXTERNAL_ZONE = "far"  # zone of clients and operators, outside the fleet's zones
 TERMINATION_GRACE_S = 8.0  # from SIGTERM to SIGKILL
-TERMINATION_DOWN_S = 0.5  # from a process's end to its next start
-REPLACEMENT_DELAY_S = 1  # until the successor of a core machine starts
-LISTED_S = 3.0  # how long a crashed worker is still listed
-DEFAULT_DRAIN_MS = 3000
-WORKER_DRAIN_SLACK_S = 1
+TERMINATION_DOWN_S = 0.5  # from the end of a terminated process to its next start
+REPLACEMENT_DELAY_S = 1  # until the replacement of a core machine starts
+LISTED_S = 3.0  # for which the platform still lists a crashed worker
+DEFAULT_DRAIN_MS = 3000  # drain deadline of deployments whose bounds name none
+WORKER_DRAIN_SLACK_S = 1  # for which a draining worker runs on after the drain deadline
 
 FleetOutage = typing.Literal["kill_all", "power_off_all", "wipe"]
-FLEET_OUTAGES: tuple[FleetOutage, ...] = ("kill_all", "power_off_all", "wipe")  # in the order that draws follow
+FLEET_OUTAGES: tuple[FleetOutage, ...] = (
+    "kill_all",
+    "power_off_all",
+    "wipe",
+)  # in the order that random choices depend on
 DiskState = typing.Literal["slow", "full", "stalled"]
 
 log = loguru.logger.bind(part="site")
 
 
 class Faults:
-    """Brings faults about at a site, and ends them."""
+    """Causes faults at a site, and ends them.
+
+    Unless stated otherwise, `name` is that of a node or core machine, and durations are in seconds.
+    """
 
     def __init__(self, deployment: site.Site) -> None:
         self.site = deployment
@@ -44,23 +52,23 @@
     # ---- the event log ------------------------------------------------------------------
 
     def note_fault(self, name: str, what: str) -> None:
-        """Note that a node or core machine has a fault from now on."""
+        """Write to the event log that a fault of a node or core machine begins."""
         self.site.event_log.put(self.world.time, "trouble", name=name, what=what)
 
     def note_repair(self, name: str, what: str | None = None) -> None:
-        """Note that a fault is over: what it was, or whatever a process's start ends."""
+        """Write to the event log that a fault of kind `what` ends, or if None, the fault that a process start ends."""
         self.site.event_log.put(self.world.time, "mend", name=name, **({"what": what} if what else {}))
 
     # ---- nodes and core machines --------------------------------------------------------
 
     def kill(self, name: str, back: float) -> None:
-        """Kill a node or core machine's process; it starts again after so many seconds."""
+        """Kill the process of a node or core machine, and start it again after `back` seconds."""
         self.note_fault(name, "kill")
         self.site.process_of(name).kill()
         self.site.schedule(back, self.site.restart, name)
 
     def power_off(self, name: str, back: float, wipe: bool = False) -> None:
-        """Let a node or core machine lose power, perhaps its disk too; it starts again after so many seconds."""
+        """Cut the power of a machine, wipe its disk if `wipe`, and start it again after `back` seconds."""
         self.note_fault(name, "power")
         machine = self.site.process_of(name).host
         machine.fail()
@@ -69,13 +77,13 @@
         self.site.schedule(back, self.site.restart, name)
 
     def _wipe(self, name: str) -> None:
-        """Let a core machine lose its disk; the log of a site whose rules regard that tells it."""
+        """Wipe a core machine's disk; the event log gets a row only where the rules for the loss of a zone apply."""
         self.site.process_of(name).host.synced.clear()
         if self.site.shape.tolerates_zone_loss:
             self.site.event_log.put(self.world.time, "disk_lost", name=name)
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Freeze a node or core machine's process for a while."""
+        """Freeze the process of a node or core machine for some seconds."""
         self.note_fault(name, "freeze")
         self.site.process_of(name).freeze()
 
@@ -86,7 +94,7 @@
         self.site.schedule(seconds, wake)
 
     def terminate(self, name: str, grace: float = TERMINATION_GRACE_S, back: float = TERMINATION_DOWN_S) -> None:
-        """Send a node or core machine SIGTERM, and SIGKILL after the grace; it starts again once it has ended."""
+        """Send a process SIGTERM, and SIGKILL after the grace period; it starts again `back` seconds after its end."""
         process = self.site.process_of(name)
         server = self.site.nodes.get(name) or self.site.cores[name]
         self.site.event_log.put(self.world.time, "term", name=name)
@@ -101,7 +109,7 @@
         self.site.schedule(grace, end)
 
     def degrade_disk(self, name: str, state: DiskState, seconds: float) -> None:
-        """Let a core machine's disk be slow, full or stalled for a while."""
+        """Make a core machine's disk slow, full or stalled for some seconds."""
         self.note_fault(name, f"disk {state}")
         machine = self.site.process_of(name).host
         machine.disk = state
@@ -113,11 +121,13 @@
         self.site.schedule(seconds, recover)
 
     def replace_core(self, name: str, gently: bool = False) -> None:
-        """Remove a core machine for good, and start an empty one at another address; settings files change.
+        """Remove a core machine for good, and start an empty replacement at another address.
+
+        All other nodes and core machines then reload their settings, which name the replacement.
 
         Args:
             name: The core machine to remove.
-            gently: Whether it gets a SIGTERM; it loses power otherwise.
+            gently: Whether its process is ended by SIGTERM; otherwise it loses power.
         """
         if self.site.shape.tolerates_zone_loss:
             self.site.event_log.put(self.world.time, "disk_lost", name=name)
@@ -141,15 +151,15 @@
             for other in [*self.site.nodes, *(core for core in self.site.cores if core != new)]:
                 self.site.reload(other)
 
-        self.site.cores[new] = old  # its name and place stand in the settings from now on
+        self.site.cores[new] = old  # settings name the replacement from now on; `start_core` replaces this entry
         self.site.schedule(REPLACEMENT_DELAY_S, start)
 
     def register_replacement_core(self, old: str, removed: collections.abc.Sequence[str] = ()) -> str:
-        """Note the place of a core machine that succeeds another one in its zone: its name.
+        """Choose the name and address of a core machine that replaces another one in its zone, and return the name.
 
         Args:
-            old: The core machine that it succeeds.
-            removed: The core machines that go at this moment.
+            old: The core machine that it replaces.
+            removed: The core machines that are removed at the same time.
         """
         numbers = [
             int(name[1:])
@@ -166,12 +176,13 @@
         return new
 
     def cause_fleet_outage(self, how: FleetOutage, down: float, wiped_count: int = 1) -> None:
-        """Kill every process, or let every machine lose power, or also let core machines lose their disks.
+        """Strike all nodes and core machines at the same time.
 
         Args:
-            how: Which of the three.
-            down: After how many seconds all start again.
-            wiped_count: How many core machines lose their disks, where any do.
+            how: "kill_all" kills every process, "power_off_all" cuts the power of every machine, and "wipe" also wipes
+                the disks of some core machines.
+            down: After how many seconds all processes start again.
+            wiped_count: How many core machines lose their disks with "wipe".
         """
         names = [*sorted(self.site.cores), *sorted(self.site.nodes)]
         wiped = set(self._choose_cores(wiped_count)) if how == "wipe" else set()
@@ -194,13 +205,13 @@
     # ---- the network --------------------------------------------------------------------
 
     def isolate(self, name: str, seconds: float, clients: bool = False, both: bool = True) -> None:
-        """Cut a machine off from all others for a while.
+        """Cut a machine off from all others for some seconds.
 
         Args:
             name: The node or core machine.
             seconds: How long.
-            clients: Whether also from clients and operators.
-            both: Whether both ways; otherwise only what it sends is lost.
+            clients: Whether it is also cut off from clients and operators.
+            both: Whether packets are lost in both directions; otherwise only those that it sends.
         """
         self.note_fault(name, "cut")
         host = self.site.places[name].host
@@ -219,7 +230,7 @@
         self.site.schedule(seconds, heal)
 
     def reset_connections(self, share: float) -> None:
-        """Reset a share of the connections between the fleet's machines."""
+        """Reset a random share of the connections between the fleet's machines."""
         names = {self.site.places[name].host: name for name in [*self.site.nodes, *self.site.cores]}
         struck: set[str] = set()
         for connection in list(self.world.connections.values()):
@@ -231,13 +242,13 @@
         self.note_reset(struck)
 
     def note_reset(self, names: collections.abc.Iterable[str]) -> None:
-        """Note that connections of some machines were reset."""
+        """Write to the event log that connections of some machines were reset, a fault without a duration."""
         for name in sorted(names):
             self.note_fault(name, "reset")
             self.note_repair(name, "reset")
 
     def lose_packets(self, zone: str, share: float, seconds: float) -> None:
-        """Let the links of a zone's machines lose a share of their packets for a while."""
+        """Let the links of a zone's machines lose a share of their packets for some seconds."""
         names = [
             name for name in [*sorted(self.site.nodes), *sorted(self.site.cores)] if self.site.places[name].zone == zone
         ]
@@ -265,9 +276,10 @@
 
         Args:
             name: The worker.
-            how: Whether its connections are reset, or its machine goes dark.
-            back: After how many seconds it comes back as a new instance; never where None.
-            listed: How many seconds it stays on the platform's list.
+            how: "reset" ends its process, so that its connections are reset; "dark" fails its machine, so that they
+                become silent.
+            back: After how many seconds it comes back as a new instance; never if None.
+            listed: For how many seconds it stays on the platform's list of workers.
         """
         worker = self.site.workers[name]
         self.site.event_log.put(self.world.time, "crash", worker=worker.id, how=how)
@@ -281,11 +293,11 @@
             self.site.schedule(back, self.site.start_worker, name, worker.host, worker.zone)
 
     def replace_worker(self, name: str, host: str | None = None) -> None:
-        """Replace a worker: it is listed as draining, goes on for a while, and ends; its successor starts at once.
+        """Replace a worker: its replacement starts at once, while it is listed as draining and ends some seconds later.
 
         Args:
             name: The worker.
-            host: The address of its successor; a new one where None.
+            host: The address of the replacement; a new one if None.
         """
         worker = self.site.workers[name]
         worker.leaving = True
@@ -304,13 +316,13 @@
     def make_unhealthy(
         self, names: collections.abc.Sequence[str], seconds: float, health: str = "", **faults: float
     ) -> None:
-        """Let workers fail requests for a while.
+        """Let workers fail requests for some seconds.
 
         Args:
             names: The workers.
             seconds: How long.
-            health: What they answer to health checks: "good", "bad", or the truth where empty.
-            faults: How often requests go wrong in each way that `workers.worker.Worker` knows.
+            health: How they answer health checks: always "good", always "bad", or truthfully if empty.
+            faults: The share of requests that fail in each way, by the names that `workers.worker.Worker` defines.
         """
         for name in names:
             worker = self.site.workers[name]
@@ -319,7 +331,7 @@
 
         def recover() -> None:
             for name in names:
-                worker = self.site.workers[name]  # perhaps another instance by now
+                worker = self.site.workers[name]  # a later instance of this name, if it was restarted meanwhile
                 worker.faults, worker.health = {}, ""
                 self.site.event_log.put(self.world.time, "well", worker=worker.id)
 
--- a/simulation/site/settings_files.py
+++ b/simulation/site/settings_files.py
@@ -9,23 +9,23 @@
 if typing.TYPE_CHECKING:
     from simulation.site import shapes
 
-FRONT_PORT = 8263  # of a node, for requests
-READY_PORT = 8268  # of a node, for readiness checks
-CONTROL_PORT = 8262  # of a core machine, for operators
-FLEET_PORT = 7300  # of all, for messages within the fleet
-LIST_PORT = 8266  # of the platform's list of workers
-SERVE_PORT = 8080  # of a worker
-PROVIDER_HOST = "10.200.0.4"  # of the platform's list of workers
+FRONT_PORT = 8263  # port of a node for client requests
+READY_PORT = 8268  # port of a node for readiness checks
+CONTROL_PORT = 8262  # port of a core machine for operators
+FLEET_PORT = 7300  # port of nodes and core machines for messages within the fleet
+LIST_PORT = 8266  # port of the platform's list of workers
+SERVE_PORT = 8080  # port of a worker for requests
+PROVIDER_HOST = "10.200.0.4"  # address of the platform's list of workers
 CORE_HOST_PREFIX = "10.1.0."
 
 Settings = dict[str, typing.Any]
 
 
 class ProcessPlace(typing.NamedTuple):
-    """The process that a settings file is for.
+    """The process for which a settings file is written, and its machine.
 
     Attributes:
-        name: Its name.
+        name: The name of the process.
         role: "edge" for a node, "core" for a core machine.
         host: The address of its machine.
         zone: The zone of its machine.
@@ -38,7 +38,7 @@
 
 
 def bounds(shape: shapes.Shape) -> dict[str, int | float]:
-    """The bounds that all settings files of a deployment name."""
+    """The bounds (time limits and ratios) in all settings files of a deployment."""
     return {
         "seed_delay_s": 3,
         "reuse_hold_s": 2,
@@ -62,20 +62,20 @@
 
 
 def cold_bounds(shape: shapes.Shape) -> dict[str, int | float]:
-    """The bounds about cold workers, where a deployment has them."""
+    """The bounds for requests to cold workers; empty where the deployment's workers are never cold."""
     if shape.cold is None:
         return {}
     return {"cold_overshoot": shape.cold.overshoot, "cold_margin": shape.cold.margin}
 
 
 def invariants(shape: shapes.Shape) -> list[str]:
-    """The parts of the rules that are in force."""
+    """The groups of the platform's rules that the deployment must keep, as the settings file lists them."""
     zone_loss_rules = ["health", "pool", "places", "apart"] if shape.tolerates_zone_loss else []
     return ["base", "drain", "config", "cost", "retry", "recover", *zone_loss_rules, "engine", "stream"]
 
 
 def rule_bounds(shape: shapes.Shape) -> dict[str, int | float]:
-    """The bounds that the rules of `platform_rules` go by, in microseconds where they are times."""
+    """The bounds that the rules in `platform_rules` check, in microseconds where they are times."""
     settings = bounds(shape)
     return dict(
         contact=settings["contact_ms"] * units.MILLISECOND_US,
@@ -95,7 +95,7 @@
 
 
 def zone_loss_bounds(shape: shapes.Shape) -> dict[str, int | float]:
-    """Those bounds of the rules that only sites have whose zones may be lost or cut off."""
+    """The bounds of the rules that apply only to deployments that tolerate the loss of a zone."""
     settings = bounds(shape)
     found: dict[str, int | float] = dict(
         evacuate=settings["evacuate_deadline_ms"] * units.MILLISECOND_US,
@@ -107,7 +107,7 @@
 
 
 def constraints(role: str) -> dict[str, int | float]:
-    """The share of a machine that a process of a role gets."""
+    """The resource limits of a process of a given role."""
     return {
         "cpu_share": 0.5,
         "core_count": 2,
@@ -124,7 +124,7 @@
     Args:
         process: The process.
         shape: The deployment.
-        seed_hosts: The addresses of the core machines to name; where empty, those of the first start.
+        seed_hosts: The addresses of the core machines to list as seeds; if empty, those of the first start.
         bootstrap: Whether this is the first start of the fleet.
     """
     is_core = process.role == "core"
--- a/simulation/site/shapes.py
+++ b/simulation/site/shapes.py
@@ -1,4 +1,4 @@
-"""The deployments that can be simulated: zones of their machines, their load, and their settings' bounds."""
+"""The deployments that can be simulated: the zones of their machines, their load, and the bounds in their settings."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
         nodes: The zone of each node.
         cores: The zone of each core machine.
         workers: The zone of each worker.
-        rate: Requests a second of all zones together.
-        kinds: The kinds of requests.
-        retry_slack: The `retry_slack` of the settings' bounds.
-        bounds: Those bounds of the settings that differ from the small sites'.
+        rate: Requests per second of all zones together.
+        kinds: The kinds of requests that clients send.
+        retry_slack: The value of `retry_slack` in the bounds of the settings.
+        bounds: The bounds of the settings that differ from the defaults in `settings_files.bounds`.
         tolerated_losses: How many core machines may be lost at once.
-        engine_parameters: Those parameters of the workers' engines that differ from the defaults.
-        connections: How many connections a worker takes.
-        cold: How workers warm up; None where they are never cold.
+        engine_parameters: The parameters of the workers' inference engines that differ from the defaults.
+        connections: How many connections a worker accepts.
+        cold: How workers warm up after a start; None where they are never cold.
         tolerated_zones: How many zones may be lost at once.
 
     >>> SHAPES["swan"].rate
@@ -65,11 +65,11 @@
 
     @property
     def tolerates_zone_loss(self) -> bool:
-        """Whether its zones may be lost or cut off from each other."""
+        """Whether the deployment must tolerate that a zone is lost or cut off from the others."""
         return self.tolerated_zones > 0
 
     def zones(self) -> list[str]:
-        """The zones that have nodes, in the order of their names."""
+        """The zones that have nodes, in alphabetical order."""
         return sorted(set(self.nodes))
 
 
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -1,9 +1,9 @@
-"""One simulated run of a deployment: its processes on simulated machines, and the passing of virtual time.
+"""One simulated run of a deployment: its processes on simulated machines, in virtual time.
 
-The fleet's processes run on the machines of simulation/world.py with the options that platform/settings.py makes of
-a settings file, and speak through platform/formats.py and platform/configuration_api.py. Workers and the platform's
-list of them are the stand-ins of simulation/workers/; clients and operators those of simulation/clients/.
-Processor time is not modelled: code takes no time here.
+The fleet's processes run on the machines of simulation/world.py. platform/settings.py makes their options of a settings
+file, and platform/formats.py and platform/configuration_api.py encode their messages. Workers, the platform's list of
+workers, clients and operators are simulated by simulation/workers/ and simulation/clients/. Processor time is not
+modelled: code takes no virtual time.
 """
 
 from __future__ import annotations
@@ -31,12 +31,13 @@
 from simulation.site import applications, configurations, faults, settings_files, shapes, zone_faults
 from simulation.workers import cold_start, listing
 
-CORE_LIST_LAG_US = 3 * units.SECOND_US  # after which operators see which core machines came or went
-EXTERNAL_ZONE = "far"  # of clients and operators
+CORE_LIST_LAG_US = 3 * units.SECOND_US  # until operators see that a core machine was added or removed
+EXTERNAL_ZONE = "far"  # zone of clients and operators, outside the fleet's zones
 CLIENTS_PER_ZONE = 11
 READINESS_CONNECTIONS = 64
-FIRST_CONFIGURATION_S = 60  # within which the first configuration is acknowledged
-DRAIN_S = 15  # at the end, for the requests that are still open
+FIRST_CONFIGURATION_S = 60  # time limit for the acknowledgement of the first configuration
+DRAIN_S = 15  # time limit at the end of the run for requests that are still open
+# At the end of the run, the number of reads of the configuration, the time limit of each, and the pause after it.
 READ_BACKS, READ_BACK_S, READ_BACK_GAP_S = 3, 30, 1.1
 
 if typing.TYPE_CHECKING:
@@ -46,14 +47,14 @@
 
 
 class CoreMembershipChange(typing.NamedTuple):
-    """A core machine that came or went."""
+    """When a core machine was added or removed, and its name."""
 
     at_us: int
     name: str
 
 
 class SimulatedWorker(workers.Worker):
-    """A stand-in worker in a simulated process."""
+    """A simulated worker that knows its simulated process."""
 
     def __init__(
         self,
@@ -79,9 +80,9 @@
 
 
 class Site(deployment.Deployment):
-    """One simulated run.
+    """One simulated run of a deployment.
 
-    `configurations` sends configurations, and `faults` and `zone_faults` bring faults about.
+    `configurations` sends configurations, `faults` and `zone_faults` cause faults, and `applications` use tallies.
     """
 
     def __init__(
@@ -93,14 +94,14 @@
         *,
         engine_parameters: inference_engine.EngineParameters | None = None,
     ) -> None:
-        """Make a site that has not begun.
+        """Make a site without any processes; `begin` starts them.
 
         Args:
-            seed: The seed of all chance in the run.
+            seed: The seed of all random choices in the run.
             shape: The name of a deployment in `shapes.SHAPES`.
             seconds: How long the traffic lasts.
-            load: How many times the usual load.
-            engine_parameters: The parameters of the workers' engines, where they are not the deployment's.
+            load: The load, as a multiple of the deployment's usual request rate.
+            engine_parameters: The parameters of the workers' inference engines; those of the deployment if None.
         """
         super().__init__(seed)
         self.shape = shapes.SHAPES[shape]
@@ -113,10 +114,10 @@
         self.workers: dict[str, SimulatedWorker] = {}
         self.places: dict[str, deployment.Place] = {}
         self.pool = f"p{self.rng.getrandbits(16):04x}"
-        self.started = False  # whether the first start is over
+        self.started = False  # whether all processes of the fleet were started once
         self.core_membership_changes: list[CoreMembershipChange] = []
-        self.prefilled_parts: set[str] = set()  # parts of prompts that some worker has read
-        self.seed_names: list[str] | None = None  # the core machines that the settings name, where not all
+        self.prefilled_parts: set[str] = set()  # prompt parts that some worker has prefilled before
+        self.seed_names: list[str] | None = None  # core machines that the settings list as seeds; all if None
         self.traffics: list[client.Traffic] = []
         self.traffic_until = 0
         self.configurations = configurations.Configurations(self)
@@ -127,42 +128,42 @@
     # ---- machines and processes ---------------------------------------------------------
 
     def machine_of(self, name: str) -> host_model.Host:
-        """The machine of a process."""
+        """The machine on which a process runs."""
         return self.world.machines[self.places[name].host]
 
     def process_of(self, name: str) -> process_model.SimulatedProcess:
-        """The process of a node, core machine or worker."""
+        """The current process of a node, core machine or worker."""
         return (self.nodes.get(name) or self.cores.get(name) or self.workers[name]).process
 
     def new_process(self, name: str, place: deployment.Place) -> process_model.SimulatedProcess:
-        """A process that begins at a place."""
+        """A new process on the machine at a place, which is powered on if needed."""
         self.places[name] = place
         return process_model.SimulatedProcess(self.world, name, self.powered_machine(*place))
 
     def live_workers(self) -> list[str]:
-        """The names of the workers that live and do not leave."""
+        """The names of the workers that are running and not being replaced."""
         return [name for name, worker in sorted(self.workers.items()) if _is_live(worker)]
 
     # ---- settings -----------------------------------------------------------------------
 
     def seeds(self) -> list[str]:
-        """The core machines that the settings name: all, or those chosen that are still there."""
+        """The core machines that the settings list as seeds: those of `seed_names` that still exist, or else all."""
         chosen = [name for name in self.seed_names or () if name in self.cores]
         return chosen or sorted(self.cores)
 
     def options(self, name: str, role: typing.Literal["edge", "core"]) -> options.Options:
-        """The options of a process, as the platform's start makes them of its settings file."""
+        """The options of a process, translated from its settings file as on the users' platform."""
         process = settings_files.ProcessPlace(name, role, *self.places[name])
         seed_hosts = [self.places[seed].host for seed in self.seeds()]
         settings = settings_files.settings_file(process, self.shape, seed_hosts, bootstrap=not self.started)
         return platform_programs.settings.translate("node" if role == "edge" else "core", settings)
 
     def settle_s(self) -> int | float:
-        """How long after its return a core machine still counts as lost, in seconds."""
+        """For how many seconds after its return a core machine still counts as lost."""
         return settings_files.bounds(self.shape)["settle_s"]
 
     def reload(self, name: str) -> None:
-        """Let a process read its settings again, as SIGHUP does."""
+        """Let a running process reload its settings, as SIGHUP does."""
         server = self.nodes.get(name) or self.cores.get(name)
         if server is None or not server.process.alive:
             return
@@ -172,7 +173,7 @@
     # ---- starting processes -------------------------------------------------------------
 
     def start_core(self, name: str) -> None:
-        """Start a core machine's process, on the disk that is there."""
+        """Start a core machine's process with the current contents of its disk."""
         process = self.new_process(name, self.places[name])
         options = self.options(name, "core")
         started = self.cores[name] = server_model.SimulatedCore(process, process.runtime(), options)
@@ -202,12 +203,12 @@
         self.virtual_address.nodes[name] = virtual_address.NodeAddresses(zone, *addresses)
 
     def restart(self, name: str) -> None:
-        """Start a node or core machine again where it was."""
+        """Start the process of a node or core machine again on the same machine."""
         (self.start_node if name in self.nodes else self.start_core)(name)
         self.faults.note_repair(name)
 
     def start_worker(self, name: str, host: str, zone: str, pool: str | None = None) -> SimulatedWorker:
-        """Start a worker as a new instance, and list it."""
+        """Start a worker as a new instance, and add it to the platform's list; it is cold if traffic has begun."""
         process = self.new_process(name, deployment.Place(host, zone))
         speed = 0.93 + 0.14 * self.rng.random()
         worker = SimulatedWorker(
@@ -232,14 +233,14 @@
             self.event_log.put(self.world.time, "placed", worker=worker.id, zone=zone)
         if self.shape.cold is not None:
             self.zone_faults.crash_on_overrun(name)
-        if self.traffics:  # a start during traffic
+        if self.traffics:  # the first workers are warm, later ones start cold
             self.zone_faults.mark_cold(name)
         return worker
 
     # ---- the beginning of a run ---------------------------------------------------------
 
     def begin(self, lead: int = 12) -> None:
-        """Start everything, send the first configuration, and let the traffic begin after `lead` seconds."""
+        """Start all processes, send the first configuration, and start the traffic `lead` seconds after time 0."""
         self._start_platform()
         self._start_fleet()
         self._send_first_configuration()
@@ -291,7 +292,7 @@
         self.event_log.put(self.world.time, "begun", machines=machines, bounds=bounds, **more)
 
     def zone_field(self, name: str) -> dict[str, str]:
-        """The zone of a machine, for the event log of a site whose zones may be cut off from each other."""
+        """The field for a machine's zone in the event log; empty where the deployment tolerates no loss of a zone."""
         return dict(zone=self.places[name].zone) if self.shape.tolerates_zone_loss else {}
 
     def _start_traffic(self) -> None:
@@ -318,11 +319,11 @@
         )
 
     def note_core_membership_changes(self, names: collections.abc.Iterable[str]) -> None:
-        """Note that core machines come or go at this moment."""
+        """Record that core machines are added or removed now."""
         self.core_membership_changes += [CoreMembershipChange(self.world.time, name) for name in names]
 
     def control_addresses(self) -> list[tuple[str, int]]:
-        """Where operators call: the core machines, those that came or went with a lag."""
+        """The core machines' addresses that operators know: additions and removals show after `CORE_LIST_LAG_US`."""
         hosts = {name: self.places[name].host for name in self.cores}
         for changed_at, name in self.core_membership_changes:
             if self.world.time < changed_at + CORE_LIST_LAG_US:
@@ -335,11 +336,11 @@
     # ---- time ---------------------------------------------------------------------------
 
     def schedule(self, seconds: float, action: collections.abc.Callable[..., object], *arguments: object) -> None:
-        """Run an action after a while, whatever the scenario does meanwhile."""
+        """Run an action after some seconds of virtual time, without waiting for it."""
         self.world.push(self.world.time + int(seconds * units.SECOND_US), lambda: action(*arguments))
 
     def end(self) -> None:
-        """End the run: open requests end, and the configuration is read back."""
+        """End the run: wait for the end of traffic and open requests, then read back configuration and tallies."""
         self.advance(max(0, (self.traffic_until - self.world.time) / units.SECOND_US))
         self.advance_until(lambda: not any(traffic.in_flight for traffic in self.traffics), DRAIN_S)
         for _ in range(READ_BACKS):
@@ -350,7 +351,7 @@
         self.event_log.put(self.world.time, "ended")
 
     def read_back(self, seconds: float) -> None:
-        """Let the operator read the newest configuration, and time pass until it has."""
+        """Let the operator read the newest configuration, and wait until it is read or the time limit is over."""
         read = self.operator_runtime.spawn(self.operator.read(), log)
         self.advance_until(lambda: read.called, seconds)
 
--- a/simulation/site/split_days.py
+++ b/simulation/site/split_days.py
@@ -1,4 +1,7 @@
-"""Days of sites whose workers start cold, and whose zones are cut off from each other or lose power."""
+"""Days of a deployment that tolerates the loss of a zone: cold workers, faults of zones, tallies and evacuations.
+
+As in `days`, the name of each function is the name of its day.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,14 @@
 
     from simulation.site import site
 
-SHAPE = "apart"  # the deployment that these days are for
-CUT_S = 9
-ZONE_DOWN_S = 5.5
-WORKERS_DOWN_S = 4.5
-BURST_FACTOR, BURST_S = 1.5, 5
-EVACUATED_S = 8
-TALLY_DOWN_S, TALLY_LOSS_GAP_S = 2, 3.5
-ACKNOWLEDGED_LOSS_S = 0.004  # within which a machine is lost that acknowledged
+SHAPE = "apart"  # the deployment on which these days are played
+CUT_S = 9  # duration of a network cut between zones
+ZONE_DOWN_S = 5.5  # duration of a zone's power loss
+WORKERS_DOWN_S = 4.5  # from the crash of a zone's workers to their next start
+BURST_FACTOR, BURST_S = 1.5, 5  # multiple of the usual request rate, and its duration
+EVACUATED_S = 8  # duration of an evacuation
+TALLY_DOWN_S, TALLY_LOSS_GAP_S = 2, 3.5  # downtime of a lost core machine, and time from one loss to the next
+ACKNOWLEDGED_LOSS_S = 0.004  # within which a core machine is lost after it acknowledged an add
 
 log = loguru.logger.bind(part="site")
 
@@ -33,7 +36,7 @@
 
 
 def cold_crash(deployment: site.Site) -> None:
-    """Some workers crash, one after the other, and come back cold."""
+    """Some workers crash one after the other, and start again cold."""
     deployment.advance(3)
     for name in days.sample_share(deployment, deployment.live_workers(), 0.4):
         deployment.faults.crash_worker(name, "reset", back=2)
@@ -41,13 +44,13 @@
 
 
 def cold_return(deployment: site.Site) -> None:
-    """The workers of a zone are down, and come back together."""
+    """The machines of a zone's workers fail, and the workers start again together, cold."""
     deployment.advance(4)
     deployment.zone_faults.crash_and_return_workers(_random_zone(deployment), WORKERS_DOWN_S, how="dark")
 
 
 def cold_burst(deployment: site.Site) -> None:
-    """The workers of a zone come back together while one kind of request comes far more often."""
+    """The workers of a zone crash and start again together, cold, during a raised rate of one kind of request."""
     deployment.advance(4)
     deployment.zone_faults.crash_and_return_workers(_random_zone(deployment), WORKERS_DOWN_S)
     deployment.advance(WORKERS_DOWN_S - 1)
@@ -63,7 +66,7 @@
 
 
 def _change_and_replace_worker(deployment: site.Site) -> None:
-    """Send a change during the cut that has just begun, and release a worker just after its end."""
+    """Send two changes during a cut that has just begun, and replace a worker just after its end."""
     deployment.advance(1)
     deployment.configurations.begin_change("idle")
     deployment.advance(4)
@@ -74,14 +77,14 @@
 
 
 def zone_cut(deployment: site.Site) -> None:
-    """A zone is cut off from the others: silently, or connections are reset, or new ones are refused as well."""
+    """A zone is cut off from the others by a cut of a random kind, see `zone_faults.ZoneFaults.cut`."""
     deployment.advance(4)
     deployment.zone_faults.isolate(_random_zone(deployment), CUT_S, deployment.rng.choice(zone_faults.CUT_KINDS))
     _change_and_replace_worker(deployment)
 
 
 def zone_one_way(deployment: site.Site) -> None:
-    """Nothing passes out of a zone, or nothing into it."""
+    """No packets get out of a zone to the others, or none into it."""
     deployment.advance(4)
     outward = deployment.rng.random() < 0.5
     deployment.zone_faults.cut_one_way(_random_zone(deployment), CUT_S, outward=outward)
@@ -97,7 +100,7 @@
 
 
 def zone_power(deployment: site.Site) -> None:
-    """A zone is without power for some seconds; a change comes meanwhile."""
+    """A zone loses power for some seconds, while a change is sent; another change follows after it is back."""
     deployment.advance(4)
     deployment.zone_faults.power_off(_random_zone(deployment), ZONE_DOWN_S)
     deployment.advance(1)
@@ -110,7 +113,7 @@
 
 
 def tally_quiet(deployment: site.Site) -> None:
-    """Applications add to tallies and read them; nothing else happens."""
+    """Applications add to tallies and read them, without any faults."""
     deployment.applications.start()
 
 
@@ -122,7 +125,7 @@
 
 
 def tally_kill(deployment: site.Site) -> None:
-    """The machine that acknowledges an add is killed or loses power right after, three times."""
+    """The core machine that acknowledges an add is killed or loses power within milliseconds, three times."""
     deployment.applications.start()
     for _ in range(3):
         deployment.advance(2)
@@ -151,12 +154,12 @@
 
 
 def tally_wipe(deployment: site.Site) -> None:
-    """As many machines as may be lost lose their disks, while all others lose power."""
+    """All machines lose power, and as many core machines as the deployment tolerates lose their disks."""
     _tallies_through_outage(deployment, "wipe")
 
 
 def tally_kill_all(deployment: site.Site) -> None:
-    """Every process is killed."""
+    """The processes of all nodes and core machines are killed while applications use tallies."""
     _tallies_through_outage(deployment, "kill_all")
 
 
@@ -168,7 +171,7 @@
 
 
 def _evacuate(deployment: site.Site, *, warm: bool) -> None:
-    """Have a zone evacuated in the next seconds, and taken back at their end."""
+    """Start to evacuate a random zone, and schedule the end of the evacuation."""
     zone = _random_zone(deployment)
     _spawn_order(deployment, deployment.zone_faults.evacuate(zone))
     deployment.schedule(
@@ -177,7 +180,7 @@
 
 
 def evacuate(deployment: site.Site) -> None:
-    """A zone is evacuated and taken back, its workers cold by then; a change comes meanwhile."""
+    """A zone is evacuated for some seconds while a change is sent; its workers are cold when the evacuation ends."""
     deployment.advance(3)
     _evacuate(deployment, warm=False)
     deployment.advance(1)
@@ -185,7 +188,7 @@
 
 
 def evacuate_warm(deployment: site.Site) -> None:
-    """A zone is evacuated and taken back while core machines and nodes are killed; its workers stay warm."""
+    """A zone is evacuated for some seconds, while a core machine and a node are killed; its workers stay warm."""
     deployment.advance(3)
     _evacuate(deployment, warm=True)
     deployment.advance(0.05)
@@ -195,7 +198,7 @@
 
 
 def evacuate_closing(deployment: site.Site) -> None:
-    """Right after an evacuation is acknowledged a closing fault strikes; it is never taken back."""
+    """Right after an evacuation is acknowledged there is a fleet outage; the evacuation is never ended."""
     deployment.advance(4)
     status = deployment.operator_runtime.spawn(deployment.zone_faults.evacuate(_random_zone(deployment)), log)
     deployment.advance_until(lambda: status.called, EVACUATED_S)
--- a/simulation/site/split_drawn_day.py
+++ b/simulation/site/split_drawn_day.py
@@ -1,4 +1,7 @@
-"""A drawn day of a split site: besides the faults of other drawn days, one of a zone, and often an evacuation."""
+"""A randomly drawn day of a deployment that tolerates the loss of a zone.
+
+Besides faults of the kinds in `drawn_day` it has one fault of a whole zone, and often an evacuation.
+"""
 
 from __future__ import annotations
 
@@ -11,28 +14,29 @@
 if typing.TYPE_CHECKING:
     from simulation.site import site
 
-DAY_S = 32
-SLOTS_S = (2.0, 18.0)  # when the fault of a zone and that of a core machine may begin, in either order
-SLOT_SPREAD_S = 3.0
-ZONE_FAULT_S = (3.0, 8.0)  # the shortest and the longest
-EVACUATED_S = 8.0
-CHANGE_TIMES_S = (3, 9, 15, 21, 28)
+DAY_S = 32  # duration of the day up to a fleet outage
+SLOTS_S = (2.0, 18.0)  # begin of the slots for the fault of a zone and for that of a core machine, in random order
+SLOT_SPREAD_S = 3.0  # length of a slot, within which its fault begins
+ZONE_FAULT_S = (3.0, 8.0)  # shortest and longest duration of the fault of a zone
+EVACUATED_S = 8.0  # duration of an evacuation
+CHANGE_TIMES_S = (3, 9, 15, 21, 28)  # times of changes of the configuration
 
 log = loguru.logger.bind(part="site")
 
 
 class SplitDrawnDay(drawn_day.DrawnDay):
-    """A drawn day of a split site under way.
+    """A randomly drawn day on a site that tolerates the loss of a zone.
 
-    No more is lost at once than the deployment tolerates: the fault of a zone and that of a core machine are far apart.
+    The fault of a zone and that of a core machine are far apart in time, since the deployment does not tolerate both
+    at once.
     """
 
     def random_zone(self) -> str:
-        """A random zone."""
+        """A zone, chosen at random."""
         return self.rng.choice(self.site.shape.zones())
 
     def zone_faults(self) -> list[drawn_day.Action]:
-        """What may happen to a zone."""
+        """The faults that may strike a zone."""
         strikes = self.site.zone_faults
         seconds = self.rng.uniform(*ZONE_FAULT_S)
         return [
@@ -48,14 +52,14 @@
         self.site.zone_faults.cut_pair(one, other, seconds)
 
     def evacuate(self) -> None:
-        """Evacuate a random zone for a while; its workers are cold or warm at the end."""
+        """Evacuate a random zone for some seconds; on half of these occasions its workers are cold at the end."""
         zone, warm = self.random_zone(), self.rng.random() < 0.5
         strikes, spawn = self.site.zone_faults, self.site.operator_runtime.spawn
         spawn(strikes.evacuate(zone), log)
         self.site.schedule(EVACUATED_S, lambda: spawn(strikes.end_evacuation(zone, warm=warm), log))
 
     def play(self) -> None:
-        """Play the day; half of the days end with a closing fault."""
+        """Play the day; half of the days end with a fleet outage."""
         self.site.applications.start()
         actions = [
             *self.node_faults(),
@@ -81,7 +85,7 @@
             self.cause_fleet_outage()
 
     def cause_fleet_outage(self) -> None:
-        """End the day with a closing fault right after an acknowledgement."""
+        """End the day with a fleet outage right after a change was acknowledged."""
         days.send_acknowledged_change(self.site)
         how = self.rng.choice(faults.FLEET_OUTAGES)
         down = 0.7 + self.rng.random()
@@ -90,5 +94,5 @@
 
 
 def split_drawn(deployment: site.Site) -> None:
-    """Four to six faults at random times, one of them of a whole zone; half of these days end with a closing fault."""
+    """Four to six faults and changes at random times, one of a whole zone; half of the days end with a fleet outage."""
     SplitDrawnDay(deployment).play()
--- a/simulation/site/zone_faults.py
+++ b/simulation/site/zone_faults.py
@@ -1,7 +1,7 @@
-"""Faults of whole zones of a simulated site: workers that return cold, cuts between zones, and zones without power.
+"""Faults and evacuations of whole zones of a simulated site: cold workers, network cuts between zones, power losses.
 
-A cut is noted in the event log as `zones_cut` with its links, as pairs of sending and receiving zone, and its end as
-`zones_joined`.
+A cut is written to the event log as a row `zones_cut` with its links, each a pair of sending and receiving zone, and
+its end as a row `zones_joined`.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
     from simulation import world
     from simulation.site import site
 
-OVERRUN_DOWN_S = 4.0  # until a worker starts again that was overrun while cold
-RETURN_SPREAD_S = 1.5  # within which the processes of a zone start again when its power is back
+OVERRUN_DOWN_S = 4.0  # until a worker starts again that crashed from overload while cold
+RETURN_SPREAD_S = 1.5  # within which the processes of a zone start again after its power is back
 
 CutKind = typing.Literal["silent", "refuse", "reset"]
 CUT_KINDS: tuple[CutKind, ...] = ("silent", "refuse", "reset")
-ZoneLink = tuple[str, str]  # from the first zone to the second
+ZoneLink = tuple[str, str]  # sending and receiving zone
 
 
 class ZoneFaults:
-    """Brings faults of whole zones about at a site, and ends them."""
+    """Causes faults of whole zones at a site, and ends them; durations are in seconds."""
 
     def __init__(self, deployment: site.Site) -> None:
         self.site = deployment
         self.world: world.World = deployment.world
-        self.cuts = 0  # so far
+        self.cuts = 0  # number of cuts so far
 
     # ---- workers ------------------------------------------------------------------------
 
@@ -40,19 +40,19 @@
         return [name for name in self.site.live_workers() if self.site.workers[name].zone == zone]
 
     def crash_and_return_workers(self, zone: str, down: float, how: typing.Literal["reset", "dark"] = "reset") -> None:
-        """Crash all workers of a zone; they come back together, cold, after so many seconds."""
+        """Crash all workers of a zone; they start again together after `down` seconds, and are cold."""
         for name in self.workers_of(zone):
             self.site.faults.crash_worker(name, how, back=down, listed=min(down, 3.0))
 
     def mark_cold(self, name: str) -> None:
-        """Let a worker become cold."""
+        """Make a worker cold, as after a start, where the deployment has cold workers."""
         worker, now = self.site.workers[name], self.world.time
         if worker.cold is not None:
             worker.cold.begin(now)
             self.site.listing.cold_until[worker.id] = worker.cold.until
 
     def crash_on_overrun(self, name: str) -> None:
-        """End a worker's process as soon as it is overrun while cold."""
+        """Crash a worker as soon as it gets far more requests than a cold worker can take."""
         worker = self.site.workers[name]
 
         def collapse() -> None:
@@ -65,11 +65,11 @@
     # ---- evacuations --------------------------------------------------------------------
 
     async def evacuate(self, zone: str) -> int:
-        """Let the operator evacuate a zone: the status."""
+        """Order the evacuation of a zone, and return the status."""
         return await self._send_evacuation_order(zone, begins=True)
 
     async def end_evacuation(self, zone: str, *, warm: bool) -> int:
-        """Let the operator take a zone's evacuation back: the status. The zone's workers are cold by then, or warm."""
+        """Order the end of a zone's evacuation, and return the status; its workers become cold before unless `warm`."""
         if not warm:
             for name in self.workers_of(zone):
                 self.mark_cold(name)
@@ -82,13 +82,13 @@
     # ---- cuts ---------------------------------------------------------------------------
 
     def cut(self, links: collections.abc.Iterable[ZoneLink], seconds: float, how: CutKind = "silent") -> None:
-        """Cut links between zones for a while.
+        """Cut links between zones for some seconds.
 
         Args:
-            links: The links; what the first zone of each sends does not reach the second.
+            links: The links to cut; packets from the first zone of each to the second are lost.
             seconds: How long.
-            how: Whether packets are lost without a word; or what was open is reset first; or new connections are
-                refused as well.
+            how: "silent" only loses packets; "reset" also resets the open connections; "refuse" in addition refuses new
+                connections at once.
         """
         cut_links = sorted(links)
         self.cuts += 1
@@ -124,23 +124,23 @@
         return [other for other in self.site.shape.zones() if other != zone]
 
     def isolate(self, zone: str, seconds: float, how: CutKind = "silent") -> None:
-        """Cut a zone off from all others; clients and operators still reach it."""
+        """Cut a zone off from all others in both directions; clients and operators still reach it."""
         outward = [(zone, other) for other in self._others(zone)]
         self.cut([*outward, *((receiver, sender) for sender, receiver in outward)], seconds, how)
 
     def cut_one_way(self, zone: str, seconds: float, *, outward: bool) -> None:
-        """Let nothing pass out of a zone, or into it, to or from all others."""
+        """Cut all links from a zone to the others if `outward`, else those from the others to it."""
         others = self._others(zone)
         self.cut([(zone, other) if outward else (other, zone) for other in others], seconds)
 
     def cut_pair(self, zone: str, other: str, seconds: float) -> None:
-        """Cut two zones off from each other; a third still reaches both."""
+        """Cut two zones off from each other in both directions; all other zones still reach both."""
         self.cut([(zone, other), (other, zone)], seconds)
 
     # ---- power --------------------------------------------------------------------------
 
     def power_off(self, zone: str, seconds: float) -> None:
-        """Let a zone lose power; its machines and workers start again soon after it is back."""
+        """Cut the power of a zone; its machines and workers start again at random times soon after it is back."""
         for name in [*sorted(self.site.nodes), *sorted(self.site.cores)]:
             if self.site.places[name].zone == zone:
                 self.site.faults.power_off(name, seconds + RETURN_SPREAD_S * self.site.rng.random())
