--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -97,8 +97,8 @@
     must = max(log.versions_in_force(attempt["sent"]), default=newest)
     if newest < must and log.is_connected_to_core(attempt["node"], attempt["done"]):
         yield (
-            f"node {attempt['node']} handled attempt {attempt['attempt']} by version {newest} or older, "
-            f"though it must have applied version {must}"
+            f"attempt {attempt['attempt']} at node {attempt['node']} was handled by version {newest} or older, "
+            f"though the node must have applied version {must}"
         )
 
 
@@ -110,10 +110,7 @@
     versions = (seen.version for seen in observed if repaired_at < seen.at and seen.at + slack < sent_at)
     floor = max(versions, default=0)
     if newest < floor:
-        yield (
-            f"node {node} handled attempt {attempt['attempt']} by version {newest}, "
-            f"after it had applied version {floor}"
-        )
+        yield (f"attempt {attempt['attempt']}: node {node} went back from version {floor} to version {newest} or older")
 
 
 def _wrongly_read_back(log: event_log.Log) -> Complaints:
--- a/simulation/rules/evacuations.py
+++ b/simulation/rules/evacuations.py
@@ -60,8 +60,8 @@
             if node is not None and log.is_connected_to_core(node, row["at"]):
                 after_ms = (row["at"] - evacuation.acknowledged_at) // units.MILLISECOND_US
                 yield (
-                    f"node {node} sent attempt {row['attempt']} to zone {evacuation.zone}, "
-                    f"whose evacuation had been acknowledged {after_ms} ms before"
+                    f"attempt {row['attempt']} reached a worker in zone {evacuation.zone} {after_ms} ms after the "
+                    f"acknowledgement of its evacuation, sent by node {node}"
                 )
 
 
