--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -198,7 +198,7 @@
     def test_a_good_log_has_no_complaint(self) -> None:
         self.assert_no_complaint(request_rows() + request_rows("a2", at=21 * SECOND, stream=False, repeat=True))
 
-    def test_mixed(self) -> None:
+    def test_rule_mixed_finds_responses_that_no_worker_sent_for_the_request(self) -> None:
         events = request_rows()[3]["events"]
         for more in (
             dict(seal=None),
@@ -220,13 +220,13 @@
         broken[2]["how"] = "garble"
         self.assert_no_complaint(broken)
 
-    def test_unasked(self) -> None:
+    def test_rule_unasked_finds_requests_at_workers_that_no_client_sent(self) -> None:
         self.assert_complaint("unasked", self.change("arrived", attempt="a9"))
         for more in (dict(method="GET"), dict(url="/a/2"), dict(body="b2")):
             self.assert_complaint("unasked", self.change("arrived", **more))
         self.assert_complaint("unasked", [*request_rows(), dict(at=SECOND, kind="bad_request", worker="i-1")])
 
-    def test_twice(self) -> None:
+    def test_rule_twice_finds_requests_that_must_not_be_repeated_and_ran_twice(self) -> None:
         again = [
             dict(
                 at=20 * SECOND + 9 * MILLISECOND,
@@ -242,12 +242,12 @@
         self.assert_complaint("twice", request_rows() + again)
         self.assert_no_complaint(request_rows(repeat=True) + again)
 
-    def test_refused(self) -> None:
+    def test_rule_refused_finds_requests_that_ran_though_their_status_says_otherwise(self) -> None:
         for code in (408, 421, 429, 503):
             self.assert_complaint("refused", self.change("tried", code=code))
         self.assert_no_complaint([{**r, "code": 503} if r["kind"] == "tried" else r for r in request_rows(repeat=True)])
 
-    def test_denied(self) -> None:
+    def test_rule_denied_finds_many_valid_requests_refused_by_connected_nodes(self) -> None:
         def denials(n: int, **more: Any) -> list[dict[str, Any]]:  # noqa: ANN401 - fields of a row
             return [
                 r
@@ -272,7 +272,7 @@
         self.assert_no_complaint(denials + cut + inject_fault("n1", "kill", 11 * SECOND, 12 * SECOND))
         self.assert_complaint("denied", denials + reset)
 
-    def test_an_acknowledgement_that_is_lost_on_its_way_counts_for_the_core(self) -> None:
+    def test_an_acknowledgement_that_is_lost_on_its_way_to_the_operator_is_in_time(self) -> None:
         second = make_document(2, ("/a/", "desk"))
         late = change_rows(10 * SECOND, second, base=1, after=9 * SECOND)
         lost = dict(at=11 * SECOND, kind="acknowledgement_lost", send=late[0]["send"])
@@ -280,14 +280,14 @@
         self.assert_complaint("acks", late, end)
         self.assert_no_complaint([*late, lost], end)
 
-    def test_route(self) -> None:
+    def test_rule_route_finds_runs_at_services_that_no_configuration_allows(self) -> None:
         self.assert_complaint("route", request_rows(pool="other"))
         self.assert_complaint("route", request_rows(url="/b/1"))
         self.assert_no_complaint(
             request_rows(pool="other") + change_rows(5 * SECOND, make_document(3, ("/a/", "other")), base=1, code=0)
         )
 
-    def test_drain(self) -> None:
+    def test_rule_drain_finds_requests_that_reach_a_draining_worker_too_late(self) -> None:
         for state in ("draining", "gone"):
             listed = [dict(at=15 * SECOND, kind="listed", worker="i-1", state=state, pool="desk", seen=16 * SECOND)]
             self.assert_complaint("drain", request_rows(at=20 * SECOND) + listed)
@@ -297,7 +297,7 @@
             )
             self.assert_no_complaint(self.change("arrived", verdict=421)[:1] + listed)
 
-    def test_lost(self) -> None:
+    def test_rule_lost_finds_requests_lost_by_a_planned_stop_of_a_node(self) -> None:
         cut = request_rows(how="closed", done=20 * SECOND + 30 * MILLISECOND)
         term = [dict(at=19 * SECOND, kind="term", name="n1"), *inject_fault("n1", "term", 19 * SECOND, 27 * SECOND)]
         self.assert_complaint("lost", cut + term)
@@ -312,7 +312,7 @@
         self.assert_no_complaint(unsent + term)
         self.assert_complaint("lost", [{**unsent[0], "done": 20 * SECOND + 300 * MILLISECOND}, *term])
 
-    def test_config_is_handled_late(self) -> None:
+    def test_rule_config_finds_a_configuration_applied_too_late(self) -> None:
         moved = change_rows(10 * SECOND, make_document(3, ("/a/", "other")), base=1)
         end = [{**END[0], "doc": make_document(3, ("/a/", "other"))}, END[1]]
         self.assert_complaint("config", request_rows(at=13 * SECOND) + moved, end)
@@ -327,7 +327,7 @@
         absent = request_rows(at=13 * SECOND, url="/b/1", code=404, seal=None, events=[])[3:4]
         self.assert_complaint("config", absent + gone, end)
 
-    def test_config_goes_back(self) -> None:
+    def test_rule_config_finds_a_node_that_returns_to_an_older_version(self) -> None:
         moved = change_rows(10 * SECOND, make_document(3, ("/a/", "other")), base=1)
         end = [{**END[0], "doc": make_document(3, ("/a/", "other"))}, END[1]]
         new = request_rows("a1", at=10 * SECOND + 500 * MILLISECOND, pool="other")
@@ -342,7 +342,7 @@
             end,
         )
 
-    def test_config_that_must_not_be_in_force(self) -> None:
+    def test_rule_config_finds_a_refused_configuration_in_force(self) -> None:
         self.assert_complaint(
             "config",
             request_rows(pool="other") + change_rows(10 * SECOND, make_document(3, ("/a/", "other")), base=1, code=412),
@@ -356,7 +356,7 @@
             request_rows(pool="other") + change_rows(10 * SECOND, make_document(3, ("/a/", "other")), base=1, code=0)
         )
 
-    def test_config_acknowledged_wrongly(self) -> None:
+    def test_rule_config_finds_invalid_and_conflicting_acknowledged_changes(self) -> None:
         third = make_document(3, ("/a/", "desk"), ("/b/", "desk"))
         end = [{**END[0], "doc": third}, END[1]]
         self.assert_no_complaint(change_rows(10 * SECOND, third, base=1), end)
@@ -369,7 +369,7 @@
             change_rows(10 * SECOND, third, base=1) + change_rows(10 * SECOND, third, base=1, who="other"), end
         )
 
-    def test_config_is_read_back(self) -> None:
+    def test_rule_config_finds_a_configuration_not_read_back_as_sent(self) -> None:
         third = make_document(3, ("/a/", "desk"), ("/b/", "desk"))
         rows = change_rows(10 * SECOND, third, base=1)
         self.assert_complaint("config", rows, END)
@@ -379,7 +379,7 @@
         turned = {**third, CONFIGURATION["routes"]: third[CONFIGURATION["routes"]][::-1]}
         self.assert_no_complaint(rows, [{**END[0], "doc": turned}, END[1]])
 
-    def test_acks(self) -> None:
+    def test_rule_acks_finds_late_acknowledgements(self) -> None:
         third = make_document(3, ("/a/", "desk"), ("/b/", "desk"))
         end = [{**END[0], "doc": third}, END[1]]
         self.assert_complaint("acks", change_rows(10 * SECOND, third, base=1, after=5 * SECOND), end)
@@ -391,7 +391,7 @@
         )
         self.assert_complaint("acks", change_rows(10 * SECOND, third, base=1, code=0, after=30 * SECOND))
 
-    def test_budget(self) -> None:
+    def test_rule_budget_finds_more_repeats_than_the_retry_budget_allows(self) -> None:
         def repeats(n: int, requests: int) -> list[dict[str, Any]]:
             rows = [
                 r
@@ -406,7 +406,7 @@
         self.assert_no_complaint(repeats(70, 100))
         self.assert_complaint("budget", repeats(75, 100))
 
-    def test_order(self) -> None:
+    def test_rule_order_finds_incomplete_disordered_and_wrongly_joined_streams(self) -> None:
         events = request_rows()[3]["events"]
         for more in (events[1:], events[:1] + events[2:], events[:2] + events[1:], events[::-1], events[:2]):
             self.assert_complaint("order", self.change("tried", events=more))
@@ -431,7 +431,7 @@
             found = self.judged([*rows, {**run, "after": after}])
             assert ("order" not in found) == good, (repeat, after)
 
-    def test_recover(self) -> None:
+    def test_rule_recover_finds_a_fleet_that_does_not_serve_after_an_outage(self) -> None:
         def day(ok: bool) -> list[dict[str, Any]]:
             rows = [r for k in range(8) for r in request_rows(f"a{k}", at=20 * SECOND + k)]
             late = [r for k in range(8) for r in request_rows(f"b{k}", at=55 * SECOND + k)]
@@ -444,7 +444,7 @@
         self.assert_no_complaint(day(True))
         self.assert_complaint("recover", day(False))
 
-    def test_failback(self) -> None:
+    def test_rule_failback_finds_too_many_requests_to_a_cold_worker(self) -> None:
         def cold(count: int, verdict: int = 0, **more: Any) -> list[dict[str, Any]]:  # noqa: ANN401 - fields of a row
             """Rows of so many requests within a second, at a cold worker."""
             rows = [r for k in range(count) for r in request_rows(f"a{k}", at=20 * SECOND + k * 30 * MILLISECOND)]
@@ -459,7 +459,7 @@
         self.assert_no_complaint(spread)
         assert "failback" not in self.judged(cold(15) + cold(15, worker="i-2"))
 
-    def test_earned_value(self) -> None:
+    def test_earned_value_of_requests_in_time_late_and_not_served(self) -> None:
         kinds = {"phrase": earned_value.RequestValue(400 * MILLISECOND, 200 * MILLISECOND, 3.0, 1.0)}
         rows = request_rows("a1") + request_rows("a2", at=24 * SECOND)
         slow = request_rows("a3", at=24 * SECOND + 1)
