--- a/tests/test_evacuation_rules.py
+++ b/tests/test_evacuation_rules.py
@@ -34,7 +34,7 @@
     return set(platform_rules.examine(sorted([*rows, *test_judge.END], key=lambda row: row["at"])))
 
 
-def test_a_request_reaches_an_evacuated_zone_too_late() -> None:
+def test_rule_evac_finds_requests_that_reach_an_evacuated_zone_too_late() -> None:
     assert broken(order(10 * SECOND), request(15 * SECOND)) == set()
     assert broken(order(10 * SECOND), request(16 * SECOND)) == {"evac"}
     assert broken(order(10 * SECOND), request(16 * SECOND, worker="i-2")) == set()
@@ -42,16 +42,16 @@
     assert broken(order(10 * SECOND, zone="a"), request(16 * SECOND)) == set()
 
 
-def test_an_evacuation_that_was_not_acknowledged_or_taken_back_binds_nobody() -> None:
+def test_an_evacuation_that_was_ended_or_not_acknowledged_forbids_no_request() -> None:
     assert "evac" not in broken(order(10 * SECOND, code=0), request(16 * SECOND))
-    taken_back = order(15 * SECOND, begins=False)
-    assert broken(order(10 * SECOND), taken_back, request(16 * SECOND)) == set()
-    assert broken(order(10 * SECOND), taken_back, order(20 * SECOND), request(24 * SECOND)) == set()
-    assert broken(order(10 * SECOND), taken_back, order(20 * SECOND), request(26 * SECOND)) == {"evac"}
+    ended = order(15 * SECOND, begins=False)
+    assert broken(order(10 * SECOND), ended, request(16 * SECOND)) == set()
+    assert broken(order(10 * SECOND), ended, order(20 * SECOND), request(24 * SECOND)) == set()
+    assert broken(order(10 * SECOND), ended, order(20 * SECOND), request(26 * SECOND)) == {"evac"}
     assert broken(order(10 * SECOND), order(20 * SECOND, begins=False), request(16 * SECOND)) == {"evac"}
 
 
-def test_only_machines_in_touch_are_bound() -> None:
+def test_rule_evac_applies_only_to_nodes_connected_to_the_core() -> None:
     late = request(20 * SECOND)
     assert broken(order(10 * SECOND), late, test_judge.inject_fault("n1", "freeze", 18 * SECOND, 19 * SECOND)) == set()
     assert broken(order(10 * SECOND), late, test_judge.inject_fault("n2", "freeze", 18 * SECOND, 19 * SECOND)) == {
@@ -63,18 +63,18 @@
     assert broken(order(10 * SECOND), inside, cut) == {"evac"}
 
 
-def test_an_evacuation_is_kept_through_a_closing_fault() -> None:
+def test_an_evacuation_is_kept_through_a_fleet_outage() -> None:
     closing = [dict(at=12 * SECOND, kind="closing", back=13 * SECOND, how="kill_all")]
     assert "evac_lost" in broken(order(10 * SECOND), closing, request(26 * SECOND))
     assert "evac_lost" not in broken(order(10 * SECOND), closing, request(24 * SECOND))
     assert "evac_lost" not in broken(order(10 * SECOND), closing, request(26 * SECOND, worker="i-2"))
-    taken_back = order(15 * SECOND, begins=False)
-    assert broken(order(10 * SECOND), closing, taken_back, request(26 * SECOND)) == set()
+    ended = order(15 * SECOND, begins=False)
+    assert broken(order(10 * SECOND), closing, ended, request(26 * SECOND)) == set()
     assert "evac_lost" not in broken(order(13 * SECOND), closing, request(26 * SECOND))
 
 
 @pytest.mark.parametrize("begins", [True, False])
-def test_an_order_is_acknowledged_in_time_while_the_core_is_settled(begins: bool) -> None:
+def test_an_order_is_acknowledged_in_time_while_the_core_is_stable(begins: bool) -> None:
     assert broken(order(10 * SECOND, begins=begins, after=3 * SECOND)) == set()
     assert broken(order(10 * SECOND, begins=begins, after=5 * SECOND)) == {"evac_acks"}
     refused = order(10 * SECOND, begins=begins, code=404)
--- a/tests/test_judge_failback.py
+++ b/tests/test_judge_failback.py
@@ -6,7 +6,7 @@
 CUT_END = 20 * SECOND
 
 
-def test_requests_that_no_cut_held_up_count_right_after_a_cut_as_well() -> None:
+def test_requests_sent_right_after_a_cut_count_for_a_cold_worker() -> None:
     rows = [
         {**row, "cold": True} if row["kind"] == "arrived" else row
         for number in range(60)
--- a/tests/test_tally_rules.py
+++ b/tests/test_tally_rules.py
@@ -12,7 +12,7 @@
 Rows = list[dict[str, Any]]
 
 
-def row_of_try(op: str, at: int, machine: str, **fields: Any) -> dict[str, Any]:  # noqa: ANN401 - fields of a row
+def attempt_row(op: str, at: int, machine: str, **fields: Any) -> dict[str, Any]:  # noqa: ANN401 - fields of a row
     """A try that a core machine answers with 200 at a time."""
     host = test_zone_cuts.MACHINES[machine]["host"]
     usual = dict(call=f"{op}-{at}", began=at - ANSWER_US, host=host, code=200, sent=True, sum=None, tally="t1")
@@ -21,17 +21,17 @@
 
 def add(at: int, machine: str = "c1", amount: int = 4, **fields: Any) -> dict[str, Any]:  # noqa: ANN401
     """An add that a machine acknowledged."""
-    return row_of_try("add", at, machine, **{"id": f"id-{at}", "amount": amount, **fields})
+    return attempt_row("add", at, machine, **{"id": f"id-{at}", "amount": amount, **fields})
 
 
 def read(at: int, total: int | None, machine: str = "c1", **fields: Any) -> dict[str, Any]:  # noqa: ANN401
     """A read that a machine answered."""
-    return row_of_try("read", at, machine, sum=total, **fields)
+    return attempt_row("read", at, machine, sum=total, **fields)
 
 
 def final(total: int | None, machine: str = "c2", **fields: Any) -> dict[str, Any]:  # noqa: ANN401
     """A read at the end of the day."""
-    return row_of_try("final", 58 * SECOND, machine, sum=total, **fields)
+    return attempt_row("final", 58 * SECOND, machine, sum=total, **fields)
 
 
 def broken(*rows: dict[str, Any] | Rows) -> set[str]:
@@ -50,7 +50,7 @@
 
 
 class TestTwice:
-    def test_a_read_gives_no_more_than_what_could_have_counted(self) -> None:
+    def test_a_read_returns_at_most_the_adds_that_may_have_been_applied(self) -> None:
         added = [add(10 * SECOND), add(11 * SECOND, amount=3)]
         assert broken(added, read(20 * SECOND, 7)) == set()
         assert broken(added, read(20 * SECOND, 8)) == {"tally_twice"}
@@ -71,7 +71,7 @@
             (dict(code=0, sent=False), False),
         ],
     )
-    def test_an_add_counts_unless_it_was_never_sent_or_promised_undone(
+    def test_an_add_may_count_unless_it_was_never_sent_or_surely_not_applied(
         self, fields: dict[str, Any], may_count: bool
     ) -> None:
         assert broken(add(10 * SECOND, **fields), read(20 * SECOND, 0)) == set()
@@ -83,12 +83,12 @@
         assert broken(under_way, read(20 * SECOND, 4)) == set()
         assert broken(under_way, read(20 * SECOND - 1, 4)) == {"tally_twice"}
 
-    def test_tallies_are_apart(self) -> None:
+    def test_adds_to_another_tally_do_not_count(self) -> None:
         assert broken(add(10 * SECOND), read(20 * SECOND, 4, tally="t2")) == {"tally_twice"}
 
 
 class TestStale:
-    def test_a_machine_tells_what_it_acknowledged_in_the_same_life(self) -> None:
+    def test_a_machine_returns_what_it_acknowledged_since_its_restart(self) -> None:
         soon = 10 * SECOND + 2 * ANSWER_US
         assert broken(add(10 * SECOND), read(soon, 4)) == set()
         assert broken(add(10 * SECOND), read(soon, 0)) == {"tally_stale"}
@@ -96,17 +96,19 @@
         assert broken(add(10 * SECOND), read(10 * SECOND + ANSWER_US - 1, 0)) == set()  # asked before
 
     @pytest.mark.parametrize(("what", "is_bound"), [("kill", False), ("power", False), ("cut", True), ("freeze", True)])
-    def test_a_life_ends_with_the_process(self, what: str, is_bound: bool) -> None:
+    def test_only_a_restart_excuses_a_machine_from_returning_its_own_adds_at_once(
+        self, what: str, is_bound: bool
+    ) -> None:
         fault = test_judge.inject_fault("c1", what, 11 * SECOND, 12 * SECOND)
         expected = {"tally_stale"} if is_bound else set()
         assert broken(add(10 * SECOND), read(13 * SECOND, 0), fault) == expected
 
-    def test_after_a_calm_time_all_machines_tell_it(self) -> None:
+    def test_all_machines_return_an_add_after_the_merge_time_without_faults(self) -> None:
         assert broken(add(10 * SECOND), read(13 * SECOND + ANSWER_US, 0, "c2")) == {"tally_stale"}
         assert broken(add(10 * SECOND), read(13 * SECOND + ANSWER_US, 4, "c2")) == set()
         assert broken(add(10 * SECOND), read(13 * SECOND + ANSWER_US - 1, 0, "c2")) == set()
 
-    def test_trouble_of_the_core_or_a_link_delays_that(self) -> None:
+    def test_a_fault_of_the_core_or_a_cut_link_restarts_the_merge_time(self) -> None:
         late = read(30 * SECOND, 0, "c2")
         assert (
             broken(add(10 * SECOND), late, test_zone_cuts.cut_rows(test_zone_cuts.PAIR, 9 * SECOND, 28 * SECOND))
@@ -121,24 +123,24 @@
 
 
 class TestLost:
-    def test_the_end_of_the_day_has_all_that_was_acknowledged(self) -> None:
+    def test_final_reads_return_all_acknowledged_adds(self) -> None:
         assert broken(add(10 * SECOND), final(4)) == set()
         assert "tally_lost" in broken(add(10 * SECOND), final(0))
         assert broken(add(10 * SECOND, code=0), final(0)) == set()
         just_before = add(58 * SECOND - ANSWER_US - 2 * SECOND)
         assert broken(just_before, final(0)) == set()
 
-    def test_it_is_read_in_time(self) -> None:
+    def test_each_tally_can_be_read_at_the_end(self) -> None:
         failed = [final(None, code=404, call="f1")]
         assert "tally_lost" in broken(failed)
         assert broken(failed, dict(final(0, "c3", call="f1"), at=59 * SECOND)) == set()
 
-    def test_trouble_does_not_excuse_it(self) -> None:
+    def test_a_fault_of_the_machine_does_not_excuse_a_lost_add(self) -> None:
         end = 57 * SECOND
         assert "tally_lost" in broken(add(10 * SECOND), final(0), test_judge.inject_fault("c1", "kill", end, end + 1))
         assert "tally_lost" in broken(add(10 * SECOND), final(0), lost_disk("c1", 11 * SECOND))
 
-    def test_a_disk_that_is_lost_soon_after_a_cut_excuses_what_its_machine_acknowledged_behind_it(self) -> None:
+    def test_a_disk_lost_soon_after_a_cut_excuses_the_loss_of_adds_acknowledged_during_the_cut(self) -> None:
         cut = test_zone_cuts.cut_rows(test_zone_cuts.ISOLATED, 9 * SECOND, 20 * SECOND)
         for at, is_excused in ((12, True), (19, True), (22, True), (24, False)):
             found = broken(add(10 * SECOND), final(0), cut, lost_disk("c1", at * SECOND))
--- a/tests/test_zone_cuts.py
+++ b/tests/test_zone_cuts.py
@@ -52,19 +52,17 @@
         ((), set(MACHINES)),
     ],
 )
-def test_machines_with_a_path_to_each_core_machine_of_the_majority_are_in_touch(
-    links: Links, connected: set[str]
-) -> None:
+def test_machines_that_reach_each_core_machine_of_the_majority_are_connected(links: Links, connected: set[str]) -> None:
     assert connected_at(links, 20 * SECOND) == connected
 
 
 @pytest.mark.parametrize("moment", [10 * SECOND, 40 * SECOND])
-def test_nobody_is_in_touch_for_the_contact_time_after_a_cut_of_the_core_begins_or_ends(moment: int) -> None:
+def test_no_machine_is_connected_for_the_contact_time_after_a_cut_of_the_core_begins_or_ends(moment: int) -> None:
     assert connected_at(ISOLATED, moment - 1 if moment < 20 * SECOND else moment + 4 * SECOND) == set(MACHINES)
     assert connected_at(ISOLATED, moment + 2 * SECOND) == set()
 
 
-def test_a_cut_of_a_zone_without_core_machines_leaves_the_core_settled() -> None:
+def test_a_cut_of_a_zone_without_core_machines_leaves_the_core_stable() -> None:
     machines = {name: machine for name, machine in MACHINES.items() if name != "c1"}
     rows = [dict(BEGUN, machines=machines), *cut_rows(ISOLATED), dict(at=60 * SECOND, kind="ended")]
     log = event_log.Log(rows)
@@ -72,7 +70,7 @@
     assert not log.is_connected_to_core("n1", 11 * SECOND)
 
 
-def test_a_machine_in_touch_is_bound_and_one_behind_a_cut_is_not() -> None:
+def test_only_nodes_connected_to_the_core_must_not_deny_valid_requests() -> None:
     def denials(node: str) -> Rows:
         rows = [test_judge.request_rows(f"a{k}", at=20 * SECOND + k, node=node, code=400)[3] for k in range(6)]
         return [*rows, *cut_rows(ISOLATED)]
@@ -81,7 +79,7 @@
     assert judged(denials("n1")) == {}
 
 
-def test_a_configuration_is_in_force_in_time_at_machines_in_touch_only() -> None:
+def test_only_nodes_connected_to_the_core_must_apply_a_configuration_in_time() -> None:
     moved = test_judge.make_document(3, ("/a/", "other"))
     changed = test_judge.change_rows(14 * SECOND, moved, base=1)
     end = [{**test_judge.END[0], "at": 62 * SECOND, "doc": moved}]
@@ -93,7 +91,7 @@
     assert judged(late("n1")) == {}
 
 
-def test_drain_is_not_timed_while_the_platform_is_cut_off() -> None:
+def test_the_time_limit_for_draining_excludes_cuts_from_the_platform() -> None:
     listed = [dict(at=19 * SECOND, kind="listed", worker="i-1", state="gone", pool="desk", seen=20 * SECOND)]
     request = test_judge.request_rows(at=26 * SECOND, node="n2")
     assert "drain" in judged([*listed, *request, *cut_rows(PAIR, 4 * SECOND, 5 * SECOND)])
@@ -102,7 +100,7 @@
     assert judged([*listed, *test_judge.request_rows(at=24 * SECOND, node="n2"), *unseen]) == {}
 
 
-def test_a_request_that_a_cut_held_up_does_not_count() -> None:
+def test_a_request_that_a_cut_delayed_does_not_count_for_a_cold_worker() -> None:
     requests = [
         row for k in range(30) for row in test_judge.request_rows(f"a{k}", at=20 * SECOND + k * 30 * MILLISECOND)
     ]
@@ -125,7 +123,7 @@
     assert judged([*cut_off, *term, *cut_rows(PAIR, 18 * SECOND, 22 * SECOND)]) == {}
 
 
-def test_acknowledgements_are_not_owed_while_a_link_is_in_trouble() -> None:
+def test_acknowledgements_may_be_late_while_a_link_between_zones_is_cut() -> None:
     third = test_judge.make_document(3, ("/a/", "desk"), ("/b/", "desk"))
     late = test_judge.change_rows(12 * SECOND, third, base=1, after=9 * SECOND)
     end = [{**test_judge.END[0], "at": 62 * SECOND, "doc": third}]
