--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -29,7 +29,7 @@
 
 Job = tuple[str, int, str, str]  # day, seed, shape, guard that is taken out or ""
 
-CLEAN = [
+CLEAN_DAYS = [
     ("calm", 1, "magnolia"),
     ("calm", 1, "swan"),
     ("changes", 1, "magnolia"),
@@ -50,7 +50,7 @@
 ]
 
 
-def _always_repeat(
+def _treat_as_idempotent(
     self: forwarded_request.ForwardedRequest,
     routed: routed_request.RoutedRequest,
     pool_placement: placement.Placement,
@@ -60,7 +60,7 @@
     self.idempotent = True
 
 
-def _promise(
+def _busy_error(
     _self: forwarding.Forwarder,
     _request: forwarded_request.ForwardedRequest,
     _code: str,
@@ -70,7 +70,7 @@
     return errors.ServiceError("busy", text, retry_us=150_000)
 
 
-def _first_list(
+def _keep_first_workers(
     self: follower.Follower,
     workers: list[message.Worker],
     apply_workers: Callable[..., None] = follower.Follower.apply_workers,
@@ -78,7 +78,7 @@
     apply_workers(self, self.workers or workers)
 
 
-def _first_items(
+def _keep_first_items(
     self: follower.Follower,
     index: int,
     items: follower.ItemUpdate,
@@ -92,11 +92,11 @@
         self.applied_index = max(self.applied_index, index)
 
 
-async def _leave_at_once(self: node.Node) -> None:
+async def _stop_at_once(self: node.Node) -> None:
     self.stopped = True
 
 
-async def _leave_with_the_last_request(self: node.Node) -> None:
+async def _stop_with_the_last_request(self: node.Node) -> None:
     self.draining = True
     while (
         not self.drain_noticed_at_us
@@ -110,7 +110,7 @@
 _sent_headers: list[bytes] = []
 
 
-def _stale_head(
+def _previous_request_head(
     self: platform_programs.formats.Formats,
     *arguments: object,
     head: Callable[..., bytes] = platform_programs.formats.Formats.worker_request_head,
@@ -120,7 +120,7 @@
     return _sent_headers[-2] if len(_sent_headers) > 50 else _sent_headers[-1]
 
 
-def _no_target(
+def _request_head_without_target(
     self: platform_programs.formats.Formats,
     *arguments: object,
     head: Callable[..., bytes] = platform_programs.formats.Formats.worker_request_head,
@@ -152,30 +152,35 @@
         1,
         "mixed",
     ),
-    "own_heads": Guard([(platform_programs.formats.Formats, "worker_request_head", _stale_head)], "calm", 1, "unasked"),
+    "own_heads": Guard(
+        [(platform_programs.formats.Formats, "worker_request_head", _previous_request_head)], "calm", 1, "unasked"
+    ),
     "target": Guard(
-        [(platform_programs.formats.Formats, "worker_request_head", _no_target)], "other_service", 1, "route"
+        [(platform_programs.formats.Formats, "worker_request_head", _request_head_without_target)],
+        "other_service",
+        1,
+        "route",
     ),
     "once": Guard(
         [
-            (forwarded_request.ForwardedRequest, "__init__", _always_repeat),
+            (forwarded_request.ForwardedRequest, "__init__", _treat_as_idempotent),
             (forwarding.Forwarder, "may_retry", lambda _self, request: request.sends < 3),
         ],
         "some_fail",
         1,
         "twice",
     ),
-    "promises": Guard([(forwarding.Forwarder, "final_error", _promise)], "some_fail", 1, "refused"),
+    "promises": Guard([(forwarding.Forwarder, "final_error", _busy_error)], "some_fail", 1, "refused"),
     "complete_events": Guard([(answer_stream, "complete_events", lambda raw: (raw, b""))], "broken_off", 1, "order"),
-    "worker_states": Guard([(follower.Follower, "apply_workers", _first_list)], "release", 1, "drain"),
-    "drain": Guard([(node.Node, "stop", _leave_at_once)], "roll", 1, "lost"),
-    "last_bytes": Guard([(node.Node, "stop", _leave_with_the_last_request)], "roll", 4, "lost"),
+    "worker_states": Guard([(follower.Follower, "apply_workers", _keep_first_workers)], "release", 1, "drain"),
+    "drain": Guard([(node.Node, "stop", _stop_at_once)], "roll", 1, "lost"),
+    "last_bytes": Guard([(node.Node, "stop", _stop_with_the_last_request)], "roll", 4, "lost"),
     "routes": Guard([(follower.Follower, "find_route", lambda _self, _host, _path: None)], "calm", 1, "denied"),
-    "news": Guard([(follower.Follower, "apply_items", _first_items)], "changes", 1, "config"),
+    "news": Guard([(follower.Follower, "apply_items", _keep_first_items)], "changes", 1, "config"),
     "budget": Guard([(retry_budget.Budget, "has_capacity", lambda _self, _now: True)], "all_fail", 1, "budget"),
     "disk": Guard([(disk_model.Disk, "read", lambda _self: {})], "closing_power", 1, "config"),
 }
-OWN = {  # days that only a guard's absence needs
+EXTRA_DAYS = {  # days that only a guard's absence needs
     "some_fail": lambda site: (site.advance(2), site.faults.make_unhealthy(site.live_workers(), 8, garble=0.3)),
     "all_fail": lambda site: (site.advance(2), site.faults.make_unhealthy(site.live_workers(), 12, garble=0.9)),
 }
@@ -194,9 +199,9 @@
     """Play a day, perhaps with a guard out."""
     name, seed, shape, guard = job
     with contextlib.ExitStack() as stack:
-        for owner, what, instead in GUARDS[guard].patches if guard else ():
-            stack.enter_context(mock.patch.object(owner, what, instead))
-        stack.enter_context(mock.patch.dict(platform_days.DAYS, OWN))
+        for owner, what, replacement in GUARDS[guard].patches if guard else ():
+            stack.enter_context(mock.patch.object(owner, what, replacement))
+        stack.enter_context(mock.patch.dict(platform_days.DAYS, EXTRA_DAYS))
         site = platform_days.play(name, seed, shape)
     rows = site.event_log.rows
     return PlayedDay(
@@ -222,7 +227,9 @@
     assert not differ
 
 
-@pytest.mark.parametrize(("name", "seed", "shape"), [pytest.param(*run, id="{}-{}-{}".format(*run)) for run in CLEAN])
+@pytest.mark.parametrize(
+    ("name", "seed", "shape"), [pytest.param(*run, id="{}-{}-{}".format(*run)) for run in CLEAN_DAYS]
+)
 def test_a_day_breaks_no_rule(name: str, seed: int, shape: str) -> None:
     assert played(name, seed, shape).complaints == {}
 
@@ -231,12 +238,12 @@
     ("name", "shape", "unhealthy"),
     [("garble", "swan", "garble"), ("answers_lost", "swan", "lost"), ("broken_off", "magnolia", "broke")],
 )
-def test_the_faults_of_a_day_happen(name: str, shape: str, unhealthy: str) -> None:
+def test_the_worker_faults_of_a_day_occur(name: str, shape: str, unhealthy: str) -> None:
     assert unhealthy in played(name, 1, shape).run_ends
 
 
 @pytest.mark.parametrize("shape", ["magnolia", "swan"])
-def test_a_calm_day_is_served_in_its_aim(shape: str) -> None:
+def test_a_calm_day_is_served_in_time(shape: str) -> None:
     totals = played("calm", 1, shape).totals
     # a long answer beside three long prompts may pass its deadline, as it does once on swan
     assert totals["none"] < 0.001 * totals["asked"]
@@ -245,5 +252,5 @@
 
 @pytest.mark.parametrize("guard", GUARDS)
 def test_a_day_without_a_guard_breaks_its_rule(guard: str) -> None:
-    missing = GUARDS[guard]
-    assert missing.rule in play((missing.day, missing.seed, "magnolia", guard)).complaints
+    guard_removed = GUARDS[guard]
+    assert guard_removed.rule in play((guard_removed.day, guard_removed.seed, "magnolia", guard)).complaints
