--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,7 +1,7 @@
-"""Days of the users' platform keep its rules, and break them once a guard of the product is taken out.
+"""Days of the users' platform break none of its rules, and break them once a safeguard of the product is disabled.
 
-A guard is taken out where the day's trouble needs it: so the judge is seen to complain of the product itself, not
-of doctored logs alone.
+Each safeguard is disabled on a day whose faults require it. This shows that the rules detect faults of the product
+itself, and not only event logs that a test has made up.
 """
 
 import contextlib
@@ -27,7 +27,7 @@
 from iriswheel.transport import message
 from simulation import disk_model, platform_days, platform_programs, platform_rules
 
-Job = tuple[str, int, str, str]  # day, seed, shape, guard that is taken out or ""
+Job = tuple[str, int, str, str]  # day, seed, shape, and the guard to disable or ""
 
 CLEAN_DAYS = [
     ("calm", 1, "magnolia"),
@@ -85,7 +85,7 @@
     is_snapshot: bool,
     apply_items: Callable[..., None] = follower.Follower.apply_items,
 ) -> None:
-    """Says that it has applied everything, and goes by the first that it got."""
+    """Apply only the first items received, but report all later ones as applied."""
     if self.items is None or not self.items:
         apply_items(self, index, items, is_snapshot=is_snapshot)
     else:
@@ -115,7 +115,7 @@
     *arguments: object,
     head: Callable[..., bytes] = platform_programs.formats.Formats.worker_request_head,
 ) -> bytes:
-    """Send the head of the request before."""
+    """Send the head of the previous request, once 50 requests were sent."""
     _sent_headers.append(head(self, *arguments))
     return _sent_headers[-2] if len(_sent_headers) > 50 else _sent_headers[-1]
 
@@ -125,18 +125,18 @@
     *arguments: object,
     head: Callable[..., bytes] = platform_programs.formats.Formats.worker_request_head,
 ) -> bytes:
-    """Send no header that names the target."""
+    """Send a request head without the header that names the target worker."""
     lines = head(self, *arguments).split(b"\r\n")
     return b"\r\n".join(line for line in lines if not line.lower().startswith(b"x-target"))
 
 
 class Guard(NamedTuple):
-    """A guard of the product, and the day on which its absence shows."""
+    """A safeguard of the product: how a test disables it, and the day on which its absence shows."""
 
-    patches: list[tuple[object, str, object]]  # owner, attribute, what is put in its place
+    patches: list[tuple[object, str, object]]  # owner, attribute, replacement
     day: str
     seed: int
-    rule: str  # that must be seen broken
+    rule: str  # the rule that the day must break without the safeguard
 
 
 GUARDS = {
@@ -180,23 +180,23 @@
     "budget": Guard([(retry_budget.Budget, "has_capacity", lambda _self, _now: True)], "all_fail", 1, "budget"),
     "disk": Guard([(disk_model.Disk, "read", lambda _self: {})], "closing_power", 1, "config"),
 }
-EXTRA_DAYS = {  # days that only a guard's absence needs
+EXTRA_DAYS = {  # days that are played only with a disabled safeguard
     "some_fail": lambda site: (site.advance(2), site.faults.make_unhealthy(site.live_workers(), 8, garble=0.3)),
     "all_fail": lambda site: (site.advance(2), site.faults.make_unhealthy(site.live_workers(), 12, garble=0.9)),
 }
 
 
 class PlayedDay(NamedTuple):
-    """What came of a day."""
+    """The results of a played day."""
 
-    complaints: dict[str, list[str]]  # by rule
-    log: str  # of a calm day without a guard taken out, else empty
-    run_ends: set[str]  # how runs at workers ended
+    complaints: dict[str, list[str]]  # complaints by rule
+    log: str  # event log of a calm day with all safeguards, else empty
+    run_ends: set[str]  # the ways in which runs at workers ended
     totals: platform_days.Totals
 
 
 def play(job: Job) -> PlayedDay:
-    """Play a day, perhaps with a guard out."""
+    """Play a day, with one safeguard disabled if the job names one."""
     name, seed, shape, guard = job
     with contextlib.ExitStack() as stack:
         for owner, what, replacement in GUARDS[guard].patches if guard else ():
@@ -214,7 +214,7 @@
 
 @functools.cache
 def played(name: str, seed: int, shape: str) -> PlayedDay:
-    """What a day with all guards gives; a process plays each such day once."""
+    """The results of a day with all safeguards; cached, so that a test process plays each day only once."""
     return play((name, seed, shape, ""))
 
 
@@ -223,7 +223,7 @@
     with multiprocessing.Pool(2, maxtasksperchild=1) as pool:
         one, other = pool.map(play, [job, job], chunksize=1)
     assert len(other.log) > 100_000
-    differ = other.log != one.log  # not compared within the assertion: a report of the difference takes minutes
+    differ = other.log != one.log  # compared outside the assertion, since pytest takes minutes to report the difference
     assert not differ
 
 
@@ -245,7 +245,7 @@
 @pytest.mark.parametrize("shape", ["magnolia", "swan"])
 def test_a_calm_day_is_served_in_time(shape: str) -> None:
     totals = played("calm", 1, shape).totals
-    # a long answer beside three long prompts may pass its deadline, as it does once on swan
+    # a long response that shares its worker with three long prompts may miss its deadline, as once on swan
     assert totals["none"] < 0.001 * totals["asked"]
     assert totals["in_aim"] > 0.95 * totals["asked"]
 
--- a/tests/test_evacuation_rules.py
+++ b/tests/test_evacuation_rules.py
@@ -1,4 +1,4 @@
-"""The rules about evacuations complain of a log that breaks them, and are content with the nearest good one."""
+"""The rules about evacuations complain of an event log that breaks them, and not of a similar one that keeps them."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 
 def order(at: int, *, begins: bool = True, code: int = 200, after: int = 100 * MILLISECOND, zone: str = "b") -> Rows:
-    """The rows of an order that was sent and answered."""
+    """The rows of an order to begin or end an evacuation, and of its answer `after` microseconds later."""
     fields = dict(zone=zone, begins=begins, send=f"boss-order-{at}")
     return [
         dict(at=at, kind="evacuation_sent", **fields),
@@ -22,14 +22,14 @@
 
 
 def request(at: int, verdict: int = 0, node: str = "n1", worker: str = "i-1") -> Rows:
-    """A request that a node sends to a worker."""
+    """The rows of a request that a node sends to a worker."""
     peer = test_zone_cuts.MACHINES[node]["host"]
     rows = test_judge.request_rows(f"a{at}", at=at, node=node, worker=worker)
     return [{**row, "peer": peer, "verdict": verdict} if row["kind"] == "arrived" else row for row in rows]
 
 
 def broken(*parts: Rows) -> set[str]:
-    """The rules that rows break."""
+    """The names of the rules that a log with these rows breaks."""
     rows = [test_zone_cuts.BEGUN, *test_judge.BASE[1:], *PLACED, *(row for part in parts for row in part)]
     return set(platform_rules.examine(sorted([*rows, *test_judge.END], key=lambda row: row["at"])))
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""Each rule of the judge complains of a log that breaks it, and is content with one that does not."""
+"""Each rule of the users' platform complains of an event log that breaks it, and of no log that keeps it."""
 
 import copy
 from typing import Any, NamedTuple
@@ -12,7 +12,7 @@
 
 
 def make_document(version: int, *routes: tuple[str, str]) -> dict[str, Any]:
-    """A configuration; routes are (path, service)."""
+    """A configuration with the given routes, each a pair of path and service."""
     return {
         CONFIGURATION["version"]: version,
         CONFIGURATION["pools"]: [],
@@ -24,7 +24,7 @@
 
 
 class Attempt(NamedTuple):
-    """An attempt that goes well, as worker and client see it."""
+    """An attempt that succeeds, as the worker and the client log it."""
 
     name: str
     at: int
@@ -34,11 +34,11 @@
 
     @property
     def seal(self) -> str:
-        """What the worker puts on each event."""
+        """The seal that the worker puts on each event of the response."""
         return f"seal-{self.name}"
 
     def worker_rows(self) -> list[dict[str, Any]]:
-        """The rows of the worker: the request arrives, runs, and ends."""
+        """The rows that the worker logs: the request arrives, its run begins, and the run ends."""
         common = dict(worker=self.worker, name="w1", attempt=self.name)
         return [
             dict(
@@ -66,11 +66,11 @@
         ]
 
     def events(self) -> list[list[int | str | bool]]:
-        """The events that the client gets."""
+        """The events that the client receives: number, seal, time, whether it is the last, and attempt."""
         return [[k, self.seal, self.at + k * 10 * MILLISECOND + 5 * MILLISECOND, k == 3, self.name] for k in (1, 2, 3)]
 
     def sent(self) -> dict[str, Any]:
-        """What the client sent, as fields of the row that its attempt gets."""
+        """The fields of the attempt's row that tell what the client sent."""
         return dict(
             attempt=self.name,
             request=f"r-{self.name}",
@@ -88,7 +88,7 @@
         )
 
     def received(self) -> dict[str, Any]:
-        """What the client got, as fields of the row that its attempt gets."""
+        """The fields of the attempt's row that tell what the client received."""
         return dict(
             code=200,
             how="whole",
@@ -106,7 +106,7 @@
         )
 
     def answered_row(self, at: int) -> dict[str, Any]:
-        """The row of the request's end."""
+        """The row that the client logs at the end of the request."""
         return dict(
             at=at,
             kind="answered",
@@ -133,7 +133,7 @@
     stream: bool = True,
     **more: int | list[Any] | str | None,
 ) -> list[dict[str, Any]]:
-    """The rows of one request that went well, but for what the client's row has `more`."""
+    """The rows of one successful request; `more` replaces or adds fields of the client's row of the attempt."""
     attempt = Attempt(name, at, worker, pool, url)
     options = dict(repeat=repeat, node=node, stream=stream, events=attempt.events() if stream else [])
     tried = {**attempt.sent(), **attempt.received(), **options, **more}
@@ -151,7 +151,7 @@
     code: int = 200,
     after: int = 100 * MILLISECOND,
 ) -> list[dict[str, Any]]:
-    """The rows of a configuration that was sent and answered."""
+    """The rows of a configuration that an operator sent, and of its answer `after` microseconds later."""
     row = dict(version=document[CONFIGURATION["version"]], base=base, send=f"{who}-{at}")
     return [
         dict(at=at, kind="config_sent", doc=document, valid=valid, **row),
@@ -190,7 +190,7 @@
         assert self.judged(rows, end) == {}
 
     def change(self, which: str, **more: int | list[list[int | str]] | str | None) -> list[dict[str, Any]]:
-        """The rows of a good request, one of them changed."""
+        """The rows of a successful request, with some fields of one row replaced."""
         rows = request_rows()
         rows[["arrived", "run", "ran", "tried", "answered"].index(which)].update(more)
         return rows
@@ -446,7 +446,7 @@
 
     def test_rule_failback_finds_too_many_requests_to_a_cold_worker(self) -> None:
         def cold(count: int, verdict: int = 0, **more: Any) -> list[dict[str, Any]]:  # noqa: ANN401 - fields of a row
-            """Rows of so many requests within a second, at a cold worker."""
+            """The rows of some requests to a cold worker, sent 30 ms apart."""
             rows = [r for k in range(count) for r in request_rows(f"a{k}", at=20 * SECOND + k * 30 * MILLISECOND)]
             return [{**r, "cold": True, "verdict": verdict, **more} if r["kind"] == "arrived" else r for r in rows]
 
@@ -464,7 +464,7 @@
         rows = request_rows("a1") + request_rows("a2", at=24 * SECOND)
         slow = request_rows("a3", at=24 * SECOND + 1)
         slow[3]["events"] = [[k, s, at + SECOND, last, n] for k, s, at, last, n in slow[3]["events"]]
-        held = request_rows("a4", at=24 * SECOND + 2)  # in its aim, but passed on late
+        held = request_rows("a4", at=24 * SECOND + 2)  # its first event meets the aim, but the fleet delayed its events
         held[3]["events"] = [[k, s, at + 130 * MILLISECOND, last, n] for k, s, at, last, n in held[3]["events"]]
         none = request_rows("a5", at=24 * SECOND + 3)
         none[4]["ok"] = False
--- a/tests/test_judge_failback.py
+++ b/tests/test_judge_failback.py
@@ -1,4 +1,7 @@
-"""The judge's rule about cold workers after a cut: what was sent and arrived inside the second counts."""
+"""The rule `failback` about cold workers counts requests sent right after a network cut.
+
+Only requests that the cut itself delayed are left out, so that a burst right after the cut is not excused.
+"""
 
 from tests import test_judge, test_zone_cuts
 
--- a/tests/test_split_days.py
+++ b/tests/test_split_days.py
@@ -1,6 +1,7 @@
-"""Days of split sites keep the rules: cold workers, cuts, zones without power, evacuations, counters.
+"""Days of a deployment that tolerates the loss of a zone break none of the platform's rules.
 
-Without a guard of the product its day breaks its rule.
+They cover cold workers, network cuts between zones, power losses of zones, evacuations and replicated counters. Without
+one of the product's safeguards a day breaks the rule that the safeguard ensures.
 """
 
 import contextlib
@@ -25,7 +26,7 @@
 
 @functools.cache
 def complaints(name: str, seed: int) -> dict[str, list[str]]:
-    """The complaints about a day, by rule; a process plays each day once."""
+    """The complaints about a day, by rule; cached, so that a test process plays each day only once."""
     return platform_rules.examine(platform_days.play(name, seed, SHAPE).event_log.rows)
 
 
@@ -40,9 +41,9 @@
 
 
 class Guard(NamedTuple):
-    """What is taken out of the product, and the day and rule by which its absence shows."""
+    """A safeguard of the product: how a test disables it, and the day and rule by which its absence shows."""
 
-    patches: list[tuple[Any, str, Any]]  # owner, attribute, what stands in its place
+    patches: list[tuple[Any, str, Any]]  # owner, attribute, replacement
     day: tuple[str, int]
     rule: str
 
--- a/tests/test_tally_rules.py
+++ b/tests/test_tally_rules.py
@@ -1,4 +1,4 @@
-"""The rules about tallies complain of a log that breaks them, and are content with the nearest good one."""
+"""The rules about tallies complain of an event log that breaks them, and not of a similar one that keeps them."""
 
 from typing import Any
 
@@ -13,36 +13,36 @@
 
 
 def attempt_row(op: str, at: int, machine: str, **fields: Any) -> dict[str, Any]:  # noqa: ANN401 - fields of a row
-    """A try that a core machine answers with 200 at a time."""
+    """The row of an attempt that a core machine answered with status 200."""
     host = test_zone_cuts.MACHINES[machine]["host"]
     usual = dict(call=f"{op}-{at}", began=at - ANSWER_US, host=host, code=200, sent=True, sum=None, tally="t1")
     return dict(at=at, kind="tally_try", op=op, **{**usual, **fields})
 
 
 def add(at: int, machine: str = "c1", amount: int = 4, **fields: Any) -> dict[str, Any]:  # noqa: ANN401
-    """An add that a machine acknowledged."""
+    """The row of an add that a machine acknowledged."""
     return attempt_row("add", at, machine, **{"id": f"id-{at}", "amount": amount, **fields})
 
 
 def read(at: int, total: int | None, machine: str = "c1", **fields: Any) -> dict[str, Any]:  # noqa: ANN401
-    """A read that a machine answered."""
+    """The row of a read that a machine answered with a sum."""
     return attempt_row("read", at, machine, sum=total, **fields)
 
 
 def final(total: int | None, machine: str = "c2", **fields: Any) -> dict[str, Any]:  # noqa: ANN401
-    """A read at the end of the day."""
+    """The row of a read at the end of the run."""
     return attempt_row("final", 58 * SECOND, machine, sum=total, **fields)
 
 
 def broken(*rows: dict[str, Any] | Rows) -> set[str]:
-    """The rules that rows break."""
+    """The names of the rules that a log with these rows breaks."""
     flat = [row for item in rows for row in (item if isinstance(item, list) else [item])]
     log = [test_zone_cuts.BEGUN, *test_judge.BASE[1:], *flat, *test_judge.END]
     return set(platform_rules.examine(sorted(log, key=lambda row: row["at"])))
 
 
 def lost_disk(machine: str, at: int) -> Rows:
-    """A machine loses power and its disk, and is back three seconds later."""
+    """The rows of a machine that loses power and its disk, and is back three seconds later."""
     return [
         dict(at=at, kind="disk_lost", name=machine),
         *test_judge.inject_fault(machine, "power", at, at + 3 * SECOND),
@@ -93,7 +93,9 @@
         assert broken(add(10 * SECOND), read(soon, 4)) == set()
         assert broken(add(10 * SECOND), read(soon, 0)) == {"tally_stale"}
         assert broken(add(10 * SECOND), read(soon, 0, "c2")) == set()
-        assert broken(add(10 * SECOND), read(10 * SECOND + ANSWER_US - 1, 0)) == set()  # asked before
+        assert (
+            broken(add(10 * SECOND), read(10 * SECOND + ANSWER_US - 1, 0)) == set()
+        )  # the read was sent before the acknowledgement
 
     @pytest.mark.parametrize(("what", "is_bound"), [("kill", False), ("power", False), ("cut", True), ("freeze", True)])
     def test_only_a_restart_excuses_a_machine_from_returning_its_own_adds_at_once(
--- a/tests/test_zone_cuts.py
+++ b/tests/test_zone_cuts.py
@@ -1,4 +1,4 @@
-"""Cuts between zones: who the judge counts as in touch meanwhile, and what the simulated network does with packets."""
+"""Network cuts between zones: which machines the rules treat as connected, and how the simulated network behaves."""
 
 import copy
 from typing import Any
@@ -24,7 +24,7 @@
 
 
 def cut_rows(links: Links, begin: int = 10 * SECOND, end: int = 40 * SECOND) -> Rows:
-    """The rows of a cut."""
+    """The rows of a network cut between zones."""
     return [
         dict(at=begin, kind="zones_cut", cut="cut1", links=[list(link) for link in links]),
         dict(at=end, kind="zones_joined", cut="cut1"),
@@ -32,13 +32,13 @@
 
 
 def judged(rows: Rows) -> dict[str, list[str]]:
-    """What the rules say about rows of a site with three zones."""
+    """The complaints by rule about a log with these rows, of a site with three zones."""
     every = [BEGUN, *test_judge.BASE[1:], *rows, *test_judge.END]
     return platform_rules.examine(sorted(copy.deepcopy(every), key=lambda row: row["at"]))
 
 
 def connected_at(links: Links, at: int) -> set[str]:
-    """The machines in touch at a time, where a cut lasts from second 10 to second 40."""
+    """The machines connected to the core at a time, with a cut from second 10 to second 40."""
     log = event_log.Log([BEGUN, *cut_rows(links), dict(at=60 * SECOND, kind="ended")])
     return {name for name in MACHINES if log.is_connected_to_core(name, at)}
 
@@ -46,9 +46,9 @@
 @pytest.mark.parametrize(
     ("links", "connected"),
     [
-        (ISOLATED, {"n2", "n3", "c2", "c3"}),  # zone a's core machine does not reach over half of the core
+        (ISOLATED, {"n2", "n3", "c2", "c3"}),  # the core machine in zone a does not reach a majority of the core
         (OUTWARD, {"n2", "n3", "c2", "c3"}),
-        (PAIR, {"n3", "c3"}),  # all core machines reach two of three; the third zone reaches both
+        (PAIR, {"n3", "c3"}),  # each core machine reaches a majority, but only zone c reaches all core machines
         ((), set(MACHINES)),
     ],
 )
@@ -133,7 +133,7 @@
 
 
 class Caller(protocol.ClientFactory):
-    """Notes how the opening of a connection ended."""
+    """Records how the attempt to open a connection ended."""
 
     def __init__(self) -> None:
         self.outcome = ""
@@ -147,7 +147,7 @@
 
 
 class Listener(protocol.Factory):
-    """Takes all connections."""
+    """Accepts all connections."""
 
     def buildProtocol(self, _address: object) -> protocol.Protocol:
         return protocol.Protocol()
@@ -163,7 +163,7 @@
             process.reactor.listenTCP(80, Listener())
 
     def outcome(self, sender: int, receiver: str) -> str:
-        """How a connection from a process to a host ends within three seconds."""
+        """Whether a connection from a process to a host is "open", "refused" or "failed" within three seconds."""
         caller = Caller()
         self.processes[sender].reactor.connectTCP(receiver, 80, caller, timeout=2)
         self.world.run(self.world.time + 3 * SECOND)
