--- a/simulation/platform_days.py
+++ b/simulation/platform_days.py
@@ -223,7 +223,7 @@
     :param days: names of days; all days if none is given
     :param seeds: how many seeds to play for each day
     :param first: the first seed
-    :param shape: magnolia, swan, grown or apart; days with faults of zones are always played on apart
+    :param shape: magnolia, swan, grown or apart; the days of split_days are always played on apart
     :param load: the load, as a multiple of the usual request rate
     :param seconds: duration of the traffic; the usual one of each day if 0
     :param log: file for the event log, where only one day with one seed is played
