--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -94,11 +94,11 @@
 
 
 def _late(log: event_log.Log, attempt: event_log.Row, newest: int) -> Complaints:
-    must = max(log.versions_in_force(attempt["sent"]), default=newest)
-    if newest < must and log.is_connected_to_core(attempt["node"], attempt["done"]):
+    required_version = max(log.versions_in_force(attempt["sent"]), default=newest)
+    if newest < required_version and log.is_connected_to_core(attempt["node"], attempt["done"]):
         yield (
             f"attempt {attempt['attempt']} at node {attempt['node']} was handled by version {newest} or older, "
-            f"though the node must have applied version {must}"
+            f"though the node must have applied version {required_version}"
         )
 
 
--- a/simulation/rules/routing.py
+++ b/simulation/rules/routing.py
@@ -138,10 +138,10 @@
         arrivals.repeats.sort()
         for index, at in enumerate(arrivals.repeats):
             repeats = index + 1 - bisect.bisect_left(arrivals.repeats, at - window)
-            asked = max(arrivals.count_firsts(at - window - back, at - back) for back in (0, window // 2, window))
-            if repeats > log.bounds["retry_ratio"] * asked + log.bounds["retry_slack"]:
+            requests = max(arrivals.count_firsts(at - window - back, at - back) for back in (0, window // 2, window))
+            if repeats > log.bounds["retry_ratio"] * requests + log.bounds["retry_slack"]:
                 yield (
-                    f"service {pool} got {repeats} repeats for {asked} requests in the window that ends at "
+                    f"service {pool} got {repeats} repeats for {requests} requests in the window that ends at "
                     f"{at / units.SECOND_US:.1f} s"
                 )
                 break
--- a/simulation/rules/tallies.py
+++ b/simulation/rules/tallies.py
@@ -136,11 +136,14 @@
         if read["sum"] is None:
             continue
         machine = log.cores_by_host.get(read["host"], read["host"])
-        own, told = tallies.own_acknowledged_sum(read), f"{machine} returned {read['sum']} for tally {read['tally']}"
+        own, returned = (
+            tallies.own_acknowledged_sum(read),
+            f"{machine} returned {read['sum']} for tally {read['tally']}",
+        )
         if read["sum"] < own:
-            yield f"{told}, but had acknowledged adds of {own} itself since its restart"
+            yield f"{returned}, but had acknowledged adds of {own} itself since its restart"
         elif tallies.is_fault_free_before(read) and read["sum"] < tallies.acknowledged_sum(read):
-            yield f"{told}, but machines had acknowledged adds of {tallies.acknowledged_sum(read)}"
+            yield f"{returned}, but machines had acknowledged adds of {tallies.acknowledged_sum(read)}"
 
 
 def lost(log: event_log.Log) -> Complaints:
--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -231,8 +231,8 @@
         """Send several invalid configurations, none of which may be acknowledged."""
         for invalidate in (
             self._unknown_pool,
-            self._double_route,
-            self._no_time,
+            self._duplicate_route,
+            self._zero_timeout,
             self._old_version,
             self._split_without_weight,
         ):
@@ -243,10 +243,10 @@
     def _unknown_pool(self, _document: Document, route: Document) -> None:
         route[platform_names.ROUTE["pool"]] = "nowhere"
 
-    def _double_route(self, document: Document, route: Document) -> None:
+    def _duplicate_route(self, document: Document, route: Document) -> None:
         document[platform_names.CONFIGURATION["routes"]].append({**route, platform_names.ROUTE["name"]: "r-double"})
 
-    def _no_time(self, _document: Document, route: Document) -> None:
+    def _zero_timeout(self, _document: Document, route: Document) -> None:
         route[platform_names.ROUTE["cutoff_ms"]] = 0
 
     def _old_version(self, document: Document, _route: Document) -> None:
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -175,10 +175,10 @@
 
 def grey(deployment: site.Site) -> None:
     """Workers fail a part of their requests (grey failure), while they pass their health checks."""
-    way = deployment.rng.choice(["errors", "hang", "mute"])
+    failure = deployment.rng.choice(["errors", "hang", "mute"])
     deployment.advance(3)
     deployment.faults.make_unhealthy(
-        sample_share(deployment, deployment.live_workers(), 0.15), 6, health="good", **{way: 0.45}
+        sample_share(deployment, deployment.live_workers(), 0.15), 6, health="good", **{failure: 0.45}
     )
 
 
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -232,14 +232,14 @@
     def reset_connections(self, share: float) -> None:
         """Reset a random share of the connections between the fleet's machines."""
         names = {self.site.places[name].host: name for name in [*self.site.nodes, *self.site.cores]}
-        struck: set[str] = set()
+        affected: set[str] = set()
         for connection in list(self.world.connections.values()):
             ends = [names.get(side.process.host.host, "") for side in connection.sides]
             if all(ends) and self.site.rng.random() < share:
-                struck.update(ends)
+                affected.update(ends)
                 for side in connection.sides:
                     side.reset()
-        self.note_reset(struck)
+        self.note_reset(affected)
 
     def note_reset(self, names: collections.abc.Iterable[str]) -> None:
         """Write to the event log that connections of some machines were reset, a fault without a duration."""
--- a/simulation/site/zone_faults.py
+++ b/simulation/site/zone_faults.py
@@ -110,27 +110,27 @@
 
     def _reset_connections(self, links: set[ZoneLink]) -> None:
         names = {self.site.places[name].host: name for name in [*self.site.nodes, *self.site.cores]}
-        struck: set[str] = set()
+        affected: set[str] = set()
         for connection in list(self.world.connections.values()):
             hosts = [side.process.host for side in connection.sides]
             zones = (hosts[0].zone, hosts[1].zone)
             if zones in links or zones[::-1] in links:
-                struck.update(names[host.host] for host in hosts if host.host in names)
+                affected.update(names[host.host] for host in hosts if host.host in names)
                 for side in connection.sides:
                     side.reset()
-        self.site.faults.note_reset(struck)
+        self.site.faults.note_reset(affected)
 
-    def _others(self, zone: str) -> list[str]:
+    def _other_zones(self, zone: str) -> list[str]:
         return [other for other in self.site.shape.zones() if other != zone]
 
     def isolate(self, zone: str, seconds: float, how: CutKind = "silent") -> None:
         """Cut a zone off from all others in both directions; clients and operators still reach it."""
-        outward = [(zone, other) for other in self._others(zone)]
+        outward = [(zone, other) for other in self._other_zones(zone)]
         self.cut([*outward, *((receiver, sender) for sender, receiver in outward)], seconds, how)
 
     def cut_one_way(self, zone: str, seconds: float, *, outward: bool) -> None:
         """Cut all links from a zone to the others if `outward`, else those from the others to it."""
-        others = self._others(zone)
+        others = self._other_zones(zone)
         self.cut([(zone, other) if outward else (other, zone) for other in others], seconds)
 
     def cut_pair(self, zone: str, other: str, seconds: float) -> None:
