--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -36,7 +36,7 @@
 
 
 def send_acknowledged_change(deployment: site.Site) -> None:
-    """Send a change, and let time pass until it is answered."""
+    """Send a change, and let time pass until it is answered, 20 s at most."""
     answer = deployment.configurations.begin_change("idle")
     deployment.advance_until(lambda: answer.called, 20)
 
@@ -370,7 +370,7 @@
         traffic.hot_key = client.HotKey(deployment.shape.kinds[0].name, 0.35)
 
 
-# ---- several kinds of faults -----------------------------------------------------------------------
+# ---- several kinds of faults ---------------------------------------------------------------
 
 MIXED_DAYS = (
     crash_reset,
