--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -139,14 +139,14 @@
                 return name
             case second_loss_cases.Loss.GONE:
                 self.site.faults.replace_core(name)
-                return self.site.core_movements[-1].name
+                return self.site.core_membership_changes[-1].name
             case second_loss_cases.Loss.PLANNED:
                 return self.replace_planned(name)
 
     def replace_planned(self, name: str) -> str:
         """Start an empty machine at another address, and stop the old one after that: the new one's name."""
         site = self.site
-        new = site.faults.add_core_place(name)
+        new = site.faults.register_replacement_core(name)
         site.start_core(new)
         site.faults.note_repair(new)
         self.leaving.add(name)
@@ -156,7 +156,7 @@
     def terminate(self, name: str) -> None:
         """Stop a machine by SIGTERM, for good."""
         site, old = self.site, self.site.cores.pop(name)
-        site.note_core_movements([name])
+        site.note_core_membership_changes([name])
         site.faults.note_fault(name, "term")
         for other in [*site.nodes, *site.cores]:
             site.reload(other)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,7 +1,7 @@
-"""Days of the users' platform keep its rules, and break them once a guard of the product is taken out.
+"""Days of the users' platform break none of its rules, and break them once a safeguard of the product is disabled.
 
-A guard is taken out where the day's trouble needs it: so the judge is seen to complain of the product itself, not
-of doctored logs alone.
+Each safeguard is disabled on a day whose faults require it. This shows that the rules detect faults of the product
+itself, and not only event logs that a test has made up.
 """
 
 import contextlib
@@ -27,9 +27,9 @@
 from iriswheel.transport import message
 from simulation import disk_model, platform_days, platform_programs, platform_rules
 
-Job = tuple[str, int, str, str]  # day, seed, shape, guard that is taken out or ""
+Job = tuple[str, int, str, str]  # day, seed, shape, and the guard to disable or ""
 
-CLEAN = [
+CLEAN_DAYS = [
     ("calm", 1, "magnolia"),
     ("calm", 1, "swan"),
     ("changes", 1, "magnolia"),
@@ -50,7 +50,7 @@
 ]
 
 
-def _always_repeat(
+def _treat_as_idempotent(
     self: forwarded_request.ForwardedRequest,
     routed: routed_request.RoutedRequest,
     pool_placement: placement.Placement,
@@ -60,7 +60,7 @@
     self.idempotent = True
 
 
-def _promise(
+def _busy_error(
     _self: forwarding.Forwarder,
     _request: forwarded_request.ForwardedRequest,
     _code: str,
@@ -70,7 +70,7 @@
     return errors.ServiceError("busy", text, retry_us=150_000)
 
 
-def _first_list(
+def _keep_first_workers(
     self: follower.Follower,
     workers: list[message.Worker],
     apply_workers: Callable[..., None] = follower.Follower.apply_workers,
@@ -78,25 +78,25 @@
     apply_workers(self, self.workers or workers)
 
 
-def _first_items(
+def _keep_first_items(
     self: follower.Follower,
     index: int,
     items: follower.ItemUpdate,
     is_snapshot: bool,
     apply_items: Callable[..., None] = follower.Follower.apply_items,
 ) -> None:
-    """Says that it has applied everything, and goes by the first that it got."""
+    """Apply only the first items received, but report all later ones as applied."""
     if self.items is None or not self.items:
         apply_items(self, index, items, is_snapshot=is_snapshot)
     else:
         self.applied_index = max(self.applied_index, index)
 
 
-async def _leave_at_once(self: node.Node) -> None:
+async def _stop_at_once(self: node.Node) -> None:
     self.stopped = True
 
 
-async def _leave_with_the_last_request(self: node.Node) -> None:
+async def _stop_with_the_last_request(self: node.Node) -> None:
     self.draining = True
     while (
         not self.drain_noticed_at_us
@@ -110,33 +110,33 @@
 _sent_headers: list[bytes] = []
 
 
-def _stale_head(
+def _previous_request_head(
     self: platform_programs.formats.Formats,
     *arguments: object,
     head: Callable[..., bytes] = platform_programs.formats.Formats.worker_request_head,
 ) -> bytes:
-    """Send the head of the request before."""
+    """Send the head of the previous request, once 50 requests were sent."""
     _sent_headers.append(head(self, *arguments))
     return _sent_headers[-2] if len(_sent_headers) > 50 else _sent_headers[-1]
 
 
-def _no_target(
+def _request_head_without_target(
     self: platform_programs.formats.Formats,
     *arguments: object,
     head: Callable[..., bytes] = platform_programs.formats.Formats.worker_request_head,
 ) -> bytes:
-    """Send no header that names the target."""
+    """Send a request head without the header that names the target worker."""
     lines = head(self, *arguments).split(b"\r\n")
     return b"\r\n".join(line for line in lines if not line.lower().startswith(b"x-target"))
 
 
 class Guard(NamedTuple):
-    """A guard of the product, and the day on which its absence shows."""
+    """A safeguard of the product: how a test disables it, and the day on which its absence shows."""
 
-    patches: list[tuple[object, str, object]]  # owner, attribute, what is put in its place
+    patches: list[tuple[object, str, object]]  # owner, attribute, replacement
     day: str
     seed: int
-    rule: str  # that must be seen broken
+    rule: str  # the rule that the day must break without the safeguard
 
 
 GUARDS = {
@@ -152,51 +152,56 @@
         1,
         "mixed",
     ),
-    "own_heads": Guard([(platform_programs.formats.Formats, "worker_request_head", _stale_head)], "calm", 1, "unasked"),
+    "own_heads": Guard(
+        [(platform_programs.formats.Formats, "worker_request_head", _previous_request_head)], "calm", 1, "unasked"
+    ),
     "target": Guard(
-        [(platform_programs.formats.Formats, "worker_request_head", _no_target)], "other_service", 1, "route"
+        [(platform_programs.formats.Formats, "worker_request_head", _request_head_without_target)],
+        "other_service",
+        1,
+        "route",
     ),
     "once": Guard(
         [
-            (forwarded_request.ForwardedRequest, "__init__", _always_repeat),
+            (forwarded_request.ForwardedRequest, "__init__", _treat_as_idempotent),
             (forwarding.Forwarder, "may_retry", lambda _self, request: request.sends < 3),
         ],
         "some_fail",
         1,
         "twice",
     ),
-    "promises": Guard([(forwarding.Forwarder, "final_error", _promise)], "some_fail", 1, "refused"),
+    "promises": Guard([(forwarding.Forwarder, "final_error", _busy_error)], "some_fail", 1, "refused"),
     "complete_events": Guard([(answer_stream, "complete_events", lambda raw: (raw, b""))], "broken_off", 1, "order"),
-    "worker_states": Guard([(follower.Follower, "apply_workers", _first_list)], "release", 1, "drain"),
-    "drain": Guard([(node.Node, "stop", _leave_at_once)], "roll", 1, "lost"),
-    "last_bytes": Guard([(node.Node, "stop", _leave_with_the_last_request)], "roll", 4, "lost"),
+    "worker_states": Guard([(follower.Follower, "apply_workers", _keep_first_workers)], "release", 1, "drain"),
+    "drain": Guard([(node.Node, "stop", _stop_at_once)], "roll", 1, "lost"),
+    "last_bytes": Guard([(node.Node, "stop", _stop_with_the_last_request)], "roll", 4, "lost"),
     "routes": Guard([(follower.Follower, "find_route", lambda _self, _host, _path: None)], "calm", 1, "denied"),
-    "news": Guard([(follower.Follower, "apply_items", _first_items)], "changes", 1, "config"),
+    "news": Guard([(follower.Follower, "apply_items", _keep_first_items)], "changes", 1, "config"),
     "budget": Guard([(retry_budget.Budget, "has_capacity", lambda _self, _now: True)], "all_fail", 1, "budget"),
     "disk": Guard([(disk_model.Disk, "read", lambda _self: {})], "closing_power", 1, "config"),
 }
-OWN = {  # days that only a guard's absence needs
+EXTRA_DAYS = {  # days that are played only with a disabled safeguard
     "some_fail": lambda site: (site.advance(2), site.faults.make_unhealthy(site.live_workers(), 8, garble=0.3)),
     "all_fail": lambda site: (site.advance(2), site.faults.make_unhealthy(site.live_workers(), 12, garble=0.9)),
 }
 
 
 class PlayedDay(NamedTuple):
-    """What came of a day."""
+    """The results of a played day."""
 
-    complaints: dict[str, list[str]]  # by rule
-    log: str  # of a calm day without a guard taken out, else empty
-    run_ends: set[str]  # how runs at workers ended
+    complaints: dict[str, list[str]]  # complaints by rule
+    log: str  # event log of a calm day with all safeguards, else empty
+    run_ends: set[str]  # the ways in which runs at workers ended
     totals: platform_days.Totals
 
 
 def play(job: Job) -> PlayedDay:
-    """Play a day, perhaps with a guard out."""
+    """Play a day, with one safeguard disabled if the job names one."""
     name, seed, shape, guard = job
     with contextlib.ExitStack() as stack:
-        for owner, what, instead in GUARDS[guard].patches if guard else ():
-            stack.enter_context(mock.patch.object(owner, what, instead))
-        stack.enter_context(mock.patch.dict(platform_days.DAYS, OWN))
+        for owner, what, replacement in GUARDS[guard].patches if guard else ():
+            stack.enter_context(mock.patch.object(owner, what, replacement))
+        stack.enter_context(mock.patch.dict(platform_days.DAYS, EXTRA_DAYS))
         site = platform_days.play(name, seed, shape)
     rows = site.event_log.rows
     return PlayedDay(
@@ -209,7 +214,7 @@
 
 @functools.cache
 def played(name: str, seed: int, shape: str) -> PlayedDay:
-    """What a day with all guards gives; a process plays each such day once."""
+    """The results of a day with all safeguards; cached, so that a test process plays each day only once."""
     return play((name, seed, shape, ""))
 
 
@@ -218,11 +223,13 @@
     with multiprocessing.Pool(2, maxtasksperchild=1) as pool:
         one, other = pool.map(play, [job, job], chunksize=1)
     assert len(other.log) > 100_000
-    differ = other.log != one.log  # not compared within the assertion: a report of the difference takes minutes
+    differ = other.log != one.log  # compared outside the assertion, since pytest takes minutes to report the difference
     assert not differ
 
 
-@pytest.mark.parametrize(("name", "seed", "shape"), [pytest.param(*run, id="{}-{}-{}".format(*run)) for run in CLEAN])
+@pytest.mark.parametrize(
+    ("name", "seed", "shape"), [pytest.param(*run, id="{}-{}-{}".format(*run)) for run in CLEAN_DAYS]
+)
 def test_a_day_breaks_no_rule(name: str, seed: int, shape: str) -> None:
     assert played(name, seed, shape).complaints == {}
 
@@ -231,19 +238,19 @@
     ("name", "shape", "unhealthy"),
     [("garble", "swan", "garble"), ("answers_lost", "swan", "lost"), ("broken_off", "magnolia", "broke")],
 )
-def test_the_faults_of_a_day_happen(name: str, shape: str, unhealthy: str) -> None:
+def test_the_worker_faults_of_a_day_occur(name: str, shape: str, unhealthy: str) -> None:
     assert unhealthy in played(name, 1, shape).run_ends
 
 
 @pytest.mark.parametrize("shape", ["magnolia", "swan"])
-def test_a_calm_day_is_served_in_its_aim(shape: str) -> None:
+def test_a_calm_day_is_served_in_time(shape: str) -> None:
     totals = played("calm", 1, shape).totals
-    # a long answer beside three long prompts may pass its deadline, as it does once on swan
+    # a long response that shares its worker with three long prompts may miss its deadline, as once on swan
     assert totals["none"] < 0.001 * totals["asked"]
     assert totals["in_aim"] > 0.95 * totals["asked"]
 
 
 @pytest.mark.parametrize("guard", GUARDS)
 def test_a_day_without_a_guard_breaks_its_rule(guard: str) -> None:
-    missing = GUARDS[guard]
-    assert missing.rule in play((missing.day, missing.seed, "magnolia", guard)).complaints
+    guard_removed = GUARDS[guard]
+    assert guard_removed.rule in play((guard_removed.day, guard_removed.seed, "magnolia", guard)).complaints
--- a/tests/test_judge_failback.py
+++ b/tests/test_judge_failback.py
@@ -1,4 +1,7 @@
-"""The judge's rule about cold workers after a cut: what was sent and arrived inside the second counts."""
+"""The rule `failback` about cold workers counts requests sent right after a network cut.
+
+Only requests that the cut itself delayed are left out, so that a burst right after the cut is not excused.
+"""
 
 from tests import test_judge, test_zone_cuts
 
@@ -6,7 +9,7 @@
 CUT_END = 20 * SECOND
 
 
-def test_requests_that_no_cut_held_up_count_right_after_a_cut_as_well() -> None:
+def test_requests_sent_right_after_a_cut_count_for_a_cold_worker() -> None:
     rows = [
         {**row, "cold": True} if row["kind"] == "arrived" else row
         for number in range(60)
