--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -52,7 +52,7 @@
 OK = 200
 
 # Takes the kind of an event and its fields.
-Note = collections.abc.Callable[..., object]
+RecordEvent = collections.abc.Callable[..., object]
 
 
 class Ports(typing.NamedTuple):
@@ -143,7 +143,7 @@
         """The path of a process's event log."""
         return str(self.folder / f"{name}.events")
 
-    def begin(self, note: Note | None = None) -> None:
+    def begin(self, record_event: RecordEvent | None = None) -> None:
         """Start everything, wait until it serves, confirm the configuration."""
         self.platform = self.spawn_stand_in(
             "platform", ["-m", "benchmarks.stand_ins", "platform", "--events", self.events("platform")]
@@ -157,7 +157,9 @@
             self.add_core(f"c{number}", port, zones[(number - 1) % len(zones)])
         for number, zone in enumerate(self.zone_names, 1):
             self.add_node(f"n{number}", zone)
-        self.until(lambda: self.confirm(self.configuration, note), "the blueprint is confirmed", START_TIMEOUT_S)
+        self.until(
+            lambda: self.confirm(self.configuration, record_event), "the blueprint is confirmed", START_TIMEOUT_S
+        )
         self.until(lambda: all(self.ready(name) for name in self.nodes), "all nodes are ready", START_TIMEOUT_S)
 
     def add_worker(self, name: str) -> None:
@@ -265,16 +267,18 @@
         """What a process shows of itself."""
         return query(self.ports(name).http, "GET", "/state")[1]
 
-    def confirm(self, document: dict[str, typing.Any], note: Note | None = None) -> int:
+    def confirm(self, document: dict[str, typing.Any], record_event: RecordEvent | None = None) -> int:
         """Plan and confirm a configuration through any core: its version, or 0."""
-        note = note or _note_nothing
+        record_event = record_event or _discard_event
         for _, http in self.cores.values():
             status, plan = query(http, "POST", "/plans", {"blueprint": document})
             if status == OK:
-                note("confirm_sent", plan=plan["id"], base=plan["base"], probe=0, who="boss", blueprint=document)
+                record_event(
+                    "confirm_sent", plan=plan["id"], base=plan["base"], probe=0, who="boss", blueprint=document
+                )
                 status, response = query(http, "POST", f"/plans/{plan['id']}/confirm", {})
                 if status == OK:
-                    note("confirmed", plan=plan["id"], stamp=response["stamp"], probe=0, who="boss")
+                    record_event("confirmed", plan=plan["id"], stamp=response["stamp"], probe=0, who="boss")
                     return int(response["stamp"])
         return 0
 
@@ -369,7 +373,7 @@
         )
 
 
-def _note_nothing(*_kind: str, **_fields: object) -> None:
+def _discard_event(*_kind: str, **_fields: object) -> None:
     """Stands in for a log where none is kept."""
 
 
--- a/benchmarks/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -44,12 +44,12 @@
         self.fleet = deployment
         self.out = pathlib.Path(deployment.events("trial")).open("w")  # noqa: SIM115 - open until the trial ends
         self.tape = load_generator.Events(self.out)
-        deployment.begin(self.note)
-        self.note("begun", blueprint=deployment.configuration, zones=self.zones())
+        deployment.begin(self.record_event)
+        self.record_event("begun", blueprint=deployment.configuration, zones=self.zones())
         self.load = deployment.load(seconds, *more)
         deployment.until(lambda: self.count("load") > 5, "the load has begun", 20)
 
-    def note(self, kind: str, **more: object) -> None:
+    def record_event(self, kind: str, **more: object) -> None:
         """Write a row to the trial's own log."""
         self.tape.put(scheduler.boottime(), kind, **more)
         self.out.flush()
@@ -65,7 +65,7 @@
             "worker",
         )
         address = f"{fleet.HOST}:{self.fleet.nodes[target][1]}" if role == "node" else ""
-        self.note(
+        self.record_event(
             "fault",
             what=what,
             target=target,
@@ -77,7 +77,7 @@
 
     def repair(self, what: str, target: str) -> None:
         """Note that a fault is over."""
-        self.note("mend", what=what, target=target)
+        self.record_event("mend", what=what, target=target)
 
     def zones(self) -> dict[str, str]:
         """The zones of the nodes' doors."""
@@ -86,7 +86,7 @@
     def restart(self, name: str) -> None:
         """Start a process again, and note that its fault is over."""
         self.fleet.restart(name)
-        self.note("moved", zones=self.zones())
+        self.record_event("moved", zones=self.zones())
         self.repair("start", name)
 
     def count(self, name: str) -> int:
@@ -112,9 +112,9 @@
         for _, http in self.fleet.cores.values():
             status, document = fleet.query(http, "GET", "/blueprint")
             if status == fleet.OK:
-                self.note("read", stamp=document["stamp"], blueprint=document["blueprint"])
+                self.record_event("read", stamp=document["stamp"], blueprint=document["blueprint"])
                 break
-        self.note("ended")
+        self.record_event("ended")
         self.out.close()
         rows = []
         for name in ["trial", "load", "platform", *self.fleet.workers]:
@@ -143,7 +143,7 @@
     document = json.loads(json.dumps(trial.fleet.configuration))
     document["routes"]["late"] = {"path": "/v1/late", "pool": trial.fleet.pool}
     started_at = time.monotonic()
-    trial.fleet.until(lambda: trial.fleet.confirm(document, trial.note), "the change is confirmed", 20)
+    trial.fleet.until(lambda: trial.fleet.confirm(document, trial.record_event), "the change is confirmed", 20)
     print(f"change acknowledged after {1000 * (time.monotonic() - started_at):.0f} ms")
 
 
@@ -231,7 +231,7 @@
     trial.fault("disk full", name)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, was[1]))
     for _ in range(3):
-        trial.fleet.confirm(trial.fleet.configuration, trial.note)
+        trial.fleet.confirm(trial.fleet.configuration, trial.record_event)
         time.sleep(2)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, was)
     trial.repair("disk mended", name)
@@ -289,7 +289,7 @@
         trial = Trial(deployment, LOAD_S, ["--long-rate", str(long_rate), "--short-rate", str(short_rate)])
         time.sleep(SETTLE_S)
         for name in list(cases) or list(CASES):
-            trial.note("case", name=name)
+            trial.record_event("case", name=name)
             CASES[name](trial)
             time.sleep(2)
         report, found, back = trial.finish()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -229,7 +229,7 @@
             running.kill("c1")
             document = json.loads(json.dumps(running.configuration))
             document["routes"]["late"] = {"path": "/v1/late", "pool": running.pool}
-            running.until(lambda: running.confirm(document, trial.note), "a change is confirmed without c1", 30)
+            running.until(lambda: running.confirm(document, trial.record_event), "a change is confirmed without c1", 30)
             trial.restart("c1")
             name = running.owner()
             trial.fault("freeze", name)
