--- a/benchmarks/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -43,18 +43,18 @@
     def __init__(self, deployment: fleet.Fleet, seconds: int, more: collections.abc.Sequence[str] = ()) -> None:
         self.fleet = deployment
         self.out = pathlib.Path(deployment.events("trial")).open("w")  # noqa: SIM115 - open until the trial ends
-        self.tape = load_generator.Events(self.out)
+        self.event_log = load_generator.Events(self.out)
         deployment.begin(self.record_event)
         self.record_event("begun", blueprint=deployment.configuration, zones=self.zones())
         self.load = deployment.load(seconds, *more)
-        deployment.until(lambda: self.count("load") > 5, "the load has begun", 20)
+        deployment.until(lambda: self.count_lines("load") > 5, "the load has begun", 20)
 
     def record_event(self, kind: str, **more: object) -> None:
         """Write a row to the trial's own log."""
-        self.tape.put(scheduler.boottime(), kind, **more)
+        self.event_log.put(scheduler.boottime(), kind, **more)
         self.out.flush()
 
-    def fault(self, what: str, target: str, large: bool = False) -> None:
+    def record_fault(self, what: str, target: str, large: bool = False) -> None:
         """Note a fault."""
         role = next(
             (
@@ -75,7 +75,7 @@
             duty=role == "node" and target in self.fleet.assigned_owners(),
         )
 
-    def repair(self, what: str, target: str) -> None:
+    def record_repair(self, what: str, target: str) -> None:
         """Note that a fault is over."""
         self.record_event("mend", what=what, target=target)
 
@@ -87,9 +87,9 @@
         """Start a process again, and note that its fault is over."""
         self.fleet.restart(name)
         self.record_event("moved", zones=self.zones())
-        self.repair("start", name)
+        self.record_repair("start", name)
 
-    def count(self, name: str) -> int:
+    def count_lines(self, name: str) -> int:
         """How many lines a log has so far."""
         try:
             with pathlib.Path(self.fleet.events(name)).open() as log:
@@ -97,13 +97,13 @@
         except FileNotFoundError:
             return 0
 
-    def served(self, count: int) -> None:
+    def wait_until_served(self, count: int) -> None:
         """Wait until the workers have finished count more requests."""
         goal = self._worker_lines() + LOG_LINES_A_REQUEST * count
         self.fleet.until(lambda: self._worker_lines() >= goal, f"{count} more exchanges are served", WAIT_S)
 
     def _worker_lines(self) -> int:
-        return sum(self.count(name) for name in self.fleet.workers)
+        return sum(self.count_lines(name) for name in self.fleet.workers)
 
     def finish(self) -> tuple[dict[str, typing.Any], dict[str, list[str]], list[str]]:
         """Wait for the load, read the configuration back, judge: report, complaints, recoveries."""
@@ -127,10 +127,10 @@
 # ---- cases ---------------------------------------------------------------------------------
 
 
-def spread(trial: Trial, names: collections.abc.Sequence[str], seconds: float) -> None:
+def kill_and_restart(trial: Trial, names: collections.abc.Sequence[str], seconds: float) -> None:
     """Kill processes at once, let the load go on, start them again."""
     for name in names:
-        trial.fault("kill", name, large=len(names) > 1)
+        trial.record_fault("kill", name, large=len(names) > 1)
         trial.fleet.kill(name)
     time.sleep(seconds)
     for name in names:
@@ -160,48 +160,50 @@
 
 def node(trial: Trial) -> None:
     """A node is killed and started again."""
-    spread(trial, [next(name for name in trial.fleet.nodes if name not in trial.fleet.assigned_owners())], 4)
+    kill_and_restart(trial, [next(name for name in trial.fleet.nodes if name not in trial.fleet.assigned_owners())], 4)
 
 
 def warden(trial: Trial) -> None:
     """The pool owner is killed and started again."""
-    spread(trial, [trial.fleet.owner()], 4)
+    kill_and_restart(trial, [trial.fleet.owner()], 4)
 
 
 def core(trial: Trial) -> None:
     """Each core machine in turn is killed and started again."""
     for name in sorted(trial.fleet.cores):
-        spread(trial, [name], 3)
+        kill_and_restart(trial, [name], 3)
 
 
 def hall(trial: Trial) -> None:
     """All processes of a zone are killed at once."""
     zone = sorted(set(trial.fleet.zones.values()))[-1]
-    spread(trial, [name for name in [*trial.fleet.cores, *trial.fleet.nodes] if trial.fleet.zones[name] == zone], 4)
+    kill_and_restart(
+        trial, [name for name in [*trial.fleet.cores, *trial.fleet.nodes] if trial.fleet.zones[name] == zone], 4
+    )
     time.sleep(6)
 
 
 def everything(trial: Trial) -> None:
     """All cores and nodes are killed at once."""
-    spread(trial, [*trial.fleet.cores, *trial.fleet.nodes], 0.5)
+    kill_and_restart(trial, [*trial.fleet.cores, *trial.fleet.nodes], 0.5)
     time.sleep(6)
 
 
 def freeze(trial: Trial) -> None:
     """The pool owner freezes for four seconds, then a core machine."""
     for name in (trial.fleet.owner(), sorted(trial.fleet.cores)[-1]):
-        trial.fault("freeze", name)
+        trial.record_fault("freeze", name)
         trial.fleet.signal(name, signal.SIGSTOP)
         time.sleep(FREEZE_S)
         trial.fleet.signal(name, signal.SIGCONT)
-        trial.repair("wake", name)
+        trial.record_repair("wake", name)
         time.sleep(8)
 
 
 def blank(trial: Trial) -> None:
     """A core machine comes back with an empty data folder."""
     name = sorted(trial.fleet.cores)[0]
-    trial.fault("disk lost", name)
+    trial.record_fault("disk lost", name)
     trial.fleet.kill(name)
     shutil.rmtree(trial.fleet.folder / name)
     time.sleep(1)
@@ -213,13 +215,13 @@
 def moved(trial: Trial) -> None:
     """A core machine is gone for good; an empty one comes at a new address."""
     name = sorted(trial.fleet.cores)[0]
-    trial.fault("gone for good", name)
+    trial.record_fault("gone for good", name)
     trial.fleet.kill(name)
     del trial.fleet.cores[name]
     time.sleep(2)
     trial.fleet.add_core("c9", fleet.free_port(), trial.fleet.zones[name])
     trial.fleet.until(lambda: trial.fleet.state("c9").get("whole"), "c9 is whole", WAIT_S)
-    trial.repair("start", name)
+    trial.record_repair("start", name)
     time.sleep(4)
 
 
@@ -228,13 +230,13 @@
     name = sorted(trial.fleet.cores)[-1]
     pid = trial.fleet.processes[name].pid
     was = resource.prlimit(pid, resource.RLIMIT_FSIZE)
-    trial.fault("disk full", name)
+    trial.record_fault("disk full", name)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, was[1]))
     for _ in range(3):
         trial.fleet.confirm(trial.fleet.configuration, trial.record_event)
         time.sleep(2)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, was)
-    trial.repair("disk mended", name)
+    trial.record_repair("disk mended", name)
     trial.fleet.until(
         lambda: trial.fleet.state(name).get("whole") and trial.fleet.state(name).get("disk_ok"),
         f"{name} is back",
@@ -247,7 +249,7 @@
     """Every node and core is stopped in good order and started again, one after the other."""
     for name in [*trial.fleet.nodes, *trial.fleet.cores]:
         if name in trial.fleet.cores:
-            trial.fault("stop", name)
+            trial.record_fault("stop", name)
         trial.fleet.signal(name, signal.SIGTERM)
         trial.fleet.processes[name].wait(STOP_S)
         trial.restart(name)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -217,28 +217,28 @@
     def test_the_checkers_have_no_complaint_of_a_short_trial_with_faults(self) -> None:
         with fleet.Fleet("small") as running:
             trial = process_trial.Trial(running, 16, ["--short-rate", "15", "--long-rate", "1", "--talks", "3"])
-            trial.served(10)
+            trial.wait_until_served(10)
             name = running.owner()
-            trial.fault("kill", name)
+            trial.record_fault("kill", name)
             running.kill(name)
             running.until(lambda: running.owner() not in ("", name), "another node is the pool owner", 30)
-            trial.served(10)
+            trial.wait_until_served(10)
             trial.restart(name)
             running.until(lambda: running.ready(name), "the node is ready again", 30)
-            trial.fault("kill", "c1")
+            trial.record_fault("kill", "c1")
             running.kill("c1")
             document = json.loads(json.dumps(running.configuration))
             document["routes"]["late"] = {"path": "/v1/late", "pool": running.pool}
             running.until(lambda: running.confirm(document, trial.record_event), "a change is confirmed without c1", 30)
             trial.restart("c1")
             name = running.owner()
-            trial.fault("freeze", name)
+            trial.record_fault("freeze", name)
             running.signal(name, signal.SIGSTOP)
             other = next(n for n in running.nodes if n != name)
             running.until(lambda: running.owner_of(other), "the other node is the pool owner", 30)
             running.signal(name, signal.SIGCONT)
-            trial.repair("wake", name)
-            trial.served(5)
+            trial.record_repair("wake", name)
+            trial.wait_until_served(5)
             report, found, _ = trial.finish()
             # Response times depend on the load of the machine; benchmarks.process_trial judges them.
             lines = [line for ls in found.values() for line in ls if " waited " not in line and " paused " not in line]
@@ -257,4 +257,4 @@
         trial.fleet.owner.return_value = "n3"
         trial.fleet.cores = {"c1": (1, 2)}
         case(trial)
-        assert trial.fault.call_args_list[0].args[1] == "n3"
+        assert trial.record_fault.call_args_list[0].args[1] == "n3"
