--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -42,13 +42,13 @@
     "swan": Shape(["yard", "yard", "yard", "mill", "mill", "mill", "office", "office"], 6, "reviews", "swan.json"),
 }
 HOST = "127.0.0.1"
-LISTENS = re.compile(r"listens on [0-9.]+:([0-9]+), HTTP on [0-9.]+:([0-9]+)")
+LISTENING_LINE = re.compile(r"listens on [0-9.]+:([0-9]+), HTTP on [0-9.]+:([0-9]+)")
 EXAMPLES = pathlib.Path(__file__).resolve().parent.parent / "examples"
 FREE_PORTS = range(20_000, 32_000)  # below those that the system hands out by itself
 CORE_COUNT = 3
 START_TIMEOUT_S = 30
 LISTEN_TIMEOUT_S = 20
-STEP_S = 0.05  # how often a condition is checked
+CHECK_INTERVAL_S = 0.05  # how often a condition is checked
 OK = 200
 
 # Takes the kind of an event and its fields.
@@ -99,7 +99,7 @@
     def __init__(self, shape: str, folder: str | None = None) -> None:
         self.zone_names, self.worker_count, self.pool, name = SHAPES[shape]
         self.configuration = json.loads((EXAMPLES / name).read_text())
-        self.own = folder is None  # whether the folder goes with the fleet
+        self.owns_folder = folder is None  # whether the folder goes with the fleet
         self.folder = pathlib.Path(folder or tempfile.mkdtemp(prefix="iriswheel-"))
         self.processes: dict[str, subprocess.Popen[bytes]] = {}  # by name
         self.commands: dict[str, list[str]] = {}  # name -> the arguments that it was started with
@@ -139,14 +139,14 @@
         assert process.stdout is not None
         return int(process.stdout.readline())
 
-    def events(self, name: str) -> str:
+    def event_log_path(self, name: str) -> str:
         """The path of a process's event log."""
         return str(self.folder / f"{name}.events")
 
     def begin(self, record_event: RecordEvent | None = None) -> None:
         """Start everything, wait until it serves, confirm the configuration."""
         self.platform = self.spawn_stand_in(
-            "platform", ["-m", "benchmarks.stand_ins", "platform", "--events", self.events("platform")]
+            "platform", ["-m", "benchmarks.stand_ins", "platform", "--events", self.event_log_path("platform")]
         )
         for number in range(1, self.worker_count + 1):
             self.add_worker(f"w{number}")
@@ -157,14 +157,22 @@
             self.add_core(f"c{number}", port, zones[(number - 1) % len(zones)])
         for number, zone in enumerate(self.zone_names, 1):
             self.add_node(f"n{number}", zone)
-        self.until(
+        self.wait_until(
             lambda: self.confirm(self.configuration, record_event), "the blueprint is confirmed", START_TIMEOUT_S
         )
-        self.until(lambda: all(self.ready(name) for name in self.nodes), "all nodes are ready", START_TIMEOUT_S)
+        self.wait_until(lambda: all(self.ready(name) for name in self.nodes), "all nodes are ready", START_TIMEOUT_S)
 
     def add_worker(self, name: str) -> None:
         """Start a worker and list it."""
-        arguments = ["-m", "benchmarks.stand_ins", "worker", "--identifier", name, "--events", self.events(name)]
+        arguments = [
+            "-m",
+            "benchmarks.stand_ins",
+            "worker",
+            "--identifier",
+            name,
+            "--events",
+            self.event_log_path(name),
+        ]
         self.workers[name] = self.spawn_stand_in(name, arguments)
         self._list_ready(name)
 
@@ -194,7 +202,7 @@
                 *self.seeds,
             ],
         )
-        self.cores[name] = self.learn(name)
+        self.cores[name] = self.read_ports(name)
 
     def add_node(self, name: str, zone: str) -> None:
         """Start a node."""
@@ -217,24 +225,24 @@
                 *self.seeds,
             ],
         )
-        self.nodes[name] = self.learn(name)
+        self.nodes[name] = self.read_ports(name)
         self._register(name)
 
     def _register(self, name: str) -> None:
         """Tell the platform where a node takes requests."""
         query(self.platform, "POST", "/nodes", {"name": name, "host": HOST, "port": self.nodes[name].http})
 
-    def learn(self, name: str) -> Ports:
+    def read_ports(self, name: str) -> Ports:
         """The ports that a process says it listens on, once it says so."""
         found: list[tuple[str, str]] = []
 
         def listens() -> bool:
             with (self.folder / f"{name}.log").open() as log:
                 log.seek(self.starts[name])
-                found.extend(LISTENS.findall(log.read()))
+                found.extend(LISTENING_LINE.findall(log.read()))
             return bool(found)
 
-        self.until(listens, f"{name} listens", LISTEN_TIMEOUT_S)
+        self.wait_until(listens, f"{name} listens", LISTEN_TIMEOUT_S)
         peer, http = found[0]
         return Ports(int(peer), int(http))
 
@@ -282,7 +290,7 @@
                     return int(response["stamp"])
         return 0
 
-    def until(self, condition: collections.abc.Callable[[], object], what: str, seconds: float) -> float:
+    def wait_until(self, condition: collections.abc.Callable[[], object], what: str, seconds: float) -> float:
         """Wait until a condition holds; how long that took."""
         started_at = time.monotonic()
         while not condition():
@@ -291,10 +299,10 @@
             for name, process in self.processes.items():
                 if process.poll() not in (None, 0, -signal.SIGKILL):
                     raise RuntimeError(f"{name} ended with {process.returncode}; see {self.folder}/{name}.log")
-            time.sleep(STEP_S)
+            time.sleep(CHECK_INTERVAL_S)
         return time.monotonic() - started_at
 
-    def cpu(self) -> dict[str, float]:
+    def cpu_shares(self) -> dict[str, float]:
         """The share of a core that each process used since it started."""
         tick = os.sysconf("SC_CLK_TCK")
         up = float(pathlib.Path("/proc/uptime").read_text().split()[0])
@@ -319,10 +327,10 @@
         arguments = self.commands[name]
         if name in self.cores:
             self.spawn(name, arguments)
-            self.cores[name] = self.learn(name)
+            self.cores[name] = self.read_ports(name)
         elif name in self.nodes:
             self.spawn(name, arguments)
-            self.nodes[name] = self.learn(name)
+            self.nodes[name] = self.read_ports(name)
             self._register(name)
         else:
             self.workers[name] = self.spawn_stand_in(name, arguments)
@@ -346,10 +354,10 @@
             process.wait()
             if process.stdout is not None:
                 process.stdout.close()
-        if self.own:
+        if self.owns_folder:
             shutil.rmtree(self.folder, ignore_errors=True)
 
-    def load(self, seconds: int, *more: str) -> subprocess.Popen[str]:
+    def start_load(self, seconds: int, *extra_options: str) -> subprocess.Popen[str]:
         """Start the load generator; its report is what it prints."""
         places = [f"{HOST}:{http}" for _, http in self.nodes.values()]
         return subprocess.Popen(
@@ -365,8 +373,8 @@
                 "--platform",
                 f"{HOST}:{self.platform}",
                 "--events",
-                self.events("load"),
-                *more,
+                self.event_log_path("load"),
+                *extra_options,
             ],
             stdout=subprocess.PIPE,
             text=True,
@@ -396,7 +404,7 @@
             print(f"{name}: {HOST}:{port}, HTTP {HOST}:{http}")
         print(f"platform: {HOST}:{deployment.platform}")
         if load:
-            print(deployment.load(load).communicate()[0])
+            print(deployment.start_load(load).communicate()[0])
             return
         signal.pause()
 
--- a/benchmarks/process_costs.py
+++ b/benchmarks/process_costs.py
@@ -24,7 +24,7 @@
     """From the sending of a first attempt to its arrival at a worker, by node, in ms; long prompts apart."""
     rows = []
     for name in ["load", *deployment.workers]:
-        with pathlib.Path(deployment.events(name)).open() as log:
+        with pathlib.Path(deployment.event_log_path(name)).open() as log:
             rows += replay.read(log)[0]
     arrived_at = {(row["exchange"], row["send"]): row["at"] for row in rows if row["kind"] == "run"}
     names = {f"{fleet.HOST}:{ports.http}": name for name, ports in deployment.nodes.items()}
@@ -38,7 +38,7 @@
 
 def _wait_for_owner(deployment: fleet.Fleet) -> str:
     """The node of the pool's owner, which may become active a moment after the fleet is ready."""
-    deployment.until(deployment.owner, "the pool has an owner", fleet.START_TIMEOUT_S)
+    deployment.wait_until(deployment.owner, "the pool has an owner", fleet.START_TIMEOUT_S)
     return deployment.owner()
 
 
@@ -55,7 +55,7 @@
         with fleet.Fleet(shape) as deployment:
             deployment.begin()
             at = _wait_for_owner(deployment)
-            deployment.load(seconds, "--seed", str(k + 1)).communicate()
+            deployment.start_load(seconds, "--seed", str(k + 1)).communicate()
             for name, values in first_attempt_ms(deployment).items():
                 (own if name == at else others).extend(values)
     for what, values in (("warden's own node", own), ("other nodes", others)):
@@ -78,15 +78,15 @@
     for rate in rates:
         with fleet.Fleet(shape) as deployment:
             deployment.begin()
-            load = deployment.load(seconds, "--short-rate", str(rate), "--long-rate", "1", "--talks", "0")
+            load = deployment.start_load(seconds, "--short-rate", str(rate), "--long-rate", "1", "--talks", "0")
             report = json.loads(load.communicate()[0])
             values = sorted(value for of_node in first_attempt_ms(deployment).values() for value in of_node)
-            cpu, owner = deployment.cpu(), deployment.owner()
-            busiest = max(share for name, share in cpu.items() if name in deployment.nodes and name != owner)
+            cpu_shares, owner = deployment.cpu_shares(), deployment.owner()
+            busiest = max(share for name, share in cpu_shares.items() if name in deployment.nodes and name != owner)
             print(
                 f"{rate}/s: {report['ends']['whole']} whole, {report['ends']['refused']} refused; way to the worker "
                 f"median {statistics.median(values):.1f} ms, 99 % {values[int(len(values) * 0.99)]:.1f} ms; "
-                f"CPU of the warden's node {cpu[owner]:.0%}, of the busiest other node {busiest:.0%}",
+                f"CPU of the warden's node {cpu_shares[owner]:.0%}, of the busiest other node {busiest:.0%}",
                 flush=True,
             )
 
@@ -113,14 +113,14 @@
     async def run(self, kind: str, depth: int, seconds: int) -> int:
         """Ask for selections of one kind; how many were granted."""
         self.granted = 0
-        until = self.runtime.now() + seconds * units.SECOND_US
-        loops = [self._ask_one_after_the_other(kind, number, until) for number in range(depth)]
+        deadline = self.runtime.now() + seconds * units.SECOND_US
+        loops = [self._ask_one_after_the_other(kind, number, deadline) for number in range(depth)]
         await defer.DeferredList([defer.ensureDeferred(loop) for loop in loops])
         return self.granted
 
-    async def _ask_one_after_the_other(self, kind: str, number: int, until: int) -> None:
+    async def _ask_one_after_the_other(self, kind: str, number: int, deadline: int) -> None:
         count = 0
-        while self.runtime.now() < until:
+        while self.runtime.now() < deadline:
             count += 1
             await self._ask(kind, f"{kind}-{number}-{count}")
 
--- a/benchmarks/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -37,21 +37,23 @@
     Args:
         deployment: The fleet, not yet begun.
         seconds: How long the load goes on at most.
-        more: Further options of the load generator.
+        extra_options: Further options of the load generator.
     """
 
-    def __init__(self, deployment: fleet.Fleet, seconds: int, more: collections.abc.Sequence[str] = ()) -> None:
+    def __init__(
+        self, deployment: fleet.Fleet, seconds: int, extra_options: collections.abc.Sequence[str] = ()
+    ) -> None:
         self.fleet = deployment
-        self.out = pathlib.Path(deployment.events("trial")).open("w")  # noqa: SIM115 - open until the trial ends
+        self.out = pathlib.Path(deployment.event_log_path("trial")).open("w")  # noqa: SIM115 - open until the trial ends
         self.event_log = load_generator.Events(self.out)
         deployment.begin(self.record_event)
         self.record_event("begun", blueprint=deployment.configuration, zones=self.zones())
-        self.load = deployment.load(seconds, *more)
-        deployment.until(lambda: self.count_lines("load") > 5, "the load has begun", 20)
+        self.load = deployment.start_load(seconds, *extra_options)
+        deployment.wait_until(lambda: self.count_lines("load") > 5, "the load has begun", 20)
 
-    def record_event(self, kind: str, **more: object) -> None:
+    def record_event(self, kind: str, **fields: object) -> None:
         """Write a row to the trial's own log."""
-        self.event_log.put(scheduler.boottime(), kind, **more)
+        self.event_log.put(scheduler.boottime(), kind, **fields)
         self.out.flush()
 
     def record_fault(self, what: str, target: str, large: bool = False) -> None:
@@ -92,7 +94,7 @@
     def count_lines(self, name: str) -> int:
         """How many lines a log has so far."""
         try:
-            with pathlib.Path(self.fleet.events(name)).open() as log:
+            with pathlib.Path(self.fleet.event_log_path(name)).open() as log:
                 return sum(1 for _ in log)
         except FileNotFoundError:
             return 0
@@ -100,7 +102,7 @@
     def wait_until_served(self, count: int) -> None:
         """Wait until the workers have finished count more requests."""
         goal = self._worker_lines() + LOG_LINES_A_REQUEST * count
-        self.fleet.until(lambda: self._worker_lines() >= goal, f"{count} more exchanges are served", WAIT_S)
+        self.fleet.wait_until(lambda: self._worker_lines() >= goal, f"{count} more exchanges are served", WAIT_S)
 
     def _worker_lines(self) -> int:
         return sum(self.count_lines(name) for name in self.fleet.workers)
@@ -118,7 +120,7 @@
         self.out.close()
         rows = []
         for name in ["trial", "load", "platform", *self.fleet.workers]:
-            with pathlib.Path(self.fleet.events(name)).open() as log:
+            with pathlib.Path(self.fleet.event_log_path(name)).open() as log:
                 rows += replay.read(log)[0]
         rows.sort(key=lambda r: r["at"])
         return report, replay.judge(rows), replay.recovery_lines(rows)
@@ -143,7 +145,7 @@
     document = json.loads(json.dumps(trial.fleet.configuration))
     document["routes"]["late"] = {"path": "/v1/late", "pool": trial.fleet.pool}
     started_at = time.monotonic()
-    trial.fleet.until(lambda: trial.fleet.confirm(document, trial.record_event), "the change is confirmed", 20)
+    trial.fleet.wait_until(lambda: trial.fleet.confirm(document, trial.record_event), "the change is confirmed", 20)
     print(f"change acknowledged after {1000 * (time.monotonic() - started_at):.0f} ms")
 
 
@@ -208,7 +210,7 @@
     shutil.rmtree(trial.fleet.folder / name)
     time.sleep(1)
     trial.restart(name)
-    trial.fleet.until(lambda: trial.fleet.state(name).get("whole"), f"{name} is whole", WAIT_S)
+    trial.fleet.wait_until(lambda: trial.fleet.state(name).get("whole"), f"{name} is whole", WAIT_S)
     time.sleep(4)
 
 
@@ -220,7 +222,7 @@
     del trial.fleet.cores[name]
     time.sleep(2)
     trial.fleet.add_core("c9", fleet.free_port(), trial.fleet.zones[name])
-    trial.fleet.until(lambda: trial.fleet.state("c9").get("whole"), "c9 is whole", WAIT_S)
+    trial.fleet.wait_until(lambda: trial.fleet.state("c9").get("whole"), "c9 is whole", WAIT_S)
     trial.record_repair("start", name)
     time.sleep(4)
 
@@ -237,7 +239,7 @@
         time.sleep(2)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, was)
     trial.record_repair("disk mended", name)
-    trial.fleet.until(
+    trial.fleet.wait_until(
         lambda: trial.fleet.state(name).get("whole") and trial.fleet.state(name).get("disk_ok"),
         f"{name} is back",
         WAIT_S,
@@ -258,7 +260,7 @@
 
 
 def _wait_until_ready(trial: Trial, name: str) -> None:
-    trial.fleet.until(lambda: trial.fleet.ready(name), f"{name} is ready", WAIT_S)
+    trial.fleet.wait_until(lambda: trial.fleet.ready(name), f"{name} is ready", WAIT_S)
 
 
 CASES: dict[str, collections.abc.Callable[[Trial], None]] = {
