--- a/benchmarks/change_recovery.py
+++ b/benchmarks/change_recovery.py
@@ -30,13 +30,13 @@
 FAULTS = ("cut", "kill", "kill for good", "freeze", "wipe")
 POSITIONS = ("head", "middle", "tail")
 CUT_S, FREEZE_S, RESTART_S = 20, 8, 1
-ORDER_GAP_US = 100 * units.MILLISECOND_US
-MOST_ORDERS = 8  # under way at once
-PATIENCE_US = 1 * units.SECOND_US  # an operator's, with one core machine
-RETRY_PAUSE_US = 100 * units.MILLISECOND_US
+CHANGE_INTERVAL_US = 100 * units.MILLISECOND_US
+MAX_CHANGES_IN_FLIGHT = 8  # under way at once
+REQUEST_TIMEOUT_US = 1 * units.SECOND_US  # an operator's, with one core machine
+RETRY_DELAY_US = 100 * units.MILLISECOND_US
 WARM_UP_S = 3
 STEP_S = 0.005
-LIMIT_S = 30
+RECOVERY_LIMIT_S = 30
 LEASE_MS = 3_000
 
 FORK = multiprocessing.get_context("fork")
@@ -45,10 +45,10 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Start:
+class StartSettings:
     """What the cases of one seed share.
 
-    >>> Start(seed=1, cores=3).lease_ms
+    >>> StartSettings(seed=1, cores=3).lease_ms
     3000
     """
 
@@ -97,51 +97,51 @@
     def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         self.cluster = cluster
         self.runtime = cluster.operator_runtime
-        self.places = [f"{cluster.places[name][0]}:{addresses.HTTP_PORT}" for name in sorted(cluster.cores)]
+        self.addresses = [f"{cluster.places[name][0]}:{addresses.HTTP_PORT}" for name in sorted(cluster.cores)]
         self.current = 0  # the number that new orders build on
-        self.under_way = 0
+        self.changes_in_flight = 0
         self.acknowledged: list[Acknowledgement] = []
 
     async def run(self) -> None:
         """Start orders for as long as the simulation runs."""
         for number in itertools.count(1):
-            if self.under_way < MOST_ORDERS:
-                self.runtime.spawn(self.order(number), log)
-            await self.runtime.sleep(ORDER_GAP_US)
+            if self.changes_in_flight < MAX_CHANGES_IN_FLIGHT:
+                self.runtime.spawn(self.submit_change(number), log)
+            await self.runtime.sleep(CHANGE_INTERVAL_US)
 
-    async def order(self, number: int) -> None:
+    async def submit_change(self, number: int) -> None:
         """Bring one order to core machines in turn until its outcome is clear."""
         sent = self.runtime.now()
         route = {"path": f"/p/{number}", "pool": self.cluster.pool}
         document = {"number": number, "built_on": self.current, "upsert": {"routes": {"probe": route}}}
-        self.under_way += 1
+        self.changes_in_flight += 1
         for attempt in itertools.count(number):
-            place = self.places[attempt % len(self.places)]
-            status, answer = await self.query(place, "POST", "/changes", document)
+            address = self.addresses[attempt % len(self.addresses)]
+            status, answer = await self.query(address, "POST", "/changes", document)
             if status < 500:
                 break
-            await self.runtime.sleep(RETRY_PAUSE_US)
-        self.under_way -= 1
+            await self.runtime.sleep(RETRY_DELAY_US)
+        self.changes_in_flight -= 1
         if status == 200:
             self.current = max(self.current, number)
             self.acknowledged.append(Acknowledgement(sent, self.runtime.now(), answer["stamp"]))
         else:
-            await self.catch_up(place)
+            await self.read_current_number(address)
 
-    async def catch_up(self, place: str) -> None:
+    async def read_current_number(self, address: str) -> None:
         """Read the number that is current."""
-        status, answer = await self.query(place, "GET", "/blueprint")
+        status, answer = await self.query(address, "GET", "/blueprint")
         if status == 200:
             marks = answer["blueprint"].get("marks", {})
             self.current = max(self.current, marks.get("operator", {}).get("number", 0))
 
     async def query(
-        self, place: str, method: str, path: str, document: dict[str, typing.Any] | None = None
+        self, address: str, method: str, path: str, document: dict[str, typing.Any] | None = None
     ) -> tuple[int, dict[str, typing.Any]]:
         """Send one request; a second of silence or a broken connection counts as 504."""
         try:
-            answer = defer.ensureDeferred(command.send_request(self.runtime, [place], method, path, document))
-            return await self.runtime.within(answer, PATIENCE_US)
+            answer = defer.ensureDeferred(command.send_request(self.runtime, [address], method, path, document))
+            return await self.runtime.within(answer, REQUEST_TIMEOUT_US)
         except Exception:
             return 504, {}
 
@@ -160,7 +160,7 @@
     return chain[{"head": 0, "middle": len(chain) // 2, "tail": -1}[position]]
 
 
-def strike(cluster: simulated_cluster.SimulatedCluster, fault: str, name: str) -> None:
+def inject_fault(cluster: simulated_cluster.SimulatedCluster, fault: str, name: str) -> None:
     """Let a fault strike a core machine, and end by itself where it does."""
     core = cluster.cores[name]
 
@@ -186,7 +186,7 @@
             later(RESTART_S, cluster.start_core, name, *cluster.places[name])
 
 
-def quiet_cluster(start: Start) -> tuple[simulated_cluster.SimulatedCluster, Operators]:
+def idle_cluster(start: StartSettings) -> tuple[simulated_cluster.SimulatedCluster, Operators]:
     """A cluster without load, all core machines in its chain, at a moment that the seed draws."""
     cluster = simulated_cluster.SimulatedCluster(
         start.seed,
@@ -200,7 +200,7 @@
     )
     cluster.probing = False
     cluster.begin()
-    if not cluster.advance_until(lambda: len(chain_of(cluster)) == start.cores, LIMIT_S):
+    if not cluster.advance_until(lambda: len(chain_of(cluster)) == start.cores, RECOVERY_LIMIT_S):
         raise TimeoutError(f"The chain does not hold all core machines: {start}")
     operators = Operators(cluster)
     cluster.operator_runtime.spawn(operators.run(), log)
@@ -211,9 +211,9 @@
 def measure(cluster: simulated_cluster.SimulatedCluster, operators: Operators, case: Case) -> Recovery:
     """Let the fault strike, and wait until the next change is applied by all nodes."""
     started_at = cluster.world.time
-    strike(cluster, case.fault, machine_at(cluster, case.position))
+    inject_fault(cluster, case.fault, machine_at(cluster, case.position))
     first = None
-    while cluster.world.time < started_at + LIMIT_S * units.SECOND_US:
+    while cluster.world.time < started_at + RECOVERY_LIMIT_S * units.SECOND_US:
         cluster.advance(STEP_S)
         first = first or next((done for done in operators.acknowledged if done.sent >= started_at), None)
         if first is not None and all(node.follower.applied_index >= first.version for node in cluster.nodes.values()):
@@ -221,10 +221,10 @@
     return Recovery(case, None if first is None else first.answered - started_at, None)
 
 
-def measure_seed(start: Start, cases: list[Case]) -> list[Recovery]:
+def measure_seed(start: StartSettings, cases: list[Case]) -> list[Recovery]:
     """Play all cases of one seed, each in a process that goes on from the same quiet cluster."""
     loguru.logger.remove()
-    cluster, operators = quiet_cluster(start)
+    cluster, operators = idle_cluster(start)
     results = FORK.SimpleQueue()
     recoveries = []
     for case in cases:
@@ -237,14 +237,14 @@
     return recoveries
 
 
-def seconds(values: list[int | None]) -> str:
+def median_and_worst(values: list[int | None]) -> str:
     """Median and worst of times in µs, in seconds; a None is a time beyond the limit.
 
-    >>> seconds([1_200_000, 900_000, None])
+    >>> median_and_worst([1_200_000, 900_000, None])
     '1.20, over 30'
     """
-    ordered = sorted(value if value is not None else LIMIT_S * units.SECOND_US for value in values)
-    worst = f"over {LIMIT_S}" if None in values else f"{ordered[-1] / units.SECOND_US:.2f}"
+    ordered = sorted(value if value is not None else RECOVERY_LIMIT_S * units.SECOND_US for value in values)
+    worst = f"over {RECOVERY_LIMIT_S}" if None in values else f"{ordered[-1] / units.SECOND_US:.2f}"
     return f"{statistics.median(ordered) / units.SECOND_US:.2f}, {worst}"
 
 
@@ -257,10 +257,12 @@
     """
     rows = []
     for case in cases:
-        mine = [recovery for recovery in recoveries if recovery.case == case]
-        acknowledged = seconds([recovery.acknowledged for recovery in mine])
-        applied = seconds([recovery.applied for recovery in mine])
-        rows.append(f"| {cores} | {case.fault} | {case.position} | {len(mine)} | {acknowledged} | {applied} |")
+        recoveries_of_case = [recovery for recovery in recoveries if recovery.case == case]
+        acknowledged = median_and_worst([recovery.acknowledged for recovery in recoveries_of_case])
+        applied = median_and_worst([recovery.applied for recovery in recoveries_of_case])
+        rows.append(
+            f"| {cores} | {case.fault} | {case.position} | {len(recoveries_of_case)} | {acknowledged} | {applied} |"
+        )
     return rows
 
 
@@ -288,7 +290,7 @@
     play = functools.partial(measure_seed, cases=cases)
     with concurrent.futures.ProcessPoolExecutor(jobs, mp_context=FORK) as pool:
         for count in cores:
-            starts = [Start(seed, count, lease_ms) for seed in range(1, seeds + 1)]
+            starts = [StartSettings(seed, count, lease_ms) for seed in range(1, seeds + 1)]
             recoveries = list(itertools.chain.from_iterable(pool.map(play, starts)))
             print("\n".join(table(count, cases, recoveries)), flush=True)
 
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -141,7 +141,7 @@
     return connection.transport.getPeer().host in core_hosts
 
 
-def quiet_cluster(nodes: int, cores: int, seed: int) -> hollow_fleet.Fleet:
+def idle_cluster(nodes: int, cores: int, seed: int) -> hollow_fleet.Fleet:
     """A settled cluster without load, whose chain holds all core machines."""
     cluster = hollow_fleet.Fleet(seed, nodes, LISTED, POOLS, ROUTES, walking=False, election="node")
     cluster.core_count = cores
@@ -156,7 +156,7 @@
 
 def measure(nodes: int, cores: int, seconds: int, seed: int) -> Cost:
     """Measure one cluster."""
-    cluster = quiet_cluster(nodes, cores, seed)
+    cluster = idle_cluster(nodes, cores, seed)
     with counting(cluster) as traffic:
         cluster.advance(seconds)
     spent = {name: used["loops"] for name, used in cluster.metered(seconds).items()}
--- a/benchmarks/total_loss.py
+++ b/benchmarks/total_loss.py
@@ -33,7 +33,7 @@
 """The processes start at moments that are spread over so long."""
 
 OK = 200
-REQUEST_GAP_US = 20 * units.MILLISECOND_US
+REQUEST_INTERVAL_US = 20 * units.MILLISECOND_US
 
 log = loguru.logger.bind(part="total_loss")
 
@@ -68,7 +68,7 @@
         while self.first_served_at is None:
             self.runtime.spawn(self.send(self.nodes[number % len(self.nodes)]), log)
             number += 1
-            await self.runtime.sleep(REQUEST_GAP_US)
+            await self.runtime.sleep(REQUEST_INTERVAL_US)
 
     async def send(self, node: str) -> None:
         """Send one request; what does not come to an answer is no matter."""
@@ -76,14 +76,14 @@
             b"POST", f"http://{node}/v1/complete".encode(), http_headers.Headers({}), dispatch.Body(b"hello")
         )
         try:
-            answer = await self.runtime.within(call, change_recovery.PATIENCE_US)
+            answer = await self.runtime.within(call, change_recovery.REQUEST_TIMEOUT_US)
         except (scheduler.DeadlineError, internet_error.ConnectError, web_client.ResponseFailed):
             return
         if answer.code == OK and self.first_served_at is None:
             self.first_served_at = self.runtime.now()
 
 
-def lose_all(cluster: simulated_cluster.SimulatedCluster, fault: str) -> int:
+def fail_all_processes(cluster: simulated_cluster.SimulatedCluster, fault: str) -> int:
     """Let all processes be lost and start again; returns when a majority of the core machines runs (µs)."""
     names = sorted(cluster.servers())
     for name in names:
@@ -104,21 +104,23 @@
 def measure(cluster: simulated_cluster.SimulatedCluster, operators: change_recovery.Operators, fault: str) -> Recovery:
     """Let all be lost, and wait until all that is measured has happened."""
     lost_at = cluster.world.time
-    begins_at = lose_all(cluster, fault)
+    begins_at = fail_all_processes(cluster, fault)
     clients = Clients(cluster)
     cluster.operator_runtime.spawn(clients.run(), log)
     cluster.advance((begins_at - lost_at) / units.SECOND_US)
     found: dict[str, int | None] = dict.fromkeys(MEASURES)
-    while None in found.values() and cluster.world.time < begins_at + change_recovery.LIMIT_S * units.SECOND_US:
+    while (
+        None in found.values() and cluster.world.time < begins_at + change_recovery.RECOVERY_LIMIT_S * units.SECOND_US
+    ):
         cluster.advance(change_recovery.STEP_S)
         now = cluster.world.time
-        for name, has_happened in _look(cluster, operators, clients, lost_at).items():
+        for name, has_happened in _observe(cluster, operators, clients, lost_at).items():
             if found[name] is None and has_happened:
                 found[name] = now - begins_at
     return Recovery(fault, **found)
 
 
-def _look(
+def _observe(
     cluster: simulated_cluster.SimulatedCluster,
     operators: change_recovery.Operators,
     clients: Clients,
@@ -134,12 +136,12 @@
     }
 
 
-def measure_seed(start: change_recovery.Start, faults: collections.abc.Sequence[str]) -> list[Recovery]:
+def measure_seed(start: change_recovery.StartSettings, faults: collections.abc.Sequence[str]) -> list[Recovery]:
     """Play all losses of one seed, each from the same quiet cluster."""
     loguru.logger.remove()
     recoveries = []
     for fault in faults:
-        cluster, operators = change_recovery.quiet_cluster(start)
+        cluster, operators = change_recovery.idle_cluster(start)
         recoveries.append(measure(cluster, operators, fault))
     return recoveries
 
@@ -150,9 +152,12 @@
     >>> row(3, "kill", [Recovery("kill", 100_000, 150_000, 200_000, 250_000, 400_000)])
     '| 3 | kill | 1 | 0.10, 0.10 | 0.15, 0.15 | 0.20, 0.20 | 0.25, 0.25 | 0.40, 0.40 |'
     """
-    mine = [recovery for recovery in recoveries if recovery.fault == fault]
-    cells = [change_recovery.seconds([getattr(recovery, name) for recovery in mine]) for name in MEASURES]
-    return " | ".join([f"| {cores}", fault, str(len(mine)), *cells]) + " |"
+    recoveries_of_fault = [recovery for recovery in recoveries if recovery.fault == fault]
+    cells = [
+        change_recovery.median_and_worst([getattr(recovery, name) for recovery in recoveries_of_fault])
+        for name in MEASURES
+    ]
+    return " | ".join([f"| {cores}", fault, str(len(recoveries_of_fault)), *cells]) + " |"
 
 
 def run(
@@ -177,7 +182,7 @@
     play: typing.Any = functools.partial(measure_seed, faults=faults)
     with concurrent.futures.ProcessPoolExecutor(jobs, mp_context=change_recovery.FORK) as pool:
         for count in cores:
-            starts = [change_recovery.Start(seed, count, lease_ms) for seed in range(1, seeds + 1)]
+            starts = [change_recovery.StartSettings(seed, count, lease_ms) for seed in range(1, seeds + 1)]
             recoveries = [recovery for found in pool.map(play, starts) for recovery in found]
             print("\n".join(row(count, fault, recoveries) for fault in faults), flush=True)
 
--- a/tests/test_change_recovery.py
+++ b/tests/test_change_recovery.py
@@ -7,7 +7,7 @@
 class TestOneSeed:
     def test_after_a_kill_of_the_tail_a_later_change_is_acknowledged_and_applied_by_all(self) -> None:
         kill = change_recovery.Case("kill", "tail")
-        start = change_recovery.Start(seed=1, cores=3, lease_ms=1_500)
+        start = change_recovery.StartSettings(seed=1, cores=3, lease_ms=1_500)
         (recovery,) = change_recovery.measure_seed(start, [kill])
         assert recovery.case == kill
         assert recovery.acknowledged is not None
