--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -22,7 +22,7 @@
 from benchmarks.capacity import hollow_fleet, measuring
 from iriswheel.transport import message, wire
 
-LISTED, POOLS, ROUTES = 6, 1, 100
+WORKER_COUNT, POOL_COUNT, ROUTE_COUNT = 6, 1, 100
 SETTLE_S = 3
 COLUMNS = (
     "nodes",
@@ -69,7 +69,7 @@
     tail_loops: float
     core_loops: float
 
-    def line(self) -> str:
+    def table_row(self) -> str:
         """The row of a table, in the order of COLUMNS."""
         loops = [f"{value:.1f} loops/s" for value in (self.node_loops, self.tail_loops, self.core_loops)]
         cells: list[object] = [
@@ -98,21 +98,21 @@
         self.bytes: collections.Counter[tuple[str, type[message.Message]]] = collections.Counter()
         self.listed = 0  # nodes in all reports from one core machine to another
 
-    def count(self, way: str, msg: message.Message, size: int) -> None:
+    def count(self, direction: str, msg: message.Message, size: int) -> None:
         """Count one message."""
-        self.messages[way, type(msg)] += 1
-        self.bytes[way, type(msg)] += size
-        if way == "core to core" and isinstance(msg, message.NodeSessionsReport):
+        self.messages[direction, type(msg)] += 1
+        self.bytes[direction, type(msg)] += size
+        if direction == "core to core" and isinstance(msg, message.NodeSessionsReport):
             self.listed += len(msg.members)
 
-    def total(self, way: str, *types: type[message.Message]) -> tuple[int, int]:
+    def total(self, direction: str, *types: type[message.Message]) -> tuple[int, int]:
         """How many messages, and how many bytes, went one way: of some types, or of all."""
-        keys = [key for key in self.messages if key[0] == way and (not types or key[1] in types)]
+        keys = [key for key in self.messages if key[0] == direction and (not types or key[1] in types)]
         return sum(self.messages[key] for key in keys), sum(self.bytes[key] for key in keys)
 
 
 @contextlib.contextmanager
-def counting(cluster: hollow_fleet.Fleet) -> collections.abc.Iterator[Traffic]:
+def count_traffic(cluster: hollow_fleet.Fleet) -> collections.abc.Iterator[Traffic]:
     """Count what the processes of a cluster send each other."""
     traffic = Traffic()
     cores = {core.runtime for core in cluster.cores.values()}
@@ -120,16 +120,16 @@
 
     def counted(connection: wire.Connection, kind: int, sequence: int, content: message.Message) -> None:
         if connection.node_session is not None:
-            way = "core to node"
+            direction = "core to node"
         elif connection.runtime in cores:
-            way = "core to core"
+            direction = "core to core"
         elif _with_core(connection, cluster):
-            way = "node to core"
+            direction = "node to core"
         else:
-            way = "node to node"
+            direction = "node to node"
         # As in Connection._send, the type of the content matters only where an envelope is decoded.
         raw = wire.encoder.encode(wire.Envelope(kind, sequence, content))  # type: ignore[arg-type]
-        traffic.count(way, content, len(raw) + wire.LENGTH_BYTES)
+        traffic.count(direction, content, len(raw) + wire.LENGTH_BYTES)
         send(connection, kind, sequence, content)
 
     with unittest.mock.patch.object(wire.Connection, "_send", counted):
@@ -143,7 +143,7 @@
 
 def idle_cluster(nodes: int, cores: int, seed: int) -> hollow_fleet.Fleet:
     """A settled cluster without load, whose chain holds all core machines."""
-    cluster = hollow_fleet.Fleet(seed, nodes, LISTED, POOLS, ROUTES, walking=False, election="node")
+    cluster = hollow_fleet.Fleet(seed, nodes, WORKER_COUNT, POOL_COUNT, ROUTE_COUNT, walking=False, election="node")
     cluster.core_count = cores
     cluster.extra_options = {"seats": cores}
     cluster.begin()
@@ -157,9 +157,9 @@
 def measure(nodes: int, cores: int, seconds: int, seed: int) -> Cost:
     """Measure one cluster."""
     cluster = idle_cluster(nodes, cores, seed)
-    with counting(cluster) as traffic:
+    with count_traffic(cluster) as traffic:
         cluster.advance(seconds)
-    spent = {name: used["loops"] for name, used in cluster.metered(seconds).items()}
+    used_by_process = {name: used["loops"] for name, used in cluster.metered(seconds).items()}
     tail = cluster.tail()
     assert tail is not None
 
@@ -173,12 +173,12 @@
         cores,
         into_node=rate(traffic.total("core to node"), nodes),
         out_of_node=rate(traffic.total("node to core"), nodes),
-        node_loops=statistics.median(spent[name] for name in cluster.nodes),
+        node_loops=statistics.median(used_by_process[name] for name in cluster.nodes),
         reports=rate(reports, cores - 1),
         listed_bytes=reports[1] / max(1, traffic.listed),
         tail_heartbeats=rate(traffic.total("core to core", message.TailHeartbeat), cores - 1),
-        tail_loops=spent[tail.options.name],
-        core_loops=statistics.median(spent[name] for name in cluster.cores if name != tail.options.name),
+        tail_loops=used_by_process[tail.options.name],
+        core_loops=statistics.median(used_by_process[name] for name in cluster.cores if name != tail.options.name),
     )
 
 
@@ -197,7 +197,7 @@
     print("|---" * len(COLUMNS) + "|")
     for nodes in sizes:
         for count in cores:
-            print(measure(nodes, count, seconds, seed).line(), flush=True)
+            print(measure(nodes, count, seconds, seed).table_row(), flush=True)
 
 
 if __name__ == "__main__":
