--- a/benchmarks/simulated_costs.py
+++ b/benchmarks/simulated_costs.py
@@ -21,7 +21,7 @@
 
 CHANGE_LIMIT_S = 20
 FAR_ZONE = "d"
-QUIET_S = 10  # how long a cluster without load is measured
+IDLE_MEASUREMENT_S = 10  # how long a cluster without load is measured
 CHANGE_COUNT = 5
 MINUTE_US = 60 * units.SECOND_US
 CHANGE_PAUSE_US = 3 * units.SECOND_US
@@ -30,16 +30,16 @@
 DAY_FAULTS = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_owner")  # one every three minutes
 
 
-def _order_change(cluster: simulated_cluster.SimulatedCluster, number: int) -> defer.Deferred[int | None]:
+def _spawn_change(cluster: simulated_cluster.SimulatedCluster, number: int) -> defer.Deferred[int | None]:
     """Have the configuration changed, under the number of its probe route."""
     changing = cluster.operator.change(cluster.with_probe(number))
     return cluster.operator_runtime.spawn(changing, simulated_cluster.log)
 
 
-def _change(cluster: simulated_cluster.SimulatedCluster, number: int, limit_s: float) -> int:
+def _time_change(cluster: simulated_cluster.SimulatedCluster, number: int, limit_s: float) -> int:
     """Have the configuration changed; how long that took, in µs."""
     started_at = cluster.world.time
-    cluster.advance_until_called(_order_change(cluster, number), limit_s)
+    cluster.advance_until_called(_spawn_change(cluster, number), limit_s)
     return cluster.world.time - started_at
 
 
@@ -61,13 +61,18 @@
         cluster.begin()
         cluster.advance(2)
         before = _published_bytes(cluster)
-        cluster.advance(QUIET_S)
-        quiet = {name: (sent - before[name]) / QUIET_S for name, sent in _published_bytes(cluster).items()}
-        for what, change in (("a route of all halls", _change_near), ("a route of hall d", _change_far)):
-            cost = _bytes_a_change(cluster, change, changes, quiet)
+        cluster.advance(IDLE_MEASUREMENT_S)
+        idle_rates = {
+            name: (sent - before[name]) / IDLE_MEASUREMENT_S for name, sent in _published_bytes(cluster).items()
+        }
+        for what, change in (
+            ("a route of all halls", _change_route_of_all_zones),
+            ("a route of hall d", _change_route_of_far_zone),
+        ):
+            cost = _bytes_a_change(cluster, change, changes, idle_rates)
             print(
                 f"{count} routes of hall d, a change to {what}: n1 (hall a) {cost['n1']:.0f} bytes, "
-                f"n6 (hall d) {cost['n6']:.0f} bytes; quiet: {quiet['n1']:.0f} bytes/s",
+                f"n6 (hall d) {cost['n6']:.0f} bytes; quiet: {idle_rates['n1']:.0f} bytes/s",
                 flush=True,
             )
 
@@ -85,22 +90,22 @@
     }
 
 
-def _change_near(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:  # noqa: ARG001 - as _change_far
+def _change_route_of_all_zones(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:  # noqa: ARG001 - as _change_far
     """Change a route that all nodes have."""
-    _change(cluster, cluster.newest_probe + 1, CHANGE_LIMIT_S)
+    _time_change(cluster, cluster.newest_probe + 1, CHANGE_LIMIT_S)
 
 
-def _change_far(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:
+def _change_route_of_far_zone(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:
     """Change a route that only the nodes of one zone have."""
     cluster.configuration["routes"]["farther"] = _far_route(cluster, f"/farther/{cluster.newest_probe}/{number}")
-    _change(cluster, cluster.newest_probe, CHANGE_LIMIT_S)
+    _time_change(cluster, cluster.newest_probe, CHANGE_LIMIT_S)
 
 
 def _bytes_a_change(
     cluster: simulated_cluster.SimulatedCluster,
     change: collections.abc.Callable[[simulated_cluster.SimulatedCluster, int], None],
     count: int,
-    quiet: dict[str, float],
+    idle_rates: dict[str, float],
 ) -> dict[str, float]:
     """What one change costs beyond the quiet, by node."""
     before, started_at = _published_bytes(cluster), cluster.world.time
@@ -108,7 +113,7 @@
         change(cluster, number)
     took = (cluster.world.time - started_at) / units.SECOND_US
     after = _published_bytes(cluster)
-    return {name: (after[name] - sent - quiet[name] * took) / count for name, sent in before.items()}
+    return {name: (after[name] - sent - idle_rates[name] * took) / count for name, sent in before.items()}
 
 
 # ---- recovery ----------------------------------------------------------------------------
@@ -170,25 +175,25 @@
     loguru.logger.remove()
     for node_count in nodes:
         for route_count in routes:
-            cluster = _quiet_cluster(seed, node_count, route_count)
+            cluster = _idle_cluster(seed, node_count, route_count)
             before = _sent_bytes(cluster)
-            cluster.advance(QUIET_S)
-            quiet = (_sent_bytes(cluster) - before) / QUIET_S
-            times = sorted(_change(cluster, cluster.newest_probe + 1, 30) / 1000 for _ in range(CHANGE_COUNT))
+            cluster.advance(IDLE_MEASUREMENT_S)
+            idle_rate = (_sent_bytes(cluster) - before) / IDLE_MEASUREMENT_S
+            times = sorted(_time_change(cluster, cluster.newest_probe + 1, 30) / 1000 for _ in range(CHANGE_COUNT))
             tail = cluster.tail()
             assert tail is not None
             tail.process.kill()
-            without_tail_us = _change(cluster, cluster.newest_probe + 1, 40)
+            without_tail_us = _time_change(cluster, cluster.newest_probe + 1, 40)
             print(
                 f"{node_count} nodes, {route_count} routes: plan and confirm {times[CHANGE_COUNT // 2]:.0f} ms "
                 f"(median of {CHANGE_COUNT}, worst {times[-1]:.0f}); the "
-                f" cores send {quiet / 1000:.1f} kB/s when quiet; roster {_membership_bytes(cluster)} bytes; "
+                f" cores send {idle_rate / 1000:.1f} kB/s when quiet; roster {_membership_bytes(cluster)} bytes; "
                 f"tail lost: next change after {without_tail_us / 1e6:.1f} s",
                 flush=True,
             )
 
 
-def _quiet_cluster(seed: int, nodes: int, routes: int) -> simulated_cluster.SimulatedCluster:
+def _idle_cluster(seed: int, nodes: int, routes: int) -> simulated_cluster.SimulatedCluster:
     zones = [f"h{k % 8}" for k in range(nodes)]
     cluster = simulated_cluster.SimulatedCluster(
         seed, "magnolia", long_rate=0, short_rate=0, conversations=0, zones=zones
@@ -214,8 +219,8 @@
 
 
 def _membership_bytes(cluster: simulated_cluster.SimulatedCluster) -> int:
-    known = [each.membership.latest for each in cluster.cores.values()]
-    newest = max((each for each in known if each is not None), key=lambda membership: membership.version)
+    memberships = [each.membership.latest for each in cluster.cores.values()]
+    newest = max((each for each in memberships if each is not None), key=lambda membership: membership.version)
     return len(wire.encoder.encode(newest))
 
 
@@ -233,26 +238,28 @@
     cluster = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0.2, short_rate=2, conversations=4)
     cluster.begin()
     cluster.load.duration_us = minutes * MINUTE_US
-    cluster.operator_runtime.spawn(_change_over_and_over(cluster), simulated_cluster.log)
+    cluster.operator_runtime.spawn(_change_repeatedly(cluster), simulated_cluster.log)
     for minute in range(minutes):
         end = cluster.world.time + MINUTE_US
         if minute % 3 == 1:
-            _strike(cluster, DAY_FAULTS[(minute // 3) % len(DAY_FAULTS)])
+            _inject_fault(cluster, DAY_FAULTS[(minute // 3) % len(DAY_FAULTS)])
         cluster.advance((end - cluster.world.time) / units.SECOND_US)
         cluster.event_log.rows.clear()
         if (minute + 1) % REPORT_MINUTES == 0:
-            held = {**_largest_at_nodes(cluster), **_largest_at_cores(cluster)}
-            held["connections"] = len(cluster.world.connections)
-            print(f"{minute + 1} min: " + ", ".join(f"{name} {size}" for name, size in held.items()), flush=True)
+            sizes_by_name = {**_largest_at_nodes(cluster), **_largest_at_cores(cluster)}
+            sizes_by_name["connections"] = len(cluster.world.connections)
+            print(
+                f"{minute + 1} min: " + ", ".join(f"{name} {size}" for name, size in sizes_by_name.items()), flush=True
+            )
 
 
-async def _change_over_and_over(cluster: simulated_cluster.SimulatedCluster) -> None:
+async def _change_repeatedly(cluster: simulated_cluster.SimulatedCluster) -> None:
     while True:
         await cluster.operator.change(cluster.with_probe(cluster.newest_probe + 1))
         await cluster.operator_runtime.sleep(CHANGE_PAUSE_US)
 
 
-def _strike(cluster: simulated_cluster.SimulatedCluster, fault: str) -> None:
+def _inject_fault(cluster: simulated_cluster.SimulatedCluster, fault: str) -> None:
     """Let one process fail for a few seconds."""
     match fault:
         case "freeze":
