--- a/benchmarks/counter_repair.py
+++ b/benchmarks/counter_repair.py
@@ -52,14 +52,14 @@
 ) -> list[TimedAdd]:
     """Adds at some machines, one after the other; each period is an incarnation of its own."""
     counts: collections.Counter[str] = collections.Counter()
-    made = []
+    adds = []
     for second in seconds:
         for number in range(rate):
             origin = f"{names[(second * rate + number) % len(names)]:0>16}-{seconds.start:012x}"
             counts[origin] += 1
             add = message.CounterAdd(counts[origin], f"t{number % 2}", f"{generator.getrandbits(64):016x}", number % 9)
-            made.append(TimedAdd(counter_state.AddId(origin, add.sequence), add, second))
-    return made
+            adds.append(TimedAdd(counter_state.AddId(origin, add.sequence), add, second))
+    return adds
 
 
 # ---- the product's way, played --------------------------------------------------------------
@@ -101,7 +101,7 @@
         peers.call = counting  # type: ignore[method-assign]
 
 
-def put(core: server_model.SimulatedCore, each: TimedAdd) -> None:
+def store_add(core: server_model.SimulatedCore, each: TimedAdd) -> None:
     """Let a machine hold an add, synced."""
     counters = core.replicated_counters
     counters.state.insert(each.add_id.origin, each.add)
@@ -109,7 +109,7 @@
     core.process.host.synced[add_log.storage_key(each.add_id)] = add_log.encode_add(each.add)
 
 
-def play(shared: list[TimedAdd], sides: list[list[TimedAdd]], *, live: bool) -> Repair:
+def simulate_repair(shared: list[TimedAdd], sides: list[list[TimedAdd]], *, live: bool) -> Repair:
     """Let the machines hold the adds, cut in two, and heal the cut.
 
     Args:
@@ -125,10 +125,10 @@
     for names, own in zip(SIDES, sides, strict=True):
         for name in names:
             for each in shared:
-                put(cluster.cores[name], each)
+                store_add(cluster.cores[name], each)
             for each in own:
                 origin = origins[each.add_id.origin.partition("-")[0]] if live else each.add_id.origin
-                put(cluster.cores[name], each._replace(add_id=each.add_id._replace(origin=origin)))
+                store_add(cluster.cores[name], each._replace(add_id=each.add_id._replace(origin=origin)))
             cluster.cores[name].replicated_counters.start()
     cluster.advance(3)
     traffic = TrafficCount()
@@ -182,26 +182,26 @@
     return children
 
 
-def merkle_cost(one: list[int], other: list[int]) -> TreeCost:
+def merkle_cost(first: list[int], second: list[int]) -> TreeCost:
     """Compare two Merkle trees over digests, from the root down, level by level."""
     total, rounds = HASH_BYTES, 1
     bits, fan_bits = HASH_BYTES * 8, int(math.log2(FANOUT))
-    level = [(set(one), set(other))]
+    level = [(set(first), set(second))]
     depth = 0
     while level:
         depth += 1
         rounds += 1
         below = []
-        for mine, theirs in level:
-            if max(len(mine), len(theirs)) <= LEAF_ADDS:
-                total += HASH_BYTES * len(mine)
+        for first_digests, second_digests in level:
+            if max(len(first_digests), len(second_digests)) <= LEAF_ADDS:
+                total += HASH_BYTES * len(first_digests)
                 continue
             total += HASH_BYTES * FANOUT
             children: tuple[list[set[int]], list[set[int]]] = (
                 [set() for _ in range(FANOUT)],
                 [set() for _ in range(FANOUT)],
             )
-            for side, digests in zip(children, (mine, theirs), strict=True):
+            for side, digests in zip(children, (first_digests, second_digests), strict=True):
                 for digest in digests:
                     side[digest >> (bits - fan_bits * depth) & (FANOUT - 1)].add(digest)
             below += [pair for pair in zip(*children, strict=True) if pair[0] != pair[1]]
@@ -209,51 +209,53 @@
     return TreeCost(total, rounds)
 
 
-def time_bucket_bytes(one: list[TimedAdd], other: list[TimedAdd]) -> int:
+def time_bucket_bytes(first: list[TimedAdd], second: list[TimedAdd]) -> int:
     """Digests of all buckets of time, and the ids in those that differ."""
     buckets: collections.defaultdict[int, tuple[set[int], set[int]]] = collections.defaultdict(lambda: (set(), set()))
-    for place, adds in enumerate((one, other)):
+    for index, adds in enumerate((first, second)):
         for each in adds:
-            buckets[each.second // BUCKET_S][place].add(digest_of(each.add_id))
-    differing = sum(len(mine) for mine, theirs in buckets.values() if mine != theirs)
+            buckets[each.second // BUCKET_S][index].add(digest_of(each.add_id))
+    differing = sum(
+        len(first_digests) for first_digests, second_digests in buckets.values() if first_digests != second_digests
+    )
     return HASH_BYTES * (len(buckets) + differing)
 
 
-def sketch_places(item: int, count: int) -> collections.abc.Iterator[int]:
+def symbol_indexes(item: int, count: int) -> collections.abc.Iterator[int]:
     """The coded symbols that an item of a rateless sketch is part of: the i-th one with probability 1 / (1 + i / 2)."""
     generator = random.Random(item)
-    place = 0
-    while place < count:
-        yield place
+    index = 0
+    while index < count:
+        yield index
         drawn = generator.random()
-        place += max(1, math.ceil((place + 1.5) * (1 / math.sqrt(1 - drawn) - 1)))
+        index += max(1, math.ceil((index + 1.5) * (1 / math.sqrt(1 - drawn) - 1)))
 
 
-def decodes(items: list[int], count: int) -> bool:
+def can_decode(items: list[int], count: int) -> bool:
     """Whether a sketch of so many symbols gives all items of a difference back, by peeling."""
     members: list[set[int]] = [set() for _ in range(count)]
     for item in items:
-        for place in sketch_places(item, count):
-            members[place].add(item)
-    pure = [place for place in range(count) if len(members[place]) == 1]
+        for index in symbol_indexes(item, count):
+            members[index].add(item)
+    decodable = [index for index in range(count) if len(members[index]) == 1]
     found = 0
-    while pure:
-        place = pure.pop()
-        if len(members[place]) != 1:
+    while decodable:
+        index = decodable.pop()
+        if len(members[index]) != 1:
             continue
-        (item,) = members[place]
+        (item,) = members[index]
         found += 1
-        for other in sketch_places(item, count):
-            members[other].discard(item)
-            if len(members[other]) == 1:
-                pure.append(other)
+        for other_index in symbol_indexes(item, count):
+            members[other_index].discard(item)
+            if len(members[other_index]) == 1:
+                decodable.append(other_index)
     return found == len(items)
 
 
 def sketch_bytes(difference: list[int]) -> int:
     """The least rateless sketch, in steps of a twentieth of the difference, that decodes."""
     count = len(difference)
-    while not decodes(difference, count):
+    while not can_decode(difference, count):
         count += max(1, len(difference) // 20)
     return count * SYMBOL_BYTES
 
@@ -268,18 +270,18 @@
     shared = make_adds(sorted(counter_cluster.MACHINES), range(SHARED_S), RATE, generator)
     seconds = range(SHARED_S, SHARED_S + cut_s)
     sides = [make_adds(names, seconds, RATE // 2, generator) for names in SIDES]
-    one, other = shared + sides[0], shared + sides[1]
-    tree = merkle_cost(*([digest_of(each.add_id) for each in adds] for adds in (one, other)))
+    first, second = shared + sides[0], shared + sides[1]
+    tree = merkle_cost(*([digest_of(each.add_id) for each in adds] for adds in (first, second)))
     print(f"cut of {cut_s} s")
-    print(f"  accepted by live processes: {play(shared, sides, live=True)}")
-    print(f"  accepted by earlier ones: {play(shared, sides, live=False)}")
+    print(f"  accepted by live processes: {simulate_repair(shared, sides, live=True)}")
+    print(f"  accepted by earlier ones: {simulate_repair(shared, sides, live=False)}")
     print("  bytes of one pair to find the difference:")
-    print(f"  intervals by origin: {interval_bytes(one)}")
+    print(f"  intervals by origin: {interval_bytes(first)}")
     print(f"  Merkle tree: {tree.bytes} in {tree.rounds} rounds")
-    print(f"  digests by time: {time_bucket_bytes(one, other)}")
+    print(f"  digests by time: {time_bucket_bytes(first, second)}")
     if len(sides[0]) <= SKETCH_LIMIT:
         print(f"  rateless sketch: {sketch_bytes(differing(sides))}")
-    print(f"  whole state: {whole_state_bytes(one)}", flush=True)
+    print(f"  whole state: {whole_state_bytes(first)}", flush=True)
 
 
 def main() -> None:
