--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -75,14 +75,14 @@
         )
         cluster.begin()
         if rate:
-            cluster.load_up(rate, lasts)
+            cluster.start_hollow_load(rate, lasts)
         cluster.advance(3)
-        rows = cluster.by_role(cluster.metered(seconds))
+        rows = cluster.by_role(cluster.meter_for(seconds))
         hollow_fleet.print_rows(f"{shape.nodes} nodes, {shape.workers} workers, {shape.pools} pools", rows)
         for role, figures in rows.items():
             for what, value in figures.items():
                 lines.put(f"{role}: {what}", shape.by, hollow_fleet.UNITS[what], shape.size, value)
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _shapes(nodes: measuring.Sizes, workers: measuring.Sizes, pools: measuring.Sizes) -> list[Shape]:
@@ -122,7 +122,7 @@
         for count in events:
             cluster = _serving_fleet(seed, listed, election, rates[0], count)
             _measure_streams(cluster, lines, "events through nodes", "events/s", size=rates[0] * count, seconds=seconds)
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _serving_fleet(seed: int, workers: int, election: str, rate: int, events: int) -> hollow_fleet.Fleet:
@@ -141,7 +141,7 @@
     cluster: hollow_fleet.Fleet, lines: measuring.Measurements, line: str, by: str, *, size: int, seconds: float
 ) -> None:
     before = _requests_seen(cluster)
-    figures = cluster.metered(seconds)
+    figures = cluster.meter_for(seconds)
     seen = (_requests_seen(cluster) - before) / seconds
     lines.put(line, by, "loops", size, sum(figures[name]["loops"] for name in cluster.nodes))
     lines.put("requests seen", by, "/s", size, seen)
@@ -210,7 +210,9 @@
     changes = []
     for _ in range(int(rate * (lasts + seconds))):
         at, worker = rng.random() * (lasts + seconds) - lasts, rng.randrange(workers)
-        tokens = samples.LONG if rng.random() < samples.LONG_SHARE else hollow_fleet.SHORT_PROMPT_TOKENS
+        tokens = (
+            samples.LONG_PROMPT_TOKENS if rng.random() < samples.LONG_PROMPT_SHARE else hollow_fleet.SHORT_PROMPT_TOKENS
+        )
         changes += [
             LoadChange(at, worker, 1, tokens),
             LoadChange(at + READ_SECONDS, worker, 0, -tokens),
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -13,7 +13,7 @@
 from iriswheel.transport import http_server
 from simulation import process_model, processor_meter, simulated_cluster
 
-FIRST_EVENT_US = 100 * units.MILLISECOND_US  # from a hollow send to its first event
+FIRST_EVENT_DELAY_US = 100 * units.MILLISECOND_US  # from a hollow send to its first event
 
 WORKER_HOST = "10.0.3.1"
 FIRST_WORKER_PORT = 9001
@@ -93,36 +93,39 @@
 
     def start_node(self, name: str, host: str, zone: str) -> None:
         """Start a node, without its probes of workers unless the fleet has them."""
-        was = health.QUIET_PROBE_INTERVAL_US
+        original_interval_us = health.QUIET_PROBE_INTERVAL_US
         if not self.walking:  # with many nodes and workers the knocks drown the rest
             health.QUIET_PROBE_INTERVAL_US = samples.NEVER_US
         try:
             super().start_node(name, host, zone)
         finally:
-            health.QUIET_PROBE_INTERVAL_US = was
+            health.QUIET_PROBE_INTERVAL_US = original_interval_us
 
-    def load_up(self, rate: float, lasts: float) -> None:
+    def start_hollow_load(self, rate: float, lasts: float) -> None:
         """Let every node have so many sends a second under way, each for so many seconds; none of them is sent."""
         for loaded in self.nodes.values():
             for _ in range(int(rate * lasts)):
-                loaded.runtime.spawn(self.stream(loaded, lasts * loaded.runtime.rng.random()), simulated_cluster.log)
-            loaded.runtime.spawn(self.arrivals(loaded, rate, lasts), simulated_cluster.log)
+                loaded.runtime.spawn(
+                    self.run_hollow_request(loaded, lasts * loaded.runtime.rng.random()), simulated_cluster.log
+                )
+            loaded.runtime.spawn(self.run_hollow_arrivals(loaded, rate, lasts), simulated_cluster.log)
 
-    async def arrivals(self, loaded: node.Node, rate: float, lasts: float) -> None:
+    async def run_hollow_arrivals(self, loaded: node.Node, rate: float, lasts: float) -> None:
         """One node's hollow sends."""
         while True:
             await loaded.runtime.sleep(int(loaded.runtime.rng.expovariate(rate) * units.SECOND_US))
-            loaded.runtime.spawn(self.stream(loaded, lasts), simulated_cluster.log)
+            loaded.runtime.spawn(self.run_hollow_request(loaded, lasts), simulated_cluster.log)
 
-    async def stream(self, loaded: node.Node, lasts: float) -> None:
+    async def run_hollow_request(self, loaded: node.Node, lasts: float) -> None:
         """One hollow send: counted where a real one would be."""
         pool = f"model-{loaded.runtime.rng.randrange(self.pools)}"
         place, names = loaded.gateway.forwarder.placement_of(pool), loaded.gateway.forwarder.ready_workers(pool)
         name = names[loaded.runtime.rng.randrange(len(names))]
-        is_long = loaded.runtime.rng.random() < samples.LONG_SHARE
-        tokens = place.begin_attempt(name, [], [], samples.LONG if is_long else SHORT_PROMPT_TOKENS)
-        await loaded.runtime.sleep(FIRST_EVENT_US)
-        place.record_first_event(name, tokens, FIRST_EVENT_US, FIRST_EVENT_US)  # as expected, so that estimates stay
+        is_long = loaded.runtime.rng.random() < samples.LONG_PROMPT_SHARE
+        tokens = place.begin_attempt(name, [], [], samples.LONG_PROMPT_TOKENS if is_long else SHORT_PROMPT_TOKENS)
+        await loaded.runtime.sleep(FIRST_EVENT_DELAY_US)
+        # The expected time equals the actual one, so that the estimates stay.
+        place.record_first_event(name, tokens, FIRST_EVENT_DELAY_US, FIRST_EVENT_DELAY_US)
         await loaded.runtime.sleep(int(lasts * units.SECOND_US))
         place.end_attempt(name, 0)
 
@@ -144,12 +147,12 @@
         roles[names[by_key["list"].holder]] = "lister"
         return roles
 
-    def metered(self, seconds: float) -> dict[str, Figures]:
+    def meter_for(self, seconds: float) -> dict[str, Figures]:
         """Let time pass with the meter on; what each process took, sent, got and spent a second."""
         self.meter = processor_meter.Meter()
         gc.collect()
         gc.disable()
-        one = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
+        loop_ns = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
         self.world.meter = self.meter
         self.advance(seconds)
         self.world.meter = None
@@ -157,8 +160,8 @@
         figures: dict[str, Figures] = {
             name: {
                 **dict.fromkeys(UNITS, 0.0),
-                "loops": self.meter.spent[name] / one / seconds,
-                "step": self.meter.longest[name] / one,
+                "loops": self.meter.spent[name] / loop_ns / seconds,
+                "step": self.meter.longest[name] / loop_ns,
             }
             for name in {*self.cores, *self.nodes}
         }
@@ -175,7 +178,7 @@
                 elif name in figures:
                     figures[name]["outer"] += writes / seconds
 
-    def between(self, seconds: float) -> dict[str, float]:
+    def bytes_between(self, seconds: float) -> dict[str, float]:
         """Bytes that the meter counted between cores and nodes, a second."""
         kind = {**dict.fromkeys(self.cores, "core"), **dict.fromkeys(self.nodes, "node")}
         rates = {f"{sender} {receiver}": 0.0 for sender in ("core", "node") for receiver in ("core", "node")}
@@ -184,12 +187,12 @@
                 rates[f"{kind[sender]} {kind[receiver]}"] += size / seconds
         return rates
 
-    def by_role(self, got: dict[str, Figures]) -> dict[str, Figures]:
+    def by_role(self, figures_by_process: dict[str, Figures]) -> dict[str, Figures]:
         """The middle of what the processes of each role took."""
         groups: dict[str, list[Figures]] = {}
         for name, role in self.roles().items():
-            if name in got:
-                groups.setdefault(role, []).append(got[name])
+            if name in figures_by_process:
+                groups.setdefault(role, []).append(figures_by_process[name])
         return {
             role: {what: statistics.median(r[what] for r in rows) for what in rows[0]}
             for role, rows in sorted(groups.items())
--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -189,7 +189,7 @@
                 _keep(lines, what, size, cost)
             print(_row(what, size, costs), flush=True)
     print()
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _keep(lines: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
@@ -219,14 +219,14 @@
     cluster.begin()
     cluster.advance(SETTLE_S)
     membership_bytes = _membership_bytes(cluster)
-    quiet, quiet_between = cluster.metered(QUIET_S), cluster.between(QUIET_S)
-    one = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
+    quiet, quiet_between = cluster.meter_for(QUIET_S), cluster.bytes_between(QUIET_S)
+    loop_ns = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
     took = _play(cluster, EVENTS[what])
     live = [name for name in quiet if cluster.world.processes[name].alive]
     nodes = [name for name in live if name in cluster.nodes]
     into = _bytes_into(cluster, set(quiet))
-    loops = {name: cluster.meter.spent[name] / one - quiet[name]["loops"] * took for name in live}
-    between = cluster.between(1)
+    loops = {name: cluster.meter.spent[name] / loop_ns - quiet[name]["loops"] * took for name in live}
+    between = cluster.bytes_between(1)
     beyond = {way: between[way] - quiet_between[way] * took for way in between}
     return Cost(
         membership_bytes,
@@ -237,7 +237,7 @@
         into_node=statistics.median(into.get(name, 0) - quiet[name]["in_bytes"] * took for name in nodes),
         busiest_core=max(loops[name] for name in live if name in cluster.cores),
         node=statistics.median(loops[name] for name in nodes),
-        longest_step=max(cluster.meter.longest[name] for name in nodes) / one,
+        longest_step=max(cluster.meter.longest[name] for name in nodes) / loop_ns,
     )
 
 
--- a/benchmarks/capacity/measuring.py
+++ b/benchmarks/capacity/measuring.py
@@ -14,7 +14,7 @@
 Sizes = collections.abc.Sequence[int]
 """The sizes at which something is measured, or the seeds."""
 
-LEAST_NS = 20_000_000  # a timing goes on for at least so long
+MIN_TIMING_NS = 20_000_000  # a timing goes on for at least so long
 
 
 def loop(rounds: int = 1000) -> int:
@@ -30,7 +30,7 @@
     return x
 
 
-def nanoseconds_per_call(call: collections.abc.Callable[[], object], least: int = LEAST_NS) -> float:
+def nanoseconds_per_call(call: collections.abc.Callable[[], object], min_ns: int = MIN_TIMING_NS) -> float:
     """Nanoseconds of this thread's time that a call takes, over as many calls as fill the least time.
 
     >>> nanoseconds_per_call(loop, 1000) > 0
@@ -38,7 +38,7 @@
     """
     call()
     calls, total = 0, 0
-    while total < least:
+    while total < min_ns:
         started_at = time.thread_time_ns()
         call()
         total += time.thread_time_ns() - started_at
@@ -46,7 +46,7 @@
     return total / calls
 
 
-def loops_per_call(call: collections.abc.Callable[[], object], least: int = LEAST_NS) -> float:
+def loops_per_call(call: collections.abc.Callable[[], object], min_ns: int = MIN_TIMING_NS) -> float:
     """Processor time of a call, in loops.
 
     >>> loops_per_call(loop, 1000) > 0
@@ -55,8 +55,8 @@
     gc.collect()
     gc.disable()
     try:
-        one = nanoseconds_per_call(loop, least)
-        return nanoseconds_per_call(call, least) / one
+        loop_ns = nanoseconds_per_call(loop, min_ns)
+        return nanoseconds_per_call(call, min_ns) / loop_ns
     finally:
         gc.enable()
 
@@ -169,11 +169,11 @@
     return f"{value:.3g}"
 
 
-def print_and_keep(lines: Measurements, out: str) -> None:
+def print_and_save(lines: Measurements, out: str) -> None:
     """Print the table; with a file's name, write the values there too."""
     print(lines.table(), flush=True)
-    one = statistics.median(nanoseconds_per_call(loop) for _ in range(5))
-    print(f"\nOne loop (1000 rounds) took {one / 1000:.1f} us here.")
+    loop_ns = statistics.median(nanoseconds_per_call(loop) for _ in range(5))
+    print(f"\nOne loop (1000 rounds) took {loop_ns / 1000:.1f} us here.")
     if out:
         rows = [[*key, unit, sizes] for key, (unit, sizes) in lines.rows.items()]
         pathlib.Path(out).write_text(json.dumps(rows, indent=1))
--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -40,7 +40,7 @@
             _measure_membership(lines.point("pools", pool_count), samples.memberships(8, 36, pool_count))
         for workers in listed:
             _measure_listing(lines.point("workers", workers), samples.workers(workers))
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _measure_membership(point: measuring.Point, membership: message.Membership) -> None:
@@ -154,7 +154,7 @@
                 _measure_manager(lines.point("members", members), manager, _report(members), pool_count)
         for members in sizes:
             _measure_report(lines.point("members", members), _report(members))
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _report(members: int) -> message.NodeSessionsReport:
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -39,7 +39,7 @@
     for _ in range(repeats):
         for size in sizes:
             _measure_routes(lines.point("routes", size))
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _measure_routes(point: measuring.Point) -> None:
@@ -149,7 +149,7 @@
             _measure_held(lines.point("sessions", size), "sessions held at a node", samples.session_table)
         for size in pools:
             _measure_sweep(lines.point("pools", size))
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _measure_held(point: measuring.Point, line: str, make: collections.abc.Callable[[int], object]) -> None:
@@ -310,7 +310,7 @@
                 await _measure_calls(lines, connection, size, calls)
 
     default_reactor.run(measure)
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 async def _measure_calls(lines: measuring.Measurements, connection: wire.Connection, records: int, calls: int) -> None:
@@ -318,11 +318,11 @@
     copy = message.ReplicateRecords(
         "model-0", (3, 17), "n", [sessions.to_message(record, 0) for record in table.records.values()], [], []
     )
-    one = measuring.nanoseconds_per_call(measuring.loop)
+    loop_ns = measuring.nanoseconds_per_call(measuring.loop)
     started_at = time.thread_time_ns()
     for _ in range(calls):
         await connection.call(copy, 5 * units.SECOND_US)
-    took = (time.thread_time_ns() - started_at) / calls / 2 / one
+    took = (time.thread_time_ns() - started_at) / calls / 2 / loop_ns
     codec = measuring.loops_per_call(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(1, 1, copy)))) / 2
     point = lines.point("bytes", len(wire.encoder.encode(wire.Envelope(1, 1, copy))))
     point.put_loops("a message sent and taken over a connection", took)
--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -31,7 +31,7 @@
     for _ in range(repeats):
         for size in sizes:
             _measure_records(lines.point("sessions", size))
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _measure_records(point: measuring.Point) -> None:
@@ -198,7 +198,7 @@
         for session_count in sizes:
             point = lines.point("sessions of the pool", session_count)
             point.put_loops("a worker chosen, 90 workers", _choice_loops(owner_with_sessions(90, session_count)))
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _choice_loops(owner: pool_owner.PoolOwner) -> float:
@@ -217,7 +217,7 @@
     for _ in range(repeats):
         for size in sizes:
             _measure_prefixes(lines.point("parts", size))
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(lines, out)
 
 
 def _measure_prefixes(point: measuring.Point) -> None:
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -17,7 +17,10 @@
 ZONES = 10
 POOLS = 29
 NEVER_US = 10**13
-LONG, LONG_SHARE = 3_720, 0.064  # prompt tokens of a long one, and how many are: as the users' present mix has it
+LONG_PROMPT_TOKENS, LONG_PROMPT_SHARE = (
+    3_720,
+    0.064,
+)  # prompt tokens of a long prompt, share of long prompts: the users' present mix
 
 Items = dict[str, dict[str, typing.Any]]  # a configuration's items by section and name
 
@@ -68,10 +71,10 @@
     return out
 
 
-def pool_keys(pools: int) -> list[str]:
+def assignment_keys(pools: int) -> list[str]:
     """The role assignments of a fleet with so many pools.
 
-    >>> pool_keys(1)
+    >>> assignment_keys(1)
     ['list', 'pool/model-0']
     """
     return ["list", *(f"pool/model-{k}" for k in range(pools))]
@@ -89,7 +92,7 @@
         (3, 17),
         made,
         workers(worker_count, max(1, pool_count)),
-        assignments(pool_keys(pool_count), made),
+        assignments(assignment_keys(pool_count), made),
         voters,
         (3, 1, 40),
     )
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -159,7 +159,7 @@
     cluster = idle_cluster(nodes, cores, seed)
     with count_traffic(cluster) as traffic:
         cluster.advance(seconds)
-    used_by_process = {name: used["loops"] for name, used in cluster.metered(seconds).items()}
+    used_by_process = {name: used["loops"] for name, used in cluster.meter_for(seconds).items()}
     tail = cluster.tail()
     assert tail is not None
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -104,9 +104,9 @@
         appended: dict[int, list[float]] = {}
         for listed in (9, 90):
             fleet = self.made(nodes=6, listed=listed)
-            quiet = fleet.by_role(fleet.metered(4))
+            quiet = fleet.by_role(fleet.meter_for(4))
             fleet.platform.put("w1", state="leaving")
-            more = fleet.by_role(fleet.metered(4))
+            more = fleet.by_role(fleet.meter_for(4))
             appended[listed] = [
                 4 * (more[r][way] - quiet[r][way]) for r, way in (("node", "in_bytes"), ("lister", "out_bytes"))
             ] + [quiet["node"]["in_bytes"]]
@@ -132,10 +132,10 @@
         fleet = hollow_fleet.Fleet(1, 4, 9, 2, 10, walking=False, election="node")
         fleet.begin()
         fleet.advance(2)
-        quiet = fleet.by_role(fleet.metered(2))
-        fleet.load_up(8.1, 2)
+        quiet = fleet.by_role(fleet.meter_for(2))
+        fleet.start_hollow_load(8.1, 2)
         fleet.advance(1)
-        busy = fleet.by_role(fleet.metered(2))
+        busy = fleet.by_role(fleet.meter_for(2))
         assert busy["node"]["out_bytes"] > quiet["node"]["out_bytes"] + 100, (quiet, busy)
         others = fleet.nodes["n1"].gateway.forwarder.placement_of("model-0").remote_loads
         assert others
@@ -145,7 +145,7 @@
         fleet = self.made(nodes=4, listed=9, election="node")
         node = fleet.nodes["n1"]
         estimates = node.gateway.forwarder.placement_of("model-0").workers
-        node.runtime.spawn(fleet.stream(node, 0.5), simulated_cluster.log)
+        node.runtime.spawn(fleet.run_hollow_request(node, 0.5), simulated_cluster.log)
 
         def counted() -> tuple[int, bool]:
             return sum(e.running for e in estimates.values()), any(e.unread_tokens for e in estimates.values())
