--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -10,8 +10,8 @@
 from benchmarks.capacity import hollow_fleet, measuring, samples
 from iriswheel.transport import message, wire
 
-READ_SECONDS = 0.1  # from an attempt's start until its prompt is read
-TOKENS_A_STEP = 1000  # a change of the tokens to read that counts as much as one running request
+PREFILL_S = 0.1  # from an attempt's start until its prompt is read
+TOKENS_PER_STEP = 1000  # a change of the tokens to read that counts as much as one running request
 PACKED_ROW_BYTES = 5
 
 QUIET_TABLE_HEAD = (
@@ -140,14 +140,14 @@
 def _measure_streams(
     cluster: hollow_fleet.Fleet, lines: measuring.Measurements, line: str, by: str, *, size: int, seconds: float
 ) -> None:
-    before = _requests_seen(cluster)
+    before = _count_requests(cluster)
     figures = cluster.meter_for(seconds)
-    seen = (_requests_seen(cluster) - before) / seconds
+    requests_per_s = (_count_requests(cluster) - before) / seconds
     lines.put(line, by, "loops", size, sum(figures[name]["loops"] for name in cluster.nodes))
-    lines.put("requests seen", by, "/s", size, seen)
+    lines.put("requests seen", by, "/s", size, requests_per_s)
 
 
-def _requests_seen(cluster: hollow_fleet.Fleet) -> int:
+def _count_requests(cluster: hollow_fleet.Fleet) -> int:
     return sum(node.gateway.counts.requests for node in cluster.nodes.values())
 
 
@@ -161,7 +161,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Told:
+class ReportTotals:
     """What one node was told in all: rows, and bytes as the rows travel today."""
 
     rows: int
@@ -196,11 +196,11 @@
     print(REPORTS_TABLE_HEAD)
     for span in spans:
         for step in steps:
-            told = _play_reports(changes, names, seconds, span, step)
+            totals = _replay_reports(changes, names, seconds, span, step)
             print(
-                f"| {span:g} s | {step} | {measuring.three_digits(told.rows / seconds)} "
-                f"| {measuring.three_digits(told.size / seconds)} "
-                f"| {measuring.three_digits(PACKED_ROW_BYTES * told.rows / seconds)} |",
+                f"| {span:g} s | {step} | {measuring.three_digits(totals.rows / seconds)} "
+                f"| {measuring.three_digits(totals.size / seconds)} "
+                f"| {measuring.three_digits(PACKED_ROW_BYTES * totals.rows / seconds)} |",
                 flush=True,
             )
 
@@ -215,34 +215,34 @@
         )
         changes += [
             LoadChange(at, worker, 1, tokens),
-            LoadChange(at + READ_SECONDS, worker, 0, -tokens),
+            LoadChange(at + PREFILL_S, worker, 0, -tokens),
             LoadChange(at + lasts, worker, -1, 0),
         ]
     return sorted(changes)
 
 
-def _play_reports(changes: list[LoadChange], names: list[str], seconds: int, span: float, step: int) -> Told:
+def _replay_reports(changes: list[LoadChange], names: list[str], seconds: int, span: float, step: int) -> ReportTotals:
     """Let changes happen, and one node be told of them every `span` seconds; the first report is not counted."""
-    now, reported = [(0, 0)] * len(names), [(0, 0)] * len(names)
-    rows = size = done = 0
+    current, reported = [(0, 0)] * len(names), [(0, 0)] * len(names)
+    rows = size = applied_count = 0
     for report in range(int(seconds / span)):
-        while done < len(changes) and changes[done].at < report * span:
-            change = changes[done]
-            running, tokens = now[change.worker]
-            now[change.worker] = (running + change.running, tokens + change.tokens)
-            done += 1
-        changed = [k for k in range(len(names)) if _is_reported(now[k], reported[k], step)]
+        while applied_count < len(changes) and changes[applied_count].at < report * span:
+            change = changes[applied_count]
+            running, tokens = current[change.worker]
+            current[change.worker] = (running + change.running, tokens + change.tokens)
+            applied_count += 1
+        changed = [k for k in range(len(names)) if _is_reported(current[k], reported[k], step)]
         for k in changed:
-            reported[k] = now[k]
+            reported[k] = current[k]
         if report:
             rows += len(changed)
-            size += _report_bytes([(names[k], *now[k], 0) for k in changed])
-    return Told(rows, size)
+            size += _report_bytes([(names[k], *current[k], 0) for k in changed])
+    return ReportTotals(rows, size)
 
 
-def _is_reported(now: tuple[int, int], reported: tuple[int, int], step: int) -> bool:
+def _is_reported(current: tuple[int, int], reported: tuple[int, int], step: int) -> bool:
     """Whether a load, of running requests and tokens to read, differs enough from the one last reported."""
-    return abs(now[0] - reported[0]) >= step or abs(now[1] - reported[1]) >= TOKENS_A_STEP * step
+    return abs(current[0] - reported[0]) >= step or abs(current[1] - reported[1]) >= TOKENS_PER_STEP * step
 
 
 def _report_bytes(rows: list[tuple[str, int, int, int]]) -> int:
--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -17,7 +17,7 @@
     from simulation import server_model
 
 SETTLE_S = 4
-QUIET_S = 4  # how long the quiet fleet is metered
+IDLE_MEASUREMENT_S = 4  # how long the quiet fleet is metered
 LIMIT_S = 30  # until when all must know
 LONG_LIMIT_S = 60
 CUT_S = 10
@@ -87,11 +87,11 @@
 
 def _zone(cluster: hollow_fleet.Fleet) -> None:
     """The nodes of a zone lose power."""
-    lost = [node for node in cluster.nodes.values() if node.member.zone == LOST_ZONE]
-    gone = {node.member.id for node in lost}
-    for node in lost:
+    lost_nodes = [node for node in cluster.nodes.values() if node.member.zone == LOST_ZONE]
+    lost_ids = {node.member.id for node in lost_nodes}
+    for node in lost_nodes:
         node.process.host.fail()
-    cluster.advance_until(lambda: all(not gone & _members(node) for node in _live(cluster)), LIMIT_S)
+    cluster.advance_until(lambda: all(not lost_ids & _members(node) for node in _live(cluster)), LIMIT_S)
 
 
 def _tail(cluster: hollow_fleet.Fleet) -> None:
@@ -99,11 +99,11 @@
     tail = cluster.tail()
     assert tail is not None
     assert tail.consensus.view is not None
-    was = tail.consensus.view.number
+    lost_view_number = tail.consensus.view.number
     tail.process.kill()
     cluster.advance_until(
         lambda: all(
-            node.follower.membership.version[0] > was and node.follower.session.is_established()
+            node.follower.membership.version[0] > lost_view_number and node.follower.session.is_established()
             for node in _live(cluster)
         ),
         LONG_LIMIT_S,
@@ -127,7 +127,7 @@
 
 
 # What happens to the fleet; each function goes on until all know.
-EVENTS: dict[str, collections.abc.Callable[[hollow_fleet.Fleet], None]] = {
+EVENTS_BY_NAME: dict[str, collections.abc.Callable[[hollow_fleet.Fleet], None]] = {
     "change": _change,
     "restart": _restart,
     "worker": _worker,
@@ -154,7 +154,7 @@
     routes: int = 100,
     repeats: int = 3,
     election: str = "warden",
-    only: collections.abc.Sequence[str] = tuple(EVENTS),
+    only: collections.abc.Sequence[str] = tuple(EVENTS_BY_NAME),
     out: str = "",
 ) -> None:
     """Hollow fleets while something happens: until when all know, and what it costs beyond the quiet.
@@ -182,17 +182,19 @@
     for what in only:
         for size in sizes:
             costs = [
-                lost(hollow_fleet.Fleet(seed, size, listed, pools, routes, walking=False, election=election), what)
+                measure_event(
+                    hollow_fleet.Fleet(seed, size, listed, pools, routes, walking=False, election=election), what
+                )
                 for seed in range(1, repeats + 1)
             ]
             for cost in costs:
-                _keep(lines, what, size, cost)
+                _put_measurements(lines, what, size, cost)
             print(_row(what, size, costs), flush=True)
     print()
     measuring.print_and_save(lines, out)
 
 
-def _keep(lines: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
+def _put_measurements(lines: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
     """Keep what grows with the size of the fleet."""
     if what in ("tail", "cut"):
         lines.put(f"{what}: between nodes", "pairs of nodes", "B", nodes * (nodes - 1), cost.node_to_node)
@@ -214,27 +216,27 @@
     return f"| {what} | {nodes} | {spread} | " + " | ".join(medians) + " |"
 
 
-def lost(cluster: hollow_fleet.Fleet, what: str) -> Cost:
+def measure_event(cluster: hollow_fleet.Fleet, what: str) -> Cost:
     """What it costs a fleet that something happens, beyond its quiet."""
     cluster.begin()
     cluster.advance(SETTLE_S)
     membership_bytes = _membership_bytes(cluster)
-    quiet, quiet_between = cluster.meter_for(QUIET_S), cluster.bytes_between(QUIET_S)
+    idle, idle_between = cluster.meter_for(IDLE_MEASUREMENT_S), cluster.bytes_between(IDLE_MEASUREMENT_S)
     loop_ns = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
-    took = _play(cluster, EVENTS[what])
-    live = [name for name in quiet if cluster.world.processes[name].alive]
+    took = _run_event(cluster, EVENTS_BY_NAME[what])
+    live = [name for name in idle if cluster.world.processes[name].alive]
     nodes = [name for name in live if name in cluster.nodes]
-    into = _bytes_into(cluster, set(quiet))
-    loops = {name: cluster.meter.spent[name] / loop_ns - quiet[name]["loops"] * took for name in live}
+    bytes_into = _bytes_into(cluster, set(idle))
+    loops = {name: cluster.meter.spent[name] / loop_ns - idle[name]["loops"] * took for name in live}
     between = cluster.bytes_between(1)
-    beyond = {way: between[way] - quiet_between[way] * took for way in between}
+    extra_bytes = {direction: between[direction] - idle_between[direction] * took for direction in between}
     return Cost(
         membership_bytes,
         ms=took * 1000,
-        core_to_core=beyond["core core"],
-        core_to_node=beyond["core node"],
-        node_to_node=beyond["node node"],
-        into_node=statistics.median(into.get(name, 0) - quiet[name]["in_bytes"] * took for name in nodes),
+        core_to_core=extra_bytes["core core"],
+        core_to_node=extra_bytes["core node"],
+        node_to_node=extra_bytes["node node"],
+        into_node=statistics.median(bytes_into.get(name, 0) - idle[name]["in_bytes"] * took for name in nodes),
         busiest_core=max(loops[name] for name in live if name in cluster.cores),
         node=statistics.median(loops[name] for name in nodes),
         longest_step=max(cluster.meter.longest[name] for name in nodes) / loop_ns,
@@ -246,7 +248,7 @@
     return len(wire.encoder.encode(wire.Envelope(0, 0, update)))
 
 
-def _play(cluster: hollow_fleet.Fleet, event: collections.abc.Callable[[hollow_fleet.Fleet], None]) -> float:
+def _run_event(cluster: hollow_fleet.Fleet, event: collections.abc.Callable[[hollow_fleet.Fleet], None]) -> float:
     """Let something happen with the meter on; how many seconds it took until all know."""
     started_at = cluster.world.time
     cluster.world.meter = cluster.meter = processor_meter.Meter()
@@ -260,8 +262,8 @@
 
 def _bytes_into(cluster: hollow_fleet.Fleet, servers: set[str]) -> dict[str, int]:
     """Bytes that the meter counted from cores and nodes to each process."""
-    into: dict[str, int] = {}
+    bytes_into: dict[str, int] = {}
     for (sender, receiver), (_, size) in cluster.meter.sent.items():
         if sender in servers:
-            into[receiver] = into.get(receiver, 0) + size
-    return into
+            bytes_into[receiver] = bytes_into.get(receiver, 0) + size
+    return bytes_into
--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -68,7 +68,7 @@
     other = _decode_membership(raw)
     idle_node, version = samples.idle_node(), [17]
 
-    def take() -> None:
+    def apply_newer() -> None:
         version[0] += 1
         idle_node.follower.apply_membership(
             message.Membership(
@@ -76,7 +76,7 @@
             )
         )
 
-    return take
+    return apply_newer
 
 
 def _node_with_membership(raw: bytes) -> node.Node:
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -22,7 +22,7 @@
 from simulation import simulated_cluster
 
 LARGEST_POOL = 2_600  # workers
-FIRST_TURNS = (1_000, 4_000, 16_000)
+FIRST_TURN_COUNTS = (1_000, 4_000, 16_000)
 LOOPBACK = "127.0.0.1"
 
 Items = samples.Items
@@ -58,32 +58,34 @@
     _measure_slice_at_node(point, configuration.slice_for_node(before, "zone0"), change)
 
 
-def _measure_plan(point: measuring.Point, had: Items, now: Items) -> None:
+def _measure_plan(point: measuring.Point, before: Items, after: Items) -> None:
     """What a core machine does with a configuration that an operator sends."""
-    raw = json.dumps(configuration.unflatten(now)).encode()
+    raw = json.dumps(configuration.unflatten(after)).encode()
     point.put_bytes("a whole configuration as the operator sends it", len(raw))
     point.put_loops(
         "a plan of a whole configuration: read, checked, compared, named",
         measuring.loops_per_call(
-            lambda: configuration.describe(had, configuration.difference(had, configuration.flatten(json.loads(raw))))
+            lambda: configuration.describe(
+                before, configuration.difference(before, configuration.flatten(json.loads(raw)))
+            )
         ),
     )
 
 
 def _measure_replicated_state(
-    point: measuring.Point, ledger: replicated_state.ReplicatedState, two: replicated_state.ReplicatedState
+    point: measuring.Point, before: replicated_state.ReplicatedState, planned: replicated_state.ReplicatedState
 ) -> None:
     """What a core machine does with the state before and after the plan of a change."""
     point.put_loops(
         "a confirm applied, one route changed",
-        measuring.loops_per_call(lambda: two.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
+        measuring.loops_per_call(lambda: planned.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
     )
-    point.put_bytes("a frame on a core's disk", len(snapshot_format.encode(ledger)))
-    point.put_loops("a frame written", measuring.loops_per_call(lambda: snapshot_format.encode(ledger)))
+    point.put_bytes("a frame on a core's disk", len(snapshot_format.encode(before)))
+    point.put_loops("a frame written", measuring.loops_per_call(lambda: snapshot_format.encode(before)))
     two_slices = measuring.loops_per_call(
         lambda: configuration.difference(
-            configuration.slice_for_node(ledger.items, "zone0"),
-            configuration.slice_for_node(two.items, "zone0"),
+            configuration.slice_for_node(before.items, "zone0"),
+            configuration.slice_for_node(planned.items, "zone0"),
         )
     )
     point.put_loops("a slice cut and compared for one node", two_slices / 2)
@@ -92,13 +94,13 @@
 def _measure_slice_at_node(point: measuring.Point, node_slice: Items, change: list[configuration.ItemChange]) -> None:
     idle_node = samples.idle_node()
     idle_node.follower.apply_items(1, node_slice, is_snapshot=True)
-    place = [1]
+    index = [1]
 
-    def take() -> None:
-        place[0] += 1
-        idle_node.follower.apply_items(place[0], dict(change), is_snapshot=False)
+    def apply_change() -> None:
+        index[0] += 1
+        idle_node.follower.apply_items(index[0], dict(change), is_snapshot=False)
 
-    point.put_loops("a change of one route taken at a node", measuring.loops_per_call(take))
+    point.put_loops("a change of one route taken at a node", measuring.loops_per_call(apply_change))
     point.put_bytes("a slice held at a node", measuring.allocated_bytes(lambda: _node_with_slice(node_slice)))
     last = point.size - 1
     path = f"/{last:06x}/{last % 97:02x}/x"
@@ -143,7 +145,7 @@
             )
         for size in parts:
             _measure_held(lines.point("parts", size), "parts held of the workers at a node", placement_with_parts)
-        for size in FIRST_TURNS:
+        for size in FIRST_TURN_COUNTS:
             _measure_held(lines.point("first turns", size), "first turns held at a node", placement_with_first_turns)
         for size in sizes:
             _measure_held(lines.point("sessions", size), "sessions held at a node", samples.session_table)
@@ -166,11 +168,11 @@
         idle_node.gateway.forwarder.ready_workers("model-0"),
     )
     place.apply_remote_loads([(name, 22, 900, 0) for name in names], True)
-    cut = placement.prefix_keys([f"{k:08x}" for k in range(4)])
-    place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())
+    ranked_keys = placement.prefix_keys([f"{k:08x}" for k in range(4)])
+    place.pick(shared, ranked_keys, 291, names, pool=pool, excluded_workers=set())
     count = [0]
 
-    def fresh() -> None:
+    def pick_with_new_part() -> None:
         count[0] += 1
         place.pick(
             shared,
@@ -184,9 +186,11 @@
     point = lines.point("workers of the pool", workers)
     point.put_loops(
         "a worker chosen at a node, its parts ranked before",
-        measuring.loops_per_call(lambda: place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())),
+        measuring.loops_per_call(
+            lambda: place.pick(shared, ranked_keys, 291, names, pool=pool, excluded_workers=set())
+        ),
     )
-    point.put_loops("a worker chosen at a node, a part never ranked", measuring.loops_per_call(fresh))
+    point.put_loops("a worker chosen at a node, a part never ranked", measuring.loops_per_call(pick_with_new_part))
     point = lines.point("workers", workers)
     point.put_loops(
         "the ready workers listed for an election",
--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -13,7 +13,7 @@
 from iriswheel.transport import message, wire
 
 LARGEST_POOL = 2_600  # workers
-SINGLE_STEPS = 2_000  # measured as one
+OPERATIONS_PER_TIMING = 2_000  # measured as one
 
 # The name and the term of the records' owner do not matter to what is measured.
 OWNER = samples.members(1)[0].id
@@ -51,27 +51,27 @@
     return [sessions.to_message(record, 0) for record in table.records.values()]
 
 
-def _measure_steps(point: measuring.Point, book: sessions.SessionTable[str]) -> None:
+def _measure_steps(point: measuring.Point, table: sessions.SessionTable[str]) -> None:
     """What is done to one session at a time, and the sweep of all."""
-    names = [f"{k * 7919 % point.size:024x}" for k in range(SINGLE_STEPS)]
-    few = SINGLE_STEPS
+    names = [f"{k * 7919 % point.size:024x}" for k in range(OPERATIONS_PER_TIMING)]
+    count = OPERATIONS_PER_TIMING
 
-    def turns() -> None:
+    def record_turns() -> None:
         for name in names:
-            book.extend(book.affinity(name), 5)  # type: ignore[arg-type]  # all are open; a check would be timed too
+            table.extend(table.affinity(name), 5)  # type: ignore[arg-type]  # all are open; a check would be timed too
 
-    def openings() -> None:
-        for k in range(few):
-            book.open(f"new-{k}", f"i-{k % 90:08x}", 0, 600 * units.SECOND_US, 100)
-        for k in range(few):
-            book.close(f"new-{k}")
+    def open_and_close() -> None:
+        for k in range(count):
+            table.open(f"new-{k}", f"i-{k % 90:08x}", 0, 600 * units.SECOND_US, 100)
+        for k in range(count):
+            table.close(f"new-{k}")
 
-    point.put_loops("a turn noted", measuring.loops_per_call(turns) / few)
-    point.put_loops("a session opened and closed", measuring.loops_per_call(openings) / few)
-    point.put_loops("a sweep that finds nothing", measuring.loops_per_call(lambda: book.sweep(0)))
+    point.put_loops("a turn noted", measuring.loops_per_call(record_turns) / count)
+    point.put_loops("a session opened and closed", measuring.loops_per_call(open_and_close) / count)
+    point.put_loops("a sweep that finds nothing", measuring.loops_per_call(lambda: table.sweep(0)))
 
 
-def _measure_copy(point: measuring.Point, book: sessions.SessionTable[str], raw: bytes) -> None:
+def _measure_copy(point: measuring.Point, table: sessions.SessionTable[str], raw: bytes) -> None:
     """All records of an owner, as it sends them to the next holder of a copy."""
     point.put_bytes("a whole copy on the wire", len(raw))
     point.put_loops(
@@ -85,7 +85,7 @@
                         "model-0",
                         (3, 17),
                         "",
-                        [sessions.to_message(r, 0) for r in book.records.values()],
+                        [sessions.to_message(r, 0) for r in table.records.values()],
                         [],
                         [],
                         True,
--- a/benchmarks/capacity/target_costs.py
+++ b/benchmarks/capacity/target_costs.py
@@ -12,7 +12,7 @@
 from iriswheel.dataplane import placement, worker_estimate
 
 SECONDS_A_DAY = 86_400
-FIRST_TURN_S = 600  # how long a node remembers a first turn
+FIRST_TURN_RETENTION_S = 600  # how long a node remembers a first turn
 STEP_BUDGET = "15 loops a step"
 ALL_AT_ONCE = "all at once"
 
@@ -47,7 +47,7 @@
         """Each line's value at the largest size of a run of the whole fleet, or None where there was none."""
 
 
-class Known:
+class SavedValues:
     """Values of earlier runs, read from their files.
 
     Args:
@@ -131,8 +131,8 @@
         """A line of memberships at the target's members, workers and pools, along the slopes."""
         target, values = self.target, self.values
         measured = (("members", target.nodes, 8), ("workers", target.workers, 36), ("pools", target.pools, 1))
-        grown = sum(values.slope("lists", line, by) * (size - least) for by, size, least in measured)
-        return grown + values.at("lists", line, "members", 8)
+        growth = sum(values.slope("lists", line, by) * (size - least) for by, size, least in measured)
+        return growth + values.at("lists", line, "members", 8)
 
     def put_memberships(self) -> None:
         """The size of a membership, and what its changes of a day cost."""
@@ -191,8 +191,8 @@
             ),
             (
                 "first turns",
-                f"requests a node x {FIRST_TURN_S} s (X)",
-                turn_bytes * target.requests_per_s / target.nodes * FIRST_TURN_S,
+                f"requests a node x {FIRST_TURN_RETENTION_S} s (X)",
+                turn_bytes * target.requests_per_s / target.nodes * FIRST_TURN_RETENTION_S,
             ),
             ("sessions", "sessions / nodes", session_bytes * target.sessions / target.nodes),
         ]
@@ -270,4 +270,4 @@
     :param folder: where lists.json, tail.json and the others are
     """
     print("| role | what | how | at the target | budget |\n|---|---|---|---|---|")
-    print("\n".join(TargetTable(Known(folder)).build()))
+    print("\n".join(TargetTable(SavedValues(folder)).build()))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -119,12 +119,12 @@
         assert 4.95 * size < lister < 6.05 * size, lister / size
 
     def test_a_restarted_node_is_announced_to_each_node_once(self) -> None:
-        got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "restart")
+        got = loss_costs.measure_event(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "restart")
         assert 0 < got.ms < 1000, got
         assert 6 * got.membership_bytes <= got.core_to_node < 7.5 * got.membership_bytes, got
 
     def test_without_the_tail_no_node_sends_another_the_membership_that_it_has(self) -> None:
-        got = loss_costs.lost(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "tail")
+        got = loss_costs.measure_event(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "tail")
         assert 0 < got.ms < 5000, got
         assert got.node_to_node < 6 * 5 * got.membership_bytes / 4, got
 
