--- a/benchmarks/process_costs.py
+++ b/benchmarks/process_costs.py
@@ -17,7 +17,7 @@
 
 SELECT_TIMEOUT_US = 5 * units.SECOND_US
 UNBOUNDED_SLOTS = 100_000
-KINDS = ("placed", "claimed", "opened")  # of selections: free, at most once, opening a session
+SELECTION_KINDS = ("placed", "claimed", "opened")  # of selections: free, at most once, opening a session
 
 
 def first_attempt_ms(deployment: fleet.Fleet) -> dict[str, list[float]]:
@@ -28,12 +28,12 @@
             rows += replay.read(log)[0]
     arrived_at = {(row["exchange"], row["send"]): row["at"] for row in rows if row["kind"] == "run"}
     names = {f"{fleet.HOST}:{ports.http}": name for name, ports in deployment.nodes.items()}
-    by_node: dict[str, list[float]] = {}
+    ms_by_node: dict[str, list[float]] = {}
     for row in rows:
         key = (row.get("exchange"), row.get("send"))
         if row["kind"] == "sent" and row["send"] == 1 and row["sort"] != "long" and key in arrived_at:
-            by_node.setdefault(names[row["node"]], []).append((arrived_at[key] - row["at"]) / 1000)
-    return by_node
+            ms_by_node.setdefault(names[row["node"]], []).append((arrived_at[key] - row["at"]) / 1000)
+    return ms_by_node
 
 
 def _wait_for_owner(deployment: fleet.Fleet) -> str:
@@ -114,17 +114,17 @@
         """Ask for selections of one kind; how many were granted."""
         self.granted = 0
         deadline = self.runtime.now() + seconds * units.SECOND_US
-        loops = [self._ask_one_after_the_other(kind, number, deadline) for number in range(depth)]
+        loops = [self._select_repeatedly(kind, number, deadline) for number in range(depth)]
         await defer.DeferredList([defer.ensureDeferred(loop) for loop in loops])
         return self.granted
 
-    async def _ask_one_after_the_other(self, kind: str, number: int, deadline: int) -> None:
+    async def _select_repeatedly(self, kind: str, number: int, deadline: int) -> None:
         count = 0
         while self.runtime.now() < deadline:
             count += 1
-            await self._ask(kind, f"{kind}-{number}-{count}")
+            await self._select(kind, f"{kind}-{number}-{count}")
 
-    async def _ask(self, kind: str, identifier: str) -> None:
+    async def _select(self, kind: str, identifier: str) -> None:
         response = await self.connection.call(
             message.SelectWorker(
                 self.pool,
@@ -171,14 +171,14 @@
 
         async def measure() -> None:
             port = deployment.nodes[owner].peer
-            connection = await wire.connect(runtime, fleet.HOST, port, _ignore, loguru.logger)
+            connection = await wire.connect(runtime, fleet.HOST, port, _ignore_message, loguru.logger)
             load = SelectionLoad(runtime, connection, deployment.pool, (epoch, number))
-            for kind in KINDS:
+            for kind in SELECTION_KINDS:
                 granted = await load.run(kind, depth, seconds)
                 print(f"{kind}: {granted / seconds:.0f} elections a second", flush=True)
 
         default_reactor.run(measure)
 
 
-def _ignore(_connection: wire.Connection, _message: object) -> None:
+def _ignore_message(_connection: wire.Connection, _message: object) -> None:
     """What the owner's node sends unasked."""
--- a/benchmarks/stand_in_worker.py
+++ b/benchmarks/stand_in_worker.py
@@ -20,20 +20,20 @@
     from iriswheel.cli import load_generator
 
 PREFILL_BYTES_PER_S = 400_000  # prompt bytes read per second, alone
-CACHED_PART_SAVING = 0.85  # the share of a part's reading that its cached prefix saves
+CACHED_PART_SAVED_SHARE = 0.85  # the share of a part's reading that its cached prefix saves
 TOKEN_US = 25 * units.MILLISECOND_US
 SHORT_TOKENS = 12  # of the answer to a short prompt
 LONG_TOKENS = 24
 LONG_PROMPT_BYTES = 16_000  # a prompt counts as long above this
 PROBE_BYTES = 16  # a body as small as this, a probe's, gets two tokens
 PROBE_TOKENS = 2
-BATCH = 24
-CACHED_PARTS = 64
+BATCH_SIZE = 24
+MAX_CACHED_PARTS = 64
 REPORT_LAG_US = 700 * units.MILLISECOND_US
-SLOW_START_US = 3 * units.SECOND_US
+SLOW_FIRST_EVENT_US = 3 * units.SECOND_US
 STALL_US = 30 * units.SECOND_US
-NEVER_US = 60 * units.SECOND_US
-PADDING = "x" * 100_000  # of each event where answers are too large
+NO_ANSWER_US = 60 * units.SECOND_US
+OVERSIZED_EVENT_PADDING = "x" * 100_000  # of each event where answers are too large
 
 
 class AnswerFault(enum.Enum):
@@ -45,7 +45,7 @@
     OVERSIZED = "long"  # each event is very large
 
 
-class LoadReport(enum.Enum):
+class LoadReportMode(enum.Enum):
     """How a worker answers the question for its load."""
 
     GOOD = "good"
@@ -79,7 +79,7 @@
         for part in parts:
             self.parts[part] = None
             self.parts.move_to_end(part)
-        while len(self.parts) > CACHED_PARTS:
+        while len(self.parts) > MAX_CACHED_PARTS:
             self.parts.popitem(last=False)
 
 
@@ -107,11 +107,11 @@
         self.cache = PrefixCache()
         self.request_count = 0  # that run or wait
         self.prefill = defer.DeferredLock()  # one prompt is read at a time
-        self.batch = defer.DeferredSemaphore(BATCH)
-        self.past_loads: collections.deque[Load] = collections.deque([Load(0, 0, 0)])
+        self.batch = defer.DeferredSemaphore(BATCH_SIZE)
+        self.load_history: collections.deque[Load] = collections.deque([Load(0, 0, 0)])
         self.run_count = 0
         self.short_tokens = SHORT_TOKENS
-        self.load_report = LoadReport.GOOD
+        self.load_report = LoadReportMode.GOOD
         self.answer_fault: AnswerFault | None = None
         self.unhealthy = False  # breaks every request off, unanswered
 
@@ -127,31 +127,31 @@
 
     async def _report_load(self, request: http_server.Request) -> None:
         match self.load_report:
-            case LoadReport.LATE:
+            case LoadReportMode.LATE:
                 await self.runtime.sleep(units.SECOND_US + self.runtime.rng.randrange(2 * units.SECOND_US))
-            case LoadReport.MISSING:
+            case LoadReportMode.MISSING:
                 request.answer_json(404, {"error": "no such path"})
                 return
-            case LoadReport.UNREADABLE:
+            case LoadReportMode.UNREADABLE:
                 request.answer(200, b'{"running": 3, "que')
                 return
-            case LoadReport.MISTYPED:
+            case LoadReportMode.MISTYPED:
                 request.answer_json(200, {"running": "many", "queued": [1]})
                 return
-            case LoadReport.NEVER:
-                await self.runtime.sleep(NEVER_US)
+            case LoadReportMode.NEVER:
+                await self.runtime.sleep(NO_ANSWER_US)
                 return
-        known_until = self.runtime.now() - REPORT_LAG_US
-        while len(self.past_loads) > 1 and self.past_loads[1].since <= known_until:
-            self.past_loads.popleft()
-        load = self.past_loads[0]
+        reported_at = self.runtime.now() - REPORT_LAG_US
+        while len(self.load_history) > 1 and self.load_history[1].since <= reported_at:
+            self.load_history.popleft()
+        load = self.load_history[0]
         request.answer_json(200, {"running": load.running, "queued": load.queued})
 
-    def _count_requests(self, change: int) -> None:
+    def _change_request_count(self, change: int) -> None:
         """Count a request that begins or ends, and keep the load for the late report."""
         self.request_count += change
-        running, queued = min(self.request_count, BATCH), max(0, self.request_count - BATCH)
-        self.past_loads.append(Load(self.runtime.now(), running, queued))
+        running, queued = min(self.request_count, BATCH_SIZE), max(0, self.request_count - BATCH_SIZE)
+        self.load_history.append(Load(self.runtime.now(), running, queued))
 
     async def _run(self, request: http_server.Request) -> None:
         """Serve a request, unless its client goes away before the end."""
@@ -179,14 +179,14 @@
         answering = defer.ensureDeferred(self._answer(request, run, request_id, parts, size))
         lost = request.client_lost.wait()
         lost.addCallback(lambda _: answering.cancel())
-        self._count_requests(1)
+        self._change_request_count(1)
         try:
             await answering
             self.events.put(self.runtime.now(), "ran", worker=self.identifier, run=run, exchange=request_id)
         except defer.CancelledError:
             self.events.put(self.runtime.now(), "cut", worker=self.identifier, run=run, exchange=request_id)
         finally:
-            self._count_requests(-1)
+            self._change_request_count(-1)
             lost.addErrback(lambda _: None)
             lost.cancel()
 
@@ -199,7 +199,7 @@
             await self._read_prompt(parts, size)
             request.setHeader("Content-Type", "text/event-stream")
             if self.answer_fault is AnswerFault.SLOW:
-                await self.runtime.sleep(SLOW_START_US)
+                await self.runtime.sleep(SLOW_FIRST_EVENT_US)
             await self._stream(request, {"worker": self.identifier, "run": run, "exchange": request_id}, size)
         finally:
             self.batch.release()
@@ -209,7 +209,7 @@
         await self.prefill.acquire()
         try:
             cached = self.cache.count_cached(parts)
-            fresh_bytes = size * (1 - CACHED_PART_SAVING * cached / max(1, len(parts)))
+            fresh_bytes = size * (1 - CACHED_PART_SAVED_SHARE * cached / max(1, len(parts)))
             await self.runtime.sleep(int(fresh_bytes / PREFILL_BYTES_PER_S * units.SECOND_US))
             self.cache.add(parts)
         finally:
@@ -226,7 +226,7 @@
                 raise defer.CancelledError
             document: dict[str, object] = {**names, "k": k, "of": tokens}
             if self.answer_fault is AnswerFault.OVERSIZED:
-                document["pad"] = PADDING
+                document["pad"] = OVERSIZED_EVENT_PADDING
             request.write(b"data: " + json.dumps(document).encode() + b"\n\n")
             await self.runtime.sleep(TOKEN_US)
         request.write(b"data: [DONE]\n\n")
--- a/simulation/scenarios/workers.py
+++ b/simulation/scenarios/workers.py
@@ -144,10 +144,10 @@
     """Workers whose load report is late, missing, unreadable, of wrong types, or never comes; all serve."""
     actions.confirm_changes(cluster, 6, 5)
     cluster.advance(4)
-    bad_reports = [each for each in stand_in_worker.LoadReport if each is not stand_in_worker.LoadReport.GOOD]
+    bad_reports = [each for each in stand_in_worker.LoadReportMode if each is not stand_in_worker.LoadReportMode.GOOD]
     for name, report in zip(sorted(cluster.workers), bad_reports, strict=False):
         cluster.workers[name].load_report = report
     cluster.advance(25)
     for name in sorted(cluster.workers):
-        cluster.workers[name].load_report = stand_in_worker.LoadReport.GOOD
+        cluster.workers[name].load_report = stand_in_worker.LoadReportMode.GOOD
     cluster.advance(4)
