--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements on real processes and on the simulator, each a command."""
+"""Benchmarks on real processes and on the simulator; each is a command that prints its results."""
--- a/benchmarks/default_reactor.py
+++ b/benchmarks/default_reactor.py
@@ -1,4 +1,4 @@
-"""Twisted's own reactor for the programs of this package, which run in processes of their own."""
+"""Twisted's default reactor, for the commands of this package; each command runs in its own process."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 def load() -> epollreactor.EPollReactor:
-    """Return the process's reactor, installed at the first call and not while modules load."""
-    from twisted.internet import reactor  # noqa: TID251 - this is where it is passed in from
+    """Return the process's reactor; the first call installs it, so that importing this module does not."""
+    from twisted.internet import reactor  # noqa: TID251 - all other code gets the reactor as an argument
 
     return typing.cast("epollreactor.EPollReactor", reactor)
 
 
 def run(main: collections.abc.Callable[[], collections.abc.Coroutine[typing.Any, typing.Any, None]]) -> None:
-    """Run the reactor until a coroutine ends, and raise what it raised."""
+    """Run the reactor until a coroutine ends; raises the exception with which the coroutine failed, if it did."""
     reactor = load()
     failures: list[failure.Failure] = []
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet as processes on this machine, with stand-in workers and platform.
+"""Runs a whole fleet as processes on this machine, with simulated workers and a simulated platform.
 
 python -m benchmarks.fleet small                     run until interrupted
 python -m benchmarks.fleet magnolia --load 20        run the load generator, then stop
@@ -28,12 +28,12 @@
 
 
 class Shape(typing.NamedTuple):
-    """What a deployment has."""
+    """The size and the configuration of a fleet."""
 
-    zones: list[str]  # of the nodes
-    workers: int
-    pool: str
-    configuration: str  # a file of EXAMPLES
+    zones: list[str]  # the zone of each node
+    workers: int  # number of workers
+    pool: str  # name of the pool that all workers belong to
+    configuration: str  # name of a file in EXAMPLES
 
 
 SHAPES = {
@@ -44,28 +44,28 @@
 HOST = "127.0.0.1"
 LISTENING_LINE = re.compile(r"listens on [0-9.]+:([0-9]+), HTTP on [0-9.]+:([0-9]+)")
 EXAMPLES = pathlib.Path(__file__).resolve().parent.parent / "examples"
-FREE_PORTS = range(20_000, 32_000)  # below those that the system hands out by itself
+FREE_PORTS = range(20_000, 32_000)  # below the operating system's ephemeral ports
 CORE_COUNT = 3
 START_TIMEOUT_S = 30
 LISTEN_TIMEOUT_S = 20
-CHECK_INTERVAL_S = 0.05  # how often a condition is checked
-OK = 200
+CHECK_INTERVAL_S = 0.05  # time between two checks of a condition
+OK = 200  # HTTP status
 
-# Takes the kind of an event and its fields.
 RecordEvent = collections.abc.Callable[..., object]
+"""A function that takes the kind of an event and the event's fields as keywords, and writes it to an event log."""
 
 
 class Ports(typing.NamedTuple):
-    """Where a core or node listens."""
+    """The ports on which a core machine or node listens."""
 
-    peer: int
+    peer: int  # for other core machines and nodes
     http: int
 
 
 def query(
     port: int, method: str, path: str, document: dict[str, typing.Any] | None = None, timeout: int = 5
 ) -> tuple[int, dict[str, typing.Any]]:
-    """One small HTTP request: status and JSON, or 0 and nothing where there is no answer."""
+    """Send an HTTP request; returns the status and the JSON body, or (0, {}) without a readable answer."""
     raw = None if document is None else json.dumps(document).encode()
     request = urllib.request.Request(f"http://{HOST}:{port}{path}", raw, method=method)
     try:
@@ -80,8 +80,8 @@
 def free_port() -> int:
     """A free port for a core machine, whose port must be known before it starts.
 
-    It lies below the ports that the system hands out by itself, so that no connection
-    takes it between this look and the start.
+    The port is below the operating system's ephemeral ports, so that no outgoing connection
+    can take it between this check and the start of the core machine.
 
     >>> 20_000 <= free_port() < 32_000
     True
@@ -94,22 +94,27 @@
 
 
 class Fleet:
-    """The processes of one fleet."""
+    """The processes of one fleet.
+
+    Args:
+        shape: A key of SHAPES.
+        folder: Where logs and data are kept. Without one, a temporary folder is used and removed at the end.
+    """
 
     def __init__(self, shape: str, folder: str | None = None) -> None:
         self.zone_names, self.worker_count, self.pool, name = SHAPES[shape]
         self.configuration = json.loads((EXAMPLES / name).read_text())
-        self.owns_folder = folder is None  # whether the folder goes with the fleet
+        self.owns_folder = folder is None  # whether the folder is removed when the fleet stops
         self.folder = pathlib.Path(folder or tempfile.mkdtemp(prefix="iriswheel-"))
-        self.processes: dict[str, subprocess.Popen[bytes]] = {}  # by name
-        self.commands: dict[str, list[str]] = {}  # name -> the arguments that it was started with
-        self.starts: dict[str, int] = {}  # name -> where in its log its present incarnation begins
-        self.seeds: list[str] = []
-        self.cores: dict[str, Ports] = {}
-        self.nodes: dict[str, Ports] = {}
+        self.processes: dict[str, subprocess.Popen[bytes]] = {}  # by name of the process
+        self.commands: dict[str, list[str]] = {}  # name of a process -> the arguments that it was started with
+        self.starts: dict[str, int] = {}  # name of a process -> offset in its log at which its last start begins
+        self.seeds: list[str] = []  # addresses of the core machines
+        self.cores: dict[str, Ports] = {}  # by name
+        self.nodes: dict[str, Ports] = {}  # by name
         self.workers: dict[str, int] = {}  # name -> port
-        self.zones: dict[str, str] = {}  # name of a core or node -> its zone
-        self.platform = 0  # its port
+        self.zones: dict[str, str] = {}  # name of a core machine or node -> its zone
+        self.platform = 0  # port of the platform
 
     def __enter__(self) -> Fleet:
         """Return the fleet itself, for a `with` statement."""
@@ -120,7 +125,7 @@
         self.end()
 
     def spawn(self, name: str, arguments: list[str], stdout: int | None = None) -> subprocess.Popen[bytes]:
-        """Start one process; what it writes goes to its log, unless its standard output goes elsewhere."""
+        """Start a process; its standard error goes to its log file, and so does its standard output by default."""
         with (self.folder / f"{name}.log").open("a") as log:
             self.starts[name] = log.tell()
             process = subprocess.Popen(
@@ -134,7 +139,7 @@
         return process
 
     def spawn_stand_in(self, name: str, arguments: list[str]) -> int:
-        """Start a stand-in, and return the port that it prints."""
+        """Start a simulated worker or platform, and return the port that it prints."""
         process = self.spawn(name, arguments, subprocess.PIPE)
         assert process.stdout is not None
         return int(process.stdout.readline())
@@ -144,7 +149,7 @@
         return str(self.folder / f"{name}.events")
 
     def begin(self, record_event: RecordEvent | None = None) -> None:
-        """Start everything, wait until it serves, confirm the configuration."""
+        """Start all processes, confirm the configuration, and wait until all nodes are ready."""
         self.platform = self.spawn_stand_in(
             "platform", ["-m", "benchmarks.stand_ins", "platform", "--events", self.event_log_path("platform")]
         )
@@ -158,12 +163,14 @@
         for number, zone in enumerate(self.zone_names, 1):
             self.add_node(f"n{number}", zone)
         self.wait_until(
-            lambda: self.confirm(self.configuration, record_event), "the blueprint is confirmed", START_TIMEOUT_S
+            lambda: self.confirm(self.configuration, record_event),
+            "a core machine has confirmed the configuration",
+            START_TIMEOUT_S,
         )
         self.wait_until(lambda: all(self.ready(name) for name in self.nodes), "all nodes are ready", START_TIMEOUT_S)
 
     def add_worker(self, name: str) -> None:
-        """Start a worker and list it."""
+        """Start a worker and add it to the platform's worker list."""
         arguments = [
             "-m",
             "benchmarks.stand_ins",
@@ -229,11 +236,11 @@
         self._register(name)
 
     def _register(self, name: str) -> None:
-        """Tell the platform where a node takes requests."""
+        """Tell the platform the HTTP address of a node."""
         query(self.platform, "POST", "/nodes", {"name": name, "host": HOST, "port": self.nodes[name].http})
 
     def read_ports(self, name: str) -> Ports:
-        """The ports that a process says it listens on, once it says so."""
+        """Wait until a process has logged the ports on which it listens, and return them."""
         found: list[tuple[str, str]] = []
 
         def listens() -> bool:
@@ -242,24 +249,24 @@
                 found.extend(LISTENING_LINE.findall(log.read()))
             return bool(found)
 
-        self.wait_until(listens, f"{name} listens", LISTEN_TIMEOUT_S)
+        self.wait_until(listens, f"{name} has logged the ports on which it listens", LISTEN_TIMEOUT_S)
         peer, http = found[0]
         return Ports(int(peer), int(http))
 
     def list_worker(self, **row: int | str) -> tuple[int, dict[str, typing.Any]]:
-        """Change the platform's list."""
+        """Add or change a worker in the platform's worker list."""
         return query(self.platform, "POST", "/workers", row)
 
     def ports(self, name: str) -> Ports:
-        """Where a core or node listens."""
+        """The ports on which a core machine or node listens."""
         return {**self.cores, **self.nodes}[name]
 
     def ready(self, name: str) -> bool:
-        """Whether a node says that it is ready."""
+        """Whether a node reports itself ready."""
         return query(self.ports(name).http, "GET", "/ready")[0] == OK
 
     def assigned_owners(self) -> set[str]:
-        """The nodes that are a pool's pool owner or keep its copies."""
+        """The names of the nodes that are a pool's owner or hold replicas of its records."""
         owners = set()
         for name in self.nodes:
             if self.processes[name].poll() is None:
@@ -272,11 +279,11 @@
         return owners
 
     def state(self, name: str) -> dict[str, typing.Any]:
-        """What a process shows of itself."""
+        """The state document that a core machine or node publishes over HTTP."""
         return query(self.ports(name).http, "GET", "/state")[1]
 
     def confirm(self, document: dict[str, typing.Any], record_event: RecordEvent | None = None) -> int:
-        """Plan and confirm a configuration through any core: its version, or 0."""
+        """Plan and confirm a configuration at the first core machine that accepts it; returns its version, or 0."""
         record_event = record_event or _discard_event
         for _, http in self.cores.values():
             status, plan = query(http, "POST", "/plans", {"blueprint": document})
@@ -291,19 +298,27 @@
         return 0
 
     def wait_until(self, condition: collections.abc.Callable[[], object], what: str, seconds: float) -> float:
-        """Wait until a condition holds; how long that took."""
+        """Wait until a condition holds, and return how many seconds that took.
+
+        Args:
+            condition: Checked every CHECK_INTERVAL_S.
+            what: The condition in words, for the error message.
+            seconds: How long to wait at most.
+        """
         started_at = time.monotonic()
         while not condition():
             if time.monotonic() - started_at > seconds:
-                raise TimeoutError(f"not within {seconds} s: {what}")
+                raise TimeoutError(f"condition not met within {seconds} s: {what}")
             for name, process in self.processes.items():
                 if process.poll() not in (None, 0, -signal.SIGKILL):
-                    raise RuntimeError(f"{name} ended with {process.returncode}; see {self.folder}/{name}.log")
+                    raise RuntimeError(
+                        f"process {name} exited with status {process.returncode}; see {self.folder}/{name}.log"
+                    )
             time.sleep(CHECK_INTERVAL_S)
         return time.monotonic() - started_at
 
     def cpu_shares(self) -> dict[str, float]:
-        """The share of a core that each process used since it started."""
+        """Processor time that each process has used since its start, as a share of one processor core."""
         tick = os.sysconf("SC_CLK_TCK")
         up = float(pathlib.Path("/proc/uptime").read_text().split()[0])
         shares = {}
@@ -314,16 +329,16 @@
         return shares
 
     def signal(self, name: str, signal_number: signal.Signals) -> None:
-        """Send a signal to one of our own processes."""
+        """Send a signal to a process of this fleet."""
         self.processes[name].send_signal(signal_number)
 
     def kill(self, name: str) -> None:
-        """Kill one of our own processes."""
+        """Kill a process of this fleet."""
         self.signal(name, signal.SIGKILL)
         self.processes[name].wait()
 
     def restart(self, name: str) -> None:
-        """Start a process again as it was."""
+        """Start an ended process again with the same arguments."""
         arguments = self.commands[name]
         if name in self.cores:
             self.spawn(name, arguments)
@@ -337,15 +352,15 @@
             self._list_ready(name)
 
     def owner(self) -> str:
-        """The name of the node that is the pool's pool owner now, or ""."""
+        """The name of the node that is an active pool owner now, or "" without one."""
         return next((name for name in self.nodes if self.processes[name].poll() is None and self.owner_of(name)), "")
 
     def owner_of(self, name: str) -> bool:
-        """Whether a node is a seated pool owner."""
+        """Whether a node is an active pool owner (the key "seated" in its state document)."""
         return any(owner["seated"] for owner in self.state(name).get("wardens", []))
 
     def end(self) -> None:
-        """Stop all that was started here."""
+        """Kill all processes of the fleet, frozen ones too, and remove the folder if it is a temporary one."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -358,7 +373,12 @@
             shutil.rmtree(self.folder, ignore_errors=True)
 
     def start_load(self, seconds: int, *extra_options: str) -> subprocess.Popen[str]:
-        """Start the load generator; its report is what it prints."""
+        """Start the load generator, which prints its report to standard output.
+
+        Args:
+            seconds: How long the load lasts.
+            extra_options: Further command-line options of the load generator.
+        """
         places = [f"{HOST}:{http}" for _, http in self.nodes.values()]
         return subprocess.Popen(
             [
@@ -382,22 +402,22 @@
 
 
 def _discard_event(*_kind: str, **_fields: object) -> None:
-    """Stands in for a log where none is kept."""
+    """Takes the place of a function that writes events, when no event log is kept."""
 
 
 def run(shape: str, *, load: int = 0, folder: str | None = None) -> None:
-    """Run a fleet of one shape.
+    """Run a fleet until it is interrupted, or for as long as a load lasts.
 
     :param shape: small, magnolia or swan
-    :param load: run the load generator for so many seconds, then stop
+    :param load: run the load generator for this many seconds, then stop
     :param folder: keep logs and data in this folder
     """
     if shape not in SHAPES:
-        sys.exit(f"fleet: no shape {shape!r}; there are {', '.join(SHAPES)}")
+        sys.exit(f"fleet: unknown shape {shape!r}; known shapes: {', '.join(SHAPES)}")
     if folder:
         pathlib.Path(folder).mkdir(parents=True, exist_ok=True)
     for signal_number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signal_number, lambda *_: sys.exit(0))  # by way of Fleet.end
+        signal.signal(signal_number, lambda *_: sys.exit(0))  # leaves the `with`, so Fleet.end runs
     with Fleet(shape, folder) as deployment:
         deployment.begin()
         for name, (port, http) in {**deployment.cores, **deployment.nodes}.items():
--- a/benchmarks/measure.py
+++ b/benchmarks/measure.py
@@ -1,4 +1,4 @@
-"""The figures of docs/measurements.md, each a command.
+"""The command line of the measurements whose results docs/measurements.md records.
 
 python -m benchmarks.measure hop
 python -m benchmarks.measure saturate
@@ -16,9 +16,9 @@
 
 
 def capacity(*, small: bool = False) -> None:
-    """The slopes of docs/CAPACITY.md, one after the other; benchmarks/capacity has them singly.
+    """Run all measurements of docs/CAPACITY.md, one after the other; benchmarks.capacity runs them one by one.
 
-    :param small: a few sizes only
+    :param small: measure at a few small sizes only
     """
     import benchmarks.capacity.__main__ as slopes
 
