--- a/benchmarks/process_costs.py
+++ b/benchmarks/process_costs.py
@@ -1,4 +1,4 @@
-"""Measurements on fleets of real processes: the way through a node, the rate, a pool owner's selections."""
+"""Measurements on real processes: latency through a node, highest request rate, a pool owner's selections."""
 
 from __future__ import annotations
 
@@ -17,11 +17,15 @@
 
 SELECT_TIMEOUT_US = 5 * units.SECOND_US
 UNBOUNDED_SLOTS = 100_000
-SELECTION_KINDS = ("placed", "claimed", "opened")  # of selections: free, at most once, opening a session
+SELECTION_KINDS = (
+    "placed",  # the request may be sent more than once
+    "claimed",  # the request is sent at most once
+    "opened",  # the request opens a session
+)
 
 
 def first_attempt_ms(deployment: fleet.Fleet) -> dict[str, list[float]]:
-    """From the sending of a first attempt to its arrival at a worker, by node, in ms; long prompts apart."""
+    """Milliseconds from a request's first send to its arrival at a worker, by node; without long prompts."""
     rows = []
     for name in ["load", *deployment.workers]:
         with pathlib.Path(deployment.event_log_path(name)).open() as log:
@@ -37,13 +41,13 @@
 
 
 def _wait_for_owner(deployment: fleet.Fleet) -> str:
-    """The node of the pool's owner, which may become active a moment after the fleet is ready."""
-    deployment.wait_until(deployment.owner, "the pool has an owner", fleet.START_TIMEOUT_S)
+    """Wait until the pool has an active owner, possibly a moment after all nodes are ready; returns its node's name."""
+    deployment.wait_until(deployment.owner, "the pool has an active owner", fleet.START_TIMEOUT_S)
     return deployment.owner()
 
 
 def hop(*, shape: str = "magnolia", seconds: int = 20, runs: int = 3) -> None:
-    """What the way through a node costs, at the pool owner's own node and at the others.
+    """Latency that a node adds to a request, for the pool owner's node and for all other nodes.
 
     :param shape: magnolia, swan or small
     :param seconds: how long each run lasts
@@ -69,7 +73,7 @@
 def saturate(
     *, shape: str = "magnolia", seconds: int = 8, rates: collections.abc.Sequence[int] = (50, 100, 200, 300, 400)
 ) -> None:
-    """Raise the rate of short requests until first bytes come late.
+    """Latency, refusals and processor use at rising rates of short requests, each with a fleet of its own.
 
     :param shape: magnolia, swan or small
     :param seconds: how long each rate lasts
@@ -92,11 +96,11 @@
 
 
 class SelectionLoad:
-    """Selections asked of one pool owner, many at a time.
+    """Requests one pool owner to select workers, with many requests in flight at a time.
 
     Args:
-        runtime: Of this process.
-        connection: To the owner's node.
+        runtime: This process's clock and scheduler.
+        connection: The connection to the owner's node.
         pool: The pool's name.
         term: The owner's term.
     """
@@ -111,7 +115,7 @@
         self.granted = 0
 
     async def run(self, kind: str, depth: int, seconds: int) -> int:
-        """Ask for selections of one kind; how many were granted."""
+        """Request selections of one kind for some seconds, `depth` at a time; returns how many were granted."""
         self.granted = 0
         deadline = self.runtime.now() + seconds * units.SECOND_US
         loops = [self._select_repeatedly(kind, number, deadline) for number in range(depth)]
@@ -150,11 +154,11 @@
 
 
 def selections(*, shape: str = "magnolia", seconds: int = 5, depth: int = 64) -> None:
-    """Elections that one pool owner answers per second, asked over one link, many at a time.
+    """Selections per second that one pool owner answers over one connection, with many in flight at a time.
 
     :param shape: magnolia, swan or small
-    :param seconds: how long to ask
-    :param depth: questions under way at a time
+    :param seconds: how long selections of each kind are requested
+    :param depth: selection requests in flight at a time
     """
     loguru.logger.remove()
     with fleet.Fleet(shape) as deployment:
@@ -181,4 +185,4 @@
 
 
 def _ignore_message(_connection: wire.Connection, _message: object) -> None:
-    """What the owner's node sends unasked."""
+    """Ignore messages that the owner's node sends without being asked."""
--- a/benchmarks/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -1,4 +1,4 @@
-"""Real processes under load and faults, judged by the same checkers as the simulator's runs.
+"""Runs a fleet of real processes under load and faults, and judges its event logs with the simulator's checkers.
 
 python -m benchmarks.process_trial magnolia
 python -m benchmarks.process_trial swan --cases warden hall full
@@ -23,21 +23,21 @@
 from iriswheel.runtime import scheduler
 from iriswheel.verification import replay
 
-LOAD_S = 3600  # longer than all cases together; `Trial.finish` ends it
-SETTLE_S = 5
-WAIT_S = 30  # until when a process must be ready again, or its data complete
+LOAD_S = 3600  # upper limit of the load, longer than all cases together; `Trial.finish` stops it earlier
+SETTLE_S = 5  # load without faults before the first case
+WAIT_S = 30  # limit for a process to become ready again, or for its data to become complete
 FREEZE_S = 4
-STOP_S = 40
-LOG_LINES_A_REQUEST = 2  # of a worker's log: its begin and its end
+STOP_S = 40  # limit for a process to exit after SIGTERM
+LOG_LINES_A_REQUEST = 2  # lines of a worker's event log for each request: its begin and its end
 
 
 class Trial:
-    """A fleet, the load on it, and the log of what was done to it.
+    """A fleet, the load on it, and an event log of the faults and changes that the trial causes.
 
     Args:
-        deployment: The fleet, not yet begun.
-        seconds: How long the load goes on at most.
-        extra_options: Further options of the load generator.
+        deployment: The fleet, not yet started; the trial starts it.
+        seconds: How long the load lasts at most.
+        extra_options: Further command-line options of the load generator.
     """
 
     def __init__(
@@ -52,12 +52,18 @@
         deployment.wait_until(lambda: self.count_lines("load") > 5, "the load has begun", 20)
 
     def record_event(self, kind: str, **fields: object) -> None:
-        """Write a row to the trial's own log."""
+        """Write an event to the trial's own event log."""
         self.event_log.put(scheduler.boottime(), kind, **fields)
         self.out.flush()
 
     def record_fault(self, what: str, target: str, large: bool = False) -> None:
-        """Note a fault."""
+        """Record that a fault begins.
+
+        Args:
+            what: The kind of fault.
+            target: The name of the process that it affects.
+            large: Whether several processes fail at once.
+        """
         role = next(
             (
                 role_name
@@ -78,21 +84,21 @@
         )
 
     def record_repair(self, what: str, target: str) -> None:
-        """Note that a fault is over."""
+        """Record that a fault of a process has ended."""
         self.record_event("mend", what=what, target=target)
 
     def zones(self) -> dict[str, str]:
-        """The zones of the nodes' doors."""
+        """The zone of each node, by the node's HTTP address."""
         return {f"{fleet.HOST}:{http}": self.fleet.zones[name] for name, (_, http) in self.fleet.nodes.items()}
 
     def restart(self, name: str) -> None:
-        """Start a process again, and note that its fault is over."""
+        """Start a process again; record the nodes' present addresses and the end of the fault."""
         self.fleet.restart(name)
         self.record_event("moved", zones=self.zones())
         self.record_repair("start", name)
 
     def count_lines(self, name: str) -> int:
-        """How many lines a log has so far."""
+        """How many lines a process's event log has so far."""
         try:
             with pathlib.Path(self.fleet.event_log_path(name)).open() as log:
                 return sum(1 for _ in log)
@@ -100,15 +106,21 @@
             return 0
 
     def wait_until_served(self, count: int) -> None:
-        """Wait until the workers have finished count more requests."""
+        """Wait until the workers have finished the given number of further requests."""
         goal = self._worker_lines() + LOG_LINES_A_REQUEST * count
-        self.fleet.wait_until(lambda: self._worker_lines() >= goal, f"{count} more exchanges are served", WAIT_S)
+        self.fleet.wait_until(
+            lambda: self._worker_lines() >= goal, f"workers have finished {count} more requests", WAIT_S
+        )
 
     def _worker_lines(self) -> int:
         return sum(self.count_lines(name) for name in self.fleet.workers)
 
     def finish(self) -> tuple[dict[str, typing.Any], dict[str, list[str]], list[str]]:
-        """Wait for the load, read the configuration back, judge: report, complaints, recoveries."""
+        """Stop the load, read the configuration back, and judge all event logs.
+
+        Returns:
+            The load generator's report, the complaints by checker, and a line for each recovery from a fault.
+        """
         self.load.send_signal(signal.SIGINT)
         report = json.loads(self.load.communicate()[0])
         for _, http in self.fleet.cores.values():
@@ -130,7 +142,7 @@
 
 
 def kill_and_restart(trial: Trial, names: collections.abc.Sequence[str], seconds: float) -> None:
-    """Kill processes at once, let the load go on, start them again."""
+    """Kill some processes at once, let the load go on for some seconds without them, then start them again."""
     for name in names:
         trial.record_fault("kill", name, large=len(names) > 1)
         trial.fleet.kill(name)
@@ -141,16 +153,18 @@
 
 
 def change(trial: Trial) -> None:
-    """A change of the configuration is confirmed."""
+    """A route is added to the configuration; prints how long the confirmation took."""
     document = json.loads(json.dumps(trial.fleet.configuration))
     document["routes"]["late"] = {"path": "/v1/late", "pool": trial.fleet.pool}
     started_at = time.monotonic()
-    trial.fleet.wait_until(lambda: trial.fleet.confirm(document, trial.record_event), "the change is confirmed", 20)
+    trial.fleet.wait_until(
+        lambda: trial.fleet.confirm(document, trial.record_event), "a core machine has confirmed the change", 20
+    )
     print(f"change acknowledged after {1000 * (time.monotonic() - started_at):.0f} ms")
 
 
 def drain(trial: Trial) -> None:
-    """A worker is listed as leaving, then gone, then ended; another one comes."""
+    """A new worker is added; an old one is listed as leaving, then as gone, and is then killed."""
     name = sorted(trial.fleet.workers)[0]
     trial.fleet.add_worker(f"{name}b")
     trial.fleet.list_worker(id=name, state="leaving")
@@ -161,12 +175,12 @@
 
 
 def node(trial: Trial) -> None:
-    """A node is killed and started again."""
+    """A node that neither owns a pool nor holds replicas is killed and started again."""
     kill_and_restart(trial, [next(name for name in trial.fleet.nodes if name not in trial.fleet.assigned_owners())], 4)
 
 
 def warden(trial: Trial) -> None:
-    """The pool owner is killed and started again."""
+    """The node that is the pool owner is killed and started again."""
     kill_and_restart(trial, [trial.fleet.owner()], 4)
 
 
@@ -177,7 +191,7 @@
 
 
 def hall(trial: Trial) -> None:
-    """All processes of a zone are killed at once."""
+    """All core machines and nodes of a zone are killed at once and started again."""
     zone = sorted(set(trial.fleet.zones.values()))[-1]
     kill_and_restart(
         trial, [name for name in [*trial.fleet.cores, *trial.fleet.nodes] if trial.fleet.zones[name] == zone], 4
@@ -186,13 +200,13 @@
 
 
 def everything(trial: Trial) -> None:
-    """All cores and nodes are killed at once."""
+    """All core machines and nodes are killed at once and started again."""
     kill_and_restart(trial, [*trial.fleet.cores, *trial.fleet.nodes], 0.5)
     time.sleep(6)
 
 
 def freeze(trial: Trial) -> None:
-    """The pool owner freezes for four seconds, then a core machine."""
+    """The pool owner is frozen for four seconds, then a core machine."""
     for name in (trial.fleet.owner(), sorted(trial.fleet.cores)[-1]):
         trial.record_fault("freeze", name)
         trial.fleet.signal(name, signal.SIGSTOP)
@@ -210,25 +224,25 @@
     shutil.rmtree(trial.fleet.folder / name)
     time.sleep(1)
     trial.restart(name)
-    trial.fleet.wait_until(lambda: trial.fleet.state(name).get("whole"), f"{name} is whole", WAIT_S)
+    trial.fleet.wait_until(lambda: trial.fleet.state(name).get("whole"), f"the data of {name} are complete", WAIT_S)
     time.sleep(4)
 
 
 def moved(trial: Trial) -> None:
-    """A core machine is gone for good; an empty one comes at a new address."""
+    """A core machine is lost permanently; a new one with an empty data folder starts at another address."""
     name = sorted(trial.fleet.cores)[0]
     trial.record_fault("gone for good", name)
     trial.fleet.kill(name)
     del trial.fleet.cores[name]
     time.sleep(2)
     trial.fleet.add_core("c9", fleet.free_port(), trial.fleet.zones[name])
-    trial.fleet.wait_until(lambda: trial.fleet.state("c9").get("whole"), "c9 is whole", WAIT_S)
+    trial.fleet.wait_until(lambda: trial.fleet.state("c9").get("whole"), "the data of c9 are complete", WAIT_S)
     trial.record_repair("start", name)
     time.sleep(4)
 
 
 def full(trial: Trial) -> None:
-    """A core machine's files may not grow or change for a while: its disk refuses every write."""
+    """A core machine's file size limit is zero for a while, so that every write to its disk fails."""
     name = sorted(trial.fleet.cores)[-1]
     pid = trial.fleet.processes[name].pid
     was = resource.prlimit(pid, resource.RLIMIT_FSIZE)
@@ -241,14 +255,14 @@
     trial.record_repair("disk mended", name)
     trial.fleet.wait_until(
         lambda: trial.fleet.state(name).get("whole") and trial.fleet.state(name).get("disk_ok"),
-        f"{name} is back",
+        f"the data of {name} are complete and its disk works",
         WAIT_S,
     )
     time.sleep(3)
 
 
 def roll(trial: Trial) -> None:
-    """Every node and core is stopped in good order and started again, one after the other."""
+    """Every node and core machine is stopped with SIGTERM and started again, one after the other."""
     for name in [*trial.fleet.nodes, *trial.fleet.cores]:
         if name in trial.fleet.cores:
             trial.record_fault("stop", name)
@@ -276,18 +290,18 @@
     long_rate: float = 4.0,
     short_rate: float = 40.0,
 ) -> typing.NoReturn:
-    """Run a fleet under load through cases of changes and faults, and judge what the outside saw.
+    """Run a fleet under load through cases of changes and faults, and judge the event logs of clients and workers.
 
     :param shape: magnolia, swan or small
-    :param cases: cases by name, in their order; all where none is named
+    :param cases: names of the cases, in the order in which they run; all cases if none is given
     :param long_rate: long prompts per second
     :param short_rate: short prompts per second
     """
     bad = [case for case in cases if case not in CASES]
     if shape not in fleet.SHAPES or bad:
         sys.exit(
-            f"trial: no shape or case {' '.join(bad) or shape}; "
-            f"there are {', '.join(fleet.SHAPES)}, and {', '.join(CASES)}"
+            f"trial: unknown shape or case: {' '.join(bad) or shape}; "
+            f"known shapes: {', '.join(fleet.SHAPES)}; known cases: {', '.join(CASES)}"
         )
     with fleet.Fleet(shape) as deployment:
         trial = Trial(deployment, LOAD_S, ["--long-rate", str(long_rate), "--short-rate", str(short_rate)])
--- a/benchmarks/stand_in_platform.py
+++ b/benchmarks/stand_in_platform.py
@@ -1,6 +1,6 @@
-"""A stand-in for the platform: it lists the workers and asks the nodes whether they are ready.
+"""A simulated platform: it lists the workers and polls the nodes' readiness.
 
-It speaks what docs/interface.md says, and writes an event log of its own. Scenarios make it misbehave.
+It implements the interface of docs/interface.md and writes an event log. Scenarios can make it answer wrongly.
 """
 
 from __future__ import annotations
@@ -18,42 +18,42 @@
 if typing.TYPE_CHECKING:
     from iriswheel.cli import load_generator
 
-POLL_US = 500 * units.MILLISECOND_US
+POLL_US = 500 * units.MILLISECOND_US  # time between two polls of a node's readiness
 POLL_TIMEOUT_US = 400 * units.MILLISECOND_US
-SLOW_LISTING_US = 4 * units.SECOND_US
-DRAIN_DEADLINE_MS = 5000
+SLOW_LISTING_US = 4 * units.SECOND_US  # delay of the worker list with ListingFault.SLOW
+DRAIN_DEADLINE_MS = 5000  # default of a listed worker
 
 log = loguru.logger.bind(part="platform")
 
 
 class ListingFault(enum.Enum):
-    """How the platform answers wrongly when nodes ask for its workers."""
+    """A wrong answer to the nodes' requests for the worker list."""
 
-    SLOW = "slow"
-    UNREADABLE = "nonsense"
-    EMPTY = "empty"
+    SLOW = "slow"  # the list comes late
+    UNREADABLE = "nonsense"  # the list is truncated JSON
+    EMPTY = "empty"  # no worker is listed
     HALF = "half"  # every other worker is left out
 
 
 class Platform:
-    """A stand-in platform.
+    """A simulated platform.
 
     Args:
-        runtime: Its clock and randomness.
-        events: Takes what happens.
+        runtime: Its clock, scheduler and random numbers.
+        events: The event log.
     """
 
     def __init__(self, runtime: scheduler.Runtime, events: load_generator.EventSink) -> None:
         self.runtime = runtime
         self.events = events
-        self.workers: dict[str, dict[str, typing.Any]] = {}  # id -> its row
+        self.workers: dict[str, dict[str, typing.Any]] = {}  # id of a worker -> its row of the worker list
         self.nodes: dict[str, tuple[str, int]] = {}  # name -> (host, HTTP port)
         self.listing_fault: ListingFault | None = None
-        self.readiness: dict[str, bool] = {}  # name of a node -> whether it was ready when last asked
+        self.readiness: dict[str, bool] = {}  # name of a node -> whether it was ready at the last poll
         self.dispatcher = dispatch.Dispatcher(runtime)
 
     async def poll_nodes(self) -> None:
-        """Ask every node whether it is ready, over and over."""
+        """Poll the readiness of every node, at a fixed interval and without end."""
         while True:
             for name, (host, port) in sorted(self.nodes.items()):
                 self.runtime.spawn(self._poll_node(name, host, port), log)
@@ -65,31 +65,31 @@
             ready = True
         except defer.CancelledError:
             raise
-        except Exception:  # whatever went wrong, the node is not ready
+        except Exception:  # after any failed request the node counts as not ready
             ready = False
         if self.readiness.get(name) != ready:
             self.readiness[name] = ready
             self.events.put(self.runtime.now(), "asked", node=name, ready=ready)
 
     def node_addresses(self) -> list[tuple[str, int]]:
-        """Where clients are sent to: the ready nodes; all of them where none is."""
+        """The addresses to which clients send requests: those of the ready nodes, or of all nodes if none is ready."""
         ready = [self.nodes[name] for name in sorted(self.nodes) if self.readiness.get(name)]
         return ready or [self.nodes[name] for name in sorted(self.nodes)]
 
     def put(self, id: str, **fields: int | str) -> None:
-        """List a worker, or change how it is listed."""
+        """Add a worker to the worker list, or change its row."""
         default = {"id": id, "state": "ready", "drain_deadline_ms": DRAIN_DEADLINE_MS}
         row = {**default, **self.workers.get(id, {}), **fields}
         self.workers[id] = row
         self.events.put(self.runtime.now(), "listed", worker=id, state=row["state"], pool=row["pool"])
 
     def drop(self, identifier: str) -> None:
-        """List a worker no more."""
+        """Remove a worker from the worker list."""
         del self.workers[identifier]
         self.events.put(self.runtime.now(), "listed", worker=identifier, state="gone", pool="")
 
     async def handle(self, request: http_server.Request) -> None:
-        """Answer the nodes' question for workers, and changes of workers and nodes."""
+        """Answer a request: for the worker list, for the nodes' addresses, or to change either of them."""
         match (request.method, request.path):
             case (b"GET", b"/workers"):
                 await self._list_workers(request)
--- a/benchmarks/stand_ins.py
+++ b/benchmarks/stand_ins.py
@@ -1,4 +1,4 @@
-"""The command line of the stand-ins for workers and the platform, each a process of its own."""
+"""The command line that runs a simulated worker or a simulated platform as a process."""
 
 from __future__ import annotations
 
@@ -15,13 +15,19 @@
 from iriswheel.runtime import scheduler
 from iriswheel.transport import http_server
 
-BACKLOG = 512  # connections that wait to be taken
+BACKLOG = 512  # connections that wait in the listening socket's queue
 
 MakeHandler = collections.abc.Callable[[scheduler.Runtime, load_generator.EventSink], http_server.Handler]
 
 
 def serve(make_handler: MakeHandler, port: int, events: str) -> None:
-    """Run a stand-in until it is killed; its port is the first line that it prints."""
+    """Run an HTTP server until the process is killed; its port is the first line on standard output.
+
+    Args:
+        make_handler: Makes the function that answers the requests.
+        port: The port; 0 lets the operating system choose.
+        events: The path of the event log; an empty path means none.
+    """
     loguru.logger.remove()
     loguru.logger.add(sys.stderr, level="WARNING")
     reactor = default_reactor.load()
@@ -36,19 +42,19 @@
 
 
 def worker(*, identifier: str, port: int = 0, events: str = "") -> None:
-    """Run a stand-in worker.
+    """Run a simulated worker.
 
     :param identifier: its name
-    :param port: its port; 0 lets the system pick
+    :param port: its port; 0 lets the operating system choose
     :param events: file for its event log
     """
     serve(lambda runtime, sink: stand_in_worker.Worker(runtime, identifier, sink).handle, port, events)
 
 
 def platform(*, port: int = 0, events: str = "") -> None:
-    """Run a stand-in platform.
+    """Run a simulated platform.
 
-    :param port: its port; 0 lets the system pick
+    :param port: its port; 0 lets the operating system choose
     :param events: file for its event log
     """
 
