--- a/benchmarks/change_recovery.py
+++ b/benchmarks/change_recovery.py
@@ -1,11 +1,11 @@
-"""How long changes are held up by a fault of one core machine, in the simulator and without load.
+"""How long a fault of one core machine delays configuration changes, in the simulator and without requests.
 
     python -m benchmarks.change_recovery --seeds 50 --cores 3 5 --lease-ms 3000
 
-Operators start a numbered change every 100 ms. In each run one core machine has one fault;
-measured is the time from the fault to the first acknowledgement of a change that was first
-sent after it, and to the moment when the last node has applied that change. The cases of one
-seed share the quiet time before the fault: each goes on from it in a process of its own.
+Operators submit a numbered change every 100 ms. In each run one core machine has one fault. Two times
+are measured, both from the fault on: until the first acknowledgement of a change that was submitted
+after the fault, and until the last node has applied that change. The cases of one seed share the
+time before the fault: it is simulated once, and each case continues from it in a forked process.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 FAULTS = ("cut", "kill", "kill for good", "freeze", "wipe")
 POSITIONS = ("head", "middle", "tail")
-CUT_S, FREEZE_S, RESTART_S = 20, 8, 1
+CUT_S, FREEZE_S, RESTART_S = 20, 8, 1  # durations of a network partition, of a freeze, of the downtime after a kill
 CHANGE_INTERVAL_US = 100 * units.MILLISECOND_US
-MAX_CHANGES_IN_FLIGHT = 8  # under way at once
-REQUEST_TIMEOUT_US = 1 * units.SECOND_US  # an operator's, with one core machine
+MAX_CHANGES_IN_FLIGHT = 8
+REQUEST_TIMEOUT_US = 1 * units.SECOND_US  # of one request to one core machine
 RETRY_DELAY_US = 100 * units.MILLISECOND_US
 WARM_UP_S = 3
-STEP_S = 0.005
-RECOVERY_LIMIT_S = 30
+STEP_S = 0.005  # resolution of the measured times
+RECOVERY_LIMIT_S = 30  # after which a change counts as not acknowledged or not applied
 LEASE_MS = 3_000
 
 FORK = multiprocessing.get_context("fork")
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StartSettings:
-    """What the cases of one seed share.
+    """The cluster and the seed that all cases of one seed start from.
 
     >>> StartSettings(seed=1, cores=3).lease_ms
     3000
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """Which fault strikes which core machine of the chain.
+    """A fault, and the position in the chain of the core machine that it affects.
 
     >>> Case("kill", "tail").position
     'tail'
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Recovery:
-    """What was measured of one case: µs from the fault, None where it took longer than LIMIT_S."""
+    """The result of one case: times in µs from the fault on, None for a time above RECOVERY_LIMIT_S."""
 
     case: Case
     acknowledged: int | None
@@ -80,37 +80,38 @@
 
 @dataclasses.dataclass(frozen=True)
 class Acknowledgement:
-    """A change that was acknowledged: when its order was first sent, when it was answered, its version."""
+    """An acknowledged change."""
 
-    sent: int
-    answered: int
-    version: int
+    sent: int  # time of the first request, in µs
+    answered: int  # time of the acknowledgement, in µs
+    version: int  # version of the configuration with the change
 
 
 class Operators:
-    """Operators who start a change every 100 ms, each at the next core machine.
+    """Operators who submit a change every 100 ms, each to the next core machine in turn.
 
-    Each order goes on to the next core machine after a second of silence or a 5xx, with the
-    same content. An order that came second on its base is given up, and the current number read.
+    A change without an answer within a second, or with a 5xx status, is submitted again with the
+    same content to the next core machine. A change that is refused because another one was
+    accepted for the same base is dropped, and the current number is read.
     """
 
     def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         self.cluster = cluster
         self.runtime = cluster.operator_runtime
         self.addresses = [f"{cluster.places[name][0]}:{addresses.HTTP_PORT}" for name in sorted(cluster.cores)]
-        self.current = 0  # the number that new orders build on
+        self.current = 0  # the number of the accepted change that new changes build on
         self.changes_in_flight = 0
         self.acknowledged: list[Acknowledgement] = []
 
     async def run(self) -> None:
-        """Start orders for as long as the simulation runs."""
+        """Submit changes for as long as the simulation runs."""
         for number in itertools.count(1):
             if self.changes_in_flight < MAX_CHANGES_IN_FLIGHT:
                 self.runtime.spawn(self.submit_change(number), log)
             await self.runtime.sleep(CHANGE_INTERVAL_US)
 
     async def submit_change(self, number: int) -> None:
-        """Bring one order to core machines in turn until its outcome is clear."""
+        """Submit a change to one core machine after the other until one gives a definite answer."""
         sent = self.runtime.now()
         route = {"path": f"/p/{number}", "pool": self.cluster.pool}
         document = {"number": number, "built_on": self.current, "upsert": {"routes": {"probe": route}}}
@@ -129,7 +130,7 @@
             await self.read_current_number(address)
 
     async def read_current_number(self, address: str) -> None:
-        """Read the number that is current."""
+        """Read the number of the last accepted change from a core machine."""
         status, answer = await self.query(address, "GET", "/blueprint")
         if status == 200:
             marks = answer["blueprint"].get("marks", {})
@@ -138,7 +139,7 @@
     async def query(
         self, address: str, method: str, path: str, document: dict[str, typing.Any] | None = None
     ) -> tuple[int, dict[str, typing.Any]]:
-        """Send one request; a second of silence or a broken connection counts as 504."""
+        """Send one request; a missing answer within a second and a failed connection count as status 504."""
         try:
             answer = defer.ensureDeferred(command.send_request(self.runtime, [address], method, path, document))
             return await self.runtime.within(answer, REQUEST_TIMEOUT_US)
@@ -147,7 +148,7 @@
 
 
 def chain_of(cluster: simulated_cluster.SimulatedCluster) -> list[str]:
-    """The names of the core machines in the order of the newest view's chain."""
+    """The names of the core machines in the chain of the newest view, from head to tail."""
     views = [core.consensus.view for core in cluster.cores.values() if core.consensus.view is not None]
     newest = max(views, key=lambda view: view.number)
     names = {core.consensus.own_voter.id: name for name, core in cluster.cores.items()}
@@ -161,7 +162,7 @@
 
 
 def inject_fault(cluster: simulated_cluster.SimulatedCluster, fault: str, name: str) -> None:
-    """Let a fault strike a core machine, and end by itself where it does."""
+    """Cause a fault of a core machine now, and schedule its end unless the fault is permanent."""
     core = cluster.cores[name]
 
     def later(seconds: int, function: collections.abc.Callable[..., object], *arguments: object) -> None:
@@ -187,7 +188,7 @@
 
 
 def idle_cluster(start: StartSettings) -> tuple[simulated_cluster.SimulatedCluster, Operators]:
-    """A cluster without load, all core machines in its chain, at a moment that the seed draws."""
+    """A cluster without requests, with all core machines in its chain, advanced to a moment drawn from the seed."""
     cluster = simulated_cluster.SimulatedCluster(
         start.seed,
         "magnolia",
@@ -201,7 +202,7 @@
     cluster.probing = False
     cluster.begin()
     if not cluster.advance_until(lambda: len(chain_of(cluster)) == start.cores, RECOVERY_LIMIT_S):
-        raise TimeoutError(f"The chain does not hold all core machines: {start}")
+        raise TimeoutError(f"{start}: the chain does not contain all core machines after {RECOVERY_LIMIT_S} s")
     operators = Operators(cluster)
     cluster.operator_runtime.spawn(operators.run(), log)
     cluster.advance(WARM_UP_S + cluster.rng.random())
@@ -209,7 +210,7 @@
 
 
 def measure(cluster: simulated_cluster.SimulatedCluster, operators: Operators, case: Case) -> Recovery:
-    """Let the fault strike, and wait until the next change is applied by all nodes."""
+    """Cause the fault, and wait until all nodes have applied the first change that was submitted after it."""
     started_at = cluster.world.time
     inject_fault(cluster, case.fault, machine_at(cluster, case.position))
     first = None
@@ -222,7 +223,7 @@
 
 
 def measure_seed(start: StartSettings, cases: list[Case]) -> list[Recovery]:
-    """Play all cases of one seed, each in a process that goes on from the same quiet cluster."""
+    """Measure all cases of one seed, each in a forked process that continues from the same idle cluster."""
     loguru.logger.remove()
     cluster, operators = idle_cluster(start)
     results = FORK.SimpleQueue()
@@ -232,13 +233,13 @@
         child.start()
         child.join()
         if child.exitcode != 0:
-            raise RuntimeError(f"{start}, {case}: the process ended with {child.exitcode}.")
+            raise RuntimeError(f"{start}, {case}: the forked process exited with status {child.exitcode}")
         recoveries.append(results.get())
     return recoveries
 
 
 def median_and_worst(values: list[int | None]) -> str:
-    """Median and worst of times in µs, in seconds; a None is a time beyond the limit.
+    """Median and maximum, in seconds, of times in µs; None stands for a time above RECOVERY_LIMIT_S.
 
     >>> median_and_worst([1_200_000, 900_000, None])
     '1.20, over 30'
@@ -249,7 +250,7 @@
 
 
 def table(cores: int, cases: list[Case], recoveries: list[Recovery]) -> list[str]:
-    """The rows of a table: one for each case, over all seeds.
+    """The rows of the printed table: one for each case, over all seeds.
 
     >>> kill = Case("kill", "tail")
     >>> print(*table(3, [kill], [Recovery(kill, 900_000, 950_000)]))
@@ -275,14 +276,14 @@
     lease_ms: int = LEASE_MS,
     jobs: int = 1,
 ) -> None:
-    """Print the median and the worst time in seconds over seeds, a table row for each fault and position.
+    """Print the median and the maximum time in seconds over all seeds, a table row for each fault and position.
 
-    :param seeds: how many seeds for each row, from 1 on
+    :param seeds: number of seeds for each row; they count from 1
     :param cores: numbers of core machines
     :param faults: cut, kill, kill for good, freeze, wipe
     :param positions: head, middle, tail
-    :param lease_ms: how long a node's lease is
-    :param jobs: processes
+    :param lease_ms: duration of a node's lease
+    :param jobs: number of processes that run seeds in parallel
     """
     print("| core machines | fault | position | seeds | acknowledged: median, worst | applied: median, worst |")
     print("|---|---|---|---|---|---|")
--- a/benchmarks/stand_in_worker.py
+++ b/benchmarks/stand_in_worker.py
@@ -1,6 +1,6 @@
-"""A stand-in for a worker: one model with a prefix cache, a batch of bounded size, and a load report that lags.
+"""A simulated worker: one model with a prefix cache, a batch of bounded size, and load reports that lag behind.
 
-It speaks what docs/interface.md says, and writes an event log of its own. Scenarios make it misbehave.
+It implements the interface of docs/interface.md and writes an event log. Scenarios can make it answer wrongly.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 if typing.TYPE_CHECKING:
     from iriswheel.cli import load_generator
 
-PREFILL_BYTES_PER_S = 400_000  # prompt bytes read per second, alone
-CACHED_PART_SAVED_SHARE = 0.85  # the share of a part's reading that its cached prefix saves
-TOKEN_US = 25 * units.MILLISECOND_US
-SHORT_TOKENS = 12  # of the answer to a short prompt
-LONG_TOKENS = 24
-LONG_PROMPT_BYTES = 16_000  # a prompt counts as long above this
-PROBE_BYTES = 16  # a body as small as this, a probe's, gets two tokens
-PROBE_TOKENS = 2
+PREFILL_BYTES_PER_S = 400_000  # prefill speed in prompt bytes; one prompt is read at a time
+CACHED_PART_SAVED_SHARE = 0.85  # share of a prompt part's prefill time that is saved if the part is cached
+TOKEN_US = 25 * units.MILLISECOND_US  # time between two tokens of an answer
+SHORT_TOKENS = 12  # length of the answer to a short prompt
+LONG_TOKENS = 24  # length of the answer to a long prompt
+LONG_PROMPT_BYTES = 16_000  # a larger prompt is a long one
+PROBE_BYTES = 16  # a body of at most this size belongs to a probe
+PROBE_TOKENS = 2  # length of the answer to a probe
 BATCH_SIZE = 24
 MAX_CACHED_PARTS = 64
 REPORT_LAG_US = 700 * units.MILLISECOND_US
@@ -39,25 +39,25 @@
 class AnswerFault(enum.Enum):
     """How a worker answers requests wrongly; the values are the names of these faults in event logs."""
 
-    SLOW = "slow"  # the first event comes late
-    STALLS = "stops"  # the stream stops midway and is broken off much later
-    BREAKS_OFF = "short"  # the stream is broken off midway
-    OVERSIZED = "long"  # each event is very large
+    SLOW = "slow"  # the first event of the stream comes late
+    STALLS = "stops"  # the stream stalls halfway, and its connection is closed much later
+    BREAKS_OFF = "short"  # the connection is closed halfway through the stream
+    OVERSIZED = "long"  # each event of the stream is very large
 
 
 class LoadReportMode(enum.Enum):
-    """How a worker answers the question for its load."""
+    """How a worker answers requests for its load."""
 
     GOOD = "good"
-    LATE = "late"
-    MISSING = "missing"  # there is no such path
-    UNREADABLE = "broken"
-    MISTYPED = "wrong"  # the fields have other types
-    NEVER = "never"
+    LATE = "late"  # the answer comes one to three seconds late
+    MISSING = "missing"  # 404, as from a worker that does not report its load
+    UNREADABLE = "broken"  # truncated JSON
+    MISTYPED = "wrong"  # the fields have wrong types
+    NEVER = "never"  # no answer until long after every timeout
 
 
 class PrefixCache:
-    """The parts of prompts that were read last.
+    """An LRU cache of the prompt parts that a worker has read.
 
     >>> cache = PrefixCache(); cache.add(["system", "talk"])
     >>> cache.count_cached(["system", "other"]), cache.count_cached(["other", "system"])
@@ -68,14 +68,14 @@
         self.parts: collections.OrderedDict[str, None] = collections.OrderedDict()  # the least recently used first
 
     def count_cached(self, parts: list[str]) -> int:
-        """How many parts of a prompt, from its beginning, are cached."""
+        """How many parts at the beginning of a prompt are cached."""
         for count, part in enumerate(parts):
             if part not in self.parts:
                 return count
         return len(parts)
 
     def add(self, parts: list[str]) -> None:
-        """Keep the parts of a prompt; the least recently used give way."""
+        """Cache the parts of a prompt, and evict the least recently used parts above the limit."""
         for part in parts:
             self.parts[part] = None
             self.parts.move_to_end(part)
@@ -84,20 +84,20 @@
 
 
 class Load(typing.NamedTuple):
-    """How many requests run and wait, from a time in µs on."""
+    """A worker's load from a point in time until the next change."""
 
-    since: int
-    running: int
-    queued: int
+    since: int  # µs
+    running: int  # requests in the batch
+    queued: int  # requests that wait for a place in the batch
 
 
 class Worker:
-    """One stand-in worker.
+    """One simulated worker.
 
     Args:
-        runtime: Its clock and randomness.
+        runtime: Its clock, scheduler and random numbers.
         identifier: Its name.
-        events: Takes what happens.
+        events: The event log.
     """
 
     def __init__(self, runtime: scheduler.Runtime, identifier: str, events: load_generator.EventSink) -> None:
@@ -105,7 +105,7 @@
         self.identifier = identifier
         self.events = events
         self.cache = PrefixCache()
-        self.request_count = 0  # that run or wait
+        self.request_count = 0  # requests that run or wait
         self.prefill = defer.DeferredLock()  # one prompt is read at a time
         self.batch = defer.DeferredSemaphore(BATCH_SIZE)
         self.load_history: collections.deque[Load] = collections.deque([Load(0, 0, 0)])
@@ -113,10 +113,10 @@
         self.short_tokens = SHORT_TOKENS
         self.load_report = LoadReportMode.GOOD
         self.answer_fault: AnswerFault | None = None
-        self.unhealthy = False  # breaks every request off, unanswered
+        self.unhealthy = False  # whether it closes the connection of every request without an answer
 
     async def handle(self, request: http_server.Request) -> None:
-        """Answer one request."""
+        """Answer a request for the load, or serve a prompt."""
         match (request.method, request.path):
             case (b"GET", b"/load"):
                 await self._report_load(request)
@@ -148,13 +148,13 @@
         request.answer_json(200, {"running": load.running, "queued": load.queued})
 
     def _change_request_count(self, change: int) -> None:
-        """Count a request that begins or ends, and keep the load for the late report."""
+        """Count a request that begins (1) or ends (-1), and keep the new load for the reports, which lag behind."""
         self.request_count += change
         running, queued = min(self.request_count, BATCH_SIZE), max(0, self.request_count - BATCH_SIZE)
         self.load_history.append(Load(self.runtime.now(), running, queued))
 
     async def _run(self, request: http_server.Request) -> None:
-        """Serve a request, unless its client goes away before the end."""
+        """Serve a prompt; stops when the client closes its connection before the end."""
         headers = request.requestHeaders
         request_id = edge_protocol.identifier(headers, edge_protocol.REQUEST_ID_HEADER)
         attempt = edge_protocol.send_number(headers)
@@ -193,7 +193,7 @@
     async def _answer(
         self, request: http_server.Request, run: str, request_id: str, parts: list[str], size: int
     ) -> None:
-        """Read the prompt once there is room in the batch, then stream the answer."""
+        """Wait for a place in the batch, read the prompt, then stream the answer."""
         await self.batch.acquire()
         try:
             await self._read_prompt(parts, size)
@@ -205,7 +205,7 @@
             self.batch.release()
 
     async def _read_prompt(self, parts: list[str], size: int) -> None:
-        """Take as long as the reading of a prompt takes, less for its cached parts."""
+        """Wait for the prefill time of a prompt, which is shorter for cached parts, and cache its parts."""
         await self.prefill.acquire()
         try:
             cached = self.cache.count_cached(parts)
@@ -216,7 +216,7 @@
             self.prefill.release()
 
     async def _stream(self, request: http_server.Request, names: dict[str, str], size: int) -> None:
-        """Send one event a token, each of which names the run, then an end."""
+        """Send one event for each token, with the given fields in each, and then the end of the stream."""
         tokens = self._answer_tokens(size)
         for k in range(tokens):
             if k == tokens // 2 and self.answer_fault in (AnswerFault.STALLS, AnswerFault.BREAKS_OFF):
@@ -233,7 +233,7 @@
         request.finish()
 
     def _answer_tokens(self, size: int) -> int:
-        """How many tokens a prompt of so many bytes gets."""
+        """Length in tokens of the answer to a prompt of the given size in bytes."""
         if size > LONG_PROMPT_BYTES:
             return LONG_TOKENS
         return self.short_tokens if size > PROBE_BYTES else PROBE_TOKENS
--- a/benchmarks/total_loss.py
+++ b/benchmarks/total_loss.py
@@ -1,11 +1,12 @@
-"""How long a fleet takes after the loss of all its processes, in the simulator and without load.
+"""How long a fleet takes to recover from the loss of all its processes, in the simulator and without other load.
 
     python -m benchmarks.total_loss --seeds 50 --cores 3 5
 
-All core machines and nodes are lost at the same moment, and start again about a second later, each at a moment of
-its own. Measured from the moment when a majority of the core machines runs: when the tail has its lease, when the
-first node has one, when the first node counts as ready, when the first client's request and the first operator's
-change that were sent after the loss are answered.
+All core machines and nodes are lost at the same moment, and start again about a second later, at slightly different
+times. The following times are measured, all from the moment when a majority of the core machines runs again: until
+the tail holds its lease, until the first node holds a lease, until the first node is ready, until a client's request
+is answered for the first time, and until a change that was submitted after the loss is acknowledged for the first
+time.
 """
 
 from __future__ import annotations
@@ -28,11 +29,11 @@
 from simulation import addresses, simulated_cluster
 
 FAULTS = ("kill", "power")
-DOWN_S = 1.0
+DOWN_S = 1.0  # time from the loss to the earliest restart of a process
 START_SPREAD_S = 0.3
-"""The processes start at moments that are spread over so long."""
+"""Length of the period over which the restarts of the processes are spread."""
 
-OK = 200
+OK = 200  # HTTP status
 REQUEST_INTERVAL_US = 20 * units.MILLISECOND_US
 
 log = loguru.logger.bind(part="total_loss")
@@ -40,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Recovery:
-    """What was measured of one loss: µs from the start of a majority of the cores, None beyond the limit."""
+    """The result of one loss: times in µs from the restart of a majority of the core machines, None above the limit."""
 
     fault: str
     tail_lease: int | None = None
@@ -54,7 +55,7 @@
 
 
 class Clients:
-    """Clients that send a request to the next node every 20 ms, and note when the first one is answered."""
+    """Clients that send a request to the next node every 20 ms, and record when the first one is served."""
 
     def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         self.runtime = cluster.operator_runtime
@@ -71,7 +72,7 @@
             await self.runtime.sleep(REQUEST_INTERVAL_US)
 
     async def send(self, node: str) -> None:
-        """Send one request; what does not come to an answer is no matter."""
+        """Send one request; a request that fails or times out is ignored."""
         call = self.agent.request(
             b"POST", f"http://{node}/v1/complete".encode(), http_headers.Headers({}), dispatch.Body(b"hello")
         )
@@ -84,7 +85,11 @@
 
 
 def fail_all_processes(cluster: simulated_cluster.SimulatedCluster, fault: str) -> int:
-    """Let all processes be lost and start again; returns when a majority of the core machines runs (µs)."""
+    """End all processes and schedule their restarts.
+
+    Returns:
+        The time, in µs, at which a majority of the core machines will have started again.
+    """
     names = sorted(cluster.servers())
     for name in names:
         process = cluster.servers()[name].process
@@ -102,7 +107,7 @@
 
 
 def measure(cluster: simulated_cluster.SimulatedCluster, operators: change_recovery.Operators, fault: str) -> Recovery:
-    """Let all be lost, and wait until all that is measured has happened."""
+    """End all processes, and wait until every measured event has happened or the limit is reached."""
     lost_at = cluster.world.time
     begins_at = fail_all_processes(cluster, fault)
     clients = Clients(cluster)
@@ -137,7 +142,7 @@
 
 
 def measure_seed(start: change_recovery.StartSettings, faults: collections.abc.Sequence[str]) -> list[Recovery]:
-    """Play all losses of one seed, each from the same quiet cluster."""
+    """Measure all kinds of loss with one seed, each on a new idle cluster with this seed."""
     loguru.logger.remove()
     recoveries = []
     for fault in faults:
@@ -147,7 +152,7 @@
 
 
 def row(cores: int, fault: str, recoveries: list[Recovery]) -> str:
-    """A row of the table: each time's median and worst over all seeds, in seconds.
+    """A row of the printed table: the median and the maximum of each time over all seeds, in seconds.
 
     >>> row(3, "kill", [Recovery("kill", 100_000, 150_000, 200_000, 250_000, 400_000)])
     '| 3 | kill | 1 | 0.10, 0.10 | 0.15, 0.15 | 0.20, 0.20 | 0.25, 0.25 | 0.40, 0.40 |'
@@ -168,13 +173,13 @@
     lease_ms: int = change_recovery.LEASE_MS,
     jobs: int = 1,
 ) -> None:
-    """Print the median and the worst time in seconds over seeds, a table row for each kind of loss.
+    """Print the median and the maximum time in seconds over all seeds, a table row for each kind of loss.
 
-    :param seeds: how many seeds for each row, from 1 on
+    :param seeds: number of seeds for each row; they count from 1
     :param cores: numbers of core machines
-    :param faults: kill, power
-    :param lease_ms: how long a node's lease is
-    :param jobs: processes
+    :param faults: kill (the processes are killed) or power (their machines lose power)
+    :param lease_ms: duration of a node's lease
+    :param jobs: number of processes that run seeds in parallel
     """
     titles = [f"{name.replace('_', ' ')}: median, worst" for name in MEASURES]
     print(f"| core machines | all lost by | seeds | {' | '.join(titles)} |")
