--- a/benchmarks/counter_repair.py
+++ b/benchmarks/counter_repair.py
@@ -1,11 +1,11 @@
-"""How replicated counters are repaired after a cut: time, bytes, and what other ways to find the difference would cost.
+"""What anti-entropy of the replicated counters costs after a network partition, also with other algorithms.
 
     python -m benchmarks.counter_repair
 
-Five core machines share the adds of ten minutes. Two of them are cut off from three, both sides take adds at half of
-RATE each, and the cut heals. The time is that of the simulated network and disks; processor time is not part of it and
-is printed beside it. The other ways are computed on the same adds: the bytes that one pair of machines exchanges to
-find out which adds differ, without these adds themselves.
+Five core machines hold the same adds of ten minutes. A partition separates two of them from the other three, each side
+accepts adds at half of RATE, and the partition heals. The printed time is that of the simulated network and disks; the
+processor time is not part of it and is printed beside it. The costs of other algorithms are computed for the same adds:
+the bytes that one pair of machines exchanges to find out which adds differ, without the differing adds themselves.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 from iriswheel.transport import message
 from simulation import counter_cluster, server_model
 
-RATE = 40  # adds a second
-SHARED_S = 600
-CUTS_S = (1, 20, 3600)
+RATE = 40  # adds per second
+SHARED_S = 600  # seconds of adds that all machines hold before the partition
+CUTS_S = (1, 20, 3600)  # durations of the partition
 HASH_BYTES = 8
-FANOUT = 16  # of the Merkle tree
-LEAF_ADDS = 16
-BUCKET_S = 1  # of the digests by time
-SYMBOL_BYTES = 2 * HASH_BYTES + 2  # of a rateless sketch: sum of ids, sum of their hashes, count
-SKETCH_LIMIT = 10_000  # adds of a side, beyond which peeling takes minutes here
-SIDES = (("c1", "c2"), ("c3", "c4", "c5"))
-DEADLINE_S = 60
+FANOUT = 16  # children of an inner node of the Merkle tree
+LEAF_ADDS = 16  # maximum number of adds below a leaf of the Merkle tree
+BUCKET_S = 1  # length of a time bucket, of which each has one digest
+SYMBOL_BYTES = 2 * HASH_BYTES + 2  # coded symbol of a rateless sketch: sum of ids, sum of their hashes, count
+SKETCH_LIMIT = 10_000  # adds of one side; above this, peeling a sketch would take minutes
+SIDES = (("c1", "c2"), ("c3", "c4", "c5"))  # the machines on either side of the partition
+DEADLINE_S = 60  # limit for the repair
 
 
 class TimedAdd(typing.NamedTuple):
-    """An add, and the second at which it was accepted."""
+    """An add, and the second in which it was accepted."""
 
     add_id: counter_state.AddId
     add: message.CounterAdd
@@ -50,7 +50,7 @@
 def make_adds(
     names: collections.abc.Sequence[str], seconds: range, rate: int, generator: random.Random
 ) -> list[TimedAdd]:
-    """Adds at some machines, one after the other; each period is an incarnation of its own."""
+    """Make adds that some machines accept in turn; each period of seconds is another incarnation of the machines."""
     counts: collections.Counter[str] = collections.Counter()
     adds = []
     for second in seconds:
@@ -62,32 +62,32 @@
     return adds
 
 
-# ---- the product's way, played --------------------------------------------------------------
+# ---- the algorithm of iriswheel, simulated --------------------------------------------------------------
 
 
 class Repair(typing.NamedTuple):
-    """What a repair took."""
+    """The cost of a repair."""
 
-    seconds: float  # until all machines read the same
+    seconds: float  # simulated time until all machines read the same sum
     processor_seconds: float
-    digest_bytes: int  # of messages without adds, and of all answers
-    add_bytes: int  # of messages with adds
-    lacking: int  # adds that were brought to machines which lacked them
-    carried: int  # adds in messages
+    digest_bytes: int  # bytes of messages without adds and of all responses
+    add_bytes: int  # bytes of messages with adds
+    lacking: int  # adds that machines lacked, summed over the machines
+    carried: int  # adds in all messages, duplicates included
 
 
 class TrafficCount:
-    """Counts what replicators send, in the place of their calls to other machines."""
+    """Counts the bytes and adds that replicators send, by replacing the method with which they call other machines."""
 
     def __init__(self) -> None:
         self.digest_bytes = self.add_bytes = self.carried = 0
 
     def attach(self, core: server_model.SimulatedCore) -> None:
-        """Count the calls of one machine from now on."""
+        """Count the calls of one machine to others from now on."""
         peers = core.peers
         call = peers.call
 
-        async def counting(host: str, port: int, content: message.Message, timeout_us: int) -> typing.Any:  # noqa: ANN401 - as of the method that it replaces
+        async def counting(host: str, port: int, content: message.Message, timeout_us: int) -> typing.Any:  # noqa: ANN401 - same signature as the replaced method
             if not isinstance(content, message.ReplicateAdds):
                 return await call(host, port, content, timeout_us)
             response = await call(host, port, content, timeout_us)
@@ -102,7 +102,7 @@
 
 
 def store_add(core: server_model.SimulatedCore, each: TimedAdd) -> None:
-    """Let a machine hold an add, synced."""
+    """Put an add into a machine's memory and onto its disk."""
     counters = core.replicated_counters
     counters.state.insert(each.add_id.origin, each.add)
     counters.disk_log.synced.add(each.add_id)
@@ -110,13 +110,13 @@
 
 
 def simulate_repair(shared: list[TimedAdd], sides: list[list[TimedAdd]], *, live: bool) -> Repair:
-    """Let the machines hold the adds, cut in two, and heal the cut.
+    """Give the adds to partitioned machines, heal the partition, and measure the repair.
 
     Args:
-        shared: The adds that all hold.
-        sides: Those of each side.
-        live: Whether the machines that accepted the sides' adds have run ever since. Otherwise these adds are those of
-            earlier incarnations, which every holder offers.
+        shared: The adds that all machines hold.
+        sides: The adds that only the machines of one side hold, for each side.
+        live: Whether the processes that accepted the sides' adds are still running. Otherwise these adds belong to
+            earlier incarnations, and every machine that holds them offers them to the others.
     """
     cluster = counter_cluster.CounterCluster()
     cluster.cut(*SIDES[0])
@@ -145,17 +145,17 @@
     return Repair(seconds, processor_seconds, traffic.digest_bytes, traffic.add_bytes, lacking, traffic.carried)
 
 
-# ---- other ways, computed ----------------------------------------------------------------------
+# ---- other algorithms, computed ----------------------------------------------------------------------
 
 
 def digest_of(add_id: counter_state.AddId) -> int:
-    """A digest of an add's identity, as a whole number."""
+    """A digest of an add's identity, as an integer."""
     raw = hashlib.blake2b(f"{add_id.origin}/{add_id.sequence}".encode(), digest_size=HASH_BYTES).digest()
     return int.from_bytes(raw, "big")
 
 
 def interval_bytes(adds: list[TimedAdd]) -> int:
-    """The intervals by origin, as they are sent."""
+    """Bytes of the intervals of sequence numbers by origin, as iriswheel sends them."""
     held = counter_state.HeldAdds()
     for each in adds:
         held.add(each.add_id)
@@ -163,19 +163,19 @@
 
 
 def whole_state_bytes(adds: list[TimedAdd]) -> int:
-    """All adds."""
+    """Bytes of all adds."""
     return sum(len(msgspec.msgpack.encode(each.add)) for each in adds)
 
 
 class TreeCost(typing.NamedTuple):
-    """What a comparison of Merkle trees costs."""
+    """The cost of a comparison of two Merkle trees."""
 
     bytes: int
     rounds: int
 
 
 def split(digests: set[int], shift: int) -> list[set[int]]:
-    """Digests by the FANOUT children of a node that they lie below."""
+    """Distribute digests over the FANOUT children of a tree node."""
     children: list[set[int]] = [set() for _ in range(FANOUT)]
     for digest in digests:
         children[digest >> shift & (FANOUT - 1)].add(digest)
@@ -183,7 +183,7 @@
 
 
 def merkle_cost(first: list[int], second: list[int]) -> TreeCost:
-    """Compare two Merkle trees over digests, from the root down, level by level."""
+    """The cost of comparing the Merkle trees of two sets of digests, from the root down, level by level."""
     total, rounds = HASH_BYTES, 1
     bits, fan_bits = HASH_BYTES * 8, int(math.log2(FANOUT))
     level = [(set(first), set(second))]
@@ -210,7 +210,7 @@
 
 
 def time_bucket_bytes(first: list[TimedAdd], second: list[TimedAdd]) -> int:
-    """Digests of all buckets of time, and the ids in those that differ."""
+    """Bytes of the digests of all time buckets, and of the ids in the buckets that differ."""
     buckets: collections.defaultdict[int, tuple[set[int], set[int]]] = collections.defaultdict(lambda: (set(), set()))
     for index, adds in enumerate((first, second)):
         for each in adds:
@@ -222,7 +222,7 @@
 
 
 def symbol_indexes(item: int, count: int) -> collections.abc.Iterator[int]:
-    """The coded symbols that an item of a rateless sketch is part of: the i-th one with probability 1 / (1 + i / 2)."""
+    """Indexes of a rateless sketch's coded symbols that contain an item: index i has probability 1 / (1 + i / 2)."""
     generator = random.Random(item)
     index = 0
     while index < count:
@@ -232,7 +232,7 @@
 
 
 def can_decode(items: list[int], count: int) -> bool:
-    """Whether a sketch of so many symbols gives all items of a difference back, by peeling."""
+    """Whether peeling recovers all items of a difference from a sketch with the given number of symbols."""
     members: list[set[int]] = [set() for _ in range(count)]
     for item in items:
         for index in symbol_indexes(item, count):
@@ -253,7 +253,7 @@
 
 
 def sketch_bytes(difference: list[int]) -> int:
-    """The least rateless sketch, in steps of a twentieth of the difference, that decodes."""
+    """Bytes of the smallest rateless sketch that can be decoded, tried in steps of a twentieth of the difference."""
     count = len(difference)
     while not can_decode(difference, count):
         count += max(1, len(difference) // 20)
@@ -261,12 +261,12 @@
 
 
 def differing(sides: list[list[TimedAdd]]) -> list[int]:
-    """The digests of the adds that one of two machines lacks."""
+    """The digests of all adds that only one side holds."""
     return [digest_of(each.add_id) for side in sides for each in side]
 
 
 def print_cut(cut_s: int, generator: random.Random) -> None:
-    """Print what the repair after one cut takes."""
+    """Print the costs of the repair after a partition of the given duration."""
     shared = make_adds(sorted(counter_cluster.MACHINES), range(SHARED_S), RATE, generator)
     seconds = range(SHARED_S, SHARED_S + cut_s)
     sides = [make_adds(names, seconds, RATE // 2, generator) for names in SIDES]
@@ -285,7 +285,7 @@
 
 
 def main() -> None:
-    """Print a paragraph for each length of the cut."""
+    """Print a paragraph for each duration of the partition."""
     loguru.logger.remove()
     generator = random.Random(1)
     for cut_s in CUTS_S:
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -1,10 +1,11 @@
-"""What leases, heartbeats and reports cost when all is quiet, in the simulator.
+"""What leases, heartbeats and reports cost in an idle cluster, in the simulator.
 
     python -m benchmarks.lease_cost --sizes 6 73 370 --cores 3 5 7
 
-Real core machines and nodes without traffic share one process; every message between them is
-counted by its type and its sender, and so is each process's own processor time, in loops of
-benchmarks.capacity (3,000 a second are a core; real sockets are not in it).
+The code of real core machines and nodes runs in one process, without requests from clients. Every
+message between them is counted by its type and by the roles of its sender and receiver. The
+processor time of each simulated process is counted in loops, the unit of benchmarks.capacity: a
+processor core runs about 3,000 loops a second. The cost of real sockets is not included.
 """
 
 from __future__ import annotations
@@ -50,22 +51,22 @@
     size: float
 
     def __str__(self) -> str:
-        """As it stands in a table."""
+        """The cell of the printed table."""
         return f"{self.messages:.1f}/s, {self.size:,.0f} B/s"
 
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What was measured of one cluster; processor time in loops a second."""
+    """The costs of one cluster; processor times are in loops per second."""
 
     nodes: int
     cores: int
     into_node: Rate
     out_of_node: Rate
-    node_loops: float
+    node_loops: float  # the median of all nodes
     reports: Rate  # from one core machine to the tail
-    listed_bytes: float  # of a report, by each node that it lists
-    tail_heartbeats: Rate  # to one core machine
+    listed_bytes: float  # bytes of a report per node that it lists
+    tail_heartbeats: Rate  # from the tail to one core machine
     tail_loops: float
     core_loops: float
 
@@ -87,7 +88,7 @@
 
 
 class Traffic:
-    """Messages and bytes by type and sender while it counts.
+    """Counters of messages and bytes by direction and message type; a direction is "core to node" and the like.
 
     >>> traffic = Traffic(); traffic.count("core to node", message.KeepAlive(), 9); traffic.total("core to node")
     (1, 9)
@@ -96,24 +97,24 @@
     def __init__(self) -> None:
         self.messages: collections.Counter[tuple[str, type[message.Message]]] = collections.Counter()
         self.bytes: collections.Counter[tuple[str, type[message.Message]]] = collections.Counter()
-        self.listed = 0  # nodes in all reports from one core machine to another
+        self.listed = 0  # nodes listed in all reports between core machines, counted once for each report
 
     def count(self, direction: str, msg: message.Message, size: int) -> None:
-        """Count one message."""
+        """Count one message of the given size in bytes."""
         self.messages[direction, type(msg)] += 1
         self.bytes[direction, type(msg)] += size
         if direction == "core to core" and isinstance(msg, message.NodeSessionsReport):
             self.listed += len(msg.members)
 
     def total(self, direction: str, *types: type[message.Message]) -> tuple[int, int]:
-        """How many messages, and how many bytes, went one way: of some types, or of all."""
+        """The number and the bytes of the messages in one direction, of the given types or, without any, of all."""
         keys = [key for key in self.messages if key[0] == direction and (not types or key[1] in types)]
         return sum(self.messages[key] for key in keys), sum(self.bytes[key] for key in keys)
 
 
 @contextlib.contextmanager
 def count_traffic(cluster: hollow_fleet.Fleet) -> collections.abc.Iterator[Traffic]:
-    """Count what the processes of a cluster send each other."""
+    """Count the messages between the processes of a cluster while the context lasts."""
     traffic = Traffic()
     cores = {core.runtime for core in cluster.cores.values()}
     send = wire.Connection._send
@@ -127,7 +128,7 @@
             direction = "node to core"
         else:
             direction = "node to node"
-        # As in Connection._send, the type of the content matters only where an envelope is decoded.
+        # As in Connection._send, the content may have any type here: the annotation only matters for decoding.
         raw = wire.encoder.encode(wire.Envelope(kind, sequence, content))  # type: ignore[arg-type]
         traffic.count(direction, content, len(raw) + wire.LENGTH_BYTES)
         send(connection, kind, sequence, content)
@@ -142,20 +143,20 @@
 
 
 def idle_cluster(nodes: int, cores: int, seed: int) -> hollow_fleet.Fleet:
-    """A settled cluster without load, whose chain holds all core machines."""
+    """A cluster without requests that has settled, with all core machines in its chain."""
     cluster = hollow_fleet.Fleet(seed, nodes, WORKER_COUNT, POOL_COUNT, ROUTE_COUNT, walking=False, election="node")
     cluster.core_count = cores
     cluster.extra_options = {"seats": cores}
     cluster.begin()
     views = [core.consensus for core in cluster.cores.values()]
     if not cluster.advance_until(lambda: all(m.view is not None and len(m.view.chain) == cores for m in views), 30):
-        raise TimeoutError("The chain does not hold all core machines.")
+        raise TimeoutError(f"the chain does not contain all {cores} core machines after 30 s")
     cluster.advance(SETTLE_S)
     return cluster
 
 
 def measure(nodes: int, cores: int, seconds: int, seed: int) -> Cost:
-    """Measure one cluster."""
+    """Measure a cluster of the given size for some simulated seconds."""
     cluster = idle_cluster(nodes, cores, seed)
     with count_traffic(cluster) as traffic:
         cluster.advance(seconds)
@@ -187,9 +188,9 @@
 ) -> None:
     """Print a table row for each size and number of core machines.
 
-    :param sizes: nodes
+    :param sizes: numbers of nodes
     :param cores: numbers of core machines
-    :param seconds: simulated time that is counted
+    :param seconds: simulated seconds that are measured
     :param seed: the run's seed
     """
     loguru.logger.remove()
--- a/benchmarks/simulated_costs.py
+++ b/benchmarks/simulated_costs.py
@@ -1,4 +1,4 @@
-"""Measurements on simulated clusters: bytes of a change, recovery, many nodes, and what processes hold."""
+"""Measurements on simulated clusters: bytes per change, recovery after faults, many nodes, sizes of kept data."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
     from simulation import server_model
 
 CHANGE_LIMIT_S = 20
-FAR_ZONE = "d"
-IDLE_MEASUREMENT_S = 10  # how long a cluster without load is measured
+FAR_ZONE = "d"  # the zone of the routes that most nodes do not get
+IDLE_MEASUREMENT_S = 10  # how long a cluster without changes and requests is measured
 CHANGE_COUNT = 5
 MINUTE_US = 60 * units.SECOND_US
 CHANGE_PAUSE_US = 3 * units.SECOND_US
-OUTAGE_S = 4
-REPORT_MINUTES = 5
-DAY_FAULTS = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_owner")  # one every three minutes
+OUTAGE_S = 4  # how long a killed or frozen process is absent
+REPORT_MINUTES = 5  # time between two printed lines
+DAY_FAULTS = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_owner")  # in turn, one every three minutes
 
 
 def _spawn_change(cluster: simulated_cluster.SimulatedCluster, number: int) -> defer.Deferred[int | None]:
-    """Have the configuration changed, under the number of its probe route."""
+    """Start a change that sets the configuration's probe route to the given number."""
     changing = cluster.operator.change(cluster.with_probe(number))
     return cluster.operator_runtime.spawn(changing, simulated_cluster.log)
 
 
 def _time_change(cluster: simulated_cluster.SimulatedCluster, number: int, limit_s: float) -> int:
-    """Have the configuration changed; how long that took, in µs."""
+    """Change the configuration's probe route, and return how long that took, in µs."""
     started_at = cluster.world.time
     cluster.advance_until_called(_spawn_change(cluster, number), limit_s)
     return cluster.world.time - started_at
@@ -47,10 +47,12 @@
 
 
 def slices(*, routes: collections.abc.Sequence[int] = (0, 100, 1000), changes: int = 10) -> None:
-    """Bytes that a change costs on each node's link, as routes outside its slice grow (simulated).
+    """Bytes that a change sends to a node, by the number of routes of another zone (simulated).
 
-    :param routes: routes of another zone that the configuration holds
-    :param changes: changes to measure
+    A node gets a slice of the configuration, without the routes of other zones.
+
+    :param routes: numbers of routes of another zone in the configuration
+    :param changes: number of changes to measure
     """
     loguru.logger.remove()
     for count in routes:
@@ -82,7 +84,7 @@
 
 
 def _published_bytes(cluster: simulated_cluster.SimulatedCluster) -> dict[str, int]:
-    """What the cores have sent to each node so far."""
+    """Bytes that the core machines have sent to each node so far."""
     return {
         session.member.name: session.connection.sent_bytes
         for each in cluster.cores.values()
@@ -90,8 +92,8 @@
     }
 
 
-def _change_route_of_all_zones(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:  # noqa: ARG001 - as _change_far
-    """Change a route that all nodes have."""
+def _change_route_of_all_zones(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:  # noqa: ARG001 - same signature as _change_route_of_far_zone
+    """Change the probe route, which all nodes have."""
     _time_change(cluster, cluster.newest_probe + 1, CHANGE_LIMIT_S)
 
 
@@ -107,7 +109,7 @@
     count: int,
     idle_rates: dict[str, float],
 ) -> dict[str, float]:
-    """What one change costs beyond the quiet, by node."""
+    """Bytes that one change sends to each node, without the bytes that an idle cluster sends in the same time."""
     before, started_at = _published_bytes(cluster), cluster.world.time
     for number in range(1, count + 1):
         change(cluster, number)
@@ -132,10 +134,10 @@
     seeds: int = 10,
     shape: str = "magnolia",
 ) -> None:
-    """After each fault, until when first sends failed, over seeds (simulated).
+    """For each kind of fault, how long afterwards clients' first sends still failed (simulated).
 
-    :param names: scenarios
-    :param seeds: how many seeds for each
+    :param names: names of the scenarios
+    :param seeds: number of seeds for each scenario
     :param shape: magnolia, swan or small
     """
     loguru.logger.remove()
@@ -166,10 +168,10 @@
     routes: collections.abc.Sequence[int] = (10, 2000),
     seed: int = 1,
 ) -> None:
-    """Three cores with many nodes and routes: a change's way, traffic, the loss of the tail (simulated).
+    """Time of a change, idle traffic and loss of the tail, with three core machines and many nodes (simulated).
 
-    :param nodes: how many nodes
-    :param routes: how many routes
+    :param nodes: numbers of nodes
+    :param routes: numbers of routes
     :param seed: the run's seed
     """
     loguru.logger.remove()
@@ -207,7 +209,7 @@
 
 
 def _sent_bytes(cluster: simulated_cluster.SimulatedCluster) -> int:
-    """What the cores have sent so far, on all their connections."""
+    """Bytes that the core machines have sent so far, on all their connections."""
     return sum(
         connection.sent_bytes
         for each in cluster.cores.values()
@@ -224,13 +226,15 @@
     return len(wire.encoder.encode(newest))
 
 
-# ---- a long day ------------------------------------------------------------------------------
+# ---- a long run ------------------------------------------------------------------------------
 
 
 def sizes(*, minutes: int = 60, shape: str = "magnolia", seed: int = 1) -> None:
-    """What the processes hold, as a long day goes on with changes and faults (simulated).
+    """Sizes of the data that the processes keep, in a long run with load, changes and faults (simulated).
+
+    Sizes that grow without bound show a leak.
 
-    :param minutes: how long
+    :param minutes: simulated minutes
     :param shape: magnolia or swan
     :param seed: the run's seed
     """
@@ -260,7 +264,7 @@
 
 
 def _inject_fault(cluster: simulated_cluster.SimulatedCluster, fault: str) -> None:
-    """Let one process fail for a few seconds."""
+    """Kill or freeze one process for a few seconds."""
     match fault:
         case "freeze":
             process = actions.some_node(cluster).process
@@ -281,7 +285,7 @@
 
 
 def _largest_at_nodes(cluster: simulated_cluster.SimulatedCluster) -> dict[str, int]:
-    """The largest size of each thing that a node keeps."""
+    """The largest size, over all live nodes, of each collection that a node keeps."""
     nodes = [node for node in cluster.nodes.values() if node.process.alive]
     owners = [owner for node in nodes for owner in node.pool_owners.values()]
     records = [owner.records for owner in owners]
@@ -305,7 +309,7 @@
 
 
 def _largest_at_cores(cluster: simulated_cluster.SimulatedCluster) -> dict[str, int]:
-    """The largest size of each thing that a core keeps."""
+    """The largest size, over all live core machines, of each collection that a core machine keeps."""
     cores = _live_cores(cluster)
     disks = [each.process.host.synced for each in cores]
     return {
