--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,19 +1,22 @@
-"""The slopes of docs/CAPACITY.md: state, messages, processor time and memory, by what they grow with.
+"""The measurements of docs/CAPACITY.md: how bytes, processor time and memory grow with the size of a fleet.
 
-    python -m benchmarks.capacity lists        memberships and worker lists: bytes, reading, taking, memory
-    python -m benchmarks.capacity tail         what a tail does over and over
-    python -m benchmarks.capacity records      sessions in one holder, to a million
-    python -m benchmarks.capacity selections     selections at a pool owner
-    python -m benchmarks.capacity prefixes     shared prefix parts, to 1.5 million
-    python -m benchmarks.capacity routes       routes at the core and at a node
-    python -m benchmarks.capacity placements     selections at a node, what its placement holds, its upkeep
-    python -m benchmarks.capacity sockets      what a message costs over a real connection
-    python -m benchmarks.capacity fleet        hollow nodes and workers over the simulated network
-    python -m benchmarks.capacity streams      requests and their streams through nodes that elect
-    python -m benchmarks.capacity exchange    how much a load request by change has to tell
-    python -m benchmarks.capacity losses       the same, while members come and go
-    python -m benchmarks.capacity target DIR   the users' target, by the values that the runs left there (--out)
+    python -m benchmarks.capacity lists        memberships and worker lists: bytes, decoding, applying, memory
+    python -m benchmarks.capacity tail         periodic work of the tail
+    python -m benchmarks.capacity records      session records at one pool owner, up to a million
+    python -m benchmarks.capacity selections   selections of workers by a pool owner
+    python -m benchmarks.capacity prefixes     shared prompt prefix parts at one pool owner, up to 1.5 million
+    python -m benchmarks.capacity routes       routes at a core machine and at a node
+    python -m benchmarks.capacity placements   selections of workers by a node, memory and sweeps of its placements
+    python -m benchmarks.capacity sockets      one message over a real connection
+    python -m benchmarks.capacity fleet        an idle fleet, or one with a hollow load, in the simulated network
+    python -m benchmarks.capacity streams      requests and their response streams through nodes that select workers
+    python -m benchmarks.capacity exchange     size of load reports that contain only changed rows
+    python -m benchmarks.capacity losses       a fleet in which nodes, workers or core machines fail
+    python -m benchmarks.capacity target DIR   what the target fleet needs, from results saved in DIR (with --out)
 
-Processor time is real time of this thread's own work over that of a stated loop (`loop`),
-measured right before it, so that figures of different machines can be set side by side.
+Each measurement prints a table of straight lines: a cost, the size that it grows with, and the slope.
+Processor time is given in loops: the thread time of the measured code divided by the thread time of
+a fixed loop (`measuring.loop`) that is measured right before it. This makes figures from different
+machines comparable. A hollow fleet (`hollow_fleet`) runs real core machines and nodes, but its
+requests are only counted where real ones would be: nothing is sent to the workers.
 """
--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the capacity measurements; the package says what each command measures."""
+"""The command line of the capacity measurements; the package's docstring describes each command."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Step(typing.NamedTuple):
-    """One measurement of `everything`: what stands above it, how it runs in full, and in a few sizes only."""
+    """One measurement of `everything`: its printed title, and the functions that run it in full or at small sizes."""
 
     title: str
     full: collections.abc.Callable[[], None]
@@ -73,9 +73,9 @@
 
 
 def everything(*, small: bool = False) -> None:
-    """All of them, one after the other.
+    """Run all measurements, one after the other.
 
-    :param small: a few sizes only
+    :param small: measure at a few small sizes only
     """
     loguru.logger.remove()
     for step in STEPS:
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -1,4 +1,9 @@
-"""A simulated fleet of hollow nodes and workers, metered by role."""
+"""A simulated fleet without real requests, whose processor time and messages are metered by role.
+
+The core machines and nodes are real ones in the simulated network. A hollow request is one that its
+node counts as sent to a worker, although nothing is sent: it costs little to simulate, but appears in
+the node's load reports.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +18,13 @@
 from iriswheel.transport import http_server
 from simulation import process_model, processor_meter, simulated_cluster
 
-FIRST_EVENT_DELAY_US = 100 * units.MILLISECOND_US  # from a hollow send to its first event
+FIRST_EVENT_DELAY_US = 100 * units.MILLISECOND_US  # from the start of a hollow request to its first event
 
 WORKER_HOST = "10.0.3.1"
 FIRST_WORKER_PORT = 9001
 SHORT_PROMPT_TOKENS = 400
 
-Figures = dict[str, float]  # of one process or role: a key of UNITS -> value
+Figures = dict[str, float]  # measured values of one process or role, by key of UNITS
 
 UNITS = {
     "loops": "loops/s",
@@ -33,16 +38,16 @@
 
 
 class Fleet(simulated_cluster.SimulatedCluster):
-    """Real cores and nodes without traffic, before workers that one process stands in for.
+    """Real core machines and nodes without real requests, with workers that all share one simulated process.
 
     Args:
-        seed: What all draws of randomness follow from.
-        nodes: How many nodes.
-        listed: How many workers.
-        pools: How many pools they are in.
-        routes: How many routes the configuration has.
-        walking: Whether nodes probe workers that they do not hear from.
-        election: Where a worker is selected: "warden" at the pool owner, or "node".
+        seed: The seed of all random numbers.
+        nodes: Number of nodes.
+        listed: Number of workers.
+        pools: Number of pools, over which the workers are spread.
+        routes: Number of routes of the configuration, at least one for each pool.
+        walking: Whether nodes probe workers that they have had no recent contact with.
+        election: What selects the workers: "warden" for the pool's owner, "node" for each node.
     """
 
     def __init__(
@@ -70,11 +75,11 @@
         )
         self.worker_count, self.pool, self.pools, self.walking = listed, "model-0", pools, walking
         self.probing = False
-        self.worker_process: process_model.SimulatedProcess | None = None  # of all workers
+        self.worker_process: process_model.SimulatedProcess | None = None  # shared by all workers
         self.meter = processor_meter.Meter()
 
-    def start_worker(self, name: str, host: str) -> None:  # noqa: ARG002 - all are at one host
-        """Start a worker in the process that all of them share."""
+    def start_worker(self, name: str, host: str) -> None:  # noqa: ARG002 - all workers share one host
+        """Start a worker in the process that all workers share."""
         if self.worker_process is None:
             self.worker_process = process_model.SimulatedProcess(
                 self.world, "workers", self.machine(WORKER_HOST, "zone0")
@@ -92,9 +97,9 @@
         )
 
     def start_node(self, name: str, host: str, zone: str) -> None:
-        """Start a node, without its probes of workers unless the fleet has them."""
+        """Start a node, with its probes of workers switched off unless the fleet has them."""
         original_interval_us = health.QUIET_PROBE_INTERVAL_US
-        if not self.walking:  # with many nodes and workers the knocks drown the rest
+        if not self.walking:  # with many nodes and workers, probes would cost more than all other work
             health.QUIET_PROBE_INTERVAL_US = samples.NEVER_US
         try:
             super().start_node(name, host, zone)
@@ -102,7 +107,14 @@
             health.QUIET_PROBE_INTERVAL_US = original_interval_us
 
     def start_hollow_load(self, rate: float, lasts: float) -> None:
-        """Let every node have so many sends a second under way, each for so many seconds; none of them is sent."""
+        """Give every node a constant rate of hollow requests, each of which lasts for some seconds.
+
+        Requests that began before now are in flight at once, so that the load does not have to build up.
+
+        Args:
+            rate: Hollow requests per second at each node.
+            lasts: Seconds that each one lasts.
+        """
         for loaded in self.nodes.values():
             for _ in range(int(rate * lasts)):
                 loaded.runtime.spawn(
@@ -111,26 +123,30 @@
             loaded.runtime.spawn(self.run_hollow_arrivals(loaded, rate, lasts), simulated_cluster.log)
 
     async def run_hollow_arrivals(self, loaded: node.Node, rate: float, lasts: float) -> None:
-        """One node's hollow sends."""
+        """Start one node's hollow requests, at random times and without end."""
         while True:
             await loaded.runtime.sleep(int(loaded.runtime.rng.expovariate(rate) * units.SECOND_US))
             loaded.runtime.spawn(self.run_hollow_request(loaded, lasts), simulated_cluster.log)
 
     async def run_hollow_request(self, loaded: node.Node, lasts: float) -> None:
-        """One hollow send: counted where a real one would be."""
+        """Count one hollow request in its node's placement, as a real request would be counted."""
         pool = f"model-{loaded.runtime.rng.randrange(self.pools)}"
         place, names = loaded.gateway.forwarder.placement_of(pool), loaded.gateway.forwarder.ready_workers(pool)
         name = names[loaded.runtime.rng.randrange(len(names))]
         is_long = loaded.runtime.rng.random() < samples.LONG_PROMPT_SHARE
         tokens = place.begin_attempt(name, [], [], samples.LONG_PROMPT_TOKENS if is_long else SHORT_PROMPT_TOKENS)
         await loaded.runtime.sleep(FIRST_EVENT_DELAY_US)
-        # The expected time equals the actual one, so that the estimates stay.
+        # The measured time equals the expected time, so that the node's estimate of the worker does not change.
         place.record_first_event(name, tokens, FIRST_EVENT_DELAY_US, FIRST_EVENT_DELAY_US)
         await loaded.runtime.sleep(int(lasts * units.SECOND_US))
         place.end_attempt(name, 0)
 
     def roles(self) -> dict[str, str]:
-        """Each process's role now: tail, other core, lister, pool owner, node."""
+        """The present role of each process, as printed in tables.
+
+        The roles are "tail", "core" (another core machine), "lister" (the node that fetches the platform's
+        worker list), "warden" (a pool owner), "copy" (a holder of a pool owner's replica) and "node" (any other).
+        """
         membership = max(
             (node.follower.membership for node in self.nodes.values()), key=lambda membership: membership.version
         )
@@ -148,7 +164,11 @@
         return roles
 
     def meter_for(self, seconds: float) -> dict[str, Figures]:
-        """Let time pass with the meter on; what each process took, sent, got and spent a second."""
+        """Advance the simulation with a new meter.
+
+        Returns:
+            Per process: processor time, sent and received messages and bytes per second, and the longest step.
+        """
         self.meter = processor_meter.Meter()
         gc.collect()
         gc.disable()
@@ -169,7 +189,7 @@
         return figures
 
     def _add_traffic(self, figures: dict[str, Figures], seconds: float) -> None:
-        """Add what the meter counted between cores and nodes, and between them and others."""
+        """Add the metered traffic between core machines and nodes, and what they write to other processes ("outer")."""
         for (sender, receiver), (writes, size) in self.meter.sent.items():
             for name, way, other in ((sender, "out", receiver), (receiver, "in", sender)):
                 if name in figures and other in figures:
@@ -179,7 +199,7 @@
                     figures[name]["outer"] += writes / seconds
 
     def bytes_between(self, seconds: float) -> dict[str, float]:
-        """Bytes that the meter counted between cores and nodes, a second."""
+        """Metered bytes per second by the kinds of sender and receiver, such as "core node"."""
         kind = {**dict.fromkeys(self.cores, "core"), **dict.fromkeys(self.nodes, "node")}
         rates = {f"{sender} {receiver}": 0.0 for sender in ("core", "node") for receiver in ("core", "node")}
         for (sender, receiver), (_, size) in self.meter.sent.items():
@@ -188,7 +208,7 @@
         return rates
 
     def by_role(self, figures_by_process: dict[str, Figures]) -> dict[str, Figures]:
-        """The middle of what the processes of each role took."""
+        """The median of each value over the processes of a role."""
         groups: dict[str, list[Figures]] = {}
         for name, role in self.roles().items():
             if name in figures_by_process:
@@ -200,7 +220,7 @@
 
 
 def print_rows(what: str, rows: dict[str, Figures]) -> None:
-    """Print what each role took.
+    """Print a table row for each role.
 
     >>> print_rows("quiet", {})
     """
--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -1,4 +1,4 @@
-"""Measurements on the hollow fleet while members come and go."""
+"""The costs of changes and failures in a hollow fleet."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     from simulation import server_model
 
 SETTLE_S = 4
-IDLE_MEASUREMENT_S = 4  # how long the quiet fleet is metered
-LIMIT_S = 30  # until when all must know
-LONG_LIMIT_S = 60
-CUT_S = 10
+IDLE_MEASUREMENT_S = 4  # how long the idle fleet is metered before the event
+LIMIT_S = 30  # limit until all nodes have learned of an event
+LONG_LIMIT_S = 60  # the same limit for the loss of the tail and for a partition
+CUT_S = 10  # duration of the partition
 LOST_ZONE = "zone5"
 
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What a fault or change cost beyond the quiet: bytes, and processor time in loops."""
+    """The cost of an event beyond that of an idle fleet: bytes sent, and processor time in loops."""
 
     membership_bytes: int  # the size of a membership
-    ms: float  # until all know
+    ms: float  # from the event until all live nodes have learned of it
     core_to_core: float
     core_to_node: float
     node_to_node: float
@@ -47,7 +47,7 @@
     "busiest_core",
     "node",
     "longest_step",
-)  # of Cost, as the table shows them
+)  # fields of Cost, in the order of the printed table
 
 
 def _change(cluster: hollow_fleet.Fleet) -> None:
@@ -59,7 +59,7 @@
 
 
 def _restart(cluster: hollow_fleet.Fleet) -> None:
-    """A node that has no role ends, and another incarnation of it starts."""
+    """A node without a role is killed, and another incarnation of it starts."""
     ordinary = [node for name, node in cluster.nodes.items() if cluster.roles()[name] == "node"] or list(
         cluster.nodes.values()
     )
@@ -74,7 +74,7 @@
 
 
 def _worker(cluster: hollow_fleet.Fleet) -> None:
-    """A worker leaves."""
+    """A worker is listed as leaving."""
     cluster.platform.put("w1", state="leaving")
     cluster.advance_until(
         lambda: all(
@@ -86,7 +86,7 @@
 
 
 def _zone(cluster: hollow_fleet.Fleet) -> None:
-    """The nodes of a zone lose power."""
+    """All nodes of a zone lose power."""
     lost_nodes = [node for node in cluster.nodes.values() if node.member.zone == LOST_ZONE]
     lost_ids = {node.member.id for node in lost_nodes}
     for node in lost_nodes:
@@ -95,7 +95,7 @@
 
 
 def _tail(cluster: hollow_fleet.Fleet) -> None:
-    """The tail ends."""
+    """The tail of the core machines' chain is killed."""
     tail = cluster.tail()
     assert tail is not None
     assert tail.consensus.view is not None
@@ -111,7 +111,7 @@
 
 
 def _cut(cluster: hollow_fleet.Fleet) -> None:
-    """A third of the nodes is cut off from the core and from the rest for ten seconds."""
+    """A network partition separates a third of the nodes from all other machines for ten seconds."""
     some = [node.process.host.host for node in cluster.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
     rest = [host for host in cluster.world.machines if host not in some]
     cluster.world.cut(some, rest)
@@ -126,7 +126,7 @@
     )
 
 
-# What happens to the fleet; each function goes on until all know.
+# Each function causes an event and advances the simulation until all live nodes have learned of it.
 EVENTS_BY_NAME: dict[str, collections.abc.Callable[[hollow_fleet.Fleet], None]] = {
     "change": _change,
     "restart": _restart,
@@ -142,7 +142,7 @@
 
 
 def _members(node: server_model.SimulatedNode) -> set[str]:
-    """The ids of all members that a node knows of."""
+    """The ids of the members in a node's membership."""
     return {member.id for member in node.follower.membership.members}
 
 
@@ -157,20 +157,20 @@
     only: collections.abc.Sequence[str] = tuple(EVENTS_BY_NAME),
     out: str = "",
 ) -> None:
-    """Hollow fleets while something happens: until when all know, and what it costs beyond the quiet.
-
-    change: a route is changed; restart: a node ends and another life of it starts; worker: a worker
-    leaves; zone: a tenth of the nodes lose power; tail: the tail ends; cut: a third of the nodes is
-    cut off from the core and from the rest for ten seconds.
-
-    :param sizes: nodes
-    :param listed: workers
-    :param pools: pools
-    :param routes: routes
-    :param repeats: how many seeds
-    :param election: pool owner or node
-    :param only: what happens
-    :param out: file for the values
+    """Changes and failures in hollow fleets: when all nodes know of them, and their cost beyond an idle fleet's.
+
+    change: a route is changed; restart: a node is killed and started again; worker: a worker is
+    listed as leaving; zone: a tenth of the nodes lose power; tail: the tail is killed; cut: a network
+    partition separates a third of the nodes from all other machines for ten seconds.
+
+    :param sizes: numbers of nodes
+    :param listed: number of workers
+    :param pools: number of pools
+    :param routes: number of routes
+    :param repeats: number of seeds
+    :param election: what selects workers: warden (the pool owner) or node
+    :param only: the events to measure
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     print(
@@ -195,7 +195,7 @@
 
 
 def _put_measurements(lines: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
-    """Keep what grows with the size of the fleet."""
+    """Add the costs that grow with the size of the fleet, each by the size that it grows with."""
     if what in ("tail", "cut"):
         lines.put(f"{what}: between nodes", "pairs of nodes", "B", nodes * (nodes - 1), cost.node_to_node)
     elif what == "change":
@@ -209,7 +209,7 @@
 
 
 def _row(what: str, nodes: int, costs: list[Cost]) -> str:
-    """The row of the table: medians over the seeds."""
+    """A row of the printed table: medians over the seeds."""
     times = [cost.ms for cost in costs]
     medians = [measuring.three_digits(statistics.median(getattr(cost, column) for cost in costs)) for column in COLUMNS]
     spread = f"{statistics.median(times):.0f} ({min(times):.0f} to {max(times):.0f})"
@@ -217,7 +217,7 @@
 
 
 def measure_event(cluster: hollow_fleet.Fleet, what: str) -> Cost:
-    """What it costs a fleet that something happens, beyond its quiet."""
+    """Cause an event in a new fleet, and measure its cost beyond that of the idle fleet."""
     cluster.begin()
     cluster.advance(SETTLE_S)
     membership_bytes = _membership_bytes(cluster)
@@ -249,7 +249,7 @@
 
 
 def _run_event(cluster: hollow_fleet.Fleet, event: collections.abc.Callable[[hollow_fleet.Fleet], None]) -> float:
-    """Let something happen with the meter on; how many seconds it took until all know."""
+    """Cause an event with a new meter; returns the seconds until all live nodes have learned of it."""
     started_at = cluster.world.time
     cluster.world.meter = cluster.meter = processor_meter.Meter()
     gc.collect()
@@ -261,7 +261,7 @@
 
 
 def _bytes_into(cluster: hollow_fleet.Fleet, servers: set[str]) -> dict[str, int]:
-    """Bytes that the meter counted from cores and nodes to each process."""
+    """Metered bytes from core machines and nodes to each process."""
     bytes_into: dict[str, int] = {}
     for (sender, receiver), (_, size) in cluster.meter.sent.items():
         if sender in servers:
--- a/benchmarks/capacity/measuring.py
+++ b/benchmarks/capacity/measuring.py
@@ -1,4 +1,4 @@
-"""How the slopes are measured: processor time as a ratio to a stated loop, memory, and fits over sizes."""
+"""Measures processor time, in units of a fixed loop, and memory, and fits straight lines over sizes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 import tracemalloc
 
 Sizes = collections.abc.Sequence[int]
-"""The sizes at which something is measured, or the seeds."""
+"""The sizes at which something is measured."""
 
-MIN_TIMING_NS = 20_000_000  # a timing goes on for at least so long
+MIN_TIMING_NS = 20_000_000  # minimum duration of a timing
 
 
 def loop(rounds: int = 1000) -> int:
-    """The stated loop: what processor time is a ratio to.
+    """The fixed loop whose duration is the unit of processor time.
 
     >>> loop()
     2139444377
@@ -31,7 +31,7 @@
 
 
 def nanoseconds_per_call(call: collections.abc.Callable[[], object], min_ns: int = MIN_TIMING_NS) -> float:
-    """Nanoseconds of this thread's time that a call takes, over as many calls as fill the least time.
+    """Thread time of a call in nanoseconds: the mean of as many calls as fill the minimum time.
 
     >>> nanoseconds_per_call(loop, 1000) > 0
     True
@@ -47,7 +47,7 @@
 
 
 def loops_per_call(call: collections.abc.Callable[[], object], min_ns: int = MIN_TIMING_NS) -> float:
-    """Processor time of a call, in loops.
+    """Processor time of a call, in units of `loop`.
 
     >>> loops_per_call(loop, 1000) > 0
     True
@@ -62,7 +62,7 @@
 
 
 def allocated_bytes(make: collections.abc.Callable[[], object]) -> int:
-    """Bytes that stay allocated for what make() returns.
+    """Bytes that remain allocated for the object that make() returns.
 
     >>> allocated_bytes(lambda: bytes(100_000)) > 100_000
     True
@@ -79,7 +79,9 @@
 
 
 class Measurements:
-    """Measured values by line and size, and the straight lines through them.
+    """Measured values, and the straight lines through them.
+
+    A line is a measured quantity, such as "a membership on the wire"; `by` names what it grows with, such as "members".
 
     >>> ls = Measurements(); ls.put("roster", "members", "B", 8, 816); ls.put("roster", "members", "B", 16, 1616)
     >>> ls.fit("roster", "members")
@@ -87,11 +89,11 @@
     """
 
     def __init__(self) -> None:
-        # (line, by) -> (unit, {size: [value of each repeat]})
+        # (line, by) -> (unit, {size: [value of each repetition]})
         self.rows: dict[tuple[str, str], tuple[str, dict[int, list[float]]]] = {}
 
     def point(self, by: str, size: int) -> Point:
-        """Where the values of one size are kept.
+        """An object that adds values measured at one size.
 
         >>> measurements = Measurements(); measurements.point("members", 8).put_bytes("roster", 816)
         >>> measurements.rows["roster", "members"]
@@ -100,14 +102,14 @@
         return Point(self, by, size)
 
     def put(self, line: str, by: str, unit: str, size: int, value: float) -> None:
-        """Keep one value.
+        """Add one value.
 
         >>> Measurements().put("roster", "members", "B", 8, 816)
         """
         self.rows.setdefault((line, by), (unit, {}))[1].setdefault(size, []).append(value)
 
     def fit(self, line: str, by: str) -> tuple[float, ...]:
-        """Slope of the medians, least and greatest slope of a repeat, base, and R squared."""
+        """Fit a line: slope of the medians, lowest and highest slope of a repetition, intercept, and R squared."""
         sizes = self.rows[line, by][1]
         xs = sorted(sizes)
         ys = [statistics.median(sizes[x]) for x in xs]
@@ -120,7 +122,7 @@
         return slope, min(each), max(each), base, 1.0 if flat else statistics.correlation(xs, ys) ** 2
 
     def table(self) -> str:
-        """A table of all lines."""
+        """A Markdown table of all lines that were measured at two or more sizes."""
         out = [
             "| line | grows with | slope | repeats | at none | R² | sizes (value) |",
             "|---|---|---|---|---|---|---|",
@@ -139,7 +141,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Point:
-    """The measurements at one size of what the lines grow with.
+    """Adds values that were measured at one size to the measurements.
 
     >>> Point(Measurements(), "members", 8).put_loops("a membership read", 0.5)
     """
@@ -149,16 +151,16 @@
     size: int
 
     def put_bytes(self, line: str, value: int) -> None:
-        """Keep a number of bytes."""
+        """Add a number of bytes."""
         self.measurements.put(line, self.by, "B", self.size, value)
 
     def put_loops(self, line: str, value: float) -> None:
-        """Keep processor time in loops."""
+        """Add a processor time in loops."""
         self.measurements.put(line, self.by, "loops", self.size, value)
 
 
 def three_digits(value: float) -> str:
-    """A figure with three digits that count.
+    """A number rounded to three significant digits.
 
     >>> three_digits(0.0123456), three_digits(1234567), three_digits(42)
     ('0.0123', '1,230,000', '42')
@@ -170,7 +172,7 @@
 
 
 def print_and_save(lines: Measurements, out: str) -> None:
-    """Print the table; with a file's name, write the values there too."""
+    """Print the table; if `out` names a file, also write all values to it as JSON."""
     print(lines.table(), flush=True)
     loop_ns = statistics.median(nanoseconds_per_call(loop) for _ in range(5))
     print(f"\nOne loop (1000 rounds) took {loop_ns / 1000:.1f} us here.")
--- a/benchmarks/capacity/samples.py
+++ b/benchmarks/capacity/samples.py
@@ -1,4 +1,4 @@
-"""Members, workers, assignments, sessions and configurations of any size, made up for the measurements."""
+"""Generated members, workers, role assignments, sessions and configurations of any size."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 ZONES = 10
 POOLS = 29
-NEVER_US = 10**13
+NEVER_US = 10**13  # an interval longer than any run
 LONG_PROMPT_TOKENS, LONG_PROMPT_SHARE = (
     3_720,
     0.064,
 )  # prompt tokens of a long prompt, share of long prompts: the users' present mix
 
-Items = dict[str, dict[str, typing.Any]]  # a configuration's items by section and name
+Items = dict[str, dict[str, typing.Any]]  # a configuration's items by key, "section/name"
 
 
 def members(count: int) -> list[message.Member]:
-    """Members as long in their names as those of a real site.
+    """Members whose names are as long as those of a real site.
 
     >>> len(members(3))
     3
@@ -59,7 +59,7 @@
 
 
 def assignments(keys: list[str], candidates: list[message.Member]) -> list[message.RoleAssignment]:
-    """Seated role assignments over members.
+    """Active role assignments, one for each key, with their replicas among the candidates.
 
     >>> [d.key for d in assignments(["list"], members(3))]
     ['list']
@@ -72,7 +72,7 @@
 
 
 def assignment_keys(pools: int) -> list[str]:
-    """The role assignments of a fleet with so many pools.
+    """The keys of the role assignments of a fleet with the given number of pools.
 
     >>> assignment_keys(1)
     ['list', 'pool/model-0']
@@ -81,7 +81,7 @@
 
 
 def memberships(member_count: int, worker_count: int, pool_count: int) -> message.Membership:
-    """A membership of so many members, workers and pools.
+    """A membership with the given numbers of members, workers and pools.
 
     >>> len(memberships(8, 20, 2).assignments)
     3
@@ -105,7 +105,8 @@
     10
     """
     table: sessions.SessionTable[str] = sessions.SessionTable()
-    # As in a pool that has served for a while: a record's size must not depend on how often a timing opened sessions.
+    # A high version, as in a pool that has served for a while: the encoded size of a version grows with its value,
+    # and a record's size must not depend on how many sessions a timing has opened before.
     table.version = 1 << 20
     for k in range(count):
         table.open(f"{k:024x}", f"i-{k % worker_count:08x}", 0, 600 * units.SECOND_US, 100)
@@ -113,7 +114,7 @@
 
 
 def idle_node(zone: str = "zone0") -> node.Node:
-    """A node of its own, none of whose tasks runs.
+    """A node without a fleet, none of whose periodic tasks runs.
 
     >>> idle_node().follower.applied_index
     0
@@ -132,7 +133,7 @@
 def membership_manager_at_tail(
     member_count: int, pool_count: int, cores: int = 5
 ) -> membership_manager.MembershipManager:
-    """A tail's membership manager, its first membership issued.
+    """A tail's membership manager that has issued its first membership.
 
     >>> len(membership_manager_at_tail(8, 2).latest.members)
     8
@@ -154,7 +155,7 @@
 
 
 def configuration_items(routes: int, tenants: int = 470, pools: int = POOLS, election: str = "warden") -> Items:
-    """The items of a configuration with so many routes.
+    """The items of a configuration with the given number of routes.
 
     >>> sorted(configuration_items(1, 1, 1))
     ['pools/model-0', 'routes/r0', 'terms/default', 'terms/t0']
