--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -1,4 +1,4 @@
-"""Measurements on the hollow fleet: quiet, under streams, and the exchange of load reports."""
+"""Costs in the hollow fleet without requests and with real ones, and the size of load reports."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from benchmarks.capacity import hollow_fleet, measuring, samples
 from iriswheel.transport import message, wire
 
-PREFILL_S = 0.1  # from an attempt's start until its prompt is read
-TOKENS_PER_STEP = 1000  # a change of the tokens to read that counts as much as one running request
-PACKED_ROW_BYTES = 5
+PREFILL_S = 0.1  # from an attempt's start until the worker has read its prompt
+TOKENS_PER_STEP = 1000  # a change of the unread tokens that counts as much as one running request
+PACKED_ROW_BYTES = 5  # size of a load report's row in a compact encoding, shown for comparison
 
 QUIET_TABLE_HEAD = (
     "| fleet | role | loops/s | longest step, loops | messages in/s | B/s in | out/s | B/s out | writes to others/s |\n"
@@ -27,10 +27,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """The size of a hollow fleet, and which of its sizes is varied."""
+    """The size of a hollow fleet."""
 
-    by: str
-    size: int
+    by: str  # the name of the size that is varied
+    size: int  # the value of that size
     nodes: int
     workers: int
     pools: int
@@ -50,22 +50,22 @@
     lasts: float = 19,
     out: str = "",
 ) -> None:
-    """Hollow fleets when all is quiet: by nodes, by workers, by pools; then the greatest of each at once.
+    """Idle fleets by number of nodes, of workers and of pools, and then with the largest of each at once.
 
-    With a rate, and election at the node, sends are counted under way as if they were made: so
-    the load request has something to tell.
+    With a rate, and selection by the nodes, hollow requests are counted as in flight, so that the
+    nodes' load reports have content.
 
-    :param sizes: nodes
-    :param listed: workers
-    :param pools: pools
-    :param routes: routes
-    :param seconds: simulated time that is counted
+    :param sizes: numbers of nodes
+    :param listed: numbers of workers
+    :param pools: numbers of pools
+    :param routes: number of routes
+    :param seconds: simulated seconds that are measured
     :param seed: the run's seed
-    :param walking: whether nodes knock at workers that they do not hear
-    :param election: pool owner or node
-    :param rate: hollow sends a second at each node
-    :param lasts: how many seconds each is under way
-    :param out: file for the values
+    :param walking: whether nodes probe workers that they have had no recent contact with
+    :param election: what selects workers: warden (the pool owner) or node
+    :param rate: hollow requests per second at each node
+    :param lasts: seconds that each hollow request lasts
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     print(QUIET_TABLE_HEAD)
@@ -89,7 +89,9 @@
     return [
         *(Shape("nodes", size, size, workers[0], pools[0]) for size in nodes),
         *(Shape("workers", size, nodes[0], size, pools[0]) for size in workers),
-        *(Shape("pools", size, nodes[-2], workers[0], size) for size in pools),  # so many nodes that some have no role
+        *(
+            Shape("pools", size, nodes[-2], workers[0], size) for size in pools
+        ),  # with enough nodes that some have no role
         Shape("all at once", nodes[-1], nodes[-1], workers[-1], pools[-1]),
     ]
 
@@ -104,15 +106,15 @@
     election: str = "node",
     out: str = "",
 ) -> None:
-    """Real requests through four nodes: processor time by requests and by the events of their streams.
-
-    :param rates: requests a second at all nodes together, of the fewest events each
-    :param events: events of each answer, at the least rate
-    :param listed: workers
-    :param seconds: simulated time that is counted
-    :param repeats: how many seeds
-    :param election: pool owner or node
-    :param out: file for the values
+    """Real requests through four nodes: processor time by requests and by the events of their response streams.
+
+    :param rates: requests per second at all nodes together, measured with the smallest number of events
+    :param events: events of each response, measured at the lowest rate
+    :param listed: number of workers
+    :param seconds: simulated seconds that are measured
+    :param repeats: number of seeds
+    :param election: what selects workers: warden (the pool owner) or node
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     for seed in range(1, repeats + 1):
@@ -126,7 +128,7 @@
 
 
 def _serving_fleet(seed: int, workers: int, election: str, rate: int, events: int) -> hollow_fleet.Fleet:
-    """Four nodes that serve so many requests a second, with so many events each, and have done so for a while."""
+    """Four nodes that have served a constant rate of requests, with `events` events each, for eight seconds."""
     cluster = hollow_fleet.Fleet(seed, 4, workers, 1, 10, walking=False, election=election)
     cluster.configuration["routes"]["all"] = {"path": "/v1", "pool": "model-0", "terms": "t0"}
     cluster.rates = (0, rate, 0)
@@ -152,20 +154,20 @@
 
 
 class LoadChange(typing.NamedTuple):
-    """A change of a worker's load; tuples, as some hundred thousand are sorted."""
+    """A change of a worker's load; a tuple, because some hundred thousand of them are sorted."""
 
-    at: float  # seconds
-    worker: int
-    running: int
-    tokens: int
+    at: float  # time in seconds
+    worker: int  # index of the worker
+    running: int  # change of the number of running requests
+    tokens: int  # change of the number of prompt tokens that the worker has not read yet
 
 
 @dataclasses.dataclass(frozen=True)
 class ReportTotals:
-    """What one node was told in all: rows, and bytes as the rows travel today."""
+    """The total of the load reports to one node."""
 
     rows: int
-    size: int
+    size: int  # bytes in the present encoding
 
 
 def exchange(
@@ -178,18 +180,19 @@
     spans: collections.abc.Sequence[float] = (0.15, 0.5, 1, 2),
     steps: measuring.Sizes = (1, 3, 6),
 ) -> None:
-    """Rows that a load request by change has to tell one node, by how often it tells and from which change on.
+    """Rows of load reports that contain only changed workers, by the reports' interval and the smallest change.
 
-    Sends begin at random workers at the fleet's rate, long prompts among them, and each ends after its
-    time; a row is told when running requests changed by the step, or tokens to read by 1,000 a step.
+    Requests start at random workers at the fleet's rate, some of them with long prompts, and end after a
+    fixed time. A worker's row is reported if its running requests have changed by the step, or its unread
+    tokens by 1,000 times the step, since the row was reported last.
 
-    :param listed: workers
-    :param rate: sends a second at all nodes together
-    :param lasts: how many seconds each is under way
-    :param seconds: simulated time that is counted
+    :param listed: number of workers
+    :param rate: requests per second at all nodes together
+    :param lasts: seconds that each request lasts
+    :param seconds: simulated seconds that are measured
     :param seed: the run's seed
-    :param spans: seconds between two tellings
-    :param steps: the least change that is told
+    :param spans: seconds between two reports
+    :param steps: the smallest changes that are reported
     """
     changes = _load_changes(random.Random(seed), listed, rate, lasts, seconds)
     names = [worker.id for worker in samples.workers(listed)]
@@ -206,7 +209,7 @@
 
 
 def _load_changes(rng: random.Random, workers: int, rate: float, lasts: float, seconds: int) -> list[LoadChange]:
-    """What attempts change at the workers, in order; those under way at the start began before it."""
+    """The changes of the workers' loads in order of time; requests in flight at time 0 have started before it."""
     changes = []
     for _ in range(int(rate * (lasts + seconds))):
         at, worker = rng.random() * (lasts + seconds) - lasts, rng.randrange(workers)
@@ -222,7 +225,7 @@
 
 
 def _replay_reports(changes: list[LoadChange], names: list[str], seconds: int, span: float, step: int) -> ReportTotals:
-    """Let changes happen, and one node be told of them every `span` seconds; the first report is not counted."""
+    """Apply the changes, with a report to one node every `span` seconds; the first, complete report is not counted."""
     current, reported = [(0, 0)] * len(names), [(0, 0)] * len(names)
     rows = size = applied_count = 0
     for report in range(int(seconds / span)):
@@ -241,7 +244,7 @@
 
 
 def _is_reported(current: tuple[int, int], reported: tuple[int, int], step: int) -> bool:
-    """Whether a load, of running requests and tokens to read, differs enough from the one last reported."""
+    """Whether a load (running requests, unread tokens) differs enough from the last reported one to be reported."""
     return abs(current[0] - reported[0]) >= step or abs(current[1] - reported[1]) >= TOKENS_PER_STEP * step
 
 
--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -1,4 +1,4 @@
-"""What memberships and worker lists cost: bytes, reading, applying, memory, and a tail's repeated work."""
+"""The costs of memberships and worker lists: bytes, decoding, applying, memory, and the tail's periodic work."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     repeats: int = 5,
     out: str = "",
 ) -> None:
-    """Rosters and worker lists: bytes, making, reading, taking at a node, memory.
+    """Memberships and worker lists: bytes, encoding, decoding, applying at a node, memory.
 
-    :param sizes: members
-    :param listed: workers
-    :param pools: pools
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: numbers of members
+    :param listed: numbers of workers
+    :param pools: numbers of pools
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     for _ in range(repeats):
@@ -64,7 +64,7 @@
 
 
 def _repeated_update(raw: bytes) -> collections.abc.Callable[[], None]:
-    """What applies a membership at a node, at each call under a newer version."""
+    """A function that applies a membership at a node; each call uses a newer version of the same content."""
     other = _decode_membership(raw)
     idle_node, version = samples.idle_node(), [17]
 
@@ -86,7 +86,7 @@
 
 
 def _measure_listing(point: measuring.Point, workers: list[message.Worker]) -> None:
-    """The worker list, between our own processes and as the platform gives it."""
+    """Measure the worker list in messages between iriswheel processes, and in the platform's answer."""
     listing = message.ForwardedListing(message.WorkerListing(workers, LIST_VERSION))
     envelope = wire.Envelope(wire.FrameKind.TELL, 0, listing)
     raw = wire.encoder.encode(envelope)
@@ -117,7 +117,7 @@
 
 
 def _platform_page(workers: list[message.Worker]) -> bytes:
-    """The platform's answer that lists these workers."""
+    """The body of the platform's answer that lists these workers."""
     rows = [
         {
             "id": worker.id,
@@ -139,12 +139,12 @@
     repeats: int = 5,
     out: str = "",
 ) -> None:
-    """What a tail does ten times a second and at each word of a core: look whether a membership is due.
+    """The tail's check whether it must issue a membership, done ten times a second and at each core machine's report.
 
-    :param sizes: members
-    :param pools: pools
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: numbers of members
+    :param pools: numbers of pools
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     for _ in range(repeats):
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -1,4 +1,4 @@
-"""What a node holds and does: routes, its own selections and placement, connections."""
+"""The costs of a node: routes, its selections of workers and its placements, connections."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from simulation import simulated_cluster
 
 LARGEST_POOL = 2_600  # workers
-FIRST_TURN_COUNTS = (1_000, 4_000, 16_000)
+FIRST_TURN_COUNTS = (1_000, 4_000, 16_000)  # sizes at which first turns of possible sessions are measured
 LOOPBACK = "127.0.0.1"
 
 Items = samples.Items
 
 
 def routes(*, sizes: measuring.Sizes = (100, 500, 2000, 5000), repeats: int = 5, out: str = "") -> None:
-    """Routes: a plan and its check, the chain, the cut for one node, the taking there, a request's way.
+    """Routes: planning a change, its state on core machines, a node's slice of it, finding a request's route.
 
-    :param sizes: routes
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: numbers of routes
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     for _ in range(repeats):
@@ -43,7 +43,7 @@
 
 
 def _measure_routes(point: measuring.Point) -> None:
-    """A configuration and the change of one of its routes, from the operator to a node."""
+    """Measure a configuration and the change of one of its routes, from the operator to a node."""
     before = samples.configuration_items(point.size)
     after = {**before, "routes/r1": {**before["routes/r1"], "path": "/moved/"}}
     change = configuration.difference(before, after)
@@ -59,7 +59,7 @@
 
 
 def _measure_plan(point: measuring.Point, before: Items, after: Items) -> None:
-    """What a core machine does with a configuration that an operator sends."""
+    """Measure how a core machine plans a change to the configuration that an operator sends."""
     raw = json.dumps(configuration.unflatten(after)).encode()
     point.put_bytes("a whole configuration as the operator sends it", len(raw))
     point.put_loops(
@@ -75,7 +75,13 @@
 def _measure_replicated_state(
     point: measuring.Point, before: replicated_state.ReplicatedState, planned: replicated_state.ReplicatedState
 ) -> None:
-    """What a core machine does with the state before and after the plan of a change."""
+    """Measure how a core machine confirms and stores a change, and cuts a node's slice.
+
+    Args:
+        point: Takes the measurements.
+        before: The replicated state before the plan of the change.
+        planned: The replicated state with the plan, not yet confirmed.
+    """
     point.put_loops(
         "a confirm applied, one route changed",
         measuring.loops_per_call(lambda: planned.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
@@ -125,15 +131,15 @@
     repeats: int = 5,
     out: str = "",
 ) -> None:
-    """Elections at a node, what its placement holds, and its upkeep each second.
-
-    :param listed: workers of the pool
-    :param keys: shared parts that are ranked
-    :param parts: parts known of the pool's workers together
-    :param sizes: sessions of one node
-    :param pools: pools, with 2,600 workers in all
-    :param repeats: how often each is measured
-    :param out: file for the values
+    """Selections of workers by a node, the memory of its placements, and their sweep once a second.
+
+    :param listed: numbers of workers of the pool
+    :param keys: numbers of shared prompt parts for which the workers are ranked
+    :param parts: numbers of prompt parts that are known of all workers of the pool together
+    :param sizes: numbers of sessions of one node
+    :param pools: numbers of pools, with 2,600 workers in all
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     for _ in range(repeats):
@@ -159,7 +165,7 @@
 
 
 def _measure_picks(lines: measuring.Measurements, workers: int) -> None:
-    """The choice of a worker at a node, and what it knows of the workers for that."""
+    """Measure a node's selection of a worker, and the data about workers that the selection uses."""
     pool = configuration.Pool(cap=0, election="node", batch=64)
     shared = types.SimpleNamespace(sizes=[13_300, 800, 92, 291])
     idle_node = node_with_workers(workers)
@@ -211,7 +217,7 @@
 
 
 def node_with_workers(worker_count: int, pool_count: int = 1) -> node.Node:
-    """A node, none of whose tasks runs, that knows so many workers.
+    """A node without periodic tasks that has applied a list of the given number of workers.
 
     >>> node_with_workers(3).gateway.forwarder.ready_workers("model-0")
     ['i-00000000', 'i-00000001', 'i-00000002']
@@ -222,7 +228,7 @@
 
 
 def placement_with_rankings(part_count: int, worker_count: int) -> placement.Placement:
-    """A placement that has ranked its workers for so many prefix parts.
+    """A placement that has ranked its workers for the given number of prefix parts.
 
     >>> len(placement_with_rankings(2, 3).rankings)
     2
@@ -230,12 +236,12 @@
     place = samples.idle_node().gateway.forwarder.placement_of("model-0")
     names = [worker.id for worker in samples.workers(worker_count, 1)]
     for key in range(part_count):
-        place.rank(key.to_bytes(8, "big"), tuple(names))  # each election makes its own, as here
+        place.rank(key.to_bytes(8, "big"), tuple(names))  # a new tuple each time, as each selection makes one
     return place
 
 
 def placement_with_first_turns(count: int) -> placement.Placement:
-    """A placement with first turns that may yet become sessions.
+    """A placement that remembers first turns, each of which becomes a session at a second turn.
 
     >>> len(placement_with_first_turns(3).first_turns)
     3
@@ -247,7 +253,7 @@
 
 
 def fresh_process_bytes() -> int:
-    """Memory of a fresh process that has imported the program and made a node, in bytes."""
+    """Memory, in bytes, of a new process that has imported iriswheel and created a node."""
     raw = subprocess.run(
         [
             sys.executable,
@@ -268,7 +274,7 @@
 
 
 def placement_with_parts(count: int) -> placement.Placement:
-    """A placement that knows so many prefix parts, spread over 2,600 workers.
+    """A placement that knows the given number of prefix parts, spread over 2,600 workers.
 
     >>> len(placement_with_parts(2600).workers)
     2600
@@ -280,7 +286,7 @@
 
 
 def sweep_placements(swept_node: node.Node) -> None:
-    """What a node's forwarder does once a second."""
+    """Sweep connections and placements as a node's forwarder does once a second: drop what expired or left the list."""
     follower = swept_node.follower
     swept_node.gateway.forwarder.connections.sweep({worker.id for worker in follower.workers if worker.state != "gone"})
     for pool, pool_placement in swept_node.gateway.forwarder.placements.items():
@@ -290,12 +296,12 @@
 
 
 def sockets(*, sizes: measuring.Sizes = (0, 100, 1000), calls: int = 2000, repeats: int = 5, out: str = "") -> None:
-    """What a message costs over a real connection, both sides of it in this process: calls, one after the other.
+    """Processor time of a message over a real connection whose two ends are in this process, in sequential calls.
 
-    :param sizes: session records in each question
-    :param calls: how many each time
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: numbers of session records in each call
+    :param calls: number of calls in each measurement
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
     reactor = default_reactor.load()
     lines, runtime = measuring.Measurements(), scheduler.Runtime(reactor)
--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -1,4 +1,4 @@
-"""What a pool's owner holds and does: session records, selections, shared prefix parts."""
+"""The costs of a pool owner: session records, selections of workers, shared prompt prefix parts."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from iriswheel.transport import message, wire
 
 LARGEST_POOL = 2_600  # workers
-OPERATIONS_PER_TIMING = 2_000  # measured as one
+OPERATIONS_PER_TIMING = 2_000  # operations on single sessions that are timed together
 
-# The name and the term of the records' owner do not matter to what is measured.
+# Any owner and any term give the same measurements.
 OWNER = samples.members(1)[0].id
 TERM = (3, 17)
 
 
 def records(*, sizes: measuring.Sizes = (10_000, 100_000, 1_000_000), repeats: int = 3, out: str = "") -> None:
-    """Session records in one holder: single steps, the sweep, whole copies, memory.
+    """Session records of one pool owner: single operations, the sweep, complete replicas, memory.
 
-    :param sizes: sessions
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: numbers of sessions
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     for _ in range(repeats):
@@ -52,13 +52,13 @@
 
 
 def _measure_steps(point: measuring.Point, table: sessions.SessionTable[str]) -> None:
-    """What is done to one session at a time, and the sweep of all."""
+    """Measure operations on single sessions, and the sweep over all sessions."""
     names = [f"{k * 7919 % point.size:024x}" for k in range(OPERATIONS_PER_TIMING)]
     count = OPERATIONS_PER_TIMING
 
     def record_turns() -> None:
         for name in names:
-            table.extend(table.affinity(name), 5)  # type: ignore[arg-type]  # all are open; a check would be timed too
+            table.extend(table.affinity(name), 5)  # type: ignore[arg-type]  # all sessions are open; a check for None would be timed too
 
     def open_and_close() -> None:
         for k in range(count):
@@ -72,7 +72,7 @@
 
 
 def _measure_copy(point: measuring.Point, table: sessions.SessionTable[str], raw: bytes) -> None:
-    """All records of an owner, as it sends them to the next holder of a copy."""
+    """Measure the message with all records of an owner, which a new replica holder gets."""
     point.put_bytes("a whole copy on the wire", len(raw))
     point.put_loops(
         "a whole copy made and written",
@@ -98,14 +98,14 @@
     point.put_loops(
         "a whole copy read and shelved",
         measuring.loops_per_call(
-            # No cast to its type: that would be one more call that is timed.
+            # Without a cast to the content's type, because the call of the cast would be timed too.
             lambda: session_replicas.SessionReplica().apply_update(wire.decoder.decode(raw).content, 0)  # type: ignore[arg-type]
         ),
     )
 
 
 def _measure_replica(point: measuring.Point, copy: message.ReplicateRecords, raw: bytes) -> None:
-    """A copy as a core machine keeps it, in memory and on its disk."""
+    """Measure a replica as a core machine holds it, in memory and on its disk."""
     replica = session_replicas.SessionReplica()
     replica.apply_update(copy, 0)
     point.put_loops(
@@ -124,7 +124,7 @@
 
 
 def owner_with_sessions(worker_count: int, session_count: int, parts: int = 0) -> pool_owner.PoolOwner:
-    """A pool owner of one pool with ready workers, sessions, and so many prefix parts on each worker.
+    """An owner of a pool with ready workers, open sessions, and `parts` known prefix parts on each worker.
 
     >>> owner_with_sessions(3, 10).pool
     'model-0'
@@ -142,7 +142,7 @@
 def select_worker(
     owner: pool_owner.PoolOwner, request: message.SelectWorker, pool: configuration.Pool
 ) -> str | selection.SelectionRefusal | None:
-    """What a pool owner chooses for a request.
+    """The worker that a pool owner selects for a request, or the reason why it selects none.
 
     >>> select_worker(owner_with_sessions(3, 10), selection_request(1), configuration.Pool(cap=0))
     'i-00000001'
@@ -153,7 +153,7 @@
 def selection_request(
     number: int, prefix: collections.abc.Sequence[str] = ("system", "bundle")
 ) -> message.SelectWorker:
-    """A question for a worker.
+    """A message that asks a pool owner to select a worker.
 
     >>> selection_request(1).request_id
     'x1'
@@ -183,12 +183,12 @@
     repeats: int = 5,
     out: str = "",
 ) -> None:
-    """A pool owner's choice for one request, by the workers of its pool and by its open sessions.
+    """A pool owner's selection for one request, by the workers of its pool and by its open sessions.
 
-    :param listed: workers of the pool
-    :param sizes: sessions of the pool
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param listed: numbers of workers of the pool
+    :param sizes: numbers of sessions of the pool
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     for _ in range(repeats):
@@ -207,11 +207,11 @@
 
 
 def prefixes(*, sizes: measuring.Sizes = (15_000, 150_000, 1_500_000), repeats: int = 3, out: str = "") -> None:
-    """Shared prefix parts in one pool owner's tables, without their bound of 256 a worker.
+    """Shared prefix parts in one pool owner's tables, without the usual limit of 256 parts per worker.
 
-    :param sizes: parts in all
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: total numbers of parts
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
     lines = measuring.Measurements()
     for _ in range(repeats):
--- a/benchmarks/capacity/target_costs.py
+++ b/benchmarks/capacity/target_costs.py
@@ -1,4 +1,4 @@
-"""The users' target worked out from the values that the other measurements left in files."""
+"""Computes the costs of the users' target fleet from the values that the other measurements have saved in files."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from iriswheel.dataplane import placement, worker_estimate
 
 SECONDS_A_DAY = 86_400
-FIRST_TURN_RETENTION_S = 600  # how long a node remembers a first turn
-STEP_BUDGET = "15 loops a step"
-ALL_AT_ONCE = "all at once"
+FIRST_TURN_RETENTION_S = 600  # how long a node remembers the first turn of a possible session
+STEP_BUDGET = "15 loops a step"  # limit for work that runs without returning to the reactor
+ALL_AT_ONCE = "all at once"  # what `fleet` calls its run with the largest number of nodes, workers and pools
 
 
 class Target(typing.NamedTuple):
-    """What the users want to operate in two years."""
+    """The size and the load of the fleet that the users want to operate in two years."""
 
     nodes: int = 370
     workers: int = 2600
@@ -35,7 +35,7 @@
 
 
 class Values(typing.Protocol):
-    """Measured values by the name of their run."""
+    """Measured values of several runs; `name` is the name of a run, `line` a measured quantity that grows with `by`."""
 
     def slope(self, name: str, line: str, by: str) -> float:
         """The slope of a line."""
@@ -44,14 +44,14 @@
         """A line's value at a size."""
 
     def all_at_once(self, name: str) -> dict[str, float] | None:
-        """Each line's value at the largest size of a run of the whole fleet, or None where there was none."""
+        """Each line's value with the largest sizes at once, from a run of `fleet`; None without such a run."""
 
 
 class SavedValues:
-    """Values of earlier runs, read from their files.
+    """Values of earlier runs, read from the files that the measurements wrote.
 
     Args:
-        folder: Where the files are that `--out` of the measurements wrote, as NAME.json.
+        folder: The folder of the files; NAME.json was written by a run with `--out`.
     """
 
     def __init__(self, folder: str) -> None:
@@ -66,7 +66,7 @@
         return self.files[name].fit(line, by)[0]
 
     def at(self, name: str, line: str, by: str, size: int) -> float:
-        """A line's value at a size: measured, or between two measured ones, or beyond them along the slope."""
+        """A line's value at a size: the measured one, else interpolated between two sizes, else extrapolated."""
         sizes = self.files[name].rows[line, by][1]
         if size in sizes:
             return statistics.median(sizes[size])
@@ -79,7 +79,7 @@
         return base + slope * size
 
     def all_at_once(self, name: str) -> dict[str, float] | None:
-        """Each line's value at the largest size of a run of the whole fleet, or None where there was none."""
+        """Each line's value with the largest sizes at once, from a run of `fleet`; None without such a run."""
         if name not in self.files:
             return None
         rows = self.files[name].rows.items()
@@ -88,12 +88,14 @@
 
 
 class TargetTable:
-    """The rows of the table that works the target out.
+    """The rows of the printed table of the target fleet's costs.
+
+    The column "how" says how a value is computed; docs/CAPACITY.md explains its marks M, X and R.
 
     Args:
-        values: What was measured.
-        target: What is wanted.
-        fresh_process_bytes: Gives the memory of a fresh process with a node.
+        values: The measured values.
+        target: The target fleet.
+        fresh_process_bytes: Returns the memory of a newly started process with a node.
     """
 
     def __init__(
@@ -114,7 +116,7 @@
         self.rows.append(f"| {role} | {what} | {how} | {measuring.three_digits(value)} {unit} | {budget} |")
 
     def build(self) -> list[str]:
-        """All rows, in the order of the page."""
+        """All rows, in the order of docs/CAPACITY.md."""
         self.put_memberships()
         for name, path in (("fleetwarden", "wardens"), ("fleetnode", "node election")):
             costs = self.values.all_at_once(name)
@@ -128,14 +130,14 @@
         return self.rows
 
     def membership_value(self, line: str) -> float:
-        """A line of memberships at the target's members, workers and pools, along the slopes."""
+        """A quantity of `lists` for the target's members, workers and pools, extrapolated along its three slopes."""
         target, values = self.target, self.values
         measured = (("members", target.nodes, 8), ("workers", target.workers, 36), ("pools", target.pools, 1))
         growth = sum(values.slope("lists", line, by) * (size - least) for by, size, least in measured)
         return growth + values.at("lists", line, "members", 8)
 
     def put_memberships(self) -> None:
-        """The size of a membership, and what its changes of a day cost."""
+        """Add the size of a membership, and the cost of a day's memberships."""
         target = self.target
         how = "2.4 KB + members, workers, pools by their slopes (X)"
         self.put("all", "a whole membership", how, self.membership_bytes / 1000, "KB")
@@ -152,7 +154,12 @@
         self.put("cores", "memberships out, mean, all nodes", "x nodes (X)", out, "KB/s")
 
     def put_fleet(self, path: str, costs: dict[str, float]) -> None:
-        """What each role costs in a quiet fleet, by one way of electing workers."""
+        """Add the cost of each role in an idle fleet.
+
+        Args:
+            path: What selects the workers, as printed: "wardens" or "node election".
+            costs: Values of `fleet` by line, such as "node: loops".
+        """
         for role in ("node", "lister", "warden", "core", "tail"):
             if f"{role}: loops" not in costs:
                 continue
@@ -169,7 +176,7 @@
                 self.put(role, f"{path}: {way}", "M", costs[f"{role}: {way}_bytes"] / 1000, unit, budget=bytes_limit)
 
     def memory(self) -> list[tuple[str, str, float]]:
-        """What a node holds: what it is, how it is worked out, bytes."""
+        """The parts of a node's memory: what a part holds, how its size is computed, bytes."""
         target, values = self.target, self.values
         workers_a_pool = target.workers // target.pools
         slice_bytes = values.at("routes", "a slice held at a node", "routes", target.routes)
@@ -198,14 +205,14 @@
         ]
 
     def put_memory(self) -> None:
-        """A node's memory, part by part and together."""
+        """Add the parts of a node's memory and their sum."""
         parts = self.memory()
         for what, how, size in parts:
             self.put("node", f"memory: {what}", how, size / 1e6, "MB", budget="64 MB in all")
         self.put("node", "memory: all of them", "", sum(size for _, _, size in parts) / 1e6, "MB", budget="64 MB")
 
     def put_changes(self) -> None:
-        """A tail's repeated look, and changes of the configuration."""
+        """Add the tail's periodic check for a new membership, and changes of the configuration."""
         target, values = self.target, self.values
         look = values.at("tail", f"a look for news at the tail, {target.pools} pools", "members", target.nodes)
         how = f"{target.pools} pools, {target.nodes} members (M)"
@@ -219,7 +226,7 @@
         self.put("tail", "changes a day, in the mean", how, mean, "loops/s", budget="3,000 loops/s")
 
     def put_losses(self) -> None:
-        """What the loss of the tail, a partition, a zone and a node send."""
+        """Add the bytes that are sent after the loss of the tail, a partition, and the loss of a zone or a node."""
         target, values = self.target, self.values
         pairs = target.nodes * (target.nodes - 1)
         named = (
@@ -235,7 +242,7 @@
             self.put("cores", label, "nodes x membership (X)", size, "MB")
 
     def put_sessions(self) -> None:
-        """Session records at the owner of the largest pool, and cut over the nodes."""
+        """Add the costs of session records, at the owner of the largest pool and divided among all nodes."""
         target, values = self.target, self.values
         half = target.sessions // 2
         sweep = values.at("records", "a sweep that finds nothing", "sessions", half)
@@ -254,7 +261,7 @@
         )
 
     def put_selections(self) -> None:
-        """A node's own selection of a worker, by the size of the pool."""
+        """Add the cost of a node's selection of a worker, for two sizes of the pool."""
         line = "a worker chosen at a node, its parts ranked before"
         half = self.target.workers // 2
         loops = self.values.at("places", line, "workers of the pool", 90)
@@ -265,9 +272,9 @@
 
 
 def target(folder: str) -> None:
-    """What the target needs, by the values that the runs left in a folder (their `--out` files).
+    """The costs of the target fleet, from the files that the measurements wrote with --out.
 
-    :param folder: where lists.json, tail.json and the others are
+    :param folder: folder with the files, one for each measurement: lists.json, tail.json and so on
     """
     print("| role | what | how | at the target | budget |\n|---|---|---|---|---|")
     print("\n".join(TargetTable(SavedValues(folder)).build()))
