--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -16,7 +16,7 @@
     return sorted({span for span in spans if span.split(".")[0] in SUBSYSTEMS})
 
 
-def test_the_page_names_functions_of_both_ways() -> None:
+def test_the_page_names_more_than_thirty_objects() -> None:
     assert len(named()) > 30
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -48,7 +48,7 @@
         return {f"node: {part}": 3.0 for part in parts} if name == "fleetnode" else None
 
 
-def test_the_target_is_worked_out_from_any_values() -> None:
+def test_the_target_table_is_computed_from_any_values() -> None:
     table = target_costs.TargetTable(StubValues(), fresh_process_bytes=lambda: 50e6)
     rows = table.build()
     assert len(rows) == 31
@@ -62,39 +62,49 @@
     def set_up(self) -> None:
         self.page = rows(PAGE.read_text())
 
-    def ran(self, measure: Callable[..., None], **more: int | list[int]) -> dict[tuple[str, str], tuple[float, str]]:
+    def measured_rows(
+        self, measure: Callable[..., None], **more: int | list[int]
+    ) -> dict[tuple[str, str], tuple[float, str]]:
         out = io.StringIO()
         with contextlib.redirect_stdout(out):
             measure(**more)
         return rows(out.getvalue())
 
-    def hold(self, got: dict[tuple[str, str], tuple[float, str]], rel: float) -> None:
+    def assert_bytes_match_page(self, measured: dict[tuple[str, str], tuple[float, str]], rel: float) -> None:
         """Every line with bytes on the page has that slope; every line is on the page."""
-        assert got
-        for key, (slope, unit) in got.items():
+        assert measured
+        for key, (slope, unit) in measured.items():
             assert key in self.page
             if unit == "B" and "held" not in key[0] and "memory" not in key[0]:
                 assert abs(slope - self.page[key][0]) <= rel * abs(slope), f"{key}: {slope}, {self.page[key]}"
 
     def test_memberships_and_worker_lists_are_as_long_as_the_page_says(self) -> None:
-        self.hold(self.ran(membership_costs.lists, sizes=[8, 32], listed=[36, 260], pools=[1, 8], repeats=1), 0.05)
+        self.assert_bytes_match_page(
+            self.measured_rows(membership_costs.lists, sizes=[8, 32], listed=[36, 260], pools=[1, 8], repeats=1), 0.05
+        )
 
     def test_a_tail_heartbeat_is_as_long_as_the_page_says(self) -> None:
-        self.hold(self.ran(membership_costs.tail, sizes=[8, 32], pools=[1], repeats=1), 0.05)
+        self.assert_bytes_match_page(
+            self.measured_rows(membership_costs.tail, sizes=[8, 32], pools=[1], repeats=1), 0.05
+        )
 
     def test_session_records_are_as_long_as_the_page_says(self) -> None:
-        self.hold(self.ran(pool_owner_costs.records, sizes=[1000, 2000], repeats=1), 0.05)
+        self.assert_bytes_match_page(self.measured_rows(pool_owner_costs.records, sizes=[1000, 2000], repeats=1), 0.05)
 
     def test_selections_and_prefixes_run(self) -> None:
-        self.hold(self.ran(pool_owner_costs.selections, listed=[9, 18], sizes=[100, 1000], repeats=1), 0.05)
-        self.hold(self.ran(pool_owner_costs.prefixes, sizes=[2600, 26_000], repeats=1), 0.05)
+        self.assert_bytes_match_page(
+            self.measured_rows(pool_owner_costs.selections, listed=[9, 18], sizes=[100, 1000], repeats=1), 0.05
+        )
+        self.assert_bytes_match_page(
+            self.measured_rows(pool_owner_costs.prefixes, sizes=[2600, 26_000], repeats=1), 0.05
+        )
 
     def test_configurations_are_as_long_as_the_page_says(self) -> None:
-        self.hold(self.ran(node_costs.routes, sizes=[500, 2000], repeats=1), 0.1)
+        self.assert_bytes_match_page(self.measured_rows(node_costs.routes, sizes=[500, 2000], repeats=1), 0.1)
 
 
 class TestHollowFleet:
-    def made(self, **more: Any) -> hollow_fleet.Fleet:  # noqa: ANN401 - options of Fleet
+    def started_fleet(self, **more: Any) -> hollow_fleet.Fleet:  # noqa: ANN401 - options of Fleet
         fleet = hollow_fleet.Fleet(1, routes=10, **more)
         fleet.begin()
         fleet.advance(2)
@@ -103,7 +113,7 @@
     def test_a_complete_worker_list_goes_to_every_node_only_when_it_changes(self) -> None:
         appended: dict[int, list[float]] = {}
         for listed in (9, 90):
-            fleet = self.made(nodes=6, listed=listed)
+            fleet = self.started_fleet(nodes=6, listed=listed)
             quiet = fleet.by_role(fleet.meter_for(4))
             fleet.platform.put("w1", state="leaving")
             more = fleet.by_role(fleet.meter_for(4))
@@ -119,14 +129,14 @@
         assert 4.95 * size < lister < 6.05 * size, lister / size
 
     def test_a_restarted_node_is_announced_to_each_node_once(self) -> None:
-        got = loss_costs.measure_event(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "restart")
-        assert 0 < got.ms < 1000, got
-        assert 6 * got.membership_bytes <= got.core_to_node < 7.5 * got.membership_bytes, got
+        measured = loss_costs.measure_event(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "restart")
+        assert 0 < measured.ms < 1000, measured
+        assert 6 * measured.membership_bytes <= measured.core_to_node < 7.5 * measured.membership_bytes, measured
 
     def test_without_the_tail_no_node_sends_another_the_membership_that_it_has(self) -> None:
-        got = loss_costs.measure_event(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "tail")
-        assert 0 < got.ms < 5000, got
-        assert got.node_to_node < 6 * 5 * got.membership_bytes / 4, got
+        measured = loss_costs.measure_event(hollow_fleet.Fleet(1, 6, 36, 1, 10, walking=False), "tail")
+        assert 0 < measured.ms < 5000, measured
+        assert measured.node_to_node < 6 * 5 * measured.membership_bytes / 4, measured
 
     def test_load_reports_are_sent_and_counted(self) -> None:
         fleet = hollow_fleet.Fleet(1, 4, 9, 2, 10, walking=False, election="node")
@@ -141,8 +151,8 @@
         assert others
         assert set(others) <= set(fleet.workers), others
 
-    def test_a_hollow_send_is_counted_until_its_first_event_and_its_end(self) -> None:
-        fleet = self.made(nodes=4, listed=9, election="node")
+    def test_a_hollow_request_is_unread_until_its_first_event_and_running_until_its_end(self) -> None:
+        fleet = self.started_fleet(nodes=4, listed=9, election="node")
         node = fleet.nodes["n1"]
         estimates = node.gateway.forwarder.placement_of("model-0").workers
         node.runtime.spawn(fleet.run_hollow_request(node, 0.5), simulated_cluster.log)
@@ -166,7 +176,7 @@
                 listed=[9, 18], keys=[16, 32], parts=[2600, 5200], sizes=[100, 200], pools=[1, 2], repeats=1
             )
             fleet_costs.exchange(listed=26, rate=30, seconds=3, spans=[0.5], steps=[1, 3])
-        got = rows(out.getvalue())
-        assert got["a worker chosen at a node, its parts ranked before", "workers of the pool"][0] > 0
+        measured = rows(out.getvalue())
+        assert measured["a worker chosen at a node, its parts ranked before", "workers of the pool"][0] > 0
         sent = [float(x) for x in re.findall(r"^\| 0.5 s \| [13] \| ([0-9.]+) ", out.getvalue(), re.M)]
         assert sent[0] > sent[1] > 0, sent
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -23,20 +23,20 @@
 from tests import deferreds, request_path, test_operators
 
 SECOND = units.SECOND_US
-NORTH: dict[str, Any] = {"evacuations/north": {}}
-OPERATOR: dict[str, Any] = {"marks/operator": {"number": 3}}
+NORTH_EVACUATED: dict[str, Any] = {"evacuations/north": {}}
+OPERATOR_MARK: dict[str, Any] = {"marks/operator": {"number": 3}}
 
 
-def known(items: dict[str, Any]) -> submitted_changes.KnownState:
+def known_state(items: dict[str, Any]) -> submitted_changes.KnownState:
     return submitted_changes.KnownState(
         version=9, items=items, accepted_version=0, highest_dropped_number=0, read_at_tail=True
     )
 
 
-class TestConfigurationsLeaveEvacuationsAlone:
+class TestChangesDoNotAffectEvacuations:
     def test_a_complete_change_does_not_readmit_a_zone(self) -> None:
         change = operator_api.parse_change({"number": 4, "built_on": 3, "blueprint": {"pools": {"p": {}}}})
-        decision = submitted_changes.decide(known({**OPERATOR, **NORTH, "pools/q": {}}), change)
+        decision = submitted_changes.decide(known_state({**OPERATOR_MARK, **NORTH_EVACUATED, "pools/q": {}}), change)
         assert isinstance(decision, submitted_changes.Applicable)
         assert dict(decision.changes) == {
             "marks/operator": {"number": 4},
@@ -46,41 +46,45 @@
 
     def test_a_change_of_named_items_does_not_readmit_a_zone(self) -> None:
         change = operator_api.parse_change({"number": 4, "built_on": 3, "upsert": {"pools": {"p": {}}}})
-        decision = submitted_changes.decide(known({**OPERATOR, **NORTH}), change)
+        decision = submitted_changes.decide(known_state({**OPERATOR_MARK, **NORTH_EVACUATED}), change)
         assert isinstance(decision, submitted_changes.Applicable)
         assert dict(decision.changes) == {"marks/operator": {"number": 4}, "pools/p": {}}
 
-    def test_a_complete_change_that_stands_already_stands_beside_an_evacuation(self) -> None:
+    def test_a_complete_change_that_is_already_applied_changes_nothing_during_an_evacuation(self) -> None:
         change = operator_api.parse_change({"number": 4, "built_on": 2, "blueprint": {"pools": {"p": {}}}})
-        stands = {"marks/operator": {"number": 4}, "pools/p": {}, **NORTH}
-        assert submitted_changes.decide(known(stands), change) == submitted_changes.Applicable([])
+        applied = {"marks/operator": {"number": 4}, "pools/p": {}, **NORTH_EVACUATED}
+        assert submitted_changes.decide(known_state(applied), change) == submitted_changes.Applicable([])
 
-    def test_a_document_shows_no_evacuation_and_can_hold_none(self) -> None:
-        assert "evacuations" not in configuration.unflatten({"pools/p": {}, **NORTH}, with_all_kinds=True)
+    def test_a_configuration_document_neither_shows_nor_accepts_evacuations(self) -> None:
+        assert "evacuations" not in configuration.unflatten({"pools/p": {}, **NORTH_EVACUATED}, with_all_kinds=True)
         with pytest.raises(configuration.InvalidConfigurationError):
             configuration.flatten({"evacuations": {"north": {}}})
 
 
 class TestZoneOrders:
-    def test_an_order_that_is_in_force_changes_nothing(self) -> None:
-        assert zone_evacuation.ZoneOrder("north", True).decide(known(NORTH)) == submitted_changes.Committed(9)
-        assert zone_evacuation.ZoneOrder("south", False).decide(known(NORTH)) == submitted_changes.Committed(9)
-
-    def test_zones_are_evacuated_beside_each_other(self) -> None:
-        decision = zone_evacuation.ZoneOrder("south", True).decide(known(NORTH))
+    def test_an_order_that_is_already_in_force_changes_nothing(self) -> None:
+        assert zone_evacuation.ZoneOrder("north", True).decide(
+            known_state(NORTH_EVACUATED)
+        ) == submitted_changes.Committed(9)
+        assert zone_evacuation.ZoneOrder("south", False).decide(
+            known_state(NORTH_EVACUATED)
+        ) == submitted_changes.Committed(9)
+
+    def test_several_zones_can_be_evacuated_at_once(self) -> None:
+        decision = zone_evacuation.ZoneOrder("south", True).decide(known_state(NORTH_EVACUATED))
         assert decision == submitted_changes.Applicable([("evacuations/south", {})])
 
     def test_an_order_whose_caller_has_gone_is_not_carried_out(self) -> None:
-        decision = zone_evacuation.ZoneOrder("north", True, is_caller_waiting=lambda: False).decide(known({}))
+        decision = zone_evacuation.ZoneOrder("north", True, is_caller_waiting=lambda: False).decide(known_state({}))
         assert isinstance(decision, submitted_changes.Refused)
 
     @pytest.mark.parametrize("name", ["", "a" * 129, "a\nb"])
-    def test_what_is_no_name_of_a_zone_is_refused(self, name: str) -> None:
+    def test_an_invalid_zone_name_is_refused(self, name: str) -> None:
         with pytest.raises(errors.ServiceError):
             zone_evacuation.parse_zone(name)
 
 
-class OrderedCore:
+class RecordingCore:
     """Stands for a core: notes orders."""
 
     def __init__(self) -> None:
@@ -91,12 +95,12 @@
         return 7
 
     async def read(self) -> dict[str, Any]:
-        return {**OPERATOR, **NORTH}
+        return {**OPERATOR_MARK, **NORTH_EVACUATED}
 
 
 class TestPlatformCalls:
-    def call(self, method: bytes, path: bytes) -> tuple[OrderedCore, list[tuple[int, Any]]]:
-        core: Any = OrderedCore()
+    def call(self, method: bytes, path: bytes) -> tuple[RecordingCore, list[tuple[int, Any]]]:
+        core: Any = RecordingCore()
         answers: list[tuple[int, Any]] = []
         request: Any = types.SimpleNamespace(
             method=method, path=path, client_disconnected=False, answer_json=lambda *answer: answers.append(answer)
@@ -134,8 +138,8 @@
         self.cluster = cluster
         self.callers = [test_operators.Caller(cluster, name) for name in cluster.cores]
 
-    def call(self, place: int, method: str, path: str) -> tuple[int, dict[str, Any]]:
-        answered = defer.ensureDeferred(self.callers[place].call(method, path))
+    def call(self, core_index: int, method: str, path: str) -> tuple[int, dict[str, Any]]:
+        answered = defer.ensureDeferred(self.callers[core_index].call(method, path))
         self.cluster.advance_until_called(answered, 4)
         status, document, _ = deferreds.result_of(answered)
         return status, document
@@ -143,8 +147,8 @@
     def zones_at_nodes(self) -> set[frozenset[str]]:
         return {node.follower.evacuated_zones for node in self.cluster.nodes.values()}
 
-    def evacuated(self, place: int = 0) -> list[str]:
-        zones: list[str] = self.call(place, "GET", "/evacuations")[1]["evacuations"]
+    def evacuated(self, core_index: int = 0) -> list[str]:
+        zones: list[str] = self.call(core_index, "GET", "/evacuations")[1]["evacuations"]
         return zones
 
     def change(self, number: int, built_on: int) -> int:
@@ -161,12 +165,12 @@
         assert self.call(2, "DELETE", "/evacuations/north")[0] == 200
         assert self.zones_at_nodes() == {frozenset({"a b"})}
 
-    def test_an_order_that_comes_again_is_acknowledged_without_a_log_entry(self) -> None:
+    def test_a_repeated_order_is_acknowledged_without_a_log_entry(self) -> None:
         first = self.call(0, "PUT", "/evacuations/north")
-        assert [self.call(place, "PUT", "/evacuations/north") for place in range(3)] == [first] * 3
+        assert [self.call(core_index, "PUT", "/evacuations/north") for core_index in range(3)] == [first] * 3
         assert self.call(0, "DELETE", "/evacuations/south")[0] == 200
 
-    def test_a_zone_can_be_evacuated_once_more(self) -> None:
+    def test_a_zone_can_be_evacuated_again(self) -> None:
         for _ in range(2):
             assert self.call(0, "PUT", "/evacuations/north")[0] == 200
             assert self.evacuated() == ["north"]
@@ -180,7 +184,7 @@
         assert self.evacuated() == ["north"]
         assert self.zones_at_nodes() == {frozenset({"north"})}
 
-    def test_a_plan_leaves_evacuations_alone(self) -> None:
+    def test_a_confirmed_plan_does_not_change_evacuations(self) -> None:
         assert self.call(0, "PUT", "/evacuations/north")[0] == 200
         blueprint = self.call(1, "GET", "/blueprint")[1]["blueprint"]
         for document in (
@@ -194,10 +198,10 @@
             assert self.call(2, "POST", f"/plans/{plan['id']}/confirm")[0] == 200
             assert self.evacuated() == ["north"]
 
-    def test_orders_and_changes_at_once_are_all_taken(self) -> None:
+    def test_concurrent_orders_and_changes_are_all_accepted(self) -> None:
         orders = [
-            defer.ensureDeferred(caller.call("PUT", f"/evacuations/zone-{place}"))
-            for place, caller in enumerate(self.callers)
+            defer.ensureDeferred(caller.call("PUT", f"/evacuations/zone-{core_index}"))
+            for core_index, caller in enumerate(self.callers)
         ]
         change = defer.ensureDeferred(self.callers[0].submit(1, 0, "/r"))
         self.cluster.advance_until(lambda: change.called and all(order.called for order in orders), 4)
@@ -232,7 +236,7 @@
     """One node that selects the workers itself; the zone of some of them is evacuated."""
 
     @pytest.fixture(autouse=True)
-    def evacuate_nobody(self, start_node: None) -> None:  # noqa: ARG002 - asked for so that it runs before
+    def evacuate_no_zone(self, start_node: None) -> None:  # noqa: ARG002 - asked for so that it runs before
         self.evacuated: set[str] = set()
         self.follower.accepts_requests = lambda worker: worker not in self.evacuated
 
@@ -290,7 +294,7 @@
         assert worker.seen == []
         assert client.status == 503
 
-    def test_a_request_under_way_goes_on(self) -> None:
+    def test_a_request_in_flight_continues(self) -> None:
         def reply_late(connection: request_path.WorkerConnection, attempt: str) -> None:
             self.runtime.later(200 * units.MILLISECOND_US, self.reply, connection, attempt)
 
@@ -332,7 +336,7 @@
         self.accepts = False
         assert not selector.may_send(request, self.worker)
 
-    def test_no_relay_leads_to_an_evacuated_zone(self) -> None:
+    def test_no_relay_token_is_issued_or_redeemed_for_an_evacuated_zone(self) -> None:
         server = relay.RelayServer(self.node)
         tokens = [server.issue_token("i-1") for _ in range(2)]
         requests: list[Any] = [
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -20,7 +20,7 @@
 
 
 class TestSizes:
-    def test_the_load_goes_on_all_day_and_what_processes_hold_is_printed(
+    def test_the_load_lasts_for_the_whole_run_and_the_sizes_of_kept_data_are_printed(
         self, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
     ) -> None:
         monkeypatch.setattr(simulated_cluster, "SimulatedCluster", RecordedCluster)
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -10,7 +10,7 @@
 TABLE = pathlib.Path(__file__).parent / "data" / "test-names.toml"
 
 
-def test_every_test_that_took_the_place_of_an_old_one_is_collected(pytestconfig: pytest.Config) -> None:
+def test_every_replacement_of_a_former_test_is_collected(pytestconfig: pytest.Config) -> None:
     command = [sys.executable, "-m", "pytest", "--collect-only", "--quiet", "-n", "0"]
     listing = subprocess.run(command, cwd=pytestconfig.rootpath, capture_output=True, text=True, check=True).stdout
     collected = set(listing.splitlines())
