--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""The tests: `python -m pytest`."""
+"""The tests of iriswheel; run them with `python -m pytest`."""
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The architecture page names modules, classes and functions that exist."""
+"""The architecture page refers only to modules, classes and functions that exist."""
 
 import importlib
 import pathlib
@@ -11,7 +11,7 @@
 
 
 def named() -> list[str]:
-    """The dotted names in code spans that begin with a subsystem."""
+    """The dotted names in the page's code spans that begin with the name of a subsystem of iriswheel."""
     spans = re.findall(r"`([a-z_]+(?:\.\w+)+)`", PAGE.read_text())
     return sorted({span for span in spans if span.split(".")[0] in SUBSYSTEMS})
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The slopes of docs/CAPACITY.md at a small size: the bytes repeat, so they are held to what the page says."""
+"""The capacity measurements at small sizes; byte counts are deterministic and must equal those in docs/CAPACITY.md."""
 
 import contextlib
 import io
@@ -25,7 +25,7 @@
 
 
 def rows(text: str) -> dict[tuple[str, str], tuple[float, str]]:
-    """A printed table's lines: (line, grows with) -> (slope, unit).
+    """Parse a printed table: (line, what it grows with) -> (slope, unit).
 
     >>> rows("| a | members | 73.1 B | 73.1 to 73.1 | 2,390 | 1.000 | 8 (3,030) |")
     {('a', 'members'): (73.1, 'B')}
@@ -35,7 +35,7 @@
 
 
 class StubValues:
-    """Every line has the same slope and the same value at any size."""
+    """Measured values that are the same for every line: the same slope, and the same value at any size."""
 
     def slope(self, _name: str, _line: str, _by: str) -> float:
         return 2.0
@@ -71,7 +71,7 @@
         return rows(out.getvalue())
 
     def assert_bytes_match_page(self, measured: dict[tuple[str, str], tuple[float, str]], rel: float) -> None:
-        """Every line with bytes on the page has that slope; every line is on the page."""
+        """Every measured line must be on the page; byte slopes, except of memory, must agree within `rel`."""
         assert measured
         for key, (slope, unit) in measured.items():
             assert key in self.page
@@ -123,9 +123,14 @@
             appended[listed].append(len(wire.encoder.encode(fleet.nodes["n1"].follower.workers)))
             assert 0 < quiet["node"]["loops"] < quiet["warden"]["loops"]
         node, lister, idle, size = (more - few for few, more in zip(appended[9], appended[90], strict=True))
-        assert abs(idle) < 0.02 * size, idle  # a second, by 81 workers more: signs of life come as they fall
-        assert abs(node - 2 * size) < 0.05 * size, node / size  # in a list and in a membership
-        # to five other nodes; the core is told twice a second anyway, and may be once more in the second span
+        assert abs(idle) < 0.02 * size, (
+            idle
+        )  # B/s that 81 more workers add in an idle fleet; not exactly 0, since heartbeats near the span's ends vary
+        assert abs(node - 2 * size) < 0.05 * size, (
+            node / size
+        )  # the workers are sent once in a list and once in a membership
+        # The list goes to the five other nodes. A core machine gets it twice a second anyway, so that the second span
+        # may contain one more of these messages.
         assert 4.95 * size < lister < 6.05 * size, lister / size
 
     def test_a_restarted_node_is_announced_to_each_node_once(self) -> None:
--- a/tests/test_change_recovery.py
+++ b/tests/test_change_recovery.py
@@ -1,4 +1,4 @@
-"""The command that measures how long changes are held up by a fault of a core machine."""
+"""The benchmark that measures how long a fault of a core machine delays configuration changes."""
 
 from benchmarks import change_recovery
 from iriswheel.runtime import units
@@ -12,7 +12,7 @@
         assert recovery.case == kill
         assert recovery.acknowledged is not None
         assert recovery.applied is not None
-        assert recovery.acknowledged > 1 * units.SECOND_US  # the others don't take it for dead before
+        assert recovery.acknowledged > 1 * units.SECOND_US  # the other core machines do not suspect the tail earlier
         assert recovery.acknowledged < 5 * units.SECOND_US
         assert recovery.applied >= recovery.acknowledged
         assert recovery.applied < 6 * units.SECOND_US
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,6 +1,6 @@
-"""The pages name files, commands, classes, constants and tests that exist.
+"""The documentation refers only to files, commands, classes, constants and tests that exist.
 
-docs/incidents/ is left out: it tells of the code at the time of each incident.
+docs/incidents/ is not checked, because its pages describe the code at the time of each incident.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Names:
-    """What the Python files define: classes with their members and bases, functions, constants."""
+    """The names that the Python files define: classes with their members and bases, functions, variables."""
 
     def __init__(self) -> None:
         self.members: collections.defaultdict[str, set[str]] = collections.defaultdict(set)
@@ -46,7 +46,7 @@
                 self.variables.add(node.id)
 
     def has_member(self, class_name: str, member: str) -> bool:
-        """Whether a class of that name, or one that it is derived from, has the member."""
+        """Whether a class of that name, or one of its base classes, has the member."""
         if member in self.members.get(class_name, ()):
             return True
         return any(self.has_member(base, member) for base in self.bases.get(class_name, ()))
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuation of a zone: orders at core machines, beside the configuration, and what the nodes then send."""
+"""Evacuation of a zone: orders to core machines, their independence of the configuration, and what nodes then send."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 
 
 class RecordingCore:
-    """Stands for a core: notes orders."""
+    """A fake core machine that records the orders it gets."""
 
     def __init__(self) -> None:
         self.orders: list[tuple[str, bool, bool]] = []
@@ -127,7 +127,7 @@
 
 
 class TestCoreMachines:
-    """Orders at the core machines of a simulated cluster."""
+    """Orders to the core machines of a simulated cluster."""
 
     @pytest.fixture(autouse=True)
     def start_cluster(self) -> None:
@@ -233,10 +233,10 @@
 
 
 class TestRequestPath(request_path.RequestPath):
-    """One node that selects the workers itself; the zone of some of them is evacuated."""
+    """A node that selects workers itself; the zone of the workers in `evacuated` is evacuated."""
 
     @pytest.fixture(autouse=True)
-    def evacuate_no_zone(self, start_node: None) -> None:  # noqa: ARG002 - asked for so that it runs before
+    def evacuate_no_zone(self, start_node: None) -> None:  # noqa: ARG002 - requested so that the fixture runs first
         self.evacuated: set[str] = set()
         self.follower.accepts_requests = lambda worker: worker not in self.evacuated
 
@@ -287,7 +287,7 @@
         client = self.client()
         self.write(client, "a1")
         placement = self.forwarder.placement_of("desk")
-        while not placement.estimate("i-1").running:  # from before the connection is made
+        while not placement.estimate("i-1").running:  # an attempt counts as running before its connection exists
             self.world.run(self.world.time + 10)
         self.evacuated = {"i-1"}
         self.go(500)
@@ -308,7 +308,7 @@
 
 
 class TestSendsByGrantOrRelay:
-    """What a node checks before a send that another node's choice leads to."""
+    """A node's check before it sends to a worker that another node chose: by a grant, or by a relayed request."""
 
     @pytest.fixture(autouse=True)
     def make_node(self) -> None:
@@ -350,7 +350,7 @@
 
 
 class TestPoolOwner:
-    """A simulated cluster whose pool has an owner; its workers are in two zones."""
+    """A simulated cluster with a pool owner and workers in two zones."""
 
     def test_a_pool_owner_grants_no_worker_of_an_evacuated_zone(self) -> None:
         cluster = test_operators.ClusterWithNewestNumber(9, "small")
@@ -370,7 +370,7 @@
         answered = defer.ensureDeferred(test_operators.Caller(cluster, "c1").call("PUT", "/evacuations/north"))
         cluster.advance_until_called(answered, 4)
         assert deferreds.result_of(answered)[0] == 200
-        pool_owner.check_workers()  # which it does each half second
+        pool_owner.check_workers()  # the pool owner calls this every half second
         assert {zones[worker] for worker, records in sessions.items() if records} == {"south"}
         before = len(cluster.event_log.rows)
         with unittest.mock.patch.object(
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -1,4 +1,4 @@
-"""The commands that measure simulated clusters, at their smallest size."""
+"""The benchmark `sizes`, which measures a simulated cluster in a long run, with the shortest run."""
 
 from typing import ClassVar
 
@@ -10,7 +10,7 @@
 
 
 class RecordedCluster(simulated_cluster.SimulatedCluster):
-    """A cluster that the test sees."""
+    """A cluster that adds itself to a list when it begins, so that the test can inspect it."""
 
     made: ClassVar[list["RecordedCluster"]] = []
 
--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -1,4 +1,4 @@
-"""No test was lost on the way to pytest: each old name's node ids are still collected."""
+"""No test was lost in the move to pytest: pytest still collects the replacements of every former test."""
 
 import pathlib
 import subprocess
--- a/tests/test_total_loss.py
+++ b/tests/test_total_loss.py
@@ -1,4 +1,4 @@
-"""The command that measures how long a fleet takes after the loss of everything."""
+"""The benchmark that measures how long a fleet takes to recover from the loss of all its processes."""
 
 import pytest
 
