--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -17,6 +17,7 @@
 Each measurement prints a table of straight lines: a cost, the size that it grows with, and the slope.
 Processor time is given in loops: the thread time of the measured code divided by the thread time of
 a fixed loop (`measuring.loop`) that is measured right before it. This makes figures from different
-machines comparable. A hollow fleet (`hollow_fleet`) runs real core machines and nodes, but its
-requests are only counted where real ones would be: nothing is sent to the workers.
+machines comparable. A hollow fleet (`hollow_fleet`) runs real core machines and nodes, and its requests
+are only counted where real ones would be, so that nothing is sent to the workers; `streams` alone sends
+real requests through it.
 """
--- a/benchmarks/capacity/fleet_costs.py
+++ b/benchmarks/capacity/fleet_costs.py
@@ -14,7 +14,7 @@
 TOKENS_PER_STEP = 1000  # a change of the unread tokens that counts as much as one running request
 PACKED_ROW_BYTES = 5  # size of a load report's row in a compact encoding, shown for comparison
 
-QUIET_TABLE_HEAD = (
+IDLE_TABLE_HEAD = (
     "| fleet | role | loops/s | longest step, loops | messages in/s | B/s in | out/s | B/s out | writes to others/s |\n"
     "|---|---|---|---|---|---|---|---|---|"
 )
@@ -67,8 +67,8 @@
     :param lasts: seconds that each hollow request lasts
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
-    print(QUIET_TABLE_HEAD)
+    measurements = measuring.Measurements()
+    print(IDLE_TABLE_HEAD)
     for shape in _shapes(sizes, listed, pools):
         cluster = hollow_fleet.Fleet(
             seed, shape.nodes, shape.workers, shape.pools, routes, walking=walking, election=election
@@ -81,8 +81,8 @@
         hollow_fleet.print_rows(f"{shape.nodes} nodes, {shape.workers} workers, {shape.pools} pools", rows)
         for role, figures in rows.items():
             for what, value in figures.items():
-                lines.put(f"{role}: {what}", shape.by, hollow_fleet.UNITS[what], shape.size, value)
-    measuring.print_and_save(lines, out)
+                measurements.put(f"{role}: {what}", shape.by, hollow_fleet.UNITS[what], shape.size, value)
+    measuring.print_and_save(measurements, out)
 
 
 def _shapes(nodes: measuring.Sizes, workers: measuring.Sizes, pools: measuring.Sizes) -> list[Shape]:
@@ -116,15 +116,17 @@
     :param election: what selects workers: warden (the pool owner) or node
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for seed in range(1, repeats + 1):
         for rate in rates:
             cluster = _serving_fleet(seed, listed, election, rate, events[0])
-            _measure_streams(cluster, lines, "requests through nodes", "requests/s", size=rate, seconds=seconds)
+            _measure_streams(cluster, measurements, "requests through nodes", "requests/s", size=rate, seconds=seconds)
         for count in events:
             cluster = _serving_fleet(seed, listed, election, rates[0], count)
-            _measure_streams(cluster, lines, "events through nodes", "events/s", size=rates[0] * count, seconds=seconds)
-    measuring.print_and_save(lines, out)
+            _measure_streams(
+                cluster, measurements, "events through nodes", "events/s", size=rates[0] * count, seconds=seconds
+            )
+    measuring.print_and_save(measurements, out)
 
 
 def _serving_fleet(seed: int, workers: int, election: str, rate: int, events: int) -> hollow_fleet.Fleet:
@@ -140,13 +142,13 @@
 
 
 def _measure_streams(
-    cluster: hollow_fleet.Fleet, lines: measuring.Measurements, line: str, by: str, *, size: int, seconds: float
+    cluster: hollow_fleet.Fleet, measurements: measuring.Measurements, line: str, by: str, *, size: int, seconds: float
 ) -> None:
     before = _count_requests(cluster)
     figures = cluster.meter_for(seconds)
     requests_per_s = (_count_requests(cluster) - before) / seconds
-    lines.put(line, by, "loops", size, sum(figures[name]["loops"] for name in cluster.nodes))
-    lines.put("requests seen", by, "/s", size, requests_per_s)
+    measurements.put(line, by, "loops", size, sum(figures[name]["loops"] for name in cluster.nodes))
+    measurements.put("requests seen", by, "/s", size, requests_per_s)
 
 
 def _count_requests(cluster: hollow_fleet.Fleet) -> int:
--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet without real requests, whose processor time and messages are metered by role.
+"""A simulated fleet with a hollow load or none, whose processor time and messages are metered by role.
 
 The core machines and nodes are real ones in the simulated network. A hollow request is one that its
 node counts as sent to a worker, although nothing is sent: it costs little to simulate, but appears in
@@ -38,7 +38,7 @@
 
 
 class Fleet(simulated_cluster.SimulatedCluster):
-    """Real core machines and nodes without real requests, with workers that all share one simulated process.
+    """Real core machines and nodes, without requests by default, and workers that all share one simulated process.
 
     Args:
         seed: The seed of all random numbers.
@@ -131,15 +131,20 @@
     async def run_hollow_request(self, loaded: node.Node, lasts: float) -> None:
         """Count one hollow request in its node's placement, as a real request would be counted."""
         pool = f"model-{loaded.runtime.rng.randrange(self.pools)}"
-        place, names = loaded.gateway.forwarder.placement_of(pool), loaded.gateway.forwarder.ready_workers(pool)
+        pool_placement, names = (
+            loaded.gateway.forwarder.placement_of(pool),
+            loaded.gateway.forwarder.ready_workers(pool),
+        )
         name = names[loaded.runtime.rng.randrange(len(names))]
         is_long = loaded.runtime.rng.random() < samples.LONG_PROMPT_SHARE
-        tokens = place.begin_attempt(name, [], [], samples.LONG_PROMPT_TOKENS if is_long else SHORT_PROMPT_TOKENS)
+        tokens = pool_placement.begin_attempt(
+            name, [], [], samples.LONG_PROMPT_TOKENS if is_long else SHORT_PROMPT_TOKENS
+        )
         await loaded.runtime.sleep(FIRST_EVENT_DELAY_US)
         # The measured time equals the expected time, so that the node's estimate of the worker does not change.
-        place.record_first_event(name, tokens, FIRST_EVENT_DELAY_US, FIRST_EVENT_DELAY_US)
+        pool_placement.record_first_event(name, tokens, FIRST_EVENT_DELAY_US, FIRST_EVENT_DELAY_US)
         await loaded.runtime.sleep(int(lasts * units.SECOND_US))
-        place.end_attempt(name, 0)
+        pool_placement.end_attempt(name, 0)
 
     def roles(self) -> dict[str, str]:
         """The present role of each process, as printed in tables.
--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -60,12 +60,12 @@
 
 def _restart(cluster: hollow_fleet.Fleet) -> None:
     """A node without a role is killed, and another incarnation of it starts."""
-    ordinary = [node for name, node in cluster.nodes.items() if cluster.roles()[name] == "node"] or list(
+    nodes_without_role = [node for name, node in cluster.nodes.items() if cluster.roles()[name] == "node"] or list(
         cluster.nodes.values()
     )
-    name = ordinary[0].options.name
+    name = nodes_without_role[0].options.name
     host, zone = cluster.places[name]
-    ordinary[0].process.kill()
+    nodes_without_role[0].process.kill()
     cluster.advance(0.1)
     cluster.start_node(name, host, zone)
     cluster.advance_until(
@@ -112,9 +112,9 @@
 
 def _cut(cluster: hollow_fleet.Fleet) -> None:
     """A network partition separates a third of the nodes from all other machines for ten seconds."""
-    some = [node.process.host.host for node in cluster.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
-    rest = [host for host in cluster.world.machines if host not in some]
-    cluster.world.cut(some, rest)
+    separated_hosts = [node.process.host.host for node in cluster.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
+    other_hosts = [host for host in cluster.world.machines if host not in separated_hosts]
+    cluster.world.cut(separated_hosts, other_hosts)
     cluster.advance(CUT_S)
     cluster.world.heal()
     cluster.advance_until(
@@ -172,7 +172,7 @@
     :param only: the events to measure
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     print(
         "| what | nodes | all know after, ms | B between cores | B from cores to nodes | B between nodes "
         "| B into a node "
@@ -188,24 +188,24 @@
                 for seed in range(1, repeats + 1)
             ]
             for cost in costs:
-                _put_measurements(lines, what, size, cost)
+                _put_measurements(measurements, what, size, cost)
             print(_row(what, size, costs), flush=True)
     print()
-    measuring.print_and_save(lines, out)
+    measuring.print_and_save(measurements, out)
 
 
-def _put_measurements(lines: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
+def _put_measurements(measurements: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
     """Add the costs that grow with the size of the fleet, each by the size that it grows with."""
     if what in ("tail", "cut"):
-        lines.put(f"{what}: between nodes", "pairs of nodes", "B", nodes * (nodes - 1), cost.node_to_node)
+        measurements.put(f"{what}: between nodes", "pairs of nodes", "B", nodes * (nodes - 1), cost.node_to_node)
     elif what == "change":
-        lines.put(f"{what}: between cores", "nodes", "B", nodes, cost.core_to_core)
-        lines.put(f"{what}: busiest core", "nodes", "loops", nodes, cost.busiest_core)
+        measurements.put(f"{what}: between cores", "nodes", "B", nodes, cost.core_to_core)
+        measurements.put(f"{what}: busiest core", "nodes", "loops", nodes, cost.busiest_core)
     else:
         size = nodes * cost.membership_bytes
-        lines.put(f"{what}: from cores to nodes", "nodes x membership bytes", "B", size, cost.core_to_node)
-    lines.put(f"{what}: all know after", "nodes", "ms", nodes, cost.ms)
-    lines.put(f"{what}: into a node", "nodes", "B", nodes, cost.into_node)
+        measurements.put(f"{what}: from cores to nodes", "nodes x membership bytes", "B", size, cost.core_to_node)
+    measurements.put(f"{what}: all know after", "nodes", "ms", nodes, cost.ms)
+    measurements.put(f"{what}: into a node", "nodes", "B", nodes, cost.into_node)
 
 
 def _row(what: str, nodes: int, costs: list[Cost]) -> str:
@@ -221,22 +221,27 @@
     cluster.begin()
     cluster.advance(SETTLE_S)
     membership_bytes = _membership_bytes(cluster)
-    idle, idle_between = cluster.meter_for(IDLE_MEASUREMENT_S), cluster.bytes_between(IDLE_MEASUREMENT_S)
+    idle_figures, idle_bytes_per_s = cluster.meter_for(IDLE_MEASUREMENT_S), cluster.bytes_between(IDLE_MEASUREMENT_S)
     loop_ns = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
-    took = _run_event(cluster, EVENTS_BY_NAME[what])
-    live = [name for name in idle if cluster.world.processes[name].alive]
+    elapsed_s = _run_event(cluster, EVENTS_BY_NAME[what])
+    live = [name for name in idle_figures if cluster.world.processes[name].alive]
     nodes = [name for name in live if name in cluster.nodes]
-    bytes_into = _bytes_into(cluster, set(idle))
-    loops = {name: cluster.meter.spent[name] / loop_ns - idle[name]["loops"] * took for name in live}
-    between = cluster.bytes_between(1)
-    extra_bytes = {direction: between[direction] - idle_between[direction] * took for direction in between}
+    bytes_into = _bytes_into(cluster, set(idle_figures))
+    loops = {name: cluster.meter.spent[name] / loop_ns - idle_figures[name]["loops"] * elapsed_s for name in live}
+    bytes_by_direction = cluster.bytes_between(1)
+    extra_bytes = {
+        direction: bytes_by_direction[direction] - idle_bytes_per_s[direction] * elapsed_s
+        for direction in bytes_by_direction
+    }
     return Cost(
         membership_bytes,
-        ms=took * 1000,
+        ms=elapsed_s * 1000,
         core_to_core=extra_bytes["core core"],
         core_to_node=extra_bytes["core node"],
         node_to_node=extra_bytes["node node"],
-        into_node=statistics.median(bytes_into.get(name, 0) - idle[name]["in_bytes"] * took for name in nodes),
+        into_node=statistics.median(
+            bytes_into.get(name, 0) - idle_figures[name]["in_bytes"] * elapsed_s for name in nodes
+        ),
         busiest_core=max(loops[name] for name in live if name in cluster.cores),
         node=statistics.median(loops[name] for name in nodes),
         longest_step=max(cluster.meter.longest[name] for name in nodes) / loop_ns,
--- a/benchmarks/capacity/measuring.py
+++ b/benchmarks/capacity/measuring.py
@@ -171,11 +171,11 @@
     return f"{value:.3g}"
 
 
-def print_and_save(lines: Measurements, out: str) -> None:
+def print_and_save(measurements: Measurements, out: str) -> None:
     """Print the table; if `out` names a file, also write all values to it as JSON."""
-    print(lines.table(), flush=True)
+    print(measurements.table(), flush=True)
     loop_ns = statistics.median(nanoseconds_per_call(loop) for _ in range(5))
     print(f"\nOne loop (1000 rounds) took {loop_ns / 1000:.1f} us here.")
     if out:
-        rows = [[*key, unit, sizes] for key, (unit, sizes) in lines.rows.items()]
+        rows = [[*key, unit, sizes] for key, (unit, sizes) in measurements.rows.items()]
         pathlib.Path(out).write_text(json.dumps(rows, indent=1))
--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -30,17 +30,17 @@
     :param repeats: number of repetitions of each measurement
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for members in sizes:
-            _measure_membership(lines.point("members", members), samples.memberships(members, 36, 1))
+            _measure_membership(measurements.point("members", members), samples.memberships(members, 36, 1))
         for workers in listed:
-            _measure_membership(lines.point("workers", workers), samples.memberships(8, workers, 1))
+            _measure_membership(measurements.point("workers", workers), samples.memberships(8, workers, 1))
         for pool_count in pools:
-            _measure_membership(lines.point("pools", pool_count), samples.memberships(8, 36, pool_count))
+            _measure_membership(measurements.point("pools", pool_count), samples.memberships(8, 36, pool_count))
         for workers in listed:
-            _measure_listing(lines.point("workers", workers), samples.workers(workers))
-    measuring.print_and_save(lines, out)
+            _measure_listing(measurements.point("workers", workers), samples.workers(workers))
+    measuring.print_and_save(measurements, out)
 
 
 def _measure_membership(point: measuring.Point, membership: message.Membership) -> None:
@@ -146,15 +146,15 @@
     :param repeats: number of repetitions of each measurement
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for pool_count in pools:
             for members in sizes:
                 manager = samples.membership_manager_at_tail(members, pool_count)
-                _measure_manager(lines.point("members", members), manager, _report(members), pool_count)
+                _measure_manager(measurements.point("members", members), manager, _report(members), pool_count)
         for members in sizes:
-            _measure_report(lines.point("members", members), _report(members))
-    measuring.print_and_save(lines, out)
+            _measure_report(measurements.point("members", members), _report(members))
+    measuring.print_and_save(measurements, out)
 
 
 def _report(members: int) -> message.NodeSessionsReport:
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -35,11 +35,11 @@
     :param repeats: number of repetitions of each measurement
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for size in sizes:
-            _measure_routes(lines.point("routes", size))
-    measuring.print_and_save(lines, out)
+            _measure_routes(measurements.point("routes", size))
+    measuring.print_and_save(measurements, out)
 
 
 def _measure_routes(point: measuring.Point) -> None:
@@ -141,46 +141,52 @@
     :param repeats: number of repetitions of each measurement
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for size in listed:
-            _measure_picks(lines, size)
+            _measure_picks(measurements, size)
         for size in keys:
             _measure_held(
-                lines.point("parts ranked", size), "ranks held, 90 workers", lambda k: placement_with_rankings(k, 90)
+                measurements.point("parts ranked", size),
+                "ranks held, 90 workers",
+                lambda k: placement_with_rankings(k, 90),
             )
         for size in parts:
-            _measure_held(lines.point("parts", size), "parts held of the workers at a node", placement_with_parts)
+            _measure_held(
+                measurements.point("parts", size), "parts held of the workers at a node", placement_with_parts
+            )
         for size in FIRST_TURN_COUNTS:
-            _measure_held(lines.point("first turns", size), "first turns held at a node", placement_with_first_turns)
+            _measure_held(
+                measurements.point("first turns", size), "first turns held at a node", placement_with_first_turns
+            )
         for size in sizes:
-            _measure_held(lines.point("sessions", size), "sessions held at a node", samples.session_table)
+            _measure_held(measurements.point("sessions", size), "sessions held at a node", samples.session_table)
         for size in pools:
-            _measure_sweep(lines.point("pools", size))
-    measuring.print_and_save(lines, out)
+            _measure_sweep(measurements.point("pools", size))
+    measuring.print_and_save(measurements, out)
 
 
 def _measure_held(point: measuring.Point, line: str, make: collections.abc.Callable[[int], object]) -> None:
     point.put_bytes(line, measuring.allocated_bytes(lambda: make(point.size)))
 
 
-def _measure_picks(lines: measuring.Measurements, workers: int) -> None:
+def _measure_picks(measurements: measuring.Measurements, workers: int) -> None:
     """Measure a node's selection of a worker, and the data about workers that the selection uses."""
     pool = configuration.Pool(cap=0, election="node", batch=64)
     shared = types.SimpleNamespace(sizes=[13_300, 800, 92, 291])
     idle_node = node_with_workers(workers)
-    place, names = (
+    pool_placement, names = (
         idle_node.gateway.forwarder.placement_of("model-0"),
         idle_node.gateway.forwarder.ready_workers("model-0"),
     )
-    place.apply_remote_loads([(name, 22, 900, 0) for name in names], True)
+    pool_placement.apply_remote_loads([(name, 22, 900, 0) for name in names], True)
     ranked_keys = placement.prefix_keys([f"{k:08x}" for k in range(4)])
-    place.pick(shared, ranked_keys, 291, names, pool=pool, excluded_workers=set())
+    pool_placement.pick(shared, ranked_keys, 291, names, pool=pool, excluded_workers=set())
     count = [0]
 
     def pick_with_new_part() -> None:
         count[0] += 1
-        place.pick(
+        pool_placement.pick(
             shared,
             placement.prefix_keys([f"{count[0]:08x}", "b", "c", "d"]),
             291,
@@ -189,15 +195,15 @@
             excluded_workers=set(),
         )
 
-    point = lines.point("workers of the pool", workers)
+    point = measurements.point("workers of the pool", workers)
     point.put_loops(
         "a worker chosen at a node, its parts ranked before",
         measuring.loops_per_call(
-            lambda: place.pick(shared, ranked_keys, 291, names, pool=pool, excluded_workers=set())
+            lambda: pool_placement.pick(shared, ranked_keys, 291, names, pool=pool, excluded_workers=set())
         ),
     )
     point.put_loops("a worker chosen at a node, a part never ranked", measuring.loops_per_call(pick_with_new_part))
-    point = lines.point("workers", workers)
+    point = measurements.point("workers", workers)
     point.put_loops(
         "the ready workers listed for an election",
         measuring.loops_per_call(lambda: idle_node.gateway.forwarder.ready_workers("model-0")),
@@ -233,11 +239,11 @@
     >>> len(placement_with_rankings(2, 3).rankings)
     2
     """
-    place = samples.idle_node().gateway.forwarder.placement_of("model-0")
+    pool_placement = samples.idle_node().gateway.forwarder.placement_of("model-0")
     names = [worker.id for worker in samples.workers(worker_count, 1)]
     for key in range(part_count):
-        place.rank(key.to_bytes(8, "big"), tuple(names))  # a new tuple each time, as each selection makes one
-    return place
+        pool_placement.rank(key.to_bytes(8, "big"), tuple(names))  # a new tuple each time, as each selection makes one
+    return pool_placement
 
 
 def placement_with_first_turns(count: int) -> placement.Placement:
@@ -246,10 +252,10 @@
     >>> len(placement_with_first_turns(3).first_turns)
     3
     """
-    place = samples.idle_node().gateway.forwarder.placement_of("model-0")
+    pool_placement = samples.idle_node().gateway.forwarder.placement_of("model-0")
     for k in range(count):
-        place.note_turn(k.to_bytes(8, "big"), f"i-{k % 2600:08x}", configuration.Terms(), 0)
-    return place
+        pool_placement.note_turn(k.to_bytes(8, "big"), f"i-{k % 2600:08x}", configuration.Terms(), 0)
+    return pool_placement
 
 
 def fresh_process_bytes() -> int:
@@ -279,10 +285,10 @@
     >>> len(placement_with_parts(2600).workers)
     2600
     """
-    place = samples.idle_node().gateway.forwarder.placement_of("model-0")
+    pool_placement = samples.idle_node().gateway.forwarder.placement_of("model-0")
     for k in range(count):
-        place.estimate(f"i-{k % 2600:08x}").note_parts([k.to_bytes(8, "big")], [800 + k % 64])
-    return place
+        pool_placement.estimate(f"i-{k % 2600:08x}").note_parts([k.to_bytes(8, "big")], [800 + k % 64])
+    return pool_placement
 
 
 def sweep_placements(swept_node: node.Node) -> None:
@@ -304,7 +310,7 @@
     :param out: file to which the values are written
     """
     reactor = default_reactor.load()
-    lines, runtime = measuring.Measurements(), scheduler.Runtime(reactor)
+    measurements, runtime = measuring.Measurements(), scheduler.Runtime(reactor)
     port = reactor.listenTCP(
         0,
         wire.ConnectionFactory(
@@ -317,13 +323,15 @@
         connection = await wire.connect(runtime, LOOPBACK, port.getHost().port, lambda *_: None, simulated_cluster.log)
         for _ in range(repeats):
             for size in sizes:
-                await _measure_calls(lines, connection, size, calls)
+                await _measure_calls(measurements, connection, size, calls)
 
     default_reactor.run(measure)
-    measuring.print_and_save(lines, out)
+    measuring.print_and_save(measurements, out)
 
 
-async def _measure_calls(lines: measuring.Measurements, connection: wire.Connection, records: int, calls: int) -> None:
+async def _measure_calls(
+    measurements: measuring.Measurements, connection: wire.Connection, records: int, calls: int
+) -> None:
     table = samples.session_table(records)
     copy = message.ReplicateRecords(
         "model-0", (3, 17), "n", [sessions.to_message(record, 0) for record in table.records.values()], [], []
@@ -334,6 +342,6 @@
         await connection.call(copy, 5 * units.SECOND_US)
     took = (time.thread_time_ns() - started_at) / calls / 2 / loop_ns
     codec = measuring.loops_per_call(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(1, 1, copy)))) / 2
-    point = lines.point("bytes", len(wire.encoder.encode(wire.Envelope(1, 1, copy))))
+    point = measurements.point("bytes", len(wire.encoder.encode(wire.Envelope(1, 1, copy))))
     point.put_loops("a message sent and taken over a connection", took)
     point.put_loops("of it, writing and reading its form", codec)
--- a/benchmarks/capacity/pool_owner_costs.py
+++ b/benchmarks/capacity/pool_owner_costs.py
@@ -27,11 +27,11 @@
     :param repeats: number of repetitions of each measurement
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for size in sizes:
-            _measure_records(lines.point("sessions", size))
-    measuring.print_and_save(lines, out)
+            _measure_records(measurements.point("sessions", size))
+    measuring.print_and_save(measurements, out)
 
 
 def _measure_records(point: measuring.Point) -> None:
@@ -190,15 +190,15 @@
     :param repeats: number of repetitions of each measurement
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for workers in listed:
-            point = lines.point("workers of the pool", workers)
+            point = measurements.point("workers of the pool", workers)
             point.put_loops("a worker chosen, no sessions", _choice_loops(owner_with_sessions(workers, 0)))
         for session_count in sizes:
-            point = lines.point("sessions of the pool", session_count)
+            point = measurements.point("sessions of the pool", session_count)
             point.put_loops("a worker chosen, 90 workers", _choice_loops(owner_with_sessions(90, session_count)))
-    measuring.print_and_save(lines, out)
+    measuring.print_and_save(measurements, out)
 
 
 def _choice_loops(owner: pool_owner.PoolOwner) -> float:
@@ -213,11 +213,11 @@
     :param repeats: number of repetitions of each measurement
     :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for size in sizes:
-            _measure_prefixes(lines.point("parts", size))
-    measuring.print_and_save(lines, out)
+            _measure_prefixes(measurements.point("parts", size))
+    measuring.print_and_save(measurements, out)
 
 
 def _measure_prefixes(point: measuring.Point) -> None:
--- a/benchmarks/process_costs.py
+++ b/benchmarks/process_costs.py
@@ -53,16 +53,16 @@
     :param seconds: how long each run lasts
     :param runs: how many runs
     """
-    own: list[float] = []
-    others: list[float] = []
+    at_owner_ms: list[float] = []
+    elsewhere_ms: list[float] = []
     for k in range(runs):
         with fleet.Fleet(shape) as deployment:
             deployment.begin()
-            at = _wait_for_owner(deployment)
+            owner = _wait_for_owner(deployment)
             deployment.start_load(seconds, "--seed", str(k + 1)).communicate()
             for name, values in first_attempt_ms(deployment).items():
-                (own if name == at else others).extend(values)
-    for what, values in (("warden's own node", own), ("other nodes", others)):
+                (at_owner_ms if name == owner else elsewhere_ms).extend(values)
+    for what, values in (("warden's own node", at_owner_ms), ("other nodes", elsewhere_ms)):
         values.sort()
         print(
             f"{what}: {len(values)} exchanges, median {statistics.median(values):.2f} ms, "
--- a/benchmarks/process_trial.py
+++ b/benchmarks/process_trial.py
@@ -245,13 +245,13 @@
     """A core machine's file size limit is zero for a while, so that every write to its disk fails."""
     name = sorted(trial.fleet.cores)[-1]
     pid = trial.fleet.processes[name].pid
-    was = resource.prlimit(pid, resource.RLIMIT_FSIZE)
+    original_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
     trial.record_fault("disk full", name)
-    resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, was[1]))
+    resource.prlimit(pid, resource.RLIMIT_FSIZE, (0, original_limit[1]))
     for _ in range(3):
         trial.fleet.confirm(trial.fleet.configuration, trial.record_event)
         time.sleep(2)
-    resource.prlimit(pid, resource.RLIMIT_FSIZE, was)
+    resource.prlimit(pid, resource.RLIMIT_FSIZE, original_limit)
     trial.record_repair("disk mended", name)
     trial.fleet.wait_until(
         lambda: trial.fleet.state(name).get("whole") and trial.fleet.state(name).get("disk_ok"),
@@ -297,10 +297,10 @@
     :param long_rate: long prompts per second
     :param short_rate: short prompts per second
     """
-    bad = [case for case in cases if case not in CASES]
-    if shape not in fleet.SHAPES or bad:
+    unknown_cases = [case for case in cases if case not in CASES]
+    if shape not in fleet.SHAPES or unknown_cases:
         sys.exit(
-            f"trial: unknown shape or case: {' '.join(bad) or shape}; "
+            f"trial: unknown shape or case: {' '.join(unknown_cases) or shape}; "
             f"known shapes: {', '.join(fleet.SHAPES)}; known cases: {', '.join(CASES)}"
         )
     with fleet.Fleet(shape) as deployment:
@@ -310,19 +310,19 @@
             trial.record_event("case", name=name)
             CASES[name](trial)
             time.sleep(2)
-        report, found, back = trial.finish()
-    _print_findings(report, found, back)
-    sys.exit(1 if found else 0)
+        report, complaints, recoveries = trial.finish()
+    _print_findings(report, complaints, recoveries)
+    sys.exit(1 if complaints else 0)
 
 
-def _print_findings(report: dict[str, typing.Any], found: dict[str, list[str]], back: list[str]) -> None:
+def _print_findings(report: dict[str, typing.Any], complaints: dict[str, list[str]], recoveries: list[str]) -> None:
     print(json.dumps(report, indent=2))
-    for line in back:
+    for line in recoveries:
         print(line)
-    for checker, lines in found.items():
+    for checker, lines in complaints.items():
         for line in lines:
             print(f"{checker}: {line}")
-    print(f"{sum(map(len, found.values()))} complaints")
+    print(f"{sum(map(len, complaints.values()))} complaints")
 
 
 if __name__ == "__main__":
