--- a/benchmarks/capacity/hollow_fleet.py
+++ b/benchmarks/capacity/hollow_fleet.py
@@ -26,6 +26,8 @@
 
 Figures = dict[str, float]  # measured values of one process or role, by key of UNITS
 
+# Units of the measured values. "step" is the longest step of a process, "in" and "out" are messages between core
+# machines and nodes, "outer" is the number of writes to other processes.
 UNITS = {
     "loops": "loops/s",
     "step": "loops",
