--- a/benchmarks/stand_in_worker.py
+++ b/benchmarks/stand_in_worker.py
@@ -27,13 +27,13 @@
 LONG_PROMPT_BYTES = 16_000  # a larger prompt is a long one
 PROBE_BYTES = 16  # a body of at most this size belongs to a probe
 PROBE_TOKENS = 2  # length of the answer to a probe
-BATCH_SIZE = 24
+BATCH_SIZE = 24  # requests
 MAX_CACHED_PARTS = 64
-REPORT_LAG_US = 700 * units.MILLISECOND_US
-SLOW_FIRST_EVENT_US = 3 * units.SECOND_US
-STALL_US = 30 * units.SECOND_US
-NO_ANSWER_US = 60 * units.SECOND_US
-OVERSIZED_EVENT_PADDING = "x" * 100_000  # of each event where answers are too large
+REPORT_LAG_US = 700 * units.MILLISECOND_US  # age of the load in a load report
+SLOW_FIRST_EVENT_US = 3 * units.SECOND_US  # additional delay with AnswerFault.SLOW
+STALL_US = 30 * units.SECOND_US  # with AnswerFault.STALLS
+NO_ANSWER_US = 60 * units.SECOND_US  # with LoadReportMode.NEVER
+OVERSIZED_EVENT_PADDING = "x" * 100_000  # part of each event with AnswerFault.OVERSIZED
 
 
 class AnswerFault(enum.Enum):
