--- a/benchmarks/capacity/loss_costs.py
+++ b/benchmarks/capacity/loss_costs.py
@@ -1,4 +1,4 @@
-"""Measurements on the hollow fleet while members come and go."""
+"""The costs of changes and failures in a hollow fleet."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
     from simulation import server_model
 
 SETTLE_S = 4
-QUIET_S = 4  # how long the quiet fleet is metered
-LIMIT_S = 30  # until when all must know
-LONG_LIMIT_S = 60
-CUT_S = 10
+IDLE_MEASUREMENT_S = 4  # how long the idle fleet is metered before the event
+LIMIT_S = 30  # limit until all nodes have learned of an event
+LONG_LIMIT_S = 60  # the same limit for the loss of the tail and for a partition
+CUT_S = 10  # duration of the partition
 LOST_ZONE = "zone5"
 
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What a fault or change cost beyond the quiet: bytes, and processor time in loops."""
+    """The cost of an event beyond that of an idle fleet: bytes sent, and processor time in loops."""
 
     membership_bytes: int  # the size of a membership
-    ms: float  # until all know
+    ms: float  # from the event until all live nodes have learned of it
     core_to_core: float
     core_to_node: float
     node_to_node: float
@@ -47,7 +47,7 @@
     "busiest_core",
     "node",
     "longest_step",
-)  # of Cost, as the table shows them
+)  # fields of Cost, in the order of the printed table
 
 
 def _change(cluster: hollow_fleet.Fleet) -> None:
@@ -59,13 +59,13 @@
 
 
 def _restart(cluster: hollow_fleet.Fleet) -> None:
-    """A node that has no role ends, and another incarnation of it starts."""
-    ordinary = [node for name, node in cluster.nodes.items() if cluster.roles()[name] == "node"] or list(
+    """A node without a role is killed, and another incarnation of it starts."""
+    nodes_without_role = [node for name, node in cluster.nodes.items() if cluster.roles()[name] == "node"] or list(
         cluster.nodes.values()
     )
-    name = ordinary[0].options.name
+    name = nodes_without_role[0].options.name
     host, zone = cluster.places[name]
-    ordinary[0].process.kill()
+    nodes_without_role[0].process.kill()
     cluster.advance(0.1)
     cluster.start_node(name, host, zone)
     cluster.advance_until(
@@ -74,7 +74,7 @@
 
 
 def _worker(cluster: hollow_fleet.Fleet) -> None:
-    """A worker leaves."""
+    """A worker is listed as leaving."""
     cluster.platform.put("w1", state="leaving")
     cluster.advance_until(
         lambda: all(
@@ -86,24 +86,24 @@
 
 
 def _zone(cluster: hollow_fleet.Fleet) -> None:
-    """The nodes of a zone lose power."""
-    lost = [node for node in cluster.nodes.values() if node.member.zone == LOST_ZONE]
-    gone = {node.member.id for node in lost}
-    for node in lost:
+    """All nodes of a zone lose power."""
+    lost_nodes = [node for node in cluster.nodes.values() if node.member.zone == LOST_ZONE]
+    lost_ids = {node.member.id for node in lost_nodes}
+    for node in lost_nodes:
         node.process.host.fail()
-    cluster.advance_until(lambda: all(not gone & _members(node) for node in _live(cluster)), LIMIT_S)
+    cluster.advance_until(lambda: all(not lost_ids & _members(node) for node in _live(cluster)), LIMIT_S)
 
 
 def _tail(cluster: hollow_fleet.Fleet) -> None:
-    """The tail ends."""
+    """The tail of the core machines' chain is killed."""
     tail = cluster.tail()
     assert tail is not None
     assert tail.consensus.view is not None
-    was = tail.consensus.view.number
+    lost_view_number = tail.consensus.view.number
     tail.process.kill()
     cluster.advance_until(
         lambda: all(
-            node.follower.membership.version[0] > was and node.follower.session.is_established()
+            node.follower.membership.version[0] > lost_view_number and node.follower.session.is_established()
             for node in _live(cluster)
         ),
         LONG_LIMIT_S,
@@ -111,10 +111,12 @@
 
 
 def _cut(cluster: hollow_fleet.Fleet) -> None:
-    """A third of the nodes is cut off from the core and from the rest for ten seconds."""
-    some = [node.process.host.address for node in cluster.nodes.values() if int(node.member.zone[4:]) % 3 == 1]
-    rest = [host for host in cluster.world.machines if host not in some]
-    cluster.world.cut(some, rest)
+    """A network partition separates a third of the nodes from all other machines for ten seconds."""
+    separated_hosts = [
+        node.process.host.address for node in cluster.nodes.values() if int(node.member.zone[4:]) % 3 == 1
+    ]
+    other_hosts = [host for host in cluster.world.machines if host not in separated_hosts]
+    cluster.world.cut(separated_hosts, other_hosts)
     cluster.advance(CUT_S)
     cluster.world.heal()
     cluster.advance_until(
@@ -126,8 +128,8 @@
     )
 
 
-# What happens to the fleet; each function goes on until all know.
-EVENTS: dict[str, collections.abc.Callable[[hollow_fleet.Fleet], None]] = {
+# Each function causes an event and advances the simulation until all live nodes have learned of it.
+EVENTS_BY_NAME: dict[str, collections.abc.Callable[[hollow_fleet.Fleet], None]] = {
     "change": _change,
     "restart": _restart,
     "worker": _worker,
@@ -142,7 +144,7 @@
 
 
 def _members(node: server_model.SimulatedNode) -> set[str]:
-    """The ids of all members that a node knows of."""
+    """The ids of the members in a node's membership."""
     return {member.id for member in node.follower.membership.members}
 
 
@@ -154,25 +156,25 @@
     routes: int = 100,
     repeats: int = 3,
     election: str = "warden",
-    only: collections.abc.Sequence[str] = tuple(EVENTS),
+    only: collections.abc.Sequence[str] = tuple(EVENTS_BY_NAME),
     out: str = "",
 ) -> None:
-    """Hollow fleets while something happens: until when all know, and what it costs beyond the quiet.
-
-    change: a route is changed; restart: a node ends and another life of it starts; worker: a worker
-    leaves; zone: a tenth of the nodes lose power; tail: the tail ends; cut: a third of the nodes is
-    cut off from the core and from the rest for ten seconds.
-
-    :param sizes: nodes
-    :param listed: workers
-    :param pools: pools
-    :param routes: routes
-    :param repeats: how many seeds
-    :param election: pool owner or node
-    :param only: what happens
-    :param out: file for the values
+    """Changes and failures in hollow fleets: when all nodes know of them, and their cost beyond an idle fleet's.
+
+    change: a route is changed; restart: a node is killed and started again; worker: a worker is
+    listed as leaving; zone: a tenth of the nodes lose power; tail: the tail is killed; cut: a network
+    partition separates a third of the nodes from all other machines for ten seconds.
+
+    :param sizes: numbers of nodes
+    :param listed: number of workers
+    :param pools: number of pools
+    :param routes: number of routes
+    :param repeats: number of seeds
+    :param election: what selects workers: warden (the pool owner) or node
+    :param only: the events to measure
+    :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     print(
         "| what | nodes | all know after, ms | B between cores | B from cores to nodes | B between nodes "
         "| B into a node "
@@ -182,62 +184,69 @@
     for what in only:
         for size in sizes:
             costs = [
-                lost(hollow_fleet.Fleet(seed, size, listed, pools, routes, walking=False, election=election), what)
+                measure_event(
+                    hollow_fleet.Fleet(seed, size, listed, pools, routes, walking=False, election=election), what
+                )
                 for seed in range(1, repeats + 1)
             ]
             for cost in costs:
-                _keep(lines, what, size, cost)
+                _put_measurements(measurements, what, size, cost)
             print(_row(what, size, costs), flush=True)
     print()
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(measurements, out)
 
 
-def _keep(lines: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
-    """Keep what grows with the size of the fleet."""
+def _put_measurements(measurements: measuring.Measurements, what: str, nodes: int, cost: Cost) -> None:
+    """Add the costs that grow with the size of the fleet, each by the size that it grows with."""
     if what in ("tail", "cut"):
-        lines.put(f"{what}: between nodes", "pairs of nodes", "B", nodes * (nodes - 1), cost.node_to_node)
+        measurements.put(f"{what}: between nodes", "pairs of nodes", "B", nodes * (nodes - 1), cost.node_to_node)
     elif what == "change":
-        lines.put(f"{what}: between cores", "nodes", "B", nodes, cost.core_to_core)
-        lines.put(f"{what}: busiest core", "nodes", "loops", nodes, cost.busiest_core)
+        measurements.put(f"{what}: between cores", "nodes", "B", nodes, cost.core_to_core)
+        measurements.put(f"{what}: busiest core", "nodes", "loops", nodes, cost.busiest_core)
     else:
         size = nodes * cost.membership_bytes
-        lines.put(f"{what}: from cores to nodes", "nodes x membership bytes", "B", size, cost.core_to_node)
-    lines.put(f"{what}: all know after", "nodes", "ms", nodes, cost.ms)
-    lines.put(f"{what}: into a node", "nodes", "B", nodes, cost.into_node)
+        measurements.put(f"{what}: from cores to nodes", "nodes x membership bytes", "B", size, cost.core_to_node)
+    measurements.put(f"{what}: all know after", "nodes", "ms", nodes, cost.ms)
+    measurements.put(f"{what}: into a node", "nodes", "B", nodes, cost.into_node)
 
 
 def _row(what: str, nodes: int, costs: list[Cost]) -> str:
-    """The row of the table: medians over the seeds."""
+    """A row of the printed table: medians over the seeds."""
     times = [cost.ms for cost in costs]
     medians = [measuring.three_digits(statistics.median(getattr(cost, column) for cost in costs)) for column in COLUMNS]
     spread = f"{statistics.median(times):.0f} ({min(times):.0f} to {max(times):.0f})"
     return f"| {what} | {nodes} | {spread} | " + " | ".join(medians) + " |"
 
 
-def lost(cluster: hollow_fleet.Fleet, what: str) -> Cost:
-    """What it costs a fleet that something happens, beyond its quiet."""
+def measure_event(cluster: hollow_fleet.Fleet, what: str) -> Cost:
+    """Cause an event in a new fleet, and measure its cost beyond that of the idle fleet."""
     cluster.begin()
     cluster.advance(SETTLE_S)
     membership_bytes = _membership_bytes(cluster)
-    quiet, quiet_between = cluster.metered(QUIET_S), cluster.between(QUIET_S)
-    one = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
-    took = _play(cluster, EVENTS[what])
-    live = [name for name in quiet if cluster.world.processes[name].alive]
+    idle_figures, idle_bytes_per_s = cluster.meter_for(IDLE_MEASUREMENT_S), cluster.bytes_between(IDLE_MEASUREMENT_S)
+    loop_ns = statistics.median(measuring.nanoseconds_per_call(measuring.loop) for _ in range(5))
+    elapsed_s = _run_event(cluster, EVENTS_BY_NAME[what])
+    live = [name for name in idle_figures if cluster.world.processes[name].alive]
     nodes = [name for name in live if name in cluster.nodes]
-    into = _bytes_into(cluster, set(quiet))
-    loops = {name: cluster.meter.spent[name] / one - quiet[name]["loops"] * took for name in live}
-    between = cluster.between(1)
-    beyond = {way: between[way] - quiet_between[way] * took for way in between}
+    bytes_into = _bytes_into(cluster, set(idle_figures))
+    loops = {name: cluster.meter.spent[name] / loop_ns - idle_figures[name]["loops"] * elapsed_s for name in live}
+    bytes_by_direction = cluster.bytes_between(1)
+    extra_bytes = {
+        direction: bytes_by_direction[direction] - idle_bytes_per_s[direction] * elapsed_s
+        for direction in bytes_by_direction
+    }
     return Cost(
         membership_bytes,
-        ms=took * 1000,
-        core_to_core=beyond["core core"],
-        core_to_node=beyond["core node"],
-        node_to_node=beyond["node node"],
-        into_node=statistics.median(into.get(name, 0) - quiet[name]["in_bytes"] * took for name in nodes),
+        ms=elapsed_s * 1000,
+        core_to_core=extra_bytes["core core"],
+        core_to_node=extra_bytes["core node"],
+        node_to_node=extra_bytes["node node"],
+        into_node=statistics.median(
+            bytes_into.get(name, 0) - idle_figures[name]["in_bytes"] * elapsed_s for name in nodes
+        ),
         busiest_core=max(loops[name] for name in live if name in cluster.cores),
         node=statistics.median(loops[name] for name in nodes),
-        longest_step=max(cluster.meter.longest[name] for name in nodes) / one,
+        longest_step=max(cluster.meter.longest[name] for name in nodes) / loop_ns,
     )
 
 
@@ -246,8 +255,8 @@
     return len(wire.encoder.encode(wire.Envelope(0, 0, update)))
 
 
-def _play(cluster: hollow_fleet.Fleet, event: collections.abc.Callable[[hollow_fleet.Fleet], None]) -> float:
-    """Let something happen with the meter on; how many seconds it took until all know."""
+def _run_event(cluster: hollow_fleet.Fleet, event: collections.abc.Callable[[hollow_fleet.Fleet], None]) -> float:
+    """Cause an event with a new meter; returns the seconds until all live nodes have learned of it."""
     started_at = cluster.world.time
     cluster.world.meter = cluster.meter = processor_meter.Meter()
     gc.collect()
@@ -259,9 +268,9 @@
 
 
 def _bytes_into(cluster: hollow_fleet.Fleet, servers: set[str]) -> dict[str, int]:
-    """Bytes that the meter counted from cores and nodes to each process."""
-    into: dict[str, int] = {}
+    """Metered bytes from core machines and nodes to each process."""
+    bytes_into: dict[str, int] = {}
     for (sender, receiver), (_, size) in cluster.meter.sent.items():
         if sender in servers:
-            into[receiver] = into.get(receiver, 0) + size
-    return into
+            bytes_into[receiver] = bytes_into.get(receiver, 0) + size
+    return bytes_into
--- a/benchmarks/capacity/membership_costs.py
+++ b/benchmarks/capacity/membership_costs.py
@@ -1,4 +1,4 @@
-"""What memberships and worker lists cost: bytes, reading, applying, memory, and a tail's repeated work."""
+"""The costs of memberships and worker lists: bytes, decoding, applying, memory, and the tail's periodic work."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
     repeats: int = 5,
     out: str = "",
 ) -> None:
-    """Rosters and worker lists: bytes, making, reading, taking at a node, memory.
+    """Memberships and worker lists: bytes, encoding, decoding, applying at a node, memory.
 
-    :param sizes: members
-    :param listed: workers
-    :param pools: pools
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: numbers of members
+    :param listed: numbers of workers
+    :param pools: numbers of pools
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for members in sizes:
-            _measure_membership(lines.point("members", members), samples.memberships(members, 36, 1))
+            _measure_membership(measurements.point("members", members), samples.memberships(members, 36, 1))
         for workers in listed:
-            _measure_membership(lines.point("workers", workers), samples.memberships(8, workers, 1))
+            _measure_membership(measurements.point("workers", workers), samples.memberships(8, workers, 1))
         for pool_count in pools:
-            _measure_membership(lines.point("pools", pool_count), samples.memberships(8, 36, pool_count))
+            _measure_membership(measurements.point("pools", pool_count), samples.memberships(8, 36, pool_count))
         for workers in listed:
-            _measure_listing(lines.point("workers", workers), samples.workers(workers))
-    measuring.print_and_keep(lines, out)
+            _measure_listing(measurements.point("workers", workers), samples.workers(workers))
+    measuring.print_and_save(measurements, out)
 
 
 def _measure_membership(point: measuring.Point, membership: message.Membership) -> None:
@@ -64,11 +64,11 @@
 
 
 def _repeated_update(raw: bytes) -> collections.abc.Callable[[], None]:
-    """What applies a membership at a node, at each call under a newer version."""
+    """A function that applies a membership at a node; each call uses a newer version of the same content."""
     other = _decode_membership(raw)
     idle_node, version = samples.idle_node(), [17]
 
-    def take() -> None:
+    def apply_newer() -> None:
         version[0] += 1
         idle_node.follower.apply_membership(
             message.Membership(
@@ -76,7 +76,7 @@
             )
         )
 
-    return take
+    return apply_newer
 
 
 def _node_with_membership(raw: bytes) -> node.Node:
@@ -86,7 +86,7 @@
 
 
 def _measure_listing(point: measuring.Point, workers: list[message.Worker]) -> None:
-    """The worker list, between our own processes and as the platform gives it."""
+    """Measure the worker list in messages between iriswheel processes, and in the platform's answer."""
     listing = message.ForwardedListing(message.WorkerListing(workers, LIST_VERSION))
     envelope = wire.Envelope(wire.FrameKind.TELL, 0, listing)
     raw = wire.encoder.encode(envelope)
@@ -117,7 +117,7 @@
 
 
 def _platform_page(workers: list[message.Worker]) -> bytes:
-    """The platform's answer that lists these workers."""
+    """The body of the platform's answer that lists these workers."""
     rows = [
         {
             "id": worker.id,
@@ -139,22 +139,22 @@
     repeats: int = 5,
     out: str = "",
 ) -> None:
-    """What a tail does ten times a second and at each word of a core: look whether a membership is due.
+    """The tail's check whether it must issue a membership, done ten times a second and at each core machine's report.
 
-    :param sizes: members
-    :param pools: pools
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: numbers of members
+    :param pools: numbers of pools
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for pool_count in pools:
             for members in sizes:
                 manager = samples.membership_manager_at_tail(members, pool_count)
-                _measure_manager(lines.point("members", members), manager, _report(members), pool_count)
+                _measure_manager(measurements.point("members", members), manager, _report(members), pool_count)
         for members in sizes:
-            _measure_report(lines.point("members", members), _report(members))
-    measuring.print_and_keep(lines, out)
+            _measure_report(measurements.point("members", members), _report(members))
+    measuring.print_and_save(measurements, out)
 
 
 def _report(members: int) -> message.NodeSessionsReport:
--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -1,4 +1,4 @@
-"""What a node holds and does: routes, its own selections and placement, connections."""
+"""The costs of a node: routes, its selections of workers and its placements, connections."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 from simulation import simulated_cluster
 
 LARGEST_POOL = 2_600  # workers
-FIRST_TURNS = (1_000, 4_000, 16_000)
+FIRST_TURN_COUNTS = (1_000, 4_000, 16_000)  # sizes at which first turns of possible sessions are measured
 LOOPBACK = "127.0.0.1"
 
 Items = samples.Items
 
 
 def routes(*, sizes: measuring.Sizes = (100, 500, 2000, 5000), repeats: int = 5, out: str = "") -> None:
-    """Routes: a plan and its check, the chain, the cut for one node, the taking there, a request's way.
+    """Routes: planning a change, its state on core machines, a node's slice of it, finding a request's route.
 
-    :param sizes: routes
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: numbers of routes
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for size in sizes:
-            _measure_routes(lines.point("routes", size))
-    measuring.print_and_keep(lines, out)
+            _measure_routes(measurements.point("routes", size))
+    measuring.print_and_save(measurements, out)
 
 
 def _measure_routes(point: measuring.Point) -> None:
-    """A configuration and the change of one of its routes, from the operator to a node."""
+    """Measure a configuration and the change of one of its routes, from the operator to a node."""
     before = samples.configuration_items(point.size)
     after = {**before, "routes/r1": {**before["routes/r1"], "path": "/moved/"}}
     change = configuration.difference(before, after)
@@ -58,32 +58,40 @@
     _measure_slice_at_node(point, configuration.slice_for_node(before, "zone0"), change)
 
 
-def _measure_plan(point: measuring.Point, had: Items, now: Items) -> None:
-    """What a core machine does with a configuration that an operator sends."""
-    raw = json.dumps(configuration.unflatten(now)).encode()
+def _measure_plan(point: measuring.Point, before: Items, after: Items) -> None:
+    """Measure how a core machine plans a change to the configuration that an operator sends."""
+    raw = json.dumps(configuration.unflatten(after)).encode()
     point.put_bytes("a whole configuration as the operator sends it", len(raw))
     point.put_loops(
         "a plan of a whole configuration: read, checked, compared, named",
         measuring.loops_per_call(
-            lambda: configuration.describe(had, configuration.difference(had, configuration.flatten(json.loads(raw))))
+            lambda: configuration.describe(
+                before, configuration.difference(before, configuration.flatten(json.loads(raw)))
+            )
         ),
     )
 
 
 def _measure_replicated_state(
-    point: measuring.Point, ledger: replicated_state.ReplicatedState, two: replicated_state.ReplicatedState
+    point: measuring.Point, before: replicated_state.ReplicatedState, planned: replicated_state.ReplicatedState
 ) -> None:
-    """What a core machine does with the state before and after the plan of a change."""
+    """Measure how a core machine confirms and stores a change, and cuts a node's slice.
+
+    Args:
+        point: Takes the measurements.
+        before: The replicated state before the plan of the change.
+        planned: The replicated state with the plan, not yet confirmed.
+    """
     point.put_loops(
         "a confirm applied, one route changed",
-        measuring.loops_per_call(lambda: two.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
+        measuring.loops_per_call(lambda: planned.apply(message.LogEntry(4, 1, "confirm", "2-b"))),
     )
-    point.put_bytes("a frame on a core's disk", len(snapshot_format.encode(ledger)))
-    point.put_loops("a frame written", measuring.loops_per_call(lambda: snapshot_format.encode(ledger)))
+    point.put_bytes("a frame on a core's disk", len(snapshot_format.encode(before)))
+    point.put_loops("a frame written", measuring.loops_per_call(lambda: snapshot_format.encode(before)))
     two_slices = measuring.loops_per_call(
         lambda: configuration.difference(
-            configuration.slice_for_node(ledger.items, "zone0"),
-            configuration.slice_for_node(two.items, "zone0"),
+            configuration.slice_for_node(before.items, "zone0"),
+            configuration.slice_for_node(planned.items, "zone0"),
         )
     )
     point.put_loops("a slice cut and compared for one node", two_slices / 2)
@@ -92,13 +100,13 @@
 def _measure_slice_at_node(point: measuring.Point, node_slice: Items, change: list[configuration.ItemChange]) -> None:
     idle_node = samples.idle_node()
     idle_node.follower.apply_items(1, node_slice, is_snapshot=True)
-    place = [1]
+    index = [1]
 
-    def take() -> None:
-        place[0] += 1
-        idle_node.follower.apply_items(place[0], dict(change), is_snapshot=False)
+    def apply_change() -> None:
+        index[0] += 1
+        idle_node.follower.apply_items(index[0], dict(change), is_snapshot=False)
 
-    point.put_loops("a change of one route taken at a node", measuring.loops_per_call(take))
+    point.put_loops("a change of one route taken at a node", measuring.loops_per_call(apply_change))
     point.put_bytes("a slice held at a node", measuring.allocated_bytes(lambda: _node_with_slice(node_slice)))
     last = point.size - 1
     path = f"/{last:06x}/{last % 97:02x}/x"
@@ -123,56 +131,62 @@
     repeats: int = 5,
     out: str = "",
 ) -> None:
-    """Elections at a node, what its placement holds, and its upkeep each second.
-
-    :param listed: workers of the pool
-    :param keys: shared parts that are ranked
-    :param parts: parts known of the pool's workers together
-    :param sizes: sessions of one node
-    :param pools: pools, with 2,600 workers in all
-    :param repeats: how often each is measured
-    :param out: file for the values
+    """Selections of workers by a node, the memory of its placements, and their sweep once a second.
+
+    :param listed: numbers of workers of the pool
+    :param keys: numbers of shared prompt parts for which the workers are ranked
+    :param parts: numbers of prompt parts that are known of all workers of the pool together
+    :param sizes: numbers of sessions of one node
+    :param pools: numbers of pools, with 2,600 workers in all
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
-    lines = measuring.Measurements()
+    measurements = measuring.Measurements()
     for _ in range(repeats):
         for size in listed:
-            _measure_picks(lines, size)
+            _measure_picks(measurements, size)
         for size in keys:
             _measure_held(
-                lines.point("parts ranked", size), "ranks held, 90 workers", lambda k: placement_with_rankings(k, 90)
+                measurements.point("parts ranked", size),
+                "ranks held, 90 workers",
+                lambda k: placement_with_rankings(k, 90),
             )
         for size in parts:
-            _measure_held(lines.point("parts", size), "parts held of the workers at a node", placement_with_parts)
-        for size in FIRST_TURNS:
-            _measure_held(lines.point("first turns", size), "first turns held at a node", placement_with_first_turns)
+            _measure_held(
+                measurements.point("parts", size), "parts held of the workers at a node", placement_with_parts
+            )
+        for size in FIRST_TURN_COUNTS:
+            _measure_held(
+                measurements.point("first turns", size), "first turns held at a node", placement_with_first_turns
+            )
         for size in sizes:
-            _measure_held(lines.point("sessions", size), "sessions held at a node", samples.session_table)
+            _measure_held(measurements.point("sessions", size), "sessions held at a node", samples.session_table)
         for size in pools:
-            _measure_sweep(lines.point("pools", size))
-    measuring.print_and_keep(lines, out)
+            _measure_sweep(measurements.point("pools", size))
+    measuring.print_and_save(measurements, out)
 
 
 def _measure_held(point: measuring.Point, line: str, make: collections.abc.Callable[[int], object]) -> None:
     point.put_bytes(line, measuring.allocated_bytes(lambda: make(point.size)))
 
 
-def _measure_picks(lines: measuring.Measurements, workers: int) -> None:
-    """The choice of a worker at a node, and what it knows of the workers for that."""
+def _measure_picks(measurements: measuring.Measurements, workers: int) -> None:
+    """Measure a node's selection of a worker, and the data about workers that the selection uses."""
     pool = configuration.Pool(cap=0, election="node", batch=64)
     shared = types.SimpleNamespace(sizes=[13_300, 800, 92, 291])
     idle_node = node_with_workers(workers)
-    place, names = (
+    pool_placement, names = (
         idle_node.gateway.forwarder.placement_of("model-0"),
         idle_node.gateway.forwarder.ready_workers("model-0"),
     )
-    place.apply_remote_loads([(name, 22, 900, 0) for name in names], True)
-    cut = placement.prefix_keys([f"{k:08x}" for k in range(4)])
-    place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())
+    pool_placement.apply_remote_loads([(name, 22, 900, 0) for name in names], True)
+    ranked_keys = placement.prefix_keys([f"{k:08x}" for k in range(4)])
+    pool_placement.pick(shared, ranked_keys, 291, names, pool=pool, excluded_workers=set())
     count = [0]
 
-    def fresh() -> None:
+    def pick_with_new_part() -> None:
         count[0] += 1
-        place.pick(
+        pool_placement.pick(
             shared,
             placement.prefix_keys([f"{count[0]:08x}", "b", "c", "d"]),
             291,
@@ -181,13 +195,15 @@
             excluded_workers=set(),
         )
 
-    point = lines.point("workers of the pool", workers)
+    point = measurements.point("workers of the pool", workers)
     point.put_loops(
         "a worker chosen at a node, its parts ranked before",
-        measuring.loops_per_call(lambda: place.pick(shared, cut, 291, names, pool=pool, excluded_workers=set())),
+        measuring.loops_per_call(
+            lambda: pool_placement.pick(shared, ranked_keys, 291, names, pool=pool, excluded_workers=set())
+        ),
     )
-    point.put_loops("a worker chosen at a node, a part never ranked", measuring.loops_per_call(fresh))
-    point = lines.point("workers", workers)
+    point.put_loops("a worker chosen at a node, a part never ranked", measuring.loops_per_call(pick_with_new_part))
+    point = measurements.point("workers", workers)
     point.put_loops(
         "the ready workers listed for an election",
         measuring.loops_per_call(lambda: idle_node.gateway.forwarder.ready_workers("model-0")),
@@ -207,7 +223,7 @@
 
 
 def node_with_workers(worker_count: int, pool_count: int = 1) -> node.Node:
-    """A node, none of whose tasks runs, that knows so many workers.
+    """A node without periodic tasks that has applied a list of the given number of workers.
 
     >>> node_with_workers(3).gateway.forwarder.ready_workers("model-0")
     ['i-00000000', 'i-00000001', 'i-00000002']
@@ -218,32 +234,32 @@
 
 
 def placement_with_rankings(part_count: int, worker_count: int) -> placement.Placement:
-    """A placement that has ranked its workers for so many prefix parts.
+    """A placement that has ranked its workers for the given number of prefix parts.
 
     >>> len(placement_with_rankings(2, 3).rankings)
     2
     """
-    place = samples.idle_node().gateway.forwarder.placement_of("model-0")
+    pool_placement = samples.idle_node().gateway.forwarder.placement_of("model-0")
     names = [worker.id for worker in samples.workers(worker_count, 1)]
     for key in range(part_count):
-        place.rank(key.to_bytes(8, "big"), tuple(names))  # each election makes its own, as here
-    return place
+        pool_placement.rank(key.to_bytes(8, "big"), tuple(names))  # a new tuple each time, as each selection makes one
+    return pool_placement
 
 
 def placement_with_first_turns(count: int) -> placement.Placement:
-    """A placement with first turns that may yet become sessions.
+    """A placement that remembers first turns, each of which becomes a session at a second turn.
 
     >>> len(placement_with_first_turns(3).first_turns)
     3
     """
-    place = samples.idle_node().gateway.forwarder.placement_of("model-0")
+    pool_placement = samples.idle_node().gateway.forwarder.placement_of("model-0")
     for k in range(count):
-        place.note_turn(k.to_bytes(8, "big"), f"i-{k % 2600:08x}", configuration.Terms(), 0)
-    return place
+        pool_placement.note_turn(k.to_bytes(8, "big"), f"i-{k % 2600:08x}", configuration.Terms(), 0)
+    return pool_placement
 
 
 def fresh_process_bytes() -> int:
-    """Memory of a fresh process that has imported the program and made a node, in bytes."""
+    """Memory, in bytes, of a new process that has imported iriswheel and created a node."""
     raw = subprocess.run(
         [
             sys.executable,
@@ -264,19 +280,19 @@
 
 
 def placement_with_parts(count: int) -> placement.Placement:
-    """A placement that knows so many prefix parts, spread over 2,600 workers.
+    """A placement that knows the given number of prefix parts, spread over 2,600 workers.
 
     >>> len(placement_with_parts(2600).workers)
     2600
     """
-    place = samples.idle_node().gateway.forwarder.placement_of("model-0")
+    pool_placement = samples.idle_node().gateway.forwarder.placement_of("model-0")
     for k in range(count):
-        place.estimate(f"i-{k % 2600:08x}").note_parts([k.to_bytes(8, "big")], [800 + k % 64])
-    return place
+        pool_placement.estimate(f"i-{k % 2600:08x}").note_parts([k.to_bytes(8, "big")], [800 + k % 64])
+    return pool_placement
 
 
 def sweep_placements(swept_node: node.Node) -> None:
-    """What a node's forwarder does once a second."""
+    """Sweep connections and placements as a node's forwarder does once a second: drop what expired or left the list."""
     follower = swept_node.follower
     swept_node.gateway.forwarder.connections.sweep({worker.id for worker in follower.workers if worker.state != "gone"})
     for pool, pool_placement in swept_node.gateway.forwarder.placements.items():
@@ -286,15 +302,15 @@
 
 
 def sockets(*, sizes: measuring.Sizes = (0, 100, 1000), calls: int = 2000, repeats: int = 5, out: str = "") -> None:
-    """What a message costs over a real connection, both sides of it in this process: calls, one after the other.
+    """Processor time of a message over a real connection whose two ends are in this process, in sequential calls.
 
-    :param sizes: session records in each question
-    :param calls: how many each time
-    :param repeats: how often each is measured
-    :param out: file for the values
+    :param sizes: numbers of session records in each call
+    :param calls: number of calls in each measurement
+    :param repeats: number of repetitions of each measurement
+    :param out: file to which the values are written
     """
     reactor = default_reactor.load()
-    lines, runtime = measuring.Measurements(), scheduler.Runtime(reactor)
+    measurements, runtime = measuring.Measurements(), scheduler.Runtime(reactor)
     port = reactor.listenTCP(
         0,
         wire.ConnectionFactory(
@@ -307,23 +323,25 @@
         connection = await wire.connect(runtime, LOOPBACK, port.getHost().port, lambda *_: None, simulated_cluster.log)
         for _ in range(repeats):
             for size in sizes:
-                await _measure_calls(lines, connection, size, calls)
+                await _measure_calls(measurements, connection, size, calls)
 
     default_reactor.run(measure)
-    measuring.print_and_keep(lines, out)
+    measuring.print_and_save(measurements, out)
 
 
-async def _measure_calls(lines: measuring.Measurements, connection: wire.Connection, records: int, calls: int) -> None:
+async def _measure_calls(
+    measurements: measuring.Measurements, connection: wire.Connection, records: int, calls: int
+) -> None:
     table = samples.session_table(records)
     copy = message.ReplicateRecords(
         "model-0", (3, 17), "n", [sessions.to_message(record, 0) for record in table.records.values()], [], []
     )
-    one = measuring.nanoseconds_per_call(measuring.loop)
+    loop_ns = measuring.nanoseconds_per_call(measuring.loop)
     started_at = time.thread_time_ns()
     for _ in range(calls):
         await connection.call(copy, 5 * units.SECOND_US)
-    took = (time.thread_time_ns() - started_at) / calls / 2 / one
+    took = (time.thread_time_ns() - started_at) / calls / 2 / loop_ns
     codec = measuring.loops_per_call(lambda: wire.decoder.decode(wire.encoder.encode(wire.Envelope(1, 1, copy)))) / 2
-    point = lines.point("bytes", len(wire.encoder.encode(wire.Envelope(1, 1, copy))))
+    point = measurements.point("bytes", len(wire.encoder.encode(wire.Envelope(1, 1, copy))))
     point.put_loops("a message sent and taken over a connection", took)
     point.put_loops("of it, writing and reading its form", codec)
--- a/benchmarks/lease_cost.py
+++ b/benchmarks/lease_cost.py
@@ -1,10 +1,11 @@
-"""What leases, heartbeats and reports cost when all is quiet, in the simulator.
+"""What leases, heartbeats and reports cost in an idle cluster, in the simulator.
 
     python -m benchmarks.lease_cost --sizes 6 73 370 --cores 3 5 7
 
-Real core machines and nodes without traffic share one process; every message between them is
-counted by its type and its sender, and so is each process's own processor time, in loops of
-benchmarks.capacity (3,000 a second are a core; real sockets are not in it).
+The code of real core machines and nodes runs in one process, without requests from clients. Every
+message between them is counted by its type and by the roles of its sender and receiver. The
+processor time of each simulated process is counted in loops, the unit of benchmarks.capacity: a
+processor core runs about 3,000 loops a second. The cost of real sockets is not included.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 from benchmarks.capacity import hollow_fleet, measuring
 from iriswheel.transport import message, wire
 
-LISTED, POOLS, ROUTES = 6, 1, 100
+WORKER_COUNT, POOL_COUNT, ROUTE_COUNT = 6, 1, 100
 SETTLE_S = 3
 COLUMNS = (
     "nodes",
@@ -50,26 +51,26 @@
     size: float
 
     def __str__(self) -> str:
-        """As it stands in a table."""
+        """The cell of the printed table."""
         return f"{self.messages:.1f}/s, {self.size:,.0f} B/s"
 
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What was measured of one cluster; processor time in loops a second."""
+    """The costs of one cluster; processor times are in loops per second."""
 
     nodes: int
     cores: int
     into_node: Rate
     out_of_node: Rate
-    node_loops: float
+    node_loops: float  # the median of all nodes
     reports: Rate  # from one core machine to the tail
-    listed_bytes: float  # of a report, by each node that it lists
-    tail_heartbeats: Rate  # to one core machine
+    listed_bytes: float  # bytes of a report per node that it lists
+    tail_heartbeats: Rate  # from the tail to one core machine
     tail_loops: float
     core_loops: float
 
-    def line(self) -> str:
+    def table_row(self) -> str:
         """The row of a table, in the order of COLUMNS."""
         loops = [f"{value:.1f} loops/s" for value in (self.node_loops, self.tail_loops, self.core_loops)]
         cells: list[object] = [
@@ -87,7 +88,7 @@
 
 
 class Traffic:
-    """Messages and bytes by type and sender while it counts.
+    """Counters of messages and bytes by direction and message type; a direction is "core to node" and the like.
 
     >>> traffic = Traffic(); traffic.count("core to node", message.KeepAlive(), 9); traffic.total("core to node")
     (1, 9)
@@ -96,40 +97,40 @@
     def __init__(self) -> None:
         self.messages: collections.Counter[tuple[str, type[message.Message]]] = collections.Counter()
         self.bytes: collections.Counter[tuple[str, type[message.Message]]] = collections.Counter()
-        self.listed = 0  # nodes in all reports from one core machine to another
+        self.listed = 0  # nodes listed in all reports between core machines, counted once for each report
 
-    def count(self, way: str, msg: message.Message, size: int) -> None:
-        """Count one message."""
-        self.messages[way, type(msg)] += 1
-        self.bytes[way, type(msg)] += size
-        if way == "core to core" and isinstance(msg, message.NodeSessionsReport):
+    def count(self, direction: str, msg: message.Message, size: int) -> None:
+        """Count one message of the given size in bytes."""
+        self.messages[direction, type(msg)] += 1
+        self.bytes[direction, type(msg)] += size
+        if direction == "core to core" and isinstance(msg, message.NodeSessionsReport):
             self.listed += len(msg.members)
 
-    def total(self, way: str, *types: type[message.Message]) -> tuple[int, int]:
-        """How many messages, and how many bytes, went one way: of some types, or of all."""
-        keys = [key for key in self.messages if key[0] == way and (not types or key[1] in types)]
+    def total(self, direction: str, *types: type[message.Message]) -> tuple[int, int]:
+        """The number and the bytes of the messages in one direction, of the given types or, without any, of all."""
+        keys = [key for key in self.messages if key[0] == direction and (not types or key[1] in types)]
         return sum(self.messages[key] for key in keys), sum(self.bytes[key] for key in keys)
 
 
 @contextlib.contextmanager
-def counting(cluster: hollow_fleet.Fleet) -> collections.abc.Iterator[Traffic]:
-    """Count what the processes of a cluster send each other."""
+def count_traffic(cluster: hollow_fleet.Fleet) -> collections.abc.Iterator[Traffic]:
+    """Count the messages between the processes of a cluster while the context lasts."""
     traffic = Traffic()
     cores = {core.runtime for core in cluster.cores.values()}
     send = wire.Connection._send
 
     def counted(connection: wire.Connection, kind: int, sequence: int, content: message.Message) -> None:
         if connection.node_session is not None:
-            way = "core to node"
+            direction = "core to node"
         elif connection.runtime in cores:
-            way = "core to core"
+            direction = "core to core"
         elif _with_core(connection, cluster):
-            way = "node to core"
+            direction = "node to core"
         else:
-            way = "node to node"
-        # As in Connection._send, the type of the content matters only where an envelope is decoded.
+            direction = "node to node"
+        # As in Connection._send, the content may have any type here: the annotation only matters for decoding.
         raw = wire.encoder.encode(wire.Envelope(kind, sequence, content))  # type: ignore[arg-type]
-        traffic.count(way, content, len(raw) + wire.LENGTH_BYTES)
+        traffic.count(direction, content, len(raw) + wire.LENGTH_BYTES)
         send(connection, kind, sequence, content)
 
     with unittest.mock.patch.object(wire.Connection, "_send", counted):
@@ -141,25 +142,25 @@
     return connection.transport.getPeer().host in core_hosts
 
 
-def quiet_cluster(nodes: int, cores: int, seed: int) -> hollow_fleet.Fleet:
-    """A settled cluster without load, whose chain holds all core machines."""
-    cluster = hollow_fleet.Fleet(seed, nodes, LISTED, POOLS, ROUTES, walking=False, election="node")
+def idle_cluster(nodes: int, cores: int, seed: int) -> hollow_fleet.Fleet:
+    """A cluster without requests that has settled, with all core machines in its chain."""
+    cluster = hollow_fleet.Fleet(seed, nodes, WORKER_COUNT, POOL_COUNT, ROUTE_COUNT, walking=False, election="node")
     cluster.core_count = cores
     cluster.extra_options = {"seats": cores}
     cluster.begin()
     views = [core.consensus for core in cluster.cores.values()]
     if not cluster.advance_until(lambda: all(m.view is not None and len(m.view.chain) == cores for m in views), 30):
-        raise TimeoutError("The chain does not hold all core machines.")
+        raise TimeoutError("the chain does not contain all core machines after 30 s")
     cluster.advance(SETTLE_S)
     return cluster
 
 
 def measure(nodes: int, cores: int, seconds: int, seed: int) -> Cost:
-    """Measure one cluster."""
-    cluster = quiet_cluster(nodes, cores, seed)
-    with counting(cluster) as traffic:
+    """Measure a cluster of the given size for some simulated seconds."""
+    cluster = idle_cluster(nodes, cores, seed)
+    with count_traffic(cluster) as traffic:
         cluster.advance(seconds)
-    spent = {name: used["loops"] for name, used in cluster.metered(seconds).items()}
+    used_by_process = {name: used["loops"] for name, used in cluster.meter_for(seconds).items()}
     tail = cluster.tail()
     assert tail is not None
 
@@ -173,12 +174,12 @@
         cores,
         into_node=rate(traffic.total("core to node"), nodes),
         out_of_node=rate(traffic.total("node to core"), nodes),
-        node_loops=statistics.median(spent[name] for name in cluster.nodes),
+        node_loops=statistics.median(used_by_process[name] for name in cluster.nodes),
         reports=rate(reports, cores - 1),
         listed_bytes=reports[1] / max(1, traffic.listed),
         tail_heartbeats=rate(traffic.total("core to core", message.TailHeartbeat), cores - 1),
-        tail_loops=spent[tail.options.name],
-        core_loops=statistics.median(spent[name] for name in cluster.cores if name != tail.options.name),
+        tail_loops=used_by_process[tail.options.name],
+        core_loops=statistics.median(used_by_process[name] for name in cluster.cores if name != tail.options.name),
     )
 
 
@@ -187,9 +188,9 @@
 ) -> None:
     """Print a table row for each size and number of core machines.
 
-    :param sizes: nodes
+    :param sizes: numbers of nodes
     :param cores: numbers of core machines
-    :param seconds: simulated time that is counted
+    :param seconds: simulated seconds that are measured
     :param seed: the run's seed
     """
     loguru.logger.remove()
@@ -197,7 +198,7 @@
     print("|---" * len(COLUMNS) + "|")
     for nodes in sizes:
         for count in cores:
-            print(measure(nodes, count, seconds, seed).line(), flush=True)
+            print(measure(nodes, count, seconds, seed).table_row(), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/process_costs.py
+++ b/benchmarks/process_costs.py
@@ -1,4 +1,4 @@
-"""Measurements on fleets of real processes: the way through a node, the rate, a pool owner's selections."""
+"""Measurements on real processes: latency through a node, highest request rate, a pool owner's selections."""
 
 from __future__ import annotations
 
@@ -17,48 +17,52 @@
 
 SELECT_TIMEOUT_US = 5 * units.SECOND_US
 UNBOUNDED_SLOTS = 100_000
-KINDS = ("placed", "claimed", "opened")  # of selections: free, at most once, opening a session
+SELECTION_KINDS = (
+    "placed",  # the request may be sent more than once
+    "claimed",  # the request is sent at most once
+    "opened",  # the request opens a session
+)
 
 
 def first_attempt_ms(deployment: fleet.Fleet) -> dict[str, list[float]]:
-    """From the sending of a first attempt to its arrival at a worker, by node, in ms; long prompts apart."""
+    """Milliseconds from a request's first send to its arrival at a worker, by node; without long prompts."""
     rows = []
     for name in ["load", *deployment.workers]:
-        with pathlib.Path(deployment.events(name)).open() as log:
+        with pathlib.Path(deployment.event_log_path(name)).open() as log:
             rows += replay.read(log)[0]
     arrived_at = {(row["exchange"], row["send"]): row["at"] for row in rows if row["kind"] == "run"}
     names = {f"{fleet.HOST}:{ports.http}": name for name, ports in deployment.nodes.items()}
-    by_node: dict[str, list[float]] = {}
+    ms_by_node: dict[str, list[float]] = {}
     for row in rows:
         key = (row.get("exchange"), row.get("send"))
         if row["kind"] == "sent" and row["send"] == 1 and row["sort"] != "long" and key in arrived_at:
-            by_node.setdefault(names[row["node"]], []).append((arrived_at[key] - row["at"]) / 1000)
-    return by_node
+            ms_by_node.setdefault(names[row["node"]], []).append((arrived_at[key] - row["at"]) / 1000)
+    return ms_by_node
 
 
 def _wait_for_owner(deployment: fleet.Fleet) -> str:
-    """The node of the pool's owner, which may become active a moment after the fleet is ready."""
-    deployment.until(deployment.owner, "the pool has an owner", fleet.START_TIMEOUT_S)
+    """Wait until the pool has an active owner, possibly a moment after all nodes are ready; returns its node's name."""
+    deployment.wait_until(deployment.owner, "the pool has an active owner", fleet.START_TIMEOUT_S)
     return deployment.owner()
 
 
 def hop(*, shape: str = "magnolia", seconds: int = 20, runs: int = 3) -> None:
-    """What the way through a node costs, at the pool owner's own node and at the others.
+    """Latency that a node adds to a request, for the pool owner's node and for all other nodes.
 
     :param shape: magnolia, swan or small
     :param seconds: how long each run lasts
     :param runs: how many runs
     """
-    own: list[float] = []
-    others: list[float] = []
+    at_owner_ms: list[float] = []
+    elsewhere_ms: list[float] = []
     for k in range(runs):
         with fleet.Fleet(shape) as deployment:
             deployment.begin()
-            at = _wait_for_owner(deployment)
-            deployment.load(seconds, "--seed", str(k + 1)).communicate()
+            owner = _wait_for_owner(deployment)
+            deployment.start_load(seconds, "--seed", str(k + 1)).communicate()
             for name, values in first_attempt_ms(deployment).items():
-                (own if name == at else others).extend(values)
-    for what, values in (("warden's own node", own), ("other nodes", others)):
+                (at_owner_ms if name == owner else elsewhere_ms).extend(values)
+    for what, values in (("warden's own node", at_owner_ms), ("other nodes", elsewhere_ms)):
         values.sort()
         print(
             f"{what}: {len(values)} exchanges, median {statistics.median(values):.2f} ms, "
@@ -69,7 +73,7 @@
 def saturate(
     *, shape: str = "magnolia", seconds: int = 8, rates: collections.abc.Sequence[int] = (50, 100, 200, 300, 400)
 ) -> None:
-    """Raise the rate of short requests until first bytes come late.
+    """Latency, refusals and processor use at rising rates of short requests, each with a fleet of its own.
 
     :param shape: magnolia, swan or small
     :param seconds: how long each rate lasts
@@ -78,25 +82,25 @@
     for rate in rates:
         with fleet.Fleet(shape) as deployment:
             deployment.begin()
-            load = deployment.load(seconds, "--short-rate", str(rate), "--long-rate", "1", "--talks", "0")
+            load = deployment.start_load(seconds, "--short-rate", str(rate), "--long-rate", "1", "--talks", "0")
             report = json.loads(load.communicate()[0])
             values = sorted(value for of_node in first_attempt_ms(deployment).values() for value in of_node)
-            cpu, owner = deployment.cpu(), deployment.owner()
-            busiest = max(share for name, share in cpu.items() if name in deployment.nodes and name != owner)
+            cpu_shares, owner = deployment.cpu_shares(), deployment.owner()
+            busiest = max(share for name, share in cpu_shares.items() if name in deployment.nodes and name != owner)
             print(
                 f"{rate}/s: {report['ends']['whole']} whole, {report['ends']['refused']} refused; way to the worker "
                 f"median {statistics.median(values):.1f} ms, 99 % {values[int(len(values) * 0.99)]:.1f} ms; "
-                f"CPU of the warden's node {cpu[owner]:.0%}, of the busiest other node {busiest:.0%}",
+                f"CPU of the warden's node {cpu_shares[owner]:.0%}, of the busiest other node {busiest:.0%}",
                 flush=True,
             )
 
 
 class SelectionLoad:
-    """Selections asked of one pool owner, many at a time.
+    """Requests one pool owner to select workers, with many requests in flight at a time.
 
     Args:
-        runtime: Of this process.
-        connection: To the owner's node.
+        runtime: This process's clock and scheduler.
+        connection: The connection to the owner's node.
         pool: The pool's name.
         term: The owner's term.
     """
@@ -111,20 +115,20 @@
         self.granted = 0
 
     async def run(self, kind: str, depth: int, seconds: int) -> int:
-        """Ask for selections of one kind; how many were granted."""
+        """Request selections of one kind for some seconds, `depth` at a time; returns how many were granted."""
         self.granted = 0
-        until = self.runtime.now() + seconds * units.SECOND_US
-        loops = [self._ask_one_after_the_other(kind, number, until) for number in range(depth)]
+        deadline = self.runtime.now() + seconds * units.SECOND_US
+        loops = [self._select_repeatedly(kind, number, deadline) for number in range(depth)]
         await defer.DeferredList([defer.ensureDeferred(loop) for loop in loops])
         return self.granted
 
-    async def _ask_one_after_the_other(self, kind: str, number: int, until: int) -> None:
+    async def _select_repeatedly(self, kind: str, number: int, deadline: int) -> None:
         count = 0
-        while self.runtime.now() < until:
+        while self.runtime.now() < deadline:
             count += 1
-            await self._ask(kind, f"{kind}-{number}-{count}")
+            await self._select(kind, f"{kind}-{number}-{count}")
 
-    async def _ask(self, kind: str, identifier: str) -> None:
+    async def _select(self, kind: str, identifier: str) -> None:
         response = await self.connection.call(
             message.SelectWorker(
                 self.pool,
@@ -150,11 +154,11 @@
 
 
 def selections(*, shape: str = "magnolia", seconds: int = 5, depth: int = 64) -> None:
-    """Elections that one pool owner answers per second, asked over one link, many at a time.
+    """Selections per second that one pool owner answers over one connection, with many in flight at a time.
 
     :param shape: magnolia, swan or small
-    :param seconds: how long to ask
-    :param depth: questions under way at a time
+    :param seconds: how long selections of each kind are requested
+    :param depth: selection requests in flight at a time
     """
     loguru.logger.remove()
     with fleet.Fleet(shape) as deployment:
@@ -171,14 +175,14 @@
 
         async def measure() -> None:
             port = deployment.nodes[owner].peer
-            connection = await wire.connect(runtime, fleet.HOST, port, _ignore, loguru.logger)
+            connection = await wire.connect(runtime, fleet.HOST, port, _ignore_message, loguru.logger)
             load = SelectionLoad(runtime, connection, deployment.pool, (epoch, number))
-            for kind in KINDS:
+            for kind in SELECTION_KINDS:
                 granted = await load.run(kind, depth, seconds)
                 print(f"{kind}: {granted / seconds:.0f} elections a second", flush=True)
 
         default_reactor.run(measure)
 
 
-def _ignore(_connection: wire.Connection, _message: object) -> None:
-    """What the owner's node sends unasked."""
+def _ignore_message(_connection: wire.Connection, _message: object) -> None:
+    """Ignore messages that the owner's node sends without being asked."""
--- a/benchmarks/simulated_costs.py
+++ b/benchmarks/simulated_costs.py
@@ -1,4 +1,4 @@
-"""Measurements on simulated clusters: bytes of a change, recovery, many nodes, and what processes hold."""
+"""Measurements on simulated clusters: bytes per change, recovery after faults, many nodes, sizes of kept data."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
     from simulation import server_model
 
 CHANGE_LIMIT_S = 20
-FAR_ZONE = "d"
-QUIET_S = 10  # how long a cluster without load is measured
+FAR_ZONE = "d"  # the zone of the routes that most nodes do not get
+IDLE_MEASUREMENT_S = 10  # how long a cluster without changes and requests is measured
 CHANGE_COUNT = 5
 MINUTE_US = 60 * units.SECOND_US
 CHANGE_PAUSE_US = 3 * units.SECOND_US
-OUTAGE_S = 4
-REPORT_MINUTES = 5
-DAY_FAULTS = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_owner")  # one every three minutes
+OUTAGE_S = 4  # how long a killed or frozen process is absent
+REPORT_MINUTES = 5  # time between two printed lines
+DAY_FAULTS = ("kill_node", "kill_core", "worker_crash", "freeze", "kill_owner")  # in turn, one every three minutes
 
 
-def _order_change(cluster: simulated_cluster.SimulatedCluster, number: int) -> defer.Deferred[int | None]:
-    """Have the configuration changed, under the number of its probe route."""
+def _spawn_change(cluster: simulated_cluster.SimulatedCluster, number: int) -> defer.Deferred[int | None]:
+    """Start a change that sets the configuration's probe route to the given number."""
     changing = cluster.operator.change(cluster.with_probe(number))
     return cluster.operator_runtime.spawn(changing, simulated_cluster.log)
 
 
-def _change(cluster: simulated_cluster.SimulatedCluster, number: int, limit_s: float) -> int:
-    """Have the configuration changed; how long that took, in µs."""
+def _time_change(cluster: simulated_cluster.SimulatedCluster, number: int, limit_s: float) -> int:
+    """Change the configuration's probe route, and return how long that took, in µs."""
     started_at = cluster.world.time
-    cluster.advance_until_called(_order_change(cluster, number), limit_s)
+    cluster.advance_until_called(_spawn_change(cluster, number), limit_s)
     return cluster.world.time - started_at
 
 
@@ -47,10 +47,12 @@
 
 
 def slices(*, routes: collections.abc.Sequence[int] = (0, 100, 1000), changes: int = 10) -> None:
-    """Bytes that a change costs on each node's link, as routes outside its slice grow (simulated).
+    """Bytes that a change sends to a node, by the number of routes of another zone (simulated).
 
-    :param routes: routes of another zone that the configuration holds
-    :param changes: changes to measure
+    A node gets a slice of the configuration, without the routes of other zones.
+
+    :param routes: numbers of routes of another zone in the configuration
+    :param changes: number of changes to measure
     """
     loguru.logger.remove()
     for count in routes:
@@ -61,13 +63,18 @@
         cluster.begin()
         cluster.advance(2)
         before = _published_bytes(cluster)
-        cluster.advance(QUIET_S)
-        quiet = {name: (sent - before[name]) / QUIET_S for name, sent in _published_bytes(cluster).items()}
-        for what, change in (("a route of all halls", _change_near), ("a route of hall d", _change_far)):
-            cost = _bytes_a_change(cluster, change, changes, quiet)
+        cluster.advance(IDLE_MEASUREMENT_S)
+        idle_rates = {
+            name: (sent - before[name]) / IDLE_MEASUREMENT_S for name, sent in _published_bytes(cluster).items()
+        }
+        for what, change in (
+            ("a route of all halls", _change_route_of_all_zones),
+            ("a route of hall d", _change_route_of_far_zone),
+        ):
+            cost = _bytes_a_change(cluster, change, changes, idle_rates)
             print(
                 f"{count} routes of hall d, a change to {what}: n1 (hall a) {cost['n1']:.0f} bytes, "
-                f"n6 (hall d) {cost['n6']:.0f} bytes; quiet: {quiet['n1']:.0f} bytes/s",
+                f"n6 (hall d) {cost['n6']:.0f} bytes; quiet: {idle_rates['n1']:.0f} bytes/s",
                 flush=True,
             )
 
@@ -77,7 +84,7 @@
 
 
 def _published_bytes(cluster: simulated_cluster.SimulatedCluster) -> dict[str, int]:
-    """What the cores have sent to each node so far."""
+    """Bytes that the core machines have sent to each node so far."""
     return {
         session.member.name: session.connection.sent_bytes
         for each in cluster.cores.values()
@@ -85,30 +92,30 @@
     }
 
 
-def _change_near(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:  # noqa: ARG001 - as _change_far
-    """Change a route that all nodes have."""
-    _change(cluster, cluster.newest_probe + 1, CHANGE_LIMIT_S)
+def _change_route_of_all_zones(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:  # noqa: ARG001 - same signature as _change_route_of_far_zone
+    """Change the probe route, which all nodes have."""
+    _time_change(cluster, cluster.newest_probe + 1, CHANGE_LIMIT_S)
 
 
-def _change_far(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:
+def _change_route_of_far_zone(cluster: simulated_cluster.SimulatedCluster, number: int) -> None:
     """Change a route that only the nodes of one zone have."""
     cluster.configuration["routes"]["farther"] = _far_route(cluster, f"/farther/{cluster.newest_probe}/{number}")
-    _change(cluster, cluster.newest_probe, CHANGE_LIMIT_S)
+    _time_change(cluster, cluster.newest_probe, CHANGE_LIMIT_S)
 
 
 def _bytes_a_change(
     cluster: simulated_cluster.SimulatedCluster,
     change: collections.abc.Callable[[simulated_cluster.SimulatedCluster, int], None],
     count: int,
-    quiet: dict[str, float],
+    idle_rates: dict[str, float],
 ) -> dict[str, float]:
-    """What one change costs beyond the quiet, by node."""
+    """Bytes that one change sends to each node, without the bytes that an idle cluster sends in the same time."""
     before, started_at = _published_bytes(cluster), cluster.world.time
     for number in range(1, count + 1):
         change(cluster, number)
     took = (cluster.world.time - started_at) / units.SECOND_US
     after = _published_bytes(cluster)
-    return {name: (after[name] - sent - quiet[name] * took) / count for name, sent in before.items()}
+    return {name: (after[name] - sent - idle_rates[name] * took) / count for name, sent in before.items()}
 
 
 # ---- recovery ----------------------------------------------------------------------------
@@ -127,10 +134,10 @@
     seeds: int = 10,
     shape: str = "magnolia",
 ) -> None:
-    """After each fault, until when first sends failed, over seeds (simulated).
+    """For each kind of fault, how long afterwards clients' first sends still failed (simulated).
 
-    :param names: scenarios
-    :param seeds: how many seeds for each
+    :param names: names of the scenarios
+    :param seeds: number of seeds for each scenario
     :param shape: magnolia, swan or small
     """
     loguru.logger.remove()
@@ -161,34 +168,34 @@
     routes: collections.abc.Sequence[int] = (10, 2000),
     seed: int = 1,
 ) -> None:
-    """Three cores with many nodes and routes: a change's way, traffic, the loss of the tail (simulated).
+    """Time of a change, idle traffic and loss of the tail, with three core machines and many nodes (simulated).
 
-    :param nodes: how many nodes
-    :param routes: how many routes
+    :param nodes: numbers of nodes
+    :param routes: numbers of routes
     :param seed: the run's seed
     """
     loguru.logger.remove()
     for node_count in nodes:
         for route_count in routes:
-            cluster = _quiet_cluster(seed, node_count, route_count)
+            cluster = _idle_cluster(seed, node_count, route_count)
             before = _sent_bytes(cluster)
-            cluster.advance(QUIET_S)
-            quiet = (_sent_bytes(cluster) - before) / QUIET_S
-            times = sorted(_change(cluster, cluster.newest_probe + 1, 30) / 1000 for _ in range(CHANGE_COUNT))
+            cluster.advance(IDLE_MEASUREMENT_S)
+            idle_rate = (_sent_bytes(cluster) - before) / IDLE_MEASUREMENT_S
+            times = sorted(_time_change(cluster, cluster.newest_probe + 1, 30) / 1000 for _ in range(CHANGE_COUNT))
             tail = cluster.tail()
             assert tail is not None
             tail.process.kill()
-            without_tail_us = _change(cluster, cluster.newest_probe + 1, 40)
+            without_tail_us = _time_change(cluster, cluster.newest_probe + 1, 40)
             print(
                 f"{node_count} nodes, {route_count} routes: plan and confirm {times[CHANGE_COUNT // 2]:.0f} ms "
                 f"(median of {CHANGE_COUNT}, worst {times[-1]:.0f}); the "
-                f" cores send {quiet / 1000:.1f} kB/s when quiet; roster {_membership_bytes(cluster)} bytes; "
+                f" cores send {idle_rate / 1000:.1f} kB/s when quiet; roster {_membership_bytes(cluster)} bytes; "
                 f"tail lost: next change after {without_tail_us / 1e6:.1f} s",
                 flush=True,
             )
 
 
-def _quiet_cluster(seed: int, nodes: int, routes: int) -> simulated_cluster.SimulatedCluster:
+def _idle_cluster(seed: int, nodes: int, routes: int) -> simulated_cluster.SimulatedCluster:
     zones = [f"h{k % 8}" for k in range(nodes)]
     cluster = simulated_cluster.SimulatedCluster(
         seed, "magnolia", long_rate=0, short_rate=0, conversations=0, zones=zones
@@ -202,7 +209,7 @@
 
 
 def _sent_bytes(cluster: simulated_cluster.SimulatedCluster) -> int:
-    """What the cores have sent so far, on all their connections."""
+    """Bytes that the core machines have sent so far, on all their connections."""
     return sum(
         connection.sent_bytes
         for each in cluster.cores.values()
@@ -214,18 +221,20 @@
 
 
 def _membership_bytes(cluster: simulated_cluster.SimulatedCluster) -> int:
-    known = [each.membership.latest for each in cluster.cores.values()]
-    newest = max((each for each in known if each is not None), key=lambda membership: membership.version)
+    memberships = [each.membership.latest for each in cluster.cores.values()]
+    newest = max((each for each in memberships if each is not None), key=lambda membership: membership.version)
     return len(wire.encoder.encode(newest))
 
 
-# ---- a long day ------------------------------------------------------------------------------
+# ---- a long run ------------------------------------------------------------------------------
 
 
 def sizes(*, minutes: int = 60, shape: str = "magnolia", seed: int = 1) -> None:
-    """What the processes hold, as a long day goes on with changes and faults (simulated).
+    """Sizes of the data that the processes keep, in a long run with load, changes and faults (simulated).
+
+    Sizes that grow without bound show a leak.
 
-    :param minutes: how long
+    :param minutes: simulated minutes
     :param shape: magnolia or swan
     :param seed: the run's seed
     """
@@ -233,27 +242,29 @@
     cluster = simulated_cluster.SimulatedCluster(seed, shape, long_rate=0.2, short_rate=2, conversations=4)
     cluster.begin()
     cluster.load.duration_us = minutes * MINUTE_US
-    cluster.operator_runtime.spawn(_change_over_and_over(cluster), simulated_cluster.log)
+    cluster.operator_runtime.spawn(_change_repeatedly(cluster), simulated_cluster.log)
     for minute in range(minutes):
         end = cluster.world.time + MINUTE_US
         if minute % 3 == 1:
-            _strike(cluster, DAY_FAULTS[(minute // 3) % len(DAY_FAULTS)])
+            _inject_fault(cluster, DAY_FAULTS[(minute // 3) % len(DAY_FAULTS)])
         cluster.advance((end - cluster.world.time) / units.SECOND_US)
         cluster.event_log.rows.clear()
         if (minute + 1) % REPORT_MINUTES == 0:
-            held = {**_largest_at_nodes(cluster), **_largest_at_cores(cluster)}
-            held["connections"] = len(cluster.world.connections)
-            print(f"{minute + 1} min: " + ", ".join(f"{name} {size}" for name, size in held.items()), flush=True)
+            sizes_by_name = {**_largest_at_nodes(cluster), **_largest_at_cores(cluster)}
+            sizes_by_name["connections"] = len(cluster.world.connections)
+            print(
+                f"{minute + 1} min: " + ", ".join(f"{name} {size}" for name, size in sizes_by_name.items()), flush=True
+            )
 
 
-async def _change_over_and_over(cluster: simulated_cluster.SimulatedCluster) -> None:
+async def _change_repeatedly(cluster: simulated_cluster.SimulatedCluster) -> None:
     while True:
         await cluster.operator.change(cluster.with_probe(cluster.newest_probe + 1))
         await cluster.operator_runtime.sleep(CHANGE_PAUSE_US)
 
 
-def _strike(cluster: simulated_cluster.SimulatedCluster, fault: str) -> None:
-    """Let one process fail for a few seconds."""
+def _inject_fault(cluster: simulated_cluster.SimulatedCluster, fault: str) -> None:
+    """Kill or freeze one process for a few seconds."""
     match fault:
         case "freeze":
             process = actions.some_node(cluster).process
@@ -274,7 +285,7 @@
 
 
 def _largest_at_nodes(cluster: simulated_cluster.SimulatedCluster) -> dict[str, int]:
-    """The largest size of each thing that a node keeps."""
+    """The largest size, over all live nodes, of each collection that a node keeps."""
     nodes = [node for node in cluster.nodes.values() if node.process.alive]
     owners = [owner for node in nodes for owner in node.pool_owners.values()]
     records = [owner.records for owner in owners]
@@ -298,7 +309,7 @@
 
 
 def _largest_at_cores(cluster: simulated_cluster.SimulatedCluster) -> dict[str, int]:
-    """The largest size of each thing that a core keeps."""
+    """The largest size, over all live core machines, of each collection that a core machine keeps."""
     cores = _live_cores(cluster)
     disks = [each.process.host.synced for each in cores]
     return {
--- a/benchmarks/total_loss.py
+++ b/benchmarks/total_loss.py
@@ -1,11 +1,12 @@
-"""How long a fleet takes after the loss of all its processes, in the simulator and without load.
+"""How long a fleet takes to recover from the loss of all its processes, in the simulator and without other load.
 
     python -m benchmarks.total_loss --seeds 50 --cores 3 5
 
-All core machines and nodes are lost at the same moment, and start again about a second later, each at a moment of
-its own. Measured from the moment when a majority of the core machines runs: when the tail has its lease, when the
-first node has one, when the first node counts as ready, when the first client's request and the first operator's
-change that were sent after the loss are answered.
+All core machines and nodes are lost at the same moment, and start again about a second later, at slightly different
+times. The following times are measured, all from the moment when a majority of the core machines runs again: until
+the tail holds its lease, until the first node holds a lease, until the first node is ready, until a client's request
+is answered for the first time, and until a change that was submitted after the loss is acknowledged for the first
+time.
 """
 
 from __future__ import annotations
@@ -28,19 +29,19 @@
 from simulation import addresses, simulated_cluster
 
 FAULTS = ("kill", "power")
-DOWN_S = 1.0
+DOWN_S = 1.0  # time from the loss to the earliest restart of a process
 START_SPREAD_S = 0.3
-"""The processes start at moments that are spread over so long."""
+"""Length of the period over which the restarts of the processes are spread."""
 
-OK = 200
-REQUEST_GAP_US = 20 * units.MILLISECOND_US
+OK = 200  # HTTP status
+REQUEST_INTERVAL_US = 20 * units.MILLISECOND_US
 
 log = loguru.logger.bind(part="total_loss")
 
 
 @dataclasses.dataclass(frozen=True)
 class Recovery:
-    """What was measured of one loss: µs from the start of a majority of the cores, None beyond the limit."""
+    """The result of one loss: times in µs from the restart of a majority of the core machines, None above the limit."""
 
     fault: str
     tail_lease: int | None = None
@@ -54,7 +55,7 @@
 
 
 class Clients:
-    """Clients that send a request to the next node every 20 ms, and note when the first one is answered."""
+    """Clients that send a request to the next node every 20 ms, and record when the first one is served."""
 
     def __init__(self, cluster: simulated_cluster.SimulatedCluster) -> None:
         self.runtime = cluster.operator_runtime
@@ -68,23 +69,27 @@
         while self.first_served_at is None:
             self.runtime.spawn(self.send(self.nodes[number % len(self.nodes)]), log)
             number += 1
-            await self.runtime.sleep(REQUEST_GAP_US)
+            await self.runtime.sleep(REQUEST_INTERVAL_US)
 
     async def send(self, node: str) -> None:
-        """Send one request; what does not come to an answer is no matter."""
+        """Send one request; a request that fails or times out is ignored."""
         call = self.agent.request(
             b"POST", f"http://{node}/v1/complete".encode(), http_headers.Headers({}), dispatch.Body(b"hello")
         )
         try:
-            answer = await self.runtime.within(call, change_recovery.PATIENCE_US)
+            answer = await self.runtime.within(call, change_recovery.REQUEST_TIMEOUT_US)
         except (scheduler.DeadlineError, internet_error.ConnectError, web_client.ResponseFailed):
             return
         if answer.code == OK and self.first_served_at is None:
             self.first_served_at = self.runtime.now()
 
 
-def lose_all(cluster: simulated_cluster.SimulatedCluster, fault: str) -> int:
-    """Let all processes be lost and start again; returns when a majority of the core machines runs (µs)."""
+def fail_all_processes(cluster: simulated_cluster.SimulatedCluster, fault: str) -> int:
+    """End all processes and schedule their restarts.
+
+    Returns:
+        The time, in µs, at which a majority of the core machines will have started again.
+    """
     names = sorted(cluster.servers())
     for name in names:
         process = cluster.servers()[name].process
@@ -102,23 +107,25 @@
 
 
 def measure(cluster: simulated_cluster.SimulatedCluster, operators: change_recovery.Operators, fault: str) -> Recovery:
-    """Let all be lost, and wait until all that is measured has happened."""
+    """End all processes, and wait until every measured event has happened or the limit is reached."""
     lost_at = cluster.world.time
-    begins_at = lose_all(cluster, fault)
+    begins_at = fail_all_processes(cluster, fault)
     clients = Clients(cluster)
     cluster.operator_runtime.spawn(clients.run(), log)
     cluster.advance((begins_at - lost_at) / units.SECOND_US)
     found: dict[str, int | None] = dict.fromkeys(MEASURES)
-    while None in found.values() and cluster.world.time < begins_at + change_recovery.LIMIT_S * units.SECOND_US:
+    while (
+        None in found.values() and cluster.world.time < begins_at + change_recovery.RECOVERY_LIMIT_S * units.SECOND_US
+    ):
         cluster.advance(change_recovery.STEP_S)
         now = cluster.world.time
-        for name, has_happened in _look(cluster, operators, clients, lost_at).items():
+        for name, has_happened in _observe(cluster, operators, clients, lost_at).items():
             if found[name] is None and has_happened:
                 found[name] = now - begins_at
     return Recovery(fault, **found)
 
 
-def _look(
+def _observe(
     cluster: simulated_cluster.SimulatedCluster,
     operators: change_recovery.Operators,
     clients: Clients,
@@ -134,25 +141,28 @@
     }
 
 
-def measure_seed(start: change_recovery.Start, faults: collections.abc.Sequence[str]) -> list[Recovery]:
-    """Play all losses of one seed, each from the same quiet cluster."""
+def measure_seed(start: change_recovery.StartSettings, faults: collections.abc.Sequence[str]) -> list[Recovery]:
+    """Measure all kinds of loss with one seed, each on a new idle cluster with this seed."""
     loguru.logger.remove()
     recoveries = []
     for fault in faults:
-        cluster, operators = change_recovery.quiet_cluster(start)
+        cluster, operators = change_recovery.idle_cluster(start)
         recoveries.append(measure(cluster, operators, fault))
     return recoveries
 
 
 def row(cores: int, fault: str, recoveries: list[Recovery]) -> str:
-    """A row of the table: each time's median and worst over all seeds, in seconds.
+    """A row of the printed table: the median and the maximum of each time over all seeds, in seconds.
 
     >>> row(3, "kill", [Recovery("kill", 100_000, 150_000, 200_000, 250_000, 400_000)])
     '| 3 | kill | 1 | 0.10, 0.10 | 0.15, 0.15 | 0.20, 0.20 | 0.25, 0.25 | 0.40, 0.40 |'
     """
-    mine = [recovery for recovery in recoveries if recovery.fault == fault]
-    cells = [change_recovery.seconds([getattr(recovery, name) for recovery in mine]) for name in MEASURES]
-    return " | ".join([f"| {cores}", fault, str(len(mine)), *cells]) + " |"
+    recoveries_of_fault = [recovery for recovery in recoveries if recovery.fault == fault]
+    cells = [
+        change_recovery.median_and_worst([getattr(recovery, name) for recovery in recoveries_of_fault])
+        for name in MEASURES
+    ]
+    return " | ".join([f"| {cores}", fault, str(len(recoveries_of_fault)), *cells]) + " |"
 
 
 def run(
@@ -163,13 +173,13 @@
     lease_ms: int = change_recovery.LEASE_MS,
     jobs: int = 1,
 ) -> None:
-    """Print the median and the worst time in seconds over seeds, a table row for each kind of loss.
+    """Print the median and the maximum time in seconds over all seeds, a table row for each kind of loss.
 
-    :param seeds: how many seeds for each row, from 1 on
+    :param seeds: number of seeds for each row; they count from 1
     :param cores: numbers of core machines
-    :param faults: kill, power
-    :param lease_ms: how long a node's lease is
-    :param jobs: processes
+    :param faults: kill (the processes are killed) or power (their machines lose power)
+    :param lease_ms: duration of a node's lease
+    :param jobs: number of processes that run seeds in parallel
     """
     titles = [f"{name.replace('_', ' ')}: median, worst" for name in MEASURES]
     print(f"| core machines | all lost by | seeds | {' | '.join(titles)} |")
@@ -177,7 +187,7 @@
     play: typing.Any = functools.partial(measure_seed, faults=faults)
     with concurrent.futures.ProcessPoolExecutor(jobs, mp_context=change_recovery.FORK) as pool:
         for count in cores:
-            starts = [change_recovery.Start(seed, count, lease_ms) for seed in range(1, seeds + 1)]
+            starts = [change_recovery.StartSettings(seed, count, lease_ms) for seed in range(1, seeds + 1)]
             recoveries = [recovery for found in pool.map(play, starts) for recovery in found]
             print("\n".join(row(count, fault, recoveries) for fault in faults), flush=True)
 
--- a/tests/test_change_recovery.py
+++ b/tests/test_change_recovery.py
@@ -1,4 +1,4 @@
-"""The command that measures how long changes are held up by a fault of a core machine."""
+"""The benchmark that measures how long a fault of a core machine delays configuration changes."""
 
 from benchmarks import change_recovery
 from iriswheel.runtime import units
@@ -7,12 +7,12 @@
 class TestOneSeed:
     def test_after_a_kill_of_the_tail_a_later_change_is_acknowledged_and_applied_by_all(self) -> None:
         kill = change_recovery.Case("kill", "tail")
-        start = change_recovery.Start(seed=1, cores=3, lease_ms=1_500)
+        start = change_recovery.StartSettings(seed=1, cores=3, lease_ms=1_500)
         (recovery,) = change_recovery.measure_seed(start, [kill])
         assert recovery.case == kill
         assert recovery.acknowledged is not None
         assert recovery.applied is not None
-        assert recovery.acknowledged > 1 * units.SECOND_US  # the others don't take it for dead before
+        assert recovery.acknowledged > 1 * units.SECOND_US  # the other core machines do not suspect the tail earlier
         assert recovery.acknowledged < 5 * units.SECOND_US
         assert recovery.applied >= recovery.acknowledged
         assert recovery.applied < 6 * units.SECOND_US
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -1,4 +1,4 @@
-"""The commands that measure simulated clusters, at their smallest size."""
+"""The benchmark `sizes`, which measures a simulated cluster in a long run, with the shortest run."""
 
 from typing import ClassVar
 
@@ -10,7 +10,7 @@
 
 
 class RecordedCluster(simulated_cluster.SimulatedCluster):
-    """A cluster that the test sees."""
+    """A cluster that adds itself to a list when it begins, so that the test can inspect it."""
 
     made: ClassVar[list["RecordedCluster"]] = []
 
@@ -20,7 +20,7 @@
 
 
 class TestSizes:
-    def test_the_load_goes_on_all_day_and_what_processes_hold_is_printed(
+    def test_the_load_lasts_for_the_whole_run_and_the_sizes_of_kept_data_are_printed(
         self, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
     ) -> None:
         monkeypatch.setattr(simulated_cluster, "SimulatedCluster", RecordedCluster)
