--- a/iriswheel/dataplane/request_router.py
+++ b/iriswheel/dataplane/request_router.py
@@ -34,7 +34,7 @@
         """
         http_request, headers = request.http_request, request.http_request.requestHeaders
         if http_request.method != b"POST" and not self.node.edge_protocol.accepts_any_method:
-            raise errors.ServiceError("bad_method", "The request method must be POST.")
+            raise errors.ServiceError("bad_method", "Exchanges are sent with POST.")
         if (
             http_request.method == b"POST"
             and not headers.hasHeader("content-length")
@@ -42,7 +42,7 @@
         ):
             raise errors.ServiceError(
                 "length_required",
-                "The request has neither Content-Length nor Transfer-Encoding.",
+                "The body's length is not said.",
                 field="Content-Length",
             )
         parsed = request.parsed = self.node.edge_protocol.parse_request(http_request)
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -251,7 +251,7 @@
 
     def _respondToBadRequestAndDisconnect(self) -> None:
         # Twisted's own answer has no body; this one has the error code
-        error = errors.ServiceError("bad_request", "The head of the request is malformed.", field="head")
+        error = errors.ServiceError("bad_request", "The head of the exchange is malformed.", field="head")
         self.transport.write(closing_error_response(error))
         self.loseConnection()
 
