--- a/iriswheel/transport/wire.py
+++ b/iriswheel/transport/wire.py
@@ -111,7 +111,7 @@
         self.last_received = self.last_sent = self.runtime.now()
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.heartbeat_timer = self.runtime.later(KEEP_ALIVE_INTERVAL_US, self._check_alive)
+        self.keep_alive_timer = self.runtime.later(KEEP_ALIVE_INTERVAL_US, self._check_alive)
         self._send(FrameKind.TELL, 0, message.VersionHandshake(self.runtime.protocol_version))
 
     def pauseProducing(self) -> None:
@@ -134,7 +134,7 @@
             return
         if now - self.last_sent >= KEEP_ALIVE_INTERVAL_US and not self.buffer_full:
             self._send(FrameKind.TELL, 0, message.KeepAlive())
-        self.heartbeat_timer = self.runtime.later(KEEP_ALIVE_INTERVAL_US, self._check_alive)
+        self.keep_alive_timer = self.runtime.later(KEEP_ALIVE_INTERVAL_US, self._check_alive)
 
     def _send(self, kind: int, sequence: int, content: message.Message) -> None:
         # type ignored: the declared type of `content` matters only for decoding
@@ -246,8 +246,8 @@
     ) -> None:
         """Fail the calls that await answers, and wake all tasks that wait for the connection."""
         self.up = False
-        if self.heartbeat_timer.active():
-            self.heartbeat_timer.cancel()
+        if self.keep_alive_timer.active():
+            self.keep_alive_timer.cancel()
         pending, self.pending = self.pending, {}
         for answer in pending.values():
             if not answer.called:
