--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -34,7 +34,7 @@
 
 
 class Answer(typing.NamedTuple):
-    """A core's answer to a call of an operator."""
+    """A core machine's answer to a call of an operator."""
 
     status: int  # HTTP status
     document: Document
@@ -118,11 +118,11 @@
 async def send_request(
     runtime: scheduler.Runtime, cores: list[str], method: str, path: str, document: object = None
 ) -> Answer:
-    """Send an HTTP call to the first core that accepts a connection.
+    """Send an HTTP call to the first core machine that accepts a connection.
 
     Args:
         runtime: Opens the connections.
-        cores: IP:port of the cores' HTTP ports, tried in this order.
+        cores: IP:port of the core machines' HTTP ports, tried in this order.
         method: The HTTP method.
         path: The path of the call.
         document: The body, as a JSON value; None for no body.
@@ -149,7 +149,7 @@
 
 
 def call_core(cores: list[str], method: str, path: str, document: object = None) -> None:
-    """Call a core and print its answer as JSON; if the call failed, exit with REFUSED or UNKNOWN."""
+    """Call a core machine and print its answer as JSON; if the call failed, exit with REFUSED or UNKNOWN."""
     service.set_logs("ERROR")
     for core_address in cores:
         try:
@@ -162,7 +162,7 @@
     async def call() -> None:
         try:
             answers.append(await send_request(scheduler.Runtime(reactor), cores, method, path, document))
-        except Exception as error:  # the call was sent: after any error, the core may have carried it out
+        except Exception as error:  # the call was sent: after any error, the core machine may have carried it out
             text = f"No valid answer came from the core; the call may have run: {error}"
             answers.append(Answer(504, {"code": "unknown_outcome", "verdict": "may_have_run", "text": text}))
         reactor.stop()
--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -21,14 +21,14 @@
     from twisted.python import failure
 
 
-LONG_BYTES = 48_000  # body of a long request
-SHORT_BYTES = 600  # body of a short request or of a conversation's turn
-MAX_ATTEMPTS = 4  # of one request
+LONG_BYTES = 48_000  # body length of a long request
+SHORT_BYTES = 600  # body length of a short request or of a conversation's turn
+MAX_ATTEMPTS = 4  # attempts of one request
 HEAD_TIMEOUT_US = 20 * units.SECOND_US  # from sending an attempt to the head of its answer
 DEFAULT_RETRY_WAIT_US = 500 * units.MILLISECOND_US  # before the next attempt, if the answer has no Retry-After
 IMPATIENT_RETRY_WAIT_US = 50 * units.MILLISECOND_US  # before the next attempt of an impatient client
-IMPATIENT_SHARE = 0.2  # of requests whose client is impatient: it retries almost at once and ignores Retry-After
-IDEMPOTENT_SHARE = 0.5  # of requests that may run more than once
+IMPATIENT_SHARE = 0.2  # share of requests whose client retries almost at once and ignores Retry-After
+IDEMPOTENT_SHARE = 0.5  # share of requests that may run more than once
 NODE_LIST_INTERVAL_US = 200 * units.MILLISECOND_US  # between two reads of the platform's list of ready nodes
 
 Address: typing.TypeAlias = tuple[str, int]  # host, port
--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -43,8 +43,8 @@
     COMPLAINTS = 1  # a checker found a fault in an event log
     BAD_INPUT = 2  # wrong options, settings or input files
     NO_START = 3  # a port or the data folder is not available
-    REFUSED = 4  # a core did not carry out the call
-    UNKNOWN = 5  # a core may have carried out the call
+    REFUSED = 4  # a core machine did not carry out the call
+    UNKNOWN = 5  # a core machine may have carried out the call
     INTERRUPTED = 130  # SIGINT
 
 
@@ -161,13 +161,13 @@
     read_options: ReadOptions,
     make_handler: collections.abc.Callable[[core.Core], http_server.Handler] = _default_handler,
 ) -> None:
-    """Run a core until it is stopped.
+    """Run a core machine until it is stopped.
 
     Args:
         process_options: The options, already checked.
         path: The path of the options file, which is watched for changes.
         read_options: Reads the options again.
-        make_handler: Makes the HTTP handler of the core; by default the core's own.
+        make_handler: Makes the HTTP handler of the core machine; by default the core machine's own.
     """
     from iriswheel.control import core
     from iriswheel.runtime import storage
--- a/iriswheel/configuration/differences.py
+++ b/iriswheel/configuration/differences.py
@@ -53,7 +53,7 @@
         remove: Lists of names of items to remove, by kind, from the operator's JSON. Unknown names are ignored.
 
     Raises:
-        InvalidConfigurationError: `upsert` or `remove` has another form.
+        InvalidConfigurationError: `upsert` or `remove` is malformed.
 
     >>> amend({"pools": {"a": {}, "b": {}}}, {"pools": {"c": {"cap": 3}}}, {"pools": ["a"]})
     {'pools': {'b': {}, 'c': {'cap': 3}}}
--- a/iriswheel/configuration/schema.py
+++ b/iriswheel/configuration/schema.py
@@ -157,8 +157,9 @@
     Attributes:
         lifetime_us: How long a session stays open without a request.
         cost: The session's weight in the selection of a worker.
-        session_part: Index in X-Prompt-Prefix of the part that identifies the session. -1 stands for the last part;
-            a header with a single part, which all clients share, then opens no session.
+        session_part: Index in X-Prompt-Prefix of the last part that identifies the session, together with those before
+            it. -1 stands for the header's last part; a header with a single part then opens no session, since all
+            clients share that part.
 
     >>> Terms().lifetime_us
     60000000
@@ -190,7 +191,7 @@
         split: Pools with weights, among which the requests are divided.
         repeat: Whether requests may run more than once, one of `RepeatPolicy`.
         resume: Whether a stream may be resumed at another worker.
-        sends: Number of workers to which one attempt may be sent; 0 for no limit of the route's own.
+        sends: How often one attempt of a client may be sent to a worker; 0 for no limit of the route's own.
         cutoff_us: Longest time for which a request is held; 0 for no limit.
         aim_us: The operator's target for the time to the first byte; 0 for none.
         gap_us: Longest pause between two events of a stream; 0 for no limit.
@@ -315,7 +316,7 @@
     "marks": Marks,
     "tenants": Tenant,
 }
-# Kinds that have no section in a document without such items, as before these kinds existed.
+# Kinds that get no section in a document without such items, so that it looks as it did before these kinds existed.
 KINDS_OMITTED_WHEN_EMPTY = {"tenants"}
 SINGLETONS = {"limits": "door", "marks": "operator"}  # kind with a single item -> that item's name
 LIMITS_KEY = "limits/door"
--- a/iriswheel/errors.py
+++ b/iriswheel/errors.py
@@ -1,7 +1,7 @@
 """The errors of requests and of configuration changes, and whether the request or change may have run.
 
 One error type passes through every layer, from a refused connection up to the answer that the client reads. The
-codes and the field `verdict` are part of the public interface: docs/interface.md lists them.
+codes and the field `verdict`, an `ExecutionOutcome`, are part of the public interface: docs/interface.md lists them.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 import json
 import typing
 
-DEFAULT_RETRY_US = 1_000_000
+DEFAULT_RETRY_US = 1_000_000  # wait before the next attempt
 
 
 class ExecutionOutcome(str, enum.Enum):  # noqa: UP042 - StrEnum formats differently, and answers hold formatted values
-    """Whether a request has run at a worker, as far as is known.
+    """Whether a request has run at a worker, or a configuration change was carried out, as far as is known.
 
     >>> ExecutionOutcome.NOT_RUN.value
     'not_run'
--- a/iriswheel/runtime/options.py
+++ b/iriswheel/runtime/options.py
@@ -97,7 +97,7 @@
         copies: Number of replicas that must have synced a change before it is acknowledged.
         seats: Number of voting core machines, once there are enough core machines.
         found: Whether a core machine with an empty data folder may start a new fleet.
-        serve_on: Whether a node that lost the core machines goes on serving with its last configuration.
+        serve_on: Whether a node that reaches no core machine goes on serving with its last configuration.
         call_rate: Calls per second that the platform accepts from all nodes together.
         drain_us: Drain time of a worker if the platform's list gives none.
         hold_us: Time for which the address of a removed worker is kept from use by another pool.
--- a/iriswheel/runtime/storage.py
+++ b/iriswheel/runtime/storage.py
@@ -225,7 +225,7 @@
         self.runtime = runtime
         self.disk = disk
         self.ok = True
-        self._started_at_us: list[int] = []  # when each unfinished write began
+        self._started_at_us: list[int] = []  # start times of the unfinished writes, oldest first
 
     async def commit(self, writes: list[Write]) -> None:
         """Write the pairs; returns once they are synced.
--- a/iriswheel/transport/http_server.py
+++ b/iriswheel/transport/http_server.py
@@ -24,7 +24,7 @@
 
 
 CLOCK_ALLOWANCE_US = 2 * units.SECOND_US  # added to a client's time limits, since its clock may run differently
-MAX_JSON_DEPTH = 100  # nested lists and objects; recursive code that reads them later has less of the stack left
+MAX_JSON_DEPTH = 100  # levels of nesting; code that later reads the value recursively has less of the stack left
 CONNECTION_LIMIT = 2048  # simultaneous connections of one server
 
 log = loguru.logger.bind(part="http_server")
@@ -142,7 +142,7 @@
         except defer.CancelledError:
             raise
         except Exception:  # the client gets an answer whatever the handler raises
-            log.exception("A request handler raised an unexpected exception; the client is answered worker_broke.")
+            log.exception("A request handler raised an unexpected exception; the client gets the error worker_broke.")
             self.answer_error(
                 errors.ServiceError("worker_broke", "Internal error.", errors.ExecutionOutcome.MAY_HAVE_RUN)
             )
@@ -289,7 +289,7 @@
         self.connection_closed = scheduler.Signal()  # woken when a connection has closed
 
     def startFactory(self) -> None:
-        """Open no access log: the process's counters of requests serve in its place."""
+        """Open no access log: the process counts requests instead."""
 
     def stopFactory(self) -> None:
         """Close no access log."""
--- a/iriswheel/transport/messages/counters.py
+++ b/iriswheel/transport/messages/counters.py
@@ -40,5 +40,5 @@
     sender: str  # origin of the sender: machine and incarnation
     disk_ok: bool
     complete: bool  # whether `held` covers all origins, not only those of the request
-    same: bool = False  # whether the digest matched the own one; `held` is then empty
+    same: bool = False  # whether the request's digest equals that of the answering machine; `held` is then empty
     held: HeldIntervals = msgspec.field(default_factory=dict)
--- a/iriswheel/transport/messages/load.py
+++ b/iriswheel/transport/messages/load.py
@@ -4,7 +4,7 @@
 
 import iriswheel.transport.messages.base as message_base
 
-# Worker id, requests running there, prompt tokens that it has not read yet, suspicion that it is faulty in percent.
+# Worker id, requests running there, prompt tokens that it has still to prefill, suspicion that it is faulty (percent).
 LoadRow: typing.TypeAlias = tuple[str, int, int, int]
 
 
--- a/iriswheel/transport/messages/membership.py
+++ b/iriswheel/transport/messages/membership.py
@@ -144,7 +144,7 @@
     """The heartbeat from the tail to the core machines; they in turn send their nodes a `SessionHeartbeat`."""
 
     view: int
-    index: int
+    index: int  # log index that the tail has committed
     applied_by_all: int  # log index up to which every node that may hold a lease has applied the log
     sessions: int  # number of members that have a session
     membership: Membership | None
--- a/iriswheel/transport/messages/node_session.py
+++ b/iriswheel/transport/messages/node_session.py
@@ -9,7 +9,7 @@
     """A node opens its session with a core machine, and states the configuration and membership that it has."""
 
     member: membership_messages.Member
-    applied_index: int
+    applied_index: int  # log index that the node's configuration has reached
     membership: membership_messages.Membership | None
     sent_at: int = 0  # sending time on the node's clock, in µs
 
@@ -53,8 +53,8 @@
 class SessionHeartbeat(message_base.Message, tag="Alive", frozen=True):
     """The heartbeat of a session: a node reports its state; a core machine says which worker list still holds."""
 
-    index: int
-    version: message_base.MembershipVersion
+    index: int  # log index of the configuration: from a node, the one it applied; to a node, the newest one sent to it
+    version: message_base.MembershipVersion  # from a node: of its membership; to a node: of the newest one sent to it
     listing_unchanged: membership_messages.ListingUnchanged | None = None
     sent_at: int = 0  # from a node: sending time on its clock, in µs; to a node: the newest of these received
     lease_left: int = 0  # to a node: longest duration of a lease that begins at `sent_at`, in µs
--- a/iriswheel/transport/messages/pools.py
+++ b/iriswheel/transport/messages/pools.py
@@ -12,8 +12,8 @@
     worker: str
     left_us: int  # time until it expires, counted from the sending of the message
     lifetime_us: int
-    cost: int
-    version: int
+    cost: int  # weight in the selection of a worker
+    version: int  # of two records of one session, the one with the higher version is newer
     attempt_id: str = ""  # the attempt that opened it; "" once that has reached the worker
 
 
@@ -36,7 +36,7 @@
     node: str
     worker: str
     session: str
-    work: int
+    work: int  # estimated work of the request, in work units
     long: bool  # whether the request counts as long
 
 
@@ -51,12 +51,12 @@
     attempt: int  # number of the client's attempt, from 1
     idempotent: bool
     session: str
-    prefix: list[str]
-    work: int
+    prefix: list[str]  # names of the parts of the prompt's prefix, outermost first
+    work: int  # estimated work of the request, in work units
     long: bool  # whether the request counts as long
     excluded_workers: list[str]  # workers that this request has tried already
-    terms: dict[str, int]
-    wait_us: int
+    terms: dict[str, int]  # `lifetime_us` and `cost` of a session that the request opens
+    wait_us: int  # time until the request's deadline
     is_retry: bool = False  # whether this attempt repeats an earlier one, and so uses the retry budget
 
 
@@ -65,9 +65,9 @@
 
     term: message_base.Term
     worker: str
-    left_us: int
-    affinity: bool
-    session_us: int  # lifetime of the session
+    left_us: int  # validity of the grant; nodes ignore it and use the request's deadline
+    affinity: bool  # whether an existing session bound the request to the worker
+    session_us: int  # time until the session expires; 0 without a session
     relay: str = ""  # a member that reaches the worker, in case the asking node does not
 
 
@@ -78,7 +78,7 @@
     code: str  # an `errors.ErrorCode`
     text: str
     execution: str  # an `errors.ExecutionOutcome`
-    retry_us: int
+    retry_us: int  # wait before the client's next attempt
 
 
 class RevokeRequest(message_base.Message, tag="Forbid", frozen=True):
@@ -134,6 +134,7 @@
     sessions: list[SessionRecord] = msgspec.field(default_factory=list)
     claims: list[Claim] = msgspec.field(default_factory=list)
     grants: list[WorkerGrant] = msgspec.field(default_factory=list)
+    # unexpired sessions of the node's own clients; a new owner uses them if no machine with a replica answered
     affinities: list[SessionRecord] = msgspec.field(default_factory=list)
     has_replica: bool = False  # whether the answering machine ever had a complete replica of the records
     claims_missing_us: int = 0  # remaining time for which earlier claims may be missing from the records
--- a/iriswheel/transport/messages/replication.py
+++ b/iriswheel/transport/messages/replication.py
@@ -16,7 +16,7 @@
     """
 
     PLAN = "plan"  # store a plan, to be confirmed later
-    CONFIRM = "confirm"  # apply the plan of that id
+    CONFIRM = "confirm"  # apply the stored plan that the field `plan` names
     APPLY = "apply"  # store and apply a change in one entry
 
 
@@ -136,5 +136,5 @@
     version: int = 0
     items: message_base.Items = msgspec.field(default_factory=dict)
     plan: dict[str, typing.Any] | None = None
-    accepted_version: int = 0  # version that the change of the requested id made; 0 if unknown
+    accepted_version: int = 0  # configuration version that the change with the requested id made; 0 if unknown
     highest_dropped_number: int = 0  # highest number of an accepted change whose id is no longer stored
