--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -1,4 +1,4 @@
-"""The command line: one program with subcommands that run a core or a node, call a core, or check event logs."""
+"""The command line: subcommands that run a core machine or a node, call a core machine, or check event logs."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
     data: str | None = None,
     log_level: str | None = None,
 ) -> None:
-    """Run a core, which stores the configuration in its data folder and serves operators.
+    """Run a core machine, which stores the configuration in its data folder and serves operators.
 
     :param options: options file (TOML); flags override it
     :param name: this machine's name
@@ -68,7 +68,7 @@
     :param port: port for connections between iriswheel's processes
     :param http_port: port for HTTP calls of operators
     :param zone: zone (failure domain) of this machine
-    :param seeds: IP:port of the three core machines; the first creates a new fleet if all data folders are empty
+    :param seeds: IP:port of the core machines; the first creates a new fleet if all data folders are empty
     :param data: path of the data folder
     :param log_level: lowest level to log: DEBUG, INFO, WARNING or ERROR
     """
@@ -163,7 +163,7 @@
         try:
             answers.append(await send_request(scheduler.Runtime(reactor), cores, method, path, document))
         except Exception as error:  # the call was sent: after any error, the core machine may have carried it out
-            text = f"No valid answer came from the core; the call may have run: {error}"
+            text = f"No valid answer came from the core machine; the call may have run: {error}"
             answers.append(Answer(504, {"code": "unknown_outcome", "verdict": "may_have_run", "text": text}))
         reactor.stop()
 
--- a/iriswheel/configuration/schema.py
+++ b/iriswheel/configuration/schema.py
@@ -119,7 +119,7 @@
         conns: Connections that a worker accepts from all nodes together; 0 for no known limit.
         probe: Path of the worker's health check; "" for none.
         batch: Largest batch of requests that a worker runs at once; 0 if unknown.
-        memory_tokens: Tokens that fit into a worker's memory; 0 if unknown.
+        memory_tokens: Tokens that fit into a worker's memory; 0 if unknown. It is stored, but not used.
         event_tokens: Tokens in one event of a stream.
         cold_rate: Requests per second that a cold worker can take; 0 if unknown.
         label: The operator's own data, which stays on the core machines.
@@ -193,8 +193,9 @@
         resume: Whether a stream may be resumed at another worker.
         sends: How often one attempt of a client may be sent to a worker; 0 for no limit of the route's own.
         cutoff_us: Longest time for which a request is held; 0 for no limit.
-        aim_us: The operator's target for the time to the first byte; 0 for none.
-        gap_us: Longest pause between two events of a stream; 0 for no limit.
+        aim_us: The operator's target for the time to the first byte; 0 for none. It is stored, but not enforced.
+        gap_us: The operator's target for the longest pause between two events of a stream; 0 for none. It is stored,
+            but not enforced.
         urgency: Priority in queues, from 0, which is served first, to 9.
         label: The operator's own data, which stays on the core machines.
         public: Whether requests need no tenant's key even if the configuration requires keys.
--- a/iriswheel/transport/messages/node_session.py
+++ b/iriswheel/transport/messages/node_session.py
@@ -9,7 +9,7 @@
     """A node opens its session with a core machine, and states the configuration and membership that it has."""
 
     member: membership_messages.Member
-    applied_index: int  # log index that the node's configuration has reached
+    applied_index: int  # log index that the node's configuration has reached; -1 without a confirmed one
     membership: membership_messages.Membership | None
     sent_at: int = 0  # sending time on the node's clock, in µs
 
