--- a/iriswheel/cli/load_generator.py
+++ b/iriswheel/cli/load_generator.py
@@ -24,12 +24,12 @@
 LONG_BYTES = 48_000  # body length of a long request
 SHORT_BYTES = 600  # body length of a short request or of a conversation's turn
 MAX_ATTEMPTS = 4  # attempts of one request
-HEAD_TIMEOUT_US = 20 * units.SECOND_US  # from sending an attempt to the head of its answer
-DEFAULT_RETRY_WAIT_US = 500 * units.MILLISECOND_US  # before the next attempt, if the answer has no Retry-After
-IMPATIENT_RETRY_WAIT_US = 50 * units.MILLISECOND_US  # before the next attempt of an impatient client
+HEAD_TIMEOUT_US = 20 * units.SECOND_US  # longest time from sending an attempt to the head of its answer
+DEFAULT_RETRY_WAIT_US = 500 * units.MILLISECOND_US  # wait before the next attempt, if the answer has no Retry-After
+IMPATIENT_RETRY_WAIT_US = 50 * units.MILLISECOND_US  # wait before the next attempt of an impatient client
 IMPATIENT_SHARE = 0.2  # share of requests whose client retries almost at once and ignores Retry-After
 IDEMPOTENT_SHARE = 0.5  # share of requests that may run more than once
-NODE_LIST_INTERVAL_US = 200 * units.MILLISECOND_US  # between two reads of the platform's list of ready nodes
+NODE_LIST_INTERVAL_US = 200 * units.MILLISECOND_US  # time between two reads of the platform's list of ready nodes
 
 Address: typing.TypeAlias = tuple[str, int]  # host, port
 RequestKind: typing.TypeAlias = typing.Literal["long", "short", "talk"]  # the values of `sort` in event logs
@@ -80,7 +80,7 @@
         self.parts: list[bytes] = []
         self.first_at: int | None = None  # when the first part arrived, in µs
         self.last_at = 0  # when the latest part arrived, in µs
-        self.longest_pause_us = 0  # between the arrivals of two parts
+        self.longest_pause_us = 0  # longest time between the arrivals of two parts, in µs
 
     def dataReceived(self, data: bytes) -> None:
         """Collect a part of the answer."""
