--- a/iriswheel/cli/service.py
+++ b/iriswheel/cli/service.py
@@ -26,9 +26,7 @@
     from iriswheel.node import node
 
 
-LAST_BYTES_TIMEOUT_US = (
-    500 * units.MILLISECOND_US
-)  # longest time for a stopping node to send the last bytes of its answers
+LAST_BYTES_TIMEOUT_US = 500 * units.MILLISECOND_US  # longest wait until a stopping node's last answers are sent
 PEER_BACKLOG = 512  # TCP listen backlog of the port for iriswheel's processes
 HTTP_BACKLOG = 1024  # TCP listen backlog of the HTTP port
 READY_BACKLOG = 128  # TCP listen backlog of the port for readiness polls
