--- a/iriswheel/cli/command.py
+++ b/iriswheel/cli/command.py
@@ -1,4 +1,4 @@
-"""The command line: one program with subcommands that run a core or a node, call a core, or check event logs."""
+"""The command line: subcommands that run a core machine or a node, call a core machine, or check event logs."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Answer(typing.NamedTuple):
-    """A core's answer to a call of an operator."""
+    """A core machine's answer to a call of an operator."""
 
     status: int  # HTTP status
     document: Document
@@ -60,7 +60,7 @@
     data: str | None = None,
     log_level: str | None = None,
 ) -> None:
-    """Run a core, which stores the configuration in its data folder and serves operators.
+    """Run a core machine, which stores the configuration in its data folder and serves operators.
 
     :param options: options file (TOML); flags override it
     :param name: this machine's name
@@ -68,7 +68,7 @@
     :param port: port for connections between iriswheel's processes
     :param http_port: port for HTTP calls of operators
     :param zone: zone (failure domain) of this machine
-    :param seeds: IP:port of the three core machines; the first creates a new fleet if all data folders are empty
+    :param seeds: IP:port of the core machines; the first creates a new fleet if all data folders are empty
     :param data: path of the data folder
     :param log_level: lowest level to log: DEBUG, INFO, WARNING or ERROR
     """
@@ -118,11 +118,11 @@
 async def send_request(
     runtime: scheduler.Runtime, cores: list[str], method: str, path: str, document: object = None
 ) -> Answer:
-    """Send an HTTP call to the first core that accepts a connection.
+    """Send an HTTP call to the first core machine that accepts a connection.
 
     Args:
         runtime: Opens the connections.
-        cores: IP:port of the cores' HTTP ports, tried in this order.
+        cores: IP:port of the core machines' HTTP ports, tried in this order.
         method: The HTTP method.
         path: The path of the call.
         document: The body, as a JSON value; None for no body.
@@ -149,7 +149,7 @@
 
 
 def call_core(cores: list[str], method: str, path: str, document: object = None) -> None:
-    """Call a core and print its answer as JSON; if the call failed, exit with REFUSED or UNKNOWN."""
+    """Call a core machine and print its answer as JSON; if the call failed, exit with REFUSED or UNKNOWN."""
     service.set_logs("ERROR")
     for core_address in cores:
         try:
@@ -162,8 +162,8 @@
     async def call() -> None:
         try:
             answers.append(await send_request(scheduler.Runtime(reactor), cores, method, path, document))
-        except Exception as error:  # the call was sent: after any error, the core may have carried it out
-            text = f"No valid answer came from the core; the call may have run: {error}"
+        except Exception as error:  # the call was sent: after any error, the core machine may have carried it out
+            text = f"No valid answer came from the core machine; the call may have run: {error}"
             answers.append(Answer(504, {"code": "unknown_outcome", "verdict": "may_have_run", "text": text}))
         reactor.stop()
 
