--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -138,12 +138,12 @@
         self.done = True
         if self.timeout.active():
             self.timeout.cancel()
-        peer_protocol = self.factory.buildProtocol(address.IPv4Address("TCP", self.host, self.port))
+        own_protocol = self.factory.buildProtocol(address.IPv4Address("TCP", self.host, self.port))
         connection = SimulatedConnection(self.world, self.process, far, self.port)
-        if peer_protocol is None:
+        if own_protocol is None:
             connection.sides[0].abortConnection()
             return
-        connection.sides[0].attach(peer_protocol)
+        connection.sides[0].attach(own_protocol)
         if far.alive:
             far.call(lambda: self._accept(far, connection.sides[1]))
         else:
@@ -216,7 +216,7 @@
         self.connection, self.process, self.port = connection, process, port
         self.world = connection.world
         self.peer: ConnectionSide
-        self.peer_protocol: protocol.Protocol | None = None
+        self.own_protocol: protocol.Protocol | None = None
         self.state: typing.Literal["open", "closed"] = "open"
         self.aborted = False
         self.outgoing: list[Segment] = []  # segments written but not yet sent
@@ -233,12 +233,12 @@
 
     # ---- transport ------------------------------------------------------------
 
-    def attach(self, peer_protocol: protocol.Protocol) -> None:
+    def attach(self, own_protocol: protocol.Protocol) -> None:
         """Connect the protocol of this side, and deliver what has already arrived."""
         if self.state == "closed":
             return
-        self.peer_protocol = peer_protocol
-        peer_protocol.makeConnection(self)
+        self.own_protocol = own_protocol
+        own_protocol.makeConnection(self)
         self.deliver()
 
     def getPeer(self) -> address.IPv4Address:
@@ -385,13 +385,13 @@
 
     def deliver(self) -> None:
         """Deliver what arrived to the protocol, unless the protocol has paused this transport."""
-        while self.inbox and self.peer_protocol is not None and self.state == "open" and not self.paused:
+        while self.inbox and self.own_protocol is not None and self.state == "open" and not self.paused:
             data = self.inbox.popleft()
             if data is None:
                 self.close(error.ConnectionDone())
                 return
             self.peer.acknowledge(len(data))
-            self.peer_protocol.dataReceived(data)
+            self.own_protocol.dataReceived(data)
 
     def acknowledge(self, size: int) -> None:
         """Note that the peer has read a number of bytes, and resume a paused producer if few bytes are left unread."""
@@ -432,8 +432,8 @@
             self.enqueue(None)
             self.flush()
         self.connection.forget()
-        if self.peer_protocol is not None and self.process.alive:
+        if self.own_protocol is not None and self.process.alive:
             if self.producer is not None:
                 self.producer.stopProducing()
                 self.producer = None
-            self.peer_protocol.connectionLost(failure.Failure(reason))
+            self.own_protocol.connectionLost(failure.Failure(reason))
