--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -127,7 +127,7 @@
         """
         return since <= self.end + after and until >= self.at
 
-    def stops_request(self, since: int, until: int, node: str | None, worker: str | None) -> bool:
+    def excuses_request(self, since: int, until: int, node: str | None, worker: str | None) -> bool:
         """Whether this fault excuses a request that was at this node and on this worker in a span of time."""
         if self.large and since <= self.at + LARGE_FAULT_US and until >= self.at:
             return True
@@ -289,7 +289,7 @@
         >>> log.met_fault(6, 7, worker="w1"), log.met_fault(6, 7, worker="w2")
         (True, False)
         """
-        if any(fault.stops_request(since, until, node, worker) for fault in self.faults):
+        if any(fault.excuses_request(since, until, node, worker) for fault in self.faults):
             return True
         listed = self.listed.get(worker, []) if worker is not None else []
         return any(row["state"] != "ready" and since <= row["at"] <= until for row in listed)
