--- a/simulation/rules/answers.py
+++ b/simulation/rules/answers.py
@@ -16,7 +16,7 @@
 
 NOT_RUN_CODES = (408, 421, 429, 503)  # statuses by which the platform promises that the request was not executed
 BROKEN_RUNS = ("garble", "broke", "lost")  # ends of runs whose response is garbled, broken off or missing
-RECOVERY_SHARE = 4  # service counts as available where at least one in so many requests is served
+MAX_REQUESTS_PER_SERVED = 4  # service counts as available where at least one of so many requests is served
 
 
 def _is_success(attempt: event_log.Row) -> bool:
@@ -89,8 +89,8 @@
     for name, attempt in log.attempts.items():
         if attempt["how"] != "closed" or attempt["done"] >= attempt["until"]:
             continue
-        went_on = any(not row["verdict"] for row in log.arrivals[name])
-        if not went_on and attempt["done"] - attempt["sent"] <= log.bounds["loss_slack"]:
+        reached_worker = any(not row["verdict"] for row in log.arrivals[name])
+        if not reached_worker and attempt["done"] - attempt["sent"] <= log.bounds["loss_slack"]:
             continue
         if any(end["how"] in (*BROKEN_RUNS, "expired") for end in log.run_ends[name]):
             continue
@@ -162,4 +162,4 @@
 
 def _is_served(rows: event_log.Rows) -> bool:
     served: int = sum(row["ok"] for row in rows)
-    return RECOVERY_SHARE * served >= len(rows)
+    return MAX_REQUESTS_PER_SERVED * served >= len(rows)
--- a/simulation/site/split_days.py
+++ b/simulation/site/split_days.py
@@ -134,13 +134,13 @@
 
 
 def _lose_acknowledging_machine(deployment: site.Site) -> None:
-    strike = deployment.rng.choice([deployment.faults.kill, deployment.faults.power_off])
+    cause_fault = deployment.rng.choice([deployment.faults.kill, deployment.faults.power_off])
     wait = deployment.rng.uniform(0, ACKNOWLEDGED_LOSS_S)
 
     def lose(host: str) -> None:
         for name in sorted(deployment.cores):
             if deployment.places[name].host == host:
-                deployment.schedule(wait, strike, name, TALLY_DOWN_S)
+                deployment.schedule(wait, cause_fault, name, TALLY_DOWN_S)
 
     deployment.rng.choice(deployment.applications.callers).on_acknowledged.append(lose)
 
--- a/simulation/site/split_drawn_day.py
+++ b/simulation/site/split_drawn_day.py
@@ -37,14 +37,14 @@
 
     def zone_faults(self) -> list[drawn_day.Action]:
         """The faults that may strike a zone."""
-        strikes = self.site.zone_faults
+        site_zone_faults = self.site.zone_faults
         seconds = self.rng.uniform(*ZONE_FAULT_S)
         return [
-            lambda: strikes.isolate(self.random_zone(), seconds, self.rng.choice(zone_faults.CUT_KINDS)),
-            lambda: strikes.cut_one_way(self.random_zone(), seconds, outward=self.rng.random() < 0.5),
+            lambda: site_zone_faults.isolate(self.random_zone(), seconds, self.rng.choice(zone_faults.CUT_KINDS)),
+            lambda: site_zone_faults.cut_one_way(self.random_zone(), seconds, outward=self.rng.random() < 0.5),
             lambda: self._cut_random_pair(seconds),
-            lambda: strikes.power_off(self.random_zone(), seconds),
-            lambda: strikes.crash_and_return_workers(self.random_zone(), seconds, how="dark"),
+            lambda: site_zone_faults.power_off(self.random_zone(), seconds),
+            lambda: site_zone_faults.crash_and_return_workers(self.random_zone(), seconds, how="dark"),
         ]
 
     def _cut_random_pair(self, seconds: float) -> None:
@@ -54,9 +54,9 @@
     def evacuate(self) -> None:
         """Evacuate a random zone for some seconds; on half of these occasions its workers are cold at the end."""
         zone, warm = self.random_zone(), self.rng.random() < 0.5
-        strikes, spawn = self.site.zone_faults, self.site.operator_runtime.spawn
-        spawn(strikes.evacuate(zone), log)
-        self.site.schedule(EVACUATED_S, lambda: spawn(strikes.end_evacuation(zone, warm=warm), log))
+        site_zone_faults, spawn = self.site.zone_faults, self.site.operator_runtime.spawn
+        spawn(site_zone_faults.evacuate(zone), log)
+        self.site.schedule(EVACUATED_S, lambda: spawn(site_zone_faults.end_evacuation(zone, warm=warm), log))
 
     def play(self) -> None:
         """Play the day; half of the days end with a fleet outage."""
