--- a/iriswheel/verification/availability.py
+++ b/iriswheel/verification/availability.py
@@ -13,20 +13,23 @@
 LONG_FIRST_BYTE_MAX_US = 1_000_000  # from sending a long request to the first byte of its answer
 SHORT_FIRST_BYTE_MAX_US = 500_000  # from sending a short request to the first byte of its answer
 STREAM_PAUSE_MAX_US = 1_000_000  # between two events of a streamed answer
-ACKNOWLEDGEMENT_MAX_US = 5_000_000  # from the time that an operator wants a change to its acknowledgement
+ACKNOWLEDGEMENT_MAX_US = 5_000_000  # from an operator's decision to make a change to its acknowledgement
 REFUSAL_SLACK_US = 500_000  # from the end of the longest wait for a worker to the refusal
 DEFAULT_LONG_WAIT_US = 10_000_000  # wait of a long request for a worker, if the pool gives none
 DEFAULT_SHORT_WAIT_US = 5_000_000  # wait of a short request for a worker, if the pool gives none
-RECOVERY_WINDOW_US = 5_000_000  # span after the recovery deadline whose requests show whether service has recovered
-RECOVERY_SHARE_MIN = 0.9  # of these requests that must be answered in full
+RECOVERY_WINDOW_US = 5_000_000  # length of the span that shows recovery; it begins LARGE_FAULT_US after a fault
+RECOVERY_SHARE_MIN = 0.9  # share of the first attempts in this span that must get a complete answer
 
 
 def served(log: event_log.EventLog) -> collections.abc.Iterator[str]:
-    """11: the fleet refuses no valid request without a reason, and refuses it at once.
+    """11: the fleet refuses a valid request only for a reason that the log supports, and serves the others in time.
+
+    A refusal may take as long as the longest wait for a worker that a pool allows.
 
     Requests that meet a fault are excused: at a dead, frozen or partitioned node, or on a lost worker. After a large
-    fault, all requests are excused for 12 s. After the loss of a pool owner or of its replica, other requests may start
-    late for ROLE_FAULT_US, but may not be refused.
+    fault, all requests are excused for 12 s. Other requests may start late, but may not be refused, for ROLE_FAULT_US
+    after the loss of a pool owner or of its replica, and for SILENT_FAULT_US after the loss of a worker whose
+    connections stay open.
     """
     yield from refused_requests(log)
     yield from broken_requests(log)
@@ -124,7 +127,8 @@
 def back(log: event_log.EventLog) -> collections.abc.Iterator[str]:
     """12: within about 12 s after a large fault, requests are served and changes of the configuration are accepted.
 
-    After that time `served` no longer excuses requests. This checker demands that most requests are answered.
+    After that time `served` no longer excuses requests. This checker demands that most first attempts then get a
+    complete answer.
     """
     yield from late_changes(log)
     yield from lasting_failures(log)
--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -23,7 +23,7 @@
 # How long a small fault may affect requests whose own node and worker were not at fault:
 ROLE_FAULT_US = 4_000_000  # requests may start late after the loss of a pool's owner or replica
 SILENT_FAULT_US = 3_000_000  # requests may start late after the loss of a worker whose connections stay open
-REJOIN_US = 2_000_000  # for a node that was frozen, partitioned or restarted to serve again
+REJOIN_US = 2_000_000  # from the end of a freeze, partition or restart of a node until the node serves again
 CROWDED_SHARE = 0.9  # share of a pool's slots in use from which on requests may have to wait
 
 DEFAULT_SLOTS = 16  # requests at once on a worker, if the pool gives no number
@@ -100,7 +100,7 @@
         what: The kind of fault, for example "kill".
         target: The name of the machine, process or link at fault.
         role: What the target is: "node", "worker", "link", "core", "all" or "".
-        address: Where clients reach the target, as host:port.
+        address: Where clients reach the target, as host:port; empty if they send no requests to it.
         assignment: Whether the target was the owner of a pool or held a replica of one.
         large: Whether it excuses all requests for LARGE_FAULT_US.
 
@@ -143,7 +143,12 @@
                 return False
 
     def delays_others(self, since: int, until: int) -> bool:
-        """Whether this fault may have delayed the start of requests at other nodes in a span of time."""
+        """Whether this fault may have delayed the start of requests at other nodes in a span of time.
+
+        A worker whose connections stay open, or a broken link, delays requests for SILENT_FAULT_US. The fault of a node
+        that owns a pool or holds a replica delays them for ROLE_FAULT_US: from its beginning, or from its repair if the
+        node was slow, lost packets or failed repeatedly until then.
+        """
         if until < self.at:
             return False
         slow = self.what in ("slow", "lossy", "flap") and self.end != NEVER
@@ -183,10 +188,10 @@
 
 
 class RetryTimes(typing.NamedTuple):
-    """The sorted times at which retries ran, and at which requests were first sent or probes got an answer."""
+    """The sorted times of retries and of requests."""
 
-    repeats: list[int]
-    requests: list[int]
+    repeats: list[int]  # when each retry of a request ran at a worker
+    requests: list[int]  # when each request was first sent, and each probe that was not answered with status 404
 
 
 class EventLog:
@@ -205,7 +210,8 @@
         worker_pools: The pool of each worker.
         faults: All faults.
         node_zones: The zone of each node, by its address.
-        configurations: The configurations that may have been in effect, with their times.
+        configurations: The configurations that may have been in effect, each with its span of time.
+        kinds: The rows of each kind, sorted by time.
 
     >>> EventLog([{"at": 1, "kind": "asked"}]).rows_of("asked")
     [{'at': 1, 'kind': 'asked'}]
@@ -258,6 +264,7 @@
             acknowledged.setdefault(row["plan"], row)
         documents = []
         for plan, row in first_sent.items():
+            # An unacknowledged plan has an unknown version; any acknowledged version above its base replaces it.
             version = acknowledged[plan]["stamp"] if plan in acknowledged else row["base"]
             later = [
                 answer["at"] for other, answer in acknowledged.items() if other != plan and answer["stamp"] > version
@@ -336,7 +343,7 @@
         ]
 
     def is_crowded(self, pool: str | None, since: int, until: int, long: bool, documents: list[Document]) -> bool:
-        """Whether at some time in a span nearly all slots of the pool's ready workers were in use.
+        """Whether at some time in a span nearly all slots of the pool's ready workers were in use, or none was ready.
 
         Args:
             pool: The pool.
--- a/iriswheel/verification/history.py
+++ b/iriswheel/verification/history.py
@@ -95,20 +95,22 @@
     return answered
 
 
-def read_events(row: event_log.Row, number: int, text: str = "") -> list[linearizability.Event]:
-    """The two events of a read; a read whose start is not in the log may have started at any time.
+def read_events(row: event_log.Row, number: int, content: str = "") -> list[linearizability.Event]:
+    """The two events of a read that returned a number, and a digest of the content if it is known.
+
+    A read whose start is not in the log may have started at any time.
 
     >>> [e.at for e in read_events({"at": 9, "began": 4}, 7)]
     [4, 9]
     """
     call = f"read-{row['at']}-{row.get('who', '')}"
-    return [Invocation(row.get("began", 0), call, Read()), ReadResponse(row["at"], call, number, text)]
+    return [Invocation(row.get("began", 0), call, Read()), ReadResponse(row["at"], call, number, content)]
 
 
 def numbered_changes(
     rows: list[event_log.Row],
 ) -> list[linearizability.Event]:
-    """The history of numbered changes; empty if a plan, which has none, is confirmed after the first.
+    """The history of numbered changes; empty if a plan, which has no number, is confirmed after a numbered change.
 
     >>> row = {"call": "a", "number": 1, "built_on": 0, "content": "x"}
     >>> numbered_changes([{"at": 5, "kind": "number_sent", **row}])[0].at
@@ -164,7 +166,7 @@
     Attributes:
         sent: The row of the first confirmation of each plan, by plan id.
         versions: The version with which a plan was acknowledged, by plan id.
-        refused: When a plan was refused because its base was no longer the current version, by plan id.
+        refused: The times at which a plan was refused because its base was no longer the current version, by plan id.
         seen: All versions that a read returned or a plan was based on.
 
     >>> ConfirmedPlans().events({})
@@ -197,7 +199,7 @@
             answered: When each plan was acknowledged first, by plan id.
         """
         events: list[linearizability.Event] = []
-        free = sorted(self.seen - set(self.versions.values()))
+        free = sorted(self.seen - set(self.versions.values()))  # versions that no acknowledged plan has
         for plan, row in self.sent.items():
             if plan in self.versions:
                 change = Change(self.versions[plan], row["base"], plan)
--- a/iriswheel/verification/linearizability.py
+++ b/iriswheel/verification/linearizability.py
@@ -103,11 +103,11 @@
 
 
 class State(typing.NamedTuple):
-    """The current configuration, and the changes that took effect before."""
+    """The current configuration, and the changes that led to it."""
 
     number: int = 0
     content: str = INITIAL
-    taken: frozenset[Change] = frozenset()
+    taken: frozenset[Change] = frozenset()  # the changes that took effect, the current one included
 
 
 class HistoryError(ValueError):
--- a/iriswheel/verification/refusals.py
+++ b/iriswheel/verification/refusals.py
@@ -7,7 +7,7 @@
 
 from iriswheel.verification import event_log, retry_checks, routing_checks, session_checks
 
-RETRY_SHARE_WITHIN_BUDGET = 0.15  # so few retries per request exceed no node's retry budget
+RETRY_SHARE_WITHIN_BUDGET = 0.15  # retries per request up to which no node can have exceeded its retry budget
 
 
 class Refusal(typing.NamedTuple):
--- a/iriswheel/verification/retry_checks.py
+++ b/iriswheel/verification/retry_checks.py
@@ -16,9 +16,9 @@
 
 
 class Demand(typing.NamedTuple):
-    """The numbers of retries that ran and of requests that came within the window."""
+    """The numbers of retries that ran and of requests that were sent within the window."""
 
-    repeats: int
+    repeats: int  # number of retries
     requests: int
 
 
--- a/iriswheel/verification/routing_checks.py
+++ b/iriswheel/verification/routing_checks.py
@@ -10,7 +10,9 @@
 if typing.TYPE_CHECKING:
     import collections.abc
 
-LISTING_DELAY_US = 3_600_000  # 3 s, plus a read of the platform's list every 0.5 s and the travel of a request
+# From the listing of a worker as leaving or gone until no more requests may reach it: 3 s, plus 0.5 s between two reads
+# of the platform's list, plus the travel time of a request.
+LISTING_DELAY_US = 3_600_000
 
 
 class Observation(typing.NamedTuple):
--- a/iriswheel/verification/session_checks.py
+++ b/iriswheel/verification/session_checks.py
@@ -14,14 +14,14 @@
 
 LIFETIME_SLACK_US = 2_000_000  # tolerance for clocks and message delays at the end of a session's lifetime
 ENDED_SESSION_COUNTED_US = 5_000_000  # from the end of a session until the fleet stops counting it
-DEFAULT_LIFETIME_US = 60_000_000  # of a session, if the terms give none
+DEFAULT_LIFETIME_US = 60_000_000  # lifetime of a session, if its terms in the configuration give none
 DEFAULT_CAP = 10  # open sessions on a worker, if the pool gives no limit
 SESSION_STORED_US = 1_000_000  # from the first turn of a session until a core has stored it on disk
-REPLICAS = 3  # nodes that know a session from its first turn
+REPLICAS = 3  # nodes that hold a session from its first turn on
 
 
 def terms_values(log: event_log.EventLog, field: str, default: int, since: int, until: int) -> list[int]:
-    """The values of a field in all terms of the configurations in effect in a span of time, in ascending order.
+    """The values of a field of session terms, in the configurations in effect in a span of time, in ascending order.
 
     >>> terms_values(event_log.EventLog([]), "lifetime_us", 60, 0, 5)
     [60]
@@ -119,7 +119,7 @@
 
 
 def conversations_being_opened(log: event_log.EventLog, at: int) -> int:
-    """The number of conversations without a run so far that are being opened, or that a failed node may have opened.
+    """The number of conversations without a run so far that are being opened or that a failed node may have opened.
 
     >>> conversations_being_opened(event_log.EventLog([]), 5)
     0
@@ -153,7 +153,7 @@
                 continue
             documents = log.configurations_between(run["at"] - event_log.ROUTING_TO_RUN_MAX_US, run["at"])
             caps = session_caps(documents, name.pool)
-            if not caps or 0 in caps:
+            if not caps or 0 in caps:  # a cap of 0 stands for no limit
                 continue
             log.rows_judged["capped"] += 1
             count = len(open_conversations(log, run["at"], -LIFETIME_SLACK_US).get(run["worker"], ()))
