--- a/iriswheel/verification/event_log.py
+++ b/iriswheel/verification/event_log.py
@@ -211,7 +211,7 @@
         faults: All faults.
         node_zones: The zone of each node, by its address.
         configurations: The configurations that may have been in effect, each with its span of time.
-        kinds: The rows of each kind, sorted by time.
+        rows_by_kind: The rows of each kind, sorted by time.
 
     >>> EventLog([{"at": 1, "kind": "asked"}]).rows_of("asked")
     [{'at': 1, 'kind': 'asked'}]
@@ -221,9 +221,9 @@
         self.rows = rows
         self.end: int = rows[-1]["at"] if rows else 0
         self.rows_judged: collections.Counter[str] = collections.Counter()
-        self.kinds: collections.defaultdict[str, list[Row]] = collections.defaultdict(list)
+        self.rows_by_kind: collections.defaultdict[str, list[Row]] = collections.defaultdict(list)
         for row in rows:
-            self.kinds[row["kind"]].append(row)
+            self.rows_by_kind[row["kind"]].append(row)
         self.sent: dict[AttemptKey, Row] = {attempt_key(row): row for row in self.rows_of("sent")}
         probes: dict[AttemptKey, Row] = {(row["exchange"], 0): row for row in self.rows_of("probe")}
         self.attempts_and_probes = {**probes, **self.sent}
@@ -279,7 +279,7 @@
         >>> EventLog([]).rows_of("run")
         []
         """
-        return self.kinds.get(kind, [])
+        return self.rows_by_kind.get(kind, [])
 
     def configurations_between(self, since: int, until: int) -> list[Document]:
         """The configurations that may be in effect at some node in a span of time.
