--- a/simulation/rules/answers.py
+++ b/simulation/rules/answers.py
@@ -1,4 +1,6 @@
-"""The rules about responses: they belong to the request, requests run at most once, and streams are complete.
+"""The rules about answers, the HTTP responses: they belong to the request, and each stream is complete and in order.
+
+Further rules concern requests: they run at most once, and service recovers after a fleet outage.
 
 Each public function checks the rule of its name and yields one complaint per violation. An attempt is one sending of a
 request by a client; a run is one execution of an attempt at a worker, which marks its response with a unique seal.
@@ -101,7 +103,10 @@
 
 
 def _is_lost_by(log: event_log.Log, name: str, attempt: event_log.Row, term_at: int) -> bool:
-    """Whether an attempt was lost by a SIGTERM alone, not by another fault or a run longer than the grace period."""
+    """Whether an attempt was lost by a SIGTERM alone.
+
+    It was not where another fault may have ended it, or where its run went on for more than half of the grace period.
+    """
     grace = log.bounds["grace"]
     if not term_at <= attempt["done"] <= term_at + grace + units.SECOND_US:
         return False
@@ -150,7 +155,7 @@
 
 
 def recover(log: event_log.Log) -> Complaints:
-    """Complain where too few requests are served once the time for recovery from a fleet outage is over."""
+    """Complain where too few requests are served once the time for recovery from a fleet outage (`closing`) is over."""
     answered = log.rows_by_kind["answered"]
     for closing in log.rows_by_kind["closing"]:
         before = [row for row in answered if row["at"] < closing["at"]]
--- a/simulation/rules/configuration.py
+++ b/simulation/rules/configuration.py
@@ -19,12 +19,12 @@
 Complaints = collections.abc.Iterator[str]
 Document = dict[str, typing.Any]
 
-ACK_PER_ROUTE_US = 3 * units.MILLISECOND_US  # added to the time limit of an acknowledgement for each route
-REVERT_FACTOR_OF_FAULTED = 8  # times the usual slack, for a node that recently had a fault
+ACK_PER_ROUTE_US = 3 * units.MILLISECOND_US  # added to the bound `ack` for each route of the configuration
+REVERT_FACTOR_OF_FAULTED = 8  # factor on the bound `revert` for a node that had a fault in the contact time before
 
 
 class ObservedVersion(typing.NamedTuple):
-    """When a node handled a request by a configuration, and the oldest version by which it may have."""
+    """When an attempt at a node ended, and the oldest configuration version by which the node may have handled it."""
 
     at: int
     version: int
--- a/simulation/rules/earned_value.py
+++ b/simulation/rules/earned_value.py
@@ -1,6 +1,6 @@
 """The value that a run earned: the numbers of requests served in time, late or not at all, and their worth.
 
-A request has an aim: the time limit for the first event of its response. Each kind of request has a value, and a
+A request has an aim: the time limit for the first event of its answer. Each kind of request has a value, and a
 smaller one for requests that are served late. The worth is the earned value as a share of the possible value.
 """
 
@@ -37,7 +37,7 @@
 
 
 def first_event(attempts: event_log.Rows) -> int:
-    """When the first event of a served request reached the client, or its whole response where it has no events.
+    """When the first event of a served request reached the client, or its whole answer where it has no events.
 
     >>> first_event([dict(events=[], done=7)])
     7
--- a/simulation/rules/evacuations.py
+++ b/simulation/rules/evacuations.py
@@ -19,7 +19,7 @@
 
 
 class Evacuation(typing.NamedTuple):
-    """An evacuation that was acknowledged, and when the operator began to end it."""
+    """An evacuation that was acknowledged, and when the operator ordered its end."""
 
     zone: str
     acknowledged_at: int
--- a/simulation/rules/log.py
+++ b/simulation/rules/log.py
@@ -12,27 +12,29 @@
 from simulation.clients import connection
 from simulation.rules import zone_cuts
 
-# The default bounds, those of the smaller deployments, in microseconds where they are times. The row `begun` of a log
-# may name others.
+# The default bounds, which the rules check: those of the smaller deployments, in microseconds where they are times. The
+# row `begun` of a log may name others.
 BOUNDS: dict[str, int | float] = dict(
-    contact=3_000 * units.MILLISECOND_US,
-    drain=3_000 * units.MILLISECOND_US,
-    grace=8 * units.SECOND_US,
-    loss_slack=200 * units.MILLISECOND_US,
-    apply=2_000 * units.MILLISECOND_US,
-    revert=250 * units.MILLISECOND_US,
-    retry_ratio=0.2,
-    retry_window=10 * units.SECOND_US,
-    retry_slack=52,
-    recovery=12 * units.SECOND_US,
-    late=120 * units.MILLISECOND_US,
-    ack=4 * units.SECOND_US,
-    evacuate=5 * units.SECOND_US,
-    merge=3 * units.SECOND_US,
-    cold_limit=29,
+    contact=3_000 * units.MILLISECOND_US,  # contact time: time without faults after which machines count as connected
+    drain=3_000 * units.MILLISECOND_US,  # from listing a worker as draining until no request may reach it
+    grace=8 * units.SECOND_US,  # from SIGTERM until a process must have ended
+    loss_slack=200 * units.MILLISECOND_US,  # from sending a request until the node has certainly read it
+    apply=2_000 * units.MILLISECOND_US,  # from an acknowledgement until all connected nodes apply the version
+    revert=250 * units.MILLISECOND_US,  # from a node's use of a version until it may use no older one
+    retry_ratio=0.2,  # repeats allowed per request within the retry window
+    retry_window=10 * units.SECOND_US,  # span over which repeats and requests are counted
+    retry_slack=52,  # repeats allowed within the retry window besides those of `retry_ratio`
+    recovery=12 * units.SECOND_US,  # from the restart of all processes after a fleet outage until service recovered
+    late=120 * units.MILLISECOND_US,  # from sending an event at a worker to its arrival at the client
+    ack=4 * units.SECOND_US,  # from sending a change or an evacuation order to its acknowledgement
+    evacuate=5 * units.SECOND_US,  # from an order's acknowledgement until no request may reach the zone
+    merge=3 * units.SECOND_US,  # merge time: from acknowledging an add to a tally until all core machines have it
+    cold_limit=29,  # requests to a cold worker within any one second
 )
-PROCESS_ENDS = ("kill", "power", "term", "closing", "new")  # faults that last until the machine's process starts again
-INCARNATION_ENDS = (*PROCESS_ENDS, "gone")  # faults that end a process
+# Faults that last until the machine's process starts again. "closing" is a fleet outage, "new" the time until a
+# replacement core machine starts.
+PROCESS_ENDS = ("kill", "power", "term", "closing", "new")
+INCARNATION_ENDS = (*PROCESS_ENDS, "gone")  # faults that end a process; "gone" is the removal of a machine for good
 POSSIBLY_IN_FORCE_CODES = (200, 0, None)  # acknowledged, without a clear answer, or without any answer yet
 
 Row = dict[str, typing.Any]
--- a/simulation/rules/routing.py
+++ b/simulation/rules/routing.py
@@ -115,11 +115,11 @@
 
 
 class _Arrivals:
-    """When clients sent requests for a service (`firsts`), and when a request reached a worker again (`repeats`)."""
+    """When clients sent requests for a service, and when requests reached a worker again."""
 
     def __init__(self) -> None:
-        self.firsts: list[int] = []
-        self.repeats: list[int] = []
+        self.firsts: list[int] = []  # when a client sent an attempt, once for each attempt
+        self.repeats: list[int] = []  # arrivals of an attempt at workers after its first arrival
 
     def count_firsts(self, begin: int, end: int) -> int:
         """How many requests clients sent in a time span, of which both ends belong to it."""
@@ -129,8 +129,8 @@
 def budget(log: event_log.Log) -> Complaints:
     """Complain where a service got more repeated requests within a window than its retry budget allows.
 
-    The budget goes by the number of requests in the same window, or in one half a window or a window before,
-    whichever is larger.
+    The budget depends on the number of requests in the same window, in the one that ends half a window earlier, or in
+    the one that ends a whole window earlier, whichever is largest. Each service yields at most one complaint.
     """
     window = log.bounds["retry_window"]
     for pool, arrivals in sorted(_arrivals(log).items()):
--- a/simulation/rules/tallies.py
+++ b/simulation/rules/tallies.py
@@ -102,10 +102,10 @@
         )
 
     def _is_excused(self, acknowledgement: Acknowledgement) -> bool:
-        """Whether an add may be lost.
+        """Whether the loss of an acknowledged add breaks no rule.
 
-        It may where its machine was behind a network cut when it acknowledged the add, and lost its disk before the
-        merge time after the end of the cut had passed.
+        It breaks none where the machine that acknowledged the add was behind a network cut at that time, and lost its
+        disk before the merge time after the end of the cut had passed.
         """
         healed_at = self.log.cut_off_until(acknowledgement.machine, acknowledgement.at)
         if healed_at is None:
