--- a/simulation/rules/answers.py
+++ b/simulation/rules/answers.py
@@ -1,6 +1,7 @@
 """The rules about answers, the HTTP responses: they belong to the request, and each stream is complete and in order.
 
-Further rules concern requests: they run at most once, and service recovers after a fleet outage.
+Further rules concern requests: one that must not be repeated runs at most once, none is lost because a node was stopped
+by SIGTERM, and service recovers after a fleet outage.
 
 Each public function checks the rule of its name and yields one complaint per violation. An attempt is one sending of a
 request by a client; a run is one execution of an attempt at a worker, which marks its response with a unique seal.
