--- a/simulation/site/configurations.py
+++ b/simulation/site/configurations.py
@@ -21,10 +21,12 @@
 
     from simulation.site import site
 
-FIRST_IDLE_ROUTES = 3
+FIRST_IDLE_ROUTES = 3  # number of idle routes in the first configuration
 IDLE_HOST = "idle.example"
 IDLE_NAME_PREFIX = "r-idle"
-BOUND_VALUES = (16384, 4194304, 3000, 15000)  # in the order of `platform_names.BOUNDS`
+# Bytes of headers, bytes of a body, and milliseconds until headers end and until an idle connection is closed, in the
+# order of `platform_names.BOUNDS`.
+BOUND_VALUES = (16384, 4194304, 3000, 15000)
 ROUTE_CHECK_WAITS_MS = (300, 700, 1_100, 900)  # waiting time before each check of the changed routes
 UNKNOWN_PATH = "/never/"  # has a route in no configuration
 INVALID_TIMEOUT_S = 15  # for which an operator retries an invalid configuration without a clear answer
@@ -62,8 +64,8 @@
         self.site = deployment
         self.document: Document = {}
         self.version = 0
-        self.idle_routes = 0  # how many idle routes were ever added
-        self.direct_requests = 0
+        self.idle_routes = 0  # number of idle routes that were added so far
+        self.direct_requests = 0  # number of requests that `check_routes` sent so far
 
     # ---- documents ----------------------------------------------------------------------
 
--- a/simulation/site/days.py
+++ b/simulation/site/days.py
@@ -126,7 +126,7 @@
 
 
 def release_all(deployment: site.Site) -> None:
-    """All workers are replaced one after the other, and the addresses of ended ones are reused."""
+    """All workers are replaced one after the other; replacements get addresses of workers that have ended."""
     deployment.advance(2)
     hosts: list[str] = []
     for name in deployment.live_workers():
@@ -154,22 +154,22 @@
 
 
 def garble(deployment: site.Site) -> None:
-    """Workers send bytes that are no HTTP response."""
+    """Workers send bytes that are no HTTP answer."""
     _make_workers_unhealthy(deployment, garble=0.05)
 
 
 def surplus(deployment: site.Site) -> None:
-    """Workers send surplus bytes after a complete response, at once or in place of the next response."""
+    """Workers send a second answer after a complete one, at once or later, when the next answer may be expected."""
     _make_workers_unhealthy(deployment, surplus=0.1, late=0.1)
 
 
 def answers_lost(deployment: site.Site) -> None:
-    """Workers run requests and lose the responses."""
+    """Workers run requests, and reset the connection instead of sending the last event or the whole answer."""
     _make_workers_unhealthy(deployment, lost=0.05)
 
 
 def broken_off(deployment: site.Site) -> None:
-    """Workers close streams before their end."""
+    """Workers reset the connection within an answer, after a part of an event or of the body."""
     _make_workers_unhealthy(deployment, **{"break": 0.05})
 
 
@@ -240,7 +240,7 @@
 
 
 def freeze(deployment: site.Site) -> None:
-    """A node's process and then a core machine's freeze for some seconds."""
+    """A node's process freezes for some seconds, and then that of a core machine."""
     deployment.advance(3)
     deployment.faults.freeze(choose_one(deployment, deployment.nodes), 4)
     deployment.advance(3)
--- a/simulation/site/drawn_day.py
+++ b/simulation/site/drawn_day.py
@@ -17,12 +17,12 @@
 DAY_S = 24  # duration of the day up to a fleet outage
 FIRST_FAULT_S, FAULTS_S = 1.5, 14  # faults begin within 14 s after the first 1.5 s
 CHANGE_TIMES_S = (3, 9, 20)  # times of changes of the configuration
-FAULT_GAP_S = 11  # after the beginning of a machine's fault, until it may get another
+FAULT_GAP_S = 11  # time from the beginning of a machine's fault until it may get another
 RAISED_LOAD_S = 4  # duration of a raised load
 OUTAGE_SHARE = 0.5  # share of the days that end with a fleet outage
 AFTER_OUTAGE_S = 18  # duration of the traffic after a fleet outage
-DISK_STATES: tuple[faults.DiskState, ...] = ("slow", "full", "stalled")  # in the order that random choices depend on
-FEWEST_WORKERS = 2  # live workers that a crash must leave
+DISK_STATES: tuple[faults.DiskState, ...] = ("slow", "full", "stalled")  # the order affects random choices
+FEWEST_WORKERS = 2  # number of live workers up to which no worker is crashed
 
 Action = collections.abc.Callable[[], object]
 ActionOnMachine = collections.abc.Callable[[str], object]
@@ -76,7 +76,7 @@
     # ---- faults -------------------------------------------------------------------------
 
     def core_faults(self) -> list[ActionOnMachine]:
-        """The faults that may strike a core machine."""
+        """The faults that a core machine may have, each as an action that takes the machine's name."""
         return [
             lambda name: self.faults.kill(name, 3),
             lambda name: self.faults.power_off(name, 3),
@@ -89,7 +89,7 @@
         ]
 
     def node_faults(self) -> list[Action]:
-        """The faults that may strike nodes."""
+        """The faults that nodes may have."""
         nodes = self.site.nodes
         return [
             lambda: self.on_random_machine(nodes, lambda name: self.faults.kill(name, 3)),
--- a/simulation/site/faults.py
+++ b/simulation/site/faults.py
@@ -22,18 +22,15 @@
 
 EXTERNAL_ZONE = "far"  # zone of clients and operators, outside the fleet's zones
 TERMINATION_GRACE_S = 8.0  # from SIGTERM to SIGKILL
-TERMINATION_DOWN_S = 0.5  # from the end of a terminated process to its next start
+TERMINATION_DOWN_S = 0.5  # time from the end of a terminated process to its next start
 REPLACEMENT_DELAY_S = 1  # until the replacement of a core machine starts
-LISTED_S = 3.0  # for which the platform still lists a crashed worker
+LISTED_S = 3.0  # time for which the platform still lists a crashed worker
 DEFAULT_DRAIN_MS = 3000  # drain deadline of deployments whose bounds name none
-WORKER_DRAIN_SLACK_S = 1  # for which a draining worker runs on after the drain deadline
+WORKER_DRAIN_SLACK_S = 1  # time for which a draining worker runs on after the drain deadline
 
 FleetOutage = typing.Literal["kill_all", "power_off_all", "wipe"]
-FLEET_OUTAGES: tuple[FleetOutage, ...] = (
-    "kill_all",
-    "power_off_all",
-    "wipe",
-)  # in the order that random choices depend on
+# The order affects random choices.
+FLEET_OUTAGES: tuple[FleetOutage, ...] = ("kill_all", "power_off_all", "wipe")
 DiskState = typing.Literal["slow", "full", "stalled"]
 
 log = loguru.logger.bind(part="site")
@@ -176,7 +173,7 @@
         return new
 
     def cause_fleet_outage(self, how: FleetOutage, down: float, wiped_count: int = 1) -> None:
-        """Strike all nodes and core machines at the same time.
+        """Cause a fault of all nodes and core machines at the same time.
 
         Args:
             how: "kill_all" kills every process, "power_off_all" cuts the power of every machine, and "wipe" also wipes
--- a/simulation/site/settings_files.py
+++ b/simulation/site/settings_files.py
@@ -75,7 +75,7 @@
 
 
 def rule_bounds(shape: shapes.Shape) -> dict[str, int | float]:
-    """The bounds that the rules in `platform_rules` check, in microseconds where they are times."""
+    """The bounds that the rules check, by the names in `simulation.rules.log.BOUNDS`; times are in microseconds."""
     settings = bounds(shape)
     return dict(
         contact=settings["contact_ms"] * units.MILLISECOND_US,
--- a/simulation/site/site.py
+++ b/simulation/site/site.py
@@ -31,7 +31,7 @@
 from simulation.site import applications, configurations, faults, settings_files, shapes, zone_faults
 from simulation.workers import cold_start, listing
 
-CORE_LIST_LAG_US = 3 * units.SECOND_US  # until operators see that a core machine was added or removed
+CORE_LIST_LAG_US = 3 * units.SECOND_US  # time until operators see that a core machine was added or removed
 EXTERNAL_ZONE = "far"  # zone of clients and operators, outside the fleet's zones
 CLIENTS_PER_ZONE = 11
 READINESS_CONNECTIONS = 64
@@ -47,7 +47,7 @@
 
 
 class CoreMembershipChange(typing.NamedTuple):
-    """When a core machine was added or removed, and its name."""
+    """When a core machine was added or removed, in microseconds, and its name."""
 
     at_us: int
     name: str
--- a/simulation/site/split_days.py
+++ b/simulation/site/split_days.py
@@ -23,7 +23,7 @@
 BURST_FACTOR, BURST_S = 1.5, 5  # multiple of the usual request rate, and its duration
 EVACUATED_S = 8  # duration of an evacuation
 TALLY_DOWN_S, TALLY_LOSS_GAP_S = 2, 3.5  # downtime of a lost core machine, and time from one loss to the next
-ACKNOWLEDGED_LOSS_S = 0.004  # within which a core machine is lost after it acknowledged an add
+ACKNOWLEDGED_LOSS_S = 0.004  # longest time from a core machine's acknowledgement of an add to its loss
 
 log = loguru.logger.bind(part="site")
 
--- a/simulation/site/split_drawn_day.py
+++ b/simulation/site/split_drawn_day.py
@@ -36,7 +36,7 @@
         return self.rng.choice(self.site.shape.zones())
 
     def zone_faults(self) -> list[drawn_day.Action]:
-        """The faults that may strike a zone."""
+        """The faults that a zone may have, all with the same random duration."""
         site_zone_faults = self.site.zone_faults
         seconds = self.rng.uniform(*ZONE_FAULT_S)
         return [
--- a/simulation/site/zone_faults.py
+++ b/simulation/site/zone_faults.py
@@ -17,8 +17,8 @@
     from simulation import world
     from simulation.site import site
 
-OVERRUN_DOWN_S = 4.0  # until a worker starts again that crashed from overload while cold
-RETURN_SPREAD_S = 1.5  # within which the processes of a zone start again after its power is back
+OVERRUN_DOWN_S = 4.0  # downtime of a worker that crashed from overload while cold
+RETURN_SPREAD_S = 1.5  # longest time from the return of a zone's power to the start of a process in it
 
 CutKind = typing.Literal["silent", "refuse", "reset"]
 CUT_KINDS: tuple[CutKind, ...] = ("silent", "refuse", "reset")
