--- a/simulation/host_model.py
+++ b/simulation/host_model.py
@@ -23,13 +23,13 @@
     def __init__(self, simulated_world: world.World, address: str, zone: str) -> None:
         self.world, self.address, self.zone = simulated_world, address, zone
         self.power = True
-        self.synced: dict[bytes, bytes] = {}
+        self.synced: dict[bytes, bytes] = {}  # records on the disk, by key
         self.disk_condition: DiskCondition = "ok"
         self.slow_disk_delay_us = 400_000  # extra time of each sync on a slow disk
         self.time_of_day_error = 0  # microseconds by which the time of day is ahead of the simulation's time
         self.stalled_writes: collections.deque[world.Callback] = collections.deque()  # held back by a stalled disk
         self.power_loss_step: WriteStep | None = None  # step of the next write at which power fails
-        self.power_lost_at_step: WriteStep | None = None
+        self.power_lost_at_step: WriteStep | None = None  # step at which power has failed
         simulated_world.machines[address] = self
 
     def fail(self) -> None:
--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -166,6 +166,7 @@
         self.step_timer: scheduler.Timer | None = None
         self.stopped = False
         self.load_history: collections.deque[TimedLoad] = collections.deque([TimedLoad(0, Load(0, 0, 0))])
+        # Totals: tokens prefilled, those among the admitted tokens that were prefilled before, steps, and preemptions.
         self.prefilled = self.prefilled_again = self.steps = self.preemptions = 0
         self.prefilled_parts: set[str] = set()  # parts that any engine of the site has prefilled
 
--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -208,6 +208,7 @@
     """The transport of one side of a connection.
 
     Data arrives in order. It is held back while the network is cut. A kill of the process resets the connection.
+    `own_protocol` is the protocol of this side, and `peer` the transport of the other side.
     """
 
     disconnecting = False
--- a/simulation/simulated_cluster.py
+++ b/simulation/simulated_cluster.py
@@ -93,7 +93,7 @@
         self.zones = zones or self.zones
         example = pathlib.Path(fleet.EXAMPLES, name)
         self.configuration: dict[str, typing.Any] = configuration or json.loads(example.read_text())
-        self.rates = (long_rate, short_rate, conversations)
+        self.rates = (long_rate, short_rate, conversations)  # last arguments of `load_generator.LoadMix`
         self.seconds = seconds
         self.core_count, self.extra_options = cores, extra_options
         self.cores: dict[str, server_model.SimulatedCore] = {}
@@ -293,7 +293,7 @@
         return None
 
     def assigned_owners(self) -> set[str]:
-        """The nodes that own a pool or hold copies of its records, according to the newest membership."""
+        """The nodes that own a pool or hold a replica of one, according to the newest membership."""
         memberships = (each.follower.membership for each in self.nodes.values())
         newest = max(memberships, key=lambda membership: membership.version)
         return {
--- a/simulation/world.py
+++ b/simulation/world.py
@@ -71,7 +71,7 @@
         self.refused_zone_links: set[tuple[str, str]] = set()  # those in `zone_cuts` that refuse connections at once
         self.extra_delay_us: dict[str, int] = {}  # host -> extra delay of its packets in each direction
         self.loss_share: dict[str, float] = {}  # host -> share of its packets that are lost and sent again
-        # Whether written data is sent only after the current event, and is lost if the process ends in that event.
+        # Whether data that a process writes is sent only after the current event, and lost if the process ends in it.
         self.sends_writes_after_turn = False
         self.connections: dict[int, network_model.SimulatedConnection] = {}  # by identifier, in the order opened
         self.next_connection = 0
@@ -168,8 +168,8 @@
         """Cut the network between two groups of hosts.
 
         Args:
-            some: The hosts whose packets to `others` are not delivered.
-            others: The hosts that no longer receive packets from `some`.
+            some: The first group; packets from it to `others` are not delivered.
+            others: The second group.
             both: Whether packets from `others` to `some` are not delivered either.
         """
         for sender in some:
