--- a/simulation/rules/earned_value.py
+++ b/simulation/rules/earned_value.py
@@ -88,6 +88,7 @@
     0
     """
     log = event_log.Log(rows)
+    # Of each group, `owed` is the value of its requests if all were served in time, and `earned` what they earned.
     waits: collections.defaultdict[str, list[int]] = collections.defaultdict(list)
     totals: collections.defaultdict[str, Totals] = collections.defaultdict(
         lambda: dict(asked=0, in_aim=0, late=0, none=0, earned=0.0, owed=0.0)
--- a/simulation/rules/log.py
+++ b/simulation/rules/log.py
@@ -228,6 +228,7 @@
         return not self.cuts.cuts or self.cuts.has_path(self.zones[name], self.zones[other], begin, end)
 
     def _is_removed(self, name: str, begin: int, end: int) -> bool:
+        """Whether a machine was removed, or its process was ended by SIGTERM, throughout a time span."""
         return any(fault.what in ("gone", "term") and fault.covers(begin, end) for fault in self.faults[name])
 
     def is_connected_to_core(self, name: str, at: int) -> bool:
