--- a/simulation/inference_engine.py
+++ b/simulation/inference_engine.py
@@ -154,19 +154,19 @@
         self.parameters = parameters or EngineParameters()
         self.waiting: list[Job] = []  # sorted by rank
         self.running: list[Job] = []  # in the order of admission
-        self.entering = 0
+        self.entering = 0  # number of accepted requests that are not yet in the queue
         self.cached: collections.OrderedDict[str, CachedPart] = (
             collections.OrderedDict()
         )  # the least recently used first
-        self.cached_tokens = 0
+        self.cached_tokens = 0  # tokens of all cached parts
         self.evictable_tokens = 0  # tokens of cached parts that no request references
-        self.private_tokens = 0
-        self.context_tokens = 0
+        self.private_tokens = 0  # tokens in the KV cache that only one request uses
+        self.context_tokens = 0  # prompt and decoded tokens of all requests of the batch
         self.offered_count = 0
         self.step_timer: scheduler.Timer | None = None
         self.stopped = False
         self.load_history: collections.deque[TimedLoad] = collections.deque([TimedLoad(0, Load(0, 0, 0))])
-        # Totals: tokens prefilled, those among the admitted tokens that were prefilled before, steps, and preemptions.
+        # Totals: tokens prefilled, tokens of admitted requests that were prefilled before, steps, and preemptions.
         self.prefilled = self.prefilled_again = self.steps = self.preemptions = 0
         self.prefilled_parts: set[str] = set()  # parts that any engine of the site has prefilled
 
--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -219,17 +219,17 @@
         self.peer: ConnectionSide
         self.own_protocol: protocol.Protocol | None = None
         self.state: typing.Literal["open", "closed"] = "open"
-        self.aborted = False
+        self.aborted = False  # whether this side was closed by other means than an orderly end of the stream
         self.outgoing: list[Segment] = []  # segments written but not yet sent
-        self.last_number = 0
+        self.last_number = 0  # number of the last segment that was queued for sending
         self.out_of_order: dict[int, bytes | None] = {}  # segment number -> data that arrived before an earlier segment
-        self.expected_number = 1
+        self.expected_number = 1  # number of the next segment to put into the inbox
         self.bytes_in_flight = 0  # written here and not yet read by the peer
-        self.last_arrival_at = 0
-        self.inbox: collections.deque[bytes | None] = collections.deque()
-        self.paused = False
+        self.last_arrival_at = 0  # when the last segment sent arrives at the peer; later ones arrive no earlier
+        self.inbox: collections.deque[bytes | None] = collections.deque()  # data not yet delivered; None for the end
+        self.paused = False  # whether the protocol has paused the delivery of data to it
         self.producer: Producer | None = None
-        self.streaming = False
+        self.streaming = False  # whether the producer is a push producer
         self.producer_paused = False
 
     # ---- transport ------------------------------------------------------------
