--- a/simulation/clients/client.py
+++ b/simulation/clients/client.py
@@ -22,13 +22,13 @@
 NOT_RUN_STATUSES = (408, 421, 429, 503)  # the request was not and will not be executed
 FINAL_STATUSES = (400, 401, 404, 413, 431)  # errors that no retry can resolve
 EAGER_RETRY_FACTOR = 3  # factor on the retries of a client that retries eagerly
-RETRY_WAIT_US = 50 * units.MILLISECOND_US  # if the answer has no Retry-After header
+RETRY_WAIT_US = 50 * units.MILLISECOND_US  # wait before a retry if the answer has no Retry-After header
 EAGER_RETRY_WAIT_US = 1
 DEADLINE_SLACK_US = 50 * units.MILLISECOND_US  # time after the deadline for which a client still waits
 IDLE_MARGIN_US = 200 * units.MILLISECOND_US  # least remaining idle time of a connection that is reused
 MAX_BODY_BYTES = 200_000
-LOGGED_BYTES = 80  # of unexpected data
-LOGGED_TEXT = 120  # bytes of the body of an error
+LOGGED_BYTES = 80  # bytes of unexpected data that are logged
+LOGGED_TEXT = 120  # bytes of an error's body that are logged
 NEVER_US = 10**12  # a time-out that is never reached
 
 Headers = list[tuple[str, str]]
@@ -38,7 +38,7 @@
 
 
 class HotKey(typing.NamedTuple):
-    """A popular prompt: the share of requests of a kind whose prompt parts are all the first variant."""
+    """A popular prompt: the share of requests of a kind whose shared prompt parts are all the first variant."""
 
     kind: str
     share: float
@@ -70,7 +70,7 @@
         request: The request.
         identifier: The random id of this attempt.
         number: The number of earlier attempts.
-        after: The number of the last event received so far, after which a stream is resumed.
+        after: The number of the last event received so far, after which a stream is resumed; 0 for none.
         started_at: The time at which the attempt began, in microseconds.
     """
 
--- a/simulation/clients/control_call.py
+++ b/simulation/clients/control_call.py
@@ -1,4 +1,4 @@
-"""HTTP calls from operators and applications to the control addresses of cores."""
+"""HTTP calls from operators and applications to the control addresses of core machines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 if typing.TYPE_CHECKING:
     from iriswheel.runtime import scheduler
 
-MAX_MACHINES_PER_CALL = 3  # number of machines that one call tries, redirects included
+MAX_MACHINES_PER_CALL = 3  # number of core machines that one call tries, targets of redirects included
 CONNECT_TIMEOUT_US = units.SECOND_US
 ANSWER_TIMEOUT_US = units.SECOND_US
 ANSWER_TIMEOUT_PER_BYTE_US = 5  # added for each byte of the request body
@@ -61,7 +61,7 @@
 
 
 async def send(runtime: scheduler.Runtime, call: Call, address: Address) -> Answer:
-    """Call one core, and follow its redirects to other cores."""
+    """Call one core machine, and follow its redirects to other core machines."""
     was_sent = False
     for _ in range(MAX_MACHINES_PER_CALL):
         host = address[0]
--- a/simulation/clients/operator.py
+++ b/simulation/clients/operator.py
@@ -20,7 +20,7 @@
 DEFINITE_ERRORS = (400, 409, 412, 413, 422)  # statuses that mean the change was definitely not made
 TEMPORARY_ERRORS = (408, 429)
 MAX_UNEXPECTED_ERRORS = 3  # number of other 4xx answers after which an operator gives up
-LOGGED_BYTES = 200  # of an answer's body
+LOGGED_BYTES = 200  # bytes of an answer's body that are logged
 
 Document = dict[str, typing.Any]
 Hook = collections.abc.Callable[[], object]
@@ -46,7 +46,7 @@
         addresses: collections.abc.Callable[[], list[control_call.Address]],
         name: str,
     ) -> None:
-        """Create an operator who calls the control addresses of cores that `addresses` returns."""
+        """Create an operator who calls the control addresses of core machines that `addresses` returns."""
         self.runtime, self.event_log, self.addresses, self.name = runtime, event_log, addresses, name
         self.change_count = 0
         self.order_count = 0
@@ -61,7 +61,7 @@
     async def call_until_definite(
         self, call: control_call.Call, seconds: float = 60, send: str = ""
     ) -> control_call.Answer:
-        """Call one core after the other until an answer is definite or the time is up.
+        """Call one core machine after the other until an answer is definite or the time is up.
 
         Args:
             call: The call to send.
@@ -102,13 +102,13 @@
     # ---- changes ------------------------------------------------------------------------
 
     async def put(self, document: Document, base: int, valid: bool = True, seconds: float = 60) -> int:
-        """Replace the configuration of version `base`: the status, or 0 without a definite answer."""
+        """Replace the configuration of version `base`; returns the status, or 0 without a definite answer."""
         return await self._send("PUT", document, document, base, valid=valid, seconds=seconds)
 
     async def patch(
         self, change: Document, document: Document, base: int, valid: bool = True, seconds: float = 60
     ) -> int:
-        """Send a patch that turns version `base` into `document`: the status, or 0 without a definite answer."""
+        """Patch version `base`, which becomes `document`; returns the status, or 0 without a definite answer."""
         return await self._send("PATCH", change, document, base, valid=valid, seconds=seconds)
 
     async def _send(
@@ -129,7 +129,7 @@
         return status
 
     async def order_evacuation(self, zone: str, *, begins: bool, seconds: float) -> int:
-        """Order or cancel the evacuation of a zone: the status, or 0 without a definite answer."""
+        """Order or end the evacuation of a zone; returns the status, or 0 without a definite answer."""
         self.order_count += 1
         fields = dict(zone=zone, begins=begins, send=f"{self.name}-order-{self.order_count}")
         self.event_log.put(self.runtime.now(), "evacuation_sent", **fields)
--- a/simulation/clients/tally_caller.py
+++ b/simulation/clients/tally_caller.py
@@ -1,4 +1,7 @@
-"""Simulated applications that add to tallies and read them at the control addresses, the nearest one first."""
+"""Simulated applications that add to tallies, which are replicated counters, and read them.
+
+They call the control addresses of core machines, the nearest one first.
+"""
 
 from __future__ import annotations
 
--- a/simulation/clients/virtual_address.py
+++ b/simulation/clients/virtual_address.py
@@ -92,7 +92,8 @@
         """Pick the node for a new connection: its name and address.
 
         Args:
-            zone: The client's zone; a node of another zone is picked only if this one has no ready node.
+            zone: The client's zone; a node of another zone is picked only if this one has no ready node, and any node
+                if no zone has one.
             client: The client's name, whose hash selects the first node to try.
             attempts: The number of earlier attempts; each one moves on to the next node.
         """
--- a/simulation/workers/cold_start.py
+++ b/simulation/workers/cold_start.py
@@ -8,7 +8,7 @@
 from iriswheel.runtime import units
 
 WINDOW_US = units.SECOND_US  # window in which requests are counted
-COLLAPSE_FACTOR = 1.5  # a cold worker crashes above this multiple of the allowed requests
+COLLAPSE_FACTOR = 1.5  # multiple of the allowed requests above which a cold worker crashes
 
 
 class ColdBounds(typing.NamedTuple):
--- a/simulation/workers/listing.py
+++ b/simulation/workers/listing.py
@@ -99,12 +99,12 @@
             request.reply_json(200, self.page_of(dict(urllib.parse.parse_qsl(request.query))))
 
     def seen_rows(self) -> Rows:
-        """The list as it was one lag ago."""
+        """The list that answers show: as it was `lag_us` ago."""
         then = self.runtime.now() - self.lag_us
         return next((former.rows for former in reversed(self.history) if former.since <= then), self.history[0].rows)
 
     def _timed_row(self, rows: Rows, identifier: str) -> list[tuple[str, typing.Any]]:
-        """The fields of a worker, with its remaining warm-up time as it was one lag ago."""
+        """The fields of a worker, with its remaining warm-up time as it was `lag_us` ago."""
         row = rows[identifier]
         if identifier not in self.cold_until:
             return list(row.items())
--- a/simulation/workers/worker.py
+++ b/simulation/workers/worker.py
@@ -21,7 +21,7 @@
 IDLE_US = 5 * units.SECOND_US  # default idle time-out of connections
 MAX_PADDING_BYTES = 2000  # of an answer that is not a stream
 MIN_LATE_US, LATE_SPREAD_US = 5 * units.MILLISECOND_US, 400 * units.MILLISECOND_US  # delay of a second answer
-EVENTS_BEFORE_BREAK = 2  # the last of which is sent in part
+EVENTS_BEFORE_BREAK = 2  # number of the event after a part of which the fault "break" resets the connection
 LAST_CHUNK = b"0\r\n\r\n"
 
 Headers = list[tuple[str, str]]
@@ -42,15 +42,15 @@
         self.request, self.attempt, self.seal, self.fault = request, attempt, seal, fault
         counts = request.header(platform_names.HEADERS["tokens"])
         self.is_stream = bool(counts)
-        self.token_counts = counts
-        self.started = False
+        self.token_counts = counts  # header with the numbers of prompt tokens and answer tokens; None if not a stream
+        self.started = False  # whether the first token was decoded
         self.is_over = False
         self.close = False  # whether the connection is closed after the answer
         self.timer: scheduler.Timer | None = None  # fires at the deadline
         self.job: inference_engine.Job  # job of the engine; the worker sets it before it offers the job
-        self.events = 0
-        self.sent: list[bytes] = []
-        self.times: list[int] = []
+        self.events = 0  # number of events so far, those suppressed by a fault included
+        self.sent: list[bytes] = []  # the events, or the body of an answer that is not a stream
+        self.times: list[int] = []  # when each event was sent
 
     @property
     def connection(self) -> served_http.ServedConnection:
@@ -80,6 +80,8 @@
         close_share: The share of answers after which the connection is closed.
         linger_share: The share of requests that run on for LINGER_US after their connection is lost.
         cold: The state of the warm-up, or None if workers of the deployment have no warm-up.
+        leaving: Whether the worker is being replaced and closes each connection after an answer.
+        weights: The version of the model's weights; requests for another version are refused.
         on_overrun: Called once if the cold worker gets so many requests that it crashes.
     """
 
@@ -254,7 +256,7 @@
             collapse()
 
     def _refusal_code(self, request: served_http.ServedRequest, attempt: str) -> int:
-        """The status that refuses a request without an attempt id or for other weights or another instance; else 0."""
+        """The status that refuses a request without an attempt id, for other weights or another instance; else 0."""
         names = platform_names.HEADERS
         if not attempt:
             return 400
