--- a/simulation/rules/log.py
+++ b/simulation/rules/log.py
@@ -16,7 +16,7 @@
 # row `begun` of a log may name others.
 BOUNDS: dict[str, int | float] = dict(
     contact=3_000 * units.MILLISECOND_US,  # contact time: time without faults after which machines count as connected
-    drain=3_000 * units.MILLISECOND_US,  # from listing a worker as draining until no request may reach it
+    drain=3_000 * units.MILLISECOND_US,  # from listing a worker as draining or gone until no request may reach it
     grace=8 * units.SECOND_US,  # from SIGTERM until a process must have ended
     loss_slack=200 * units.MILLISECOND_US,  # from sending a request until the node has certainly read it
     apply=2_000 * units.MILLISECOND_US,  # from an acknowledgement until all connected nodes apply the version
@@ -24,7 +24,7 @@
     retry_ratio=0.2,  # repeats allowed per request within the retry window
     retry_window=10 * units.SECOND_US,  # span over which repeats and requests are counted
     retry_slack=52,  # repeats allowed within the retry window besides those of `retry_ratio`
-    recovery=12 * units.SECOND_US,  # from the restart of all processes after a fleet outage until service recovered
+    recovery=12 * units.SECOND_US,  # from the restart of all processes until service must have recovered
     late=120 * units.MILLISECOND_US,  # from sending an event at a worker to its arrival at the client
     ack=4 * units.SECOND_US,  # from sending a change or an evacuation order to its acknowledgement
     evacuate=5 * units.SECOND_US,  # from an order's acknowledgement until no request may reach the zone
