--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -219,7 +219,7 @@
         self.peer: ConnectionSide
         self.own_protocol: protocol.Protocol | None = None
         self.state: typing.Literal["open", "closed"] = "open"
-        self.aborted = False  # whether this side was closed by other means than an orderly end of the stream
+        self.aborted = False  # whether this side was closed with an error, so that its unsent data is dropped
         self.outgoing: list[Segment] = []  # segments written but not yet sent
         self.last_number = 0  # number of the last segment that was queued for sending
         self.out_of_order: dict[int, bytes | None] = {}  # segment number -> data that arrived before an earlier segment
