--- a/iriswheel/verification/session_checks.py
+++ b/iriswheel/verification/session_checks.py
@@ -163,7 +163,7 @@
 
 
 def may_open(log: event_log.EventLog, before: event_log.Row, run: event_log.Row) -> bool:
-    """Whether a run may open its conversation again: it is on another worker than the run before, or came too late."""
+    """Whether a run may open its conversation again: on another worker than the run before, or after its lifetime."""
     if before["worker"] != run["worker"]:
         return True
     quiet_us: int = run["at"] - before["at"]
