--- a/simulation/network_model.py
+++ b/simulation/network_model.py
@@ -138,12 +138,12 @@
         self.done = True
         if self.timeout.active():
             self.timeout.cancel()
-        peer_protocol = self.factory.buildProtocol(address.IPv4Address("TCP", self.host, self.port))
+        own_protocol = self.factory.buildProtocol(address.IPv4Address("TCP", self.host, self.port))
         connection = SimulatedConnection(self.world, self.process, far, self.port)
-        if peer_protocol is None:
+        if own_protocol is None:
             connection.sides[0].abortConnection()
             return
-        connection.sides[0].attach(peer_protocol)
+        connection.sides[0].attach(own_protocol)
         if far.alive:
             far.call(lambda: self._accept(far, connection.sides[1]))
         else:
@@ -208,6 +208,7 @@
     """The transport of one side of a connection.
 
     Data arrives in order. It is held back while the network is cut. A kill of the process resets the connection.
+    `own_protocol` is the protocol of this side, and `peer` the transport of the other side.
     """
 
     disconnecting = False
@@ -216,29 +217,29 @@
         self.connection, self.process, self.port = connection, process, port
         self.world = connection.world
         self.peer: ConnectionSide
-        self.peer_protocol: protocol.Protocol | None = None
+        self.own_protocol: protocol.Protocol | None = None
         self.state: typing.Literal["open", "closed"] = "open"
-        self.aborted = False
+        self.aborted = False  # whether this side was closed with an error, so that its unsent data is dropped
         self.outgoing: list[Segment] = []  # segments written but not yet sent
-        self.last_number = 0
+        self.last_number = 0  # number of the last segment that was queued for sending
         self.out_of_order: dict[int, bytes | None] = {}  # segment number -> data that arrived before an earlier segment
-        self.expected_number = 1
+        self.expected_number = 1  # number of the next segment to put into the inbox
         self.bytes_in_flight = 0  # written here and not yet read by the peer
-        self.last_arrival_at = 0
-        self.inbox: collections.deque[bytes | None] = collections.deque()
-        self.paused = False
+        self.last_arrival_at = 0  # when the last segment sent arrives at the peer; later ones arrive no earlier
+        self.inbox: collections.deque[bytes | None] = collections.deque()  # data not yet delivered; None for the end
+        self.paused = False  # whether the protocol has paused the delivery of data to it
         self.producer: Producer | None = None
-        self.streaming = False
+        self.streaming = False  # whether the producer is a push producer
         self.producer_paused = False
 
     # ---- transport ------------------------------------------------------------
 
-    def attach(self, peer_protocol: protocol.Protocol) -> None:
+    def attach(self, own_protocol: protocol.Protocol) -> None:
         """Connect the protocol of this side, and deliver what has already arrived."""
         if self.state == "closed":
             return
-        self.peer_protocol = peer_protocol
-        peer_protocol.makeConnection(self)
+        self.own_protocol = own_protocol
+        own_protocol.makeConnection(self)
         self.deliver()
 
     def getPeer(self) -> address.IPv4Address:
@@ -385,13 +386,13 @@
 
     def deliver(self) -> None:
         """Deliver what arrived to the protocol, unless the protocol has paused this transport."""
-        while self.inbox and self.peer_protocol is not None and self.state == "open" and not self.paused:
+        while self.inbox and self.own_protocol is not None and self.state == "open" and not self.paused:
             data = self.inbox.popleft()
             if data is None:
                 self.close(error.ConnectionDone())
                 return
             self.peer.acknowledge(len(data))
-            self.peer_protocol.dataReceived(data)
+            self.own_protocol.dataReceived(data)
 
     def acknowledge(self, size: int) -> None:
         """Note that the peer has read a number of bytes, and resume a paused producer if few bytes are left unread."""
@@ -432,8 +433,8 @@
             self.enqueue(None)
             self.flush()
         self.connection.forget()
-        if self.peer_protocol is not None and self.process.alive:
+        if self.own_protocol is not None and self.process.alive:
             if self.producer is not None:
                 self.producer.stopProducing()
                 self.producer = None
-            self.peer_protocol.connectionLost(failure.Failure(reason))
+            self.own_protocol.connectionLost(failure.Failure(reason))
--- a/simulation/rules/answers.py
+++ b/simulation/rules/answers.py
@@ -1,4 +1,7 @@
-"""The rules about responses: they belong to the request, requests run at most once, and streams are complete.
+"""The rules about answers, the HTTP responses: they belong to the request, and each stream is complete and in order.
+
+Further rules concern requests: one that must not be repeated runs at most once, none is lost because a node was stopped
+by SIGTERM, and service recovers after a fleet outage.
 
 Each public function checks the rule of its name and yields one complaint per violation. An attempt is one sending of a
 request by a client; a run is one execution of an attempt at a worker, which marks its response with a unique seal.
@@ -16,7 +19,7 @@
 
 NOT_RUN_CODES = (408, 421, 429, 503)  # statuses by which the platform promises that the request was not executed
 BROKEN_RUNS = ("garble", "broke", "lost")  # ends of runs whose response is garbled, broken off or missing
-RECOVERY_SHARE = 4  # service counts as available where at least one in so many requests is served
+MAX_REQUESTS_PER_SERVED = 4  # service counts as available where at least one of so many requests is served
 
 
 def _is_success(attempt: event_log.Row) -> bool:
@@ -89,8 +92,8 @@
     for name, attempt in log.attempts.items():
         if attempt["how"] != "closed" or attempt["done"] >= attempt["until"]:
             continue
-        went_on = any(not row["verdict"] for row in log.arrivals[name])
-        if not went_on and attempt["done"] - attempt["sent"] <= log.bounds["loss_slack"]:
+        reached_worker = any(not row["verdict"] for row in log.arrivals[name])
+        if not reached_worker and attempt["done"] - attempt["sent"] <= log.bounds["loss_slack"]:
             continue
         if any(end["how"] in (*BROKEN_RUNS, "expired") for end in log.run_ends[name]):
             continue
@@ -101,7 +104,10 @@
 
 
 def _is_lost_by(log: event_log.Log, name: str, attempt: event_log.Row, term_at: int) -> bool:
-    """Whether an attempt was lost by a SIGTERM alone, not by another fault or a run longer than the grace period."""
+    """Whether an attempt was lost by a SIGTERM alone.
+
+    It was not where another fault may have ended it, or where its run went on for more than half of the grace period.
+    """
     grace = log.bounds["grace"]
     if not term_at <= attempt["done"] <= term_at + grace + units.SECOND_US:
         return False
@@ -150,7 +156,7 @@
 
 
 def recover(log: event_log.Log) -> Complaints:
-    """Complain where too few requests are served once the time for recovery from a fleet outage is over."""
+    """Complain where too few requests are served once the time for recovery from a fleet outage (`closing`) is over."""
     answered = log.rows_by_kind["answered"]
     for closing in log.rows_by_kind["closing"]:
         before = [row for row in answered if row["at"] < closing["at"]]
@@ -162,4 +168,4 @@
 
 def _is_served(rows: event_log.Rows) -> bool:
     served: int = sum(row["ok"] for row in rows)
-    return RECOVERY_SHARE * served >= len(rows)
+    return MAX_REQUESTS_PER_SERVED * served >= len(rows)
--- a/simulation/rules/earned_value.py
+++ b/simulation/rules/earned_value.py
@@ -1,6 +1,6 @@
 """The value that a run earned: the numbers of requests served in time, late or not at all, and their worth.
 
-A request has an aim: the time limit for the first event of its response. Each kind of request has a value, and a
+A request has an aim: the time limit for the first event of its answer. Each kind of request has a value, and a
 smaller one for requests that are served late. The worth is the earned value as a share of the possible value.
 """
 
@@ -37,7 +37,7 @@
 
 
 def first_event(attempts: event_log.Rows) -> int:
-    """When the first event of a served request reached the client, or its whole response where it has no events.
+    """When the first event of a served request reached the client, or its whole answer where it has no events.
 
     >>> first_event([dict(events=[], done=7)])
     7
@@ -88,6 +88,7 @@
     0
     """
     log = event_log.Log(rows)
+    # Of each group, `owed` is the value of its requests if all were served in time, and `earned` what they earned.
     waits: collections.defaultdict[str, list[int]] = collections.defaultdict(list)
     totals: collections.defaultdict[str, Totals] = collections.defaultdict(
         lambda: dict(asked=0, in_aim=0, late=0, none=0, earned=0.0, owed=0.0)
--- a/simulation/site/split_days.py
+++ b/simulation/site/split_days.py
@@ -23,7 +23,7 @@
 BURST_FACTOR, BURST_S = 1.5, 5  # multiple of the usual request rate, and its duration
 EVACUATED_S = 8  # duration of an evacuation
 TALLY_DOWN_S, TALLY_LOSS_GAP_S = 2, 3.5  # downtime of a lost core machine, and time from one loss to the next
-ACKNOWLEDGED_LOSS_S = 0.004  # within which a core machine is lost after it acknowledged an add
+ACKNOWLEDGED_LOSS_S = 0.004  # longest time from a core machine's acknowledgement of an add to its loss
 
 log = loguru.logger.bind(part="site")
 
@@ -134,13 +134,13 @@
 
 
 def _lose_acknowledging_machine(deployment: site.Site) -> None:
-    strike = deployment.rng.choice([deployment.faults.kill, deployment.faults.power_off])
+    cause_fault = deployment.rng.choice([deployment.faults.kill, deployment.faults.power_off])
     wait = deployment.rng.uniform(0, ACKNOWLEDGED_LOSS_S)
 
     def lose(host: str) -> None:
         for name in sorted(deployment.cores):
             if deployment.places[name].host == host:
-                deployment.schedule(wait, strike, name, TALLY_DOWN_S)
+                deployment.schedule(wait, cause_fault, name, TALLY_DOWN_S)
 
     deployment.rng.choice(deployment.applications.callers).on_acknowledged.append(lose)
 
