--- a/simulation/state_search/cluster_model.py
+++ b/simulation/state_search/cluster_model.py
@@ -142,31 +142,31 @@
     return World(tuple(replace(core, record=record) for core in machines), limits, views=(view,))
 
 
-def spend(world: World, name: str) -> World | None:
+def consume_limit(world: World, name: str) -> World | None:
     """The state with one event of a kind used up, or None where none is left.
 
-    >>> spend(start(3, Limits(crashes=0)), "crashes") is None
+    >>> consume_limit(start(3, Limits(crashes=0)), "crashes") is None
     True
     """
     left = getattr(world.limits, name)
     return replace(world, limits=replace(world.limits, **{name: left - 1})) if left else None
 
 
-def put(world: World, core: Core) -> World:
+def with_core(world: World, core: Core) -> World:
     """The state with one core replaced."""
     cores = list(world.cores)
     cores[core.index] = core
     return replace(world, cores=tuple(cores))
 
 
-def add(items: tuple[Item, ...], item: Item) -> tuple[Item, ...]:
+def with_item(items: tuple[Item, ...], item: Item) -> tuple[Item, ...]:
     """A sorted tuple with one more item, kept once."""
     if item in items:
         return items
     return tuple(sorted((*items, item), key=msgspec.msgpack.encode))
 
 
-def by_identifier(world: World, identifier: str) -> Core | None:
+def core_by_identifier(world: World, identifier: str) -> Core | None:
     """The core with an identity, or None."""
     return next((core for core in world.cores if core.identifier == identifier), None)
 
@@ -180,7 +180,7 @@
     joining_members.sort(key=lambda voter: voter.id)
     states = {}
     for identifier in known:
-        core = by_identifier(world, identifier)
+        core = core_by_identifier(world, identifier)
         if core is None or not core.reachable:
             states[identifier] = decisions.VoterState(True, True)
         else:
@@ -195,12 +195,12 @@
     )
 
 
-def live(world: World) -> dict[str, str]:
+def live_cores(world: World) -> dict[str, str]:
     """The cores that can be members of a chain, with their incarnations."""
     return {core.identifier: core.incarnation for core in world.cores if core.reachable and not core.leaving}
 
 
-def departing(world: World) -> dict[str, str]:
+def departing_cores(world: World) -> dict[str, str]:
     """The cores that leave and are not down yet, with their incarnations."""
     return {core.identifier: core.incarnation for core in world.cores if core.reachable and core.leaving}
 
@@ -215,9 +215,9 @@
     if not core.reachable or not decisions.is_voter(core.record, core.identifier):
         return False
     view = core.view
-    alive, voters = live(world), wanted_voters(world, core)
-    if view_formation.is_handing_over(view, alive, departing(world), synced_in(world, view.number)):
-        alive, voters = alive | departing(world), view.voters
+    alive, voters = live_cores(world), wanted_voters(world, core)
+    if view_formation.is_handing_over(view, alive, departing_cores(world), synced_in(world, view.number)):
+        alive, voters = alive | departing_cores(world), view.voters
     voter_ids = [voter.id for voter in view.voters if voter.id in alive]
     if len(voter_ids) < decisions.majority(len(view.voters)):
         return False
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -29,8 +29,8 @@
     record, answer = decisions.promise(core.record, replica, core.holder, request)
     if not answer.ok:
         return world
-    world = cluster_model.put(world, replace(core, record=record, supporters=()))
-    return replace(world, promises=cluster_model.add(world.promises, (request.number, answer)))
+    world = cluster_model.with_core(world, replace(core, record=record, supporters=()))
+    return replace(world, promises=cluster_model.with_item(world.promises, (request.number, answer)))
 
 
 def receive_accept(
@@ -40,9 +40,9 @@
     record, answer = decisions.accept(core.record, core.identifier, request)
     if not answer.ok:
         return world
-    world = cluster_model.put(world, replace(core, record=record))
+    world = cluster_model.with_core(world, replace(core, record=record))
     world = replace(
-        world, accepted=cluster_model.add(world.accepted, (request.ballot, request.view.number, core.identifier))
+        world, accepted=cluster_model.with_item(world.accepted, (request.ballot, request.view.number, core.identifier))
     )
     check_chosen(world, core.view, request)
     return world
@@ -78,14 +78,14 @@
     record = decisions.adopt(core.record, core.identifier, view)
     if record is core.record:
         return world
-    world = cluster_model.put(world, replace(core, record=record, supporters=(), proposal=None))
-    return replace(world, views=cluster_model.add(world.views, view))
+    world = cluster_model.with_core(world, replace(core, record=record, supporters=(), proposal=None))
+    return replace(world, views=cluster_model.with_item(world.views, view))
 
 
 def proposing(world: cluster_model.World) -> Transitions:
     """Start proposals: the proposer answers its own Prepare at once."""
     for core in world.cores:
-        used = cluster_model.spend(world, "proposals")
+        used = cluster_model.consume_limit(world, "proposals")
         if used is None or not cluster_model.is_due(world, core):
             continue
         ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
@@ -96,7 +96,7 @@
 def suspecting(world: cluster_model.World) -> Transitions:
     """A voter proposes without a reason that others see: it hears nobody but those who promise."""
     for core in world.cores:
-        used = cluster_model.spend(world, "proposals")
+        used = cluster_model.consume_limit(world, "proposals")
         if used is None or not core.reachable or not decisions.is_voter(core.record, core.identifier):
             continue
         if cluster_model.is_due(world, core):
@@ -112,7 +112,7 @@
     """A core sends a Prepare, and answers it itself."""
     proposer = replace(core, ballot=proposal.ballot[0], proposal=proposal)
     request = message.Prepare(core.view.number + 1, proposal.ballot, core.identifier)
-    after = replace(cluster_model.put(world, proposer), requests=cluster_model.add(world.requests, request))
+    after = replace(cluster_model.with_core(world, proposer), requests=cluster_model.with_item(world.requests, request))
     return receive_prepare(after, proposer, request)
 
 
@@ -155,16 +155,20 @@
 ) -> Transitions:
     """The views that a proposer may ask for: with all live machines, or with those that promised."""
     seen: list[message.View] = []
-    live = cluster_model.live(world)
-    promised = {identifier: promise.incarnation for identifier, promise in promises.items() if identifier in live}
-    for alive in (live, promised):
-        view = view_formation.next_view(core.view, promises, proposal.voters, alive, cluster_model.departing(world))
+    live_cores = cluster_model.live_cores(world)
+    promised = {identifier: promise.incarnation for identifier, promise in promises.items() if identifier in live_cores}
+    for alive in (live_cores, promised):
+        view = view_formation.next_view(
+            core.view, promises, proposal.voters, alive, cluster_model.departing_cores(world)
+        )
         if view is None or view in seen:
             continue
         seen.append(view)
         request = message.Accept(proposal.ballot, view, core.identifier)
         proposer = replace(core, proposal=replace(proposal, view=view))
-        after = replace(cluster_model.put(world, proposer), requests=cluster_model.add(world.requests, request))
+        after = replace(
+            cluster_model.with_core(world, proposer), requests=cluster_model.with_item(world.requests, request)
+        )
         after = receive_accept(after, proposer, request)
         yield (
             f"{core.identifier} asks to accept {proposal.ballot} after {'+'.join(promises)}: "
@@ -198,39 +202,42 @@
         if core.reachable and decisions.may_request_read_lease(core.record, core.identifier, core.incarnation)
     ]
     for tail, core in itertools.product(tails, world.cores):
-        used = cluster_model.spend(world, "leases")
+        used = cluster_model.consume_limit(world, "leases")
         if used is None or not core.reachable or core.identifier in tail.supporters:
             continue
         answer = decisions.grant_lease(
             core.record, core.identifier, message.LeaseRequest(tail.view.number, tail.identifier)
         )
         if answer.ok:
-            after = cluster_model.put(used, replace(core, holder=tail.identifier))
+            after = cluster_model.with_core(used, replace(core, holder=tail.identifier))
             tail_after = after.cores[tail.index]
-            after = cluster_model.put(
-                after, replace(tail_after, supporters=cluster_model.add(tail_after.supporters, core.identifier))
+            after = cluster_model.with_core(
+                after, replace(tail_after, supporters=cluster_model.with_item(tail_after.supporters, core.identifier))
             )
             yield f"{core.identifier} grants {tail.identifier} a lease", after
     counted = set().union(*(core.supporters for core in world.cores))
     for core in world.cores:
         if core.supporters:
-            yield f"the lease of {core.identifier} runs out", cluster_model.put(world, replace(core, supporters=()))
+            yield (
+                f"the lease of {core.identifier} runs out",
+                cluster_model.with_core(world, replace(core, supporters=())),
+            )
         if core.holder is not None and core.identifier not in counted:
-            yield f"the grant of {core.identifier} runs out", cluster_model.put(world, replace(core, holder=None))
+            yield f"the grant of {core.identifier} runs out", cluster_model.with_core(world, replace(core, holder=None))
         elif core.holder is not None and core.reachable and core.record.view is not None:
-            holder = cluster_model.by_identifier(world, core.view.chain[-1].id)
+            holder = cluster_model.core_by_identifier(world, core.view.chain[-1].id)
             seen = holder.incarnation if holder is not None and holder.reachable else None
             if decisions.is_grant_void(core.record, core.holder, seen):
                 yield (
                     f"{core.identifier} sees {core.view.chain[-1].id} anew, and its grant is void",
-                    cluster_model.put(world, replace(core, holder=None)),
+                    cluster_model.with_core(world, replace(core, holder=None)),
                 )
 
 
 def writing(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
     """The head syncs a change."""
     for core in world.cores:
-        used = cluster_model.spend(world, "changes")
+        used = cluster_model.consume_limit(world, "changes")
         if used is None or not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
             continue
         view = core.view
@@ -238,7 +245,7 @@
             entry = (view.number, core.last_entry[1] + 1)
             yield (
                 f"head {core.identifier} syncs change {entry}",
-                cluster_model.put(used, replace(core, log=(*core.log, entry))),
+                cluster_model.with_core(used, replace(core, log=(*core.log, entry))),
             )
 
 
@@ -249,7 +256,7 @@
             continue
         members = [member.id for member in core.view.chain]
         position = members.index(core.identifier) + 1
-        following = cluster_model.by_identifier(world, members[position]) if position < len(members) else None
+        following = cluster_model.core_by_identifier(world, members[position]) if position < len(members) else None
         if following is None or not following.reachable or not cluster_model.serves(following):
             continue
         if following.view.number != core.view.number:
@@ -257,23 +264,28 @@
         record = decisions.become_synced(following.record, core.view.number)
         if record is following.record and following.log == core.log:
             continue
-        after = cluster_model.put(world, replace(following, record=record, log=core.log, stale_disk=core.stale_disk))
+        after = cluster_model.with_core(
+            world, replace(following, record=record, log=core.log, stale_disk=core.stale_disk)
+        )
         if record is not following.record and world.limits.late_refills:
             refill = cluster_model.Refill(following.view.number, following.identifier, core.log)
-            after = replace(after, refills=cluster_model.add(after.refills, refill))
+            after = replace(after, refills=cluster_model.with_item(after.refills, refill))
         yield f"{core.identifier} brings {following.identifier} up to date", after
 
 
 def refilling(world: cluster_model.World) -> Transitions:
     """A snapshot that was held up arrives once more."""
     for refill in world.refills:
-        used, core = cluster_model.spend(world, "late_refills"), cluster_model.by_identifier(world, refill.receiver)
+        used, core = (
+            cluster_model.consume_limit(world, "late_refills"),
+            cluster_model.core_by_identifier(world, refill.receiver),
+        )
         if used is None or core is None or not core.reachable or not cluster_model.serves(core):
             continue
         last = refill.log[-1][1] if refill.log else 0
         if core.view.number == refill.view and decisions.may_restore(core.record, core.last_entry[1], last):
             after = replace(core, log=refill.log, record=decisions.become_synced(core.record, refill.view))
-            yield f"a late snapshot {refill.log} reaches {core.identifier}", cluster_model.put(used, after)
+            yield f"a late snapshot {refill.log} reaches {core.identifier}", cluster_model.with_core(used, after)
 
 
 def acknowledge(world: cluster_model.World, setting: cluster_model.Setting) -> cluster_model.World:
@@ -287,7 +299,7 @@
                         raise cluster_model.ViolationError(
                             f"{core.identifier} acknowledges {entry} in the sealed view {core.view.number}"
                         )
-                    marked = cluster_model.add(world.acknowledged, (core.view.number, entry))
+                    marked = cluster_model.with_item(world.acknowledged, (core.view.number, entry))
                     world = replace(world, acknowledged=marked)
     return world
 
@@ -336,23 +348,23 @@
                 yield from fault(world, "cuts", f"{core.identifier} is cut off", replace(core, cut=True, settled=False))
                 yield from fault(world, "leaves", f"{core.identifier} leaves", replace(core, leaving=True))
         else:
-            yield f"{core.identifier} comes back", cluster_model.put(world, restarted(core))
+            yield f"{core.identifier} comes back", cluster_model.with_core(world, restarted(core))
             yield from fault(world, "wipes", f"{core.identifier} comes back empty", wiped(core, setting))
             if core.log:
                 stale = replace(restarted(core), log=core.log[:-1], stale_disk=True)
                 yield from fault(world, "stale_disks", f"{core.identifier} comes back with an older disk", stale)
         if core.cut:
-            yield f"{core.identifier} is connected again", cluster_model.put(world, replace(core, cut=False))
+            yield f"{core.identifier} is connected again", cluster_model.with_core(world, replace(core, cut=False))
         if core.reachable and not core.settled and is_in_order(world, core):
-            yield f"{core.identifier} has settled", cluster_model.put(world, replace(core, settled=True))
+            yield f"{core.identifier} has settled", cluster_model.with_core(world, replace(core, settled=True))
     yield from power_cycling(world, setting)
 
 
 def fault(world: cluster_model.World, kind: str, label: str, core: cluster_model.Core) -> Transitions:
     """One fault, where one of its kind is left within the limits."""
-    used = cluster_model.spend(world, kind)
+    used = cluster_model.consume_limit(world, kind)
     if used is not None:
-        yield label, cluster_model.put(used, core)
+        yield label, cluster_model.with_core(used, core)
 
 
 def is_in_order(world: cluster_model.World, core: cluster_model.Core) -> bool:
@@ -367,7 +379,7 @@
 
 def power_cycling(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
     """All machines restart at once, and as many as the tolerance allows lose their disks."""
-    used = cluster_model.spend(world, "power_cycles")
+    used = cluster_model.consume_limit(world, "power_cycles")
     if used is None or any(core.lost for core in world.cores):
         return
     for empty in range(min(setting.tolerance, world.limits.wipes) + 1):
--- a/simulation/state_search/explore.py
+++ b/simulation/state_search/explore.py
@@ -80,7 +80,7 @@
                     f"{core.identifier} is synced in view {core.record.synced_view} without acknowledged {entry}"
                 )
     newest = max(world.views, key=lambda view: view.number)
-    head = cluster_model.by_identifier(world, newest.chain[0].id)
+    head = cluster_model.core_by_identifier(world, newest.chain[0].id)
     if head is not None and head.record.synced_view == newest.number:
         for view, entry in world.acknowledged:
             if view < newest.number and entry not in head.log:
@@ -126,7 +126,7 @@
     known = [core.record.view for core in world.cores if core.reachable and core.record.view is not None]
     view = max(known, key=lambda view: view.number)
     members = {(member.id, member.incarnation) for member in view.chain}
-    if members != set(cluster_model.live(world).items()):
+    if members != set(cluster_model.live_cores(world).items()):
         return False
     return all(
         cluster_model.serves(core) and decisions.is_synced(core.record)
@@ -153,7 +153,11 @@
     if len(given) < decisions.majority(len(old.voters)):
         raise cluster_model.ViolationError(f"no majority is left of view {old.number}: {cluster_model.describe(old)}")
     view = view_formation.next_view(
-        old, {answer.id: answer for answer in given}, voters, cluster_model.live(world), cluster_model.departing(world)
+        old,
+        {answer.id: answer for answer in given},
+        voters,
+        cluster_model.live_cores(world),
+        cluster_model.departing_cores(world),
     )
     if view is None:
         raise cluster_model.ViolationError(
