--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -144,10 +144,10 @@
         ]
         for count in range(decisions.majority(len(old.voters)), len(answers) + 1):
             for chosen in itertools.combinations(answers, count):
-                yield from choices(world, core, proposal, {answer.id: answer for answer in chosen})
+                yield from proposed_views(world, core, proposal, {answer.id: answer for answer in chosen})
 
 
-def choices(
+def proposed_views(
     world: cluster_model.World,
     core: cluster_model.Core,
     proposal: cluster_model.Proposal,
@@ -304,7 +304,7 @@
     return world
 
 
-def tolerated(world: cluster_model.World, core: cluster_model.Core, setting: cluster_model.Setting) -> bool:
+def may_lose_another(world: cluster_model.World, core: cluster_model.Core, setting: cluster_model.Setting) -> bool:
     """Whether one more machine may be lost."""
     lost = [other for other in world.cores if other.lost and other.index != core.index]
     return len(lost) < setting.tolerance
@@ -339,35 +339,43 @@
 def failing(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
     """Faults within the tolerance, and what ends them."""
     for core in world.cores:
-        may_fail = tolerated(world, core, setting)
+        may_fail = may_lose_another(world, core, setting)
         if core.up:
             if may_fail or core.leaving:
-                yield from fault(world, "crashes", f"{core.identifier} goes down", stopped(core))
+                yield from fault_within_limits(world, "crashes", f"{core.identifier} goes down", stopped(core))
             if may_fail and not core.cut:
-                yield from fault(world, "wipes", f"{core.identifier} loses its disk", wiped(core, setting))
-                yield from fault(world, "cuts", f"{core.identifier} is cut off", replace(core, cut=True, settled=False))
-                yield from fault(world, "leaves", f"{core.identifier} leaves", replace(core, leaving=True))
+                yield from fault_within_limits(
+                    world, "wipes", f"{core.identifier} loses its disk", wiped(core, setting)
+                )
+                yield from fault_within_limits(
+                    world, "cuts", f"{core.identifier} is cut off", replace(core, cut=True, settled=False)
+                )
+                yield from fault_within_limits(
+                    world, "leaves", f"{core.identifier} leaves", replace(core, leaving=True)
+                )
         else:
             yield f"{core.identifier} comes back", cluster_model.with_core(world, restarted(core))
-            yield from fault(world, "wipes", f"{core.identifier} comes back empty", wiped(core, setting))
+            yield from fault_within_limits(world, "wipes", f"{core.identifier} comes back empty", wiped(core, setting))
             if core.log:
                 stale = replace(restarted(core), log=core.log[:-1], stale_disk=True)
-                yield from fault(world, "stale_disks", f"{core.identifier} comes back with an older disk", stale)
+                yield from fault_within_limits(
+                    world, "stale_disks", f"{core.identifier} comes back with an older disk", stale
+                )
         if core.cut:
             yield f"{core.identifier} is connected again", cluster_model.with_core(world, replace(core, cut=False))
-        if core.reachable and not core.settled and is_in_order(world, core):
+        if core.reachable and not core.settled and is_synced_in_newest_view(world, core):
             yield f"{core.identifier} has settled", cluster_model.with_core(world, replace(core, settled=True))
     yield from power_cycling(world, setting)
 
 
-def fault(world: cluster_model.World, kind: str, label: str, core: cluster_model.Core) -> Transitions:
+def fault_within_limits(world: cluster_model.World, kind: str, label: str, core: cluster_model.Core) -> Transitions:
     """One fault, where one of its kind is left within the limits."""
     used = cluster_model.consume_limit(world, kind)
     if used is not None:
         yield label, cluster_model.with_core(used, core)
 
 
-def is_in_order(world: cluster_model.World, core: cluster_model.Core) -> bool:
+def is_synced_in_newest_view(world: cluster_model.World, core: cluster_model.Core) -> bool:
     """Whether a core is a synced member of the newest view's chain."""
     newest = max(view.number for view in world.views)
     return (
@@ -412,17 +420,17 @@
     return itertools.chain(*moves)
 
 
-def tidy(world: cluster_model.World) -> cluster_model.World:
+def without_obsolete_messages(world: cluster_model.World) -> cluster_model.World:
     """The state without messages that no core would take any more."""
     views = [core.record.view for core in world.cores if core.record.view is not None]
     oldest = min((view.number for view in views), default=0)
-    requests = tuple(request for request in world.requests if number_of(request) > oldest)
+    requests = tuple(request for request in world.requests if view_number_of(request) > oldest)
     promises = tuple((number, answer) for number, answer in world.promises if number > oldest)
     accepted = tuple(vote for vote in world.accepted if vote[1] > oldest)
     return replace(world, requests=requests, promises=promises, accepted=accepted)
 
 
-def number_of(request: message.Accept | message.Prepare) -> int:
+def view_number_of(request: message.Accept | message.Prepare) -> int:
     """The number of the view that a request is about."""
     match request:
         case message.Prepare(number=number):
--- a/simulation/state_search/explore.py
+++ b/simulation/state_search/explore.py
@@ -226,7 +226,7 @@
 
     def reach(self, world: cluster_model.World, origin: Origin, level: int) -> None:
         """Check the state that a step leads to, where it is new, and have its own steps taken later."""
-        world = cluster_steps.tidy(cluster_steps.acknowledge(world, self.setting))
+        world = cluster_steps.without_obsolete_messages(cluster_steps.acknowledge(world, self.setting))
         key = state_key(world)
         if key in self.origins:
             return
