--- a/simulation/state_search/cluster_model.py
+++ b/simulation/state_search/cluster_model.py
@@ -97,10 +97,10 @@
     power_cycles: int = 0
     stale_disks: int = 0
     leases: int = 0
-    late_refills: int = 0
+    late_snapshots: int = 0
 
 
-class Refill(msgspec.Struct, frozen=True, array_like=True):
+class DelayedSnapshot(msgspec.Struct, frozen=True, array_like=True):
     """A snapshot on its way to a member of a view's chain."""
 
     view: int
@@ -116,7 +116,7 @@
     requests: tuple[message.Prepare | message.Accept, ...] = ()
     promises: tuple[tuple[int, message.Promise], ...] = ()
     accepted: tuple[tuple[tuple[int, str], int, str], ...] = ()  # ballot, view number, acceptor
-    refills: tuple[Refill, ...] = ()
+    delayed_snapshots: tuple[DelayedSnapshot, ...] = ()
     views: tuple[message.View, ...] = ()  # all that were adopted
     acknowledged: tuple[tuple[int, tuple[int, int]], ...] = ()  # view of the acknowledgement, entry
 
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -267,25 +267,25 @@
         after = cluster_model.with_core(
             world, replace(following, record=record, log=core.log, stale_disk=core.stale_disk)
         )
-        if record is not following.record and world.limits.late_refills:
-            refill = cluster_model.Refill(following.view.number, following.identifier, core.log)
-            after = replace(after, refills=cluster_model.with_item(after.refills, refill))
+        if record is not following.record and world.limits.late_snapshots:
+            snapshot = cluster_model.DelayedSnapshot(following.view.number, following.identifier, core.log)
+            after = replace(after, delayed_snapshots=cluster_model.with_item(after.delayed_snapshots, snapshot))
         yield f"{core.identifier} brings {following.identifier} up to date", after
 
 
-def refilling(world: cluster_model.World) -> Transitions:
+def delivering_late_snapshots(world: cluster_model.World) -> Transitions:
     """A snapshot that was held up arrives once more."""
-    for refill in world.refills:
+    for snapshot in world.delayed_snapshots:
         used, core = (
-            cluster_model.consume_limit(world, "late_refills"),
-            cluster_model.core_by_identifier(world, refill.receiver),
+            cluster_model.consume_limit(world, "late_snapshots"),
+            cluster_model.core_by_identifier(world, snapshot.receiver),
         )
         if used is None or core is None or not core.reachable or not cluster_model.serves(core):
             continue
-        last = refill.log[-1][1] if refill.log else 0
-        if core.view.number == refill.view and decisions.may_restore(core.record, core.last_entry[1], last):
-            after = replace(core, log=refill.log, record=decisions.become_synced(core.record, refill.view))
-            yield f"a late snapshot {refill.log} reaches {core.identifier}", cluster_model.with_core(used, after)
+        last = snapshot.log[-1][1] if snapshot.log else 0
+        if core.view.number == snapshot.view and decisions.may_restore(core.record, core.last_entry[1], last):
+            after = replace(core, log=snapshot.log, record=decisions.become_synced(core.record, snapshot.view))
+            yield f"a late snapshot {snapshot.log} reaches {core.identifier}", cluster_model.with_core(used, after)
 
 
 def acknowledge(world: cluster_model.World, setting: cluster_model.Setting) -> cluster_model.World:
@@ -414,7 +414,7 @@
         leasing(world),
         writing(world, setting),
         replicating(world),
-        refilling(world),
+        delivering_late_snapshots(world),
         failing(world, setting),
     )
     return itertools.chain(*moves)
--- a/simulation/state_search/explore.py
+++ b/simulation/state_search/explore.py
@@ -44,7 +44,7 @@
     "second_loss": Scenario(cluster_model.Limits(proposals=3, changes=1, wipes=2, cuts=1)),
     "leave": Scenario(cluster_model.Limits(proposals=2, changes=1, crashes=1, leaves=1)),
     "power": Scenario(cluster_model.Limits(proposals=2, changes=1, wipes=1, power_cycles=1)),
-    "late_refill": Scenario(cluster_model.Limits(proposals=1, changes=1, late_refills=1)),
+    "late_refill": Scenario(cluster_model.Limits(proposals=1, changes=1, late_snapshots=1)),
     "stale_disk": Scenario(cluster_model.Limits(proposals=1, changes=1, crashes=1, stale_disks=1)),
     "five": Scenario(cluster_model.Limits(proposals=2, changes=1, crashes=1, wipes=2), cores=5),
     "all": Scenario(cluster_model.Limits(2, 1, 1, 1, 1, 1, 1, 0, 2)),
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -173,7 +173,7 @@
         )
 
     def test_without_the_index_check_an_old_snapshot_undoes_acknowledged_changes(self) -> None:
-        limits = cluster_model.Limits(proposals=1, changes=1, late_refills=1)
+        limits = cluster_model.Limits(proposals=1, changes=1, late_snapshots=1)
         self.assert_violation(
             ("may_restore", lambda _record, _here, _there: True), limits, "without acknowledged", recovery=False
         )
