--- a/simulation/state_search/explore.py
+++ b/simulation/state_search/explore.py
@@ -51,7 +51,7 @@
 }
 
 
-class Found(typing.NamedTuple):
+class SearchResult(typing.NamedTuple):
     """The result of a search."""
 
     states: int
@@ -61,14 +61,14 @@
     trace: tuple[str, ...] = ()
 
 
-class Broken(typing.NamedTuple):
+class BrokenInvariant(typing.NamedTuple):
     """An invariant that a state breaks, and the steps that lead there."""
 
     violation: str
     trace: tuple[str, ...]
 
 
-def check(world: cluster_model.World) -> None:
+def check_invariants(world: cluster_model.World) -> None:
     """Raise ViolationError where a state breaks an invariant."""
     readers = [core.identifier for core in world.cores if cluster_model.has_lease(core)]
     if len(readers) > 1:
@@ -97,14 +97,14 @@
     cores = tuple(replace(core, holder=None, supporters=()) for core in world.cores)
     world = replace(world, cores=cores)
     for _ in range(RECOVERY_ROUNDS):
-        world = spread(world)
+        world = spread_newest_view(world)
         if is_recovered(world):
             return
-        world = agree(world)
+        world = agree_on_next_view(world)
     raise cluster_model.ViolationError("the machines that are left agree on view after view, and none holds")
 
 
-def spread(world: cluster_model.World) -> cluster_model.World:
+def spread_newest_view(world: cluster_model.World) -> cluster_model.World:
     """All reachable cores learn the newest view that one of them knows, and the chain is brought up to date."""
     known = [core.record.view for core in world.cores if core.reachable and core.record.view is not None]
     newest = max(known, key=lambda view: view.number)
@@ -117,7 +117,7 @@
         for _, after in cluster_steps.replicating(world):
             world, moved = after, True
             break
-    check(world)
+    check_invariants(world)
     return world
 
 
@@ -135,7 +135,7 @@
     )
 
 
-def agree(world: cluster_model.World) -> cluster_model.World:
+def agree_on_next_view(world: cluster_model.World) -> cluster_model.World:
     """One undisturbed proposal by the first reachable voter of the newest view."""
     known = [core for core in world.cores if core.reachable and decisions.is_voter(core.record, core.identifier)]
     if not known:
@@ -199,39 +199,39 @@
         self.recovered: set[bytes] = set()  # what recoveries depend on, where one has succeeded
         self.queue = collections.deque([(first, 0)])  # each state with its depth
 
-    def run(self, depth: int, most_states: int) -> Found:
+    def run(self, depth: int, most_states: int) -> SearchResult:
         """Search up to a depth, or until so many states were reached."""
         level = 0
         while self.queue:
             world, level = self.queue.popleft()
             if level == depth or len(self.origins) >= most_states:
-                return Found(len(self.origins), level, complete=False)
+                return SearchResult(len(self.origins), level, complete=False)
             broken = self.expand(world, level)
             if broken is not None:
-                return Found(len(self.origins), level + 1, False, broken.violation, broken.trace)
-        return Found(len(self.origins), level, complete=True)
+                return SearchResult(len(self.origins), level + 1, False, broken.violation, broken.trace)
+        return SearchResult(len(self.origins), level, complete=True)
 
-    def expand(self, world: cluster_model.World, level: int) -> Broken | None:
+    def expand(self, world: cluster_model.World, level: int) -> BrokenInvariant | None:
         """Take all steps from a state: the invariant that one of them breaks, if one does."""
         here = state_key(world)
-        taken: tuple[str, ...] = ()  # the step whose outcome is looked at; none while the next one is made
+        unfinished_step: tuple[str, ...] = ()  # the step whose outcome is looked at; none while the next one is made
         try:
             for step, after in cluster_steps.steps(world, self.setting):
-                taken = (step,)
-                self.reach(after, Origin(here, step), level + 1)
-                taken = ()
+                unfinished_step = (step,)
+                self.visit(after, Origin(here, step), level + 1)
+                unfinished_step = ()
         except cluster_model.ViolationError as violation:
-            return Broken(str(violation), (*self.path(here), *taken))
+            return BrokenInvariant(str(violation), (*self.steps_to(here), *unfinished_step))
         return None
 
-    def reach(self, world: cluster_model.World, origin: Origin, level: int) -> None:
+    def visit(self, world: cluster_model.World, origin: Origin, level: int) -> None:
         """Check the state that a step leads to, where it is new, and have its own steps taken later."""
         world = cluster_steps.without_obsolete_messages(cluster_steps.acknowledge(world, self.setting))
         key = state_key(world)
         if key in self.origins:
             return
         self.origins[key] = origin
-        check(world)
+        check_invariants(world)
         if self.recovery:
             self.check_recovery(world)
         self.queue.append((world, level))
@@ -243,7 +243,7 @@
             self.recovered.add(key)
             recover(world)
 
-    def path(self, key: bytes) -> tuple[str, ...]:
+    def steps_to(self, key: bytes) -> tuple[str, ...]:
         """The steps that lead to a state."""
         steps = []
         while self.origins[key].step:
@@ -261,7 +261,7 @@
     keep_identity: bool = False,
     recovery: bool = True,
     first: cluster_model.World | None = None,
-) -> Found:
+) -> SearchResult:
     """Search all states within the limits up to a depth, the shallowest first.
 
     Args:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -79,7 +79,7 @@
         cores: int = 3,
         states: int = STATES,
         **options: Any,  # noqa: ANN401 - options of explore.search
-    ) -> explore.Found:
+    ) -> explore.SearchResult:
         return explore.search(cores, limits, depth, most_states=states, **options)
 
     def assert_violation(
