--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -26,12 +26,12 @@
 RACE_COUNT, RACE_GAP_S = 18, 3
 INVALID_COUNT, INVALID_GAP_S = 8, 5
 POLL_S = 0.1
-JUMP_US = 4 * units.SECOND_US
-LAST_JUMP_US = 600 * units.SECOND_US
+TIME_OF_DAY_JUMP_US = 4 * units.SECOND_US
+FINAL_TIME_OF_DAY_JUMP_US = 600 * units.SECOND_US
 SLOW_LINK_US = 60 * units.MILLISECOND_US
-ACKNOWLEDGED_LOSS_S = 0.004  # an acknowledging machine is lost within this time
-MAX_REFUSALS = 3  # after so many in a row an operator reads the configuration
-COMPLETE_AGAIN_S = 40  # within which all core machines are back
+MAX_LOSS_DELAY_S = 0.004  # an acknowledging machine is lost within this time
+REFUSALS_BEFORE_READ = 3  # after so many in a row an operator reads the configuration
+RECOVERY_TIMEOUT_S = 40  # within which all core machines are back
 AFTER_CLOSING_S = 15
 DISK_STATES: tuple[faults.DiskState, ...] = ("full", "slow", "stalled")  # in the order that draws follow
 REPLACEMENT_S = 9  # until a replaced or restarted machine is back
@@ -66,7 +66,7 @@
         """Send one change; after some refusals in a row, read what there is."""
         status = await self.site.configurations.send_next(self.rng.choice(["idle", "timeout"]), 60)
         self.refusals = 0 if status == 200 else self.refusals + 1
-        if self.refusals >= MAX_REFUSALS:
+        if self.refusals >= REFUSALS_BEFORE_READ:
             await self.read_back()
 
     async def read_back(self) -> None:
@@ -90,7 +90,7 @@
 
     # ---- core machines -----------------------------------------------------------------
 
-    def leader(self) -> str:
+    def last_acknowledger(self) -> str:
         """The core machine that acknowledged last, or any."""
         place = self.site.operator.last_address
         names = [name for name in sorted(self.site.cores) if place and self.site.places[name].host == place[0]]
@@ -109,11 +109,11 @@
         """A random core machine."""
         return self.rng.choice(sorted(self.site.cores))
 
-    def leader_or_random(self) -> str:
+    def last_acknowledger_or_random(self) -> str:
         """The leader in half of all cases."""
-        return self.rng.choice([self.leader, self.random_core])()
+        return self.rng.choice([self.last_acknowledger, self.random_core])()
 
-    def strike_when_tolerated(
+    def lose_when_tolerated(
         self,
         lose: collections.abc.Callable[[str], float],
         pick: collections.abc.Callable[[], str] | None = None,
@@ -124,19 +124,19 @@
         `lose` takes the machine's name, and returns when it is back, in seconds.
         """
 
-        def strike() -> None:
+        def try_to_lose() -> None:
             if len(self.lost) >= (1 if complete else self.site.shape.tolerated_losses):
-                self.site.schedule(POLL_S, strike)
+                self.site.schedule(POLL_S, try_to_lose)
                 return
-            name = "all" if complete else (pick or self.leader_or_random)()
+            name = "all" if complete else (pick or self.last_acknowledger_or_random)()
             if name in self.lost:
-                self.site.schedule(POLL_S, strike)
+                self.site.schedule(POLL_S, try_to_lose)
                 return
             self.lost.add(name)
             self.random_core()  # a draw that recorded days hold
             self.site.schedule(lose(name) + self.site.settle_s(), self.lost.discard, name)
 
-        strike()
+        try_to_lose()
 
     def send_to(self, name: str) -> None:
         """Let the next change, or the next two at once, begin at this machine."""
@@ -155,7 +155,7 @@
 
     # ---- the day -----------------------------------------------------------------------------
 
-    def draw(self, seconds: int) -> None:
+    def play(self, seconds: int) -> None:
         """Play the day up to its closing fault."""
         deployment = self.site
         begin = deployment.world.time
@@ -168,12 +168,12 @@
             deployment.schedule(at, self.rng.choice(FAULTS), self)
             at += self.rng.choice(FAULT_GAPS_S)
         deployment.advance(seconds)
-        self.close()
+        self.strike_closing_fault()
 
-    def close(self) -> None:
+    def strike_closing_fault(self) -> None:
         """Wait until no machine is lost, and let the closing fault strike."""
         deployment = self.site
-        deployment.advance_until(lambda: not self.lost, COMPLETE_AGAIN_S)
+        deployment.advance_until(lambda: not self.lost, RECOVERY_TIMEOUT_S)
         self.lost.add("all")
         days.acknowledged_change(deployment)
         deployment.faults.close(self.rng.choice(faults.CLOSING_FAULTS), 0.9)
@@ -184,26 +184,26 @@
 # ---- faults -----------------------------------------------------------------------------
 
 
-def cut(day: CoreDay) -> None:
+def cut_off_core(day: CoreDay) -> None:
     """A core machine is cut off from the other ones, one way or both; nodes and operators still reach it."""
     outward, inward = day.rng.choice([(True, False), (False, True), (True, True)])
     seconds = day.rng.choice([3, 6, 20])
 
     def lose(name: str) -> int:
-        _cut(day.site, name, sorted(set(day.site.cores) - {name}), seconds, outward=outward, inward=inward)
+        _cut_links(day.site, name, sorted(set(day.site.cores) - {name}), seconds, outward=outward, inward=inward)
         day.send_during_fault(name, seconds)
         return seconds
 
-    day.strike_when_tolerated(lose)
+    day.lose_when_tolerated(lose)
 
 
-def cut_node(day: CoreDay) -> None:
+def cut_off_node(day: CoreDay) -> None:
     """A node is cut off from all core machines."""
     name = day.rng.choice(sorted(day.site.nodes))
-    _cut(day.site, name, sorted(day.site.cores), day.rng.choice([4, 20]))
+    _cut_links(day.site, name, sorted(day.site.cores), day.rng.choice([4, 20]))
 
 
-def _cut(
+def _cut_links(
     deployment: site.Site, name: str, others: list[str], seconds: int, *, outward: bool = True, inward: bool = True
 ) -> None:
     here, there = deployment.places[name].host, [deployment.places[other].host for other in others]
@@ -219,19 +219,19 @@
     deployment.schedule(seconds, heal)
 
 
-def cut_seeds(day: CoreDay) -> None:
+def cut_off_first_seed(day: CoreDay) -> None:
     """A machine is cut off that the settings name first; the other processes read them again, some are restarted."""
 
     def lose(name: str) -> int:
-        _cut(day.site, name, sorted(set(day.site.cores) - {name}), 20)
+        _cut_links(day.site, name, sorted(set(day.site.cores) - {name}), 20)
         reload_settings(day)
         day.send_during_fault(name, 20)
         return 20
 
-    day.strike_when_tolerated(lose)
+    day.lose_when_tolerated(lose)
 
 
-def freeze(day: CoreDay) -> None:
+def freeze_core(day: CoreDay) -> None:
     """The leader freezes, and finds changes as it wakes."""
     seconds = day.rng.choice([3, 8, 20])
 
@@ -240,33 +240,33 @@
         day.send_during_fault(name, seconds)
         return seconds
 
-    day.strike_when_tolerated(lose, day.leader)
+    day.lose_when_tolerated(lose, day.last_acknowledger)
 
 
 def lose_after_acknowledgement(day: CoreDay) -> None:
     """The machine that acknowledges a change loses power, perhaps its disk too; or it does soon after a sending."""
     wipe, timed, back = day.rng.random() < 0.6, day.rng.random() < 0.4, day.rng.choice([0.9, 3])
-    wait = day.rng.uniform(0.005, 0.4) if timed else day.rng.uniform(0, ACKNOWLEDGED_LOSS_S)
+    wait = day.rng.uniform(0.005, 0.4) if timed else day.rng.uniform(0, MAX_LOSS_DELAY_S)
 
     def lose(name: str) -> float:
         day.site.faults.power_off(name, back, wipe)
         return back
 
     hooks = day.site.operator.on_send if timed else day.site.operator.on_acknowledged
-    hooks.append(lambda: day.site.schedule(wait, day.strike_when_tolerated, lose, day.leader_or_random))
+    hooks.append(lambda: day.site.schedule(wait, day.lose_when_tolerated, lose, day.last_acknowledger_or_random))
 
 
-def replace(day: CoreDay) -> None:
+def replace_core(day: CoreDay) -> None:
     """A core machine is replaced by an empty one at another address, planned or not."""
 
     def lose(name: str) -> int:
         day.site.faults.replace_core(name, day.rng.random() < 0.5)
         return REPLACEMENT_S
 
-    day.strike_when_tolerated(lose)
+    day.lose_when_tolerated(lose)
 
 
-def disk(day: CoreDay) -> None:
+def degrade_disk(day: CoreDay) -> None:
     """A disk is full, slow or stalled."""
     state, seconds = day.rng.choice(DISK_STATES), day.rng.choice([2, 6, 15])
 
@@ -274,7 +274,7 @@
         day.site.faults.degrade_disk(name, state, seconds)
         return seconds
 
-    day.strike_when_tolerated(lose)
+    day.lose_when_tolerated(lose)
 
 
 def lose_answers(day: CoreDay) -> None:
@@ -287,7 +287,7 @@
 def restart_in_turn(day: CoreDay) -> None:
     """Core machines are stopped by SIGTERM, one after the other, and start again."""
     for name in sorted(day.site.cores):
-        day.strike_when_tolerated(functools.partial(_terminate, day), functools.partial(_name_or_random, day, name))
+        day.lose_when_tolerated(functools.partial(_terminate, day), functools.partial(_name_or_random, day, name))
 
 
 def _terminate(day: CoreDay, name: str) -> int:
@@ -299,7 +299,7 @@
     return name if name in day.site.cores else day.random_core()
 
 
-def entire_core(day: CoreDay) -> None:
+def lose_entire_core(day: CoreDay) -> None:
     """All core machines are killed or lose power at the same moment, and come back."""
     strike = day.rng.choice([day.site.faults.kill, day.site.faults.power_off])
 
@@ -308,7 +308,7 @@
             strike(name, 2)
         return 2
 
-    day.strike_when_tolerated(lose, complete=True)
+    day.lose_when_tolerated(lose, complete=True)
 
 
 def reset_connections(day: CoreDay) -> None:
@@ -330,7 +330,7 @@
     deployment.faults.note_reset(struck)
 
 
-def slow(day: CoreDay) -> None:
+def slow_core_link(day: CoreDay) -> None:
     """What a core machine sends and takes comes late."""
 
     def lose(name: str) -> int:
@@ -341,17 +341,17 @@
         day.site.schedule(8, day.site.faults.note_repair, name, "slow")
         return 8
 
-    day.strike_when_tolerated(lose)
+    day.lose_when_tolerated(lose)
 
 
-def lossy(day: CoreDay) -> None:
+def lose_zone_packets(day: CoreDay) -> None:
     """The links of a zone lose packets."""
     day.site.faults.lose_packets(day.rng.choice(day.site.shape.zones()), 0.05, 8)
 
 
 def jump_time_of_day(day: CoreDay) -> None:
     """The time of day of half of the machines jumps by four seconds, and back after a while."""
-    deployment, error = day.site, day.rng.choice([-JUMP_US, JUMP_US])
+    deployment, error = day.site, day.rng.choice([-TIME_OF_DAY_JUMP_US, TIME_OF_DAY_JUMP_US])
     names = [name for name in [*sorted(deployment.cores), *sorted(deployment.nodes)] if day.rng.random() < 0.5]
     for name in names:
         deployment.faults.note_fault(name, "time of day")
@@ -381,22 +381,22 @@
 
 
 FAULTS = (
-    cut,
-    cut,
-    cut_node,
-    cut_seeds,
-    freeze,
+    cut_off_core,
+    cut_off_core,
+    cut_off_node,
+    cut_off_first_seed,
+    freeze_core,
     lose_after_acknowledgement,
     lose_after_acknowledgement,
-    replace,
-    replace,
-    disk,
+    replace_core,
+    replace_core,
+    degrade_disk,
     lose_answers,
     restart_in_turn,
-    entire_core,
+    lose_entire_core,
     reset_connections,
-    slow,
-    lossy,
+    slow_core_link,
+    lose_zone_packets,
     jump_time_of_day,
     reload_settings,
     change_seeds,
@@ -420,10 +420,10 @@
         deployment.advance(2)
         jump_time_of_day(day)
         deployment.advance(4.5 + deployment.rng.random())
-        day.strike_when_tolerated(freeze_briefly)
+        day.lose_when_tolerated(freeze_briefly)
         deployment.advance(6)
     for name in [*sorted(deployment.cores), *sorted(deployment.nodes)]:
-        deployment.machine_of(name).set_time_of_day(-LAST_JUMP_US)
+        deployment.machine_of(name).set_time_of_day(-FINAL_TIME_OF_DAY_JUMP_US)
     deployment.advance(2)
 
 
@@ -440,4 +440,4 @@
 
 def core_drawn(deployment: site.Site) -> None:
     """Changes without pause, and random overlapping faults of the core; ends with a closing fault."""
-    CoreDay(deployment).draw(40)
+    CoreDay(deployment).play(40)
--- a/tests/test_core_days.py
+++ b/tests/test_core_days.py
@@ -77,14 +77,14 @@
 
     def test_a_jump_leaves_timers_of_the_clock_since_boot_alone(self) -> None:
         self.reactor.callLater(1, self.ring)
-        self.machine.set_time_of_day(-core_days.JUMP_US)
+        self.machine.set_time_of_day(-core_days.TIME_OF_DAY_JUMP_US)
         self.world.run(2 * units.SECOND_US)
         assert self.rung == [units.SECOND_US]
 
     def test_timers_by_the_time_of_day_ring_late_and_early(self) -> None:
         with mock.patch.object(reactor_model.Reactor, "clock", _time_of_day):
             self.reactor.callLater(1, self.ring)
-            self.machine.set_time_of_day(-core_days.JUMP_US)
+            self.machine.set_time_of_day(-core_days.TIME_OF_DAY_JUMP_US)
             self.world.run(6 * units.SECOND_US)
             self.reactor.callLater(9, self.ring)
             self.machine.set_time_of_day(0)
