--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -36,14 +36,14 @@
 POLL_S = 0.001
 LEAD_S = 3
 OPERATOR_GAP_US = 300 * units.MILLISECOND_US  # of each of the two operators, who send by turns
-REPAIR_S = 12  # within which a repair reaches each step, and the core is complete after the second loss
+REPAIR_TIMEOUT_S = 12  # within which a repair reaches each step, and the core is complete after the second loss
 RESTART_S = 1
 TERM_DELAY_S = 1  # from the start of a planned successor to the SIGTERM
-GRACE_S = 8
-STRIKE_DELAY_S = 0.005  # at most so long after the step
-CHANGE_PATIENCE_S = 20
+TERM_GRACE_S = 8
+MAX_SECOND_LOSS_DELAY_S = 0.005  # at most so long after the step
+CHANGE_TIMEOUT_S = 20
 SLOW_SYNC_US = 150 * units.MILLISECOND_US
-AFTERWARDS_S = 2
+PAUSE_S = 2
 READ_BACK_S = 30
 TRAFFIC_SHARE = 0.01  # the load of the site's workers does not matter here
 
@@ -63,7 +63,7 @@
     complete_us: int | None  # from the strike to the complete chain with a leased tail
 
 
-class UnreachedError(Exception):
+class WaitTimeoutError(Exception):
     """Something was not reached in time."""
 
 
@@ -94,7 +94,7 @@
         self.rng = self.site.rng
         self.replacement = ""  # the name of the core that takes the place of the first lost one
         self.leaving: set[str] = set()  # machines that have a successor, and are about to be stopped
-        self.lost_process: process_model.SimulatedProcess | None = (
+        self.first_lost_process: process_model.SimulatedProcess | None = (
             None  # of the first lost core, which may have had the same name
         )
         self.reached_us: int | None = None
@@ -104,7 +104,7 @@
 
     # ---- operators ---------------------------------------------------------------------
 
-    async def operate(self, operator: operators.Operator, wait_us: int, version_gap: int) -> None:
+    async def change_repeatedly(self, operator: operators.Operator, wait_us: int, version_gap: int) -> None:
         """Send changes one after the other until the run ends."""
         site = self.site
         await site.operator_runtime.sleep(wait_us)
@@ -112,7 +112,7 @@
             sent, base = site.world.time, site.configurations.version
             document = site.configurations.next_change("idle").document
             document[platform_names.CONFIGURATION["version"]] += version_gap
-            status = await operator.put(document, base, seconds=CHANGE_PATIENCE_S)
+            status = await operator.put(document, base, seconds=CHANGE_TIMEOUT_S)
             if status == 200:
                 self.acknowledged.append((sent, site.world.time))
                 site.configurations.adopt_newer(document)
@@ -166,7 +166,7 @@
                 old.process.kill()
 
         old.runtime.spawn(old.stop(), log).addBoth(end)
-        site.schedule(GRACE_S, end)
+        site.schedule(TERM_GRACE_S, end)
 
     def slow_disk(self, name: str) -> None:
         """Let a machine's disk be slow, also where the machine is yet to come."""
@@ -192,7 +192,9 @@
         core = self.site.cores.get(self.replacement)
         return (
             core
-            if core is not None and core.process is not self.lost_process and core.process.name == self.replacement
+            if core is not None
+            and core.process is not self.first_lost_process
+            and core.process.name == self.replacement
             else None
         )
 
@@ -241,12 +243,14 @@
         synced = all(core.consensus.view == view and decisions.is_synced(core.consensus.record) for core in cores)
         return synced and len(members) == self.case.cores and self.tail_is_leased(view)
 
-    def wait(self, condition: collections.abc.Callable[[], object], what: str, seconds: float = REPAIR_S) -> None:
+    def wait(
+        self, condition: collections.abc.Callable[[], object], what: str, seconds: float = REPAIR_TIMEOUT_S
+    ) -> None:
         """Let time pass until a condition holds."""
         end = self.site.world.time + int(seconds * units.SECOND_US)
         while not condition():
             if self.site.world.time >= end:
-                raise UnreachedError(f"{what} for {seconds} s")
+                raise WaitTimeoutError(f"{what} for {seconds} s")
             self.site.advance(POLL_S)
 
     # ---- the run -----------------------------------------------------------------------
@@ -268,7 +272,7 @@
     def repair(self) -> None:
         """Bring the first loss about, and let its repair come to the step of the case."""
         name = self.rng.choice(sorted(self.site.cores))
-        self.lost_process = self.site.cores[name].process
+        self.first_lost_process = self.site.cores[name].process
         started_at, step = self.site.world.time, self.case.step
         self.replacement = self.lose(name, self.case.first)
         if self.case.slow_disk:
@@ -284,23 +288,23 @@
         """Play the case and judge it."""
         site = self.site
         site.begin(lead=LEAD_S)
-        site.operator_runtime.spawn(self.operate(site.operator, 0, 0), log)
-        site.operator_runtime.spawn(self.operate(site.rival, OPERATOR_GAP_US // 2, 10), log)
-        site.advance(AFTERWARDS_S)
+        site.operator_runtime.spawn(self.change_repeatedly(site.operator, 0, 0), log)
+        site.operator_runtime.spawn(self.change_repeatedly(site.rival, OPERATOR_GAP_US // 2, 10), log)
+        site.advance(PAUSE_S)
         complaints: list[str] = []
         first_change_us = complete_us = None
         try:
             self.repair()
-            site.advance(self.rng.uniform(0, STRIKE_DELAY_S))
-            struck_at = site.world.time
+            site.advance(self.rng.uniform(0, MAX_SECOND_LOSS_DELAY_S))
+            second_loss_at = site.world.time
             for name in self.second_targets():
                 self.lose(name, self.case.second)
             self.wait(self.is_repaired, "the chain was not complete after the second loss")
-            complete_us = site.world.time - struck_at
-            first_change_us = self.wait_for_change(struck_at) - struck_at
-            if first_change_us > REPAIR_S * units.SECOND_US:
+            complete_us = site.world.time - second_loss_at
+            first_change_us = self.wait_for_change(second_loss_at) - second_loss_at
+            if first_change_us > REPAIR_TIMEOUT_S * units.SECOND_US:
                 complaints.append(f"no change was acknowledged for {first_change_us // units.MILLISECOND_US} ms")
-        except UnreachedError as error:
+        except WaitTimeoutError as error:
             complaints.append(str(error))
         self.finish()
         complaints += [
@@ -311,9 +315,9 @@
     def finish(self) -> None:
         """Stop the operators, and read the configuration back."""
         site = self.site
-        site.advance(AFTERWARDS_S)
+        site.advance(PAUSE_S)
         self.operating = False
-        site.advance(AFTERWARDS_S)
+        site.advance(PAUSE_S)
         site.read_back(READ_BACK_S)
         site.event_log.put(site.world.time, "ended")
 
@@ -341,7 +345,7 @@
         lines.append(
             f"{cores} cores, {target.value}: {len(group)} runs, {failed} with complaints; "
             f"{sum(outcome.acknowledged for outcome in group)} changes acknowledged; "
-            f"first change after {spread(changes)}; complete after {spread(complete)}"
+            f"first change after {median_and_worst(changes)}; complete after {median_and_worst(complete)}"
         )
     return lines
 
@@ -362,15 +366,15 @@
                 for outcome in group
                 if outcome.reached_us is not None and outcome.case.target is not second_loss_cases.Target.SETTLED
             )
-            found += [f"{step.value} {spread(times)}"] if times else []
+            found += [f"{step.value} {median_and_worst(times)}"] if times else []
         lines += [f"{first.value}: " + ", ".join(found)] if found else []
     return lines
 
 
-def spread(times: list[int]) -> str:
+def median_and_worst(times: list[int]) -> str:
     """Median and worst of sorted times in milliseconds.
 
-    >>> spread([1_000, 2_000, 9_000])
+    >>> median_and_worst([1_000, 2_000, 9_000])
     '2 ms (worst 9 ms)'
     """
     if not times:
--- a/simulation/second_loss_cases.py
+++ b/simulation/second_loss_cases.py
@@ -38,7 +38,7 @@
     STRESS = "stress"  # as many others as are tolerated at once, while the replacement still counts as lost
 
 
-STEPS_OF_STRESS = (Step.SYNCED, Step.LEASED, Step.ACKNOWLEDGED)
+STRESS_STEPS = (Step.SYNCED, Step.LEASED, Step.ACKNOWLEDGED)
 
 
 class Case(msgspec.Struct, frozen=True):
@@ -82,7 +82,7 @@
     for seed, first, step, target, second in itertools.product(seeds, firsts, steps, targets, seconds):
         if target is Target.OTHER and cores // 2 < 2:
             continue
-        if target is Target.STRESS and step not in STEPS_OF_STRESS:
+        if target is Target.STRESS and step not in STRESS_STEPS:
             continue
         if target is Target.SETTLED and step is not Step.ACKNOWLEDGED:
             continue
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -49,10 +49,10 @@
     # changes are acknowledged before and after it
     assert outcome.acknowledged > 10, case.options()
     assert outcome.first_change_us is not None, case.options()
-    assert outcome.first_change_us < second_loss.REPAIR_S * units.SECOND_US, case.options()
+    assert outcome.first_change_us < second_loss.REPAIR_TIMEOUT_S * units.SECOND_US, case.options()
 
 
 def test_a_chain_led_by_a_copy_that_is_not_synced_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(view_formation, "next_chain", unsynced_order)
     found = [line for case in GUARDED for line in second_loss.play(case).complaints]
-    assert f"no change was acknowledged for {second_loss.REPAIR_S} s" in found
+    assert f"no change was acknowledged for {second_loss.REPAIR_TIMEOUT_S} s" in found
