--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -63,18 +63,18 @@
     """In place of `TailContact.wait_until_applied`: no change waits until all nodes apply it."""
 
 
-def _broken_counts_as_unsent(
+def _report_broken_as_unsent(
     send: collections.abc.Callable[Arguments, Sending],
 ) -> collections.abc.Callable[Arguments, Sending]:
     """Around `Dispatcher.send`: an attempt that broke off counts as never sent."""
 
-    async def send_and_forget(
+    async def send_reporting_unsent(
         *arguments: Arguments.args, **keywords: Arguments.kwargs
     ) -> attempt_outcome.AttemptOutcome:
         outcome = await send(*arguments, **keywords)
         return attempt_outcome.AttemptOutcome.UNSENT if outcome is attempt_outcome.AttemptOutcome.BROKE else outcome
 
-    return send_and_forget
+    return send_reporting_unsent
 
 
 async def _select_once(
@@ -86,7 +86,7 @@
     return await _select_worker(self, request, excluded_workers)
 
 
-async def _check_alone(self: worker_watch.WorkerWatch, worker: message.Worker) -> None:
+async def _eject_without_second_witness(self: worker_watch.WorkerWatch, worker: message.Worker) -> None:
     """In place of `WorkerWatch.check`: a node's own failure to reach a worker is enough, without a second witness."""
     self.ejected[worker.id] = self.runtime.now()
     self.owner.check_workers()
@@ -103,7 +103,9 @@
     return await _gateway_send(self, request, worker, attempt, "")
 
 
-def _believe_all(_self: platform_listing.PlatformListing, workers: list[message.Worker]) -> list[message.Worker]:
+def _accept_removals_at_once(
+    _self: platform_listing.PlatformListing, workers: list[message.Worker]
+) -> list[message.Worker]:
     """In place of `PlatformListing.confirm_removals`: a list that lost many workers is taken at once."""
     return workers
 
@@ -137,7 +139,7 @@
     )
 
 
-def _keep_all(_self: sessions.SessionTable[typing.Any], _now: int) -> list[sessions.Session[typing.Any]]:
+def _keep_all_sessions(_self: sessions.SessionTable[typing.Any], _now: int) -> list[sessions.Session[typing.Any]]:
     """In place of `SessionTable.sweep`: silent sessions are never removed."""
     return []
 
@@ -153,28 +155,28 @@
     _apply_workers(self, [msgspec.structs.replace(worker, pool=pool) for worker in workers])
 
 
-def _order_blank_first(
+def _order_unsynced_first(
     view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
 ) -> list[message.ChainReplica]:
     """In place of `view_formation.next_chain`: replicas that lack records come first in the chain."""
-    blank_first = sorted(alive, key=lambda i: (i in promises and promises[i].synced_view == view.number, i))
-    return [message.ChainReplica(identifier, alive[identifier]) for identifier in blank_first]
+    unsynced_first = sorted(alive, key=lambda i: (i in promises and promises[i].synced_view == view.number, i))
+    return [message.ChainReplica(identifier, alive[identifier]) for identifier in unsynced_first]
 
 
 def _order_without_last_entries(
     view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
 ) -> list[message.ChainReplica] | None:
     """In place of `view_formation.next_chain`: how far each replica's log reaches is left out."""
-    blind = {i: msgspec.structs.replace(promise, last_entry=(0, 0)) for i, promise in promises.items()}
-    return _next_chain(view, blind, alive)
+    without_last_entries = {i: msgspec.structs.replace(promise, last_entry=(0, 0)) for i, promise in promises.items()}
+    return _next_chain(view, without_last_entries, alive)
 
 
-async def _nobody_has_it(_self: pool_owner.PoolOwner, _request: message.SelectWorker) -> str:
+async def _report_no_other_holder(_self: pool_owner.PoolOwner, _request: message.SelectWorker) -> str:
     """In place of `PoolOwner.query_other_pools`: other pools' owners are not asked whether they hold a request."""
     return ""
 
 
-def _interrupted_is_complete(self: dispatch.AnswerBodyStreamer, _reason: failure.Failure | None = None) -> None:
+def _treat_interrupted_as_complete(self: dispatch.AnswerBodyStreamer, _reason: failure.Failure | None = None) -> None:
     """In place of `AnswerBodyStreamer.connectionLost`: an answer that broke off counts as complete."""
     if self.read_timer is not None and self.read_timer.active():
         self.read_timer.cancel()
@@ -211,14 +213,19 @@
     "claims": Guard(
         [Patch(pool_owner.PoolOwner, "refuse_if_claimed", lambda _self, _request: None)], "worker_storm", 1, "once"
     ),
-    "other_pools": Guard([Patch(pool_owner.PoolOwner, "query_other_pools", _nobody_has_it)], "route_moves", 3, "once"),
+    "other_pools": Guard(
+        [Patch(pool_owner.PoolOwner, "query_other_pools", _report_no_other_holder)], "route_moves", 3, "once"
+    ),
     "torn_answers": Guard(
-        [Patch(dispatch.AnswerBodyStreamer, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"
+        [Patch(dispatch.AnswerBodyStreamer, "connectionLost", _treat_interrupted_as_complete)],
+        "worker_storm",
+        1,
+        "once",
     ),
     "own_headers": Guard([Patch(edge_protocol, "worker_request_headers", _stale_headers)], "calm", 1, "own"),
     "unsent_or_broke": Guard(
         [
-            Patch(dispatch.Dispatcher, "send", _broken_counts_as_unsent(dispatch.Dispatcher.send)),
+            Patch(dispatch.Dispatcher, "send", _report_broken_as_unsent(dispatch.Dispatcher.send)),
             Patch(worker_selection.WorkerSelector, "select_worker", _select_once),
         ],
         "worker_freeze",
@@ -237,7 +244,7 @@
         1,
         "in_force",
     ),
-    "whole_copies": Guard([Patch(view_formation, "next_chain", _order_blank_first)], "replace_all", 4, "kept"),
+    "whole_copies": Guard([Patch(view_formation, "next_chain", _order_unsynced_first)], "replace_all", 4, "kept"),
     "tips": Guard([Patch(view_formation, "next_chain", _order_without_last_entries)], "disk_old", 1, "kept"),
     "pools": Guard([Patch(follower.Follower, "apply_workers", _apply_as_one_pool)], "other_pool", 1, "allowed"),
     "pins": Guard([Patch(sessions.SessionTable, "affinity", lambda _self, _identifier: None)], "calm", 1, "pinned"),
@@ -246,7 +253,9 @@
         [Patch(retry_budget.Budget, "spend", lambda _self, _now: True)], "worker_breaks", 1, "budget"
     ),
     "seats": Guard([Patch(selection.WorkerSelector, "has_slot", lambda _self, *_more: False)], "calm", 1, "served"),
-    "second_witness": Guard([Patch(worker_watch.WorkerWatch, "check", _check_alone)], "blind_owner", 2, "pinned"),
+    "second_witness": Guard(
+        [Patch(worker_watch.WorkerWatch, "check", _eject_without_second_witness)], "blind_owner", 2, "pinned"
+    ),
     "via": Guard([Patch(gateway.Gateway, "send", _send_without_relay)], "blind_node", 1, "served"),
     "one_budget": Guard(
         [Patch(retry_budget.Budget, "has_capacity", _has_local_capacity)], "worker_breaks", 1, "served"
@@ -264,9 +273,12 @@
         [Patch(request_router.RequestRouter, "reroute", lambda _self, _request: None)], "crowd", 1, "served"
     ),
     "twice_said": Guard(
-        [Patch(platform_listing.PlatformListing, "confirm_removals", _believe_all)], "platform_bad", 1, "pinned"
+        [Patch(platform_listing.PlatformListing, "confirm_removals", _accept_removals_at_once)],
+        "platform_bad",
+        1,
+        "pinned",
     ),
-    "sweep": Guard([Patch(sessions.SessionTable, "sweep", _keep_all)], "release", 1, "served"),
+    "sweep": Guard([Patch(sessions.SessionTable, "sweep", _keep_all_sessions)], "release", 1, "served"),
     "early_answers": Guard(
         [Patch(http_server.Request, "refuse_early", lambda _self, _code, _text: None)],
         "bad_requesters",
@@ -296,7 +308,7 @@
     guard: str
 
 
-class Count(typing.NamedTuple):
+class GuardRun(typing.NamedTuple):
     """Of one run: whether the guard's checker complained, how many rows it judged, and the seed."""
 
     complained: bool
@@ -336,24 +348,24 @@
         for shape in shapes
         for seed in range(first, first + seeds)
     ]
-    counts: collections.defaultdict[tuple[str, str], list[Count]] = collections.defaultdict(list)
+    counts: collections.defaultdict[tuple[str, str], list[GuardRun]] = collections.defaultdict(list)
     with multiprocessing.Pool(os.cpu_count(), maxtasksperchild=seed_runs.RUNS_PER_PROCESS) as pool:
         for job, complaints, rows_judged in pool.imap_unordered(play, jobs):
             checker = GUARDS[job.guard].checker
-            counts[job.guard, job.shape].append(Count(checker in complaints, rows_judged[checker], job.seed))
-    silent = 0
+            counts[job.guard, job.shape].append(GuardRun(checker in complaints, rows_judged[checker], job.seed))
+    guards_unnoticed = 0
     for (name, shape), found in sorted(counts.items()):
-        seeds_found = sorted(count.seed for count in found if count.complained)
-        silent += not seeds_found
-        _print_counts(name, shape, found, seeds_found)
-    sys.exit(1 if silent else 0)
+        complaining = sorted(count.seed for count in found if count.complained)
+        guards_unnoticed += not complaining
+        _print_counts(name, shape, found, complaining)
+    sys.exit(1 if guards_unnoticed else 0)
 
 
-def _print_counts(name: str, shape: str, found: list[Count], seeds_found: list[int]) -> None:
+def _print_counts(name: str, shape: str, found: list[GuardRun], complaining: list[int]) -> None:
     guard = GUARDS[name]
     print(
-        f"{name} out, {guard.scenario}, {shape}: {guard.checker} complained in {len(seeds_found)} of {len(found)} "
-        f"runs (seeds {' '.join(map(str, seeds_found)) or 'none'}), {sum(count.rows for count in found)} rows judged",
+        f"{name} out, {guard.scenario}, {shape}: {guard.checker} complained in {len(complaining)} of {len(found)} "
+        f"runs (seeds {' '.join(map(str, complaining)) or 'none'}), {sum(count.rows for count in found)} rows judged",
         flush=True,
     )
 
