--- a/benchmarks/simulated_costs.py
+++ b/benchmarks/simulated_costs.py
@@ -256,16 +256,16 @@
     """Let one process fail for a few seconds."""
     match fault:
         case "freeze":
-            process = actions.some_node(cluster).process
+            process = actions.random_node(cluster).process
             process.freeze()
             cluster.advance(OUTAGE_S)
             process.wake()
         case "kill_core":
-            actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=OUTAGE_S)
+            actions.kill(cluster, actions.random_core(cluster).options.name, restart_after=OUTAGE_S)
         case "worker_crash":
             actions.kill(cluster, min(cluster.workers), restart_after=OUTAGE_S)
         case _:
-            node = actions.some_node(cluster, owner=fault == "kill_owner")
+            node = actions.random_node(cluster, owner=fault == "kill_owner")
             actions.kill(cluster, node.options.name, restart_after=OUTAGE_S)
 
 
--- a/simulation/scenarios/actions.py
+++ b/simulation/scenarios/actions.py
@@ -22,7 +22,7 @@
 # ---- targets ---------------------------------------------------------------------------------
 
 
-def some_node(cluster: simulated_cluster.SimulatedCluster, owner: bool | None = None) -> server_model.SimulatedNode:
+def random_node(cluster: simulated_cluster.SimulatedCluster, owner: bool | None = None) -> server_model.SimulatedNode:
     """A live node, drawn at random.
 
     Args:
@@ -41,14 +41,14 @@
     return cluster.nodes[cluster.rng.choice(names)]
 
 
-def some_core(cluster: simulated_cluster.SimulatedCluster) -> server_model.SimulatedCore:
+def random_core(cluster: simulated_cluster.SimulatedCluster) -> server_model.SimulatedCore:
     """A live core, drawn at random."""
     return cluster.cores[
         cluster.rng.choice([name for name in sorted(cluster.cores) if cluster.cores[name].process.alive])
     ]
 
 
-def some_worker(cluster: simulated_cluster.SimulatedCluster) -> str:
+def random_worker(cluster: simulated_cluster.SimulatedCluster) -> str:
     """The name of a worker, drawn at random."""
     return cluster.rng.choice(sorted(cluster.workers))
 
--- a/simulation/scenarios/configuration.py
+++ b/simulation/scenarios/configuration.py
@@ -15,7 +15,7 @@
     """Changes arrive in quick bursts, while a core is killed."""
     changes = actions.confirm_changes(cluster, 25, 0.05)
     cluster.advance(3)
-    actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=3)
+    actions.kill(cluster, actions.random_core(cluster).options.name, restart_after=3)
     cluster.advance_until_called(changes, 60)
     cluster.advance(14)
 
@@ -76,7 +76,7 @@
 
     cluster.operator_runtime.spawn(add_routes(), simulated_cluster.log)
     cluster.advance(8)
-    actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=3)
+    actions.kill(cluster, actions.random_core(cluster).options.name, restart_after=3)
     cluster.advance(16)
 
 
@@ -114,7 +114,7 @@
         for identifier in identifiers:  # their clients never saw the answer, and try again
             actions.begin_attempt(cluster, identifier, 2)
         if turn in (1, 3):
-            target = actions.some_node(cluster, owner=True)
+            target = actions.random_node(cluster, owner=True)
             cluster.advance(cluster.rng.random() * 2)
             actions.kill(cluster, target.options.name, restart_after=3)
             cluster.advance(8)
@@ -139,7 +139,7 @@
         else:
             actions.confirm_edit(cluster, remove, patch=True)
         if turn == 1:
-            actions.kill(cluster, actions.some_core(cluster).options.name, restart_after=3)
+            actions.kill(cluster, actions.random_core(cluster).options.name, restart_after=3)
     cluster.advance(8)
 
 
@@ -159,7 +159,7 @@
         some = sorted(cluster.rng.sample(zones, 1 + cluster.rng.randrange(len(zones) - 1)))
         _restrict_zones(cluster, some, patch=turn % 2 == 1)
         if turn in (1, 3):
-            target = actions.some_node(cluster, owner=False)
+            target = actions.random_node(cluster, owner=False)
             actions.kill(cluster, target.options.name, restart_after=3)
     cluster.advance(8)
 
@@ -186,7 +186,7 @@
     _open_conversations(cluster, 30, "low")
     _set_cap(cluster, 2)
     _open_conversations(cluster, 15, "lower")
-    target = actions.some_node(cluster, owner=True)
+    target = actions.random_node(cluster, owner=True)
     actions.kill(cluster, target.options.name, restart_after=3)
     cluster.advance(6)
     _open_conversations(cluster, 10, "after")
@@ -211,6 +211,6 @@
     for turn in range(3):
         _open_conversations(cluster, 3 * cluster.worker_count + 4, f"rel-{turn}")
         if turn == 1:
-            target = actions.some_node(cluster, owner=True)
+            target = actions.random_node(cluster, owner=True)
             actions.kill(cluster, target.options.name, restart_after=3)
         cluster.advance(17)
--- a/simulation/scenarios/cores.py
+++ b/simulation/scenarios/cores.py
@@ -13,7 +13,7 @@
     actions.confirm_changes(cluster, 12, 3)
     for _ in range(3):
         cluster.advance(5 + cluster.rng.random())
-        target = actions.some_core(cluster)
+        target = actions.random_core(cluster)
         actions.kill(cluster, target.options.name, restart_after=1 + cluster.rng.random() * 6)
         cluster.advance(11)
 
@@ -43,7 +43,7 @@
     for _ in range(3):
         cluster.advance(4)
         cluster.advance_until_called(actions.begin_change(cluster), 20)
-        candidates = (cluster.head(), cluster.tail(), actions.some_core(cluster))
+        candidates = (cluster.head(), cluster.tail(), actions.random_core(cluster))
         target = cluster.rng.choice([candidate for candidate in candidates if candidate is not None])
         name = target.options.name
         actions.lose_power(cluster, name)
@@ -58,7 +58,7 @@
     """A core is gone for good; an empty one starts at a new address."""
     actions.confirm_changes(cluster, 12, 3)
     cluster.advance(6)
-    actions.replace_core(cluster, actions.some_core(cluster).options.name, "c4", "10.0.1.4")
+    actions.replace_core(cluster, actions.random_core(cluster).options.name, "c4", "10.0.1.4")
     cluster.advance(25)
 
 
--- a/simulation/scenarios/disks.py
+++ b/simulation/scenarios/disks.py
@@ -17,7 +17,7 @@
     actions.confirm_changes(cluster, 10)
     for _ in range(2):
         cluster.advance(6 + cluster.rng.random())
-        name = actions.some_core(cluster).options.name
+        name = actions.random_core(cluster).options.name
         actions.lose_power(cluster, name, wiped=True)
         cluster.advance(1 + cluster.rng.random() * 3)
         actions.restart(cluster, name)
@@ -29,7 +29,7 @@
     actions.confirm_changes(cluster, 10, 2)
     for condition in ("full", "slow", "stalled"):
         cluster.advance(4 + cluster.rng.random())
-        target = actions.some_core(cluster)
+        target = actions.random_core(cluster)
         cluster.fault(f"disk {condition}", target.options.name)
         target.process.host.disk = condition
         cluster.advance(4 + cluster.rng.random() * 5)
@@ -42,7 +42,7 @@
     """A core loses power between two steps of a write: head, middle and tail, with the disk or without."""
     for position in cluster.rng.sample(range(3), 3):
         cluster.advance(4)
-        target = _core_at(cluster, position) or actions.some_core(cluster)
+        target = _core_at(cluster, position) or actions.random_core(cluster)
         host = target.process.host
         host.trap = cluster.rng.choice(["before sync", "after sync", "after answer"])
         change = actions.begin_change(cluster)
@@ -96,7 +96,7 @@
     """
     cluster.advance(2)
     for together, tail_delay_s in ((False, 0), (True, 0), (True, 2)):
-        target = cluster.head() or actions.some_core(cluster)
+        target = cluster.head() or actions.random_core(cluster)
         outdated = dict(target.process.host.synced)
         for _ in range(2):
             actions.confirm_next(cluster)
--- a/simulation/scenarios/load.py
+++ b/simulation/scenarios/load.py
@@ -70,7 +70,7 @@
     actions.confirm_changes(cluster, 4, 5)
     cluster.load.max_attempts, cluster.load.impatient_share = 40, 0.8
     cluster.advance(5)
-    target = actions.some_node(cluster, owner=False)
+    target = actions.random_node(cluster, owner=False)
     actions.kill(cluster, target.options.name, restart_after=5)
     cluster.advance(8)
     for name in sorted(cluster.workers)[:-1]:
@@ -98,7 +98,7 @@
     cluster.load.max_attempts = 6
     for turn in range(4):
         cluster.advance(5 + cluster.rng.random())
-        target = actions.some_node(cluster, owner=turn % 2 == 0)
+        target = actions.random_node(cluster, owner=turn % 2 == 0)
         name = target.options.name
         for number in range(12):
             actions.begin_request(cluster, "short", "phrases", f"ctd-{turn}-{number}")
--- a/simulation/scenarios/mixed_faults.py
+++ b/simulation/scenarios/mixed_faults.py
@@ -32,7 +32,7 @@
     cluster.advance(22)
     cluster.advance_until_called(cluster.load_done, 60)
     cluster.advance_until_called(actions.begin_change(cluster), 20)
-    target = actions.some_core(cluster)
+    target = actions.random_core(cluster)
     actions.lose_power(cluster, target.options.name)
     if cluster.rng.random() < 0.5:
         target.process.host.synced.clear()
@@ -47,8 +47,8 @@
     cluster.advance_until_called(cluster.load_done, 60)
     actions.confirm_next(cluster)
     fault = LAST_FAULTS[cluster.seed % len(LAST_FAULTS)]
-    core_name = actions.some_core(cluster).options.name
-    node_name = actions.some_node(cluster, owner="warden" in fault).options.name
+    core_name = actions.random_core(cluster).options.name
+    node_name = actions.random_node(cluster, owner="warden" in fault).options.name
     name = core_name if fault.endswith("core") else node_name
     match fault:
         case "kill node" | "kill warden" | "kill core":
@@ -63,7 +63,7 @@
             actions.cut_off(cluster, name)
             actions.repair_later(cluster, 4, "heal", name, cluster.world.heal)
         case "worker dies":
-            actions.kill(cluster, actions.some_worker(cluster))
+            actions.kill(cluster, actions.random_worker(cluster))
         case _:
             _fail_core_at_end(cluster, fault, core_name)
     cluster.advance(14)
@@ -93,54 +93,54 @@
     cluster.advance(20)
 
 
-def _kill_some_core(cluster: simulated_cluster.SimulatedCluster) -> None:
-    name = actions.some_core(cluster).options.name
+def _kill_random_core(cluster: simulated_cluster.SimulatedCluster) -> None:
+    name = actions.random_core(cluster).options.name
     actions.kill(cluster, name, restart_after=2 + cluster.rng.random() * 3)
 
 
-def _kill_some_node(cluster: simulated_cluster.SimulatedCluster) -> None:
-    name = actions.some_node(cluster).options.name
+def _kill_random_node(cluster: simulated_cluster.SimulatedCluster) -> None:
+    name = actions.random_node(cluster).options.name
     actions.kill(cluster, name, restart_after=2 + cluster.rng.random() * 3)
 
 
-def _some_server(cluster: simulated_cluster.SimulatedCluster) -> str:
+def _random_server(cluster: simulated_cluster.SimulatedCluster) -> str:
     candidates: list[server_model.SimulatedCore | server_model.SimulatedNode] = [
-        actions.some_core(cluster),
-        actions.some_node(cluster),
+        actions.random_core(cluster),
+        actions.random_node(cluster),
     ]
     return cluster.rng.choice(candidates).options.name
 
 
-def _freeze_some_server(cluster: simulated_cluster.SimulatedCluster) -> None:
-    name = _some_server(cluster)
+def _freeze_random_server(cluster: simulated_cluster.SimulatedCluster) -> None:
+    name = _random_server(cluster)
     actions.freeze(cluster, name)
     wake = cluster.servers()[name].process.wake
     actions.repair_later(cluster, 1 + cluster.rng.random() * 4, "wake", name, wake)
 
 
-def _cut_some_server(cluster: simulated_cluster.SimulatedCluster) -> None:
-    actions.cut_off(cluster, _some_server(cluster))
+def _cut_random_server(cluster: simulated_cluster.SimulatedCluster) -> None:
+    actions.cut_off(cluster, _random_server(cluster))
     actions.repair_later(cluster, 1 + cluster.rng.random() * 4, "heal", "all", cluster.world.heal)
 
 
-def _kill_some_worker(cluster: simulated_cluster.SimulatedCluster) -> None:
-    name = actions.some_worker(cluster)
+def _kill_random_worker(cluster: simulated_cluster.SimulatedCluster) -> None:
+    name = actions.random_worker(cluster)
     if cluster.workers[name].process.alive:
         actions.kill(cluster, name, restart_after=1 + cluster.rng.random() * 4)
 
 
-def _stall_some_disk(cluster: simulated_cluster.SimulatedCluster) -> None:
-    target = actions.some_core(cluster)
+def _stall_random_disk(cluster: simulated_cluster.SimulatedCluster) -> None:
+    target = actions.random_core(cluster)
     cluster.fault("disk stalled", target.options.name)
     target.process.host.disk = "stalled"
     actions.repair_later(cluster, 3, "disk mended", target.options.name, target.process.host.repair)
 
 
 MIXED_FAULTS = (
-    _kill_some_core,
-    _kill_some_node,
-    _freeze_some_server,
-    _cut_some_server,
-    _kill_some_worker,
-    _stall_some_disk,
+    _kill_random_core,
+    _kill_random_node,
+    _freeze_random_server,
+    _cut_random_server,
+    _kill_random_worker,
+    _stall_random_disk,
 )
--- a/simulation/scenarios/network.py
+++ b/simulation/scenarios/network.py
@@ -20,7 +20,7 @@
     actions.confirm_changes(cluster, 12, 2)
     for _ in range(2):
         cluster.advance(5 + cluster.rng.random())
-        target = actions.some_core(cluster)
+        target = actions.random_core(cluster)
         cluster.fault("cut", target.options.name)
         cluster.world.cut([target.options.host], list(cluster.world.machines))
         cluster.advance(3 + cluster.rng.random() * 8)
@@ -32,7 +32,7 @@
     """The core is cut in two: one machine with some nodes, two with the others."""
     actions.confirm_changes(cluster, 12, 2)
     cluster.advance(6)
-    target = actions.some_core(cluster)
+    target = actions.random_core(cluster)
     names = sorted(cluster.nodes)
     cluster.rng.shuffle(names)
     with_it = [cluster.places[name][0] for name in names[: len(names) // 2]]
@@ -60,7 +60,7 @@
     actions.confirm_changes(cluster, 12, 3)
     for owner in (False, True):
         cluster.advance(5 + cluster.rng.random())
-        name = actions.some_node(cluster, owner).options.name
+        name = actions.random_node(cluster, owner).options.name
         actions.cut_off(cluster, name)
         actions.probe_repeatedly(cluster, name, 10 + cluster.rng.randrange(30))
         actions.heal(cluster, name)
@@ -100,7 +100,7 @@
 def one_way(cluster: simulated_cluster.SimulatedCluster) -> None:
     """What one machine sends is lost, what it gets is not; or the reverse."""
     actions.confirm_changes(cluster, 12, 3)
-    for pick in (lambda: actions.some_core(cluster), lambda: actions.some_node(cluster)):
+    for pick in (lambda: actions.random_core(cluster), lambda: actions.random_node(cluster)):
         cluster.advance(5 + cluster.rng.random())
         target = pick()
         others = [host for host in cluster.hosts("cores", "nodes") if host != target.options.host]
@@ -117,7 +117,7 @@
 def flap(cluster: simulated_cluster.SimulatedCluster) -> None:
     """A core's and a node's links break and heal every second."""
     actions.confirm_changes(cluster, 12, 2)
-    for target in (actions.some_core(cluster), actions.some_node(cluster)):
+    for target in (actions.random_core(cluster), actions.random_node(cluster)):
         cluster.advance(5)
         cluster.fault("flap", target.options.name)
         for _ in range(8):
@@ -147,7 +147,7 @@
 ) -> None:
     """Impair a node's link and then a core's for 8 s each, by what `draw` gives; `impairments` is by host."""
     actions.confirm_changes(cluster, 10, 3)
-    for target in (actions.some_node(cluster), actions.some_core(cluster)):
+    for target in (actions.random_node(cluster), actions.random_core(cluster)):
         cluster.advance(4)
         cluster.fault(fault, target.options.name)
         impairments[target.options.host] = draw()
@@ -173,9 +173,9 @@
 def _cut_from_one_then_all_workers(cluster: simulated_cluster.SimulatedCluster, owner: bool) -> None:
     actions.confirm_changes(cluster, 6, 5)
     cluster.advance(6 + cluster.rng.random())
-    _cut_from_workers(cluster, actions.some_node(cluster, owner), [actions.some_worker(cluster)], 8)
+    _cut_from_workers(cluster, actions.random_node(cluster, owner), [actions.random_worker(cluster)], 8)
     cluster.advance(4)
-    _cut_from_workers(cluster, actions.some_node(cluster, owner), sorted(cluster.workers), 9)
+    _cut_from_workers(cluster, actions.random_node(cluster, owner), sorted(cluster.workers), 9)
     cluster.advance(6)
 
 
--- a/simulation/scenarios/processes.py
+++ b/simulation/scenarios/processes.py
@@ -17,7 +17,7 @@
     actions.confirm_changes(cluster)
     for _ in range(3):
         cluster.advance(6)
-        target = actions.some_node(cluster, owner=False)
+        target = actions.random_node(cluster, owner=False)
         actions.kill(cluster, target.options.name, restart_after=2 + cluster.rng.random() * 4)
         cluster.advance(6)
 
@@ -27,7 +27,7 @@
     actions.confirm_changes(cluster)
     for _ in range(2):
         cluster.advance(6 + cluster.rng.random())
-        target = actions.some_node(cluster, owner=True)
+        target = actions.random_node(cluster, owner=True)
         actions.kill(cluster, target.options.name, restart_after=3 + cluster.rng.random() * 4)
         cluster.advance(14)
 
@@ -37,10 +37,10 @@
     actions.confirm_changes(cluster, 10, 4)
     for _ in range(3):
         cluster.advance(6 + cluster.rng.random())
-        pool_owner_node = actions.some_node(cluster, owner=True)
+        pool_owner_node = actions.random_node(cluster, owner=True)
         actions.kill(cluster, pool_owner_node.options.name, restart_after=0.4 + cluster.rng.random() * 3)
         cluster.advance(cluster.rng.random() * 1.2)
-        tail = cluster.tail() or actions.some_core(cluster)
+        tail = cluster.tail() or actions.random_core(cluster)
         actions.kill(cluster, tail.options.name, restart_after=1 + cluster.rng.random() * 3)
         cluster.advance(12)
 
@@ -119,9 +119,9 @@
     """The pool owner, a node and a core freeze and wake."""
     actions.confirm_changes(cluster, 12, 3)
     for pick in (
-        lambda: actions.some_node(cluster, owner=True),
-        lambda: actions.some_node(cluster),
-        lambda: actions.some_core(cluster),
+        lambda: actions.random_node(cluster, owner=True),
+        lambda: actions.random_node(cluster),
+        lambda: actions.random_core(cluster),
     ):
         cluster.advance(6 + cluster.rng.random())
         target = pick()
@@ -154,7 +154,7 @@
     """A node is frozen through a change and wakes while the whole core is gone; clients hold on to its address."""
     cluster.advance(3)
     for _ in range(2):
-        target = actions.some_node(cluster, owner=False)
+        target = actions.random_node(cluster, owner=False)
         actions.freeze(cluster, target.options.name)
         actions.confirm_next(cluster)
         cluster.advance(1 + cluster.rng.random() * 2)
--- a/simulation/scenarios/workers.py
+++ b/simulation/scenarios/workers.py
@@ -11,10 +11,10 @@
     """A worker crashes and comes back; another can't be reached."""
     actions.confirm_changes(cluster, 6, 5)
     cluster.advance(5)
-    name = actions.some_worker(cluster)
+    name = actions.random_worker(cluster)
     actions.kill(cluster, name, restart_after=2 + cluster.rng.random() * 5)
     cluster.advance(14)
-    name = actions.some_worker(cluster)
+    name = actions.random_worker(cluster)
     cluster.fault("dark", name)
     cluster.world.cut([cluster.workers[name].host], cluster.hosts("nodes"))
     cluster.advance(4 + cluster.rng.random() * 5)
@@ -27,7 +27,7 @@
     actions.confirm_changes(cluster, 6, 5)
     for _ in range(2):
         cluster.advance(6 + cluster.rng.random())
-        name = actions.some_worker(cluster)
+        name = actions.random_worker(cluster)
         cluster.fault("vanish", name)
         cluster.workers.pop(name).process.host.fail()
         cluster.advance(2 + cluster.rng.random() * 6)
@@ -78,7 +78,7 @@
     """A worker freezes with requests on it, and wakes long after they were given up."""
     actions.confirm_changes(cluster, 6, 5)
     cluster.advance(8 + cluster.rng.random())
-    name = actions.some_worker(cluster)
+    name = actions.random_worker(cluster)
     cluster.fault("freeze", name)
     cluster.workers[name].process.freeze()
     cluster.advance(14)
@@ -122,7 +122,7 @@
     actions.confirm_changes(cluster, 6, 5)
     for fault in stand_in_worker.AnswerFault:
         cluster.advance(4)
-        name = actions.some_worker(cluster)
+        name = actions.random_worker(cluster)
         cluster.fault(fault.value, name)
         cluster.workers[name].answer_fault = fault
         cluster.advance(5)
