--- a/simulation/fingerprint.py
+++ b/simulation/fingerprint.py
@@ -102,10 +102,10 @@
     >>> len(log_marks(["a", "b"], [1, 2]))
     8
     """
-    state, begun, found = hashlib.sha256(), 0, []
+    state, start, found = hashlib.sha256(), 0, []
     for place in places:
-        state.update("".join(f"{line}\n" for line in lines[begun:place]).encode())
-        begun = place
+        state.update("".join(f"{line}\n" for line in lines[start:place]).encode())
+        start = place
         found.append(state.hexdigest()[:MARK_LENGTH])
     return "".join(found)
 
@@ -129,13 +129,13 @@
     """Where a log leaves the recorded one, as near as the recorded marks tell."""
     places = mark_places(recorded.rows)
     present = log_marks([canonical(row, names) for row in rows], places)
-    begun = 0
+    start = 0
     for index, place in enumerate(places):
         piece = slice(index * MARK_LENGTH, (index + 1) * MARK_LENGTH)
         if present[piece] != recorded.marks[piece]:
-            times = [row.get("at") for row in rows[begun:place]] or ["the end"]
-            return f"first differs in rows {begun + 1} to {place}, time {times[0]} to {times[-1]}"
-        begun = place
+            times = [row.get("at") for row in rows[start:place]] or ["the end"]
+            return f"first differs in rows {start + 1} to {place}, time {times[0]} to {times[-1]}"
+        start = place
     return f"the {recorded.rows} recorded rows are alike, there are {len(rows)} now"
 
 
@@ -163,10 +163,10 @@
     return msgspec.json.decode(pathlib.Path(path).read_bytes(), type=Record)
 
 
-def text_of(record: Record) -> str:
+def encode_record(record: Record) -> str:
     """The text of a file of fingerprints, one run a line.
 
-    >>> text_of(Record(Names(), [])).count("names")
+    >>> encode_record(Record(Names(), [])).count("names")
     1
     """
     runs = ",\n".join(msgspec.json.encode(run).decode() for run in record.runs)
@@ -206,7 +206,7 @@
     for result in results:
         if isinstance(result, str):
             print(result)
-    pathlib.Path(file).write_text(text_of(Record(Names(), runs)))
+    pathlib.Path(file).write_text(encode_record(Record(Names(), runs)))
     print(f"{len(runs)} runs recorded")
 
 
