--- a/simulation/scenarios/__init__.py
+++ b/simulation/scenarios/__init__.py
@@ -1,5 +1,5 @@
-"""The scenarios that the simulator plays against a whole cluster, by kind of fault.
+"""The scenarios that the simulator plays against a whole cluster; each module holds those of one kind of fault.
 
-A scenario is a function of a cluster that has begun to serve: it lets time pass and brings about its faults.
-`simulation.scenarios.registry` lists all of them by name.
+A scenario is a function that takes a serving cluster, advances the simulated time and injects faults.
+`simulation.scenarios.registry` lists all scenarios by name.
 """
--- a/simulation/scenarios/actions.py
+++ b/simulation/scenarios/actions.py
@@ -1,4 +1,4 @@
-"""What scenarios do to a cluster: faults and repairs, changes of its configuration, and requests."""
+"""Building blocks of scenarios: inject and repair faults, change the configuration, send requests."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 
     from simulation import server_model
 
-CONFIRM_TIMEOUT_SECONDS = 40  # for an operator's change
+CONFIRM_TIMEOUT_SECONDS = 40  # until an operator's change must be confirmed
 
-Document = dict[str, typing.Any]  # a configuration as JSON
+Document = dict[str, typing.Any]  # a decoded JSON configuration
 
 
 # ---- targets ---------------------------------------------------------------------------------
 
 
 def random_node(cluster: simulated_cluster.SimulatedCluster, owner: bool | None = None) -> server_model.SimulatedNode:
-    """A live node, drawn at random.
+    """Draw a live node at random.
 
     Args:
         cluster: The cluster.
-        owner: True for the pool owner where there is one, False for any other node, None for any node.
+        owner: True for the pool owner, False for a node that is not the pool owner, None for any live node. While the
+            pool has no owner, any live node is drawn.
 
     Returns:
         The node.
@@ -42,14 +43,14 @@
 
 
 def random_core(cluster: simulated_cluster.SimulatedCluster) -> server_model.SimulatedCore:
-    """A live core, drawn at random."""
+    """Draw a live core at random."""
     return cluster.cores[
         cluster.rng.choice([name for name in sorted(cluster.cores) if cluster.cores[name].process.alive])
     ]
 
 
 def random_worker(cluster: simulated_cluster.SimulatedCluster) -> str:
-    """The name of a worker, drawn at random."""
+    """Draw a worker at random and return its name."""
     return cluster.rng.choice(sorted(cluster.workers))
 
 
@@ -63,9 +64,9 @@
 
     Args:
         cluster: The cluster.
-        name: Whose process.
-        restart_after: After how many seconds it starts again; never where None.
-        large: Whether the fault is one of many at once, which the checkers judge by other bounds.
+        name: The core, node or worker.
+        restart_after: Seconds until the process is restarted; None: it is not restarted.
+        large: Whether many processes fail at once: the checkers then excuse failed requests for some seconds.
     """
     cluster.fault("kill", name, large)
     {**cluster.servers(), **cluster.workers}[name].process.kill()
@@ -74,7 +75,7 @@
 
 
 def restart(cluster: simulated_cluster.SimulatedCluster, name: str) -> None:
-    """Start a core, node or worker again where it was."""
+    """Restart a core, node or worker at its previous address."""
     cluster.repair("start", name)
     if name in cluster.cores:
         cluster.start_core(name, *cluster.places[name])
@@ -85,7 +86,7 @@
 
 
 def stop(cluster: simulated_cluster.SimulatedCluster, name: str, timeout_seconds: float) -> None:
-    """Stop a core or node as its service manager does: ask it to stop, and end it after a while."""
+    """Stop a core or node as its service manager does: request a graceful stop, and kill it after the timeout."""
     server = cluster.servers()[name]
     stopped = server.runtime.spawn(server.stop(), simulated_cluster.log)
     cluster.advance_until_called(stopped, timeout_seconds)
@@ -95,7 +96,7 @@
 def lose_power(
     cluster: simulated_cluster.SimulatedCluster, name: str, wiped: bool = False, large: bool = False
 ) -> None:
-    """Cut the power of a core's host; `wiped` clears its disk as well."""
+    """Cut the power of a core's host; with `wiped`, its disk is erased too."""
     cluster.fault("disk lost" if wiped else "power", name, large)
     host = cluster.cores[name].process.host
     host.fail()
@@ -104,7 +105,7 @@
 
 
 def blackout(cluster: simulated_cluster.SimulatedCluster, wiped: collections.abc.Collection[str]) -> None:
-    """Cut the power of all cores at once, clear the disks of some, and start all again within a second or so."""
+    """Cut the power of all cores at once, erase the disks of those in `wiped`, and restart all 0.3 to 1.3 s later."""
     names = sorted(cluster.cores)
     for name in names:
         lose_power(cluster, name, wiped=name in wiped, large=True)
@@ -114,7 +115,7 @@
 
 
 def replace_core(cluster: simulated_cluster.SimulatedCluster, name: str, new_name: str, new_host: str) -> None:
-    """Lose a core for good; an empty one starts at a new address."""
+    """Lose a core permanently; a replacement with an empty disk starts at a new address 1 to 3 s later."""
     lost = cluster.cores[name]
     cluster.fault("gone for good", name)
     lost.process.host.fail()
@@ -131,13 +132,13 @@
 
 
 def cut_off(cluster: simulated_cluster.SimulatedCluster, name: str) -> None:
-    """Cut a core or node off from all cores and nodes."""
+    """Drop all packets between a core or node and the cores and nodes."""
     cluster.fault("cut", name)
     cluster.world.cut([cluster.servers()[name].options.host], cluster.hosts("cores", "nodes"))
 
 
 def heal(cluster: simulated_cluster.SimulatedCluster, target: str) -> None:
-    """Remove all cuts of the network, and log that the target's is over."""
+    """Remove all cuts of the network, and log the repair of the target."""
     cluster.world.heal()
     cluster.repair("heal", target)
 
@@ -149,7 +150,7 @@
     target: str,
     function: collections.abc.Callable[[], object],
 ) -> None:
-    """Call a function that ends a fault after some seconds, and log it then."""
+    """After some seconds, call a function that ends a fault, and log the repair."""
 
     def repair() -> None:
         function()
@@ -164,7 +165,7 @@
 def confirm_changes(
     cluster: simulated_cluster.SimulatedCluster, count: int = 8, gap_seconds: float = 4.0
 ) -> defer.Deferred[None]:
-    """Let the operator confirm changes one after the other, with a pause after each."""
+    """Let the operator submit changes one after the other, with a pause after the confirmation of each."""
 
     async def change_all() -> None:
         for probe in range(cluster.newest_probe + 1, cluster.newest_probe + 1 + count):
@@ -175,7 +176,7 @@
 
 
 def begin_change(cluster: simulated_cluster.SimulatedCluster, patch: bool = False) -> defer.Deferred[int | None]:
-    """Let the operator confirm the configuration with the next probe route, whole or as a JSON Patch."""
+    """Let the operator submit a change that adds the next probe route, as a whole configuration or as a JSON Patch."""
     return cluster.operator_runtime.spawn(
         cluster.operator.change(cluster.with_probe(cluster.newest_probe + 1), patch=patch), simulated_cluster.log
     )
@@ -184,13 +185,13 @@
 def confirm_edit(
     cluster: simulated_cluster.SimulatedCluster, edit: collections.abc.Callable[[Document], object], patch: bool = False
 ) -> None:
-    """Edit the configuration in place, and wait until the operator has had it confirmed."""
+    """Edit the configuration in place, let the operator submit it, and wait until it is confirmed."""
     edit(cluster.configuration)
     cluster.advance_until_called(begin_change(cluster, patch), CONFIRM_TIMEOUT_SECONDS)
 
 
 def confirm_next(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Wait until the operator has had one more change confirmed."""
+    """Let the operator submit one more change, and wait until it is confirmed."""
     cluster.advance_until_called(begin_change(cluster), CONFIRM_TIMEOUT_SECONDS)
 
 
@@ -198,7 +199,7 @@
 
 
 def begin_request(cluster: simulated_cluster.SimulatedCluster, kind: load_generator.RequestKind, *parts: str) -> None:
-    """Let a client begin a request, with its retries."""
+    """Let a client begin a request; the client retries it if it fails."""
     sending = cluster.load.send_request(kind, list(parts))
     cluster.load.under_way.append(cluster.load.runtime.spawn(sending, simulated_cluster.log))
 
@@ -211,14 +212,14 @@
     may_repeat: bool = False,
     parts: collections.abc.Sequence[str] = ("phrases",),
 ) -> None:
-    """Let a client send one attempt of a short request."""
+    """Let a client send one attempt of a short request, without retries."""
     sent = load_generator.Attempt("short", identifier, attempt, may_repeat, list(parts), b"x" * 600)
     sending = cluster.load.send_attempt(sent)
     cluster.load.under_way.append(cluster.load.runtime.spawn(sending, simulated_cluster.log))
 
 
 def probe_repeatedly(cluster: simulated_cluster.SimulatedCluster, name: str, rounds: int) -> None:
-    """Let clients that hold on to a node's address try the newest two probe routes there, every 0.3 seconds."""
+    """Every 0.3 s, let clients that keep using one node request its newest two probe routes."""
     for _ in range(rounds):
         for probe in (cluster.newest_probe, cluster.newest_probe - 1):
             cluster.load.runtime.spawn(
--- a/simulation/scenarios/configuration.py
+++ b/simulation/scenarios/configuration.py
@@ -1,4 +1,4 @@
-"""Scenarios of configuration changes: bursts, races between operators, and changes to what carries traffic."""
+"""Scenarios of configuration changes: bursts, races of operators, and changes to routes and pools under load."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def burst(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Changes arrive in quick bursts, while a core is killed."""
+    """25 changes are submitted 50 ms apart while a core is killed and restarted."""
     changes = actions.confirm_changes(cluster, 25, 0.05)
     cluster.advance(3)
     actions.kill(cluster, actions.random_core(cluster).options.name, restart_after=3)
@@ -21,7 +21,7 @@
 
 
 def race(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Two operators race each other, while the head is killed."""
+    """Two operators submit changes concurrently while the head of the chain is killed."""
     other = operator_model.Operator(cluster, cluster.operator_runtime, "other")
 
     async def change_all(operator: operator_model.Operator, probes: range) -> None:
@@ -41,7 +41,7 @@
 
 
 def operators(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Two operators patch the same field; plans are confirmed twice, late, and on another core."""
+    """Two operators patch the same field; then plans are confirmed twice, when outdated, and on another core."""
     other = operator_model.Operator(cluster, cluster.operator_runtime, "other")
 
     async def patch_cap(operator: operator_model.Operator, caps: tuple[int, int, int], first_probe: int) -> None:
@@ -65,7 +65,7 @@
 
 
 def many_routes(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The configuration grows by many routes."""
+    """The configuration grows by 400 routes while a core is killed and restarted."""
     routes = {f"r{number}": {"path": f"/r/{number}", "pool": cluster.pool} for number in range(400)}
 
     async def add_routes() -> None:
@@ -81,7 +81,7 @@
 
 
 def _start_spare_pool(cluster: simulated_cluster.SimulatedCluster, workers: int = 2) -> None:
-    """Start more workers, in a second pool that the configuration knows."""
+    """Start workers for a second pool, and add the pool to the operator's configuration."""
     for number in range(workers):
         cluster.start_worker(f"s{number + 1}", f"10.0.3.{90 + number}")
         cluster.platform.put(f"s{number + 1}", pool="spare")
@@ -89,7 +89,7 @@
 
 
 def _route_of_load(cluster: simulated_cluster.SimulatedCluster) -> str:
-    """The name of the route that carries the load."""
+    """The name of the route that the load generator uses."""
     name: str = next(name for name, route in cluster.configuration["routes"].items() if route["path"] == LOAD_PATH)
     return name
 
@@ -102,7 +102,7 @@
 
 
 def route_moves(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The route that carries the load moves between two pools that both serve; its pool owners die meanwhile."""
+    """The route of the load moves between two serving pools while clients retry; pool owners are killed meanwhile."""
     _start_spare_pool(cluster, 3)
     cluster.extra_probe_paths = [LOAD_PATH]
     for turn in range(5):
@@ -111,7 +111,7 @@
         for identifier in identifiers:
             actions.begin_attempt(cluster, identifier, 1)
         _move_load(cluster, ("spare", cluster.pool)[turn % 2], patch=turn % 2 == 0)
-        for identifier in identifiers:  # their clients never saw the answer, and try again
+        for identifier in identifiers:  # as if the clients had not received the first answer
             actions.begin_attempt(cluster, identifier, 2)
         if turn in (1, 3):
             target = actions.random_node(cluster, owner=True)
@@ -122,7 +122,7 @@
 
 
 def pool_comes_and_goes(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A pool and its route are added, removed, and added again, while others serve; a core dies meanwhile."""
+    """A pool and its route are added and removed twice while the other routes serve; a core is killed meanwhile."""
 
     def add(document: actions.Document) -> None:
         document["routes"].update(spare={"path": "/spare", "pool": "spare"})
@@ -151,7 +151,7 @@
 
 
 def zones_move(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A route's zones change again and again, while nodes die."""
+    """A route is restricted to other zones five times while nodes are killed."""
     zones = sorted(set(cluster.zones))
     cluster.extra_probe_paths = ["/hall/x"]
     for turn in range(5):
@@ -178,7 +178,7 @@
 
 
 def cap_moves(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The cap is lowered below what is open, and raised again, while conversations open."""
+    """The cap on conversations is lowered below the number of open ones, then raised, while more are opened."""
     actions.confirm_changes(cluster, 2, 2)
     cluster.advance(6)
     cluster.load.max_attempts = 1
@@ -197,7 +197,7 @@
 
 
 def release(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The cap is full; idle conversations must make room, after a change of pool owner too."""
+    """The cap is reached: expired idle conversations must free their slots, also after the pool owner has changed."""
     cluster.load.conversations = 0
 
     def shorten(document: dict[str, dict[str, dict[str, typing.Any]]]) -> None:
--- a/simulation/scenarios/cores.py
+++ b/simulation/scenarios/cores.py
@@ -1,4 +1,4 @@
-"""Scenarios of the core: kills, restarts, replacements, and the loss of all cores at once."""
+"""Scenarios of the cores: kills, restarts, replacements, and the loss of all cores at once."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def kill_core(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Cores are killed in turn and start again."""
+    """Three times a random core is killed and restarted."""
     actions.confirm_changes(cluster, 12, 3)
     for _ in range(3):
         cluster.advance(5 + cluster.rng.random())
@@ -19,7 +19,7 @@
 
 
 def kill_all_cores(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """All cores are killed at once and start again."""
+    """All cores are killed at once and restarted, each 1 to 6 s later."""
     actions.confirm_changes(cluster)
     cluster.advance(8)
     for name in sorted(cluster.cores):
@@ -28,7 +28,7 @@
 
 
 def roll_cores(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Cores are shut down gracefully and started again, one after the other."""
+    """Rolling restart: each core is shut down gracefully and restarted before the next one."""
     actions.confirm_changes(cluster, 10)
     for name in sorted(cluster.cores):
         cluster.advance(6)
@@ -39,7 +39,7 @@
 
 
 def power_after_ack(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A core loses power just after an acknowledgement, with its disk or without."""
+    """A core loses power, and sometimes its disk, just after a change was acknowledged."""
     for _ in range(3):
         cluster.advance(4)
         cluster.advance_until_called(actions.begin_change(cluster), 20)
@@ -55,7 +55,7 @@
 
 
 def new_address(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A core is gone for good; an empty one starts at a new address."""
+    """A core is lost permanently; one with an empty disk starts at a new address."""
     actions.confirm_changes(cluster, 12, 3)
     cluster.advance(6)
     actions.replace_core(cluster, actions.random_core(cluster).options.name, "c4", "10.0.1.4")
@@ -63,7 +63,7 @@
 
 
 def replace_all(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """All cores are replaced in turn by empty ones at new addresses."""
+    """All cores are replaced, one after the other, by ones with empty disks at new addresses."""
     actions.confirm_changes(cluster, 14, 3)
     for number, name in enumerate(sorted(cluster.cores), 4):
         cluster.advance(5)
@@ -72,7 +72,7 @@
 
 
 def planned_replace(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A core is replaced as planned, the new one first; soon after, all lose power and one its disk."""
+    """A core is replaced as planned: the new one starts, then the old one stops. Then all lose power, one its disk."""
     for number in (4, 5):
         cluster.advance(4)
         name = cluster.rng.choice(sorted(cluster.cores))
@@ -88,7 +88,7 @@
 
 
 def seeds_turned(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Cores are replaced one after the other, and the options name the new ones as seeds; then all restart."""
+    """Cores are replaced one after the other, and the seeds follow; then some nodes and all cores restart."""
     actions.confirm_changes(cluster, 8, 3)
     for number in (4, 5, 6):
         cluster.advance(4)
@@ -104,7 +104,7 @@
 
 
 def closing_wipe(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Right after a change was acknowledged all cores lose power, one of them its disk as well."""
+    """Right after a change was acknowledged, all cores lose power and one of them also loses its disk."""
     for _ in range(4):
         cluster.advance(5)
         actions.confirm_next(cluster)
@@ -113,7 +113,7 @@
 
 
 def five_cores(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Five cores, of which any two may be lost: kills, lost disks, a blackout right after a change."""
+    """Five cores tolerate two losses: two are killed, two lose their disks, all lose power right after a change."""
     actions.confirm_changes(cluster, 6, 4)
     cluster.advance_until(lambda: _chain_length(cluster) == 5, 10)
     cluster.advance(4)
--- a/simulation/scenarios/disks.py
+++ b/simulation/scenarios/disks.py
@@ -1,4 +1,4 @@
-"""Scenarios of the cores' disks: lost, full, slow, stalled and outdated ones, and power lost within a write."""
+"""Scenarios of the cores' disks: lost, full, slow, stalled and outdated disks, and a power loss during a write."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def disk_lost(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Cores lose their disks, one after the other."""
+    """Twice a random core loses its power and its disk, and restarts empty."""
     actions.confirm_changes(cluster, 10)
     for _ in range(2):
         cluster.advance(6 + cluster.rng.random())
@@ -25,7 +25,7 @@
 
 
 def disk_unhealthy(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A core's disk is full, slow or stalled for a while."""
+    """A random core's disk is full for 4 to 9 s; then a random core's disk is slow, then one is stalled."""
     actions.confirm_changes(cluster, 10, 2)
     for condition in ("full", "slow", "stalled"):
         cluster.advance(4 + cluster.rng.random())
@@ -39,7 +39,10 @@
 
 
 def power_steps(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A core loses power between two steps of a write: head, middle and tail, with the disk or without."""
+    """The head, a middle core and the tail, in random order, lose power between two steps of a write.
+
+    Some of them lose their disk too.
+    """
     for position in cluster.rng.sample(range(3), 3):
         cluster.advance(4)
         target = _core_at(cluster, position) or actions.random_core(cluster)
@@ -63,7 +66,7 @@
 
 
 def _core_at(cluster: simulated_cluster.SimulatedCluster, position: int) -> server_model.SimulatedCore | None:
-    """The core at a position of its own view's chain, or at the chain's end where that is shorter."""
+    """The core at a position of the chain in its own view; the last core where the chain is shorter."""
     for candidate in cluster.cores.values():
         view = candidate.consensus.view
         if view is None:
@@ -74,7 +77,7 @@
 
 
 def empty_while_down(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """One core is down; another comes back with an empty disk."""
+    """While one core is down, another one loses its disk and restarts empty."""
     actions.confirm_changes(cluster, 8, 3)
     cluster.advance(6)
     down, wiped = cluster.rng.sample(sorted(cluster.cores), 2)
@@ -89,10 +92,10 @@
 
 
 def disk_old(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The head comes back with its disk as it was some changes ago: alone, then after all lost power.
+    """The head restarts with an outdated disk that lacks two changes: first alone, then after all cores lost power.
 
-    In the last round the tail comes back two seconds after the others, so that the old disk is of the first majority:
-    whoever agrees on the chain then must look at how far each log reaches.
+    In the last round the tail restarts two seconds after the others, so the core with the outdated disk belongs to the
+    first majority. That majority must order the chain by the last entry of each log, or acknowledged changes are lost.
     """
     cluster.advance(2)
     for together, tail_delay_s in ((False, 0), (True, 0), (True, 2)):
@@ -106,11 +109,11 @@
             actions.lose_power(cluster, name)
         target.process.host.synced = outdated
         cluster.advance(cluster.rng.choice([0.1, 0.5, 3]))
-        late = tail.options.name if tail is not None and tail_delay_s else None
+        late_core = tail.options.name if tail is not None and tail_delay_s else None
         for name in down:
-            if name != late:
+            if name != late_core:
                 actions.restart(cluster, name)
-        if late is not None:
-            start = functools.partial(cluster.start_core, late, *cluster.places[late])
-            actions.repair_later(cluster, tail_delay_s, "start", late, start)
+        if late_core is not None:
+            start = functools.partial(cluster.start_core, late_core, *cluster.places[late_core])
+            actions.repair_later(cluster, tail_delay_s, "start", late_core, start)
         cluster.advance(14)
--- a/simulation/scenarios/load.py
+++ b/simulation/scenarios/load.py
@@ -1,4 +1,4 @@
-"""Scenarios of the clients' load: crowds, hot keys, retries, bad clients, and attempts that overlap."""
+"""Scenarios of the clients' load: bursts, hot keys, retries, misbehaving clients, and overlapping attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def crowd(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A crowd arrives at once."""
+    """150 short and 8 long requests arrive at the same moment."""
     actions.confirm_changes(cluster, 4, 5)
     cluster.advance(5)
     for _ in range(150):
@@ -21,7 +21,7 @@
 
 
 def hot_key(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """One conversation draws most of the traffic."""
+    """One conversation receives most of the requests."""
     actions.confirm_changes(cluster, 4, 5)
     cluster.advance(5)
     for _ in range(60):
@@ -31,7 +31,7 @@
 
 
 def many_talks(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """More conversations than all workers may hold."""
+    """80 conversations are opened, more than the cap of all workers allows."""
     cluster.advance(3)
     for number in range(80):
         actions.begin_request(cluster, "short", "phrases", f"many-{number}")
@@ -40,7 +40,7 @@
 
 
 def rush(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Ten times the short rate for some seconds, most of it with one shared prefix."""
+    """Short requests arrive at ten times the usual rate for 4 s; 80 % of them share one prefix."""
     actions.confirm_changes(cluster, 4, 5)
     cluster.advance(4)
     rate = cluster.rates[1] * RAISED_RATE_FACTOR
@@ -52,7 +52,7 @@
 
 
 def bad_requesters(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Clients that leave in mid-stream, read slowly, or send bad HTTP, beside proper ones."""
+    """Clients that disconnect in mid-stream, read slowly or send invalid HTTP, next to well-behaved clients."""
     actions.confirm_changes(cluster, 4, 5)
     cluster.advance(3)
     for _ in range(60):
@@ -66,7 +66,7 @@
 
 
 def retriers(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A node dies while clients retry at once and without end."""
+    """A node and then all workers but one are killed, while most clients retry without delay, up to 40 times."""
     actions.confirm_changes(cluster, 4, 5)
     cluster.load.max_attempts, cluster.load.impatient_share = 40, 0.8
     cluster.advance(5)
@@ -79,7 +79,7 @@
 
 
 def twice_at_once(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A second attempt arrives at another node while the first is under way, or its refusal is on its way."""
+    """A second attempt reaches another node within 0.2 s, while the first runs or its refusal is in flight."""
     actions.confirm_changes(cluster, 4, 5)
     cluster.advance(3)
     for number in range(40):
@@ -93,7 +93,10 @@
 
 
 def claim_then_death(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The pool owner is killed between a claim and its send, a node before its send, a grant is lost on the link."""
+    """A server fails between the claim of a request and its sending to a worker.
+
+    The pool owner and another node are killed alternately; in the last round a node is cut off, so a grant is lost.
+    """
     actions.confirm_changes(cluster, 6, 5)
     cluster.load.max_attempts = 6
     for turn in range(4):
--- a/simulation/scenarios/mixed_faults.py
+++ b/simulation/scenarios/mixed_faults.py
@@ -1,4 +1,4 @@
-"""Scenarios of faults of several kinds: one on the other, and one at the very end of a run."""
+"""Scenarios with several kinds of faults: overlapping ones, and a single fault at the end of a run."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def last_fault(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A core loses power, perhaps with its disk, right after the last change."""
+    """A core loses power right after the last change; in half of the runs it also loses its disk and restarts."""
     actions.confirm_changes(cluster, 6, 3)
     cluster.advance(22)
     cluster.advance_until_called(cluster.load_done, 60)
@@ -40,7 +40,7 @@
 
 
 def last_faults(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The run ends with one last fault, of a kind that the seed chooses, right after the last change."""
+    """Right after the last change one fault is injected; the seed selects its kind from `LAST_FAULTS`."""
     actions.confirm_changes(cluster, 3, 3)
     cluster.advance(12)
     cluster.load.end()
@@ -83,7 +83,7 @@
 
 
 def mixed(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Faults of several kinds, one on the other."""
+    """Six random faults are injected 2 to 5 s apart, so that their effects overlap."""
     actions.confirm_changes(cluster, 20, 2)
     for _ in range(6):
         cluster.advance(2 + cluster.rng.random() * 3)
--- a/simulation/scenarios/network.py
+++ b/simulation/scenarios/network.py
@@ -1,4 +1,4 @@
-"""Scenarios of the network: cuts, partitions, flapping, slow and lossy links, and a platform that misbehaves."""
+"""Scenarios of the network: partitions, flapping, slow and lossy links, and faults of the platform's listing."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if typing.TYPE_CHECKING:
     from simulation import server_model
 
-Impairment = typing.TypeVar("Impairment", int, float)  # of a link: a delay in µs, or the share of packets lost
+Impairment = typing.TypeVar("Impairment", int, float)  # of a link: its delay in µs, or the share of packets it loses
 
 
 def cut_core_one(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """One core is cut off from everything."""
+    """Twice a random core is cut off from all other machines."""
     actions.confirm_changes(cluster, 12, 2)
     for _ in range(2):
         cluster.advance(5 + cluster.rng.random())
@@ -29,23 +29,23 @@
 
 
 def cut_core_two(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The core is cut in two: one machine with some nodes, two with the others."""
+    """One core, alone or with half of the nodes, is cut off from the other cores and the other half of the nodes."""
     actions.confirm_changes(cluster, 12, 2)
     cluster.advance(6)
     target = actions.random_core(cluster)
     names = sorted(cluster.nodes)
     cluster.rng.shuffle(names)
-    with_it = [cluster.places[name][0] for name in names[: len(names) // 2]]
-    rest = [host for host in cluster.hosts("cores", "nodes") if host not in with_it and host != target.options.host]
+    same_side = [cluster.places[name][0] for name in names[: len(names) // 2]]
+    rest = [host for host in cluster.hosts("cores", "nodes") if host not in same_side and host != target.options.host]
     cluster.fault("cut", target.options.name, True)
-    cluster.world.cut([target.options.host] + (with_it if cluster.rng.random() < 0.5 else []), rest)
+    cluster.world.cut([target.options.host] + (same_side if cluster.rng.random() < 0.5 else []), rest)
     cluster.advance(6 + cluster.rng.random() * 8)
     actions.heal(cluster, target.options.name)
     cluster.advance(18)
 
 
 def cut_core_off(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The whole core is cut off from all nodes."""
+    """All cores are cut off from all nodes; the cores still reach each other."""
     actions.confirm_changes(cluster, 8, 3)
     cluster.advance(6)
     cluster.fault("cut", "core")
@@ -68,13 +68,13 @@
 
 
 def cut_sides(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The core and the nodes are cut in two sides, each with some of both."""
+    """The cores and nodes are partitioned: one core with most of the nodes, two cores with the others."""
     actions.confirm_changes(cluster, 12, 2)
     cluster.advance(6)
     cores, nodes = sorted(cluster.cores), sorted(cluster.nodes)
     cluster.rng.shuffle(cores)
     cluster.rng.shuffle(nodes)
-    split = cluster.rng.randrange(len(nodes) // 2, len(nodes))  # mostly with the core that is alone
+    split = cluster.rng.randrange(len(nodes) // 2, len(nodes))  # at least half of the nodes stay with the single core
     near = [cluster.places[name][0] for name in cores[:1] + nodes[:split]]
     far = [cluster.places[name][0] for name in cores[1:] + nodes[split:]]
     cluster.fault("cut", "sides", True)
@@ -85,7 +85,7 @@
 
 
 def cut_hall(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Each zone in turn is cut off from the other cores and nodes."""
+    """Each zone in turn is cut off from the cores and nodes of the other zones."""
     actions.confirm_changes(cluster, 14, 3)
     for zone in sorted(set(cluster.zones)):
         cluster.advance(3)
@@ -98,7 +98,7 @@
 
 
 def one_way(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """What one machine sends is lost, what it gets is not; or the reverse."""
+    """One-way cut: either all packets that a machine sends are lost, or all packets sent to it."""
     actions.confirm_changes(cluster, 12, 3)
     for pick in (lambda: actions.random_core(cluster), lambda: actions.random_node(cluster)):
         cluster.advance(5 + cluster.rng.random())
@@ -115,7 +115,7 @@
 
 
 def flap(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A core's and a node's links break and heal every second."""
+    """The links of a core, then of a node, are cut and restored eight times, about once a second."""
     actions.confirm_changes(cluster, 12, 2)
     for target in (actions.random_core(cluster), actions.random_node(cluster)):
         cluster.advance(5)
@@ -130,12 +130,12 @@
 
 
 def slow_link(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A node's link and a core's link grow slow."""
+    """A node's link, then a core's link, gets a delay of 80 to 200 ms."""
     _impair_links(cluster, "slow", cluster.world.slow, lambda: 80_000 + cluster.rng.randrange(120_000))
 
 
 def lossy_link(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A node's link and a core's link lose a fifth of all packets."""
+    """A node's link, then a core's link, loses a fifth of all packets."""
     _impair_links(cluster, "lossy", cluster.world.loss, lambda: 0.2)
 
 
@@ -145,7 +145,10 @@
     impairments: dict[str, Impairment],
     draw: collections.abc.Callable[[], Impairment],
 ) -> None:
-    """Impair a node's link and then a core's for 8 s each, by what `draw` gives; `impairments` is by host."""
+    """Impair a node's link and then a core's link for 8 s each.
+
+    `draw` returns the size of an impairment, which is put into `impairments` under the machine's host.
+    """
     actions.confirm_changes(cluster, 10, 3)
     for target in (actions.random_node(cluster), actions.random_core(cluster)):
         cluster.advance(4)
@@ -163,7 +166,7 @@
     workers: collections.abc.Iterable[str],
     seconds: float,
 ) -> None:
-    """Cut the links between one node and some workers for a while; all else goes on."""
+    """Cut the links between one node and some workers for some seconds; all other links stay up."""
     cluster.fault("link", target.options.name, role="link")
     cluster.world.cut([target.options.host], [cluster.workers[name].host for name in workers])
     cluster.advance(seconds)
@@ -180,17 +183,17 @@
 
 
 def blind_owner(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The pool owner is cut from one worker, then from all, and from nothing else."""
+    """The pool owner can't reach one worker, then all workers; all its other links stay up."""
     _cut_from_one_then_all_workers(cluster, owner=True)
 
 
 def blind_node(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A node that is no pool owner is cut from one worker, then from all, and from nothing else."""
+    """A node that is not the pool owner can't reach one worker, then all workers; all its other links stay up."""
     _cut_from_one_then_all_workers(cluster, owner=False)
 
 
 def platform_bad(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The platform can't be reached, is slow, answers nonsense, or once lists nobody."""
+    """The platform is unreachable for 6 s; then its list of workers has each `ListingFault`, such as an empty list."""
     actions.confirm_changes(cluster, 8, 4)
     cluster.advance(3)
     cluster.world.cut([addresses.PLATFORM_HOST], cluster.hosts("nodes"))
--- a/simulation/scenarios/processes.py
+++ b/simulation/scenarios/processes.py
@@ -1,4 +1,4 @@
-"""Scenarios of nodes' and whole zones' processes: kills, restarts, freezes, and a change of version."""
+"""Scenarios of processes of nodes and of whole zones: kills, restarts, freezes, and a change of version."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 def calm(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Nothing happens but the operator's changes."""
+    """The operator submits changes, and no fault is injected."""
     actions.confirm_changes(cluster)
     cluster.advance(40)
 
 
 def kill_node(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """One node after the other is killed and starts again."""
+    """Three times a node that is not the pool owner is killed and restarted."""
     actions.confirm_changes(cluster)
     for _ in range(3):
         cluster.advance(6)
@@ -23,7 +23,7 @@
 
 
 def kill_owner(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The pool owner is killed, and its successor too."""
+    """The pool owner is killed and restarted, then its successor."""
     actions.confirm_changes(cluster)
     for _ in range(2):
         cluster.advance(6 + cluster.rng.random())
@@ -33,7 +33,10 @@
 
 
 def kill_pair(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The pool owner and, about when its role moves, the tail are killed; the newest membership may be lost with it."""
+    """The pool owner is killed, and the tail up to 1.2 s later, about when a new pool owner is appointed.
+
+    The newest membership may be lost with the tail.
+    """
     actions.confirm_changes(cluster, 10, 4)
     for _ in range(3):
         cluster.advance(6 + cluster.rng.random())
@@ -46,23 +49,23 @@
 
 
 def kill_many(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The pool owner and its copies, or half of the nodes, are killed at once."""
+    """The pool owner and the nodes that hold its copies, or half of all nodes, are killed at once."""
     actions.confirm_changes(cluster)
     cluster.advance(8)
     names = sorted(cluster.nodes)
     cluster.rng.shuffle(names)
     pool_owner_node = cluster.owner()
-    doomed = names[: len(names) // 2]
+    targets = names[: len(names) // 2]
     if pool_owner_node is not None and cluster.rng.random() < 0.5:
         copies = pool_owner_node.pool_owners[cluster.pool].assignment.copies
-        doomed = [pool_owner_node.options.name] + [identifier.rsplit("-", 1)[0] for identifier in copies]
-    for name in sorted(set(doomed)):
+        targets = [pool_owner_node.options.name] + [identifier.rsplit("-", 1)[0] for identifier in copies]
+    for name in sorted(set(targets)):
         actions.kill(cluster, name, restart_after=2 + cluster.rng.random() * 6, large=True)
     cluster.advance(25)
 
 
 def kill_all(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """All cores and nodes are killed at once and start again."""
+    """All cores and nodes are killed at once and restarted, each 1 to 2 s later."""
     actions.confirm_changes(cluster)
     cluster.advance(8)
     for name in sorted(cluster.servers()):
@@ -71,7 +74,7 @@
 
 
 def kill_hall(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A whole zone loses power, and comes back."""
+    """All cores and nodes of one zone lose power and restart 4 to 10 s later."""
     actions.confirm_changes(cluster)
     cluster.advance(8)
     zone = cluster.rng.choice(sorted(set(cluster.zones)))
@@ -86,7 +89,7 @@
 
 
 def roll_nodes(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Nodes are shut down gracefully and started again, one after the other."""
+    """Rolling restart: four nodes are shut down gracefully and restarted, one after the other."""
     actions.confirm_changes(cluster)
     for name in sorted(cluster.nodes)[:4]:
         cluster.advance(4)
@@ -97,7 +100,7 @@
 
 
 def upgrade(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Half of the cluster moves to the next version of the messages, and half of that half back again."""
+    """Half of the cores and nodes restart with the next protocol version; then half of those go back to the old one."""
     actions.confirm_changes(cluster, 16, 3)
     next_version = cluster.nodes["n1"].runtime.protocol_version + 1
     half = [*sorted(cluster.nodes), *sorted(cluster.cores)][::2]
@@ -116,7 +119,7 @@
 
 
 def freeze(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """The pool owner, a node and a core freeze and wake."""
+    """The pool owner, then a node, then a core freezes for 1 to 8 s and wakes."""
     actions.confirm_changes(cluster, 12, 3)
     for pick in (
         lambda: actions.random_node(cluster, owner=True),
@@ -133,7 +136,7 @@
 
 
 def freeze_many(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A zone's cores and nodes freeze together and wake; then half of all nodes."""
+    """All cores and nodes of a zone freeze together and wake; then half of all nodes do."""
     actions.confirm_changes(cluster, 10, 3)
     zone = cluster.rng.choice(sorted(set(cluster.zones)))
     in_zone = cluster.servers_in(zone)
@@ -151,7 +154,7 @@
 
 
 def wake_without_core(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A node is frozen through a change and wakes while the whole core is gone; clients hold on to its address."""
+    """A node is frozen during a change and wakes while all cores are down; clients keep using this node."""
     cluster.advance(3)
     for _ in range(2):
         target = actions.random_node(cluster, owner=False)
@@ -162,7 +165,7 @@
             actions.kill(cluster, name, restart_after=6)
         cluster.advance(0.2 + cluster.rng.random() * 2)
         target.process.wake()
-        # It can't learn what it missed before the core is back, and must not serve.
+        # The node can't learn of the missed change before the cores are back, so it must not serve requests.
         actions.probe_repeatedly(cluster, target.options.name, 20)
         cluster.advance(2)
         cluster.repair("wake", target.options.name)
--- a/simulation/scenarios/registry.py
+++ b/simulation/scenarios/registry.py
@@ -1,4 +1,4 @@
-"""All scenarios by name, and how one is played."""
+"""The registry of all scenarios by name, and the function that plays one."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 Scenario = collections.abc.Callable[[simulated_cluster.SimulatedCluster], None]
 
-# The order is that of reports and recordings: a new scenario goes to the end.
+# Reports and recordings follow this order: append new scenarios at the end.
 _ALL: tuple[Scenario, ...] = (
     processes.calm,
     processes.kill_node,
@@ -87,7 +87,7 @@
 
 SCENARIOS: dict[str, Scenario] = {scenario.__name__: scenario for scenario in _ALL}
 
-# What the cluster of a scenario has other than usual, as arguments of SimulatedCluster.
+# Arguments of SimulatedCluster for the scenarios whose cluster differs from the default one.
 CLUSTER_ARGUMENTS: dict[str, dict[str, typing.Any]] = {"five_cores": {"cores": 5, "seats": 5, "copies": 3}}
 
 
@@ -96,7 +96,7 @@
 
     Args:
         scenario: The scenario's name.
-        seed: What all draws of randomness follow from.
+        seed: The seed of the random number generator.
         shape: The deployment's shape, a key of `benchmarks.fleet.SHAPES`.
 
     Returns:
@@ -105,7 +105,7 @@
     cluster = simulated_cluster.SimulatedCluster(seed, shape, **CLUSTER_ARGUMENTS.get(scenario, {}))
     cluster.begin()
     SCENARIOS[scenario](cluster)
-    cluster.load.end()  # no new requests; those under way end
+    cluster.load.end()  # no new requests are sent; requests in flight run to their end
     cluster.seconds = 0
     cluster.end()
     return cluster
--- a/simulation/scenarios/workers.py
+++ b/simulation/scenarios/workers.py
@@ -1,4 +1,4 @@
-"""Scenarios of the workers: crashes, releases, garbled answers, and bad load reports."""
+"""Scenarios of the workers: crashes, releases, invalid answers, and faulty load reports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def worker_crash(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A worker crashes and comes back; another can't be reached."""
+    """A worker is killed and restarted; then a worker can't be reached by any node for 4 to 9 s."""
     actions.confirm_changes(cluster, 6, 5)
     cluster.advance(5)
     name = actions.random_worker(cluster)
@@ -23,7 +23,7 @@
 
 
 def worker_vanish(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A worker's machine is gone for good, its connections silent; the platform notices some seconds later."""
+    """Twice a worker's machine is lost without closing its connections; the platform delists it 2 to 8 s later."""
     actions.confirm_changes(cluster, 6, 5)
     for _ in range(2):
         cluster.advance(6 + cluster.rng.random())
@@ -36,7 +36,7 @@
 
 
 def worker_leaves(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Workers are replaced one after another, as in a release: leaving, gone, a new one."""
+    """Three workers are replaced as in a release: a new one starts, the old one is listed as leaving, then removed."""
     actions.confirm_changes(cluster, 6, 5)
     for number, name in enumerate(sorted(cluster.workers)[:3]):
         cluster.advance(3)
@@ -49,7 +49,7 @@
 
 
 def worker_storm(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """All workers crash at once, and their clients retry, on and on."""
+    """Twice all workers crash at once and restart, while clients retry up to 30 times."""
     actions.confirm_changes(cluster, 4, 5)
     cluster.load.max_attempts = 30
     for _ in range(2):
@@ -60,7 +60,7 @@
 
 
 def worker_breaks(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Most workers take requests and break them off unanswered, though they are listed as ready."""
+    """Most workers accept requests and close the connection without an answer, though they are listed as ready."""
     actions.confirm_changes(cluster, 4, 5)
     cluster.advance(8)
     unhealthy = sorted(cluster.workers)[: len(cluster.workers) // 2 + 1]
@@ -75,7 +75,7 @@
 
 
 def worker_freeze(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A worker freezes with requests on it, and wakes long after they were given up."""
+    """A worker freezes while it runs requests, and wakes 14 s later, long after the nodes gave them up."""
     actions.confirm_changes(cluster, 6, 5)
     cluster.advance(8 + cluster.rng.random())
     name = actions.random_worker(cluster)
@@ -88,7 +88,7 @@
 
 
 def worker_release(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """All workers are replaced one after another, faster than their drain deadline."""
+    """All workers are replaced one after another, each stopped 3 s after it is listed as leaving with a 2.5 s drain."""
     actions.confirm_changes(cluster, 6, 5)
     for number, name in enumerate(sorted(cluster.workers)):
         cluster.advance(1.5)
@@ -101,7 +101,7 @@
 
 
 def worker_returns(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A worker comes back under its name at a new address; another flaps between ready and leaving."""
+    """A killed worker returns under its name at a new address; another one flaps between ready and leaving."""
     actions.confirm_changes(cluster, 6, 5)
     cluster.advance(5)
     moved, flapping = cluster.rng.sample(sorted(cluster.workers), 2)
@@ -118,7 +118,7 @@
 
 
 def worker_garbles(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A worker answers slowly, then stops in mid-stream, then breaks its answers off or sends too much."""
+    """A random worker has each `AnswerFault` for 5 s, such as slow, stalled, truncated or overlong answers."""
     actions.confirm_changes(cluster, 6, 5)
     for fault in stand_in_worker.AnswerFault:
         cluster.advance(4)
@@ -133,7 +133,7 @@
 
 
 def other_pool(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """A worker of a pool that no configuration allows is listed beside the others."""
+    """The platform lists a worker of a pool that is not in the configuration, next to the usual workers."""
     cluster.start_worker("s1", "10.0.3.90")
     cluster.platform.put("s1", pool="spare")
     actions.confirm_changes(cluster, 4, 5)
@@ -141,7 +141,7 @@
 
 
 def load_reports(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Workers whose load report is late, missing, unreadable, of wrong types, or never comes; all serve."""
+    """Workers send load reports that are late, missing, unreadable, mistyped or never sent; all serve."""
     actions.confirm_changes(cluster, 6, 5)
     cluster.advance(4)
     bad_reports = [each for each in stand_in_worker.LoadReport if each is not stand_in_worker.LoadReport.GOOD]
