--- a/simulation/state_search/__init__.py
+++ b/simulation/state_search/__init__.py
@@ -1,1 +1,1 @@
-"""The search of all interleavings of the view agreement, the chain and its leases, up to a stated depth."""
+"""Exhaustive state search of view consensus, chain replication and read leases, up to a given depth."""
--- a/simulation/state_search/cluster_model.py
+++ b/simulation/state_search/cluster_model.py
@@ -1,6 +1,7 @@
-"""The state of a few core machines, as the search of their interleavings sees it.
+"""The states of the state search: a few core machines and the messages between them.
 
-Disk, memory and faults of each machine, messages in flight, and what was agreed and acknowledged so far.
+A state holds the disk, memory and faults of each machine, the messages in flight, the views that were agreed and the
+changes that were acknowledged.
 """
 
 from __future__ import annotations
@@ -18,33 +19,33 @@
 
 
 class ViolationError(Exception):
-    """A state that breaks an invariant."""
+    """A state violates an invariant."""
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
-    """A proposal under way: its ballot, the voters it wants, and the view once promises were enough."""
+    """A proposal of a new view that is not decided yet."""
 
     ballot: tuple[int, str]
-    voters: list[message.Voter]
-    view: message.View | None = None
+    voters: list[message.Voter]  # of the proposed view
+    view: message.View | None = None  # the proposed view, once a majority has promised
 
 
 class Core(msgspec.Struct, frozen=True, array_like=True):
-    """One core machine: what is on its disk, what is in its memory, and what a fault did to it."""
+    """One core machine: the content of its disk and memory, and the faults it suffers from."""
 
     identifier: str
-    index: int  # in the world's tuple of cores
-    identities: int = 1
-    incarnation_number: int = 1
+    index: int  # in World.cores
+    identities: int = 1  # count of identities used so far: a machine gets a new one when it loses its disk
+    incarnation_number: int = 1  # incremented at each restart
     up: bool = True
-    cut: bool = False
-    leaving: bool = False
-    settled: bool = True
-    stale_disk: bool = False
+    cut: bool = False  # cut off from all other machines
+    leaving: bool = False  # about to be stopped as planned
+    settled: bool = True  # False from a fault until the machine is a synced member of the newest chain again
+    stale_disk: bool = False  # the log may lack acknowledged entries, as the machine restarted with an older disk
     record: decisions.Record = decisions.Record()
-    log: tuple[tuple[int, int], ...] = ()  # (view it was made in, number) of each entry
-    holder: str | None = None  # who has this voter's unexpired grant
-    supporters: tuple[str, ...] = ()  # whose grants this tail counts on
+    log: tuple[tuple[int, int], ...] = ()  # (number of the view it was written in, index) of each entry
+    holder: str | None = None  # id of the tail that holds this voter's unexpired lease grant
+    supporters: tuple[str, ...] = ()  # ids of the voters whose grants make up this tail's lease
     ballot: int = 0
     proposal: Proposal | None = None
 
@@ -53,7 +54,7 @@
         """The newest view that the machine knows.
 
         Raises:
-            ValueError: it knows none, as after the loss of its disk.
+            ValueError: The machine knows no view, as after the loss of its disk.
         """
         if self.record.view is None:
             raise ValueError(f"{self.identifier} knows no view")
@@ -66,27 +67,27 @@
 
     @property
     def incarnation(self) -> str:
-        """The incarnation as chain members carry it."""
+        """The incarnation as a text, as in `message.ChainReplica`."""
         return str(self.incarnation_number)
 
     @property
     def lost(self) -> bool:
-        """Whether the machine counts as lost."""
+        """Whether the machine counts as lost against the tolerance."""
         return not self.reachable or self.leaving or not self.settled
 
     @property
     def voter(self) -> message.Voter:
-        """The machine's voter."""
+        """The machine as a voter of a view."""
         return message.Voter(self.identifier, f"host{self.index}", 1, "zone")
 
     @property
     def last_entry(self) -> tuple[int, int]:
-        """The newest entry of the log."""
+        """The newest entry of the log; (0, 0) if the log is empty."""
         return self.log[-1] if self.log else (0, 0)
 
 
 class Limits(msgspec.Struct, frozen=True, array_like=True):
-    """How often each event may still happen."""
+    """How many times each kind of event may still happen."""
 
     proposals: int = 2
     changes: int = 1
@@ -101,7 +102,7 @@
 
 
 class DelayedSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """A snapshot on its way to a member of a view's chain."""
+    """A snapshot that was sent to a member of a view's chain and may arrive again later."""
 
     view: int
     receiver: str
@@ -117,20 +118,22 @@
     promises: tuple[tuple[int, message.Promise], ...] = ()
     accepted: tuple[tuple[tuple[int, str], int, str], ...] = ()  # ballot, view number, acceptor
     delayed_snapshots: tuple[DelayedSnapshot, ...] = ()
-    views: tuple[message.View, ...] = ()  # all that were adopted
-    acknowledged: tuple[tuple[int, tuple[int, int]], ...] = ()  # view of the acknowledgement, entry
+    views: tuple[message.View, ...] = ()  # every view that a core has adopted
+    acknowledged: tuple[
+        tuple[int, tuple[int, int]], ...
+    ] = ()  # (number of the view in which it was acknowledged, entry)
 
 
 class Setting(typing.NamedTuple):
-    """What stays the same over a search."""
+    """The parameters that are the same in all states of a search."""
 
-    tolerance: int
-    copies: int
-    keep_identity: bool = False  # the guard on identities taken out: a wiped disk goes on under its old name
+    tolerance: int  # machines that may be lost at once
+    copies: int  # chain members that must hold a change before it may be acknowledged
+    keep_identity: bool = False  # a machine with a wiped disk keeps its identity, as if this guard were removed
 
 
 def start(cores: int, limits: Limits) -> World:
-    """The first state: view 1 with all cores in it, synced and empty.
+    """Return the initial state: all cores are synced members of view 1, and their logs are empty.
 
     >>> len(start(3, Limits()).cores)
     3
@@ -143,7 +146,7 @@
 
 
 def consume_limit(world: World, name: str) -> World | None:
-    """The state with one event of a kind used up, or None where none is left.
+    """Return the state with the limit of one kind of event reduced by one, or None if the limit is used up.
 
     >>> consume_limit(start(3, Limits(crashes=0)), "crashes") is None
     True
@@ -153,26 +156,26 @@
 
 
 def with_core(world: World, core: Core) -> World:
-    """The state with one core replaced."""
+    """Return the state with the core of the same index replaced."""
     cores = list(world.cores)
     cores[core.index] = core
     return replace(world, cores=tuple(cores))
 
 
 def with_item(items: tuple[Item, ...], item: Item) -> tuple[Item, ...]:
-    """A sorted tuple with one more item, kept once."""
+    """Return the sorted tuple with the item added, unless it contains it already."""
     if item in items:
         return items
     return tuple(sorted((*items, item), key=msgspec.msgpack.encode))
 
 
 def core_by_identifier(world: World, identifier: str) -> Core | None:
-    """The core with an identity, or None."""
+    """Return the core that has an identity now, or None."""
     return next((core for core in world.cores if core.identifier == identifier), None)
 
 
 def wanted_voters(world: World, proposer: Core) -> list[message.Voter]:
-    """The voters that a proposer wants: machines that are down, cut off or leaving may be replaced."""
+    """Return the voters that a proposer asks for: machines that are down, cut off or leaving may be replaced."""
     view = proposer.view
     known = {voter.id for voter in view.voters}
     staying = [core for core in world.cores if core.reachable and not core.leaving]
@@ -196,22 +199,22 @@
 
 
 def live_cores(world: World) -> dict[str, str]:
-    """The cores that can be members of a chain, with their incarnations."""
+    """Return the incarnations of the cores that can be chain members: reachable and not leaving."""
     return {core.identifier: core.incarnation for core in world.cores if core.reachable and not core.leaving}
 
 
 def departing_cores(world: World) -> dict[str, str]:
-    """The cores that leave and are not down yet, with their incarnations."""
+    """Return the incarnations of the cores that are leaving and still reachable."""
     return {core.identifier: core.incarnation for core in world.cores if core.reachable and core.leaving}
 
 
 def synced_in(world: World, number: int) -> set[str]:
-    """The cores that are synced in a view."""
+    """Return the ids of the cores that are synced in a view."""
     return {core.identifier for core in world.cores if core.record.synced_view == number}
 
 
 def is_due(world: World, core: Core) -> bool:
-    """Whether a core has a reason to propose a view."""
+    """Whether a core has to propose a new view, because members, voters or a seal make the present one obsolete."""
     if not core.reachable or not decisions.is_voter(core.record, core.identifier):
         return False
     view = core.view
@@ -227,18 +230,18 @@
 
 
 def describe(view: message.View) -> str:
-    """A view's chain and voters in words."""
+    """Describe a view's chain and voters for a report."""
     chain = " ".join(member.id for member in view.chain)
     voters = " ".join(voter.id for voter in view.voters)
     return f"chain {chain}, seats {voters}"
 
 
 def has_lease(core: Core) -> bool:
-    """Whether a core serves reads."""
+    """Whether a core holds the read lease, so that it serves reads."""
     leading = core.up and decisions.may_request_read_lease(core.record, core.identifier, core.incarnation)
     return leading and len(core.supporters) >= decisions.majority(len(core.view.voters))
 
 
 def serves(core: Core) -> bool:
-    """Whether a core is a member of its view's chain, unsealed."""
+    """Whether a core is running and a member of its view's chain, and the view is not sealed."""
     return core.up and decisions.is_serving(core.record, core.identifier, core.incarnation)
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -1,8 +1,9 @@
-"""All steps that a few core machines may take: messages, leases, the chain, and faults within the tolerance.
+"""The transitions of the state search: messages, leases, chain replication, and faults within the tolerance.
 
-The steps call `iriswheel.consensus.decisions` and `view_formation`, the functions that the core itself runs; only disk,
-network and clock are abstract. A message stays in flight until its view is over, so each may arrive late, twice, in any
-order or never. Time passes only where the leases allow it: a voter's grant ends after the lease that counts on it.
+The transitions call `iriswheel.consensus.decisions` and `view_formation`, which the real core runs too; only disk,
+network and clock are modelled. A message stays in flight until its view is obsolete, so it may arrive late, twice, in
+any order or never. There is no clock: a lease may expire in any state, and a voter's grant only after the lease that
+it is part of.
 """
 
 from __future__ import annotations
@@ -18,13 +19,15 @@
 
 replace = msgspec.structs.replace
 
-Transitions = collections.abc.Iterator[tuple[str, cluster_model.World]]  # what happens, and the state after it
+Transitions = collections.abc.Iterator[
+    tuple[str, cluster_model.World]
+]  # (description of a transition, the state after it)
 
 
 def receive_prepare(
     world: cluster_model.World, core: cluster_model.Core, request: message.Prepare
 ) -> cluster_model.World:
-    """One acceptor's step on a Prepare."""
+    """Let an acceptor receive a Prepare; a promise is put in flight."""
     replica = decisions.Replica(core.identifier, core.incarnation, True, decisions.LastEntry(*core.last_entry))
     record, answer = decisions.promise(core.record, replica, core.holder, request)
     if not answer.ok:
@@ -36,7 +39,11 @@
 def receive_accept(
     world: cluster_model.World, core: cluster_model.Core, request: message.Accept
 ) -> cluster_model.World:
-    """One acceptor's step on an Accept."""
+    """Let an acceptor receive an Accept.
+
+    Raises:
+        ViolationError: The view is chosen by this, and so is another view of the same number.
+    """
     record, answer = decisions.accept(core.record, core.identifier, request)
     if not answer.ok:
         return world
@@ -49,7 +56,7 @@
 
 
 def check_chosen(world: cluster_model.World, old: message.View, request: message.Accept) -> None:
-    """Raise ViolationError where a majority accepted a view, and another majority accepted another of this number."""
+    """Raise ViolationError if this request's view is chosen, and another view of its number is chosen or adopted."""
     number = request.view.number
     if not is_chosen(world, old, request.ballot):
         return
@@ -63,13 +70,17 @@
 
 
 def is_chosen(world: cluster_model.World, old: message.View, ballot: tuple[int, str]) -> bool:
-    """Whether a majority of a view's voters accepted its successor under a ballot."""
+    """Whether a majority of a view's voters accepted the successor view that was proposed under a ballot."""
     voters = [identifier for made, number, identifier in world.accepted if (made, number) == (ballot, old.number + 1)]
     return len(voters) >= decisions.majority(len(old.voters))
 
 
 def adopt(world: cluster_model.World, core: cluster_model.Core, view: message.View) -> cluster_model.World:
-    """One core takes a view that was agreed; two views under one number break an invariant."""
+    """Let a core adopt an agreed view.
+
+    Raises:
+        ViolationError: Another view of the same number was adopted before.
+    """
     for other in world.views:
         if other.number == view.number and other != view:
             raise cluster_model.ViolationError(
@@ -83,7 +94,7 @@
 
 
 def proposing(world: cluster_model.World) -> Transitions:
-    """Start proposals: the proposer answers its own Prepare at once."""
+    """Each core that has to propose a new view starts a proposal."""
     for core in world.cores:
         used = cluster_model.consume_limit(world, "proposals")
         if used is None or not cluster_model.is_due(world, core):
@@ -94,7 +105,7 @@
 
 
 def suspecting(world: cluster_model.World) -> Transitions:
-    """A voter proposes without a reason that others see: it hears nobody but those who promise."""
+    """A voter proposes though nothing has failed, as it receives no heartbeats; any cores may answer its proposal."""
     for core in world.cores:
         used = cluster_model.consume_limit(world, "proposals")
         if used is None or not core.reachable or not decisions.is_voter(core.record, core.identifier):
@@ -109,7 +120,7 @@
 def _propose(
     world: cluster_model.World, core: cluster_model.Core, proposal: cluster_model.Proposal
 ) -> cluster_model.World:
-    """A core sends a Prepare, and answers it itself."""
+    """Let a core send a Prepare, and receive its own Prepare at once."""
     proposer = replace(core, ballot=proposal.ballot[0], proposal=proposal)
     request = message.Prepare(core.view.number + 1, proposal.ballot, core.identifier)
     after = replace(cluster_model.with_core(world, proposer), requests=cluster_model.with_item(world.requests, request))
@@ -117,7 +128,7 @@
 
 
 def delivering(world: cluster_model.World) -> Transitions:
-    """Deliver any request in flight to any core."""
+    """Any Prepare or Accept in flight arrives at any reachable core."""
     for request, core in itertools.product(world.requests, world.cores):
         if not core.reachable:
             continue
@@ -133,7 +144,7 @@
 
 
 def choosing(world: cluster_model.World) -> Transitions:
-    """A proposer ends its first phase with any majority of the promises that were given."""
+    """A proposer ends the prepare phase with any majority of the promises for its ballot."""
     for core in world.cores:
         proposal = core.proposal
         if not core.up or proposal is None or proposal.view is not None:
@@ -153,7 +164,7 @@
     proposal: cluster_model.Proposal,
     promises: dict[str, message.Promise],
 ) -> Transitions:
-    """The views that a proposer may ask for: with all live machines, or with those that promised."""
+    """A proposer sends an Accept for a view of all live machines, or for one of the machines that promised."""
     seen: list[message.View] = []
     live_cores = cluster_model.live_cores(world)
     promised = {identifier: promise.incarnation for identifier, promise in promises.items() if identifier in live_cores}
@@ -178,7 +189,7 @@
 
 
 def deciding(world: cluster_model.World) -> Transitions:
-    """A proposer adopts its view once a majority accepted it."""
+    """A proposer adopts its view once a majority has accepted it."""
     for core in world.cores:
         proposal = core.proposal
         if not core.up or proposal is None or proposal.view is None:
@@ -188,14 +199,18 @@
 
 
 def learning(world: cluster_model.World) -> Transitions:
-    """A core hears of a view that another adopted, then or later."""
+    """A core learns of a newer view that another core has adopted."""
     for core, view in itertools.product(world.cores, world.views):
         if core.reachable and decisions.newer_view(core.record, view.number) is None:
             yield f"{core.identifier} learns view {view.number}", adopt(world, core, view)
 
 
 def leasing(world: cluster_model.World) -> Transitions:
-    """A voter grants the tail its lease; leases and grants run out, the grant after the lease."""
+    """A voter grants the tail its read lease; leases and grants expire, and grants become void.
+
+    A grant expires only when no lease counts on it any more. It becomes void when its voter sees a new incarnation of
+    the tail.
+    """
     tails = [
         core
         for core in world.cores
@@ -229,13 +244,13 @@
             seen = holder.incarnation if holder is not None and holder.reachable else None
             if decisions.is_grant_void(core.record, core.holder, seen):
                 yield (
-                    f"{core.identifier} sees {core.view.chain[-1].id} anew, and its grant is void",
+                    f"{core.identifier} sees a new incarnation of {core.view.chain[-1].id}, and its grant is void",
                     cluster_model.with_core(world, replace(core, holder=None)),
                 )
 
 
 def writing(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
-    """The head syncs a change."""
+    """The head appends a change to its log and syncs it to disk."""
     for core in world.cores:
         used = cluster_model.consume_limit(world, "changes")
         if used is None or not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
@@ -250,7 +265,7 @@
 
 
 def replicating(world: cluster_model.World) -> Transitions:
-    """A member brings the next one up to date; that one is then synced."""
+    """A synced chain member sends its log to its successor, which is synced after that."""
     for core in world.cores:
         if not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
             continue
@@ -274,7 +289,7 @@
 
 
 def delivering_late_snapshots(world: cluster_model.World) -> Transitions:
-    """A snapshot that was held up arrives once more."""
+    """A delayed duplicate of a snapshot arrives."""
     for snapshot in world.delayed_snapshots:
         used, core = (
             cluster_model.consume_limit(world, "late_snapshots"),
@@ -289,7 +304,11 @@
 
 
 def acknowledge(world: cluster_model.World, setting: cluster_model.Setting) -> cluster_model.World:
-    """All that a synced tail holds is acknowledged at that moment."""
+    """Acknowledge all entries in the log of a synced tail.
+
+    Raises:
+        ViolationError: The tail's view is sealed.
+    """
     for core in world.cores:
         if core.up and decisions.may_commit(core.record, core.identifier, core.incarnation, setting.copies):
             known = {entry for _, entry in world.acknowledged}
@@ -305,18 +324,18 @@
 
 
 def may_lose_another(world: cluster_model.World, core: cluster_model.Core, setting: cluster_model.Setting) -> bool:
-    """Whether one more machine may be lost."""
+    """Whether the tolerance allows that this machine is lost besides those that are lost already."""
     lost = [other for other in world.cores if other.lost and other.index != core.index]
     return len(lost) < setting.tolerance
 
 
 def stopped(core: cluster_model.Core) -> cluster_model.Core:
-    """A machine that went down: what was in memory is gone."""
+    """Return the core after it went down, without the content of its memory."""
     return replace(core, up=False, settled=False, holder=None, supporters=(), ballot=0, proposal=None)
 
 
 def restarted(core: cluster_model.Core) -> cluster_model.Core:
-    """A machine that came back with its disk; a grant that it gave before may stand."""
+    """Return the core after a restart with its disk; a lease that it granted before may be unexpired."""
     return replace(
         stopped(core),
         up=True,
@@ -327,7 +346,7 @@
 
 
 def wiped(core: cluster_model.Core, setting: cluster_model.Setting) -> cluster_model.Core:
-    """A machine that came back with an empty disk, under a new identity."""
+    """Return the core after a restart with an empty disk; it gets a new identity, unless the setting forbids that."""
     identities = core.identities + 1
     identifier = core.identifier if setting.keep_identity else f"{core.identifier[0]}{identities}"
     record = decisions.Record(core.record.view) if setting.keep_identity else decisions.Record()
@@ -337,7 +356,7 @@
 
 
 def failing(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
-    """Faults within the tolerance, and what ends them."""
+    """Faults within the tolerance, restarts, and ends of faults."""
     for core in world.cores:
         may_fail = may_lose_another(world, core, setting)
         if core.up:
@@ -364,19 +383,22 @@
         if core.cut:
             yield f"{core.identifier} is connected again", cluster_model.with_core(world, replace(core, cut=False))
         if core.reachable and not core.settled and is_synced_in_newest_view(world, core):
-            yield f"{core.identifier} has settled", cluster_model.with_core(world, replace(core, settled=True))
+            yield (
+                f"{core.identifier} no longer counts as lost",
+                cluster_model.with_core(world, replace(core, settled=True)),
+            )
     yield from power_cycling(world, setting)
 
 
 def fault_within_limits(world: cluster_model.World, kind: str, label: str, core: cluster_model.Core) -> Transitions:
-    """One fault, where one of its kind is left within the limits."""
+    """Yield a fault if the limit of its kind is not used up."""
     used = cluster_model.consume_limit(world, kind)
     if used is not None:
         yield label, cluster_model.with_core(used, core)
 
 
 def is_synced_in_newest_view(world: cluster_model.World, core: cluster_model.Core) -> bool:
-    """Whether a core is a synced member of the newest view's chain."""
+    """Whether a core serves in the chain of the newest view and is synced in it."""
     newest = max(view.number for view in world.views)
     return (
         core.record.view is not None
@@ -386,7 +408,7 @@
 
 
 def power_cycling(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
-    """All machines restart at once, and as many as the tolerance allows lose their disks."""
+    """All machines restart at once, and any of them, up to the tolerance, lose their disks."""
     used = cluster_model.consume_limit(world, "power_cycles")
     if used is None or any(core.lost for core in world.cores):
         return
@@ -398,7 +420,7 @@
 
 
 def steps(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
-    """All transitions out of a state, as (label, next state).
+    """Return all transitions out of a state, as pairs of a description and the next state.
 
     >>> first = cluster_model.start(3, cluster_model.Limits(proposals=0))
     >>> [label for label, _ in steps(first, cluster_model.Setting(1, 2))]
@@ -421,7 +443,7 @@
 
 
 def without_obsolete_messages(world: cluster_model.World) -> cluster_model.World:
-    """The state without messages that no core would take any more."""
+    """Return the state without messages about views that all cores have reached already."""
     views = [core.record.view for core in world.cores if core.record.view is not None]
     oldest = min((view.number for view in views), default=0)
     requests = tuple(request for request in world.requests if view_number_of(request) > oldest)
@@ -431,7 +453,7 @@
 
 
 def view_number_of(request: message.Accept | message.Prepare) -> int:
-    """The number of the view that a request is about."""
+    """Return the number of the view that a request proposes."""
     match request:
         case message.Prepare(number=number):
             return number
--- a/simulation/state_search/explore.py
+++ b/simulation/state_search/explore.py
@@ -1,11 +1,11 @@
-"""Search every interleaving of the view agreement, the chain and its leases, up to a stated depth.
+"""Search every interleaving of view consensus, chain replication and read leases, up to a given depth.
 
 python -m simulation.state_search.explore --cores 3 --depth 7
 python -m simulation.state_search.explore --scenario replacement --depth 12
 
-The steps are those of `simulation.state_search.cluster_steps`. States are told apart by a hash of their encoding, and
-each is searched once, in order of depth. Each is checked against the invariants, and for whether the machines that
-are reachable in it recover.
+The transitions are those of `simulation.state_search.cluster_steps`. The search is breadth-first; states are
+identified by a hash of their encoding, and each is expanded once. In each state the invariants must hold, and the
+machines that are reachable in it must be able to recover.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 replace = msgspec.structs.replace
 
-RECOVERY_ROUNDS = 8  # views that a recovery may take before it counts as stuck
+RECOVERY_ROUNDS = 8  # views that may be agreed before a recovery counts as failed
 
 
 class Scenario(typing.NamedTuple):
-    """A search that is run by name: what may happen, and how many cores."""
+    """A named search: the limits on events, and the number of cores."""
 
     limits: cluster_model.Limits
     cores: int = 3
@@ -52,24 +52,28 @@
 
 
 class SearchResult(typing.NamedTuple):
-    """The result of a search."""
+    """The result of a search; a violation comes with the steps that lead to it."""
 
     states: int
     depth: int
-    complete: bool  # no state was left unsearched within the limits
+    complete: bool  # every state within the limits was searched
     violation: str = ""
     trace: tuple[str, ...] = ()
 
 
 class BrokenInvariant(typing.NamedTuple):
-    """An invariant that a state breaks, and the steps that lead there."""
+    """A violated invariant, and the steps that lead to the state that violates it."""
 
     violation: str
     trace: tuple[str, ...]
 
 
 def check_invariants(world: cluster_model.World) -> None:
-    """Raise ViolationError where a state breaks an invariant."""
+    """Check that at most one tail serves reads, and that synced cores and the newest head hold what was acknowledged.
+
+    Raises:
+        ViolationError: The state violates one of these invariants.
+    """
     readers = [core.identifier for core in world.cores if cluster_model.has_lease(core)]
     if len(readers) > 1:
         raise cluster_model.ViolationError(f"two tails serve reads: {' '.join(readers)}")
@@ -90,9 +94,12 @@
 
 
 def recover(world: cluster_model.World) -> None:
-    """Raise ViolationError unless the machines that are reachable get to a chain with all that was acknowledged.
+    """Check that the reachable machines can form a chain that holds all acknowledged entries.
+
+    From this state on nothing fails any more: leases expire, messages arrive, and proposals do not compete.
 
-    Nothing more fails from here on: leases run out, messages arrive, proposals come one after the other.
+    Raises:
+        ViolationError: No such chain is formed within `RECOVERY_ROUNDS` views.
     """
     cores = tuple(replace(core, holder=None, supporters=()) for core in world.cores)
     world = replace(world, cores=cores)
@@ -101,11 +108,13 @@
         if is_recovered(world):
             return
         world = agree_on_next_view(world)
-    raise cluster_model.ViolationError("the machines that are left agree on view after view, and none holds")
+    raise cluster_model.ViolationError(
+        "the reachable machines agreed on view after view, but none with a synced chain of all live cores"
+    )
 
 
 def spread_newest_view(world: cluster_model.World) -> cluster_model.World:
-    """All reachable cores learn the newest view that one of them knows, and the chain is brought up to date."""
+    """Let all reachable cores adopt the newest view that one of them knows, and replicate the log along its chain."""
     known = [core.record.view for core in world.cores if core.reachable and core.record.view is not None]
     newest = max(known, key=lambda view: view.number)
     for index in range(len(world.cores)):
@@ -122,7 +131,7 @@
 
 
 def is_recovered(world: cluster_model.World) -> bool:
-    """Whether all reachable cores that stay are synced members of one chain of nobody else."""
+    """Whether the newest view's chain consists of exactly the live cores, and all of them are synced."""
     known = [core.record.view for core in world.cores if core.reachable and core.record.view is not None]
     view = max(known, key=lambda view: view.number)
     members = {(member.id, member.incarnation) for member in view.chain}
@@ -136,7 +145,11 @@
 
 
 def agree_on_next_view(world: cluster_model.World) -> cluster_model.World:
-    """One undisturbed proposal by the first reachable voter of the newest view."""
+    """Let the first reachable voter of the newest view complete a proposal that nothing competes with.
+
+    Raises:
+        ViolationError: No majority of voters is left, or no synced core that could head the chain.
+    """
     known = [core for core in world.cores if core.reachable and decisions.is_voter(core.record, core.identifier)]
     if not known:
         raise cluster_model.ViolationError("no voter is left")
@@ -167,40 +180,40 @@
 
 
 def state_key(world: cluster_model.World) -> bytes:
-    """A hash that tells states apart."""
+    """Return a hash that identifies a state."""
     return hashlib.blake2b(msgspec.msgpack.encode(world), digest_size=12).digest()
 
 
 def recovery_key(world: cluster_model.World) -> bytes:
-    """A hash of what a recovery depends on."""
+    """Return a hash of those parts of a state that a recovery depends on."""
     kept = [replace(core, holder=None, supporters=(), ballot=0, proposal=None, settled=True) for core in world.cores]
     return hashlib.blake2b(msgspec.msgpack.encode([kept, world.views, world.acknowledged]), digest_size=12).digest()
 
 
 class Origin(typing.NamedTuple):
-    """How a state was first reached: from which state, by its key, and by which step."""
+    """The transition by which a state was first reached."""
 
-    before: bytes
-    step: str
+    before: bytes  # key of the previous state; empty for the initial state
+    step: str  # description of the transition; empty for the initial state
 
 
 class StateSearch:
-    """A breadth-first search under way: the states reached so far, and those whose steps are yet to be taken.
+    """A breadth-first search in progress: the states reached so far, and the queue of those not expanded yet.
 
     Args:
-        first: Where to begin.
-        setting: What holds in all states.
-        recovery: Whether each state is also checked for a way to recover from it.
+        first: The initial state.
+        setting: The parameters of the search.
+        recovery: Whether to check also that the machines can recover from each state.
     """
 
     def __init__(self, first: cluster_model.World, setting: cluster_model.Setting, recovery: bool) -> None:
         self.setting, self.recovery = setting, recovery
         self.origins = {state_key(first): Origin(b"", "")}
-        self.recovered: set[bytes] = set()  # what recoveries depend on, where one has succeeded
+        self.recovered: set[bytes] = set()  # recovery keys of the states that were checked for recovery
         self.queue = collections.deque([(first, 0)])  # each state with its depth
 
     def run(self, depth: int, most_states: int) -> SearchResult:
-        """Search up to a depth, or until so many states were reached."""
+        """Search up to a depth, until a number of states is reached, or until an invariant is violated."""
         level = 0
         while self.queue:
             world, level = self.queue.popleft()
@@ -212,9 +225,11 @@
         return SearchResult(len(self.origins), level, complete=True)
 
     def expand(self, world: cluster_model.World, level: int) -> BrokenInvariant | None:
-        """Take all steps from a state: the invariant that one of them breaks, if one does."""
+        """Take all transitions out of a state; return the first violated invariant, or None."""
         here = state_key(world)
-        unfinished_step: tuple[str, ...] = ()  # the step whose outcome is looked at; none while the next one is made
+        unfinished_step: tuple[
+            str, ...
+        ] = ()  # the step whose next state is being visited; empty while a step is computed
         try:
             for step, after in cluster_steps.steps(world, self.setting):
                 unfinished_step = (step,)
@@ -225,7 +240,7 @@
         return None
 
     def visit(self, world: cluster_model.World, origin: Origin, level: int) -> None:
-        """Check the state that a step leads to, where it is new, and have its own steps taken later."""
+        """Check a state that a transition leads to, and queue it; a state that was visited before is skipped."""
         world = cluster_steps.without_obsolete_messages(cluster_steps.acknowledge(world, self.setting))
         key = state_key(world)
         if key in self.origins:
@@ -237,14 +252,14 @@
         self.queue.append((world, level))
 
     def check_recovery(self, world: cluster_model.World) -> None:
-        """Check that the reachable machines recover from a state, where that is not known yet."""
+        """Check that the machines recover from a state, unless a state with the same recovery key was checked."""
         key = recovery_key(world)
         if key not in self.recovered:
             self.recovered.add(key)
             recover(world)
 
     def steps_to(self, key: bytes) -> tuple[str, ...]:
-        """The steps that lead to a state."""
+        """Return the steps from the initial state to a state."""
         steps = []
         while self.origins[key].step:
             key, step = self.origins[key]
@@ -262,19 +277,19 @@
     recovery: bool = True,
     first: cluster_model.World | None = None,
 ) -> SearchResult:
-    """Search all states within the limits up to a depth, the shallowest first.
+    """Search all states within the limits up to a depth, breadth-first.
 
     Args:
-        cores: How many cores.
-        limits: How often each event may happen.
-        depth: How many steps to search.
-        most_states: The search ends after so many states.
-        keep_identity: Whether a wiped disk goes on under its old identity: the guard on identities taken out.
-        recovery: Whether each state is also checked for a way to recover from it.
-        first: Where to begin, if not at view 1.
+        cores: The number of cores.
+        limits: How many times each kind of event may happen.
+        depth: The maximum number of steps from the initial state.
+        most_states: The number of states after which the search ends.
+        keep_identity: Whether a machine with a wiped disk keeps its identity, as if this guard were removed.
+        recovery: Whether to check also that the machines can recover from each state.
+        first: The initial state; all cores in view 1 where None.
 
     Returns:
-        What was found; a broken invariant ends the search.
+        The result; the first violated invariant ends the search.
 
     >>> search(3, cluster_model.Limits(proposals=0, changes=1), 9).complete
     True
@@ -285,15 +300,15 @@
 
 
 def main(*, scenario: str = "all", cores: int = 0, depth: int = 7, most_states: int = 10**9) -> None:
-    """Search a scenario and print the states explored; exits 1 with the steps that break an invariant.
+    """Search a scenario and print the number of states; a violation is printed with its steps, and the exit code is 1.
 
-    :param scenario: which events may happen, by name
-    :param cores: how many cores; the scenario's own number where 0
-    :param depth: how many steps
-    :param most_states: stop after so many states
+    :param scenario: the scenario, which limits the events that may happen
+    :param cores: number of cores; 0 for that of the scenario
+    :param depth: maximum number of steps from the initial state
+    :param most_states: stop after this number of states
     """
     if scenario not in SCENARIOS:
-        print(f"explore: there is no such scenario; there are {' '.join(SCENARIOS)}", file=sys.stderr)
+        print(f"explore: unknown scenario; the scenarios are {' '.join(SCENARIOS)}", file=sys.stderr)
         sys.exit(2)
     chosen = SCENARIOS[scenario]
     started_at = time.monotonic()
