--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -1,8 +1,9 @@
-"""Days of random faults that stress the core: changes without pause under overlapping faults of core machines.
+"""Simulated days that stress the core: continuous configuration changes under overlapping faults of core machines.
 
-A day has configurations in quick succession, races of two operators, and invalid ones all through; from the fifth
-second on a fault begins every 0.5 to 6 s, each one of `FAULTS`. A core machine counts as lost from its fault's begin
-until some seconds after its end; no more are lost at once than the deployment tolerates, so a fault may wait.
+During the whole day operators send changes in quick succession, races of two operators, and invalid configurations.
+From the fifth second on a random fault of `FAULTS` begins every 0.5 to 6 s. A core machine counts as lost from the
+begin of its fault until the settle time after the end. A fault is delayed while as many machines are lost as the
+deployment tolerates.
 """
 
 from __future__ import annotations
@@ -21,26 +22,30 @@
 
     from simulation.site import site
 
-CHANGE_GAPS_S = (0.15, 0.4, 0.9)
-FAULT_GAPS_S = (0.5, 2, 4, 6)
+CHANGE_GAPS_S = (0.15, 0.4, 0.9)  # between changes; one is drawn for a day
+FAULT_GAPS_S = (0.5, 2, 4, 6)  # between faults; one is drawn after each
 RACE_COUNT, RACE_GAP_S = 18, 3
 INVALID_COUNT, INVALID_GAP_S = 8, 5
-POLL_S = 0.1
+POLL_S = 0.1  # between two checks whether a fault may begin
 TIME_OF_DAY_JUMP_US = 4 * units.SECOND_US
 FINAL_TIME_OF_DAY_JUMP_US = 600 * units.SECOND_US
 SLOW_LINK_US = 60 * units.MILLISECOND_US
-MAX_LOSS_DELAY_S = 0.004  # an acknowledging machine is lost within this time
-REFUSALS_BEFORE_READ = 3  # after so many in a row an operator reads the configuration
-RECOVERY_TIMEOUT_S = 40  # within which all core machines are back
-AFTER_CLOSING_S = 15
-DISK_STATES: tuple[faults.DiskState, ...] = ("full", "slow", "stalled")  # in the order that draws follow
-REPLACEMENT_S = 9  # until a replaced or restarted machine is back
+MAX_LOSS_DELAY_S = 0.004  # maximum time from an acknowledgement to the loss of its machine
+REFUSALS_BEFORE_READ = 3  # consecutive refused changes after which the operator reads the configuration
+RECOVERY_TIMEOUT_S = 40  # time limit until no core machine counts as lost before the closing fault
+AFTER_CLOSING_S = 15  # simulated time after the closing fault
+DISK_STATES: tuple[faults.DiskState, ...] = (
+    "full",
+    "slow",
+    "stalled",
+)  # in this order, as it determines the random draws
+REPLACEMENT_S = 9  # until a replaced or restarted machine is running again
 
 log = loguru.logger.bind(part="site")
 
 
 class CoreDay:
-    """A day of random faults under way: the site, and the core machines that count as lost."""
+    """A day of random faults in progress: its site, and the core machines that count as lost."""
 
     def __init__(self, deployment: site.Site) -> None:
         self.site, self.rng = deployment, deployment.rng
@@ -52,37 +57,37 @@
     def spawn(
         self, coroutine: collections.abc.Coroutine[typing.Any, typing.Any, typing.Any]
     ) -> defer.Deferred[typing.Any]:
-        """Run an operator's task."""
+        """Run a coroutine as a task of the operators."""
         return self.site.operator_runtime.spawn(coroutine, log)
 
     async def send_changes(self, until: int) -> None:
-        """Changes one after the other; after some refusals, on top of what is read."""
+        """Send changes one after the other until a simulated time in microseconds."""
         gap = self.rng.choice(CHANGE_GAPS_S)
         while self.site.world.time < until:
             await self.change()
             await self.site.operator_runtime.sleep(int(gap * units.SECOND_US))
 
     async def change(self) -> None:
-        """Send one change; after some refusals in a row, read what there is."""
+        """Send one change; read the configuration back after `REFUSALS_BEFORE_READ` refusals in a row."""
         status = await self.site.configurations.send_next(self.rng.choice(["idle", "timeout"]), 60)
         self.refusals = 0 if status == 200 else self.refusals + 1
         if self.refusals >= REFUSALS_BEFORE_READ:
             await self.read_back()
 
     async def read_back(self) -> None:
-        """Take the newest configuration as the base of the next change."""
+        """Read the newest configuration and use it as the base of the next change."""
         self.site.configurations.adopt_newer(await self.site.operator.read())
         self.refusals = 0
 
     async def send_races(self, until: int) -> None:
-        """Two operators at once, again and again."""
+        """Let two operators send a change at the same time, every 3 s."""
         for _ in range(RACE_COUNT):
             if self.site.world.time < until:
                 await self.site.configurations.race()
                 await self.site.operator_runtime.sleep(RACE_GAP_S * units.SECOND_US)
 
     async def send_invalid(self, until: int) -> None:
-        """Invalid configurations, again and again."""
+        """Send an invalid configuration every 5 s."""
         for _ in range(INVALID_COUNT):
             if self.site.world.time < until:
                 await self.site.configurations.send_invalid()
@@ -91,13 +96,13 @@
     # ---- core machines -----------------------------------------------------------------
 
     def last_acknowledger(self) -> str:
-        """The core machine that acknowledged last, or any."""
+        """Return the core machine that acknowledged the last change, or a random one if it is gone."""
         place = self.site.operator.last_address
         names = [name for name in sorted(self.site.cores) if place and self.site.places[name].host == place[0]]
         return names[0] if names else self.random_core()
 
     def tail(self) -> str:
-        """The last core machine of the newest view's chain."""
+        """Return the tail of the newest view's chain."""
         live = [core for core in self.site.cores.values() if core.process.alive]
         views = [core.consensus.view for core in live if core.consensus.view is not None]
         newest = max(views, key=lambda view: view.number)
@@ -106,11 +111,11 @@
         )
 
     def random_core(self) -> str:
-        """A random core machine."""
+        """Return a random core machine."""
         return self.rng.choice(sorted(self.site.cores))
 
     def last_acknowledger_or_random(self) -> str:
-        """The leader in half of all cases."""
+        """Return the core machine that acknowledged last in half of all cases, else a random one."""
         return self.rng.choice([self.last_acknowledger, self.random_core])()
 
     def lose_when_tolerated(
@@ -119,9 +124,12 @@
         pick: collections.abc.Callable[[], str] | None = None,
         complete: bool = False,
     ) -> None:
-        """Let a fault strike as soon as one more core machine may be lost, or while none is lost.
+        """Inject a fault of a core machine as soon as the deployment tolerates one more loss.
 
-        `lose` takes the machine's name, and returns when it is back, in seconds.
+        Args:
+            lose: Injects the fault into the named machine; returns the seconds until the machine is back.
+            pick: Returns the machine's name; by default the last acknowledger or a random machine.
+            complete: Whether the fault is of all core machines, and so waits until none is lost.
         """
 
         def try_to_lose() -> None:
@@ -133,13 +141,13 @@
                 self.site.schedule(POLL_S, try_to_lose)
                 return
             self.lost.add(name)
-            self.random_core()  # a draw that recorded days hold
+            self.random_core()  # unused draw: without it the random stream of the recorded days would differ
             self.site.schedule(lose(name) + self.site.settle_s(), self.lost.discard, name)
 
         try_to_lose()
 
     def send_to(self, name: str) -> None:
-        """Let the next change, or the next two at once, begin at this machine."""
+        """Send a change, or a race of two changes, to this machine first."""
         place = (self.site.places[name].host, settings_files.CONTROL_PORT)
         self.site.operator.first_address = place
         if self.rng.random() < 0.5:
@@ -149,14 +157,14 @@
             self.spawn(self.change())
 
     def send_during_fault(self, name: str, seconds: int) -> None:
-        """Send changes to a machine during its fault and as it returns."""
+        """Send changes to a machine during its fault and when it returns, or send none."""
         for at in self.rng.choice([(), (seconds / 2, seconds), (0.1, seconds / 3, seconds / 2, seconds + 0.05)]):
             self.site.schedule(at, self.send_to, name)
 
     # ---- the day -----------------------------------------------------------------------------
 
     def play(self, seconds: int) -> None:
-        """Play the day up to its closing fault."""
+        """Play the whole day, including its closing fault."""
         deployment = self.site
         begin = deployment.world.time
         until = begin + seconds * units.SECOND_US
@@ -171,7 +179,7 @@
         self.strike_closing_fault()
 
     def strike_closing_fault(self) -> None:
-        """Wait until no machine is lost, and let the closing fault strike."""
+        """Wait until no core machine is lost, send a change, and inject the closing fault of all machines."""
         deployment = self.site
         deployment.advance_until(lambda: not self.lost, RECOVERY_TIMEOUT_S)
         self.lost.add("all")
@@ -185,7 +193,7 @@
 
 
 def cut_off_core(day: CoreDay) -> None:
-    """A core machine is cut off from the other ones, one way or both; nodes and operators still reach it."""
+    """A core machine is cut off from the other ones, in one direction or both; nodes and operators still reach it."""
     outward, inward = day.rng.choice([(True, False), (False, True), (True, True)])
     seconds = day.rng.choice([3, 6, 20])
 
@@ -198,7 +206,7 @@
 
 
 def cut_off_node(day: CoreDay) -> None:
-    """A node is cut off from all core machines."""
+    """A node is cut off from all core machines for 4 or 20 s."""
     name = day.rng.choice(sorted(day.site.nodes))
     _cut_links(day.site, name, sorted(day.site.cores), day.rng.choice([4, 20]))
 
@@ -219,8 +227,8 @@
     deployment.schedule(seconds, heal)
 
 
-def cut_off_first_seed(day: CoreDay) -> None:
-    """A machine is cut off that the settings name first; the other processes read them again, some are restarted."""
+def cut_off_core_and_reload_settings(day: CoreDay) -> None:
+    """A core machine is cut off from the other ones for 20 s while all processes reload their settings."""
 
     def lose(name: str) -> int:
         _cut_links(day.site, name, sorted(set(day.site.cores) - {name}), 20)
@@ -232,7 +240,7 @@
 
 
 def freeze_core(day: CoreDay) -> None:
-    """The leader freezes, and finds changes as it wakes."""
+    """The core machine that acknowledged last freezes, and receives changes when it wakes."""
     seconds = day.rng.choice([3, 8, 20])
 
     def lose(name: str) -> int:
@@ -244,7 +252,7 @@
 
 
 def lose_after_acknowledgement(day: CoreDay) -> None:
-    """The machine that acknowledges a change loses power, perhaps its disk too; or it does soon after a sending."""
+    """A core machine loses power, and in most cases its disk, just after a change was acknowledged or sent."""
     wipe, timed, back = day.rng.random() < 0.6, day.rng.random() < 0.4, day.rng.choice([0.9, 3])
     wait = day.rng.uniform(0.005, 0.4) if timed else day.rng.uniform(0, MAX_LOSS_DELAY_S)
 
@@ -257,7 +265,7 @@
 
 
 def replace_core(day: CoreDay) -> None:
-    """A core machine is replaced by an empty one at another address, planned or not."""
+    """A core machine is replaced by one with an empty disk at another address, after SIGTERM or a power loss."""
 
     def lose(name: str) -> int:
         day.site.faults.replace_core(name, day.rng.random() < 0.5)
@@ -267,7 +275,7 @@
 
 
 def degrade_disk(day: CoreDay) -> None:
-    """A disk is full, slow or stalled."""
+    """A core machine's disk is full, slow or stalled for 2, 6 or 15 s."""
     state, seconds = day.rng.choice(DISK_STATES), day.rng.choice([2, 6, 15])
 
     def lose(name: str) -> int:
@@ -278,14 +286,14 @@
 
 
 def lose_answers(day: CoreDay) -> None:
-    """Acknowledgements are lost on their way; the operator sends the same to another machine."""
+    """For 15 s, 70 % of the acknowledgements are lost; the operators send those changes again to another machine."""
     for operator in (day.site.operator, day.site.rival):
         operator.lost_share = 0.7
         day.site.schedule(15, setattr, operator, "lost_share", 0.0)
 
 
 def restart_in_turn(day: CoreDay) -> None:
-    """Core machines are stopped by SIGTERM, one after the other, and start again."""
+    """Rolling restart: all core machines are stopped by SIGTERM and restarted, each once its loss is tolerated."""
     for name in sorted(day.site.cores):
         day.lose_when_tolerated(functools.partial(_terminate, day), functools.partial(_name_or_random, day, name))
 
@@ -300,7 +308,7 @@
 
 
 def lose_entire_core(day: CoreDay) -> None:
-    """All core machines are killed or lose power at the same moment, and come back."""
+    """All core machines are killed or lose power at the same moment, and restart 2 s later."""
     strike = day.rng.choice([day.site.faults.kill, day.site.faults.power_off])
 
     def lose(_: str) -> int:
@@ -312,7 +320,7 @@
 
 
 def reset_connections(day: CoreDay) -> None:
-    """Half of the connections at the core are reset, several times."""
+    """Half of the connections of core machines are reset, six times in 3 s."""
     for number in range(6):
         day.site.schedule(number * 0.5, _reset_some, day.site)
 
@@ -331,7 +339,7 @@
 
 
 def slow_core_link(day: CoreDay) -> None:
-    """What a core machine sends and takes comes late."""
+    """All packets to and from a core machine are delayed for 8 s."""
 
     def lose(name: str) -> int:
         host = day.site.places[name].host
@@ -345,12 +353,12 @@
 
 
 def lose_zone_packets(day: CoreDay) -> None:
-    """The links of a zone lose packets."""
+    """The links of a random zone lose 5 % of their packets for 8 s."""
     day.site.faults.lose_packets(day.rng.choice(day.site.shape.zones()), 0.05, 8)
 
 
 def jump_time_of_day(day: CoreDay) -> None:
-    """The time of day of half of the machines jumps by four seconds, and back after a while."""
+    """The wall clock of about half of the machines jumps by 4 s in either direction, and back 5 s later."""
     deployment, error = day.site, day.rng.choice([-TIME_OF_DAY_JUMP_US, TIME_OF_DAY_JUMP_US])
     names = [name for name in [*sorted(deployment.cores), *sorted(deployment.nodes)] if day.rng.random() < 0.5]
     for name in names:
@@ -366,7 +374,7 @@
 
 
 def reload_settings(day: CoreDay) -> None:
-    """All processes read their settings again, one after the other."""
+    """All processes reload their settings, at random times within 2 s."""
     deployment = day.site
     names = [*sorted(deployment.nodes), *sorted(deployment.cores)]
     for name in names:
@@ -374,7 +382,7 @@
 
 
 def change_seeds(day: CoreDay) -> None:
-    """The settings name other seeds from now on, and all processes read them again."""
+    """The settings get a random list of seeds, and all processes reload them."""
     count = day.rng.randrange(1, len(day.site.cores) + 1)
     day.site.seed_names = day.rng.sample(sorted(day.site.cores), count)
     reload_settings(day)
@@ -384,7 +392,7 @@
     cut_off_core,
     cut_off_core,
     cut_off_node,
-    cut_off_first_seed,
+    cut_off_core_and_reload_settings,
     freeze_core,
     lose_after_acknowledgement,
     lose_after_acknowledgement,
@@ -404,9 +412,10 @@
 
 
 def time_of_day(deployment: site.Site) -> None:
-    """Changes without pause while times of day jump and come back, and a core machine freezes after each jump.
+    """Continuous changes while wall clocks jump and return, and a core machine freezes after each jump.
 
-    At the end the time of day of all machines is set back for good, and the configuration is read back by that.
+    At the end the wall clocks of all machines are set back by 10 minutes and stay so while the configuration is read
+    back.
     """
     day = CoreDay(deployment)
     until = deployment.world.time + 26 * units.SECOND_US
@@ -428,7 +437,7 @@
 
 
 def lose_tail(deployment: site.Site) -> None:
-    """Three times the tail is gone for good under changes without pause; an empty machine comes, then other seeds."""
+    """Three times, under continuous changes, the tail is lost and replaced; settings are reloaded 3 s later."""
     day = CoreDay(deployment)
     day.spawn(day.send_changes(deployment.world.time + 30 * units.SECOND_US))
     for _ in range(3):
@@ -439,5 +448,5 @@
 
 
 def core_drawn(deployment: site.Site) -> None:
-    """Changes without pause, and random overlapping faults of the core; ends with a closing fault."""
+    """Continuous changes and random overlapping faults of the core for 40 s, then a closing fault."""
     CoreDay(deployment).play(40)
