--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -1,12 +1,12 @@
-"""A second loss at each step of a repair of the core.
+"""Simulated runs in which a second core machine is lost at a chosen step of the repair after a first loss.
 
     python -m simulation.second_loss --cores 3 --seeds 5
     python -m simulation.second_loss --cores 5 --firsts WIPED --steps SEATED --seconds GONE --first-seed 2
 
-A core machine is lost, or is to be replaced. Its repair is watched until it reaches a chosen step, and then a
-second loss strikes, while two operators send a change each 150 ms. The `Target` says who is struck and when: what
-is within the tolerance of the deployment, where a machine counts as lost until the settle time after its return
-is over, or any machine as a stress beyond that.
+A core machine is lost, or replaced as planned. When the repair of this first loss reaches the chosen step, a second
+loss is injected. Meanwhile two operators together send a change every 150 ms. The `Target` selects the machines of
+the second loss. All targets but STRESS stay within the deployment's tolerance, where a machine counts as lost until
+the settle time after its return is over.
 """
 
 from __future__ import annotations
@@ -33,19 +33,19 @@
     from iriswheel.transport import message
     from simulation import server_model
 
-POLL_S = 0.001
-LEAD_S = 3
-OPERATOR_GAP_US = 300 * units.MILLISECOND_US  # of each of the two operators, who send by turns
-REPAIR_TIMEOUT_S = 12  # within which a repair reaches each step, and the core is complete after the second loss
-RESTART_S = 1
-TERM_DELAY_S = 1  # from the start of a planned successor to the SIGTERM
-TERM_GRACE_S = 8
-MAX_SECOND_LOSS_DELAY_S = 0.005  # at most so long after the step
+POLL_S = 0.001  # between two checks of an awaited condition
+LEAD_S = 3  # from the start of the site to the first change
+OPERATOR_GAP_US = 300 * units.MILLISECOND_US  # between the changes of each operator; the two operators alternate
+REPAIR_TIMEOUT_S = 12  # time limit for a repair to reach a step, and for the core to be complete after the second loss
+RESTART_S = 1  # from a power loss to the restart
+TERM_DELAY_S = 1  # from the start of a planned replacement to the SIGTERM of the replaced machine
+TERM_GRACE_S = 8  # from SIGTERM to SIGKILL
+MAX_SECOND_LOSS_DELAY_S = 0.005  # the second loss follows the step within this time
 CHANGE_TIMEOUT_S = 20
 SLOW_SYNC_US = 150 * units.MILLISECOND_US
-PAUSE_S = 2
-READ_BACK_S = 30
-TRAFFIC_SHARE = 0.01  # the load of the site's workers does not matter here
+PAUSE_S = 2  # of the first changes before the first loss, and at the end of a run
+READ_BACK_S = 30  # time limit for reading the configuration back
+TRAFFIC_SHARE = 0.01  # of the usual load, as the workers are not under test
 
 ZONES = ("osborne", "malaga", "kewdale")
 
@@ -53,22 +53,22 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What a run showed."""
+    """The result of a run."""
 
     case: second_loss_cases.Case
     complaints: list[str]
     acknowledged: int
-    reached_us: int | None  # from the first loss to the step
-    first_change_us: int | None  # from the strike to the first acknowledged change that was sent after it
-    complete_us: int | None  # from the strike to the complete chain with a leased tail
+    reached_us: int | None  # from the first loss to the chosen step
+    first_change_us: int | None  # from the second loss to the first acknowledgement of a change that was sent after it
+    complete_us: int | None  # from the second loss to the complete chain whose tail holds the read lease
 
 
 class WaitTimeoutError(Exception):
-    """Something was not reached in time."""
+    """An awaited condition did not hold within its time limit."""
 
 
 def shape(cores: int) -> shapes.Shape:
-    """A deployment of so many core machines with a node and a worker.
+    """Return a deployment with a number of core machines, one node and one worker.
 
     >>> shape(5).tolerated_losses
     2
@@ -85,7 +85,7 @@
 
 
 class Run:
-    """One run under way."""
+    """A run in progress."""
 
     def __init__(self, case: second_loss_cases.Case) -> None:
         self.case = case
@@ -93,10 +93,9 @@
         self.site.shape = shape(case.cores)
         self.rng = self.site.rng
         self.replacement = ""  # the name of the core that takes the place of the first lost one
-        self.leaving: set[str] = set()  # machines that have a successor, and are about to be stopped
-        self.first_lost_process: process_model.SimulatedProcess | None = (
-            None  # of the first lost core, which may have had the same name
-        )
+        self.leaving: set[str] = set()  # machines whose replacement has started and that are about to be stopped
+        # The process of the first lost core; its replacement may have the same name.
+        self.first_lost_process: process_model.SimulatedProcess | None = None
         self.reached_us: int | None = None
         self.leased_at: int | None = None
         self.acknowledged: list[tuple[int, int]] = []  # (sent, answered) of each acknowledged change
@@ -121,18 +120,18 @@
             await site.operator_runtime.sleep(OPERATOR_GAP_US)
 
     def first_change_after(self, at: int) -> int | None:
-        """When the first change was acknowledged that was sent after a time, or None."""
+        """Return the earliest acknowledgement of a change that was sent after a time, or None."""
         return min((answered for sent, answered in self.acknowledged if sent > at), default=None)
 
     def wait_for_change(self, at: int) -> int:
-        """Let time pass until a change that was sent after a time is acknowledged: when it was."""
+        """Advance until a change that was sent after a time is acknowledged; return when it was acknowledged."""
         self.wait(lambda: self.first_change_after(at) is not None, "no change was acknowledged")
         return min(answered for sent, answered in self.acknowledged if sent > at)
 
     # ---- losses ------------------------------------------------------------------------
 
     def lose(self, name: str, loss: second_loss_cases.Loss) -> str:
-        """Lose a machine; the name of the one that takes its place."""
+        """Inject the loss of a machine; return the name of its replacement."""
         match loss:
             case second_loss_cases.Loss.WIPED:
                 self.site.faults.power_off(name, RESTART_S, wipe=True)
@@ -144,7 +143,7 @@
                 return self.replace_planned(name)
 
     def replace_planned(self, name: str) -> str:
-        """Start an empty machine at another address, and stop the old one after that: the new one's name."""
+        """Start an empty machine at another address, then stop the old one; return the new one's name."""
         site = self.site
         new = site.faults.add_core_place(name)
         site.start_core(new)
@@ -154,7 +153,7 @@
         return new
 
     def terminate(self, name: str) -> None:
-        """Stop a machine by SIGTERM, for good."""
+        """Stop a machine for good by SIGTERM, and let all processes reload their settings."""
         site, old = self.site, self.site.cores.pop(name)
         site.note_core_movements([name])
         site.faults.note_fault(name, "term")
@@ -169,7 +168,7 @@
         site.schedule(TERM_GRACE_S, end)
 
     def slow_disk(self, name: str) -> None:
-        """Let a machine's disk be slow, also where the machine is yet to come."""
+        """Slow a machine's disk down, even if the machine has not started yet."""
         host, zone = self.site.places[name]
         if host not in self.site.world.machines:
             host_model.Host(self.site.world, host, zone).power = False
@@ -179,16 +178,16 @@
     # ---- steps -------------------------------------------------------------------------
 
     def live_cores(self) -> list[server_model.SimulatedCore]:
-        """The core machines whose processes live."""
+        """Return the core machines whose processes are running."""
         return [core for core in self.site.cores.values() if core.process.alive]
 
     def newest_view(self) -> message.View | None:
-        """The newest view that a live core machine knows."""
+        """Return the newest view that a running core machine knows, or None."""
         views = [core.consensus.view for core in self.live_cores() if core.consensus.view is not None]
         return max(views, key=lambda view: view.number, default=None)
 
     def replacement_core(self) -> server_model.SimulatedCore | None:
-        """The replacement once its process runs, or None."""
+        """Return the replacement of the first lost core once its process has started, or None."""
         core = self.site.cores.get(self.replacement)
         return (
             core
@@ -199,7 +198,7 @@
         )
 
     def has_reached(self, step: second_loss_cases.Step) -> bool:
-        """Whether the repair has come to a step."""
+        """Whether the repair has reached a step."""
         core, view = self.replacement_core(), self.newest_view()
         if core is None or view is None:
             return False
@@ -225,7 +224,7 @@
         return reached
 
     def has_acknowledged_after_lease(self) -> bool:
-        """Whether a change was acknowledged that was sent after the tail of the replacement's chain had its lease."""
+        """Whether a change was acknowledged that was sent after the repair reached the step LEASED."""
         if self.leased_at is None and self.has_reached(second_loss_cases.Step.LEASED):
             self.leased_at = self.site.world.time
         return self.leased_at is not None and self.first_change_after(self.leased_at) is not None
@@ -235,7 +234,7 @@
         return any(core.consensus.view == view and core.consensus.holds_lease() for core in self.live_cores())
 
     def is_repaired(self) -> bool:
-        """Whether all core machines are in the chain, each synced, with a leased tail."""
+        """Whether all core machines are synced members of the newest chain, and its tail holds the read lease."""
         view, cores = self.newest_view(), self.site.cores.values()
         members = {(core.consensus.own_voter.id, core.runtime.incarnation) for core in cores if core.process.alive}
         if view is None or members != {(member.id, member.incarnation) for member in view.chain}:
@@ -246,7 +245,11 @@
     def wait(
         self, condition: collections.abc.Callable[[], object], what: str, seconds: float = REPAIR_TIMEOUT_S
     ) -> None:
-        """Let time pass until a condition holds."""
+        """Advance until a condition holds.
+
+        Raises:
+            WaitTimeoutError: The condition does not hold within the time limit; `what` says so in words.
+        """
         end = self.site.world.time + int(seconds * units.SECOND_US)
         while not condition():
             if self.site.world.time >= end:
@@ -256,7 +259,7 @@
     # ---- the run -----------------------------------------------------------------------
 
     def second_targets(self) -> list[str]:
-        """The names of the machines that the second loss hits."""
+        """Choose the machines of the second loss and return their names."""
         names, tolerated = sorted(self.site.cores), self.site.shape.tolerated_losses
         others = [name for name in names if name != self.replacement and name not in self.leaving]
         match self.case.target:
@@ -270,7 +273,7 @@
                 return self.rng.sample(others, tolerated)
 
     def repair(self) -> None:
-        """Bring the first loss about, and let its repair come to the step of the case."""
+        """Inject the first loss, and advance until its repair reaches the step of the case."""
         name = self.rng.choice(sorted(self.site.cores))
         self.first_lost_process = self.site.cores[name].process
         started_at, step = self.site.world.time, self.case.step
@@ -278,14 +281,14 @@
         if self.case.slow_disk:
             self.slow_disk(self.replacement)
         if self.case.target is second_loss_cases.Target.SETTLED:
-            self.wait(lambda: self.replacement_core() is not None, f"the newcomer {self.replacement} did not start")
+            self.wait(lambda: self.replacement_core() is not None, f"the replacement {self.replacement} did not start")
             self.site.advance(self.site.settle_s())
         else:
-            self.wait(lambda: self.has_reached(step), f"the newcomer {self.replacement} was not {step.value}")
+            self.wait(lambda: self.has_reached(step), f"the replacement {self.replacement} was not {step.value}")
         self.reached_us = self.site.world.time - started_at
 
     def play(self) -> Outcome:
-        """Play the case and judge it."""
+        """Play the case and check the rules of the platform on its event log."""
         site = self.site
         site.begin(lead=LEAD_S)
         site.operator_runtime.spawn(self.change_repeatedly(site.operator, 0, 0), log)
@@ -329,7 +332,7 @@
 
 
 def report(outcomes: list[Outcome]) -> list[str]:
-    """One line for each target: runs, complaints, and how long the core took.
+    """Return a line for each target: runs, complaints, and the time to the first change and to the complete chain.
 
     >>> report([])
     []
@@ -351,7 +354,7 @@
 
 
 def report_steps(outcomes: list[Outcome]) -> list[str]:
-    """One line for each kind of first loss: when its repair came to each step.
+    """Return a line for each kind of first loss: the times until its repair reached each step.
 
     >>> report_steps([])
     []
@@ -372,7 +375,7 @@
 
 
 def median_and_worst(times: list[int]) -> str:
-    """Median and worst of sorted times in milliseconds.
+    """Return the median and the maximum of sorted times in microseconds, as a text in milliseconds.
 
     >>> median_and_worst([1_000, 2_000, 9_000])
     '2 ms (worst 9 ms)'
@@ -395,17 +398,17 @@
     slow_disk: bool = False,
     processes: int = 2,
 ) -> typing.NoReturn:
-    """Play a second loss at each step of each repair; print what is complained of, with its case.
+    """Play the chosen cases; print the complaints of each failed run with the options that repeat it.
 
-    :param cores: core machines, 3 or 5
-    :param seeds: how many seeds for each case
-    :param first_seed: the first of them
+    :param cores: number of core machines, 3 or 5
+    :param seeds: number of seeds for each case
+    :param first_seed: the first seed
     :param firsts: the kinds of the first loss
-    :param steps: the steps of the repair after which the second loss strikes
+    :param steps: the steps of the repair at which the second loss is injected
     :param seconds: the kinds of the second loss
-    :param targets: who is struck by it
+    :param targets: the choices of machines of the second loss
     :param slow_disk: whether the replacement's disk is slow
-    :param processes: processes to use
+    :param processes: number of processes that play runs
     """
     chosen = second_loss_cases.cases(
         cores,
@@ -423,7 +426,7 @@
             for line in outcome.complaints[:3]:
                 print(f"FAILED {outcome.case.options()}: {line}", flush=True)
     print("\n".join(report(outcomes) + report_steps(outcomes)))
-    print(f"{len(outcomes)} runs, {time.monotonic() - started_at:.0f} s on the clock")
+    print(f"{len(outcomes)} runs, {time.monotonic() - started_at:.0f} s elapsed")
     sys.exit(1 if any(outcome.complaints for outcome in outcomes) else 0)
 
 
--- a/simulation/second_loss_cases.py
+++ b/simulation/second_loss_cases.py
@@ -1,4 +1,4 @@
-"""The cases of `simulation.second_loss`: how cores are lost, at which step of a repair, and which ones."""
+"""The cases of `simulation.second_loss`: both kinds of loss, the repair step between them, and the machines lost."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 class Loss(enum.Enum):
     """How a core machine is lost."""
 
-    WIPED = "wiped"  # its power and its disk; it restarts at its address
-    GONE = "gone"  # for good; an empty machine comes at another address
-    PLANNED = "planned"  # an empty machine comes at another address, then the old one gets SIGTERM
+    WIPED = "wiped"  # it loses power and its disk, and restarts at its address
+    GONE = "gone"  # it is lost for good; an empty machine starts at another address
+    PLANNED = "planned"  # an empty machine starts at another address, then the old one gets SIGTERM
 
 
 class Step(enum.Enum):
-    """A step of the repair, by the state of the core that replaces the lost one."""
+    """A step of the repair, given by the state of the core that replaces the lost one (the replacement)."""
 
-    SEEN = "seen"  # a voter has received its heartbeat
+    SEEN = "seen"  # another core has received its heartbeat
     SEATED = "seated"  # it is a voter of an agreed view
     CHAINED = "chained"  # it is in the chain of an agreed view
     REFILLED = "refilled"  # it has received the first snapshot chunk or log entries
     SYNCED = "synced"  # it is synced in the view
     LEASED = "leased"  # the tail of its chain has the read lease
-    ACKNOWLEDGED = "acknowledged"  # a change was acknowledged that was sent after that
+    ACKNOWLEDGED = "acknowledged"  # a change was acknowledged that was sent after LEASED was reached
 
 
 class Target(enum.Enum):
-    """Who is struck by the second loss."""
+    """The machines of the second loss."""
 
     SAME = "same"  # the replacement, which still counts as lost
-    OTHER = "other"  # one other machine: within the tolerance where two losses are tolerated
-    SETTLED = "settled"  # as many as are tolerated, at random, the settle time after the replacement's start
-    STRESS = "stress"  # as many others as are tolerated at once, while the replacement still counts as lost
+    OTHER = "other"  # one random other machine; only where the deployment tolerates two losses
+    SETTLED = "settled"  # as many random machines as are tolerated, the settle time after the replacement's start
+    STRESS = "stress"  # as many other machines as are tolerated, while the replacement still counts as lost
 
 
 STRESS_STEPS = (Step.SYNCED, Step.LEASED, Step.ACKNOWLEDGED)
@@ -53,7 +53,7 @@
     slow_disk: bool = False  # of the replacement, so that its catch-up takes longer
 
     def options(self) -> str:
-        """The options that play this case alone.
+        """Return the command-line options that play only this case.
 
         >>> Case(3, Loss.WIPED, Step.SEEN, Target.SAME, Loss.GONE, 1).options()
         '--cores 3 --firsts WIPED --steps SEEN --seconds GONE --targets SAME --first-seed 1'
@@ -73,7 +73,9 @@
     targets: collections.abc.Sequence[Target] = tuple(Target),
     slow_disk: bool = False,
 ) -> list[Case]:
-    """The cases of a deployment; those that strike when all is settled again do not depend on the step.
+    """Return the cases of a deployment.
+
+    SETTLED cases do not depend on the step, so there is only one of them for each pair of losses.
 
     >>> len(cases(3, [1])), len(cases(5, [1]))
     (99, 162)
