--- a/simulation/fingerprint.py
+++ b/simulation/fingerprint.py
@@ -1,19 +1,20 @@
-"""Fingerprints of the behaviour of every simulated run, to show that a refactoring changes none.
+"""Record and check fingerprints of simulated runs, to show that a refactoring leaves their behaviour unchanged.
 
     python -m simulation.fingerprint record tests/data/behaviour.json
     python -m simulation.fingerprint check tests/data/behaviour.json --jobs 8
     python -m simulation.fingerprint check tests/data/behaviour.json --only day
     python -m simulation.fingerprint show tests/data/behaviour.json "scene calm magnolia 1"
 
-A run has a key of words: its part, its name, and what else it is played with. Its fingerprint holds a digest of
-its event log, and how many writes of how many bytes went to the simulated network. The order of those writes is left
-out: in a few days (cut_node) it differs with what the same process played before.
+The key of a run is a line of words: its part (scene, day or second_loss), its name, and its parameters. Its
+fingerprint holds a digest of its event log, and the number and total size of the writes to the simulated network. The
+order of those writes is left out: in a few days (such as cut_node) it depends on the runs that the same process has
+played before.
 
-The file of fingerprints has a table of names beside them. A rename that changes no behaviour is entered there:
-`runs` maps a recorded word of a key to the present one (or "part word", for one part alone); `kinds`, `fields` and
-`values` map the present event kind, field and text of a log to the recorded one. A changed time, order, field or
-size of a message has no entry: it is a changed behaviour. To see the first row that differs, compare what `show`
-prints here and in a checkout of the commit at which the file was recorded.
+The file also holds a table of renames. A rename that changes no behaviour is entered there: `runs` maps a recorded
+word of a key to the present one (or "part word", where it holds for one part only); `kinds`, `fields` and `values`
+map a present event kind, field name or text value to the recorded one. A changed time, order, field or message size
+has no entry, as it is a change of behaviour. To find the first event that differs, compare the output of `show` here
+and in a checkout of the commit at which the file was recorded.
 """
 
 import collections.abc
@@ -32,25 +33,25 @@
 
 from simulation import observed_runs
 
-DIGEST_LENGTH = 16
-MARK_LENGTH = 4
-MARKS = 8
+DIGEST_LENGTH = 16  # hex digits
+MARK_LENGTH = 4  # hex digits
+MARKS = 8  # per event log
 RUNS_PER_PROCESS = 8
-HASH_SEED = "0"  # some messages list configuration items in the order of a set of strings
+HASH_SEED = "0"  # fixed, as some messages list configuration items in the iteration order of a set of strings
 
 Names = observed_runs.Names
 Row = observed_runs.Row
 
 
 class Fingerprint(msgspec.Struct, frozen=True):
-    """What identifies the behaviour of one run."""
+    """The fingerprint of one run."""
 
-    run: str
-    rows: int  # of the event log
-    log: str
-    marks: str  # short digests of the log's beginnings, to find the first difference
-    writes: int
-    size: int  # bytes of all writes
+    run: str  # key of the run
+    rows: int  # events in the event log
+    log: str  # digest of the event log
+    marks: str  # short digests of growing prefixes of the event log, to locate the first difference
+    writes: int  # to the simulated network
+    size: int  # total bytes of all writes
 
 
 class Record(msgspec.Struct, frozen=True):
@@ -61,7 +62,7 @@
 
 
 def recorded_value(value: object, names: Names) -> object:
-    """A value of an event with each text that was renamed as it was recorded.
+    """Return a value of an event with each renamed text replaced by the recorded one.
 
     >>> recorded_value({"why": ["Late", 1]}, Names(values={"Late": "TooLate"}))
     {'why': ['TooLate', 1]}
@@ -76,7 +77,7 @@
 
 
 def canonical(row: Row, names: Names) -> str:
-    """An event as one line that does not depend on what was renamed, nor on the order of its fields.
+    """Return an event as one line of JSON with recorded names and sorted fields.
 
     >>> canonical({"kind": "begun", "at": 5}, Names(kinds={"begun": "started"}))
     '{"at":5,"kind":"started"}'
@@ -88,7 +89,7 @@
 
 
 def mark_places(rows: int) -> list[int]:
-    """How many rows the beginnings hold of which a mark is kept.
+    """Return the lengths of the prefixes of an event log for which a mark is kept.
 
     >>> mark_places(80), mark_places(3)
     ([10, 20, 30, 40, 50, 60, 70, 80], [0, 0, 1, 1, 1, 2, 2, 3])
@@ -97,7 +98,7 @@
 
 
 def log_marks(lines: list[str], places: list[int]) -> str:
-    """Short digests of the beginnings of a log.
+    """Return the short digests of the prefixes of a log, joined to one text.
 
     >>> len(log_marks(["a", "b"], [1, 2]))
     8
@@ -111,7 +112,7 @@
 
 
 def fingerprint(run: str, observed: observed_runs.Observed, names: Names) -> Fingerprint:
-    """The fingerprint of what a run left."""
+    """Return the fingerprint of an observed run."""
     lines = [canonical(row, names) for row in observed.rows]
     text = "".join(f"{line}\n" for line in lines)
     traffic = observed.traffic
@@ -126,7 +127,7 @@
 
 
 def first_difference(recorded: Fingerprint, rows: list[Row], names: Names) -> str:
-    """Where a log leaves the recorded one, as near as the recorded marks tell."""
+    """Describe the rows between two marks in which a log first differs from the recorded one."""
     places = mark_places(recorded.rows)
     present = log_marks([canonical(row, names) for row in rows], places)
     start = 0
@@ -136,11 +137,11 @@
             times = [row.get("at") for row in rows[start:place]] or ["the end"]
             return f"first differs in rows {start + 1} to {place}, time {times[0]} to {times[-1]}"
         start = place
-    return f"the {recorded.rows} recorded rows are alike, there are {len(rows)} now"
+    return f"no difference in the {recorded.rows} recorded rows, but there are {len(rows)} now"
 
 
 def differences(recorded: Fingerprint, names: Names) -> list[str]:
-    """Play a recorded run again: what differs."""
+    """Play a recorded run again, and return descriptions of all differences."""
     observed = observed_runs.observe(recorded.run, names)
     present = fingerprint(recorded.run, observed, names)
     found = []
@@ -159,12 +160,12 @@
 
 
 def read(path: str) -> Record:
-    """The fingerprints and names of a file."""
+    """Read a file of fingerprints."""
     return msgspec.json.decode(pathlib.Path(path).read_bytes(), type=Record)
 
 
 def encode_record(record: Record) -> str:
-    """The text of a file of fingerprints, one run a line.
+    """Return the text of a file of fingerprints, with each run on a line of its own.
 
     >>> encode_record(Record(Names(), [])).count("names")
     1
@@ -176,14 +177,14 @@
 def _record_one(run: str) -> Fingerprint | str:
     try:
         return fingerprint(run, observed_runs.observe(run, Names()), Names())
-    except Exception as error:  # told with the run's key, and the run is left out
+    except Exception as error:  # the error is printed with the run's key, and the run is not recorded
         return f"NOT RECORDED {run}: {error!r}"
 
 
 def _check_one(job: tuple[Fingerprint, Names]) -> tuple[str, list[str]]:
     try:
         return job[0].run, differences(*job)
-    except Exception as error:  # a run that can't be played any more differs
+    except Exception as error:  # a run that can't be played any more counts as different
         return job[0].run, [f"raised {error!r}"]
 
 
@@ -195,10 +196,10 @@
 
 
 def record(file: str, *, jobs: int = 0) -> None:
-    """Play all runs and write their fingerprints, with an empty table of names.
+    """Play all runs and write their fingerprints, with an empty table of renames.
 
-    :param file: where to write them
-    :param jobs: processes to use; half of the cores where 0
+    :param file: the file to write
+    :param jobs: number of processes; 0 for half of the processor cores
     """
     with _pool(jobs) as pool:
         results = pool.map(_record_one, observed_runs.keys(), chunksize=1)
@@ -211,11 +212,11 @@
 
 
 def check(file: str, *, only: str = "", jobs: int = 0) -> None:
-    """Play the recorded runs again; print what differs, and exit with 1 if anything does.
+    """Play the recorded runs again and print all differences; the exit code is 1 if there are any.
 
-    :param file: the recorded fingerprints
-    :param only: the one part to check: scene, day or second_loss; or the beginning of a key
-    :param jobs: processes to use; half of the cores where 0
+    :param file: the file of recorded fingerprints
+    :param only: check only the runs whose keys begin with these words, such as a part: scene, day or second_loss
+    :param jobs: number of processes; 0 for half of the processor cores
     """
     recorded, started_at, failed = read(file), time.monotonic(), 0
     chosen = [(run, recorded.names) for run in recorded.runs if f"{run.run} ".startswith(only)]
@@ -226,15 +227,15 @@
             failed += bool(found)
             for line in found:
                 print(f"DIFFERS {run}: {line}", flush=True)
-    print(f"{len(chosen)} runs checked, {failed} differ; {time.monotonic() - started_at:.0f} s on the clock")
+    print(f"{len(chosen)} runs checked, {failed} differ; {time.monotonic() - started_at:.0f} s elapsed")
     sys.exit(1 if failed else 0)
 
 
 def show(file: str, run: str) -> None:
-    """Print the event log of a run as it is digested, to compare it with that of another version.
+    """Print the event log of a run in the form that is digested, to compare it with that of another version.
 
-    :param file: the recorded fingerprints, for the table of names
-    :param run: the run's recorded key
+    :param file: the file of recorded fingerprints, for its table of renames
+    :param run: the recorded key of the run
     """
     names = read(file).names
     for row in observed_runs.observe(run, names).rows:
@@ -242,7 +243,7 @@
 
 
 def fix_hash_seed() -> None:
-    """Start this program again with the recorded hash seed, where it has another."""
+    """Restart this program with the hash seed of the recording, unless it has this one already."""
     if os.environ.get("PYTHONHASHSEED") != HASH_SEED:
         arguments = [sys.executable, "-m", "simulation.fingerprint", *sys.argv[1:]]
         os.execve(sys.executable, arguments, {**os.environ, "PYTHONHASHSEED": HASH_SEED})
--- a/simulation/observed_runs.py
+++ b/simulation/observed_runs.py
@@ -1,6 +1,6 @@
-"""Every simulated run by a key, with its event log and the traffic of its network.
+"""Play any recorded simulated run by its key, and observe its event log and network traffic.
 
-A run has a key of words: its part (scene, day or second_loss), its name, and what else it is played with.
+The key of a run is a line of words: its part (scene, day or second_loss), its name, and its parameters.
 """
 
 import collections.abc
@@ -14,29 +14,29 @@
 from simulation import platform_days, second_loss, second_loss_cases, world
 from simulation.scenarios import registry
 
-DAY_LOAD = 0.3  # of the usual traffic: a day costs less, and its troubles are the same
+DAY_LOAD = 0.3  # share of the usual traffic: a day runs faster, and its faults are the same
 DAY_SHAPES = ("magnolia", "swan")
-GROWN_LOAD = 0.1
-GROWN_DAYS = ("calm", "kill_core")
+GROWN_LOAD = 0.1  # share of the usual traffic, for the shape "grown"
+GROWN_DAYS = ("calm", "kill_core")  # the days recorded with the shape "grown"
 SCENARIO_SEEDS = {"magnolia": 1, "swan": 2, "small": 3}
 DAY_SEEDS = {"magnolia": 1, "swan": 2}
 CORE_COUNTS = (3, 5)
-UNPLAYABLE = {"scene zones_move small 3"}  # its nodes are all in one zone
+UNPLAYABLE = {"scene zones_move small 3"}  # the scenario needs several zones, and all nodes of this shape are in one
 
 Row = dict[str, typing.Any]
 
 
 class Names(msgspec.Struct, frozen=True):
-    """What was renamed since the fingerprints were recorded."""
+    """The renames since the fingerprints were recorded."""
 
-    runs: dict[str, str] = {}  # recorded -> present
-    kinds: dict[str, str] = {}  # present -> recorded, as the two below
-    fields: dict[str, str] = {}
-    values: dict[str, str] = {}
+    runs: dict[str, str] = {}  # recorded word of a key -> present word
+    kinds: dict[str, str] = {}  # present event kind -> recorded kind
+    fields: dict[str, str] = {}  # present field name -> recorded name
+    values: dict[str, str] = {}  # present text value -> recorded value
 
 
 class Traffic:
-    """Stands in for a `processor_meter.Meter`: counts all writes to the network, and takes no processor time.
+    """Replaces a `processor_meter.Meter`: counts all writes to the network, and measures no processor time.
 
     >>> traffic = Traffic(); traffic.count("n1", "c1", 70); traffic.writes, traffic.size
     (1, 70)
@@ -47,21 +47,21 @@
         self.size = 0
 
     def enter(self, name: str) -> None:
-        """Called where a process's code begins."""
+        """Do nothing; a meter starts to measure a process's code here."""
 
     def leave(self) -> None:
-        """Called where it ends."""
+        """Do nothing; a meter stops to measure here."""
 
     def count(self, _sender: str, _receiver: str, size: int) -> None:
-        """Take in one write."""
+        """Count one write."""
         self.writes += 1
         self.size += size
 
 
 class ObservedWorld(world.World):
-    """A simulated world whose traffic is counted from its beginning."""
+    """A simulated world whose network traffic is counted from the start."""
 
-    newest: typing.ClassVar["ObservedWorld"]
+    newest: typing.ClassVar["ObservedWorld"]  # the world that was made last
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -70,14 +70,14 @@
 
 
 class Observed(typing.NamedTuple):
-    """What a run left: the rows of its event log, and its traffic."""
+    """The rows of a run's event log, and its network traffic."""
 
     rows: list[Row]
     traffic: Traffic
 
 
 def keys() -> list[str]:
-    """The keys of all runs to record.
+    """Return the keys of all runs to record.
 
     >>> keys()[0]
     'day calm grown 1 0.1'
@@ -87,7 +87,8 @@
         f"day {name} {shape} {DAY_SEEDS[shape]} {DAY_LOAD}"
         for shape in DAY_SHAPES
         for name in platform_days.DAYS
-        if name not in platform_days.SPLIT_DAYS  # not recorded: what the fleet does on them is still to change
+        if name
+        not in platform_days.SPLIT_DAYS  # not recorded, as the fleet's behaviour on these days is expected to change
     ]
     found += [f"scene {name} {shape} {SCENARIO_SEEDS[shape]}" for shape in fleet.SHAPES for name in registry.SCENARIOS]
     for case in (case for cores in CORE_COUNTS for case in second_loss_cases.cases(cores, [1])):
@@ -97,7 +98,7 @@
 
 
 def current_key(run: str, names: Names) -> list[str]:
-    """The parts of a recorded key, with the names that are in use now.
+    """Return the words of a recorded key, with the present names.
 
     >>> current_key("day calm swan 1 0.3", Names(runs={"calm": "idle", "scene swan": "goose"}))
     ['day', 'idle', 'swan', '1', '0.3']
@@ -107,17 +108,17 @@
 
 
 def play_scenario(name: str, shape: str, seed: str) -> list[Row]:
-    """Play a scenario; the rows of its event log."""
+    """Play a scenario and return the rows of its event log."""
     return registry.play(name, int(seed), shape).event_log.rows
 
 
 def play_day(name: str, shape: str, seed: str, load: str) -> list[Row]:
-    """Play a day; the rows of its event log."""
+    """Play a day and return the rows of its event log."""
     return platform_days.play(name, int(seed), shape, float(load)).event_log.rows
 
 
 def play_second_loss(cores: str, *words: str) -> list[Row]:
-    """Play a second loss; the rows of its event log, and at its end what the run measured."""
+    """Play a second-loss case and return the rows of its event log, followed by a row with the measured times."""
     first, step, target, second, seed = words
     case = second_loss_cases.Case(
         int(cores),
@@ -141,7 +142,7 @@
 
 
 def observe(run: str, names: Names) -> Observed:
-    """Play the run of a recorded key."""
+    """Play the run of a recorded key and return its event log and traffic."""
     loguru.logger.remove()
     part, *words = current_key(run, names)
     with mock.patch.object(world, world.World.__name__, ObservedWorld):
