--- a/simulation/seed_runs.py
+++ b/simulation/seed_runs.py
@@ -1,4 +1,4 @@
-"""Plays of many seeds in several processes, with what to run again printed for each one that failed."""
+"""Play many runs in several processes, and print for each failed run the command that repeats it."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 import typing
 
 RUNS_PER_PROCESS = 8
-COMPLAINTS_SHOWN = 3  # of each checker
+COMPLAINTS_SHOWN = 3  # per checker and run
 
-Complaints = dict[str, list[str]]  # checker -> what it complains of
+Complaints = dict[str, list[str]]  # name of the checker -> its complaints
 
 Job = typing.TypeVar("Job")
 
 
 class Outcome(typing.NamedTuple, typing.Generic[Job]):
-    """A run that was played and judged."""
+    """The result of a run and of its checkers."""
 
     job: Job
     complaints: Complaints
@@ -34,14 +34,14 @@
     """Play jobs in several processes, and print the complaints of each that failed.
 
     Args:
-        play: Plays and judges one job; a function of a module, as it is called in another process.
-        jobs: What to play.
-        title: Names a job.
-        command: The command line that repeats a job.
-        processes: How many processes; one for each processor core where 0.
+        play: Plays a job and runs the checkers; must be picklable, as it is called in another process.
+        jobs: The jobs to play.
+        title: Returns the title of a job for the report.
+        command: Returns the command line that repeats a job.
+        processes: The number of processes; 0 for one per processor core.
 
     Yields:
-        The outcomes, in the order in which the runs end.
+        The outcomes, in the order in which the runs finish.
     """
     with multiprocessing.Pool(processes or os.cpu_count(), maxtasksperchild=RUNS_PER_PROCESS) as pool:
         for outcome in pool.imap_unordered(play, jobs):
--- a/simulation/sweep.py
+++ b/simulation/sweep.py
@@ -1,4 +1,4 @@
-"""Play scenarios over many seeds, judge each run, and say how to repeat what failed.
+"""Play scenarios with many seeds, check each run, and print the command that repeats each failed one.
 
 python -m simulation.sweep --seeds 100
 python -m simulation.sweep --scenarios kill_owner freeze --seeds 20 --first 7 --shape swan
@@ -24,7 +24,7 @@
 
 
 class Job(typing.NamedTuple):
-    """One run to play; `log` is the file that its event log is written to, if any."""
+    """One run to play; its event log is written to the file `log` unless that is empty."""
 
     scenario: str
     seed: int
@@ -33,11 +33,11 @@
 
 
 def play(job: Job) -> seed_runs.Outcome[Job]:
-    """Play and judge one run; what is measured are the rows that each checker judged."""
+    """Play one run and check its event log; `measured` is the number of rows that each checker judged."""
     started_at = time.process_time()
     try:
         cluster = registry.play(job.scenario, job.seed, job.shape)
-    except Exception as error:  # a scenario that can't go on is a finding too
+    except Exception as error:  # reported as a failure of this run; the sweep goes on
         return seed_runs.Outcome(job, {"crash": [repr(error)]}, {}, time.process_time() - started_at)
     if job.log:
         pathlib.Path(job.log).write_text(cluster.event_log.text())
@@ -67,23 +67,23 @@
     log: str = "",
     processes: int = 0,
 ) -> typing.NoReturn:
-    """Play scenarios over seeds.
+    """Play scenarios with a range of seeds and check each run; the exit code is 1 if any run failed.
 
-    :param scenarios: scenarios by name; all where none is named
-    :param seeds: how many seeds for each
+    :param scenarios: names of the scenarios; all where none is given
+    :param seeds: number of seeds for each scenario
     :param first: the first seed
     :param shape: magnolia, swan or small
-    :param log: write the event log of the one run here
-    :param processes: processes to use; one for each processor core where 0
+    :param log: file for the event log; only for a single run
+    :param processes: number of processes; 0 for one per processor core
     """
     loguru.logger.remove()
     names = list(scenarios) or list(registry.SCENARIOS)
     unknown = [name for name in names if name not in registry.SCENARIOS]
     if unknown or shape not in fleet.SHAPES or seeds < 1 or first < 0:
-        _fail(f"there is no such scene, shape or seed: {' '.join(unknown) or shape}")
+        _fail(f"unknown scenario, unknown shape or invalid seeds: {' '.join(unknown) or shape}")
     jobs = [Job(name, seed, shape, log) for seed in range(first, first + seeds) for name in names]
     if log and len(jobs) > 1:
-        _fail("--log wants one scene and one seed")
+        _fail("--log needs exactly one scenario and one seed")
     started_at = time.monotonic()
     failed, processor_seconds = 0, 0.0
     rows_judged: collections.Counter[str] = collections.Counter()
@@ -92,9 +92,9 @@
         processor_seconds += outcome.processor_seconds
         rows_judged.update(outcome.measured)
     print(
-        f"{len(jobs)} runs of {len(names)} scenes, shape {shape}, seeds {first} to {first + seeds - 1}: "
-        f"{len(jobs) - failed} clean, {failed} failed; {processor_seconds:.0f} s of computing, "
-        f"{time.monotonic() - started_at:.0f} s on the clock"
+        f"{len(jobs)} runs of {len(names)} scenarios, shape {shape}, seeds {first} to {first + seeds - 1}: "
+        f"{len(jobs) - failed} clean, {failed} failed; {processor_seconds:.0f} s of processor time, "
+        f"{time.monotonic() - started_at:.0f} s elapsed"
     )
     print("rows judged: " + ", ".join(f"{checker} {rows}" for checker, rows in rows_judged.items()))
     sys.exit(1 if failed else 0)
