--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -348,24 +348,25 @@
         for shape in shapes
         for seed in range(first, first + seeds)
     ]
-    counts: collections.defaultdict[tuple[str, str], list[GuardRun]] = collections.defaultdict(list)
+    guard_runs: collections.defaultdict[tuple[str, str], list[GuardRun]] = collections.defaultdict(list)
     with multiprocessing.Pool(os.cpu_count(), maxtasksperchild=seed_runs.RUNS_PER_PROCESS) as pool:
         for job, complaints, rows_judged in pool.imap_unordered(play, jobs):
             checker = GUARDS[job.guard].checker
-            counts[job.guard, job.shape].append(GuardRun(checker in complaints, rows_judged[checker], job.seed))
-    guards_unnoticed = 0
-    for (name, shape), found in sorted(counts.items()):
-        complaining = sorted(count.seed for count in found if count.complained)
-        guards_unnoticed += not complaining
-        _print_counts(name, shape, found, complaining)
-    sys.exit(1 if guards_unnoticed else 0)
+            guard_runs[job.guard, job.shape].append(GuardRun(checker in complaints, rows_judged[checker], job.seed))
+    undetected_count = 0
+    for (name, shape), found in sorted(guard_runs.items()):
+        detecting_seeds = sorted(guard_run.seed for guard_run in found if guard_run.complained)
+        undetected_count += not detecting_seeds
+        _print_guard_runs(name, shape, found, detecting_seeds)
+    sys.exit(1 if undetected_count else 0)
 
 
-def _print_counts(name: str, shape: str, found: list[GuardRun], complaining: list[int]) -> None:
+def _print_guard_runs(name: str, shape: str, found: list[GuardRun], detecting_seeds: list[int]) -> None:
     guard = GUARDS[name]
     print(
-        f"{name} out, {guard.scenario}, {shape}: {guard.checker} complained in {len(complaining)} of {len(found)} "
-        f"runs (seeds {' '.join(map(str, complaining)) or 'none'}), {sum(count.rows for count in found)} rows judged",
+        f"{name} out, {guard.scenario}, {shape}: {guard.checker} complained in {len(detecting_seeds)} of {len(found)} "
+        f"runs (seeds {' '.join(map(str, detecting_seeds)) or 'none'}), "
+        f"{sum(guard_run.rows for guard_run in found)} rows judged",
         flush=True,
     )
 
