--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -1,4 +1,4 @@
-"""Mutation checks: guards of the product are taken out one at a time, and the checker of each must complain.
+"""Mutation checks: each guard of the product is removed in turn, and its checker must complain of the run.
 
 python -m simulation.mutation_checks --seeds 5
 python -m simulation.mutation_checks --names claims via --seeds 10 --shapes swan
@@ -46,8 +46,8 @@
 if typing.TYPE_CHECKING:
     from twisted.python import failure
 
-SHARE_OF_LOCAL_BUDGET = 6  # each node takes this part of the retry budget, where budgets are local
-HEADERS_BEFORE_STALE = 50  # so many requests get their own headers before they get another's
+SHARE_OF_LOCAL_BUDGET = 6  # nodes that divide the retry budget evenly, in place of one common budget
+HEADERS_BEFORE_STALE = 50  # requests that get their own headers; later ones get those of the request before
 
 Arguments = typing.ParamSpec("Arguments")
 Sending = collections.abc.Coroutine[typing.Any, typing.Any, attempt_outcome.AttemptOutcome]
@@ -66,7 +66,7 @@
 def _report_broken_as_unsent(
     send: collections.abc.Callable[Arguments, Sending],
 ) -> collections.abc.Callable[Arguments, Sending]:
-    """Around `Dispatcher.send`: an attempt that broke off counts as never sent."""
+    """Wrap `Dispatcher.send`: an attempt that broke off is reported as never sent."""
 
     async def send_reporting_unsent(
         *arguments: Arguments.args, **keywords: Arguments.kwargs
@@ -87,7 +87,7 @@
 
 
 async def _eject_without_second_witness(self: worker_watch.WorkerWatch, worker: message.Worker) -> None:
-    """In place of `WorkerWatch.check`: a node's own failure to reach a worker is enough, without a second witness."""
+    """In place of `WorkerWatch.check`: a worker is ejected without a second witness that can't reach it either."""
     self.ejected[worker.id] = self.runtime.now()
     self.owner.check_workers()
 
@@ -99,19 +99,19 @@
     attempt: dispatch.Attempt,
     _via: str,
 ) -> attempt_outcome.AttemptOutcome:
-    """In place of `Gateway.send`: a worker that only another node reaches is sent to without its token."""
+    """In place of `Gateway.send`: a request is sent directly even to a worker that only another node can reach."""
     return await _gateway_send(self, request, worker, attempt, "")
 
 
 def _accept_removals_at_once(
     _self: platform_listing.PlatformListing, workers: list[message.Worker]
 ) -> list[message.Worker]:
-    """In place of `PlatformListing.confirm_removals`: a list that lost many workers is taken at once."""
+    """In place of `PlatformListing.confirm_removals`: a list that lacks many workers is applied at once."""
     return workers
 
 
 def _has_local_capacity(self: retry_budget.Budget, now: int) -> bool:
-    """In place of `Budget.has_capacity`: each node takes a sixth of the retry budget, whatever its traffic."""
+    """In place of `Budget.has_capacity`: each node gets a sixth of the retry budget, whatever its traffic."""
     self._trim(now)
     return (len(self.retries) + 1) * SHARE_OF_LOCAL_BUDGET / self.ratio <= len(self.first_attempts)
 
@@ -121,7 +121,7 @@
 
 
 def _partitioned_by_half(self: follower.Follower) -> bool:
-    """In place of `Follower.is_partitioned`: half of the members, not all, must say that they lost the core."""
+    """In place of `Follower.is_partitioned`: half of the members, instead of all, must report the core as lost."""
     if self.session.is_established():
         return False
     fresh = [status for at, status in self.peer_status.responses.values() if _is_fresh(self, at)]
@@ -129,7 +129,7 @@
 
 
 def _partitioned_at_any_index(self: follower.Follower) -> bool:
-    """In place of `Follower.is_partitioned`: a member without the core counts even where its configuration is ahead."""
+    """In place of `Follower.is_partitioned`: a member without the core counts even if its configuration is newer."""
     without_core = {
         member for member, (at, status) in self.peer_status.responses.items() if _is_fresh(self, at) and not status.core
     }
@@ -140,7 +140,7 @@
 
 
 def _keep_all_sessions(_self: sessions.SessionTable[typing.Any], _now: int) -> list[sessions.Session[typing.Any]]:
-    """In place of `SessionTable.sweep`: silent sessions are never removed."""
+    """In place of `SessionTable.sweep`: idle sessions are never removed."""
     return []
 
 
@@ -150,7 +150,7 @@
 
 
 def _apply_as_one_pool(self: follower.Follower, workers: list[message.Worker]) -> None:
-    """In place of `Follower.apply_workers`: all workers are taken to be of the first pool."""
+    """In place of `Follower.apply_workers`: all workers are treated as workers of the first pool."""
     pool = next(iter(self.pools), "")
     _apply_workers(self, [msgspec.structs.replace(worker, pool=pool) for worker in workers])
 
@@ -158,7 +158,7 @@
 def _order_unsynced_first(
     view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
 ) -> list[message.ChainReplica]:
-    """In place of `view_formation.next_chain`: replicas that lack records come first in the chain."""
+    """In place of `view_formation.next_chain`: replicas that are not synced come first in the chain."""
     unsynced_first = sorted(alive, key=lambda i: (i in promises and promises[i].synced_view == view.number, i))
     return [message.ChainReplica(identifier, alive[identifier]) for identifier in unsynced_first]
 
@@ -166,13 +166,13 @@
 def _order_without_last_entries(
     view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
 ) -> list[message.ChainReplica] | None:
-    """In place of `view_formation.next_chain`: how far each replica's log reaches is left out."""
+    """In place of `view_formation.next_chain`: the last log entries of the replicas are ignored."""
     without_last_entries = {i: msgspec.structs.replace(promise, last_entry=(0, 0)) for i, promise in promises.items()}
     return _next_chain(view, without_last_entries, alive)
 
 
 async def _report_no_other_holder(_self: pool_owner.PoolOwner, _request: message.SelectWorker) -> str:
-    """In place of `PoolOwner.query_other_pools`: other pools' owners are not asked whether they hold a request."""
+    """In place of `PoolOwner.query_other_pools`: owners of other pools are not asked whether they hold the request."""
     return ""
 
 
@@ -193,7 +193,7 @@
 
 
 class Patch(typing.NamedTuple):
-    """What stands in place of a guard: an attribute of a class or module, and its replacement."""
+    """An attribute of a class or module, and the replacement that removes a guard."""
 
     owner: type | types.ModuleType
     attribute: str
@@ -201,7 +201,7 @@
 
 
 class Guard(typing.NamedTuple):
-    """A guard of the product, how it is taken out, and the run in which its checker must complain then."""
+    """The patches that remove a guard of the product, and the run in which its checker must complain then."""
 
     patches: list[Patch]
     scenario: str
@@ -300,7 +300,7 @@
 
 
 class Job(typing.NamedTuple):
-    """One run to play, with a guard out."""
+    """One run to play with a guard removed."""
 
     scenario: str
     seed: int
@@ -309,7 +309,7 @@
 
 
 class GuardRun(typing.NamedTuple):
-    """Of one run: whether the guard's checker complained, how many rows it judged, and the seed."""
+    """The result of one run: whether the guard's checker complained, the number of rows it judged, and the seed."""
 
     complained: bool
     rows: int
@@ -317,7 +317,11 @@
 
 
 def play(job: Job) -> tuple[Job, dict[str, list[str]], dict[str, int]]:
-    """Play a scenario with a guard out: the job, complaints by checker, rows judged by each checker."""
+    """Play a scenario with a guard removed.
+
+    Returns:
+        The job, the complaints of each checker, and the number of rows that each checker judged.
+    """
     scenario, seed, shape, guard = job
     loguru.logger.remove()
     with contextlib.ExitStack() as stack:
@@ -334,10 +338,12 @@
     first: int = 1,
     shapes: collections.abc.Sequence[str] = ("magnolia", "swan"),
 ) -> typing.NoReturn:
-    """Play each guard's scenario without it, over seeds and shapes; say how often its checker complained.
+    """Play each guard's scenario with the guard removed, and print how often its checker complained.
+
+    The exit code is 1 if the checker of any guard complained in no run of a shape.
 
-    :param names: guards by name; all where none is named
-    :param seeds: how many seeds for each
+    :param names: names of the guards; all where none is given
+    :param seeds: number of seeds for each guard and shape
     :param first: the first seed
     :param shapes: magnolia, swan or both
     """
@@ -364,7 +370,8 @@
 def _print_guard_runs(name: str, shape: str, found: list[GuardRun], detecting_seeds: list[int]) -> None:
     guard = GUARDS[name]
     print(
-        f"{name} out, {guard.scenario}, {shape}: {guard.checker} complained in {len(detecting_seeds)} of {len(found)} "
+        f"without {name}, {guard.scenario}, {shape}: "
+        f"{guard.checker} complained in {len(detecting_seeds)} of {len(found)} "
         f"runs (seeds {' '.join(map(str, detecting_seeds)) or 'none'}), "
         f"{sum(guard_run.rows for guard_run in found)} rows judged",
         flush=True,
