--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -17,7 +17,7 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 RECORDED = str(ROOT / "tests" / "data" / "behaviour.json")
-PLAYED = (
+CHECKED_RUNS = (
     "scene kill_warden small 3",
     "scene race magnolia 1",
     "scene upgrade small 3",
@@ -29,7 +29,7 @@
     "second_loss 5 WIPED REFILLED OTHER PLANNED 1",
     "second_loss 5 GONE CHAINED SAME WIPED 1",
 )
-SAMPLE = "second_loss 3 GONE ACKNOWLEDGED SAME GONE 1"
+SAMPLE_RUN = "second_loss 3 GONE ACKNOWLEDGED SAME GONE 1"
 NO_NAMES = observed_runs.Names()
 
 
@@ -41,8 +41,8 @@
     assert len(set(recorded)) == len(recorded)
 
 
-@pytest.mark.parametrize("run", PLAYED)
-def test_a_run_played_anew_has_its_recorded_fingerprint(run: str) -> None:
+@pytest.mark.parametrize("run", CHECKED_RUNS)
+def test_a_run_has_its_recorded_fingerprint(run: str) -> None:
     command = [sys.executable, "-m", "simulation.fingerprint", "check", RECORDED, "--only", run, "--jobs", "1"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
     assert done.returncode == 0, done.stdout + done.stderr
@@ -52,13 +52,13 @@
 @pytest.fixture(scope="module")
 def observed() -> observed_runs.Observed:
     """The sample run, played once for all tests of this file."""
-    return observed_runs.observe(SAMPLE, NO_NAMES)
+    return observed_runs.observe(SAMPLE_RUN, NO_NAMES)
 
 
 @pytest.fixture(scope="module")
 def recorded(observed: observed_runs.Observed) -> fingerprint.Fingerprint:
     """The fingerprint of the sample run."""
-    return fingerprint.fingerprint(SAMPLE, observed, NO_NAMES)
+    return fingerprint.fingerprint(SAMPLE_RUN, observed, NO_NAMES)
 
 
 @pytest.fixture
@@ -76,42 +76,44 @@
         self.observed = observed
         self.recorded = recorded
 
-    def of(self, rows: list[observed_runs.Row], names: observed_runs.Names = NO_NAMES) -> fingerprint.Fingerprint:
+    def fingerprint_of(
+        self, rows: list[observed_runs.Row], names: observed_runs.Names = NO_NAMES
+    ) -> fingerprint.Fingerprint:
         """The fingerprint of the sample with another event log."""
-        return fingerprint.fingerprint(SAMPLE, self.observed._replace(rows=rows), names)
+        return fingerprint.fingerprint(SAMPLE_RUN, self.observed._replace(rows=rows), names)
 
-    def assert_noticed(self, rows: list[observed_runs.Row], place: int) -> None:
+    def assert_difference_located(self, rows: list[observed_runs.Row], place: int) -> None:
         """A log gets another digest, and the first difference is reported to lie around a row."""
-        assert self.of(rows).log != self.recorded.log
+        assert self.fingerprint_of(rows).log != self.recorded.log
         report = fingerprint.first_difference(self.recorded, rows, NO_NAMES)
         first, last = (int(word) for word in re.findall("[0-9]+", report)[:2])
         assert first <= place + 1 <= last, report
 
     def test_the_same_log_has_the_same_fingerprint(self, rows: list[observed_runs.Row]) -> None:
-        assert self.of(rows) == self.recorded
+        assert self.fingerprint_of(rows) == self.recorded
 
-    def test_the_order_of_fields_does_not_count(self, rows: list[observed_runs.Row]) -> None:
-        assert self.of([dict(reversed(row.items())) for row in rows]) == self.recorded
+    def test_the_order_of_fields_does_not_change_the_fingerprint(self, rows: list[observed_runs.Row]) -> None:
+        assert self.fingerprint_of([dict(reversed(row.items())) for row in rows]) == self.recorded
 
     def test_a_time_later_by_a_microsecond_is_noticed(self, rows: list[observed_runs.Row]) -> None:
         place = random.Random(1).randrange(len(rows) - 1)
         rows[place]["at"] += 1
-        self.assert_noticed(rows, place)
+        self.assert_difference_located(rows, place)
 
     def test_two_events_in_another_order_are_noticed(self, rows: list[observed_runs.Row]) -> None:
         place = len(rows) // 2
         rows[place], rows[place + 1] = rows[place + 1], rows[place]
-        self.assert_noticed(rows, place)
+        self.assert_difference_located(rows, place)
 
     def test_a_changed_field_is_noticed(self, rows: list[observed_runs.Row]) -> None:
         place = next(k for k, row in enumerate(rows) if row["kind"] == "machine")
         rows[place]["host"] += "0"
-        self.assert_noticed(rows, place)
+        self.assert_difference_located(rows, place)
 
     def test_a_missing_and_an_added_event_are_noticed(self, rows: list[observed_runs.Row]) -> None:
-        self.assert_noticed(rows[1:], 0)
+        self.assert_difference_located(rows[1:], 0)
         added = [*rows, {"at": 1, "kind": "added"}]
-        assert self.of(added).log != self.recorded.log
+        assert self.fingerprint_of(added).log != self.recorded.log
         assert "now" in fingerprint.first_difference(self.recorded, added, NO_NAMES)
 
     def test_a_message_longer_by_a_byte_is_noticed(self) -> None:
@@ -121,7 +123,7 @@
             return found
 
         short, long = (self.observed._replace(traffic=traffic(size)) for size in (70, 71))
-        prints = [fingerprint.fingerprint(SAMPLE, observed, NO_NAMES) for observed in (short, long)]
+        prints = [fingerprint.fingerprint(SAMPLE_RUN, observed, NO_NAMES) for observed in (short, long)]
         assert prints[1].log == prints[0].log
         assert prints[1].size != prints[0].size
 
@@ -132,22 +134,22 @@
         assert "network" in network
         assert fingerprint.differences(self.recorded, NO_NAMES) == []
 
-    def test_a_rename_passes_by_the_table_alone(self, rows: list[observed_runs.Row]) -> None:
+    def test_a_rename_needs_an_entry_in_the_table(self, rows: list[observed_runs.Row]) -> None:
         def renamed(value: object) -> object:
             return "kernel" if value == "core" else value
 
         rows = [{"identifier" if key == "name" else key: renamed(value) for key, value in row.items()} for row in rows]
         for row in rows:
             row["kind"] = "computer" if row["kind"] == "machine" else row["kind"]
-        assert self.of(rows).log != self.recorded.log
+        assert self.fingerprint_of(rows).log != self.recorded.log
         names = observed_runs.Names(
             kinds={"computer": "machine"}, fields={"identifier": "name"}, values={"kernel": "core"}
         )
-        assert self.of(rows, names) == self.recorded
+        assert self.fingerprint_of(rows, names) == self.recorded
         rows[3]["at"] += 1
-        assert self.of(rows, names).log != self.recorded.log
+        assert self.fingerprint_of(rows, names).log != self.recorded.log
 
-    def test_a_renamed_run_is_found_by_the_table(self) -> None:
+    def test_a_renamed_run_is_played_under_its_present_name(self) -> None:
         names = observed_runs.Names(runs={"second_loss LOST": "GONE", "day ACKNOWLEDGED": "none"})
-        recorded = msgspec.structs.replace(self.recorded, run=SAMPLE.replace("GONE", "LOST"))
+        recorded = msgspec.structs.replace(self.recorded, run=SAMPLE_RUN.replace("GONE", "LOST"))
         assert fingerprint.differences(recorded, names) == []
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -15,7 +15,7 @@
 
 SEEDS = {name: 1 for name in registry.SCENARIOS}
 # runs that a sweep once found failing
-FOUND = [
+REGRESSIONS = [
     ("cut_core_two", 2, "magnolia"),
     ("slow_link", 3, "magnolia"),
     ("worker_freeze", 10, "magnolia"),
@@ -55,25 +55,25 @@
         return pool.map(play, [job, job], chunksize=1)
 
 
-def runs_to_keep() -> list[pytest.ParameterSet]:
+def runs_without_complaints() -> list[pytest.ParameterSet]:
     """All runs that must be clean, each as a parameter that is named as on the command line."""
-    runs = [(name, seed, "magnolia") for name, seed in SEEDS.items()] + FOUND + SWAN
+    runs = [(name, seed, "magnolia") for name, seed in SEEDS.items()] + REGRESSIONS + SWAN
     return [pytest.param(*run, id="{}-{}-{}".format(*run)) for run in runs]
 
 
-def test_a_seed_gives_the_same_log_to_the_byte() -> None:
+def test_two_runs_with_the_same_seed_write_identical_logs() -> None:
     one, other = play_in_two_processes(mutation_checks.Job("calm", 1, "magnolia", ""))
     assert len(other.log) > 10_000
     differ = other.log != one.log  # not compared within the assertion: a report of the difference takes minutes
     assert not differ
 
 
-@pytest.mark.parametrize(("scenario", "seed", "shape"), runs_to_keep())
+@pytest.mark.parametrize(("scenario", "seed", "shape"), runs_without_complaints())
 def test_no_checker_complains_of_a_scenario(scenario: str, seed: int, shape: str) -> None:
     assert play(mutation_checks.Job(scenario, seed, shape, "")).complaints == {}
 
 
 @pytest.mark.parametrize("guard", mutation_checks.GUARDS)
-def test_a_scenario_without_its_guard_is_complained_of(guard: str) -> None:
+def test_the_checker_complains_of_a_scenario_without_its_guard(guard: str) -> None:
     _, scenario, seed, checker = mutation_checks.GUARDS[guard]
     assert checker in play(mutation_checks.Job(scenario, seed, "magnolia", guard)).complaints
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -17,7 +17,7 @@
     second_loss_cases.Target,
 )
 
-KEPT = [
+CASES = [
     Case(3, Loss.WIPED, Step.SEATED, Target.SAME, Loss.GONE, 1),
     Case(3, Loss.GONE, Step.REFILLED, Target.SAME, Loss.WIPED, 2),
     Case(3, Loss.PLANNED, Step.CHAINED, Target.SAME, Loss.PLANNED, 3),
@@ -26,24 +26,24 @@
     Case(5, Loss.GONE, Step.CHAINED, Target.OTHER, Loss.GONE, 1),
     Case(5, Loss.PLANNED, Step.ACKNOWLEDGED, Target.SETTLED, Loss.WIPED, 2),
 ]
-GUARDED = [Case(3, Loss.GONE, Step.SYNCED, Target.STRESS, Loss.GONE, seed) for seed in (1, 2, 3)]
+UNSYNCED_HEAD_CASES = [Case(3, Loss.GONE, Step.SYNCED, Target.STRESS, Loss.GONE, seed) for seed in (1, 2, 3)]
 
 
-def unsynced_order(
+def chain_ignoring_synced_views(
     _view: message.View, _promises: dict[str, message.Promise], alive: dict[str, str]
 ) -> list[message.ChainReplica]:
     """Order the chain by name, whoever is synced."""
     return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
 
 
-def name_of(case: second_loss_cases.Case) -> str:
+def parameter_id(case: second_loss_cases.Case) -> str:
     """A case as the name of a parameter."""
     words = (case.first, case.step, case.target, case.second)
     return "-".join([str(case.cores), *(word.name.lower() for word in words), str(case.seed)])
 
 
-@pytest.mark.parametrize("case", KEPT, ids=name_of)
-def test_a_second_loss_during_a_repair_is_borne_and_changes_go_on(case: second_loss_cases.Case) -> None:
+@pytest.mark.parametrize("case", CASES, ids=parameter_id)
+def test_changes_are_acknowledged_before_and_after_a_second_loss_during_a_repair(case: second_loss_cases.Case) -> None:
     outcome = second_loss.play(case)
     assert outcome.complaints == [], case.options()
     # changes are acknowledged before and after it
@@ -52,7 +52,7 @@
     assert outcome.first_change_us < second_loss.REPAIR_TIMEOUT_S * units.SECOND_US, case.options()
 
 
-def test_a_chain_led_by_a_copy_that_is_not_synced_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(view_formation, "next_chain", unsynced_order)
-    found = [line for case in GUARDED for line in second_loss.play(case).complaints]
+def test_a_chain_with_an_unsynced_head_acknowledges_no_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(view_formation, "next_chain", chain_ignoring_synced_views)
+    found = [line for case in UNSYNCED_HEAD_CASES for line in second_loss.play(case).complaints]
     assert f"no change was acknowledged for {second_loss.REPAIR_TIMEOUT_S} s" in found
