--- a/tests/test_core_days.py
+++ b/tests/test_core_days.py
@@ -1,13 +1,14 @@
-"""Drawn days that press the core: kept as the code stands, and broken where a guard is taken out.
+"""Simulated days of overlapping core faults: they keep the platform's rules, and break one without a guard.
 
-`steady_timers` lets the reactors of simulated processes go by the time of day, as Twisted's own do. Until the
-simulator had a time of day apart from its clock, such a fault could not show.
+The guard `steady_timers` is removed by letting the timers of simulated processes follow the wall clock (the time of
+day), as Twisted's own reactors do. Only a simulator whose wall clock differs from its clock since boot can show this
+fault.
 
-`LOST_TAIL_DAYS` is a fault of the core before node leases: the tail was lost for good, a view without it was agreed,
-acknowledged a change, and was sealed for the view with the newcomer before nodes could open sessions in it, so that
-nodes answered by an old configuration more than 2 s after a newer one was acknowledged. It was not found until then
-because the older days sent one change a second after a replacement, so none came while the tail was missing, and
-because they replaced any core machine once or twice, while the loss of the tail shows in some of the replacements.
+`LOST_TAIL_DAYS` guards against a failure of the core before it had node leases. The tail was lost for good, and the
+view without it acknowledged a change. It was then sealed for the view with the replacement before any node could open
+a session in it, so nodes answered by an old configuration more than 2 s after a newer one was acknowledged. Other days
+miss this failure: they send one change a second after a replacement, so none while the tail is missing, and they
+replace any core machine once or twice, while only some losses of the tail cause it.
 """
 
 import contextlib
@@ -24,7 +25,7 @@
 
 
 GUARDS = {"": (), "steady_timers": ((reactor_model.Reactor, "clock", _wall_clock),)}
-Job = tuple[str, int, str, float, str]  # day, seed, shape, share of the usual load, guard that is taken out
+Job = tuple[str, int, str, float, str]  # day, seed, shape, share of the usual load, guard to remove or empty
 
 DAYS_WITHOUT_COMPLAINTS = [("time_of_day", 1, "magnolia", 0.1, ""), ("core_drawn", 3, "magnolia", 0.05, "")]
 LOST_TAIL_DAYS = [("lose_tail", 2, "swan", 0.05, "")]
@@ -32,7 +33,7 @@
 
 
 def play(job: Job) -> tuple[Job, dict[str, list[str]]]:
-    """Play a day, perhaps without a guard: the job and what the judge says."""
+    """Play a day, with a guard removed if the job names one; return the job and the complaints of each rule."""
     name, seed, shape, load, guard = job
     with contextlib.ExitStack() as stack:
         for owner, attribute, instead in GUARDS[guard]:
@@ -42,7 +43,7 @@
 
 
 def parameter_id(job: Job) -> str:
-    """A job as the name of a parameter."""
+    """Return the id of a test parameter."""
     return "-".join(str(part) for part in job if part != "")
 
 
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,7 +1,8 @@
-"""Simulated runs behave as recorded in tests/data/behaviour.json, and a changed behaviour is noticed.
+"""Simulated runs behave as recorded in tests/data/behaviour.json, and any change of behaviour is detected.
 
 A few runs of each part are played here; `python -m simulation.fingerprint check tests/data/behaviour.json` plays all.
-A failure of a run here means that the software's behaviour has changed. Where that is meant, record the file again.
+A failure of a run here means that the software's behaviour has changed. If the change is intended, record the file
+again.
 """
 
 import pathlib
@@ -63,12 +64,12 @@
 
 @pytest.fixture
 def rows(observed: observed_runs.Observed) -> list[observed_runs.Row]:
-    """A copy of the sample's event log, for a test to change."""
+    """A copy of the sample run's event log that a test may modify."""
     return [dict(row) for row in observed.rows]
 
 
 class TestChanges:
-    """A changed time, order, field or message changes the fingerprint; a rename that is in the table does not."""
+    """A changed time, order, field or message size changes the fingerprint; a rename that is in the table does not."""
 
     @pytest.fixture(autouse=True)
     def sample(self, observed: observed_runs.Observed, recorded: fingerprint.Fingerprint) -> None:
@@ -79,11 +80,11 @@
     def fingerprint_of(
         self, rows: list[observed_runs.Row], names: observed_runs.Names = NO_NAMES
     ) -> fingerprint.Fingerprint:
-        """The fingerprint of the sample with another event log."""
+        """Return the fingerprint of the sample run with another event log."""
         return fingerprint.fingerprint(SAMPLE_RUN, self.observed._replace(rows=rows), names)
 
     def assert_difference_located(self, rows: list[observed_runs.Row], place: int) -> None:
-        """A log gets another digest, and the first difference is reported to lie around a row."""
+        """Assert that a log has another digest, and that the reported rows of the first difference include a row."""
         assert self.fingerprint_of(rows).log != self.recorded.log
         report = fingerprint.first_difference(self.recorded, rows, NO_NAMES)
         first, last = (int(word) for word in re.findall("[0-9]+", report)[:2])
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -23,7 +23,7 @@
 def method_dropping_mismatched_frames(
     name: str, old: set[str], codec: frozen_codec.FrozenCodec
 ) -> typing.Callable[..., None]:
-    """Wrap a method of connections so that it drops frames which an old process could not have sent or read."""
+    """Wrap a method of `wire.Connection` so that it drops frames which an old process could not have sent or read."""
     original = getattr(wire.Connection, name)
 
     def method(connection: wire.Connection, raw: bytes) -> None:
@@ -35,7 +35,7 @@
 
 @contextlib.contextmanager
 def mixed_fleet(old: set[str]) -> collections.abc.Iterator[frozen_codec.FrozenCodec]:
-    """Let the named simulated processes use the frozen messages."""
+    """Let the named simulated processes use the messages of the earlier version; yield their codec."""
     codec = frozen_codec.FrozenCodec()
     with contextlib.ExitStack() as stack:
         for name in ("sendString", "stringReceived"):
@@ -65,7 +65,7 @@
 
 
 def run_with_changes_and_restarts(cluster: simulated_cluster.SimulatedCluster) -> None:
-    """Make changes, and kill and restart two core machines and the pool's owner."""
+    """Submit changes, and kill and restart two core machines and the pool owner meanwhile."""
     cluster.begin()
     actions.confirm_changes(cluster, 6, 3)
     cluster.advance(6)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,7 +1,7 @@
-"""The simulator's scenarios with fixed seeds: clean as the code stands, and failing without its guards.
+"""Scenarios with fixed seeds: no checker complains of the code, and one does when a guard is removed.
 
-A guard test takes one guard out (simulation/mutation_checks.py) and wants the matching checker to complain:
-so each "must never happen" point is seen failing before it is seen to hold.
+A guard test removes one guard (simulation/mutation_checks.py) and expects complaints of the matching checker. So each
+checker is shown to detect the failure that it exists for.
 """
 
 import multiprocessing
@@ -14,7 +14,7 @@
 from simulation.scenarios import registry
 
 SEEDS = {name: 1 for name in registry.SCENARIOS}
-# runs that a sweep once found failing
+# runs that have failed in an earlier version
 REGRESSIONS = [
     ("cut_core_two", 2, "magnolia"),
     ("slow_link", 3, "magnolia"),
@@ -32,14 +32,14 @@
 
 
 class PlayedScenario(NamedTuple):
-    """What came of a scenario."""
+    """The result of a scenario."""
 
     complaints: dict[str, list[str]]  # by checker
-    log: str  # of the calm scenario, else empty
+    log: str  # event log of the calm scenario, empty for the other ones
 
 
 def play(job: mutation_checks.Job) -> PlayedScenario:
-    """Play one scenario, perhaps with a guard out."""
+    """Play one scenario, with a guard removed if the job names one."""
     scenario, seed, shape, guard = job
     if guard:
         _, complaints, _ = mutation_checks.play(job)
@@ -50,13 +50,13 @@
 
 
 def play_in_two_processes(job: mutation_checks.Job) -> list[PlayedScenario]:
-    """Play one scenario in two processes at once: what each of them gives."""
+    """Play one scenario in two processes at the same time, and return both results."""
     with multiprocessing.Pool(2, maxtasksperchild=1) as pool:
         return pool.map(play, [job, job], chunksize=1)
 
 
 def runs_without_complaints() -> list[pytest.ParameterSet]:
-    """All runs that must be clean, each as a parameter that is named as on the command line."""
+    """Return all runs of which no checker may complain, with ids like kill_owner-2-swan."""
     runs = [(name, seed, "magnolia") for name, seed in SEEDS.items()] + REGRESSIONS + SWAN
     return [pytest.param(*run, id="{}-{}-{}".format(*run)) for run in runs]
 
@@ -64,7 +64,9 @@
 def test_two_runs_with_the_same_seed_write_identical_logs() -> None:
     one, other = play_in_two_processes(mutation_checks.Job("calm", 1, "magnolia", ""))
     assert len(other.log) > 10_000
-    differ = other.log != one.log  # not compared within the assertion: a report of the difference takes minutes
+    differ = (
+        other.log != one.log
+    )  # compared outside the assertion, as pytest would take minutes to report the difference
     assert not differ
 
 
--- a/tests/test_second_loss.py
+++ b/tests/test_second_loss.py
@@ -1,6 +1,6 @@
-"""A second loss during a repair of the core: a few of the cases, and that a guard taken out is noticed.
+"""A second core machine is lost during the repair after a first loss: changes must go on being acknowledged.
 
-All cases are played by `python -m simulation.second_loss`.
+A few of the cases are played here; `python -m simulation.second_loss` plays all.
 """
 
 import pytest
@@ -32,12 +32,12 @@
 def chain_ignoring_synced_views(
     _view: message.View, _promises: dict[str, message.Promise], alive: dict[str, str]
 ) -> list[message.ChainReplica]:
-    """Order the chain by name, whoever is synced."""
+    """In place of `view_formation.next_chain`: orders the chain by descending id, whichever copies are synced."""
     return [message.ChainReplica(identifier, alive[identifier]) for identifier in sorted(alive, reverse=True)]
 
 
 def parameter_id(case: second_loss_cases.Case) -> str:
-    """A case as the name of a parameter."""
+    """Return the id of a test parameter."""
     words = (case.first, case.step, case.target, case.second)
     return "-".join([str(case.cores), *(word.name.lower() for word in words), str(case.seed)])
 
@@ -46,7 +46,7 @@
 def test_changes_are_acknowledged_before_and_after_a_second_loss_during_a_repair(case: second_loss_cases.Case) -> None:
     outcome = second_loss.play(case)
     assert outcome.complaints == [], case.options()
-    # changes are acknowledged before and after it
+    # Changes are acknowledged before and after the second loss.
     assert outcome.acknowledged > 10, case.options()
     assert outcome.first_change_us is not None, case.options()
     assert outcome.first_change_us < second_loss.REPAIR_TIMEOUT_S * units.SECOND_US, case.options()
