--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -176,9 +176,9 @@
             deployment.schedule(at, self.rng.choice(FAULTS), self)
             at += self.rng.choice(FAULT_GAPS_S)
         deployment.advance(seconds)
-        self.strike_closing_fault()
+        self.inject_closing_fault()
 
-    def strike_closing_fault(self) -> None:
+    def inject_closing_fault(self) -> None:
         """Wait until no core machine is lost, send a change, and inject the closing fault of all machines."""
         deployment = self.site
         deployment.advance_until(lambda: not self.lost, RECOVERY_TIMEOUT_S)
@@ -309,11 +309,11 @@
 
 def lose_entire_core(day: CoreDay) -> None:
     """All core machines are killed or lose power at the same moment, and restart 2 s later."""
-    strike = day.rng.choice([day.site.faults.kill, day.site.faults.power_off])
+    fail = day.rng.choice([day.site.faults.kill, day.site.faults.power_off])
 
     def lose(_: str) -> int:
         for name in sorted(day.site.cores):
-            strike(name, 2)
+            fail(name, 2)
         return 2
 
     day.lose_when_tolerated(lose, complete=True)
@@ -328,14 +328,14 @@
 def _reset_some(deployment: site.Site) -> None:
     names = {deployment.places[name].host: name for name in [*deployment.cores, *deployment.nodes]}
     core_hosts = {deployment.places[name].host for name in deployment.cores}
-    struck: set[str] = set()
+    affected: set[str] = set()
     for connection in list(deployment.world.connections.values()):
         hosts = {side.process.host.host for side in connection.sides}
         if hosts & core_hosts and deployment.rng.random() < 0.5:
-            struck |= {names[host] for host in hosts if host in names}
+            affected |= {names[host] for host in hosts if host in names}
             for side in connection.sides:
                 side.reset()
-    deployment.faults.note_reset(struck)
+    deployment.faults.note_reset(affected)
 
 
 def slow_core_link(day: CoreDay) -> None:
