--- a/simulation/core_days.py
+++ b/simulation/core_days.py
@@ -34,11 +34,8 @@
 REFUSALS_BEFORE_READ = 3  # consecutive refused changes after which the operator reads the configuration
 RECOVERY_TIMEOUT_S = 40  # time limit until no core machine counts as lost before the closing fault
 AFTER_CLOSING_S = 15  # simulated time after the closing fault
-DISK_STATES: tuple[faults.DiskState, ...] = (
-    "full",
-    "slow",
-    "stalled",
-)  # in this order, as it determines the random draws
+# The order determines the random draws.
+DISK_STATES: tuple[faults.DiskState, ...] = ("full", "slow", "stalled")
 REPLACEMENT_S = 9  # until a replaced or restarted machine is running again
 
 log = loguru.logger.bind(part="site")
@@ -115,7 +112,7 @@
         return self.rng.choice(sorted(self.site.cores))
 
     def last_acknowledger_or_random(self) -> str:
-        """Return the core machine that acknowledged last in half of all cases, else a random one."""
+        """Return, with equal probability, the core machine that acknowledged last or a random one."""
         return self.rng.choice([self.last_acknowledger, self.random_core])()
 
     def lose_when_tolerated(
--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -46,8 +46,8 @@
 if typing.TYPE_CHECKING:
     from twisted.python import failure
 
-SHARE_OF_LOCAL_BUDGET = 6  # nodes that divide the retry budget evenly, in place of one common budget
-HEADERS_BEFORE_STALE = 50  # requests that get their own headers; later ones get those of the request before
+SHARE_OF_LOCAL_BUDGET = 6  # number of nodes among which the local budgets divide the retry budget evenly
+HEADERS_BEFORE_STALE = 50  # requests that get their own headers; later ones get those of the previous request
 
 Arguments = typing.ParamSpec("Arguments")
 Sending = collections.abc.Coroutine[typing.Any, typing.Any, attempt_outcome.AttemptOutcome]
@@ -187,7 +187,7 @@
 
 
 def _stale_headers(headers: http_headers.Headers, worker: str, _token: str = "") -> http_headers.Headers:
-    """In place of `edge_protocol.worker_request_headers`: a request gets the headers of the one before it."""
+    """In place of `edge_protocol.worker_request_headers`: later requests get the headers of the previous one."""
     _sent_headers.append(_worker_request_headers(headers, worker))
     return _sent_headers[-2] if len(_sent_headers) > HEADERS_BEFORE_STALE else _sent_headers[-1]
 
@@ -340,7 +340,7 @@
 ) -> typing.NoReturn:
     """Play each guard's scenario with the guard removed, and print how often its checker complained.
 
-    The exit code is 1 if the checker of any guard complained in no run of a shape.
+    The exit code is 1 if, for any guard and shape, the checker complained in no run.
 
     :param names: names of the guards; all where none is given
     :param seeds: number of seeds for each guard and shape
--- a/simulation/observed_runs.py
+++ b/simulation/observed_runs.py
@@ -61,7 +61,7 @@
 class ObservedWorld(world.World):
     """A simulated world whose network traffic is counted from the start."""
 
-    newest: typing.ClassVar["ObservedWorld"]  # the world that was made last
+    newest: typing.ClassVar["ObservedWorld"]  # the world that was created last
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -87,8 +87,8 @@
         f"day {name} {shape} {DAY_SEEDS[shape]} {DAY_LOAD}"
         for shape in DAY_SHAPES
         for name in platform_days.DAYS
-        if name
-        not in platform_days.SPLIT_DAYS  # not recorded, as the fleet's behaviour on these days is expected to change
+        # The split days are not recorded, as the fleet's behaviour on them is expected to change.
+        if name not in platform_days.SPLIT_DAYS
     ]
     found += [f"scene {name} {shape} {SCENARIO_SEEDS[shape]}" for shape in fleet.SHAPES for name in registry.SCENARIOS]
     for case in (case for cores in CORE_COUNTS for case in second_loss_cases.cases(cores, [1])):
--- a/simulation/second_loss.py
+++ b/simulation/second_loss.py
@@ -43,7 +43,7 @@
 MAX_SECOND_LOSS_DELAY_S = 0.005  # the second loss follows the step within this time
 CHANGE_TIMEOUT_S = 20
 SLOW_SYNC_US = 150 * units.MILLISECOND_US
-PAUSE_S = 2  # of the first changes before the first loss, and at the end of a run
+PAUSE_S = 2  # simulated time before the first loss, and before and after the operators stop
 READ_BACK_S = 30  # time limit for reading the configuration back
 TRAFFIC_SHARE = 0.01  # of the usual load, as the workers are not under test
 
@@ -248,7 +248,7 @@
         """Advance until a condition holds.
 
         Raises:
-            WaitTimeoutError: The condition does not hold within the time limit; `what` says so in words.
+            WaitTimeoutError: The condition does not hold within the time limit; `what` describes the failure.
         """
         end = self.site.world.time + int(seconds * units.SECOND_US)
         while not condition():
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -114,7 +114,7 @@
             continue
         ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
         proposal = cluster_model.Proposal(ballot, core.view.voters)
-        yield f"{core.identifier} suspects the others and proposes {ballot}", _propose(used, core, proposal)
+        yield f"{core.identifier} receives no heartbeats and proposes {ballot}", _propose(used, core, proposal)
 
 
 def _propose(
@@ -324,7 +324,7 @@
 
 
 def may_lose_another(world: cluster_model.World, core: cluster_model.Core, setting: cluster_model.Setting) -> bool:
-    """Whether the tolerance allows that this machine is lost besides those that are lost already."""
+    """Whether this machine may be lost without exceeding the tolerance."""
     lost = [other for other in world.cores if other.lost and other.index != core.index]
     return len(lost) < setting.tolerance
 
