--- a/simulation/mutation_checks.py
+++ b/simulation/mutation_checks.py
@@ -1,4 +1,4 @@
-"""Mutation checks: guards of the product are taken out one at a time, and the checker of each must complain.
+"""Mutation checks: each guard of the product is removed in turn, and its checker must complain of the run.
 
 python -m simulation.mutation_checks --seeds 5
 python -m simulation.mutation_checks --names claims via --seeds 10 --shapes swan
@@ -46,8 +46,8 @@
 if typing.TYPE_CHECKING:
     from twisted.python import failure
 
-SHARE_OF_LOCAL_BUDGET = 6  # each node takes this part of the retry budget, where budgets are local
-HEADERS_BEFORE_STALE = 50  # so many requests get their own headers before they get another's
+SHARE_OF_LOCAL_BUDGET = 6  # number of nodes among which the local budgets divide the retry budget evenly
+HEADERS_BEFORE_STALE = 50  # requests that get their own headers; later ones get those of the previous request
 
 Arguments = typing.ParamSpec("Arguments")
 Sending = collections.abc.Coroutine[typing.Any, typing.Any, attempt_outcome.AttemptOutcome]
@@ -63,18 +63,18 @@
     """In place of `TailContact.wait_until_applied`: no change waits until all nodes apply it."""
 
 
-def _broken_counts_as_unsent(
+def _report_broken_as_unsent(
     send: collections.abc.Callable[Arguments, Sending],
 ) -> collections.abc.Callable[Arguments, Sending]:
-    """Around `Dispatcher.send`: an attempt that broke off counts as never sent."""
+    """Wrap `Dispatcher.send`: an attempt that broke off is reported as never sent."""
 
-    async def send_and_forget(
+    async def send_reporting_unsent(
         *arguments: Arguments.args, **keywords: Arguments.kwargs
     ) -> attempt_outcome.AttemptOutcome:
         outcome = await send(*arguments, **keywords)
         return attempt_outcome.AttemptOutcome.UNSENT if outcome is attempt_outcome.AttemptOutcome.BROKE else outcome
 
-    return send_and_forget
+    return send_reporting_unsent
 
 
 async def _select_once(
@@ -86,8 +86,8 @@
     return await _select_worker(self, request, excluded_workers)
 
 
-async def _check_alone(self: worker_watch.WorkerWatch, worker: message.Worker) -> None:
-    """In place of `WorkerWatch.check`: a node's own failure to reach a worker is enough, without a second witness."""
+async def _eject_without_second_witness(self: worker_watch.WorkerWatch, worker: message.Worker) -> None:
+    """In place of `WorkerWatch.check`: a worker is ejected without a second witness that can't reach it either."""
     self.ejected[worker.id] = self.runtime.now()
     self.owner.check_workers()
 
@@ -99,17 +99,19 @@
     attempt: dispatch.Attempt,
     _via: str,
 ) -> attempt_outcome.AttemptOutcome:
-    """In place of `Gateway.send`: a worker that only another node reaches is sent to without its token."""
+    """In place of `Gateway.send`: a request is sent directly even to a worker that only another node can reach."""
     return await _gateway_send(self, request, worker, attempt, "")
 
 
-def _believe_all(_self: platform_listing.PlatformListing, workers: list[message.Worker]) -> list[message.Worker]:
-    """In place of `PlatformListing.confirm_removals`: a list that lost many workers is taken at once."""
+def _accept_removals_at_once(
+    _self: platform_listing.PlatformListing, workers: list[message.Worker]
+) -> list[message.Worker]:
+    """In place of `PlatformListing.confirm_removals`: a list that lacks many workers is applied at once."""
     return workers
 
 
 def _has_local_capacity(self: retry_budget.Budget, now: int) -> bool:
-    """In place of `Budget.has_capacity`: each node takes a sixth of the retry budget, whatever its traffic."""
+    """In place of `Budget.has_capacity`: each node gets a sixth of the retry budget, whatever its traffic."""
     self._trim(now)
     return (len(self.retries) + 1) * SHARE_OF_LOCAL_BUDGET / self.ratio <= len(self.first_attempts)
 
@@ -119,7 +121,7 @@
 
 
 def _partitioned_by_half(self: follower.Follower) -> bool:
-    """In place of `Follower.is_partitioned`: half of the members, not all, must say that they lost the core."""
+    """In place of `Follower.is_partitioned`: half of the members, instead of all, must report the core as lost."""
     if self.session.is_established():
         return False
     fresh = [status for at, status in self.peer_status.responses.values() if _is_fresh(self, at)]
@@ -127,7 +129,7 @@
 
 
 def _partitioned_at_any_index(self: follower.Follower) -> bool:
-    """In place of `Follower.is_partitioned`: a member without the core counts even where its configuration is ahead."""
+    """In place of `Follower.is_partitioned`: a member without the core counts even if its configuration is newer."""
     without_core = {
         member for member, (at, status) in self.peer_status.responses.items() if _is_fresh(self, at) and not status.core
     }
@@ -137,8 +139,8 @@
     )
 
 
-def _keep_all(_self: sessions.SessionTable[typing.Any], _now: int) -> list[sessions.Session[typing.Any]]:
-    """In place of `SessionTable.sweep`: silent sessions are never removed."""
+def _keep_all_sessions(_self: sessions.SessionTable[typing.Any], _now: int) -> list[sessions.Session[typing.Any]]:
+    """In place of `SessionTable.sweep`: idle sessions are never removed."""
     return []
 
 
@@ -148,33 +150,33 @@
 
 
 def _apply_as_one_pool(self: follower.Follower, workers: list[message.Worker]) -> None:
-    """In place of `Follower.apply_workers`: all workers are taken to be of the first pool."""
+    """In place of `Follower.apply_workers`: all workers are treated as workers of the first pool."""
     pool = next(iter(self.pools), "")
     _apply_workers(self, [msgspec.structs.replace(worker, pool=pool) for worker in workers])
 
 
-def _order_blank_first(
+def _order_unsynced_first(
     view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
 ) -> list[message.ChainReplica]:
-    """In place of `view_formation.next_chain`: replicas that lack records come first in the chain."""
-    blank_first = sorted(alive, key=lambda i: (i in promises and promises[i].synced_view == view.number, i))
-    return [message.ChainReplica(identifier, alive[identifier]) for identifier in blank_first]
+    """In place of `view_formation.next_chain`: replicas that are not synced come first in the chain."""
+    unsynced_first = sorted(alive, key=lambda i: (i in promises and promises[i].synced_view == view.number, i))
+    return [message.ChainReplica(identifier, alive[identifier]) for identifier in unsynced_first]
 
 
 def _order_without_last_entries(
     view: message.View, promises: dict[str, message.Promise], alive: decisions.Incarnations
 ) -> list[message.ChainReplica] | None:
-    """In place of `view_formation.next_chain`: how far each replica's log reaches is left out."""
-    blind = {i: msgspec.structs.replace(promise, last_entry=(0, 0)) for i, promise in promises.items()}
-    return _next_chain(view, blind, alive)
+    """In place of `view_formation.next_chain`: the last log entries of the replicas are ignored."""
+    without_last_entries = {i: msgspec.structs.replace(promise, last_entry=(0, 0)) for i, promise in promises.items()}
+    return _next_chain(view, without_last_entries, alive)
 
 
-async def _nobody_has_it(_self: pool_owner.PoolOwner, _request: message.SelectWorker) -> str:
-    """In place of `PoolOwner.query_other_pools`: other pools' owners are not asked whether they hold a request."""
+async def _report_no_other_holder(_self: pool_owner.PoolOwner, _request: message.SelectWorker) -> str:
+    """In place of `PoolOwner.query_other_pools`: owners of other pools are not asked whether they hold the request."""
     return ""
 
 
-def _interrupted_is_complete(self: dispatch.AnswerBodyStreamer, _reason: failure.Failure | None = None) -> None:
+def _treat_interrupted_as_complete(self: dispatch.AnswerBodyStreamer, _reason: failure.Failure | None = None) -> None:
     """In place of `AnswerBodyStreamer.connectionLost`: an answer that broke off counts as complete."""
     if self.read_timer is not None and self.read_timer.active():
         self.read_timer.cancel()
@@ -185,13 +187,13 @@
 
 
 def _stale_headers(headers: http_headers.Headers, worker: str, _token: str = "") -> http_headers.Headers:
-    """In place of `edge_protocol.worker_request_headers`: a request gets the headers of the one before it."""
+    """In place of `edge_protocol.worker_request_headers`: later requests get the headers of the previous one."""
     _sent_headers.append(_worker_request_headers(headers, worker))
     return _sent_headers[-2] if len(_sent_headers) > HEADERS_BEFORE_STALE else _sent_headers[-1]
 
 
 class Patch(typing.NamedTuple):
-    """What stands in place of a guard: an attribute of a class or module, and its replacement."""
+    """An attribute of a class or module, and the replacement that removes a guard."""
 
     owner: type | types.ModuleType
     attribute: str
@@ -199,7 +201,7 @@
 
 
 class Guard(typing.NamedTuple):
-    """A guard of the product, how it is taken out, and the run in which its checker must complain then."""
+    """The patches that remove a guard of the product, and the run in which its checker must complain then."""
 
     patches: list[Patch]
     scenario: str
@@ -211,14 +213,19 @@
     "claims": Guard(
         [Patch(pool_owner.PoolOwner, "refuse_if_claimed", lambda _self, _request: None)], "worker_storm", 1, "once"
     ),
-    "other_pools": Guard([Patch(pool_owner.PoolOwner, "query_other_pools", _nobody_has_it)], "route_moves", 3, "once"),
+    "other_pools": Guard(
+        [Patch(pool_owner.PoolOwner, "query_other_pools", _report_no_other_holder)], "route_moves", 3, "once"
+    ),
     "torn_answers": Guard(
-        [Patch(dispatch.AnswerBodyStreamer, "connectionLost", _interrupted_is_complete)], "worker_storm", 1, "once"
+        [Patch(dispatch.AnswerBodyStreamer, "connectionLost", _treat_interrupted_as_complete)],
+        "worker_storm",
+        1,
+        "once",
     ),
     "own_headers": Guard([Patch(edge_protocol, "worker_request_headers", _stale_headers)], "calm", 1, "own"),
     "unsent_or_broke": Guard(
         [
-            Patch(dispatch.Dispatcher, "send", _broken_counts_as_unsent(dispatch.Dispatcher.send)),
+            Patch(dispatch.Dispatcher, "send", _report_broken_as_unsent(dispatch.Dispatcher.send)),
             Patch(worker_selection.WorkerSelector, "select_worker", _select_once),
         ],
         "worker_freeze",
@@ -237,7 +244,7 @@
         1,
         "in_force",
     ),
-    "whole_copies": Guard([Patch(view_formation, "next_chain", _order_blank_first)], "replace_all", 4, "kept"),
+    "whole_copies": Guard([Patch(view_formation, "next_chain", _order_unsynced_first)], "replace_all", 4, "kept"),
     "tips": Guard([Patch(view_formation, "next_chain", _order_without_last_entries)], "disk_old", 1, "kept"),
     "pools": Guard([Patch(follower.Follower, "apply_workers", _apply_as_one_pool)], "other_pool", 1, "allowed"),
     "pins": Guard([Patch(sessions.SessionTable, "affinity", lambda _self, _identifier: None)], "calm", 1, "pinned"),
@@ -246,7 +253,9 @@
         [Patch(retry_budget.Budget, "spend", lambda _self, _now: True)], "worker_breaks", 1, "budget"
     ),
     "seats": Guard([Patch(selection.WorkerSelector, "has_slot", lambda _self, *_more: False)], "calm", 1, "served"),
-    "second_witness": Guard([Patch(worker_watch.WorkerWatch, "check", _check_alone)], "blind_owner", 2, "pinned"),
+    "second_witness": Guard(
+        [Patch(worker_watch.WorkerWatch, "check", _eject_without_second_witness)], "blind_owner", 2, "pinned"
+    ),
     "via": Guard([Patch(gateway.Gateway, "send", _send_without_relay)], "blind_node", 1, "served"),
     "one_budget": Guard(
         [Patch(retry_budget.Budget, "has_capacity", _has_local_capacity)], "worker_breaks", 1, "served"
@@ -264,9 +273,12 @@
         [Patch(request_router.RequestRouter, "reroute", lambda _self, _request: None)], "crowd", 1, "served"
     ),
     "twice_said": Guard(
-        [Patch(platform_listing.PlatformListing, "confirm_removals", _believe_all)], "platform_bad", 1, "pinned"
+        [Patch(platform_listing.PlatformListing, "confirm_removals", _accept_removals_at_once)],
+        "platform_bad",
+        1,
+        "pinned",
     ),
-    "sweep": Guard([Patch(sessions.SessionTable, "sweep", _keep_all)], "release", 1, "served"),
+    "sweep": Guard([Patch(sessions.SessionTable, "sweep", _keep_all_sessions)], "release", 1, "served"),
     "early_answers": Guard(
         [Patch(http_server.Request, "send_error_early", lambda _self, _code, _text: None)],
         "bad_requesters",
@@ -288,7 +300,7 @@
 
 
 class Job(typing.NamedTuple):
-    """One run to play, with a guard out."""
+    """One run to play with a guard removed."""
 
     scenario: str
     seed: int
@@ -296,8 +308,8 @@
     guard: str
 
 
-class Count(typing.NamedTuple):
-    """Of one run: whether the guard's checker complained, how many rows it judged, and the seed."""
+class GuardRun(typing.NamedTuple):
+    """The result of one run: whether the guard's checker complained, the number of rows it judged, and the seed."""
 
     complained: bool
     rows: int
@@ -305,7 +317,11 @@
 
 
 def play(job: Job) -> tuple[Job, dict[str, list[str]], dict[str, int]]:
-    """Play a scenario with a guard out: the job, complaints by checker, rows judged by each checker."""
+    """Play a scenario with a guard removed.
+
+    Returns:
+        The job, the complaints of each checker, and the number of rows that each checker judged.
+    """
     scenario, seed, shape, guard = job
     loguru.logger.remove()
     with contextlib.ExitStack() as stack:
@@ -322,10 +338,12 @@
     first: int = 1,
     shapes: collections.abc.Sequence[str] = ("magnolia", "swan"),
 ) -> typing.NoReturn:
-    """Play each guard's scenario without it, over seeds and shapes; say how often its checker complained.
+    """Play each guard's scenario with the guard removed, and print how often its checker complained.
+
+    The exit code is 1 if, for any guard and shape, the checker complained in no run.
 
-    :param names: guards by name; all where none is named
-    :param seeds: how many seeds for each
+    :param names: names of the guards; all where none is given
+    :param seeds: number of seeds for each guard and shape
     :param first: the first seed
     :param shapes: magnolia, swan or both
     """
@@ -336,24 +354,26 @@
         for shape in shapes
         for seed in range(first, first + seeds)
     ]
-    counts: collections.defaultdict[tuple[str, str], list[Count]] = collections.defaultdict(list)
+    guard_runs: collections.defaultdict[tuple[str, str], list[GuardRun]] = collections.defaultdict(list)
     with multiprocessing.Pool(os.cpu_count(), maxtasksperchild=seed_runs.RUNS_PER_PROCESS) as pool:
         for job, complaints, rows_judged in pool.imap_unordered(play, jobs):
             checker = GUARDS[job.guard].checker
-            counts[job.guard, job.shape].append(Count(checker in complaints, rows_judged[checker], job.seed))
-    silent = 0
-    for (name, shape), found in sorted(counts.items()):
-        seeds_found = sorted(count.seed for count in found if count.complained)
-        silent += not seeds_found
-        _print_counts(name, shape, found, seeds_found)
-    sys.exit(1 if silent else 0)
+            guard_runs[job.guard, job.shape].append(GuardRun(checker in complaints, rows_judged[checker], job.seed))
+    undetected_count = 0
+    for (name, shape), found in sorted(guard_runs.items()):
+        detecting_seeds = sorted(guard_run.seed for guard_run in found if guard_run.complained)
+        undetected_count += not detecting_seeds
+        _print_guard_runs(name, shape, found, detecting_seeds)
+    sys.exit(1 if undetected_count else 0)
 
 
-def _print_counts(name: str, shape: str, found: list[Count], seeds_found: list[int]) -> None:
+def _print_guard_runs(name: str, shape: str, found: list[GuardRun], detecting_seeds: list[int]) -> None:
     guard = GUARDS[name]
     print(
-        f"{name} out, {guard.scenario}, {shape}: {guard.checker} complained in {len(seeds_found)} of {len(found)} "
-        f"runs (seeds {' '.join(map(str, seeds_found)) or 'none'}), {sum(count.rows for count in found)} rows judged",
+        f"without {name}, {guard.scenario}, {shape}: "
+        f"{guard.checker} complained in {len(detecting_seeds)} of {len(found)} "
+        f"runs (seeds {' '.join(map(str, detecting_seeds)) or 'none'}), "
+        f"{sum(guard_run.rows for guard_run in found)} rows judged",
         flush=True,
     )
 
--- a/simulation/state_search/cluster_steps.py
+++ b/simulation/state_search/cluster_steps.py
@@ -1,8 +1,9 @@
-"""All steps that a few core machines may take: messages, leases, the chain, and faults within the tolerance.
+"""The transitions of the state search: messages, leases, chain replication, and faults within the tolerance.
 
-The steps call `iriswheel.consensus.decisions` and `view_formation`, the functions that the core itself runs; only disk,
-network and clock are abstract. A message stays in flight until its view is over, so each may arrive late, twice, in any
-order or never. Time passes only where the leases allow it: a voter's grant ends after the lease that counts on it.
+The transitions call `iriswheel.consensus.decisions` and `view_formation`, which the real core runs too; only disk,
+network and clock are modelled. A message stays in flight until its view is obsolete, so it may arrive late, twice, in
+any order or never. There is no clock: a lease may expire in any state, and a voter's grant only after the lease that
+it is part of.
 """
 
 from __future__ import annotations
@@ -18,38 +19,44 @@
 
 replace = msgspec.structs.replace
 
-Transitions = collections.abc.Iterator[tuple[str, cluster_model.World]]  # what happens, and the state after it
+Transitions = collections.abc.Iterator[
+    tuple[str, cluster_model.World]
+]  # (description of a transition, the state after it)
 
 
 def receive_prepare(
     world: cluster_model.World, core: cluster_model.Core, request: message.Prepare
 ) -> cluster_model.World:
-    """One acceptor's step on a Prepare."""
+    """Let an acceptor receive a Prepare; a promise is put in flight."""
     replica = decisions.Replica(core.identifier, core.incarnation, True, decisions.LastEntry(*core.last_entry))
     record, answer = decisions.promise(core.record, replica, core.holder, request)
     if not answer.ok:
         return world
-    world = cluster_model.put(world, replace(core, record=record, supporters=()))
-    return replace(world, promises=cluster_model.add(world.promises, (request.number, answer)))
+    world = cluster_model.with_core(world, replace(core, record=record, supporters=()))
+    return replace(world, promises=cluster_model.with_item(world.promises, (request.number, answer)))
 
 
 def receive_accept(
     world: cluster_model.World, core: cluster_model.Core, request: message.Accept
 ) -> cluster_model.World:
-    """One acceptor's step on an Accept."""
+    """Let an acceptor receive an Accept.
+
+    Raises:
+        ViolationError: The view is chosen by this, and so is another view of the same number.
+    """
     record, answer = decisions.accept(core.record, core.identifier, request)
     if not answer.ok:
         return world
-    world = cluster_model.put(world, replace(core, record=record))
+    world = cluster_model.with_core(world, replace(core, record=record))
     world = replace(
-        world, accepted=cluster_model.add(world.accepted, (request.ballot, request.view.number, core.identifier))
+        world, accepted=cluster_model.with_item(world.accepted, (request.ballot, request.view.number, core.identifier))
     )
     check_chosen(world, core.view, request)
     return world
 
 
 def check_chosen(world: cluster_model.World, old: message.View, request: message.Accept) -> None:
-    """Raise ViolationError where a majority accepted a view, and another majority accepted another of this number."""
+    """Raise ViolationError if this request's view is chosen, and another view of its number is chosen or adopted."""
     number = request.view.number
     if not is_chosen(world, old, request.ballot):
         return
@@ -63,13 +70,17 @@
 
 
 def is_chosen(world: cluster_model.World, old: message.View, ballot: tuple[int, str]) -> bool:
-    """Whether a majority of a view's voters accepted its successor under a ballot."""
+    """Whether a majority of a view's voters accepted the successor view that was proposed under a ballot."""
     voters = [identifier for made, number, identifier in world.accepted if (made, number) == (ballot, old.number + 1)]
     return len(voters) >= decisions.majority(len(old.voters))
 
 
 def adopt(world: cluster_model.World, core: cluster_model.Core, view: message.View) -> cluster_model.World:
-    """One core takes a view that was agreed; two views under one number break an invariant."""
+    """Let a core adopt an agreed view.
+
+    Raises:
+        ViolationError: Another view of the same number was adopted before.
+    """
     for other in world.views:
         if other.number == view.number and other != view:
             raise cluster_model.ViolationError(
@@ -78,14 +89,14 @@
     record = decisions.adopt(core.record, core.identifier, view)
     if record is core.record:
         return world
-    world = cluster_model.put(world, replace(core, record=record, supporters=(), proposal=None))
-    return replace(world, views=cluster_model.add(world.views, view))
+    world = cluster_model.with_core(world, replace(core, record=record, supporters=(), proposal=None))
+    return replace(world, views=cluster_model.with_item(world.views, view))
 
 
 def proposing(world: cluster_model.World) -> Transitions:
-    """Start proposals: the proposer answers its own Prepare at once."""
+    """Each core that has to propose a new view starts a proposal."""
     for core in world.cores:
-        used = cluster_model.spend(world, "proposals")
+        used = cluster_model.consume_limit(world, "proposals")
         if used is None or not cluster_model.is_due(world, core):
             continue
         ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
@@ -94,30 +105,30 @@
 
 
 def suspecting(world: cluster_model.World) -> Transitions:
-    """A voter proposes without a reason that others see: it hears nobody but those who promise."""
+    """A voter proposes though nothing has failed, as it receives no heartbeats; any cores may answer its proposal."""
     for core in world.cores:
-        used = cluster_model.spend(world, "proposals")
+        used = cluster_model.consume_limit(world, "proposals")
         if used is None or not core.reachable or not decisions.is_voter(core.record, core.identifier):
             continue
         if cluster_model.is_due(world, core):
             continue
         ballot = (max(core.ballot, core.record.promised[0]) + 1, core.identifier)
         proposal = cluster_model.Proposal(ballot, core.view.voters)
-        yield f"{core.identifier} suspects the others and proposes {ballot}", _propose(used, core, proposal)
+        yield f"{core.identifier} receives no heartbeats and proposes {ballot}", _propose(used, core, proposal)
 
 
 def _propose(
     world: cluster_model.World, core: cluster_model.Core, proposal: cluster_model.Proposal
 ) -> cluster_model.World:
-    """A core sends a Prepare, and answers it itself."""
+    """Let a core send a Prepare, and receive its own Prepare at once."""
     proposer = replace(core, ballot=proposal.ballot[0], proposal=proposal)
     request = message.Prepare(core.view.number + 1, proposal.ballot, core.identifier)
-    after = replace(cluster_model.put(world, proposer), requests=cluster_model.add(world.requests, request))
+    after = replace(cluster_model.with_core(world, proposer), requests=cluster_model.with_item(world.requests, request))
     return receive_prepare(after, proposer, request)
 
 
 def delivering(world: cluster_model.World) -> Transitions:
-    """Deliver any request in flight to any core."""
+    """Any Prepare or Accept in flight arrives at any reachable core."""
     for request, core in itertools.product(world.requests, world.cores):
         if not core.reachable:
             continue
@@ -133,7 +144,7 @@
 
 
 def choosing(world: cluster_model.World) -> Transitions:
-    """A proposer ends its first phase with any majority of the promises that were given."""
+    """A proposer ends the prepare phase with any majority of the promises for its ballot."""
     for core in world.cores:
         proposal = core.proposal
         if not core.up or proposal is None or proposal.view is not None:
@@ -144,27 +155,31 @@
         ]
         for count in range(decisions.majority(len(old.voters)), len(answers) + 1):
             for chosen in itertools.combinations(answers, count):
-                yield from choices(world, core, proposal, {answer.id: answer for answer in chosen})
+                yield from proposed_views(world, core, proposal, {answer.id: answer for answer in chosen})
 
 
-def choices(
+def proposed_views(
     world: cluster_model.World,
     core: cluster_model.Core,
     proposal: cluster_model.Proposal,
     promises: dict[str, message.Promise],
 ) -> Transitions:
-    """The views that a proposer may ask for: with all live machines, or with those that promised."""
+    """A proposer sends an Accept for a view of all live machines, or for one of the machines that promised."""
     seen: list[message.View] = []
-    live = cluster_model.live(world)
-    promised = {identifier: promise.incarnation for identifier, promise in promises.items() if identifier in live}
-    for alive in (live, promised):
-        view = view_formation.next_view(core.view, promises, proposal.voters, alive, cluster_model.departing(world))
+    live_cores = cluster_model.live_cores(world)
+    promised = {identifier: promise.incarnation for identifier, promise in promises.items() if identifier in live_cores}
+    for alive in (live_cores, promised):
+        view = view_formation.next_view(
+            core.view, promises, proposal.voters, alive, cluster_model.departing_cores(world)
+        )
         if view is None or view in seen:
             continue
         seen.append(view)
         request = message.Accept(proposal.ballot, view, core.identifier)
         proposer = replace(core, proposal=replace(proposal, view=view))
-        after = replace(cluster_model.put(world, proposer), requests=cluster_model.add(world.requests, request))
+        after = replace(
+            cluster_model.with_core(world, proposer), requests=cluster_model.with_item(world.requests, request)
+        )
         after = receive_accept(after, proposer, request)
         yield (
             f"{core.identifier} asks to accept {proposal.ballot} after {'+'.join(promises)}: "
@@ -174,7 +189,7 @@
 
 
 def deciding(world: cluster_model.World) -> Transitions:
-    """A proposer adopts its view once a majority accepted it."""
+    """A proposer adopts its view once a majority has accepted it."""
     for core in world.cores:
         proposal = core.proposal
         if not core.up or proposal is None or proposal.view is None:
@@ -184,53 +199,60 @@
 
 
 def learning(world: cluster_model.World) -> Transitions:
-    """A core hears of a view that another adopted, then or later."""
+    """A core learns of a newer view that another core has adopted."""
     for core, view in itertools.product(world.cores, world.views):
         if core.reachable and decisions.newer_view(core.record, view.number) is None:
             yield f"{core.identifier} learns view {view.number}", adopt(world, core, view)
 
 
 def leasing(world: cluster_model.World) -> Transitions:
-    """A voter grants the tail its lease; leases and grants run out, the grant after the lease."""
+    """A voter grants the tail its read lease; leases and grants expire, and grants become void.
+
+    A grant expires only when no lease counts on it any more. It becomes void when its voter sees a new incarnation of
+    the tail.
+    """
     tails = [
         core
         for core in world.cores
         if core.reachable and decisions.may_request_read_lease(core.record, core.identifier, core.incarnation)
     ]
     for tail, core in itertools.product(tails, world.cores):
-        used = cluster_model.spend(world, "leases")
+        used = cluster_model.consume_limit(world, "leases")
         if used is None or not core.reachable or core.identifier in tail.supporters:
             continue
         answer = decisions.grant_lease(
             core.record, core.identifier, message.LeaseRequest(tail.view.number, tail.identifier)
         )
         if answer.ok:
-            after = cluster_model.put(used, replace(core, holder=tail.identifier))
+            after = cluster_model.with_core(used, replace(core, holder=tail.identifier))
             tail_after = after.cores[tail.index]
-            after = cluster_model.put(
-                after, replace(tail_after, supporters=cluster_model.add(tail_after.supporters, core.identifier))
+            after = cluster_model.with_core(
+                after, replace(tail_after, supporters=cluster_model.with_item(tail_after.supporters, core.identifier))
             )
             yield f"{core.identifier} grants {tail.identifier} a lease", after
     counted = set().union(*(core.supporters for core in world.cores))
     for core in world.cores:
         if core.supporters:
-            yield f"the lease of {core.identifier} runs out", cluster_model.put(world, replace(core, supporters=()))
+            yield (
+                f"the lease of {core.identifier} runs out",
+                cluster_model.with_core(world, replace(core, supporters=())),
+            )
         if core.holder is not None and core.identifier not in counted:
-            yield f"the grant of {core.identifier} runs out", cluster_model.put(world, replace(core, holder=None))
+            yield f"the grant of {core.identifier} runs out", cluster_model.with_core(world, replace(core, holder=None))
         elif core.holder is not None and core.reachable and core.record.view is not None:
-            holder = cluster_model.by_identifier(world, core.view.chain[-1].id)
+            holder = cluster_model.core_by_identifier(world, core.view.chain[-1].id)
             seen = holder.incarnation if holder is not None and holder.reachable else None
             if decisions.is_grant_void(core.record, core.holder, seen):
                 yield (
-                    f"{core.identifier} sees {core.view.chain[-1].id} anew, and its grant is void",
-                    cluster_model.put(world, replace(core, holder=None)),
+                    f"{core.identifier} sees a new incarnation of {core.view.chain[-1].id}, and its grant is void",
+                    cluster_model.with_core(world, replace(core, holder=None)),
                 )
 
 
 def writing(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
-    """The head syncs a change."""
+    """The head appends a change to its log and syncs it to disk."""
     for core in world.cores:
-        used = cluster_model.spend(world, "changes")
+        used = cluster_model.consume_limit(world, "changes")
         if used is None or not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
             continue
         view = core.view
@@ -238,18 +260,18 @@
             entry = (view.number, core.last_entry[1] + 1)
             yield (
                 f"head {core.identifier} syncs change {entry}",
-                cluster_model.put(used, replace(core, log=(*core.log, entry))),
+                cluster_model.with_core(used, replace(core, log=(*core.log, entry))),
             )
 
 
 def replicating(world: cluster_model.World) -> Transitions:
-    """A member brings the next one up to date; that one is then synced."""
+    """A synced chain member sends its log to its successor, which is synced after that."""
     for core in world.cores:
         if not core.reachable or not cluster_model.serves(core) or not decisions.is_synced(core.record):
             continue
         members = [member.id for member in core.view.chain]
         position = members.index(core.identifier) + 1
-        following = cluster_model.by_identifier(world, members[position]) if position < len(members) else None
+        following = cluster_model.core_by_identifier(world, members[position]) if position < len(members) else None
         if following is None or not following.reachable or not cluster_model.serves(following):
             continue
         if following.view.number != core.view.number:
@@ -257,27 +279,36 @@
         record = decisions.become_synced(following.record, core.view.number)
         if record is following.record and following.log == core.log:
             continue
-        after = cluster_model.put(world, replace(following, record=record, log=core.log, stale_disk=core.stale_disk))
-        if record is not following.record and world.limits.late_refills:
-            refill = cluster_model.Refill(following.view.number, following.identifier, core.log)
-            after = replace(after, refills=cluster_model.add(after.refills, refill))
+        after = cluster_model.with_core(
+            world, replace(following, record=record, log=core.log, stale_disk=core.stale_disk)
+        )
+        if record is not following.record and world.limits.late_snapshots:
+            snapshot = cluster_model.DelayedSnapshot(following.view.number, following.identifier, core.log)
+            after = replace(after, delayed_snapshots=cluster_model.with_item(after.delayed_snapshots, snapshot))
         yield f"{core.identifier} brings {following.identifier} up to date", after
 
 
-def refilling(world: cluster_model.World) -> Transitions:
-    """A snapshot that was held up arrives once more."""
-    for refill in world.refills:
-        used, core = cluster_model.spend(world, "late_refills"), cluster_model.by_identifier(world, refill.receiver)
+def delivering_late_snapshots(world: cluster_model.World) -> Transitions:
+    """A delayed duplicate of a snapshot arrives."""
+    for snapshot in world.delayed_snapshots:
+        used, core = (
+            cluster_model.consume_limit(world, "late_snapshots"),
+            cluster_model.core_by_identifier(world, snapshot.receiver),
+        )
         if used is None or core is None or not core.reachable or not cluster_model.serves(core):
             continue
-        last = refill.log[-1][1] if refill.log else 0
-        if core.view.number == refill.view and decisions.may_restore(core.record, core.last_entry[1], last):
-            after = replace(core, log=refill.log, record=decisions.become_synced(core.record, refill.view))
-            yield f"a late snapshot {refill.log} reaches {core.identifier}", cluster_model.put(used, after)
+        last = snapshot.log[-1][1] if snapshot.log else 0
+        if core.view.number == snapshot.view and decisions.may_restore(core.record, core.last_entry[1], last):
+            after = replace(core, log=snapshot.log, record=decisions.become_synced(core.record, snapshot.view))
+            yield f"a late snapshot {snapshot.log} reaches {core.identifier}", cluster_model.with_core(used, after)
 
 
 def acknowledge(world: cluster_model.World, setting: cluster_model.Setting) -> cluster_model.World:
-    """All that a synced tail holds is acknowledged at that moment."""
+    """Acknowledge all entries in the log of a synced tail.
+
+    Raises:
+        ViolationError: The tail's view is sealed.
+    """
     for core in world.cores:
         if core.up and decisions.may_commit(core.record, core.identifier, core.incarnation, setting.copies):
             known = {entry for _, entry in world.acknowledged}
@@ -287,24 +318,24 @@
                         raise cluster_model.ViolationError(
                             f"{core.identifier} acknowledges {entry} in the sealed view {core.view.number}"
                         )
-                    marked = cluster_model.add(world.acknowledged, (core.view.number, entry))
+                    marked = cluster_model.with_item(world.acknowledged, (core.view.number, entry))
                     world = replace(world, acknowledged=marked)
     return world
 
 
-def tolerated(world: cluster_model.World, core: cluster_model.Core, setting: cluster_model.Setting) -> bool:
-    """Whether one more machine may be lost."""
+def may_lose_another(world: cluster_model.World, core: cluster_model.Core, setting: cluster_model.Setting) -> bool:
+    """Whether this machine may be lost without exceeding the tolerance."""
     lost = [other for other in world.cores if other.lost and other.index != core.index]
     return len(lost) < setting.tolerance
 
 
 def stopped(core: cluster_model.Core) -> cluster_model.Core:
-    """A machine that went down: what was in memory is gone."""
+    """Return the core after it went down, without the content of its memory."""
     return replace(core, up=False, settled=False, holder=None, supporters=(), ballot=0, proposal=None)
 
 
 def restarted(core: cluster_model.Core) -> cluster_model.Core:
-    """A machine that came back with its disk; a grant that it gave before may stand."""
+    """Return the core after a restart with its disk; a lease that it granted before may be unexpired."""
     return replace(
         stopped(core),
         up=True,
@@ -315,7 +346,7 @@
 
 
 def wiped(core: cluster_model.Core, setting: cluster_model.Setting) -> cluster_model.Core:
-    """A machine that came back with an empty disk, under a new identity."""
+    """Return the core after a restart with an empty disk; it gets a new identity, unless the setting forbids that."""
     identities = core.identities + 1
     identifier = core.identifier if setting.keep_identity else f"{core.identifier[0]}{identities}"
     record = decisions.Record(core.record.view) if setting.keep_identity else decisions.Record()
@@ -325,38 +356,49 @@
 
 
 def failing(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
-    """Faults within the tolerance, and what ends them."""
+    """Faults within the tolerance, restarts, and ends of faults."""
     for core in world.cores:
-        may_fail = tolerated(world, core, setting)
+        may_fail = may_lose_another(world, core, setting)
         if core.up:
             if may_fail or core.leaving:
-                yield from fault(world, "crashes", f"{core.identifier} goes down", stopped(core))
+                yield from fault_within_limits(world, "crashes", f"{core.identifier} goes down", stopped(core))
             if may_fail and not core.cut:
-                yield from fault(world, "wipes", f"{core.identifier} loses its disk", wiped(core, setting))
-                yield from fault(world, "cuts", f"{core.identifier} is cut off", replace(core, cut=True, settled=False))
-                yield from fault(world, "leaves", f"{core.identifier} leaves", replace(core, leaving=True))
+                yield from fault_within_limits(
+                    world, "wipes", f"{core.identifier} loses its disk", wiped(core, setting)
+                )
+                yield from fault_within_limits(
+                    world, "cuts", f"{core.identifier} is cut off", replace(core, cut=True, settled=False)
+                )
+                yield from fault_within_limits(
+                    world, "leaves", f"{core.identifier} leaves", replace(core, leaving=True)
+                )
         else:
-            yield f"{core.identifier} comes back", cluster_model.put(world, restarted(core))
-            yield from fault(world, "wipes", f"{core.identifier} comes back empty", wiped(core, setting))
+            yield f"{core.identifier} comes back", cluster_model.with_core(world, restarted(core))
+            yield from fault_within_limits(world, "wipes", f"{core.identifier} comes back empty", wiped(core, setting))
             if core.log:
                 stale = replace(restarted(core), log=core.log[:-1], stale_disk=True)
-                yield from fault(world, "stale_disks", f"{core.identifier} comes back with an older disk", stale)
+                yield from fault_within_limits(
+                    world, "stale_disks", f"{core.identifier} comes back with an older disk", stale
+                )
         if core.cut:
-            yield f"{core.identifier} is connected again", cluster_model.put(world, replace(core, cut=False))
-        if core.reachable and not core.settled and is_in_order(world, core):
-            yield f"{core.identifier} has settled", cluster_model.put(world, replace(core, settled=True))
+            yield f"{core.identifier} is connected again", cluster_model.with_core(world, replace(core, cut=False))
+        if core.reachable and not core.settled and is_synced_in_newest_view(world, core):
+            yield (
+                f"{core.identifier} no longer counts as lost",
+                cluster_model.with_core(world, replace(core, settled=True)),
+            )
     yield from power_cycling(world, setting)
 
 
-def fault(world: cluster_model.World, kind: str, label: str, core: cluster_model.Core) -> Transitions:
-    """One fault, where one of its kind is left within the limits."""
-    used = cluster_model.spend(world, kind)
+def fault_within_limits(world: cluster_model.World, kind: str, label: str, core: cluster_model.Core) -> Transitions:
+    """Yield a fault if the limit of its kind is not used up."""
+    used = cluster_model.consume_limit(world, kind)
     if used is not None:
-        yield label, cluster_model.put(used, core)
+        yield label, cluster_model.with_core(used, core)
 
 
-def is_in_order(world: cluster_model.World, core: cluster_model.Core) -> bool:
-    """Whether a core is a synced member of the newest view's chain."""
+def is_synced_in_newest_view(world: cluster_model.World, core: cluster_model.Core) -> bool:
+    """Whether a core serves in the chain of the newest view and is synced in it."""
     newest = max(view.number for view in world.views)
     return (
         core.record.view is not None
@@ -366,8 +408,8 @@
 
 
 def power_cycling(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
-    """All machines restart at once, and as many as the tolerance allows lose their disks."""
-    used = cluster_model.spend(world, "power_cycles")
+    """All machines restart at once, and any of them, up to the tolerance, lose their disks."""
+    used = cluster_model.consume_limit(world, "power_cycles")
     if used is None or any(core.lost for core in world.cores):
         return
     for empty in range(min(setting.tolerance, world.limits.wipes) + 1):
@@ -378,7 +420,7 @@
 
 
 def steps(world: cluster_model.World, setting: cluster_model.Setting) -> Transitions:
-    """All transitions out of a state, as (label, next state).
+    """Return all transitions out of a state, as pairs of a description and the next state.
 
     >>> first = cluster_model.start(3, cluster_model.Limits(proposals=0))
     >>> [label for label, _ in steps(first, cluster_model.Setting(1, 2))]
@@ -394,24 +436,24 @@
         leasing(world),
         writing(world, setting),
         replicating(world),
-        refilling(world),
+        delivering_late_snapshots(world),
         failing(world, setting),
     )
     return itertools.chain(*moves)
 
 
-def tidy(world: cluster_model.World) -> cluster_model.World:
-    """The state without messages that no core would take any more."""
+def without_obsolete_messages(world: cluster_model.World) -> cluster_model.World:
+    """Return the state without messages about views that all cores have reached already."""
     views = [core.record.view for core in world.cores if core.record.view is not None]
     oldest = min((view.number for view in views), default=0)
-    requests = tuple(request for request in world.requests if number_of(request) > oldest)
+    requests = tuple(request for request in world.requests if view_number_of(request) > oldest)
     promises = tuple((number, answer) for number, answer in world.promises if number > oldest)
     accepted = tuple(vote for vote in world.accepted if vote[1] > oldest)
     return replace(world, requests=requests, promises=promises, accepted=accepted)
 
 
-def number_of(request: message.Accept | message.Prepare) -> int:
-    """The number of the view that a request is about."""
+def view_number_of(request: message.Accept | message.Prepare) -> int:
+    """Return the number of the view that a request proposes."""
     match request:
         case message.Prepare(number=number):
             return number
