--- a/benchmarks/capacity/node_costs.py
+++ b/benchmarks/capacity/node_costs.py
@@ -282,7 +282,7 @@
 def placement_with_parts(count: int) -> placement.Placement:
     """A placement that knows the given number of prefix parts, spread over 2,600 workers.
 
-    >>> len(placement_with_parts(2600).workers)
+    >>> len(placement_with_parts(2600).estimates)
     2600
     """
     pool_placement = samples.idle_node().gateway.forwarder.placement_of("model-0")
